--- /dev/null
+++ b/tests/golden/conversation.py
@@ -0,0 +1,84 @@
+"""One kind of traffic between processes: how its messages are written, framed and read, and its golden file."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from marlstep.net.frames import Codec, Framing
+from marlstep.net.ring import Ring
+
+DATA = Path(__file__).parent / "data"
+RING_SIZE = 128 * 1024
+KEY = bytes(range(32))  # of the fleet, for every golden frame
+
+
+@dataclass(slots=True, frozen=True)
+class Sample:
+    """What is written, and what reading it gives where that differs."""
+
+    written: object
+    read: object = None
+
+    @property
+    def expected(self) -> object:
+        return self.written if self.read is None else self.read
+
+
+@dataclass(slots=True, frozen=True)
+class Golden:
+    """One stored message. `head` is the frame's part before the body, in hex."""
+
+    head: str
+    body: str
+    required: list[str]  # keys without which the message is refused
+    optional: list[str]  # keys that have a default
+
+    @property
+    def frame(self) -> bytes:
+        return bytes.fromhex(self.head) + self.body.encode()
+
+
+@dataclass(slots=True, frozen=True)
+class Conversation:
+    """`message_path` leads from the body's JSON to the pair of a message's tag and its fields."""
+
+    file: str
+    samples: Mapping[str, Sample]  # by "Tag/form"
+    framing: Framing
+    write: Callable[[Any], bytes]
+    write_frame: Callable[[Any], bytes]
+    read: Callable[[bytes], object]
+    message_path: tuple[int, ...]
+
+    @property
+    def path(self) -> Path:
+        return DATA / self.file
+
+    def message_in(self, told: Any) -> Any:
+        """The pair of a tag and fields within what a body holds."""
+        for step in self.message_path:
+            told = told[step]
+        return told
+
+    def load(self) -> dict[str, Golden]:
+        return {name: Golden(**row) for name, row in json.loads(self.path.read_text()).items()}
+
+    def read_frame(self, frame: bytes) -> object:
+        """The one message of a frame."""
+        ring = Ring(RING_SIZE)
+        ring.put(frame)
+        body = self.framing.read(ring)
+        assert body is not None and ring.used == 0
+        return self.read(body)
+
+
+def classes_of(codec: Codec) -> set[type]:
+    return set(codec._kinds.values())
+
+
+def tags_of(codec: Codec) -> set[str]:
+    return set(codec._kinds)
--- /dev/null
+++ b/tests/golden/datagrams.py
@@ -0,0 +1,64 @@
+"""Every datagram between nodes: with records in each state, without, and with more than it has place for."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass, replace
+
+from marlstep.fleet import wire
+from marlstep.members.messages import Ack, Nack, Ping, PingFor, Said
+from marlstep.members.records import Record, State
+from tests.golden.conversation import KEY, Conversation, Sample
+from tests.golden.node_messages import RECORDS
+
+MANY = tuple(
+    Record(f"node-{number:02}", f"boot-{number}", 1_800_000_000_000 + number, number, state, "127.0.0.9:7009")
+    for number, state in enumerate([*State] * 10)
+)
+SENDER = Record("n9", "b9", 1_800_000_000_009, 9, State.ALIVE, "127.0.0.9:7009", "nörth", "")
+RECORDS_KEPT = 17  # of MANY: as many as one datagram takes
+PLAIN: dict[str, Said] = {
+    "Ping": Ping(number=31, node="n2"),
+    "Ack": Ack(number=32),
+    "PingFor": PingFor(number=33, node="n3", address="127.0.0.3:7003"),
+    "Nack": Nack(number=34),
+}
+
+
+@dataclass(slots=True, frozen=True)
+class Datagram:
+    """A datagram's fleet, sender and message."""
+
+    fleet: str
+    sender: Record
+    message: Said
+
+
+def _datagram(message: Said, records: tuple[Record, ...] = ()) -> Datagram:
+    return Datagram("fleet-ä", SENDER, replace(message, records=records))
+
+
+def _samples() -> Iterator[tuple[str, Sample]]:
+    for tag, message in PLAIN.items():
+        yield f"{tag}/full", Sample(_datagram(message, RECORDS))
+        yield f"{tag}/defaults", Sample(_datagram(message))
+        for record in RECORDS:
+            yield f"{tag}/{record.state.value}", Sample(_datagram(message, (record,)))
+        kept = MANY[:RECORDS_KEPT]
+        yield f"{tag}/cut", Sample(_datagram(message, MANY), _datagram(message, kept))
+
+
+def _write(datagram: Datagram) -> bytes:
+    return wire.write_datagram(datagram.fleet, datagram.sender, datagram.message)
+
+
+FRAMING = wire.datagrams(KEY)
+CONVERSATION = Conversation(
+    file="datagrams.json",
+    samples=dict(_samples()),
+    framing=FRAMING,
+    write=_write,
+    write_frame=lambda datagram: FRAMING.write(_write(datagram)),
+    read=lambda body: Datagram(*wire.read_datagram(body)),
+    message_path=(2,),
+)
--- /dev/null
+++ b/tests/golden/mutations.py
@@ -0,0 +1,54 @@
+"""Changes of a message's JSON that its reader has to refuse, or to pass over."""
+
+from __future__ import annotations
+
+import copy
+from collections.abc import Iterator
+from typing import Any
+
+Path = tuple[int | str, ...]
+FREE_FORM = "learnt"  # holds any object: only its own type is checked
+NULLABLE: Path = (1, "result")  # of a Name between two processes of a node: the one field that may be null
+
+
+def replaced(told: Any, path: Path, value: object) -> Any:
+    """A copy with another value at `path`."""
+    if not path:
+        return value
+    made = copy.deepcopy(told)
+    place = made
+    for step in path[:-1]:
+        place = place[step]
+    place[path[-1]] = value
+    return made
+
+
+def wrong_values(value: object, may_be_null: bool) -> list[object]:
+    """Values of other types than the one that is there."""
+    null: list[object] = [] if may_be_null else [None]
+    match value:
+        case bool():
+            return [*null, 1, "true"]
+        case int():
+            return [*null, "7", True, 7.5]
+        case float():
+            return [*null, "0.5", True]
+        case str():
+            return [*null, 7, ["text"]]
+    return [*null, 7]  # a list or an object
+
+
+def wrong_types(told: Any, path: Path = ()) -> Iterator[tuple[Path, object]]:
+    """Each place in the JSON, with each value of a wrong type for it."""
+    for wrong in wrong_values(told, may_be_null=path == NULLABLE):
+        yield path, wrong
+    if path and path[-1] == FREE_FORM:
+        yield path, ["text"]
+        return
+    steps: list[Any] = []
+    if isinstance(told, dict):
+        steps = list(told)
+    elif isinstance(told, list):
+        steps = list(range(len(told)))
+    for step in steps:
+        yield from wrong_types(told[step], (*path, step))
--- /dev/null
+++ b/tests/golden/test_snapshots.py
@@ -0,0 +1,55 @@
+"""Snapshots of the machines on the log, membership among them, keep their bytes whatever classes and fields are called.
+
+The names of fields of documents and members are keys of a snapshot, which voters store and send to each other.
+"""
+
+from __future__ import annotations
+
+import json
+
+import orjson
+import pytest
+
+from marlstep.consensus.log import Group
+from marlstep.consensus.machine import Machines
+from tests.golden import snapshots
+
+NAMES = list(snapshots.new_machines())
+
+
+def test_writing_gives_the_stored_snapshot_and_group() -> None:
+    assert snapshots.written() == snapshots.load()
+
+
+def test_every_machine_is_in_the_stored_snapshot() -> None:
+    assert set(json.loads(snapshots.load()["snapshot"])["machines"]) == set(NAMES)
+
+
+@pytest.mark.parametrize("name", NAMES)
+def test_a_machine_reads_its_part_of_the_stored_snapshot(name: str) -> None:
+    stored = json.loads(snapshots.load()["snapshot"])["machines"][name]
+    read, expected = snapshots.new_machines()[name], snapshots.filled_machines()[name]
+    read.read(stored)
+    assert json.loads(orjson.dumps(read.write())) == stored
+    for attribute in STATE[name]:
+        assert getattr(read, attribute) == getattr(expected, attribute)
+
+
+STATE = {
+    "leases": ("leases", "token"),
+    "members": ("nodes", "believed"),
+    "rules": ("documents", "_uploads"),
+    "shares": ("tenants",),
+    "tasks": ("runs",),
+}
+
+
+def test_the_whole_stored_snapshot_is_read() -> None:
+    machines = Machines(snapshots.new_machines())
+    machines.read(snapshots.load()["snapshot"])
+    assert machines.write() == snapshots.load()["snapshot"]
+    assert machines.known("n2/b2", 5) == {"granted": "n2/b2", "token": 24}
+
+
+def test_the_stored_group_is_read() -> None:
+    assert Group.read(snapshots.load()["group"]) == snapshots.GROUP
