--- /dev/null
+++ b/tests/golden/machines.py
@@ -0,0 +1,33 @@
+"""All state machines of a voter, and commands for them by the thousand."""
+
+from __future__ import annotations
+
+import hashlib
+
+import orjson
+
+from marlstep.consensus.machine import Machines
+from marlstep.fleet.part import tasks_machine
+from marlstep.leases.table import Table
+
+
+def machines() -> Machines:
+    """As a voter without a past has them."""
+    table = Table()
+    return Machines({"leases": table, **tasks_machine(table)})
+
+
+def applied(log: Machines, body: str) -> str:
+    """The result of one command, as JSON."""
+    return orjson.dumps(log.apply(body)[1]).decode()
+
+
+def run_limit(before: tuple[str, ...], pattern: str, times: int) -> tuple[str, str]:
+    """The result of the last command, and the digest of the snapshot after it."""
+    log, last = machines(), ""
+    for body in before:
+        log.apply(body)
+    for number in range(1, times + 1):
+        for body in pattern.replace("@", str(number)).split("\n"):
+            last = applied(log, body)
+    return last, hashlib.blake2b(log.write().encode(), digest_size=16).hexdigest()
--- /dev/null
+++ b/tests/golden/record_state.py
@@ -0,0 +1,46 @@
+"""Writes the golden files of stored data and outward JSON anew, from the program as it stands.
+
+Only by intent, where a format is changed on purpose: `python -m tests.golden.record_state`. No test runs it.
+"""
+
+from __future__ import annotations
+
+import tempfile
+from pathlib import Path
+
+from tests.golden.commands import LIMITS, record_commands
+from tests.golden.files import write_golden
+from tests.golden.machines import machines, run_limit
+
+SNAPSHOT_EVERY = 60  # commands
+
+
+def record_log() -> None:
+    with tempfile.TemporaryDirectory() as folder:
+        rows, last = record_commands(Path(folder))
+    write_golden("log_commands.json", [{"body": row.body, "result": row.result} for row in rows])
+    snapshots = []
+    fresh = machines()
+    for number, row in enumerate(rows, 1):
+        fresh.apply(row.body)
+        if number % SNAPSHOT_EVERY == 0 or number == len(rows):
+            snapshots.append({"after": number, "data": fresh.write()})
+    assert snapshots[-1]["data"] == last
+    write_golden("snapshots.json", snapshots)
+
+
+def record_limits() -> None:
+    rows = {}
+    for name, (before, pattern, times) in LIMITS.items():
+        last, digest = run_limit(before, pattern, times)
+        rows[name] = {"last": last, "snapshot": digest}
+    write_golden("limits.json", rows)
+
+
+def main() -> None:
+    record_log()
+    record_limits()
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/golden/test_snapshots.py
@@ -0,0 +1,49 @@
+"""Snapshots of all machines: written as the stored ones, and read back whole."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+
+from tests.golden.files import read_golden
+from tests.golden.machines import applied, machines
+
+ROWS: list[dict[str, str]] = read_golden("log_commands.json")
+SNAPSHOTS: list[dict[str, Any]] = read_golden("snapshots.json")
+
+
+def test_the_stored_commands_give_the_stored_snapshots() -> None:
+    log, stored = machines(), {one["after"]: one["data"] for one in SNAPSHOTS}
+    for number, row in enumerate(ROWS, 1):
+        log.apply(row["body"])
+        if number in stored:
+            assert log.write() == stored.pop(number), number
+    assert not stored
+
+
+@pytest.mark.parametrize("snapshot", SNAPSHOTS, ids=lambda one: str(one["after"]))
+def test_a_stored_snapshot_is_written_again_as_it_was_read_and_goes_on_alike(
+    snapshot: dict[str, Any],
+) -> None:
+    log = machines()
+    log.read(snapshot["data"])
+    assert log.write() == snapshot["data"]
+    for number, row in enumerate(ROWS[snapshot["after"] :], snapshot["after"]):
+        # As JSON objects: a snapshot sorts its keys, and with them those of the rows that a `get` tells.
+        assert json.loads(applied(log, row["body"])) == json.loads(row["result"]), (number, row["body"])
+    assert log.write() == SNAPSHOTS[-1]["data"]
+
+
+def test_the_last_snapshot_has_every_kind_of_thing() -> None:
+    """So that no key of a snapshot is without a stored example."""
+    last = SNAPSHOTS[-1]["data"]
+    for key in (
+        '"asked":', '"leases":', '"token":', '"tasks":', '"open"', '"rules":', '"documents":', '"uploads":[["',
+        '"kind":', '"strict":', '"versions":[{', '"count":', '"pending":{', '"held_out":', '"turned_down":[{',
+        '"version":', '"content":', '"author":', '"note":', '"at":', '"hold_out":true', '"stage":{', '"nodes":',
+        '"for_ms":', '"worse":', '"least":', '"begun":true', '"acked":["', '"refused":{"', '"members":',
+        '"there":true', '"taken_out":1', '"why":', '"held_off":true', '"believed":["', '"shares":',
+    ):  # fmt: skip
+        assert key in last, key
--- /dev/null
+++ b/tests/golden/world.py
@@ -0,0 +1,192 @@
+"""One voter that leads alone, one node's real part of the fleet, and beats of others: a log on a clock moved by hand.
+
+All commands come into the log through the program's own proposers, or as an ask of any node; nothing is on sockets.
+"""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+from typing import Any
+
+import orjson
+
+from marlstep.config import check
+from marlstep.config.fleet import FleetConfig
+from marlstep.consensus.log import Group, Saved, Snapshot
+from marlstep.consensus.raft import Timing
+from marlstep.consensus.voter import Ask, Message, Told, Voter, VoterSettings
+from marlstep.fleet import wire
+from marlstep.fleet.lines import Lines
+from marlstep.fleet.part import Fleet, tasks_machine
+from marlstep.leases.messages import Acts, Beat, Beaten, Figures, Held
+from marlstep.node import Node
+from marlstep.rules.messages import Fetch, Piece
+from tests.golden.everything import KEY, operator_config, platform_config
+from tests.node import HandClock
+
+VOTER = "n1#0a0b0c"
+STEP_MS = 50
+
+
+@dataclass(slots=True)
+class Row:
+    """One committed command, as it stands in the log, and its result, both as JSON."""
+
+    body: str
+    result: str
+
+
+@dataclass(slots=True)
+class Process:
+    """A node's process as its beats have it."""
+
+    node: str
+    wants: tuple[str, ...] = ()
+    returns: tuple[Held, ...] = ()
+    most: int = 0
+    acts: tuple[Acts, ...] = ()
+    figures: Figures = (0, 0, 0)
+    failed: tuple[str, ...] = ()
+    demand: tuple[Held, ...] = ()
+    silent: bool = False
+    beats: int = 0
+
+    @property
+    def holder(self) -> str:
+        return f"{self.node}/b1"
+
+    def beat(self) -> Beat:
+        self.beats += 1
+        return Beat(
+            self.node, "b1", self.beats, self.wants, self.returns, self.most, 0, self.acts, self.figures,
+            self.failed, self.demand,
+        )  # fmt: skip
+
+
+class KeptLines(Lines):
+    """Lines that keep what is sent."""
+
+    kept: list[bytes]
+
+    def send(self, node: str, body: bytes) -> None:
+        self.kept.append(body)
+
+
+def lone_voter(config: FleetConfig, clock: HandClock) -> Voter:
+    """The only one of its group, so that what it proposes is committed at once."""
+    members = None if config.members is None else config.members.keeping
+    timing = Timing(config.beat, config.patience)
+    settings = VoterSettings(timing, config.leases, ("n1",), members, shares=True)
+    saved = Saved(0, "", Snapshot(0, 0, Group((VOTER,)), ""), [])
+    return Voter(VOTER, saved, settings, tasks_machine, random.Random(1), clock.now())
+
+
+@dataclass(slots=True)
+class World:
+    """Made within a running event loop; `node` is one that does not vote."""
+
+    clock: HandClock
+    node: Node
+    fleet: Fleet
+    voter: Voter
+    lines: KeptLines
+    rows: list[Row] = field(default_factory=list)
+    processes: dict[str, Process] = field(default_factory=dict)
+    asked: int = 0
+    seen: int = 0  # index of the last entry that stands in `rows`
+
+    def pass_time(self, ms: int) -> None:
+        for _ in range(ms // STEP_MS):
+            self.clock.advance(STEP_MS)
+            for process in self.processes.values():
+                if not process.silent:
+                    self.voter.step(self.clock.now(), process.holder, process.beat())
+            self.turn()
+
+    def turn(self) -> None:
+        """All that can be done at this moment."""
+        now = self.clock.now()
+        rules = self.fleet.rules
+        assert rules is not None
+        for _ in range(6):
+            if self.voter.next_due() <= now:
+                self.voter.tick(now)
+            while (ready := self.voter.take()) is not None:
+                self.voter.synced(now, ready)
+                for _, own in ready.messages:  # its own vote comes back once it is durable
+                    self.voter.step(now, VOTER, own)
+            for to, message in self.voter.prompt(now):
+                self._told(to, message)
+            rules.look(now)
+            for _, sent in self.fleet.participant.tick(now)[0]:
+                self.voter.step(now, self.fleet.participant.holder.name, sent)
+            kept, self.lines.kept = self.lines.kept, []
+            for body in kept:
+                envelope = wire.read(body)
+                assert isinstance(envelope.message, Fetch)
+                self.voter.step(now, envelope.sender, envelope.message)
+            self.clock.settle()
+        self._keep()
+
+    def _told(self, to: str, message: Message) -> None:
+        holder, rules, now = self.fleet.participant.holder, self.fleet.rules, self.clock.now()
+        assert rules is not None
+        if to != holder.name:
+            return
+        match message:
+            case Beaten() | Told():
+                self.fleet.participant.told(now, "n1", message)
+                rules.heard(now)
+            case Piece():
+                rules.got(now, message)
+
+    def _keep(self) -> None:
+        for index, _, result in self.voter.applied:
+            if index > self.seen:
+                self.seen = index
+                body = self.voter.raft.log[index].body
+                self.rows.append(Row(body, orjson.dumps(result).decode()))
+
+    def ask(self, by: str, command: dict[str, Any], number: int | None = None) -> dict[str, Any]:
+        """A command that a process of another node asks for; its result."""
+        self.asked += 1
+        body = orjson.dumps(command).decode()
+        self.voter.step(self.clock.now(), by, Ask(by, number or self.asked, body))
+        self.turn()
+        result: dict[str, Any] = orjson.loads(self.rows[-1].result)
+        return result
+
+    def plain(self, body: str) -> None:
+        """Any text as an entry, also one that no proposer writes."""
+        self.voter.raft.propose(self.clock.now(), body)
+        self.voter.tick(self.clock.now())
+        self.turn()
+
+    def order(self, path: str, told: dict[str, Any]) -> dict[str, Any]:
+        """What an operator asks for at the node's administration, and what the group made of it."""
+        answer = self.fleet.order(path, told)
+        assert answer is not None and "asked" in answer
+        number = str(answer["asked"])
+        for _ in range(10):
+            self.turn()
+            found = self.fleet.told_orders()
+            if number in found:
+                result: dict[str, Any] = found[number]
+                return result
+            self.pass_time(STEP_MS)
+        raise AssertionError(f"{path} has no result")
+
+
+def make_world(folder: Any) -> World:
+    clock = HandClock()
+    config = check(platform_config("n6"), operator_config(folder, voters=["n1"], listen="127.0.0.1:7006"))
+    assert config.fleet is not None
+    node = Node(config, clock.timeline)
+    fleet = node.parts["fleet"]
+    assert isinstance(fleet, Fleet)
+    fleet.steady = clock.timeline
+    lines = KeptLines(config.fleet.nodes, wire.framing(KEY.encode()), clock.timeline, lambda body: None)
+    lines.kept = []
+    fleet.lines = lines
+    return World(clock, node, fleet, lone_voter(config.fleet, clock), lines)
