--- a/tests/golden/record_state.py
+++ b/tests/golden/record_state.py
@@ -9,8 +9,9 @@
 from pathlib import Path
 
 from tests.golden.commands import LIMITS, record_commands
-from tests.golden.files import write_golden
+from tests.golden.files import FOLDER, write_golden
 from tests.golden.machines import machines, run_limit
+from tests.golden.stored import FILE, dump, read_store, write_store
 
 SNAPSHOT_EVERY = 60  # commands
 
@@ -37,9 +38,18 @@
     write_golden("limits.json", rows)
 
 
+def record_store() -> None:
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        write_store(folder)
+        write_golden("store.json", {"state": read_store(folder), "file": dump(folder / FILE)})
+        (FOLDER / FILE).write_bytes((folder / FILE).read_bytes())
+
+
 def main() -> None:
     record_log()
     record_limits()
+    record_store()
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/golden/stored.py
@@ -0,0 +1,84 @@
+"""A voter's store with all that it can hold, and its file as SQL schema and rows."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import apsw
+
+from marlstep.consensus.log import Entry, Group, Kind, Snapshot
+from marlstep.consensus.raft import Ready
+from marlstep.fleet.store import Opened, Store
+from tests.golden.files import read_golden
+
+FILE = "voter.sqlite"
+NODE, IDENTITY, GROUP = "n1", "n1#0a0b0c", "1.feedbeef"
+OF_THIS_DISK = ("file", "sum")  # facts that differ from one file to the next
+
+
+def write_store(folder: Path) -> None:
+    """A log with entries of each kind behind a snapshot, a vote in a later term, and a group."""
+    data = read_golden("snapshots.json")[0]["data"]
+    bodies = [row["body"] for row in read_golden("log_commands.json")[:8]]
+    group = Group((IDENTITY, "n2#1a"), ("n3#2a",))
+    entries = [Entry(number, 1, Kind.COMMAND, body) for number, body in enumerate(bodies, 1)]
+    store = Store(folder)
+    store.open(NODE, IDENTITY)
+    store.set_group(GROUP)
+    store.save(Ready(1, 1, IDENTITY, entries=entries))
+    store.save(Ready(2, 1, IDENTITY, Snapshot(5, 1, Group((IDENTITY,)), data), keep=2))
+    more = [
+        Entry(9, 2, Kind.EMPTY, ""),
+        Entry(10, 2, Kind.GROUP, group.write()),
+        Entry(11, 2, Kind.COMMAND, 'a "text" with \u00e4, \u2713 and \\n'),
+    ]
+    store.save(Ready(3, 2, "n2#1a", entries=more))
+    store.save(Ready(4, 3, "n3#2a"))
+    store.close()
+
+
+def read_store(folder: Path) -> dict[str, Any]:
+    """What the program gives back of it."""
+    store = Store(folder)
+    try:
+        told: Opened = store.open(NODE, "n1#anew")
+    finally:
+        store.close()
+    saved, snapshot = told.saved, told.saved.snapshot
+    return {
+        "identity": told.identity,
+        "group": told.group,
+        "fresh": told.fresh,
+        "term": saved.term,
+        "vote": saved.vote,
+        "snapshot": {
+            "index": snapshot.index,
+            "term": snapshot.term,
+            "group": snapshot.group.write(),
+            "data": snapshot.data,
+        },
+        "entries": [[one.index, one.term, one.kind.value, one.body] for one in saved.entries],
+    }
+
+
+def dump(path: Path) -> dict[str, Any]:
+    """Schema and rows; blobs in hexadecimal figures."""
+    db = apsw.Connection(str(path))
+    try:
+        schema = db.execute(
+            "select name, sql from sqlite_master where sql is not null order by name"
+        ).fetchall()
+        tables = {
+            str(name): [list(row) for row in db.execute(f"select * from {name} order by 1").fetchall()]
+            for name, _ in schema
+        }
+    finally:
+        db.close()
+    rows = {
+        name: [[one.hex() if isinstance(one, bytes) else one for one in row] for row in found]
+        for name, found in tables.items()
+    }
+    rows["facts"] = [["file", "*"] if name == "file" else [name, value] for name, value in rows["facts"]]
+    rows["facts"] = [["sum", "*"] if name == "sum" else [name, value] for name, value in rows["facts"]]
+    return {"schema": [list(row) for row in schema], "rows": rows}
