--- a/tests/golden/everything.py
+++ b/tests/golden/everything.py
@@ -26,7 +26,7 @@
 
 
 def platform_config(node: str = "n1", **other: Any) -> dict[str, Any]:
-    return raw_config(name=node, settings=SETTINGS, **other)
+    return raw_config(name=node, settings=SETTINGS, mgmt="127.0.0.1:0", db="127.0.0.1:1", **other)
 
 
 def fleet_section(folder: Path, **other: Any) -> dict[str, Any]:
--- /dev/null
+++ b/tests/golden/named.py
@@ -0,0 +1,50 @@
+"""Names of metrics in a page of them, and the words by which the program's text counts."""
+
+from __future__ import annotations
+
+import ast
+import re
+from pathlib import Path
+
+SAMPLE = re.compile(r"([a-zA-Z0-9_]+)(?:\{(.*)\})? \S+")
+LABEL = re.compile(r'([a-z_]+)="')
+PACKAGE = Path(__file__).parent.parent.parent / "marlstep"
+
+
+def names_of(page: str) -> list[str]:
+    """Of each sample its name, the names of its labels, and the type of its family."""
+    kinds, found = {}, set()
+    for line in page.splitlines():
+        if line.startswith("# TYPE "):
+            _, _, name, kind = line.split(" ")
+            kinds[name] = kind
+        elif not line.startswith("#") and (match := SAMPLE.fullmatch(line)) is not None:
+            name, labels = match.group(1), LABEL.findall(match.group(2) or "")
+            found.add(f"{name}{{{','.join(labels)}}} {kinds[name]}")
+    return sorted(found)
+
+
+def counted_words() -> set[str]:
+    """The keys of all counters that the program's text adds to by a word of its own."""
+    found = set()
+    for path in PACKAGE.rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text("utf-8"))):
+            if isinstance(node, ast.AugAssign) and isinstance(node.target, ast.Subscript):
+                key = node.target.slice
+                if (
+                    isinstance(node.op, ast.Add)
+                    and isinstance(key, ast.Constant)
+                    and isinstance(key.value, str)
+                ):
+                    found.add(key.value)
+    return found
+
+
+def all_words() -> set[str]:
+    """All texts that stand in the program."""
+    found = set()
+    for path in PACKAGE.rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text("utf-8"))):
+            if isinstance(node, ast.Constant) and isinstance(node.value, str):
+                found.add(node.value)
+    return found
--- a/tests/golden/record_state.py
+++ b/tests/golden/record_state.py
@@ -9,8 +9,11 @@
 from pathlib import Path
 
 from tests.golden.commands import LIMITS, record_commands
-from tests.golden.files import FOLDER, write_golden
+from tests.golden.files import FOLDER, read_golden, write_golden
 from tests.golden.machines import machines, run_limit
+from tests.golden.named import counted_words, names_of
+from tests.golden.shapes import bare, written
+from tests.golden.shown import commands, every_counter, metrics, other_commands, pages
 from tests.golden.stored import FILE, dump, read_store, write_store
 
 SNAPSHOT_EVERY = 60  # commands
@@ -46,10 +49,34 @@
         (FOLDER / FILE).write_bytes((folder / FILE).read_bytes())
 
 
+def record_shapes() -> None:
+    rows = {}
+    for name, make in (("pages", pages), ("commands", commands), ("other commands", other_commands)):
+        with tempfile.TemporaryDirectory() as folder:
+            rows[name] = {what: written(told) for what, told in make(Path(folder)).items()}
+    write_golden("shapes.json", rows)
+    empty = [f"{what} {path}" for what, lines in rows["pages"].items() for path in bare(lines)]
+    write_golden("empty.json", sorted(empty))
+
+
+def record_metrics() -> None:
+    """`counters.json` is written by hand: the keys of each counter whose words become names."""
+    found = {}
+    for name, make in (("seen", metrics), ("every counter", every_counter)):
+        with tempfile.TemporaryDirectory() as folder:
+            found[name] = names_of(make(Path(folder)))
+    found["words"] = sorted(counted_words())
+    known = {one for keys in read_golden("counters.json").values() for one in keys}
+    found["words of drills and traces"] = sorted(counted_words() - known)
+    write_golden("metrics.json", found)
+
+
 def main() -> None:
     record_log()
     record_limits()
     record_store()
+    record_shapes()
+    record_metrics()
 
 
 if __name__ == "__main__":
