--- a/tests/golden/record_state.py
+++ b/tests/golden/record_state.py
@@ -9,9 +9,11 @@
 from pathlib import Path
 
 from tests.golden.commands import LIMITS, record_commands
+from tests.golden.everything import operator_config
 from tests.golden.files import FOLDER, read_golden, write_golden
 from tests.golden.machines import machines, run_limit
 from tests.golden.named import counted_words, names_of
+from tests.golden.sections import fault_of, read_section, with_key
 from tests.golden.shapes import bare, written
 from tests.golden.shown import commands, every_counter, metrics, other_commands, pages
 from tests.golden.stored import FILE, dump, read_store, write_store
@@ -71,12 +73,36 @@
     write_golden("metrics.json", found)
 
 
+def record_sections() -> None:
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        operator = operator_config(folder)
+        fleet = operator["fleet"]
+        tables = {
+            "fleet": fleet,
+            "fleet.members": fleet["members"],
+            "fleet.rules": fleet["rules"],
+            "fleet.rules.documents.settings": fleet["rules"]["documents"]["settings"],
+            "fleet.tasks.sweep": {**fleet["tasks"]["nightly"], **fleet["tasks"]["sweep"]},
+        }
+        keys = {path: sorted(table) for path, table in tables.items()}
+        unknown = {path: fault_of(with_key(operator, path, "colour", 1)) for path in keys}
+        wrong = {
+            f"{path}.{key}": fault_of(with_key(operator, path, key, []))
+            for path, names in keys.items()
+            for key in names
+        }
+        told = {"keys": keys, "complete": read_section(folder), "least": read_section(folder, least=True)}
+        write_golden("sections.json", {**told, "unknown": unknown, "wrong": wrong})
+
+
 def main() -> None:
     record_log()
     record_limits()
     record_store()
     record_shapes()
     record_metrics()
+    record_sections()
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/tests/golden/sections.py
@@ -0,0 +1,103 @@
+"""What the program reads from a complete operator's file, as plain JSON."""
+
+from __future__ import annotations
+
+from copy import deepcopy
+from datetime import timedelta
+from pathlib import Path
+from typing import Any
+
+from marlstep.config import ConfigError, check
+from marlstep.units import MILLISECOND
+from tests.golden.everything import KEY, fleet_section, operator_config, platform_config
+
+
+def ms(span: timedelta) -> float:
+    return span / MILLISECOND
+
+
+def read_section(folder: Path, least: bool = False) -> dict[str, Any]:
+    """Each value of `[fleet]`, by the key that the operator writes."""
+    operator = operator_config(folder)
+    if least:
+        operator["fleet"] = least_section(folder)
+    fleet = check(platform_config(), operator).fleet
+    assert fleet is not None
+    members, rules = fleet.members, fleet.rules
+    return {
+        "name": fleet.name,
+        "node": fleet.node,
+        "listen": list(fleet.listen),
+        "voters": list(fleet.voters),
+        "votes": fleet.votes,
+        "key_file is read": fleet.key == KEY.encode(),
+        "store": None if fleet.store is None else fleet.store.relative_to(folder).as_posix(),
+        "term_ms": ms(fleet.leases.term),
+        "drift": fleet.leases.drift,
+        "most_leases": fleet.leases.most,
+        "beat_ms": ms(fleet.beat),
+        "patience_ms": ms(fleet.patience),
+        "probes": fleet.probes,
+        "nodes": {name: list(address) for name, address in fleet.nodes.items()},
+        "members": None
+        if members is None
+        else {
+            "period_ms": ms(members.detector.period),
+            "answer_ms": ms(members.detector.answer),
+            "probation_ms": ms(members.keeping.probation),
+            "guard": members.keeping.guard,
+            "zone": members.zone,
+            "seeds": list(members.seeds),
+        },
+        "rules": None
+        if rules is None
+        else {
+            "lease_ms": ms(fleet.leases.rules),
+            "agree_within_ms": ms(rules.agree_within),
+            "shares": rules.shares,
+            "documents": {
+                one.name: {"kind": one.kind.value, "strict": one.strict, "cut_off": one.cut_off.value}
+                for one in rules.documents
+            },
+        },
+        "tasks": {
+            one.plan.name: {
+                "every_ms": ms(one.plan.schedule.every),
+                "at_ms": ms(one.plan.schedule.at),
+                "missed": one.plan.schedule.missed.value,
+                "class": one.plan.kind,
+                "safe": one.plan.safe,
+                "longest_ms": ms(one.plan.longest),
+                "vars": dict(one.variables),
+            }
+            for one in fleet.tasks
+        },
+    }
+
+
+def with_key(operator: dict[str, Any], path: str, key: str, value: object) -> dict[str, Any]:
+    """The same with one key more, or another value, in the table at that path."""
+    copy: dict[str, Any] = deepcopy(operator)
+    table = copy
+    for name in path.split("."):
+        table = table[name]
+    table[key] = value
+    return copy
+
+
+def fault_of(operator: dict[str, Any]) -> str:
+    """What the program says of it; empty where it takes it."""
+    try:
+        check(platform_config(), operator)
+    except ConfigError as fault:
+        return str(fault)
+    return ""
+
+
+def least_section(folder: Path) -> dict[str, Any]:
+    """What a section must have, and tables whose keys are all left out."""
+    whole = fleet_section(folder)
+    needed = {key: whole[key] for key in ("name", "voters", "key_file", "store", "nodes")}
+    documents = {kind: {"kind": kind} for kind in ("settings", "tenants", "servers")}
+    task = {"every_ms": 1000, "class": "schedule-save"}
+    return {**needed, "members": {}, "rules": {"documents": documents}, "tasks": {"sweep": task}}
--- a/tests/golden/shapes.py
+++ b/tests/golden/shapes.py
@@ -33,6 +33,10 @@
         case list():
             found = {f"{path}: list"}
             return found.union(*(shape_of(inner, f"{path}[]") for inner in value))
+        case str() if (
+            path.endswith("acts[][]") and value.isidentifier()
+        ):  # a row without keys: its words are held
+            return {f"{path}: text {value!r}"}
         case str() if path.rpartition(".")[2] in WORDS:
             return {f"{path}: text {value!r}"}
         case _:
