--- /dev/null
+++ b/tests/golden/record_state.py
@@ -0,0 +1,109 @@
+"""Writes the golden files of stored data and outward JSON anew, from the program as it stands.
+
+Only by intent, where a format is changed on purpose: `python -m tests.golden.record_state`. No test runs it.
+"""
+
+from __future__ import annotations
+
+import tempfile
+from pathlib import Path
+
+from tests.golden.commands import LIMITS, record_commands
+from tests.golden.everything import operator_config
+from tests.golden.files import FOLDER, read_golden, write_golden
+from tests.golden.machines import machines, run_limit
+from tests.golden.named import counted_words, names_of
+from tests.golden.sections import fault_of, read_section, with_key
+from tests.golden.shapes import bare, written
+from tests.golden.shown import commands, every_counter, metrics, other_commands, pages
+from tests.golden.stored import FILE, dump, read_store, write_store
+
+SNAPSHOT_EVERY = 60  # commands
+
+
+def record_log() -> None:
+    with tempfile.TemporaryDirectory() as folder:
+        rows, last = record_commands(Path(folder))
+    write_golden("log_commands.json", [{"body": row.body, "result": row.result} for row in rows])
+    snapshots = []
+    fresh = machines()
+    for number, row in enumerate(rows, 1):
+        fresh.apply(row.body)
+        if number % SNAPSHOT_EVERY == 0 or number == len(rows):
+            snapshots.append({"after": number, "data": fresh.write()})
+    assert snapshots[-1]["data"] == last
+    write_golden("snapshots.json", snapshots)
+
+
+def record_limits() -> None:
+    rows = {}
+    for name, (before, pattern, times) in LIMITS.items():
+        last, digest = run_limit(before, pattern, times)
+        rows[name] = {"last": last, "snapshot": digest}
+    write_golden("limits.json", rows)
+
+
+def record_store() -> None:
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        write_store(folder)
+        write_golden("store.json", {"state": read_store(folder), "file": dump(folder / FILE)})
+        (FOLDER / FILE).write_bytes((folder / FILE).read_bytes())
+
+
+def record_shapes() -> None:
+    rows = {}
+    for name, make in (("pages", pages), ("commands", commands), ("other commands", other_commands)):
+        with tempfile.TemporaryDirectory() as folder:
+            rows[name] = {what: written(told) for what, told in make(Path(folder)).items()}
+    write_golden("shapes.json", rows)
+    empty = [f"{what} {path}" for what, lines in rows["pages"].items() for path in bare(lines)]
+    write_golden("empty.json", sorted(empty))
+
+
+def record_metrics() -> None:
+    """`counters.json` is written by hand: the keys of each counter whose words become names."""
+    found = {}
+    for name, make in (("seen", metrics), ("every counter", every_counter)):
+        with tempfile.TemporaryDirectory() as folder:
+            found[name] = names_of(make(Path(folder)))
+    found["words"] = sorted(counted_words())
+    known = {one for keys in read_golden("counters.json").values() for one in keys}
+    found["words of drills and traces"] = sorted(counted_words() - known)
+    write_golden("metrics.json", found)
+
+
+def record_sections() -> None:
+    with tempfile.TemporaryDirectory() as name:
+        folder = Path(name)
+        operator = operator_config(folder)
+        fleet = operator["fleet"]
+        tables = {
+            "fleet": fleet,
+            "fleet.members": fleet["members"],
+            "fleet.rules": fleet["rules"],
+            "fleet.rules.documents.settings": fleet["rules"]["documents"]["settings"],
+            "fleet.tasks.sweep": {**fleet["tasks"]["nightly"], **fleet["tasks"]["sweep"]},
+        }
+        keys = {path: sorted(table) for path, table in tables.items()}
+        unknown = {path: fault_of(with_key(operator, path, "colour", 1)) for path in keys}
+        wrong = {
+            f"{path}.{key}": fault_of(with_key(operator, path, key, []))
+            for path, names in keys.items()
+            for key in names
+        }
+        told = {"keys": keys, "complete": read_section(folder), "least": read_section(folder, least=True)}
+        write_golden("sections.json", {**told, "unknown": unknown, "wrong": wrong})
+
+
+def main() -> None:
+    record_log()
+    record_limits()
+    record_store()
+    record_shapes()
+    record_metrics()
+    record_sections()
+
+
+if __name__ == "__main__":
+    main()
