--- a/Makefile
+++ b/Makefile
@@ -16,11 +16,11 @@
 
 lint: build
 	$(VENV)/ruff check .
-	$(VENV)/ruff format --check marlstep petrelcart/interface.py petrelcart/benchlink.py tests examples benchmarks
+	$(VENV)/ruff format --check .
 	$(VENV)/mypy
 
 format: build
-	$(VENV)/ruff format marlstep petrelcart/interface.py petrelcart/benchlink.py tests examples benchmarks
+	$(VENV)/ruff format .
 
 # PROXY_CONFIG names the node's configuration; OPERATOR may name an operator's file.
 run: build
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -95,7 +95,10 @@
     """Commands a second that one voter alone takes in and applies, without a store: the cost of the code."""
     group = Group(("v#1",))
     told = VoterSettings(Timing(), LeaseSettings(), ("v",))
-    machines = lambda table: {"tasks": Record(table)}  # noqa: E731
+
+    def machines(table: Table) -> dict[str, Record]:
+        return {"tasks": Record(table)}
+
     now = EPOCH
     voter = Voter("v#1", Saved(snapshot=Snapshot(group=group)), told, machines, random.Random(1), now)
 
--- a/marlstep/cli/trace.py
+++ b/marlstep/cli/trace.py
@@ -178,7 +178,7 @@
     """
     with faults(ctx), Progress(parts) as progress:
         format, settings = chosen(format_name, map_path)
-        sink = open(rejects, "w", newline="") if rejects else None  # noqa: SIM115
+        sink = open(rejects, "w", newline="") if rejects else None  # noqa: SIM115  (closed below)
         try:
             on_reject = Rejects(sink)
             reading = Reading(format, parts, seed, reorder, strict, on_reject, on_raw=progress)
@@ -265,7 +265,7 @@
     wanted = Cut(from_us, for_us, busiest, peaks, rate, keep, compress, load, cores)
     with faults(ctx), Progress(parts) as progress:
         format, settings = chosen(format_name, map_path)
-        sink = open(rejects, "w", newline="") if rejects else None  # noqa: SIM115
+        sink = open(rejects, "w", newline="") if rejects else None  # noqa: SIM115  (closed below)
         try:
             on_reject = Rejects(sink)
             first: list[Reading] = []
--- a/tests/test_named_crossings.py
+++ b/tests/test_named_crossings.py
@@ -219,7 +219,7 @@
         for number in range(1, 13):
             caller.ask(number, "book", id=number, once=f"k{number}")
             await place.read(number)
-            await until(lambda: place.kernel.count("SCHED", number) or not place.core.unanswered)  # noqa: B023
+            await until(lambda: place.kernel.count("SCHED", number) or not place.core.unanswered)  # noqa: B023  (awaited within the turn)
             if place.kernel.count("SCHED", number):
                 place.kernel.reap(number)
             words.append(await caller.word(number))
