--- a/marlstep/net/codec.py
+++ b/marlstep/net/codec.py
@@ -90,7 +90,7 @@
 
     def read(value: object) -> list[object]:
         if not isinstance(value, list):
-            raise ValueError(f"expected a list, got {type(value).__name__}")
+            raise TypeError(f"expected a list, got {type(value).__name__}")
         return [item_type.read(item) for item in value]
 
     return ValueType(read, lambda items: [item_type.write(item) for item in items])
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -62,9 +62,9 @@
 
         number: int
 
-    with pytest.raises(TypeError, match="Nameless.number has no wire name"):
+    with pytest.raises(TypeError, match=r"Nameless\.number has no wire name"):
         Codec((Nameless,))
-    with pytest.raises(TypeError, match="Nameless.number has no wire name"):
+    with pytest.raises(TypeError, match=r"Nameless\.number has no wire name"):
         Codec((Nameless,))  # nothing half made was kept from the first attempt
 
 
