--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,18 +19,18 @@
 from pathlib import Path
 from typing import Any
 
+from marlstep.cluster.store import Store
 from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
 from marlstep.consensus.raft import Ready, Timing
-from marlstep.consensus.voter import Ask, Told, Voter, VoterSettings
+from marlstep.consensus.replica import Ask, Told, Voter, VoterSettings
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import NodeProcess, Rig, Settings
 from marlstep.drill.witness import clock_us
-from marlstep.fleet.store import Store
-from marlstep.leases.keeper import Keeper
+from marlstep.leases.manager import Keeper
 from marlstep.leases.messages import Beat
-from marlstep.leases.rules import LeaseSettings
+from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Table
-from marlstep.tasks.record import Record
+from marlstep.scheduled_tasks.run_log import Record
 from marlstep.units import EPOCH
 
 CONFIG = Path("deploy/node.json")
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -17,12 +17,12 @@
 from datetime import timedelta
 from typing import Any
 
+from marlstep.cluster import wire
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.virtual_members import run_members
-from marlstep.fleet import wire
-from marlstep.members.detector import Detector, MemberSettings
-from marlstep.members.messages import Ack, Ping, Said
-from marlstep.members.records import Record, State
+from marlstep.membership.failure_detector import Detector, MemberSettings
+from marlstep.membership.messages import Ack, Ping, Said
+from marlstep.membership.records import Record, State
 from marlstep.net.ring import Ring
 from marlstep.units import EPOCH
 
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -28,9 +28,9 @@
 from marlstep.drill.virtual_rules import DOCUMENTS, RulesWorld
 from marlstep.drill.witness import clock_us
 from marlstep.leases.table import Table
-from marlstep.rules.book import Book
-from marlstep.rules.documents import digest_of
-from marlstep.rules.follower import State
+from marlstep.replicated_config.documents import digest_of
+from marlstep.replicated_config.follower import State
+from marlstep.replicated_config.store import Book
 
 ACTS = "acts on version "
 
--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -23,9 +23,9 @@
 from urllib.parse import unquote
 
 from marlstep.admin.http import Call, Problem, Surface
+from marlstep.components.base import Part
 from marlstep.core.engine import Core
-from marlstep.parts import Part
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import SECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/admin/door.py
+++ b/marlstep/admin/door.py
@@ -12,7 +12,7 @@
 
 from marlstep.admin.http import Call, Problem, Surface, method_for
 from marlstep.core.engine import Core
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import SECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -16,7 +16,7 @@
 from marlstep.core.engine import Core
 from marlstep.core.model import Answer
 from marlstep.fronts.base import Connection, Listener
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 
 log = logging.getLogger(__name__)
 
--- a/marlstep/cli/fleet.py
+++ b/marlstep/cli/fleet.py
@@ -284,7 +284,7 @@
 
     The other voters start with nothing, ask to be taken in, and vote once they have caught up.
     """
-    from marlstep.fleet.store import StoreError, StoreRefused, make_group
+    from marlstep.cluster.store import StoreError, StoreRefused, make_group
 
     told = voter_of(config, operator)
     assert told.store is not None
@@ -310,8 +310,8 @@
 
     Tokens go on a million above those that this store knows, so that no old one can pass for new.
     """
-    from marlstep.fleet.store import StoreError, StoreRefused
-    from marlstep.fleet.store import recover as recovered
+    from marlstep.cluster.store import StoreError, StoreRefused
+    from marlstep.cluster.store import recover as recovered
 
     if not yes:
         raise click.UsageError(
--- a/marlstep/cli/rules.py
+++ b/marlstep/cli/rules.py
@@ -15,7 +15,7 @@
 from marlstep.cli.fleet import Where, asked, call, table
 from marlstep.cli.fleet import order as fleet_order
 from marlstep.cli.spans import SPAN_TYPE
-from marlstep.rules.documents import canonical, differences, digest_of
+from marlstep.replicated_config.documents import canonical, differences, digest_of
 
 PIECE = 1_200  # characters in one call: the administration takes bodies of 4 KB
 
--- a/marlstep/fleet/rules.py
+++ b/marlstep/cluster/config_documents.py
@@ -12,16 +12,16 @@
 from marlstep.config.fleet import RulesConfig
 from marlstep.leases.holder import Report
 from marlstep.leases.messages import Figures
-from marlstep.leases.rules import RULES
-from marlstep.members.shares import Demand, Using, unsharable
+from marlstep.leases.settings import RULES
+from marlstep.membership.quotas import Demand, Using, unsharable
 from marlstep.net.codec import write_fields
-from marlstep.rules.documents import PIECE, CutOff, Kind, Named, canonical, differences, digest_of
-from marlstep.rules.follower import Ack, Act, Check, Do, Follower, Found, State, Stop
-from marlstep.rules.messages import Fetch, Piece
+from marlstep.replicated_config.documents import PIECE, CutOff, Kind, Named, canonical, differences, digest_of
+from marlstep.replicated_config.follower import Ack, Act, Check, Do, Follower, Found, State, Stop
+from marlstep.replicated_config.messages import Fetch, Piece
 from marlstep.units import MILLISECOND
 
 if TYPE_CHECKING:
-    from marlstep.fleet.part import Fleet
+    from marlstep.cluster.node import Fleet
 
 log = logging.getLogger(__name__)
 
--- a/marlstep/fleet/probes.py
+++ b/marlstep/cluster/health_checks.py
@@ -12,12 +12,12 @@
 from marlstep.net.eventloop import dial
 from marlstep.net.stream import RingStream
 from marlstep.pool.probing import Probing
-from marlstep.timeline import Deadline
+from marlstep.timer_queue import Deadline
 from marlstep.units import MILLISECOND
 from marlstep.upstreams.upstream import Upstream
 
 if TYPE_CHECKING:
-    from marlstep.fleet.part import Fleet
+    from marlstep.cluster.node import Fleet
 
 log = logging.getLogger(__name__)
 
--- a/marlstep/fleet/members.py
+++ b/marlstep/cluster/membership.py
@@ -7,19 +7,19 @@
 from datetime import datetime
 from typing import TYPE_CHECKING, Any
 
+from marlstep.cluster import wire
 from marlstep.config.fleet import MembersConfig
-from marlstep.fleet import wire
-from marlstep.members.detector import Detector, Send
-from marlstep.members.messages import Exchange, Ping
-from marlstep.members.records import Record, State
-from marlstep.members.situation import Conduct, Sight, Standing
+from marlstep.membership.failure_detector import Detector, Send
+from marlstep.membership.messages import Exchange, Ping
+from marlstep.membership.partition_state import Conduct, Sight, Standing
+from marlstep.membership.records import Record, State
 from marlstep.net.framing import CorruptError
 from marlstep.net.ring import Ring
-from marlstep.timeline import Deadline
+from marlstep.timer_queue import Deadline
 from marlstep.units import MILLISECOND, instant_us
 
 if TYPE_CHECKING:
-    from marlstep.fleet.part import Fleet
+    from marlstep.cluster.node import Fleet
 
 log = logging.getLogger(__name__)
 
--- a/marlstep/fleet/part.py
+++ b/marlstep/cluster/node.py
@@ -13,35 +13,35 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any, ClassVar
 
+from marlstep.cluster import wire
+from marlstep.cluster.config_documents import Documents, FleetRules
+from marlstep.cluster.health_checks import LEASE, PoolWatch
+from marlstep.cluster.store import Opened, Store, StoreError, StoreRefused
+from marlstep.cluster.task_frontend import TaskFront
+from marlstep.cluster.transport import Lines
+from marlstep.components.base import Opens, Part
 from marlstep.config import Config
 from marlstep.config.fleet import FleetConfig, TaskConfig
 from marlstep.consensus.raft import Ready, Timing
-from marlstep.consensus.voter import Ask, Join, Told, Voter, VoterSettings, node_of
+from marlstep.consensus.replica import Ask, Join, Told, Voter, VoterSettings, node_of
 from marlstep.core.engine import Core
-from marlstep.fleet import wire
-from marlstep.fleet.lines import Lines
-from marlstep.fleet.probes import LEASE, PoolWatch
-from marlstep.fleet.rules import Documents, FleetRules
-from marlstep.fleet.store import Opened, Store, StoreError, StoreRefused
-from marlstep.fleet.tasks import TaskFront
+from marlstep.leases.client import Participant
 from marlstep.leases.holder import Change
 from marlstep.leases.messages import Beat, Beaten, Probed, Relay
-from marlstep.leases.participant import Participant
-from marlstep.members.agreed import Agreed
-from marlstep.members.shares import Shares
-from marlstep.members.situation import CONDUCT, Conduct, Situation
+from marlstep.membership.partition_state import CONDUCT, Conduct, Situation
+from marlstep.membership.quotas import Shares
+from marlstep.membership.roster import Agreed
 from marlstep.net.eventloop import LoopWaker
-from marlstep.parts import Opens, Part
-from marlstep.rules.book import Book
-from marlstep.rules.messages import Fetch, Piece
-from marlstep.tasks.record import PREFIX, Outcome, Record
-from marlstep.tasks.runner import Do, Runner
-from marlstep.timeline import Deadline, Timeline
+from marlstep.replicated_config.messages import Fetch, Piece
+from marlstep.replicated_config.store import Book
+from marlstep.scheduled_tasks.run_log import PREFIX, Outcome, Record
+from marlstep.scheduled_tasks.runner import Do, Runner
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import MILLISECOND, SECOND, SteadyClock
 from marlstep.upstreams.upstream import Upstream
 
 if TYPE_CHECKING:
-    from marlstep.fleet.members import FleetMembers
+    from marlstep.cluster.membership import FleetMembers
 
 log = logging.getLogger(__name__)
 
@@ -121,7 +121,7 @@
         self._alarm: Deadline | None = None
         self.members: FleetMembers | None = None
         if config.members is not None:
-            from marlstep.fleet.members import FleetMembers  # only where it is asked for
+            from marlstep.cluster.membership import FleetMembers  # only where it is asked for
 
             self.members = FleetMembers(self, config.members)
         self._want()
--- a/marlstep/fleet/store.py
+++ b/marlstep/cluster/store.py
@@ -334,9 +334,9 @@
     Tokens go on far above those that are known: entries that only the others had may have given some out. Raises
     StoreError, StoreRefused.
     """
-    from marlstep.consensus.machine import Machines
+    from marlstep.consensus.state_machine import Machines
     from marlstep.leases.table import Table
-    from marlstep.tasks.record import Record
+    from marlstep.scheduled_tasks.run_log import Record
 
     store = Store(folder)
     if not store.path.exists():
--- a/marlstep/fleet/tasks.py
+++ b/marlstep/cluster/task_frontend.py
@@ -14,9 +14,9 @@
 from marlstep.core.engine import Core, Refused
 from marlstep.core.model import Answer, Backend, Offer, Request, Ticket, Verdict
 from marlstep.fronts.uwsgi_wire import write_packet
-from marlstep.tasks.record import Outcome
-from marlstep.tasks.runner import MARGIN, Do
-from marlstep.timeline import Deadline, Timeline
+from marlstep.scheduled_tasks.run_log import Outcome
+from marlstep.scheduled_tasks.runner import MARGIN, Do
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import ZERO
 from petrelcart.interface import Outcome as RunOutcome
 
--- a/marlstep/fleet/lines.py
+++ b/marlstep/cluster/transport.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable, Mapping
 from datetime import datetime, timedelta
 
-from marlstep.fleet.wire import MOST
+from marlstep.cluster.wire import MOST
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.framing import CorruptError, Framing
 from marlstep.net.stream import RingStream
-from marlstep.timeline import Deadline, Timeline
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/fleet/wire.py
+++ b/marlstep/cluster/wire.py
@@ -7,9 +7,9 @@
 
 import orjson
 
-from marlstep.consensus.voter import MESSAGES, Message
-from marlstep.members.messages import RECORDS, Ack, Nack, Ping, PingFor, Said
-from marlstep.members.records import Record, is_address, read_records, write_records
+from marlstep.consensus.replica import MESSAGES, Message
+from marlstep.membership.messages import RECORDS, Ack, Nack, Ping, PingFor, Said
+from marlstep.membership.records import Record, is_address, read_records, write_records
 from marlstep.net.codec import BOOLEAN, Codec, wire
 from marlstep.net.framing import CorruptError, Framing, keyed
 
--- a/marlstep/optional/admin.py
+++ b/marlstep/components/admin.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, ClassVar
 
 from marlstep.admin.api import Admin
+from marlstep.components.base import Opens, Part
 from marlstep.config import Config
-from marlstep.parts import Opens, Part
 
 if TYPE_CHECKING:
     from marlstep.node import Node
--- a/marlstep/parts.py
+++ b/marlstep/components/base.py
@@ -1,5 +1,5 @@
 """The shape that every optional part of a node has. What there is, and what turns it on, is the table in
-`marlstep/optional`: a new part is one line there, and none in the wiring.
+`marlstep/components`: a new part is one line there, and none in the wiring.
 """
 
 from __future__ import annotations
--- a/marlstep/optional/fleet.py
+++ b/marlstep/components/cluster.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from marlstep.fleet.part import Fleet
-from marlstep.optional.uwsgi import UwsgiPart
+from marlstep.cluster.node import Fleet
+from marlstep.components.uwsgi import UwsgiPart
 
 if TYPE_CHECKING:
     from marlstep.node import Node
@@ -18,7 +18,7 @@
     servers = uwsgi if isinstance(uwsgi, UwsgiPart) else None
     documents = None
     if told.fleet.rules is not None:
-        from marlstep.optional.documents import NodeDocuments  # only where documents are named
+        from marlstep.components.config_documents import NodeDocuments  # only where documents are named
 
         documents = NodeDocuments(node)
     fleet = Fleet(
--- a/marlstep/optional/meeting.py
+++ b/marlstep/components/hot_restart.py
@@ -7,11 +7,11 @@
 from datetime import datetime, timedelta
 from typing import TYPE_CHECKING, ClassVar
 
+from marlstep.components.base import Opens, Part
 from marlstep.config import Config
 from marlstep.handover.beside import Beside, Hooks
 from marlstep.handover.meeting import Meeting
 from marlstep.handover.peer import Handover
-from marlstep.parts import Opens, Part
 from marlstep.units import span
 
 if TYPE_CHECKING:
--- a/marlstep/optional/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -6,9 +6,9 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any, ClassVar
 
+from marlstep.components.base import Opens, Part
 from marlstep.config import Config
 from marlstep.fronts.uwsgi import UwsgiFront
-from marlstep.parts import Opens, Part
 from marlstep.pool.plan import pool_of
 from marlstep.upstreams.upstream import Upstream
 
--- a/marlstep/config/fleet.py
+++ b/marlstep/config/fleet.py
@@ -23,11 +23,11 @@
 from marlstep.units import MILLISECOND, SECOND, ZERO
 
 if TYPE_CHECKING:
-    from marlstep.leases.rules import LeaseSettings
-    from marlstep.members.agreed import KeepingSettings
-    from marlstep.members.detector import MemberSettings
-    from marlstep.rules.documents import Named
-    from marlstep.tasks.runner import Plan
+    from marlstep.leases.settings import LeaseSettings
+    from marlstep.membership.failure_detector import MemberSettings
+    from marlstep.membership.roster import KeepingSettings
+    from marlstep.replicated_config.documents import Named
+    from marlstep.scheduled_tasks.runner import Plan
 
 MOST_NODES = 500
 LEAST_KEY = 32  # bytes
@@ -91,7 +91,9 @@
     """`classes` says of each class whether it is safe to repeat. Raises ConfigError."""
     if "fleet" not in operator:
         return None
-    from marlstep.leases.rules import LeaseSettings  # a node that is told nothing of a fleet does not load it
+    from marlstep.leases.settings import (
+        LeaseSettings,  # a node that is told nothing of a fleet does not load it
+    )
 
     raw = table(operator, "fleet", "fleet")
     known(raw, "fleet", KEYS)
@@ -161,7 +163,7 @@
     """With the term of the leases under which nodes act on documents."""
     if "rules" not in raw:
         return None
-    from marlstep.rules.documents import CutOff, Kind, Named
+    from marlstep.replicated_config.documents import CutOff, Kind, Named
 
     path = "fleet.rules"
     told = table(raw, "rules", path)
@@ -206,9 +208,9 @@
 def _members(raw: Table, nodes: Mapping[str, Address], voters: tuple[str, ...]) -> MembersConfig | None:
     if "members" not in raw:
         return None
-    from marlstep.members.agreed import KeepingSettings
-    from marlstep.members.detector import MemberSettings
-    from marlstep.members.records import NAME_LIMIT
+    from marlstep.membership.failure_detector import MemberSettings
+    from marlstep.membership.records import NAME_LIMIT
+    from marlstep.membership.roster import KeepingSettings
 
     path = "fleet.members"
     told = table(raw, "members", path)
@@ -260,8 +262,8 @@
 
 
 def _task(rows: Table, name: str, classes: Mapping[str, bool], term: timedelta) -> TaskConfig:
-    from marlstep.tasks.runner import Plan
-    from marlstep.tasks.schedule import Missed, Schedule
+    from marlstep.scheduled_tasks.runner import Plan
+    from marlstep.scheduled_tasks.schedule import Missed, Schedule
 
     path = f"fleet.tasks.{name}"
     row = table(rows, name, path)
--- a/marlstep/consensus/voter.py
+++ b/marlstep/consensus/replica.py
@@ -14,20 +14,20 @@
 import orjson
 
 from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
-from marlstep.consensus.machine import Command, Machine, Machines, Result
 from marlstep.consensus.messages import RAFT_MESSAGES, RaftMessage
 from marlstep.consensus.raft import Chance, Raft, Ready, Timing
-from marlstep.leases.keeper import Keeper, no_shares
+from marlstep.consensus.state_machine import Command, Machine, Machines, Result
+from marlstep.leases.manager import Keeper, no_shares
 from marlstep.leases.messages import Beat, Beaten, Probed, Relay
-from marlstep.leases.rules import RULES, LeaseSettings
+from marlstep.leases.settings import RULES, LeaseSettings
 from marlstep.leases.table import Table
-from marlstep.members.agreed import Agreed, Keeping, KeepingSettings, Word
-from marlstep.members.shares import Balance, Shares
+from marlstep.membership.quotas import Balance, Shares
+from marlstep.membership.roster import Agreed, Keeping, KeepingSettings, Word
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, wire
-from marlstep.rules.book import Book
-from marlstep.rules.documents import PIECE
-from marlstep.rules.messages import Fetch, Piece
-from marlstep.rules.stages import Heard, StageWatch
+from marlstep.replicated_config.documents import PIECE
+from marlstep.replicated_config.messages import Fetch, Piece
+from marlstep.replicated_config.rollout import Heard, StageWatch
+from marlstep.replicated_config.store import Book
 from marlstep.units import MILLISECOND, SECOND
 
 COMPACT_AT = 2_000  # entries behind the snapshot
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -29,7 +29,7 @@
     Verdict,
 )
 from marlstep.slots import SlotTable, TableFull
-from marlstep.timeline import Deadline, Timeline
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO, instant, instant_us, span, span_us
 from petrelcart.interface import (
     Action,
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -7,22 +7,22 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.machine import Command, Result
 from marlstep.consensus.raft import MOST_ENTRIES, Raft
-from marlstep.consensus.voter import Voter
+from marlstep.consensus.replica import Voter
+from marlstep.consensus.state_machine import Command, Result
 from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
 from marlstep.leases.holder import Change, Holder
-from marlstep.leases.keeper import Keeper, no_shares
+from marlstep.leases.manager import Keeper, no_shares
 from marlstep.leases.messages import Beaten, Figures, News
-from marlstep.leases.rules import LeaseSettings
+from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Lease, Table
-from marlstep.members.detector import Detector
-from marlstep.members.records import Record
-from marlstep.members.shares import Part, Shares
-from marlstep.rules.book import Book, Document
-from marlstep.rules.follower import Follower, State, Stop
-from marlstep.rules.stages import StageWatch
-from marlstep.tasks.runner import Do, Runner, Step
+from marlstep.membership.failure_detector import Detector
+from marlstep.membership.quotas import Part, Shares
+from marlstep.membership.records import Record
+from marlstep.replicated_config.follower import Follower, State, Stop
+from marlstep.replicated_config.rollout import StageWatch
+from marlstep.replicated_config.store import Book, Document
+from marlstep.scheduled_tasks.runner import Do, Runner, Step
 from marlstep.units import MILLISECOND, ZERO
 
 
--- a/marlstep/drill/explore.py
+++ b/marlstep/drill/explore.py
@@ -16,14 +16,14 @@
 from typing import Any
 
 from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
-from marlstep.consensus.machine import Machine
 from marlstep.consensus.messages import Append
 from marlstep.consensus.raft import Timing
-from marlstep.consensus.voter import Voter, VoterSettings, node_of
+from marlstep.consensus.replica import Voter, VoterSettings, node_of
+from marlstep.consensus.state_machine import Machine
 from marlstep.drill.broken import Breakage
+from marlstep.leases.client import Participant
 from marlstep.leases.messages import Beaten
-from marlstep.leases.participant import Participant
-from marlstep.leases.rules import LeaseSettings
+from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Table
 from marlstep.units import EPOCH, MILLISECOND
 
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/drill/explore_rules.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from marlstep.consensus.log import Group, Saved, Snapshot
-from marlstep.consensus.machine import Machine
-from marlstep.consensus.voter import Voter, node_of
+from marlstep.consensus.replica import Voter, node_of
+from marlstep.consensus.state_machine import Machine
 from marlstep.drill.broken import Breakage
 from marlstep.drill.explore import (
     START,
@@ -29,14 +29,14 @@
     make_voter,
     walk_from,
 )
-from marlstep.leases.participant import Participant
-from marlstep.leases.rules import RULES, LeaseSettings
+from marlstep.leases.client import Participant
+from marlstep.leases.settings import RULES, LeaseSettings
 from marlstep.leases.table import Table
-from marlstep.rules.book import Book
-from marlstep.rules.documents import CutOff, Kind, Named, digest_of
-from marlstep.rules.follower import Ack, Act, Check, Do, Follower, Found, Stop
-from marlstep.rules.follower import State as Follows
-from marlstep.rules.messages import Fetch, Piece
+from marlstep.replicated_config.documents import CutOff, Kind, Named, digest_of
+from marlstep.replicated_config.follower import Ack, Act, Check, Do, Follower, Found, Stop
+from marlstep.replicated_config.follower import State as Follows
+from marlstep.replicated_config.messages import Fetch, Piece
+from marlstep.replicated_config.store import Book
 from marlstep.units import MILLISECOND
 
 NODES = ("a", "b")
--- a/marlstep/drill/links.py
+++ b/marlstep/drill/links.py
@@ -8,7 +8,7 @@
 import socket
 from typing import cast
 
-from marlstep.fleet.wire import MARK
+from marlstep.cluster.wire import MARK
 from marlstep.net.framing import KEYED_BYTES
 
 HEAD = len(MARK) + 4 + KEYED_BYTES
--- a/marlstep/drill/members.py
+++ b/marlstep/drill/members.py
@@ -18,7 +18,7 @@
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import Rig, Settings
 from marlstep.drill.witness import clock_us
-from marlstep.members.situation import CONDUCT, Situation
+from marlstep.membership.partition_state import CONDUCT, Situation
 
 AGREE_S = 30.0  # after the plan: how soon is measured, and whether is judged
 EVERY_S = 0.25
--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -24,12 +24,12 @@
 import apsw
 
 from marlstep.__main__ import PLAIN
+from marlstep.cluster import node as cluster_node_module
+from marlstep.cluster.node import Fleet
+from marlstep.cluster.store import Opened, Store, StoreError
 from marlstep.consensus.raft import Ready
 from marlstep.drill.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
-from marlstep.fleet import part as part_module
-from marlstep.fleet.part import Fleet
-from marlstep.fleet.store import Opened, Store, StoreError
-from marlstep.members.situation import CONDUCT, Situation
+from marlstep.membership.partition_state import CONDUCT, Situation
 from marlstep.units import EPOCH, MILLISECOND, SteadyClock
 
 BROKEN = {**BREAKAGES, **RULES_BREAKAGES, **MEMBERS_BREAKAGES}
@@ -91,7 +91,7 @@
 def alter(orders: Orders, rate: float, breakage: Breakage) -> None:
     """Put clock, disk and hooks in their places, and a rule out of the code where one is to be missed."""
     ErringClock.rate, ErringClock.orders = rate, orders
-    part_module.SteadyClock = ErringClock  # type: ignore[attr-defined]
+    cluster_node_module.SteadyClock = ErringClock  # type: ignore[attr-defined]
     save, begin, vote = Store.save, Fleet.__init__, Fleet._begin_to_vote
 
     def slow_save(self: Store, ready: Ready) -> None:
--- a/marlstep/drill/rig.py
+++ b/marlstep/drill/rig.py
@@ -18,10 +18,10 @@
 from pathlib import Path
 from typing import Any
 
+from marlstep.cluster.store import FILE, make_group
 from marlstep.drill.links import Link, Ports
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.witness import Witness, clock_us
-from marlstep.fleet.store import FILE, make_group
 from marlstep.standins.servers import StandIns
 
 READY_S = 20.0
--- a/marlstep/drill/rules.py
+++ b/marlstep/drill/rules.py
@@ -25,7 +25,7 @@
 from marlstep.drill.witness import clock_us
 from marlstep.fronts.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
-from marlstep.rules.documents import digest_of
+from marlstep.replicated_config.documents import digest_of
 
 SERVERS = 64  # lists in turn; a change every second makes an old one come again only after many terms
 WINDOW = 8  # versions that are judged together: none of them has the list of another
--- a/marlstep/drill/virtual.py
+++ b/marlstep/drill/virtual.py
@@ -18,18 +18,18 @@
 from marlstep.consensus.log import Entry, Group, Saved, Snapshot
 from marlstep.consensus.messages import Vote
 from marlstep.consensus.raft import Ready, Timing
-from marlstep.consensus.voter import Ask, Join, Told, Voter, VoterSettings, node_of
+from marlstep.consensus.replica import Ask, Join, Told, Voter, VoterSettings, node_of
 from marlstep.drill.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
 from marlstep.drill.broken import Breakage
 from marlstep.drill.plan import HEAL_MS, Fault, Plan
+from marlstep.leases.client import Participant
 from marlstep.leases.messages import Beat, Beaten
-from marlstep.leases.participant import Participant
-from marlstep.leases.rules import LeaseSettings
-from marlstep.rules.messages import Fetch
-from marlstep.tasks.record import PREFIX, Outcome, Record
-from marlstep.tasks.runner import Do, Runner
-from marlstep.tasks.runner import Plan as TaskPlan
-from marlstep.tasks.schedule import Schedule
+from marlstep.leases.settings import LeaseSettings
+from marlstep.replicated_config.messages import Fetch
+from marlstep.scheduled_tasks.run_log import PREFIX, Outcome, Record
+from marlstep.scheduled_tasks.runner import Do, Runner
+from marlstep.scheduled_tasks.runner import Plan as TaskPlan
+from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import EPOCH, MILLISECOND, span, span_us
 
 START = EPOCH + timedelta(days=20_000)
--- a/marlstep/drill/virtual_members.py
+++ b/marlstep/drill/virtual_members.py
@@ -17,8 +17,8 @@
 from marlstep.drill.broken import Breakage
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.virtual import START, Broken
-from marlstep.members.detector import Detector, MemberSettings, Send
-from marlstep.members.records import Record, State, write_records
+from marlstep.membership.failure_detector import Detector, MemberSettings, Send
+from marlstep.membership.records import Record, State, write_records
 from marlstep.units import span
 
 KINDS = ("kill", "stop", "cut", "one way", "isolate", "deaf", "mute", "split", "slow", "drain", "restart all")
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -13,18 +13,18 @@
 from itertools import pairwise
 from typing import Any
 
-from marlstep.consensus.voter import VoterSettings
+from marlstep.consensus.replica import VoterSettings
 from marlstep.drill.broken import Breakage
 from marlstep.drill.linear import Call, Came, unordered
 from marlstep.drill.plan import Plan
 from marlstep.drill.virtual import Broken, VirtualNode, World, broken_by
-from marlstep.leases.rules import RULES
-from marlstep.members.shares import WHOLE, Shares, Using
-from marlstep.rules.book import Book
-from marlstep.rules.documents import CutOff, Kind, Named, digest_of
-from marlstep.rules.follower import Ack, Act, Check, Follower, Found, State, Stop
-from marlstep.rules.messages import Fetch, Piece
-from marlstep.tasks.record import Record
+from marlstep.leases.settings import RULES
+from marlstep.membership.quotas import WHOLE, Shares, Using
+from marlstep.replicated_config.documents import CutOff, Kind, Named, digest_of
+from marlstep.replicated_config.follower import Ack, Act, Check, Follower, Found, State, Stop
+from marlstep.replicated_config.messages import Fetch, Piece
+from marlstep.replicated_config.store import Book
+from marlstep.scheduled_tasks.run_log import Record
 from marlstep.units import MILLISECOND, span_us
 
 DOCUMENTS = (
--- a/marlstep/stall.py
+++ b/marlstep/event_loop_watchdog.py
@@ -9,7 +9,7 @@
 import faulthandler
 from datetime import timedelta
 
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 
 LOOKS = 4  # times that the alarm is put off within the limit
 
--- a/marlstep/fronts/base.py
+++ b/marlstep/fronts/base.py
@@ -17,7 +17,7 @@
 from marlstep.core.model import Answer, Ticket
 from marlstep.net.stream import RingStream
 from marlstep.slots import SlotTable, TableFull
-from marlstep.timeline import Deadline, Timeline
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/fronts/resp.py
+++ b/marlstep/fronts/resp.py
@@ -18,7 +18,7 @@
 from marlstep.core.model import Answer, Backend, Offer, Verdict
 from marlstep.fronts.base import Connection, Listener
 from marlstep.fronts.resp_wire import FrameReader, Malformed, read_fields, read_tag, write_fields, write_frame
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import EPOCH, MILLISECOND, SECOND, whole_ms
 
 log = logging.getLogger(__name__)
--- a/marlstep/fronts/uwsgi.py
+++ b/marlstep/fronts/uwsgi.py
@@ -15,7 +15,7 @@
 from marlstep.fronts.base import Connection, Listener
 from marlstep.fronts.mapped import Mapped
 from marlstep.fronts.uwsgi_wire import BadPacket, Packet, PacketReader, write_response
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/handover/beside.py
+++ b/marlstep/handover/beside.py
@@ -10,7 +10,7 @@
 from marlstep.core.keys import Key, Known, label, read_label
 from marlstep.handover.peer import Handover
 from marlstep.handover.wire import Gone, Name
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import instant, instant_us
 
 RESULT_LIMIT = 4 * 1024  # bytes, the most on the platform's wire; in JSON each may take six
--- a/marlstep/handover/meeting.py
+++ b/marlstep/handover/meeting.py
@@ -18,7 +18,7 @@
 from marlstep.handover.peer import Handover
 from marlstep.handover.wire import MOST, CorruptError, Hello, Message, read, write
 from marlstep.net.stream import RingStream
-from marlstep.timeline import Deadline, Timeline
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import MILLISECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/leases/participant.py
+++ b/marlstep/leases/client.py
@@ -14,10 +14,10 @@
 import orjson
 
 from marlstep.consensus.raft import Chance
-from marlstep.consensus.voter import Ask, Told
+from marlstep.consensus.replica import Ask, Told
 from marlstep.leases.holder import Change, Holder
 from marlstep.leases.messages import Beat, Beaten
-from marlstep.leases.rules import RULES, LeaseSettings
+from marlstep.leases.settings import RULES, LeaseSettings
 
 KEPT_TIMES = 200
 MOST_OUT = 32  # commands that wait for their results; the group remembers twice as many
--- a/marlstep/leases/holder.py
+++ b/marlstep/leases/holder.py
@@ -11,7 +11,7 @@
 from datetime import datetime, timedelta
 
 from marlstep.leases.messages import Acts, Beat, Beaten, Figures, Held, News, Share
-from marlstep.leases.rules import LeaseSettings
+from marlstep.leases.settings import LeaseSettings
 from marlstep.units import ZERO, instant_us
 
 KEPT_BEATS = 32  # whose answers may still come
--- a/marlstep/leases/keeper.py
+++ b/marlstep/leases/manager.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from marlstep.consensus.machine import Command, Result
-from marlstep.leases.drift import DriftWatch
+from marlstep.consensus.state_machine import Command, Result
+from marlstep.leases.clock_drift import DriftWatch
 from marlstep.leases.messages import Beat, Beaten, Held, News, Share
-from marlstep.leases.rules import RULES, LeaseSettings
+from marlstep.leases.settings import RULES, LeaseSettings
 from marlstep.leases.table import Table
 from marlstep.units import instant
 
--- a/marlstep/leases/table.py
+++ b/marlstep/leases/table.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from marlstep.consensus.machine import Command, Result
-from marlstep.leases.rules import RULES
+from marlstep.consensus.state_machine import Command, Result
+from marlstep.leases.settings import RULES
 
 MOST_LEASES = 10_000
 NAME_LIMIT = 128  # characters
--- a/marlstep/members/detector.py
+++ b/marlstep/membership/failure_detector.py
@@ -17,8 +17,8 @@
 from datetime import datetime, timedelta
 
 from marlstep.consensus.raft import Chance
-from marlstep.members.messages import Ack, Exchange, Nack, Ping, PingFor, Said
-from marlstep.members.records import THERE, Record, State
+from marlstep.membership.messages import Ack, Exchange, Nack, Ping, PingFor, Said
+from marlstep.membership.records import THERE, Record, State
 from marlstep.units import MILLISECOND, SECOND
 
 MOST_MEMBERS = 2_000
--- a/marlstep/members/messages.py
+++ b/marlstep/membership/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import ClassVar
 
-from marlstep.members.records import Record, read_records, write_records
+from marlstep.membership.records import Record, read_records, write_records
 from marlstep.net.codec import INTEGER, TEXT, ValueType, wire
 
 RECORDS = ValueType(read_records, write_records)
--- a/marlstep/members/shares.py
+++ b/marlstep/membership/quotas.py
@@ -12,11 +12,11 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.machine import Command, Result
+from marlstep.consensus.state_machine import Command, Result
 from marlstep.leases.messages import Held, Share
-from marlstep.leases.rules import RULES
+from marlstep.leases.settings import RULES
 from marlstep.leases.table import Table
-from marlstep.members.records import NAME_LIMIT
+from marlstep.membership.records import NAME_LIMIT
 from marlstep.units import MILLISECOND, SECOND
 
 WHOLE = 1_000_000
--- a/marlstep/members/agreed.py
+++ b/marlstep/membership/roster.py
@@ -12,7 +12,7 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.machine import Command, Result
+from marlstep.consensus.state_machine import Command, Result
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, read_fields, wire, write_fields
 from marlstep.units import SECOND
 
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -16,23 +16,23 @@
 
 import uvloop
 
+from marlstep.components import OPTIONAL
+from marlstep.components.base import Opens, Part
 from marlstep.config import Config, ConfigError, changes, load, renewed
 from marlstep.core.engine import MOST_REQUESTS, Core, Ports
 from marlstep.core.model import Front
 from marlstep.fronts.base import Listener
 from marlstep.fronts.resp import RespFront
 from marlstep.net.eventloop import LoopWaker
-from marlstep.optional import OPTIONAL
-from marlstep.parts import Opens, Part
 from marlstep.platform.db import Database
 from marlstep.platform.kernel import Kernel
 from marlstep.platform.naming import Naming
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import MILLISECOND, SECOND, span
 
 if TYPE_CHECKING:
+    from marlstep.components.hot_restart import MeetingPart
     from marlstep.config.governed import Governed
-    from marlstep.optional.meeting import MeetingPart
 
 log = logging.getLogger("marlstep")
 
@@ -52,7 +52,7 @@
     timeline = Timeline(LoopWaker(asyncio.get_running_loop()))
     node = Node(config, timeline, read_again)
     if stall := os.environ.get("MARLSTEP_STALL_MS", ""):
-        from marlstep.stall import StallWatch  # not loaded unless it is turned on
+        from marlstep.event_loop_watchdog import StallWatch  # not loaded unless it is turned on
 
         StallWatch(timeline, max(1, int(stall)) * MILLISECOND).look()
     await node.open()
--- a/marlstep/platform/db.py
+++ b/marlstep/platform/db.py
@@ -18,7 +18,7 @@
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineFault, LineStream, length
-from marlstep.timeline import Deadline, Timeline
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import MILLISECOND, SECOND, whole_ms
 from petrelcart.interface import Effect, Outcome
 
--- a/marlstep/platform/naming.py
+++ b/marlstep/platform/naming.py
@@ -10,7 +10,7 @@
 import logging
 from typing import cast
 
-from marlstep.timeline import Deadline, Timeline
+from marlstep.timer_queue import Deadline, Timeline
 from marlstep.units import MILLISECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/rules/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -12,8 +12,8 @@
 from datetime import datetime, timedelta
 
 from marlstep.leases.messages import Acts, News
-from marlstep.rules.documents import CutOff, Named, digest_of
-from marlstep.rules.messages import Fetch, Piece
+from marlstep.replicated_config.documents import CutOff, Named, digest_of
+from marlstep.replicated_config.messages import Fetch, Piece
 from marlstep.units import MILLISECOND, ZERO
 
 FETCH_AGAIN = 300 * MILLISECOND
--- a/marlstep/rules/stages.py
+++ b/marlstep/replicated_config/rollout.py
@@ -13,7 +13,7 @@
 from datetime import datetime, timedelta
 
 from marlstep.leases.messages import Beat, Figures
-from marlstep.rules.book import Book, Pending
+from marlstep.replicated_config.store import Book, Pending
 from marlstep.units import MILLISECOND, SECOND
 
 SURE = 3.0  # standard errors by which two shares must differ: chance does that once in some hundred looks
--- a/marlstep/rules/book.py
+++ b/marlstep/replicated_config/store.py
@@ -19,9 +19,9 @@
 
 import orjson
 
-from marlstep.consensus.machine import Command, Result
+from marlstep.consensus.state_machine import Command, Result
 from marlstep.leases.messages import News
-from marlstep.leases.rules import RULES
+from marlstep.leases.settings import RULES
 from marlstep.leases.table import Table
 from marlstep.net.codec import (
     BOOLEAN,
@@ -37,7 +37,7 @@
     wire,
     write_fields,
 )
-from marlstep.rules.documents import MOST_BYTES, Kind, Version, digest_of, shrinks
+from marlstep.replicated_config.documents import MOST_BYTES, Kind, Version, digest_of, shrinks
 
 MOST_DOCUMENTS = 32
 KEPT_VERSIONS = 50  # of a document, with their content, as long as that fits
--- a/marlstep/tasks/record.py
+++ b/marlstep/scheduled_tasks/run_log.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from marlstep.consensus.machine import Command, Result
+from marlstep.consensus.state_machine import Command, Result
 from marlstep.leases.table import Table
 
 PREFIX = "task/"  # of the names of tasks' leases
--- a/marlstep/tasks/runner.py
+++ b/marlstep/scheduled_tasks/runner.py
@@ -15,8 +15,8 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.tasks.record import NO_RUN, Outcome
-from marlstep.tasks.schedule import Schedule
+from marlstep.scheduled_tasks.run_log import NO_RUN, Outcome
+from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import MILLISECOND, SECOND, ZERO
 
 MARGIN = 50 * MILLISECOND  # of the lease that is left beyond an act's longest time
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -12,7 +12,7 @@
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
 from marlstep.pool.tries import End
-from marlstep.timeline import Deadline, Timeline
+from marlstep.timer_queue import Deadline, Timeline
 
 RING_SIZE = 16 * 1024
 
--- a/tests/test_fleet.py
+++ b/tests/cluster/test_cluster.py
@@ -16,21 +16,21 @@
 
 from marlstep.cli.drill import process_one
 from marlstep.cli.main import call
+from marlstep.cluster import wire
+from marlstep.cluster.transport import Lines
 from marlstep.config import ConfigError, check
 from marlstep.consensus.messages import VoteAsk
 from marlstep.drill.links import Ports
 from marlstep.drill.plan import Fault, Plan, Shape, draw
 from marlstep.drill.rig import NodeProcess, Rig, Settings
-from marlstep.fleet import wire
-from marlstep.fleet.lines import Lines
 from marlstep.fronts.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.eventloop import LoopWaker
 from marlstep.net.framing import Framing, keyed
 from marlstep.net.ring import Ring
-from marlstep.timeline import Timeline
-from tests.node import SETTINGS, raw_config
+from marlstep.timer_queue import Timeline
+from tests.support.node import SETTINGS, raw_config
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 CONFIG = ROOT / "deploy" / "node.json"
 NODES = ("n1", "n2", "n3", "n4", "n5")
 
--- a/tests/test_store.py
+++ b/tests/cluster/test_store.py
@@ -11,9 +11,9 @@
 import apsw
 import pytest
 
+from marlstep.cluster.store import FILE, Opened, Store, StoreError, StoreRefused, make_group, recover
 from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
 from marlstep.consensus.raft import Ready
-from marlstep.fleet.store import FILE, Opened, Store, StoreError, StoreRefused, make_group, recover
 
 
 def ready(first: int, last: int, term: int = 1, **other: object) -> Ready:
@@ -126,13 +126,13 @@
     store = Store(folder)
     store.open("n1", "x")
     program = (
-        "from pathlib import Path; import sys; from marlstep.fleet.store import *\n"
+        "from pathlib import Path; import sys; from marlstep.cluster.store import *\n"
         "try: Store(Path(sys.argv[1])).open('n1', 'x')\n"
         "except StoreRefused as fault: print(fault)"
     )
     told = subprocess.run(
         [sys.executable, "-c", program, str(folder)], capture_output=True, text=True, check=True,
-        cwd=Path(__file__).parent.parent,
+        cwd=Path(__file__).parent.parent.parent,
     )  # fmt: skip
     assert "is in use by another process" in told.stdout
     store.save(ready(11, 12))
--- a/tests/test_consensus.py
+++ b/tests/consensus/test_replica.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from marlstep.cluster.wire import CODEC, Envelope, read, write
 from marlstep.consensus.log import Entry, Group, Kind, Log, Saved, Snapshot
-from marlstep.consensus.machine import Machines
 from marlstep.consensus.messages import Append, Appended, Forgot, VoteAsk
 from marlstep.consensus.raft import MOST_CHARACTERS, Raft, Role, Timing
-from marlstep.consensus.voter import COMPACT_AT, Ask, Join, Told, Voter, VoterSettings
-from marlstep.fleet.wire import CODEC, Envelope, read, write
-from marlstep.leases.rules import LeaseSettings
+from marlstep.consensus.replica import COMPACT_AT, Ask, Join, Told, Voter, VoterSettings
+from marlstep.consensus.state_machine import Machines
+from marlstep.leases.settings import LeaseSettings
 from marlstep.net.framing import CorruptError
 from marlstep.units import EPOCH, MILLISECOND
 
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -6,14 +6,14 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.rules.documents import canonical, digest_of
-from marlstep.tasks.record import Outcome
-from marlstep.tasks.runner import Do, Plan, Runner
-from marlstep.tasks.schedule import Schedule
+from marlstep.replicated_config.documents import canonical, digest_of
+from marlstep.scheduled_tasks.run_log import Outcome
+from marlstep.scheduled_tasks.runner import Do, Plan, Runner
+from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import MILLISECOND, SECOND
 from tests.golden.everything import POOLS, TENANTS, counted_names
 from tests.golden.world import Process, Row, World, make_world
-from tests.node import SETTINGS
+from tests.support.node import SETTINGS
 
 NODES = ("n2", "n3", "n4", "n5")
 ALLOWANCES = {"tenants": TENANTS, "over_share_worth": 0.2}
--- a/tests/golden/datagrams.py
+++ b/tests/golden/datagrams.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from marlstep.fleet import wire
-from marlstep.members.messages import Ack, Nack, Ping, PingFor, Said
-from marlstep.members.records import Record, State
+from marlstep.cluster import wire
+from marlstep.membership.messages import Ack, Nack, Ping, PingFor, Said
+from marlstep.membership.records import Record, State
 from tests.golden.conversation import KEY, Conversation, Sample
 from tests.golden.node_messages import RECORDS
 
--- a/tests/golden/everything.py
+++ b/tests/golden/everything.py
@@ -9,7 +9,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from tests.node import SETTINGS, raw_config
+from tests.support.node import SETTINGS, raw_config
 
 TOKEN = "0123456789abcdef"
 KEY = "k" * 32
--- a/tests/golden/machines.py
+++ b/tests/golden/machines.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from marlstep.consensus.machine import Machines
-from marlstep.fleet.part import tasks_machine
+from marlstep.cluster.node import tasks_machine
+from marlstep.consensus.state_machine import Machines
 from marlstep.leases.table import Table
 
 
--- a/tests/golden/node_messages.py
+++ b/tests/golden/node_messages.py
@@ -5,6 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
+from marlstep.cluster import wire
 from marlstep.consensus.log import Entry, Group, Kind
 from marlstep.consensus.messages import (
     Append,
@@ -16,11 +17,10 @@
     Vote,
     VoteAsk,
 )
-from marlstep.consensus.voter import Ask, Join, Told
-from marlstep.fleet import wire
+from marlstep.consensus.replica import Ask, Join, Told
 from marlstep.leases.messages import Beat, Beaten, News, Probed, Relay
-from marlstep.members.records import Record, State
-from marlstep.rules.messages import Fetch, Piece
+from marlstep.membership.records import Record, State
+from marlstep.replicated_config.messages import Fetch, Piece
 from tests.golden.conversation import KEY, Conversation, Sample
 
 RECORDS = (
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -14,19 +14,19 @@
 from marlstep.admin.api import Admin
 from marlstep.admin.http import Call
 from marlstep.cli.main import call
-from marlstep.fleet import wire
-from marlstep.members.messages import Ack
-from marlstep.members.records import Record, State
-from marlstep.members.situation import Sight
-from marlstep.optional.admin import AdminPart
-from marlstep.optional.door import DoorPart
-from marlstep.rules.documents import canonical
+from marlstep.cluster import wire
+from marlstep.components.admin import AdminPart
+from marlstep.components.health_endpoint import DoorPart
+from marlstep.membership.messages import Ack
+from marlstep.membership.partition_state import Sight
+from marlstep.membership.records import Record, State
+from marlstep.replicated_config.documents import canonical
 from petrelcart.interface import Outcome
 from tests.golden.commands import NODES, Running, acked_by_all, at_stage, leave_open, members, put
 from tests.golden.everything import KEY, TOKEN, counted_names
 from tests.golden.files import read_golden
 from tests.golden.world import Process, World, make_world
-from tests.node import SETTINGS, Desk
+from tests.support.node import SETTINGS, Desk
 
 GETS = (
     "health", "counters", "tenants", "tenants/riad", "parts", "fleet", "fleet/leases", "fleet/log", "fleet/members",
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -5,15 +5,15 @@
 import json
 from collections.abc import Mapping
 
+from marlstep.cluster.node import tasks_machine
 from marlstep.consensus.log import Group
-from marlstep.consensus.machine import Machine, Machines
-from marlstep.fleet.part import tasks_machine
+from marlstep.consensus.state_machine import Machine, Machines
 from marlstep.leases.table import Lease, Table
-from marlstep.members.agreed import Agreed, Belongs
-from marlstep.members.shares import Part, Shares
-from marlstep.rules.book import Book, Document, Pending, Stage
-from marlstep.rules.documents import Kind, Version
-from marlstep.tasks.record import Outcome, Record, Run
+from marlstep.membership.quotas import Part, Shares
+from marlstep.membership.roster import Agreed, Belongs
+from marlstep.replicated_config.documents import Kind, Version
+from marlstep.replicated_config.store import Book, Document, Pending, Stage
+from marlstep.scheduled_tasks.run_log import Outcome, Record, Run
 from tests.golden.conversation import DATA
 
 PATH = DATA / "snapshots.json"
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -7,9 +7,9 @@
 
 import apsw
 
+from marlstep.cluster.store import Opened, Store
 from marlstep.consensus.log import Entry, Group, Kind, Snapshot
 from marlstep.consensus.raft import Ready
-from marlstep.fleet.store import Opened, Store
 from tests.golden.files import read_golden
 
 FILE = "voter.sqlite"
--- a/tests/golden/test_datagrams.py
+++ b/tests/golden/test_datagrams.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marlstep.fleet import wire
+from marlstep.cluster import wire
 from tests.golden import checks
 from tests.golden.conversation import classes_of, tags_of
 from tests.golden.datagrams import CONVERSATION, MANY, RECORDS_KEPT, Datagram
--- a/tests/golden/test_node_messages.py
+++ b/tests/golden/test_node_messages.py
@@ -5,8 +5,8 @@
 import orjson
 import pytest
 
-from marlstep.consensus.voter import MESSAGES as VOTER_MESSAGES
-from marlstep.fleet import wire
+from marlstep.cluster import wire
+from marlstep.consensus.replica import MESSAGES as VOTER_MESSAGES
 from tests.golden import checks
 from tests.golden.conversation import classes_of, tags_of
 from tests.golden.mutations import Path
--- a/tests/golden/test_restart_messages.py
+++ b/tests/golden/test_restart_messages.py
@@ -8,10 +8,10 @@
 
 from marlstep.handover import wire
 from petrelcart.interface import Learnt
-from tests.elsewhere import Elsewhere
 from tests.golden import checks
 from tests.golden.conversation import classes_of, tags_of
 from tests.golden.restart_messages import CONVERSATION, LEARNT, MESSAGES
+from tests.support.elsewhere import Elsewhere
 
 WRONG_TYPES = list(checks.wrong_type_cases(CONVERSATION))
 each_message = pytest.mark.parametrize("name", checks.names(CONVERSATION))
--- a/tests/golden/test_snapshot_keys.py
+++ b/tests/golden/test_snapshot_keys.py
@@ -11,7 +11,7 @@
 import pytest
 
 from marlstep.consensus.log import Group
-from marlstep.consensus.machine import Machines
+from marlstep.consensus.state_machine import Machines
 from tests.golden import snapshots
 
 NAMES = list(snapshots.new_machines())
--- a/tests/golden/test_store_file.py
+++ b/tests/golden/test_store_file.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from marlstep.fleet.store import Store
+from marlstep.cluster.store import Store
 from tests.golden.files import FOLDER, read_golden
 from tests.golden.stored import FILE, IDENTITY, NODE, OF_THIS_DISK, dump, read_store, write_store
 
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -11,19 +11,19 @@
 
 import orjson
 
+from marlstep.cluster import wire
+from marlstep.cluster.node import Fleet, tasks_machine
+from marlstep.cluster.transport import Lines
 from marlstep.config import check
 from marlstep.config.fleet import FleetConfig
 from marlstep.consensus.log import Group, Saved, Snapshot
 from marlstep.consensus.raft import Timing
-from marlstep.consensus.voter import Ask, Message, Told, Voter, VoterSettings
-from marlstep.fleet import wire
-from marlstep.fleet.lines import Lines
-from marlstep.fleet.part import Fleet, tasks_machine
+from marlstep.consensus.replica import Ask, Message, Told, Voter, VoterSettings
 from marlstep.leases.messages import Acts, Beat, Beaten, Figures, Held
 from marlstep.node import Node
-from marlstep.rules.messages import Fetch, Piece
+from marlstep.replicated_config.messages import Fetch, Piece
 from tests.golden.everything import KEY, operator_config, platform_config
-from tests.node import HandClock
+from tests.support.node import HandClock
 
 VOTER = "n1#0a0b0c"
 STEP_MS = 50
--- a/tests/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.leases.drift import DriftWatch
+from marlstep.leases.clock_drift import DriftWatch
 from marlstep.leases.holder import Holder
-from marlstep.leases.keeper import Keeper
+from marlstep.leases.manager import Keeper
 from marlstep.leases.messages import Beat, Beaten
-from marlstep.leases.rules import LeaseSettings
+from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Table
 from marlstep.pool.probing import Probing
-from marlstep.tasks.record import Outcome, Record
-from marlstep.tasks.runner import MARGIN, Do, Plan, Runner, Step
-from marlstep.tasks.schedule import DAY, Missed, Schedule
+from marlstep.scheduled_tasks.run_log import Outcome, Record
+from marlstep.scheduled_tasks.runner import MARGIN, Do, Plan, Runner, Step
+from marlstep.scheduled_tasks.schedule import DAY, Missed, Schedule
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 
 NOW = EPOCH + timedelta(days=9)
--- a/tests/test_members.py
+++ b/tests/membership/test_membership.py
@@ -20,6 +20,8 @@
 
 from marlstep.cli.drill import members_one
 from marlstep.cli.main import call
+from marlstep.cluster import wire
+from marlstep.cluster.node import Fleet
 from marlstep.config import ConfigError, check
 from marlstep.drill.acts import Act
 from marlstep.drill.broken import MEMBERS_BREAKAGES, Breakage
@@ -29,24 +31,22 @@
 from marlstep.drill.rig import Rig, Settings
 from marlstep.drill.rules import ListServers
 from marlstep.drill.virtual_members import KINDS, run_members
-from marlstep.fleet import wire
-from marlstep.fleet.part import Fleet
 from marlstep.fronts.uwsgi_wire import write_packet
-from marlstep.leases.keeper import Keeper
+from marlstep.leases.manager import Keeper
 from marlstep.leases.messages import Beat
-from marlstep.leases.rules import LeaseSettings
+from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Table
-from marlstep.members.agreed import Agreed, Keeping, KeepingSettings, Word
-from marlstep.members.detector import Detector, MemberSettings, Send
-from marlstep.members.messages import Ack, Exchange, Nack, Ping, PingFor
-from marlstep.members.records import Record, State, read_records, write_records
-from marlstep.members.shares import EVERY, WHOLE, Balance, Demand, Shares, Using, unsharable, wanted
-from marlstep.members.situation import CONDUCT, GOOD, Sight, Situation, Standing, judge
+from marlstep.membership.failure_detector import Detector, MemberSettings, Send
+from marlstep.membership.messages import Ack, Exchange, Nack, Ping, PingFor
+from marlstep.membership.partition_state import CONDUCT, GOOD, Sight, Situation, Standing, judge
+from marlstep.membership.quotas import EVERY, WHOLE, Balance, Demand, Shares, Using, unsharable, wanted
+from marlstep.membership.records import Record, State, read_records, write_records
+from marlstep.membership.roster import Agreed, Keeping, KeepingSettings, Word
 from marlstep.net.framing import CorruptError
 from marlstep.units import EPOCH, MILLISECOND, SECOND
-from tests.node import SETTINGS, raw_config
+from tests.support.node import SETTINGS, raw_config
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 CONFIG = ROOT / "deploy" / "node.json"
 NOW = EPOCH + timedelta(days=9)
 NODES = ("n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9", "n10", "n11", "n12")
--- a/tests/test_rules.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -16,6 +16,8 @@
 
 from marlstep.cli.drill import rules_one
 from marlstep.cli.main import call
+from marlstep.cluster.wire import CODEC
+from marlstep.components.config_documents import NodeDocuments
 from marlstep.config import ConfigError, check
 from marlstep.config.governed import Governed, part_of
 from marlstep.core.model import Verdict
@@ -27,19 +29,17 @@
 from marlstep.drill.rig import Rig, Settings
 from marlstep.drill.rules import CLIENTS, SERVERS, Arrival, ListServers, Load, Operators, judge
 from marlstep.drill.virtual_rules import run_rules
-from marlstep.fleet.wire import CODEC
 from marlstep.leases.messages import Beat, Beaten, News
 from marlstep.leases.table import Table
-from marlstep.optional.documents import NodeDocuments
-from marlstep.rules.book import KEPT_VERSIONS, Book
-from marlstep.rules.documents import CutOff, Kind, Named, differences, digest_of, shrinks
-from marlstep.rules.follower import Ack, Act, Check, Follower, Found, State, Stop
-from marlstep.rules.messages import Fetch, Piece
-from marlstep.rules.stages import Heard, StageWatch
+from marlstep.replicated_config.documents import CutOff, Kind, Named, differences, digest_of, shrinks
+from marlstep.replicated_config.follower import Ack, Act, Check, Follower, Found, State, Stop
+from marlstep.replicated_config.messages import Fetch, Piece
+from marlstep.replicated_config.rollout import Heard, StageWatch
+from marlstep.replicated_config.store import KEPT_VERSIONS, Book
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
-from tests.node import SETTINGS, Desk, raw_config
+from tests.support.node import SETTINGS, Desk, raw_config
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 CONFIG = ROOT / "deploy" / "node.json"
 NOW = EPOCH + timedelta(days=9)
 
--- a/tests/crossing.py
+++ b/tests/support/crossing.py
@@ -24,10 +24,10 @@
 from marlstep.fronts.resp_wire import FrameReader, write_frame
 from marlstep.net.ring import Ring
 from marlstep.node import Node
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import MILLISECOND, instant_us
-from tests.elsewhere import elsewhere_config
-from tests.stand_ins import StandIn
+from tests.support.elsewhere import elsewhere_config
+from tests.support.stand_ins import StandIn
 from tests.test_loopback import ShiftedWaker
 
 BOUND_S = 20
--- a/tests/elsewhere.py
+++ b/tests/support/elsewhere.py
@@ -11,7 +11,7 @@
 from marlstep.units import SECOND, instant_us
 from petrelcart.benchlink import read_settings
 from petrelcart.interface import Outcome
-from tests.node import Desk, Wire, raw_config
+from tests.support.node import Desk, Wire, raw_config
 
 ELSEWHERE: dict[str, Any] = {
     "callers": {"marksRetry": False},
--- a/tests/node.py
+++ b/tests/support/node.py
@@ -11,7 +11,7 @@
 from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
 from marlstep.net.eventloop import Address, Done, Make
 from marlstep.net.stream import RingStream
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import EPOCH, MILLISECOND, SECOND
 from petrelcart.benchlink import read_settings
 from petrelcart.interface import Outcome
--- a/tests/upgrading.py
+++ b/tests/support/upgrading.py
@@ -18,8 +18,8 @@
 
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.units import SystemClock, instant_us
-from tests.node import raw_config
-from tests.stand_ins import DatabaseStandIn, KernelStandIn, StandIn
+from tests.support.node import raw_config
+from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, StandIn
 
 SENDERS = 8
 now = SystemClock().now
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 from marlstep.__main__ import main
 from marlstep.config import ConfigError, check, load
 from marlstep.units import MILLISECOND
-from tests.node import SETTINGS, raw_config
+from tests.support.node import SETTINGS, raw_config
 
 DEPLOY = Path(__file__).parent.parent / "deploy"
 FRONT: dict[str, Any] = {"listen": "127.0.0.1:3031", "upstream": "127.0.0.1:3032", "vars": {"class": "C"}}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,7 @@
 from marlstep.core.model import Request, Verdict
 from marlstep.units import SECOND
 from petrelcart.interface import Outcome
-from tests.node import SETTINGS, Desk
+from tests.support.node import SETTINGS, Desk
 
 
 def test_a_request_runs_and_its_result_is_the_answer() -> None:
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -14,7 +14,7 @@
 from marlstep.core.model import Stage, Verdict
 from marlstep.units import MILLISECOND, SECOND
 from petrelcart.interface import Outcome
-from tests.node import Desk
+from tests.support.node import Desk
 from tests.test_parsers import FIXED
 
 KINDS = ("temp-history", "schedule-save", "setpoint-cmd")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,8 +15,8 @@
 
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.units import MILLISECOND, SECOND
-from tests.crossing import Caller, HeldDatabase, HeldKernel, Place, Reports, at, until
-from tests.elsewhere import ELSEWHERE, elsewhere
+from tests.support.crossing import Caller, HeldDatabase, HeldKernel, Place, Reports, at, until
+from tests.support.elsewhere import ELSEWHERE, elsewhere
 
 GRACE_MS = 1_100
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -11,9 +11,9 @@
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import SECOND
-from tests.node import raw_config
+from tests.support.node import raw_config
 from tests.test_resp import Platform, exec_frame, instant_ms
 
 KINDS = (b"temp-history", b"schedule-save", b"setpoint-cmd")
--- a/tests/test_db.py
+++ b/tests/test_db.py
@@ -10,7 +10,7 @@
 from marlstep.platform.db import MOST_LINKS, MOST_RESTING, Database
 from marlstep.units import SECOND
 from petrelcart.interface import Outcome
-from tests.node import Desk, HandClock, HandDial, Notes, Wire
+from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
 OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
 ROWS = b"%b ROWS 4\r\nrows\r\n"
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -17,7 +17,7 @@
 from marlstep.core.model import Verdict
 from marlstep.fronts.base import NEW_LEAST
 from marlstep.units import MILLISECOND, SECOND
-from tests.node import Desk, Wire, raw_config
+from tests.support.node import Desk, Wire, raw_config
 from tests.test_parsers import CUTS, FIXED, GARBAGE, pieces
 
 CONNECTIONS = 48
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -21,8 +21,8 @@
     TimerDue,
 )
 from petrelcart.policy import Controller
-from tests import helpers
-from tests.helpers import MS, START, Server, a_class
+from tests.support import helpers
+from tests.support.helpers import MS, START, Server, a_class
 from tests.test_properties import CLASSES, STEP, Model
 
 EDGES: dict[str, dict[str, Any]] = {
--- a/tests/test_stall.py
+++ b/tests/test_event_loop_watchdog.py
@@ -6,10 +6,10 @@
 import sys
 
 PROGRAM = """
-from marlstep.stall import StallWatch
-from marlstep.timeline import Timeline
+from marlstep.event_loop_watchdog import StallWatch
+from marlstep.timer_queue import Timeline
 from marlstep.units import MILLISECOND
-from tests.node import HandClock
+from tests.support.node import HandClock
 
 def stuck():
     while True:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -22,7 +22,7 @@
 from marlstep.net.ring import Ring
 from marlstep.units import MILLISECOND, SECOND
 from petrelcart.interface import Outcome
-from tests.node import SETTINGS, START, Desk, HandClock
+from tests.support.node import SETTINGS, START, Desk, HandClock
 from tests.test_parsers import CUTS, FIXED, GARBAGE, pieces
 
 WAIT, WINDOW = 7 * SECOND, 11 * SECOND
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -17,15 +17,15 @@
 # fails while an import stands here that is on no cycle any more.
 KNOWN = {
     # The part of a node that takes part in a fleet, and what it is put together from.
-    ("marlstep.fleet.part", "marlstep.fleet.members"),
-    ("marlstep.fleet.part", "marlstep.fleet.probes"),
-    ("marlstep.fleet.part", "marlstep.fleet.rules"),
-    ("marlstep.fleet.members", "marlstep.fleet.part"),
-    ("marlstep.fleet.probes", "marlstep.fleet.part"),
-    ("marlstep.fleet.rules", "marlstep.fleet.part"),
+    ("marlstep.cluster.node", "marlstep.cluster.membership"),
+    ("marlstep.cluster.node", "marlstep.cluster.health_checks"),
+    ("marlstep.cluster.node", "marlstep.cluster.config_documents"),
+    ("marlstep.cluster.membership", "marlstep.cluster.node"),
+    ("marlstep.cluster.health_checks", "marlstep.cluster.node"),
+    ("marlstep.cluster.config_documents", "marlstep.cluster.node"),
     # A node, and how its process meets the one that it takes over from.
-    ("marlstep.node", "marlstep.optional.meeting"),
-    ("marlstep.optional.meeting", "marlstep.node"),
+    ("marlstep.node", "marlstep.components.hot_restart"),
+    ("marlstep.components.hot_restart", "marlstep.node"),
 }
 
 
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -8,7 +8,7 @@
 from marlstep.platform.kernel import Kernel
 from marlstep.units import MILLISECOND
 from petrelcart.interface import Outcome
-from tests.node import Desk, HandClock, HandDial, Notes, Wire
+from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
 OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -12,17 +12,17 @@
 import pytest
 import uvloop
 
+from marlstep.components.admin import AdminPart
+from marlstep.components.uwsgi import UwsgiPart
 from marlstep.config import check
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.fronts.uwsgi_wire import write_packet
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.optional.admin import AdminPart
-from marlstep.optional.uwsgi import UwsgiPart
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import SECOND, ZERO, instant_us
-from tests.node import raw_config
-from tests.stand_ins import DatabaseStandIn, KernelStandIn, UwsgiStandIn
+from tests.support.node import raw_config
+from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, UwsgiStandIn
 
 VARS = {"class": "X_CLASS", "id": "X_ID"}
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -17,7 +17,7 @@
     TimerDue,
 )
 from petrelcart.policy import Controller
-from tests.helpers import MS, START, Server, a_class, settings
+from tests.support.helpers import MS, START, Server, a_class, settings
 
 
 def test_the_first_turn_reports_good_health_and_asks_for_no_timer() -> None:
--- a/tests/test_named_crossings.py
+++ b/tests/test_named_crossings.py
@@ -13,8 +13,8 @@
 
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.units import MILLISECOND, SECOND
-from tests.crossing import Caller, Place, at, until
-from tests.elsewhere import ELSEWHERE, elsewhere
+from tests.support.crossing import Caller, Place, at, until
+from tests.support.elsewhere import ELSEWHERE, elsewhere
 from tests.test_crossings import GRACE_MS, one_core
 
 WINDOW_MS = 2_000
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -9,8 +9,8 @@
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 from petrelcart.interface import Outcome
-from tests.elsewhere import Elsewhere, answered
-from tests.node import START, Wire
+from tests.support.elsewhere import Elsewhere, answered
+from tests.support.node import START, Wire
 
 BUSY = answered(1, b"error")
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -16,7 +16,7 @@
 from marlstep.net.ring import LineTooLong, Ring
 from marlstep.platform import kernel
 from petrelcart.interface import Outcome
-from tests.node import HandClock, HandDial, Notes, Wire
+from tests.support.node import HandClock, HandDial, Notes, Wire
 from tests.test_db import Rig
 from tests.test_resp import Platform, exec_frame
 from tests.test_uwsgi import Gateway
--- a/tests/test_passed.py
+++ b/tests/test_passed.py
@@ -16,9 +16,9 @@
 from marlstep.config import ConfigError, load
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.timeline import Timeline
-from tests.node import raw_config
-from tests.stand_ins import KernelStandIn
+from marlstep.timer_queue import Timeline
+from tests.support.node import raw_config
+from tests.support.stand_ins import KernelStandIn
 from tests.test_loopback import over_resp
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -33,8 +33,8 @@
     TimerDue,
 )
 from petrelcart.policy import Controller
-from tests import helpers
-from tests.helpers import MS, START
+from tests.support import helpers
+from tests.support.helpers import MS, START
 
 TURNS = 120
 STEP = 40 * MS
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -17,10 +17,10 @@
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.platform.naming import EVERY, Naming
-from marlstep.timeline import Timeline
+from marlstep.timer_queue import Timeline
 from marlstep.units import MILLISECOND
-from tests.node import HandClock, raw_config
-from tests.stand_ins import DatabaseStandIn, KernelStandIn
+from tests.support.node import HandClock, raw_config
+from tests.support.stand_ins import DatabaseStandIn, KernelStandIn
 from tests.test_loopback import over_resp
 
 
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -18,8 +18,8 @@
 from marlstep.units import MILLISECOND
 from petrelcart.benchlink import read_settings
 from petrelcart.interface import Outcome, Settings
-from tests.elsewhere import Elsewhere, elsewhere
-from tests.node import SETTINGS, Desk, HandClock, raw_config
+from tests.support.elsewhere import Elsewhere, elsewhere
+from tests.support.node import SETTINGS, Desk, HandClock, raw_config
 
 
 def other(change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -31,7 +31,7 @@
 from marlstep.traces.rows import Arrival
 from marlstep.traces.schedule import BLOCK_ROWS, Schedule, ScheduleError, Writer
 from marlstep.traces.window import Counts, Section, busiest, compressed, cut, dispersion, repeated, thinned
-from tests.node import raw_config
+from tests.support.node import raw_config
 from tests.test_parsers import FIXED
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -9,7 +9,7 @@
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.units import SECOND, instant_us
 from petrelcart.interface import Outcome
-from tests.node import START, Desk, Wire
+from tests.support.node import START, Desk, Wire
 
 AT = instant_us(START) // 1000
 FIELDS = b"at=%d,from=4,kb=24.5,rank=0.6250,cost=12.50" % AT
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,7 @@
 from marlstep.traces.reading import Account
 from marlstep.traces.rows import Arrival
 from marlstep.units import SECOND
-from tests.node import Desk, Wire, raw_config
+from tests.support.node import Desk, Wire, raw_config
 from tests.test_parsers import CUTS, FIXED, GARBAGE, pieces
 
 TOKEN = "0123456789abcdef"
--- a/tests/test_timeline.py
+++ b/tests/test_timer_queue.py
@@ -6,7 +6,7 @@
 
 from marlstep.slots import SlotTable, TableFull
 from marlstep.units import MILLISECOND, SECOND, instant, instant_us, span, span_us, whole_ms
-from tests.node import START, HandClock
+from tests.support.node import START, HandClock
 
 
 def test_deadlines_fall_due_in_order_and_cancelled_ones_never() -> None:
--- a/tests/test_upgrade_crossings.py
+++ b/tests/test_upgrade_crossings.py
@@ -17,10 +17,10 @@
 import pytest
 
 from marlstep.fronts.resp_wire import write_frame
-from tests.crossing import Caller, HeldKernel, until
-from tests.elsewhere import ELSEWHERE, elsewhere_config
+from tests.support.crossing import Caller, HeldKernel, until
+from tests.support.elsewhere import ELSEWHERE, elsewhere_config
+from tests.support.upgrading import Program, Site, now, on
 from tests.test_crossings import BAD
-from tests.upgrading import Program, Site, now, on
 
 YES, NO = b"renew n1 yes", b"renew n1 no"
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,7 +17,7 @@
 from marlstep.pool.table import PoolSettings, Server
 from marlstep.units import MILLISECOND, SECOND
 from marlstep.upstreams.upstream import Upstream
-from tests.node import Desk, HandDial, Wire
+from tests.support.node import Desk, HandDial, Wire
 from tests.test_parsers import FIXED
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/tests/test_uwsgi.py
+++ b/tests/test_uwsgi.py
@@ -7,7 +7,7 @@
 from marlstep.fronts.uwsgi_wire import write_packet
 from marlstep.units import SECOND
 from petrelcart.interface import Outcome
-from tests.node import Desk, Wire
+from tests.support.node import Desk, Wire
 
 MAPPED = Mapped(
     kind="X_CLASS",
