--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -20,16 +20,16 @@
 from typing import Any
 
 from marlstep.cluster.store import Store
-from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
-from marlstep.consensus.raft import Ready, Timing
-from marlstep.consensus.replica import Ask, Told, Voter, VoterSettings
+from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
+from marlstep.consensus.raft import RaftTiming, Ready
+from marlstep.consensus.replica import CommandRequest, CommandResponse, Replica, ReplicaSettings
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import NodeProcess, Rig, Settings
 from marlstep.drill.witness import clock_us
-from marlstep.leases.manager import Keeper
-from marlstep.leases.messages import Beat
+from marlstep.leases.manager import LeaseManager
+from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
-from marlstep.leases.table import Table
+from marlstep.leases.table import LeaseTable
 from marlstep.scheduled_tasks.run_log import Record
 from marlstep.units import EPOCH
 
@@ -55,7 +55,7 @@
         store.open("n1", "n1#a")
         took, index = [], 0
         for _ in range(count):
-            rows = [Entry(index + one, 1, Kind.COMMAND, "x" * 120) for one in range(1, entries + 1)]
+            rows = [LogEntry(index + one, 1, EntryType.COMMAND, "x" * 120) for one in range(1, entries + 1)]
             index += entries
             began = time.perf_counter()
             store.save(Ready(1, 1, "", entries=rows))
@@ -66,24 +66,24 @@
 
 def renewals(leases: int, rounds: int) -> dict[str, float]:
     """A leader's work for nodes that hold so many leases together, without sockets: microseconds a beat."""
-    table = Table()
-    keeper = Keeper(table, LeaseSettings())
+    table = LeaseTable()
+    keeper = LeaseManager(table, LeaseSettings())
     now = EPOCH
-    keeper.lead(now)
+    keeper.become_leader(now)
     nodes = min(leases, 5)
     names = {one: tuple(f"t{number}" for number in range(one, leases, nodes)) for one in range(nodes)}
     for one, wanted in names.items():
         for name in wanted:
             table.apply({"do": "grant", "name": name, "holder": f"n{one}/b", "most": 0})
-    keeper.lead(now)
+    keeper.become_leader(now)
     took = []
     for number in range(rounds):
         now += timedelta(seconds=1)
         for one, wanted in names.items():
             began = time.perf_counter()
-            keeper.beat(now, Beat(f"n{one}", "b", number, wanted), 0)
+            keeper.handle_heartbeat(now, Heartbeat(f"n{one}", "b", number, wanted), 0)
             keeper.tick(now)
-            keeper.answers(now, 1, "n0", 1)
+            keeper.take_responses(now, 1, "n0", 1)
             took.append((time.perf_counter() - began) * 1e6)
     return {
         **quantiles(took),
@@ -93,23 +93,27 @@
 
 def voter_commands(count: int) -> float:
     """Commands a second that one voter alone takes in and applies, without a store: the cost of the code."""
-    group = Group(("v#1",))
-    told = VoterSettings(Timing(), LeaseSettings(), ("v",))
+    group = Configuration(("v#1",))
+    told = ReplicaSettings(RaftTiming(), LeaseSettings(), ("v",))
 
-    def machines(table: Table) -> dict[str, Record]:
+    def machines(table: LeaseTable) -> dict[str, Record]:
         return {"tasks": Record(table)}
 
     now = EPOCH
-    voter = Voter("v#1", Saved(snapshot=Snapshot(group=group)), told, machines, random.Random(1), now)
+    voter = Replica(
+        "v#1", PersistentState(snapshot=Snapshot(configuration=group)), told, machines, random.Random(1), now
+    )
 
     def settle() -> int:
-        done = sum(isinstance(message, Told) for _, message in voter.prompt(now))
-        while (ready := voter.take()) is not None:
-            voter.synced(now, ready)
+        done = sum(isinstance(message, CommandResponse) for _, message in voter.take_immediate_messages(now))
+        while (ready := voter.take_ready()) is not None:
+            voter.acknowledge_durable(now, ready)
             for to, message in ready.messages:
-                if to == voter.me:
+                if to == voter.identity:
                     voter.step(now, to, message)
-            done += sum(isinstance(message, Told) for _, message in voter.prompt(now))
+            done += sum(
+                isinstance(message, CommandResponse) for _, message in voter.take_immediate_messages(now)
+            )
         return done
 
     now = voter.next_due()
@@ -119,7 +123,9 @@
     while done < count:
         for _ in range(16):
             number += 1
-            voter.step(now, "a", Ask("a/1", number, '{"m":"leases","do":"expire","name":"x","token":1}'))
+            voter.step(
+                now, "a", CommandRequest("a/1", number, '{"m":"leases","do":"expire","name":"x","token":1}')
+            )
         done += settle()
     return round(count / (time.perf_counter() - began))
 
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -27,7 +27,7 @@
 from marlstep.drill.virtual import VirtualNode
 from marlstep.drill.virtual_rules import DOCUMENTS, RulesWorld
 from marlstep.drill.witness import clock_us
-from marlstep.leases.table import Table
+from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import digest_of
 from marlstep.replicated_config.follower import State
 from marlstep.replicated_config.store import Book
@@ -255,7 +255,7 @@
         upload, expect = f"b{number}", standing.target.version
         part: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": 0}
         part["data"] = json.dumps({"n": number})
-        node.participant.ask(node.now, part)
+        node.participant.propose(node.now, part)
         node.drive()
         counts.append(-world.counts["messages"])
         world.after(1_000_000, lambda: counts.append(counts.pop() + world.counts["messages"]))
@@ -273,7 +273,7 @@
             }
             told |= {"upload": upload, "digest": digest_of(part["data"]), "expect": expect}
             told |= {"author": "", "note": "", "at": ""}
-            node.participant.ask(node.now, told)
+            node.participant.propose(node.now, told)
             node.drive()
 
         world.after(100_000, then)
@@ -299,7 +299,7 @@
 
 def versions(count: int) -> dict[str, Any]:
     """The book alone: so many versions one after another, and what a snapshot of it has."""
-    book = Book(Table())
+    book = Book(LeaseTable())
     began = time.perf_counter()
     for number in range(count):
         content = json.dumps({"n": number, "x": "y" * 500})
@@ -313,7 +313,7 @@
         "versions": book.documents["d"].number,
         "kept": len(book.documents["d"].versions),
         "a_second": round(count / took),
-        "snapshot_kb": round(len(json.dumps(book.write())) / 1024, 1),
+        "snapshot_kb": round(len(json.dumps(book.snapshot())) / 1024, 1),
     }
 
 
--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -23,9 +23,9 @@
 from urllib.parse import unquote
 
 from marlstep.admin.http import Call, Problem, Surface
-from marlstep.components.base import Part
+from marlstep.components.base import Component
 from marlstep.core.engine import Core
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import SECOND
 
 log = logging.getLogger(__name__)
@@ -39,10 +39,10 @@
     def __init__(
         self,
         core: Core,
-        timeline: Timeline,
+        timeline: TimerQueue,
         token: str,
         drain: Callable[[], None],
-        parts: Callable[[], Iterable[Part]] = tuple,
+        parts: Callable[[], Iterable[Component]] = tuple,
     ) -> None:
         super().__init__(core, timeline, CONNECTIONS, TIMEOUT)
         self._parts = parts
@@ -88,7 +88,7 @@
         raise Problem(404, "no such thing")
 
     def _of_parts(self, name: str) -> dict[str, object] | None:
-        return next((told for part in self._parts() if (told := part.call(name)) is not None), None)
+        return next((told for part in self._parts() if (told := part.read_resource(name)) is not None), None)
 
     def _order(self, rest: list[str], body: bytes) -> dict[str, object] | None:
         try:
@@ -96,7 +96,9 @@
             if not isinstance(told, dict):
                 raise ValueError("the body must be an object")
             name = "/".join(["fleet", *rest])
-            return next((one for part in self._parts() if (one := part.order(name, told)) is not None), None)
+            return next(
+                (one for part in self._parts() if (one := part.execute_order(name, told)) is not None), None
+            )
         except (ValueError, KeyError, TypeError) as fault:
             raise Problem(400, f"no order: {fault}") from fault
 
@@ -106,7 +108,7 @@
         figures = {f"requests_{name}_total": float(count) for name, count in self.core.counts.items()}
         figures |= {"in_hand": float(self.core.in_hand), "unanswered": float(self.core.unanswered)}
         for part in self._parts():
-            figures |= part.figures()
+            figures |= part.metrics()
         return written(figures)
 
     def _tenant(self, name: str) -> dict[str, object]:
--- a/marlstep/admin/door.py
+++ b/marlstep/admin/door.py
@@ -12,7 +12,7 @@
 
 from marlstep.admin.http import Call, Problem, Surface, method_for
 from marlstep.core.engine import Core
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import SECOND
 
 log = logging.getLogger(__name__)
@@ -21,7 +21,9 @@
 
 
 class Door(Surface):
-    def __init__(self, core: Core, timeline: Timeline, changed: Callable[[], None], connections: int) -> None:
+    def __init__(
+        self, core: Core, timeline: TimerQueue, changed: Callable[[], None], connections: int
+    ) -> None:
         super().__init__(core, timeline, connections, PATIENCE)
         self._changed = changed
 
--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -16,7 +16,7 @@
 from marlstep.core.engine import Core
 from marlstep.core.model import Answer
 from marlstep.fronts.base import Connection, Listener
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 
 log = logging.getLogger(__name__)
 
@@ -153,7 +153,7 @@
 class Surface(Listener):
     """One address for operators. Subclasses give `serve`."""
 
-    def __init__(self, core: Core, timeline: Timeline, connections: int, patience: timedelta) -> None:
+    def __init__(self, core: Core, timeline: TimerQueue, connections: int, patience: timedelta) -> None:
         super().__init__(core, timeline, connections, patience)
 
     def make(self) -> HttpConnection:
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from marlstep.config.fleet import RulesConfig
-from marlstep.leases.holder import Report
-from marlstep.leases.messages import Figures
-from marlstep.leases.settings import RULES
+from marlstep.leases.holder import HeartbeatReport
+from marlstep.leases.messages import RequestCounts
+from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.membership.quotas import Demand, Using, unsharable
 from marlstep.net.codec import write_fields
 from marlstep.replicated_config.documents import PIECE, CutOff, Kind, Named, canonical, differences, digest_of
@@ -43,7 +43,7 @@
     def narrow(self) -> None:
         """The lesser of the allowances that it knows of."""
 
-    def figures(self) -> Figures:
+    def figures(self) -> RequestCounts:
         """Requests that were read, of them refused, and failed or late."""
 
     def asked(self) -> dict[str, int]:
@@ -74,7 +74,7 @@
         self._given: dict[int, str] = {}
         self.follower = Follower(config.documents, fleet.config.node)
         self.named = {one.name: one for one in config.documents}
-        self.lease = RULES + fleet.participant.holder.name
+        self.lease = CONFIG_LEASE_PREFIX + fleet.participant.holder.name
         fleet.participant.holder.report = self._report
         self._acks: dict[int, Ack] = {}
         self._orders: dict[int, str] = {}
@@ -84,9 +84,9 @@
             self._carry_out(do, fleet.steady.now())
 
     def left(self, now: datetime) -> timedelta:
-        return self._fleet.participant.holder.left(self.lease, now)
+        return self._fleet.participant.holder.time_left(self.lease, now)
 
-    def _report(self, now: datetime) -> Report:
+    def _report(self, now: datetime) -> HeartbeatReport:
         """What each beat tells the group of this process."""
         demand = () if not self._config.shares else self._demand.look(now, self._documents.asked())
         return self.follower.acts(now), self._documents.figures(), demand
@@ -99,12 +99,12 @@
 
     def heard(self, now: datetime) -> None:
         holder = self._fleet.participant.holder
-        news, holder.news = holder.news, None
+        news, holder.documents = holder.documents, None
         if self._config.shares:
-            for tenant, to in self.using.told(holder.shares):
+            for tenant, to in self.using.told(holder.quota_shares):
                 self._share(tenant)  # used no more, before that is said
                 told = {"m": "shares", "do": "gave", "tenant": tenant, "holder": holder.name, "to": to}
-                number = self._fleet.participant.ask(now, told)
+                number = self._fleet.participant.propose(now, told)
                 if number is None:
                     self.using.lost(tenant)
                 else:
@@ -121,17 +121,17 @@
         """In every turn of the fleet's part, and when the lease is over."""
         participant = self._fleet.participant
         for number in list(self._acks):
-            if (result := participant.result(number)) is not None:
+            if (result := participant.take_result(number)) is not None:
                 ack = self._acks.pop(number)
                 if "refused" in result:
                     self.follower.ack_lost(ack.name, ack.version)
         for number in list(self._given):
-            if (result := participant.result(number)) is not None:
+            if (result := participant.take_result(number)) is not None:
                 tenant = self._given.pop(number)
                 if "refused" in result:
                     self.using.lost(tenant)
         for number in list(self._orders):
-            if (result := participant.result(number)) is not None:
+            if (result := participant.take_result(number)) is not None:
                 self._answer(number, {"what": self._orders.pop(number), **result})
         for upload in list(self._uploads):
             self._push(upload, now)
@@ -155,7 +155,7 @@
             case Ack():
                 told: dict[str, Any] = {"m": "rules", "do": "ack", "doc": do.name, "version": do.version}
                 told |= {"digest": do.digest, "holder": participant.holder.name, "why": do.why}
-                number = participant.ask(now, told)
+                number = participant.propose(now, told)
                 if number is None:
                     self.follower.ack_lost(do.name, do.version)
                 else:
@@ -235,7 +235,7 @@
     def _push(self, one: Upload, now: datetime) -> None:
         participant = self._fleet.participant
         if one.number is not None:
-            result = participant.result(one.number)
+            result = participant.take_result(one.number)
             if result is None:
                 return
             if one.put_out or "taken" not in result:
@@ -248,7 +248,7 @@
         one.put_out = not data
         self._fleet.on_step("put" if one.put_out else "uploading")
         piece = {"m": "rules", "do": "part", "upload": one.upload, "offset": one.offset, "data": data}
-        one.number = participant.ask(now, one.put if one.put_out else piece)
+        one.number = participant.propose(now, one.put if one.put_out else piece)
 
     def _answer(self, number: int, answer: dict[str, Any]) -> None:
         self.answers[number] = answer
@@ -292,7 +292,7 @@
                     return self._fixed(named, what, told, now)
                 case _:
                     raise ValueError(f"there is nothing like {what[:32]}")
-        number = participant.ask(now, command)
+        number = participant.propose(now, command)
         if number is None:
             raise ValueError("too much is asked for already")
         self._orders[number] = what
@@ -360,7 +360,7 @@
                     "state": one.state.value,
                     "version": one.version,
                     "in_force": None if target is None else target.version,
-                    "preparing": None if target is None else target.pending or None,
+                    "preparing": None if target is None else target.prepared_version or None,
                     "against_group": self._against_group(one.named.name)
                     if one.state is State.FIXED
                     else None,
@@ -384,7 +384,7 @@
     def _versions(self, name: str) -> dict[str, Any]:
         """All that the log has of it, where this node votes; else what is in force here."""
         voter, mine = self._fleet.voter, self.follower.standings[name]
-        book = None if voter is None else voter.book
+        book = None if voter is None else voter.config_store
         document = None if book is None else book.documents.get(name)
         if book is None or document is None:
             return {"name": name, "versions": [{"version": mine.version, "content": mine.content}]}
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from marlstep.leases.messages import Probed
+from marlstep.leases.messages import ServerRecovered
 from marlstep.net.eventloop import dial
 from marlstep.net.stream import RingStream
 from marlstep.pool.probing import Probing
@@ -74,7 +74,7 @@
         for name in self.pools():
             probing, table = self._of(name), self._upstream.pools[name].table
             out = table.out()
-            if not holder.left(LEASE + name, now):
+            if not holder.time_left(LEASE + name, now):
                 continue
             for server in probing.to_dial(out, wall):
                 self._knock(name, server)
@@ -90,14 +90,14 @@
     def _knocked(self, pool: str, server: str, fault: OSError | None) -> None:
         holder = self._fleet.participant.holder
         token = holder.token(LEASE + pool)
-        if not holder.left(LEASE + pool, self._fleet.steady.now()):
+        if not holder.time_left(LEASE + pool, self._fleet.steady.now()):
             return  # somebody else's matter by now
         self._of(pool).dialled(server, fault is None)
         if fault is None:
             log.info("fleet: server %s of pool %s can be reached again: the others are told", server, pool)
-            self._fleet.tell_all(Probed(pool, server, token))
+            self._fleet.tell_all(ServerRecovered(pool, server, token))
 
-    def told(self, message: Probed) -> None:
+    def told(self, message: ServerRecovered) -> None:
         """The holder says so."""
         pool = self._upstream.pools.get(message.pool)
         if pool is None:
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -63,7 +63,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._alarm: Deadline | None = None
         self._reached: set[str] = set()
-        fleet.participant.holder.failed = self._failed
+        fleet.participant.holder.failed_nodes = self._failed
 
     @property
     def conduct(self) -> Conduct:
@@ -214,9 +214,9 @@
 
     def sight(self, now: datetime) -> Sight:
         fleet, detector = self._fleet, self.detector
-        cut_off = fleet.participant.cut_off_for(now)
+        cut_off = fleet.participant.time_since_response(now)
         late = self.config.detector.period * OF_LATE * (1 + detector.doubt)
-        agreed = fleet.voter.agreed if fleet.voter is not None else None
+        agreed = fleet.voter.roster if fleet.voter is not None else None
         return Sight(
             answered=cut_off is not None and cut_off < fleet.config.leases.term,
             voters=frozenset(fleet.config.voters),
@@ -232,8 +232,8 @@
     def status(self) -> dict[str, Any]:
         now, detector = self._fleet.steady.now(), self.detector
         voter = self._fleet.voter
-        agreed = None if voter is None or voter.agreed is None else voter.agreed.nodes
-        served = self._fleet.participant.answered
+        agreed = None if voter is None or voter.roster is None else voter.roster.nodes
+        served = self._fleet.participant.last_response_at
         rows = []
         names = {detector.me.node, *detector.members, *(agreed or ())}
         for name in sorted(names):
@@ -259,8 +259,8 @@
             "doubt": detector.doubt,
             "twin": detector.twin,
             "group_answered_ms": None if served is None else (now - served) // MILLISECOND,
-            "guarded": [] if voter is None else voter.keeping.guarded,
-            "believed": [] if voter is None or voter.agreed is None else voter.agreed.believed,
+            "guarded": [] if voter is None else voter.roster_controller.guarded,
+            "believed": [] if voter is None or voter.roster is None else voter.roster.believed,
             "members": rows,
             "counts": dict(detector.counts),
         }
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -19,15 +19,22 @@
 from marlstep.cluster.store import Opened, Store, StoreError, StoreRefused
 from marlstep.cluster.task_frontend import TaskFront
 from marlstep.cluster.transport import Lines
-from marlstep.components.base import Opens, Part
+from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 from marlstep.config.fleet import FleetConfig, TaskConfig
-from marlstep.consensus.raft import Ready, Timing
-from marlstep.consensus.replica import Ask, Join, Told, Voter, VoterSettings, node_of
+from marlstep.consensus.raft import RaftTiming, Ready
+from marlstep.consensus.replica import (
+    CommandRequest,
+    CommandResponse,
+    JoinRequest,
+    Replica,
+    ReplicaSettings,
+    node_of,
+)
 from marlstep.core.engine import Core
-from marlstep.leases.client import Participant
-from marlstep.leases.holder import Change
-from marlstep.leases.messages import Beat, Beaten, Probed, Relay
+from marlstep.leases.client import GroupClient
+from marlstep.leases.holder import LeaseEvent
+from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.membership.partition_state import CONDUCT, Conduct, Situation
 from marlstep.membership.quotas import Shares
 from marlstep.membership.roster import Agreed
@@ -36,7 +43,7 @@
 from marlstep.replicated_config.store import Book
 from marlstep.scheduled_tasks.run_log import PREFIX, Outcome, Record
 from marlstep.scheduled_tasks.runner import Do, Runner
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND, SteadyClock
 from marlstep.upstreams.upstream import Upstream
 
@@ -56,17 +63,17 @@
 FULL = CONDUCT[Situation.ALL_WELL]  # of a node that is not told to look at the others
 
 
-class Fleet(Part):
+class Fleet(Component):
     """One process's part. Of a node's processes only the one that has its address takes part."""
 
     name: ClassVar[str] = "fleet"
-    opens: ClassVar[Opens] = Opens.BESIDE
+    start_phase: ClassVar[StartPhase] = StartPhase.WITH_CLIENTS
 
     def __init__(
         self,
         config: FleetConfig,
         core: Core,
-        timeline: Timeline,
+        timeline: TimerQueue,
         upstream: Upstream | None,
         pool_of: Callable[[str], str],
         class_variable: str,
@@ -75,12 +82,12 @@
     ) -> None:
         self.config = config
         self.boot = secrets.token_hex(6)
-        self.steady = Timeline(LoopWaker(asyncio.get_running_loop(), SteadyClock().now))
+        self.steady = TimerQueue(LoopWaker(asyncio.get_running_loop(), SteadyClock().now))
         self.wall = timeline.now
         chance = random.Random(f"{seed}/{self.boot}")
         self.chance = chance
-        self.participant = Participant(config.node, self.boot, config.voters, config.leases, chance)
-        self.voter: Voter | None = None
+        self.participant = GroupClient(config.node, self.boot, config.voters, config.leases, chance)
+        self.voter: Replica | None = None
         self.group = ""
         self._kept_group = ""  # as the store has it
         self.lines = Lines(config.nodes, wire.framing(config.key), self.steady, self._deliver)
@@ -211,11 +218,11 @@
 
     def _begin_to_vote(self, told: Opened) -> None:
         now = self.steady.now()
-        timing = Timing(self.config.beat, self.config.patience)
+        timing = RaftTiming(self.config.beat, self.config.patience)
         keeping = None if self.config.members is None else self.config.members.keeping
         shares = self.config.rules is not None and self.config.rules.shares
-        settings = VoterSettings(timing, self.config.leases, self.config.voters, keeping, shares)
-        voter = Voter(told.identity, told.saved, settings, tasks_machine, self.chance, now)
+        settings = ReplicaSettings(timing, self.config.leases, self.config.voters, keeping, shares)
+        voter = Replica(told.identity, told.saved, settings, tasks_machine, self.chance, now)
         self.voter, self._storing = voter, False
         self.group, self._kept_group = told.group or self.group, told.group
         self._keep_group()
@@ -224,10 +231,10 @@
             told.identity,
             told.group or "none yet",
             told.saved.term,
-            voter.raft.log.last,
+            voter.raft.log.last_index,
         )
 
-    def renew(self, config: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         """`[fleet]` takes a new start, and `renewed` of the configuration says so; pools may have changed."""
         self._want()
 
@@ -243,7 +250,7 @@
             names = [name for name in names if name in self.participant.holder.held]
         if self.rules is not None:
             names.append(self.rules.lease)
-        for change in self.participant.holder.want(names):
+        for change in self.participant.holder.set_wanted(names):
             self._changed(change)
 
     @property
@@ -270,9 +277,9 @@
         now, message, voter = self.steady.now(), one.message, self.voter
         if not self._same_group(one) or self._passed_on(one):
             return
-        if isinstance(message, Beaten | Told):
+        if isinstance(message, HeartbeatResponse | CommandResponse):
             if one.to == self.participant.holder.name:
-                for change in self.participant.told(now, one.sender, message):
+                for change in self.participant.handle_response(now, one.sender, message):
                     self._changed(change)
                 self._see_drift()
                 if self.rules is not None:
@@ -283,11 +290,14 @@
         elif isinstance(message, wire.Exchanged):
             if self.members is not None:
                 self.members.exchanged(message)
-        elif isinstance(message, Probed):
+        elif isinstance(message, ServerRecovered):
             if self.watch is not None:
                 self.watch.told(message)
-        elif voter is not None and (one.to in (voter.me, self.config.node)):
-            if isinstance(message, Beat | Ask | Join | Fetch) or one.to == voter.me:
+        elif voter is not None and (one.to in (voter.identity, self.config.node)):
+            if (
+                isinstance(message, Heartbeat | CommandRequest | JoinRequest | Fetch)
+                or one.to == voter.identity
+            ):
                 voter.step(now, one.sender, message)
             else:
                 self.counts["not for this voter"] += 1
@@ -298,7 +308,7 @@
     def _passed_on(self, one: wire.Envelope) -> bool:
         """What is between a younger process of this node and the others goes through here."""
         younger, _ = self._younger
-        if isinstance(one.message, Relay):
+        if isinstance(one.message, RelayAnnouncement):
             found = (one.message.holder, one.message.port)
             if node_of(found[0]) == self.config.node and found[0] == one.sender and self._younger != found:
                 log.info("fleet: process %s of this node comes after this one", found[0])
@@ -317,8 +327,8 @@
         return False
 
     def _see_drift(self) -> None:
-        if self.participant.holder.drifts != self._drifts:
-            self._drifts = self.participant.holder.drifts
+        if self.participant.holder.clock_drifts != self._drifts:
+            self._drifts = self.participant.holder.clock_drifts
             if self._drifts:
                 self.counts["drifts"] += 1
                 log.error("fleet: the group says that this node's clock errs beyond the stated drift")
@@ -335,7 +345,7 @@
         before, self.group = self.group, one.group
         if before:
             log.error("fleet: group %s takes the place of %s", one.group, before)
-            if self.voter is not None and self.voter.raft.group.voters:
+            if self.voter is not None and self.voter.raft.configuration.voters:
                 self._start_anew("its group was given up for another")
                 return False
         self._keep_group()
@@ -369,7 +379,7 @@
         name = self.participant.holder.name
         self.lines.send(line, wire.write(wire.Envelope(self.config.name, self.group, name, line, message)))
 
-    def tell_all(self, message: Probed) -> None:
+    def tell_all(self, message: ServerRecovered) -> None:
         """Every other node, once; what is lost is not sent again."""
         for node in self.config.nodes:
             if node != self.config.node:
@@ -394,7 +404,7 @@
             self._send(
                 self.participant.holder.name,
                 self.config.node,
-                Relay(self.participant.holder.name, self._aside),
+                RelayAnnouncement(self.participant.holder.name, self._aside),
             )
         sends, changes = self.participant.tick(now)
         for change in changes:
@@ -422,34 +432,41 @@
             self.steady.cancel(self._alarm)
         self._alarm = self.steady.at(max(due, now + MILLISECOND), self.drive_soon)
 
-    def _drive_voter(self, voter: Voter, now: datetime) -> None:
+    def _drive_voter(self, voter: Replica, now: datetime) -> None:
         if voter.next_due() <= now:
             voter.tick(now)
-        for to, message in voter.prompt(now):
-            sender = self.config.node if isinstance(message, Told | Beaten) else voter.me
+        for to, message in voter.take_immediate_messages(now):
+            sender = (
+                self.config.node
+                if isinstance(message, CommandResponse | HeartbeatResponse)
+                else voter.identity
+            )
             self._send(sender, to, message)
         self._save(voter)
-        while voter.changes:
-            change = voter.changes.popleft()
-            log.info("fleet: %s (%s)", change.what, change.why)
-            self.note(change.what, change.why)
-        if voter.raft.forgot:
+        while voter.events:
+            change = voter.events.popleft()
+            log.info("fleet: %s (%s)", change.what, change.reason)
+            self.note(change.what, change.reason)
+        if voter.raft.log_regressed:
             self._start_anew("the leader knows that more was durable here than the store has")
             return
-        if voter.me in voter.raft.group.everyone and voter.me in voter.raft.group.voters:
+        if (
+            voter.identity in voter.raft.configuration.members
+            and voter.identity in voter.raft.configuration.voters
+        ):
             self._join_at = None
         elif self._join_at is None or now >= self._join_at:
             self._join_at = now + JOIN_EVERY
             for node in self.config.voters:
                 if node != self.config.node:
-                    self._send(voter.me, node, Join(self.config.node, voter.me))
+                    self._send(voter.identity, node, JoinRequest(self.config.node, voter.identity))
 
     # The store.
 
-    def _save(self, voter: Voter) -> None:
+    def _save(self, voter: Replica) -> None:
         """One piece of work for the store at a time; what comes meanwhile goes into the next."""
-        while not self._storing and (ready := voter.take()) is not None:
-            if not ready.stores:
+        while not self._storing and (ready := voter.take_ready()) is not None:
+            if not ready.needs_sync:
                 self._saved(voter, ready)
                 continue
             assert self._store is not None
@@ -476,11 +493,11 @@
 
         future.add_done_callback(done)
 
-    def _saved(self, voter: Voter, ready: Ready) -> None:
+    def _saved(self, voter: Replica, ready: Ready) -> None:
         self.on_step("stored")
-        voter.synced(self.steady.now(), ready)
+        voter.acknowledge_durable(self.steady.now(), ready)
         for to, message in ready.messages:
-            self._send(voter.me, to, message)
+            self._send(voter.identity, to, message)
 
     def _store_failed(self, fault: BaseException) -> None:
         """The voter goes back to what is durable: nothing that was not, was said."""
@@ -515,10 +532,10 @@
 
     # Tasks.
 
-    def _changed(self, change: Change) -> None:
-        log.info("fleet: lease %s, token %d: %s (%s)", change.name, change.token, change.what, change.why)
-        self.note(f"lease {change.name} {change.what}", f"token {change.token}: {change.why}")
-        self.counts[f"leases {change.what}"] += 1
+    def _changed(self, change: LeaseEvent) -> None:
+        log.info("fleet: lease %s, token %d: %s (%s)", change.name, change.token, change.event, change.reason)
+        self.note(f"lease {change.name} {change.event}", f"token {change.token}: {change.reason}")
+        self.counts[f"leases {change.event}"] += 1
 
     def note(self, what: str, why: str) -> None:
         self.history.append({"at": self.wall().isoformat(timespec="milliseconds"), "what": what, "why": why})
@@ -526,7 +543,7 @@
     def _work(self, now: datetime) -> None:
         participant, holder = self.participant, self.participant.holder
         for number in list(self._asked):
-            result = participant.result(number)
+            result = participant.take_result(number)
             if result is not None:
                 task, do = self._asked.pop(number)
                 if do.what == "begin" and "begun" in result:
@@ -544,7 +561,7 @@
                     self._forget_asks(name)
             if not self.conduct.begins_tasks and not runner.busy:
                 continue
-            wanted = runner.next(now, self.wall(), holder.left(lease, now))
+            wanted = runner.next(now, self.wall(), holder.time_left(lease, now))
             if wanted is not None:
                 self._do(self.tasks[name], runner, wanted, now)
         if self.watch is not None:
@@ -558,14 +575,14 @@
         for number, (name, _) in list(self._asked.items()):
             if name == task:
                 del self._asked[number]
-                self.participant.give_up(number)
+                self.participant.abandon(number)
 
     def _do(self, task: TaskConfig, runner: Runner, do: Do, now: datetime) -> None:
         name = task.plan.name
         if do.what not in ("act", "fence"):
             if do.what == "end":
                 self.on_step("ending")
-            number = self.participant.ask(now, do.command(name))
+            number = self.participant.propose(now, do.command(name))
             if number is None:
                 runner.told(now, do, None)
             else:
@@ -585,7 +602,7 @@
                 return timedelta(
                     0
                 )  # asked once more where the act leaves this node: the module may have held it
-            return holder.left(lease, self.steady.now())
+            return holder.time_left(lease, self.steady.now())
 
         def told(outcome: Outcome) -> None:
             log.info("fleet: task %s run %d token %d: %s: %s", name, do.run, do.token, do.what, outcome.value)
@@ -597,7 +614,7 @@
 
     # Going.
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Give the leases back and the lead away, once open runs have ended."""
         if self._leaving_until is not None or self._closed:
             return
@@ -620,23 +637,27 @@
         # Requests that arrive in the grace after the notice are still run: the rules are acted on to the end of this
         # process's lease on them, which runs out by itself.
         rules = [] if self.rules is None else [self.rules.lease]
-        before = len(holder.wants)
-        for change in holder.want([*keep, *rules]):
+        before = len(holder.wanted)
+        for change in holder.set_wanted([*keep, *rules]):
             self._changed(change)
         if not keep and not holder.leaving:
-            self.participant.leave(now, rules)
-        if len(holder.wants) != before:
-            self.participant.beat_soon(now)
+            self.participant.release_leases(now, rules)
+        if len(holder.wanted) != before:
+            self.participant.schedule_heartbeat(now)
             self.drive_soon()
-        leads = self.voter is not None and self.voter.raft.leads and len(self.voter.raft.group.voters) > 1
+        leads = (
+            self.voter is not None
+            and self.voter.raft.is_leader
+            and len(self.voter.raft.configuration.voters) > 1
+        )
         if not self.conduct.hands_over and not keep:
             self._give_way()  # nobody is there to take anything
             return
         # The lead goes last: who comes to lead hears all who wait first, and what is given back would wait with them.
-        settled = holder.leaving and self.participant.at_rest
+        settled = holder.leaving and self.participant.is_idle
         if leads and settled and self.voter is not None and now >= self._hand_at:
             self._hand_at = now + HAND_AGAIN
-            if to := self.voter.leave(now):
+            if to := self.voter.transfer_leadership(now):
                 log.info("fleet: leadership is handed to %s, as this node leaves", to)
                 self.drive_soon()
         over = self._leaving_until is not None and now >= self._leaving_until
@@ -692,7 +713,7 @@
 
     # What operators see.
 
-    def call(self, name: str) -> dict[str, Any] | None:
+    def read_resource(self, name: str) -> dict[str, Any] | None:
         match name.split("/"):
             case ["fleet"]:
                 return self.status()
@@ -713,7 +734,7 @@
     def told_orders(self) -> dict[str, Any]:
         """What became of what operators asked for."""
         for number in list(self._orders):
-            if (result := self.participant.result(number)) is not None:
+            if (result := self.participant.take_result(number)) is not None:
                 self.answers[number] = {"what": self._orders.pop(number), **result}
         while len(self.answers) > KEPT_LINES:
             self.answers.popitem(last=False)
@@ -731,14 +752,14 @@
                 command = {"do": "believe", "nodes": [str(one) for one in told["nodes"]]}
             case _:
                 raise ValueError(f"there is nothing like {what[:32]}")
-        number = self.participant.ask(self.steady.now(), {"m": "members", **command})
+        number = self.participant.propose(self.steady.now(), {"m": "members", **command})
         if number is None:
             raise ValueError("too much is asked for already")
         self._orders[number] = what
         self.drive_soon()
         return {"asked": number}
 
-    def order(self, name: str, told: dict[str, Any]) -> dict[str, Any] | None:
+    def execute_order(self, name: str, told: dict[str, Any]) -> dict[str, Any] | None:
         match name.split("/"):
             case ["fleet", "rules", what] if self.rules is not None:
                 return self.rules.order(what, told)
@@ -746,7 +767,7 @@
                 return self._order_members(what, told)
         return None
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         figures: dict[str, float] = {
             "fleet_leases_held": len(self.participant.holder.held),
             **{
@@ -758,9 +779,9 @@
         if self.voter is not None:
             raft = self.voter.raft
             figures |= {
-                "fleet_leads": float(raft.leads),
+                "fleet_leads": float(raft.is_leader),
                 "fleet_term": float(raft.term),
-                "fleet_commit_index": float(raft.commit),
+                "fleet_commit_index": float(raft.commit_index),
                 **{f"fleet_voter_{name}_total": count for name, count in self.voter.counts.items()},
             }
         for name, runner in self.runners.items():
@@ -770,7 +791,7 @@
     def status(self) -> dict[str, Any]:
         now = self.steady.now()
         voter = self.voter
-        cut_off = self.participant.cut_off_for(now)
+        cut_off = self.participant.time_since_response(now)
         return {
             "fleet": self.config.name,
             "node": self.config.node,
@@ -779,7 +800,7 @@
             "asks": self.participant.target,
             "drifts": self._drifts,
             "heard_ms": None if cut_off is None else cut_off // MILLISECOND,
-            "asked_ms": [round(took / MILLISECOND, 2) for took in self.participant.took],
+            "asked_ms": [round(took / MILLISECOND, 2) for took in self.participant.command_latencies],
             "voter": None if voter is None else voter.status(),
             "lines": dict(self.lines.counts),
             "counts": dict(self.counts),
@@ -789,7 +810,7 @@
         """What this node holds, and what the log says of all, where this node votes."""
         now = self.steady.now()
         mine = [
-            {"name": name, "token": one.token, "left_ms": max(0, (one.until - now) // MILLISECOND)}
+            {"name": name, "token": one.token, "left_ms": max(0, (one.expires_at - now) // MILLISECOND)}
             for name, one in self.participant.holder.held.items()
         ]
         table = None
@@ -799,10 +820,10 @@
                     "name": name,
                     "holder": one.holder,
                     "token": one.token,
-                    "last": one.last,
-                    "grants": one.grants,
+                    "last": one.previous_node,
+                    "grants": one.grant_count,
                 }
-                for name, one in self.voter.table.leases.items()
+                for name, one in self.voter.leases.leases.items()
             ]
         tasks = [
             {"name": name, "state": one.step.value, "token": one.token, "counts": one.counts}
--- a/marlstep/cluster/store.py
+++ b/marlstep/cluster/store.py
@@ -19,7 +19,7 @@
 import apsw
 import orjson
 
-from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
+from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import Ready
 
 log = logging.getLogger(__name__)
@@ -51,7 +51,7 @@
 class Opened:
     identity: str
     group: str  # the group's own name, given when it was made; empty before this voter was taken in
-    saved: Saved
+    saved: PersistentState
     fresh: bool  # there was nothing before
 
 
@@ -148,7 +148,7 @@
             self._facts = {}
             self._write_facts(**facts)
         self._sync_folder()
-        return Opened(identity, "", Saved(), True)
+        return Opened(identity, "", PersistentState(), True)
 
     def _file(self) -> str:
         """Which file this is on this disk: a copy is another one, also where it got the number of the first."""
@@ -183,7 +183,7 @@
                 raise StoreRefused(f"{self.path} is of node {facts['node']}, and this is {node}")
             if facts["file"] != self._mark:
                 raise NotOurs(f"it is a copy: made as file {facts['file']}, and this is {self._mark}")
-            saved = Saved(int(facts["term"]), facts["vote"], self._snapshot(), [])
+            saved = PersistentState(int(facts["term"]), facts["vote"], self._snapshot(), [])
             entries = self._db.execute(
                 "select i, term, kind, body, sum from log where i > ? order by i", (saved.snapshot.index,)
             )
@@ -192,7 +192,7 @@
                     saved.entries
                 ):
                     raise NotOurs(f"entry {index} of the log is not as it was written")
-                saved.entries.append(Entry(index, term, Kind(kind), body))
+                saved.entries.append(LogEntry(index, term, EntryType(kind), body))
             last = saved.snapshot.index + len(saved.entries)
             if last != int(facts["last"]):
                 raise NotOurs(f"its log ends at {last}, and was written to {facts['last']}")
@@ -209,7 +209,7 @@
         index, term, members, data, check = row
         if check != _sum(index, term, members, data):
             raise NotOurs("the snapshot is not as it was written")
-        return Snapshot(index, term, Group.read(members), data)
+        return Snapshot(index, term, Configuration.decode(members), data)
 
     # Writing.
 
@@ -221,25 +221,25 @@
         try:
             with db:
                 last = int(self._facts["last"])
-                if ready.replaces and ready.snapshot is not None:
+                if ready.replaces_log and ready.snapshot is not None:
                     last = ready.snapshot.index
                 if ready.entries:
                     last = ready.entries[-1].index
-                self._write_facts(term=str(ready.term), vote=ready.vote, last=str(last))
+                self._write_facts(term=str(ready.term), vote=ready.voted_for, last=str(last))
                 if (snapshot := ready.snapshot) is not None:
                     self._write_snapshot(db, snapshot)
-                    if ready.replaces:
+                    if ready.replaces_log:
                         db.execute("delete from log")
-                    db.execute("delete from log where i <= ?", (min(ready.keep, snapshot.index),))
+                    db.execute("delete from log where i <= ?", (min(ready.keep_after_index, snapshot.index),))
                 if ready.entries:
                     db.execute("delete from log where i >= ?", (ready.entries[0].index,))
                     rows = [
                         (
                             one.index,
                             one.term,
-                            one.kind.value,
+                            one.entry_type.value,
                             one.body,
-                            _sum(one.index, one.term, one.kind, one.body),
+                            _sum(one.index, one.term, one.entry_type, one.body),
                         )
                         for one in ready.entries
                     ]
@@ -250,7 +250,7 @@
 
     @staticmethod
     def _write_snapshot(db: apsw.Connection, snapshot: Snapshot) -> None:
-        row = (snapshot.index, snapshot.term, snapshot.group.write(), snapshot.data)
+        row = (snapshot.index, snapshot.term, snapshot.configuration.encode(), snapshot.data)
         db.execute("insert or replace into snapshot values (1, ?, ?, ?, ?, ?)", (*row, _sum(*row)))
 
     def set_group(self, group: str) -> None:
@@ -320,7 +320,7 @@
     store.open(node, identity)
     try:
         store.set_group(group)
-        store.save(Ready(1, 0, "", Snapshot(0, 0, Group((identity,)), "")))
+        store.save(Ready(1, 0, "", Snapshot(0, 0, Configuration((identity,)), "")))
     finally:
         store.close()
 
@@ -334,8 +334,8 @@
     Tokens go on far above those that are known: entries that only the others had may have given some out. Raises
     StoreError, StoreRefused.
     """
-    from marlstep.consensus.state_machine import Machines
-    from marlstep.leases.table import Table
+    from marlstep.consensus.state_machine import StateMachines
+    from marlstep.leases.table import LeaseTable
     from marlstep.scheduled_tasks.run_log import Record
 
     store = Store(folder)
@@ -345,20 +345,20 @@
     try:
         if told.fresh:
             raise StoreRefused(f"{store.path} had no memory of this voter")
-        table = Table()
-        machines = Machines({"leases": table, "tasks": Record(table)})
+        table = LeaseTable()
+        machines = StateMachines({"leases": table, "tasks": Record(table)})
         saved = told.saved
         if saved.snapshot.data:
-            machines.read(saved.snapshot.data)
+            machines.restore(saved.snapshot.data)
         for entry in saved.entries:
-            if entry.kind is Kind.COMMAND:
+            if entry.entry_type is EntryType.COMMAND:
                 machines.apply(entry.body)
-        table.token += TOKENS_LEFT_OUT
+        table.last_token += TOKENS_LEFT_OUT
         last = saved.entries[-1].index if saved.entries else saved.snapshot.index
         term = saved.term + 1
-        snapshot = Snapshot(last, term, Group((told.identity,)), machines.write())
+        snapshot = Snapshot(last, term, Configuration((told.identity,)), machines.snapshot())
         store.set_group(group)
         store.save(Ready(1, term, "", snapshot, True, last))
-        return {"identity": told.identity, "group": group, "entries": last, "token": table.token}
+        return {"identity": told.identity, "group": group, "entries": last, "token": table.last_token}
     finally:
         store.close()
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -16,7 +16,7 @@
 from marlstep.fronts.uwsgi_wire import write_packet
 from marlstep.scheduled_tasks.run_log import Outcome
 from marlstep.scheduled_tasks.runner import MARGIN, Do
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import ZERO
 from petrelcart.interface import Outcome as RunOutcome
 
@@ -71,9 +71,9 @@
     def __init__(
         self,
         core: Core,
-        timeline: Timeline,
+        timeline: TimerQueue,
         backend: Backend,
-        steady: Timeline,
+        steady: TimerQueue,
         pool_of: Callable[[str], str],
         holder: str,
         class_variable: str,
--- a/marlstep/cluster/transport.py
+++ b/marlstep/cluster/transport.py
@@ -16,7 +16,7 @@
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.framing import CorruptError, Framing
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
@@ -164,7 +164,7 @@
         self,
         nodes: Mapping[str, Address],
         framing: Framing,
-        timeline: Timeline,
+        timeline: TimerQueue,
         deliver: Callable[[bytes], None],
         dial: Dial = dial,
     ) -> None:
--- a/marlstep/components/__init__.py
+++ b/marlstep/components/__init__.py
@@ -7,7 +7,7 @@
 from marlstep.config import Config
 
 # In the order in which they are made and opened: a part may look at those before it.
-OPTIONAL: tuple[tuple[str, Callable[[Config], bool]], ...] = (
+REGISTRY: tuple[tuple[str, Callable[[Config], bool]], ...] = (
     ("marlstep.components.uwsgi", lambda config: config.uwsgi is not None),
     ("marlstep.components.health_endpoint", lambda config: config.mgmt is not None),
     ("marlstep.components.admin", lambda config: config.admin is not None),
--- a/marlstep/components/admin.py
+++ b/marlstep/components/admin.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, ClassVar
 
 from marlstep.admin.api import Admin
-from marlstep.components.base import Opens, Part
+from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 
 if TYPE_CHECKING:
@@ -15,24 +15,24 @@
 log = logging.getLogger("marlstep")
 
 
-class AdminPart(Part):
+class AdminComponent(Component):
     name: ClassVar[str] = "admin"
-    opens: ClassVar[Opens] = Opens.SERVING
+    start_phase: ClassVar[StartPhase] = StartPhase.WITH_FRONTENDS
 
     def __init__(self, node: Node) -> None:
         assert node.config.admin is not None
-        self.surface = Admin(
-            node.core, node.timeline, node.config.admin.token, node.leave, lambda: node.parts.values()
+        self.service = Admin(
+            node.core, node.timeline, node.config.admin.token, node.drain, lambda: node.components.values()
         )
 
     async def open(self, config: Config, shared: bool) -> None:
         assert config.admin is not None
-        await self.surface.listen(config.admin.listen, shared=shared)
+        await self.service.listen(config.admin.listen, shared=shared)
         log.info("administration on %s:%d", *config.admin.listen)
 
     def stop(self) -> None:
-        self.surface.stop_accepting()
+        self.service.stop_accepting()
 
 
-def make(node: Node, room: int) -> AdminPart:
-    return AdminPart(node)
+def make(node: Node, room: int) -> AdminComponent:
+    return AdminComponent(node)
--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -12,29 +12,29 @@
     from marlstep.core.model import Front
 
 
-class Opens(enum.Enum):
+class StartPhase(enum.Enum):
     """When a part takes its address."""
 
-    FIRST = "first"  # before the node serves, to say that it does not yet
-    BESIDE = "beside"  # whatever this process of the node is on
-    SERVING = "serving"  # with the node's own front
+    BEFORE_SERVING = "first"  # before the node serves, to say that it does not yet
+    WITH_CLIENTS = "beside"  # whatever this process of the node is on
+    WITH_FRONTENDS = "serving"  # with the node's own front
 
 
-class Part:
+class Component:
     """What a node may have beside its core. A subclass gives what it has need of."""
 
     name: ClassVar[str]
-    opens: ClassVar[Opens]
+    start_phase: ClassVar[StartPhase]
     descriptors = 0  # that it may take from the node's room for connections
     front: Front | None = None  # that the core has to know of
 
-    async def open(self, config: Config, shared: bool) -> None:
+    async def open(self, config: Config, reuse_address: bool) -> None:
         """Take its address; `shared`: another process of this node may have it too. Raises OSError."""
 
-    def renew(self, config: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         """New settings were taken over."""
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """The notice to leave, or a successor serves: finish what is here."""
 
     @property
@@ -52,14 +52,14 @@
         """What operators are shown, as JSON."""
         return {}
 
-    def call(self, name: str) -> dict[str, Any] | None:
+    def read_resource(self, path: str) -> dict[str, Any] | None:
         """What operators read by `GET /v1/NAME` of the administration API; None where it is not this part's."""
         return None
 
-    def order(self, name: str, told: dict[str, Any]) -> dict[str, Any] | None:
+    def execute_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any] | None:
         """What operators ask for by `POST /v1/NAME`, likewise. Raises ValueError where it makes no sense."""
         return None
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """What is counted or measured now, by the name that metrics have for it."""
         return {}
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from marlstep.cluster.node import Fleet
-from marlstep.components.uwsgi import UwsgiPart
+from marlstep.components.uwsgi import UwsgiComponent
 
 if TYPE_CHECKING:
     from marlstep.node import Node
@@ -14,13 +14,13 @@
 def make(node: Node, room: int) -> Fleet:
     told = node.config
     assert told.fleet is not None
-    uwsgi = node.parts.get("uwsgi")
-    servers = uwsgi if isinstance(uwsgi, UwsgiPart) else None
+    uwsgi = node.components.get("uwsgi")
+    servers = uwsgi if isinstance(uwsgi, UwsgiComponent) else None
     documents = None
     if told.fleet.rules is not None:
-        from marlstep.components.config_documents import NodeDocuments  # only where documents are named
+        from marlstep.components.config_documents import NodeConfigDocuments  # only where documents are named
 
-        documents = NodeDocuments(node)
+        documents = NodeConfigDocuments(node)
     fleet = Fleet(
         told.fleet,
         node.core,
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -15,7 +15,7 @@
 log = logging.getLogger("marlstep")
 
 
-class NodeDocuments:
+class NodeConfigDocuments:
     def __init__(self, node: Node) -> None:
         self._node = node
         self._governed = node.governed = Governed()
@@ -38,7 +38,7 @@
         """Raises ValueError."""
         told = json.loads(content)
         try:
-            self._node.use(self._governed.put_on(self._node.config, **{kind: told}))
+            self._node.apply_config(self._governed.put_on(self._node.config, **{kind: told}))
         except ConfigError as fault:
             raise ValueError(str(fault)) from fault
         before = {name: one.allowance_per_s for name, one in self._node.core.tenants.items()}
--- a/marlstep/components/health_endpoint.py
+++ b/marlstep/components/health_endpoint.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, ClassVar
 
 from marlstep.admin.door import Door
-from marlstep.components.base import Opens, Part
+from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 
 if TYPE_CHECKING:
@@ -15,23 +15,23 @@
 log = logging.getLogger("marlstep")
 
 
-class DoorPart(Part):
+class HealthEndpointComponent(Component):
     name: ClassVar[str] = "door"
-    opens: ClassVar[Opens] = Opens.FIRST
+    start_phase: ClassVar[StartPhase] = StartPhase.BEFORE_SERVING
 
     def __init__(self, node: Node) -> None:
-        from marlstep.node import DOOR_CONNECTIONS
+        from marlstep.node import HEALTH_ENDPOINT_CONNECTIONS
 
-        self.surface = Door(node.core, node.timeline, node.duty_changed, DOOR_CONNECTIONS)
+        self.service = Door(node.core, node.timeline, node.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS)
 
     async def open(self, config: Config, shared: bool) -> None:
         assert config.mgmt is not None
-        await self.surface.listen(config.mgmt)
+        await self.service.listen(config.mgmt)
         log.info("operators' door on %s:%d", *config.mgmt)
 
     def stop(self) -> None:
-        self.surface.stop_accepting()
+        self.service.stop_accepting()
 
 
-def make(node: Node, room: int) -> DoorPart:
-    return DoorPart(node)
+def make(node: Node, room: int) -> HealthEndpointComponent:
+    return HealthEndpointComponent(node)
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -7,7 +7,7 @@
 from datetime import datetime, timedelta
 from typing import TYPE_CHECKING, ClassVar
 
-from marlstep.components.base import Opens, Part
+from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 from marlstep.handover.beside import Beside, Hooks
 from marlstep.handover.meeting import Meeting
@@ -20,14 +20,14 @@
 log = logging.getLogger("marlstep")
 
 
-class MeetingPart(Part):
+class HotRestartComponent(Component):
     name: ClassVar[str] = "handover"
-    opens: ClassVar[Opens] = Opens.BESIDE
+    start_phase: ClassVar[StartPhase] = StartPhase.WITH_CLIENTS
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._meeting: Meeting | None = None
-        self.met = False  # another process serves, whose place this one is to take
+        self._channel: Meeting | None = None
+        self.has_predecessor_serving = False  # another process serves, whose place this one is to take
 
     async def open(self, config: Config, shared: bool) -> None:
         if config.folder is None:
@@ -40,9 +40,9 @@
             Hooks(
                 take_over=node.take_over,
                 successor_lost=node.successor_lost,
-                successor_leaves=node.successor_leaves,
-                bound=node.bound,
-                connected=lambda: len(node.resp.connections) / node.room(2)[1],
+                successor_leaves=node.successor_draining,
+                bound=node.limit_memory_share,
+                connected=lambda: len(node.resp.connections) / node.connection_budget(2)[1],
                 duty_changed=lambda: node.naming.tell(node.core.duty.wanted),
             ),
         )
@@ -50,9 +50,9 @@
         def make(generation: int) -> Handover:
             return Handover(beside, generation, os.getpid(), *self._times())
 
-        meeting = self._meeting = Meeting(config.folder, config.name, node.timeline, make)
+        meeting = self._channel = Meeting(config.folder, config.name, node.timeline, make)
         node.core.on_cores_up = lambda: meeting.handover.cores_up(node.timeline.now())
-        self.met = await meeting.open()
+        self.has_predecessor_serving = await meeting.open()
         beside.watch(meeting.handover)
 
     def _times(self) -> tuple[timedelta, timedelta]:
@@ -60,34 +60,34 @@
         kinds = self._node.config.settings.classes
         longest = max(span(kind.deadline_us) for kind in kinds)
         window = max(span(kind.window_us + kind.deadline_us) for kind in kinds)
-        return self._node.leave_span() + longest, window
+        return self._node.restart_drain_timeout() + longest, window
 
-    def renew(self, config: Config) -> None:
-        if self._meeting is not None:
-            self._meeting.handover.renew(*self._times())
+    def reconfigure(self, config: Config) -> None:
+        if self._channel is not None:
+            self._channel.handover.renew(*self._times())
 
-    def duty_changed(self, wanted: bool) -> None:
+    def serving_state_changed(self, wanted: bool) -> None:
         """The node was quiesced, or resumed, at this process's door."""
-        if self._meeting is not None:
-            self._meeting.handover.duty_changed(wanted)
+        if self._channel is not None:
+            self._channel.handover.duty_changed(wanted)
 
     @property
-    def has_elder(self) -> bool:
-        return self._meeting is not None and self._meeting.handover.has_elder
+    def has_predecessor(self) -> bool:
+        return self._channel is not None and self._channel.handover.has_elder
 
     @property
-    def takes_nothing(self) -> bool:
+    def is_standby(self) -> bool:
         """Another process serves, and this one does not yet."""
-        return self._meeting is not None and self._meeting.handover.takes_nothing
+        return self._channel is not None and self._channel.handover.takes_nothing
 
-    def succeeded(self, now: datetime) -> bool:
+    def hand_over_to_successor(self, now: datetime) -> bool:
         """This process is told to leave: whether another serves in its place."""
-        return self._meeting is not None and self._meeting.handover.leave(now)
+        return self._channel is not None and self._channel.handover.leave(now)
 
     def stop(self) -> None:
-        if self._meeting is not None:
-            self._meeting.close()
+        if self._channel is not None:
+            self._channel.close()
 
 
-def make(node: Node, room: int) -> MeetingPart:
-    return MeetingPart(node)
+def make(node: Node, room: int) -> HotRestartComponent:
+    return HotRestartComponent(node)
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any, ClassVar
 
-from marlstep.components.base import Opens, Part
+from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 from marlstep.fronts.uwsgi import UwsgiFront
 from marlstep.pool.plan import pool_of
@@ -18,9 +18,9 @@
 log = logging.getLogger("marlstep")
 
 
-class UwsgiPart(Part):
+class UwsgiComponent(Component):
     name: ClassVar[str] = "uwsgi"
-    opens: ClassVar[Opens] = Opens.SERVING
+    start_phase: ClassVar[StartPhase] = StartPhase.WITH_FRONTENDS
     front: UwsgiFront
 
     def __init__(self, node: Node, room: int) -> None:
@@ -47,7 +47,7 @@
         await self.front.listen(config.uwsgi.listen, shared=shared)
         log.info("uwsgi on %s:%d", *config.uwsgi.listen)
 
-    def renew(self, config: Config) -> None:
+    def reconfigure(self, config: Config) -> None:
         if config.uwsgi is not None:
             self.upstream.move(config.uwsgi.pools)
             self.front.pool_of = partial(pool_of, config.uwsgi.pools)
@@ -62,9 +62,9 @@
             "pools": {name: dict(pool.counts) for name, pool in self.upstream.pools.items()},
         }
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         return {"uwsgi_connections": len(self.front.connections)}
 
 
-def make(node: Node, room: int) -> UwsgiPart:
-    return UwsgiPart(node, room)
+def make(node: Node, room: int) -> UwsgiComponent:
+    return UwsgiComponent(node, room)
--- a/marlstep/config/fleet.py
+++ b/marlstep/config/fleet.py
@@ -126,12 +126,12 @@
     leases = LeaseSettings(
         term=term,
         drift=number(raw, "drift", "fleet.drift", 0.0001, 0.2, 0.01),
-        most=whole(raw, "most_leases", "fleet.most_leases", 0, 10_000, 0),
+        max_per_node=whole(raw, "most_leases", "fleet.most_leases", 0, 10_000, 0),
     )
     rules = _rules(raw, beat, uwsgi)
     if rules is not None:
-        leases = replace(leases, rules=rules[1])
-        if leases.rules < 2 * patience:
+        leases = replace(leases, config_term=rules[1])
+        if leases.config_term < 2 * patience:
             raise ConfigError("fleet.rules.lease_ms must be at least twice fleet.patience_ms")
     listen = address(raw, "listen", "fleet.listen") if "listen" in raw else nodes[node]
     tasks = _tasks(raw, classes, uwsgi, term)
--- a/marlstep/consensus/raft.py
+++ b/marlstep/consensus/raft.py
@@ -17,26 +17,26 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from marlstep.consensus.log import Entry, Group, Kind, Log, Saved, Snapshot
+from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, RaftLog, Snapshot
 from marlstep.consensus.messages import (
-    Append,
-    Appended,
-    ElectNow,
-    Forgot,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshotChunk,
+    InstallSnapshotResponse,
+    LogRegressed,
     RaftMessage,
-    SnapshotPart,
-    SnapshotTaken,
-    Vote,
-    VoteAsk,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
 )
 from marlstep.units import EPOCH, MILLISECOND
 
-MOST_ENTRIES = 64  # of one message
-MOST_CHARACTERS = 12 * 1024  # of the entries of one message, and of a piece of a snapshot
-WINDOW = 1024  # entries that may be on their way to one member
+MAX_ENTRIES_PER_MESSAGE = 64  # of one message
+MAX_CHARACTERS_PER_MESSAGE = 12 * 1024  # of the entries of one message, and of a piece of a snapshot
+MAX_IN_FLIGHT_ENTRIES = 1024  # entries that may be on their way to one member
 
 
-class Chance(Protocol):
+class RandomSource(Protocol):
     """The seeded source that is passed in."""
 
     def random(self) -> float: ...
@@ -44,17 +44,17 @@
 
 class Role(enum.Enum):
     FOLLOWER = "follower"
-    ASKING = "asking"
+    PRE_CANDIDATE = "asking"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 @dataclass(slots=True, frozen=True)
-class Timing:
+class RaftTiming:
     """An election begins after between `patience` and twice that without a leader's word."""
 
-    beat: timedelta = 100 * MILLISECOND
-    patience: timedelta = 500 * MILLISECOND
+    heartbeat_interval: timedelta = 100 * MILLISECOND
+    election_timeout: timedelta = 500 * MILLISECOND
 
 
 @dataclass(slots=True)
@@ -63,501 +63,609 @@
 
     number: int
     term: int
-    vote: str
+    voted_for: str
     snapshot: Snapshot | None = None  # stands for all up to its index
-    replaces: bool = False  # the snapshot came from the leader: nothing of the log here stays
-    keep: int = 0  # with a snapshot: entries after this index stay in the log
-    entries: list[Entry] = field(default_factory=list)  # the first takes the place of all from its index on
+    replaces_log: bool = False  # the snapshot came from the leader: nothing of the log here stays
+    keep_after_index: int = 0  # with a snapshot: entries after this index stay in the log
+    entries: list[LogEntry] = field(
+        default_factory=list
+    )  # the first takes the place of all from its index on
     messages: list[tuple[str, RaftMessage]] = field(default_factory=list)
-    stores: bool = False  # there is more to it than messages
-    last: int = 0  # of the log, once this is durable
+    needs_sync: bool = False  # there is more to it than messages
+    last_index: int = 0  # of the log, once this is durable
     last_term: int = 0
 
 
 @dataclass(slots=True)
-class Peer:
+class PeerProgress:
     """What the leader knows of a member."""
 
-    next: int
-    match: int = 0
+    next_index: int
+    match_index: int = 0
     match_round: int = 0  # in which that was said
-    round: int = 0  # the highest that it has answered
-    heard: datetime | None = None
+    acknowledged_round: int = 0  # the highest that it has answered
+    last_contact: datetime | None = None
     probing: bool = True  # nothing more is sent until it is known where its log stands
-    asked: bool = False  # while probing: a message is out
-    offset: int | None = None  # inside a snapshot
+    probe_in_flight: bool = False  # while probing: a message is out
+    snapshot_offset: int | None = None  # inside a snapshot
 
 
 class Raft:
-    def __init__(self, me: str, saved: Saved, timing: Timing, chance: Chance, now: datetime) -> None:
+    def __init__(
+        self, me: str, saved: PersistentState, timing: RaftTiming, chance: RandomSource, now: datetime
+    ) -> None:
         """`me` is this voter's identity; it goes with its store."""
-        self.me, self.timing, self.most_entries = me, timing, MOST_ENTRIES
-        self.term, self.vote = saved.term, saved.vote
-        self.log = Log(saved)
-        self.commit = saved.snapshot.index
-        self.applied = saved.snapshot.index
+        self.identity, self.timing, self.max_entries_per_message = me, timing, MAX_ENTRIES_PER_MESSAGE
+        self.term, self.voted_for = saved.term, saved.voted_for
+        self.log = RaftLog(saved)
+        self.commit_index = saved.snapshot.index
+        self.last_applied = saved.snapshot.index
         self.role = Role.FOLLOWER
         self.leader = ""  # as far as is known
-        self.forgot = False  # the store is not what this voter had: it must not go on as who it was
-        self.peers: dict[str, Peer] = {}
-        self._chance = chance
-        self._heard: datetime | None = None  # a word of the leader
-        self._elect_at = now
-        self._doubts = False  # it woke late, and has given itself a beat more
-        self._beat_at = now
-        self._votes: set[str] = set()
+        self.log_regressed = False  # the store is not what this voter had: it must not go on as who it was
+        self.progress: dict[str, PeerProgress] = {}
+        self._random = chance
+        self._last_leader_contact: datetime | None = None  # a word of the leader
+        self._election_deadline = now
+        self._election_deferred = False  # it woke late, and has given itself a beat more
+        self._next_heartbeat = now
+        self._votes_received: set[str] = set()
         self._forced = False
-        self.round = 0
-        self._since = now  # in this role
-        self._began = 0  # index of the empty entry of this leader's term
-        self._synced = self.log.last
-        self._number = 0
-        self._stored_term, self._stored_vote = self.term, self.vote
-        self._stored = self.log.last  # handed out in a `Ready`
-        self._stored_snapshot = saved.snapshot.index
-        self._installed: Snapshot | None = None
-        self._arrived: Snapshot | None = None  # for `applies`
-        self._coming: list[str] = []  # pieces of a snapshot
-        self._coming_of = (0, 0)
-        self._messages: list[tuple[str, RaftMessage]] = []
-        self._now_messages: list[tuple[str, RaftMessage]] = []
-        self._dirty = False
-        self._wait_for_leader(now)
+        self.heartbeat_round = 0
+        self._role_since = now  # in this role
+        self._term_start_index = 0  # index of the empty entry of this leader's term
+        self._durable_index = self.log.last_index
+        self._ready_number = 0
+        self._handed_out_term, self._handed_out_vote = self.term, self.voted_for
+        self._handed_out_index = self.log.last_index  # handed out in a `Ready`
+        self._handed_out_snapshot_index = saved.snapshot.index
+        self._snapshot_to_store: Snapshot | None = None
+        self._snapshot_to_apply: Snapshot | None = None  # for `applies`
+        self._incoming_chunks: list[str] = []  # pieces of a snapshot
+        self._incoming_snapshot = (0, 0)
+        self._messages_after_sync: list[tuple[str, RaftMessage]] = []
+        self._immediate_messages: list[tuple[str, RaftMessage]] = []
+        self._broadcast_due = False
+        self._reset_election_timer(now)
 
     # What others read.
 
     @property
-    def group(self) -> Group:
-        return self.log.group
+    def configuration(self) -> Configuration:
+        return self.log.configuration
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.role is Role.LEADER
 
     @property
-    def established(self) -> bool:
+    def is_established_leader(self) -> bool:
         """It leads, and all that was committed before its term is known to it as committed, and applied."""
-        return self.leads and self.applied >= self._began
+        return self.is_leader and self.last_applied >= self._term_start_index
 
     @property
-    def confirmed(self) -> int:
+    def confirmed_round(self) -> int:
         """The highest round that a majority has answered: whoever led after it was sent, it was this voter."""
         rounds = sorted(
-            (self.round if one == self.me else self._peer(one).round for one in self.group.voters),
+            (
+                self.heartbeat_round if one == self.identity else self._progress_of(one).acknowledged_round
+                for one in self.configuration.voters
+            ),
             reverse=True,
         )
-        return rounds[self.group.quorum - 1] if rounds else 0
+        return rounds[self.configuration.quorum - 1] if rounds else 0
 
     def next_due(self) -> datetime:
         """When `tick` has something to do."""
-        return self._beat_at if self.leads else self._elect_at
+        return self._next_heartbeat if self.is_leader else self._election_deadline
 
-    def lag(self, member: str) -> int:
+    def replication_lag(self, member: str) -> int:
         """Entries that the member is behind."""
-        return self.log.last - (self.log.last if member == self.me else self._peer(member).match)
+        return self.log.last_index - (
+            self.log.last_index if member == self.identity else self._progress_of(member).match_index
+        )
 
-    def _peer(self, member: str) -> Peer:
-        peer = self.peers.get(member)
+    def _progress_of(self, member: str) -> PeerProgress:
+        peer = self.progress.get(member)
         if peer is None:
-            peer = self.peers[member] = Peer(self.log.last + 1)
+            peer = self.progress[member] = PeerProgress(self.log.last_index + 1)
         return peer
 
     # Time.
 
     def tick(self, now: datetime) -> None:
-        if self.leads:
-            if now >= self._beat_at:
+        if self.is_leader:
+            if now >= self._next_heartbeat:
                 if not self._hears_majority(now):
-                    self._follow(now, self.term, "")
+                    self._become_follower(now, self.term, "")
                 else:
                     self._broadcast(now)
-        elif now >= self._elect_at + self.timing.beat and not self._doubts:
+        elif now >= self._election_deadline + self.timing.heartbeat_interval and not self._election_deferred:
             # It woke late, and reads its timers before its lines: the leader's word may wait there. A process that
             # gets no time would else ask for an election that nobody needs, again and again.
-            self._doubts, self._elect_at = True, now + self.timing.beat
-        elif now >= self._elect_at:
-            self._stand(now, forced=False)
+            self._election_deferred, self._election_deadline = True, now + self.timing.heartbeat_interval
+        elif now >= self._election_deadline:
+            self._start_election(now, forced=False)
 
-    def _wait_for_leader(self, now: datetime) -> None:
-        self._doubts = False
-        self._elect_at = now + self.timing.patience * (1 + self._chance.random())
+    def _reset_election_timer(self, now: datetime) -> None:
+        self._election_deferred = False
+        self._election_deadline = now + self.timing.election_timeout * (1 + self._random.random())
 
     def _hears_majority(self, now: datetime) -> bool:
-        since = now - 2 * self.timing.patience
-        if since < self._since:
+        since = now - 2 * self.timing.election_timeout
+        if since < self._role_since:
             return True  # they have had no time to answer yet
-        heard = [one == self.me or (self._peer(one).heard or EPOCH) >= since for one in self.group.voters]
-        return sum(heard) >= self.group.quorum
+        heard = [
+            one == self.identity or (self._progress_of(one).last_contact or EPOCH) >= since
+            for one in self.configuration.voters
+        ]
+        return sum(heard) >= self.configuration.quorum
 
     def _hears_leader(self, now: datetime) -> bool:
-        if self.leads:
+        if self.is_leader:
             return self._hears_majority(now)
-        return bool(self.leader) and self._heard is not None and now < self._heard + self.timing.patience
+        return (
+            bool(self.leader)
+            and self._last_leader_contact is not None
+            and now < self._last_leader_contact + self.timing.election_timeout
+        )
 
     # Elections.
 
-    def _stand(self, now: datetime, forced: bool) -> None:
-        self._wait_for_leader(now)
-        if self.me not in self.group.voters or self.forgot:
+    def _start_election(self, now: datetime, forced: bool) -> None:
+        self._reset_election_timer(now)
+        if self.identity not in self.configuration.voters or self.log_regressed:
             return
         self.leader = ""
-        self._since = now
+        self._role_since = now
         if forced:
-            self._candidate(now, forced)
+            self._become_candidate(now, forced)
         else:
-            self.role, self._votes = Role.ASKING, set()
-            self._ask(self.term + 1, pre=True, forced=False)
-
-    def _candidate(self, now: datetime, forced: bool) -> None:
-        self.role, self._votes = Role.CANDIDATE, set()
-        self.term, self.vote = self.term + 1, self.me
-        self._wait_for_leader(now)
-        self._ask(self.term, pre=False, forced=forced)
-
-    def _ask(self, term: int, pre: bool, forced: bool) -> None:
-        ask = VoteAsk(term, pre, forced, self.log.last, self.log.last_term)
-        for voter in self.group.voters:
+            self.role, self._votes_received = Role.PRE_CANDIDATE, set()
+            self._request_votes(self.term + 1, pre=True, forced=False)
+
+    def _become_candidate(self, now: datetime, forced: bool) -> None:
+        self.role, self._votes_received = Role.CANDIDATE, set()
+        self.term, self.voted_for = self.term + 1, self.identity
+        self._reset_election_timer(now)
+        self._request_votes(self.term, pre=False, forced=forced)
+
+    def _request_votes(self, term: int, pre: bool, forced: bool) -> None:
+        ask = RequestVote(term, pre, forced, self.log.last_index, self.log.last_term)
+        for voter in self.configuration.voters:
             # Its own vote too counts only when it is durable: it comes back as a message.
-            self._send(voter, Vote(self.term, term, pre, True) if voter == self.me else ask)
+            self._send(
+                voter, RequestVoteResponse(self.term, term, pre, True) if voter == self.identity else ask
+            )
 
-    def _asked(self, now: datetime, sender: str, ask: VoteAsk) -> None:
-        fresh = (ask.last_term, ask.last) >= (self.log.last_term, self.log.last)
-        if ask.pre:
+    def _handle_request_vote(self, now: datetime, sender: str, ask: RequestVote) -> None:
+        fresh = (ask.last_log_term, ask.last_log_index) >= (self.log.last_term, self.log.last_index)
+        if ask.pre_vote:
             granted = fresh and ask.term > self.term and not self._hears_leader(now)
         else:
-            granted = fresh and ask.term == self.term and self.vote in ("", sender) and not self.leads
+            granted = (
+                fresh and ask.term == self.term and self.voted_for in ("", sender) and not self.is_leader
+            )
             if granted:
-                self.vote = sender
-                self._wait_for_leader(now)
-        self._send(sender, Vote(self.term, ask.term, ask.pre, granted and not self.forgot))
+                self.voted_for = sender
+                self._reset_election_timer(now)
+        self._send(
+            sender, RequestVoteResponse(self.term, ask.term, ask.pre_vote, granted and not self.log_regressed)
+        )
 
-    def _voted(self, now: datetime, sender: str, vote: Vote) -> None:
-        if not vote.granted or sender not in self.group.voters:
+    def _handle_vote_response(self, now: datetime, sender: str, vote: RequestVoteResponse) -> None:
+        if not vote.granted or sender not in self.configuration.voters:
             return
-        if vote.pre and self.role is Role.ASKING and vote.asked == self.term + 1:
-            self._votes.add(sender)
-            if len(self._votes) >= self.group.quorum:
-                self._candidate(now, forced=False)
-        elif not vote.pre and self.role is Role.CANDIDATE and vote.asked == self.term:
-            self._votes.add(sender)
-            if len(self._votes) >= self.group.quorum:
-                self._lead(now)
-
-    def _lead(self, now: datetime) -> None:
-        self.role, self.leader, self._since, self.round = Role.LEADER, self.me, now, 0
-        self.peers = {one: Peer(self.log.last + 1) for one in self.group.everyone if one != self.me}
-        self._began = self._append(Kind.EMPTY, "")
+        if vote.pre_vote and self.role is Role.PRE_CANDIDATE and vote.requested_term == self.term + 1:
+            self._votes_received.add(sender)
+            if len(self._votes_received) >= self.configuration.quorum:
+                self._become_candidate(now, forced=False)
+        elif not vote.pre_vote and self.role is Role.CANDIDATE and vote.requested_term == self.term:
+            self._votes_received.add(sender)
+            if len(self._votes_received) >= self.configuration.quorum:
+                self._become_leader(now)
+
+    def _become_leader(self, now: datetime) -> None:
+        self.role, self.leader, self._role_since, self.heartbeat_round = Role.LEADER, self.identity, now, 0
+        self.progress = {
+            one: PeerProgress(self.log.last_index + 1)
+            for one in self.configuration.members
+            if one != self.identity
+        }
+        self._term_start_index = self._append(EntryType.NOOP, "")
         self._broadcast(now)
 
-    def _follow(self, now: datetime, term: int, leader: str) -> None:
+    def _become_follower(self, now: datetime, term: int, leader: str) -> None:
         if term > self.term:
-            self.term, self.vote = term, ""
+            self.term, self.voted_for = term, ""
         if self.role is not Role.FOLLOWER:
-            self.role, self._since = Role.FOLLOWER, now
-            self._wait_for_leader(now)
+            self.role, self._role_since = Role.FOLLOWER, now
+            self._reset_election_timer(now)
         self.leader = leader
 
     # Messages.
 
     def step(self, now: datetime, sender: str, message: RaftMessage) -> None:
         """A message came from another member, or from this one itself."""
-        if isinstance(message, VoteAsk):
-            if message.term > self.term and not message.pre:
-                if self._hears_leader(now) and not message.forced:
+        if isinstance(message, RequestVote):
+            if message.term > self.term and not message.pre_vote:
+                if self._hears_leader(now) and not message.leadership_transfer:
                     return  # there is a leader: one that does not hear it must not unseat it
-                self._follow(now, message.term, "")
-        elif message.term > self.term and not (isinstance(message, Vote) and message.pre and message.granted):
-            from_leader = isinstance(message, Append | SnapshotPart)
-            self._follow(now, message.term, sender if from_leader else "")
+                self._become_follower(now, message.term, "")
+        elif message.term > self.term and not (
+            isinstance(message, RequestVoteResponse) and message.pre_vote and message.granted
+        ):
+            from_leader = isinstance(message, AppendEntries | InstallSnapshotChunk)
+            self._become_follower(now, message.term, sender if from_leader else "")
         if message.term < self.term:
-            self._late(sender, message)
+            self._reject_stale_term(sender, message)
             return
         match message:
-            case VoteAsk():
-                self._asked(now, sender, message)
-            case Vote():
-                self._voted(now, sender, message)
-            case Append() | SnapshotPart():
-                if self.leads:
+            case RequestVote():
+                self._handle_request_vote(now, sender, message)
+            case RequestVoteResponse():
+                self._handle_vote_response(now, sender, message)
+            case AppendEntries() | InstallSnapshotChunk():
+                if self.is_leader:
                     return  # none but this one leads in its term; a message of its own cannot come from there
-                self._follow(now, self.term, sender)
-                self._heard = now
-                self._wait_for_leader(now)
-                if isinstance(message, Append):
-                    self._taken(sender, message)
+                self._become_follower(now, self.term, sender)
+                self._last_leader_contact = now
+                self._reset_election_timer(now)
+                if isinstance(message, AppendEntries):
+                    self._handle_append_entries(sender, message)
                 else:
-                    self._piece(sender, message)
-            case Appended():
-                self._answered(now, sender, message)
-            case SnapshotTaken():
-                self._snapshot_answered(now, sender, message)
-            case ElectNow():
-                if not self.leads and message.term == self.term:
-                    self._stand(now, forced=True)
-            case Forgot():
-                if message.term == self.term and sender == self.leader and self._synced < message.said:
-                    self.forgot = True
-
-    def _late(self, sender: str, message: RaftMessage) -> None:
+                    self._handle_snapshot_chunk(sender, message)
+            case AppendEntriesResponse():
+                self._handle_append_response(now, sender, message)
+            case InstallSnapshotResponse():
+                self._handle_snapshot_response(now, sender, message)
+            case TimeoutNow():
+                if not self.is_leader and message.term == self.term:
+                    self._start_election(now, forced=True)
+            case LogRegressed():
+                if (
+                    message.term == self.term
+                    and sender == self.leader
+                    and self._durable_index < message.acknowledged_index
+                ):
+                    self.log_regressed = True
+
+    def _reject_stale_term(self, sender: str, message: RaftMessage) -> None:
         """Who writes in an old term hears of the new one."""
         match message:
-            case Append():
-                self._send(sender, Appended(self.term, message.round, False, self.log.last))
-            case SnapshotPart():
-                self._send(sender, SnapshotTaken(self.term, message.round, message.index, 0, False))
-            case VoteAsk():
-                self._send(sender, Vote(self.term, message.term, message.pre, False))
+            case AppendEntries():
+                self._send(
+                    sender,
+                    AppendEntriesResponse(self.term, message.heartbeat_round, False, self.log.last_index),
+                )
+            case InstallSnapshotChunk():
+                self._send(
+                    sender,
+                    InstallSnapshotResponse(
+                        self.term, message.heartbeat_round, message.last_included_index, 0, False
+                    ),
+                )
+            case RequestVote():
+                self._send(sender, RequestVoteResponse(self.term, message.term, message.pre_vote, False))
 
     def _send(self, to: str, message: RaftMessage) -> None:
-        self._messages.append((to, message))
+        self._messages_after_sync.append((to, message))
 
     # The log, where this one follows.
 
-    def _taken(self, sender: str, told: Append) -> None:
+    def _handle_append_entries(self, sender: str, told: AppendEntries) -> None:
         log = self.log
-        if told.prev > log.last:
-            self._send(sender, Appended(self.term, told.round, False, log.last))
+        if told.prev_log_index > log.last_index:
+            self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, False, log.last_index))
             return
-        if not log.has(told.prev, told.prev_term):
+        if not log.matches(told.prev_log_index, told.prev_log_term):
             # All of the term that differs is in doubt: the leader tries from before it.
-            term, hint = log.term_at(told.prev), told.prev
-            while hint > max(self.commit, log.first - 1) and log.term_at(hint) == term:
+            term, hint = log.term_at(told.prev_log_index), told.prev_log_index
+            while hint > max(self.commit_index, log.first_index - 1) and log.term_at(hint) == term:
                 hint -= 1
-            self._send(sender, Appended(self.term, told.round, False, hint))
+            self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, False, hint))
             return
         for entry in told.entries:
-            if entry.index <= log.last:
-                if log.has(entry.index, entry.term):
+            if entry.index <= log.last_index:
+                if log.matches(entry.index, entry.term):
                     continue
-                assert entry.index > self.commit, "a committed entry would be overwritten"
-                log.cut(entry.index)
-                self._synced = min(self._synced, entry.index - 1)
-                self._stored = min(self._stored, entry.index - 1)
+                assert entry.index > self.commit_index, "a committed entry would be overwritten"
+                log.truncate_from(entry.index)
+                self._durable_index = min(self._durable_index, entry.index - 1)
+                self._handed_out_index = min(self._handed_out_index, entry.index - 1)
             log.append(entry)
-        same = told.prev + len(told.entries)
-        self.commit = max(self.commit, min(told.commit, same))
-        self._send(sender, Appended(self.term, told.round, True, same))
-
-    def _piece(self, sender: str, part: SnapshotPart) -> None:
-        if part.index <= self.commit:  # it is here already, or more
-            self._send(sender, SnapshotTaken(self.term, part.round, part.index, 0, True))
+        same = told.prev_log_index + len(told.entries)
+        self.commit_index = max(self.commit_index, min(told.leader_commit, same))
+        self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, True, same))
+
+    def _handle_snapshot_chunk(self, sender: str, part: InstallSnapshotChunk) -> None:
+        if part.last_included_index <= self.commit_index:  # it is here already, or more
+            self._send(
+                sender,
+                InstallSnapshotResponse(self.term, part.heartbeat_round, part.last_included_index, 0, True),
+            )
             return
-        if self._coming_of != (part.index, part.index_term) or part.offset == 0:
-            self._coming, self._coming_of = [], (part.index, part.index_term)
-        length = sum(map(len, self._coming))
+        if self._incoming_snapshot != (part.last_included_index, part.last_included_term) or part.offset == 0:
+            self._incoming_chunks, self._incoming_snapshot = (
+                [],
+                (part.last_included_index, part.last_included_term),
+            )
+        length = sum(map(len, self._incoming_chunks))
         if part.offset == length:
-            self._coming.append(part.data)
+            self._incoming_chunks.append(part.data)
             length += len(part.data)
             if part.done:
-                snapshot = Snapshot(part.index, part.index_term, part.group, "".join(self._coming))
-                self._coming, self._coming_of = [], (0, 0)
+                snapshot = Snapshot(
+                    part.last_included_index,
+                    part.last_included_term,
+                    part.configuration,
+                    "".join(self._incoming_chunks),
+                )
+                self._incoming_chunks, self._incoming_snapshot = [], (0, 0)
                 self.log.restore(snapshot)
-                self.commit = self.applied = self._synced = self._stored = part.index
-                self._installed = self._arrived = snapshot
-                self._send(sender, SnapshotTaken(self.term, part.round, part.index, length, True))
+                self.commit_index = self.last_applied = self._durable_index = self._handed_out_index = (
+                    part.last_included_index
+                )
+                self._snapshot_to_store = self._snapshot_to_apply = snapshot
+                self._send(
+                    sender,
+                    InstallSnapshotResponse(
+                        self.term, part.heartbeat_round, part.last_included_index, length, True
+                    ),
+                )
                 return
-        self._send(sender, SnapshotTaken(self.term, part.round, part.index, length, False))
+        self._send(
+            sender,
+            InstallSnapshotResponse(self.term, part.heartbeat_round, part.last_included_index, length, False),
+        )
 
     # The log, where this one leads.
 
-    def propose(self, now: datetime, body: str, kind: Kind = Kind.COMMAND) -> int | None:
+    def propose(self, now: datetime, body: str, kind: EntryType = EntryType.COMMAND) -> int | None:
         """The index under which it will be committed if this voter still leads then; None where it does not."""
-        if not self.leads:
+        if not self.is_leader:
             return None
         index = self._append(kind, body)
-        self._dirty = True
+        self._broadcast_due = True
         return index
 
-    def _append(self, kind: Kind, body: str) -> int:
-        entry = Entry(self.log.last + 1, self.term, kind, body)
+    def _append(self, kind: EntryType, body: str) -> int:
+        entry = LogEntry(self.log.last_index + 1, self.term, kind, body)
         self.log.append(entry)
         return entry.index
 
-    def change_group(self, now: datetime, group: Group) -> str:
+    def change_configuration(self, now: datetime, group: Configuration) -> str:
         """Ask for another group; gives why not, or an empty text. One voter at a time comes or goes."""
-        if not self.established:
+        if not self.is_established_leader:
             return "this voter does not lead, or not for long enough"
-        if self.log.group_index > self.commit:
+        if self.log.configuration_index > self.commit_index:
             return "the change before is not committed yet"
-        if len(set(group.voters) ^ set(self.group.voters)) > 1:
+        if len(set(group.voters) ^ set(self.configuration.voters)) > 1:
             return "only one voter may come or go at a time"
         if not group.voters:
             return "a group needs a voter"
-        self.propose(now, group.write(), Kind.GROUP)
+        self.propose(now, group.encode(), EntryType.CONFIGURATION)
         return ""
 
-    def transfer(self, now: datetime) -> str:
+    def transfer_leadership(self, now: datetime) -> str:
         """Ask the voter that is furthest to stand for election; gives its name, or an empty text."""
-        others = [one for one in self.group.voters if one != self.me]
-        if not self.leads or not others:
+        others = [one for one in self.configuration.voters if one != self.identity]
+        if not self.is_leader or not others:
             return ""
-        best = max(others, key=lambda one: (self._peer(one).match, self._peer(one).round))
-        if self._peer(best).match < self.log.last:
+        best = max(
+            others,
+            key=lambda one: (self._progress_of(one).match_index, self._progress_of(one).acknowledged_round),
+        )
+        if self._progress_of(best).match_index < self.log.last_index:
             return ""
-        self._now_messages.append((best, ElectNow(self.term)))
+        self._immediate_messages.append((best, TimeoutNow(self.term)))
         return best
 
     def _broadcast(self, now: datetime) -> None:
-        self.round += 1
-        self._beat_at = now + self.timing.beat
-        self._dirty = False
-        for member in self.group.everyone:
-            if member != self.me:
-                self._feed(member, beat=True)
-
-    def _feed(self, member: str, beat: bool) -> None:
+        self.heartbeat_round += 1
+        self._next_heartbeat = now + self.timing.heartbeat_interval
+        self._broadcast_due = False
+        for member in self.configuration.members:
+            if member != self.identity:
+                self._replicate_to(member, beat=True)
+
+    def _replicate_to(self, member: str, beat: bool) -> None:
         """What it lacks, as far as there is room on the way; on a beat at least a sign of life."""
-        peer = self._peer(member)
-        if peer.next < self.log.first:
-            self._feed_snapshot(member, peer)
+        peer = self._progress_of(member)
+        if peer.next_index < self.log.first_index:
+            self._send_snapshot_chunk(member, peer)
             return
-        last = self.log.last
+        last = self.log.last_index
         if peer.probing:
-            last = peer.next - 1  # only asked where its log stands
-            if not beat and peer.asked:
+            last = peer.next_index - 1  # only asked where its log stands
+            if not beat and peer.probe_in_flight:
                 return
-            peer.asked = True
+            peer.probe_in_flight = True
         sent = False
-        while not sent or (peer.next <= last and peer.next - peer.match <= WINDOW):
-            entries = self._some(peer.next, last)
+        while not sent or (
+            peer.next_index <= last and peer.next_index - peer.match_index <= MAX_IN_FLIGHT_ENTRIES
+        ):
+            entries = self._entries_for_message(peer.next_index, last)
             if not entries and sent:
                 break
-            prev = peer.next - 1
-            message = Append(self.term, self.round, prev, self.log.term_at(prev), self.commit, tuple(entries))
-            self._now_messages.append((member, message))
-            peer.next += len(entries)
+            prev = peer.next_index - 1
+            message = AppendEntries(
+                self.term,
+                self.heartbeat_round,
+                prev,
+                self.log.term_at(prev),
+                self.commit_index,
+                tuple(entries),
+            )
+            self._immediate_messages.append((member, message))
+            peer.next_index += len(entries)
             sent = True
 
-    def _some(self, first: int, last: int) -> list[Entry]:
-        some: list[Entry] = []
+    def _entries_for_message(self, first: int, last: int) -> list[LogEntry]:
+        some: list[LogEntry] = []
         size = 0
-        for entry in self.log.between(first, min(last, first + self.most_entries - 1)):
+        for entry in self.log.slice(first, min(last, first + self.max_entries_per_message - 1)):
             size += len(entry.body) + 32
-            if some and size > MOST_CHARACTERS:
+            if some and size > MAX_CHARACTERS_PER_MESSAGE:
                 break
             some.append(entry)
         return some
 
-    def _feed_snapshot(self, member: str, peer: Peer) -> None:
+    def _send_snapshot_chunk(self, member: str, peer: PeerProgress) -> None:
         snapshot = self.log.snapshot
-        offset = peer.offset or 0
-        data = snapshot.data[offset : offset + MOST_CHARACTERS]
+        offset = peer.snapshot_offset or 0
+        data = snapshot.data[offset : offset + MAX_CHARACTERS_PER_MESSAGE]
         done = offset + len(data) >= len(snapshot.data)
-        part = SnapshotPart(
-            self.term, self.round, snapshot.index, snapshot.term, snapshot.group, offset, data, done
+        part = InstallSnapshotChunk(
+            self.term,
+            self.heartbeat_round,
+            snapshot.index,
+            snapshot.term,
+            snapshot.configuration,
+            offset,
+            data,
+            done,
         )
-        self._now_messages.append((member, part))
+        self._immediate_messages.append((member, part))
 
-    def _heard_from(self, now: datetime, sender: str, round: int) -> Peer | None:
-        if not self.leads or sender not in self.group.everyone:
+    def _record_contact(self, now: datetime, sender: str, round: int) -> PeerProgress | None:
+        if not self.is_leader or sender not in self.configuration.members:
             return None
-        peer = self._peer(sender)
-        peer.heard = now
-        peer.round = max(peer.round, min(round, self.round))
+        peer = self._progress_of(sender)
+        peer.last_contact = now
+        peer.acknowledged_round = max(peer.acknowledged_round, min(round, self.heartbeat_round))
         return peer
 
-    def _answered(self, now: datetime, sender: str, told: Appended) -> None:
-        peer = self._heard_from(now, sender, told.round)
+    def _handle_append_response(self, now: datetime, sender: str, told: AppendEntriesResponse) -> None:
+        peer = self._record_contact(now, sender, told.heartbeat_round)
         if peer is None:
             return
-        if told.good:
-            peer.probing = peer.asked = False
-            if told.last > peer.match:
-                peer.match, peer.match_round = told.last, told.round
-                self._count()
-            peer.next = max(peer.next, peer.match + 1)
-            if peer.next <= self.log.last:
-                self._feed(sender, beat=False)
+        if told.success:
+            peer.probing = peer.probe_in_flight = False
+            if told.match_index > peer.match_index:
+                peer.match_index, peer.match_round = told.match_index, told.heartbeat_round
+                self._advance_commit_index()
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            if peer.next_index <= self.log.last_index:
+                self._replicate_to(sender, beat=False)
             return
-        if told.last < peer.match:
-            if told.round > peer.match_round:  # said later, so it no longer has what it said it had
-                self._send(sender, Forgot(self.term, peer.match))
-                peer.next = peer.match + 1
+        if told.match_index < peer.match_index:
+            if told.heartbeat_round > peer.match_round:  # said later, so it no longer has what it said it had
+                self._send(sender, LogRegressed(self.term, peer.match_index))
+                peer.next_index = peer.match_index + 1
             return
-        if peer.probing and not peer.asked:
+        if peer.probing and not peer.probe_in_flight:
             return
-        peer.probing, peer.asked, peer.offset = True, False, None
-        peer.next = max(peer.match + 1, min(peer.next - 1, told.last + 1))
-        self._feed(sender, beat=False)
+        peer.probing, peer.probe_in_flight, peer.snapshot_offset = True, False, None
+        peer.next_index = max(peer.match_index + 1, min(peer.next_index - 1, told.match_index + 1))
+        self._replicate_to(sender, beat=False)
 
-    def _snapshot_answered(self, now: datetime, sender: str, told: SnapshotTaken) -> None:
-        peer = self._heard_from(now, sender, told.round)
+    def _handle_snapshot_response(self, now: datetime, sender: str, told: InstallSnapshotResponse) -> None:
+        peer = self._record_contact(now, sender, told.heartbeat_round)
         if peer is None:
             return
         if told.done:
-            peer.match, peer.match_round = max(peer.match, told.index), told.round
-            peer.next, peer.offset, peer.probing, peer.asked = peer.match + 1, None, True, False
-            self._count()
-            self._feed(sender, beat=False)
-        elif told.index == self.log.snapshot.index and told.offset > (peer.offset or 0):
-            peer.offset = told.offset
-            self._feed(sender, beat=False)
-        elif told.index == self.log.snapshot.index and told.offset < (peer.offset or 0):
-            peer.offset = told.offset  # it began anew; the next beat sends from there
-        elif told.index != self.log.snapshot.index:
-            peer.offset = None
-
-    def _count(self) -> None:
+            peer.match_index, peer.match_round = (
+                max(peer.match_index, told.last_included_index),
+                told.heartbeat_round,
+            )
+            peer.next_index, peer.snapshot_offset, peer.probing, peer.probe_in_flight = (
+                peer.match_index + 1,
+                None,
+                True,
+                False,
+            )
+            self._advance_commit_index()
+            self._replicate_to(sender, beat=False)
+        elif told.last_included_index == self.log.snapshot.index and told.offset > (
+            peer.snapshot_offset or 0
+        ):
+            peer.snapshot_offset = told.offset
+            self._replicate_to(sender, beat=False)
+        elif told.last_included_index == self.log.snapshot.index and told.offset < (
+            peer.snapshot_offset or 0
+        ):
+            peer.snapshot_offset = told.offset  # it began anew; the next beat sends from there
+        elif told.last_included_index != self.log.snapshot.index:
+            peer.snapshot_offset = None
+
+    def _advance_commit_index(self) -> None:
         """Commit what a majority has, if it ends in an entry of this leader's own term (5.4.2 of the paper)."""
-        group = self.group
+        group = self.configuration
         have = sorted(
-            (self._synced if one == self.me else self._peer(one).match for one in group.voters), reverse=True
+            (
+                self._durable_index if one == self.identity else self._progress_of(one).match_index
+                for one in group.voters
+            ),
+            reverse=True,
         )
         index = have[group.quorum - 1] if have else 0
-        if index > self.commit and self.log.term_at(index) == self.term:
-            self.commit = index
-            self._dirty = True  # the others hear of it at once
-            if self.log.group_index <= index and self.me not in group.voters:
+        if index > self.commit_index and self.log.term_at(index) == self.term:
+            self.commit_index = index
+            self._broadcast_due = True  # the others hear of it at once
+            if self.log.configuration_index <= index and self.identity not in group.voters:
                 self.role, self.leader = Role.FOLLOWER, ""  # it was voted out, and has seen that through
 
     # What is to be done.
 
-    def prompt(self, now: datetime) -> list[tuple[str, RaftMessage]]:
+    def take_immediate_messages(self, now: datetime) -> list[tuple[str, RaftMessage]]:
         """Messages that may leave at once: nothing of this voter's has to be durable for them."""
-        if self._dirty and self.leads:
+        if self._broadcast_due and self.is_leader:
             self._broadcast(now)
-        messages, self._now_messages = self._now_messages, []
+        messages, self._immediate_messages = self._immediate_messages, []
         return messages
 
-    def take(self) -> Ready | None:
+    def take_ready(self) -> Ready | None:
         """What is to be made durable, and sent after that; None where there is nothing. One after the other."""
-        entries = self.log.between(max(self._stored + 1, self.log.first), self.log.last)
-        snapshot, replaces = self._installed, self._installed is not None
-        if snapshot is None and self.log.snapshot.index > self._stored_snapshot:
+        entries = self.log.slice(max(self._handed_out_index + 1, self.log.first_index), self.log.last_index)
+        snapshot, replaces = self._snapshot_to_store, self._snapshot_to_store is not None
+        if snapshot is None and self.log.snapshot.index > self._handed_out_snapshot_index:
             snapshot = self.log.snapshot
-        changed = (self.term, self.vote) != (self._stored_term, self._stored_vote)
-        if not (entries or snapshot or changed or self._messages):
+        changed = (self.term, self.voted_for) != (self._handed_out_term, self._handed_out_vote)
+        if not (entries or snapshot or changed or self._messages_after_sync):
             return None
-        self._number += 1
-        ready = Ready(self._number, self.term, self.vote, snapshot, replaces, self.log.first - 1, entries)
-        ready.stores = bool(entries or snapshot or changed)
-        ready.messages, self._messages = self._messages, []
-        ready.last, ready.last_term = self.log.last, self.log.last_term
-        self._stored_term, self._stored_vote, self._stored = self.term, self.vote, self.log.last
-        self._stored_snapshot, self._installed = self.log.snapshot.index, None
+        self._ready_number += 1
+        ready = Ready(
+            self._ready_number,
+            self.term,
+            self.voted_for,
+            snapshot,
+            replaces,
+            self.log.first_index - 1,
+            entries,
+        )
+        ready.needs_sync = bool(entries or snapshot or changed)
+        ready.messages, self._messages_after_sync = self._messages_after_sync, []
+        ready.last_index, ready.last_term = self.log.last_index, self.log.last_term
+        self._handed_out_term, self._handed_out_vote, self._handed_out_index = (
+            self.term,
+            self.voted_for,
+            self.log.last_index,
+        )
+        self._handed_out_snapshot_index, self._snapshot_to_store = self.log.snapshot.index, None
         return ready
 
-    def synced(self, ready: Ready) -> None:
+    def acknowledge_durable(self, ready: Ready) -> None:
         """That is durable."""
-        if self.log.has(ready.last, ready.last_term) and ready.last <= self.log.last:
-            self._synced = max(self._synced, ready.last)
-        if self.leads:
-            self._count()
+        if self.log.matches(ready.last_index, ready.last_term) and ready.last_index <= self.log.last_index:
+            self._durable_index = max(self._durable_index, ready.last_index)
+        if self.is_leader:
+            self._advance_commit_index()
 
-    def applies(self) -> list[Entry | Snapshot]:
+    def take_committed(self) -> list[LogEntry | Snapshot]:
         """What the machine has to take in now, in order; each is given once."""
-        found: list[Entry | Snapshot] = []
-        if self._arrived is not None:
-            found.append(self._arrived)
-            self._arrived = None
-        if self.commit > self.applied:
-            found += self.log.between(self.applied + 1, self.commit)
-            self.applied = self.commit
+        found: list[LogEntry | Snapshot] = []
+        if self._snapshot_to_apply is not None:
+            found.append(self._snapshot_to_apply)
+            self._snapshot_to_apply = None
+        if self.commit_index > self.last_applied:
+            found += self.log.slice(self.last_applied + 1, self.commit_index)
+            self.last_applied = self.commit_index
         return found
 
     def compact(self, data: Callable[[], str], keep: int) -> None:
         """All that was applied goes into a snapshot; the last `keep` entries stay for members that lag."""
-        index = self.applied
+        index = self.last_applied
         if index > self.log.snapshot.index:
-            group = self.log.group_at(index)
+            group = self.log.configuration_at(index)
             self.log.compact(Snapshot(index, self.log.term_at(index), group, data()), keep)
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -29,7 +29,7 @@
     Verdict,
 )
 from marlstep.slots import SlotTable, TableFull
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO, instant, instant_us, span, span_us
 from petrelcart.interface import (
     Action,
@@ -101,7 +101,7 @@
         self,
         settings: Settings,
         seed: int,
-        timeline: Timeline,
+        timeline: TimerQueue,
         ports: Ports,
         most_requests: int = MOST_REQUESTS,
     ) -> None:
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -7,15 +7,15 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.raft import MOST_ENTRIES, Raft
-from marlstep.consensus.replica import Voter
+from marlstep.consensus.raft import MAX_ENTRIES_PER_MESSAGE, Raft
+from marlstep.consensus.replica import Replica
 from marlstep.consensus.state_machine import Command, Result
 from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
-from marlstep.leases.holder import Change, Holder
-from marlstep.leases.manager import Keeper, no_shares
-from marlstep.leases.messages import Beaten, Figures, News
+from marlstep.leases.holder import LeaseEvent, LeaseHolder
+from marlstep.leases.manager import LeaseManager, no_quota_shares
+from marlstep.leases.messages import DocumentStatus, HeartbeatResponse, RequestCounts
 from marlstep.leases.settings import LeaseSettings
-from marlstep.leases.table import Lease, Table
+from marlstep.leases.table import Lease, LeaseTable
 from marlstep.membership.failure_detector import Detector
 from marlstep.membership.quotas import Part, Shares
 from marlstep.membership.records import Record
@@ -26,63 +26,66 @@
 from marlstep.units import MILLISECOND, ZERO
 
 
-class CountsFromAnswer(Holder):
+class CountsFromAnswer(LeaseHolder):
     """A lease is counted from the answer in the place of the question."""
 
-    def told(self, now: datetime, answer: Beaten) -> list[Change]:
-        if answer.number in self._sent:
-            self._sent[answer.number] = now
-        return super().told(now, answer)
+    def handle_response(self, now: datetime, answer: HeartbeatResponse) -> list[LeaseEvent]:
+        if answer.number in self._sent_heartbeats:
+            self._sent_heartbeats[answer.number] = now
+        return super().handle_response(now, answer)
 
 
-class NeverLapses(Holder):
+class NeverLapses(LeaseHolder):
     """What it once had it acts on, however long the group is silent."""
 
-    def left(self, name: str, now: datetime) -> timedelta:
+    def time_left(self, name: str, now: datetime) -> timedelta:
         return self.settings.term if name in self.held else ZERO
 
-    def tick(self, now: datetime) -> list[Change]:
+    def tick(self, now: datetime) -> list[LeaseEvent]:
         return []
 
 
 class CommitsOldTerms(Raft):
     """What a majority has is committed, whatever its term: figure 8 of the paper."""
 
-    def _count(self) -> None:
+    def _advance_commit_index(self) -> None:
         have = sorted(
-            (self._synced if one == self.me else self._peer(one).match for one in self.group.voters),
+            (
+                self._durable_index if one == self.identity else self._progress_of(one).match_index
+                for one in self.configuration.voters
+            ),
             reverse=True,
         )
-        index = have[self.group.quorum - 1] if have else 0
-        if index > self.commit:
-            self.commit, self._dirty = index, True
+        index = have[self.configuration.quorum - 1] if have else 0
+        if index > self.commit_index:
+            self.commit_index, self._broadcast_due = index, True
 
 
-class ReusesTokens(Table):
+class ReusesTokens(LeaseTable):
     """A lease's next grant has the token of the one before."""
 
     def _grant(self, name: str, holder: str, most: int) -> Result:
         before = self.leases.get(name)
         if before is None or before.holder or not before.token:
             return super()._grant(name, holder, most)
-        self.counts[holder] += 1
-        self.leases[name] = Lease(holder, before.token, before.last, before.grants + 1)
+        self.held_counts[holder] += 1
+        self.leases[name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
         return {"granted": holder, "token": before.token}
 
 
-class Unconfirmed(Keeper):
+class Unconfirmed(LeaseManager):
     """A renewal is answered without asking whether this voter still leads."""
 
-    def answers(
+    def take_responses(
         self,
         now: datetime,
         confirmed: int,
         leader: str,
         term: int,
-        news: tuple[News, ...] = (),
-        shares: Any = no_shares,
-    ) -> list[tuple[str, Beaten]]:
-        return super().answers(now, 1 << 60, leader, term, news, shares)
+        news: tuple[DocumentStatus, ...] = (),
+        shares: Any = no_quota_shares,
+    ) -> list[tuple[str, HeartbeatResponse]]:
+        return super().take_responses(now, 1 << 60, leader, term, news, shares)
 
 
 class NeverStepsDown(Raft):
@@ -92,12 +95,12 @@
         return True
 
 
-class ShortAfterElection(Keeper):
+class ShortAfterElection(LeaseManager):
     """A voter that comes to lead takes the terms of leases for nearly over."""
 
-    def lead(self, now: datetime) -> None:
-        super().lead(now)
-        self._until = dict.fromkeys(self._until, now + 200 * MILLISECOND)
+    def become_leader(self, now: datetime) -> None:
+        super().become_leader(now)
+        self._expiries = dict.fromkeys(self._expiries, now + 200 * MILLISECOND)
 
 
 class NeverDoubts(Runner):
@@ -123,8 +126,8 @@
 class TrustsAnyVote(Raft):
     """A vote is given to whoever asks, also where its log is behind."""
 
-    def _asked(self, now: datetime, sender: str, ask: Any) -> None:
-        super()._asked(now, sender, replace(ask, last=1 << 40, last_term=1 << 40))
+    def _handle_request_vote(self, now: datetime, sender: str, ask: Any) -> None:
+        super()._handle_request_vote(now, sender, replace(ask, last_log_index=1 << 40, last_log_term=1 << 40))
 
 
 class CommitsAtOnce(Book):
@@ -190,7 +193,7 @@
 class NeverLooks(StageWatch):
     """A stage goes on after its time, however its nodes do."""
 
-    def worse(self, here: Figures, there: Figures, by: float, least: int) -> str:
+    def worse(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
         return ""
 
 
@@ -247,7 +250,7 @@
     loss: float = 0.01  # of messages: some breakages show only on a bad network
     delay_us: int = 12_000  # of a message, at the most
     stuck: float = 0.02  # share of acts that stick in a line on their way
-    most_entries: int = MOST_ENTRIES  # of one message
+    most_entries: int = MAX_ENTRIES_PER_MESSAGE  # of one message
     shape: Shape = field(default_factory=lambda: Shape(kinds=KINDS, every_ms=700))
     within: int = 300  # seeds
 
@@ -263,8 +266,8 @@
             if type(part) is broken.__base__:
                 part.__class__ = broken
 
-    def put_on_voter(self, voter: Voter) -> None:
-        for part in (voter.raft, voter.table, voter.keeper, voter.stages):
+    def put_on_voter(self, voter: Replica) -> None:
+        for part in (voter.raft, voter.leases, voter.lease_manager, voter.rollout):
             self.put_on(part)
 
 
--- a/marlstep/drill/explore.py
+++ b/marlstep/drill/explore.py
@@ -15,22 +15,22 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
-from marlstep.consensus.messages import Append
-from marlstep.consensus.raft import Timing
-from marlstep.consensus.replica import Voter, VoterSettings, node_of
-from marlstep.consensus.state_machine import Machine
+from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
+from marlstep.consensus.messages import AppendEntries
+from marlstep.consensus.raft import RaftTiming
+from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
+from marlstep.consensus.state_machine import StateMachine
 from marlstep.drill.broken import Breakage
-from marlstep.leases.client import Participant
-from marlstep.leases.messages import Beaten
+from marlstep.leases.client import GroupClient
+from marlstep.leases.messages import HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
-from marlstep.leases.table import Table
+from marlstep.leases.table import LeaseTable
 from marlstep.units import EPOCH, MILLISECOND
 
 LEASE = "task/walk"
 VOTERS = ("v1", "v2", "v3")
 START = EPOCH + timedelta(days=20_000)
-TIMING = Timing(100 * MILLISECOND, 400 * MILLISECOND)
+TIMING = RaftTiming(100 * MILLISECOND, 400 * MILLISECOND)
 SETTINGS = LeaseSettings(1_500 * MILLISECOND)
 
 
@@ -70,9 +70,9 @@
     keys: dict[str, int]  # what of each part tells states apart
     voters: tuple[str, ...]
     holders: tuple[str, ...]
-    disks: dict[str, Saved] = field(default_factory=dict)
+    disks: dict[str, PersistentState] = field(default_factory=dict)
     flying: tuple[Flying, ...] = ()
-    committed: dict[int, Entry] = field(default_factory=dict)
+    committed: dict[int, LogEntry] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
     tokens: dict[int, int] = field(default_factory=dict)
     until: dict[str, datetime] = field(default_factory=dict)  # until when each holder would act
@@ -93,18 +93,18 @@
         """What is the same for the walk has the same."""
         return hash((self.now, self.crashes, self.wakes, frozenset(self.flying), tuple(self.keys.values())))
 
-    def voter(self, name: str) -> Voter:
+    def voter(self, name: str) -> Replica:
         return pickle.loads(self.parts[name])  # type: ignore[no-any-return]
 
-    def holder(self, name: str) -> Participant:
+    def holder(self, name: str) -> GroupClient:
         return pickle.loads(self.parts[name])  # type: ignore[no-any-return]
 
-    def put(self, name: str, part: Voter | Participant) -> None:
+    def put(self, name: str, part: Replica | GroupClient) -> None:
         self.parts[name] = pickle.dumps(part, -1)
-        self.keys[name] = hash(voter_key(part) if isinstance(part, Voter) else holder_key(part))
+        self.keys[name] = hash(voter_key(part) if isinstance(part, Replica) else holder_key(part))
 
     @staticmethod
-    def machines() -> Callable[[Table], Mapping[str, Machine]]:
+    def machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
         """Those of the voters beside the leases."""
         return _none
 
@@ -130,11 +130,11 @@
         for name in self.voters:
             voter = self.voter(name)
             due = {voter.raft.next_due()}
-            if voter.raft.established and (expiry := voter.keeper.next_due()) is not None:
+            if voter.raft.is_established_leader and (expiry := voter.lease_manager.next_due()) is not None:
                 due.add(expiry)
             for when in sorted(due):
                 at = max(self.now, when)
-                if at <= START + bounds.horizon and (voter.raft.leads or voter.raft.term < bounds.term):
+                if at <= START + bounds.horizon and (voter.raft.is_leader or voter.raft.term < bounds.term):
                     after = self.copy()
                     after.now, after.wakes = at, self.wakes + 1
                     one = after.voter(name)
@@ -154,9 +154,9 @@
 
     def deliver(self, sender: str, to: str, message: Any, bounds: Bounds) -> None:
         if to in self.holders:
-            if isinstance(message, Beaten):
+            if isinstance(message, HeartbeatResponse):
                 one = self.holder(to)
-                one.told(self.now, sender, message)
+                one.handle_response(self.now, sender, message)
                 self.put_holder(to, one)
         else:
             name = node_of(to)
@@ -164,9 +164,9 @@
             voter.step(self.now, sender, message)
             self.settle(name, voter, bounds)
 
-    def put_holder(self, name: str, one: Participant) -> None:
+    def put_holder(self, name: str, one: GroupClient) -> None:
         self.put(name, one)
-        self.until[name] = self.now + one.holder.left(LEASE, self.now)
+        self.until[name] = self.now + one.holder.time_left(LEASE, self.now)
         holding = [name for name, until in self.until.items() if until > self.now]
         if len(holding) > 1:
             raise Violation(f"two hold the lease at {self.now - START}: {', '.join(holding)}")
@@ -188,40 +188,44 @@
         old = self.voter(name)
         disk = self.disks[name]
         voter = make_voter(name, disk, self.now, old.raft.timing, old.settings.leases, self.machines())
-        pairs: list[tuple[object, object]] = [(voter.raft, old.raft), (voter.table, old.table)]
-        pairs += [(voter.keeper, old.keeper), (voter.book, old.book), (voter.stages, old.stages)]
+        pairs: list[tuple[object, object]] = [(voter.raft, old.raft), (voter.leases, old.leases)]
+        pairs += [
+            (voter.lease_manager, old.lease_manager),
+            (voter.config_store, old.config_store),
+            (voter.rollout, old.rollout),
+        ]
         for part, like in pairs:
             if part is not None:
                 part.__class__ = like.__class__
-        voter.raft.most_entries = old.raft.most_entries
+        voter.raft.max_entries_per_message = old.raft.max_entries_per_message
         self.put(name, voter)
 
-    def settle(self, name: str, voter: Voter, bounds: Bounds) -> None:
+    def settle(self, name: str, voter: Replica, bounds: Bounds) -> None:
         """Send and store what the voter says, until it says nothing more. What is stored is synced at once:
         a crash before that is the same as the message that led to it being lost."""
         while True:
-            for to, message in voter.prompt(self.now):
+            for to, message in voter.take_immediate_messages(self.now):
                 self.route(voter, to, message, bounds)
-            ready = voter.take()
+            ready = voter.take_ready()
             if ready is None:
                 break
             old = self.disks[name]
             entries = old.entries
             if ready.entries:
                 entries = [one for one in entries if one.index < ready.entries[0].index] + ready.entries
-            self.disks[name] = Saved(ready.term, ready.vote, old.snapshot, entries)
-            voter.synced(self.now, ready)
+            self.disks[name] = PersistentState(ready.term, ready.voted_for, old.snapshot, entries)
+            voter.acknowledge_durable(self.now, ready)
             for to, message in ready.messages:
-                if to == voter.me:
-                    voter.step(self.now, voter.me, message)
+                if to == voter.identity:
+                    voter.step(self.now, voter.identity, message)
                 else:
                     self.route(voter, to, message, bounds)
-        voter.changes.clear()
+        voter.events.clear()
         self.check(voter)
         self.put(name, voter)
 
-    def route(self, voter: Voter, to: str, message: Any, bounds: Bounds) -> None:
-        sender = voter.node if isinstance(message, Beaten) else voter.me
+    def route(self, voter: Replica, to: str, message: Any, bounds: Bounds) -> None:
+        sender = voter.node if isinstance(message, HeartbeatResponse) else voter.identity
         self.send(sender, to, message, bounds)
 
     # Properties.
@@ -230,18 +234,22 @@
         """That one may have wanted that lease."""
         return holder in self.holders and lease == LEASE
 
-    def check(self, voter: Voter) -> None:
+    def check(self, voter: Replica) -> None:
         raft = voter.raft
-        if raft.leads:
-            if self.leaders.get(raft.term, voter.me) != voter.me:
-                raise Violation(f"two lead in term {raft.term}: {self.leaders[raft.term]} and {voter.me}")
+        if raft.is_leader:
+            if self.leaders.get(raft.term, voter.identity) != voter.identity:
+                raise Violation(
+                    f"two lead in term {raft.term}: {self.leaders[raft.term]} and {voter.identity}"
+                )
             new = raft.term not in self.leaders
-            self.leaders = {**self.leaders, raft.term: voter.me}
+            self.leaders = {**self.leaders, raft.term: voter.identity}
             # At the moment of its election: one that leads on in an old term knows nothing of later ones.
             for index, entry in self.committed.items():
-                if new and (index > raft.log.last or raft.log[index] != entry):
-                    raise Violation(f"{voter.me} leads in term {raft.term} without committed entry {index}")
-        for index in range(1, raft.applied + 1):
+                if new and (index > raft.log.last_index or raft.log[index] != entry):
+                    raise Violation(
+                        f"{voter.identity} leads in term {raft.term} without committed entry {index}"
+                    )
+        for index in range(1, raft.last_applied + 1):
             if index not in self.committed:
                 self.committed = {**self.committed, index: raft.log[index]}
             elif self.committed[index] != raft.log[index]:
@@ -257,52 +265,87 @@
                 self.tokens = {**self.tokens, index: token}
 
 
-def voter_key(voter: Voter) -> tuple[Any, ...]:
-    raft, keeper = voter.raft, voter.keeper
-    log = tuple((one.index, one.term, one.body) for one in raft.log.between(1, raft.log.last))
+def voter_key(voter: Replica) -> tuple[Any, ...]:
+    raft, keeper = voter.raft, voter.lease_manager
+    log = tuple((one.index, one.term, one.body) for one in raft.log.slice(1, raft.log.last_index))
     peers = tuple(
-        (name, peer.next, peer.match, peer.round, peer.probing, peer.asked, peer.heard)
-        for name, peer in raft.peers.items()
+        (
+            name,
+            peer.next_index,
+            peer.match_index,
+            peer.acknowledged_round,
+            peer.probing,
+            peer.probe_in_flight,
+            peer.last_contact,
+        )
+        for name, peer in raft.progress.items()
+    )
+    waits = tuple(
+        (name, one.heartbeat_round, one.heartbeat.number) for name, one in keeper._pending_responses.items()
     )
-    waits = tuple((name, one.round, one.beat.number) for name, one in keeper._unanswered.items())
     return (
-        (raft.term, raft.vote, raft.role, raft.leader, raft.commit, raft.round, log, peers),
-        (raft._heard, raft._elect_at, raft._doubts, raft._beat_at, raft._since, tuple(sorted(raft._votes))),
-        (tuple(keeper._until.items()), tuple(keeper._ending.items()), keeper._leads_since, waits),
-        (tuple(keeper._granting.items()), tuple(keeper._nodes), keeper._look),
+        (
+            raft.term,
+            raft.voted_for,
+            raft.role,
+            raft.leader,
+            raft.commit_index,
+            raft.heartbeat_round,
+            log,
+            peers,
+        ),
+        (
+            raft._last_leader_contact,
+            raft._election_deadline,
+            raft._election_deferred,
+            raft._next_heartbeat,
+            raft._role_since,
+            tuple(sorted(raft._votes_received)),
+        ),
+        (tuple(keeper._expiries.items()), tuple(keeper._ending_tokens.items()), keeper._leader_since, waits),
+        (tuple(keeper._proposed_grants.items()), tuple(keeper._holders), keeper._grants_due),
     )
 
 
-def holder_key(one: Participant) -> tuple[Any, ...]:
+def holder_key(one: GroupClient) -> tuple[Any, ...]:
     holder = one.holder
-    held = tuple((name, mine.token, mine.until, mine.lapsed) for name, mine in holder.held.items())
-    sent, returns = tuple(holder._sent.items()), tuple(holder._returns.items())
-    return one.target, one._beat_at, one._unanswered, holder._number, holder._answered, held, sent, returns
+    held = tuple((name, mine.token, mine.expires_at, mine.lapsed) for name, mine in holder.held.items())
+    sent, returns = tuple(holder._sent_heartbeats.items()), tuple(holder._returned_tokens.items())
+    return (
+        one.target,
+        one._next_heartbeat,
+        one._unanswered_since,
+        holder._heartbeat_number,
+        holder._last_response,
+        held,
+        sent,
+        returns,
+    )
 
 
 def make_voter(
     name: str,
-    disk: Saved,
+    disk: PersistentState,
     now: datetime,
-    timing: Timing,
+    timing: RaftTiming,
     leases: LeaseSettings,
-    machines: Callable[[Table], Mapping[str, Machine]],
-) -> Voter:
+    machines: Callable[[LeaseTable], Mapping[str, StateMachine]],
+) -> Replica:
     saved = pickle.loads(pickle.dumps(disk))
-    settings = VoterSettings(timing, leases, VOTERS)
-    return Voter(f"{name}#1", saved, settings, machines, Even(VOTERS.index(name) / 4), now)
+    settings = ReplicaSettings(timing, leases, VOTERS)
+    return Replica(f"{name}#1", saved, settings, machines, Even(VOTERS.index(name) / 4), now)
 
 
 def _none(table: object) -> dict[str, Any]:
     return {}
 
 
-GROUP = Group(tuple(f"{name}#1" for name in VOTERS))
+GROUP = Configuration(tuple(f"{name}#1" for name in VOTERS))
 
 
 def fresh(breakage: Breakage) -> State:
     """Nobody leads, nobody holds."""
-    disks = {name: Saved(snapshot=Snapshot(group=GROUP)) for name in VOTERS}
+    disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
     return _state(breakage, disks)
 
 
@@ -336,23 +379,25 @@
 
 def divergent(breakage: Breakage) -> State:
     """Two have led, each has an entry that no other has, and the first leads again: after (b) of figure 8."""
-    disks = {name: Saved(snapshot=Snapshot(group=GROUP)) for name in VOTERS}
-    disks["v1"].term, disks["v1"].vote = 3, ""  # it has heard of term 3, and has what it wrote in term 2
-    disks["v1"].entries = [Entry(1, 2, Kind.EMPTY, "")]
-    disks["v2"].term, disks["v2"].vote = 3, "v2#1"
-    disks["v2"].entries = [Entry(1, 3, Kind.EMPTY, "")]
-    disks["v3"].term, disks["v3"].vote = 3, "v2#1"
+    disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
+    disks["v1"].term, disks["v1"].voted_for = 3, ""  # it has heard of term 3, and has what it wrote in term 2
+    disks["v1"].entries = [LogEntry(1, 2, EntryType.NOOP, "")]
+    disks["v2"].term, disks["v2"].voted_for = 3, "v2#1"
+    disks["v2"].entries = [LogEntry(1, 3, EntryType.NOOP, "")]
+    disks["v3"].term, disks["v3"].voted_for = 3, "v2#1"
     state = _state(breakage, disks, holders=())
     bounds = Bounds(99, 9, 99)
     first = state.voter("v1")
     state.now = first.raft.next_due()
     first.tick(state.now)
     state.settle("v1", first, bounds)
-    while not state.voter("v1").raft.leads:
+    while not state.voter("v1").raft.is_leader:
         one = next(one for one in state.flying if "v2#1" not in one[:2])
         state.flying = tuple(other for other in state.flying if other is not one)
         state.deliver(*one, bounds)
-    return replace(state, wakes=0, flying=tuple(one for one in state.flying if isinstance(one[2], Append)))
+    return replace(
+        state, wakes=0, flying=tuple(one for one in state.flying if isinstance(one[2], AppendEntries))
+    )
 
 
 STARTS = {
@@ -365,20 +410,22 @@
 }
 
 
-def _state(breakage: Breakage, disks: dict[str, Saved], holders: tuple[str, ...] = ("a", "b")) -> State:
+def _state(
+    breakage: Breakage, disks: dict[str, PersistentState], holders: tuple[str, ...] = ("a", "b")
+) -> State:
     settings = breakage.settings(SETTINGS)
     names = tuple(f"{name}/1" for name in holders)
     state = State(START, {}, {}, tuple(disks), names, disks)
     for name, disk in disks.items():
         voter = make_voter(name, disk, START, TIMING, settings, _none)
         breakage.put_on_voter(voter)
-        voter.raft.most_entries = breakage.most_entries
+        voter.raft.max_entries_per_message = breakage.most_entries
         state.put(name, voter)
     for number, name in enumerate(holders):
-        one = Participant(name, "1", VOTERS, settings, Even(0.0))
+        one = GroupClient(name, "1", VOTERS, settings, Even(0.0))
         breakage.put_on(one.holder)
-        one.holder.want([LEASE])
-        one._beat_at = START + number * MILLISECOND
+        one.holder.set_wanted([LEASE])
+        one._next_heartbeat = START + number * MILLISECOND
         state.put(one.holder.name, one)
     return state
 
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/drill/explore_rules.py
@@ -12,9 +12,9 @@
 from datetime import datetime
 from typing import Any
 
-from marlstep.consensus.log import Group, Saved, Snapshot
-from marlstep.consensus.replica import Voter, node_of
-from marlstep.consensus.state_machine import Machine
+from marlstep.consensus.log import Configuration, PersistentState, Snapshot
+from marlstep.consensus.replica import Replica, node_of
+from marlstep.consensus.state_machine import StateMachine
 from marlstep.drill.broken import Breakage
 from marlstep.drill.explore import (
     START,
@@ -29,9 +29,9 @@
     make_voter,
     walk_from,
 )
-from marlstep.leases.client import Participant
-from marlstep.leases.settings import RULES, LeaseSettings
-from marlstep.leases.table import Table
+from marlstep.leases.client import GroupClient
+from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
+from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import CutOff, Kind, Named, digest_of
 from marlstep.replicated_config.follower import Ack, Act, Check, Do, Follower, Found, Stop
 from marlstep.replicated_config.follower import State as Follows
@@ -41,10 +41,10 @@
 
 NODES = ("a", "b")
 DOCUMENT = "d"
-SETTINGS = LeaseSettings(1_500 * MILLISECOND, rules=1_500 * MILLISECOND)
+SETTINGS = LeaseSettings(1_500 * MILLISECOND, config_term=1_500 * MILLISECOND)
 
 
-def _book(table: Table) -> dict[str, Machine]:
+def _book(table: LeaseTable) -> dict[str, StateMachine]:
     return {"rules": Book(table)}
 
 
@@ -54,10 +54,10 @@
     def __init__(
         self, node: str, boot: str, voters: tuple[str, ...], settings: LeaseSettings, strict: bool
     ) -> None:
-        self.participant = Participant(node, boot, voters, settings, Even(0.0))
+        self.participant = GroupClient(node, boot, voters, settings, Even(0.0))
         self.holder = self.participant.holder
-        self.lease = RULES + self.holder.name
-        self.holder.want([self.lease])
+        self.lease = CONFIG_LEASE_PREFIX + self.holder.name
+        self.holder.set_wanted([self.lease])
         named = Named(DOCUMENT, Kind.SETTINGS, strict, CutOff.STOP)
         self.follower = Follower((named,), node)
         self.follower.boot()
@@ -73,25 +73,25 @@
         named = self.follower.standings[DOCUMENT].named
         put: dict[str, Any] = {**told, "do": "put", "expect": expect, "strict": named.strict}
         put |= {"digest": digest_of(content), "author": "", "note": "", "at": ""}
-        self.participant.ask(now, {**told, "do": "part", "offset": 0, "data": content})
-        self.participant.ask(now, put)
+        self.participant.propose(now, {**told, "do": "part", "offset": 0, "data": content})
+        self.participant.propose(now, put)
 
     def tick(self, now: datetime) -> list[tuple[str, Any]]:
         sends, _ = self.participant.tick(now)
-        self._carry_out(now, self.follower.look(now, self.holder.left(self.lease, now)))
+        self._carry_out(now, self.follower.look(now, self.holder.time_left(self.lease, now)))
         return self._out(now, sends)
 
     def told(self, now: datetime, sender: str, message: Any) -> list[tuple[str, Any]]:
-        left = self.holder.left
+        left = self.holder.time_left
         if isinstance(message, Piece):
             self._carry_out(now, self.follower.piece(now, message, left(self.lease, now)))
         else:
-            self.participant.told(now, sender, message)
-            news, self.holder.news = self.holder.news, None
+            self.participant.handle_response(now, sender, message)
+            news, self.holder.documents = self.holder.documents, None
             if news is not None:
                 self._carry_out(now, self.follower.told(now, news, left(self.lease, now)))
             for number, version in list(self._acks.items()):
-                if (result := self.participant.result(number)) is not None:
+                if (result := self.participant.take_result(number)) is not None:
                     del self._acks[number]
                     if "refused" in result:
                         self.follower.ack_lost(DOCUMENT, version)
@@ -100,22 +100,22 @@
     def _out(self, now: datetime, sends: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
         """What it has to say at once, beside `sends`; its next beat comes when it is due."""
         more, self._sends = self._sends, []
-        out = self.participant._out.values()
+        out = self.participant._outbound.values()
         for one in out:
-            if one.sent is None:
-                one.sent = now
-                more.append((self.participant.target, one.ask))
+            if one.sent_at is None:
+                one.sent_at = now
+                more.append((self.participant.target, one.request))
         return sends + more
 
     def _carry_out(self, now: datetime, done: list[Do]) -> None:
         while done:
             match do := done.pop(0):
                 case Check():
-                    done += self.follower.checked(now, do, "", self.holder.left(self.lease, now))
+                    done += self.follower.checked(now, do, "", self.holder.time_left(self.lease, now))
                 case Ack():
                     told = {"m": "rules", "do": "ack", "doc": do.name, "version": do.version, "why": ""}
                     told |= {"digest": do.digest, "holder": self.holder.name}
-                    number = self.participant.ask(now, told)
+                    number = self.participant.propose(now, told)
                     assert number is not None
                     self._acks[number] = do.version
                 case Fetch():
@@ -128,7 +128,7 @@
     def acting(self, now: datetime) -> tuple[int, datetime] | None:
         """The version that it acts on, and until when."""
         one = self.follower.standings[DOCUMENT]
-        left = self.holder.left(self.lease, now)
+        left = self.holder.time_left(self.lease, now)
         return (one.version, now + left) if one.state is Follows.ACTING and left else None
 
 
@@ -139,7 +139,7 @@
     in_force: dict[int, datetime] = field(default_factory=dict)  # versions, and since when
 
     @staticmethod
-    def machines() -> Callable[[Table], Mapping[str, Machine]]:
+    def machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
         return _book
 
     def copy(self) -> RulesState:
@@ -203,19 +203,19 @@
         for target, message in sends:
             self.send(name, target, message, bounds)
 
-    def route(self, voter: Voter, to: str, message: Any, bounds: Bounds) -> None:
-        sender = voter.me if "#" in to else voter.node
+    def route(self, voter: Replica, to: str, message: Any, bounds: Bounds) -> None:
+        sender = voter.identity if "#" in to else voter.node
         self.send(sender, to, message, bounds)
 
     # Properties.
 
     def asked_for(self, holder: str, lease: str) -> bool:
-        return holder.partition("/")[0] in NODES and lease == RULES + holder
+        return holder.partition("/")[0] in NODES and lease == CONFIG_LEASE_PREFIX + holder
 
-    def check(self, voter: Voter) -> None:
+    def check(self, voter: Replica) -> None:
         State.check(self, voter)
-        assert voter.book is not None
-        document = voter.book.documents.get(DOCUMENT)
+        assert voter.config_store is not None
+        document = voter.config_store.documents.get(DOCUMENT)
         new = {one.version: self.now for one in (document.versions if document else ())} | self.in_force
         if new != self.in_force:
             self.in_force = new
@@ -237,7 +237,7 @@
             raise Violation(f"two act on different versions at {self.now - START}: {acting}")
         newest = max(self.in_force, default=0)
         for name, version in acting.items():
-            if version < newest and self.now > self.in_force[newest] + SETTINGS.rules:
+            if version < newest and self.now > self.in_force[newest] + SETTINGS.config_term:
                 late = self.now - self.in_force[newest]
                 raise Violation(f"{name} acts on version {version} {late} after {newest} came into force")
 
@@ -263,11 +263,11 @@
         at.acked,
         at.found,
     )
-    return (*mine, holder_key(one.participant), tuple(one.participant._out), tuple(one._acks.items()))
+    return (*mine, holder_key(one.participant), tuple(one.participant._outbound), tuple(one._acks.items()))
 
 
-def book_key(voter: Voter) -> tuple[Any, ...]:
-    return tuple(voter._asked), tuple(sorted(voter._committing))
+def book_key(voter: Replica) -> tuple[Any, ...]:
+    return tuple(voter._pending_requests), tuple(sorted(voter._committing))
 
 
 def lapsed(breakage: Breakage, strict: bool, voters: tuple[str, ...]) -> RulesState:
@@ -279,7 +279,9 @@
     state.wake(late, WIDE)
     [name] = state.voters
     voter = state.voter(name)
-    state.now = max(filter(None, (voter.keeper.until(RULES + one) for one in state.holders)))
+    state.now = max(
+        filter(None, (voter.lease_manager.expiry_of(CONFIG_LEASE_PREFIX + one) for one in state.holders))
+    )
     voter.tick(state.now)
     state.settle(name, voter, WIDE)
     state.flying = tuple(sent for sent in state.flying if sent[0] == late)
@@ -289,16 +291,16 @@
 
 def change(breakage: Breakage, strict: bool, voters: tuple[str, ...]) -> RulesState:
     """Both nodes act on version 1, and version 2 is prepared: they are to be told. Raises Violation."""
-    group = Group(tuple(f"{name}#1" for name in voters))
-    disks = {name: Saved(snapshot=Snapshot(group=group)) for name in voters}
+    group = Configuration(tuple(f"{name}#1" for name in voters))
+    disks = {name: PersistentState(snapshot=Snapshot(configuration=group)) for name in voters}
     settings = breakage.settings(SETTINGS)
     names = tuple(f"{name}/1" for name in NODES)
     state = RulesState(START, {}, {}, voters, names, disks, strict=strict)
     for name in voters:
         voter = make_voter(name, disks[name], START, TIMING, settings, _book)
         breakage.put_on_voter(voter)
-        if voter.book is not None:
-            breakage.put_on(voter.book)
+        if voter.config_store is not None:
+            breakage.put_on(voter.config_store)
         state.put(name, voter)
     for name in names:
         one = RulesNode(name.partition("/")[0], "1", voters, settings, strict)
@@ -314,7 +316,7 @@
 
     def prepared() -> bool:
         for name in voters:
-            book = state.voter(name).book
+            book = state.voter(name).config_store
             if (
                 book is not None
                 and DOCUMENT in book.documents
--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -118,7 +118,7 @@
         vote(self, told)
         if self.voter is not None:
             breakage.put_on_voter(self.voter)
-            for part in (self.voter.book, self.voter.shares):
+            for part in (self.voter.config_store, self.voter.quotas):
                 if part is not None:
                     breakage.put_on(part)
 
--- a/marlstep/drill/virtual.py
+++ b/marlstep/drill/virtual.py
@@ -15,15 +15,22 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.log import Entry, Group, Saved, Snapshot
-from marlstep.consensus.messages import Vote
-from marlstep.consensus.raft import Ready, Timing
-from marlstep.consensus.replica import Ask, Join, Told, Voter, VoterSettings, node_of
+from marlstep.consensus.log import Configuration, LogEntry, PersistentState, Snapshot
+from marlstep.consensus.messages import RequestVoteResponse
+from marlstep.consensus.raft import RaftTiming, Ready
+from marlstep.consensus.replica import (
+    CommandRequest,
+    CommandResponse,
+    JoinRequest,
+    Replica,
+    ReplicaSettings,
+    node_of,
+)
 from marlstep.drill.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
 from marlstep.drill.broken import Breakage
 from marlstep.drill.plan import HEAL_MS, Fault, Plan
-from marlstep.leases.client import Participant
-from marlstep.leases.messages import Beat, Beaten
+from marlstep.leases.client import GroupClient
+from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
 from marlstep.replicated_config.messages import Fetch
 from marlstep.scheduled_tasks.run_log import PREFIX, Outcome, Record
@@ -67,21 +74,23 @@
     """What is durable of one voter."""
 
     identity: str
-    saved: Saved
+    saved: PersistentState
     copied: bool = False  # it was put there from a backup
 
     def copy(self) -> Disk:
         told = self.saved
         return Disk(
-            self.identity, Saved(told.term, told.vote, told.snapshot, list(told.entries)), self.copied
+            self.identity,
+            PersistentState(told.term, told.voted_for, told.snapshot, list(told.entries)),
+            self.copied,
         )
 
     def write(self, ready: Ready) -> None:
         saved = self.saved
-        saved.term, saved.vote = ready.term, ready.vote
+        saved.term, saved.voted_for = ready.term, ready.voted_for
         if ready.snapshot is not None:
             saved.snapshot = ready.snapshot
-            if ready.replaces:
+            if ready.replaces_log:
                 saved.entries = []
             saved.entries = [one for one in saved.entries if one.index > ready.snapshot.index]
         if ready.entries:
@@ -107,8 +116,8 @@
         self.up = False
         self.disk: Disk | None = None
         self.olds: list[Disk] = []
-        self.voter: Voter | None = None
-        self.participant: Participant
+        self.voter: Replica | None = None
+        self.participant: GroupClient
         self.runners: dict[str, Runner] = {}
         self.stopped_until = 0
         self.slow_disk_until = 0
@@ -137,32 +146,32 @@
         self.up, self.leaving, self._storing, self._ticks_at, self.hook = True, False, False, None, ""
         self._asked, self._kept, self.stopped_until = {}, [], 0
         boot = f"b{self.life}"
-        self.participant = Participant(
+        self.participant = GroupClient(
             self.name, boot, world.plan.voters, world.settings, random.Random(world.chance.random())
         )
         world.breakage.put_on(self.participant.holder)
-        self.participant.holder.want([*(PREFIX + task for task in TASKS), *world.wants(self)])
+        self.participant.holder.set_wanted([*(PREFIX + task for task in TASKS), *world.wants(self)])
         self.runners = {task: Runner(world.tasks[task]) for task in TASKS}
         self.voter = None
         if self.name in world.plan.voters:
             if self.disk is None or (self.disk.copied and not world.breakage.trusts_copies):
-                self.disk = Disk(f"{self.name}#{world.fresh()}", Saved())
+                self.disk = Disk(f"{self.name}#{world.fresh()}", PersistentState())
             self.disk.copied = False
             self.voter = self._voter(self.disk)
-            self._checked = self.voter.raft.applied
+            self._checked = self.voter.raft.last_applied
             world.breakage.put_on_voter(self.voter)
         for runner in self.runners.values():
             world.breakage.put_on(runner)
         world.started(self)
         self.drive()
 
-    def _voter(self, disk: Disk) -> Voter:
+    def _voter(self, disk: Disk) -> Replica:
         world = self.world
         settings = world.voter_settings()
         saved = disk.copy().saved
         chance = random.Random(world.chance.random())
-        voter = Voter(disk.identity, saved, settings, world.machines, chance, self.now)
-        voter.raft.most_entries = world.breakage.most_entries
+        voter = Replica(disk.identity, saved, settings, world.machines, chance, self.now)
+        voter.raft.max_entries_per_message = world.breakage.most_entries
         return voter
 
     def kill(self) -> None:
@@ -207,16 +216,17 @@
 
     def receive(self, sender: str, to: str, message: Any) -> None:
         voter = self.voter
-        if to == self.participant.holder.name and isinstance(message, Beaten | Told):
-            changes = self.participant.told(self.now, sender, message)
+        if to == self.participant.holder.name and isinstance(message, HeartbeatResponse | CommandResponse):
+            changes = self.participant.handle_response(self.now, sender, message)
             for change in changes:
-                self.world.changed(change.what)
+                self.world.changed(change.event)
             self.world.check_holders()
             self.world.heard(self)
         elif to == self.participant.holder.name:
             self.world.got(self, message)
         elif voter is not None and (
-            to == voter.me or (to == self.name and isinstance(message, Beat | Ask | Join | Fetch))
+            to == voter.identity
+            or (to == self.name and isinstance(message, Heartbeat | CommandRequest | JoinRequest | Fetch))
         ):
             voter.step(self.now, sender, message)
 
@@ -228,21 +238,21 @@
         if voter is not None:
             if voter.next_due() <= now:
                 voter.tick(now)
-            self._send_all(voter.prompt(now))
+            self._send_all(voter.take_immediate_messages(now))
             if not self.up:
                 return
             self._store(voter)
             if not self.up:
                 return
             self._check(voter)
-            if voter.me not in voter.raft.group.voters and self.world.true_us >= self._join_at:
+            if voter.identity not in voter.raft.configuration.voters and self.world.true_us >= self._join_at:
                 self._join_at = self.world.true_us + 500_000
                 for one in self.world.plan.voters:
                     if one != self.name:
-                        self.world.send(self, voter.me, one, Join(self.name, voter.me))
+                        self.world.send(self, voter.identity, one, JoinRequest(self.name, voter.identity))
         sends, changes = self.participant.tick(now)
         for change in changes:
-            self.world.changed(change.what)
+            self.world.changed(change.event)
         for target, message in sends:
             self.world.send(self, self.participant.holder.name, target, message)
         self._work(now)
@@ -254,30 +264,32 @@
         voter = self.voter
         assert voter is not None
         for to, message in messages:
-            if to == voter.me:
+            if to == voter.identity:
                 self.at(0, lambda message=message: self._to_self(message))  # type: ignore[misc]
             else:
-                sender = self.name if isinstance(message, Told | Beaten) else voter.me
+                sender = (
+                    self.name if isinstance(message, CommandResponse | HeartbeatResponse) else voter.identity
+                )
                 self.world.send(self, sender, to, message)
 
     def _to_self(self, message: Any) -> None:
         if self.voter is not None:
-            self.voter.step(self.now, self.voter.me, message)
+            self.voter.step(self.now, self.voter.identity, message)
 
-    def _store(self, voter: Voter) -> None:
+    def _store(self, voter: Replica) -> None:
         if self._storing:
             return
-        ready = voter.take()
+        ready = voter.take_ready()
         if ready is None:
             return
         world = self.world
         if any(
-            isinstance(message, Vote) and message.granted for _, message in ready.messages
+            isinstance(message, RequestVoteResponse) and message.granted for _, message in ready.messages
         ) and self.reached("voted"):
             return
         if world.breakage.speaks_unsynced:
             self._send_all(ready.messages)
-        if not ready.stores:
+        if not ready.needs_sync:
             self._stored(voter, ready)
             self._store(voter)
             return
@@ -295,8 +307,8 @@
 
         self.at(wait, done)
 
-    def _stored(self, voter: Voter, ready: Ready) -> None:
-        voter.synced(self.now, ready)
+    def _stored(self, voter: Replica, ready: Ready) -> None:
+        voter.acknowledge_durable(self.now, ready)
         if not self.world.breakage.speaks_unsynced:
             self._send_all(ready.messages)
 
@@ -329,7 +341,7 @@
     def _work(self, now: datetime) -> None:
         participant = self.participant
         for number in list(self._asked):
-            result = participant.result(number)
+            result = participant.take_result(number)
             if result is not None:
                 if number not in self._asked:
                     continue
@@ -347,7 +359,7 @@
                     runner.lost()
             if self.leaving and token and not runner.busy:
                 continue
-            wanted = runner.next(now, self.wall, participant.holder.left(name, now))
+            wanted = runner.next(now, self.wall, participant.holder.time_left(name, now))
             if wanted is not None:
                 self._do(task, wanted, now)
                 if not self.up:
@@ -361,7 +373,7 @@
             return
         if do.what == "end" and self.reached("ended"):
             return
-        number = self.participant.ask(now, do.command(task))
+        number = self.participant.propose(now, do.command(task))
         if number is None:
             self.runners[task].told(now, do, None)
         else:
@@ -373,20 +385,20 @@
     def leave(self) -> None:
         """The notice to leave: leases are given back, leadership is handed over."""
         self.leaving = True
-        self.participant.leave(self.now)
+        self.participant.release_leases(self.now)
         if self.voter is not None:
-            self.voter.leave(self.now)
+            self.voter.transfer_leadership(self.now)
 
     # What is checked of it.
 
-    def _check(self, voter: Voter) -> None:
+    def _check(self, voter: Replica) -> None:
         raft, world = voter.raft, self.world
-        if raft.leads:
+        if raft.is_leader:
             world.leads(voter)
-        first = max(self._checked + 1, raft.log.first)
-        for index in range(first, raft.applied + 1):
+        first = max(self._checked + 1, raft.log.first_index)
+        for index in range(first, raft.last_applied + 1):
             world.committed(self, raft.log[index])
-        self._checked = raft.applied
+        self._checked = raft.last_applied
         for index, command, result in list(voter.applied)[-8:]:
             world.applied(self, index, command, result)
 
@@ -413,7 +425,7 @@
         self._number = 0
         self._fresh = 0
         self._links: dict[tuple[str, str], Link] = {}
-        self._committed: dict[int, Entry] = {}
+        self._committed: dict[int, LogEntry] = {}
         self._leaders: dict[int, str] = {}
         self._tokens: dict[int, int] = {}  # of grants, by index
         self._wanted: set[tuple[str, str]] = set()  # by whom, what: ever
@@ -436,8 +448,8 @@
     def machines(self, table: Any) -> dict[str, Any]:
         return {"tasks": Record(table)}
 
-    def voter_settings(self) -> VoterSettings:
-        return VoterSettings(Timing(), self.settings, self.plan.voters)
+    def voter_settings(self) -> ReplicaSettings:
+        return ReplicaSettings(RaftTiming(), self.settings, self.plan.voters)
 
     def wants(self, node: VirtualNode) -> list[str]:
         """Leases beside those of the tasks."""
@@ -463,11 +475,11 @@
 
     def run(self) -> None:
         """To the end of the plan. Raises Broken."""
-        group = Group(tuple(f"{name}#first" for name in self.plan.voters))
+        group = Configuration(tuple(f"{name}#first" for name in self.plan.voters))
         for node in self.nodes.values():
             if node.name in self.plan.voters:
-                snapshot = Snapshot(group=group)
-                node.disk = Disk(f"{node.name}#first", Saved(snapshot=snapshot))
+                snapshot = Snapshot(configuration=group)
+                node.disk = Disk(f"{node.name}#first", PersistentState(snapshot=snapshot))
             node.start()
         for fault in self.plan.faults:
             self.after(fault.at_ms * 1_000, lambda fault=fault: self._strike(fault))  # type: ignore[misc]
@@ -488,8 +500,8 @@
         return self._links.setdefault((one, other), Link())
 
     def send(self, node: VirtualNode, sender: str, to: str, message: Any) -> None:
-        if isinstance(message, Beat):
-            self._wanted |= {(sender, name) for name in message.wants}
+        if isinstance(message, Heartbeat):
+            self._wanted |= {(sender, name) for name in message.wanted_leases}
         target = self.nodes[node_of(to)]
         if target is node:
             node.at(10, lambda: node.receive(sender, to, message))
@@ -572,7 +584,7 @@
             mine = [act for act in self.acts if act.task == TASKS[0] and act.accepted]
             return mine[-1].node if mine else self.plan.nodes[0]
         if name == "@leader":
-            leads = [one for one in self.nodes.values() if one.up and one.voter and one.voter.raft.leads]
+            leads = [one for one in self.nodes.values() if one.up and one.voter and one.voter.raft.is_leader]
             terms = {one.voter.raft.term: one.name for one in leads if one.voter}
             return terms[max(terms)] if terms else self.plan.voters[0]
         return name
@@ -580,12 +592,14 @@
     def _spare(self, node: VirtualNode) -> bool:
         """A second voter may lose its store only once the first is replaced: else the majority itself is gone."""
         leaders = [
-            one.voter for one in self.nodes.values() if one.up and one.voter and one.voter.raft.established
+            one.voter
+            for one in self.nodes.values()
+            if one.up and one.voter and one.voter.raft.is_established_leader
         ]
         if not leaders or node.disk is None or self.true_us < self._amnesia_until:
             self.counts["spared"] += 1
             return False
-        group = max(leaders, key=lambda voter: voter.raft.term).raft.group
+        group = max(leaders, key=lambda voter: voter.raft.term).raft.configuration
         known = {one.disk.identity for one in self.nodes.values() if one.disk is not None}
         if not set(group.voters) <= known or len(group.voters) < len(self.plan.voters):
             self.counts["spared"] += 1
@@ -647,12 +661,14 @@
             holders = [
                 node.name
                 for node in self.nodes.values()
-                if node.up and node.name not in self._beyond and node.participant.holder.left(name, node.now)
+                if node.up
+                and node.name not in self._beyond
+                and node.participant.holder.time_left(name, node.now)
             ]
             if len(holders) > 1:
                 raise Broken(f"two hold {name} at {self.true_us} us: {', '.join(holders)}")
 
-    def committed(self, node: VirtualNode, entry: Entry) -> None:
+    def committed(self, node: VirtualNode, entry: LogEntry) -> None:
         known = self._committed.setdefault(entry.index, entry)
         if known != entry:
             raise Broken(
@@ -672,10 +688,10 @@
         if (holder, command["name"]) not in self._wanted:
             raise Broken(f"granted what was not asked: {command}")
 
-    def leads(self, voter: Voter) -> None:
-        known = self._leaders.setdefault(voter.raft.term, voter.me)
-        if known != voter.me:
-            raise Broken(f"two lead in term {voter.raft.term}: {known} and {voter.me}")
+    def leads(self, voter: Replica) -> None:
+        known = self._leaders.setdefault(voter.raft.term, voter.identity)
+        if known != voter.identity:
+            raise Broken(f"two lead in term {voter.raft.term}: {known} and {voter.identity}")
 
     def _judge(self) -> None:
         self.counts["runs"] = sum(act.accepted and not act.fence for act in self.acts)
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -13,12 +13,12 @@
 from itertools import pairwise
 from typing import Any
 
-from marlstep.consensus.replica import VoterSettings
+from marlstep.consensus.replica import ReplicaSettings
 from marlstep.drill.broken import Breakage
 from marlstep.drill.linear import Call, Came, unordered
 from marlstep.drill.plan import Plan
 from marlstep.drill.virtual import Broken, VirtualNode, World, broken_by
-from marlstep.leases.settings import RULES
+from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.membership.quotas import WHOLE, Shares, Using
 from marlstep.replicated_config.documents import CutOff, Kind, Named, digest_of
 from marlstep.replicated_config.follower import Ack, Act, Check, Follower, Found, State, Stop
@@ -54,7 +54,10 @@
     def __init__(self, plan: Plan, breakage: Breakage | None = None) -> None:
         super().__init__(plan, breakage)
         self.settings = type(self.settings)(
-            self.settings.term, self.settings.drift, 0, self.breakage.settings(self.settings).rules or TERM
+            self.settings.term,
+            self.settings.drift,
+            0,
+            self.breakage.settings(self.settings).config_term or TERM,
         )
         self.followers: dict[str, Follower] = {}
         self.seen = {one.name: Seen() for one in DOCUMENTS}
@@ -71,12 +74,12 @@
     def machines(self, table: Any) -> dict[str, Any]:
         return {"tasks": Record(table), "rules": Book(table), "shares": Shares(table)}
 
-    def voter_settings(self) -> VoterSettings:
-        return replace(super().voter_settings(), shares=True)
+    def voter_settings(self) -> ReplicaSettings:
+        return replace(super().voter_settings(), quotas=True)
 
     @staticmethod
     def lease(node: VirtualNode) -> str:
-        return RULES + node.participant.holder.name
+        return CONFIG_LEASE_PREFIX + node.participant.holder.name
 
     def wants(self, node: VirtualNode) -> list[str]:
         return [self.lease(node)]
@@ -86,10 +89,10 @@
         self.breakage.put_on(follower)
         node.participant.holder.report = lambda now: self._report(node, follower, now)
         self.using[node.name] = Using()
-        if node.voter is not None and node.voter.book is not None:
-            self.breakage.put_on(node.voter.book)
-        if node.voter is not None and node.voter.shares is not None:
-            self.breakage.put_on(node.voter.shares)
+        if node.voter is not None and node.voter.config_store is not None:
+            self.breakage.put_on(node.voter.config_store)
+        if node.voter is not None and node.voter.quotas is not None:
+            self.breakage.put_on(node.voter.quotas)
         before = self.followers.get(node.name)
         self.followers[node.name] = follower
         if self.breakage.name == "version-from-disk" and before is not None:
@@ -112,47 +115,47 @@
     # What nodes do.
 
     def heard(self, node: VirtualNode) -> None:
-        news, node.participant.holder.news = node.participant.holder.news, None
+        news, node.participant.holder.documents = node.participant.holder.documents, None
         using, now = self.using[node.name], node.now
-        for tenant, to in using.told(node.participant.holder.shares):
+        for tenant, to in using.told(node.participant.holder.quota_shares):
             told = {"m": "shares", "do": "gave", "tenant": tenant, "to": to}
-            number = node.participant.ask(now, {**told, "holder": node.participant.holder.name})
+            number = node.participant.propose(now, {**told, "holder": node.participant.holder.name})
             if number is None:
                 using.lost(tenant)
             else:
                 self._given[node.name, node.life, number] = tenant
         if news is not None:
-            left = node.participant.holder.left(self.lease(node), node.now)
+            left = node.participant.holder.time_left(self.lease(node), node.now)
             self._carry_out(node, self.followers[node.name].told(node.now, news, left))
 
     def got(self, node: VirtualNode, message: Any) -> None:
         if isinstance(message, Piece):
-            left = node.participant.holder.left(self.lease(node), node.now)
+            left = node.participant.holder.time_left(self.lease(node), node.now)
             self._carry_out(node, self.followers[node.name].piece(node.now, message, left))
 
     def drove(self, node: VirtualNode) -> None:
         follower, participant = self.followers[node.name], node.participant
         for key in [key for key in self._acks if key[:2] == (node.name, node.life)]:
-            result = participant.result(key[2])
+            result = participant.take_result(key[2])
             if result is not None:
                 name, version = self._acks.pop(key)
                 if "refused" in result:
                     follower.ack_lost(name, version)
         for key in [key for key in self._given if key[:2] == (node.name, node.life)]:
-            result = participant.result(key[2])
+            result = participant.take_result(key[2])
             if result is not None:
                 tenant = self._given.pop(key)
                 if "refused" in result:
                     self.using[node.name].lost(tenant)
         for client in self.clients:
             client.look(node)
-        left = participant.holder.left(self.lease(node), node.now)
+        left = participant.holder.time_left(self.lease(node), node.now)
         self._carry_out(node, follower.look(node.now, left))
         self.watch()
 
     def _carry_out(self, node: VirtualNode, done: list[Any]) -> None:
         follower, now = self.followers[node.name], node.now
-        left = node.participant.holder.left(self.lease(node), now)
+        left = node.participant.holder.time_left(self.lease(node), now)
         while done:
             do = done.pop(0)
             match do:
@@ -169,7 +172,7 @@
                         "digest": do.digest,
                     }
                     told |= {"holder": node.participant.holder.name, "why": do.why}
-                    number = node.participant.ask(now, told)
+                    number = node.participant.propose(now, told)
                     if number is None:
                         follower.ack_lost(do.name, do.version)
                     else:
@@ -205,7 +208,7 @@
         upload, now = f"u{self._uploads}", node.now
         for offset in range(0, len(content), 4_000):
             piece: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": offset}
-            node.participant.ask(now, {**piece, "data": content[offset : offset + 4_000]})
+            node.participant.propose(now, {**piece, "data": content[offset : offset + 4_000]})
         kind = next(one for one in DOCUMENTS if one.name == name)
         put: dict[str, Any] = {"m": "rules", "do": "put", "doc": name, "kind": kind.kind.value}
         put |= {"strict": kind.strict, "upload": upload, "digest": digest_of(content), "expect": expect}
@@ -213,7 +216,7 @@
         put |= {"at": "", "hold_out": hold_out, "stage": stage}
         if node.reached("uploading"):
             return None
-        number = node.participant.ask(now, put)
+        number = node.participant.propose(now, put)
         node.drive()
         return None if node.reached("put") else number
 
@@ -222,10 +225,10 @@
     def _see_stages(self) -> None:
         """A stage is over for the eye as soon as any voter has applied its end."""
         voters = [one.voter for one in self.nodes.values() if one.up and one.voter is not None]
-        best = max(voters, key=lambda voter: voter.raft.applied, default=None)
-        if best is not None and best.book is not None and best.raft.applied > self._seen_at:
-            self._seen_at = best.raft.applied
-            told = {name: one for name, one in best.book.staged() if one.stage is not None}
+        best = max(voters, key=lambda voter: voter.raft.last_applied, default=None)
+        if best is not None and best.config_store is not None and best.raft.last_applied > self._seen_at:
+            self._seen_at = best.raft.last_applied
+            told = {name: one for name, one in best.config_store.staged() if one.stage is not None}
             self.counts["stages"] += len(told.keys() - self._staged.keys())
             self._staged = {
                 name: (one.version.version, one.stage.nodes) for name, one in told.items() if one.stage
@@ -239,7 +242,7 @@
             if node.up
             and node.name in self.using
             and node.name not in self._beyond
-            and node.participant.holder.left(self.lease(node), node.now)
+            and node.participant.holder.time_left(self.lease(node), node.now)
         }
         self.most_used = max(self.most_used, sum(used.values()))
         if self.most_used > WHOLE:
@@ -257,7 +260,7 @@
                 if not node.up or follower is None or node.name in self._beyond:
                     continue
                 one = follower.standings[named.name]
-                held = node.participant.holder.left(self.lease(node), node.now)
+                held = node.participant.holder.time_left(self.lease(node), node.now)
                 if self.breakage.name == "version-from-disk" and one.target is None:
                     held = TERM  # it does not ask
                 number, on = self._staged.get(named.name, (0, []))
@@ -271,7 +274,7 @@
                 if seen.differ_since is None:
                     seen.differ_since = self.true_us
                 seen.longest_us = max(seen.longest_us, self.true_us - seen.differ_since)
-                if seen.longest_us > span_us(self.settings.rules):
+                if seen.longest_us > span_us(self.settings.config_term):
                     raise Broken(f"{named.name}: versions {versions} side by side for {seen.longest_us} us")
             else:
                 seen.differ_since = None
@@ -289,9 +292,11 @@
                 raise Broken(f"{named.name}: {why}")
             in_force = max(
                 (
-                    [one.version for one in node.voter.book.documents[named.name].versions]
+                    [one.version for one in node.voter.config_store.documents[named.name].versions]
                     for node in self.nodes.values()
-                    if node.voter and node.voter.book and named.name in node.voter.book.documents
+                    if node.voter
+                    and node.voter.config_store
+                    and named.name in node.voter.config_store.documents
                 ),
                 key=len,
                 default=[],
@@ -303,8 +308,8 @@
             sick = [
                 one.version
                 for node in self.nodes.values()
-                if node.voter and node.voter.book and named.name in node.voter.book.documents
-                for one in node.voter.book.documents[named.name].versions
+                if node.voter and node.voter.config_store and named.name in node.voter.config_store.documents
+                for one in node.voter.config_store.documents[named.name].versions
                 if SICK in one.content
             ]
             if sick:
@@ -354,7 +359,7 @@
             self._waits = (node, node.life, number)
 
     def _ask(self, node: VirtualNode, name: str) -> None:
-        number = node.participant.ask(node.now, {"m": "rules", "do": "get", "doc": name})
+        number = node.participant.propose(node.now, {"m": "rules", "do": "get", "doc": name})
         if number is not None:
             self._waits = (node, node.life, number)
             node.drive()
@@ -378,7 +383,7 @@
         at, life, number = self._waits
         if at is not node or life != node.life or not node.up:
             return
-        result = node.participant.result(number)
+        result = node.participant.take_result(number)
         if result is None:
             return
         self._waits = None
--- a/marlstep/event_loop_watchdog.py
+++ b/marlstep/event_loop_watchdog.py
@@ -9,13 +9,13 @@
 import faulthandler
 from datetime import timedelta
 
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 
 LOOKS = 4  # times that the alarm is put off within the limit
 
 
-class StallWatch:
-    def __init__(self, timeline: Timeline, limit: timedelta) -> None:
+class EventLoopWatchdog:
+    def __init__(self, timeline: TimerQueue, limit: timedelta) -> None:
         self._timeline, self._limit = timeline, limit
 
     def look(self) -> None:
--- a/marlstep/fronts/base.py
+++ b/marlstep/fronts/base.py
@@ -17,7 +17,7 @@
 from marlstep.core.model import Answer, Ticket
 from marlstep.net.stream import RingStream
 from marlstep.slots import SlotTable, TableFull
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
@@ -114,7 +114,7 @@
     def __init__(
         self,
         core: Core,
-        timeline: Timeline,
+        timeline: TimerQueue,
         limit: int,
         patience: timedelta,
         idle_after: timedelta = timedelta(0),
--- a/marlstep/fronts/resp.py
+++ b/marlstep/fronts/resp.py
@@ -18,7 +18,7 @@
 from marlstep.core.model import Answer, Backend, Offer, Verdict
 from marlstep.fronts.base import Connection, Listener
 from marlstep.fronts.resp_wire import FrameReader, Malformed, read_fields, read_tag, write_fields, write_frame
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND, whole_ms
 
 log = logging.getLogger(__name__)
@@ -276,7 +276,7 @@
 
 class RespFront(Listener):
     def __init__(
-        self, core: Core, timeline: Timeline, backend: Backend, limit: int, idle_after: timedelta
+        self, core: Core, timeline: TimerQueue, backend: Backend, limit: int, idle_after: timedelta
     ) -> None:
         super().__init__(core, timeline, limit, PATIENCE, idle_after)
         self.backend = backend
--- a/marlstep/fronts/uwsgi.py
+++ b/marlstep/fronts/uwsgi.py
@@ -15,7 +15,7 @@
 from marlstep.fronts.base import Connection, Listener
 from marlstep.fronts.mapped import Mapped
 from marlstep.fronts.uwsgi_wire import BadPacket, Packet, PacketReader, write_response
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
@@ -109,7 +109,7 @@
     def __init__(
         self,
         core: Core,
-        timeline: Timeline,
+        timeline: TimerQueue,
         backend: Backend,
         limit: int,
         patience: timedelta,
--- a/marlstep/handover/beside.py
+++ b/marlstep/handover/beside.py
@@ -10,7 +10,7 @@
 from marlstep.core.keys import Key, Known, label, read_label
 from marlstep.handover.peer import Handover
 from marlstep.handover.wire import Gone, Name
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import instant, instant_us
 
 RESULT_LIMIT = 4 * 1024  # bytes, the most on the platform's wire; in JSON each may take six
@@ -29,7 +29,7 @@
 
 
 class Beside:
-    def __init__(self, core: Core, timeline: Timeline, hooks: Hooks) -> None:
+    def __init__(self, core: Core, timeline: TimerQueue, hooks: Hooks) -> None:
         self._core, self._timeline, self._hooks = core, timeline, hooks
         self.take_over = hooks.take_over
         self.successor_lost = hooks.successor_lost
--- a/marlstep/handover/meeting.py
+++ b/marlstep/handover/meeting.py
@@ -18,7 +18,7 @@
 from marlstep.handover.peer import Handover
 from marlstep.handover.wire import MOST, CorruptError, Hello, Message, read, write
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND
 
 log = logging.getLogger(__name__)
@@ -112,7 +112,9 @@
 
 
 class Meeting:
-    def __init__(self, folder: Path, node: str, timeline: Timeline, make: Callable[[int], Handover]) -> None:
+    def __init__(
+        self, folder: Path, node: str, timeline: TimerQueue, make: Callable[[int], Handover]
+    ) -> None:
         """`make` is told the generation of this process."""
         self._folder, self._timeline, self._make = folder, timeline, make
         self._stem = "marlstep." + re.sub(r"[^\w-]", "_", node)
--- a/marlstep/leases/client.py
+++ b/marlstep/leases/client.py
@@ -13,147 +13,153 @@
 
 import orjson
 
-from marlstep.consensus.raft import Chance
-from marlstep.consensus.replica import Ask, Told
-from marlstep.leases.holder import Change, Holder
-from marlstep.leases.messages import Beat, Beaten
-from marlstep.leases.settings import RULES, LeaseSettings
+from marlstep.consensus.raft import RandomSource
+from marlstep.consensus.replica import CommandRequest, CommandResponse
+from marlstep.leases.holder import LeaseEvent, LeaseHolder
+from marlstep.leases.messages import Heartbeat, HeartbeatResponse
+from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 
-KEPT_TIMES = 200
-MOST_OUT = 32  # commands that wait for their results; the group remembers twice as many
+MAX_LATENCY_SAMPLES = 200
+MAX_OUTBOUND_COMMANDS = 32  # commands that wait for their results; the group remembers twice as many
 
 
 @dataclass(slots=True)
-class Out:
-    ask: Ask
-    sent: datetime | None
-    since: datetime
+class OutboundCommand:
+    request: CommandRequest
+    sent_at: datetime | None
+    created_at: datetime
 
 
-class Participant:
+class GroupClient:
     def __init__(
-        self, node: str, boot: str, voters: tuple[str, ...], settings: LeaseSettings, chance: Chance
+        self, node: str, boot: str, voters: tuple[str, ...], settings: LeaseSettings, chance: RandomSource
     ) -> None:
         """`voters` are the nodes that may vote; `boot` is of this life of the process, never used again."""
-        self.holder = Holder(node, boot, settings)
+        self.holder = LeaseHolder(node, boot, settings)
         self.voters, self.settings = voters, settings
         self.target = node if node in voters else voters[int(chance.random() * len(voters)) % len(voters)]
         self.results: OrderedDict[int, dict[str, Any]] = OrderedDict()
-        self.answered: datetime | None = None  # the group's last good answer to a beat
-        self.took: deque[timedelta] = deque(maxlen=KEPT_TIMES)  # of the last commands, from the question on
-        self._number = 0
-        self._out: OrderedDict[int, Out] = OrderedDict()
-        self._beat_at: datetime | None = None
-        self._unanswered: datetime | None = None  # since when a beat waits
+        self.last_response_at: datetime | None = None  # the group's last good answer to a beat
+        self.command_latencies: deque[timedelta] = deque(
+            maxlen=MAX_LATENCY_SAMPLES
+        )  # of the last commands, from the question on
+        self._command_number = 0
+        self._outbound: OrderedDict[int, OutboundCommand] = OrderedDict()
+        self._next_heartbeat: datetime | None = None
+        self._unanswered_since: datetime | None = None  # since when a beat waits
 
     # Commands.
 
-    def ask(self, now: datetime, command: dict[str, Any]) -> int | None:
+    def propose(self, now: datetime, command: dict[str, Any]) -> int | None:
         """Ask the group for a command; its number, or None where too many wait already."""
-        if len(self._out) >= MOST_OUT:
+        if len(self._outbound) >= MAX_OUTBOUND_COMMANDS:
             return None
-        self._number += 1
+        self._command_number += 1
         body = orjson.dumps(command).decode()
-        self._out[self._number] = Out(Ask(self.holder.name, self._number, body), None, now)
-        return self._number
+        self._outbound[self._command_number] = OutboundCommand(
+            CommandRequest(self.holder.name, self._command_number, body), None, now
+        )
+        return self._command_number
 
-    def give_up(self, number: int) -> None:
+    def abandon(self, number: int) -> None:
         """Nobody waits for that result any more. It may still be applied."""
-        self._out.pop(number, None)
+        self._outbound.pop(number, None)
         self.results.pop(number, None)
 
-    def result(self, number: int) -> dict[str, Any] | None:
+    def take_result(self, number: int) -> dict[str, Any] | None:
         return self.results.pop(number, None)
 
     # Time.
 
-    def beat_soon(self, now: datetime) -> None:
-        self._beat_at = now
+    def schedule_heartbeat(self, now: datetime) -> None:
+        self._next_heartbeat = now
 
-    def tick(self, now: datetime) -> tuple[list[tuple[str, Beat | Ask]], list[Change]]:
+    def tick(self, now: datetime) -> tuple[list[tuple[str, Heartbeat | CommandRequest]], list[LeaseEvent]]:
         """What is to be sent now, and what changed by time alone."""
         changes = self.holder.tick(now)
-        wait = self.settings.answer_wait
-        if self._unanswered is not None and now >= self._unanswered + wait:
-            self._turn(now, "")  # it does not answer: the next
-        sends: list[tuple[str, Beat | Ask]] = []
-        if self._beat_at is None or now >= self._beat_at:
-            self._beat_at = now + self.settings.renew_every
-            if self._unanswered is None:
-                self._unanswered = now
-            sends.append((self.target, self.holder.beat(now)))
-        for out in self._out.values():
-            if out.sent is None or now >= out.sent + wait:
-                out.sent = now
-                sends.append((self.target, out.ask))
+        wait = self.settings.response_timeout
+        if self._unanswered_since is not None and now >= self._unanswered_since + wait:
+            self._switch_target(now, "")  # it does not answer: the next
+        sends: list[tuple[str, Heartbeat | CommandRequest]] = []
+        if self._next_heartbeat is None or now >= self._next_heartbeat:
+            self._next_heartbeat = now + self.settings.renewal_interval
+            if self._unanswered_since is None:
+                self._unanswered_since = now
+            sends.append((self.target, self.holder.make_heartbeat(now)))
+        for out in self._outbound.values():
+            if out.sent_at is None or now >= out.sent_at + wait:
+                out.sent_at = now
+                sends.append((self.target, out.request))
         return sends, changes
 
     def next_due(self, now: datetime) -> datetime:
-        wait = self.settings.answer_wait
-        due = [self._beat_at or now]
-        due += [now if out.sent is None else out.sent + wait for out in self._out.values()]
-        if self._unanswered is not None:
-            due.append(self._unanswered + wait)
+        wait = self.settings.response_timeout
+        due = [self._next_heartbeat or now]
+        due += [now if out.sent_at is None else out.sent_at + wait for out in self._outbound.values()]
+        if self._unanswered_since is not None:
+            due.append(self._unanswered_since + wait)
         if (over := self.holder.next_due()) is not None:
             due.append(over)
         return min(due)
 
-    def _turn(self, now: datetime, leader: str) -> None:
+    def _switch_target(self, now: datetime, leader: str) -> None:
         """Ask another voter, at once: the one that is said to lead, or the next in the list."""
         if leader in self.voters and leader != self.target:
             self.target = leader
         else:
             at = self.voters.index(self.target) if self.target in self.voters else -1
             self.target = self.voters[(at + 1) % len(self.voters)]
-        self._unanswered = None
-        self._beat_at = now if leader else now + self.settings.answer_wait / 4
+        self._unanswered_since = None
+        self._next_heartbeat = now if leader else now + self.settings.response_timeout / 4
 
     # Answers.
 
-    def told(self, now: datetime, sender: str, message: Beaten | Told) -> list[Change]:
+    def handle_response(
+        self, now: datetime, sender: str, message: HeartbeatResponse | CommandResponse
+    ) -> list[LeaseEvent]:
         """`sender` is the node that the answer came from."""
-        if isinstance(message, Told):
-            self._told(now, sender, message)
+        if isinstance(message, CommandResponse):
+            self._handle_command_response(now, sender, message)
             return []
-        if not message.good:
+        if not message.from_leader:
             if sender == self.target:
-                self._turn(now, message.leader)
+                self._switch_target(now, message.leader)
             return []
-        self._unanswered, self.answered = None, now
+        self._unanswered_since, self.last_response_at = None, now
         self.target = sender
-        changes = self.holder.told(now, message)
-        if any(change.what == "gained" for change in changes):
-            self.beat_soon(now)  # the time of a lease that was waited for began with an old beat
+        changes = self.holder.handle_response(now, message)
+        if any(change.event == "gained" for change in changes):
+            self.schedule_heartbeat(now)  # the time of a lease that was waited for began with an old beat
         return changes
 
-    def _told(self, now: datetime, sender: str, message: Told) -> None:
-        out = self._out.get(message.number)
+    def _handle_command_response(self, now: datetime, sender: str, message: CommandResponse) -> None:
+        out = self._outbound.get(message.number)
         if out is None:
             return
-        if not message.done:
+        if not message.applied:
             if message.leader and sender == self.target:
-                self._turn(now, message.leader)
-                out.sent = None
+                self._switch_target(now, message.leader)
+                out.sent_at = None
             return
-        del self._out[message.number]
-        self.took.append(now - out.since)
+        del self._outbound[message.number]
+        self.command_latencies.append(now - out.created_at)
         result = orjson.loads(message.result)
         self.results[message.number] = result if isinstance(result, dict) else {"error": "no result"}
 
     # The end.
 
-    def leave(self, now: datetime, keep: Iterable[str] = ()) -> list[Change]:
+    def release_leases(self, now: datetime, keep: Iterable[str] = ()) -> list[LeaseEvent]:
         """Give all other leases back, at once."""
-        changes = self.holder.leave(keep)
-        self.beat_soon(now)
+        changes = self.holder.release_all(keep)
+        self.schedule_heartbeat(now)
         return changes
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """No task is held, and nothing that was given back is still the group's to take."""
-        tasks = any(not name.startswith(RULES) for name in self.holder.held)
-        return not tasks and not self.holder.returning and not self._out
+        tasks = any(not name.startswith(CONFIG_LEASE_PREFIX) for name in self.holder.held)
+        return not tasks and not self.holder.returning and not self._outbound
 
-    def cut_off_for(self, now: datetime) -> timedelta | None:
+    def time_since_response(self, now: datetime) -> timedelta | None:
         """Since the group's last answer; None before the first."""
-        return None if self.answered is None else now - self.answered
+        return None if self.last_response_at is None else now - self.last_response_at
--- a/marlstep/leases/clock_drift.py
+++ b/marlstep/leases/clock_drift.py
@@ -12,46 +12,46 @@
 
 from marlstep.units import MILLISECOND, SECOND
 
-WINDOW = 3 * SECOND
-LATE = 100 * MILLISECOND  # that a message may be, and is no drift
+MEASUREMENT_WINDOW = 3 * SECOND
+MESSAGE_DELAY_ALLOWANCE = 100 * MILLISECOND  # that a message may be, and is no drift
 
 
 @dataclass(slots=True)
-class Watched:
-    theirs: datetime
-    ours: datetime
-    sign: int = 0  # of the window before, where it erred
-    beyond: bool = False
+class ClockObservation:
+    remote_time: datetime
+    local_time: datetime
+    previous_sign: int = 0  # of the window before, where it erred
+    exceeds_bound: bool = False
 
 
-class DriftWatch:
+class ClockDriftMonitor:
     def __init__(self, drift: float) -> None:
-        self._drift = drift
-        self._watched: dict[str, Watched] = {}
+        self._max_drift = drift
+        self._observations: dict[str, ClockObservation] = {}
 
-    def beat(self, name: str, theirs: datetime, ours: datetime) -> float | None:
+    def observe(self, name: str, theirs: datetime, ours: datetime) -> float | None:
         """A beat with the clock of `name` came. Gives by which share it errs, once, when that is first believed."""
-        one = self._watched.get(name)
-        if one is None or theirs < one.theirs:
-            self._watched[name] = Watched(theirs, ours)
+        one = self._observations.get(name)
+        if one is None or theirs < one.remote_time:
+            self._observations[name] = ClockObservation(theirs, ours)
             return None
-        passed: timedelta = ours - one.ours
-        if passed < WINDOW:
+        passed: timedelta = ours - one.local_time
+        if passed < MEASUREMENT_WINDOW:
             return None
-        error = (theirs - one.theirs) - passed
-        limit = 2 * self._drift * passed + LATE
+        error = (theirs - one.remote_time) - passed
+        limit = 2 * self._max_drift * passed + MESSAGE_DELAY_ALLOWANCE
         sign = 0 if abs(error) <= limit else 1 if error > timedelta(0) else -1
-        believed = sign != 0 and sign == one.sign
-        first = believed and not one.beyond
-        one.theirs, one.ours, one.sign, one.beyond = theirs, ours, sign, believed
+        believed = sign != 0 and sign == one.previous_sign
+        first = believed and not one.exceeds_bound
+        one.remote_time, one.local_time, one.previous_sign, one.exceeds_bound = theirs, ours, sign, believed
         return error / passed if first else None
 
-    def beyond(self, name: str) -> bool:
+    def exceeds_bound(self, name: str) -> bool:
         """Its clock errs by more than the group guards against: only tokens protect from it."""
-        one = self._watched.get(name)
-        return one is not None and one.beyond
+        one = self._observations.get(name)
+        return one is not None and one.exceeds_bound
 
-    def keep(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         """Forget all others."""
-        for name in self._watched.keys() - names:
-            del self._watched[name]
+        for name in self._observations.keys() - names:
+            del self._observations[name]
