--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -7,13 +7,17 @@
 
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, ValueType, read_fields, wire, write_fields
 
-Held = tuple[str, int]  # name and token
-Acts = tuple[str, int, str, int, str]  # document, version, state, for how many ms, why it is no further
-Share = tuple[str, int, int]  # tenant, millionths of its allowance, and what they are to come down to
-Figures = tuple[int, int, int]  # requests read, of them refused, and failed or late, since the process began
+LeaseToken = tuple[str, int]  # name and token
+DocumentState = tuple[
+    str, int, str, int, str
+]  # document, version, state, for how many ms, why it is no further
+QuotaShareRow = tuple[str, int, int]  # tenant, millionths of its allowance, and what they are to come down to
+RequestCounts = tuple[
+    int, int, int
+]  # requests read, of them refused, and failed or late, since the process began
 
 
-def read_held(value: object) -> tuple[Held, ...]:
+def read_lease_tokens(value: object) -> tuple[LeaseToken, ...]:
     """Raises ValueError or TypeError."""
     if not isinstance(value, list):
         raise ValueError("leases must be a list")
@@ -30,7 +34,7 @@
     return tuple(value)
 
 
-def read_acts(value: object) -> tuple[Acts, ...]:
+def read_document_states(value: object) -> tuple[DocumentState, ...]:
     """Raises ValueError or TypeError."""
     if not isinstance(value, list):
         raise ValueError("acts must be a list")
@@ -42,7 +46,7 @@
     return tuple(rows)
 
 
-def read_figures(value: object) -> Figures:
+def read_request_counts(value: object) -> RequestCounts:
     """Raises ValueError or TypeError."""
     if not isinstance(value, list) or any(type(one) is not int for one in value):
         raise ValueError("figures must be numbers")
@@ -50,7 +54,7 @@
     return asked, refused, failed
 
 
-def read_shares(value: object) -> tuple[Share, ...]:
+def read_quota_shares(value: object) -> tuple[QuotaShareRow, ...]:
     """Raises ValueError or TypeError."""
     if not isinstance(value, list):
         raise ValueError("shares must be a list")
@@ -60,15 +64,15 @@
     return tuple(rows)
 
 
-LEASE_TOKENS = ValueType(read_held)
+LEASE_TOKENS = ValueType(read_lease_tokens)
 NAMES = ValueType(read_names)
-ACTS = ValueType(read_acts)
-FIGURES = ValueType(read_figures)
-SHARES = ValueType(read_shares)
+DOCUMENT_STATES = ValueType(read_document_states)
+REQUEST_COUNTS = ValueType(read_request_counts)
+QUOTA_SHARES = ValueType(read_quota_shares)
 
 
 @dataclass(slots=True, frozen=True)
-class Beat:
+class Heartbeat:
     """A node's word to the group: it is there, wants these leases, and has done with those.
 
     One that wants a lease it holds renews it by that.
@@ -77,52 +81,54 @@
     wire_tag: ClassVar[str] = "Beat"
 
     node: str = field(metadata=wire("node", TEXT))
-    boot: str = field(metadata=wire("boot", TEXT))  # of this life of the node's process
+    process_id: str = field(metadata=wire("boot", TEXT))  # of this life of the node's process
     number: int = field(metadata=wire("number", INTEGER))
-    wants: tuple[str, ...] = field(metadata=wire("wants", NAMES))
-    returns: tuple[Held, ...] = field(metadata=wire("returns", LEASE_TOKENS), default=())
-    most: int = field(metadata=wire("most", INTEGER), default=0)  # leases that it takes; 0: any number
+    wanted_leases: tuple[str, ...] = field(metadata=wire("wants", NAMES))
+    returned_leases: tuple[LeaseToken, ...] = field(metadata=wire("returns", LEASE_TOKENS), default=())
+    max_leases: int = field(metadata=wire("most", INTEGER), default=0)  # leases that it takes; 0: any number
     # of the node, to see whether it goes true
     clock_us: int = field(metadata=wire("clock_us", INTEGER), default=0)
-    acts: tuple[Acts, ...] = field(metadata=wire("acts", ACTS), default=())  # which documents it acts on
-    figures: Figures = field(metadata=wire("figures", FIGURES), default=(0, 0, 0))
+    document_states: tuple[DocumentState, ...] = field(
+        metadata=wire("acts", DOCUMENT_STATES), default=()
+    )  # which documents it acts on
+    request_counts: RequestCounts = field(metadata=wire("figures", REQUEST_COUNTS), default=(0, 0, 0))
     # nodes that it hears as failed
-    failed: tuple[str, ...] = field(metadata=wire("failed", NAMES), default=())
+    failed_nodes: tuple[str, ...] = field(metadata=wire("failed", NAMES), default=())
     # by tenant, thousandths of a request a second
-    demand: tuple[Held, ...] = field(metadata=wire("demand", LEASE_TOKENS), default=())
+    tenant_demand: tuple[LeaseToken, ...] = field(metadata=wire("demand", LEASE_TOKENS), default=())
 
 
 @dataclass(slots=True, frozen=True)
-class News:
+class DocumentStatus:
     """How one document stands: the version in force, and the one that is being prepared, if any."""
 
     name: str = field(metadata=wire("name", TEXT))
     version: int = field(metadata=wire("version", INTEGER))
     digest: str = field(metadata=wire("digest", TEXT))
-    pending: int = field(metadata=wire("pending", INTEGER), default=0)  # 0: none
-    pending_digest: str = field(metadata=wire("pending_digest", TEXT), default="")
+    prepared_version: int = field(metadata=wire("pending", INTEGER), default=0)  # 0: none
+    prepared_digest: str = field(metadata=wire("pending_digest", TEXT), default="")
     strict: bool = field(metadata=wire("strict", BOOLEAN), default=False)
     # nodes that act on the one that is being prepared already: a stage
-    on: tuple[str, ...] = field(metadata=wire("on", NAMES), default=())
+    rollout_nodes: tuple[str, ...] = field(metadata=wire("on", NAMES), default=())
 
 
-def read_news(value: object) -> tuple[News, ...]:
+def read_document_statuses(value: object) -> tuple[DocumentStatus, ...]:
     """Raises ValueError or TypeError."""
     if not isinstance(value, list):
         raise ValueError("news must be a list")
-    return tuple(read_fields(News, row) for row in value)
+    return tuple(read_fields(DocumentStatus, row) for row in value)
 
 
-def write_news(news: tuple[News, ...]) -> object:
+def write_document_statuses(news: tuple[DocumentStatus, ...]) -> object:
     """As JSON has it."""
     return [write_fields(one) for one in news]
 
 
-NEWS = ValueType(read_news, write_news)
+DOCUMENT_STATUSES = ValueType(read_document_statuses, write_document_statuses)
 
 
 @dataclass(slots=True, frozen=True)
-class Relay:
+class RelayAnnouncement:
     """From a process of a node that does not have the node's address yet to the one that has: it is to be passed what
     is for it, to this port."""
 
@@ -133,7 +139,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Beaten:
+class HeartbeatResponse:
     """The leader's answer to a beat: all leases that are this node's. `good` is false from who does not lead.
 
     Term and count order the answers: one that was overtaken is of no use any more.
@@ -142,20 +148,20 @@
     wire_tag: ClassVar[str] = "Beaten"
 
     number: int = field(metadata=wire("number", INTEGER))
-    good: bool = field(metadata=wire("good", BOOLEAN))
+    from_leader: bool = field(metadata=wire("good", BOOLEAN))
     leader: str = field(metadata=wire("leader", TEXT))  # node, as far as is known
     term: int = field(metadata=wire("term", INTEGER), default=0)
-    count: int = field(metadata=wire("count", INTEGER), default=0)  # grows with every answer of a leader
-    leases: tuple[Held, ...] = field(metadata=wire("leases", LEASE_TOKENS), default=())
+    sequence: int = field(metadata=wire("count", INTEGER), default=0)  # grows with every answer of a leader
+    leases: tuple[LeaseToken, ...] = field(metadata=wire("leases", LEASE_TOKENS), default=())
     # the node's clock errs beyond what is guarded against
-    drifts: bool = field(metadata=wire("drifts", BOOLEAN), default=False)
-    news: tuple[News, ...] = field(metadata=wire("news", NEWS), default=())
+    clock_drifts: bool = field(metadata=wire("drifts", BOOLEAN), default=False)
+    documents: tuple[DocumentStatus, ...] = field(metadata=wire("news", DOCUMENT_STATUSES), default=())
     # of allowances, that are this process's
-    shares: tuple[Share, ...] = field(metadata=wire("shares", SHARES), default=())
+    quota_shares: tuple[QuotaShareRow, ...] = field(metadata=wire("shares", QUOTA_SHARES), default=())
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
+class ServerRecovered:
     """From the holder of a pool's lease to all: a connection to this server stood."""
 
     wire_tag: ClassVar[str] = "Probed"
--- a/marlstep/leases/settings.py
+++ b/marlstep/leases/settings.py
@@ -12,36 +12,38 @@
 
 from marlstep.units import MILLISECOND, SECOND, ZERO
 
-RULES = "rules/"  # before the names of leases under which nodes act on documents
+CONFIG_LEASE_PREFIX = "rules/"  # before the names of leases under which nodes act on documents
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseSettings:
     term: timedelta = 3 * SECOND
     drift: float = 0.01  # of any clock against true time, that is still guarded against
-    most: int = 0  # leases that one node may hold; 0: any number
-    rules: timedelta = ZERO  # term of the leases under which nodes act on documents; zero: there are none
+    max_per_node: int = 0  # leases that one node may hold; 0: any number
+    config_term: timedelta = (
+        ZERO  # term of the leases under which nodes act on documents; zero: there are none
+    )
 
     def term_of(self, name: str) -> timedelta:
-        return self.rules if self.rules and name.startswith(RULES) else self.term
+        return self.config_term if self.config_term and name.startswith(CONFIG_LEASE_PREFIX) else self.term
 
     @property
-    def shortest(self) -> timedelta:
-        return min(self.term, self.rules) if self.rules else self.term
+    def shortest_term(self) -> timedelta:
+        return min(self.term, self.config_term) if self.config_term else self.term
 
     @property
-    def renew_every(self) -> timedelta:
-        return self.shortest / 3
+    def renewal_interval(self) -> timedelta:
+        return self.shortest_term / 3
 
     @property
-    def answer_wait(self) -> timedelta:
+    def response_timeout(self) -> timedelta:
         """Before another voter is asked in the place of one that does not answer."""
-        return min(self.shortest / 6, 500 * MILLISECOND)
+        return min(self.shortest_term / 6, 500 * MILLISECOND)
 
-    def holder_until(self, asked: datetime, name: str = "") -> datetime:
+    def holder_expiry(self, asked: datetime, name: str = "") -> datetime:
         """By the holder's clock: to be over before the group's."""
         return asked + self.term_of(name) * (1 - self.drift)
 
-    def group_until(self, granted: datetime, name: str = "") -> datetime:
+    def leader_expiry(self, granted: datetime, name: str = "") -> datetime:
         """By the clock of the voter that leads."""
         return granted + self.term_of(name) * (1 + self.drift)
--- a/marlstep/leases/table.py
+++ b/marlstep/leases/table.py
@@ -7,40 +7,40 @@
 from typing import Any
 
 from marlstep.consensus.state_machine import Command, Result
-from marlstep.leases.settings import RULES
+from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 
-MOST_LEASES = 10_000
-NAME_LIMIT = 128  # characters
+MAX_LEASES = 10_000
+MAX_NAME_LENGTH = 128  # characters
 
 
 @dataclass(slots=True)
 class Lease:
     holder: str  # node/boot; empty where it is free
     token: int  # of the last grant
-    last: str = ""  # node that had it before it became free
-    grants: int = 0
+    previous_node: str = ""  # node that had it before it became free
+    grant_count: int = 0
 
     @property
     def node(self) -> str:
         return self.holder.partition("/")[0]
 
 
-class Table:
+class LeaseTable:
     def __init__(self) -> None:
         self.leases: dict[str, Lease] = {}
-        self.token = 0  # the last that was given out, for any lease
-        self.counts: Counter[str] = Counter()  # held, by holder
+        self.last_token = 0  # the last that was given out, for any lease
+        self.held_counts: Counter[str] = Counter()  # held, by holder
 
     def holder(self, name: str) -> str:
         lease = self.leases.get(name)
         return lease.holder if lease is not None else ""
 
-    def held_by(self, holder: str) -> list[tuple[str, int]]:
+    def leases_of(self, holder: str) -> list[tuple[str, int]]:
         return [(name, one.token) for name, one in self.leases.items() if one.holder == holder]
 
     def apply(self, command: Command) -> Result:
         name = command["name"]
-        if not isinstance(name, str) or not 0 < len(name) <= NAME_LIMIT:
+        if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
             raise ValueError("a lease's name")
         match command["do"]:
             case "grant":
@@ -53,18 +53,18 @@
         lease = self.leases.get(name)
         if lease is not None and lease.holder:
             return {"held": lease.holder, "token": lease.token}
-        if most and self.counts[holder] >= most:
+        if most and self.held_counts[holder] >= most:
             return {"full": holder}
         if lease is None:
-            if len(self.leases) >= MOST_LEASES and not self._forget_one():
+            if len(self.leases) >= MAX_LEASES and not self._evict_free_lease():
                 return {"full": "table"}
             lease = self.leases[name] = Lease("", 0)
-        self.token += 1
-        lease.holder, lease.token, lease.grants = holder, self.token, lease.grants + 1
-        self._count(name, holder, 1)
+        self.last_token += 1
+        lease.holder, lease.token, lease.grant_count = holder, self.last_token, lease.grant_count + 1
+        self._adjust_count(name, holder, 1)
         return {"granted": holder, "token": lease.token}
 
-    def _forget_one(self) -> bool:
+    def _evict_free_lease(self) -> bool:
         """A free lease's place; nothing is lost with it, as tokens are counted for all together."""
         free = next((name for name, lease in self.leases.items() if not lease.holder), None)
         if free is not None:
@@ -75,27 +75,34 @@
         lease = self.leases.get(name)
         if lease is None or not lease.holder or lease.token != token:
             return {"ended": False}
-        self._count(name, lease.holder, -1)
-        was, lease.last, lease.holder = lease.holder, lease.node, ""
-        if name.startswith(RULES):
+        self._adjust_count(name, lease.holder, -1)
+        was, lease.previous_node, lease.holder = lease.holder, lease.node, ""
+        if name.startswith(CONFIG_LEASE_PREFIX):
             del self.leases[name]  # of one life of one process: it is not wanted again
         return {"ended": True, "holder": was}
 
-    def _count(self, name: str, holder: str, by: int) -> None:
+    def _adjust_count(self, name: str, holder: str, by: int) -> None:
         """Leases on the rules are no task, and count for nothing."""
-        if not name.startswith(RULES):
-            self.counts[holder] += by
-            if not self.counts[holder]:
-                del self.counts[holder]
-
-    def write(self) -> object:
-        rows = [[name, one.holder, one.token, one.last, one.grants] for name, one in self.leases.items()]
-        return {"token": self.token, "leases": rows}
-
-    def read(self, told: Any) -> None:
-        self.token = int(told["token"])
+        if not name.startswith(CONFIG_LEASE_PREFIX):
+            self.held_counts[holder] += by
+            if not self.held_counts[holder]:
+                del self.held_counts[holder]
+
+    def snapshot(self) -> object:
+        rows = [
+            [name, one.holder, one.token, one.previous_node, one.grant_count]
+            for name, one in self.leases.items()
+        ]
+        return {"token": self.last_token, "leases": rows}
+
+    def restore(self, told: Any) -> None:
+        self.last_token = int(told["token"])
         self.leases = {
             name: Lease(holder, token, last, grants) for name, holder, token, last, grants in told["leases"]
         }
-        held = (one.holder for name, one in self.leases.items() if one.holder and not name.startswith(RULES))
-        self.counts = Counter(held)
+        held = (
+            one.holder
+            for name, one in self.leases.items()
+            if one.holder and not name.startswith(CONFIG_LEASE_PREFIX)
+        )
+        self.held_counts = Counter(held)
--- a/marlstep/membership/failure_detector.py
+++ b/marlstep/membership/failure_detector.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 
-from marlstep.consensus.raft import Chance
+from marlstep.consensus.raft import RandomSource
 from marlstep.membership.messages import Ack, Exchange, Nack, Ping, PingFor, Said
 from marlstep.membership.records import THERE, Record, State
 from marlstep.units import MILLISECOND, SECOND
@@ -90,7 +90,7 @@
 
 
 class Detector:
-    def __init__(self, me: Record, settings: MemberSettings, chance: Chance, now: datetime) -> None:
+    def __init__(self, me: Record, settings: MemberSettings, chance: RandomSource, now: datetime) -> None:
         self.me, self.settings = me, settings
         self.members: dict[str, Member] = {}  # the others, by name
         self.doubt = 0  # of itself
--- a/marlstep/membership/quotas.py
+++ b/marlstep/membership/quotas.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from marlstep.consensus.state_machine import Command, Result
-from marlstep.leases.messages import Held, Share
-from marlstep.leases.settings import RULES
-from marlstep.leases.table import Table
+from marlstep.leases.messages import LeaseToken, QuotaShareRow
+from marlstep.leases.settings import CONFIG_LEASE_PREFIX
+from marlstep.leases.table import LeaseTable
 from marlstep.membership.records import NAME_LIMIT
 from marlstep.units import MILLISECOND, SECOND
 
@@ -44,21 +44,23 @@
 
 
 class Shares:
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: LeaseTable) -> None:
         self._table = table
         self.tenants: dict[str, dict[str, Part]] = {}  # parts by process
 
     def live(self) -> list[str]:
         """Processes that may have a part."""
         return [
-            one.holder for name, one in self._table.leases.items() if name.startswith(RULES) and one.holder
+            one.holder
+            for name, one in self._table.leases.items()
+            if name.startswith(CONFIG_LEASE_PREFIX) and one.holder
         ]
 
     def free(self, tenant: str) -> int:
         live = set(self.live())
         return WHOLE - sum(part.now for one, part in self.tenants.get(tenant, {}).items() if one in live)
 
-    def of(self, holder: str) -> tuple[Share, ...]:
+    def of(self, holder: str) -> tuple[QuotaShareRow, ...]:
         """What one process is told: tenant, its part, and what it is asked to come down to."""
         return tuple(
             (tenant, part.now, part.asked)
@@ -94,13 +96,13 @@
                 raise ValueError(f"nothing that is done to a part: {command['do']!r}")
         return {"holder": holder, "part": to}
 
-    def write(self) -> object:
+    def snapshot(self) -> object:
         return {
             tenant: [[holder, part.now, part.asked] for holder, part in parts.items()]
             for tenant, parts in self.tenants.items()
         }
 
-    def read(self, told: Any) -> None:
+    def restore(self, told: Any) -> None:
         self.tenants = {
             tenant: {holder: Part(now, asked) for holder, now, asked in rows} for tenant, rows in told.items()
         }
@@ -192,7 +194,7 @@
         self._smoothed = smoothed
         self._seen: dict[str, tuple[datetime, int, float]] = {}  # when, how many so far, requests a second
 
-    def look(self, now: datetime, counts: Mapping[str, int]) -> tuple[Held, ...]:
+    def look(self, now: datetime, counts: Mapping[str, int]) -> tuple[LeaseToken, ...]:
         """Thousandths of a request a second, by tenant; `counts` are of all requests so far."""
         for tenant in [one for one in self._seen if one not in counts]:
             del self._seen[tenant]
@@ -211,7 +213,7 @@
         self.parts: dict[str, int] = {}
         self._said: dict[str, int] = {}
 
-    def told(self, shares: tuple[Share, ...]) -> list[tuple[str, int]]:
+    def told(self, shares: tuple[QuotaShareRow, ...]) -> list[tuple[str, int]]:
         """What an answer to a beat says. Gives what is to be said in the log: this much is not used any more."""
         self.parts = {tenant: min(now, asked) for tenant, now, asked in shares}
         give = {tenant: asked for tenant, now, asked in shares if asked < now}
--- a/marlstep/membership/roster.py
+++ b/marlstep/membership/roster.py
@@ -90,13 +90,13 @@
         one.held_off, one.taken_out = False, 0
         return {"readmitted": name}
 
-    def write(self) -> object:
+    def snapshot(self) -> object:
         return {
             "nodes": [[name, write_fields(one)] for name, one in self.nodes.items()],
             "believed": self.believed,
         }
 
-    def read(self, told: Any) -> None:
+    def restore(self, told: Any) -> None:
         self.nodes = {name: read_fields(Belongs, row) for name, row in told["nodes"]}
         self.believed = list(told["believed"])
 
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -16,8 +16,8 @@
 
 import uvloop
 
-from marlstep.components import OPTIONAL
-from marlstep.components.base import Opens, Part
+from marlstep.components import REGISTRY
+from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config, ConfigError, changes, load, renewed
 from marlstep.core.engine import MOST_REQUESTS, Core, Ports
 from marlstep.core.model import Front
@@ -27,34 +27,34 @@
 from marlstep.platform.db import Database
 from marlstep.platform.kernel import Kernel
 from marlstep.platform.naming import Naming
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND, span
 
 if TYPE_CHECKING:
-    from marlstep.components.hot_restart import MeetingPart
+    from marlstep.components.hot_restart import HotRestartComponent
     from marlstep.config.governed import Governed
 
 log = logging.getLogger("marlstep")
 
-DOOR_CONNECTIONS = 48
-OTHER_SOCKETS = 64  # descriptors that are no front end's connection
+HEALTH_ENDPOINT_CONNECTIONS = 48
+RESERVED_SOCKETS = 64  # descriptors that are no front end's connection
 BASE_MEMORY = 20 << 20  # bytes that the program takes before the first request
 CONNECTION_MEMORY = 16 << 10  # bytes: its rings, its objects and what its transport holds
 REQUEST_MEMORY = 5 << 10  # bytes, with its body
-STATUS_EVERY = 10 * SECOND
-LONGEST_COUNTED = 3 * SECOND  # of the longest deadline, for a process that has a successor
-AFTER_LONGEST = 700 * MILLISECOND
-END_WATCH = 20 * MILLISECOND  # between looks at whether the drain is done
-END_MARGIN = 100 * MILLISECOND  # before the process is stopped, it ends by itself
+STATUS_INTERVAL = 10 * SECOND
+MAX_RESTART_DEADLINE = 3 * SECOND  # of the longest deadline, for a process that has a successor
+RESTART_DEADLINE_MARGIN = 700 * MILLISECOND
+DRAIN_POLL_INTERVAL = 20 * MILLISECOND  # between looks at whether the drain is done
+EXIT_MARGIN = 100 * MILLISECOND  # before the process is stopped, it ends by itself
 
 
 async def serve(config: Config, read_again: Callable[[], Config]) -> None:
-    timeline = Timeline(LoopWaker(asyncio.get_running_loop()))
+    timeline = TimerQueue(LoopWaker(asyncio.get_running_loop()))
     node = Node(config, timeline, read_again)
     if stall := os.environ.get("MARLSTEP_STALL_MS", ""):
-        from marlstep.event_loop_watchdog import StallWatch  # not loaded unless it is turned on
+        from marlstep.event_loop_watchdog import EventLoopWatchdog  # not loaded unless it is turned on
 
-        StallWatch(timeline, max(1, int(stall)) * MILLISECOND).look()
+        EventLoopWatchdog(timeline, max(1, int(stall)) * MILLISECOND).look()
     await node.open()
     await node.ended.wait()
     await node.close()
@@ -66,41 +66,41 @@
     """All parts of one node, and the order in which they come and go."""
 
     def __init__(
-        self, config: Config, timeline: Timeline, read_again: Callable[[], Config] | None = None
+        self, config: Config, timeline: TimerQueue, read_again: Callable[[], Config] | None = None
     ) -> None:
         self.config, self.timeline = config, timeline
-        self._read_again = read_again or (lambda: self.config)
+        self._reload_config = read_again or (lambda: self.config)
         self.ended = asyncio.Event()
         self.governed: Governed | None = None  # documents in force, where a fleet agrees on any
         self.kernel = Kernel(config.kernel, config.gauges, timeline, lambda: self.core)
         self.database = Database(config.db, timeline, lambda: self.core)
-        most, room = self.room(1)
+        most, room = self.connection_budget(1)
         self.core = Core(config.settings, config.seed, timeline, Ports(self.kernel, self.database), most)
         self.naming = Naming(config.name, config.naming, timeline)
-        self.parts: dict[str, Part] = {}
-        for module, wanted in OPTIONAL:
+        self.components: dict[str, Component] = {}
+        for module, wanted in REGISTRY:
             if wanted(config):
-                part: Part = importlib.import_module(module).make(self, room)
-                self.parts[part.name] = part
+                part: Component = importlib.import_module(module).make(self, room)
+                self.components[part.name] = part
                 room -= part.descriptors
         self.resp = RespFront(self.core, timeline, self.kernel, room, span(config.settings.idle_us))
-        fronts = [part.front for part in self.parts.values() if part.front is not None]
+        fronts = [part.front for part in self.components.values() if part.front is not None]
         self.fronts: list[Front] = [self.resp, *fronts]
         for front in self.fronts:
             self.core.add_front(front)
-        self.core.on_grace_over = self._watch_end
+        self.core.on_grace_over = self._poll_drain
         self._counted: Counter[str] = Counter()
         self._listens: asyncio.Task[None] | None = None
         self.fault: OSError | None = None  # for which this process can't serve
 
-    def room(self, processes: int) -> tuple[int, int]:
+    def connection_budget(self, processes: int) -> tuple[int, int]:
         """Requests and connections that the node has room for, with so many processes of this program.
 
         Half of what the memory has room for is for requests, and half for connections.
         """
         config = self.config
         half = max(2 << 20, config.memory - processes * BASE_MEMORY) // 2
-        others = OTHER_SOCKETS + (DOOR_CONNECTIONS if config.mgmt else 0)
+        others = RESERVED_SOCKETS + (HEALTH_ENDPOINT_CONNECTIONS if config.mgmt else 0)
         # A small limit of descriptors leaves the others no less than what the clients need.
         connections = max(min(config.sockets - processes * others, half // CONNECTION_MEMORY), 16)
         return min(MOST_REQUESTS, half // REQUEST_MEMORY), connections
@@ -111,46 +111,46 @@
         def notice(*_: object) -> None:
             # Called at once, also while the loop is busy with something long: the grace counts from here.
             if not loop.is_closed():
-                loop.call_soon_threadsafe(self.leave, self.timeline.now())
+                loop.call_soon_threadsafe(self.drain, self.timeline.now())
 
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, notice)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        await self._open(Opens.FIRST)
+        await self._open(StartPhase.BEFORE_SERVING)
         self.core.start()
         config = self.config
         log.info("limits: %.2f cores, %d MB, %d sockets", config.cores, config.memory >> 20, config.sockets)
-        await self._open(Opens.BESIDE)
-        if self.core.told_to_leave and self._handover is not None and self._handover.takes_nothing:
+        await self._open(StartPhase.WITH_CLIENTS)
+        if self.core.told_to_leave and self._handover is not None and self._handover.is_standby:
             self.ended.set()
-        if self._handover is None or not self._handover.met:
+        if self._handover is None or not self._handover.has_predecessor_serving:
             await self._listen()
         self.kernel.open()
         self.naming.open()
-        self.timeline.at(self.timeline.now() + STATUS_EVERY, self._status)
+        self.timeline.at(self.timeline.now() + STATUS_INTERVAL, self._status)
 
-    async def _open(self, when: Opens) -> None:
+    async def _open(self, when: StartPhase) -> None:
         shared = self.config.passed is not None  # nobody passes these: two processes have them side by side
-        for part in self.parts.values():
-            if part.opens is when:
+        for part in self.components.values():
+            if part.start_phase is when:
                 await part.open(self.config, shared)
 
     async def _listen(self) -> None:
         config = self.config
         await self.resp.listen(config.listen, config.passed)
         log.info("%s listens on %s:%d", config.name, *config.listen)
-        await self._open(Opens.SERVING)
+        await self._open(StartPhase.WITH_FRONTENDS)
 
     # Other processes of this node: only where a listening socket is passed.
 
     @property
-    def _handover(self) -> MeetingPart | None:
-        return self.parts.get("handover")  # type: ignore[return-value]
+    def _handover(self) -> HotRestartComponent | None:
+        return self.components.get("handover")  # type: ignore[return-value]
 
-    def leave_span(self) -> timedelta:
+    def restart_drain_timeout(self) -> timedelta:
         """From SIGTERM to the end where a successor serves."""
         longest = max(span(kind.deadline_us) for kind in self.config.settings.classes)
-        return min(longest, LONGEST_COUNTED) + AFTER_LONGEST
+        return min(longest, MAX_RESTART_DEADLINE) + RESTART_DEADLINE_MARGIN
 
     def take_over(self) -> None:
         if self._listens is None and not self.resp.listening:
@@ -178,14 +178,14 @@
                 self._listen_soon()
             self.core.drain(self.core.stops_at)
 
-    def successor_leaves(self) -> None:
+    def successor_draining(self) -> None:
         """It was told to leave as well, and says no more to the name service. Nobody is to come here either."""
         if self.core.stops_at is not None:
             self.naming.leave()
 
-    def bound(self, share: float) -> None:
+    def limit_memory_share(self, share: float) -> None:
         """This process's part of the node's room."""
-        most, connections = self.room(1 if share >= 1 else 2)
+        most, connections = self.connection_budget(1 if share >= 1 else 2)
         self.core.take_share(share, max(1, int(share * most)))
         self.resp.room = max(1, int(share * connections))
 
@@ -201,49 +201,49 @@
             "-" if core.say is None else f"{core.say:.1f}",
             self._connections,
         )
-        self.timeline.at(self.timeline.now() + STATUS_EVERY, self._status)
+        self.timeline.at(self.timeline.now() + STATUS_INTERVAL, self._status)
 
     @property
     def _connections(self) -> int:
         return sum(len(front.connections) for front in self.fronts if isinstance(front, Listener))
 
-    def duty_changed(self) -> None:
+    def serving_state_changed(self) -> None:
         """The node was quiesced, or resumed, here."""
         wanted = self.core.duty.wanted
         self.naming.tell(wanted)
         if self._handover is not None:
-            self._handover.duty_changed(wanted)
+            self._handover.serving_state_changed(wanted)
 
-    def leave(self, noticed: datetime | None = None) -> None:
+    def drain(self, noticed: datetime | None = None) -> None:
         """The notice to leave. With a successor that serves, this process only finishes what it has."""
         now = noticed or self.timeline.now()
-        for part in self.parts.values():
-            part.leave()
+        for part in self.components.values():
+            part.drain()
         handover = self._handover
-        if handover is not None and handover.takes_nothing:
+        if handover is not None and handover.is_standby:
             self.ended.set()  # the process before it goes on, and with it its reports
-        elif handover is not None and handover.succeeded(now):
-            self.core.hand_over(now + self.leave_span())
+        elif handover is not None and handover.hand_over_to_successor(now):
+            self.core.hand_over(now + self.restart_drain_timeout())
         else:
             self.core.drain(now + self.config.stop, now)
             # An elder that serves reports on; one that has handed over says the last word when it hears of this.
-            self.naming.leave(last_word=handover is None or not handover.has_elder)
+            self.naming.leave(last_word=handover is None or not handover.has_predecessor)
 
     def reload(self) -> None:
         """Read the configuration again. What is wrong with it is logged by its key, and the old one stays."""
         try:
-            told = self._read_again()
+            told = self._reload_config()
             if self.governed is not None:
                 for line in self.governed.differing(told):
                     log.warning("%s", line)
                 told = self.governed.put_on(told)
-            self.use(told)
+            self.apply_config(told)
         except ConfigError as fault:
             log.error("configuration not taken, the old one stays: %s", fault)
             return
         log.info("configuration read again")
 
-    def use(self, told: Config) -> None:
+    def apply_config(self, told: Config) -> None:
         """Another configuration from now on, whole or not at all. Raises ConfigError."""
         old = self.config
         self.config, left_out = renewed(old, told)
@@ -252,23 +252,23 @@
         self.kernel.move(self.config.kernel)
         self.database.move(self.config.db)
         self.naming.move(self.config.naming)
-        for part in self.parts.values():
-            part.renew(self.config)
+        for part in self.components.values():
+            part.reconfigure(self.config)
         if self.config.settings != old.settings:
             for line in changes(old.settings, self.config.settings):
                 log.info("settings: %s", line)
             self.kernel.rename(self.config.gauges)
             self.core.renew(self.config.settings)
 
-    def _watch_end(self) -> None:
+    def _poll_drain(self) -> None:
         """After the grace: end once all is answered and the peers have closed, or when time is up."""
-        open_still = self._connections or any(part.busy for part in self.parts.values())
+        open_still = self._connections or any(part.busy for part in self.components.values())
         now = self.timeline.now()
-        out_of_time = self.core.stops_at is not None and now >= self.core.stops_at - END_MARGIN
+        out_of_time = self.core.stops_at is not None and now >= self.core.stops_at - EXIT_MARGIN
         if out_of_time or not (open_still or self.core.unanswered or self.core.in_grace):
             self.ended.set()
         else:
-            self.timeline.at(now + END_WATCH, self._watch_end)
+            self.timeline.at(now + DRAIN_POLL_INTERVAL, self._poll_drain)
 
     async def close(self) -> None:
         log.info(
@@ -277,11 +277,11 @@
             self.core.in_hand,
             dict(self.core.counts),
         )
-        for part in self.parts.values():
+        for part in self.components.values():
             part.stop()
         self.kernel.close()
         self.database.close()
-        for part in self.parts.values():
+        for part in self.components.values():
             await part.close()
 
 
--- a/marlstep/platform/db.py
+++ b/marlstep/platform/db.py
@@ -18,7 +18,7 @@
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineFault, LineStream, length
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND, whole_ms
 from petrelcart.interface import Effect, Outcome
 
@@ -98,7 +98,7 @@
 
 class Database:
     def __init__(
-        self, address: Address | None, timeline: Timeline, sink: Callable[[], Sink], dial: Dial = dial
+        self, address: Address | None, timeline: TimerQueue, sink: Callable[[], Sink], dial: Dial = dial
     ) -> None:
         self._address = address
         self._dial = dial
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -19,7 +19,7 @@
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineFault, LineStream, length
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 from petrelcart.interface import Outcome
 
@@ -92,7 +92,7 @@
         self,
         address: Address,
         gauge_names: Sequence[str],
-        timeline: Timeline,
+        timeline: TimerQueue,
         sink: Callable[[], Sink],
         dial: Dial = dial,
     ) -> None:
--- a/marlstep/platform/naming.py
+++ b/marlstep/platform/naming.py
@@ -10,7 +10,7 @@
 import logging
 from typing import cast
 
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND
 
 log = logging.getLogger(__name__)
@@ -32,7 +32,7 @@
 
 
 class Naming:
-    def __init__(self, name: str, address: Address | None, timeline: Timeline) -> None:
+    def __init__(self, name: str, address: Address | None, timeline: TimerQueue) -> None:
         self._name, self._address, self._timeline = name, address, timeline
         self._transport: asyncio.DatagramTransport | None = None
         self._opening: asyncio.Task[None] | None = None
--- a/marlstep/replicated_config/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from marlstep.leases.messages import Acts, News
+from marlstep.leases.messages import DocumentState, DocumentStatus
 from marlstep.replicated_config.documents import CutOff, Named, digest_of
 from marlstep.replicated_config.messages import Fetch, Piece
 from marlstep.units import MILLISECOND, ZERO
@@ -86,7 +86,7 @@
     version: int = 0  # that it acts on, or acted on last
     content: str = ""
     since: datetime | None = None
-    target: News | None = None
+    target: DocumentStatus | None = None
     fetching: int = 0  # version
     pieces: str = ""
     asked: datetime | None = None
@@ -106,7 +106,7 @@
 
     # What comes.
 
-    def told(self, now: datetime, news: tuple[News, ...], left: timedelta) -> list[Do]:
+    def told(self, now: datetime, news: tuple[DocumentStatus, ...], left: timedelta) -> list[Do]:
         """News came with a renewal; `left` is of the lease on the rules."""
         by_name = {one.name: one for one in news}
         done: list[Do] = []
@@ -129,14 +129,16 @@
         if one.state is State.FIXED:  # only to show how the two differ
             known = not target.version or self._content(one, target.version, target.digest) is not None
             return [] if known else self._fetch(now, one, target.version)
-        number, digest, then = target.version, target.digest, target.pending
-        if target.pending and self.node in target.on:  # a stage, and this node is among the first
-            number, digest, then = target.pending, target.pending_digest, 0
+        number, digest, then = target.version, target.digest, target.prepared_version
+        if (
+            target.prepared_version and self.node in target.rollout_nodes
+        ):  # a stage, and this node is among the first
+            number, digest, then = target.prepared_version, target.prepared_digest, 0
         if number:
             done += self._take(now, one, number, digest, then)
         # One content at a time: what is acted on comes first, and what is prepared when that is here.
         waits = 0 < one.fetching == number or any(isinstance(do, Fetch | Check) for do in done)
-        if target.pending and not waits:
+        if target.prepared_version and not waits:
             done += self._prepare(now, one, target)
         return done
 
@@ -173,21 +175,31 @@
         one.checks = {number: why for number, why in one.checks.items() if number >= least}
         return [Act(one.named.name, version, content)]
 
-    def _prepare(self, now: datetime, one: Standing, target: News) -> list[Do]:
+    def _prepare(self, now: datetime, one: Standing, target: DocumentStatus) -> list[Do]:
         """A change is being prepared: say whether it can be taken, and for a strict document stop before that."""
-        if one.acked == target.pending:
+        if one.acked == target.prepared_version:
             return []
-        content = self._content(one, target.pending, target.pending_digest)
+        content = self._content(one, target.prepared_version, target.prepared_digest)
         if content is None:
-            return self._fetch(now, one, target.pending)
-        if target.pending not in one.checks:
-            return [Check(one.named.name, target.pending, content)]
-        one.acked = target.pending
+            return self._fetch(now, one, target.prepared_version)
+        if target.prepared_version not in one.checks:
+            return [Check(one.named.name, target.prepared_version, content)]
+        one.acked = target.prepared_version
         done: list[Do] = []
         if one.named.strict and one.state is State.ACTING:
             one.state = State.SUSPENDED
-            done.append(Stop(one.named.name, CutOff.STOP, f"until version {target.pending} is in force"))
-        return [*done, Ack(one.named.name, target.pending, target.pending_digest, one.checks[target.pending])]
+            done.append(
+                Stop(one.named.name, CutOff.STOP, f"until version {target.prepared_version} is in force")
+            )
+        return [
+            *done,
+            Ack(
+                one.named.name,
+                target.prepared_version,
+                target.prepared_digest,
+                one.checks[target.prepared_version],
+            ),
+        ]
 
     @staticmethod
     def _content(one: Standing, version: int, digest: str) -> str | None:
@@ -257,7 +269,7 @@
                 return False
         return one.named.cut_off is not CutOff.STOP
 
-    def acts(self, now: datetime) -> tuple[Acts, ...]:
+    def acts(self, now: datetime) -> tuple[DocumentState, ...]:
         """For the group and for operators: what is acted on here, for how long, and why nothing newer."""
         return tuple(
             (
@@ -278,7 +290,11 @@
             return f"fetches version {one.fetching}, has {len(one.pieces)} characters of it"
         if one.state is State.HELD_OUT:
             return max(one.checks.items(), default=(0, ""))[1][:128]
-        if one.state is State.ACTING and one.target is not None and one.version == one.target.pending:
+        if (
+            one.state is State.ACTING
+            and one.target is not None
+            and one.version == one.target.prepared_version
+        ):
             return "a stage: it is among the first"
         return str(one.state.value)
 
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from marlstep.leases.messages import Beat, Figures
+from marlstep.leases.messages import Heartbeat, RequestCounts
 from marlstep.replicated_config.store import Book, Pending
 from marlstep.units import MILLISECOND, SECOND
 
@@ -24,7 +24,7 @@
 class Heard:
     """One process's last beat, and when it came."""
 
-    beat: Beat
+    beat: Heartbeat
     at: datetime
 
 
@@ -42,8 +42,8 @@
 class Counted:
     """Of one process, since its part of the stage began."""
 
-    first: Figures
-    last: Figures
+    first: RequestCounts
+    last: RequestCounts
 
 
 @dataclass(slots=True)
@@ -126,14 +126,14 @@
                 continue
             side = watched.off
             if holder.partition("/")[0] in stage.nodes:
-                acts = {row[0]: row[1] for row in heard.beat.acts if row[2] == "acting"}
+                acts = {row[0]: row[1] for row in heard.beat.document_states if row[2] == "acting"}
                 if acts.get(name) != pending.version.version:
                     continue
                 side = watched.on
-            figures = heard.beat.figures
+            figures = heard.beat.request_counts
             side.setdefault(holder, Counted(figures, figures)).last = figures
 
-    def worse(self, here: Figures, there: Figures, by: float, least: int) -> str:
+    def worse(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
         """Why the staged nodes do worse than chance explains; empty where they do not."""
         asked, others = here[0], there[0]
         if asked < max(least, 1):
@@ -146,11 +146,11 @@
         return f"its nodes do worse: {told(here)} there, {told(there)} elsewhere"
 
 
-def bad(figures: Figures) -> int:
+def bad(figures: RequestCounts) -> int:
     return figures[1] + figures[2]
 
 
-def total(counted: Iterable[Counted]) -> Figures:
+def total(counted: Iterable[Counted]) -> RequestCounts:
     asked = refused = failed = 0
     for one in counted:
         asked += one.last[0] - one.first[0]
@@ -159,5 +159,5 @@
     return asked, min(refused, asked), min(failed, asked - min(refused, asked))
 
 
-def told(figures: Figures) -> str:
+def told(figures: RequestCounts) -> str:
     return f"{figures[1]} refused and {figures[2]} failed of {figures[0]}"
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -20,9 +20,9 @@
 import orjson
 
 from marlstep.consensus.state_machine import Command, Result
-from marlstep.leases.messages import News
-from marlstep.leases.settings import RULES
-from marlstep.leases.table import Table
+from marlstep.leases.messages import DocumentStatus
+from marlstep.leases.settings import CONFIG_LEASE_PREFIX
+from marlstep.leases.table import LeaseTable
 from marlstep.net.codec import (
     BOOLEAN,
     INTEGER,
@@ -97,11 +97,11 @@
 
 
 class Book:
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: LeaseTable) -> None:
         self._table = table
         self.documents: dict[str, Document] = {}
         self._uploads: OrderedDict[str, str] = OrderedDict()
-        self._news: tuple[News, ...] | None = None  # until something changes
+        self._news: tuple[DocumentStatus, ...] | None = None  # until something changes
         self._allowances: dict[str, float] | None = None  # likewise
 
     # What others read.
@@ -109,7 +109,9 @@
     def live(self) -> list[str]:
         """The processes that act on documents now."""
         return [
-            one.holder for name, one in self._table.leases.items() if name.startswith(RULES) and one.holder
+            one.holder
+            for name, one in self._table.leases.items()
+            if name.startswith(CONFIG_LEASE_PREFIX) and one.holder
         ]
 
     def waits_for(self, document: Document) -> list[str]:
@@ -137,21 +139,21 @@
             if one.pending is not None and one.pending.stage is not None and one.pending.stage.begun
         ]
 
-    def news(self) -> tuple[News, ...]:
+    def news(self) -> tuple[DocumentStatus, ...]:
         if self._news is None:
             self._news = tuple(self._news_of(name, one) for name, one in self.documents.items())
         return self._news
 
     @staticmethod
-    def _news_of(name: str, one: Document) -> News:
+    def _news_of(name: str, one: Document) -> DocumentStatus:
         digest = one.current.digest if one.current else ""
         pending = one.pending
         if pending is None:
-            return News(name, one.number, digest, strict=one.strict)
+            return DocumentStatus(name, one.number, digest, strict=one.strict)
         stage = pending.stage
         on = tuple(stage.nodes) if stage is not None and stage.begun else ()
         told = pending.version
-        return News(name, one.number, digest, told.version, told.digest, one.strict, on)
+        return DocumentStatus(name, one.number, digest, told.version, told.digest, one.strict, on)
 
     def allowances(self) -> dict[str, float]:
         """Of each tenant, requests a second, by the version in force; those without one are not limited."""
@@ -350,13 +352,13 @@
 
     # Snapshots.
 
-    def write(self) -> object:
+    def snapshot(self) -> object:
         return {
             "documents": [[name, write_fields(one)] for name, one in self.documents.items()],
             "uploads": list(self._uploads.items()),
         }
 
-    def read(self, told: Any) -> None:
+    def restore(self, told: Any) -> None:
         self._news = self._allowances = None
         self._uploads = OrderedDict((key, data) for key, data in told["uploads"])
         self.documents = {name: read_fields(Document, row) for name, row in told["documents"]}
--- a/marlstep/scheduled_tasks/run_log.py
+++ b/marlstep/scheduled_tasks/run_log.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from marlstep.consensus.state_machine import Command, Result
-from marlstep.leases.table import Table
+from marlstep.leases.table import LeaseTable
 
 PREFIX = "task/"  # of the names of tasks' leases
 MOST_TASKS = 1_000
@@ -39,7 +39,7 @@
 
 
 class Record:
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: LeaseTable) -> None:
         self._table = table
         self.runs: dict[str, Run] = {}
 
@@ -102,13 +102,13 @@
             known.doubt = known.before  # this act is over; one before it may not be
         return {"ended": run}
 
-    def write(self) -> object:
+    def snapshot(self) -> object:
         return [
             [task, one.run, one.token, one.outcome.value, one.tries, one.doubt, one.before]
             for task, one in self.runs.items()
         ]
 
-    def read(self, told: Any) -> None:
+    def restore(self, told: Any) -> None:
         self.runs = {
             task: Run(run, token, Outcome(outcome), tries, doubt, before)
             for task, run, token, outcome, tries, doubt, before in told
--- a/marlstep/timer_queue.py
+++ b/marlstep/timer_queue.py
@@ -34,7 +34,7 @@
         return (self.when, self.number) < (other.when, other.number)
 
 
-class Timeline:
+class TimerQueue:
     def __init__(self, waker: Waker) -> None:
         self._waker = waker
         self._heap: list[Deadline] = []
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -12,7 +12,7 @@
 from marlstep.core.engine import Core, Ports, Refused
 from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
 from marlstep.standins.cores import Machine, Notice, Plan
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
 from marlstep.units import EPOCH, MICROSECOND, SECOND, span, span_us
@@ -72,7 +72,7 @@
         call_us: int,
     ) -> None:
         self.clock = Clock()
-        self.timeline = Timeline(self.clock)
+        self.timeline = TimerQueue(self.clock)
         self.campaign = campaign
         self.nodes = [
             VirtualNode(self, settings, seed + number, machine, gauge_names, call_us)
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -12,7 +12,7 @@
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
 from marlstep.pool.tries import End
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 
 RING_SIZE = 16 * 1024
 
@@ -48,7 +48,7 @@
         self._opening: Cancel | None = None
         self._patience: Deadline | None = None
 
-    def open(self, dial: Dial, address: Address, timeline: Timeline, within: timedelta) -> None:
+    def open(self, dial: Dial, address: Address, timeline: TimerQueue, within: timedelta) -> None:
         self._timeline = timeline
         self._patience = timeline.at(
             timeline.now() + within, lambda: self.not_opened("no connection in time")
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -18,7 +18,7 @@
 from marlstep.pool.plan import Address, Plan, server_name
 from marlstep.pool.table import PoolSettings, Server, ServerTable
 from marlstep.pool.tries import End, Tries
-from marlstep.timer_queue import Deadline, Timeline
+from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 from marlstep.upstreams.attempt import Attempt
 from petrelcart.interface import Effect, Outcome
@@ -76,7 +76,7 @@
     def __init__(
         self,
         plans: tuple[Plan, ...],
-        timeline: Timeline,
+        timeline: TimerQueue,
         sink: Callable[[], Sink],
         response_limit: int,
         seed: int = 0,
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -19,7 +19,7 @@
 from marlstep.cluster import wire
 from marlstep.cluster.transport import Lines
 from marlstep.config import ConfigError, check
-from marlstep.consensus.messages import VoteAsk
+from marlstep.consensus.messages import RequestVote
 from marlstep.drill.links import Ports
 from marlstep.drill.plan import Fault, Plan, Shape, draw
 from marlstep.drill.rig import NodeProcess, Rig, Settings
@@ -27,7 +27,7 @@
 from marlstep.net.eventloop import LoopWaker
 from marlstep.net.framing import Framing, keyed
 from marlstep.net.ring import Ring
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from tests.support.node import SETTINGS, raw_config
 
 ROOT = Path(__file__).parent.parent.parent
@@ -206,7 +206,7 @@
 
 
 def strangers(port: int, key: bytes, group: str) -> None:
-    ask = VoteAsk(999, False, True, 999, 999)
+    ask = RequestVote(999, False, True, 999, 999)
     theirs = wire.write(wire.Envelope("drill", group, "n2#x", "n1", ask))
     frames = [
         wire.framing(b"k" * 32).write(theirs),  # another key
@@ -317,7 +317,7 @@
 def test_a_line_that_says_nothing_and_one_that_does_not_read_are_cut() -> None:
     async def both() -> None:
         loop = asyncio.get_running_loop()
-        timeline = Timeline(LoopWaker(loop))
+        timeline = TimerQueue(LoopWaker(loop))
         framing = wire.framing(b"k" * 32)
         free = Ports()
         port, deaf = free.take(), free.take()
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -12,12 +12,12 @@
 import pytest
 
 from marlstep.cluster.store import FILE, Opened, Store, StoreError, StoreRefused, make_group, recover
-from marlstep.consensus.log import Entry, Group, Kind, Saved, Snapshot
+from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import Ready
 
 
 def ready(first: int, last: int, term: int = 1, **other: object) -> Ready:
-    rows = [Entry(index, term, Kind.COMMAND, f'{{"n":{index}}}') for index in range(first, last + 1)]
+    rows = [LogEntry(index, term, EntryType.COMMAND, f'{{"n":{index}}}') for index in range(first, last + 1)]
     return Ready(1, term, "n1#a", entries=rows, **other)  # type: ignore[arg-type]
 
 
@@ -43,21 +43,21 @@
 def test_what_was_saved_comes_back(folder: Path) -> None:
     told = reopened(folder)
     assert (told.identity, told.group, told.fresh) == ("n1#a", "1.g", False)
-    assert (told.saved.term, told.saved.vote) == (1, "n1#a")
+    assert (told.saved.term, told.saved.voted_for) == (1, "n1#a")
     assert [one.index for one in told.saved.entries] == list(range(1, 11))
     store = Store(folder)
     store.open("n1", "x")
     store.save(ready(6, 7, term=2))  # another leader's log goes on differently from 6 on
-    group = Group(("n1#a",))
-    store.save(Ready(2, 2, "", Snapshot(5, 1, group, "data"), keep=3))
+    group = Configuration(("n1#a",))
+    store.save(Ready(2, 2, "", Snapshot(5, 1, group, "data"), keep_after_index=3))
     store.close()
     saved = reopened(folder).saved
     assert saved.snapshot == Snapshot(5, 1, group, "data") and [one.index for one in saved.entries] == [6, 7]
     store = Store(folder)
     store.open("n1", "x")
-    store.save(Ready(3, 3, "", Snapshot(90, 3, group, "far"), replaces=True, keep=90))
+    store.save(Ready(3, 3, "", Snapshot(90, 3, group, "far"), replaces_log=True, keep_after_index=90))
     store.close()
-    assert reopened(folder).saved == Saved(3, "", Snapshot(90, 3, group, "far"), [])
+    assert reopened(folder).saved == PersistentState(3, "", Snapshot(90, 3, group, "far"), [])
 
 
 def test_a_copy_is_not_the_memory_of_this_voter(folder: Path, tmp_path: Path) -> None:
@@ -167,17 +167,24 @@
     with pytest.raises(StoreRefused, match="there already"):
         make_group(tmp_path, "n1", "n1#b", "1.h")
     told = reopened(tmp_path)
-    assert told.saved.snapshot.group == Group(("n1#a",)) and told.group == "1.g"
+    assert told.saved.snapshot.configuration == Configuration(("n1#a",)) and told.group == "1.g"
     store = Store(tmp_path)
     store.open("n1", "x")
     grant = '{"m":"leases","do":"grant","name":"task/t","holder":"n2/b","most":0}'
-    rows = [Entry(1, 1, Kind.COMMAND, grant), Entry(2, 1, Kind.GROUP, Group(("n1#a", "n2#b")).write())]
+    rows = [
+        LogEntry(1, 1, EntryType.COMMAND, grant),
+        LogEntry(2, 1, EntryType.CONFIGURATION, Configuration(("n1#a", "n2#b")).encode()),
+    ]
     store.save(Ready(1, 1, "n1#a", entries=rows))
     store.close()
     found = recover(tmp_path, "n1", "2.h")
     assert found["token"] == 1_000_001
     told = reopened(tmp_path)
-    assert told.group == "2.h" and told.saved.snapshot.group == Group(("n1#a",)) and told.saved.term == 2
+    assert (
+        told.group == "2.h"
+        and told.saved.snapshot.configuration == Configuration(("n1#a",))
+        and told.saved.term == 2
+    )
     assert '"task/t","n2/b",1' in told.saved.snapshot.data and not told.saved.entries
     with pytest.raises(StoreRefused, match="not there"):
         recover(tmp_path / "other", "n1", "2.h")
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -11,16 +11,23 @@
 from hypothesis import strategies as st
 
 from marlstep.cluster.wire import CODEC, Envelope, read, write
-from marlstep.consensus.log import Entry, Group, Kind, Log, Saved, Snapshot
-from marlstep.consensus.messages import Append, Appended, Forgot, VoteAsk
-from marlstep.consensus.raft import MOST_CHARACTERS, Raft, Role, Timing
-from marlstep.consensus.replica import COMPACT_AT, Ask, Join, Told, Voter, VoterSettings
-from marlstep.consensus.state_machine import Machines
+from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, RaftLog, Snapshot
+from marlstep.consensus.messages import AppendEntries, AppendEntriesResponse, LogRegressed, RequestVote
+from marlstep.consensus.raft import MAX_CHARACTERS_PER_MESSAGE, Raft, RaftTiming, Role
+from marlstep.consensus.replica import (
+    COMPACTION_THRESHOLD,
+    CommandRequest,
+    CommandResponse,
+    JoinRequest,
+    Replica,
+    ReplicaSettings,
+)
+from marlstep.consensus.state_machine import StateMachines
 from marlstep.leases.settings import LeaseSettings
 from marlstep.net.framing import CorruptError
 from marlstep.units import EPOCH, MILLISECOND
 
-TIMING = Timing()
+TIMING = RaftTiming()
 
 
 class Cluster:
@@ -28,15 +35,15 @@
 
     def __init__(self, count: int = 3) -> None:
         self.now = EPOCH + timedelta(days=1)
-        self.group = Group(tuple(f"v{number}#1" for number in range(count)))
-        self.disks: dict[str, Saved] = {}
+        self.group = Configuration(tuple(f"v{number}#1" for number in range(count)))
+        self.disks: dict[str, PersistentState] = {}
         self.voters: dict[str, Raft] = {}
-        self.applied: dict[str, list[Entry | Snapshot]] = {}
+        self.applied: dict[str, list[LogEntry | Snapshot]] = {}
         self.cut: set[str] = set()
         for number, name in enumerate(self.group.voters):
-            self.add(name, Saved(snapshot=Snapshot(group=self.group)), number)
+            self.add(name, PersistentState(snapshot=Snapshot(configuration=self.group)), number)
 
-    def add(self, name: str, saved: Saved, seed: int = 0) -> Raft:
+    def add(self, name: str, saved: PersistentState, seed: int = 0) -> Raft:
         self.disks[name] = saved
         raft = Raft(name, saved, TIMING, random.Random(seed), self.now)
         self.voters[name], self.applied[name] = raft, []
@@ -47,13 +54,13 @@
         while moved:
             moved = False
             for name, raft in self.voters.items():
-                messages = raft.prompt(self.now)
-                ready = raft.take()
+                messages = raft.take_immediate_messages(self.now)
+                ready = raft.take_ready()
                 if ready is not None:
                     self.disks[name] = stored(self.disks[name], ready)
-                    raft.synced(ready)
+                    raft.acknowledge_durable(ready)
                     messages += ready.messages
-                self.applied[name] += raft.applies()
+                self.applied[name] += raft.take_committed()
                 for to, message in messages:
                     moved = True
                     if to in self.voters and not {name, to} & self.cut:
@@ -70,15 +77,19 @@
 
     def leader(self) -> Raft:
         self.pass_time(timedelta(seconds=3))
-        leads = [raft for name, raft in self.voters.items() if raft.leads and name not in self.cut]
+        leads = [raft for name, raft in self.voters.items() if raft.is_leader and name not in self.cut]
         assert leads, "nobody leads"
         return max(leads, key=lambda raft: raft.term)
 
     def commands(self, name: str) -> list[str]:
-        return [one.body for one in self.applied[name] if isinstance(one, Entry) and one.kind is Kind.COMMAND]
+        return [
+            one.body
+            for one in self.applied[name]
+            if isinstance(one, LogEntry) and one.entry_type is EntryType.COMMAND
+        ]
 
 
-def stored(disk: Saved, ready: object) -> Saved:
+def stored(disk: PersistentState, ready: object) -> PersistentState:
     from marlstep.drill.virtual import Disk
 
     one = Disk("", disk)
@@ -90,7 +101,7 @@
 def test_a_group_elects_one_and_commits(count: int) -> None:
     cluster = Cluster(count)
     leader = cluster.leader()
-    assert sum(raft.leads for raft in cluster.voters.values()) == 1
+    assert sum(raft.is_leader for raft in cluster.voters.values()) == 1
     for number in range(5):
         leader.propose(cluster.now, f"c{number}")
     cluster.settle()
@@ -101,7 +112,7 @@
 def test_one_that_was_cut_off_comes_back_without_unseating_the_leader() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    lost = next(name for name in cluster.voters if name != leader.me)
+    lost = next(name for name in cluster.voters if name != leader.identity)
     cluster.cut.add(lost)
     for _ in range(40):  # its own patience runs out again and again
         cluster.now += 200 * MILLISECOND
@@ -111,13 +122,13 @@
     term = leader.term
     cluster.cut.clear()
     cluster.pass_time(timedelta(seconds=3))
-    assert leader.leads and leader.term == term and cluster.voters[lost].term == term
+    assert leader.is_leader and leader.term == term and cluster.voters[lost].term == term
 
 
 def test_a_leader_without_a_majority_steps_down() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    cluster.cut |= {name for name in cluster.voters if name != leader.me}
+    cluster.cut |= {name for name in cluster.voters if name != leader.identity}
     cluster.pass_time(timedelta(seconds=2))
     assert leader.role is not Role.LEADER and leader.propose(cluster.now, "lost") is None
 
@@ -127,7 +138,7 @@
     first = cluster.leader()
     first.propose(cluster.now, "kept")
     cluster.settle()
-    cluster.cut.add(first.me)
+    cluster.cut.add(first.identity)
     first.propose(cluster.now, "lost")
     second = cluster.leader()
     assert second is not first
@@ -141,32 +152,34 @@
 def test_a_vote_is_durable_before_it_is_spoken_and_given_once_a_term() -> None:
     cluster = Cluster()
     raft = cluster.voters["v0#1"]
-    raft.step(cluster.now, "v1#1", VoteAsk(1, False, True, 0, 0))
-    raft.step(cluster.now, "v2#1", VoteAsk(1, False, True, 0, 0))
-    assert raft.prompt(cluster.now) == []  # nothing is said before it is stored
-    ready = raft.take()
-    assert ready is not None and ready.stores and (ready.term, ready.vote) == (1, "v1#1")
+    raft.step(cluster.now, "v1#1", RequestVote(1, False, True, 0, 0))
+    raft.step(cluster.now, "v2#1", RequestVote(1, False, True, 0, 0))
+    assert raft.take_immediate_messages(cluster.now) == []  # nothing is said before it is stored
+    ready = raft.take_ready()
+    assert ready is not None and ready.needs_sync and (ready.term, ready.voted_for) == (1, "v1#1")
     assert [(to, message.granted) for to, message in ready.messages] == [("v1#1", True), ("v2#1", False)]  # type: ignore[union-attr]
     again = Raft("v0#1", stored(cluster.disks["v0#1"], ready), TIMING, random.Random(1), cluster.now)
-    again.step(cluster.now, "v2#1", VoteAsk(1, False, True, 9, 9))
-    answer = again.take()
+    again.step(cluster.now, "v2#1", RequestVote(1, False, True, 9, 9))
+    answer = again.take_ready()
     assert answer is not None and not answer.messages[0][1].granted  # type: ignore[union-attr]
 
 
 def test_a_member_far_behind_gets_the_snapshot_in_pieces_though_some_are_lost() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    late = next(name for name in cluster.voters if name != leader.me)
+    late = next(name for name in cluster.voters if name != leader.identity)
     cluster.cut.add(late)
     for number in range(50):
         leader.propose(cluster.now, f"c{number}")
     cluster.settle()
-    data = "x" * (3 * MOST_CHARACTERS + 7)
+    data = "x" * (3 * MAX_CHARACTERS_PER_MESSAGE + 7)
     leader.compact(lambda: data, keep=2)
     cluster.cut.clear()
-    cluster.voters[late].step(cluster.now, leader.me, Append(leader.term, leader.round, 40, leader.term, 0))
+    cluster.voters[late].step(
+        cluster.now, leader.identity, AppendEntries(leader.term, leader.heartbeat_round, 40, leader.term, 0)
+    )
     for _ in range(3):
-        leader.prompt(cluster.now)  # a broadcast that is lost
+        leader.take_immediate_messages(cluster.now)  # a broadcast that is lost
         cluster.pass_time(timedelta(milliseconds=150))
     got = [one for one in cluster.applied[late] if isinstance(one, Snapshot)]
     assert [one.data for one in got] == [data]
@@ -180,55 +193,57 @@
 def test_voters_come_and_go_one_at_a_time() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    four = (*leader.group.voters, "v3#1")
-    assert "one voter" in leader.change_group(cluster.now, Group((*four, "v4#1")))
-    assert not leader.change_group(cluster.now, Group(leader.group.voters, ("v3#1",)))
-    assert "not committed" in leader.change_group(cluster.now, Group(four))
-    cluster.add("v3#1", Saved(), 9)
+    four = (*leader.configuration.voters, "v3#1")
+    assert "one voter" in leader.change_configuration(cluster.now, Configuration((*four, "v4#1")))
+    assert not leader.change_configuration(cluster.now, Configuration(leader.configuration.voters, ("v3#1",)))
+    assert "not committed" in leader.change_configuration(cluster.now, Configuration(four))
+    cluster.add("v3#1", PersistentState(), 9)
     cluster.pass_time(timedelta(milliseconds=400))
-    assert not leader.change_group(cluster.now, Group(four))
+    assert not leader.change_configuration(cluster.now, Configuration(four))
     cluster.pass_time(timedelta(milliseconds=400))
-    assert cluster.voters["v3#1"].group.voters == four
-    rest = tuple(name for name in four if name != leader.me)
-    assert not leader.change_group(cluster.now, Group(rest))
+    assert cluster.voters["v3#1"].configuration.voters == four
+    rest = tuple(name for name in four if name != leader.identity)
+    assert not leader.change_configuration(cluster.now, Configuration(rest))
     cluster.pass_time(timedelta(milliseconds=300))
-    assert not leader.leads  # it saw its own going through, and went
-    assert cluster.leader().me in rest
+    assert not leader.is_leader  # it saw its own going through, and went
+    assert cluster.leader().identity in rest
 
 
 def test_leadership_is_handed_over_at_once() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    to = leader.transfer(cluster.now)
+    to = leader.transfer_leadership(cluster.now)
     cluster.settle()
-    assert to and cluster.voters[to].leads and not leader.leads
+    assert to and cluster.voters[to].is_leader and not leader.is_leader
 
 
 def test_a_voter_whose_store_went_back_is_told_so_by_the_leader() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    old = next(name for name in cluster.voters if name != leader.me)
-    before = Saved(cluster.disks[old].term, cluster.disks[old].vote, cluster.disks[old].snapshot, [])
+    old = next(name for name in cluster.voters if name != leader.identity)
+    before = PersistentState(
+        cluster.disks[old].term, cluster.disks[old].voted_for, cluster.disks[old].snapshot, []
+    )
     leader.propose(cluster.now, "durable there")
     cluster.settle()
     again = cluster.add(old, before, 5)
     cluster.pass_time(timedelta(milliseconds=500))
-    assert again.forgot
-    again._stand(cluster.now, forced=True)
-    assert not again.leads and again.role is Role.FOLLOWER  # it stands for nothing any more
+    assert again.log_regressed
+    again._start_election(cluster.now, forced=True)
+    assert not again.is_leader and again.role is Role.FOLLOWER  # it stands for nothing any more
 
 
 def test_an_answer_of_before_does_not_pass_for_a_lost_memory() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    other = cluster.voters[next(name for name in cluster.voters if name != leader.me)]
-    stale = Appended(leader.term, 1, False, 0)
+    other = cluster.voters[next(name for name in cluster.voters if name != leader.identity)]
+    stale = AppendEntriesResponse(leader.term, 1, False, 0)
     leader.propose(cluster.now, "more")
     cluster.settle()
-    leader.step(cluster.now, other.me, stale)
+    leader.step(cluster.now, other.identity, stale)
     cluster.settle()
-    other.step(cluster.now, leader.me, Forgot(leader.term, 1))
-    assert not other.forgot
+    other.step(cluster.now, leader.identity, LogRegressed(leader.term, 1))
+    assert not other.log_regressed
 
 
 # Named commands.
@@ -242,20 +257,20 @@
         self.value += command["add"]  # type: ignore[index]
         return {"value": self.value}
 
-    def write(self) -> object:
+    def snapshot(self) -> object:
         return self.value
 
-    def read(self, told: int) -> None:
+    def restore(self, told: int) -> None:
         self.value = told
 
 
 def test_a_command_that_is_sent_again_is_applied_once_also_after_a_snapshot() -> None:
-    one = Machines({"n": Counter()})
+    one = StateMachines({"n": Counter()})
     body = '{"m":"n","add":2,"by":"a/1","no":1}'
     assert one.apply(body)[1] == {"value": 2} == one.apply(body)[1]
-    two = Machines({"n": Counter()})
-    two.read(one.write())
-    assert two.apply(body)[1] == {"value": 2} and two.write() == one.write()
+    two = StateMachines({"n": Counter()})
+    two.restore(one.snapshot())
+    assert two.apply(body)[1] == {"value": 2} and two.snapshot() == one.snapshot()
     assert two.apply('{"m":"n","add":1,"by":"b/1","no":1}')[1] == {"value": 3}
 
 
@@ -264,45 +279,45 @@
 )
 def test_a_command_without_sense_changes_nothing_and_says_so(body: str) -> None:
     counter = Counter()
-    assert "error" in Machines({"n": counter}).apply(body)[1] and counter.value == 0
+    assert "error" in StateMachines({"n": counter}).apply(body)[1] and counter.value == 0
 
 
 def test_a_log_is_compacted_and_a_voter_starts_again_from_what_is_stored() -> None:
     now = EPOCH + timedelta(days=1)
-    group = Group(("v#1",))
-    disk = Saved(snapshot=Snapshot(group=group))
-    told = VoterSettings(TIMING, LeaseSettings(), ("v",))
-    voter = Voter("v#1", disk, told, lambda table: {"n": Counter()}, random.Random(1), now)
+    group = Configuration(("v#1",))
+    disk = PersistentState(snapshot=Snapshot(configuration=group))
+    told = ReplicaSettings(TIMING, LeaseSettings(), ("v",))
+    voter = Replica("v#1", disk, told, lambda table: {"n": Counter()}, random.Random(1), now)
 
     def settle() -> list[object]:
         nonlocal disk
         said: list[object] = []
         for _ in range(6):
-            said += [message for _, message in voter.prompt(now)]
-            while (ready := voter.take()) is not None:
+            said += [message for _, message in voter.take_immediate_messages(now)]
+            while (ready := voter.take_ready()) is not None:
                 disk = stored(disk, ready)
-                voter.synced(now, ready)
+                voter.acknowledge_durable(now, ready)
                 for to, message in ready.messages:
-                    if to == voter.me:
+                    if to == voter.identity:
                         voter.step(now, to, message)
         return said
 
     now = voter.next_due()
     voter.tick(now)
     settle()
-    for number in range(COMPACT_AT + 10):
-        voter.step(now, "a", Ask("a/1", number, '{"m":"n","add":1}'))
+    for number in range(COMPACTION_THRESHOLD + 10):
+        voter.step(now, "a", CommandRequest("a/1", number, '{"m":"n","add":1}'))
         if number % 100 == 0:
             settle()
     settle()
-    assert disk.snapshot.index >= COMPACT_AT - 100 and len(disk.entries) < COMPACT_AT
-    voter = Voter("v#1", disk, told, lambda table: {"n": Counter()}, random.Random(1), now)
+    assert disk.snapshot.index >= COMPACTION_THRESHOLD - 100 and len(disk.entries) < COMPACTION_THRESHOLD
+    voter = Replica("v#1", disk, told, lambda table: {"n": Counter()}, random.Random(1), now)
     now = voter.next_due()
     voter.tick(now)
     settle()
-    voter.step(now, "a", Ask("a/1", 99_999, '{"m":"n","add":1}'))
-    done = [one for one in settle() if isinstance(one, Told)]
-    assert done == [Told(99_999, True, "v", f'{{"value":{COMPACT_AT + 11}}}')]
+    voter.step(now, "a", CommandRequest("a/1", 99_999, '{"m":"n","add":1}'))
+    done = [one for one in settle() if isinstance(one, CommandResponse)]
+    assert done == [CommandResponse(99_999, True, "v", f'{{"value":{COMPACTION_THRESHOLD + 11}}}')]
 
 
 class Nodes:
@@ -311,11 +326,11 @@
     def __init__(self, named: tuple[str, ...]) -> None:
         self.now = EPOCH + timedelta(days=1)
         self.named = named
-        self.voters: dict[str, Voter] = {}
+        self.voters: dict[str, Replica] = {}
 
-    def start(self, identity: str, saved: Saved) -> Voter:
-        told = VoterSettings(TIMING, LeaseSettings(), self.named)
-        self.voters[identity] = Voter(
+    def start(self, identity: str, saved: PersistentState) -> Replica:
+        told = ReplicaSettings(TIMING, LeaseSettings(), self.named)
+        self.voters[identity] = Replica(
             identity, saved, told, lambda table: {}, random.Random(identity), self.now
         )
         return self.voters[identity]
@@ -326,40 +341,40 @@
             self.now += 20 * MILLISECOND
             for one in list(self.voters.values()):
                 one.tick(self.now)
-                if one.me not in one.raft.group.voters:
+                if one.identity not in one.raft.configuration.voters:
                     for other in self.voters.values():
-                        other.step(self.now, one.me, Join(one.node, one.me))
+                        other.step(self.now, one.identity, JoinRequest(one.node, one.identity))
             for _ in range(8):
                 for one in list(self.voters.values()):
-                    messages = one.prompt(self.now)
-                    while (ready := one.take()) is not None:
-                        one.synced(self.now, ready)
+                    messages = one.take_immediate_messages(self.now)
+                    while (ready := one.take_ready()) is not None:
+                        one.acknowledge_durable(self.now, ready)
                         messages += ready.messages
                     for to, message in messages:
                         if to in self.voters:
-                            self.voters[to].step(self.now, one.me, message)
+                            self.voters[to].step(self.now, one.identity, message)
 
     def group(self) -> set[str]:
-        leads = [one for one in self.voters.values() if one.raft.established]
+        leads = [one for one in self.voters.values() if one.raft.is_established_leader]
         assert leads, "nobody leads"
-        return set(max(leads, key=lambda one: one.raft.term).raft.group.voters)
+        return set(max(leads, key=lambda one: one.raft.term).raft.configuration.voters)
 
 
 def test_a_group_grows_from_one_replaces_a_lost_voter_and_lets_go_who_is_not_named() -> None:
     nodes = Nodes(("a", "b", "c"))
-    nodes.start("a#1", Saved(snapshot=Snapshot(group=Group(("a#1",)))))
+    nodes.start("a#1", PersistentState(snapshot=Snapshot(configuration=Configuration(("a#1",)))))
     for identity in ("b#1", "c#1", "x#1"):  # nobody named x
-        nodes.start(identity, Saved())
+        nodes.start(identity, PersistentState())
     nodes.pass_time(3)
     assert nodes.group() == {"a#1", "b#1", "c#1"}
     del nodes.voters["c#1"]
-    nodes.start("c#2", Saved())  # its disk was lost
+    nodes.start("c#2", PersistentState())  # its disk was lost
     nodes.pass_time(4)
     assert nodes.group() == {"a#1", "b#1", "c#2"}
     for one in nodes.voters.values():
-        one.settings = VoterSettings(TIMING, LeaseSettings(), ("b", "c", "d"))
+        one.settings = ReplicaSettings(TIMING, LeaseSettings(), ("b", "c", "d"))
     nodes.named = ("b", "c", "d")
-    nodes.start("d#1", Saved())
+    nodes.start("d#1", PersistentState())
     nodes.pass_time(5)
     assert nodes.group() == {"b#1", "c#2", "d#1"}  # the leader itself may be the one that goes
 
@@ -369,39 +384,41 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["append", "cut", "compact"]), st.integers(0, 30)), max_size=40))
 def test_a_log_is_what_a_plain_list_would_be(steps: list[tuple[str, int]]) -> None:
-    group = Group(("a",))
-    log, plain, base, term = Log(Saved(snapshot=Snapshot(group=group))), [0], 0, 1
+    group = Configuration(("a",))
+    log, plain, base, term = RaftLog(PersistentState(snapshot=Snapshot(configuration=group))), [0], 0, 1
     for what, number in steps:
         if what == "append":
             term += number % 3 == 0
-            log.append(Entry(log.last + 1, term, Kind.COMMAND, str(number)))
+            log.append(LogEntry(log.last_index + 1, term, EntryType.COMMAND, str(number)))
             plain.append(term)
-        elif what == "cut" and base < log.last:
-            first = max(base + 1, log.last - number % 4)
-            log.cut(first)
+        elif what == "cut" and base < log.last_index:
+            first = max(base + 1, log.last_index - number % 4)
+            log.truncate_from(first)
             del plain[first:]
-        elif what == "compact" and log.last > log.snapshot.index:
-            index = log.snapshot.index + 1 + number % (log.last - log.snapshot.index)
+        elif what == "compact" and log.last_index > log.snapshot.index:
+            index = log.snapshot.index + 1 + number % (log.last_index - log.snapshot.index)
             log.compact(Snapshot(index, log.term_at(index), group, ""), keep=number % 5)
             base = log.snapshot.index
-        assert log.last == len(plain) - 1
-        assert [log.term_at(index) for index in range(log.first, log.last + 1)] == plain[log.first :]
-        assert log.first <= log.snapshot.index + 1
+        assert log.last_index == len(plain) - 1
+        assert [log.term_at(index) for index in range(log.first_index, log.last_index + 1)] == plain[
+            log.first_index :
+        ]
+        assert log.first_index <= log.snapshot.index + 1
 
 
 MESSAGES = st.one_of(
     st.builds(
-        Append,
+        AppendEntries,
         *(st.integers(0, 1 << 40) for _ in range(5)),
         st.lists(
-            st.builds(Entry, st.integers(1, 99), st.integers(0, 9), st.just(Kind.COMMAND), st.text()),
+            st.builds(LogEntry, st.integers(1, 99), st.integers(0, 9), st.just(EntryType.COMMAND), st.text()),
             max_size=3,
         ).map(tuple),
     ),
     st.builds(
-        VoteAsk, st.integers(0, 99), st.booleans(), st.booleans(), st.integers(0, 99), st.integers(0, 99)
+        RequestVote, st.integers(0, 99), st.booleans(), st.booleans(), st.integers(0, 99), st.integers(0, 99)
     ),
-    st.builds(Told, st.integers(0, 99), st.booleans(), st.text(), st.text()),
+    st.builds(CommandResponse, st.integers(0, 99), st.booleans(), st.text(), st.text()),
 )
 
 
@@ -445,16 +462,18 @@
 
 def test_a_voter_that_wakes_late_reads_its_lines_before_it_asks_for_an_election() -> None:
     now = EPOCH + timedelta(days=1)
-    saved = Saved(snapshot=Snapshot(group=Group(("a#1", "b#1", "c#1"))))
+    saved = PersistentState(snapshot=Snapshot(configuration=Configuration(("a#1", "b#1", "c#1"))))
     raft = Raft("a#1", saved, TIMING, random.Random(1), now)
-    late = raft.next_due() + 3 * TIMING.beat
+    late = raft.next_due() + 3 * TIMING.heartbeat_interval
     raft.tick(late)
-    assert not raft.leads and raft.next_due() == late + TIMING.beat
-    raft.step(late, "b#1", Append(1, 1, 0, 0, 0, ()))  # the leader's word was there all the time
-    assert raft.leader == "b#1" and raft.next_due() > late + TIMING.beat
+    assert not raft.is_leader and raft.next_due() == late + TIMING.heartbeat_interval
+    raft.step(late, "b#1", AppendEntries(1, 1, 0, 0, 0, ()))  # the leader's word was there all the time
+    assert raft.leader == "b#1" and raft.next_due() > late + TIMING.heartbeat_interval
     # Without a word it stands a beat later, and is not put off again however late that is.
-    again = raft.next_due() + 3 * TIMING.beat
+    again = raft.next_due() + 3 * TIMING.heartbeat_interval
     raft.tick(again)
-    assert [message for _, message in raft.prompt(again) if isinstance(message, VoteAsk)] == []
-    raft.tick(again + 9 * TIMING.beat)
-    assert raft.role is Role.ASKING
+    assert [
+        message for _, message in raft.take_immediate_messages(again) if isinstance(message, RequestVote)
+    ] == []
+    raft.tick(again + 9 * TIMING.heartbeat_interval)
+    assert raft.role is Role.PRE_CANDIDATE
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -32,7 +32,7 @@
             for part in (members, leases, tasks, documents, stages, shares, refused, without_sense):
                 part(world)
             leave_open(world)
-            return world.rows, world.voter.machines.write()
+            return world.rows, world.voter.machines.snapshot()
 
     return asyncio.run(course())
 
@@ -84,7 +84,7 @@
     first.wants += ("task/sweep", "task/nightly")
     world.pass_time(1_000)
     second.wants += ("task/sweep", "probe/main")
-    token = world.voter.table.leases["task/sweep"].token
+    token = world.voter.leases.leases["task/sweep"].token
     first.wants = tuple(name for name in first.wants if name != "task/sweep")
     first.returns = (("task/sweep", token),)
     world.pass_time(1_000)
@@ -97,7 +97,7 @@
     third.silent = False
     third.wants = ("rules/n4/b1",)
     world.pass_time(1_000)
-    token = world.voter.table.leases["task/sweep"].token
+    token = world.voter.leases.leases["task/sweep"].token
     for command in (
         {"do": "grant", "name": "task/sweep", "holder": "n4/b1", "most": 0},
         {"do": "grant", "name": "task/other", "holder": "n3/b1", "most": 1},
@@ -127,7 +127,7 @@
         self.by = ""
 
     def gained(self) -> None:
-        lease = self.world.voter.table.leases[f"task/{self.task}"]
+        lease = self.world.voter.leases.leases[f"task/{self.task}"]
         self.by = lease.holder
         self.runner.gained(lease.token)
 
@@ -161,7 +161,7 @@
 
     def pass_on(self) -> None:
         """The lease goes to another grant."""
-        table = self.world.voter.table
+        table = self.world.voter.leases
         lease = table.leases[f"task/{self.task}"]
         command = {"m": "leases", "do": "return", "name": f"task/{self.task}", "token": lease.token}
         self.world.ask(lease.holder, command)
@@ -185,7 +185,7 @@
     unsafe.pass_on()
     unsafe.gained()
     unsafe.go(Outcome.DONE, Outcome.DONE)
-    token = world.voter.table.leases["task/sweep"].token
+    token = world.voter.leases.leases["task/sweep"].token
     base = {"m": "tasks", "task": "sweep", "token": token}
     for command in (
         {**base, "do": "look"},
@@ -227,7 +227,7 @@
 
 
 def ack(world: World, doc: str, holder: str, why: str = "", **other: Any) -> dict[str, Any]:
-    book = world.voter.book
+    book = world.voter.config_store
     assert book is not None
     pending = book.documents[doc].pending
     version, digest = (pending.version.version, pending.version.digest) if pending is not None else (0, "")
@@ -312,14 +312,14 @@
 
 
 def pending_nodes(world: World, doc: str) -> list[str]:
-    book = world.voter.book
+    book = world.voter.config_store
     pending = None if book is None else book.documents[doc].pending
     assert pending is not None and pending.stage is not None
     return pending.stage.nodes
 
 
 def world_version(world: World, doc: str) -> int:
-    book = world.voter.book
+    book = world.voter.config_store
     pending = None if book is None else book.documents[doc].pending
     assert pending is not None
     return pending.version.version
@@ -368,7 +368,7 @@
 
 def given_back(world: World) -> None:
     """Each process says that it uses no more than it was asked to come down to."""
-    machine = world.voter.shares
+    machine = world.voter.quotas
     assert machine is not None
     for tenant, parts in list(machine.tenants.items()):
         for holder, part in list(parts.items()):
@@ -441,7 +441,7 @@
     put(world, "tenants", changed, 1, hold_out=True)
     ack(world, "tenants", "n2/b1")
     ack(world, "tenants", "n3/b1", why="not now")
-    book = world.voter.book
+    book = world.voter.config_store
     assert book is not None
     more = {"main": ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:8"], "more": ["127.0.0.1:4"]}
     at_stage(world, "servers", more, book.documents["servers"].number, nodes=["n2", "n3"])
--- a/tests/golden/machines.py
+++ b/tests/golden/machines.py
@@ -7,17 +7,17 @@
 import orjson
 
 from marlstep.cluster.node import tasks_machine
-from marlstep.consensus.state_machine import Machines
-from marlstep.leases.table import Table
+from marlstep.consensus.state_machine import StateMachines
+from marlstep.leases.table import LeaseTable
 
 
-def machines() -> Machines:
+def machines() -> StateMachines:
     """As a voter without a past has them."""
-    table = Table()
-    return Machines({"leases": table, **tasks_machine(table)})
+    table = LeaseTable()
+    return StateMachines({"leases": table, **tasks_machine(table)})
 
 
-def applied(log: Machines, body: str) -> str:
+def applied(log: StateMachines, body: str) -> str:
     """The result of one command, as JSON."""
     return orjson.dumps(log.apply(body)[1]).decode()
 
@@ -30,4 +30,4 @@
     for number in range(1, times + 1):
         for body in pattern.replace("@", str(number)).split("\n"):
             last = applied(log, body)
-    return last, hashlib.blake2b(log.write().encode(), digest_size=16).hexdigest()
+    return last, hashlib.blake2b(log.snapshot().encode(), digest_size=16).hexdigest()
--- a/tests/golden/node_messages.py
+++ b/tests/golden/node_messages.py
@@ -6,19 +6,25 @@
 from typing import Any
 
 from marlstep.cluster import wire
-from marlstep.consensus.log import Entry, Group, Kind
+from marlstep.consensus.log import Configuration, EntryType, LogEntry
 from marlstep.consensus.messages import (
-    Append,
-    Appended,
-    ElectNow,
-    Forgot,
-    SnapshotPart,
-    SnapshotTaken,
-    Vote,
-    VoteAsk,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshotChunk,
+    InstallSnapshotResponse,
+    LogRegressed,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
+)
+from marlstep.consensus.replica import CommandRequest, CommandResponse, JoinRequest
+from marlstep.leases.messages import (
+    DocumentStatus,
+    Heartbeat,
+    HeartbeatResponse,
+    RelayAnnouncement,
+    ServerRecovered,
 )
-from marlstep.consensus.replica import Ask, Join, Told
-from marlstep.leases.messages import Beat, Beaten, News, Probed, Relay
 from marlstep.membership.records import Record, State
 from marlstep.replicated_config.messages import Fetch, Piece
 from tests.golden.conversation import KEY, Conversation, Sample
@@ -30,75 +36,85 @@
     Record("n4", "b4", 1_800_000_000_004, 4, State.LEFT, "127.0.0.4:7004"),
 )
 ENTRIES = (
-    Entry(index=41, term=6, kind=Kind.EMPTY, body=""),
-    Entry(index=42, term=7, kind=Kind.COMMAND, body='{"m":"leases","do":"grant","name":"näme"}'),
-    Entry(index=43, term=7, kind=Kind.GROUP, body='[["n1#a","n2#b"],["n3#c"]]'),
+    LogEntry(index=41, term=6, entry_type=EntryType.NOOP, body=""),
+    LogEntry(
+        index=42, term=7, entry_type=EntryType.COMMAND, body='{"m":"leases","do":"grant","name":"näme"}'
+    ),
+    LogEntry(index=43, term=7, entry_type=EntryType.CONFIGURATION, body='[["n1#a","n2#b"],["n3#c"]]'),
 )
 NEWS = (
-    News(
+    DocumentStatus(
         name="tenants",
         version=3,
         digest="d3",
-        pending=4,
-        pending_digest="d4",
+        prepared_version=4,
+        prepared_digest="d4",
         strict=True,
-        on=("n1", "n2"),
+        rollout_nodes=("n1", "n2"),
     ),
-    News(name="servers", version=1, digest="d1"),
+    DocumentStatus(name="servers", version=1, digest="d1"),
 )
 MESSAGES: Mapping[str, Any] = {
-    "Append/full": Append(term=7, round=11, prev=40, prev_term=6, commit=39, entries=ENTRIES),
-    "Append/defaults": Append(term=7, round=11, prev=40, prev_term=6, commit=39),
-    "Appended/full": Appended(term=7, round=11, good=True, last=43),
-    "VoteAsk/full": VoteAsk(term=8, pre=True, forced=True, last=43, last_term=7),
-    "Vote/full": Vote(term=8, asked=9, pre=True, granted=True),
-    "SnapshotPart/full": SnapshotPart(
+    "Append/full": AppendEntries(
+        term=7, heartbeat_round=11, prev_log_index=40, prev_log_term=6, leader_commit=39, entries=ENTRIES
+    ),
+    "Append/defaults": AppendEntries(
+        term=7, heartbeat_round=11, prev_log_index=40, prev_log_term=6, leader_commit=39
+    ),
+    "Appended/full": AppendEntriesResponse(term=7, heartbeat_round=11, success=True, match_index=43),
+    "VoteAsk/full": RequestVote(
+        term=8, pre_vote=True, leadership_transfer=True, last_log_index=43, last_log_term=7
+    ),
+    "Vote/full": RequestVoteResponse(term=8, requested_term=9, pre_vote=True, granted=True),
+    "SnapshotPart/full": InstallSnapshotChunk(
         term=7,
-        round=12,
-        index=43,
-        index_term=6,
-        group=Group(voters=("n1#a", "n2#b"), learners=("n3#c",)),
+        heartbeat_round=12,
+        last_included_index=43,
+        last_included_term=6,
+        configuration=Configuration(voters=("n1#a", "n2#b"), learners=("n3#c",)),
         offset=4096,
         data='{"asked":[],"text":"ü\\u0000"}',
         done=True,
     ),
-    "SnapshotTaken/full": SnapshotTaken(term=7, round=12, index=43, offset=4096, done=True),
-    "ElectNow/full": ElectNow(term=7),
-    "Forgot/full": Forgot(term=7, said=43),
-    "Ask/full": Ask(by="n2/b2", number=5, command='{"m":"rules","do":"get"}'),
-    "Told/full": Told(number=5, done=True, leader="n1", result='{"granted":"n2/b2"}'),
-    "Told/defaults": Told(number=5, done=False, leader="n1"),
-    "Beat/full": Beat(
+    "SnapshotTaken/full": InstallSnapshotResponse(
+        term=7, heartbeat_round=12, last_included_index=43, offset=4096, done=True
+    ),
+    "ElectNow/full": TimeoutNow(term=7),
+    "Forgot/full": LogRegressed(term=7, acknowledged_index=43),
+    "Ask/full": CommandRequest(client="n2/b2", number=5, command='{"m":"rules","do":"get"}'),
+    "Told/full": CommandResponse(number=5, applied=True, leader="n1", result='{"granted":"n2/b2"}'),
+    "Told/defaults": CommandResponse(number=5, applied=False, leader="n1"),
+    "Beat/full": Heartbeat(
         node="n2/b2",
-        boot="b2",
+        process_id="b2",
         number=17,
-        wants=("task/a", "pool/é"),
-        returns=(("task/b", 21), ("task/c", 22)),
-        most=9,
+        wanted_leases=("task/a", "pool/é"),
+        returned_leases=(("task/b", 21), ("task/c", 22)),
+        max_leases=9,
         clock_us=1_800_000_000_000_123,
-        acts=(("tenants", 3, "in force", 250, ""), ("servers", 1, "held out", 10, 'why "not"')),
-        figures=(100, 20, 3),
-        failed=("n3", "n4"),
-        demand=(("acme", 1500), ("öst", 2)),
+        document_states=(("tenants", 3, "in force", 250, ""), ("servers", 1, "held out", 10, 'why "not"')),
+        request_counts=(100, 20, 3),
+        failed_nodes=("n3", "n4"),
+        tenant_demand=(("acme", 1500), ("öst", 2)),
     ),
-    "Beat/defaults": Beat(node="n2/b2", boot="b2", number=17, wants=()),
-    "Beaten/full": Beaten(
+    "Beat/defaults": Heartbeat(node="n2/b2", process_id="b2", number=17, wanted_leases=()),
+    "Beaten/full": HeartbeatResponse(
         number=17,
-        good=True,
+        from_leader=True,
         leader="n1",
         term=7,
-        count=99,
+        sequence=99,
         leases=(("task/a", 23), ("pool/é", 24)),
-        drifts=True,
-        news=NEWS,
-        shares=(("acme", 500_000, 250_000), ("öst", 10_000, 10_000)),
+        clock_drifts=True,
+        documents=NEWS,
+        quota_shares=(("acme", 500_000, 250_000), ("öst", 10_000, 10_000)),
     ),
-    "Beaten/defaults": Beaten(number=17, good=False, leader=""),
-    "Join/full": Join(node="n3", identity="n3#c"),
-    "Probed/full": Probed(pool="front", server="127.0.0.1:9000", token=25),
+    "Beaten/defaults": HeartbeatResponse(number=17, from_leader=False, leader=""),
+    "Join/full": JoinRequest(node="n3", identity="n3#c"),
+    "Probed/full": ServerRecovered(pool="front", server="127.0.0.1:9000", token=25),
     "Fetch/full": Fetch(name="tenants", version=3, offset=6144),
     "Piece/full": Piece(name="tenants", version=3, offset=6144, size=9000, data='{"tenants":{"ä":1}}'),
-    "Relay/full": Relay(holder="n2/b2", port=7102),
+    "Relay/full": RelayAnnouncement(holder="n2/b2", port=7102),
     "Exchanged/full": wire.Exchanged(me=RECORDS[:1], answer=True, records=RECORDS),
 }
 
--- a/tests/golden/record_state.py
+++ b/tests/golden/record_state.py
@@ -30,7 +30,7 @@
     for number, row in enumerate(rows, 1):
         fresh.apply(row.body)
         if number % SNAPSHOT_EVERY == 0 or number == len(rows):
-            snapshots.append({"after": number, "data": fresh.write()})
+            snapshots.append({"after": number, "data": fresh.snapshot()})
     assert snapshots[-1]["data"] == last
     write_golden("snapshots.json", snapshots)
 
--- a/tests/golden/sections.py
+++ b/tests/golden/sections.py
@@ -34,7 +34,7 @@
         "store": None if fleet.store is None else fleet.store.relative_to(folder).as_posix(),
         "term_ms": ms(fleet.leases.term),
         "drift": fleet.leases.drift,
-        "most_leases": fleet.leases.most,
+        "most_leases": fleet.leases.max_per_node,
         "beat_ms": ms(fleet.beat),
         "patience_ms": ms(fleet.patience),
         "probes": fleet.probes,
@@ -52,7 +52,7 @@
         "rules": None
         if rules is None
         else {
-            "lease_ms": ms(fleet.leases.rules),
+            "lease_ms": ms(fleet.leases.config_term),
             "agree_within_ms": ms(rules.agree_within),
             "shares": rules.shares,
             "documents": {
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -15,8 +15,8 @@
 from marlstep.admin.http import Call
 from marlstep.cli.main import call
 from marlstep.cluster import wire
-from marlstep.components.admin import AdminPart
-from marlstep.components.health_endpoint import DoorPart
+from marlstep.components.admin import AdminComponent
+from marlstep.components.health_endpoint import HealthEndpointComponent
 from marlstep.membership.messages import Ack
 from marlstep.membership.partition_state import Sight
 from marlstep.membership.records import Record, State
@@ -42,11 +42,11 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.world: World = make_world(folder)
-        self.admin = self._part(AdminPart).surface
-        self.door = self._part(DoorPart).surface
+        self.admin = self._part(AdminComponent).service
+        self.door = self._part(HealthEndpointComponent).service
 
     def _part(self, kind: type[Any]) -> Any:
-        return next(part for part in self.world.node.parts.values() if isinstance(part, kind))
+        return next(part for part in self.world.node.components.values() if isinstance(part, kind))
 
     def serve(self, method: str, path: str, told: Any = None) -> tuple[int, Any]:
         """As the administration would write it and a client would read it."""
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 
 from marlstep.cluster.node import tasks_machine
-from marlstep.consensus.log import Group
-from marlstep.consensus.state_machine import Machine, Machines
-from marlstep.leases.table import Lease, Table
+from marlstep.consensus.log import Configuration
+from marlstep.consensus.state_machine import StateMachine, StateMachines
+from marlstep.leases.table import Lease, LeaseTable
 from marlstep.membership.quotas import Part, Shares
 from marlstep.membership.roster import Agreed, Belongs
 from marlstep.replicated_config.documents import Kind, Version
@@ -17,21 +17,21 @@
 from tests.golden.conversation import DATA
 
 PATH = DATA / "snapshots.json"
-GROUP = Group(voters=("n1#a", "n2#b"), learners=("n3#c",))
+GROUP = Configuration(voters=("n1#a", "n2#b"), learners=("n3#c",))
 
 
-def new_machines() -> Mapping[str, Machine]:
+def new_machines() -> Mapping[str, StateMachine]:
     """All machines of a fleet, by their names in a snapshot, still empty."""
-    table = Table()
+    table = LeaseTable()
     return {"leases": table, **tasks_machine(table)}
 
 
-def _fill_leases(table: Table) -> None:
-    table.read({"token": 24, "leases": []})
+def _fill_leases(table: LeaseTable) -> None:
+    table.restore({"token": 24, "leases": []})
     table.leases = {
-        "task/a": Lease(holder="n1/b1", token=23, last="n2", grants=4),
-        "rules/n1/b1": Lease(holder="n1/b1", token=24, last="", grants=1),
-        "task/free": Lease(holder="", token=12, last="n3", grants=2),
+        "task/a": Lease(holder="n1/b1", token=23, previous_node="n2", grant_count=4),
+        "rules/n1/b1": Lease(holder="n1/b1", token=24, previous_node="", grant_count=1),
+        "task/free": Lease(holder="", token=12, previous_node="n3", grant_count=2),
     }
 
 
@@ -86,12 +86,12 @@
     record.runs["untouched"] = Run()
 
 
-def filled_machines() -> Mapping[str, Machine]:
+def filled_machines() -> Mapping[str, StateMachine]:
     """All machines, each with every field of its state set."""
     machines = new_machines()
     for machine in machines.values():
         match machine:
-            case Table():
+            case LeaseTable():
                 _fill_leases(machine)
             case Agreed():
                 _fill_members(machine)
@@ -108,9 +108,9 @@
 
 def written() -> dict[str, str]:
     """A whole snapshot, and the group beside it, as the store and the wire have them."""
-    machines = Machines(filled_machines())
-    machines._keep("n2/b2", 5, {"granted": "n2/b2", "token": 24})
-    return {"snapshot": machines.write(), "group": GROUP.write()}
+    machines = StateMachines(filled_machines())
+    machines._cache_result("n2/b2", 5, {"granted": "n2/b2", "token": 24})
+    return {"snapshot": machines.snapshot(), "group": GROUP.encode()}
 
 
 def load() -> dict[str, str]:
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -8,7 +8,7 @@
 import apsw
 
 from marlstep.cluster.store import Opened, Store
-from marlstep.consensus.log import Entry, Group, Kind, Snapshot
+from marlstep.consensus.log import Configuration, EntryType, LogEntry, Snapshot
 from marlstep.consensus.raft import Ready
 from tests.golden.files import read_golden
 
@@ -21,17 +21,17 @@
     """A log with entries of each kind behind a snapshot, a vote in a later term, and a group."""
     data = read_golden("snapshots.json")[0]["data"]
     bodies = [row["body"] for row in read_golden("log_commands.json")[:8]]
-    group = Group((IDENTITY, "n2#1a"), ("n3#2a",))
-    entries = [Entry(number, 1, Kind.COMMAND, body) for number, body in enumerate(bodies, 1)]
+    group = Configuration((IDENTITY, "n2#1a"), ("n3#2a",))
+    entries = [LogEntry(number, 1, EntryType.COMMAND, body) for number, body in enumerate(bodies, 1)]
     store = Store(folder)
     store.open(NODE, IDENTITY)
     store.set_group(GROUP)
     store.save(Ready(1, 1, IDENTITY, entries=entries))
-    store.save(Ready(2, 1, IDENTITY, Snapshot(5, 1, Group((IDENTITY,)), data), keep=2))
+    store.save(Ready(2, 1, IDENTITY, Snapshot(5, 1, Configuration((IDENTITY,)), data), keep_after_index=2))
     more = [
-        Entry(9, 2, Kind.EMPTY, ""),
-        Entry(10, 2, Kind.GROUP, group.write()),
-        Entry(11, 2, Kind.COMMAND, 'a "text" with \u00e4, \u2713 and \\n'),
+        LogEntry(9, 2, EntryType.NOOP, ""),
+        LogEntry(10, 2, EntryType.CONFIGURATION, group.encode()),
+        LogEntry(11, 2, EntryType.COMMAND, 'a "text" with \u00e4, \u2713 and \\n'),
     ]
     store.save(Ready(3, 2, "n2#1a", entries=more))
     store.save(Ready(4, 3, "n3#2a"))
@@ -51,14 +51,14 @@
         "group": told.group,
         "fresh": told.fresh,
         "term": saved.term,
-        "vote": saved.vote,
+        "vote": saved.voted_for,
         "snapshot": {
             "index": snapshot.index,
             "term": snapshot.term,
-            "group": snapshot.group.write(),
+            "group": snapshot.configuration.encode(),
             "data": snapshot.data,
         },
-        "entries": [[one.index, one.term, one.kind.value, one.body] for one in saved.entries],
+        "entries": [[one.index, one.term, one.entry_type.value, one.body] for one in saved.entries],
     }
 
 
--- a/tests/golden/test_snapshot_keys.py
+++ b/tests/golden/test_snapshot_keys.py
@@ -10,8 +10,8 @@
 import orjson
 import pytest
 
-from marlstep.consensus.log import Group
-from marlstep.consensus.state_machine import Machines
+from marlstep.consensus.log import Configuration
+from marlstep.consensus.state_machine import StateMachines
 from tests.golden import snapshots
 
 NAMES = list(snapshots.new_machines())
@@ -29,14 +29,14 @@
 def test_a_machine_reads_its_part_of_the_stored_snapshot(name: str) -> None:
     stored = json.loads(snapshots.load()["snapshot"])["machines"][name]
     read, expected = snapshots.new_machines()[name], snapshots.filled_machines()[name]
-    read.read(stored)
-    assert json.loads(orjson.dumps(read.write())) == stored
+    read.restore(stored)
+    assert json.loads(orjson.dumps(read.snapshot())) == stored
     for attribute in STATE[name]:
         assert getattr(read, attribute) == getattr(expected, attribute)
 
 
 STATE = {
-    "leases": ("leases", "token"),
+    "leases": ("leases", "last_token"),
     "members": ("nodes", "believed"),
     "rules": ("documents", "_uploads"),
     "shares": ("tenants",),
@@ -45,11 +45,11 @@
 
 
 def test_the_whole_stored_snapshot_is_read() -> None:
-    machines = Machines(snapshots.new_machines())
-    machines.read(snapshots.load()["snapshot"])
-    assert machines.write() == snapshots.load()["snapshot"]
-    assert machines.known("n2/b2", 5) == {"granted": "n2/b2", "token": 24}
+    machines = StateMachines(snapshots.new_machines())
+    machines.restore(snapshots.load()["snapshot"])
+    assert machines.snapshot() == snapshots.load()["snapshot"]
+    assert machines.cached_result("n2/b2", 5) == {"granted": "n2/b2", "token": 24}
 
 
 def test_the_stored_group_is_read() -> None:
-    assert Group.read(snapshots.load()["group"]) == snapshots.GROUP
+    assert Configuration.decode(snapshots.load()["group"]) == snapshots.GROUP
--- a/tests/golden/test_snapshots.py
+++ b/tests/golden/test_snapshots.py
@@ -19,7 +19,7 @@
     for number, row in enumerate(ROWS, 1):
         log.apply(row["body"])
         if number in stored:
-            assert log.write() == stored.pop(number), number
+            assert log.snapshot() == stored.pop(number), number
     assert not stored
 
 
@@ -28,12 +28,12 @@
     snapshot: dict[str, Any],
 ) -> None:
     log = machines()
-    log.read(snapshot["data"])
-    assert log.write() == snapshot["data"]
+    log.restore(snapshot["data"])
+    assert log.snapshot() == snapshot["data"]
     for number, row in enumerate(ROWS[snapshot["after"] :], snapshot["after"]):
         # As JSON objects: a snapshot sorts its keys, and with them those of the rows that a `get` tells.
         assert json.loads(applied(log, row["body"])) == json.loads(row["result"]), (number, row["body"])
-    assert log.write() == SNAPSHOTS[-1]["data"]
+    assert log.snapshot() == SNAPSHOTS[-1]["data"]
 
 
 def test_the_last_snapshot_has_every_kind_of_thing() -> None:
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -16,10 +16,10 @@
 from marlstep.cluster.transport import Lines
 from marlstep.config import check
 from marlstep.config.fleet import FleetConfig
-from marlstep.consensus.log import Group, Saved, Snapshot
-from marlstep.consensus.raft import Timing
-from marlstep.consensus.replica import Ask, Message, Told, Voter, VoterSettings
-from marlstep.leases.messages import Acts, Beat, Beaten, Figures, Held
+from marlstep.consensus.log import Configuration, PersistentState, Snapshot
+from marlstep.consensus.raft import RaftTiming
+from marlstep.consensus.replica import CommandRequest, CommandResponse, Message, Replica, ReplicaSettings
+from marlstep.leases.messages import DocumentState, Heartbeat, HeartbeatResponse, LeaseToken, RequestCounts
 from marlstep.node import Node
 from marlstep.replicated_config.messages import Fetch, Piece
 from tests.golden.everything import KEY, operator_config, platform_config
@@ -43,12 +43,12 @@
 
     node: str
     wants: tuple[str, ...] = ()
-    returns: tuple[Held, ...] = ()
+    returns: tuple[LeaseToken, ...] = ()
     most: int = 0
-    acts: tuple[Acts, ...] = ()
-    figures: Figures = (0, 0, 0)
+    acts: tuple[DocumentState, ...] = ()
+    figures: RequestCounts = (0, 0, 0)
     failed: tuple[str, ...] = ()
-    demand: tuple[Held, ...] = ()
+    demand: tuple[LeaseToken, ...] = ()
     silent: bool = False
     beats: int = 0
 
@@ -56,9 +56,9 @@
     def holder(self) -> str:
         return f"{self.node}/b1"
 
-    def beat(self) -> Beat:
+    def beat(self) -> Heartbeat:
         self.beats += 1
-        return Beat(
+        return Heartbeat(
             self.node, "b1", self.beats, self.wants, self.returns, self.most, 0, self.acts, self.figures,
             self.failed, self.demand,
         )  # fmt: skip
@@ -73,13 +73,13 @@
         self.kept.append(body)
 
 
-def lone_voter(config: FleetConfig, clock: HandClock) -> Voter:
+def lone_voter(config: FleetConfig, clock: HandClock) -> Replica:
     """The only one of its group, so that what it proposes is committed at once."""
     members = None if config.members is None else config.members.keeping
-    timing = Timing(config.beat, config.patience)
-    settings = VoterSettings(timing, config.leases, ("n1",), members, shares=True)
-    saved = Saved(0, "", Snapshot(0, 0, Group((VOTER,)), ""), [])
-    return Voter(VOTER, saved, settings, tasks_machine, random.Random(1), clock.now())
+    timing = RaftTiming(config.beat, config.patience)
+    settings = ReplicaSettings(timing, config.leases, ("n1",), members, quotas=True)
+    saved = PersistentState(0, "", Snapshot(0, 0, Configuration((VOTER,)), ""), [])
+    return Replica(VOTER, saved, settings, tasks_machine, random.Random(1), clock.now())
 
 
 @dataclass(slots=True)
@@ -89,7 +89,7 @@
     clock: HandClock
     node: Node
     fleet: Fleet
-    voter: Voter
+    voter: Replica
     lines: KeptLines
     rows: list[Row] = field(default_factory=list)
     processes: dict[str, Process] = field(default_factory=dict)
@@ -112,11 +112,11 @@
         for _ in range(6):
             if self.voter.next_due() <= now:
                 self.voter.tick(now)
-            while (ready := self.voter.take()) is not None:
-                self.voter.synced(now, ready)
+            while (ready := self.voter.take_ready()) is not None:
+                self.voter.acknowledge_durable(now, ready)
                 for _, own in ready.messages:  # its own vote comes back once it is durable
                     self.voter.step(now, VOTER, own)
-            for to, message in self.voter.prompt(now):
+            for to, message in self.voter.take_immediate_messages(now):
                 self._told(to, message)
             rules.look(now)
             for _, sent in self.fleet.participant.tick(now)[0]:
@@ -135,8 +135,8 @@
         if to != holder.name:
             return
         match message:
-            case Beaten() | Told():
-                self.fleet.participant.told(now, "n1", message)
+            case HeartbeatResponse() | CommandResponse():
+                self.fleet.participant.handle_response(now, "n1", message)
                 rules.heard(now)
             case Piece():
                 rules.got(now, message)
@@ -152,7 +152,7 @@
         """A command that a process of another node asks for; its result."""
         self.asked += 1
         body = orjson.dumps(command).decode()
-        self.voter.step(self.clock.now(), by, Ask(by, number or self.asked, body))
+        self.voter.step(self.clock.now(), by, CommandRequest(by, number or self.asked, body))
         self.turn()
         result: dict[str, Any] = orjson.loads(self.rows[-1].result)
         return result
@@ -165,7 +165,7 @@
 
     def order(self, path: str, told: dict[str, Any]) -> dict[str, Any]:
         """What an operator asks for at the node's administration, and what the group made of it."""
-        answer = self.fleet.order(path, told)
+        answer = self.fleet.execute_order(path, told)
         assert answer is not None and "asked" in answer
         number = str(answer["asked"])
         for _ in range(10):
@@ -183,7 +183,7 @@
     config = check(platform_config("n6"), operator_config(folder, voters=["n1"], listen="127.0.0.1:7006"))
     assert config.fleet is not None
     node = Node(config, clock.timeline)
-    fleet = node.parts["fleet"]
+    fleet = node.components["fleet"]
     assert isinstance(fleet, Fleet)
     fleet.steady = clock.timeline
     lines = KeptLines(config.fleet.nodes, wire.framing(KEY.encode()), clock.timeline, lambda body: None)
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.leases.clock_drift import DriftWatch
-from marlstep.leases.holder import Holder
-from marlstep.leases.manager import Keeper
-from marlstep.leases.messages import Beat, Beaten
+from marlstep.leases.clock_drift import ClockDriftMonitor
+from marlstep.leases.holder import LeaseHolder
+from marlstep.leases.manager import LeaseManager
+from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
-from marlstep.leases.table import Table
+from marlstep.leases.table import LeaseTable
 from marlstep.pool.probing import Probing
 from marlstep.scheduled_tasks.run_log import Outcome, Record
 from marlstep.scheduled_tasks.runner import MARGIN, Do, Plan, Runner, Step
@@ -41,64 +41,69 @@
     told = LeaseSettings(term * SECOND, drift)
     my_rate, their_rate = 1 + mine * drift, 1 + theirs * drift
     # In true seconds from the moment when the holder asked; the leader answers at `late`.
-    holder_ends = (told.holder_until(NOW) - NOW) / SECOND / my_rate
-    group_ends = late + (told.group_until(NOW) - NOW) / SECOND / their_rate
+    holder_ends = (told.holder_expiry(NOW) - NOW) / SECOND / my_rate
+    group_ends = late + (told.leader_expiry(NOW) - NOW) / SECOND / their_rate
     assert holder_ends <= group_ends + 2e-6  # datetimes have whole microseconds
 
 
 # The holder.
 
 
-def answer(number: int, count: int, *leases: tuple[str, int], term: int = 1) -> Beaten:
-    return Beaten(number, True, "n1", term, count, leases)
+def answer(number: int, count: int, *leases: tuple[str, int], term: int = 1) -> HeartbeatResponse:
+    return HeartbeatResponse(number, True, "n1", term, count, leases)
 
 
-def holding() -> Holder:
-    one = Holder("n1", "b", TOLD)
-    one.want(["x"])
-    one.beat(NOW)
-    assert [change.what for change in one.told(NOW + 50 * MILLISECOND, answer(1, 1, ("x", 7)))] == ["gained"]
+def holding() -> LeaseHolder:
+    one = LeaseHolder("n1", "b", TOLD)
+    one.set_wanted(["x"])
+    one.make_heartbeat(NOW)
+    assert [
+        change.event for change in one.handle_response(NOW + 50 * MILLISECOND, answer(1, 1, ("x", 7)))
+    ] == ["gained"]
     return one
 
 
 def test_a_lease_is_counted_from_before_the_question() -> None:
     one = holding()
-    assert one.left("x", NOW) == TOLD.term * 0.99 and one.token("x") == 7
-    assert one.left("x", NOW + TOLD.term) == ZERO
-    assert [change.what for change in one.tick(NOW + TOLD.term)] == ["lapsed"]
-    one.beat(NOW + TOLD.term)
-    assert [c.what for c in one.told(NOW + TOLD.term, answer(2, 2, ("x", 7)))] == ["regained"]
+    assert one.time_left("x", NOW) == TOLD.term * 0.99 and one.token("x") == 7
+    assert one.time_left("x", NOW + TOLD.term) == ZERO
+    assert [change.event for change in one.tick(NOW + TOLD.term)] == ["lapsed"]
+    one.make_heartbeat(NOW + TOLD.term)
+    assert [c.event for c in one.handle_response(NOW + TOLD.term, answer(2, 2, ("x", 7)))] == ["regained"]
 
 
 def test_answers_that_are_late_twice_or_overtaken_add_nothing() -> None:
     one = holding()
-    until = one.held["x"].until
-    one.beat(NOW + SECOND)
-    one.told(NOW + 2 * SECOND, answer(1, 2, ("x", 7)))  # again to the first beat
-    assert one.held["x"].until == until
-    one.told(NOW + 2 * SECOND, answer(2, 4))  # it was ended meanwhile
+    until = one.held["x"].expires_at
+    one.make_heartbeat(NOW + SECOND)
+    one.handle_response(NOW + 2 * SECOND, answer(1, 2, ("x", 7)))  # again to the first beat
+    assert one.held["x"].expires_at == until
+    one.handle_response(NOW + 2 * SECOND, answer(2, 4))  # it was ended meanwhile
     assert not one.held
     for late in (answer(2, 3, ("x", 7)), answer(2, 4, ("x", 7)), answer(99, 9, ("x", 7))):
-        assert one.told(NOW + 2 * SECOND, late) == [] and not one.held
-    assert one.told(NOW + 2 * SECOND, answer(2, 1, ("x", 7), term=0)) == []
+        assert one.handle_response(NOW + 2 * SECOND, late) == [] and not one.held
+    assert one.handle_response(NOW + 2 * SECOND, answer(2, 1, ("x", 7), term=0)) == []
 
 
 def test_what_is_given_back_is_not_taken_again_by_an_answer_on_its_way() -> None:
     one = holding()
-    beat = one.beat(NOW + SECOND)
-    assert one.leave()[0].what == "lost" and not one.held and one.returning
-    one.told(NOW + SECOND, answer(beat.number, 2, ("x", 7)))
+    beat = one.make_heartbeat(NOW + SECOND)
+    assert one.release_all()[0].event == "lost" and not one.held and one.returning
+    one.handle_response(NOW + SECOND, answer(beat.number, 2, ("x", 7)))
     assert not one.held
-    assert one.beat(NOW + SECOND).returns == (("x", 7),)
-    one.told(NOW + SECOND, answer(beat.number + 1, 3))
+    assert one.make_heartbeat(NOW + SECOND).returned_leases == (("x", 7),)
+    one.handle_response(NOW + SECOND, answer(beat.number + 1, 3))
     assert not one.returning
 
 
 def test_a_grant_that_comes_when_its_time_is_over_is_not_acted_on() -> None:
-    one = Holder("n1", "b", TOLD)
-    one.want(["x"])
-    one.beat(NOW)
-    assert one.told(NOW + TOLD.term, answer(1, 1, ("x", 7))) == [] and one.left("x", NOW + TOLD.term) == ZERO
+    one = LeaseHolder("n1", "b", TOLD)
+    one.set_wanted(["x"])
+    one.make_heartbeat(NOW)
+    assert (
+        one.handle_response(NOW + TOLD.term, answer(1, 1, ("x", 7))) == []
+        and one.time_left("x", NOW + TOLD.term) == ZERO
+    )
 
 
 # The keeper.
@@ -108,21 +113,23 @@
     """A leader whose proposals are applied at once."""
 
     def __init__(self, told: LeaseSettings = TOLD) -> None:
-        self.table = Table()
-        self.keeper = Keeper(self.table, told)
+        self.table = LeaseTable()
+        self.keeper = LeaseManager(self.table, told)
         self.now = NOW
         self.numbers: dict[str, int] = {}
-        self.keeper.lead(self.now)
+        self.keeper.become_leader(self.now)
 
     def apply(self, commands: list[Any]) -> None:
         for command in commands:
-            self.keeper.applied(self.now, command, self.table.apply(command), 0)
+            self.keeper.on_applied(self.now, command, self.table.apply(command), 0)
 
     def beat(self, node: str, *wants: str, returns: tuple[tuple[str, int], ...] = (), most: int = 0) -> Any:
         self.numbers[node] = number = self.numbers.get(node, 0) + 1
-        self.apply(self.keeper.beat(self.now, Beat(node, "b", number, wants, returns, most), 0))
+        self.apply(
+            self.keeper.handle_heartbeat(self.now, Heartbeat(node, "b", number, wants, returns, most), 0)
+        )
         self.apply(self.keeper.tick(self.now))
-        return dict(self.keeper.answers(self.now, 1, "n1", 1))
+        return dict(self.keeper.take_responses(self.now, 1, "n1", 1))
 
     def after(self, span: timedelta) -> None:
         self.now += span
@@ -134,16 +141,16 @@
     names = [f"t{number}" for number in range(12)]
     for node in ("a", "b", "c"):
         group.beat(node, *names, most=3 if node == "c" else 0)
-    assert not group.table.counts  # not before all had the time to be heard
-    group.after(TOLD.renew_every)
-    assert sorted(group.table.counts.values()) == [3, 4, 5]
-    assert group.table.counts["c/b"] == 3
+    assert not group.table.held_counts  # not before all had the time to be heard
+    group.after(TOLD.renewal_interval)
+    assert sorted(group.table.held_counts.values()) == [3, 4, 5]
+    assert group.table.held_counts["c/b"] == 3
 
 
 def test_an_expired_lease_goes_on_only_after_the_whole_term_and_its_margin() -> None:
     group = Group()
     group.beat("a", "x")
-    group.after(TOLD.renew_every)
+    group.after(TOLD.renewal_interval)
     group.beat("b", "x")
     assert group.table.holder("x") == "a/b"
     group.after(TOLD.term * 1.0099)
@@ -157,9 +164,9 @@
 def test_one_that_comes_to_lead_counts_all_terms_anew() -> None:
     group = Group()
     group.beat("a", "x")
-    group.after(TOLD.renew_every)
+    group.after(TOLD.renewal_interval)
     group.now += TOLD.term
-    group.keeper.lead(group.now)
+    group.keeper.become_leader(group.now)
     group.beat("b", "x")
     group.after(TOLD.term)
     assert group.table.holder("x") == "a/b"
@@ -168,11 +175,11 @@
 def test_a_renewal_waits_for_a_majority_to_confirm_who_leads() -> None:
     group = Group()
     group.beat("a", "x")
-    group.after(TOLD.renew_every)
-    group.keeper.answers(group.now, 1, "n1", 1)
-    group.keeper.beat(group.now, Beat("a", "b", 9, ("x",)), 5)
-    assert group.keeper.answers(group.now, 4, "n1", 1) == []
-    [(holder, told)] = group.keeper.answers(group.now, 5, "n1", 1)
+    group.after(TOLD.renewal_interval)
+    group.keeper.take_responses(group.now, 1, "n1", 1)
+    group.keeper.handle_heartbeat(group.now, Heartbeat("a", "b", 9, ("x",)), 5)
+    assert group.keeper.take_responses(group.now, 4, "n1", 1) == []
+    [(holder, told)] = group.keeper.take_responses(group.now, 5, "n1", 1)
     assert holder == "a/b" and told.leases == (("x", 1),)
 
 
@@ -180,30 +187,33 @@
     """It was: with every change of a document, so that the lease of a dead process never ended."""
     group = Group()
     group.beat("a", "x", "rules/a/b")
-    group.after(TOLD.renew_every)
-    assert group.table.holder("rules/a/b") == group.table.holder("x") == "a/b" and not group.table.counts["b"]
+    group.after(TOLD.renewal_interval)
+    assert (
+        group.table.holder("rules/a/b") == group.table.holder("x") == "a/b"
+        and not group.table.held_counts["b"]
+    )
     for _ in range(10):
         group.after(TOLD.term / 5)
-        group.keeper.tell_all(1)
-        group.keeper.answers(group.now, 1, "n1", 1)
+        group.keeper.push_to_all(1)
+        group.keeper.take_responses(group.now, 1, "n1", 1)
     assert not group.table.holder("x") and "rules/a/b" not in group.table.leases
 
 
 def test_a_lease_that_is_being_ended_is_not_renewed() -> None:
     group = Group()
     group.beat("a", "x")
-    group.after(TOLD.renew_every)
+    group.after(TOLD.renewal_interval)
     group.now += TOLD.term * 2
     assert [one["do"] for one in group.keeper.tick(group.now)] == ["expire"]  # proposed, not applied yet
-    group.keeper.beat(group.now, Beat("a", "b", 99, ("x",)), 0)
-    assert dict(group.keeper.answers(group.now, 1, "n1", 1))["a/b"].leases == ()
+    group.keeper.handle_heartbeat(group.now, Heartbeat("a", "b", 99, ("x",)), 0)
+    assert dict(group.keeper.take_responses(group.now, 1, "n1", 1))["a/b"].leases == ()
 
 
 def test_what_is_given_back_goes_on_at_once_and_comes_back_to_who_had_it() -> None:
     group = Group()
     for node in ("a", "b"):
         group.beat(node, "x", "y")
-    group.after(TOLD.renew_every)
+    group.after(TOLD.renewal_interval)
     before = {name: group.table.holder(name) for name in ("x", "y")}
     mine = [name for name, holder in before.items() if holder == "a/b"]
     group.beat("a", returns=tuple((name, group.table.leases[name].token) for name in mine))
@@ -220,18 +230,18 @@
     names = [f"t{number}" for number in range(1000)]
     for node in ("a", "b", "c", "d"):
         group.beat(node, *names)
-    group.after(TOLD.renew_every)
-    assert all(count == 250 for count in group.table.counts.values())
+    group.after(TOLD.renewal_interval)
+    assert all(count == 250 for count in group.table.held_counts.values())
     assert len(group.beat("a", *names)["a/b"].leases) == 250
     group.after(2 * TOLD.term)
-    assert not group.table.counts
+    assert not group.table.held_counts
     group.beat("d", *names)
-    assert group.table.counts["d/b"] == 1000 and group.table.token == 2000
+    assert group.table.held_counts["d/b"] == 1000 and group.table.last_token == 2000
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from("xyz"), st.integers(0, 3)), max_size=60))
 def test_tokens_only_grow_and_survive_a_snapshot(steps: list[tuple[str, str, int]]) -> None:
-    table, highest = Table(), 0
+    table, highest = LeaseTable(), 0
     for holder, name, what in steps:
         if what < 3:
             told = table.apply({"do": "grant", "name": name, "holder": f"{holder}/b", "most": what})
@@ -240,10 +250,10 @@
                 highest = told["token"]
         elif (lease := table.leases.get(name)) is not None:
             table.apply({"do": "expire", "name": name, "token": lease.token})
-        again = Table()
-        again.read(table.write())
-        assert again.write() == table.write() and again.counts == table.counts
-        assert sum(table.counts.values()) == sum(bool(one.holder) for one in table.leases.values())
+        again = LeaseTable()
+        again.restore(table.snapshot())
+        assert again.snapshot() == table.snapshot() and again.held_counts == table.held_counts
+        assert sum(table.held_counts.values()) == sum(bool(one.holder) for one in table.leases.values())
         table = again
 
 
@@ -254,13 +264,13 @@
     ("rate", "found"), [(1.0, False), (1.01, False), (0.99, False), (1.2, True), (0.8, True)]
 )
 def test_a_clock_beyond_the_drift_is_told_and_a_late_beat_is_not(rate: float, found: bool) -> None:
-    watch = DriftWatch(0.01)
+    watch = ClockDriftMonitor(0.01)
     told = []
     for second in range(60):
         late = 900 * MILLISECOND if second in (5, 20, 21, 40) else ZERO  # a stopped process, a slow line
-        told.append(watch.beat("a", NOW + second * rate * SECOND, NOW + second * SECOND + late))
+        told.append(watch.observe("a", NOW + second * rate * SECOND, NOW + second * SECOND + late))
     errors = [one for one in told if one is not None]
-    assert bool(errors) is found and watch.beyond("a") is found
+    assert bool(errors) is found and watch.exceeds_bound("a") is found
     assert all(abs(one - (rate - 1)) < 0.25 for one in errors)
 
 
@@ -286,7 +296,7 @@
     """The lease and the record, as the group has them."""
 
     def __init__(self) -> None:
-        self.table = Table()
+        self.table = LeaseTable()
         self.record = Record(self.table)
 
     def grant(self, holder: str) -> int:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -32,10 +32,10 @@
 from marlstep.drill.rules import ListServers
 from marlstep.drill.virtual_members import KINDS, run_members
 from marlstep.fronts.uwsgi_wire import write_packet
-from marlstep.leases.manager import Keeper
-from marlstep.leases.messages import Beat
+from marlstep.leases.manager import LeaseManager
+from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
-from marlstep.leases.table import Table
+from marlstep.leases.table import LeaseTable
 from marlstep.membership.failure_detector import Detector, MemberSettings, Send
 from marlstep.membership.messages import Ack, Exchange, Nack, Ping, PingFor
 from marlstep.membership.partition_state import CONDUCT, GOOD, Sight, Situation, Standing, judge
@@ -395,23 +395,23 @@
 
 
 def test_only_who_belongs_has_leases_of_tasks_and_the_others_end_by_time() -> None:
-    table = Table()
-    keeper = Keeper(table, LeaseSettings())
-    keeper.lead(NOW)
+    table = LeaseTable()
+    keeper = LeaseManager(table, LeaseSettings())
+    keeper.become_leader(NOW)
 
     def go(now: datetime, node: str) -> tuple[Any, ...]:
         for command in [
-            *keeper.beat(now, Beat(node, "1", 1, ("task/t", f"rules/{node}/1")), 0),
+            *keeper.handle_heartbeat(now, Heartbeat(node, "1", 1, ("task/t", f"rules/{node}/1")), 0),
             *keeper.tick(now),
         ]:
-            keeper.applied(now, command, table.apply(command), 0)
-        return dict(keeper.answers(now, 9, "l", 1))[f"{node}/1"].leases
+            keeper.on_applied(now, command, table.apply(command), 0)
+        return dict(keeper.take_responses(now, 9, "l", 1))[f"{node}/1"].leases
 
-    keeper.allow(frozenset("b"))
+    keeper.set_eligible_nodes(frozenset("b"))
     later = NOW + 4 * SECOND
     assert [name for name, _ in go(later, "a")] == ["rules/a/1"]  # documents are acted on by whoever is there
     assert len(go(later, "b")) == 2
-    keeper.allow(frozenset("a"))
+    keeper.set_eligible_nodes(frozenset("a"))
     assert [name for name, _ in go(later + SECOND, "b")] == ["rules/b/1"] and table.holder("task/t") == "b/1"
     go(later + 2 * SECOND, "a")
     assert table.holder("task/t") == "b/1"  # it may still act on what it was told before
@@ -454,16 +454,16 @@
     group.agreed.apply({"do": "readmit", "node": "d"})
     assert group.go(10, "abcd") == ["admit d"]
     again = Agreed()
-    again.read(json.loads(json.dumps(group.agreed.write())))
-    assert again.write() == group.agreed.write()
+    again.restore(json.loads(json.dumps(group.agreed.snapshot())))
+    assert again.snapshot() == group.agreed.snapshot()
     assert "refused" in again.apply({"do": "remove", "node": "z", "why": ""})
 
 
 # Parts of allowances.
 
 
-def service(*nodes: str) -> tuple[Table, Shares]:
-    table = Table()
+def service(*nodes: str) -> tuple[LeaseTable, Shares]:
+    table = LeaseTable()
     for node in nodes:
         table.apply({"do": "grant", "name": f"rules/{node}", "holder": node, "most": 0})
     shares = Shares(table)
@@ -494,8 +494,8 @@
         live = [one for one in using if f"rules/{one}" in table.leases]
         assert sum(using[one].parts.get("t", 0) for one in live) <= WHOLE
     again = Shares(table)
-    again.read(json.loads(json.dumps(shares.write())))
-    assert again.write() == shares.write()
+    again.restore(json.loads(json.dumps(shares.snapshot())))
+    assert again.snapshot() == shares.snapshot()
 
 
 @given(st.lists(st.floats(0, 300), min_size=1, max_size=12))
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -17,7 +17,7 @@
 from marlstep.cli.drill import rules_one
 from marlstep.cli.main import call
 from marlstep.cluster.wire import CODEC
-from marlstep.components.config_documents import NodeDocuments
+from marlstep.components.config_documents import NodeConfigDocuments
 from marlstep.config import ConfigError, check
 from marlstep.config.governed import Governed, part_of
 from marlstep.core.model import Verdict
@@ -29,8 +29,8 @@
 from marlstep.drill.rig import Rig, Settings
 from marlstep.drill.rules import CLIENTS, SERVERS, Arrival, ListServers, Load, Operators, judge
 from marlstep.drill.virtual_rules import run_rules
-from marlstep.leases.messages import Beat, Beaten, News
-from marlstep.leases.table import Table
+from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse
+from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import CutOff, Kind, Named, differences, digest_of, shrinks
 from marlstep.replicated_config.follower import Ack, Act, Check, Follower, Found, State, Stop
 from marlstep.replicated_config.messages import Fetch, Piece
@@ -51,7 +51,7 @@
     """A book whose commands are applied at once, and nodes with a lease on the rules."""
 
     def __init__(self, *nodes: str) -> None:
-        self.table = Table()
+        self.table = LeaseTable()
         self.book = Book(self.table)
         self.uploads = 0
         for node in nodes:
@@ -193,8 +193,8 @@
     over = {"do": "part", "upload": "u", "offset": 0, "data": "x" * ((1 << 20) + 1)}
     assert "at the most" in log.book.apply(over)["refused"]
     again = Book(log.table)
-    again.read(json.loads(json.dumps(log.book.write())))
-    assert again.write() == log.book.write()
+    again.restore(json.loads(json.dumps(log.book.snapshot())))
+    assert again.snapshot() == log.book.snapshot()
 
 
 # The follower.
@@ -221,7 +221,7 @@
     ) -> list[Any]:
         digest = digest_of(self.contents.get(version, ""))
         then = digest_of(self.contents.get(pending, ""))
-        news = News("d", version, digest, pending, then, self.one.named.strict, on)
+        news = DocumentStatus("d", version, digest, pending, then, self.one.named.strict, on)
         self.done = []
         self._go(self.follower.told(NOW, (news,), left), left)
         return [type(do).__name__ for do in self.done]
@@ -359,9 +359,9 @@
         self.governed: Governed | None = None
         super().__init__()
         self.core.renew(self.config.settings)
-        self.documents = NodeDocuments(self)  # type: ignore[arg-type]
+        self.documents = NodeConfigDocuments(self)  # type: ignore[arg-type]
 
-    def use(self, told: Any) -> None:
+    def apply_config(self, told: Any) -> None:
         self.config = told
         self.core.renew(told.settings)
 
@@ -420,12 +420,12 @@
 
 
 def test_an_older_programs_beat_and_a_newer_ones_news_are_understood() -> None:
-    beat = CODEC.dump(Beat("a", "1", 2, ("x",)))
+    beat = CODEC.dump(Heartbeat("a", "1", 2, ("x",)))
     old = [beat[0], {key: value for key, value in dict(beat[1]).items() if key not in ("acts", "figures")}]  # type: ignore[call-overload]
-    assert CODEC.load(json.loads(json.dumps(old))) == Beat("a", "1", 2, ("x",))
+    assert CODEC.load(json.loads(json.dumps(old))) == Heartbeat("a", "1", 2, ("x",))
     news = {"name": "d", "version": 1, "digest": "", "pending": 0, "pending_digest": "", "strict": False}
     told = ["Beaten", {"number": 1, "good": True, "leader": "a", "news": [news], "of_tomorrow": [1]}]
-    assert CODEC.load(told) == Beaten(1, True, "a", news=(News("d", 1, ""),))
+    assert CODEC.load(told) == HeartbeatResponse(1, True, "a", documents=(DocumentStatus("d", 1, ""),))
 
 
 def test_differences_name_the_class_and_the_figure() -> None:
@@ -573,20 +573,22 @@
     assert log.book.documents["d"].pending is not None
     log.book.apply({"do": "withdraw", "doc": "d", "version": 2, "why": "x"})
     assert log.put("[3]", 1, stage={**how, "nodes": ["b"]})["first_on"] == ["b"]
-    assert not log.book.news()[0].on  # not before all have said that they can take it
+    assert not log.book.news()[0].rollout_nodes  # not before all have said that they can take it
     for one in log.book.live():
         log.ack(one)
     assert log.commit() == [{"staged": 3, "first_on": ["b"]}] and not log.commit()
-    assert log.book.news()[0].on == ("b",) and log.in_force == 1
+    assert log.book.news()[0].rollout_nodes == ("b",) and log.in_force == 1
     again = Book(log.table)
-    again.read(json.loads(json.dumps(log.book.write())))
-    assert again.write() == log.book.write() and again.news() == log.book.news()
+    again.restore(json.loads(json.dumps(log.book.snapshot())))
+    assert again.snapshot() == log.book.snapshot() and again.news() == log.book.news()
     whole = {"do": "commit", "doc": "d", "version": 3}
     assert "staged" in log.book.apply(whole)["refused"]
     log.join("e/1")  # one that comes meanwhile has to say so as well
     assert log.book.apply({**whole, "whole": True}) == {"waits_for": ["e/1"]}
     log.ack("e/1")
-    assert log.book.apply({**whole, "whole": True}) == {"in_force": 3} and not log.book.news()[0].on
+    assert (
+        log.book.apply({**whole, "whole": True}) == {"in_force": 3} and not log.book.news()[0].rollout_nodes
+    )
     assert log.book.apply({"do": "get", "doc": "d"})["version"] == 3
 
 
@@ -618,7 +620,9 @@
             self.figures[holder] = row = [one + other for one, other in zip(row, more, strict=True)]
             version = 2 if holder == "b/1" and acts else 1
             told = (("d", version, "acting", 0, ""),)
-            beat = Beat(holder[0], "1", 1, (), acts=told, figures=(row[0], row[1], row[2]))
+            beat = Heartbeat(
+                holder[0], "1", 1, (), document_states=told, request_counts=(row[0], row[1], row[2])
+            )
             beats[holder] = Heard(beat, self.now)
         found = self.watch.look(self.now, self.log.book, beats, SECOND)
         return [(one.goes_on, one.why) for one in found]
@@ -683,7 +687,7 @@
 def test_one_whose_lease_came_again_does_not_go_on_with_an_old_version() -> None:
     node = Node(STRICT)
     node.told(1)
-    news = News("d", 2, digest_of("[2]"), strict=True)
+    news = DocumentStatus("d", 2, digest_of("[2]"), strict=True)
     done = node.follower.told(
         NOW, (news,), SECOND
     )  # without a look between: its lease was over, and is there again
--- a/tests/support/crossing.py
+++ b/tests/support/crossing.py
@@ -24,7 +24,7 @@
 from marlstep.fronts.resp_wire import FrameReader, write_frame
 from marlstep.net.ring import Ring
 from marlstep.node import Node
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, instant_us
 from tests.support.elsewhere import elsewhere_config
 from tests.support.stand_ins import StandIn
@@ -209,7 +209,7 @@
         }
         self.write()
         self.waker = ShiftedWaker(loop)
-        self.timeline = Timeline(self.waker)
+        self.timeline = TimerQueue(self.waker)
         self.node = Node(self._read(), self.timeline, self._read)
         await self.node.open()
         await until(lambda: self.core.duty.can_serve and self.reports.seen)
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -11,7 +11,7 @@
 from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
 from marlstep.net.eventloop import Address, Done, Make
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND
 from petrelcart.benchlink import read_settings
 from petrelcart.interface import Outcome
@@ -141,7 +141,7 @@
         self.time = START
         self._alarm: tuple[datetime, Callable[[], None]] | None = None
         self._soon: list[Callable[[], None]] = []
-        self.timeline = Timeline(self)
+        self.timeline = TimerQueue(self)
 
     def now(self) -> datetime:
         return self.time
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -768,10 +768,10 @@
         await place.step(700)
         await until(lambda: len(place.reports.seen) >= seen + 2)
         place.core.duty.quiesce()
-        place.node.duty_changed()
+        place.node.serving_state_changed()
         await until(lambda: place.reports.seen[-1] == b"renew n1 no")
         place.core.duty.resume()
-        place.node.duty_changed()
+        place.node.serving_state_changed()
         await until(lambda: place.reports.seen[-1] == b"renew n1 yes")
         await place.terminate()
         await until(lambda: place.reports.seen[-1] == b"renew n1 no")
@@ -826,7 +826,7 @@
         duty = place.core.duty
         if meanwhile == "resume":
             duty.quiesce()
-            place.node.duty_changed()
+            place.node.serving_state_changed()
             await until(lambda: place.reports.seen[-1] == b"renew n1 no")
         port = silent(place)
         await place.step(700)  # reports that are refused
@@ -835,7 +835,7 @@
                 duty.quiesce()
             case "resume":
                 duty.resume()
-        place.node.duty_changed()
+        place.node.serving_state_changed()
         if meanwhile == "drain":
             await place.terminate()
         reports = await back(place, port if where == "same address" else 0)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -11,7 +11,7 @@
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import SECOND
 from tests.support.node import raw_config
 from tests.test_resp import Platform, exec_frame, instant_ms
@@ -29,7 +29,7 @@
     # Guards against a node that is killed for memory, or runs out of descriptors, on a small machine.
     async def run() -> None:
         limits = {"cores": 0.25, "memory_mb": memory_mb, "sockets": sockets}
-        node = Node(check(raw_config(limits=limits)), Timeline(LoopWaker(asyncio.get_running_loop())))
+        node = Node(check(raw_config(limits=limits)), TimerQueue(LoopWaker(asyncio.get_running_loop())))
         assert node.resp.connections.limit == connections
         assert node.core._requests.limit == requests
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -180,7 +180,7 @@
 
     words = ["leases", "--start", "divergent", "--broken", "old-term-commit"]
     told = CliRunner().invoke(explore, words)
-    assert told.exit_code == 1 and "hears VoteAsk" in told.output
+    assert told.exit_code == 1 and "hears RequestVote" in told.output
     told = CliRunner().invoke(explore, ["leases", "--start", "fresh", "--seconds", "0.2", "--json"])
     assert told.exit_code == 2 and json.loads(told.output)["verdict"] == "not complete"
 
--- a/tests/test_event_loop_watchdog.py
+++ b/tests/test_event_loop_watchdog.py
@@ -6,8 +6,8 @@
 import sys
 
 PROGRAM = """
-from marlstep.event_loop_watchdog import StallWatch
-from marlstep.timer_queue import Timeline
+from marlstep.event_loop_watchdog import EventLoopWatchdog
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
 from tests.support.node import HandClock
 
@@ -16,7 +16,7 @@
         pass
 
 clock = HandClock()
-StallWatch(clock.timeline, 50 * MILLISECOND).look()
+EventLoopWatchdog(clock.timeline, 50 * MILLISECOND).look()
 clock.advance(500)  # it comes round ten times over, and nothing is said
 stuck()
 """
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -12,14 +12,14 @@
 import pytest
 import uvloop
 
-from marlstep.components.admin import AdminPart
-from marlstep.components.uwsgi import UwsgiPart
+from marlstep.components.admin import AdminComponent
+from marlstep.components.uwsgi import UwsgiComponent
 from marlstep.config import check
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.fronts.uwsgi_wire import write_packet
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import SECOND, ZERO, instant_us
 from tests.support.node import raw_config
 from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, UwsgiStandIn
@@ -47,15 +47,15 @@
         raw = raw_config(kernel=self.kernel.address, db=self.database.address)
         second = {"listen": "127.0.0.1:0", "upstream": self.uwsgi.address, "vars": VARS, "max_response": 4096}
         self.waker = ShiftedWaker(asyncio.get_running_loop())
-        self.timeline = Timeline(self.waker)
+        self.timeline = TimerQueue(self.waker)
         self.node = Node(check(raw, {"uwsgi": second, **self.operator}), self.timeline)
         await self.node.open()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self.node.resp.stop_accepting()
-        assert isinstance(self.node.parts["uwsgi"], UwsgiPart)
-        self.node.parts["uwsgi"].front.stop_accepting()
+        assert isinstance(self.node.components["uwsgi"], UwsgiComponent)
+        self.node.components["uwsgi"].front.stop_accepting()
         await self.node.close()
         for stand_in in (self.kernel, self.database, self.uwsgi):
             stand_in.stop()
@@ -65,8 +65,8 @@
         self.timeline.run_due()
 
     async def over_uwsgi(self, kind: str, id: str, path: str = "/") -> bytes:
-        assert isinstance(self.node.parts["uwsgi"], UwsgiPart)
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.node.parts["uwsgi"].front.port)
+        assert isinstance(self.node.components["uwsgi"], UwsgiComponent)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.node.components["uwsgi"].front.port)
         writer.write(write_packet({"X_CLASS": kind, "X_ID": id, "PATH_INFO": path}))
         answer = await reader.read()
         writer.close()
@@ -161,8 +161,8 @@
     async def run(site: Site) -> None:
         waiting = asyncio.ensure_future(site.over_uwsgi("setpoint-cmd", "b7", "/hang"))
         await site.uwsgi.reached.wait()
-        assert isinstance(site.node.parts["uwsgi"], UwsgiPart)
-        [run] = site.node.parts["uwsgi"].upstream._runs.values()
+        assert isinstance(site.node.components["uwsgi"], UwsgiComponent)
+        [run] = site.node.components["uwsgi"].upstream._runs.values()
         assert run.attempt is not None
         run.attempt.not_opened("reset")
         assert (await waiting).startswith(b"HTTP/1.1 502 ")
@@ -200,7 +200,7 @@
     async def run(site: Site) -> None:
         waiting = asyncio.ensure_future(site.over_uwsgi("temp-history", "h1", "/hang"))
         await site.uwsgi.reached.wait()
-        site.node.leave()
+        site.node.drain()
         assert b"\r\ndone\r\n" in await site.over_resp("schedule-save", 1)
         site.push(2.51 * SECOND)
         site.push(0.6 * SECOND)
@@ -219,8 +219,10 @@
     async def run(site: Site) -> None:
         await site.over_uwsgi("setpoint-cmd", "b7")
         await site.over_resp("setpoint-cmd", 1)
-        assert isinstance(site.node.parts["admin"], AdminPart)
-        reader, writer = await asyncio.open_connection("127.0.0.1", site.node.parts["admin"].surface.port)
+        assert isinstance(site.node.components["admin"], AdminComponent)
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", site.node.components["admin"].service.port
+        )
         writer.write(b"GET /v1/counters HTTP/1.1\r\nAuthorization: Bearer 0123456789abcdef\r\n\r\n")
         answer = await reader.read()
         writer.close()
--- a/tests/test_passed.py
+++ b/tests/test_passed.py
@@ -16,7 +16,7 @@
 from marlstep.config import ConfigError, load
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from tests.support.node import raw_config
 from tests.support.stand_ins import KernelStandIn
 from tests.test_loopback import over_resp
@@ -59,7 +59,7 @@
         kernel = KernelStandIn()
         await kernel.start()
         config = load(environ(tmp_path, listening.fileno(), kernel=kernel.address))
-        nodes = [Node(config, Timeline(LoopWaker(asyncio.get_running_loop()))) for _ in range(2)]
+        nodes = [Node(config, TimerQueue(LoopWaker(asyncio.get_running_loop()))) for _ in range(2)]
         for node in nodes:
             await node.open()
         assert nodes[0].resp.port == nodes[1].resp.port == listening.getsockname()[1]
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -17,7 +17,7 @@
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.platform.naming import EVERY, Naming
-from marlstep.timer_queue import Timeline
+from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
 from tests.support.node import HandClock, raw_config
 from tests.support.stand_ins import DatabaseStandIn, KernelStandIn
@@ -110,7 +110,7 @@
 
         write(0)
         read = partial(load, {"PROXY_CONFIG": str(path)})
-        node = Node(read(), Timeline(LoopWaker(asyncio.get_running_loop())), read)
+        node = Node(read(), TimerQueue(LoopWaker(asyncio.get_running_loop())), read)
         await node.open()
         assert (await over_resp(node, "setpoint-cmd", 1, b"call")).endswith(b"rows\r\n")
         for text in ("{", json.dumps(raw_config(kernel="nowhere")), "[]"):
