--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.cluster.store import Store
+from marlstep.cluster.store import ReplicaStore
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming, Ready
 from marlstep.consensus.replica import CommandRequest, CommandResponse, Replica, ReplicaSettings
@@ -30,7 +30,7 @@
 from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.scheduled_tasks.run_log import Record
+from marlstep.scheduled_tasks.run_log import RunLog
 from marlstep.units import EPOCH
 
 CONFIG = Path("deploy/node.json")
@@ -51,7 +51,7 @@
 def store_commits(count: int, entries: int) -> dict[str, float]:
     """Milliseconds of one commit of the store, synced, with so many entries each."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
-        store = Store(Path(folder))
+        store = ReplicaStore(Path(folder))
         store.open("n1", "n1#a")
         took, index = [], 0
         for _ in range(count):
@@ -96,8 +96,8 @@
     group = Configuration(("v#1",))
     told = ReplicaSettings(RaftTiming(), LeaseSettings(), ("v",))
 
-    def machines(table: LeaseTable) -> dict[str, Record]:
-        return {"tasks": Record(table)}
+    def machines(table: LeaseTable) -> dict[str, RunLog]:
+        return {"tasks": RunLog(table)}
 
     now = EPOCH
     voter = Replica(
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,9 +20,9 @@
 from marlstep.cluster import wire
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.virtual_members import run_members
-from marlstep.membership.failure_detector import Detector, MemberSettings
-from marlstep.membership.messages import Ack, Ping, Said
-from marlstep.membership.records import Record, State
+from marlstep.membership.failure_detector import DetectorSettings, FailureDetector
+from marlstep.membership.messages import Ack, MembershipMessage, Ping
+from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.net.ring import Ring
 from marlstep.units import EPOCH
 
@@ -44,7 +44,7 @@
     )
     began = time.monotonic()
     plan = Plan(nodes, names, names[:3], seconds * 1_000, (1.0,) * nodes, faults)
-    world, _ = run_members(plan, None, MemberSettings(doubts=doubts), loss, slow)
+    world, _ = run_members(plan, None, DetectorSettings(local_health_enabled=doubts), loss, slow)
     measured = world.measured
     rows = sorted(measured.detected_us)
     seen = len(rows)
@@ -67,22 +67,22 @@
 
 def one_node(members: int, seconds: int) -> dict[str, Any]:
     """A detector with so many members, its datagrams written, checked and read: what it takes of a core."""
-    framing = wire.datagrams(b"k" * 32)
+    framing = wire.datagram_framing(b"k" * 32)
     records = [
-        Record(f"n{at}", f"{at:012x}", at, 0, State.ALIVE, f"10.0.0.{at % 250}:7001", "z")
+        MemberRecord(f"n{at}", f"{at:012x}", at, 0, MemberState.ALIVE, f"10.0.0.{at % 250}:7001", "z")
         for at in range(members)
     ]
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    detector = Detector(records[0], MemberSettings(), random.Random(1), EPOCH)
+    detector = FailureDetector(records[0], DetectorSettings(), random.Random(1), EPOCH)
     for record in records[1:]:
         detector.receive(EPOCH, record, Ack(0))
     memory = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     rng, now, frames, took = random.Random(2), EPOCH, 0, 0.0
 
-    def through(sender: Record, message: Said) -> tuple[Record, Said]:
-        ring = Ring(4 * wire.MOST_DATAGRAM)
+    def through(sender: MemberRecord, message: MembershipMessage) -> tuple[MemberRecord, MembershipMessage]:
+        ring = Ring(4 * wire.MAX_DATAGRAM_BYTES)
         ring.put(framing.write(wire.write_datagram("fleet", sender, message)))
         body = framing.read(ring)
         assert body is not None
@@ -96,18 +96,18 @@
         began = time.perf_counter()
         for send in detector.tick(now):
             if isinstance(send.message, Ping):
-                framing.write(wire.write_datagram("fleet", detector.me, send.message))
+                framing.write(wire.write_datagram("fleet", detector.local, send.message))
                 target = next(one for one in records if one.node == send.message.node)
                 detector.receive(now, *through(target, Ack(send.message.number)))
                 frames += 2
         # As often as it probes itself, another probes it.
-        ring = Ring(4 * wire.MOST_DATAGRAM)
+        ring = Ring(4 * wire.MAX_DATAGRAM_BYTES)
         ring.put(asked)
         body = framing.read(ring)
         assert body is not None
         _, sender, message = wire.read_datagram(body)
         for send in detector.receive(now, sender, message):
-            framing.write(wire.write_datagram("fleet", detector.me, send.message))
+            framing.write(wire.write_datagram("fleet", detector.local, send.message))
         frames += 2
         took += time.perf_counter() - began
     return {
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -28,9 +28,9 @@
 from marlstep.drill.virtual_rules import DOCUMENTS, RulesWorld
 from marlstep.drill.witness import clock_us
 from marlstep.leases.table import LeaseTable
-from marlstep.replicated_config.documents import digest_of
-from marlstep.replicated_config.follower import State
-from marlstep.replicated_config.store import Book
+from marlstep.replicated_config.documents import content_digest
+from marlstep.replicated_config.follower import FollowerState
+from marlstep.replicated_config.store import ConfigStore
 
 ACTS = "acts on version "
 
@@ -70,7 +70,13 @@
     for offset in range(0, len(content), 3_000):
         piece = {"upload": upload, "offset": offset, "data": content[offset : offset + 3_000]}
         await asked(node, "part", piece)
-    change = {"doc": name, "upload": upload, "digest": digest_of(content), "expect": expect, "force": True}
+    change = {
+        "doc": name,
+        "upload": upload,
+        "digest": content_digest(content),
+        "expect": expect,
+        "force": True,
+    }
     told = await asked(node, "put", change)
     return int(told["prepares"])
 
@@ -223,8 +229,8 @@
 
     def _carry_out(self, node: VirtualNode, done: list[Any]) -> None:
         super()._carry_out(node, done)
-        for name, one in self.followers[node.name].standings.items():
-            if one.state is State.ACTING:
+        for name, one in self.followers[node.name].documents.items():
+            if one.state is FollowerState.ACTING:
                 self.acted.setdefault((name, one.version), {}).setdefault(node.name, self.true_us)
 
     def watch(self) -> None:
@@ -249,7 +255,7 @@
     def change(number: int) -> None:
         named = DOCUMENTS[number % 2].name
         node = world.nodes["n2"]
-        standing = world.followers["n2"].standings[named]
+        standing = world.followers["n2"].documents[named]
         if standing.target is None:
             return
         upload, expect = f"b{number}", standing.target.version
@@ -271,7 +277,7 @@
                 "kind": kind.kind.value,
                 "strict": kind.strict,
             }
-            told |= {"upload": upload, "digest": digest_of(part["data"]), "expect": expect}
+            told |= {"upload": upload, "digest": content_digest(part["data"]), "expect": expect}
             told |= {"author": "", "note": "", "at": ""}
             node.participant.propose(node.now, told)
             node.drive()
@@ -299,18 +305,18 @@
 
 def versions(count: int) -> dict[str, Any]:
     """The book alone: so many versions one after another, and what a snapshot of it has."""
-    book = Book(LeaseTable())
+    book = ConfigStore(LeaseTable())
     began = time.perf_counter()
     for number in range(count):
         content = json.dumps({"n": number, "x": "y" * 500})
         book.apply({"do": "part", "upload": "u", "offset": 0, "data": content})
         told = {"do": "put", "doc": "d", "kind": "settings", "strict": False, "upload": "u", "expect": number}
-        book.apply({**told, "digest": digest_of(content), "author": "", "note": "", "at": ""})
-        for name, version in book.ready():
+        book.apply({**told, "digest": content_digest(content), "author": "", "note": "", "at": ""})
+        for name, version in book.ready_to_commit():
             book.apply({"do": "commit", "doc": name, "version": version})
     took = time.perf_counter() - began
     return {
-        "versions": book.documents["d"].number,
+        "versions": book.documents["d"].active_number,
         "kept": len(book.documents["d"].versions),
         "a_second": round(count / took),
         "snapshot_kb": round(len(json.dumps(book.snapshot())) / 1024, 1),
--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -210,11 +210,11 @@
     from dataclasses import asdict
 
     from marlstep.drill.virtual_members import run_members
-    from marlstep.membership.failure_detector import MemberSettings
+    from marlstep.membership.failure_detector import DetectorSettings
 
     plan, name, loss, slow, doubts = work
     breakage = MEMBERS_BREAKAGES[name] if name else Breakage()
-    world, why = run_members(plan, breakage, MemberSettings(doubts=doubts), loss, slow)
+    world, why = run_members(plan, breakage, DetectorSettings(local_health_enabled=doubts), loss, slow)
     return {"seed": plan.seed, "why": why, **asdict(world.measured)}
 
 
--- a/marlstep/cli/fleet.py
+++ b/marlstep/cli/fleet.py
@@ -15,7 +15,7 @@
 import click
 
 from marlstep.config import ConfigError, load
-from marlstep.config.fleet import FleetConfig
+from marlstep.config.fleet import ClusterConfig
 
 WAIT_S = 10.0  # for the group to answer one order
 Where = tuple[str | None, str | None, str | None]  # operator's file, administration, token's file
@@ -263,7 +263,7 @@
 # Before a node starts.
 
 
-def voter_of(config: str | None, operator: str) -> FleetConfig:
+def voter_of(config: str | None, operator: str) -> ClusterConfig:
     environ = dict(os.environ)
     if config is not None:
         environ["PROXY_CONFIG"] = config
@@ -284,14 +284,14 @@
 
     The other voters start with nothing, ask to be taken in, and vote once they have caught up.
     """
-    from marlstep.cluster.store import StoreError, StoreRefused, make_group
+    from marlstep.cluster.store import StoreError, StoreRefusedError, make_group
 
     told = voter_of(config, operator)
     assert told.store is not None
     group_name = f"1.{secrets.token_hex(8)}"
     try:
         make_group(told.store, told.node, f"{told.node}#{secrets.token_hex(6)}", group_name)
-    except (StoreError, StoreRefused) as fault:
+    except (StoreError, StoreRefusedError) as fault:
         raise click.ClickException(str(fault)) from fault
     click.echo(
         f"group {group_name}: {told.node} votes alone until others are taken in; the store is {told.store}"
@@ -310,7 +310,7 @@
 
     Tokens go on a million above those that this store knows, so that no old one can pass for new.
     """
-    from marlstep.cluster.store import StoreError, StoreRefused
+    from marlstep.cluster.store import StoreError, StoreRefusedError
     from marlstep.cluster.store import recover as recovered
 
     if not yes:
@@ -321,6 +321,6 @@
     assert told.store is not None
     try:
         found = recovered(told.store, told.node, f"{epoch}.{secrets.token_hex(8)}")
-    except (StoreError, StoreRefused) as fault:
+    except (StoreError, StoreRefusedError) as fault:
         raise click.ClickException(str(fault)) from fault
     click.echo(json.dumps(found))
--- a/marlstep/cli/rules.py
+++ b/marlstep/cli/rules.py
@@ -15,7 +15,7 @@
 from marlstep.cli.fleet import Where, asked, call, table
 from marlstep.cli.fleet import order as fleet_order
 from marlstep.cli.spans import SPAN_TYPE
-from marlstep.replicated_config.documents import canonical, differences, digest_of
+from marlstep.replicated_config.documents import canonical_json, content_digest, differences
 
 PIECE = 1_200  # characters in one call: the administration takes bodies of 4 KB
 
@@ -32,13 +32,13 @@
 
 def send(where: Where, name: str, content: Any, told: dict[str, Any]) -> dict[str, Any]:
     """A version in pieces, and then the change itself."""
-    text, upload = canonical(content), secrets.token_hex(8)
+    text, upload = canonical_json(content), secrets.token_hex(8)
     for offset in range(0, len(text), PIECE):
         piece = {"upload": upload, "offset": offset, "data": text[offset : offset + PIECE]}
         taken = order(where, "part", piece)
         if "taken" not in taken:
             raise click.ClickException(str(taken.get("refused", taken)))
-    put = {"doc": name, "upload": upload, "digest": digest_of(text), "author": getpass.getuser()}
+    put = {"doc": name, "upload": upload, "digest": content_digest(text), "author": getpass.getuser()}
     return order(where, "put", {**put, **told})
 
 
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -17,15 +17,15 @@
 from marlstep.upstreams.upstream import Upstream
 
 if TYPE_CHECKING:
-    from marlstep.cluster.node import Fleet
+    from marlstep.cluster.node import ClusterNode
 
 log = logging.getLogger(__name__)
 
-LEASE = "pool/"  # of the names of pools' leases
-LOOK_EVERY = 200 * MILLISECOND
+POOL_LEASE_PREFIX = "pool/"  # of the names of pools' leases
+CHECK_INTERVAL = 200 * MILLISECOND
 
 
-class Knock(RingStream):
+class HealthCheck(RingStream):
     """A connection that stands, and is closed again."""
 
     def __init__(self) -> None:
@@ -41,8 +41,8 @@
         """That was all."""
 
 
-class PoolWatch:
-    def __init__(self, fleet: Fleet, upstream: Upstream, alone_after: timedelta) -> None:
+class HealthCheckCoordinator:
+    def __init__(self, fleet: ClusterNode, upstream: Upstream, alone_after: timedelta) -> None:
         """`alone_after` its time a server waits for the holder's word; then this node goes by its own judgment."""
         self._fleet, self._upstream, self._alone_after = fleet, upstream, alone_after
         self._probing: dict[str, Probing] = {}
@@ -62,42 +62,42 @@
 
     def _may_probe(self, probing: Probing, server: str, out_until: datetime, now: datetime) -> bool:
         """Cut off from who knocks for all, each node knocks for itself."""
-        alone = self._fleet.conduct.knocks_for_itself and now >= out_until
+        alone = self._fleet.capabilities.knocks_for_itself and now >= out_until
         return probing.may_probe(server, out_until, now) or alone
 
-    def look(self, now: datetime) -> None:
+    def tick(self, now: datetime) -> None:
         """Now and then: the pools whose lease is here have their ejected servers knocked at."""
         if self._look_at is not None and now < self._look_at:
             return
-        self._look_at = now + LOOK_EVERY
-        holder, wall = self._fleet.participant.holder, self._fleet.wall()
+        self._look_at = now + CHECK_INTERVAL
+        holder, wall = self._fleet.client.holder, self._fleet.wall()
         for name in self.pools():
             probing, table = self._of(name), self._upstream.pools[name].table
             out = table.out()
-            if not holder.time_left(LEASE + name, now):
+            if not holder.time_left(POOL_LEASE_PREFIX + name, now):
                 continue
             for server in probing.to_dial(out, wall):
-                self._knock(name, server)
-        self._again = self._fleet.steady.at(self._look_at, lambda: self.look(self._fleet.steady.now()))
+                self._start_check(name, server)
+        self._again = self._fleet.steady.at(self._look_at, lambda: self.tick(self._fleet.steady.now()))
 
-    def _knock(self, pool: str, server: str) -> None:
+    def _start_check(self, pool: str, server: str) -> None:
         found = self._upstream.pools[pool]
         address = found.addresses.get(server)
         if address is not None:
             self._fleet.counts["knocks"] += 1
-            dial(Knock, address, partial(self._knocked, pool, server))
+            dial(HealthCheck, address, partial(self._check_finished, pool, server))
 
-    def _knocked(self, pool: str, server: str, fault: OSError | None) -> None:
-        holder = self._fleet.participant.holder
-        token = holder.token(LEASE + pool)
-        if not holder.time_left(LEASE + pool, self._fleet.steady.now()):
+    def _check_finished(self, pool: str, server: str, fault: OSError | None) -> None:
+        holder = self._fleet.client.holder
+        token = holder.token(POOL_LEASE_PREFIX + pool)
+        if not holder.time_left(POOL_LEASE_PREFIX + pool, self._fleet.steady.now()):
             return  # somebody else's matter by now
         self._of(pool).dialled(server, fault is None)
         if fault is None:
             log.info("fleet: server %s of pool %s can be reached again: the others are told", server, pool)
             self._fleet.tell_all(ServerRecovered(pool, server, token))
 
-    def told(self, message: ServerRecovered) -> None:
+    def handle_recovered(self, message: ServerRecovered) -> None:
         """The holder says so."""
         pool = self._upstream.pools.get(message.pool)
         if pool is None:
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -14,14 +14,14 @@
 from typing import TYPE_CHECKING, Any, ClassVar
 
 from marlstep.cluster import wire
-from marlstep.cluster.config_documents import Documents, FleetRules
-from marlstep.cluster.health_checks import LEASE, PoolWatch
-from marlstep.cluster.store import Opened, Store, StoreError, StoreRefused
-from marlstep.cluster.task_frontend import TaskFront
-from marlstep.cluster.transport import Lines
+from marlstep.cluster.config_documents import ConfigDocuments, ConfigDriver
+from marlstep.cluster.health_checks import POOL_LEASE_PREFIX, HealthCheckCoordinator
+from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError, StoreRefusedError
+from marlstep.cluster.task_frontend import TaskFrontend
+from marlstep.cluster.transport import ClusterTransport
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
-from marlstep.config.fleet import FleetConfig, TaskConfig
+from marlstep.config.fleet import ClusterConfig, TaskConfig
 from marlstep.consensus.raft import RaftTiming, Ready
 from marlstep.consensus.replica import (
     CommandRequest,
@@ -35,20 +35,20 @@
 from marlstep.leases.client import GroupClient
 from marlstep.leases.holder import LeaseEvent
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
-from marlstep.membership.partition_state import CONDUCT, Conduct, Situation
-from marlstep.membership.quotas import Shares
-from marlstep.membership.roster import Agreed
+from marlstep.membership.partition_state import CAPABILITIES, Capabilities, PartitionState
+from marlstep.membership.quotas import QuotaTable
+from marlstep.membership.roster import Roster
 from marlstep.net.eventloop import LoopWaker
-from marlstep.replicated_config.messages import Fetch, Piece
-from marlstep.replicated_config.store import Book
-from marlstep.scheduled_tasks.run_log import PREFIX, Outcome, Record
-from marlstep.scheduled_tasks.runner import Do, Runner
+from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
+from marlstep.replicated_config.store import ConfigStore
+from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, Outcome, RunLog
+from marlstep.scheduled_tasks.runner import RunnerAction, TaskRunner
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND, SteadyClock
 from marlstep.upstreams.upstream import Upstream
 
 if TYPE_CHECKING:
-    from marlstep.cluster.membership import FleetMembers
+    from marlstep.cluster.membership import ClusterMembership
 
 log = logging.getLogger(__name__)
 
@@ -60,10 +60,10 @@
 RELAY_EVERY = 300 * MILLISECOND  # a younger process says again where it is
 LEAVES_WITHIN = 1_500 * MILLISECOND  # for open runs to end, and leases to be taken back
 KEPT_LINES = 200  # of the history that operators are shown
-FULL = CONDUCT[Situation.ALL_WELL]  # of a node that is not told to look at the others
+FULL = CAPABILITIES[PartitionState.HEALTHY]  # of a node that is not told to look at the others
 
 
-class Fleet(Component):
+class ClusterNode(Component):
     """One process's part. Of a node's processes only the one that has its address takes part."""
 
     name: ClassVar[str] = "fleet"
@@ -71,45 +71,47 @@
 
     def __init__(
         self,
-        config: FleetConfig,
+        config: ClusterConfig,
         core: Core,
         timeline: TimerQueue,
         upstream: Upstream | None,
         pool_of: Callable[[str], str],
         class_variable: str,
         seed: int,
-        documents: Documents | None = None,
+        documents: ConfigDocuments | None = None,
     ) -> None:
         self.config = config
-        self.boot = secrets.token_hex(6)
+        self.process_id = secrets.token_hex(6)
         self.steady = TimerQueue(LoopWaker(asyncio.get_running_loop(), SteadyClock().now))
         self.wall = timeline.now
-        chance = random.Random(f"{seed}/{self.boot}")
+        chance = random.Random(f"{seed}/{self.process_id}")
         self.chance = chance
-        self.participant = GroupClient(config.node, self.boot, config.voters, config.leases, chance)
-        self.voter: Replica | None = None
+        self.client = GroupClient(config.node, self.process_id, config.voters, config.leases, chance)
+        self.replica: Replica | None = None
         self.group = ""
         self._kept_group = ""  # as the store has it
-        self.lines = Lines(config.nodes, wire.framing(config.key), self.steady, self._deliver)
-        self.runners = {one.plan.name: Runner(one.plan) for one in config.tasks}
+        self.transport = ClusterTransport(
+            config.nodes, wire.stream_framing(config.key), self.steady, self._deliver
+        )
+        self.runners = {one.plan.name: TaskRunner(one.plan) for one in config.tasks}
         self.tasks = {one.plan.name: one for one in config.tasks}
-        self.desk: TaskFront | None = None
+        self.task_frontend: TaskFrontend | None = None
         if upstream is not None:
-            self.desk = TaskFront(
-                core, timeline, upstream, self.steady, pool_of, self.participant.holder.name, class_variable
+            self.task_frontend = TaskFrontend(
+                core, timeline, upstream, self.steady, pool_of, self.client.holder.name, class_variable
             )
-        self.watch: PoolWatch | None = None
-        if config.probes and upstream is not None:
-            self.watch = PoolWatch(self, upstream, config.leases.term * 2)
+        self.health_checks: HealthCheckCoordinator | None = None
+        if config.shared_health_checks and upstream is not None:
+            self.health_checks = HealthCheckCoordinator(self, upstream, config.leases.term * 2)
         self.history: deque[dict[str, object]] = deque(maxlen=KEPT_LINES)
         self.counts: Counter[str] = Counter()
         self._drifts = False
         self.answers: OrderedDict[int, dict[str, Any]] = OrderedDict()  # to what operators asked for
-        self.rules: FleetRules | None = None
-        if config.rules is not None and documents is not None:
-            self.rules = FleetRules(self, config.rules, documents)
+        self.config_driver: ConfigDriver | None = None
+        if config.replicated_config is not None and documents is not None:
+            self.config_driver = ConfigDriver(self, config.replicated_config, documents)
         self.on_step: Callable[[str], None] = lambda step: None  # the rig's hook; nothing in the product
-        self._store: Store | None = None
+        self._store: ReplicaStore | None = None
         self._executor: ThreadPoolExecutor | None = None
         self._storing = False
         self._opening: asyncio.Task[None] | None = None
@@ -120,17 +122,17 @@
         self._relay_at = self.steady.now()
         self._younger = ("", 0)  # process of this node that comes after this one, and its port
         self._leaving_until: datetime | None = None
-        self._asked: dict[int, tuple[str, Do]] = {}
+        self._asked: dict[int, tuple[str, RunnerAction]] = {}
         self._orders: dict[int, str] = {}  # of operators, about members
         self._join_at: datetime | None = None
         self._drive_due = False
         self._hand_at = self.steady.now()  # when the lead may be offered again
         self._alarm: Deadline | None = None
-        self.members: FleetMembers | None = None
-        if config.members is not None:
-            from marlstep.cluster.membership import FleetMembers  # only where it is asked for
+        self.membership: ClusterMembership | None = None
+        if config.membership is not None:
+            from marlstep.cluster.membership import ClusterMembership  # only where it is asked for
 
-            self.members = FleetMembers(self, config.members)
+            self.membership = ClusterMembership(self, config.membership)
         self._want()
 
     # Coming.
@@ -143,32 +145,32 @@
         waited = False
         while True:
             try:
-                await self.lines.listen(self.config.listen)
+                await self.transport.listen(self.config.listen)
                 break
             except OSError as fault:
                 if not waited:
                     log.info("fleet: %s:%d is not to be had yet: %s", *self.config.listen, fault)
                 waited = True
-                if self.rules is not None and self._aside is None:
+                if self.config_driver is not None and self._aside is None:
                     await self._come_aside()
                 await asyncio.sleep(ADDRESS_AGAIN.total_seconds())
         log.info(
             "fleet %s: %s takes part as process %s on %s:%d",
             self.config.name,
             self.config.node,
-            self.boot,
+            self.process_id,
             *self.config.listen,
         )
         self._open, self._aside = True, None
         self._want()
-        if self.members is not None:
-            self._datagrams = asyncio.get_running_loop().create_task(self._open_datagrams(self.members))
+        if self.membership is not None:
+            self._datagrams = asyncio.get_running_loop().create_task(self._open_datagrams(self.membership))
         if self.config.votes and self.config.store is not None:
             self._executor = ThreadPoolExecutor(1, "fleet-store")
             await self._open_store()
         self.drive_soon()
 
-    async def _open_datagrams(self, members: FleetMembers) -> None:
+    async def _open_datagrams(self, members: ClusterMembership) -> None:
         """The lines have the address; an elder process may have it for datagrams a moment longer."""
         told = False
         while not self._closed:
@@ -190,11 +192,11 @@
         """
         host = self.config.listen[0]
         try:
-            self._aside = await self.lines.listen_aside(host)
+            self._aside = await self.transport.listen_on_free_port(host)
         except OSError as fault:
             log.warning("fleet: no port to follow the documents at: %s", fault)
             return
-        self.lines.reach(self.config.node, self.config.listen)
+        self.transport.set_address(self.config.node, self.config.listen)
         self._open = True
         self._want()
         self.drive_soon()
@@ -203,11 +205,11 @@
         assert self.config.store is not None and self._executor is not None
         loop = asyncio.get_running_loop()
         while not self._closed:
-            store = Store(self.config.store)
+            store = ReplicaStore(self.config.store)
             identity = f"{self.config.node}#{secrets.token_hex(6)}"
             try:
                 told = await loop.run_in_executor(self._executor, store.open, self.config.node, identity)
-            except (StoreError, StoreRefused) as fault:
+            except (StoreError, StoreRefusedError) as fault:
                 log.error("fleet: this node can't vote: %s", fault)
                 self.counts["store faults"] += 1
                 await asyncio.sleep(STORE_AGAIN.total_seconds())
@@ -216,21 +218,21 @@
             self._begin_to_vote(told)
             return
 
-    def _begin_to_vote(self, told: Opened) -> None:
+    def _begin_to_vote(self, told: OpenedStore) -> None:
         now = self.steady.now()
-        timing = RaftTiming(self.config.beat, self.config.patience)
-        keeping = None if self.config.members is None else self.config.members.keeping
-        shares = self.config.rules is not None and self.config.rules.shares
+        timing = RaftTiming(self.config.heartbeat_interval, self.config.election_timeout)
+        keeping = None if self.config.membership is None else self.config.membership.roster
+        shares = self.config.replicated_config is not None and self.config.replicated_config.quotas_shared
         settings = ReplicaSettings(timing, self.config.leases, self.config.voters, keeping, shares)
-        voter = Replica(told.identity, told.saved, settings, tasks_machine, self.chance, now)
-        self.voter, self._storing = voter, False
+        voter = Replica(told.identity, told.state, settings, state_machines, self.chance, now)
+        self.replica, self._storing = voter, False
         self.group, self._kept_group = told.group or self.group, told.group
         self._keep_group()
         log.info(
             "fleet: votes as %s, group %s, term %d, %d entries",
             told.identity,
             told.group or "none yet",
-            told.saved.term,
+            told.state.term,
             voter.raft.log.last_index,
         )
 
@@ -243,20 +245,20 @@
             return
         names = []
         if self._aside is None:  # tasks and probes are still the elder's
-            names += [PREFIX + name for name in self.runners]
-            if self.watch is not None:
-                names += [LEASE + name for name in self.watch.pools()]
-        if not self.conduct.wants_leases:
-            names = [name for name in names if name in self.participant.holder.held]
-        if self.rules is not None:
-            names.append(self.rules.lease)
-        for change in self.participant.holder.set_wanted(names):
+            names += [TASK_LEASE_PREFIX + name for name in self.runners]
+            if self.health_checks is not None:
+                names += [POOL_LEASE_PREFIX + name for name in self.health_checks.pools()]
+        if not self.capabilities.wants_leases:
+            names = [name for name in names if name in self.client.holder.held]
+        if self.config_driver is not None:
+            names.append(self.config_driver.lease)
+        for change in self.client.holder.set_wanted(names):
             self._changed(change)
 
     @property
-    def conduct(self) -> Conduct:
+    def capabilities(self) -> Capabilities:
         """What this node's parts do, as it stands among the others."""
-        return FULL if self.members is None else self.members.conduct
+        return FULL if self.membership is None else self.membership.capabilities
 
     def situation_changed(self) -> None:
         self._want()
@@ -266,36 +268,36 @@
 
     def _deliver(self, body: bytes) -> None:
         """One frame of another node."""
-        one = wire.read(body)  # CorruptError closes the line
+        one = wire.read_envelope(body)  # CorruptError closes the line
         self.counts["received"] += 1
         if one.fleet != self.config.name:
-            self.lines.count("another fleet", f"{one.fleet[:64]!r}, from {one.sender[:64]!r}")
+            self.transport.record_drop("another fleet", f"{one.fleet[:64]!r}, from {one.sender[:64]!r}")
             return
         self._receive(one)
 
     def _receive(self, one: wire.Envelope) -> None:
-        now, message, voter = self.steady.now(), one.message, self.voter
+        now, message, voter = self.steady.now(), one.message, self.replica
         if not self._same_group(one) or self._passed_on(one):
             return
         if isinstance(message, HeartbeatResponse | CommandResponse):
-            if one.to == self.participant.holder.name:
-                for change in self.participant.handle_response(now, one.sender, message):
+            if one.to == self.client.holder.name:
+                for change in self.client.handle_response(now, one.sender, message):
                     self._changed(change)
                 self._see_drift()
-                if self.rules is not None:
-                    self.rules.heard(now)
-        elif isinstance(message, Piece):
-            if self.rules is not None and one.to == self.participant.holder.name:
-                self.rules.got(now, message)
-        elif isinstance(message, wire.Exchanged):
-            if self.members is not None:
-                self.members.exchanged(message)
+                if self.config_driver is not None:
+                    self.config_driver.handle_heartbeat_response(now)
+        elif isinstance(message, DocumentChunk):
+            if self.config_driver is not None and one.to == self.client.holder.name:
+                self.config_driver.handle_chunk(now, message)
+        elif isinstance(message, wire.ExchangeMessage):
+            if self.membership is not None:
+                self.membership.handle_exchange(message)
         elif isinstance(message, ServerRecovered):
-            if self.watch is not None:
-                self.watch.told(message)
+            if self.health_checks is not None:
+                self.health_checks.handle_recovered(message)
         elif voter is not None and (one.to in (voter.identity, self.config.node)):
             if (
-                isinstance(message, Heartbeat | CommandRequest | JoinRequest | Fetch)
+                isinstance(message, Heartbeat | CommandRequest | JoinRequest | FetchChunk)
                 or one.to == voter.identity
             ):
                 voter.step(now, one.sender, message)
@@ -312,23 +314,23 @@
             found = (one.message.holder, one.message.port)
             if node_of(found[0]) == self.config.node and found[0] == one.sender and self._younger != found:
                 log.info("fleet: process %s of this node comes after this one", found[0])
-                self.lines.forget(younger)
+                self.transport.remove_address(younger)
                 self._younger = found
-                self.lines.reach(found[0], (self.config.listen[0], found[1]))
+                self.transport.set_address(found[0], (self.config.listen[0], found[1]))
             return True
         if not younger or self._aside is not None:
             return False
         if one.to == younger:
-            self.lines.send(younger, wire.write(one))
+            self.transport.send(younger, wire.write_envelope(one))
             return True
         if one.sender == younger and node_of(one.to) != self.config.node:
-            self.lines.send(node_of(one.to), wire.write(one))
+            self.transport.send(node_of(one.to), wire.write_envelope(one))
             return True
         return False
 
     def _see_drift(self) -> None:
-        if self.participant.holder.clock_drifts != self._drifts:
-            self._drifts = self.participant.holder.clock_drifts
+        if self.client.holder.clock_drifts != self._drifts:
+            self._drifts = self.client.holder.clock_drifts
             if self._drifts:
                 self.counts["drifts"] += 1
                 log.error("fleet: the group says that this node's clock errs beyond the stated drift")
@@ -339,13 +341,15 @@
             return True
         epoch, ours = epoch_of(one.group), epoch_of(self.group)
         if self.group and epoch == ours:
-            self.lines.count("another group", f"{one.group} from {one.sender[:64]!r}; this is {self.group}")
+            self.transport.record_drop(
+                "another group", f"{one.group} from {one.sender[:64]!r}; this is {self.group}"
+            )
         if self.group and epoch <= ours:
             return False
         before, self.group = self.group, one.group
         if before:
             log.error("fleet: group %s takes the place of %s", one.group, before)
-            if self.voter is not None and self.voter.raft.configuration.voters:
+            if self.replica is not None and self.replica.raft.configuration.voters:
                 self._start_anew("its group was given up for another")
                 return False
         self._keep_group()
@@ -356,7 +360,7 @@
 
         Without it a voter that starts again could not tell its own group from one that takes its place.
         """
-        if self._store is not None and self.voter is not None and self.group != self._kept_group:
+        if self._store is not None and self.replica is not None and self.group != self._kept_group:
             self._kept_group = self.group
             self._run_on_store(partial(self._store.set_group, self.group))
 
@@ -364,26 +368,28 @@
         envelope = wire.Envelope(self.config.name, self.group, sender, to, message)
         node = node_of(to)
         if self._aside is not None:
-            self.lines.send(self.config.node, wire.write(envelope))  # the elder passes it on
+            self.transport.send(self.config.node, wire.write_envelope(envelope))  # the elder passes it on
         elif node == self.config.node:
             self.steady.soon(lambda: None if self._closed else self._receive(envelope))
         else:
-            self.lines.send(node, wire.write(envelope))
+            self.transport.send(node, wire.write_envelope(envelope))
 
-    def ask_leader(self, message: Fetch) -> None:
+    def ask_leader(self, message: FetchChunk) -> None:
         """To the voter that is taken for the leader."""
-        self._send(self.participant.holder.name, self.participant.target, message)
+        self._send(self.client.holder.name, self.client.target, message)
 
-    def send_exchange(self, line: str, message: wire.Exchanged) -> None:
+    def send_exchange(self, line: str, message: wire.ExchangeMessage) -> None:
         """To the node of that name, or at the address of that line."""
-        name = self.participant.holder.name
-        self.lines.send(line, wire.write(wire.Envelope(self.config.name, self.group, name, line, message)))
+        name = self.client.holder.name
+        self.transport.send(
+            line, wire.write_envelope(wire.Envelope(self.config.name, self.group, name, line, message))
+        )
 
     def tell_all(self, message: ServerRecovered) -> None:
         """Every other node, once; what is lost is not sent again."""
         for node in self.config.nodes:
             if node != self.config.node:
-                self._send(self.participant.holder.name, node, message)
+                self._send(self.client.holder.name, node, message)
 
     # One turn.
 
@@ -397,29 +403,29 @@
         if self._closed or not self._open:
             return
         now = self.steady.now()
-        if self.voter is not None:
-            self._drive_voter(self.voter, now)
+        if self.replica is not None:
+            self._drive_voter(self.replica, now)
         if self._aside is not None and now >= self._relay_at:
             self._relay_at = now + RELAY_EVERY
             self._send(
-                self.participant.holder.name,
+                self.client.holder.name,
                 self.config.node,
-                RelayAnnouncement(self.participant.holder.name, self._aside),
+                RelayAnnouncement(self.client.holder.name, self._aside),
             )
-        sends, changes = self.participant.tick(now)
+        sends, changes = self.client.tick(now)
         for change in changes:
             self._changed(change)
         for target, message in sends:
-            self._send(self.participant.holder.name, target, message)
+            self._send(self.client.holder.name, target, message)
         self._work(now)
         self._set_alarm(now)
 
     def _set_alarm(self, now: datetime) -> None:
-        due = self.participant.next_due(now)
+        due = self.client.next_due(now)
         if self._aside is not None:
             due = min(due, self._relay_at)
-        if self.voter is not None:
-            due = min(due, self.voter.next_due())
+        if self.replica is not None:
+            due = min(due, self.replica.next_due())
             if self._join_at is not None:
                 due = min(due, self._join_at)
         wall = self.wall()
@@ -476,11 +482,11 @@
 
     def _run_on_store(self, work: Callable[[], None], then: Callable[[], None] | None = None) -> None:
         assert self._executor is not None
-        voter = self.voter
+        voter = self.replica
         future = asyncio.get_running_loop().run_in_executor(self._executor, work)
 
         def done(future: asyncio.Future[None]) -> None:
-            if self.voter is not voter or self._closed or future.cancelled():
+            if self.replica is not voter or self._closed or future.cancelled():
                 return
             fault = future.exception()
             if fault is not None:
@@ -512,7 +518,7 @@
         self._reopen(aside=True)
 
     def _reopen(self, aside: bool) -> None:
-        store, self._store, self.voter, self._join_at = self._store, None, None, None
+        store, self._store, self.replica, self._join_at = self._store, None, None, None
 
         def shut() -> None:
             if store is not None:
@@ -541,33 +547,33 @@
         self.history.append({"at": self.wall().isoformat(timespec="milliseconds"), "what": what, "why": why})
 
     def _work(self, now: datetime) -> None:
-        participant, holder = self.participant, self.participant.holder
+        participant, holder = self.client, self.client.holder
         for number in list(self._asked):
             result = participant.take_result(number)
             if result is not None:
                 task, do = self._asked.pop(number)
                 if do.what == "begin" and "begun" in result:
                     self.on_step("begun")
-                self.runners[task].told(now, do, result)
+                self.runners[task].handle_result(now, do, result)
         for name, runner in self.runners.items():
-            lease = PREFIX + name
+            lease = TASK_LEASE_PREFIX + name
             token = holder.token(lease)
             if token != runner.token:
                 if token:
-                    runner.gained(token)
+                    runner.lease_gained(token)
                     self.on_step("granted")
                 else:
-                    runner.lost()
+                    runner.lease_lost()
                     self._forget_asks(name)
-            if not self.conduct.begins_tasks and not runner.busy:
+            if not self.capabilities.begins_tasks and not runner.busy:
                 continue
-            wanted = runner.next(now, self.wall(), holder.time_left(lease, now))
+            wanted = runner.next_action(now, self.wall(), holder.time_left(lease, now))
             if wanted is not None:
                 self._do(self.tasks[name], runner, wanted, now)
-        if self.watch is not None:
-            self.watch.look(now)
-        if self.rules is not None:
-            self.rules.look(now)
+        if self.health_checks is not None:
+            self.health_checks.tick(now)
+        if self.config_driver is not None:
+            self.config_driver.tick(now)
         if self._leaving_until is not None:
             self._leave_on(now)
 
@@ -575,30 +581,30 @@
         for number, (name, _) in list(self._asked.items()):
             if name == task:
                 del self._asked[number]
-                self.participant.abandon(number)
+                self.client.abandon(number)
 
-    def _do(self, task: TaskConfig, runner: Runner, do: Do, now: datetime) -> None:
+    def _do(self, task: TaskConfig, runner: TaskRunner, do: RunnerAction, now: datetime) -> None:
         name = task.plan.name
         if do.what not in ("act", "fence"):
             if do.what == "end":
                 self.on_step("ending")
-            number = self.participant.propose(now, do.command(name))
+            number = self.client.propose(now, do.command(name))
             if number is None:
-                runner.told(now, do, None)
+                runner.handle_result(now, do, None)
             else:
                 self._asked[number] = (name, do)
             self.drive_soon()
             return
-        assert self.desk is not None
-        if not self.conduct.begins_tasks:  # it came to this while the run was being begun
-            runner.told(now, do, Outcome.NEVER)
+        assert self.task_frontend is not None
+        if not self.capabilities.begins_tasks:  # it came to this while the run was being begun
+            runner.handle_result(now, do, Outcome.NOT_RUN)
             self.drive_soon()
             return
-        lease = PREFIX + name
+        lease = TASK_LEASE_PREFIX + name
 
         def left() -> timedelta:
-            holder = self.participant.holder
-            if holder.token(lease) != do.token or not self.conduct.begins_tasks:
+            holder = self.client.holder
+            if holder.token(lease) != do.token or not self.capabilities.begins_tasks:
                 return timedelta(
                     0
                 )  # asked once more where the act leaves this node: the module may have held it
@@ -606,11 +612,11 @@
 
         def told(outcome: Outcome) -> None:
             log.info("fleet: task %s run %d token %d: %s: %s", name, do.run, do.token, do.what, outcome.value)
-            runner.told(self.steady.now(), do, outcome)
+            runner.handle_result(self.steady.now(), do, outcome)
             self.drive_soon()
 
         self.on_step("acting")
-        self.desk.act(task, do, left, told)
+        self.task_frontend.execute(task, do, left, told)
 
     # Going.
 
@@ -626,38 +632,40 @@
         now = self.steady.now()
         self._leaving_until = now + LEAVES_WITHIN
         for runner in self.runners.values():
-            runner.leaving = True
+            runner.draining = True
         self._leave_on(now)
         self.drive_soon()
 
     def _leave_on(self, now: datetime) -> None:
         """A lease goes back as soon as no run of its task is open; then the address and the store."""
-        holder = self.participant.holder
-        keep = [PREFIX + name for name, runner in self.runners.items() if runner.busy and runner.token]
+        holder = self.client.holder
+        keep = [
+            TASK_LEASE_PREFIX + name for name, runner in self.runners.items() if runner.busy and runner.token
+        ]
         # Requests that arrive in the grace after the notice are still run: the rules are acted on to the end of this
         # process's lease on them, which runs out by itself.
-        rules = [] if self.rules is None else [self.rules.lease]
+        rules = [] if self.config_driver is None else [self.config_driver.lease]
         before = len(holder.wanted)
         for change in holder.set_wanted([*keep, *rules]):
             self._changed(change)
         if not keep and not holder.leaving:
-            self.participant.release_leases(now, rules)
+            self.client.release_leases(now, rules)
         if len(holder.wanted) != before:
-            self.participant.schedule_heartbeat(now)
+            self.client.schedule_heartbeat(now)
             self.drive_soon()
         leads = (
-            self.voter is not None
-            and self.voter.raft.is_leader
-            and len(self.voter.raft.configuration.voters) > 1
+            self.replica is not None
+            and self.replica.raft.is_leader
+            and len(self.replica.raft.configuration.voters) > 1
         )
-        if not self.conduct.hands_over and not keep:
+        if not self.capabilities.hands_over and not keep:
             self._give_way()  # nobody is there to take anything
             return
         # The lead goes last: who comes to lead hears all who wait first, and what is given back would wait with them.
-        settled = holder.leaving and self.participant.is_idle
-        if leads and settled and self.voter is not None and now >= self._hand_at:
+        settled = holder.leaving and self.client.is_idle
+        if leads and settled and self.replica is not None and now >= self._hand_at:
             self._hand_at = now + HAND_AGAIN
-            if to := self.voter.transfer_leadership(now):
+            if to := self.replica.transfer_leadership(now):
                 log.info("fleet: leadership is handed to %s, as this node leaves", to)
                 self.drive_soon()
         over = self._leaving_until is not None and now >= self._leaving_until
@@ -671,8 +679,8 @@
         if self._closed:
             return
         log.info("fleet: this process takes no part any more")
-        if self.members is not None and not self._younger[0]:
-            self.members.leave()
+        if self.membership is not None and not self._younger[0]:
+            self.membership.leave()
         self._closed = True
         if self._aside is not None and self._opening is not None:
             self._opening.cancel()  # it would take the address yet
@@ -681,9 +689,9 @@
     async def _closing(self) -> None:
         if self._datagrams is not None:
             self._datagrams.cancel()
-        if self.members is not None:
-            self.members.close()
-        await self.lines.close()
+        if self.membership is not None:
+            self.membership.close()
+        await self.transport.close()
         if self._store is not None and self._executor is not None:
             store, self._store = self._store, None
             closing = asyncio.get_running_loop().run_in_executor(self._executor, store.close)
@@ -691,7 +699,7 @@
                 await asyncio.wait_for(closing, STORE_CLOSES.total_seconds())
             except TimeoutError:  # what was said is durable; the system gives the file back with the process
                 log.error("fleet: the store does not close: the disk hangs")
-        self.voter = None
+        self.replica = None
         if self._executor is not None:
             self._executor.shutdown(wait=False)
             self._executor = None
@@ -707,8 +715,8 @@
             self._opening.cancel()
         self._closed = True
         self.steady.cancel(self._alarm)
-        if self.watch is not None:
-            self.watch.close()
+        if self.health_checks is not None:
+            self.health_checks.close()
         await self._closing()
 
     # What operators see.
@@ -721,20 +729,20 @@
                 return self.leases()
             case ["fleet", "log"]:
                 return self.told_log()
-            case ["fleet", "members"] if self.members is not None:
-                return self.members.status()
-            case ["fleet", "situation"] if self.members is not None:
-                return self.members.situation()
-            case ["fleet", *rest] if self.rules is not None:
-                return self.rules.call(rest)
-            case ["fleet", "asked"] if self.members is not None:
+            case ["fleet", "members"] if self.membership is not None:
+                return self.membership.status()
+            case ["fleet", "situation"] if self.membership is not None:
+                return self.membership.partition_status()
+            case ["fleet", *rest] if self.config_driver is not None:
+                return self.config_driver.call(rest)
+            case ["fleet", "asked"] if self.membership is not None:
                 return self.told_orders()
         return None
 
     def told_orders(self) -> dict[str, Any]:
         """What became of what operators asked for."""
         for number in list(self._orders):
-            if (result := self.participant.take_result(number)) is not None:
+            if (result := self.client.take_result(number)) is not None:
                 self.answers[number] = {"what": self._orders.pop(number), **result}
         while len(self.answers) > KEPT_LINES:
             self.answers.popitem(last=False)
@@ -752,7 +760,7 @@
                 command = {"do": "believe", "nodes": [str(one) for one in told["nodes"]]}
             case _:
                 raise ValueError(f"there is nothing like {what[:32]}")
-        number = self.participant.propose(self.steady.now(), {"m": "members", **command})
+        number = self.client.propose(self.steady.now(), {"m": "members", **command})
         if number is None:
             raise ValueError("too much is asked for already")
         self._orders[number] = what
@@ -761,28 +769,28 @@
 
     def execute_order(self, name: str, told: dict[str, Any]) -> dict[str, Any] | None:
         match name.split("/"):
-            case ["fleet", "rules", what] if self.rules is not None:
-                return self.rules.order(what, told)
-            case ["fleet", "members", what] if self.members is not None:
+            case ["fleet", "rules", what] if self.config_driver is not None:
+                return self.config_driver.order(what, told)
+            case ["fleet", "members", what] if self.membership is not None:
                 return self._order_members(what, told)
         return None
 
     def metrics(self) -> dict[str, float]:
         figures: dict[str, float] = {
-            "fleet_leases_held": len(self.participant.holder.held),
+            "fleet_leases_held": len(self.client.holder.held),
             **{
                 f"fleet_line_{name.replace(' ', '_')}_total": count
-                for name, count in self.lines.counts.items()
+                for name, count in self.transport.counts.items()
             },
             **{f"fleet_{name.replace(' ', '_')}_total": count for name, count in self.counts.items()},
         }
-        if self.voter is not None:
-            raft = self.voter.raft
+        if self.replica is not None:
+            raft = self.replica.raft
             figures |= {
                 "fleet_leads": float(raft.is_leader),
                 "fleet_term": float(raft.term),
                 "fleet_commit_index": float(raft.commit_index),
-                **{f"fleet_voter_{name}_total": count for name, count in self.voter.counts.items()},
+                **{f"fleet_voter_{name}_total": count for name, count in self.replica.counts.items()},
             }
         for name, runner in self.runners.items():
             figures[f'fleet_task_acts_total{{task="{name}"}}'] = runner.counts["acts"]
@@ -790,19 +798,19 @@
 
     def status(self) -> dict[str, Any]:
         now = self.steady.now()
-        voter = self.voter
-        cut_off = self.participant.time_since_response(now)
+        voter = self.replica
+        cut_off = self.client.time_since_response(now)
         return {
             "fleet": self.config.name,
             "node": self.config.node,
-            "boot": self.boot,
+            "boot": self.process_id,
             "group": self.group,
-            "asks": self.participant.target,
+            "asks": self.client.target,
             "drifts": self._drifts,
             "heard_ms": None if cut_off is None else cut_off // MILLISECOND,
-            "asked_ms": [round(took / MILLISECOND, 2) for took in self.participant.command_latencies],
+            "asked_ms": [round(took / MILLISECOND, 2) for took in self.client.command_latencies],
             "voter": None if voter is None else voter.status(),
-            "lines": dict(self.lines.counts),
+            "lines": dict(self.transport.counts),
             "counts": dict(self.counts),
         }
 
@@ -811,10 +819,10 @@
         now = self.steady.now()
         mine = [
             {"name": name, "token": one.token, "left_ms": max(0, (one.expires_at - now) // MILLISECOND)}
-            for name, one in self.participant.holder.held.items()
+            for name, one in self.client.holder.held.items()
         ]
         table = None
-        if self.voter is not None:
+        if self.replica is not None:
             table = [
                 {
                     "name": name,
@@ -823,10 +831,10 @@
                     "last": one.previous_node,
                     "grants": one.grant_count,
                 }
-                for name, one in self.voter.leases.leases.items()
+                for name, one in self.replica.leases.leases.items()
             ]
         tasks = [
-            {"name": name, "state": one.step.value, "token": one.token, "counts": one.counts}
+            {"name": name, "state": one.state.value, "token": one.token, "counts": one.counts}
             for name, one in self.runners.items()
         ]
         return {"node": self.config.node, "holds": mine, "agreed": table, "tasks": tasks}
@@ -835,18 +843,23 @@
         """The last commands of the log, where this node votes, and what this node saw change."""
         applied = (
             []
-            if self.voter is None
+            if self.replica is None
             else [
                 {"index": index, "command": dict(command), "result": result}
-                for index, command, result in self.voter.applied
+                for index, command, result in self.replica.applied
             ]
         )
         return {"node": self.config.node, "applied": applied, "changes": list(self.history)}
 
 
-def tasks_machine(table: Any) -> dict[str, Any]:
+def state_machines(table: Any) -> dict[str, Any]:
     """The machines beside the leases."""
-    return {"tasks": Record(table), "rules": Book(table), "members": Agreed(), "shares": Shares(table)}
+    return {
+        "tasks": RunLog(table),
+        "rules": ConfigStore(table),
+        "members": Roster(),
+        "shares": QuotaTable(table),
+    }
 
 
 def epoch_of(group: str) -> int:
--- a/marlstep/cluster/store.py
+++ b/marlstep/cluster/store.py
@@ -39,19 +39,19 @@
     """The store can't be used now: full, read-only, broken. What was not synced before is lost."""
 
 
-class StoreRefused(Exception):
+class StoreRefusedError(Exception):
     """The file is another program's matter: a newer format, or in use. It is left as it is."""
 
 
-class NotOurs(Exception):
+class ForeignStoreError(Exception):
     """The file is no memory of this voter: cut, corrupt, or a copy. Who goes on here is somebody new."""
 
 
 @dataclass(slots=True)
-class Opened:
+class OpenedStore:
     identity: str
     group: str  # the group's own name, given when it was made; empty before this voter was taken in
-    saved: PersistentState
+    state: PersistentState
     fresh: bool  # there was nothing before
 
 
@@ -59,7 +59,7 @@
     return hashlib.blake2b(orjson.dumps(parts), digest_size=12).digest()
 
 
-class Store:
+class ReplicaStore:
     """All calls come from one thread, one at a time. Raises StoreError, and is of no use after that."""
 
     def __init__(self, folder: Path) -> None:
@@ -70,12 +70,12 @@
 
     # Opening.
 
-    def open(self, node: str, new_identity: str) -> Opened:
+    def open(self, node: str, new_identity: str) -> OpenedStore:
         """Raises StoreError, StoreRefused. A file that is not this voter's memory is moved aside."""
         try:
             try:
                 return self._open(node, new_identity)
-            except NotOurs as fault:
+            except ForeignStoreError as fault:
                 self.close()
                 aside = self.set_aside()
                 log.error(
@@ -89,7 +89,7 @@
         except (apsw.Error, OSError) as fault:
             self.close()
             raise StoreError(f"{self.path}: {fault}") from fault
-        except NotOurs as fault:
+        except ForeignStoreError as fault:
             self.close()
             raise StoreError(f"{self.path}: {fault}") from fault
 
@@ -104,7 +104,7 @@
                 os.rename(f"{self.path}{tail}", f"{aside}{tail}")
         return aside
 
-    def _open(self, node: str, new_identity: str) -> Opened:
+    def _open(self, node: str, new_identity: str) -> OpenedStore:
         self.path.parent.mkdir(parents=True, exist_ok=True)
         there = self.path.exists()
         if not there:
@@ -119,18 +119,18 @@
             with db:
                 db.execute("update facts set value = value where name = 'format'") if there else None
         except apsw.BusyError as fault:
-            raise StoreRefused(f"{self.path} is in use by another process") from fault
+            raise StoreRefusedError(f"{self.path} is in use by another process") from fault
         except (apsw.NotADBError, apsw.CorruptError) as fault:
-            raise NotOurs(str(fault)) from fault
+            raise ForeignStoreError(str(fault)) from fault
         except apsw.SQLError as fault:
             if "no such table" not in str(fault):
-                raise NotOurs(str(fault)) from fault
+                raise ForeignStoreError(str(fault)) from fault
             there = False  # the file was made, and its process died before it had a table
         if not there:
             return self._make(node, new_identity)
         return self._read(node)
 
-    def _make(self, node: str, identity: str) -> Opened:
+    def _make(self, node: str, identity: str) -> OpenedStore:
         assert self._db is not None
         with self._db:
             for statement in SCHEMA:
@@ -148,7 +148,7 @@
             self._facts = {}
             self._write_facts(**facts)
         self._sync_folder()
-        return Opened(identity, "", PersistentState(), True)
+        return OpenedStore(identity, "", PersistentState(), True)
 
     def _file(self) -> str:
         """Which file this is on this disk: a copy is another one, also where it got the number of the first."""
@@ -168,21 +168,23 @@
         finally:
             os.close(folder)
 
-    def _read(self, node: str) -> Opened:
+    def _read(self, node: str) -> OpenedStore:
         assert self._db is not None
         try:
             rows = self._db.execute("select name, value from facts").fetchall()
             facts = {str(name): str(value) for name, value in rows}
             if int(facts["format"]) > FORMAT:
-                raise StoreRefused(
+                raise StoreRefusedError(
                     f"{self.path} has format {facts['format']}, of a newer program; this one knows {FORMAT}"
                 )
             if facts.pop("sum") != _facts_sum(facts):
-                raise NotOurs("what it says of itself is not as it was written")
+                raise ForeignStoreError("what it says of itself is not as it was written")
             if facts["node"] != node:
-                raise StoreRefused(f"{self.path} is of node {facts['node']}, and this is {node}")
+                raise StoreRefusedError(f"{self.path} is of node {facts['node']}, and this is {node}")
             if facts["file"] != self._mark:
-                raise NotOurs(f"it is a copy: made as file {facts['file']}, and this is {self._mark}")
+                raise ForeignStoreError(
+                    f"it is a copy: made as file {facts['file']}, and this is {self._mark}"
+                )
             saved = PersistentState(int(facts["term"]), facts["vote"], self._snapshot(), [])
             entries = self._db.execute(
                 "select i, term, kind, body, sum from log where i > ? order by i", (saved.snapshot.index,)
@@ -191,15 +193,15 @@
                 if check != _sum(index, term, kind, body) or index != saved.snapshot.index + 1 + len(
                     saved.entries
                 ):
-                    raise NotOurs(f"entry {index} of the log is not as it was written")
+                    raise ForeignStoreError(f"entry {index} of the log is not as it was written")
                 saved.entries.append(LogEntry(index, term, EntryType(kind), body))
             last = saved.snapshot.index + len(saved.entries)
             if last != int(facts["last"]):
-                raise NotOurs(f"its log ends at {last}, and was written to {facts['last']}")
+                raise ForeignStoreError(f"its log ends at {last}, and was written to {facts['last']}")
             self._facts = facts
-            return Opened(facts["identity"], facts["group"], saved, False)
+            return OpenedStore(facts["identity"], facts["group"], saved, False)
         except (apsw.CorruptError, apsw.SQLError, KeyError, ValueError) as fault:
-            raise NotOurs(f"it can't be read: {fault}") from fault
+            raise ForeignStoreError(f"it can't be read: {fault}") from fault
 
     def _snapshot(self) -> Snapshot:
         assert self._db is not None
@@ -208,7 +210,7 @@
             return Snapshot()
         index, term, members, data, check = row
         if check != _sum(index, term, members, data):
-            raise NotOurs("the snapshot is not as it was written")
+            raise ForeignStoreError("the snapshot is not as it was written")
         return Snapshot(index, term, Configuration.decode(members), data)
 
     # Writing.
@@ -314,9 +316,9 @@
 
     Raises StoreError, and StoreRefused where there is a store already.
     """
-    store = Store(folder)
+    store = ReplicaStore(folder)
     if store.path.exists():
-        raise StoreRefused(f"{store.path} is there already: this voter is of a group, or waits for one")
+        raise StoreRefusedError(f"{store.path} is there already: this voter is of a group, or waits for one")
     store.open(node, identity)
     try:
         store.set_group(group)
@@ -336,18 +338,18 @@
     """
     from marlstep.consensus.state_machine import StateMachines
     from marlstep.leases.table import LeaseTable
-    from marlstep.scheduled_tasks.run_log import Record
+    from marlstep.scheduled_tasks.run_log import RunLog
 
-    store = Store(folder)
+    store = ReplicaStore(folder)
     if not store.path.exists():
-        raise StoreRefused(f"{store.path} is not there: there is nothing to go on from")
+        raise StoreRefusedError(f"{store.path} is not there: there is nothing to go on from")
     told = store.open(node, "")
     try:
         if told.fresh:
-            raise StoreRefused(f"{store.path} had no memory of this voter")
+            raise StoreRefusedError(f"{store.path} had no memory of this voter")
         table = LeaseTable()
-        machines = StateMachines({"leases": table, "tasks": Record(table)})
-        saved = told.saved
+        machines = StateMachines({"leases": table, "tasks": RunLog(table)})
+        saved = told.state
         if saved.snapshot.data:
             machines.restore(saved.snapshot.data)
         for entry in saved.entries:
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -15,34 +15,34 @@
 from marlstep.core.model import Answer, Backend, Offer, Request, Ticket, Verdict
 from marlstep.fronts.uwsgi_wire import write_packet
 from marlstep.scheduled_tasks.run_log import Outcome
-from marlstep.scheduled_tasks.runner import MARGIN, Do
+from marlstep.scheduled_tasks.runner import LEASE_MARGIN, RunnerAction
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import ZERO
 from petrelcart.interface import Outcome as RunOutcome
 
 log = logging.getLogger(__name__)
 
-LATE = (409, 412)  # by which a server says that it has seen a later token
-HELD_KB = 8.0
+FENCED_STATUSES = (409, 412)  # by which a server says that it has seen a later token
+REQUEST_MEMORY_KB = 8.0
 
-Told = Callable[[Outcome], None]
+OutcomeCallback = Callable[[Outcome], None]
 
 
 @dataclass(slots=True)
-class Acting:
+class TaskRequest:
     task: TaskConfig
-    do: Do
-    told: Told
+    do: RunnerAction
+    told: OutcomeCallback
     left: Callable[[], timedelta]  # of the lease, for this grant
     handle: int = 0
     started: bool = False
     bound: Deadline | None = None
 
 
-class Guard:
+class LeaseGuard:
     """The backend of tasks' requests: the pool's, behind a last look at the lease."""
 
-    def __init__(self, backend: Backend, front: TaskFront) -> None:
+    def __init__(self, backend: Backend, front: TaskFrontend) -> None:
         self._backend, self._front = backend, front
 
     def start(self, request: Request) -> None:
@@ -65,7 +65,7 @@
         self._backend.abandon(request)
 
 
-class TaskFront:
+class TaskFrontend:
     """Where the acts of this node's tasks come from, and their answers go."""
 
     def __init__(
@@ -80,14 +80,16 @@
     ) -> None:
         """`timeline` is the core's, `steady` the one by which leases are counted."""
         self._core, self._timeline, self._steady = core, timeline, steady
-        self._backend = Guard(backend, self)
+        self._backend = LeaseGuard(backend, self)
         self.pool_of = pool_of
         self._holder, self._class_variable = holder, class_variable
-        self._acting: dict[int, Acting] = {}
+        self._requests: dict[int, TaskRequest] = {}
         self._number = 0
         self.on_step: Callable[[str], None] = lambda step: None  # the rig's hook; nothing in the product
 
-    def act(self, task: TaskConfig, do: Do, left: Callable[[], timedelta], told: Told) -> None:
+    def execute(
+        self, task: TaskConfig, do: RunnerAction, left: Callable[[], timedelta], told: OutcomeCallback
+    ) -> None:
         """`told` is called once, with what the act came to."""
         self._number += 1
         number, plan = self._number, task.plan
@@ -97,7 +99,7 @@
             "SERVER_PROTOCOL": "HTTP/1.1",
             "CONTENT_LENGTH": "0",
             **task.variables,
-            self._class_variable: plan.kind,
+            self._class_variable: plan.request_class,
             "HTTP_X_TASK": plan.name,
             "HTTP_X_TASK_TOKEN": str(do.token),
             "HTTP_X_TASK_RUN": str(do.run),
@@ -106,14 +108,14 @@
         }
         offer = Offer(
             id=f"task-{number}",
-            kind=plan.kind,
+            kind=plan.request_class,
             body=write_packet(variables),
             arrived=self._timeline.now(),
-            kb=HELD_KB,
-            pool=self.pool_of(plan.kind),
+            kb=REQUEST_MEMORY_KB,
+            pool=self.pool_of(plan.request_class),
             once=f"{plan.name}/{do.what}/{do.run}/{do.token}/{number}",
         )
-        acting = self._acting[number] = Acting(task, do, told, left)
+        acting = self._requests[number] = TaskRequest(task, do, told, left)
         acting.bound = self._steady.at(
             self._steady.now() + max(left(), ZERO), lambda: self._out_of_time(number)
         )
@@ -121,12 +123,12 @@
             acting.handle = self._core.submit(self, (0, number), self._backend, offer)
         except Refused as fault:
             log.warning("task %s: not taken: %s", plan.name, fault)
-            self._over(number, Outcome.NEVER)
+            self._over(number, Outcome.NOT_RUN)
 
     def may_start(self, request: Request) -> bool:
         """The last look, in the turn in which the request leaves."""
-        acting = self._acting.get(request.ticket[1])
-        if acting is None or acting.left() < acting.task.plan.longest + MARGIN:
+        acting = self._requests.get(request.ticket[1])
+        if acting is None or acting.left() < acting.task.plan.timeout + LEASE_MARGIN:
             if acting is not None:
                 log.warning("task %s: its lease was too short when its turn came", acting.task.plan.name)
             # Told in a turn of its own: the core is in the midst of starting it.
@@ -136,21 +138,21 @@
         self._steady.cancel(acting.bound)
         number = request.ticket[1]
         self.on_step("leaving")
-        until: datetime = self._steady.now() + acting.task.plan.longest
+        until: datetime = self._steady.now() + acting.task.plan.timeout
         acting.bound = self._steady.at(until, lambda: self._out_of_time(number))
         return True
 
     def _out_of_time(self, number: int) -> None:
-        acting = self._acting.get(number)
+        acting = self._requests.get(number)
         if acting is None:
             return
         handle, started = acting.handle, acting.started
-        self._over(number, Outcome.MAYBE if started else Outcome.NEVER)
+        self._over(number, Outcome.UNKNOWN if started else Outcome.NOT_RUN)
         self._core.client_gone(handle)
 
     def _over(self, number: int, outcome: Outcome) -> None:
         """The one place where an act is given back."""
-        acting = self._acting.pop(number, None)
+        acting = self._requests.pop(number, None)
         if acting is not None:
             self._steady.cancel(acting.bound)
             acting.told(outcome)
@@ -158,7 +160,7 @@
     # What the core tells a front.
 
     def deliver(self, ticket: Ticket, answer: Answer) -> None:
-        acting = self._acting.get(ticket[1])
+        acting = self._requests.get(ticket[1])
         if acting is not None:
             self._over(ticket[1], outcome_of(answer, acting.started))
 
@@ -174,12 +176,12 @@
     match answer.verdict:
         case Verdict.DONE:
             status = status_of(answer.body)
-            if status in LATE:
-                return Outcome.LATE
+            if status in FENCED_STATUSES:
+                return Outcome.FENCED_OFF
             return Outcome.DONE if 200 <= status < 300 else Outcome.FAILED
         case Verdict.REFUSED:
-            return Outcome.NEVER
-    return Outcome.MAYBE if started else Outcome.NEVER
+            return Outcome.NOT_RUN
+    return Outcome.UNKNOWN if started else Outcome.NOT_RUN
 
 
 def status_of(response: bytes) -> int:
--- a/marlstep/cluster/transport.py
+++ b/marlstep/cluster/transport.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Mapping
 from datetime import datetime, timedelta
 
-from marlstep.cluster.wire import MOST
+from marlstep.cluster.wire import MAX_MESSAGE_BYTES
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.framing import CorruptError, Framing
 from marlstep.net.stream import RingStream
@@ -22,31 +22,31 @@
 log = logging.getLogger(__name__)
 
 RING_SIZE = 64 * 1024
-KEPT = 64  # messages that wait for a line to stand
-DIALLED = 1 * SECOND  # for a line to stand
-FIRST_WAIT, LONGEST_WAIT = 20 * MILLISECOND, 500 * MILLISECOND  # before a line is dialled again
-CLOGGED = 1 * SECOND  # that the other end may take nothing
-WITHOUT_WORD = 2 * SECOND  # for the first whole frame of a line to come
-assert RING_SIZE >= MOST + 64
+MAX_QUEUED_FRAMES = 64  # messages that wait for a line to stand
+CONNECT_TIMEOUT = 1 * SECOND  # for a line to stand
+MIN_BACKOFF, MAX_BACKOFF = 20 * MILLISECOND, 500 * MILLISECOND  # before a line is dialled again
+WRITE_STALL_TIMEOUT = 1 * SECOND  # that the other end may take nothing
+FIRST_FRAME_TIMEOUT = 2 * SECOND  # for the first whole frame of a line to come
+assert RING_SIZE >= MAX_MESSAGE_BYTES + 64
 
 
-class Incoming(RingStream):
+class IncomingConnection(RingStream):
     """A line that another node has dialled."""
 
-    def __init__(self, lines: Lines) -> None:
+    def __init__(self, lines: ClusterTransport) -> None:
         super().__init__(RING_SIZE)
         self._lines = lines
         self._patience: Deadline | None = None
 
     def made(self) -> None:
         lines = self._lines
-        if not lines.admit(self):
+        if not lines.accept(self):
             self.abort()
             return
-        self._patience = lines.timeline.at(lines.timeline.now() + WITHOUT_WORD, self._silent)
+        self._patience = lines.timeline.at(lines.timeline.now() + FIRST_FRAME_TIMEOUT, self._silent)
 
     def _silent(self) -> None:
-        self._lines.count("silent", "no whole frame came in time")
+        self._lines.record_drop("silent", "no whole frame came in time")
         self.abort()
 
     def received(self) -> None:
@@ -55,7 +55,7 @@
                 self._lines.timeline.cancel(self._patience)
                 self._lines.deliver(body)
         except CorruptError as fault:
-            self._lines.count("corrupt", str(fault))
+            self._lines.record_drop("corrupt", str(fault))
             self.abort()
         if self.at_end:
             self.abort()
@@ -65,8 +65,8 @@
         self._lines.incoming.discard(self)
 
 
-class Outgoing(RingStream):
-    def __init__(self, to: To) -> None:
+class OutgoingConnection(RingStream):
+    def __init__(self, to: OutboundPeer) -> None:
         super().__init__(64)  # nothing comes here, and what goes out waits in the transport
         self._to = to
 
@@ -83,17 +83,17 @@
         self._to.lost(self)
 
 
-class To:
+class OutboundPeer:
     """The line to one node."""
 
-    def __init__(self, lines: Lines, address: Address) -> None:
+    def __init__(self, lines: ClusterTransport, address: Address) -> None:
         self._lines, self._address = lines, address
-        self._line: Outgoing | None = None
+        self._line: OutgoingConnection | None = None
         self._opening: Cancel | None = None
         self._within: Deadline | None = None
         self._again: datetime | None = None
-        self._wait = FIRST_WAIT
-        self._kept: deque[bytes] = deque(maxlen=KEPT)
+        self._wait = MIN_BACKOFF
+        self._kept: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
         self._clogged: datetime | None = None
         self._leaving = False
 
@@ -107,11 +107,11 @@
             self._lines.counts["dropped"] += 1
             if self._clogged is None:
                 self._clogged = now
-            elif now > self._clogged + CLOGGED:
-                self._lines.count("cut", f"{self._address} does not read")
+            elif now > self._clogged + WRITE_STALL_TIMEOUT:
+                self._lines.record_drop("cut", f"{self._address} does not read")
                 self._line.abort()
             return
-        if len(self._kept) == KEPT:
+        if len(self._kept) == MAX_QUEUED_FRAMES:
             self._lines.counts["dropped"] += 1
         self._kept.append(frame)
         if self._opening is None and (self._again is None or now >= self._again):
@@ -119,11 +119,13 @@
 
     def _dial(self, now: datetime) -> None:
         timeline = self._lines.timeline
-        line = Outgoing(self)
-        self._within = timeline.at(now + DIALLED, lambda: self._opened(line, TimeoutError("no line in time")))
+        line = OutgoingConnection(self)
+        self._within = timeline.at(
+            now + CONNECT_TIMEOUT, lambda: self._opened(line, TimeoutError("no line in time"))
+        )
         self._opening = self._lines.dial(lambda: line, self._address, lambda fault: self._opened(line, fault))
 
-    def _opened(self, line: Outgoing, fault: OSError | None) -> None:
+    def _opened(self, line: OutgoingConnection, fault: OSError | None) -> None:
         if self._opening is None:
             return  # given up before
         opening, self._opening = self._opening, None
@@ -135,7 +137,7 @@
                 line.abort()
             self._retry(now)
             return
-        self._line, self._wait, self._again, self._clogged = line, FIRST_WAIT, None, None
+        self._line, self._wait, self._again, self._clogged = line, MIN_BACKOFF, None, None
         while self._kept:
             line.send(self._kept.popleft())
 
@@ -143,9 +145,9 @@
         """What waited is old by the time the line stands."""
         self._kept.clear()
         self._again = now + self._wait
-        self._wait = min(LONGEST_WAIT, 2 * self._wait)
+        self._wait = min(MAX_BACKOFF, 2 * self._wait)
 
-    def lost(self, line: Outgoing) -> None:
+    def lost(self, line: OutgoingConnection) -> None:
         if line is self._line:
             self._line = None
             self._retry(self._lines.timeline.now())
@@ -159,7 +161,7 @@
             self._line.finish()  # what is out is still sent
 
 
-class Lines:
+class ClusterTransport:
     def __init__(
         self,
         nodes: Mapping[str, Address],
@@ -169,10 +171,10 @@
         dial: Dial = dial,
     ) -> None:
         self.framing, self.timeline, self.deliver, self.dial = framing, timeline, deliver, dial
-        self.incoming: set[Incoming] = set()
+        self.incoming: set[IncomingConnection] = set()
         self.counts: Counter[str] = Counter()
         self._most = 4 * len(nodes) + 16
-        self._to = {name: To(self, address) for name, address in nodes.items()}
+        self._to = {name: OutboundPeer(self, address) for name, address in nodes.items()}
         self._server: asyncio.Server | None = None
         self._aside: asyncio.Server | None = None  # while another process has the address
         self._said: dict[str, datetime] = {}
@@ -184,7 +186,7 @@
             self._aside.close()  # lines that stand there go on
             self._aside = None
 
-    async def listen_aside(self, host: str) -> int:
+    async def listen_on_free_port(self, host: str) -> int:
         """At a port that is free; gives it. Raises OSError."""
         self._aside = await self._listen((host, 0))
         port: int = self._aside.sockets[0].getsockname()[1]
@@ -192,21 +194,23 @@
 
     async def _listen(self, address: Address) -> asyncio.Server:
         loop = asyncio.get_running_loop()
-        return await loop.create_server(lambda: Incoming(self), *address, backlog=128, reuse_address=True)
+        return await loop.create_server(
+            lambda: IncomingConnection(self), *address, backlog=128, reuse_address=True
+        )
 
-    def reach(self, name: str, address: Address) -> None:
+    def set_address(self, name: str, address: Address) -> None:
         """From now on that one is to be found there."""
         if name in self._to:
             self._to[name].close()
-        self._to[name] = To(self, address)
+        self._to[name] = OutboundPeer(self, address)
 
-    def forget(self, name: str) -> None:
+    def remove_address(self, name: str) -> None:
         if (to := self._to.pop(name, None)) is not None:
             to.close()
 
-    def admit(self, line: Incoming) -> bool:
+    def accept(self, line: IncomingConnection) -> bool:
         if len(self.incoming) >= self._most:
-            self.count("crowded", f"over {self._most} lines")
+            self.record_drop("crowded", f"over {self._most} lines")
             return False
         self.incoming.add(line)
         return True
@@ -219,12 +223,12 @@
         try:
             frame = self.framing.write(body)
         except ValueError as fault:
-            self.count("too large", str(fault))
+            self.record_drop("too large", str(fault))
             return
         self.counts["sent"] += 1
         to.send(frame)
 
-    def count(self, what: str, why: str) -> None:
+    def record_drop(self, what: str, why: str) -> None:
         """Something was dropped; it is logged once in ten seconds."""
         self.counts[what] += 1
         now = self.timeline.now()
--- a/marlstep/cluster/wire.py
+++ b/marlstep/cluster/wire.py
@@ -8,13 +8,13 @@
 import orjson
 
 from marlstep.consensus.replica import MESSAGES, Message
-from marlstep.membership.messages import RECORDS, Ack, Nack, Ping, PingFor, Said
-from marlstep.membership.records import Record, is_address, read_records, write_records
+from marlstep.membership.messages import RECORDS, Ack, MembershipMessage, Nack, Ping, PingRequest
+from marlstep.membership.records import MemberRecord, is_address, read_records, write_records
 from marlstep.net.codec import BOOLEAN, Codec, wire
 from marlstep.net.framing import CorruptError, Framing, keyed
 
-MARK = b"MSF1"
-MOST = 60 * 1024  # of one message
+STREAM_MARK = b"MSF1"
+MAX_MESSAGE_BYTES = 60 * 1024  # of one message
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,42 +25,42 @@
     group: str  # of voters; empty where the sender does not know it yet
     sender: str
     to: str
-    message: Message | Exchanged
+    message: Message | ExchangeMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Exchanged:
+class ExchangeMessage:
     """An exchange of members, over a line: who says so, and what it knows."""
 
     wire_tag: ClassVar[str] = "Exchanged"
 
-    me: tuple[Record, ...] = field(metadata=wire("me", RECORDS))
+    sender: tuple[MemberRecord, ...] = field(metadata=wire("me", RECORDS))
     answer: bool = field(metadata=wire("answer", BOOLEAN))
-    records: tuple[Record, ...] = field(metadata=wire("records", RECORDS))
+    records: tuple[MemberRecord, ...] = field(metadata=wire("records", RECORDS))
 
 
-CODEC = Codec((*MESSAGES, Exchanged), ignore_unknown_keys=True)
-DATAGRAMS = Codec((Ping, Ack, PingFor, Nack), ignore_unknown_keys=True)
+CODEC = Codec((*MESSAGES, ExchangeMessage), ignore_unknown_keys=True)
+DATAGRAMS = Codec((Ping, Ack, PingRequest, Nack), ignore_unknown_keys=True)
 DATAGRAM_MARK = b"MSD1"
-MOST_DATAGRAM = 1_400  # bytes, with the frame: it goes through any network in one piece
+MAX_DATAGRAM_BYTES = 1_400  # bytes, with the frame: it goes through any network in one piece
 
 
-def datagrams(key: bytes) -> Framing:
-    return Framing(DATAGRAM_MARK, MOST_DATAGRAM, keyed(key[:64]))
+def datagram_framing(key: bytes) -> Framing:
+    return Framing(DATAGRAM_MARK, MAX_DATAGRAM_BYTES, keyed(key[:64]))
 
 
-def write_datagram(fleet: str, sender: Record, message: Said) -> bytes:
+def write_datagram(fleet: str, sender: MemberRecord, message: MembershipMessage) -> bytes:
     """The body of a datagram, with as many of the records as it has place for. Raises ValueError."""
     carried = len(message.records)
     while True:
         fitting = replace(message, records=message.records[:carried])
         body = orjson.dumps([fleet, write_records([sender])[0], DATAGRAMS.dump(fitting)])
-        if len(body) <= MOST_DATAGRAM - 64 or not carried:
+        if len(body) <= MAX_DATAGRAM_BYTES - 64 or not carried:
             return body
         carried -= 1
 
 
-def read_datagram(body: bytes) -> tuple[str, Record, Said]:
+def read_datagram(body: bytes) -> tuple[str, MemberRecord, MembershipMessage]:
     """Raises CorruptError."""
     try:
         fleet, sender, told = orjson.loads(body)
@@ -68,25 +68,25 @@
     except (ValueError, TypeError) as fault:
         raise CorruptError(f"no datagram: {fault!r}") from fault
     message = DATAGRAMS.load(told)
-    assert isinstance(message, Ping | Ack | PingFor | Nack)
+    assert isinstance(message, Ping | Ack | PingRequest | Nack)
     if not isinstance(fleet, str):
         raise CorruptError("a datagram names its fleet")
-    if isinstance(message, PingFor) and not is_address(message.address):
+    if isinstance(message, PingRequest) and not is_address(message.address):
         raise CorruptError("who is to be asked has no address")
     return fleet, record, message
 
 
-def framing(key: bytes) -> Framing:
-    return Framing(MARK, MOST, keyed(key[:64]))
+def stream_framing(key: bytes) -> Framing:
+    return Framing(STREAM_MARK, MAX_MESSAGE_BYTES, keyed(key[:64]))
 
 
-def write(envelope: Envelope) -> bytes:
+def write_envelope(envelope: Envelope) -> bytes:
     """The body of a frame."""
     names = (envelope.fleet, envelope.group, envelope.sender, envelope.to)
     return orjson.dumps([*names, CODEC.dump(envelope.message)])
 
 
-def read(body: bytes) -> Envelope:
+def read_envelope(body: bytes) -> Envelope:
     """Raises CorruptError."""
     try:
         fleet, group, sender, to, told = orjson.loads(body)
@@ -95,5 +95,5 @@
     if not all(isinstance(part, str) for part in (fleet, group, sender, to)):
         raise CorruptError("an envelope's names must be text")
     message = CODEC.load(told)
-    assert isinstance(message, (*MESSAGES, Exchanged))
+    assert isinstance(message, (*MESSAGES, ExchangeMessage))
     return Envelope(fleet, group, sender, to, message)
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -4,24 +4,24 @@
 
 from typing import TYPE_CHECKING
 
-from marlstep.cluster.node import Fleet
+from marlstep.cluster.node import ClusterNode
 from marlstep.components.uwsgi import UwsgiComponent
 
 if TYPE_CHECKING:
     from marlstep.node import Node
 
 
-def make(node: Node, room: int) -> Fleet:
+def make(node: Node, room: int) -> ClusterNode:
     told = node.config
     assert told.fleet is not None
     uwsgi = node.components.get("uwsgi")
     servers = uwsgi if isinstance(uwsgi, UwsgiComponent) else None
     documents = None
-    if told.fleet.rules is not None:
+    if told.fleet.replicated_config is not None:
         from marlstep.components.config_documents import NodeConfigDocuments  # only where documents are named
 
         documents = NodeConfigDocuments(node)
-    fleet = Fleet(
+    fleet = ClusterNode(
         told.fleet,
         node.core,
         node.timeline,
@@ -31,6 +31,6 @@
         seed=told.seed,
         documents=documents,
     )
-    if fleet.rules is not None:
-        node.core.may_take = fleet.rules.may_take
+    if fleet.config_driver is not None:
+        node.core.may_take = fleet.config_driver.accepts_work
     return fleet
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -23,7 +23,7 @@
         self._versions: dict[str, int] = {}
         self._allowances: dict[str, float] = {}  # the least that any version in force here gave
 
-    def local(self, kind: str) -> Any:
+    def local_content(self, kind: str) -> Any:
         return part_of(self._own, kind)
 
     def check(self, kind: str, content: str) -> str:
@@ -34,7 +34,7 @@
             return str(fault) or repr(fault)
         return ""
 
-    def act(self, kind: str, version: int, content: str) -> None:
+    def activate(self, kind: str, version: int, content: str) -> None:
         """Raises ValueError."""
         told = json.loads(content)
         try:
@@ -52,15 +52,15 @@
             f"{name}={number}" for name, number in sorted(self._versions.items())
         )
 
-    def figures(self) -> tuple[int, int, int]:
+    def request_counts(self) -> tuple[int, int, int]:
         return self._node.core.figures
 
-    def asked(self) -> dict[str, int]:
+    def tenant_counts(self) -> dict[str, int]:
         core = self._node.core
         limited = [one.name for one in core.settings.tenants if one.allowance_per_s]
         return {name: core.tenant_counts[name]["read"] for name in limited}
 
-    def share(self, tenant: str, part: float) -> None:
+    def set_quota_share(self, tenant: str, part: float) -> None:
         """The module takes an allowance for that of all peers, and its own part for an equal one."""
         core = self._node.core
         whole = {one.name: one.allowance_per_s for one in core.settings.tenants}.get(tenant, 0.0)
@@ -68,7 +68,7 @@
         if tenant in core.tenants and abs(core.tenants[tenant].allowance_per_s - per_s) > whole / 10_000:
             core.allow(tenant, per_s)
 
-    def narrow(self) -> None:
+    def restrict(self) -> None:
         """The least allowance that any version gave, for each tenant that is still there."""
         core = self._node.core
         for name, least in self._allowances.items():
--- a/marlstep/config/fleet.py
+++ b/marlstep/config/fleet.py
@@ -24,10 +24,10 @@
 
 if TYPE_CHECKING:
     from marlstep.leases.settings import LeaseSettings
-    from marlstep.membership.failure_detector import MemberSettings
-    from marlstep.membership.roster import KeepingSettings
-    from marlstep.replicated_config.documents import Named
-    from marlstep.scheduled_tasks.runner import Plan
+    from marlstep.membership.failure_detector import DetectorSettings
+    from marlstep.membership.roster import RosterSettings
+    from marlstep.replicated_config.documents import DocumentDefinition
+    from marlstep.scheduled_tasks.runner import TaskPlan
 
 MOST_NODES = 500
 LEAST_KEY = 32  # bytes
@@ -42,31 +42,31 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskConfig:
-    plan: Plan
+    plan: TaskPlan
     variables: Mapping[str, str]  # of its uwsgi request
 
 
 @dataclass(slots=True, frozen=True)
-class RulesConfig:
+class ReplicatedConfigSettings:
     """Documents on which the nodes agree."""
 
-    documents: tuple[Named, ...]
+    documents: tuple[DocumentDefinition, ...]
     agree_within: timedelta  # no two act on contradicting versions for longer
-    shares: bool = False  # a tenant's allowance is for the whole service, in parts
+    quotas_shared: bool = False  # a tenant's allowance is for the whole service, in parts
 
 
 @dataclass(slots=True, frozen=True)
-class MembersConfig:
+class MembershipConfig:
     """How this node finds out who is there."""
 
-    detector: MemberSettings
-    keeping: KeepingSettings
+    detector: DetectorSettings
+    roster: RosterSettings
     zone: str
     seeds: tuple[str, ...]  # nodes that are asked first
 
 
 @dataclass(slots=True, frozen=True)
-class FleetConfig:
+class ClusterConfig:
     name: str
     node: str
     listen: Address
@@ -75,19 +75,21 @@
     key: bytes = field(repr=False)
     store: Path | None
     leases: LeaseSettings
-    beat: timedelta
-    patience: timedelta
+    heartbeat_interval: timedelta
+    election_timeout: timedelta
     tasks: tuple[TaskConfig, ...]
-    rules: RulesConfig | None = None
-    members: MembersConfig | None = None
-    probes: bool = False  # one node finds out for all whether an ejected server is back
+    replicated_config: ReplicatedConfigSettings | None = None
+    membership: MembershipConfig | None = None
+    shared_health_checks: bool = False  # one node finds out for all whether an ejected server is back
 
     @property
     def votes(self) -> bool:
         return self.node in self.voters
 
 
-def read_fleet(operator: Table, node: str, classes: Mapping[str, bool], uwsgi: bool) -> FleetConfig | None:
+def read_cluster(
+    operator: Table, node: str, classes: Mapping[str, bool], uwsgi: bool
+) -> ClusterConfig | None:
     """`classes` says of each class whether it is safe to repeat. Raises ConfigError."""
     if "fleet" not in operator:
         return None
@@ -141,7 +143,7 @@
     if probes and not uwsgi:
         raise ConfigError("fleet.probes needs [uwsgi]: it is about the servers of its pools")
     key = _key(raw)
-    return FleetConfig(
+    return ClusterConfig(
         name=name,
         node=node,
         listen=listen,
@@ -150,20 +152,20 @@
         key=key,
         store=store,
         leases=leases,
-        beat=beat,
-        patience=patience,
+        heartbeat_interval=beat,
+        election_timeout=patience,
         tasks=tasks,
-        rules=None if rules is None else rules[0],
-        members=_members(raw, nodes, voters),
-        probes=probes,
+        replicated_config=None if rules is None else rules[0],
+        membership=_members(raw, nodes, voters),
+        shared_health_checks=probes,
     )
 
 
-def _rules(raw: Table, beat: timedelta, uwsgi: bool) -> tuple[RulesConfig, timedelta] | None:
+def _rules(raw: Table, beat: timedelta, uwsgi: bool) -> tuple[ReplicatedConfigSettings, timedelta] | None:
     """With the term of the leases under which nodes act on documents."""
     if "rules" not in raw:
         return None
-    from marlstep.replicated_config.documents import CutOff, Kind, Named
+    from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind
 
     path = "fleet.rules"
     told = table(raw, "rules", path)
@@ -185,16 +187,16 @@
         try:
             kind = Kind(word(row, "kind", f"{here}.kind"))
             strict = row.get("strict", kind is Kind.TENANTS)
-            cut_off = CutOff(word(row, "cut_off", f"{here}.cut_off", "stop" if strict else "keep"))
+            cut_off = DisconnectPolicy(word(row, "cut_off", f"{here}.cut_off", "stop" if strict else "keep"))
         except ValueError as fault:
             raise ConfigError(f"{here}: {fault}") from fault
         if not isinstance(strict, bool):
             raise ConfigError(f"{here}.strict must be true or false")
-        if cut_off is CutOff.NARROW and kind is not Kind.TENANTS:
+        if cut_off is DisconnectPolicy.NARROW and kind is not Kind.TENANTS:
             raise ConfigError(f"{here}.cut_off: narrow is for tenants alone")
         if kind is Kind.SERVERS and not uwsgi:
             raise ConfigError(f"{here}.kind: servers needs [uwsgi]")
-        found.append(Named(name, kind, strict, cut_off))
+        found.append(DocumentDefinition(name, kind, strict, cut_off))
     if len({one.kind for one in found}) < len(found):
         raise ConfigError(f"{path}.documents: there is one document of a kind at the most")
     shares = told.get("shares", False)
@@ -202,15 +204,15 @@
         raise ConfigError(f"{path}.shares must be true or false")
     if shares and not any(one.kind is Kind.TENANTS for one in found):
         raise ConfigError(f"{path}.shares needs a document of kind tenants: it has the allowances")
-    return RulesConfig(tuple(found), within, shares), lease
+    return ReplicatedConfigSettings(tuple(found), within, shares), lease
 
 
-def _members(raw: Table, nodes: Mapping[str, Address], voters: tuple[str, ...]) -> MembersConfig | None:
+def _members(raw: Table, nodes: Mapping[str, Address], voters: tuple[str, ...]) -> MembershipConfig | None:
     if "members" not in raw:
         return None
-    from marlstep.membership.failure_detector import MemberSettings
-    from marlstep.membership.records import NAME_LIMIT
-    from marlstep.membership.roster import KeepingSettings
+    from marlstep.membership.failure_detector import DetectorSettings
+    from marlstep.membership.records import MAX_NAME_LENGTH
+    from marlstep.membership.roster import RosterSettings
 
     path = "fleet.members"
     told = table(raw, "members", path)
@@ -227,17 +229,17 @@
         if one not in nodes:
             raise ConfigError(f"{path}.seeds: {one} is not in fleet.nodes")
     for one in nodes:
-        if len(one) > NAME_LIMIT:
+        if len(one) > MAX_NAME_LENGTH:
             raise ConfigError(
-                f"fleet.nodes.{one[:80]}: with {path} a node's name has {NAME_LIMIT} characters at most"
+                f"fleet.nodes.{one[:80]}: with {path} a node's name has {MAX_NAME_LENGTH} characters at most"
             )
     zone = word(told, "zone", f"{path}.zone") if "zone" in told else ""
-    if len(zone) > NAME_LIMIT:
-        raise ConfigError(f"{path}.zone has {NAME_LIMIT} characters at the most")
+    if len(zone) > MAX_NAME_LENGTH:
+        raise ConfigError(f"{path}.zone has {MAX_NAME_LENGTH} characters at the most")
     guard = number(told, "guard", f"{path}.guard", 0.05, 1.0, 0.3)
-    return MembersConfig(
-        MemberSettings(period=period * MILLISECOND, answer=answer * MILLISECOND),
-        KeepingSettings(probation=probation * MILLISECOND, guard=guard),
+    return MembershipConfig(
+        DetectorSettings(probe_interval=period * MILLISECOND, probe_timeout=answer * MILLISECOND),
+        RosterSettings(probation=probation * MILLISECOND, max_failed_share=guard),
         zone,
         seeds,
     )
@@ -262,8 +264,8 @@
 
 
 def _task(rows: Table, name: str, classes: Mapping[str, bool], term: timedelta) -> TaskConfig:
-    from marlstep.scheduled_tasks.runner import Plan
-    from marlstep.scheduled_tasks.schedule import Missed, Schedule
+    from marlstep.scheduled_tasks.runner import TaskPlan
+    from marlstep.scheduled_tasks.schedule import MissedRunPolicy, Schedule
 
     path = f"fleet.tasks.{name}"
     row = table(rows, name, path)
@@ -286,14 +288,14 @@
             f"{path}.longest_ms must be at most half of fleet.term_ms: an act has to end within it"
         )
     try:
-        missed = Missed(word(row, "missed", f"{path}.missed", "skip"))
+        missed = MissedRunPolicy(word(row, "missed", f"{path}.missed", "skip"))
     except ValueError as fault:
         raise ConfigError(f"{path}.missed must be skip or once") from fault
     variables = table(row, "vars", f"{path}.vars", {})
     for key, value in variables.items():
         if not isinstance(value, str):
             raise ConfigError(f"{path}.vars.{key} must be text")
-    plan = Plan(name, Schedule(every, at, missed), kind, classes[kind], longest)
+    plan = TaskPlan(name, Schedule(every, at, missed), kind, classes[kind], longest)
     return TaskConfig(plan, {key: str(value) for key, value in variables.items()})
 
 
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -35,7 +35,7 @@
 from petrelcart.interface import ClassSettings, Effect, Settings, TenantSettings
 
 if TYPE_CHECKING:
-    from marlstep.config.fleet import FleetConfig
+    from marlstep.config.fleet import ClusterConfig
     from marlstep.pool.plan import Plan
 
 LEAST_MEMORY_MB = 24  # the interpreter and the program alone take 16
@@ -57,7 +57,7 @@
     gauges: tuple[str, ...]  # names of the kernel's readings, in its order
     uwsgi: UwsgiConfig | None = None
     admin: AdminConfig | None = None
-    fleet: FleetConfig | None = None
+    fleet: ClusterConfig | None = None
     mgmt: Address | None = None  # the operators' door
     passed: int | None = None  # the descriptor of the listening socket that the platform holds
     folder: Path | None = None  # what the processes of this node have in common
@@ -278,13 +278,13 @@
     return AdminConfig(listen, token)
 
 
-def _fleet(operator: Table, name: str, settings: Settings, uwsgi: bool) -> FleetConfig | None:
+def _fleet(operator: Table, name: str, settings: Settings, uwsgi: bool) -> ClusterConfig | None:
     if "fleet" not in operator:
         return None
-    from marlstep.config.fleet import read_fleet  # not loaded unless it is there
+    from marlstep.config.fleet import read_cluster  # not loaded unless it is there
 
     safe = {kind.name: kind.effect is Effect.SAFE for kind in settings.classes}
-    return read_fleet(operator, name, safe, uwsgi)
+    return read_cluster(operator, name, safe, uwsgi)
 
 
 LEAST_TOKEN = 16
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -21,13 +21,13 @@
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.membership.quotas import Balance, Shares
-from marlstep.membership.roster import Agreed, Keeping, KeepingSettings, Word
+from marlstep.membership.quotas import QuotaBalancer, QuotaTable
+from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, wire
-from marlstep.replicated_config.documents import PIECE
-from marlstep.replicated_config.messages import Fetch, Piece
-from marlstep.replicated_config.rollout import Heard, StageWatch
-from marlstep.replicated_config.store import Book
+from marlstep.replicated_config.documents import CHUNK_CHARACTERS
+from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
+from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND, SECOND
 
 COMPACTION_THRESHOLD = 2_000  # entries behind the snapshot
@@ -89,8 +89,8 @@
     | HeartbeatResponse
     | JoinRequest
     | ServerRecovered
-    | Fetch
-    | Piece
+    | FetchChunk
+    | DocumentChunk
     | RelayAnnouncement
 )
 
@@ -105,7 +105,7 @@
     timing: RaftTiming
     leases: LeaseSettings
     eligible_nodes: tuple[str, ...]  # nodes that may vote
-    roster: KeepingSettings | None = None  # where the group keeps a list of who belongs to the fleet
+    roster: RosterSettings | None = None  # where the group keeps a list of who belongs to the fleet
     quotas: bool = False  # tenants' allowances are for the whole service
 
 
@@ -131,14 +131,14 @@
             self.machines.restore(saved.snapshot.data)
         self.lease_manager = LeaseManager(self.leases, settings.leases)
         book = self.machines.machines.get("rules")
-        self.config_store: Book | None = book if isinstance(book, Book) else None
-        self.rollout = StageWatch()
+        self.config_store: ConfigStore | None = book if isinstance(book, ConfigStore) else None
+        self.rollout = RolloutMonitor()
         agreed = self.machines.machines.get("members")
-        self.roster: Agreed | None = agreed if isinstance(agreed, Agreed) else None
+        self.roster: Roster | None = agreed if isinstance(agreed, Roster) else None
         shares = self.machines.machines.get("shares")
-        self.quotas: Shares | None = shares if isinstance(shares, Shares) else None
-        self.quota_balancer = Balance()
-        self.roster_controller = Keeping(settings.roster or KeepingSettings())
+        self.quotas: QuotaTable | None = shares if isinstance(shares, QuotaTable) else None
+        self.quota_balancer = QuotaBalancer()
+        self.roster_controller = RosterController(settings.roster or RosterSettings())
         self._committing: set[tuple[str, int]] = set()
         self.events: deque[ReplicaEvent] = deque()  # for whoever drives it to log
         self.applied: deque[tuple[int, Command, Result]] = deque(maxlen=APPLIED_HISTORY_LENGTH)
@@ -161,9 +161,15 @@
                 self._handle_command_request(now, sender, message)
             case JoinRequest():
                 self._handle_join_request(now, sender, message)
-            case Fetch():
+            case FetchChunk():
                 self._handle_fetch(sender, message)
-            case CommandResponse() | HeartbeatResponse() | ServerRecovered() | Piece() | RelayAnnouncement():
+            case (
+                CommandResponse()
+                | HeartbeatResponse()
+                | ServerRecovered()
+                | DocumentChunk()
+                | RelayAnnouncement()
+            ):
                 pass  # of a node's own part, not of a voter's
             case _:
                 self.raft.step(now, sender, message)
@@ -213,16 +219,18 @@
             self._pending_requests[ask.client, ask.number] = sender
             self._propose(now, {**command, "by": ask.client, "no": ask.number})
 
-    def _handle_fetch(self, sender: str, asked: Fetch) -> None:
+    def _handle_fetch(self, sender: str, asked: FetchChunk) -> None:
         """A piece of a document, for a node that has no log."""
         if self.config_store is None or not self.raft.is_established_leader:
             return
         content = self.config_store.content(asked.name, asked.version)
         if content is None:
-            self._outbox.append((sender, Piece(asked.name, asked.version, asked.offset, -1, "")))
+            self._outbox.append((sender, DocumentChunk(asked.name, asked.version, asked.offset, -1, "")))
         elif 0 <= asked.offset < max(1, len(content)):
-            data = content[asked.offset : asked.offset + PIECE]
-            self._outbox.append((sender, Piece(asked.name, asked.version, asked.offset, len(content), data)))
+            data = content[asked.offset : asked.offset + CHUNK_CHARACTERS]
+            self._outbox.append(
+                (sender, DocumentChunk(asked.name, asked.version, asked.offset, len(content), data))
+            )
 
     def _propose(self, now: datetime, command: Command) -> None:
         self.raft.propose(now, _write(command))
@@ -334,9 +342,9 @@
             self._leadership_term = raft.term
             self.counts["elections"] += 1
             self.lease_manager.become_leader(now)
-            self.rollout.lead()
-            self.roster_controller.lead(now)
-            self.quota_balancer.lead()
+            self.rollout.become_leader()
+            self.roster_controller.become_leader(now)
+            self.quota_balancer.become_leader()
             self._publish_roster()
             self._committing.clear()
         elif not raft.is_leader and self._leadership_term:
@@ -349,8 +357,8 @@
                 self._propose(now, command)
             if self.config_store is not None:
                 self._reconcile_config_versions(now, self.config_store)
-            news = () if self.config_store is None else self.config_store.news()
-            shares = no_quota_shares if self.quotas is None else self.quotas.of
+            news = () if self.config_store is None else self.config_store.statuses()
+            shares = no_quota_shares if self.quotas is None else self.quotas.shares_of
             self._outbox += self.lease_manager.take_responses(
                 now, raft.confirmed_round, self.node, raft.term, news, shares
             )
@@ -365,7 +373,7 @@
                 if self.settings.roster is not None and self.roster is not None:
                     self._reconcile_roster(now, self.roster)
                 if self.settings.quotas and self.quotas is not None and self.config_store is not None:
-                    for command in self.quota_balancer.look(
+                    for command in self.quota_balancer.rebalance(
                         now, self.quotas, self.config_store.allowances(), self._demands()
                     ):
                         self._propose(now, command)
@@ -376,24 +384,26 @@
             why = f"term {raft.term}, before: {before or 'none'}"
             self.events.append(ReplicaEvent(f"leader is {raft.leader or 'unknown'}", why))
 
-    def _reconcile_config_versions(self, now: datetime, book: Book) -> None:
+    def _reconcile_config_versions(self, now: datetime, book: ConfigStore) -> None:
         """A change that all who act have said they can take comes into force."""
-        for name, version in book.ready():
+        for name, version in book.ready_to_commit():
             if (name, version) not in self._committing:
                 self._committing.add((name, version))
                 self._propose(now, {"m": "rules", "do": "commit", "doc": name, "version": version})
-        if not book.staged():
+        if not book.active_rollouts():
             return
-        beats = {holder: Heard(beat, at) for holder, beat, at in self.lease_manager.heartbeats()}
-        for one in self.rollout.look(now, book, beats, self.settings.leases.term_of(CONFIG_LEASE_PREFIX)):
+        beats = {holder: ReceivedHeartbeat(beat, at) for holder, beat, at in self.lease_manager.heartbeats()}
+        for one in self.rollout.evaluate(now, book, beats, self.settings.leases.term_of(CONFIG_LEASE_PREFIX)):
             if (one.name, one.version) not in self._committing:
                 self._committing.add((one.name, one.version))
-                told = {"m": "rules", "doc": one.name, "version": one.version, "why": one.why}
+                told = {"m": "rules", "doc": one.name, "version": one.version, "why": one.reason}
                 self._propose(
-                    now, told | ({"do": "commit", "whole": True} if one.goes_on else {"do": "withdraw"})
+                    now, told | ({"do": "commit", "whole": True} if one.promote else {"do": "withdraw"})
+                )
+                way = "goes on to all" if one.promote else "goes back"
+                self.events.append(
+                    ReplicaEvent(f"staged version {one.version} of {one.name} {way}", one.reason)
                 )
-                way = "goes on to all" if one.goes_on else "goes back"
-                self.events.append(ReplicaEvent(f"staged version {one.version} of {one.name} {way}", one.why))
 
     def _demands(self) -> dict[str, dict[str, float]]:
         return {
@@ -406,14 +416,14 @@
         if self.settings.roster is not None and self.roster is not None:
             self.lease_manager.set_eligible_nodes(self.roster.members() or None)
 
-    def _reconcile_roster(self, now: datetime, agreed: Agreed) -> None:
+    def _reconcile_roster(self, now: datetime, agreed: Roster) -> None:
         words = {
-            holder: Word(node_of(holder), at, frozenset(beat.failed_nodes))
+            holder: FailureReport(node_of(holder), at, frozenset(beat.failed_nodes))
             for holder, beat, at in self.lease_manager.heartbeats()
         }
         holds = frozenset(lease.node for lease in self.leases.leases.values() if lease.holder)
         leases = self.settings.leases
-        for command in self.roster_controller.look(
+        for command in self.roster_controller.reconcile(
             now, agreed, words, holds, max(leases.term, leases.config_term)
         ):
             self.events.append(
@@ -506,7 +516,7 @@
     HeartbeatResponse,
     JoinRequest,
     ServerRecovered,
-    Fetch,
-    Piece,
+    FetchChunk,
+    DocumentChunk,
     RelayAnnouncement,
 )
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -16,13 +16,13 @@
 from marlstep.leases.messages import DocumentStatus, HeartbeatResponse, RequestCounts
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Lease, LeaseTable
-from marlstep.membership.failure_detector import Detector
-from marlstep.membership.quotas import Part, Shares
-from marlstep.membership.records import Record
-from marlstep.replicated_config.follower import Follower, State, Stop
-from marlstep.replicated_config.rollout import StageWatch
-from marlstep.replicated_config.store import Book, Document
-from marlstep.scheduled_tasks.runner import Do, Runner, Step
+from marlstep.membership.failure_detector import FailureDetector
+from marlstep.membership.quotas import QuotaShare, QuotaTable
+from marlstep.membership.records import MemberRecord
+from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
+from marlstep.replicated_config.rollout import RolloutMonitor
+from marlstep.replicated_config.store import ConfigStore, Document
+from marlstep.scheduled_tasks.runner import RunnerAction, RunnerState, TaskRunner
 from marlstep.units import MILLISECOND, ZERO
 
 
@@ -103,23 +103,23 @@
         self._expiries = dict.fromkeys(self._expiries, now + 200 * MILLISECOND)
 
 
-class NeverDoubts(Runner):
+class NeverDoubts(TaskRunner):
     """A new holder acts at once, whatever may still be on its way from the one before."""
 
-    def _looked(self, now: datetime, result: Any) -> None:
-        super()._looked(now, result)
-        if self.step is Step.FENCE:
-            self.step = Step.FENCED
+    def _handle_inspection(self, now: datetime, result: Any) -> None:
+        super()._handle_inspection(now, result)
+        if self.state is RunnerState.FENCING:
+            self.state = RunnerState.RECORDING_FENCE
 
 
-class BeginsAlone(Runner):
+class BeginsAlone(TaskRunner):
     """A run is begun and ended without the log: whoever holds the lease, or thinks so, acts."""
 
-    def next(self, now: datetime, wall: datetime, left: timedelta) -> Do | None:
-        do = super().next(now, wall, left)
+    def next_action(self, now: datetime, wall: datetime, left: timedelta) -> RunnerAction | None:
+        do = super().next_action(now, wall, left)
         while do is not None and do.what in ("begin", "end"):
-            self.told(now, do, {"begun": do.run})
-            do = super().next(now, wall, left)
+            self.handle_result(now, do, {"begun": do.run})
+            do = super().next_action(now, wall, left)
         return do
 
 
@@ -130,103 +130,107 @@
         super()._handle_request_vote(now, sender, replace(ask, last_log_index=1 << 40, last_log_term=1 << 40))
 
 
-class CommitsAtOnce(Book):
+class CommitsAtOnce(ConfigStore):
     """A change comes into force without the word of those who act."""
 
-    def waits_for(self, document: Document) -> list[str]:
+    def missing_acknowledgements(self, document: Document) -> list[str]:
         return []
 
 
-class AnyVersion(Book):
+class AnyVersion(ConfigStore):
     """Compare-and-set without the compare."""
 
-    def _put(self, command: Command) -> Result:
+    def _apply_put(self, command: Command) -> Result:
         known = self.documents.get(command["doc"])
-        number = known.number if known is not None else 0
-        if known is not None and known.pending is not None:
-            known.pending = None
-        return super()._put({**command, "expect": number})
+        number = known.active_number if known is not None else 0
+        if known is not None and known.prepared is not None:
+            known.prepared = None
+        return super()._apply_put({**command, "expect": number})
 
 
-class CountsEarlierLives(Book):
+class CountsEarlierLives(ConfigStore):
     """The word of a node's earlier process counts for the one that came after it."""
 
-    def waits_for(self, document: Document) -> list[str]:
-        waits = super().waits_for(document)
-        pending = document.pending
-        said = {one.partition("/")[0] for one in pending.acked} if pending is not None else set()
+    def missing_acknowledgements(self, document: Document) -> list[str]:
+        waits = super().missing_acknowledgements(document)
+        pending = document.prepared
+        said = {one.partition("/")[0] for one in pending.acknowledgements} if pending is not None else set()
         return [one for one in waits if one.partition("/")[0] not in said]
 
 
-class SaysBeforeItStops(Follower):
+class SaysBeforeItStops(ConfigFollower):
     """A strict document is still acted on after the node has said that it stopped."""
 
-    def _take(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
-        return super()._take(now, one, version, digest, 0)
+    def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
+        return super()._reach_version(now, one, version, digest, 0)
 
     def _prepare(self, now: datetime, one: Any, target: Any) -> list[Any]:
         state = one.state
         done = super()._prepare(now, one, target)
         one.state = state
-        return [do for do in done if not isinstance(do, Stop)]
+        return [do for do in done if not isinstance(do, LoseDocument)]
 
 
-class TrustsItsDisk(Follower):
+class TrustsItsDisk(ConfigFollower):
     """What it acted on before its restart counts until the group says something else."""
 
-    def look(self, now: datetime, left: timedelta) -> list[Any]:
-        heard = any(one.target is not None for one in self.standings.values())
-        return super().look(now, left) if heard else []
+    def tick(self, now: datetime, left: timedelta) -> list[Any]:
+        heard = any(one.target is not None for one in self.documents.values())
+        return super().tick(now, left) if heard else []
 
 
-class ActsWhileBehind(Follower):
+class ActsWhileBehind(ConfigFollower):
     """A lease that was lost and came again lets it go on with an old version until the new one is here."""
 
-    def _take(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
+    def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
         state = one.state
-        done = super()._take(now, one, version, digest, pending)
-        if one.state is State.BEHIND:
+        done = super()._reach_version(now, one, version, digest, pending)
+        if one.state is FollowerState.BEHIND:
             one.state = state
-        return [do for do in done if not (isinstance(do, Stop) and "not here yet" in do.why)]
+        return [do for do in done if not (isinstance(do, LoseDocument) and "not here yet" in do.reason)]
 
 
-class NeverLooks(StageWatch):
+class NeverLooks(RolloutMonitor):
     """A stage goes on after its time, however its nodes do."""
 
-    def worse(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
+    def is_degraded(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
         return ""
 
 
-class GivesAtOnce(Shares):
+class GivesAtOnce(QuotaTable):
     """A part that its process is asked to give up is another's at once."""
 
     def apply(self, command: Command) -> Result:
         result = super().apply(command)
         if command["do"] == "shrink" and "part" in result:
-            self.tenants[command["tenant"]][result["holder"]] = Part(result["part"], result["part"])
+            self.tenants[command["tenant"]][result["holder"]] = QuotaShare(result["part"], result["part"])
         return result
 
 
-class NeverRaises(Detector):
+class NeverRaises(FailureDetector):
     """Who hears that it is suspected says only that it is there, with the incarnation that it had."""
 
-    def _of_me(self, now: datetime, record: Record) -> None:
-        me = self.me
-        super()._of_me(now, record)
-        if record.boot == me.boot:
-            self.me = me
+    def _refute(self, now: datetime, record: MemberRecord) -> None:
+        me = self.local
+        super()._refute(now, record)
+        if record.process_id == me.process_id:
+            self.local = me
 
 
-class TakesAnyLife(Detector):
+class TakesAnyLife(FailureDetector):
     """What is heard last of a name counts, of whichever of its processes."""
 
-    def _take(self, now: datetime, record: Record, why: str) -> bool:
+    def _merge_record(self, now: datetime, record: MemberRecord, why: str) -> bool:
         member = self.members.get(record.node)
-        if member is not None and record.boot != member.record.boot and record.order <= member.record.order:
-            member.record = replace(record, born=member.record.born)
-            self._entered(member)
+        if (
+            member is not None
+            and record.process_id != member.record.process_id
+            and record.precedence <= member.record.precedence
+        ):
+            member.record = replace(record, generation=member.record.generation)
+            self._add_to_probe_order(member)
             return True
-        return super()._take(now, record, why)
+        return super()._merge_record(now, record, why)
 
 
 def same(settings: LeaseSettings) -> LeaseSettings:
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/drill/explore_rules.py
@@ -32,11 +32,19 @@
 from marlstep.leases.client import GroupClient
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.replicated_config.documents import CutOff, Kind, Named, digest_of
-from marlstep.replicated_config.follower import Ack, Act, Check, Do, Follower, Found, Stop
-from marlstep.replicated_config.follower import State as Follows
-from marlstep.replicated_config.messages import Fetch, Piece
-from marlstep.replicated_config.store import Book
+from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, content_digest
+from marlstep.replicated_config.follower import (
+    AcknowledgeVersion,
+    ActivateVersion,
+    CheckVersion,
+    ConfigFollower,
+    FollowerAction,
+    LoseDocument,
+    ProposeFirstVersion,
+)
+from marlstep.replicated_config.follower import FollowerState as Follows
+from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND
 
 NODES = ("a", "b")
@@ -45,7 +53,7 @@
 
 
 def _book(table: LeaseTable) -> dict[str, StateMachine]:
-    return {"rules": Book(table)}
+    return {"rules": ConfigStore(table)}
 
 
 class RulesNode:
@@ -58,9 +66,9 @@
         self.holder = self.participant.holder
         self.lease = CONFIG_LEASE_PREFIX + self.holder.name
         self.holder.set_wanted([self.lease])
-        named = Named(DOCUMENT, Kind.SETTINGS, strict, CutOff.STOP)
-        self.follower = Follower((named,), node)
-        self.follower.boot()
+        named = DocumentDefinition(DOCUMENT, Kind.SETTINGS, strict, DisconnectPolicy.STOP)
+        self.follower = ConfigFollower((named,), node)
+        self.follower.start()
         self._acks: dict[int, int] = {}
         self._sends: list[tuple[str, Any]] = []
 
@@ -70,31 +78,31 @@
     def put(self, now: datetime, content: str, expect: int) -> None:
         upload = f"u{content}{self.holder.name}"
         told = {"m": "rules", "upload": upload, "doc": DOCUMENT, "kind": "settings"}
-        named = self.follower.standings[DOCUMENT].named
+        named = self.follower.documents[DOCUMENT].definition
         put: dict[str, Any] = {**told, "do": "put", "expect": expect, "strict": named.strict}
-        put |= {"digest": digest_of(content), "author": "", "note": "", "at": ""}
+        put |= {"digest": content_digest(content), "author": "", "note": "", "at": ""}
         self.participant.propose(now, {**told, "do": "part", "offset": 0, "data": content})
         self.participant.propose(now, put)
 
     def tick(self, now: datetime) -> list[tuple[str, Any]]:
         sends, _ = self.participant.tick(now)
-        self._carry_out(now, self.follower.look(now, self.holder.time_left(self.lease, now)))
+        self._carry_out(now, self.follower.tick(now, self.holder.time_left(self.lease, now)))
         return self._out(now, sends)
 
     def told(self, now: datetime, sender: str, message: Any) -> list[tuple[str, Any]]:
         left = self.holder.time_left
-        if isinstance(message, Piece):
-            self._carry_out(now, self.follower.piece(now, message, left(self.lease, now)))
+        if isinstance(message, DocumentChunk):
+            self._carry_out(now, self.follower.handle_chunk(now, message, left(self.lease, now)))
         else:
             self.participant.handle_response(now, sender, message)
             news, self.holder.documents = self.holder.documents, None
             if news is not None:
-                self._carry_out(now, self.follower.told(now, news, left(self.lease, now)))
+                self._carry_out(now, self.follower.handle_statuses(now, news, left(self.lease, now)))
             for number, version in list(self._acks.items()):
                 if (result := self.participant.take_result(number)) is not None:
                     del self._acks[number]
                     if "refused" in result:
-                        self.follower.ack_lost(DOCUMENT, version)
+                        self.follower.acknowledgement_lost(DOCUMENT, version)
         return self._out(now, [])
 
     def _out(self, now: datetime, sends: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
@@ -107,27 +115,29 @@
                 more.append((self.participant.target, one.request))
         return sends + more
 
-    def _carry_out(self, now: datetime, done: list[Do]) -> None:
+    def _carry_out(self, now: datetime, done: list[FollowerAction]) -> None:
         while done:
             match do := done.pop(0):
-                case Check():
-                    done += self.follower.checked(now, do, "", self.holder.time_left(self.lease, now))
-                case Ack():
+                case CheckVersion():
+                    done += self.follower.handle_check_result(
+                        now, do, "", self.holder.time_left(self.lease, now)
+                    )
+                case AcknowledgeVersion():
                     told = {"m": "rules", "do": "ack", "doc": do.name, "version": do.version, "why": ""}
                     told |= {"digest": do.digest, "holder": self.holder.name}
                     number = self.participant.propose(now, told)
                     assert number is not None
                     self._acks[number] = do.version
-                case Fetch():
+                case FetchChunk():
                     self._sends.append((self.participant.target, do))
-                case Found():
+                case ProposeFirstVersion():
                     self.put(now, "[1]", 0)
-                case Act() | Stop():
+                case ActivateVersion() | LoseDocument():
                     pass  # where it stands is read from the follower
 
     def acting(self, now: datetime) -> tuple[int, datetime] | None:
         """The version that it acts on, and until when."""
-        one = self.follower.standings[DOCUMENT]
+        one = self.follower.documents[DOCUMENT]
         left = self.holder.time_left(self.lease, now)
         return (one.version, now + left) if one.state is Follows.ACTING and left else None
 
@@ -216,7 +226,7 @@
         State.check(self, voter)
         assert voter.config_store is not None
         document = voter.config_store.documents.get(DOCUMENT)
-        new = {one.version: self.now for one in (document.versions if document else ())} | self.in_force
+        new = {one.number: self.now for one in (document.versions if document else ())} | self.in_force
         if new != self.in_force:
             self.in_force = new
             self.look()
@@ -249,14 +259,14 @@
 
 
 def node_key(one: RulesNode) -> tuple[Any, ...]:
-    at = one.follower.standings[DOCUMENT]
-    held, checks = tuple((at.held or {}).items()), tuple(at.checks.items())
+    at = one.follower.documents[DOCUMENT]
+    held, checks = tuple((at.prepared_contents or {}).items()), tuple(at.checks.items())
     mine = (
         at.state,
         at.version,
         at.target,
         at.fetching,
-        at.pieces,
+        at.chunks,
         at.asked,
         held,
         checks,
@@ -320,7 +330,7 @@
             if (
                 book is not None
                 and DOCUMENT in book.documents
-                and book.documents[DOCUMENT].pending is not None
+                and book.documents[DOCUMENT].prepared is not None
             ):
                 return True
         return bool(state.in_force.keys() - {1})
--- a/marlstep/drill/members.py
+++ b/marlstep/drill/members.py
@@ -18,14 +18,14 @@
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import Rig, Settings
 from marlstep.drill.witness import clock_us
-from marlstep.membership.partition_state import CONDUCT, Situation
+from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 
 AGREE_S = 30.0  # after the plan: how soon is measured, and whether is judged
 EVERY_S = 0.25
 TROUBLED = ("kill", "stop", "isolate", "deaf", "mute", "split", "drain", "restart all", "crash at", "upgrade")
 AFTER_US = 8_000_000  # beyond a fault in which a node may still be taken for failed
 ON_ITS_WAY_US = 700_000  # of an act, from the node's decision to its server
-FORBIDDEN = {one.value for one in Situation if not CONDUCT[one].begins_tasks}
+FORBIDDEN = {one.value for one in PartitionState if not CAPABILITIES[one].begins_tasks}
 
 
 @dataclass(slots=True, frozen=True)
--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -25,11 +25,11 @@
 
 from marlstep.__main__ import PLAIN
 from marlstep.cluster import node as cluster_node_module
-from marlstep.cluster.node import Fleet
-from marlstep.cluster.store import Opened, Store, StoreError
+from marlstep.cluster.node import ClusterNode
+from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError
 from marlstep.consensus.raft import Ready
 from marlstep.drill.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
-from marlstep.membership.partition_state import CONDUCT, Situation
+from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 from marlstep.units import EPOCH, MILLISECOND, SteadyClock
 
 BROKEN = {**BREAKAGES, **RULES_BREAKAGES, **MEMBERS_BREAKAGES}
@@ -92,41 +92,41 @@
     """Put clock, disk and hooks in their places, and a rule out of the code where one is to be missed."""
     ErringClock.rate, ErringClock.orders = rate, orders
     cluster_node_module.SteadyClock = ErringClock  # type: ignore[attr-defined]
-    save, begin, vote = Store.save, Fleet.__init__, Fleet._begin_to_vote
+    save, begin, vote = ReplicaStore.save, ClusterNode.__init__, ClusterNode._begin_to_vote
 
-    def slow_save(self: Store, ready: Ready) -> None:
+    def slow_save(self: ReplicaStore, ready: Ready) -> None:
         if orders.disk_ms:
             time.sleep(orders.disk_ms / 1000)
         if orders.disk_full:
             raise StoreError(f"{self.path}: {apsw.FullError('database or disk is full')}")
         save(self, ready)
 
-    def hooked(self: Fleet, *words: Any, **named: Any) -> None:
+    def hooked(self: ClusterNode, *words: Any, **named: Any) -> None:
         begin(self, *words, **named)
         self.on_step = orders.reached
-        if self.desk is not None:
-            self.desk.on_step = orders.reached
-        breakage.put_on(self.participant.holder)
+        if self.task_frontend is not None:
+            self.task_frontend.on_step = orders.reached
+        breakage.put_on(self.client.holder)
         for runner in self.runners.values():
             breakage.put_on(runner)
-        if self.rules is not None:
-            breakage.put_on(self.rules.follower)
-        if self.members is not None:
-            breakage.put_on(self.members.detector)
+        if self.config_driver is not None:
+            breakage.put_on(self.config_driver.follower)
+        if self.membership is not None:
+            breakage.put_on(self.membership.detector)
 
-    def voting(self: Fleet, told: Opened) -> None:
+    def voting(self: ClusterNode, told: OpenedStore) -> None:
         vote(self, told)
-        if self.voter is not None:
-            breakage.put_on_voter(self.voter)
-            for part in (self.voter.config_store, self.voter.quotas):
+        if self.replica is not None:
+            breakage.put_on_voter(self.replica)
+            for part in (self.replica.config_store, self.replica.quotas):
                 if part is not None:
                     breakage.put_on(part)
 
-    Fleet._begin_to_vote = voting  # type: ignore[method-assign]
+    ClusterNode._begin_to_vote = voting  # type: ignore[method-assign]
     if breakage.careless:
-        Fleet.conduct = property(lambda self: CONDUCT[Situation.ALL_WELL])  # type: ignore[method-assign,assignment]
-    Store.save = slow_save  # type: ignore[method-assign]
-    Fleet.__init__ = hooked  # type: ignore[method-assign]
+        ClusterNode.capabilities = property(lambda self: CAPABILITIES[PartitionState.HEALTHY])  # type: ignore[method-assign,assignment]
+    ReplicaStore.save = slow_save  # type: ignore[method-assign]
+    ClusterNode.__init__ = hooked  # type: ignore[method-assign]
 
 
 def main() -> int:
--- a/marlstep/drill/rules.py
+++ b/marlstep/drill/rules.py
@@ -25,7 +25,7 @@
 from marlstep.drill.witness import clock_us
 from marlstep.fronts.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
-from marlstep.replicated_config.documents import digest_of
+from marlstep.replicated_config.documents import content_digest
 
 SERVERS = 64  # lists in turn; a change every second makes an old one come again only after many terms
 WINDOW = 8  # versions that are judged together: none of them has the list of another
@@ -212,7 +212,7 @@
     async def _change(self, node: NodeProcess, call: Call, number: int) -> int:
         content = json.dumps({"main": [f"127.0.0.1:{self.rig.witness.port}"], "more": self.list_of(number)})
         upload = f"o{self._chance.randrange(1 << 40):x}"
-        put = {"doc": DOCUMENT, "upload": upload, "digest": digest_of(content), "expect": call.expect}
+        put = {"doc": DOCUMENT, "upload": upload, "digest": content_digest(content), "expect": call.expect}
         put |= {"author": call.client, "force": True}
         await self._asked(node, "part", {"upload": upload, "offset": 0, "data": content})
         call.version = -1  # from here on it may have an effect
--- a/marlstep/drill/virtual.py
+++ b/marlstep/drill/virtual.py
@@ -32,10 +32,10 @@
 from marlstep.leases.client import GroupClient
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
-from marlstep.replicated_config.messages import Fetch
-from marlstep.scheduled_tasks.run_log import PREFIX, Outcome, Record
-from marlstep.scheduled_tasks.runner import Do, Runner
-from marlstep.scheduled_tasks.runner import Plan as TaskPlan
+from marlstep.replicated_config.messages import FetchChunk
+from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, Outcome, RunLog
+from marlstep.scheduled_tasks.runner import RunnerAction, TaskRunner
+from marlstep.scheduled_tasks.runner import TaskPlan as TaskPlan
 from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import EPOCH, MILLISECOND, span, span_us
 
@@ -118,7 +118,7 @@
         self.olds: list[Disk] = []
         self.voter: Replica | None = None
         self.participant: GroupClient
-        self.runners: dict[str, Runner] = {}
+        self.runners: dict[str, TaskRunner] = {}
         self.stopped_until = 0
         self.slow_disk_until = 0
         self.hook = ""
@@ -126,7 +126,7 @@
         self._kept: list[Callable[[], None]] = []  # what waits for a stopped process
         self._storing = False
         self._ticks_at: int | None = None
-        self._asked: dict[int, tuple[str, Do]] = {}
+        self._asked: dict[int, tuple[str, RunnerAction]] = {}
         self._checked = 0
         self._join_at = 0
 
@@ -150,8 +150,10 @@
             self.name, boot, world.plan.voters, world.settings, random.Random(world.chance.random())
         )
         world.breakage.put_on(self.participant.holder)
-        self.participant.holder.set_wanted([*(PREFIX + task for task in TASKS), *world.wants(self)])
-        self.runners = {task: Runner(world.tasks[task]) for task in TASKS}
+        self.participant.holder.set_wanted(
+            [*(TASK_LEASE_PREFIX + task for task in TASKS), *world.wants(self)]
+        )
+        self.runners = {task: TaskRunner(world.tasks[task]) for task in TASKS}
         self.voter = None
         if self.name in world.plan.voters:
             if self.disk is None or (self.disk.copied and not world.breakage.trusts_copies):
@@ -226,7 +228,9 @@
             self.world.got(self, message)
         elif voter is not None and (
             to == voter.identity
-            or (to == self.name and isinstance(message, Heartbeat | CommandRequest | JoinRequest | Fetch))
+            or (
+                to == self.name and isinstance(message, Heartbeat | CommandRequest | JoinRequest | FetchChunk)
+            )
         ):
             voter.step(self.now, sender, message)
 
@@ -348,24 +352,24 @@
                 task, do = self._asked.pop(number)
                 if do.what == "begin" and "begun" in result and self.reached("begun"):
                     return
-                self.runners[task].told(now, do, result)
+                self.runners[task].handle_result(now, do, result)
         for task, runner in self.runners.items():
-            name = PREFIX + task
+            name = TASK_LEASE_PREFIX + task
             token = participant.holder.token(name)
             if token != runner.token:
                 if token:
-                    runner.gained(token)
+                    runner.lease_gained(token)
                 else:
-                    runner.lost()
+                    runner.lease_lost()
             if self.leaving and token and not runner.busy:
                 continue
-            wanted = runner.next(now, self.wall, participant.holder.time_left(name, now))
+            wanted = runner.next_action(now, self.wall, participant.holder.time_left(name, now))
             if wanted is not None:
                 self._do(task, wanted, now)
                 if not self.up:
                     return
 
-    def _do(self, task: str, do: Do, now: datetime) -> None:
+    def _do(self, task: str, do: RunnerAction, now: datetime) -> None:
         if do.what in ("act", "fence"):
             if do.what == "act" and self.reached("acted"):
                 return
@@ -375,12 +379,12 @@
             return
         number = self.participant.propose(now, do.command(task))
         if number is None:
-            self.runners[task].told(now, do, None)
+            self.runners[task].handle_result(now, do, None)
         else:
             self._asked[number] = (task, do)
 
-    def answered(self, task: str, do: Do, outcome: Outcome) -> None:
-        self.runners[task].told(self.now, do, outcome)
+    def answered(self, task: str, do: RunnerAction, outcome: Outcome) -> None:
+        self.runners[task].handle_result(self.now, do, outcome)
 
     def leave(self) -> None:
         """The notice to leave: leases are given back, leadership is handed over."""
@@ -446,7 +450,7 @@
     # What a world with more in it gives.
 
     def machines(self, table: Any) -> dict[str, Any]:
-        return {"tasks": Record(table)}
+        return {"tasks": RunLog(table)}
 
     def voter_settings(self) -> ReplicaSettings:
         return ReplicaSettings(RaftTiming(), self.settings, self.plan.voters)
@@ -622,7 +626,7 @@
 
     # The server of the tasks: a witness.
 
-    def act(self, node: VirtualNode, task: str, do: Do) -> None:
+    def act(self, node: VirtualNode, task: str, do: RunnerAction) -> None:
         delay = self.chance.randrange(200, 5_000)
         if self.chance.random() < 0.02:
             delay += self.chance.randrange(600_000)
@@ -642,12 +646,12 @@
             began = self.true_us
             fence = do.what == "fence"
             self.acts.append(Act(task, node.name, do.token, do.run, began, began + work, taken, fence))
-            outcome = Outcome.DONE if taken else Outcome.LATE
+            outcome = Outcome.DONE if taken else Outcome.FENCED_OFF
             if self.chance.random() >= 0.02:  # else the answer is lost
                 node.at(work + self.chance.randrange(200, 5_000), lambda: answer(outcome))
 
         self.after(delay, arrive)
-        node.at(span_us(LONGEST), lambda: answer(Outcome.MAYBE))
+        node.at(span_us(LONGEST), lambda: answer(Outcome.UNKNOWN))
 
     # The eye.
 
@@ -657,7 +661,7 @@
     def check_holders(self) -> None:
         """No two hold one lease at this moment, each by its own clock."""
         for task in TASKS:
-            name = PREFIX + task
+            name = TASK_LEASE_PREFIX + task
             holders = [
                 node.name
                 for node in self.nodes.values()
--- a/marlstep/drill/virtual_members.py
+++ b/marlstep/drill/virtual_members.py
@@ -17,8 +17,8 @@
 from marlstep.drill.broken import Breakage
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.virtual import START, Broken
-from marlstep.membership.failure_detector import Detector, MemberSettings, Send
-from marlstep.membership.records import Record, State, write_records
+from marlstep.membership.failure_detector import DetectorSettings, FailureDetector, OutboundMessage
+from marlstep.membership.records import MemberRecord, MemberState, write_records
 from marlstep.units import span
 
 KINDS = ("kill", "stop", "cut", "one way", "isolate", "deaf", "mute", "split", "slow", "drain", "restart all")
@@ -52,7 +52,7 @@
         self.world, self.name, self.number = world, name, number
         self.zone = f"z{number % ZONES}"
         self.life, self.up, self.leaving = 0, False, False
-        self.detector: Detector
+        self.detector: FailureDetector
         self.stopped_until = 0
         self.troubled_until = 0  # by a fault of the plan
         self.slow = 0  # microseconds that its loop is late, now and then
@@ -70,9 +70,9 @@
         self.stopped_until, self._tick_at = 0, None
         # An old clock: this life may seem older than the one before.
         born = world.true_us // 1000 + world.chance.randrange(-20_000, 20_000) + 100_000
-        me = Record(self.name, f"b{self.life}", born, 0, State.ALIVE, self.address, self.zone)
+        me = MemberRecord(self.name, f"b{self.life}", born, 0, MemberState.ALIVE, self.address, self.zone)
         chance = random.Random(world.chance.random())
-        self.detector = Detector(me, world.settings, chance, world.now)
+        self.detector = FailureDetector(me, world.settings, chance, world.now)
         world.breakage.put_on(self.detector)
         seeds = [one for one in world.seeds if one != self.name]
         world.send_all(self, self.detector.join(seeds))
@@ -98,7 +98,7 @@
             for act in kept:
                 act()
 
-    def receive(self, sender: Record, send: Send) -> None:
+    def receive(self, sender: MemberRecord, send: OutboundMessage) -> None:
         self.world.send_all(self, self.detector.receive(self.world.now, sender, send.message))
         self.drive()
 
@@ -129,19 +129,19 @@
         if fresh == self._seen:
             return
         self._seen = fresh
-        for change in list(detector.changes)[-8:]:
+        for change in list(detector.events)[-8:]:
             if change.at == self.world.now:
-                self.world.noted(self, change.node, change.what, change.by == self.name)
+                self.world.noted(self, change.node, change.event, change.reported_by == self.name)
 
 
 class MembersWorld:
     def __init__(
-        self, plan: Plan, breakage: Breakage | None = None, settings: MemberSettings | None = None,
+        self, plan: Plan, breakage: Breakage | None = None, settings: DetectorSettings | None = None,
         loss: float = 0.01, slow: float = 0.0,
     ) -> None:  # fmt: skip
         """`loss` of datagrams; `slow` is the share of nodes whose loop is late by up to a second."""
         self.plan, self.breakage = plan, breakage or Breakage()
-        self.settings = settings or MemberSettings()
+        self.settings = settings or DetectorSettings()
         self.chance = random.Random(plan.seed * 6_151 + 5)
         self.loss = loss
         self.true_us = 0
@@ -192,16 +192,16 @@
     def path(self, one: str, other: str) -> Path:
         return self._paths.setdefault((one, other), Path())
 
-    def send_all(self, node: Node, sends: list[Send]) -> None:
+    def send_all(self, node: Node, sends: list[OutboundMessage]) -> None:
         for send in sends:
-            self._send(node, node.detector.me, send)
+            self._send(node, node.detector.local, send)
 
-    def _send(self, node: Node, sender: Record, send: Send) -> None:
+    def _send(self, node: Node, sender: MemberRecord, send: OutboundMessage) -> None:
         target = self.nodes.get(send.address)
         if target is None or target is node:
             return
         size = HEAD + sum(len(str(row)) for row in write_records(send.message.records))
-        if send.line:
+        if send.over_stream:
             self.measured.exchange_bytes += size
         else:
             self.measured.datagrams += 1
@@ -278,18 +278,18 @@
         """One node takes another for suspect or failed, by `itself` or as it was told."""
         state, _, boot = what.partition(", process ")
         died = self._died.get((about, boot))
-        if state == State.FAILED and died is not None:
+        if state == MemberState.FAILED and died is not None:
             self.measured.detected_us.append(self.true_us - died)
         other = self.nodes.get(about)
         troubled = max(node.troubled_until, other.troubled_until if other else 0) + 2_000_000 >= self.true_us
         if other is not None and other.up and f"b{other.life}" == boot and not troubled:
-            self.measured.false_suspicions += itself and state == State.SUSPECT
-            self.measured.false_failures += state == State.FAILED
+            self.measured.false_suspicions += itself and state == MemberState.SUSPECT
+            self.measured.false_failures += state == MemberState.FAILED
 
     def disagree(self) -> str:
         """Whose view is another than what is; empty where all live nodes hear of all live ones alone."""
         truth = {
-            name: (f"b{node.life}", State.ALIVE.value)
+            name: (f"b{node.life}", MemberState.ALIVE.value)
             for name, node in self.nodes.items()
             if node.up and not node.leaving and self.true_us >= node.stopped_until
         }
@@ -312,7 +312,7 @@
 
 
 def run_members(
-    plan: Plan, breakage: Breakage | None = None, settings: MemberSettings | None = None,
+    plan: Plan, breakage: Breakage | None = None, settings: DetectorSettings | None = None,
     loss: float = 0.01, slow: float = 0.0,
 ) -> tuple[MembersWorld, str]:  # fmt: skip
     """One world; gives it and what broke, or an empty text."""
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -19,17 +19,25 @@
 from marlstep.drill.plan import Plan
 from marlstep.drill.virtual import Broken, VirtualNode, World, broken_by
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
-from marlstep.membership.quotas import WHOLE, Shares, Using
-from marlstep.replicated_config.documents import CutOff, Kind, Named, digest_of
-from marlstep.replicated_config.follower import Ack, Act, Check, Follower, Found, State, Stop
-from marlstep.replicated_config.messages import Fetch, Piece
-from marlstep.replicated_config.store import Book
-from marlstep.scheduled_tasks.run_log import Record
+from marlstep.membership.quotas import FULL_QUOTA, QuotaLease, QuotaTable
+from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, content_digest
+from marlstep.replicated_config.follower import (
+    AcknowledgeVersion,
+    ActivateVersion,
+    CheckVersion,
+    ConfigFollower,
+    FollowerState,
+    LoseDocument,
+    ProposeFirstVersion,
+)
+from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
+from marlstep.replicated_config.store import ConfigStore
+from marlstep.scheduled_tasks.run_log import RunLog
 from marlstep.units import MILLISECOND, span_us
 
 DOCUMENTS = (
-    Named("plain", Kind.SETTINGS, False, CutOff.STOP),
-    Named("strict", Kind.TENANTS, True, CutOff.STOP),
+    DocumentDefinition("plain", Kind.SETTINGS, False, DisconnectPolicy.STOP),
+    DocumentDefinition("strict", Kind.TENANTS, True, DisconnectPolicy.STOP),
 )
 TERM = 1_500 * MILLISECOND
 CLIENTS = 8
@@ -59,10 +67,10 @@
             0,
             self.breakage.settings(self.settings).config_term or TERM,
         )
-        self.followers: dict[str, Follower] = {}
+        self.followers: dict[str, ConfigFollower] = {}
         self.seen = {one.name: Seen() for one in DOCUMENTS}
         self.clients = [Client(self, number) for number in range(CLIENTS)]
-        self.using: dict[str, Using] = {}
+        self.using: dict[str, QuotaLease] = {}
         self._given: dict[tuple[str, int, int], str] = {}
         self.most_used = 0  # of the tenant's allowance, by all nodes together, at any moment
         self._acks: dict[tuple[str, int, int], tuple[str, int]] = {}
@@ -72,7 +80,7 @@
         self._seen_at = 0  # entry to which that one has applied
 
     def machines(self, table: Any) -> dict[str, Any]:
-        return {"tasks": Record(table), "rules": Book(table), "shares": Shares(table)}
+        return {"tasks": RunLog(table), "rules": ConfigStore(table), "shares": QuotaTable(table)}
 
     def voter_settings(self) -> ReplicaSettings:
         return replace(super().voter_settings(), quotas=True)
@@ -85,10 +93,10 @@
         return [self.lease(node)]
 
     def started(self, node: VirtualNode) -> None:
-        follower = Follower(DOCUMENTS, node.name)
+        follower = ConfigFollower(DOCUMENTS, node.name)
         self.breakage.put_on(follower)
         node.participant.holder.report = lambda now: self._report(node, follower, now)
-        self.using[node.name] = Using()
+        self.using[node.name] = QuotaLease()
         if node.voter is not None and node.voter.config_store is not None:
             self.breakage.put_on(node.voter.config_store)
         if node.voter is not None and node.voter.quotas is not None:
@@ -96,42 +104,44 @@
         before = self.followers.get(node.name)
         self.followers[node.name] = follower
         if self.breakage.name == "version-from-disk" and before is not None:
-            for name, one in before.standings.items():  # acts on what it had, without asking
+            for name, one in before.documents.items():  # acts on what it had, without asking
                 if one.version:
-                    kept = follower.standings[name]
-                    kept.version, kept.content, kept.state = one.version, one.content, State.ACTING
-        follower.boot()
+                    kept = follower.documents[name]
+                    kept.version, kept.content, kept.state = one.version, one.content, FollowerState.ACTING
+        follower.start()
 
-    def _report(self, node: VirtualNode, follower: Follower, now: Any) -> Any:
+    def _report(self, node: VirtualNode, follower: ConfigFollower, now: Any) -> Any:
         """A beat's figures: so many requests since the last, most of them refused under a sick content."""
         figures = self._figures.setdefault(node.participant.holder.name, [0, 0, 0])
         figures[0] += 20
-        sick = any(one.state is State.ACTING and SICK in one.content for one in follower.standings.values())
+        sick = any(
+            one.state is FollowerState.ACTING and SICK in one.content for one in follower.documents.values()
+        )
         figures[1] += 15 if sick else 1
         # Demand for the tenant's allowance goes from node to node, and now and then is more than all of it.
         at = (self.true_us // 3_000_000 + self.plan.nodes.index(node.name)) % len(self.plan.nodes)
-        return follower.acts(now), tuple(figures), ((TENANT, (150_000, 40_000, 0)[min(at, 2)]),)
+        return follower.document_states(now), tuple(figures), ((TENANT, (150_000, 40_000, 0)[min(at, 2)]),)
 
     # What nodes do.
 
     def heard(self, node: VirtualNode) -> None:
         news, node.participant.holder.documents = node.participant.holder.documents, None
         using, now = self.using[node.name], node.now
-        for tenant, to in using.told(node.participant.holder.quota_shares):
+        for tenant, to in using.update(node.participant.holder.quota_shares):
             told = {"m": "shares", "do": "gave", "tenant": tenant, "to": to}
             number = node.participant.propose(now, {**told, "holder": node.participant.holder.name})
             if number is None:
-                using.lost(tenant)
+                using.report_lost(tenant)
             else:
                 self._given[node.name, node.life, number] = tenant
         if news is not None:
             left = node.participant.holder.time_left(self.lease(node), node.now)
-            self._carry_out(node, self.followers[node.name].told(node.now, news, left))
+            self._carry_out(node, self.followers[node.name].handle_statuses(node.now, news, left))
 
     def got(self, node: VirtualNode, message: Any) -> None:
-        if isinstance(message, Piece):
+        if isinstance(message, DocumentChunk):
             left = node.participant.holder.time_left(self.lease(node), node.now)
-            self._carry_out(node, self.followers[node.name].piece(node.now, message, left))
+            self._carry_out(node, self.followers[node.name].handle_chunk(node.now, message, left))
 
     def drove(self, node: VirtualNode) -> None:
         follower, participant = self.followers[node.name], node.participant
@@ -140,17 +150,17 @@
             if result is not None:
                 name, version = self._acks.pop(key)
                 if "refused" in result:
-                    follower.ack_lost(name, version)
+                    follower.acknowledgement_lost(name, version)
         for key in [key for key in self._given if key[:2] == (node.name, node.life)]:
             result = participant.take_result(key[2])
             if result is not None:
                 tenant = self._given.pop(key)
                 if "refused" in result:
-                    self.using[node.name].lost(tenant)
+                    self.using[node.name].report_lost(tenant)
         for client in self.clients:
             client.look(node)
         left = participant.holder.time_left(self.lease(node), node.now)
-        self._carry_out(node, follower.look(node.now, left))
+        self._carry_out(node, follower.tick(node.now, left))
         self.watch()
 
     def _carry_out(self, node: VirtualNode, done: list[Any]) -> None:
@@ -159,11 +169,11 @@
         while done:
             do = done.pop(0)
             match do:
-                case Check():
+                case CheckVersion():
                     bad = CANT in do.content and node.name == self.plan.nodes[-1]
                     why = "an older program" if bad else ""
-                    done += follower.checked(now, do, why, left)
-                case Ack():
+                    done += follower.handle_check_result(now, do, why, left)
+                case AcknowledgeVersion():
                     told = {
                         "m": "rules",
                         "do": "ack",
@@ -171,26 +181,26 @@
                         "version": do.version,
                         "digest": do.digest,
                     }
-                    told |= {"holder": node.participant.holder.name, "why": do.why}
+                    told |= {"holder": node.participant.holder.name, "why": do.rejection}
                     number = node.participant.propose(now, told)
                     if number is None:
-                        follower.ack_lost(do.name, do.version)
+                        follower.acknowledgement_lost(do.name, do.version)
                     else:
                         self._acks[node.name, node.life, number] = (do.name, do.version)
                         if node.reached("said"):
                             return
-                case Fetch():
+                case FetchChunk():
                     self.send(node, node.participant.holder.name, node.participant.target, do)
-                case Act():
-                    known = self.seen[do.name].acted.setdefault(do.version, digest_of(do.content))
-                    if known != digest_of(do.content):
+                case ActivateVersion():
+                    known = self.seen[do.name].acted.setdefault(do.version, content_digest(do.content))
+                    if known != content_digest(do.content):
                         raise Broken(f"version {do.version} of {do.name} is two contents")
                     self.counts["acts on a version"] += 1
                     if node.reached("following"):
                         return
-                case Found():
+                case ProposeFirstVersion():
                     self._put(node, do.name, 0, json.dumps({"first": 1}))
-                case Stop():
+                case LoseDocument():
                     self.counts["stops"] += 1
         self.watch()
 
@@ -211,7 +221,7 @@
             node.participant.propose(now, {**piece, "data": content[offset : offset + 4_000]})
         kind = next(one for one in DOCUMENTS if one.name == name)
         put: dict[str, Any] = {"m": "rules", "do": "put", "doc": name, "kind": kind.kind.value}
-        put |= {"strict": kind.strict, "upload": upload, "digest": digest_of(content), "expect": expect}
+        put |= {"strict": kind.strict, "upload": upload, "digest": content_digest(content), "expect": expect}
         put |= {"author": node.name, "note": ""}
         put |= {"at": "", "hold_out": hold_out, "stage": stage}
         if node.reached("uploading"):
@@ -228,16 +238,16 @@
         best = max(voters, key=lambda voter: voter.raft.last_applied, default=None)
         if best is not None and best.config_store is not None and best.raft.last_applied > self._seen_at:
             self._seen_at = best.raft.last_applied
-            told = {name: one for name, one in best.config_store.staged() if one.stage is not None}
+            told = {name: one for name, one in best.config_store.active_rollouts() if one.rollout is not None}
             self.counts["stages"] += len(told.keys() - self._staged.keys())
             self._staged = {
-                name: (one.version.version, one.stage.nodes) for name, one in told.items() if one.stage
+                name: (one.version.number, one.rollout.nodes) for name, one in told.items() if one.rollout
             }
 
     def _see_shares(self) -> None:
         """What all may use of the tenant's allowance together, each under its lease by its own clock."""
         used = {
-            node.name: self.using[node.name].parts.get(TENANT, 0)
+            node.name: self.using[node.name].shares.get(TENANT, 0)
             for node in self.nodes.values()
             if node.up
             and node.name in self.using
@@ -245,8 +255,8 @@
             and node.participant.holder.time_left(self.lease(node), node.now)
         }
         self.most_used = max(self.most_used, sum(used.values()))
-        if self.most_used > WHOLE:
-            raise Broken(f"{self.most_used / WHOLE:.1%} of an allowance at {self.true_us} us: {used}")
+        if self.most_used > FULL_QUOTA:
+            raise Broken(f"{self.most_used / FULL_QUOTA:.1%} of an allowance at {self.true_us} us: {used}")
 
     def watch(self) -> None:
         """Which version each would act on now, by its own clock."""
@@ -259,14 +269,14 @@
                 follower = self.followers.get(node.name)
                 if not node.up or follower is None or node.name in self._beyond:
                     continue
-                one = follower.standings[named.name]
+                one = follower.documents[named.name]
                 held = node.participant.holder.time_left(self.lease(node), node.now)
                 if self.breakage.name == "version-from-disk" and one.target is None:
                     held = TERM  # it does not ask
                 number, on = self._staged.get(named.name, (0, []))
                 if one.version == number and node.name in on:
                     continue  # what an operator asked for
-                if one.state is State.ACTING and held:
+                if one.state is FollowerState.ACTING and held:
                     versions[one.version] = node.name
             if len(versions) > 1:
                 if named.strict:
@@ -292,7 +302,7 @@
                 raise Broken(f"{named.name}: {why}")
             in_force = max(
                 (
-                    [one.version for one in node.voter.config_store.documents[named.name].versions]
+                    [one.number for one in node.voter.config_store.documents[named.name].versions]
                     for node in self.nodes.values()
                     if node.voter
                     and node.voter.config_store
@@ -306,7 +316,7 @@
                 if made is not None and before and made.expect != before:
                     raise Broken(f"{named.name}: {version} took the place of {before}, not of {made.expect}")
             sick = [
-                one.version
+                one.number
                 for node in self.nodes.values()
                 if node.voter and node.voter.config_store and named.name in node.voter.config_store.documents
                 for one in node.voter.config_store.documents[named.name].versions
