--- a/marlstep/membership/failure_detector.py
+++ b/marlstep/membership/failure_detector.py
@@ -17,120 +17,128 @@
 from datetime import datetime, timedelta
 
 from marlstep.consensus.raft import RandomSource
-from marlstep.membership.messages import Ack, Exchange, Nack, Ping, PingFor, Said
-from marlstep.membership.records import THERE, Record, State
+from marlstep.membership.messages import Ack, MembershipMessage, Nack, Ping, PingRequest, StateExchange
+from marlstep.membership.records import REACHABLE_STATES, MemberRecord, MemberState
 from marlstep.units import MILLISECOND, SECOND
 
-MOST_MEMBERS = 2_000
-MOST_DOUBT = 8
-MOST_RELAYS = 256  # probes for others that are open
-PAGE = 100  # records of one part of an exchange: names are long at times, and a message has its limit
-TWINS = 5  # times that a name's life has to be raised before two are taken for having it
-KEPT_CHANGES = 256
+MAX_MEMBERS = 2_000
+MAX_LOCAL_HEALTH = 8
+MAX_INDIRECT_PROBES = 256  # probes for others that are open
+RECORDS_PER_PAGE = (
+    100  # records of one part of an exchange: names are long at times, and a message has its limit
+)
+MAX_GENERATION_RAISES = 5  # times that a name's life has to be raised before two are taken for having it
+MAX_EVENTS_KEPT = 256
 
 
 @dataclass(slots=True, frozen=True)
-class MemberSettings:
-    period: timedelta = 500 * MILLISECOND
-    answer: timedelta = 150 * MILLISECOND  # for a direct answer, when all is well
-    through: int = 3  # others that are asked to probe
-    suspicion: float = 2.0  # periods by the logarithm of the number of nodes: the least time to refute
-    longer: float = 6.0  # times the least, where nobody else suspects it
-    confirms: int = 3  # others whose suspicion shortens that to the least
-    spread: float = 4.0  # times that one record is sent on, by the logarithm of the number
-    exchange: timedelta = 15 * SECOND
-    keep: timedelta = 120 * SECOND  # a name that failed or left
-    room: int = 12  # records that one datagram has place for
-    doubts: bool = True  # itself first; off only to measure what that is worth
+class DetectorSettings:
+    probe_interval: timedelta = 500 * MILLISECOND
+    probe_timeout: timedelta = 150 * MILLISECOND  # for a direct answer, when all is well
+    indirect_probes: int = 3  # others that are asked to probe
+    suspicion_multiplier: float = (
+        2.0  # periods by the logarithm of the number of nodes: the least time to refute
+    )
+    max_suspicion_multiplier: float = 6.0  # times the least, where nobody else suspects it
+    suspicion_confirmations: int = 3  # others whose suspicion shortens that to the least
+    retransmit_multiplier: float = 4.0  # times that one record is sent on, by the logarithm of the number
+    exchange_interval: timedelta = 15 * SECOND
+    reclaim_after: timedelta = 120 * SECOND  # a name that failed or left
+    records_per_datagram: int = 12  # records that one datagram has place for
+    local_health_enabled: bool = True  # itself first; off only to measure what that is worth
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class OutboundMessage:
     address: str
-    message: Said
-    line: bool = False  # over the line: it may be large
+    message: MembershipMessage
+    over_stream: bool = False  # over the line: it may be large
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class MembershipEvent:
     """For the record that operators see."""
 
     at: datetime
     node: str
-    what: str
-    by: str
-    why: str
+    event: str
+    reported_by: str
+    reason: str
 
 
 @dataclass(slots=True)
 class Member:
-    record: Record
-    since: datetime  # in this state
-    suspects: set[str] = field(default_factory=set)  # who said so, while it is suspected
-    over: datetime | None = None  # of the suspicion
-    asked: bool = False  # once more, before it is over
+    record: MemberRecord
+    state_since: datetime  # in this state
+    suspected_by: set[str] = field(default_factory=set)  # who said so, while it is suspected
+    suspicion_ends_at: datetime | None = None  # of the suspicion
+    last_probe_sent: bool = False  # once more, before it is over
 
 
 @dataclass(slots=True)
 class Probe:
     node: str
     number: int
-    began: datetime
-    through_at: datetime  # when others are asked
-    ends: datetime
-    asked: int = 0
+    started_at: datetime
+    indirect_at: datetime  # when others are asked
+    ends_at: datetime
+    indirect_requests: int = 0
     nacks: int = 0
 
 
 @dataclass(slots=True)
-class Relay:
+class IndirectProbe:
     address: str  # of who asked
     number: int  # of that one
     nack_at: datetime
 
 
-class Detector:
-    def __init__(self, me: Record, settings: MemberSettings, chance: RandomSource, now: datetime) -> None:
-        self.me, self.settings = me, settings
+class FailureDetector:
+    def __init__(
+        self, me: MemberRecord, settings: DetectorSettings, chance: RandomSource, now: datetime
+    ) -> None:
+        self.local, self.settings = me, settings
         self.members: dict[str, Member] = {}  # the others, by name
-        self.doubt = 0  # of itself
-        self.changes: deque[Change] = deque(maxlen=KEPT_CHANGES)
+        self.local_health = 0  # of itself
+        self.events: deque[MembershipEvent] = deque(maxlen=MAX_EVENTS_KEPT)
         self.counts: Counter[str] = Counter()
-        self.twin = False  # another process goes by this node's name
-        self.heard_at: datetime | None = None  # anything from anybody
-        self.answered_at: datetime | None = None  # an answer to a probe of this node's
-        self._chance = chance
-        self._number = 0
+        self.name_conflict = False  # another process goes by this node's name
+        self.last_received_at: datetime | None = None  # anything from anybody
+        self.last_acknowledged_at: datetime | None = None  # an answer to a probe of this node's
+        self._random = chance
+        self._sequence = 0
         self._probe: Probe | None = None
-        self._probe_at = now + settings.period * chance.random()
-        self._exchange_at = now + settings.exchange * chance.random()
+        self._next_probe = now + settings.probe_interval * chance.random()
+        self._next_exchange = now + settings.exchange_interval * chance.random()
         self._due = now
-        self._round: list[str] = []
-        self._rumours: dict[str, int] = {}  # names whose records are to be sent on: how often they were
-        self._relays: dict[int, Relay] = {}
-        self._raised = 0
+        self._probe_order: list[str] = []
+        self._broadcasts: dict[str, int] = {}  # names whose records are to be sent on: how often they were
+        self._indirect_probes: dict[int, IndirectProbe] = {}
+        self._generation_raises = 0
         self._met = False  # somebody has told it all
         self._meet = ""  # address of one from behind a cut that is over
         self._seeds: tuple[str, ...] = ()
-        self._leaving = False
-        self._spread(me.node)
+        self._has_left = False
+        self._queue_broadcast(me.node)
 
     # What others read.
 
     def alive(self) -> set[str]:
         """Those that are there as far as is heard, this node among them."""
-        return {self.me.node} | {one for one, member in self.members.items() if member.record.state in THERE}
+        return {self.local.node} | {
+            one for one, member in self.members.items() if member.record.state in REACHABLE_STATES
+        }
 
-    def of(self, state: State) -> set[str]:
+    def in_state(self, state: MemberState) -> set[str]:
         return {name for name, member in self.members.items() if member.record.state is state}
 
     def view(self) -> dict[str, tuple[str, str]]:
         """Boot and state of all, without what is only suspected: what nodes have to agree on."""
-        rows = {self.me.node: (self.me.boot, State.ALIVE.value)}
+        rows = {self.local.node: (self.local.process_id, MemberState.ALIVE.value)}
         for name, member in self.members.items():
             one = member.record
-            if one.state in THERE:
-                rows[name] = (one.boot, State.ALIVE.value)
+            if one.state in REACHABLE_STATES:
+                rows[name] = (one.process_id, MemberState.ALIVE.value)
         return rows
 
     @property
@@ -142,360 +150,462 @@
         return max(1.0, math.log10(self.size + 1))
 
     @property
-    def _slowed(self) -> int:
-        return 1 + self.doubt
+    def _scaled_timeout(self) -> int:
+        return 1 + self.local_health
 
     def next_due(self) -> datetime:
-        due = [self._probe_at, self._exchange_at]
+        due = [self._next_probe, self._next_exchange]
         if self._probe is not None:
-            due.append(self._probe.ends if self._probe.asked else self._probe.through_at)
-        due += [member.over for member in self.members.values() if member.over is not None]
-        due += [relay.nack_at for relay in self._relays.values()]
+            due.append(self._probe.ends_at if self._probe.indirect_requests else self._probe.indirect_at)
+        due += [
+            member.suspicion_ends_at
+            for member in self.members.values()
+            if member.suspicion_ends_at is not None
+        ]
+        due += [relay.nack_at for relay in self._indirect_probes.values()]
         self._due = min(due)
         return self._due
 
     # Coming and going.
 
-    def join(self, seeds: Iterable[str]) -> list[Send]:
+    def join(self, seeds: Iterable[str]) -> list[OutboundMessage]:
         """Ask at these addresses, now and again while nobody is known."""
-        self._seeds = tuple(one for one in seeds if one != self.me.address)
-        return [Send(one, Exchange(True, (self.me,)), True) for one in self._some(list(self._seeds), 2)]
+        self._seeds = tuple(one for one in seeds if one != self.local.address)
+        return [
+            OutboundMessage(one, StateExchange(True, (self.local,)), True)
+            for one in self._random_members(list(self._seeds), 2)
+        ]
 
-    def leave(self, now: datetime) -> list[Send]:
+    def leave(self, now: datetime) -> list[OutboundMessage]:
         """Say that this node goes; others need not find that out."""
-        self._leaving = True
-        self.me = replace(self.me, state=State.LEFT)
-        others = [member.record.address for member in self.members.values() if member.record.state in THERE]
-        self._number += 1
-        return [Send(one, Ack(self._number, (self.me,))) for one in self._some(others, 5)]
+        self._has_left = True
+        self.local = replace(self.local, state=MemberState.LEFT)
+        others = [
+            member.record.address
+            for member in self.members.values()
+            if member.record.state in REACHABLE_STATES
+        ]
+        self._sequence += 1
+        return [
+            OutboundMessage(one, Ack(self._sequence, (self.local,)))
+            for one in self._random_members(others, 5)
+        ]
 
     # Time.
 
-    def tick(self, now: datetime) -> list[Send]:
-        sends: list[Send] = []
+    def tick(self, now: datetime) -> list[OutboundMessage]:
+        sends: list[OutboundMessage] = []
         late = now - self._due
-        if late > self.settings.period / 2:
-            self._woke_late(now, late)
-        for number, relay in list(self._relays.items()):
+        if late > self.settings.probe_interval / 2:
+            self._handle_late_wakeup(now, late)
+        for number, relay in list(self._indirect_probes.items()):
             if now >= relay.nack_at:
-                del self._relays[number]
-                sends.append(Send(relay.address, Nack(relay.number, self._news())))
-        sends += self._probing(now)
-        sends += self._suspicions(now)
-        if now >= self._exchange_at:
-            self._exchange_at = now + self.settings.exchange * (0.5 + self._chance.random())
-            sends += self._exchange()
-            self._forget(now)
+                del self._indirect_probes[number]
+                sends.append(OutboundMessage(relay.address, Nack(relay.number, self._take_broadcasts())))
+        sends += self._advance_probe(now)
+        sends += self._expire_suspicions(now)
+        if now >= self._next_exchange:
+            self._next_exchange = now + self.settings.exchange_interval * (0.5 + self._random.random())
+            sends += self._start_exchange()
+            self._reclaim_records(now)
         return sends
 
-    def _woke_late(self, now: datetime, late: timedelta) -> None:
+    def _handle_late_wakeup(self, now: datetime, late: timedelta) -> None:
         """Whatever did not come meanwhile says nothing of the others: answers may wait in the socket."""
         self.counts["late"] += 1
-        if not self.settings.doubts:
+        if not self.settings.local_health_enabled:
             return
-        self._doubts(1)
+        self._adjust_local_health(1)
         self._probe = None
-        self._probe_at = min(self._probe_at, now)
+        self._next_probe = min(self._next_probe, now)
         for member in self.members.values():
-            if member.over is not None:
-                member.over = max(member.over, now) + late
+            if member.suspicion_ends_at is not None:
+                member.suspicion_ends_at = max(member.suspicion_ends_at, now) + late
 
-    def _doubts(self, by: int) -> None:
-        if self.settings.doubts:
-            self.doubt = min(MOST_DOUBT, max(0, self.doubt + by))
+    def _adjust_local_health(self, by: int) -> None:
+        if self.settings.local_health_enabled:
+            self.local_health = min(MAX_LOCAL_HEALTH, max(0, self.local_health + by))
 
     # Probing.
 
-    def _probing(self, now: datetime) -> list[Send]:
-        probe, sends = self._probe, list[Send]()
+    def _advance_probe(self, now: datetime) -> list[OutboundMessage]:
+        probe, sends = self._probe, list[OutboundMessage]()
         if probe is not None:
-            if now >= probe.ends:
+            if now >= probe.ends_at:
                 self._probe = None
-                self._unanswered(now, probe)
-            elif now >= probe.through_at and not probe.asked:
-                sends += self._ask_others(probe)
-        if now >= self._probe_at:
-            self._probe_at = now + self.settings.period * self._slowed
-            if self._probe is None and (name := self._next()) is not None:
-                sends.append(self._begin(now, name))
+                self._suspect_after_probe(now, probe)
+            elif now >= probe.indirect_at and not probe.indirect_requests:
+                sends += self._request_indirect_probes(probe)
+        if now >= self._next_probe:
+            self._next_probe = now + self.settings.probe_interval * self._scaled_timeout
+            if self._probe is None and (name := self._next_target()) is not None:
+                sends.append(self._start_probe(now, name))
             if not self._met:
-                sends += self._ask_all_known()
-            elif self._chance.random() < 0.1:
-                sends += self._ask_seeds()
-            if failed := self.of(State.FAILED):  # a cut may be over: nothing is waited for
-                record = self.members[self._some(sorted(failed), 1)[0]].record
-                self._number += 1
-                sends.append(Send(record.address, Ping(self._number, record.node, self._news(record))))
+                sends += self._exchange_with_all()
+            elif self._random.random() < 0.1:
+                sends += self._exchange_with_seeds()
+            if failed := self.in_state(MemberState.FAILED):  # a cut may be over: nothing is waited for
+                record = self.members[self._random_members(sorted(failed), 1)[0]].record
+                self._sequence += 1
+                sends.append(
+                    OutboundMessage(
+                        record.address, Ping(self._sequence, record.node, self._take_broadcasts(record))
+                    )
+                )
         return sends
 
-    def _ask_all_known(self) -> list[Send]:
+    def _exchange_with_all(self) -> list[OutboundMessage]:
         """Who has just come knows nobody until one has told it all: what rides on probes is only what is new."""
-        there = [member.record.address for member in self.members.values() if member.record.state in THERE]
+        there = [
+            member.record.address
+            for member in self.members.values()
+            if member.record.state in REACHABLE_STATES
+        ]
         asked = dict.fromkeys((*self._seeds, *there))
-        return [Send(one, Exchange(True, (self.me,)), True) for one in self._some(list(asked), 1)]
+        return [
+            OutboundMessage(one, StateExchange(True, (self.local,)), True)
+            for one in self._random_members(list(asked), 1)
+        ]
 
-    def _ask_seeds(self) -> list[Send]:
+    def _exchange_with_seeds(self) -> list[OutboundMessage]:
         """Of two halves that began apart neither knows anybody of the other: a seed that is missing may be there."""
-        there = {member.record.address for member in self.members.values() if member.record.state in THERE}
+        there = {
+            member.record.address
+            for member in self.members.values()
+            if member.record.state in REACHABLE_STATES
+        }
         missing = [one for one in self._seeds if one not in there]
-        return [Send(one, Exchange(True, (self.me,)), True) for one in self._some(missing, 1)]
+        return [
+            OutboundMessage(one, StateExchange(True, (self.local,)), True)
+            for one in self._random_members(missing, 1)
+        ]
 
-    def _next(self) -> str | None:
+    def _next_target(self) -> str | None:
         """One after another, in an order that is drawn for each round; those that are suspected more often."""
-        there = [name for name, member in self.members.items() if member.record.state in THERE]
-        suspects = self.of(State.SUSPECT)
-        if suspects and self._chance.random() < 0.5:
-            return self._some(sorted(suspects), 1)[0]  # so that it hears of it
-        while self._round:
-            name = self._round.pop()
-            if name in self.members and self.members[name].record.state in THERE:
+        there = [name for name, member in self.members.items() if member.record.state in REACHABLE_STATES]
+        suspects = self.in_state(MemberState.SUSPECT)
+        if suspects and self._random.random() < 0.5:
+            return self._random_members(sorted(suspects), 1)[0]  # so that it hears of it
+        while self._probe_order:
+            name = self._probe_order.pop()
+            if name in self.members and self.members[name].record.state in REACHABLE_STATES:
                 return name
-        keys = {name: self._chance.random() for name in there}
-        self._round = sorted(there, key=lambda one: keys[one])
-        return self._round.pop() if self._round else None
+        keys = {name: self._random.random() for name in there}
+        self._probe_order = sorted(there, key=lambda one: keys[one])
+        return self._probe_order.pop() if self._probe_order else None
 
-    def _begin(self, now: datetime, name: str) -> Send:
-        settings, slowed = self.settings, self._slowed
-        self._number += 1
+    def _start_probe(self, now: datetime, name: str) -> OutboundMessage:
+        settings, slowed = self.settings, self._scaled_timeout
+        self._sequence += 1
         self._probe = Probe(
-            name, self._number, now, now + settings.answer * slowed, now + settings.period * slowed * 0.95
+            name,
+            self._sequence,
+            now,
+            now + settings.probe_timeout * slowed,
+            now + settings.probe_interval * slowed * 0.95,
         )
         self.counts["probes"] += 1
         record = self.members[name].record
-        return Send(record.address, Ping(self._number, name, self._news(self._untold(record))))
+        return OutboundMessage(
+            record.address, Ping(self._sequence, name, self._take_broadcasts(self._untold(record)))
+        )
 
-    def _ask_others(self, probe: Probe) -> list[Send]:
+    def _request_indirect_probes(self, probe: Probe) -> list[OutboundMessage]:
         """Others in other zones first: who is cut off with this node would find the same."""
         record = self.members[probe.node].record
         others = [
             member.record
             for name, member in self.members.items()
-            if name != probe.node and member.record.state is State.ALIVE
+            if name != probe.node and member.record.state is MemberState.ALIVE
         ]
-        keys = {one.node: (one.zone == self.me.zone, self._chance.random()) for one in others}
-        chosen = sorted(others, key=lambda one: keys[one.node])[: self.settings.through]
-        probe.asked = max(1, len(chosen))
+        keys = {one.node: (one.zone == self.local.zone, self._random.random()) for one in others}
+        chosen = sorted(others, key=lambda one: keys[one.node])[: self.settings.indirect_probes]
+        probe.indirect_requests = max(1, len(chosen))
         self.counts["through others"] += len(chosen)
-        message = PingFor(probe.number, probe.node, record.address, self._news(self._untold(record)))
-        return [Send(one.address, message) for one in chosen]
+        message = PingRequest(
+            probe.number, probe.node, record.address, self._take_broadcasts(self._untold(record))
+        )
+        return [OutboundMessage(one.address, message) for one in chosen]
 
-    def _unanswered(self, now: datetime, probe: Probe) -> None:
+    def _suspect_after_probe(self, now: datetime, probe: Probe) -> None:
         member = self.members.get(probe.node)
         # Without a word from those that were asked either, the fault is as likely here.
-        self._doubts(1 if probe.nacks * 2 < probe.asked else 0)
+        self._adjust_local_health(1 if probe.nacks * 2 < probe.indirect_requests else 0)
         self.counts["unanswered"] += 1
-        if member is not None and member.record.state in THERE and self.me.node not in member.suspects:
+        if (
+            member is not None
+            and member.record.state in REACHABLE_STATES
+            and self.local.node not in member.suspected_by
+        ):
             # Where others suspect it already, this is one more who has found the same by itself.
-            told = member.record.become(State.SUSPECT, self.me.node)
-            self._take(now, told, f"no answer, also not through {probe.asked} others")
+            told = member.record.with_state(MemberState.SUSPECT, self.local.node)
+            self._merge_record(now, told, f"no answer, also not through {probe.indirect_requests} others")
 
     # Suspicions.
 
-    def _least(self) -> timedelta:
-        return self.settings.period * self.settings.suspicion * self._scale
+    def _min_suspicion_timeout(self) -> timedelta:
+        return self.settings.probe_interval * self.settings.suspicion_multiplier * self._scale
 
-    def _deadline(self, member: Member) -> datetime:
+    def _suspicion_deadline(self, member: Member) -> datetime:
         """The more of the others suspect it too, the sooner; alone with it, a node waits long."""
-        least = self._least()
-        longest = least * self.settings.longer
-        confirms = len(member.suspects - {self.me.node}) if self.settings.doubts else self.settings.confirms
-        share = min(1.0, math.log(confirms + 1) / math.log(self.settings.confirms + 1))
+        least = self._min_suspicion_timeout()
+        longest = least * self.settings.max_suspicion_multiplier
+        confirms = (
+            len(member.suspected_by - {self.local.node})
+            if self.settings.local_health_enabled
+            else self.settings.suspicion_confirmations
+        )
+        share = min(1.0, math.log(confirms + 1) / math.log(self.settings.suspicion_confirmations + 1))
         few = self.size <= 3  # nobody else is there to confirm
-        return member.since + (least if few else longest - (longest - least) * share)
+        return member.state_since + (least if few else longest - (longest - least) * share)
 
-    def _suspicions(self, now: datetime) -> list[Send]:
+    def _expire_suspicions(self, now: datetime) -> list[OutboundMessage]:
         sends = []
         for member in list(self.members.values()):
-            if member.over is not None and now >= member.over:
-                if self.me.node not in member.suspects and not member.asked:
+            if member.suspicion_ends_at is not None and now >= member.suspicion_ends_at:
+                if self.local.node not in member.suspected_by and not member.last_probe_sent:
                     # Only others say so, perhaps long ago and refuted since: its own answer would tell.
-                    member.asked, member.over = True, now + 2 * self.settings.answer * self._slowed
-                    self._number += 1
-                    ping = Ping(self._number, member.record.node, self._news(member.record))
-                    sends.append(Send(member.record.address, ping))
+                    member.last_probe_sent, member.suspicion_ends_at = (
+                        True,
+                        now + 2 * self.settings.probe_timeout * self._scaled_timeout,
+                    )
+                    self._sequence += 1
+                    ping = Ping(self._sequence, member.record.node, self._take_broadcasts(member.record))
+                    sends.append(OutboundMessage(member.record.address, ping))
                     continue
-                told = member.record.become(State.FAILED, self.me.node)
-                self._take(now, told, f"suspected by {', '.join(sorted(member.suspects))}, and not refuted")
+                told = member.record.with_state(MemberState.FAILED, self.local.node)
+                self._merge_record(
+                    now, told, f"suspected by {', '.join(sorted(member.suspected_by))}, and not refuted"
+                )
         return sends
 
     # Records.
 
-    def _take(self, now: datetime, record: Record, why: str) -> bool:
+    def _merge_record(self, now: datetime, record: MemberRecord, why: str) -> bool:
         """What is said of one node; whether it counts here."""
-        if record.node == self.me.node:
-            self._of_me(now, record)
+        if record.node == self.local.node:
+            self._refute(now, record)
             return False
         member = self.members.get(record.node)
         if member is None:
-            if record.state not in THERE:
+            if record.state not in REACHABLE_STATES:
                 return False  # forgotten here, or never known: else its name would go round for ever
-            if len(self.members) >= MOST_MEMBERS:
+            if len(self.members) >= MAX_MEMBERS:
                 self.counts["crowded"] += 1
                 return False
             member = self.members[record.node] = Member(record, now)
-            self._noted(now, record, why)
-            self._entered(member)
+            self._record_event(now, record, why)
+            self._add_to_probe_order(member)
             return True
         known = member.record
-        if record.order <= known.order:
-            same = record.life == known.life and record.incarnation == known.incarnation
-            if same and record.state is State.SUSPECT is known.state and record.by not in member.suspects:
-                member.suspects.add(record.by)
-                member.over = self._deadline(member)
-                self._spread(record.node)  # the others are to hear of this one's word as well
+        if record.precedence <= known.precedence:
+            same = (
+                record.process_generation == known.process_generation
+                and record.incarnation == known.incarnation
+            )
+            if (
+                same
+                and record.state is MemberState.SUSPECT is known.state
+                and record.reported_by not in member.suspected_by
+            ):
+                member.suspected_by.add(record.reported_by)
+                member.suspicion_ends_at = self._suspicion_deadline(member)
+                self._queue_broadcast(record.node)  # the others are to hear of this one's word as well
                 member.record = record
             return False
-        if known.state is State.FAILED and record.state is State.ALIVE and record.life == known.life:
+        if (
+            known.state is MemberState.FAILED
+            and record.state is MemberState.ALIVE
+            and record.process_generation == known.process_generation
+        ):
             # A cut is over, and there may be many more on that side.
-            self._exchange_at = min(self._exchange_at, now + self.settings.period * self._chance.random())
+            self._next_exchange = min(
+                self._next_exchange, now + self.settings.probe_interval * self._random.random()
+            )
             self._meet = record.address
-        if record.state is not known.state or record.life != known.life:
-            member.since = now
-            self._noted(now, record, why)
+        if record.state is not known.state or record.process_generation != known.process_generation:
+            member.state_since = now
+            self._record_event(now, record, why)
         member.record = record
-        self._entered(member)
+        self._add_to_probe_order(member)
         return True
 
-    def _entered(self, member: Member) -> None:
+    def _add_to_probe_order(self, member: Member) -> None:
         """Its state may be another."""
-        member.suspects = {member.record.by} if member.record.state is State.SUSPECT else set()
-        member.over = self._deadline(member) if member.record.state is State.SUSPECT else None
-        member.asked = False
-        self._spread(member.record.node)
+        member.suspected_by = (
+            {member.record.reported_by} if member.record.state is MemberState.SUSPECT else set()
+        )
+        member.suspicion_ends_at = (
+            self._suspicion_deadline(member) if member.record.state is MemberState.SUSPECT else None
+        )
+        member.last_probe_sent = False
+        self._queue_broadcast(member.record.node)
 
-    def _noted(self, now: datetime, record: Record, why: str) -> None:
+    def _record_event(self, now: datetime, record: MemberRecord, why: str) -> None:
         self.counts[record.state.value] += 1
-        self.changes.append(
-            Change(now, record.node, f"{record.state.value}, process {record.boot}", record.by, why)
+        self.events.append(
+            MembershipEvent(
+                now,
+                record.node,
+                f"{record.state.value}, process {record.process_id}",
+                record.reported_by,
+                why,
+            )
         )
 
-    def _of_me(self, now: datetime, record: Record) -> None:
-        me = self.me
-        if record.boot == me.boot:
-            gone = record.state is not State.ALIVE and not self._leaving
-            if gone and (record.born, record.incarnation) >= (me.born, me.incarnation):
-                self.me = replace(me, incarnation=record.incarnation + 1)
+    def _refute(self, now: datetime, record: MemberRecord) -> None:
+        me = self.local
+        if record.process_id == me.process_id:
+            gone = record.state is not MemberState.ALIVE and not self._has_left
+            if gone and (record.generation, record.incarnation) >= (me.generation, me.incarnation):
+                self.local = replace(me, incarnation=record.incarnation + 1)
                 self.counts["refuted"] += 1
-                self._doubts(1)
-                self._spread(me.node)
-        elif record.life >= me.life:
-            self.me = replace(me, born=record.born + 1, incarnation=0)
-            self._raised += 1
-            self._spread(me.node)
-            if self._raised >= TWINS and record.state in THERE and not self.twin:
-                self.twin = True
-                self.changes.append(
-                    Change(now, me.node, "another process has this name", record.boot, record.address)
+                self._adjust_local_health(1)
+                self._queue_broadcast(me.node)
+        elif record.process_generation >= me.process_generation:
+            self.local = replace(me, generation=record.generation + 1, incarnation=0)
+            self._generation_raises += 1
+            self._queue_broadcast(me.node)
+            if (
+                self._generation_raises >= MAX_GENERATION_RAISES
+                and record.state in REACHABLE_STATES
+                and not self.name_conflict
+            ):
+                self.name_conflict = True
+                self.events.append(
+                    MembershipEvent(
+                        now, me.node, "another process has this name", record.process_id, record.address
+                    )
                 )
 
-    def _spread(self, node: str) -> None:
-        self._rumours[node] = 0
+    def _queue_broadcast(self, node: str) -> None:
+        self._broadcasts[node] = 0
 
-    def _news(self, first: Record | None = None) -> tuple[Record, ...]:
+    def _take_broadcasts(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
         """What rides on a datagram: what was sent on the least often. A suspected node hears of that itself."""
-        chosen: list[Record] = []
+        chosen: list[MemberRecord] = []
         if first is not None:
             chosen.append(first)
-        most = math.ceil(self.settings.spread * self._scale)
-        for name in sorted(self._rumours, key=lambda one: self._rumours[one])[: self.settings.room]:
-            record = self.me if name == self.me.node else self._record(name)
+        most = math.ceil(self.settings.retransmit_multiplier * self._scale)
+        for name in sorted(self._broadcasts, key=lambda one: self._broadcasts[one])[
+            : self.settings.records_per_datagram
+        ]:
+            record = self.local if name == self.local.node else self._record(name)
             if record is not None and record not in chosen:
                 chosen.append(record)
-            self._rumours[name] += 1
-            if self._rumours[name] >= most or record is None:
-                del self._rumours[name]
-        return tuple(chosen[: self.settings.room])
+            self._broadcasts[name] += 1
+            if self._broadcasts[name] >= most or record is None:
+                del self._broadcasts[name]
+        return tuple(chosen[: self.settings.records_per_datagram])
 
     @staticmethod
-    def _untold(record: Record) -> Record | None:
+    def _untold(record: MemberRecord) -> MemberRecord | None:
         """What a node should hear of itself: that it is suspected, or taken for failed."""
-        return None if record.state is State.ALIVE else record
+        return None if record.state is MemberState.ALIVE else record
 
-    def _record(self, name: str) -> Record | None:
+    def _record(self, name: str) -> MemberRecord | None:
         member = self.members.get(name)
         return None if member is None else member.record
 
     # Messages.
 
-    def receive(self, now: datetime, sender: Record, message: Said) -> list[Send]:
+    def receive(
+        self, now: datetime, sender: MemberRecord, message: MembershipMessage
+    ) -> list[OutboundMessage]:
         """From another node, which says of itself that it is there."""
-        if sender.node == self.me.node and sender.boot == self.me.boot:
+        if sender.node == self.local.node and sender.process_id == self.local.process_id:
             return []
-        self.heard_at = now
-        self._take(now, sender, "it said so itself")
+        self.last_received_at = now
+        self._merge_record(now, sender, "it said so itself")
         known = self._record(sender.node)
         # It is taken for failed, suspected, or for an earlier life of its name: only itself can put that right.
-        wrong = known if known is not None and known.order > sender.order else None
+        wrong = known if known is not None and known.precedence > sender.precedence else None
         for record in message.records:
-            self._take(now, record, f"heard from {sender.node}")
+            self._merge_record(now, record, f"heard from {sender.node}")
         match message:
             case Ping():
-                if message.node != self.me.node:
+                if message.node != self.local.node:
                     return []  # another had this address before
-                return [Send(sender.address, Ack(message.number, self._news(wrong)))]
-            case PingFor():
-                return self._probe_for(now, sender, message)
+                return [OutboundMessage(sender.address, Ack(message.number, self._take_broadcasts(wrong)))]
+            case PingRequest():
+                return self._probe_on_behalf(now, sender, message)
             case Ack():
-                return self._acked(now, sender, message, wrong)
+                return self._handle_ack(now, sender, message, wrong)
             case Nack():
                 if self._probe is not None and self._probe.number == message.number:
                     self._probe.nacks += 1
-            case Exchange():
+            case StateExchange():
                 if message.answer:
                     return self._pages(sender.address, answer=False)
                 self._met = True
-        return self._told_wrong(sender, wrong)
+        return self._handle_misdirected(sender, wrong)
 
-    def _told_wrong(self, sender: Record, wrong: Record | None) -> list[Send]:
+    def _handle_misdirected(self, sender: MemberRecord, wrong: MemberRecord | None) -> list[OutboundMessage]:
         if wrong is None:
             return []
-        self._number += 1
-        return [Send(sender.address, Ping(self._number, sender.node, self._news(wrong)))]
+        self._sequence += 1
+        return [
+            OutboundMessage(sender.address, Ping(self._sequence, sender.node, self._take_broadcasts(wrong)))
+        ]
 
-    def _probe_for(self, now: datetime, sender: Record, asked: PingFor) -> list[Send]:
-        if len(self._relays) >= MOST_RELAYS:
+    def _probe_on_behalf(
+        self, now: datetime, sender: MemberRecord, asked: PingRequest
+    ) -> list[OutboundMessage]:
+        if len(self._indirect_probes) >= MAX_INDIRECT_PROBES:
             self.counts["relays refused"] += 1
             return []
-        self._number += 1
-        self._relays[self._number] = Relay(sender.address, asked.number, now + self.settings.answer)
-        return [Send(asked.address, Ping(self._number, asked.node, self._news()))]
+        self._sequence += 1
+        self._indirect_probes[self._sequence] = IndirectProbe(
+            sender.address, asked.number, now + self.settings.probe_timeout
+        )
+        return [OutboundMessage(asked.address, Ping(self._sequence, asked.node, self._take_broadcasts()))]
 
-    def _acked(self, now: datetime, sender: Record, message: Ack, wrong: Record | None) -> list[Send]:
-        relay = self._relays.pop(message.number, None)
+    def _handle_ack(
+        self, now: datetime, sender: MemberRecord, message: Ack, wrong: MemberRecord | None
+    ) -> list[OutboundMessage]:
+        relay = self._indirect_probes.pop(message.number, None)
         if relay is not None:
-            return [Send(relay.address, Ack(relay.number, self._news()))]
+            return [OutboundMessage(relay.address, Ack(relay.number, self._take_broadcasts()))]
         if self._probe is not None and self._probe.number == message.number:
             # From itself, or through one that it answered.
             self._probe = None
-            self.answered_at = now
+            self.last_acknowledged_at = now
             # It is well again: the others are looked at as often as ever.
-            self._doubts(-max(1, self.doubt // 2))
-        return self._told_wrong(sender, wrong)
+            self._adjust_local_health(-max(1, self.local_health // 2))
+        return self._handle_misdirected(sender, wrong)
 
     # The full exchange.
 
-    def _exchange(self) -> list[Send]:
-        there = [member.record for member in self.members.values() if member.record.state in THERE]
+    def _start_exchange(self) -> list[OutboundMessage]:
+        there = [member.record for member in self.members.values() if member.record.state in REACHABLE_STATES]
         if self._meet:
             address, self._meet = self._meet, ""
             return self._pages(address, answer=True)
         if not there:
             return self.join(self._seeds)
-        return self._pages(self._some([one.address for one in there], 1)[0], answer=True)
+        return self._pages(self._random_members([one.address for one in there], 1)[0], answer=True)
 
-    def _pages(self, address: str, answer: bool) -> list[Send]:
-        records = [self.me, *(member.record for member in self.members.values())]
-        pages = [tuple(records[at : at + PAGE]) for at in range(0, len(records), PAGE)]
-        return [Send(address, Exchange(answer and page is pages[-1], page), True) for page in pages]
+    def _pages(self, address: str, answer: bool) -> list[OutboundMessage]:
+        records = [self.local, *(member.record for member in self.members.values())]
+        pages = [
+            tuple(records[at : at + RECORDS_PER_PAGE]) for at in range(0, len(records), RECORDS_PER_PAGE)
+        ]
+        return [
+            OutboundMessage(address, StateExchange(answer and page is pages[-1], page), True)
+            for page in pages
+        ]
 
-    def _some(self, names: list[str], count: int) -> list[str]:
+    def _random_members(self, names: list[str], count: int) -> list[str]:
         """Drawn in the order that they are given in: a set has none that is the same each time."""
-        keys = {one: self._chance.random() for one in names}
+        keys = {one: self._random.random() for one in names}
         return sorted(keys, key=lambda one: keys[one])[:count]
 
-    def _forget(self, now: datetime) -> None:
+    def _reclaim_records(self, now: datetime) -> None:
         """Names that are gone for long: without that, memory would grow with every machine that ever was."""
         for name, member in list(self.members.items()):
-            if member.record.state not in THERE and now >= member.since + self.settings.keep:
+            if (
+                member.record.state not in REACHABLE_STATES
+                and now >= member.state_since + self.settings.reclaim_after
+            ):
                 del self.members[name]
-                self._rumours.pop(name, None)
+                self._broadcasts.pop(name, None)
--- a/marlstep/membership/messages.py
+++ b/marlstep/membership/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import ClassVar
 
-from marlstep.membership.records import Record, read_records, write_records
+from marlstep.membership.records import MemberRecord, read_records, write_records
 from marlstep.net.codec import INTEGER, TEXT, ValueType, wire
 
 RECORDS = ValueType(read_records, write_records)
@@ -19,7 +19,7 @@
 
     number: int = field(metadata=wire("number", INTEGER))
     node: str = field(metadata=wire("node", TEXT))
-    records: tuple[Record, ...] = field(metadata=wire("records", RECORDS), default=())
+    records: tuple[MemberRecord, ...] = field(metadata=wire("records", RECORDS), default=())
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,11 +27,11 @@
     wire_tag: ClassVar[str] = "Ack"
 
     number: int = field(metadata=wire("number", INTEGER))
-    records: tuple[Record, ...] = field(metadata=wire("records", RECORDS), default=())
+    records: tuple[MemberRecord, ...] = field(metadata=wire("records", RECORDS), default=())
 
 
 @dataclass(slots=True, frozen=True)
-class PingFor:
+class PingRequest:
     """I had no answer from `node`: ask it in my place."""
 
     wire_tag: ClassVar[str] = "PingFor"
@@ -39,7 +39,7 @@
     number: int = field(metadata=wire("number", INTEGER))
     node: str = field(metadata=wire("node", TEXT))
     address: str = field(metadata=wire("address", TEXT))
-    records: tuple[Record, ...] = field(metadata=wire("records", RECORDS), default=())
+    records: tuple[MemberRecord, ...] = field(metadata=wire("records", RECORDS), default=())
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,16 +49,16 @@
     wire_tag: ClassVar[str] = "Nack"
 
     number: int = field(metadata=wire("number", INTEGER))
-    records: tuple[Record, ...] = field(metadata=wire("records", RECORDS), default=())
+    records: tuple[MemberRecord, ...] = field(metadata=wire("records", RECORDS), default=())
 
 
 @dataclass(slots=True, frozen=True)
-class Exchange:
+class StateExchange:
     """All that is known, in parts, over a line; `answer`: and now yours."""
 
     answer: bool
-    records: tuple[Record, ...] = ()
+    records: tuple[MemberRecord, ...] = ()
 
 
-Said = Ping | Ack | PingFor | Nack | Exchange
-SAID = (Ping, Ack, PingFor, Nack, Exchange)
+MembershipMessage = Ping | Ack | PingRequest | Nack | StateExchange
+MEMBERSHIP_MESSAGES = (Ping, Ack, PingRequest, Nack, StateExchange)
--- a/marlstep/membership/partition_state.py
+++ b/marlstep/membership/partition_state.py
@@ -15,22 +15,22 @@
 from marlstep.units import MILLISECOND, SECOND
 
 
-class Situation(enum.Enum):
-    ALL_WELL = "all well"
-    SOME_SUSPECT = "some are suspected"
+class PartitionState(enum.Enum):
+    HEALTHY = "all well"
+    SUSPICION = "some are suspected"
     MAJORITY = "on the majority's side"  # the group answers, and some are gone
     MINORITY = "on the minority's side"
-    ALONE = "alone"  # nobody is heard
-    MUTE = "hears, and is not heard"
-    GROUP_LOST = "the group is lost"  # most of the voters are there, and it does not answer
-    COMING_BACK = "coming back"
+    ISOLATED = "alone"  # nobody is heard
+    UNHEARD = "hears, and is not heard"
+    QUORUM_LOST = "the group is lost"  # most of the voters are there, and it does not answer
+    RECOVERING = "coming back"
 
 
-GOOD = frozenset((Situation.ALL_WELL, Situation.SOME_SUSPECT, Situation.MAJORITY))
+CONNECTED_STATES = frozenset((PartitionState.HEALTHY, PartitionState.SUSPICION, PartitionState.MAJORITY))
 
 
 @dataclass(slots=True, frozen=True)
-class Conduct:
+class Capabilities:
     """What the parts of a node do."""
 
     wants_leases: bool  # asks for leases of tasks that it does not hold
@@ -41,67 +41,67 @@
     grows: bool  # asks for a larger part of an allowance
 
 
-_FULL = Conduct(True, True, True, False, True, True)
-_CUT_OFF = Conduct(False, False, False, True, False, False)
-CONDUCT = {
-    Situation.ALL_WELL: _FULL,
-    Situation.SOME_SUSPECT: _FULL,
-    Situation.MAJORITY: _FULL,
-    Situation.COMING_BACK: Conduct(False, True, False, True, True, False),
-    Situation.MINORITY: _CUT_OFF,
-    Situation.ALONE: _CUT_OFF,
-    Situation.MUTE: _CUT_OFF,
-    Situation.GROUP_LOST: Conduct(False, False, False, True, False, False),
+_ALL_CAPABILITIES = Capabilities(True, True, True, False, True, True)
+_CUT_OFF_CAPABILITIES = Capabilities(False, False, False, True, False, False)
+CAPABILITIES = {
+    PartitionState.HEALTHY: _ALL_CAPABILITIES,
+    PartitionState.SUSPICION: _ALL_CAPABILITIES,
+    PartitionState.MAJORITY: _ALL_CAPABILITIES,
+    PartitionState.RECOVERING: Capabilities(False, True, False, True, True, False),
+    PartitionState.MINORITY: _CUT_OFF_CAPABILITIES,
+    PartitionState.ISOLATED: _CUT_OFF_CAPABILITIES,
+    PartitionState.UNHEARD: _CUT_OFF_CAPABILITIES,
+    PartitionState.QUORUM_LOST: Capabilities(False, False, False, True, False, False),
 }
 # How long each may last before operators are called; None: for ever.
-LONGEST: dict[Situation, timedelta | None] = {
-    Situation.ALL_WELL: None,
-    Situation.SOME_SUSPECT: 60 * SECOND,
-    Situation.MAJORITY: 600 * SECOND,
-    Situation.COMING_BACK: 10 * SECOND,
-    Situation.MINORITY: 30 * SECOND,
-    Situation.ALONE: 30 * SECOND,
-    Situation.MUTE: 30 * SECOND,
-    Situation.GROUP_LOST: 30 * SECOND,
+OVERDUE_AFTER: dict[PartitionState, timedelta | None] = {
+    PartitionState.HEALTHY: None,
+    PartitionState.SUSPICION: 60 * SECOND,
+    PartitionState.MAJORITY: 600 * SECOND,
+    PartitionState.RECOVERING: 10 * SECOND,
+    PartitionState.MINORITY: 30 * SECOND,
+    PartitionState.ISOLATED: 30 * SECOND,
+    PartitionState.UNHEARD: 30 * SECOND,
+    PartitionState.QUORUM_LOST: 30 * SECOND,
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Sight:
+class PartitionObservation:
     """What is seen now. Each says which source it is of: heard, agreed, or the group's own answers."""
 
-    answered: bool  # the group, within a lease's term
+    quorum_responds: bool  # the group, within a lease's term
     voters: frozenset[str]
     alive: frozenset[str]  # heard, this node among them
     suspected: frozenset[str]  # heard
-    agreed: frozenset[str]  # empty where this node does not know
-    hears: bool  # anybody, of late
-    is_heard: bool  # a probe of its own was answered, of late
+    roster: frozenset[str]  # empty where this node does not know
+    receives: bool  # anybody, of late
+    is_acknowledged: bool  # a probe of its own was answered, of late
 
 
-def judge(sight: Sight) -> Situation:
+def classify(sight: PartitionObservation) -> PartitionState:
     """At this moment, without regard to what was before."""
-    if sight.answered:
-        if sight.agreed - sight.alive:
-            return Situation.MAJORITY
-        return Situation.SOME_SUSPECT if sight.suspected else Situation.ALL_WELL
-    if not sight.hears:
-        return Situation.ALONE
-    if not sight.is_heard:
-        return Situation.MUTE
+    if sight.quorum_responds:
+        if sight.roster - sight.alive:
+            return PartitionState.MAJORITY
+        return PartitionState.SUSPICION if sight.suspected else PartitionState.HEALTHY
+    if not sight.receives:
+        return PartitionState.ISOLATED
+    if not sight.is_acknowledged:
+        return PartitionState.UNHEARD
     if 2 * len(sight.voters & sight.alive) > len(sight.voters):
-        return Situation.GROUP_LOST
-    return Situation.MINORITY
+        return PartitionState.QUORUM_LOST
+    return PartitionState.MINORITY
 
 
 @dataclass(slots=True, frozen=True)
-class Turn:
+class Transition:
     at: datetime
-    now: Situation
-    before: Situation
+    state: PartitionState
+    previous: PartitionState
 
 
-class Standing:
+class PartitionTracker:
     """The situation that counts, over time. Pure."""
 
     def __init__(
@@ -111,65 +111,68 @@
         better_after: timedelta = 1 * SECOND,
         settles: timedelta = 2 * SECOND,
     ) -> None:
-        self.situation = Situation.COMING_BACK
+        self.state = PartitionState.RECOVERING
         self.since = now
         self.overdue = False
-        self.turns: deque[Turn] = deque(maxlen=64)
-        self._worse, self._better, self._settles = worse_after, better_after, settles
-        self._seen: Situation | None = None  # at this moment, and since when
-        self._seen_since = now
-        self._well_since: datetime | None = None
-        self._bad_since: datetime | None = None  # whichever of the bad ones it was
+        self.transitions: deque[Transition] = deque(maxlen=64)
+        self._degrade_after, self._improve_after, self._settle_time = worse_after, better_after, settles
+        self._observed: PartitionState | None = None  # at this moment, and since when
+        self._observed_since = now
+        self._connected_since: datetime | None = None
+        self._disconnected_since: datetime | None = None  # whichever of the bad ones it was
 
     @property
-    def conduct(self) -> Conduct:
-        return CONDUCT[self.situation]
+    def capabilities(self) -> Capabilities:
+        return CAPABILITIES[self.state]
 
-    def look(self, now: datetime, sight: Sight) -> bool:
+    def observe(self, now: datetime, sight: PartitionObservation) -> bool:
         """Whether the situation is another now."""
-        seen = judge(sight)
-        if seen is not self._seen:
-            self._seen, self._seen_since = seen, now
-        self._well_since = (self._well_since or now) if seen in GOOD else None
-        self._bad_since = (self._bad_since or now) if seen not in GOOD else None
-        after = self._next(now, seen)
-        longest = LONGEST[self.situation]
-        if after is self.situation:
+        seen = classify(sight)
+        if seen is not self._observed:
+            self._observed, self._observed_since = seen, now
+        self._connected_since = (self._connected_since or now) if seen in CONNECTED_STATES else None
+        self._disconnected_since = (self._disconnected_since or now) if seen not in CONNECTED_STATES else None
+        after = self._next_state(now, seen)
+        longest = OVERDUE_AFTER[self.state]
+        if after is self.state:
             self.overdue = longest is not None and now >= self.since + longest
             return False
-        self.turns.append(Turn(now, after, self.situation))
-        self.situation, self.since, self.overdue = after, now, False
+        self.transitions.append(Transition(now, after, self.state))
+        self.state, self.since, self.overdue = after, now, False
         return True
 
-    def _next(self, now: datetime, seen: Situation) -> Situation:
-        here = self.situation
+    def _next_state(self, now: datetime, seen: PartitionState) -> PartitionState:
+        here = self.state
         if seen is here:
             return here
-        if here is Situation.COMING_BACK:
+        if here is PartitionState.RECOVERING:
             # Flapping between good ones does not keep it here, and a bad one ends it.
-            if self._well_since is not None and now >= max(self._well_since, self.since) + self._settles:
+            if (
+                self._connected_since is not None
+                and now >= max(self._connected_since, self.since) + self._settle_time
+            ):
                 return seen
-            return seen if self._bad_for(now) else here
-        if here in GOOD and seen in GOOD:
-            wait = self._better if seen is Situation.ALL_WELL else self._worse
-            return seen if now >= self._seen_since + wait else here
-        if here in GOOD:
-            return seen if self._bad_for(now) else here
-        if seen in GOOD:
-            return Situation.COMING_BACK
-        return seen if now >= self._seen_since + self._worse else here
-
-    def _bad_for(self, now: datetime) -> bool:
+            return seen if self._disconnected_long_enough(now) else here
+        if here in CONNECTED_STATES and seen in CONNECTED_STATES:
+            wait = self._improve_after if seen is PartitionState.HEALTHY else self._degrade_after
+            return seen if now >= self._observed_since + wait else here
+        if here in CONNECTED_STATES:
+            return seen if self._disconnected_long_enough(now) else here
+        if seen in CONNECTED_STATES:
+            return PartitionState.RECOVERING
+        return seen if now >= self._observed_since + self._degrade_after else here
+
+    def _disconnected_long_enough(self, now: datetime) -> bool:
         """Long enough, also where one bad one gave way to another."""
-        return self._bad_since is not None and now >= self._bad_since + self._worse
+        return self._disconnected_since is not None and now >= self._disconnected_since + self._degrade_after
 
     def next_due(self) -> datetime | None:
         """When it may change though nothing new is seen."""
         due = []
-        if self._seen is not self.situation:
-            due += [self._seen_since + self._worse, self._seen_since + self._better]
-            if self._bad_since is not None:
-                due.append(self._bad_since + self._worse)
-            if self.situation is Situation.COMING_BACK and self._well_since is not None:
-                due.append(max(self._well_since, self.since) + self._settles)
+        if self._observed is not self.state:
+            due += [self._observed_since + self._degrade_after, self._observed_since + self._improve_after]
+            if self._disconnected_since is not None:
+                due.append(self._disconnected_since + self._degrade_after)
+            if self.state is PartitionState.RECOVERING and self._connected_since is not None:
+                due.append(max(self._connected_since, self.since) + self._settle_time)
         return min(due, default=None)
--- a/marlstep/membership/records.py
+++ b/marlstep/membership/records.py
@@ -14,42 +14,42 @@
 from functools import lru_cache
 from typing import Any
 
-NAME_LIMIT = 64
+MAX_NAME_LENGTH = 64
 
 
-class State(enum.StrEnum):
+class MemberState(enum.StrEnum):
     ALIVE = "alive"
     SUSPECT = "suspect"  # did not answer: it may still refute that
     FAILED = "failed"
     LEFT = "left"  # said so itself
 
 
-RANK = {State.ALIVE: 0, State.SUSPECT: 1, State.FAILED: 2, State.LEFT: 3}
-THERE = frozenset((State.ALIVE, State.SUSPECT))
+STATE_PRECEDENCE = {MemberState.ALIVE: 0, MemberState.SUSPECT: 1, MemberState.FAILED: 2, MemberState.LEFT: 3}
+REACHABLE_STATES = frozenset((MemberState.ALIVE, MemberState.SUSPECT))
 
 
 @dataclass(slots=True, frozen=True)
-class Record:
+class MemberRecord:
     node: str
-    boot: str
-    born: int  # milliseconds; see above
+    process_id: str
+    generation: int  # milliseconds; see above
     incarnation: int
-    state: State
+    state: MemberState
     address: str  # of its lines and datagrams, as 127.0.0.1:7001
     zone: str = ""
-    by: str = ""  # who suspects it, or has found it failed
+    reported_by: str = ""  # who suspects it, or has found it failed
 
     @property
-    def life(self) -> tuple[int, str]:
-        return self.born, self.boot
+    def process_generation(self) -> tuple[int, str]:
+        return self.generation, self.process_id
 
     @property
-    def order(self) -> tuple[int, str, int, int]:
+    def precedence(self) -> tuple[int, str, int, int]:
         """Of two records of one node the one with the higher order counts."""
-        return self.born, self.boot, self.incarnation, RANK[self.state]
+        return self.generation, self.process_id, self.incarnation, STATE_PRECEDENCE[self.state]
 
-    def become(self, state: State, by: str = "") -> Record:
-        return replace(self, state=state, by=by)
+    def with_state(self, state: MemberState, by: str = "") -> MemberRecord:
+        return replace(self, state=state, reported_by=by)
 
 
 @lru_cache(4_096)
@@ -63,26 +63,35 @@
     return port.isascii() and port.isdigit() and 0 < int(port) <= 65_535
 
 
-def write_records(records: Sequence[Record]) -> list[list[Any]]:
+def write_records(records: Sequence[MemberRecord]) -> list[list[Any]]:
     """As short as JSON allows: datagrams are small."""
     return [
-        [one.node, one.boot, one.born, one.incarnation, one.state.value, one.address, one.zone, one.by]
+        [
+            one.node,
+            one.process_id,
+            one.generation,
+            one.incarnation,
+            one.state.value,
+            one.address,
+            one.zone,
+            one.reported_by,
+        ]
         for one in records
     ]
 
 
-def read_records(value: object) -> tuple[Record, ...]:
+def read_records(value: object) -> tuple[MemberRecord, ...]:
     """Raises ValueError or TypeError."""
     if not isinstance(value, list):
         raise ValueError("records must be a list")
     found = []
     for node, boot, born, incarnation, state, address, zone, by in value:
         texts = (node, boot, address, zone, by)
-        if not all(isinstance(one, str) and len(one) <= NAME_LIMIT for one in texts) or not node:
+        if not all(isinstance(one, str) and len(one) <= MAX_NAME_LENGTH for one in texts) or not node:
             raise ValueError("a record's names")
         if not is_address(address):
             raise ValueError("a record's address must be numeric, with a port")
         if type(born) is not int or type(incarnation) is not int or born < 0 or incarnation < 0:
             raise ValueError("a record's numbers")
-        found.append(Record(node, boot, born, incarnation, State(state), address, zone, by))
+        found.append(MemberRecord(node, boot, born, incarnation, MemberState(state), address, zone, by))
     return tuple(found)
--- a/marlstep/replicated_config/documents.py
+++ b/marlstep/replicated_config/documents.py
@@ -12,8 +12,8 @@
 
 from marlstep.net.codec import INTEGER, TEXT, wire
 
-MOST_BYTES = 1 << 20  # of one document
-PIECE = 6 * 1024  # characters of a document in one command or message
+MAX_DOCUMENT_BYTES = 1 << 20  # of one document
+CHUNK_CHARACTERS = 6 * 1024  # characters of a document in one command or message
 
 
 class Kind(enum.StrEnum):
@@ -22,7 +22,7 @@
     SERVERS = "servers"  # of each pool
 
 
-class CutOff(enum.StrEnum):
+class DisconnectPolicy(enum.StrEnum):
     """What a node does whose lease on the rules has run out."""
 
     STOP = "stop"  # health is bad, and new work is refused at once with a time to return
@@ -31,18 +31,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Named:
+class DocumentDefinition:
     """A document, as the operator's file names it. The same on all nodes."""
 
     name: str
     kind: Kind
     strict: bool  # old stops everywhere before new begins anywhere
-    cut_off: CutOff
+    disconnect_policy: DisconnectPolicy
 
 
 @dataclass(slots=True, frozen=True)
-class Version:
-    version: int = field(metadata=wire("version", INTEGER))
+class DocumentVersion:
+    number: int = field(metadata=wire("version", INTEGER))
     content: str = field(metadata=wire("content", TEXT))  # canonical JSON
     author: str = field(metadata=wire("author", TEXT))
     note: str = field(metadata=wire("note", TEXT))
@@ -50,18 +50,18 @@
 
     @property
     def digest(self) -> str:
-        return digest_of(self.content)
+        return content_digest(self.content)
 
 
-def digest_of(content: str) -> str:
+def content_digest(content: str) -> str:
     return hashlib.blake2b(content.encode(), digest_size=16).hexdigest()
 
 
-def canonical(value: object) -> str:
+def canonical_json(value: object) -> str:
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS).decode()
 
 
-def shrinks(before: str, after: str) -> str:
+def shrinks_too_much(before: str, after: str) -> str:
     """Why a list of servers may not be changed so without force; empty where it may."""
     old, new = orjson.loads(before), orjson.loads(after)
     for pool, servers in old.items():
@@ -103,5 +103,5 @@
 
 
 def _short(value: Any) -> str:
-    text = canonical(value)
+    text = canonical_json(value)
     return text if len(text) <= 60 else text[:57] + "..."
--- a/marlstep/replicated_config/messages.py
+++ b/marlstep/replicated_config/messages.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fetch:
+class FetchChunk:
     """From a node to the leader: the next piece of that version."""
 
     wire_tag: ClassVar[str] = "Fetch"
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Piece:
+class DocumentChunk:
     """`size` characters are the whole; -1: that version is not kept."""
 
     wire_tag: ClassVar[str] = "Piece"
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -13,33 +13,35 @@
 from datetime import datetime, timedelta
 
 from marlstep.leases.messages import Heartbeat, RequestCounts
-from marlstep.replicated_config.store import Book, Pending
+from marlstep.replicated_config.store import ConfigStore, PreparedVersion
 from marlstep.units import MILLISECOND, SECOND
 
-SURE = 3.0  # standard errors by which two shares must differ: chance does that once in some hundred looks
-NOT_TAKEN = 10 * SECOND  # beyond a stage's own time, for its nodes to act on it at all
+SIGNIFICANCE = (
+    3.0  # standard errors by which two shares must differ: chance does that once in some hundred looks
+)
+ADOPTION_TIMEOUT = 10 * SECOND  # beyond a stage's own time, for its nodes to act on it at all
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class ReceivedHeartbeat:
     """One process's last beat, and when it came."""
 
-    beat: Heartbeat
-    at: datetime
+    heartbeat: Heartbeat
+    received_at: datetime
 
 
 @dataclass(slots=True, frozen=True)
-class Outcome:
+class RolloutDecision:
     """What is to be proposed of a staged change: it goes on to all, or back."""
 
     name: str
     version: int
-    goes_on: bool
-    why: str
+    promote: bool
+    reason: str
 
 
 @dataclass(slots=True)
-class Counted:
+class CountRange:
     """Of one process, since its part of the stage began."""
 
     first: RequestCounts
@@ -47,51 +49,53 @@
 
 
 @dataclass(slots=True)
-class Watched:
+class RolloutObservation:
     began: datetime
     since: datetime | None = None  # all of its nodes act on it
-    on: dict[str, Counted] = field(default_factory=dict)  # processes of its nodes
-    off: dict[str, Counted] = field(default_factory=dict)  # and of the others
+    on: dict[str, CountRange] = field(default_factory=dict)  # processes of its nodes
+    off: dict[str, CountRange] = field(default_factory=dict)  # and of the others
 
 
-class StageWatch:
+class RolloutMonitor:
     def __init__(self) -> None:
-        self._watched: dict[tuple[str, int], Watched] = {}
+        self._observations: dict[tuple[str, int], RolloutObservation] = {}
 
-    def lead(self) -> None:
+    def become_leader(self) -> None:
         """This voter leads from now on: all is counted anew."""
-        self._watched.clear()
+        self._observations.clear()
 
-    def look(self, now: datetime, book: Book, beats: Mapping[str, Heard], term: timedelta) -> list[Outcome]:
+    def evaluate(
+        self, now: datetime, book: ConfigStore, beats: Mapping[str, ReceivedHeartbeat], term: timedelta
+    ) -> list[RolloutDecision]:
         """`beats` by process; `term` of the leases on the rules: one silent for as long may be gone."""
-        staged = {(name, one.version.version): one for name, one in book.staged()}
-        for key in [key for key in self._watched if key not in staged]:
-            del self._watched[key]
+        staged = {(name, one.version.number): one for name, one in book.active_rollouts()}
+        for key in [key for key in self._observations if key not in staged]:
+            del self._observations[key]
         if not staged:
             return []
-        live = set(book.live())
+        live = set(book.live_processes())
         found = []
         for (name, number), pending in staged.items():
-            watched = self._watched.setdefault((name, number), Watched(now))
+            watched = self._observations.setdefault((name, number), RolloutObservation(now))
             told = self._decide(now, name, pending, watched, live, beats, term)
-            if told is not None and not told[0] and book.waits_for(book.documents[name]):
+            if told is not None and not told[0] and book.missing_acknowledgements(book.documents[name]):
                 told = None  # one came meanwhile, and has not said yet that it can take it
             if told is not None:
-                found.append(Outcome(name, number, not told[0], told[1]))
+                found.append(RolloutDecision(name, number, not told[0], told[1]))
         return found
 
     def _decide(
         self,
         now: datetime,
         name: str,
-        pending: Pending,
-        watched: Watched,
+        pending: PreparedVersion,
+        watched: RolloutObservation,
         live: set[str],
-        beats: Mapping[str, Heard],
+        beats: Mapping[str, ReceivedHeartbeat],
         term: timedelta,
     ) -> tuple[bool, str] | None:
         """Whether it goes back, and why; None while that is open."""
-        stage = pending.stage
+        stage = pending.rollout
         assert stage is not None
         self._count(name, pending, watched, live, beats)
         for holder in watched.on:
@@ -100,40 +104,44 @@
         if watched.since is None:
             if {one.partition("/")[0] for one in watched.on} >= set(stage.nodes):
                 watched.since = now
-            elif now >= watched.began + stage.for_ms * MILLISECOND + NOT_TAKEN:
+            elif now >= watched.began + stage.duration_ms * MILLISECOND + ADOPTION_TIMEOUT:
                 lacking = sorted(set(stage.nodes) - {one.partition("/")[0] for one in watched.on})
                 return True, f"{', '.join(lacking)} did not act on it in time"
             return None
         here, there = total(watched.on.values()), total(watched.off.values())
-        if why := self.worse(here, there, stage.worse, stage.least):
+        if why := self.is_degraded(here, there, stage.max_degradation, stage.min_requests):
             return True, why
-        if now < watched.since + stage.for_ms * MILLISECOND:
+        if now < watched.since + stage.duration_ms * MILLISECOND:
             return None
-        if any(beats[one].at < now - term for one in watched.on if one in beats):
+        if any(beats[one].received_at < now - term for one in watched.on if one in beats):
             return None  # it is silent: its lease will tell whether it is gone
-        if here[0] < stage.least:
-            return True, f"only {here[0]} requests were seen on its nodes, {stage.least} are wanted"
-        return False, f"its nodes did no worse: {told(here)} there, {told(there)} elsewhere"
+        if here[0] < stage.min_requests:
+            return True, f"only {here[0]} requests were seen on its nodes, {stage.min_requests} are wanted"
+        return False, f"its nodes did no worse: {describe(here)} there, {describe(there)} elsewhere"
 
     @staticmethod
     def _count(
-        name: str, pending: Pending, watched: Watched, live: set[str], beats: Mapping[str, Heard]
+        name: str,
+        pending: PreparedVersion,
+        watched: RolloutObservation,
+        live: set[str],
+        beats: Mapping[str, ReceivedHeartbeat],
     ) -> None:
-        stage = pending.stage
+        stage = pending.rollout
         assert stage is not None
         for holder, heard in beats.items():
             if holder not in live:
                 continue
             side = watched.off
             if holder.partition("/")[0] in stage.nodes:
-                acts = {row[0]: row[1] for row in heard.beat.document_states if row[2] == "acting"}
-                if acts.get(name) != pending.version.version:
+                acts = {row[0]: row[1] for row in heard.heartbeat.document_states if row[2] == "acting"}
+                if acts.get(name) != pending.version.number:
                     continue
                 side = watched.on
-            figures = heard.beat.request_counts
-            side.setdefault(holder, Counted(figures, figures)).last = figures
+            figures = heard.heartbeat.request_counts
+            side.setdefault(holder, CountRange(figures, figures)).last = figures
 
-    def worse(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
+    def is_degraded(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
         """Why the staged nodes do worse than chance explains; empty where they do not."""
         asked, others = here[0], there[0]
         if asked < max(least, 1):
@@ -141,16 +149,16 @@
         share, usual = bad(here) / asked, bad(there) / others if others else 0.0
         pooled = (bad(here) + bad(there)) / (asked + others)
         error = math.sqrt(pooled * (1 - pooled) * (1 / asked + (1 / others if others else 0.0)))
-        if share - usual <= by or share - usual <= SURE * error:
+        if share - usual <= by or share - usual <= SIGNIFICANCE * error:
             return ""
-        return f"its nodes do worse: {told(here)} there, {told(there)} elsewhere"
+        return f"its nodes do worse: {describe(here)} there, {describe(there)} elsewhere"
 
 
 def bad(figures: RequestCounts) -> int:
     return figures[1] + figures[2]
 
 
-def total(counted: Iterable[Counted]) -> RequestCounts:
+def total(counted: Iterable[CountRange]) -> RequestCounts:
     asked = refused = failed = 0
     for one in counted:
         asked += one.last[0] - one.first[0]
@@ -159,5 +167,5 @@
     return asked, min(refused, asked), min(failed, asked - min(refused, asked))
 
 
-def told(figures: RequestCounts) -> str:
+def describe(figures: RequestCounts) -> str:
     return f"{figures[1]} refused and {figures[2]} failed of {figures[0]}"
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -37,39 +37,45 @@
     wire,
     write_fields,
 )
-from marlstep.replicated_config.documents import MOST_BYTES, Kind, Version, digest_of, shrinks
+from marlstep.replicated_config.documents import (
+    MAX_DOCUMENT_BYTES,
+    DocumentVersion,
+    Kind,
+    content_digest,
+    shrinks_too_much,
+)
 
-MOST_DOCUMENTS = 32
-KEPT_VERSIONS = 50  # of a document, with their content, as long as that fits
-KEPT_BYTES = 4 << 20  # of the content of a document's older versions
-MOST_UPLOADS = 8
-KEPT_TURNED_DOWN = 10
-LONGEST_STAGE_MS = 7 * 24 * 3_600_000
+MAX_DOCUMENTS = 32
+MAX_VERSIONS_KEPT = 50  # of a document, with their content, as long as that fits
+MAX_BYTES_KEPT = 4 << 20  # of the content of a document's older versions
+MAX_UPLOADS = 8
+MAX_REJECTED_KEPT = 10
+MAX_ROLLOUT_MS = 7 * 24 * 3_600_000
 
 
 @dataclass(slots=True)
-class Stage:
+class Rollout:
     """Of a change that some nodes act on first."""
 
     nodes: list[str] = field(metadata=wire("nodes", list_of(TEXT)))
-    for_ms: int = field(metadata=wire("for_ms", INTEGER))
-    worse: float = field(
+    duration_ms: int = field(metadata=wire("for_ms", INTEGER))
+    max_degradation: float = field(
         metadata=wire("worse", NUMBER)
     )  # share of requests by which these nodes may do worse
-    least: int = field(metadata=wire("least", INTEGER))  # requests that have to be seen on them
-    begun: bool = field(metadata=wire("begun", BOOLEAN), default=False)
+    min_requests: int = field(metadata=wire("least", INTEGER))  # requests that have to be seen on them
+    started: bool = field(metadata=wire("begun", BOOLEAN), default=False)
 
 
 @dataclass(slots=True)
-class Pending:
-    version: Version = field(metadata=wire("version", nested(Version)))
+class PreparedVersion:
+    version: DocumentVersion = field(metadata=wire("version", nested(DocumentVersion)))
     # It goes through without the nodes that can't take it.
-    hold_out: bool = field(metadata=wire("hold_out", BOOLEAN))
-    stage: Stage | None = field(metadata=wire("stage", optional(nested(Stage))), default=None)
+    may_exclude: bool = field(metadata=wire("hold_out", BOOLEAN))
+    rollout: Rollout | None = field(metadata=wire("stage", optional(nested(Rollout))), default=None)
     # Processes, as node/boot.
-    acked: list[str] = field(metadata=wire("acked", list_of(TEXT)), default_factory=list)
+    acknowledgements: list[str] = field(metadata=wire("acked", list_of(TEXT)), default_factory=list)
     # And why.
-    refused: dict[str, str] = field(metadata=wire("refused", OBJECT), default_factory=dict)
+    rejections: dict[str, str] = field(metadata=wire("refused", OBJECT), default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -77,36 +83,40 @@
     kind: Kind = field(metadata=wire("kind", member_of(Kind)))
     strict: bool = field(metadata=wire("strict", BOOLEAN))
     # The last is in force.
-    versions: list[Version] = field(metadata=wire("versions", list_of(nested(Version))), default_factory=list)
-    count: int = field(metadata=wire("count", INTEGER), default=0)
-    pending: Pending | None = field(metadata=wire("pending", optional(nested(Pending))), default=None)
+    versions: list[DocumentVersion] = field(
+        metadata=wire("versions", list_of(nested(DocumentVersion))), default_factory=list
+    )
+    version_count: int = field(metadata=wire("count", INTEGER), default=0)
+    prepared: PreparedVersion | None = field(
+        metadata=wire("pending", optional(nested(PreparedVersion))), default=None
+    )
     # From the version in force, and why.
-    held_out: dict[str, str] = field(metadata=wire("held_out", OBJECT), default_factory=dict)
-    turned_down: list[dict[str, Any]] = field(
+    excluded: dict[str, str] = field(metadata=wire("held_out", OBJECT), default_factory=dict)
+    rejected_versions: list[dict[str, Any]] = field(
         metadata=wire("turned_down", list_of(OBJECT)), default_factory=list
     )
 
     @property
-    def current(self) -> Version | None:
+    def active(self) -> DocumentVersion | None:
         return self.versions[-1] if self.versions else None
 
     @property
-    def number(self) -> int:
+    def active_number(self) -> int:
         """Of the version in force; 0 where there is none yet."""
-        return self.versions[-1].version if self.versions else 0
+        return self.versions[-1].number if self.versions else 0
 
 
-class Book:
+class ConfigStore:
     def __init__(self, table: LeaseTable) -> None:
         self._table = table
         self.documents: dict[str, Document] = {}
         self._uploads: OrderedDict[str, str] = OrderedDict()
-        self._news: tuple[DocumentStatus, ...] | None = None  # until something changes
+        self._statuses: tuple[DocumentStatus, ...] | None = None  # until something changes
         self._allowances: dict[str, float] | None = None  # likewise
 
     # What others read.
 
-    def live(self) -> list[str]:
+    def live_processes(self) -> list[str]:
         """The processes that act on documents now."""
         return [
             one.holder
@@ -114,54 +124,58 @@
             if name.startswith(CONFIG_LEASE_PREFIX) and one.holder
         ]
 
-    def waits_for(self, document: Document) -> list[str]:
+    def missing_acknowledgements(self, document: Document) -> list[str]:
         """Whose word a change still lacks."""
-        pending = document.pending
+        pending = document.prepared
         if pending is None:
             return []
-        return [one for one in self.live() if one not in pending.acked and one not in pending.refused]
+        return [
+            one
+            for one in self.live_processes()
+            if one not in pending.acknowledgements and one not in pending.rejections
+        ]
 
-    def ready(self) -> list[tuple[str, int]]:
+    def ready_to_commit(self) -> list[tuple[str, int]]:
         """The changes that can come into force now."""
         found = []
         for name, one in self.documents.items():
-            pending = one.pending
-            begun = pending is not None and pending.stage is not None and pending.stage.begun
-            if pending is not None and not begun and not self.waits_for(one):
-                found.append((name, pending.version.version))
+            pending = one.prepared
+            begun = pending is not None and pending.rollout is not None and pending.rollout.started
+            if pending is not None and not begun and not self.missing_acknowledgements(one):
+                found.append((name, pending.version.number))
         return found
 
-    def staged(self) -> list[tuple[str, Pending]]:
+    def active_rollouts(self) -> list[tuple[str, PreparedVersion]]:
         """The changes that some nodes act on already."""
         return [
-            (name, one.pending)
+            (name, one.prepared)
             for name, one in self.documents.items()
-            if one.pending is not None and one.pending.stage is not None and one.pending.stage.begun
+            if one.prepared is not None and one.prepared.rollout is not None and one.prepared.rollout.started
         ]
 
-    def news(self) -> tuple[DocumentStatus, ...]:
-        if self._news is None:
-            self._news = tuple(self._news_of(name, one) for name, one in self.documents.items())
-        return self._news
+    def statuses(self) -> tuple[DocumentStatus, ...]:
+        if self._statuses is None:
+            self._statuses = tuple(self._status_of(name, one) for name, one in self.documents.items())
+        return self._statuses
 
     @staticmethod
-    def _news_of(name: str, one: Document) -> DocumentStatus:
-        digest = one.current.digest if one.current else ""
-        pending = one.pending
+    def _status_of(name: str, one: Document) -> DocumentStatus:
+        digest = one.active.digest if one.active else ""
+        pending = one.prepared
         if pending is None:
-            return DocumentStatus(name, one.number, digest, strict=one.strict)
-        stage = pending.stage
-        on = tuple(stage.nodes) if stage is not None and stage.begun else ()
+            return DocumentStatus(name, one.active_number, digest, strict=one.strict)
+        stage = pending.rollout
+        on = tuple(stage.nodes) if stage is not None and stage.started else ()
         told = pending.version
-        return DocumentStatus(name, one.number, digest, told.version, told.digest, one.strict, on)
+        return DocumentStatus(name, one.active_number, digest, told.number, told.digest, one.strict, on)
 
     def allowances(self) -> dict[str, float]:
         """Of each tenant, requests a second, by the version in force; those without one are not limited."""
         if self._allowances is None:
             self._allowances = {}
             for one in self.documents.values():
-                if one.kind is Kind.TENANTS and one.current is not None:
-                    rows = orjson.loads(one.current.content).get("tenants", {})
+                if one.kind is Kind.TENANTS and one.active is not None:
+                    rows = orjson.loads(one.active.content).get("tenants", {})
                     told = {name: row.get("allowance_per_s") for name, row in rows.items()}
                     self._allowances |= {name: float(per_s) for name, per_s in told.items() if per_s}
         return self._allowances
@@ -171,100 +185,104 @@
         one = self.documents.get(name)
         if one is None:
             return None
-        if one.pending is not None and one.pending.version.version == version:
-            return one.pending.version.content
-        return next((kept.content for kept in one.versions if kept.version == version), None)
+        if one.prepared is not None and one.prepared.version.number == version:
+            return one.prepared.version.content
+        return next((kept.content for kept in one.versions if kept.number == version), None)
 
     # Commands.
 
     def apply(self, command: Command) -> Result:
-        self._news = self._allowances = None
+        self._statuses = self._allowances = None
         match command["do"]:
             case "part":
-                return self._part(str(command["upload"]), int(command["offset"]), command["data"])
+                return self._apply_chunk(str(command["upload"]), int(command["offset"]), command["data"])
             case "put":
-                return self._put(command)
+                return self._apply_put(command)
         one = self.documents.get(command["doc"])
         if one is None:
             return {"refused": "no such document"}
         match command["do"]:
             case "ack":
-                return self._ack(one, command)
+                return self._apply_ack(one, command)
             case "commit":
-                return self._commit(one, int(command["version"]), bool(command.get("whole")))
+                return self._apply_commit(one, int(command["version"]), bool(command.get("whole")))
             case "get":
-                return self._get(one)
+                return self._apply_get(one)
             case "withdraw":
-                return self._withdraw(one, int(command["version"]), str(command["why"]))
+                return self._apply_withdraw(one, int(command["version"]), str(command["why"]))
         raise ValueError(f"nothing that is done to a document: {command['do']!r}")
 
-    def _part(self, upload: str, offset: int, data: Any) -> Result:
+    def _apply_chunk(self, upload: str, offset: int, data: Any) -> Result:
         """A document comes in pieces, as an entry of the log is small."""
         if not isinstance(data, str) or not 0 < len(upload) <= 64:
             raise ValueError("a piece of a document")
         so_far = self._uploads.pop(upload, "") if offset else ""
         if offset != len(so_far):
             return {"refused": f"the next piece begins at {len(so_far)}"}
-        if len(so_far) + len(data) > MOST_BYTES:
-            return {"refused": f"a document has {MOST_BYTES} bytes at the most"}
+        if len(so_far) + len(data) > MAX_DOCUMENT_BYTES:
+            return {"refused": f"a document has {MAX_DOCUMENT_BYTES} bytes at the most"}
         self._uploads[upload] = so_far + data
-        while len(self._uploads) > MOST_UPLOADS:
+        while len(self._uploads) > MAX_UPLOADS:
             self._uploads.popitem(last=False)
         return {"taken": offset + len(data)}
 
-    def _put(self, command: Command) -> Result:
+    def _apply_put(self, command: Command) -> Result:
         name, kind = command["doc"], Kind(command["kind"])
         if not isinstance(name, str) or not 0 < len(name) <= 64:
             raise ValueError("a document's name")
         content = self._uploads.get(str(command["upload"]))
-        if content is None or digest_of(content) != str(command["digest"]):
+        if content is None or content_digest(content) != str(command["digest"]):
             return {"refused": "its content did not come whole"}
         one = self.documents.get(name)
-        number = one.number if one is not None else 0
+        number = one.active_number if one is not None else 0
         if number != int(command["expect"]):
             return {
                 "refused": f"version {number} is in force, and {command['expect']} was expected",
                 "version": number,
             }
-        if one is not None and one.pending is not None:
-            waits = self.waits_for(one)
+        if one is not None and one.prepared is not None:
+            waits = self.missing_acknowledgements(one)
             return {"refused": "a change is on its way", "version": number, "waits_for": waits}
         if one is not None and one.kind is not kind:
             return {"refused": f"it is of kind {one.kind.value}"}
-        if one is None and len(self.documents) >= MOST_DOCUMENTS:
-            return {"refused": f"a fleet has {MOST_DOCUMENTS} documents at the most"}
-        if one is not None and one.current is not None and kind is Kind.SERVERS and not command.get("force"):
-            why = shrinks(one.current.content, content)
+        if one is None and len(self.documents) >= MAX_DOCUMENTS:
+            return {"refused": f"a fleet has {MAX_DOCUMENTS} documents at the most"}
+        if one is not None and one.active is not None and kind is Kind.SERVERS and not command.get("force"):
+            why = shrinks_too_much(one.active.content, content)
             if why:
                 return {"refused": f"{why}: say so with force"}
         stage = None
         if command.get("stage") is not None:
-            asked = self._stage(command["doc"], number, bool(command["strict"]), command["stage"])
+            asked = self._plan_rollout(command["doc"], number, bool(command["strict"]), command["stage"])
             if isinstance(asked, str):
                 return {"refused": asked}
             stage = asked
         del self._uploads[str(command["upload"])]
         if one is None:
             one = self.documents[name] = Document(kind, bool(command["strict"]))
-        one.count = max(one.count, number) + 1
-        made = Version(
-            one.count,
+        one.version_count = max(one.version_count, number) + 1
+        made = DocumentVersion(
+            one.version_count,
             content,
             str(command["author"])[:64],
             str(command["note"])[:256],
             str(command["at"])[:40],
         )
-        one.pending = Pending(made, bool(command.get("hold_out")), stage)
-        told: Result = {"prepares": made.version, "digest": made.digest, "waits_for": self.waits_for(one)}
+        one.prepared = PreparedVersion(made, bool(command.get("hold_out")), stage)
+        told: Result = {
+            "prepares": made.number,
+            "digest": made.digest,
+            "waits_for": self.missing_acknowledgements(one),
+        }
         return told if stage is None else {**told, "first_on": stage.nodes}
 
-    def _stage(self, name: str, number: int, strict: bool, told: Any) -> Stage | str:
+    def _plan_rollout(self, name: str, number: int, strict: bool, told: Any) -> Rollout | str:
         """Or why there can't be one. Raises ValueError, KeyError, TypeError."""
         if strict:
             return "a strict document can't be staged: two versions of it never stand side by side"
         if not number:
             return "the first version can't be staged: there is nothing to compare it with"
-        live = sorted({one.partition("/")[0] for one in self.live()})
+        live = sorted({one.partition("/")[0] for one in self.live_processes()})
         nodes = sorted({str(one) for one in told.get("nodes", ())})
         if not nodes:
             # Others each time: by the name and the number of the version that it follows.
@@ -278,77 +296,77 @@
         if len(nodes) >= len(live):
             return "a stage on all nodes is none: at least one has to stay as it is"
         for_ms, least, worse = int(told["for_ms"]), int(told["least"]), float(told["worse"])
-        if not 0 < for_ms <= LONGEST_STAGE_MS or least < 0 or not 0 <= worse <= 1:
+        if not 0 < for_ms <= MAX_ROLLOUT_MS or least < 0 or not 0 <= worse <= 1:
             raise ValueError("a stage's time, least or worse")
-        return Stage(nodes, for_ms, worse, least)
+        return Rollout(nodes, for_ms, worse, least)
 
     @staticmethod
-    def _get(one: Document) -> Result:
+    def _apply_get(one: Document) -> Result:
         """What all have agreed on at this place of the log."""
-        pending = one.pending
+        pending = one.prepared
         return {
-            "version": one.number,
-            "digest": one.current.digest if one.current else "",
-            "pending": pending.version.version if pending is not None else 0,
-            "staged": bool(pending is not None and pending.stage is not None and pending.stage.begun),
-            "turned_down": [dict(row) for row in one.turned_down],
+            "version": one.active_number,
+            "digest": one.active.digest if one.active else "",
+            "pending": pending.version.number if pending is not None else 0,
+            "staged": bool(pending is not None and pending.rollout is not None and pending.rollout.started),
+            "turned_down": [dict(row) for row in one.rejected_versions],
         }
 
-    def _ack(self, one: Document, command: Command) -> Result:
-        pending, by = one.pending, str(command["holder"])
-        if pending is None or pending.version.version != int(command["version"]):
+    def _apply_ack(self, one: Document, command: Command) -> Result:
+        pending, by = one.prepared, str(command["holder"])
+        if pending is None or pending.version.number != int(command["version"]):
             return {"refused": "that change is not being prepared"}
         if pending.version.digest != command["digest"]:
             return {"refused": "the content is another"}
-        if by not in self.live():
+        if by not in self.live_processes():
             return {"refused": "that process has no lease on the rules"}
         why = str(command.get("why", ""))[:256]
         if not why:
-            if by not in pending.acked:
-                pending.acked.append(by)
+            if by not in pending.acknowledgements:
+                pending.acknowledgements.append(by)
             return {"acked": by}
-        pending.refused[by] = why
-        if not pending.hold_out:
-            self._turn_down(one, f"{by} can't take it: {why}")
+        pending.rejections[by] = why
+        if not pending.may_exclude:
+            self._reject_prepared(one, f"{by} can't take it: {why}")
         return {"noted": by}
 
-    def _commit(self, one: Document, version: int, whole: bool) -> Result:
-        pending = one.pending
-        if pending is None or pending.version.version != version:
+    def _apply_commit(self, one: Document, version: int, whole: bool) -> Result:
+        pending = one.prepared
+        if pending is None or pending.version.number != version:
             return {"refused": "that change is not being prepared"}
-        if waits := self.waits_for(one):
+        if waits := self.missing_acknowledgements(one):
             return {"waits_for": waits}  # somebody came meanwhile
-        stage = pending.stage
-        if stage is not None and not stage.begun:
-            stage.begun = True
+        stage = pending.rollout
+        if stage is not None and not stage.started:
+            stage.started = True
             return {"staged": version, "first_on": stage.nodes}
         if stage is not None and not whole:
             return {"refused": "it is staged: it goes on once its time is over"}
         one.versions.append(pending.version)
-        one.held_out, one.pending = dict(pending.refused), None
-        self._forget(one)
+        one.excluded, one.prepared = dict(pending.rejections), None
+        self._discard_old_versions(one)
         return {"in_force": version}
 
     @staticmethod
-    def _forget(one: Document) -> None:
+    def _discard_old_versions(one: Document) -> None:
         """The oldest versions go, where there are too many or they take too much."""
         sizes = sum(len(kept.content) for kept in one.versions[:-1])
-        while len(one.versions) > 1 and (len(one.versions) > KEPT_VERSIONS or sizes > KEPT_BYTES):
+        while len(one.versions) > 1 and (len(one.versions) > MAX_VERSIONS_KEPT or sizes > MAX_BYTES_KEPT):
             sizes -= len(one.versions.pop(0).content)
 
-    def _withdraw(self, one: Document, version: int, why: str) -> Result:
-        if one.pending is None or one.pending.version.version != version:
+    def _apply_withdraw(self, one: Document, version: int, why: str) -> Result:
+        if one.prepared is None or one.prepared.version.number != version:
             return {"refused": "that change is not being prepared"}
-        self._turn_down(one, why[:256])
+        self._reject_prepared(one, why[:256])
         return {"withdrawn": version}
 
     @staticmethod
-    def _turn_down(one: Document, why: str) -> None:
-        assert one.pending is not None
-        told = one.pending.version
-        one.turned_down.append({"version": told.version, "author": told.author, "why": why})
-        del one.turned_down[:-KEPT_TURNED_DOWN]
-        one.pending = None
+    def _reject_prepared(one: Document, why: str) -> None:
+        assert one.prepared is not None
+        told = one.prepared.version
+        one.rejected_versions.append({"version": told.number, "author": told.author, "why": why})
+        del one.rejected_versions[:-MAX_REJECTED_KEPT]
+        one.prepared = None
 
     # Snapshots.
 
@@ -359,6 +377,6 @@
         }
 
     def restore(self, told: Any) -> None:
-        self._news = self._allowances = None
+        self._statuses = self._allowances = None
         self._uploads = OrderedDict((key, data) for key, data in told["uploads"])
         self.documents = {name: read_fields(Document, row) for name, row in told["documents"]}
--- a/marlstep/scheduled_tasks/run_log.py
+++ b/marlstep/scheduled_tasks/run_log.py
@@ -14,8 +14,8 @@
 from marlstep.consensus.state_machine import Command, Result
 from marlstep.leases.table import LeaseTable
 
-PREFIX = "task/"  # of the names of tasks' leases
-MOST_TASKS = 1_000
+TASK_LEASE_PREFIX = "task/"  # of the names of tasks' leases
+MAX_TASKS = 1_000
 NO_RUN = -1
 
 
@@ -23,93 +23,101 @@
     OPEN = "open"  # begun, and not known to have ended
     DONE = "done"
     FAILED = "failed"  # it may have taken effect in part, or not at all
-    MAYBE = "may have run"  # nobody can say any more
-    NEVER = "never ran"  # it was refused before it began: the same run may be begun again
-    LATE = "refused as late"  # by the server, which had seen a later token: it never ran
+    UNKNOWN = "may have run"  # nobody can say any more
+    NOT_RUN = "never ran"  # it was refused before it began: the same run may be begun again
+    FENCED_OFF = "refused as late"  # by the server, which had seen a later token: it never ran
 
 
 @dataclass(slots=True)
-class Run:
-    run: int = NO_RUN
+class TaskRun:
+    number: int = NO_RUN
     token: int = 0
-    outcome: Outcome = Outcome.NEVER
-    tries: int = 0
-    doubt: bool = False  # an act may still be on its way
-    before: bool = False  # as it was when the open run was begun
+    outcome: Outcome = Outcome.NOT_RUN
+    attempts: int = 0
+    may_be_in_flight: bool = False  # an act may still be on its way
+    was_in_flight: bool = False  # as it was when the open run was begun
 
 
-class Record:
+class RunLog:
     def __init__(self, table: LeaseTable) -> None:
         self._table = table
-        self.runs: dict[str, Run] = {}
+        self.runs: dict[str, TaskRun] = {}
 
     def apply(self, command: Command) -> Result:
         task, token = command["task"], int(command["token"])
         if not isinstance(task, str):
             raise ValueError("a task's name")
-        lease = self._table.leases.get(PREFIX + task)
+        lease = self._table.leases.get(TASK_LEASE_PREFIX + task)
         if lease is None or not lease.holder or lease.token != token:
             return {"refused": "not the token of the lease"}
         known = self.runs.get(task)
         if known is None:
-            if len(self.runs) >= MOST_TASKS:
+            if len(self.runs) >= MAX_TASKS:
                 return {"refused": "too many tasks"}
-            known = self.runs[task] = Run()
+            known = self.runs[task] = TaskRun()
         match command["do"]:
             case "look":
-                return self._told(known)
+                return self._describe(known)
             case "fenced":
-                return self._fenced(known)
+                return self._apply_fenced(known)
             case "begin":
-                return self._begin(known, int(command["run"]), token, bool(command.get("again")))
+                return self._apply_begin(known, int(command["run"]), token, bool(command.get("again")))
             case "end":
-                return self._end(known, int(command["run"]), token, Outcome(command["outcome"]))
+                return self._apply_end(known, int(command["run"]), token, Outcome(command["outcome"]))
         raise ValueError(f"nothing that is done to a task: {command['do']!r}")
 
     @staticmethod
-    def _told(known: Run) -> Result:
+    def _describe(known: TaskRun) -> Result:
         return {
-            "run": known.run,
+            "run": known.number,
             "token": known.token,
             "outcome": known.outcome.value,
-            "tries": known.tries,
-            "doubt": known.doubt,
+            "tries": known.attempts,
+            "doubt": known.may_be_in_flight,
         }
 
-    def _fenced(self, known: Run) -> Result:
+    def _apply_fenced(self, known: TaskRun) -> Result:
         """Nothing that was sent under an earlier token is on its way any more, or can be accepted."""
-        known.doubt = False
+        known.may_be_in_flight = False
         if known.outcome is Outcome.OPEN:
-            known.outcome = Outcome.MAYBE
+            known.outcome = Outcome.UNKNOWN
         return {"fenced": True}
 
-    def _begin(self, known: Run, run: int, token: int, again: bool) -> Result:
+    def _apply_begin(self, known: TaskRun, run: int, token: int, again: bool) -> Result:
         if known.outcome is Outcome.OPEN:
-            return {"refused": "a run is open", **self._told(known)}
-        repeat = again or known.outcome in (Outcome.NEVER, Outcome.LATE)
-        if run < known.run or (run == known.run and not repeat):
-            return {"refused": "that run was begun", **self._told(known)}
-        known.tries = known.tries + 1 if known.run == run else 1
-        known.before, known.doubt = known.doubt, True
-        known.run, known.token, known.outcome = run, token, Outcome.OPEN
+            return {"refused": "a run is open", **self._describe(known)}
+        repeat = again or known.outcome in (Outcome.NOT_RUN, Outcome.FENCED_OFF)
+        if run < known.number or (run == known.number and not repeat):
+            return {"refused": "that run was begun", **self._describe(known)}
+        known.attempts = known.attempts + 1 if known.number == run else 1
+        known.was_in_flight, known.may_be_in_flight = known.may_be_in_flight, True
+        known.number, known.token, known.outcome = run, token, Outcome.OPEN
         return {"begun": run}
 
-    def _end(self, known: Run, run: int, token: int, outcome: Outcome) -> Result:
-        if known.run != run or known.outcome is not Outcome.OPEN or outcome is Outcome.OPEN:
-            return {"refused": "no such run is open", **self._told(known)}
+    def _apply_end(self, known: TaskRun, run: int, token: int, outcome: Outcome) -> Result:
+        if known.number != run or known.outcome is not Outcome.OPEN or outcome is Outcome.OPEN:
+            return {"refused": "no such run is open", **self._describe(known)}
         known.outcome = outcome
-        if outcome in (Outcome.DONE, Outcome.NEVER, Outcome.LATE):
-            known.doubt = known.before  # this act is over; one before it may not be
+        if outcome in (Outcome.DONE, Outcome.NOT_RUN, Outcome.FENCED_OFF):
+            known.may_be_in_flight = known.was_in_flight  # this act is over; one before it may not be
         return {"ended": run}
 
     def snapshot(self) -> object:
         return [
-            [task, one.run, one.token, one.outcome.value, one.tries, one.doubt, one.before]
+            [
+                task,
+                one.number,
+                one.token,
+                one.outcome.value,
+                one.attempts,
+                one.may_be_in_flight,
+                one.was_in_flight,
+            ]
             for task, one in self.runs.items()
         ]
 
     def restore(self, told: Any) -> None:
         self.runs = {
-            task: Run(run, token, Outcome(outcome), tries, doubt, before)
+            task: TaskRun(run, token, Outcome(outcome), tries, doubt, before)
             for task, run, token, outcome, tries, doubt, before in told
         }
--- a/marlstep/scheduled_tasks/runner.py
+++ b/marlstep/scheduled_tasks/runner.py
@@ -19,30 +19,30 @@
 from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import MILLISECOND, SECOND, ZERO
 
-MARGIN = 50 * MILLISECOND  # of the lease that is left beyond an act's longest time
-AGAIN = 500 * MILLISECOND  # before what went wrong is tried again
+LEASE_MARGIN = 50 * MILLISECOND  # of the lease that is left beyond an act's longest time
+RETRY_DELAY = 500 * MILLISECOND  # before what went wrong is tried again
 
 
-class Step(enum.Enum):
-    NONE = "not held"
-    LOOK = "looks what is open"
-    FENCE = "fences"
-    SETTLE = "waits for what may be on its way"
-    FENCED = "says that nothing is on its way"
+class RunnerState(enum.Enum):
+    NOT_HELD = "not held"
+    INSPECTING = "looks what is open"
+    FENCING = "fences"
+    SETTLING = "waits for what may be on its way"
+    RECORDING_FENCE = "says that nothing is on its way"
     IDLE = "idle"
-    BEGIN = "begins"
-    ACT = "acts"
-    END = "ends"
+    BEGINNING = "begins"
+    EXECUTING = "acts"
+    ENDING = "ends"
 
 
 @dataclass(slots=True, frozen=True)
-class Do:
+class RunnerAction:
     """To be done now; `Runner.told` hears how it went. `act` and `fence` go to the pool, the rest to the log."""
 
     what: str  # look, fence, fenced, begin, act, end
     token: int
     run: int = NO_RUN
-    again: bool = False
+    is_repeat: bool = False
     outcome: Outcome = Outcome.OPEN
 
     def command(self, task: str) -> dict[str, Any]:
@@ -50,168 +50,175 @@
         if self.what in ("begin", "end"):
             told["run"] = self.run
         if self.what == "begin":
-            told["again"] = self.again
+            told["again"] = self.is_repeat
         if self.what == "end":
             told["outcome"] = self.outcome.value
         return told
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class TaskPlan:
     """One task, as the operator's file has it."""
 
     name: str
     schedule: Schedule
-    kind: str  # class of the request
-    safe: bool  # a run that may have run may be run again
-    longest: timedelta  # an act that takes longer is given up
+    request_class: str  # class of the request
+    idempotent: bool  # a run that may have run may be run again
+    timeout: timedelta  # an act that takes longer is given up
 
 
-class Runner:
-    def __init__(self, plan: Plan) -> None:
+class TaskRunner:
+    def __init__(self, plan: TaskPlan) -> None:
         self.plan = plan
-        self.step = Step.NONE
+        self.state = RunnerState.NOT_HELD
         self.token = 0
-        self.leaving = False
-        self._out = False  # something was asked for, and has not come back
-        self._last = NO_RUN
-        self._run, self._again = NO_RUN, False
+        self.draining = False
+        self._action_in_flight = False  # something was asked for, and has not come back
+        self._last_run = NO_RUN
+        self._current_run, self._is_repeat = NO_RUN, False
         self._outcome = Outcome.OPEN
-        self._open = False  # at the last look a run was
-        self._unsure = False  # whether the log has the run that was to be begun: no act was sent
+        self._run_was_open = False  # at the last look a run was
+        self._begin_unconfirmed = False  # whether the log has the run that was to be begun: no act was sent
         self._not_before: datetime | None = None
         self.counts = dict.fromkeys(("acts", *(one.value for one in Outcome if one is not Outcome.OPEN)), 0)
 
     # The lease.
 
-    def gained(self, token: int) -> None:
-        if token == self.token and self.step is not Step.NONE:
+    def lease_gained(self, token: int) -> None:
+        if token == self.token and self.state is not RunnerState.NOT_HELD:
             return
-        self.step, self.token = Step.LOOK, token
-        self._out, self._not_before, self._unsure = False, None, False
+        self.state, self.token = RunnerState.INSPECTING, token
+        self._action_in_flight, self._not_before, self._begin_unconfirmed = False, None, False
 
-    def lost(self) -> None:
+    def lease_lost(self) -> None:
         """What is on its way goes on within its bound; what it came to can't be written down under this token."""
-        self.step, self.token, self._out = Step.NONE, 0, False
+        self.state, self.token, self._action_in_flight = RunnerState.NOT_HELD, 0, False
 
     @property
     def busy(self) -> bool:
         """A run is open: the lease is not given back before it ends."""
-        return self.step in (Step.BEGIN, Step.ACT, Step.END)
+        return self.state in (RunnerState.BEGINNING, RunnerState.EXECUTING, RunnerState.ENDING)
 
     # What is next.
 
-    def next(self, now: datetime, wall: datetime, left: timedelta) -> Do | None:
+    def next_action(self, now: datetime, wall: datetime, left: timedelta) -> RunnerAction | None:
         """What is to be done now, with so much left of the lease; None where nothing is."""
-        if self.step is Step.NONE or self._out:
+        if self.state is RunnerState.NOT_HELD or self._action_in_flight:
             return None
         if self._not_before is not None:
             if now < self._not_before:
                 return None
             self._not_before = None
-        if self.step is Step.SETTLE:
-            self.step = Step.FENCED
-        if self.step is Step.IDLE:
-            self._look_at_the_clock(wall)
-        if self.step in (Step.NONE, Step.IDLE) or left <= ZERO:
+        if self.state is RunnerState.SETTLING:
+            self.state = RunnerState.RECORDING_FENCE
+        if self.state is RunnerState.IDLE:
+            self._begin_if_due(wall)
+        if self.state in (RunnerState.NOT_HELD, RunnerState.IDLE) or left <= ZERO:
             return None
-        if self.step in (Step.BEGIN, Step.ACT) and left < self.plan.longest + MARGIN:
+        if (
+            self.state in (RunnerState.BEGINNING, RunnerState.EXECUTING)
+            and left < self.plan.timeout + LEASE_MARGIN
+        ):
             return None  # until it is renewed
-        self._out = True
-        match self.step:
-            case Step.LOOK:
-                return Do("look", self.token)
-            case Step.FENCE:
-                return Do("fence", self.token, self._run)
-            case Step.FENCED:
-                return Do("fenced", self.token)
-            case Step.BEGIN:
-                return Do("begin", self.token, self._run, self._again)
-            case Step.ACT:
+        self._action_in_flight = True
+        match self.state:
+            case RunnerState.INSPECTING:
+                return RunnerAction("look", self.token)
+            case RunnerState.FENCING:
+                return RunnerAction("fence", self.token, self._current_run)
+            case RunnerState.RECORDING_FENCE:
+                return RunnerAction("fenced", self.token)
+            case RunnerState.BEGINNING:
+                return RunnerAction("begin", self.token, self._current_run, self._is_repeat)
+            case RunnerState.EXECUTING:
                 self.counts["acts"] += 1
-                return Do("act", self.token, self._run)
-        return Do("end", self.token, self._run, outcome=self._outcome)
+                return RunnerAction("act", self.token, self._current_run)
+        return RunnerAction("end", self.token, self._current_run, outcome=self._outcome)
 
-    def _look_at_the_clock(self, wall: datetime) -> None:
-        run = self.plan.schedule.due(wall, self._last)
-        if run is not None and not self.leaving:
-            self.step, self._run, self._again = Step.BEGIN, run, False
+    def _begin_if_due(self, wall: datetime) -> None:
+        run = self.plan.schedule.due_run(wall, self._last_run)
+        if run is not None and not self.draining:
+            self.state, self._current_run, self._is_repeat = RunnerState.BEGINNING, run, False
 
     def next_due(self, now: datetime, wall: datetime) -> datetime | None:
         """When to look again; None where something else comes first."""
-        if self.step is Step.NONE or self._out:
+        if self.state is RunnerState.NOT_HELD or self._action_in_flight:
             return None
         if self._not_before is not None:
             return self._not_before
-        if self.step is Step.IDLE:
-            return now + max(MILLISECOND, self.plan.schedule.next(wall, self._last) - wall)
+        if self.state is RunnerState.IDLE:
+            return now + max(MILLISECOND, self.plan.schedule.next_check(wall, self._last_run) - wall)
         return now + 100 * MILLISECOND
 
     # What came of it.
 
-    def told(self, now: datetime, done: Do, result: dict[str, Any] | Outcome | None) -> None:
+    def handle_result(
+        self, now: datetime, done: RunnerAction, result: dict[str, Any] | Outcome | None
+    ) -> None:
         """How it went: of the log the result, of the pool an outcome; None: nobody can say, or not in time."""
-        if done.token != self.token or not self._out:
+        if done.token != self.token or not self._action_in_flight:
             return
-        self._out = False
+        self._action_in_flight = False
         match done.what:
             case "look":
-                self._looked(now, result)
+                self._handle_inspection(now, result)
             case "fence":
                 if result is Outcome.DONE:
-                    self.step, self._not_before = Step.SETTLE, now + self.plan.longest
-                elif result is Outcome.LATE:
-                    self.lost()  # the server has seen a later token: this lease is over
+                    self.state, self._not_before = RunnerState.SETTLING, now + self.plan.timeout
+                elif result is Outcome.FENCED_OFF:
+                    self.lease_lost()  # the server has seen a later token: this lease is over
                 else:
-                    self._not_before = now + AGAIN
+                    self._not_before = now + RETRY_DELAY
             case "fenced":
-                self._fenced(now, result)
+                self._handle_fence_recorded(now, result)
             case "begin":
-                self._began(now, result)
+                self._handle_begun(now, result)
             case "act":
-                self.step = Step.END
-                self._outcome = result if isinstance(result, Outcome) else Outcome.MAYBE
+                self.state = RunnerState.ENDING
+                self._outcome = result if isinstance(result, Outcome) else Outcome.UNKNOWN
                 self.counts[self._outcome.value] += 1
             case "end":
-                self._ended(now, result)
+                self._handle_ended(now, result)
 
-    def _looked(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
+    def _handle_inspection(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
         if not isinstance(result, dict) or "run" not in result:
-            self._not_before = now + AGAIN
+            self._not_before = now + RETRY_DELAY
             return
-        self._last = int(result["run"])
-        unsure, self._unsure = self._unsure, False
-        self._open = result["outcome"] == Outcome.OPEN.value
+        self._last_run = int(result["run"])
+        unsure, self._begin_unconfirmed = self._begin_unconfirmed, False
+        self._run_was_open = result["outcome"] == Outcome.OPEN.value
         if int(result["token"]) != self.token:
-            self.step, self._run = (Step.FENCE, self._last) if result["doubt"] else (Step.IDLE, NO_RUN)
-        elif not self._open:
-            self.step = Step.IDLE
-        elif unsure and self._last == self._run:
-            self.step = Step.ACT  # its begin was applied, and only the answer was lost
+            self.state, self._current_run = (
+                (RunnerState.FENCING, self._last_run) if result["doubt"] else (RunnerState.IDLE, NO_RUN)
+            )
+        elif not self._run_was_open:
+            self.state = RunnerState.IDLE
+        elif unsure and self._last_run == self._current_run:
+            self.state = RunnerState.EXECUTING  # its begin was applied, and only the answer was lost
         else:
-            self.step, self._run, self._outcome = Step.END, self._last, Outcome.MAYBE
+            self.state, self._current_run, self._outcome = RunnerState.ENDING, self._last_run, Outcome.UNKNOWN
 
-    def _fenced(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
+    def _handle_fence_recorded(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
         if not isinstance(result, dict):
-            self._not_before = now + AGAIN
-        elif "fenced" in result and self._open and self.plan.safe and not self.leaving:
-            self.step, self._again = Step.BEGIN, True
+            self._not_before = now + RETRY_DELAY
+        elif "fenced" in result and self._run_was_open and self.plan.idempotent and not self.draining:
+            self.state, self._is_repeat = RunnerState.BEGINNING, True
         else:
-            self.step = Step.IDLE if "fenced" in result else Step.LOOK
+            self.state = RunnerState.IDLE if "fenced" in result else RunnerState.INSPECTING
 
-    def _began(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
+    def _handle_begun(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
         if isinstance(result, dict) and "begun" in result:
-            self.step, self._last = Step.ACT, self._run
+            self.state, self._last_run = RunnerState.EXECUTING, self._current_run
         else:
-            self.step = Step.LOOK  # what stands in the log is not what was thought
+            self.state = RunnerState.INSPECTING  # what stands in the log is not what was thought
             if not isinstance(result, dict):
-                self._unsure, self._not_before = True, now + AGAIN
+                self._begin_unconfirmed, self._not_before = True, now + RETRY_DELAY
 
-    def _ended(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
+    def _handle_ended(self, now: datetime, result: dict[str, Any] | Outcome | None) -> None:
         if not isinstance(result, dict):
-            self._not_before = now + AGAIN  # the same again
+            self._not_before = now + RETRY_DELAY  # the same again
             return
-        if self._outcome is Outcome.NEVER:
-            self._last = self._run - 1  # it may be begun again, while its time is
+        if self._outcome is Outcome.NOT_RUN:
+            self._last_run = self._current_run - 1  # it may be begun again, while its time is
             self._not_before = now + SECOND
-        self.step = Step.IDLE
+        self.state = RunnerState.IDLE
--- a/marlstep/scheduled_tasks/schedule.py
+++ b/marlstep/scheduled_tasks/schedule.py
@@ -11,7 +11,7 @@
 DAY = timedelta(days=1)
 
 
-class Missed(enum.StrEnum):
+class MissedRunPolicy(enum.StrEnum):
     """What becomes of runs whose time passed while nobody could do them."""
 
     SKIP = "skip"  # only a run whose time began less than a tenth of the interval ago is done
@@ -20,31 +20,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    every: timedelta
-    at: timedelta = ZERO  # into the interval, from the epoch (for a day: the time of day, UTC)
-    missed: Missed = Missed.SKIP
+    interval: timedelta
+    offset: timedelta = ZERO  # into the interval, from the epoch (for a day: the time of day, UTC)
+    missed: MissedRunPolicy = MissedRunPolicy.SKIP
 
-    def current(self, wall: datetime) -> int:
+    def current_run(self, wall: datetime) -> int:
         """The run whose time began last."""
-        return (wall - EPOCH - self.at) // self.every
+        return (wall - EPOCH - self.offset) // self.interval
 
-    def begins(self, run: int) -> datetime:
-        return EPOCH + self.at + run * self.every
+    def start_of(self, run: int) -> datetime:
+        return EPOCH + self.offset + run * self.interval
 
     @property
-    def patience(self) -> timedelta:
+    def grace(self) -> timedelta:
         """For how long after its time a run is still done, where missed ones are skipped."""
-        return self.every / 10
+        return self.interval / 10
 
-    def due(self, wall: datetime, last: int) -> int | None:
+    def due_run(self, wall: datetime, last: int) -> int | None:
         """The run to be done now, where `last` was the last that was begun; None where it is not time."""
-        run = self.current(wall)
+        run = self.current_run(wall)
         if run <= last:
             return None
-        if self.missed is Missed.SKIP and wall > self.begins(run) + self.patience:
+        if self.missed is MissedRunPolicy.SKIP and wall > self.start_of(run) + self.grace:
             return None
         return run
 
-    def next(self, wall: datetime, last: int) -> datetime:
+    def next_check(self, wall: datetime, last: int) -> datetime:
         """When to look again."""
-        return self.begins(max(self.current(wall), last) + 1)
+        return self.start_of(max(self.current_run(wall), last) + 1)
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -17,7 +17,7 @@
 from marlstep.cli.drill import process_one
 from marlstep.cli.main import call
 from marlstep.cluster import wire
-from marlstep.cluster.transport import Lines
+from marlstep.cluster.transport import ClusterTransport
 from marlstep.config import ConfigError, check
 from marlstep.consensus.messages import RequestVote
 from marlstep.drill.links import Ports
@@ -207,17 +207,19 @@
 
 def strangers(port: int, key: bytes, group: str) -> None:
     ask = RequestVote(999, False, True, 999, 999)
-    theirs = wire.write(wire.Envelope("drill", group, "n2#x", "n1", ask))
+    theirs = wire.write_envelope(wire.Envelope("drill", group, "n2#x", "n1", ask))
     frames = [
-        wire.framing(b"k" * 32).write(theirs),  # another key
+        wire.stream_framing(b"k" * 32).write(theirs),  # another key
         Framing(b"MSF9", 1 << 16, keyed(key)).write(theirs),  # another version
         b"GET / HTTP/1.1\r\n\r\n",
         b"\0" * 4096,
         b"MSF1" + (3 << 30).to_bytes(4, "big") + b"\0" * 64,  # 3 GB are to come
-        wire.framing(key).write(wire.write(wire.Envelope("other", group, "n2#x", "n1", ask))),
-        wire.framing(key).write(wire.write(wire.Envelope("drill", "1.feedbeef", "n2#x", "n1", ask))),
-        wire.framing(key).write(b'["drill", 1, 2]'),
-        wire.framing(key).write(theirs)[:-3],  # cut short
+        wire.stream_framing(key).write(wire.write_envelope(wire.Envelope("other", group, "n2#x", "n1", ask))),
+        wire.stream_framing(key).write(
+            wire.write_envelope(wire.Envelope("drill", "1.feedbeef", "n2#x", "n1", ask))
+        ),
+        wire.stream_framing(key).write(b'["drill", 1, 2]'),
+        wire.stream_framing(key).write(theirs)[:-3],  # cut short
     ]
     for frame in frames:
         with socket.create_connection(("127.0.0.1", port), timeout=3) as line, contextlib.suppress(OSError):
@@ -318,10 +320,10 @@
     async def both() -> None:
         loop = asyncio.get_running_loop()
         timeline = TimerQueue(LoopWaker(loop))
-        framing = wire.framing(b"k" * 32)
+        framing = wire.stream_framing(b"k" * 32)
         free = Ports()
         port, deaf = free.take(), free.take()
-        lines = Lines({"deaf": ("127.0.0.1", deaf)}, framing, timeline, lambda body: None)
+        lines = ClusterTransport({"deaf": ("127.0.0.1", deaf)}, framing, timeline, lambda body: None)
         await lines.listen(("127.0.0.1", port))
         with (
             socket.create_server(("127.0.0.1", deaf)),
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marlstep.cluster.wire import CODEC, Envelope, read, write
+from marlstep.cluster.wire import CODEC, Envelope, read_envelope, write_envelope
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, RaftLog, Snapshot
 from marlstep.consensus.messages import AppendEntries, AppendEntriesResponse, LogRegressed, RequestVote
 from marlstep.consensus.raft import MAX_CHARACTERS_PER_MESSAGE, Raft, RaftTiming, Role
@@ -425,7 +425,7 @@
 @given(MESSAGES)
 def test_messages_come_back_as_they_were(message: object) -> None:
     envelope = Envelope("f", "1.a", "a#1", "b#1", message)  # type: ignore[arg-type]
-    assert read(write(envelope)) == envelope
+    assert read_envelope(write_envelope(envelope)) == envelope
 
 
 @given(MESSAGES, st.integers(0, 1 << 16), st.binary(min_size=1, max_size=4))
@@ -433,10 +433,10 @@
 def test_a_spoilt_message_is_corrupt_or_another_message_and_nothing_else(
     message: object, at: int, junk: bytes
 ) -> None:
-    body = write(Envelope("f", "1.a", "a#1", "b#1", message))  # type: ignore[arg-type]
+    body = write_envelope(Envelope("f", "1.a", "a#1", "b#1", message))  # type: ignore[arg-type]
     at %= len(body)
     with contextlib.suppress(CorruptError):
-        read(body[:at] + junk + body[at + 1 :])
+        read_envelope(body[:at] + junk + body[at + 1 :])
 
 
 @pytest.mark.parametrize(
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.replicated_config.documents import canonical, digest_of
+from marlstep.replicated_config.documents import canonical_json, content_digest
 from marlstep.scheduled_tasks.run_log import Outcome
-from marlstep.scheduled_tasks.runner import Do, Plan, Runner
+from marlstep.scheduled_tasks.runner import RunnerAction, TaskPlan, TaskRunner
 from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import MILLISECOND, SECOND
 from tests.golden.everything import POOLS, TENANTS, counted_names
@@ -122,19 +122,19 @@
 
     def __init__(self, world: World, task: str, safe: bool) -> None:
         self.world, self.task = world, task
-        plan = Plan(task, Schedule(1 * SECOND), "schedule-save", safe, 200 * MILLISECOND)
-        self.runner = Runner(plan)
+        plan = TaskPlan(task, Schedule(1 * SECOND), "schedule-save", safe, 200 * MILLISECOND)
+        self.runner = TaskRunner(plan)
         self.by = ""
 
     def gained(self) -> None:
         lease = self.world.voter.leases.leases[f"task/{self.task}"]
         self.by = lease.holder
-        self.runner.gained(lease.token)
+        self.runner.lease_gained(lease.token)
 
-    def wanted(self) -> Do:
+    def wanted(self) -> RunnerAction:
         for _ in range(100):
             now = self.world.clock.now()
-            if (do := self.runner.next(now, now, 2 * SECOND)) is not None:
+            if (do := self.runner.next_action(now, now, 2 * SECOND)) is not None:
                 return do
             self.world.pass_time(50)
         raise AssertionError("the runner wants nothing")
@@ -147,17 +147,17 @@
             if do.what in ("act", "fence"):
                 outcome = left.pop(0)
                 if outcome is None:
-                    self.runner.lost()
+                    self.runner.lease_lost()
                     return
-                self.runner.told(self.world.clock.now(), do, outcome)
+                self.runner.handle_result(self.world.clock.now(), do, outcome)
                 continue
             result = self.world.ask(self.by, do.command(self.task))
-            self.runner.told(self.world.clock.now(), do, result)
+            self.runner.handle_result(self.world.clock.now(), do, result)
 
     def one(self) -> None:
         """One command more."""
         do = self.wanted()
-        self.runner.told(self.world.clock.now(), do, self.world.ask(self.by, do.command(self.task)))
+        self.runner.handle_result(self.world.clock.now(), do, self.world.ask(self.by, do.command(self.task)))
 
     def pass_on(self) -> None:
         """The lease goes to another grant."""
@@ -171,7 +171,7 @@
 def tasks(world: World) -> None:
     running = Running(world, "sweep", safe=True)
     running.gained()
-    running.go(Outcome.DONE, Outcome.FAILED, Outcome.MAYBE, Outcome.NEVER, Outcome.LATE, None)
+    running.go(Outcome.DONE, Outcome.FAILED, Outcome.UNKNOWN, Outcome.NOT_RUN, Outcome.FENCED_OFF, None)
     running.pass_on()
     running.gained()
     running.go(Outcome.DONE, None)  # fenced, and the open run begun again
@@ -218,19 +218,25 @@
     for offset in range(0, len(content), size):
         piece = {"upload": upload, "offset": offset, "data": content[offset : offset + size]}
         assert "taken" in world.order("fleet/rules/part", piece)
-    return {"upload": upload, "digest": digest_of(content)}
+    return {"upload": upload, "digest": content_digest(content)}
 
 
 def put(world: World, doc: str, value: object, expect: int, **how: Any) -> dict[str, Any]:
-    told = {"doc": doc, **sent(world, canonical(value)), "expect": expect, "author": "ana", "note": "why"}
+    told = {
+        "doc": doc,
+        **sent(world, canonical_json(value)),
+        "expect": expect,
+        "author": "ana",
+        "note": "why",
+    }
     return world.order("fleet/rules/put", {**told, **how})
 
 
 def ack(world: World, doc: str, holder: str, why: str = "", **other: Any) -> dict[str, Any]:
     book = world.voter.config_store
     assert book is not None
-    pending = book.documents[doc].pending
-    version, digest = (pending.version.version, pending.version.digest) if pending is not None else (0, "")
+    pending = book.documents[doc].prepared
+    version, digest = (pending.version.number, pending.version.digest) if pending is not None else (0, "")
     told = {"m": "rules", "do": "ack", "doc": doc, "version": version, "digest": digest, "holder": holder}
     return world.ask(holder, {**told, "why": why, **other})
 
@@ -242,12 +248,12 @@
 
 
 def documents(world: World) -> None:
-    rules = world.fleet.rules
+    rules = world.fleet.config_driver
     assert rules is not None
     servers = {name: row["servers"] for name, row in POOLS.items()}
     contents: dict[str, object] = {"settings": SETTINGS, "tenants": ALLOWANCES, "servers": servers}
     for name, content in contents.items():  # as a node proposes its own file's where the group has none
-        rules.put(world.clock.now(), name, canonical(content), 0, "n6", "from the files of this node")
+        rules.put(world.clock.now(), name, canonical_json(content), 0, "n6", "from the files of this node")
         world.pass_time(500)
         acked_by_all(world, name)
     world.order("fleet/rules/get", {"doc": "settings"})
@@ -313,16 +319,16 @@
 
 def pending_nodes(world: World, doc: str) -> list[str]:
     book = world.voter.config_store
-    pending = None if book is None else book.documents[doc].pending
-    assert pending is not None and pending.stage is not None
-    return pending.stage.nodes
+    pending = None if book is None else book.documents[doc].prepared
+    assert pending is not None and pending.rollout is not None
+    return pending.rollout.nodes
 
 
 def world_version(world: World, doc: str) -> int:
     book = world.voter.config_store
-    pending = None if book is None else book.documents[doc].pending
+    pending = None if book is None else book.documents[doc].prepared
     assert pending is not None
-    return pending.version.version
+    return pending.version.number
 
 
 def seen_on(world: World, nodes: list[str], version: int, failed: int) -> None:
@@ -372,8 +378,8 @@
     assert machine is not None
     for tenant, parts in list(machine.tenants.items()):
         for holder, part in list(parts.items()):
-            if part.asked < part.now and holder in world.processes:
-                told = {"m": "shares", "do": "gave", "tenant": tenant, "holder": holder, "to": part.asked}
+            if part.target < part.granted and holder in world.processes:
+                told = {"m": "shares", "do": "gave", "tenant": tenant, "holder": holder, "to": part.target}
                 world.ask(holder, told)
     world.pass_time(1_000)
 
@@ -385,7 +391,14 @@
     """Documents that are unknown or of another kind, and commands without what they need."""
     base = {"m": "rules", "doc": "settings"}
     text = '{"a":1}'
-    told = {"upload": "u9", "digest": digest_of(text), "expect": 1, "author": "a", "note": "", "at": "now"}
+    told = {
+        "upload": "u9",
+        "digest": content_digest(text),
+        "expect": 1,
+        "author": "a",
+        "note": "",
+        "at": "now",
+    }
     world.ask("n2/b1", {"m": "rules", "do": "part", "upload": "u9", "offset": 0, "data": text})
     for command in (
         {**base, "do": "get", "doc": "none"},
@@ -444,7 +457,7 @@
     book = world.voter.config_store
     assert book is not None
     more = {"main": ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:8"], "more": ["127.0.0.1:4"]}
-    at_stage(world, "servers", more, book.documents["servers"].number, nodes=["n2", "n3"])
+    at_stage(world, "servers", more, book.documents["servers"].active_number, nodes=["n2", "n3"])
     acked_by_all(world, "servers")
     world.order("fleet/members/remove", {"node": "n7", "why": "still out"})
     told = {"m": "shares", "do": "shrink", "tenant": "sade", "holder": "n2/b1", "to": 10_000}
@@ -468,7 +481,7 @@
         (),
         '{"m":"rules","do":"part","upload":"u","offset":0,"data":"[]"}\n'
         '{"m":"rules","do":"put","doc":"d@","kind":"settings","strict":false,"upload":"u","expect":0,'
-        f'"digest":"{digest_of("[]")}","author":"","note":"","at":""}}',
+        f'"digest":"{content_digest("[]")}","author":"","note":"","at":""}}',
         33,
     ),
     "forgotten uploads": ((), '{"m":"rules","do":"part","upload":"u@","offset":0,"data":"[]"}', 20),
--- a/tests/golden/datagrams.py
+++ b/tests/golden/datagrams.py
@@ -6,21 +6,23 @@
 from dataclasses import dataclass, replace
 
 from marlstep.cluster import wire
-from marlstep.membership.messages import Ack, Nack, Ping, PingFor, Said
-from marlstep.membership.records import Record, State
+from marlstep.membership.messages import Ack, MembershipMessage, Nack, Ping, PingRequest
+from marlstep.membership.records import MemberRecord, MemberState
 from tests.golden.conversation import KEY, Conversation, Sample
 from tests.golden.node_messages import RECORDS
 
 MANY = tuple(
-    Record(f"node-{number:02}", f"boot-{number}", 1_800_000_000_000 + number, number, state, "127.0.0.9:7009")
-    for number, state in enumerate([*State] * 10)
+    MemberRecord(
+        f"node-{number:02}", f"boot-{number}", 1_800_000_000_000 + number, number, state, "127.0.0.9:7009"
+    )
+    for number, state in enumerate([*MemberState] * 10)
 )
-SENDER = Record("n9", "b9", 1_800_000_000_009, 9, State.ALIVE, "127.0.0.9:7009", "nörth", "")
+SENDER = MemberRecord("n9", "b9", 1_800_000_000_009, 9, MemberState.ALIVE, "127.0.0.9:7009", "nörth", "")
 RECORDS_KEPT = 17  # of MANY: as many as one datagram takes
-PLAIN: dict[str, Said] = {
+PLAIN: dict[str, MembershipMessage] = {
     "Ping": Ping(number=31, node="n2"),
     "Ack": Ack(number=32),
-    "PingFor": PingFor(number=33, node="n3", address="127.0.0.3:7003"),
+    "PingFor": PingRequest(number=33, node="n3", address="127.0.0.3:7003"),
     "Nack": Nack(number=34),
 }
 
@@ -30,11 +32,11 @@
     """A datagram's fleet, sender and message."""
 
     fleet: str
-    sender: Record
-    message: Said
+    sender: MemberRecord
+    message: MembershipMessage
 
 
-def _datagram(message: Said, records: tuple[Record, ...] = ()) -> Datagram:
+def _datagram(message: MembershipMessage, records: tuple[MemberRecord, ...] = ()) -> Datagram:
     return Datagram("fleet-ä", SENDER, replace(message, records=records))
 
 
@@ -52,7 +54,7 @@
     return wire.write_datagram(datagram.fleet, datagram.sender, datagram.message)
 
 
-FRAMING = wire.datagrams(KEY)
+FRAMING = wire.datagram_framing(KEY)
 CONVERSATION = Conversation(
     file="datagrams.json",
     samples=dict(_samples()),
--- a/tests/golden/machines.py
+++ b/tests/golden/machines.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from marlstep.cluster.node import tasks_machine
+from marlstep.cluster.node import state_machines
 from marlstep.consensus.state_machine import StateMachines
 from marlstep.leases.table import LeaseTable
 
@@ -14,7 +14,7 @@
 def machines() -> StateMachines:
     """As a voter without a past has them."""
     table = LeaseTable()
-    return StateMachines({"leases": table, **tasks_machine(table)})
+    return StateMachines({"leases": table, **state_machines(table)})
 
 
 def applied(log: StateMachines, body: str) -> str:
--- a/tests/golden/node_messages.py
+++ b/tests/golden/node_messages.py
@@ -25,15 +25,15 @@
     RelayAnnouncement,
     ServerRecovered,
 )
-from marlstep.membership.records import Record, State
-from marlstep.replicated_config.messages import Fetch, Piece
+from marlstep.membership.records import MemberRecord, MemberState
+from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from tests.golden.conversation import KEY, Conversation, Sample
 
 RECORDS = (
-    Record("n1", "b1", 1_800_000_000_001, 1, State.ALIVE, "127.0.0.1:7001", "east", ""),
-    Record("n2", "b2", 1_800_000_000_002, 2, State.SUSPECT, "127.0.0.2:7002", "west", "n1"),
-    Record("n3", "b3", 1_800_000_000_003, 3, State.FAILED, "[::1]:7003", "", "n2"),
-    Record("n4", "b4", 1_800_000_000_004, 4, State.LEFT, "127.0.0.4:7004"),
+    MemberRecord("n1", "b1", 1_800_000_000_001, 1, MemberState.ALIVE, "127.0.0.1:7001", "east", ""),
+    MemberRecord("n2", "b2", 1_800_000_000_002, 2, MemberState.SUSPECT, "127.0.0.2:7002", "west", "n1"),
+    MemberRecord("n3", "b3", 1_800_000_000_003, 3, MemberState.FAILED, "[::1]:7003", "", "n2"),
+    MemberRecord("n4", "b4", 1_800_000_000_004, 4, MemberState.LEFT, "127.0.0.4:7004"),
 )
 ENTRIES = (
     LogEntry(index=41, term=6, entry_type=EntryType.NOOP, body=""),
@@ -112,10 +112,12 @@
     "Beaten/defaults": HeartbeatResponse(number=17, from_leader=False, leader=""),
     "Join/full": JoinRequest(node="n3", identity="n3#c"),
     "Probed/full": ServerRecovered(pool="front", server="127.0.0.1:9000", token=25),
-    "Fetch/full": Fetch(name="tenants", version=3, offset=6144),
-    "Piece/full": Piece(name="tenants", version=3, offset=6144, size=9000, data='{"tenants":{"ä":1}}'),
+    "Fetch/full": FetchChunk(name="tenants", version=3, offset=6144),
+    "Piece/full": DocumentChunk(
+        name="tenants", version=3, offset=6144, size=9000, data='{"tenants":{"ä":1}}'
+    ),
     "Relay/full": RelayAnnouncement(holder="n2/b2", port=7102),
-    "Exchanged/full": wire.Exchanged(me=RECORDS[:1], answer=True, records=RECORDS),
+    "Exchanged/full": wire.ExchangeMessage(sender=RECORDS[:1], answer=True, records=RECORDS),
 }
 
 
@@ -123,13 +125,13 @@
     return wire.Envelope(fleet="fleet-ä", group="1.feedbeef", sender="n1#a", to="n2/b2", message=message)
 
 
-FRAMING = wire.framing(KEY)
+FRAMING = wire.stream_framing(KEY)
 CONVERSATION = Conversation(
     file="node_messages.json",
     samples={name: Sample(_envelope(message)) for name, message in MESSAGES.items()},
     framing=FRAMING,
-    write=wire.write,
-    write_frame=lambda envelope: FRAMING.write(wire.write(envelope)),
-    read=wire.read,
+    write=wire.write_envelope,
+    write_frame=lambda envelope: FRAMING.write(wire.write_envelope(envelope)),
+    read=wire.read_envelope,
     message_path=(4,),
 )
--- a/tests/golden/sections.py
+++ b/tests/golden/sections.py
@@ -23,7 +23,7 @@
         operator["fleet"] = least_section(folder)
     fleet = check(platform_config(), operator).fleet
     assert fleet is not None
-    members, rules = fleet.members, fleet.rules
+    members, rules = fleet.membership, fleet.replicated_config
     return {
         "name": fleet.name,
         "node": fleet.node,
@@ -35,17 +35,17 @@
         "term_ms": ms(fleet.leases.term),
         "drift": fleet.leases.drift,
         "most_leases": fleet.leases.max_per_node,
-        "beat_ms": ms(fleet.beat),
-        "patience_ms": ms(fleet.patience),
-        "probes": fleet.probes,
+        "beat_ms": ms(fleet.heartbeat_interval),
+        "patience_ms": ms(fleet.election_timeout),
+        "probes": fleet.shared_health_checks,
         "nodes": {name: list(address) for name, address in fleet.nodes.items()},
         "members": None
         if members is None
         else {
-            "period_ms": ms(members.detector.period),
-            "answer_ms": ms(members.detector.answer),
-            "probation_ms": ms(members.keeping.probation),
-            "guard": members.keeping.guard,
+            "period_ms": ms(members.detector.probe_interval),
+            "answer_ms": ms(members.detector.probe_timeout),
+            "probation_ms": ms(members.roster.probation),
+            "guard": members.roster.max_failed_share,
             "zone": members.zone,
             "seeds": list(members.seeds),
         },
@@ -54,20 +54,24 @@
         else {
             "lease_ms": ms(fleet.leases.config_term),
             "agree_within_ms": ms(rules.agree_within),
-            "shares": rules.shares,
+            "shares": rules.quotas_shared,
             "documents": {
-                one.name: {"kind": one.kind.value, "strict": one.strict, "cut_off": one.cut_off.value}
+                one.name: {
+                    "kind": one.kind.value,
+                    "strict": one.strict,
+                    "cut_off": one.disconnect_policy.value,
+                }
                 for one in rules.documents
             },
         },
         "tasks": {
             one.plan.name: {
-                "every_ms": ms(one.plan.schedule.every),
-                "at_ms": ms(one.plan.schedule.at),
+                "every_ms": ms(one.plan.schedule.interval),
+                "at_ms": ms(one.plan.schedule.offset),
                 "missed": one.plan.schedule.missed.value,
-                "class": one.plan.kind,
-                "safe": one.plan.safe,
-                "longest_ms": ms(one.plan.longest),
+                "class": one.plan.request_class,
+                "safe": one.plan.idempotent,
+                "longest_ms": ms(one.plan.timeout),
                 "vars": dict(one.variables),
             }
             for one in fleet.tasks
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -18,9 +18,9 @@
 from marlstep.components.admin import AdminComponent
 from marlstep.components.health_endpoint import HealthEndpointComponent
 from marlstep.membership.messages import Ack
-from marlstep.membership.partition_state import Sight
-from marlstep.membership.records import Record, State
-from marlstep.replicated_config.documents import canonical
+from marlstep.membership.partition_state import PartitionObservation
+from marlstep.membership.records import MemberRecord, MemberState
+from marlstep.replicated_config.documents import canonical_json
 from petrelcart.interface import Outcome
 from tests.golden.commands import NODES, Running, acked_by_all, at_stage, leave_open, members, put
 from tests.golden.everything import KEY, TOKEN, counted_names
@@ -57,13 +57,13 @@
     def live(self) -> None:
         """The course of a few seconds, which leaves something in every table."""
         world = self.world
-        rules = world.fleet.rules
+        rules = world.fleet.config_driver
         assert rules is not None
         for node in NODES:
             process = Process(node, wants=(f"rules/{node}/b1", "task/sweep", "task/nightly"))
             world.processes[process.holder] = process
         world.pass_time(2_000)
-        world.fleet.voter = world.voter
+        world.fleet.replica = world.voter
         members(world)
         self._heard_of()
         contents: dict[str, object] = {
@@ -72,7 +72,7 @@
             "servers": {**SERVERS, "main": [*SERVERS["main"], "127.0.0.1:3"]},
         }
         for name, content in contents.items():
-            rules.put(world.clock.now(), name, canonical(content), 0, "n6", "first")
+            rules.put(world.clock.now(), name, canonical_json(content), 0, "n6", "first")
             world.pass_time(500)
             acked_by_all(world, name)
         put(world, "settings", SETTINGS, 1)
@@ -85,18 +85,20 @@
     def _heard_of(self) -> None:
         """The detector hears of others, and the node's situation changes."""
         world = self.world
-        part = world.fleet.members
+        part = world.fleet.membership
         assert part is not None
         now = world.clock.now()
-        for number, state in enumerate((State.ALIVE, State.SUSPECT, State.FAILED, State.LEFT), 2):
-            by = "n2" if state in (State.SUSPECT, State.FAILED) else ""
-            told = Record(f"n{number}", "b1", 5, 0, state, f"127.0.0.1:{7000 + number}", "z", by)
+        for number, state in enumerate(
+            (MemberState.ALIVE, MemberState.SUSPECT, MemberState.FAILED, MemberState.LEFT), 2
+        ):
+            by = "n2" if state in (MemberState.SUSPECT, MemberState.FAILED) else ""
+            told = MemberRecord(f"n{number}", "b1", 5, 0, state, f"127.0.0.1:{7000 + number}", "z", by)
             part.detector.receive(
-                now, Record("n2", "b1", 5, 0, State.ALIVE, "127.0.0.1:7002", "z"), Ack(0, (told,))
+                now, MemberRecord("n2", "b1", 5, 0, MemberState.ALIVE, "127.0.0.1:7002", "z"), Ack(0, (told,))
             )
         some = frozenset({"n1", "n2"})
         for _ in range(2):
-            part.standing.look(now, Sight(True, some, some, some, frozenset(), True, True))
+            part.partition.observe(now, PartitionObservation(True, some, some, some, frozenset(), True, True))
             world.pass_time(3_000)
             now = world.clock.now()
         world.fleet.note("something changed", "as a test says so")
@@ -113,11 +115,11 @@
 
     def strangers(self) -> None:
         """What comes from strangers is counted."""
-        members, framing = self.world.fleet.members, wire.datagrams(KEY.encode())
+        members, framing = self.world.fleet.membership, wire.datagram_framing(KEY.encode())
         assert members is not None
-        members.got(b"junk")
-        members.got(framing.write(wire.write_datagram("another", members.detector.me, Ack(0))))
-        members.got(framing.write(wire.write_datagram("golden", members.detector.me, Ack(0))))
+        members.handle_datagram(b"junk")
+        members.handle_datagram(framing.write(wire.write_datagram("another", members.detector.local, Ack(0))))
+        members.handle_datagram(framing.write(wire.write_datagram("golden", members.detector.local, Ack(0))))
 
     def metrics(self) -> str:
         status, told = self.serve("GET", "/v1/metrics")
@@ -313,7 +315,7 @@
             shown.live()
             fleet = shown.world.fleet
             fleet.counts.update(dict.fromkeys(keys["fleet"], 1))
-            fleet.lines.counts.update(dict.fromkeys(keys["lines"], 1))
+            fleet.transport.counts.update(dict.fromkeys(keys["lines"], 1))
             shown.world.node.core.counts.update(dict.fromkeys(keys["core"], 1))
             return shown.metrics()
 
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -5,15 +5,15 @@
 import json
 from collections.abc import Mapping
 
-from marlstep.cluster.node import tasks_machine
+from marlstep.cluster.node import state_machines
 from marlstep.consensus.log import Configuration
 from marlstep.consensus.state_machine import StateMachine, StateMachines
 from marlstep.leases.table import Lease, LeaseTable
-from marlstep.membership.quotas import Part, Shares
-from marlstep.membership.roster import Agreed, Belongs
-from marlstep.replicated_config.documents import Kind, Version
-from marlstep.replicated_config.store import Book, Document, Pending, Stage
-from marlstep.scheduled_tasks.run_log import Outcome, Record, Run
+from marlstep.membership.quotas import QuotaShare, QuotaTable
+from marlstep.membership.roster import Roster, RosterEntry
+from marlstep.replicated_config.documents import DocumentVersion, Kind
+from marlstep.replicated_config.store import ConfigStore, Document, PreparedVersion, Rollout
+from marlstep.scheduled_tasks.run_log import Outcome, RunLog, TaskRun
 from tests.golden.conversation import DATA
 
 PATH = DATA / "snapshots.json"
@@ -23,7 +23,7 @@
 def new_machines() -> Mapping[str, StateMachine]:
     """All machines of a fleet, by their names in a snapshot, still empty."""
     table = LeaseTable()
-    return {"leases": table, **tasks_machine(table)}
+    return {"leases": table, **state_machines(table)}
 
 
 def _fill_leases(table: LeaseTable) -> None:
@@ -35,34 +35,45 @@
     }
 
 
-def _fill_members(agreed: Agreed) -> None:
+def _fill_members(agreed: Roster) -> None:
     agreed.nodes = {
-        "n1": Belongs(there=True),
-        "n2": Belongs(there=False, taken_out=2, why="heard as failed", held_off=True),
+        "n1": RosterEntry(is_member=True),
+        "n2": RosterEntry(
+            is_member=False, removal_count=2, reason="heard as failed", blocked_by_operator=True
+        ),
     }
-    agreed.believed = ["n7", "n8"]
+    agreed.confirmed_failures = ["n7", "n8"]
 
 
-def _version(number: int) -> Version:
-    return Version(version=number, content='{"tenants":{}}', author="ops", note="ä note", at="2026-01-02")
+def _version(number: int) -> DocumentVersion:
+    return DocumentVersion(
+        number=number, content='{"tenants":{}}', author="ops", note="ä note", at="2026-01-02"
+    )
 
 
-def _fill_rules(book: Book) -> None:
-    stage = Stage(nodes=["n1"], for_ms=60_000, worse=0.05, least=100, begun=True)
-    pending = Pending(
-        version=_version(3), hold_out=True, stage=stage, acked=["n1/b1"], refused={"n2/b2": "too large"}
+def _fill_rules(book: ConfigStore) -> None:
+    stage = Rollout(nodes=["n1"], duration_ms=60_000, max_degradation=0.05, min_requests=100, started=True)
+    pending = PreparedVersion(
+        version=_version(3),
+        may_exclude=True,
+        rollout=stage,
+        acknowledgements=["n1/b1"],
+        rejections={"n2/b2": "too large"},
     )
     staged = Document(
         kind=Kind.TENANTS,
         strict=True,
         versions=[_version(1), _version(2)],
-        count=3,
-        pending=pending,
-        held_out={"n4/b4": "why"},
-        turned_down=[{"version": 9, "author": "ops", "why": "withdrawn"}],
+        version_count=3,
+        prepared=pending,
+        excluded={"n4/b4": "why"},
+        rejected_versions=[{"version": 9, "author": "ops", "why": "withdrawn"}],
     )
     unstaged = Document(
-        kind=Kind.SERVERS, strict=False, count=1, pending=Pending(version=_version(1), hold_out=False)
+        kind=Kind.SERVERS,
+        strict=False,
+        version_count=1,
+        prepared=PreparedVersion(version=_version(1), may_exclude=False),
     )
     book.documents = {
         "tenants": staged,
@@ -72,18 +83,33 @@
     book._uploads["upload-1"] = "half of a docu"
 
 
-def _fill_shares(shares: Shares) -> None:
-    shares.tenants = {"acme": {"n1/b1": Part(now=500_000, asked=250_000)}, "öst": {}}
+def _fill_shares(shares: QuotaTable) -> None:
+    shares.tenants = {"acme": {"n1/b1": QuotaShare(granted=500_000, target=250_000)}, "öst": {}}
+
+
+TASK_NAMES = {
+    Outcome.OPEN: "open",
+    Outcome.DONE: "done",
+    Outcome.FAILED: "failed",
+    Outcome.UNKNOWN: "maybe",
+    Outcome.NOT_RUN: "never",
+    Outcome.FENCED_OFF: "late",
+}
 
 
-def _fill_tasks(record: Record) -> None:
+def _fill_tasks(record: RunLog) -> None:
     record.runs = {
-        f"task-{outcome.name.lower()}": Run(
-            run=number, token=20 + number, outcome=outcome, tries=2, doubt=True, before=number % 2 == 0
+        f"task-{TASK_NAMES[outcome]}": TaskRun(
+            number=number,
+            token=20 + number,
+            outcome=outcome,
+            attempts=2,
+            may_be_in_flight=True,
+            was_in_flight=number % 2 == 0,
         )
         for number, outcome in enumerate(Outcome)
     }
-    record.runs["untouched"] = Run()
+    record.runs["untouched"] = TaskRun()
 
 
 def filled_machines() -> Mapping[str, StateMachine]:
@@ -93,13 +119,13 @@
         match machine:
             case LeaseTable():
                 _fill_leases(machine)
-            case Agreed():
+            case Roster():
                 _fill_members(machine)
-            case Book():
+            case ConfigStore():
                 _fill_rules(machine)
-            case Shares():
+            case QuotaTable():
                 _fill_shares(machine)
-            case Record():
+            case RunLog():
                 _fill_tasks(machine)
             case _:
                 raise AssertionError(f"no golden state for {type(machine).__name__}")
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -7,7 +7,7 @@
 
 import apsw
 
-from marlstep.cluster.store import Opened, Store
+from marlstep.cluster.store import OpenedStore, ReplicaStore
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, Snapshot
 from marlstep.consensus.raft import Ready
 from tests.golden.files import read_golden
@@ -23,7 +23,7 @@
     bodies = [row["body"] for row in read_golden("log_commands.json")[:8]]
     group = Configuration((IDENTITY, "n2#1a"), ("n3#2a",))
     entries = [LogEntry(number, 1, EntryType.COMMAND, body) for number, body in enumerate(bodies, 1)]
-    store = Store(folder)
+    store = ReplicaStore(folder)
     store.open(NODE, IDENTITY)
     store.set_group(GROUP)
     store.save(Ready(1, 1, IDENTITY, entries=entries))
@@ -40,12 +40,12 @@
 
 def read_store(folder: Path) -> dict[str, Any]:
     """What the program gives back of it."""
-    store = Store(folder)
+    store = ReplicaStore(folder)
     try:
-        told: Opened = store.open(NODE, "n1#anew")
+        told: OpenedStore = store.open(NODE, "n1#anew")
     finally:
         store.close()
-    saved, snapshot = told.saved, told.saved.snapshot
+    saved, snapshot = told.state, told.state.snapshot
     return {
         "identity": told.identity,
         "group": told.group,
--- a/tests/golden/test_datagrams.py
+++ b/tests/golden/test_datagrams.py
@@ -85,4 +85,4 @@
 def test_records_were_cut_to_fit() -> None:
     assert 0 < RECORDS_KEPT < len(MANY)
     cut = [one for name, one in CONVERSATION.load().items() if name.endswith("/cut")]
-    assert len(cut) == 4 and all(len(one.frame) <= wire.MOST_DATAGRAM for one in cut)
+    assert len(cut) == 4 and all(len(one.frame) <= wire.MAX_DATAGRAM_BYTES for one in cut)
--- a/tests/golden/test_node_messages.py
+++ b/tests/golden/test_node_messages.py
@@ -22,7 +22,7 @@
         tags_of(wire.CODEC),
     )
     seen = {type(one) for one in MESSAGES.values()}
-    assert classes == {*VOTER_MESSAGES, wire.Exchanged}
+    assert classes == {*VOTER_MESSAGES, wire.ExchangeMessage}
     checks.check_coverage(CONVERSATION, classes, tags, seen)
 
 
--- a/tests/golden/test_snapshot_keys.py
+++ b/tests/golden/test_snapshot_keys.py
@@ -37,7 +37,7 @@
 
 STATE = {
     "leases": ("leases", "last_token"),
-    "members": ("nodes", "believed"),
+    "members": ("nodes", "confirmed_failures"),
     "rules": ("documents", "_uploads"),
     "shares": ("tenants",),
     "tasks": ("runs",),
--- a/tests/golden/test_store_file.py
+++ b/tests/golden/test_store_file.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from marlstep.cluster.store import Store
+from marlstep.cluster.store import ReplicaStore
 from tests.golden.files import FOLDER, read_golden
 from tests.golden.stored import FILE, IDENTITY, NODE, OF_THIS_DISK, dump, read_store, write_store
 
@@ -27,7 +27,7 @@
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
     """The committed file, in the place of one that the program made on this disk."""
-    store = Store(tmp_path)
+    store = ReplicaStore(tmp_path)
     store.open(NODE, IDENTITY)
     store.close()
     path = tmp_path / FILE
@@ -50,7 +50,7 @@
 
 
 def test_the_committed_file_goes_on_where_it_is(folder: Path) -> None:
-    store = Store(folder)
+    store = ReplicaStore(folder)
     told = store.open(NODE, "n1#anew")
     store.set_group("1.other")
     store.close()
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -12,16 +12,16 @@
 import orjson
 
 from marlstep.cluster import wire
-from marlstep.cluster.node import Fleet, tasks_machine
-from marlstep.cluster.transport import Lines
+from marlstep.cluster.node import ClusterNode, state_machines
+from marlstep.cluster.transport import ClusterTransport
 from marlstep.config import check
-from marlstep.config.fleet import FleetConfig
+from marlstep.config.fleet import ClusterConfig
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming
 from marlstep.consensus.replica import CommandRequest, CommandResponse, Message, Replica, ReplicaSettings
 from marlstep.leases.messages import DocumentState, Heartbeat, HeartbeatResponse, LeaseToken, RequestCounts
 from marlstep.node import Node
-from marlstep.replicated_config.messages import Fetch, Piece
+from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from tests.golden.everything import KEY, operator_config, platform_config
 from tests.support.node import HandClock
 
@@ -64,7 +64,7 @@
         )  # fmt: skip
 
 
-class KeptLines(Lines):
+class KeptLines(ClusterTransport):
     """Lines that keep what is sent."""
 
     kept: list[bytes]
@@ -73,13 +73,13 @@
         self.kept.append(body)
 
 
-def lone_voter(config: FleetConfig, clock: HandClock) -> Replica:
+def lone_voter(config: ClusterConfig, clock: HandClock) -> Replica:
     """The only one of its group, so that what it proposes is committed at once."""
-    members = None if config.members is None else config.members.keeping
-    timing = RaftTiming(config.beat, config.patience)
+    members = None if config.membership is None else config.membership.roster
+    timing = RaftTiming(config.heartbeat_interval, config.election_timeout)
     settings = ReplicaSettings(timing, config.leases, ("n1",), members, quotas=True)
     saved = PersistentState(0, "", Snapshot(0, 0, Configuration((VOTER,)), ""), [])
-    return Replica(VOTER, saved, settings, tasks_machine, random.Random(1), clock.now())
+    return Replica(VOTER, saved, settings, state_machines, random.Random(1), clock.now())
 
 
 @dataclass(slots=True)
@@ -88,7 +88,7 @@
 
     clock: HandClock
     node: Node
-    fleet: Fleet
+    fleet: ClusterNode
     voter: Replica
     lines: KeptLines
     rows: list[Row] = field(default_factory=list)
@@ -107,7 +107,7 @@
     def turn(self) -> None:
         """All that can be done at this moment."""
         now = self.clock.now()
-        rules = self.fleet.rules
+        rules = self.fleet.config_driver
         assert rules is not None
         for _ in range(6):
             if self.voter.next_due() <= now:
@@ -118,28 +118,28 @@
                     self.voter.step(now, VOTER, own)
             for to, message in self.voter.take_immediate_messages(now):
                 self._told(to, message)
-            rules.look(now)
-            for _, sent in self.fleet.participant.tick(now)[0]:
-                self.voter.step(now, self.fleet.participant.holder.name, sent)
+            rules.tick(now)
+            for _, sent in self.fleet.client.tick(now)[0]:
+                self.voter.step(now, self.fleet.client.holder.name, sent)
             kept, self.lines.kept = self.lines.kept, []
             for body in kept:
-                envelope = wire.read(body)
-                assert isinstance(envelope.message, Fetch)
+                envelope = wire.read_envelope(body)
+                assert isinstance(envelope.message, FetchChunk)
                 self.voter.step(now, envelope.sender, envelope.message)
             self.clock.settle()
         self._keep()
 
     def _told(self, to: str, message: Message) -> None:
-        holder, rules, now = self.fleet.participant.holder, self.fleet.rules, self.clock.now()
+        holder, rules, now = self.fleet.client.holder, self.fleet.config_driver, self.clock.now()
         assert rules is not None
         if to != holder.name:
             return
         match message:
             case HeartbeatResponse() | CommandResponse():
-                self.fleet.participant.handle_response(now, "n1", message)
-                rules.heard(now)
-            case Piece():
-                rules.got(now, message)
+                self.fleet.client.handle_response(now, "n1", message)
+                rules.handle_heartbeat_response(now)
+            case DocumentChunk():
+                rules.handle_chunk(now, message)
 
     def _keep(self) -> None:
         for index, _, result in self.voter.applied:
@@ -184,9 +184,11 @@
     assert config.fleet is not None
     node = Node(config, clock.timeline)
     fleet = node.components["fleet"]
-    assert isinstance(fleet, Fleet)
+    assert isinstance(fleet, ClusterNode)
     fleet.steady = clock.timeline
-    lines = KeptLines(config.fleet.nodes, wire.framing(KEY.encode()), clock.timeline, lambda body: None)
+    lines = KeptLines(
+        config.fleet.nodes, wire.stream_framing(KEY.encode()), clock.timeline, lambda body: None
+    )
     lines.kept = []
-    fleet.lines = lines
+    fleet.transport = lines
     return World(clock, node, fleet, lone_voter(config.fleet, clock), lines)
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -16,9 +16,9 @@
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import LeaseTable
 from marlstep.pool.probing import Probing
-from marlstep.scheduled_tasks.run_log import Outcome, Record
-from marlstep.scheduled_tasks.runner import MARGIN, Do, Plan, Runner, Step
-from marlstep.scheduled_tasks.schedule import DAY, Missed, Schedule
+from marlstep.scheduled_tasks.run_log import Outcome, RunLog
+from marlstep.scheduled_tasks.runner import LEASE_MARGIN, RunnerAction, RunnerState, TaskPlan, TaskRunner
+from marlstep.scheduled_tasks.schedule import DAY, MissedRunPolicy, Schedule
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 
 NOW = EPOCH + timedelta(days=9)
@@ -278,18 +278,20 @@
 
 
 def test_a_schedule_numbers_runs_and_skips_or_makes_up_what_was_missed() -> None:
-    skip, once = Schedule(10 * SECOND), Schedule(10 * SECOND, missed=Missed.ONCE)
-    run = skip.current(NOW)
-    assert skip.due(NOW, run - 1) == run and skip.due(NOW, run) is None
+    skip, once = Schedule(10 * SECOND), Schedule(10 * SECOND, missed=MissedRunPolicy.ONCE)
+    run = skip.current_run(NOW)
+    assert skip.due_run(NOW, run - 1) == run and skip.due_run(NOW, run) is None
     late = NOW + 1_500 * MILLISECOND
-    assert skip.due(late, run - 1) is None and once.due(late, run - 5) == run
-    assert skip.next(late, run - 1) == NOW + 10 * SECOND
-    daily = Schedule(DAY, at=3 * 3_600 * SECOND)
-    assert daily.begins(daily.current(NOW)) == NOW - DAY + 3 * 3_600 * SECOND
+    assert skip.due_run(late, run - 1) is None and once.due_run(late, run - 5) == run
+    assert skip.next_check(late, run - 1) == NOW + 10 * SECOND
+    daily = Schedule(DAY, offset=3 * 3_600 * SECOND)
+    assert daily.start_of(daily.current_run(NOW)) == NOW - DAY + 3 * 3_600 * SECOND
 
 
-def plan(safe: bool) -> Plan:
-    return Plan("t", Schedule(SECOND, missed=Missed.ONCE), "schedule-save", safe, 300 * MILLISECOND)
+def plan(safe: bool) -> TaskPlan:
+    return TaskPlan(
+        "t", Schedule(SECOND, missed=MissedRunPolicy.ONCE), "schedule-save", safe, 300 * MILLISECOND
+    )
 
 
 class Log:
@@ -297,7 +299,7 @@
 
     def __init__(self) -> None:
         self.table = LeaseTable()
-        self.record = Record(self.table)
+        self.record = RunLog(self.table)
 
     def grant(self, holder: str) -> int:
         lease = self.table.leases.get("task/t")
@@ -305,11 +307,11 @@
             self.table.apply({"do": "expire", "name": "task/t", "token": lease.token})
         return int(self.table.apply({"do": "grant", "name": "task/t", "holder": holder, "most": 0})["token"])
 
-    def run(self, runner: Runner, now: Any, until: str, outcome: Outcome = Outcome.DONE) -> list[str]:
+    def run(self, runner: TaskRunner, now: Any, until: str, outcome: Outcome = Outcome.DONE) -> list[str]:
         """Let it go on until it would do that; what it did before is given."""
         done: list[str] = []
         for _ in range(30):
-            do = runner.next(now, now, 2 * SECOND)
+            do = runner.next_action(now, now, 2 * SECOND)
             if do is None:
                 now += 100 * MILLISECOND
                 continue
@@ -317,7 +319,7 @@
                 return done
             done.append(do.what)
             result = outcome if do.what in ("act", "fence") else self.record.apply(do.command("t"))
-            runner.told(now, do, result)
+            runner.handle_result(now, do, result)
         return done
 
 
@@ -325,67 +327,67 @@
 def test_a_run_that_was_begun_and_not_ended_is_fenced_and_then_repeated_only_where_that_is_safe(
     safe: bool,
 ) -> None:
-    log, first, second = Log(), Runner(plan(safe)), Runner(plan(safe))
-    first.gained(log.grant("a/1"))
+    log, first, second = Log(), TaskRunner(plan(safe)), TaskRunner(plan(safe))
+    first.lease_gained(log.grant("a/1"))
     assert log.run(first, NOW, until="act") == ["look", "begin"]
-    run = log.record.runs["t"].run
-    second.gained(log.grant("b/1"))
+    run = log.record.runs["t"].number
+    second.lease_gained(log.grant("b/1"))
     steps = log.run(second, NOW, until="act")
     assert steps[:3] == ["look", "fence", "fenced"]
-    assert log.record.runs["t"].run == run if safe else log.record.runs["t"].run > run
+    assert log.record.runs["t"].number == run if safe else log.record.runs["t"].number > run
     # The first goes on, late: the log turns its outcome down.
-    ended = Do("end", 1, run, outcome=Outcome.DONE).command("t")
+    ended = RunnerAction("end", 1, run, outcome=Outcome.DONE).command("t")
     assert "refused" in log.record.apply(ended)
 
 
 def test_a_run_whose_end_is_known_needs_no_fence() -> None:
-    log, first, second = Log(), Runner(plan(False)), Runner(plan(False))
-    first.gained(log.grant("a/1"))
+    log, first, second = Log(), TaskRunner(plan(False)), TaskRunner(plan(False))
+    first.lease_gained(log.grant("a/1"))
     log.run(first, NOW, until="nothing")
     assert log.record.runs["t"].outcome is Outcome.DONE
-    second.gained(log.grant("b/1"))
+    second.lease_gained(log.grant("b/1"))
     assert log.run(second, NOW + SECOND, until="act") == ["look", "begin"]
 
 
 def test_doubt_stays_through_later_runs_that_went_well() -> None:
-    log, first, second = Log(), Runner(plan(False)), Runner(plan(False))
-    first.gained(log.grant("a/1"))
-    log.run(first, NOW, until="nothing", outcome=Outcome.MAYBE)
+    log, first, second = Log(), TaskRunner(plan(False)), TaskRunner(plan(False))
+    first.lease_gained(log.grant("a/1"))
+    log.run(first, NOW, until="nothing", outcome=Outcome.UNKNOWN)
     log.run(first, NOW + 5 * SECOND, until="nothing", outcome=Outcome.DONE)
-    assert log.record.runs["t"].outcome is Outcome.DONE and log.record.runs["t"].doubt
-    second.gained(log.grant("b/1"))
+    assert log.record.runs["t"].outcome is Outcome.DONE and log.record.runs["t"].may_be_in_flight
+    second.lease_gained(log.grant("b/1"))
     assert log.run(second, NOW + 9 * SECOND, until="fenced") == ["look", "fence"]
 
 
 def test_no_act_begins_without_its_longest_time_left_of_the_lease() -> None:
-    log, one = Log(), Runner(plan(False))
-    one.gained(log.grant("a/1"))
+    log, one = Log(), TaskRunner(plan(False))
+    one.lease_gained(log.grant("a/1"))
     log.run(one, NOW, until="act")
-    one._out = False
-    assert one.step is Step.ACT
-    assert one.next(NOW, NOW, one.plan.longest + MARGIN - MILLISECOND) is None
-    do = one.next(NOW, NOW, one.plan.longest + MARGIN)
+    one._action_in_flight = False
+    assert one.state is RunnerState.EXECUTING
+    assert one.next_action(NOW, NOW, one.plan.timeout + LEASE_MARGIN - MILLISECOND) is None
+    do = one.next_action(NOW, NOW, one.plan.timeout + LEASE_MARGIN)
     assert do is not None and do.what == "act"
 
 
 def test_a_begin_whose_answer_was_lost_is_found_in_the_log_and_acted_on_once() -> None:
-    log, one = Log(), Runner(plan(False))
-    one.gained(log.grant("a/1"))
+    log, one = Log(), TaskRunner(plan(False))
+    one.lease_gained(log.grant("a/1"))
     log.run(one, NOW, until="begin")
-    one._out = False
-    do = one.next(NOW, NOW, 2 * SECOND)
+    one._action_in_flight = False
+    do = one.next_action(NOW, NOW, 2 * SECOND)
     assert do is not None and do.what == "begin"
     log.record.apply(do.command("t"))
-    one.told(NOW, do, None)
+    one.handle_result(NOW, do, None)
     assert log.run(one, NOW + SECOND, until="nothing")[:3] == ["look", "act", "end"]
-    assert one.counts["acts"] == 1 or log.record.runs["t"].tries == 1
+    assert one.counts["acts"] == 1 or log.record.runs["t"].attempts == 1
 
 
 def test_what_was_refused_before_it_ran_is_tried_again() -> None:
-    log, one = Log(), Runner(plan(False))
-    one.gained(log.grant("a/1"))
-    steps = log.run(one, NOW, until="nothing", outcome=Outcome.NEVER)
-    assert steps.count("act") >= 2 and not log.record.runs["t"].doubt
+    log, one = Log(), TaskRunner(plan(False))
+    one.lease_gained(log.grant("a/1"))
+    steps = log.run(one, NOW, until="nothing", outcome=Outcome.NOT_RUN)
+    assert steps.count("act") >= 2 and not log.record.runs["t"].may_be_in_flight
 
 
 # Probes of servers.
