--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -21,7 +21,7 @@
 from marlstep.cli.drill import members_one
 from marlstep.cli.main import call
 from marlstep.cluster import wire
-from marlstep.cluster.node import Fleet
+from marlstep.cluster.node import ClusterNode
 from marlstep.config import ConfigError, check
 from marlstep.drill.acts import Act
 from marlstep.drill.broken import MEMBERS_BREAKAGES, Breakage
@@ -36,12 +36,28 @@
 from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.membership.failure_detector import Detector, MemberSettings, Send
-from marlstep.membership.messages import Ack, Exchange, Nack, Ping, PingFor
-from marlstep.membership.partition_state import CONDUCT, GOOD, Sight, Situation, Standing, judge
-from marlstep.membership.quotas import EVERY, WHOLE, Balance, Demand, Shares, Using, unsharable, wanted
-from marlstep.membership.records import Record, State, read_records, write_records
-from marlstep.membership.roster import Agreed, Keeping, KeepingSettings, Word
+from marlstep.membership.failure_detector import DetectorSettings, FailureDetector, OutboundMessage
+from marlstep.membership.messages import Ack, Nack, Ping, PingRequest, StateExchange
+from marlstep.membership.partition_state import (
+    CAPABILITIES,
+    CONNECTED_STATES,
+    PartitionObservation,
+    PartitionState,
+    PartitionTracker,
+    classify,
+)
+from marlstep.membership.quotas import (
+    BALANCE_INTERVAL,
+    FULL_QUOTA,
+    DemandEstimator,
+    QuotaBalancer,
+    QuotaLease,
+    QuotaTable,
+    quota_limit_violation,
+    target_shares,
+)
+from marlstep.membership.records import MemberRecord, MemberState, read_records, write_records
+from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
 from marlstep.net.framing import CorruptError
 from marlstep.units import EPOCH, MILLISECOND, SECOND
 from tests.support.node import SETTINGS, raw_config
@@ -52,15 +68,17 @@
 NODES = ("n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9", "n10", "n11", "n12")
 
 
-def record(node: str, state: State = State.ALIVE, boot: str = "b1", born: int = 5, number: int = 0) -> Record:
-    return Record(node, boot, born, number, state, node, "z1")
+def record(
+    node: str, state: MemberState = MemberState.ALIVE, boot: str = "b1", born: int = 5, number: int = 0
+) -> MemberRecord:
+    return MemberRecord(node, boot, born, number, state, node, "z1")
 
 
-def detector(node: str = "a", **settings: Any) -> Detector:
-    return Detector(record(node), MemberSettings(**settings), random.Random(1), NOW)
+def detector(node: str = "a", **settings: Any) -> FailureDetector:
+    return FailureDetector(record(node), DetectorSettings(**settings), random.Random(1), NOW)
 
 
-def known(one: Detector, *nodes: str) -> Detector:
+def known(one: FailureDetector, *nodes: str) -> FailureDetector:
     for node in nodes:
         one.receive(NOW, record(node), Ack(0))
     return one
@@ -77,32 +95,36 @@
     name = ping.message.node
     now = one.next_due()
     asked = one.tick(now)
-    assert [type(send.message) for send in asked] == [PingFor] * 3 and name not in [
+    assert [type(send.message) for send in asked] == [PingRequest] * 3 and name not in [
         one.address for one in asked
     ]
     probe = ping.message.number
     for send in asked:  # they hear this node, and had no answer either
         one.receive(now, record(send.address), Nack(probe))
-    while one.members[name].record.state is State.ALIVE:
+    while one.members[name].record.state is MemberState.ALIVE:
         now = one.next_due()
         one.tick(now)
-    assert one.members[name].record.state is State.SUSPECT and one.doubt == 0 and name in one.alive()
+    assert (
+        one.members[name].record.state is MemberState.SUSPECT
+        and one.local_health == 0
+        and name in one.alive()
+    )
     for other in ("b", "c", "d", "e"):
         if other != name:  # the others suspect it too: that shortens the time to refute
-            before = one.members[name].over
-            suspect = replace(record(name, State.SUSPECT), by=other)
+            before = one.members[name].suspicion_ends_at
+            suspect = replace(record(name, MemberState.SUSPECT), reported_by=other)
             one.receive(now, record(other), Ack(0, (suspect,)))
-            after = one.members[name].over
+            after = one.members[name].suspicion_ends_at
             assert before is not None and after is not None and after <= before
-    over = one.members[name].over
+    over = one.members[name].suspicion_ends_at
     assert over is not None and over <= now + 2 * SECOND
-    while one.members[name].record.state is State.SUSPECT:
+    while one.members[name].record.state is MemberState.SUSPECT:
         now = one.next_due()
         one.tick(now)
-    assert one.members[name].record.state is State.FAILED and name not in one.alive() and now == over
+    assert one.members[name].record.state is MemberState.FAILED and name not in one.alive() and now == over
 
 
-def ticks(one: Detector, now: datetime) -> list[Send]:
+def ticks(one: FailureDetector, now: datetime) -> list[OutboundMessage]:
     """Until it says something."""
     for _ in range(50):
         now = max(now, one.next_due())
@@ -113,17 +135,17 @@
 
 def test_who_hears_that_it_is_suspected_refutes_that_and_comes_back_from_failed_too() -> None:
     one = known(detector(), "b")
-    for number, state in enumerate((State.SUSPECT, State.FAILED)):
+    for number, state in enumerate((MemberState.SUSPECT, MemberState.FAILED)):
         [ack] = one.receive(NOW, record("b"), Ping(1, "a", (record("a", state, number=number),)))
-        assert one.me.incarnation == number + 1 and one.doubt == number + 1
+        assert one.local.incarnation == number + 1 and one.local_health == number + 1
         assert isinstance(ack.message, Ack)
     other = known(detector("b"), "a")
-    other.receive(NOW, record("c"), Ack(0, (record("a", State.FAILED),)))
+    other.receive(NOW, record("c"), Ack(0, (record("a", MemberState.FAILED),)))
     assert "a" not in other.alive()
     # The node that is taken for failed is told so, as only itself can put that right.
     [said] = other.receive(NOW, record("a"), Ack(3))
-    assert isinstance(said.message, Ping) and said.message.records[0].state is State.FAILED
-    other.receive(NOW, one.me, Ack(0))
+    assert isinstance(said.message, Ping) and said.message.records[0].state is MemberState.FAILED
+    other.receive(NOW, one.local, Ack(0))
     assert "a" in other.alive()
 
 
@@ -131,45 +153,47 @@
     one = known(detector(), "b")
     one.receive(NOW, record("b", boot="b2", born=9), Ack(0))
     one.receive(NOW, record("c"), Ack(0, (record("b", number=7),)))  # a late word of its first life
-    assert one.members["b"].record.boot == "b2"
+    assert one.members["b"].record.process_id == "b2"
     # Started again with a clock that is behind: it hears of its own earlier life, and goes beyond.
     young = detector("b")
-    young.me = replace(young.me, boot="b3", born=1)
-    [told] = one.receive(NOW, young.me, Ack(0))
-    young.receive(NOW, one.me, told.message)
-    assert young.me.born == 10
-    one.receive(NOW, young.me, Ack(0))
-    assert one.members["b"].record.boot == "b3"
+    young.local = replace(young.local, process_id="b3", generation=1)
+    [told] = one.receive(NOW, young.local, Ack(0))
+    young.receive(NOW, one.local, told.message)
+    assert young.local.generation == 10
+    one.receive(NOW, young.local, Ack(0))
+    assert one.members["b"].record.process_id == "b3"
 
 
 def test_two_with_one_name_are_told_apart_from_a_restart() -> None:
     one = detector()
     for number in range(6):
-        one.receive(NOW, record("b"), Ack(0, (record("a", boot="other", born=one.me.born + number),)))
-    assert one.twin and one.changes[-1].what == "another process has this name"
+        one.receive(
+            NOW, record("b"), Ack(0, (record("a", boot="other", born=one.local.generation + number),))
+        )
+    assert one.name_conflict and one.events[-1].event == "another process has this name"
 
 
 def test_a_node_that_wakes_late_doubts_itself_first() -> None:
     for doubts in (True, False):
-        one = known(detector(doubts=doubts), "b", "c", "d")
-        one.receive(NOW, record("c"), Ack(0, (replace(record("b", State.SUSPECT), by="c"),)))
+        one = known(detector(local_health_enabled=doubts), "b", "c", "d")
+        one.receive(NOW, record("c"), Ack(0, (replace(record("b", MemberState.SUSPECT), reported_by="c"),)))
         late = one.next_due() + 9 * SECOND
         one.tick(late)
-        assert one.doubt == int(doubts) and one.counts["late"] == 1
+        assert one.local_health == int(doubts) and one.counts["late"] == 1
         one.next_due()
         one.tick(late + SECOND)
-        failed = one.members["b"].record.state is State.FAILED
+        failed = one.members["b"].record.state is MemberState.FAILED
         assert failed is not doubts  # a refutation may wait in its socket
 
 
 def test_names_that_are_gone_are_forgotten_and_memory_stays_bounded() -> None:
-    one = detector(keep=SECOND, exchange=SECOND)
+    one = detector(reclaim_after=SECOND, exchange_interval=SECOND)
     for number in range(2_500):
         one.receive(NOW, record("x"), Ack(0, (record(f"n{number}"),)))
     assert len(one.members) == 2_000 and one.counts["crowded"] > 400
     for number in range(2_000):
-        one.receive(NOW, record("x"), Ack(0, (record(f"n{number}", State.FAILED),)))
-    one.receive(NOW, record("x"), Ack(0, (record("never-heard", State.FAILED),)))
+        one.receive(NOW, record("x"), Ack(0, (record(f"n{number}", MemberState.FAILED),)))
+    one.receive(NOW, record("x"), Ack(0, (record("never-heard", MemberState.FAILED),)))
     assert "never-heard" not in one.members
     now = NOW
     for _ in range(40):
@@ -182,16 +206,16 @@
     one = detector()
     for number in range(450):
         one.receive(NOW, record("x"), Ack(0, (record(f"n{number}"),)))
-    pages = one.receive(NOW, record("b"), Exchange(True, (record("b"),)))
-    assert len(pages) == 5 and all(page.line for page in pages)
+    pages = one.receive(NOW, record("b"), StateExchange(True, (record("b"),)))
+    assert len(pages) == 5 and all(page.over_stream for page in pages)
     other = detector("z")
     for page in pages:
-        assert isinstance(page.message, Exchange) and not page.message.answer
-        other.receive(NOW, one.me, page.message)
+        assert isinstance(page.message, StateExchange) and not page.message.answer
+        other.receive(NOW, one.local, page.message)
     assert other.alive() >= one.alive()
 
 
-states = st.sampled_from(list(State))
+states = st.sampled_from(list(MemberState))
 words = st.builds(
     record,
     st.sampled_from("bcd"),
@@ -203,7 +227,9 @@
 
 
 @given(st.lists(words, max_size=25), st.randoms())
-def test_whatever_comes_in_whatever_order_all_end_with_the_same(said: list[Record], chance: Any) -> None:
+def test_whatever_comes_in_whatever_order_all_end_with_the_same(
+    said: list[MemberRecord], chance: Any
+) -> None:
     """Records count by their order alone; and what is known of a name only goes up."""
     first, second = detector(), detector()
     shuffled = list(said)
@@ -212,11 +238,11 @@
         for node in "bcd":
             one.receive(NOW, record(node, born=0, boot=""), Ack(0))
         for row in rows:
-            before = one.members[row.node].record.order
+            before = one.members[row.node].record.precedence
             one.receive(NOW, record("e"), Ack(0, (row,)))
-            assert one.members[row.node].record.order >= before
-    assert {k: v.record.order for k, v in first.members.items()} == {
-        k: v.record.order for k, v in second.members.items()
+            assert one.members[row.node].record.precedence >= before
+    assert {k: v.record.precedence for k, v in first.members.items()} == {
+        k: v.record.precedence for k, v in second.members.items()
     }
 
 
@@ -299,23 +325,23 @@
 # Datagrams.
 
 
-def wired(node: str, number: int = 0) -> Record:
+def wired(node: str, number: int = 0) -> MemberRecord:
     return replace(record(node, number=number), address="10.1.2.3:7001")
 
 
 def test_datagrams_come_back_as_they_were_and_fit_into_one_packet() -> None:
     rows = tuple(wired(f"node-{number}", number) for number in range(60))
-    for message in (Ping(1, "b", rows), Ack(2, rows), PingFor(3, "b", "127.0.0.1:1", rows), Nack(4)):
+    for message in (Ping(1, "b", rows), Ack(2, rows), PingRequest(3, "b", "127.0.0.1:1", rows), Nack(4)):
         body = wire.write_datagram("f", wired("a"), message)
-        frame = wire.datagrams(b"k" * 32).write(body)
-        assert len(frame) <= wire.MOST_DATAGRAM
+        frame = wire.datagram_framing(b"k" * 32).write(body)
+        assert len(frame) <= wire.MAX_DATAGRAM_BYTES
         fleet, sender, read = wire.read_datagram(body)
         assert (fleet, sender) == ("f", wired("a")) and type(read) is type(message)
         assert read.records == message.records[: len(read.records)] and (
             len(read.records) > 5 or not message.records
         )
-    exchanged = wire.Exchanged((wired("a"),), True, rows)
-    told = wire.read(wire.write(wire.Envelope("f", "", "a/1", "b", exchanged)))
+    exchanged = wire.ExchangeMessage((wired("a"),), True, rows)
+    told = wire.read_envelope(wire.write_envelope(wire.Envelope("f", "", "a/1", "b", exchanged)))
     assert told.message == exchanged
     assert read_records(json.loads(json.dumps(write_records(rows)))) == rows
 
@@ -352,7 +378,7 @@
                 raise OSError(98, "Address already in use")
 
     members: Any = Taken()
-    fleet = object.__new__(Fleet)
+    fleet = object.__new__(ClusterNode)
     fleet._closed, fleet.config = False, SimpleNamespace(listen=("127.0.0.1", 1))  # type: ignore[assignment]
     asyncio.run(fleet._open_datagrams(members))
     assert members.tries == 3
@@ -365,10 +391,10 @@
     """A leader that looks every 100 ms at what the nodes say."""
 
     def __init__(self, *nodes: str, **settings: Any) -> None:
-        self.agreed = Agreed()
-        self.keeping = Keeping(KeepingSettings(**settings))
+        self.agreed = Roster()
+        self.keeping = RosterController(RosterSettings(**settings))
         self.now = NOW
-        self.keeping.lead(self.now)
+        self.keeping.become_leader(self.now)
         for node in nodes:
             self.agreed.apply({"do": "admit", "node": node})
         self.done: list[str] = []
@@ -378,8 +404,8 @@
         self.done = []
         for _ in range(int(seconds * 10)):
             self.now += 100 * MILLISECOND
-            words = {f"{one}/1": Word(one, self.now, frozenset(failed)) for one in heard}
-            for command in self.keeping.look(self.now, self.agreed, words, frozenset(holds), 2 * SECOND):
+            words = {f"{one}/1": FailureReport(one, self.now, frozenset(failed)) for one in heard}
+            for command in self.keeping.reconcile(self.now, self.agreed, words, frozenset(holds), 2 * SECOND):
                 self.agreed.apply(command)
                 self.done.append(f"{command['do']} {command['node']}")
         return self.done
@@ -437,23 +463,23 @@
 def test_many_that_seem_to_fail_at_once_are_not_believed_until_operators_say_so() -> None:
     group = Group(*"abcdefghij")
     group.go(3, "abcdefghij")
-    assert not group.go(30, "abcdef", "ghij") and group.keeping.guarded == list("ghij")
+    assert not group.go(30, "abcdef", "ghij") and group.keeping.withheld_removals == list("ghij")
     group.agreed.apply({"do": "believe", "nodes": ["g", "h"]})
     assert group.go(1, "abcdef", "ghij") == ["remove g", "remove h"]
-    assert not group.agreed.believed and group.agreed.members() >= frozenset("ij")
+    assert not group.agreed.confirmed_failures and group.agreed.members() >= frozenset("ij")
 
 
 def test_one_node_alone_sees_nothing_that_is_enough_and_operators_have_the_last_word() -> None:
     group = Group(*"abcd")
     group.go(3, "abcd")
     # Only the leader's own node hears d as failed.
-    words = {f"{one}/1": Word(one, group.now, frozenset("d" if one == "a" else "")) for one in "abc"}
-    assert not group.keeping.look(group.now, group.agreed, words, frozenset(), 2 * SECOND)
+    words = {f"{one}/1": FailureReport(one, group.now, frozenset("d" if one == "a" else "")) for one in "abc"}
+    assert not group.keeping.reconcile(group.now, group.agreed, words, frozenset(), 2 * SECOND)
     assert "removed" in group.agreed.apply({"do": "remove", "node": "d", "why": "x", "held_off": True})
     assert not group.go(20, "abcd") and "refused" in group.agreed.apply({"do": "admit", "node": "d"})
     group.agreed.apply({"do": "readmit", "node": "d"})
     assert group.go(10, "abcd") == ["admit d"]
-    again = Agreed()
+    again = Roster()
     again.restore(json.loads(json.dumps(group.agreed.snapshot())))
     assert again.snapshot() == group.agreed.snapshot()
     assert "refused" in again.apply({"do": "remove", "node": "z", "why": ""})
@@ -462,25 +488,25 @@
 # Parts of allowances.
 
 
-def service(*nodes: str) -> tuple[LeaseTable, Shares]:
+def service(*nodes: str) -> tuple[LeaseTable, QuotaTable]:
     table = LeaseTable()
     for node in nodes:
         table.apply({"do": "grant", "name": f"rules/{node}", "holder": node, "most": 0})
-    shares = Shares(table)
+    shares = QuotaTable(table)
     shares.apply({"do": "tenants", "names": ["t"]})
     return table, shares
 
 
 orders = st.tuples(
     st.sampled_from(["grow", "shrink", "gave", "gone"]), st.sampled_from(["a/1", "b/1", "c/1", "d/1"]),
-    st.integers(0, WHOLE + 1),
+    st.integers(0, FULL_QUOTA + 1),
 )  # fmt: skip
 
 
 @given(st.lists(orders, max_size=40))
 def test_parts_never_sum_to_more_than_the_whole_whatever_is_asked(rows: list[tuple[str, str, int]]) -> None:
     table, shares = service("a/1", "b/1", "c/1")
-    using = {one: Using() for one in ("a/1", "b/1", "c/1", "d/1")}
+    using = {one: QuotaLease() for one in ("a/1", "b/1", "c/1", "d/1")}
     for what, holder, to in rows:
         if what == "gone" and f"rules/{holder}" in table.leases:
             table.apply(
@@ -489,11 +515,11 @@
         elif what != "gone":
             shares.apply({"do": what, "tenant": "t", "holder": holder, "to": to})
         for one in using:
-            using[one].told(shares.of(one))
-        assert sum(part.now for part in shares.tenants["t"].values()) <= WHOLE
+            using[one].update(shares.shares_of(one))
+        assert sum(part.granted for part in shares.tenants["t"].values()) <= FULL_QUOTA
         live = [one for one in using if f"rules/{one}" in table.leases]
-        assert sum(using[one].parts.get("t", 0) for one in live) <= WHOLE
-    again = Shares(table)
+        assert sum(using[one].shares.get("t", 0) for one in live) <= FULL_QUOTA
+    again = QuotaTable(table)
     again.restore(json.loads(json.dumps(shares.snapshot())))
     assert again.snapshot() == shares.snapshot()
 
@@ -501,61 +527,63 @@
 @given(st.lists(st.floats(0, 300), min_size=1, max_size=12))
 def test_who_asks_for_less_than_there_is_gets_it_and_the_rest_is_shared(demands: list[float]) -> None:
     live = [f"n{number}" for number in range(len(demands))]
-    found = wanted(live, dict(zip(live, demands, strict=True)), 100.0)
-    assert sum(found.values()) <= WHOLE and sum(found.values()) >= WHOLE - len(live) ** 2 - len(live)
-    fair = 0.9 * WHOLE / len(live)
+    found = target_shares(live, dict(zip(live, demands, strict=True)), 100.0)
+    assert sum(found.values()) <= FULL_QUOTA and sum(found.values()) >= FULL_QUOTA - len(live) ** 2 - len(
+        live
+    )
+    fair = 0.9 * FULL_QUOTA / len(live)
     for one, demand in zip(live, demands, strict=True):
-        assert found[one] / WHOLE * 100 >= min(demand, fair / WHOLE * 100) * 0.99
+        assert found[one] / FULL_QUOTA * 100 >= min(demand, fair / FULL_QUOTA * 100) * 0.99
 
 
 @pytest.mark.parametrize("nodes", [2, 5, 40])
 def test_parts_move_to_where_the_demand_is_and_back_within_a_few_looks(nodes: int) -> None:
     names = [f"n{number}/1" for number in range(nodes)]
     _, shares = service(*names)
-    balance, now = Balance(), NOW
-    using = {one: Using() for one in names}
+    balance, now = QuotaBalancer(), NOW
+    using = {one: QuotaLease() for one in names}
     for hungry in (names[0], names[-1]):
         looks = messages = 0
-        while using[hungry].part("t") < 0.95:
-            now += EVERY
+        while using[hungry].share_of("t") < 0.95:
+            now += BALANCE_INTERVAL
             looks += 1
             assert looks < 12 + nodes
-            for command in balance.look(now, shares, {"t": 100.0}, {hungry: {"t": 100.0}}):
+            for command in balance.rebalance(now, shares, {"t": 100.0}, {hungry: {"t": 100.0}}):
                 shares.apply(command)
                 messages += 1
             for one in names:
-                for tenant, to in using[one].told(shares.of(one)):
+                for tenant, to in using[one].update(shares.shares_of(one)):
                     shares.apply({"do": "gave", "tenant": tenant, "holder": one, "to": to})
         assert messages <= 4 * nodes + 8
-    assert not balance.look(now + EVERY / 2, shares, {"t": 100.0}, {})  # not so soon again
-    assert balance.look(now + EVERY, shares, {"u": 1.0}, {})[0]["do"] == "tenants"
+    assert not balance.rebalance(now + BALANCE_INTERVAL / 2, shares, {"t": 100.0}, {})  # not so soon again
+    assert balance.rebalance(now + BALANCE_INTERVAL, shares, {"u": 1.0}, {})[0]["do"] == "tenants"
 
 
 def test_more_tenants_than_an_answer_can_tell_of_are_turned_down() -> None:
     row = {"share": 0.001, "allowance_per_s": 2.0}
-    assert not unsharable({f"t{number}": row for number in range(200)})
-    assert not unsharable({f"t{number}": {"share": 0.001} for number in range(500)})
-    assert "201 are named" in unsharable({f"t{number}": row for number in range(201)})
-    assert "64 characters" in unsharable({"t" * 65: row})
+    assert not quota_limit_violation({f"t{number}": row for number in range(200)})
+    assert not quota_limit_violation({f"t{number}": {"share": 0.001} for number in range(500)})
+    assert "201 are named" in quota_limit_violation({f"t{number}": row for number in range(201)})
+    assert "64 characters" in quota_limit_violation({"t" * 65: row})
 
 
 def test_demand_follows_what_comes_and_forgets_who_is_gone() -> None:
-    demand, now, count = Demand(), NOW, 0
+    demand, now, count = DemandEstimator(), NOW, 0
     for _ in range(20):
         now += 500 * MILLISECOND
         count += 20
-        told = dict(demand.look(now, {"t": count}))
+        told = dict(demand.estimate(now, {"t": count}))
     assert 38_000 < told["t"] <= 40_000
-    assert demand.look(now, {"t": count}) == tuple(told.items())  # no time passed
+    assert demand.estimate(now, {"t": count}) == tuple(told.items())  # no time passed
     for _ in range(20):
         now += 500 * MILLISECOND
-        told = dict(demand.look(now, {"t": count}))
-    assert told["t"] < 1_000 and not demand.look(now, {})
+        told = dict(demand.estimate(now, {"t": count}))
+    assert told["t"] < 1_000 and not demand.estimate(now, {})
 
 
 def test_a_dead_process_s_part_comes_back_only_with_its_lease() -> None:
     table, shares = service("a/1", "b/1")
-    shares.apply({"do": "grow", "tenant": "t", "holder": "a/1", "to": WHOLE})
+    shares.apply({"do": "grow", "tenant": "t", "holder": "a/1", "to": FULL_QUOTA})
     assert "refused" in shares.apply({"do": "grow", "tenant": "t", "holder": "b/1", "to": 10})
     shares.apply({"do": "shrink", "tenant": "t", "holder": "a/1", "to": 10})
     assert "refused" in shares.apply(
@@ -563,8 +591,8 @@
     )  # it did not say so
     table.apply({"do": "expire", "name": "rules/a/1", "token": table.leases["rules/a/1"].token})
     # The leader sees that at once, though nothing about parts was in the log since then.
-    [grow] = Balance().look(NOW, shares, {"t": 100.0}, {"b/1": {"t": 100.0}})
-    assert grow["holder"] == "b/1" and grow["to"] >= 0.95 * WHOLE and "part" in shares.apply(grow)
+    [grow] = QuotaBalancer().rebalance(NOW, shares, {"t": 100.0}, {"b/1": {"t": 100.0}})
+    assert grow["holder"] == "b/1" and grow["to"] >= 0.95 * FULL_QUOTA and "part" in shares.apply(grow)
 
 
 def test_processes_share_an_allowance_by_demand(tmp_path: Path) -> None:
@@ -597,10 +625,10 @@
                             told = await node.call("/v1/fleet/rules")
                             rows[one] = told["parts"].get("riad", 0) if told["lease_ms"] else 0
                     seen.append(rows)
-                    if rows.get(name, 0) >= part * WHOLE:
+                    if rows.get(name, 0) >= part * FULL_QUOTA:
                         break
                     await asyncio.gather(*(ask(name) for _ in range(3)), asyncio.sleep(0.05))
-                return seen[-1].get(name, 0) / WHOLE
+                return seen[-1].get(name, 0) / FULL_QUOTA
 
             first = await until("n4", 0.9)
             rig.nodes["n4"].signal(signal.SIGKILL)
@@ -611,69 +639,73 @@
     free.close()
     assert first >= 0.9 and second >= 0.9
     # Polled one after another, so a part that moves may be seen twice: the virtual network looks at one moment.
-    assert sum(sum(rows.values()) > 1.02 * WHOLE for rows in seen) <= len(seen) / 4
+    assert sum(sum(rows.values()) > 1.02 * FULL_QUOTA for rows in seen) <= len(seen) / 4
 
 
 # Situations.
 
-WELL = Sight(True, frozenset("abc"), frozenset("abcd"), frozenset(), frozenset("abcd"), True, True)
+WELL = PartitionObservation(
+    True, frozenset("abc"), frozenset("abcd"), frozenset(), frozenset("abcd"), True, True
+)
 SIGHTS = {
-    Situation.ALL_WELL: WELL,
-    Situation.SOME_SUSPECT: replace(WELL, suspected=frozenset("d")),
-    Situation.MAJORITY: replace(WELL, alive=frozenset("abc")),
-    Situation.MINORITY: replace(WELL, answered=False, alive=frozenset("ad")),
-    Situation.GROUP_LOST: replace(WELL, answered=False),
-    Situation.MUTE: replace(WELL, answered=False, is_heard=False),
-    Situation.ALONE: replace(WELL, answered=False, hears=False, is_heard=False),
+    PartitionState.HEALTHY: WELL,
+    PartitionState.SUSPICION: replace(WELL, suspected=frozenset("d")),
+    PartitionState.MAJORITY: replace(WELL, alive=frozenset("abc")),
+    PartitionState.MINORITY: replace(WELL, quorum_responds=False, alive=frozenset("ad")),
+    PartitionState.QUORUM_LOST: replace(WELL, quorum_responds=False),
+    PartitionState.UNHEARD: replace(WELL, quorum_responds=False, is_acknowledged=False),
+    PartitionState.ISOLATED: replace(WELL, quorum_responds=False, receives=False, is_acknowledged=False),
 }
 
 
 @pytest.mark.parametrize("situation", SIGHTS)
-def test_each_situation_is_told_by_what_is_seen_and_left_by_way_of_coming_back(situation: Situation) -> None:
-    assert judge(SIGHTS[situation]) is situation
-    standing, now = Standing(NOW), NOW
+def test_each_situation_is_told_by_what_is_seen_and_left_by_way_of_coming_back(
+    situation: PartitionState,
+) -> None:
+    assert classify(SIGHTS[situation]) is situation
+    standing, now = PartitionTracker(NOW), NOW
     seen = []
 
-    def go(sight: Sight, seconds: float) -> None:
+    def go(sight: PartitionObservation, seconds: float) -> None:
         nonlocal now
         for _ in range(int(seconds * 20)):
             now += 50 * MILLISECOND
-            if standing.look(now, sight):
-                seen.append(standing.situation)
+            if standing.observe(now, sight):
+                seen.append(standing.state)
 
     go(WELL, 3)
-    assert standing.situation is Situation.ALL_WELL and seen == [Situation.ALL_WELL]
+    assert standing.state is PartitionState.HEALTHY and seen == [PartitionState.HEALTHY]
     go(SIGHTS[situation], 1)
-    assert standing.situation is situation
+    assert standing.state is situation
     go(WELL, 5)
-    bad = situation not in GOOD
-    assert standing.situation is Situation.ALL_WELL and (Situation.COMING_BACK in seen) is bad
+    bad = situation not in CONNECTED_STATES
+    assert standing.state is PartitionState.HEALTHY and (PartitionState.RECOVERING in seen) is bad
     go(SIGHTS[situation], 0.2)  # too short to count
-    assert standing.situation is Situation.ALL_WELL
+    assert standing.state is PartitionState.HEALTHY
 
 
 @given(st.lists(st.tuples(st.sampled_from(sorted(SIGHTS, key=str)), st.integers(1, 60)), max_size=30))
 def test_no_task_is_begun_where_the_group_does_not_answer_and_turns_are_not_too_many(
-    rows: list[tuple[Situation, int]],
+    rows: list[tuple[PartitionState, int]],
 ) -> None:
-    standing, now, turns, cut_off = Standing(NOW), NOW, 0, 0
+    standing, now, turns, cut_off = PartitionTracker(NOW), NOW, 0, 0
     for situation, steps in rows:
         for _ in range(steps):
             now += 100 * MILLISECOND
-            turns += standing.look(now, SIGHTS[situation])
-            cut_off = 0 if SIGHTS[situation].answered else cut_off + 1
+            turns += standing.observe(now, SIGHTS[situation])
+            cut_off = 0 if SIGHTS[situation].quorum_responds else cut_off + 1
             if cut_off > 4:
-                assert not standing.conduct.begins_tasks and not standing.conduct.wants_leases
-            assert standing.conduct is CONDUCT[standing.situation]
+                assert not standing.capabilities.begins_tasks and not standing.capabilities.wants_leases
+            assert standing.capabilities is CAPABILITIES[standing.state]
     assert turns <= 1 + sum(steps for _, steps in rows) / 3 + len(rows)
 
 
 def test_a_bad_situation_that_lasts_is_overdue() -> None:
-    standing, now = Standing(NOW), NOW
+    standing, now = PartitionTracker(NOW), NOW
     for _ in range(400):
         now += 100 * MILLISECOND
-        standing.look(now, SIGHTS[Situation.GROUP_LOST])
-    assert standing.overdue and standing.situation is Situation.GROUP_LOST
+        standing.observe(now, SIGHTS[PartitionState.QUORUM_LOST])
+    assert standing.overdue and standing.state is PartitionState.QUORUM_LOST
 
 
 # The checkers of the drill.
@@ -683,7 +715,7 @@
     lines = {
         Line(10, "n1", "remove n2"),
         Line(10, "n1", "remove n3"),
-        Line(5, "n4", f"situation is {Situation.ALONE.value}"),
+        Line(5, "n4", f"situation is {PartitionState.ISOLATED.value}"),
     }
     assert wrongly_removed(lines, {"n2": [(5, 20)], "n3": [(11, 20)]}) == ["n3 at 10 by n1"]
     late = Act("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
@@ -787,7 +819,7 @@
     told = {"name": "f", "voters": ["n1"], "nodes": {"n1": "127.0.0.1:1"}, "key_file": str(tmp_path / "key")}
     told |= {"store": str(tmp_path), "members": {"zone": "north"}}
     fleet = check(raw_config(settings=SETTINGS), {"fleet": told}).fleet
-    assert fleet is not None and fleet.members is not None and fleet.members.seeds == ("n1",)
+    assert fleet is not None and fleet.membership is not None and fleet.membership.seeds == ("n1",)
     with pytest.raises(ConfigError, match=message):
         check(raw_config(settings=SETTINGS), {"fleet": {**told, "members": changes}})
 
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -31,11 +31,26 @@
 from marlstep.drill.virtual_rules import run_rules
 from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse
 from marlstep.leases.table import LeaseTable
-from marlstep.replicated_config.documents import CutOff, Kind, Named, differences, digest_of, shrinks
-from marlstep.replicated_config.follower import Ack, Act, Check, Follower, Found, State, Stop
-from marlstep.replicated_config.messages import Fetch, Piece
-from marlstep.replicated_config.rollout import Heard, StageWatch
-from marlstep.replicated_config.store import KEPT_VERSIONS, Book
+from marlstep.replicated_config.documents import (
+    DisconnectPolicy,
+    DocumentDefinition,
+    Kind,
+    content_digest,
+    differences,
+    shrinks_too_much,
+)
+from marlstep.replicated_config.follower import (
+    AcknowledgeVersion,
+    ActivateVersion,
+    CheckVersion,
+    ConfigFollower,
+    FollowerState,
+    LoseDocument,
+    ProposeFirstVersion,
+)
+from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
+from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
+from marlstep.replicated_config.store import MAX_VERSIONS_KEPT, ConfigStore
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 from tests.support.node import SETTINGS, Desk, raw_config
 
@@ -52,7 +67,7 @@
 
     def __init__(self, *nodes: str) -> None:
         self.table = LeaseTable()
-        self.book = Book(self.table)
+        self.book = ConfigStore(self.table)
         self.uploads = 0
         for node in nodes:
             self.join(node)
@@ -72,25 +87,25 @@
             assert "taken" in self.book.apply(told)
         put = {"do": "put", "doc": "d", "kind": kind, "strict": False, "upload": upload, "expect": expect}
         return self.book.apply(
-            {**put, "digest": digest_of(content), "author": "me", "note": "", "at": "", **how}
+            {**put, "digest": content_digest(content), "author": "me", "note": "", "at": "", **how}
         )
 
     def ack(self, holder: str, why: str = "") -> dict[str, Any]:
-        pending = self.book.documents["d"].pending
+        pending = self.book.documents["d"].prepared
         version = pending.version if pending is not None else None
         told: dict[str, Any] = {"do": "ack", "doc": "d", "holder": holder, "why": why}
-        told |= {"version": version.version if version else 0, "digest": version.digest if version else ""}
+        told |= {"version": version.number if version else 0, "digest": version.digest if version else ""}
         return self.book.apply(told)
 
     def commit(self) -> list[dict[str, Any]]:
         return [
             self.book.apply({"do": "commit", "doc": name, "version": version})
-            for name, version in self.book.ready()
+            for name, version in self.book.ready_to_commit()
         ]
 
     @property
     def in_force(self) -> int:
-        return self.book.documents["d"].number
+        return self.book.documents["d"].active_number
 
 
 def test_a_change_waits_for_everyone_who_acts_and_for_who_comes_meanwhile() -> None:
@@ -111,9 +126,9 @@
     log.gone("a/1")
     log.join("a/2")
     assert not log.commit()
-    told = {"do": "ack", "doc": "d", "holder": "a/2", "version": 1, "digest": digest_of("[2]")}
+    told = {"do": "ack", "doc": "d", "holder": "a/2", "version": 1, "digest": content_digest("[2]")}
     assert "another" in log.book.apply(told)["refused"]
-    assert "no lease" in log.book.apply({**told, "holder": "a/1", "digest": digest_of("[1]")})["refused"]
+    assert "no lease" in log.book.apply({**told, "holder": "a/1", "digest": content_digest("[1]")})["refused"]
 
 
 def test_two_who_change_at_once_one_is_told_what_is_in_force() -> None:
@@ -126,7 +141,7 @@
     assert log.put("[2]", 1)["prepares"] == 2
     assert "withdrawn" in log.book.apply({"do": "withdraw", "doc": "d", "version": 2, "why": "x"})
     assert log.put("[3]", 1)["prepares"] == 3  # a number is never given again
-    assert log.book.documents["d"].turned_down[0]["version"] == 2
+    assert log.book.documents["d"].rejected_versions[0]["version"] == 2
 
 
 def test_one_that_cant_take_it_turns_it_down_or_is_held_out() -> None:
@@ -134,12 +149,12 @@
     log.put("[1]", 0)
     log.ack("a/1")
     log.ack("b/1", why="too little memory")
-    assert log.book.documents["d"].pending is None and not log.in_force
-    assert "too little memory" in log.book.documents["d"].turned_down[0]["why"]
+    assert log.book.documents["d"].prepared is None and not log.in_force
+    assert "too little memory" in log.book.documents["d"].rejected_versions[0]["why"]
     log.put("[1]", 0, hold_out=True)
     log.ack("a/1")
     log.ack("b/1", why="too little memory")
-    assert log.commit() == [{"in_force": 2}] and log.book.documents["d"].held_out == {
+    assert log.commit() == [{"in_force": 2}] and log.book.documents["d"].excluded == {
         "b/1": "too little memory"
     }
 
@@ -148,7 +163,7 @@
     log = Log()
     log.book.apply({"do": "part", "upload": "u", "offset": 0, "data": '{"p":'})
     put = {"do": "put", "doc": "d", "kind": "settings", "strict": False, "upload": "u", "expect": 0}
-    put |= {"digest": digest_of('{"p":["a"]}'), "author": "", "note": "", "at": ""}
+    put |= {"digest": content_digest('{"p":["a"]}'), "author": "", "note": "", "at": ""}
     assert "did not come whole" in log.book.apply(put)["refused"]  # its second piece was overtaken
     log.book.apply({"do": "part", "upload": "u", "offset": 5, "data": '["a"]}'})
     assert "prepares" in log.book.apply(put)
@@ -161,7 +176,7 @@
     assert "would be empty" in log.put('{"p":[]}', 1, "servers")["refused"]
     assert "would lose 2 of 3" in log.put('{"p":["a"]}', 1, "servers")["refused"]
     assert "prepares" in log.put('{"p":["a","b"]}', 1, "servers")
-    assert not shrinks('{"p":["a"]}', '{"p":["a"],"q":["b"]}')
+    assert not shrinks_too_much('{"p":["a"]}', '{"p":["a"],"q":["b"]}')
     other = Log()
     other.put('{"p":["a","b","c"]}', 0, "servers")
     other.commit()
@@ -173,7 +188,7 @@
     for number in range(10_000):
         log.put(f"[{number}]", number)
         log.commit()
-    assert log.in_force == 10_000 and len(log.book.documents["d"].versions) == KEPT_VERSIONS
+    assert log.in_force == 10_000 and len(log.book.documents["d"].versions) == MAX_VERSIONS_KEPT
     big = json.dumps("x" * 1_000_000)
     for number in range(10_000, 10_010):
         self_upload = {"do": "part", "upload": "big", "offset": 0, "data": big}
@@ -186,118 +201,125 @@
             "upload": "big",
             "expect": number,
         }
-        log.book.apply({**put, "digest": digest_of(big), "author": "", "note": "", "at": ""})
+        log.book.apply({**put, "digest": content_digest(big), "author": "", "note": "", "at": ""})
         log.commit()
     kept = log.book.documents["d"].versions
-    assert len(kept) <= 6 and kept[-1].version == 10_010
+    assert len(kept) <= 6 and kept[-1].number == 10_010
     over = {"do": "part", "upload": "u", "offset": 0, "data": "x" * ((1 << 20) + 1)}
     assert "at the most" in log.book.apply(over)["refused"]
-    again = Book(log.table)
+    again = ConfigStore(log.table)
     again.restore(json.loads(json.dumps(log.book.snapshot())))
     assert again.snapshot() == log.book.snapshot()
 
 
 # The follower.
 
-PLAIN = Named("d", Kind.SETTINGS, False, CutOff.STOP)
-STRICT = Named("d", Kind.TENANTS, True, CutOff.STOP)
+PLAIN = DocumentDefinition("d", Kind.SETTINGS, False, DisconnectPolicy.STOP)
+STRICT = DocumentDefinition("d", Kind.TENANTS, True, DisconnectPolicy.STOP)
 
 
 class Node:
     """A follower whose contents come whole and are good."""
 
-    def __init__(self, named: Named, why: str = "") -> None:
-        self.follower = Follower((named,))
+    def __init__(self, named: DocumentDefinition, why: str = "") -> None:
+        self.follower = ConfigFollower((named,))
         self.contents = {1: "[1]", 2: "[2]", 3: "[3]"}
         self.why = why
         self.done: list[Any] = []
 
     @property
     def one(self) -> Any:
-        return self.follower.standings["d"]
+        return self.follower.documents["d"]
 
     def told(
         self, version: int, pending: int = 0, left: timedelta = SECOND, on: tuple[str, ...] = ()
     ) -> list[Any]:
-        digest = digest_of(self.contents.get(version, ""))
-        then = digest_of(self.contents.get(pending, ""))
-        news = DocumentStatus("d", version, digest, pending, then, self.one.named.strict, on)
+        digest = content_digest(self.contents.get(version, ""))
+        then = content_digest(self.contents.get(pending, ""))
+        news = DocumentStatus("d", version, digest, pending, then, self.one.definition.strict, on)
         self.done = []
-        self._go(self.follower.told(NOW, (news,), left), left)
+        self._go(self.follower.handle_statuses(NOW, (news,), left), left)
         return [type(do).__name__ for do in self.done]
 
     def _go(self, queue: list[Any], left: timedelta) -> None:
         while queue:
             do = queue.pop(0)
             match do:
-                case Fetch():
+                case FetchChunk():
                     content = self.contents[do.version]
                     half = len(content) // 2 + 1
                     data = content[do.offset : do.offset + half]
-                    piece = Piece("d", do.version, do.offset, len(content), data)
-                    queue += self.follower.piece(NOW, piece, left)
-                case Check():
-                    queue += self.follower.checked(NOW, do, self.why if do.version > 1 else "", left)
+                    piece = DocumentChunk("d", do.version, do.offset, len(content), data)
+                    queue += self.follower.handle_chunk(NOW, piece, left)
+                case CheckVersion():
+                    queue += self.follower.handle_check_result(
+                        NOW, do, self.why if do.version > 1 else "", left
+                    )
                 case _:
                     self.done.append(do)
 
 
 def test_a_version_is_acted_on_once_it_is_in_force_and_an_old_one_until_then() -> None:
     node = Node(PLAIN)
-    assert node.told(1) == ["Act"] and node.one.version == 1
-    assert node.told(1, 2) == ["Ack"] and node.one.state is State.ACTING
+    assert node.told(1) == ["ActivateVersion"] and node.one.version == 1
+    assert node.told(1, 2) == ["AcknowledgeVersion"] and node.one.state is FollowerState.ACTING
     assert node.told(1, 2) == []  # said once
-    assert node.told(2) == ["Act"] and node.one.content == "[2]"
+    assert node.told(2) == ["ActivateVersion"] and node.one.content == "[2]"
 
 
 def test_a_strict_document_stops_before_it_is_said_and_goes_on_where_it_is_turned_down() -> None:
     node = Node(STRICT)
     node.told(1)
-    assert node.told(1, 2) == ["Stop", "Ack"] and node.one.state is State.SUSPENDED
-    assert node.told(1, 2) == [] and node.one.state is State.SUSPENDED
-    node.follower.look(NOW, ZERO)
     assert (
-        node.told(1, 2) == [] and node.one.state is State.SUSPENDED
+        node.told(1, 2) == ["LoseDocument", "AcknowledgeVersion"]
+        and node.one.state is FollowerState.SUSPENDED
+    )
+    assert node.told(1, 2) == [] and node.one.state is FollowerState.SUSPENDED
+    node.follower.tick(NOW, ZERO)
+    assert (
+        node.told(1, 2) == [] and node.one.state is FollowerState.SUSPENDED
     )  # also after its lease lapsed meanwhile
-    assert node.told(1) == ["Act"] and node.one.version == 1
+    assert node.told(1) == ["ActivateVersion"] and node.one.version == 1
     node.told(1, 3)
-    assert node.told(3) == ["Act"] and node.one.version == 3
+    assert node.told(3) == ["ActivateVersion"] and node.one.version == 3
 
 
 def test_without_a_lease_nothing_is_acted_on_and_a_restart_asks_first() -> None:
     node = Node(PLAIN)
-    [stop] = node.follower.boot()
-    assert isinstance(stop, Stop)
-    assert node.told(1, left=ZERO) == [] and node.one.state is State.UNKNOWN
+    [stop] = node.follower.start()
+    assert isinstance(stop, LoseDocument)
+    assert node.told(1, left=ZERO) == [] and node.one.state is FollowerState.UNKNOWN
     node.told(1)
-    [stop] = node.follower.look(NOW, ZERO)
-    assert isinstance(stop, Stop) and not node.follower.look(NOW, ZERO)
-    assert node.told(2) == ["Act"]
+    [stop] = node.follower.tick(NOW, ZERO)
+    assert isinstance(stop, LoseDocument) and not node.follower.tick(NOW, ZERO)
+    assert node.told(2) == ["ActivateVersion"]
 
 
 def test_a_node_that_cant_take_a_version_says_why_and_stops_when_it_is_in_force() -> None:
     node = Node(STRICT, why="an older program")
     node.told(1)
-    assert node.told(1, 2) == ["Stop", "Ack"]
-    assert isinstance(node.done[1], Ack) and node.done[1].why == "an older program"
-    assert node.told(2) == ["Stop"] and node.one.state is State.HELD_OUT
-    assert node.told(2, 3) == ["Ack"] and node.one.state is State.HELD_OUT
+    assert node.told(1, 2) == ["LoseDocument", "AcknowledgeVersion"]
+    assert isinstance(node.done[1], AcknowledgeVersion) and node.done[1].rejection == "an older program"
+    assert node.told(2) == ["LoseDocument"] and node.one.state is FollowerState.HELD_OUT
+    assert node.told(2, 3) == ["AcknowledgeVersion"] and node.one.state is FollowerState.HELD_OUT
 
 
 def test_a_document_that_the_group_lacks_is_proposed_from_the_files() -> None:
     node = Node(PLAIN)
-    assert [type(do) for do in node.follower.told(NOW, (), SECOND)] == [Found]
-    assert node.follower.told(NOW, (), SECOND) == []
-    assert [type(do) for do in node.follower.told(NOW + 4 * SECOND, (), SECOND)] == [Found]
+    assert [type(do) for do in node.follower.handle_statuses(NOW, (), SECOND)] == [ProposeFirstVersion]
+    assert node.follower.handle_statuses(NOW, (), SECOND) == []
+    assert [type(do) for do in node.follower.handle_statuses(NOW + 4 * SECOND, (), SECOND)] == [
+        ProposeFirstVersion
+    ]
 
 
 def test_a_fixed_version_follows_nobody_until_it_is_taken_back() -> None:
     node = Node(PLAIN)
     node.told(1)
-    assert node.follower.fix(NOW, "d", "[9]") == [Act("d", -1, "[9]")]
-    assert node.told(2) == [] and node.follower.look(NOW, ZERO) == []
-    assert isinstance(node.follower.unfix("d")[0], Stop)
-    assert node.told(2) == ["Act"]
+    assert node.follower.pin(NOW, "d", "[9]") == [ActivateVersion("d", -1, "[9]")]
+    assert node.told(2) == [] and node.follower.tick(NOW, ZERO) == []
+    assert isinstance(node.follower.unpin("d")[0], LoseDocument)
+    assert node.told(2) == ["ActivateVersion"]
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 3), st.booleans()), max_size=30), st.booleans())
@@ -310,12 +332,12 @@
         version = max(version, told)  # the group's word only goes forward
         node.told(version, pending if pending > version else 0, SECOND if left else ZERO)
         if not left:
-            node.follower.look(NOW, ZERO)
-            assert node.one.state is not State.ACTING
+            node.follower.tick(NOW, ZERO)
+            assert node.one.state is not FollowerState.ACTING
         elif strict and pending > version:
-            assert node.one.state is State.SUSPENDED and node.one.acked == pending
+            assert node.one.state is FollowerState.SUSPENDED and node.one.acked == pending
         else:
-            assert node.one.state is State.ACTING and node.one.version == version
+            assert node.one.state is FollowerState.ACTING and node.one.version == version
 
 
 # In the node.
@@ -374,25 +396,25 @@
     assert not node.documents.check("tenants", tenants(5.0)) and node.documents.check("tenants", "[]")
     for number in range(12):
         node.submit(number, tenant="riad")
-    node.documents.act("tenants", 2, tenants(5.0))
+    node.documents.activate("tenants", 2, tenants(5.0))
     for number in range(12, 24):
         node.submit(number, tenant="riad")
     assert node.core.tenants["riad"].allowance_per_s == 5.0 and node.core.rules == "tenants=2"
-    node.documents.act("tenants", 3, tenants(20.0))
-    node.documents.narrow()  # cut off: the least that it knows of
+    node.documents.activate("tenants", 3, tenants(20.0))
+    node.documents.restrict()  # cut off: the least that it knows of
     assert node.core.tenants["riad"].allowance_per_s == 5.0
     for number in range(24):
         node.end(number)
     node.clock.advance(60_000)
     assert all(len(node.answers[number]) == 1 for number in range(24)) and not node.core.in_hand
-    read, refused, failed = node.documents.figures()
+    read, refused, failed = node.documents.request_counts()
     done = sum(node.verdicts(number) == [Verdict.DONE] for number in range(24))
     assert read == 24 and refused + failed == read - done
     # The module takes an allowance for that of all peers: a part of the whole service's is so much for this node.
-    node.documents.act("tenants", 4, tenants(8.0))
-    node.documents.share("riad", 0.25)
+    node.documents.activate("tenants", 4, tenants(8.0))
+    node.documents.set_quota_share("riad", 0.25)
     assert node.core.tenants["riad"].allowance_per_s == 2.0 * node.core.settings.peers
-    assert node.documents.asked() == {"riad": 24}
+    assert node.documents.tenant_counts() == {"riad": 24}
 
 
 def test_a_class_goes_by_a_document_while_its_requests_are_in_hand_and_the_node_is_quiesced() -> None:
@@ -405,7 +427,7 @@
     swapped["classes"][2].update(name="boiler-cmd", aimUs=400_000, hardLimitUs=2_000_000.0, worth=5.0)
     assert not node.documents.check("settings", json.dumps(swapped))
     node.core.duty.quiesce()
-    node.documents.act("settings", 2, json.dumps(swapped))
+    node.documents.activate("settings", 2, json.dumps(swapped))
     assert not node.core.healthy and node.core.rules == "settings=2"
     assert node.core.in_hand > 50  # taken under the version before, and still its own
     node.core.duty.resume()
@@ -456,7 +478,7 @@
     told = {"name": "f", "voters": ["n1"], "nodes": {"n1": "127.0.0.1:1"}, "key_file": str(tmp_path / "key")}
     told |= {"store": str(tmp_path), "rules": rules}
     fleet = check(raw_config(settings=SETTINGS), {"fleet": told}).fleet
-    assert fleet is not None and fleet.rules is not None
+    assert fleet is not None and fleet.replicated_config is not None
     with pytest.raises(ConfigError, match=message):
         check(raw_config(settings=SETTINGS), {"fleet": {**told, "rules": {**rules, **changes}}})
 
@@ -561,7 +583,7 @@
     how: dict[str, Any] = {"for_ms": 1000, "worse": 0.02, "least": 10}
     assert "first version" in log.put("[1]", 0, stage={**how, "nodes": ["a"]})["refused"]
     log.put("[1]", 0)
-    for one in log.book.live():
+    for one in log.book.live_processes():
         log.ack(one)
     log.commit()
     assert (
@@ -570,24 +592,25 @@
     assert "x does not act" in log.put("[2]", 1, stage={**how, "nodes": ["a", "x"]})["refused"]
     assert "on all nodes" in log.put("[2]", 1, stage={**how, "nodes": list("abcd")})["refused"]
     assert len(log.put("[2]", 1, stage={**how, "share": 0.5})["first_on"]) == 2
-    assert log.book.documents["d"].pending is not None
+    assert log.book.documents["d"].prepared is not None
     log.book.apply({"do": "withdraw", "doc": "d", "version": 2, "why": "x"})
     assert log.put("[3]", 1, stage={**how, "nodes": ["b"]})["first_on"] == ["b"]
-    assert not log.book.news()[0].rollout_nodes  # not before all have said that they can take it
-    for one in log.book.live():
+    assert not log.book.statuses()[0].rollout_nodes  # not before all have said that they can take it
+    for one in log.book.live_processes():
         log.ack(one)
     assert log.commit() == [{"staged": 3, "first_on": ["b"]}] and not log.commit()
-    assert log.book.news()[0].rollout_nodes == ("b",) and log.in_force == 1
-    again = Book(log.table)
+    assert log.book.statuses()[0].rollout_nodes == ("b",) and log.in_force == 1
+    again = ConfigStore(log.table)
     again.restore(json.loads(json.dumps(log.book.snapshot())))
-    assert again.snapshot() == log.book.snapshot() and again.news() == log.book.news()
+    assert again.snapshot() == log.book.snapshot() and again.statuses() == log.book.statuses()
     whole = {"do": "commit", "doc": "d", "version": 3}
     assert "staged" in log.book.apply(whole)["refused"]
     log.join("e/1")  # one that comes meanwhile has to say so as well
     assert log.book.apply({**whole, "whole": True}) == {"waits_for": ["e/1"]}
     log.ack("e/1")
     assert (
-        log.book.apply({**whole, "whole": True}) == {"in_force": 3} and not log.book.news()[0].rollout_nodes
+        log.book.apply({**whole, "whole": True}) == {"in_force": 3}
+        and not log.book.statuses()[0].rollout_nodes
     )
     assert log.book.apply({"do": "get", "doc": "d"})["version"] == 3
 
@@ -602,12 +625,12 @@
         stage = {"for_ms": 2000, "worse": 0.02, "least": least, "nodes": ["b"]}
         self.log.put("[2]", 1, stage=stage)
         self._all_say_so()
-        self.watch = StageWatch()
+        self.watch = RolloutMonitor()
         self.figures = {one: [0, 0, 0] for one in ("a/1", "b/1", "c/1")}
         self.now = NOW
 
     def _all_say_so(self) -> None:
-        for one in self.log.book.live():
+        for one in self.log.book.live_processes():
             self.log.ack(one)
         self.log.commit()
 
@@ -623,9 +646,9 @@
             beat = Heartbeat(
                 holder[0], "1", 1, (), document_states=told, request_counts=(row[0], row[1], row[2])
             )
-            beats[holder] = Heard(beat, self.now)
-        found = self.watch.look(self.now, self.log.book, beats, SECOND)
-        return [(one.goes_on, one.why) for one in found]
+            beats[holder] = ReceivedHeartbeat(beat, self.now)
+        found = self.watch.evaluate(self.now, self.log.book, beats, SECOND)
+        return [(one.promote, one.reason) for one in found]
 
 
 def test_a_stage_goes_on_after_its_time_when_it_did_no_worse() -> None:
@@ -668,7 +691,7 @@
     deaf = Staged()
     deaf.look(0, acts=False)
     assert "b did not act" in deaf.look(12_100, acts=False)[0][1]
-    deaf.watch.lead()  # who comes to lead counts anew
+    deaf.watch.become_leader()  # who comes to lead counts anew
     assert not deaf.look(100, acts=False)
 
 
@@ -680,28 +703,28 @@
         one.told(1, 2)
         one.told(1, 2, on=("b",))
     assert node.one.version == 2 and other.one.version == 1
-    assert node.follower.acts(NOW)[0][4] == "a stage: it is among the first"
-    assert node.told(1) == ["Act"] and node.one.version == 1  # what is in force was kept
+    assert node.follower.document_states(NOW)[0][4] == "a stage: it is among the first"
+    assert node.told(1) == ["ActivateVersion"] and node.one.version == 1  # what is in force was kept
 
 
 def test_one_whose_lease_came_again_does_not_go_on_with_an_old_version() -> None:
     node = Node(STRICT)
     node.told(1)
-    news = DocumentStatus("d", 2, digest_of("[2]"), strict=True)
-    done = node.follower.told(
+    news = DocumentStatus("d", 2, content_digest("[2]"), strict=True)
+    done = node.follower.handle_statuses(
         NOW, (news,), SECOND
     )  # without a look between: its lease was over, and is there again
-    assert [type(do) for do in done] == [Stop, Fetch] and node.one.state is State.BEHIND
-    assert "fetches version 2" in node.follower.acts(NOW)[0][4]
+    assert [type(do) for do in done] == [LoseDocument, FetchChunk] and node.one.state is FollowerState.BEHIND
+    assert "fetches version 2" in node.follower.document_states(NOW)[0][4]
 
 
 def test_what_a_fixed_version_differs_in_is_known_before_it_is_taken_back() -> None:
     node = Node(PLAIN)
     node.told(1)
-    node.follower.fix(NOW, "d", "[9]")
-    assert node.follower.against_group("d") == "[1]"
-    assert node.told(3) == [] and node.one.state is State.FIXED
-    assert node.follower.against_group("d") == "[3]" and node.one.content == "[9]"
+    node.follower.pin(NOW, "d", "[9]")
+    assert node.follower.group_content("d") == "[1]"
+    assert node.told(3) == [] and node.one.state is FollowerState.FIXED
+    assert node.follower.group_content("d") == "[3]" and node.one.content == "[9]"
 
 
 # Processes.
