--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -16,7 +16,14 @@
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.messages import RAFT_MESSAGES, RaftMessage
 from marlstep.consensus.raft import Raft, RaftTiming, RandomSource, Ready
-from marlstep.consensus.state_machine import Command, Result, StateMachine, StateMachines
+from marlstep.consensus.state_machine import (
+    Command,
+    CommandJson,
+    ResultJson,
+    StateMachine,
+    StateMachines,
+    command_json,
+)
 from marlstep.leases.manager import LeaseManager, no_quota_shares
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
@@ -141,7 +148,7 @@
         self.roster_controller = RosterController(settings.roster or RosterSettings())
         self._committing: set[tuple[str, int]] = set()
         self.events: deque[ReplicaEvent] = deque()  # for whoever drives it to log
-        self.applied: deque[tuple[int, Command, Result]] = deque(maxlen=APPLIED_HISTORY_LENGTH)
+        self.applied: deque[tuple[int, CommandJson, ResultJson]] = deque(maxlen=APPLIED_HISTORY_LENGTH)
         self.counts = dict.fromkeys(("commands", "elections", "beats", "asks", "snapshots", "drifting"), 0)
         self._leadership_term = 0  # the term in which the keeper was told that this voter leads
         self._pending_requests: dict[tuple[str, int], str] = {}  # who waits for which command
@@ -232,8 +239,8 @@
                 (sender, DocumentChunk(asked.name, asked.version, asked.offset, len(content), data))
             )
 
-    def _propose(self, now: datetime, command: Command) -> None:
-        self.raft.propose(now, _write(command))
+    def _propose(self, now: datetime, command: Command | CommandJson) -> None:
+        self.raft.propose(now, _write(command_json(command)))
 
     # Who is in the group.
 
--- a/marlstep/consensus/state_machine.py
+++ b/marlstep/consensus/state_machine.py
@@ -12,16 +12,38 @@
 
 import orjson
 
-Command = Mapping[str, Any]
-Result = dict[str, Any]
+from marlstep.errors import MarlstepError
+
+CommandJson = Mapping[str, Any]  # a command as the log stores it
+ResultJson = dict[str, Any]  # what a command came to, as snapshots store it and clients read it
 MAX_RESULTS_PER_CLIENT = 64  # of one that asks: it has no more out at once
 MAX_CLIENTS = 4_096  # the ones that asked last
 
 
+class Command(Protocol):
+    """A typed command of one state machine."""
+
+    def to_json(self) -> CommandJson:
+        """The command as the log stores it, its keys in the order that the log has."""
+
+
+def command_json(command: Command | CommandJson) -> CommandJson:
+    """The stored form of a command."""
+    return command if isinstance(command, Mapping) else command.to_json()
+
+
+class InvalidCommandError(MarlstepError, ValueError):
+    """A command without sense. Nothing was changed by it."""
+
+    def __repr__(self) -> str:
+        """As ValueError: this text is part of replicated results, so it must not follow the class's name."""
+        return f"ValueError({str(self)!r})"
+
+
 class StateMachine(Protocol):
     """Deterministic: it knows nothing but the commands, in order."""
 
-    def apply(self, command: Command) -> Result:
+    def apply(self, command: CommandJson) -> ResultJson:
         """Raises ValueError, KeyError or TypeError for a command without sense, and has changed nothing then."""
 
     def snapshot(self) -> object:
@@ -36,15 +58,15 @@
 
     def __init__(self, machines: Mapping[str, StateMachine]) -> None:
         self.machines = dict(machines)
-        self._results_by_client: OrderedDict[str, dict[int, Result]] = OrderedDict()
+        self._results_by_client: OrderedDict[str, dict[int, ResultJson]] = OrderedDict()
 
-    def cached_result(self, client: str, number: int) -> Result | None:
+    def cached_result(self, client: str, number: int) -> ResultJson | None:
         """The result, where that command was applied already."""
         return self._results_by_client.get(client, {}).get(number)
 
-    def apply(self, body: str) -> tuple[Command, Result]:
+    def apply(self, body: str) -> tuple[CommandJson, ResultJson]:
         """One committed command. What makes no sense has a result that says so, the same on every voter."""
-        command: Command = {}
+        command: CommandJson = {}
         try:
             read = orjson.loads(body)
             if not isinstance(read, dict):
@@ -61,7 +83,7 @@
             return command, {"error": f"no command: {fault!r}"}
         return command, result
 
-    def _apply_to_machine(self, command: Command) -> Result:
+    def _apply_to_machine(self, command: CommandJson) -> ResultJson:
         machine = self.machines.get(str(command.get("m")))
         if machine is None:
             return {"error": f"no machine {str(command.get('m'))[:32]!r} here"}
@@ -70,7 +92,7 @@
         except (ValueError, KeyError, TypeError, AttributeError) as fault:
             return {"error": f"no command: {fault!r}"}
 
-    def _cache_result(self, client: str, number: int, result: Result) -> None:
+    def _cache_result(self, client: str, number: int, result: ResultJson) -> None:
         results = self._results_by_client.setdefault(client, {})
         results[number] = result
         for old in sorted(results)[:-MAX_RESULTS_PER_CLIENT]:
@@ -93,4 +115,4 @@
                 machine.restore(told["machines"][name])
 
 
-Applied = Callable[[Command, Result], None]
+Applied = Callable[[CommandJson, ResultJson], None]
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -9,7 +9,7 @@
 
 from marlstep.consensus.raft import MAX_ENTRIES_PER_MESSAGE, Raft
 from marlstep.consensus.replica import Replica
-from marlstep.consensus.state_machine import Command, Result
+from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
 from marlstep.leases.manager import LeaseManager, no_quota_shares
@@ -64,7 +64,7 @@
 class ReusesTokens(LeaseTable):
     """A lease's next grant has the token of the one before."""
 
-    def _grant(self, name: str, holder: str, most: int) -> Result:
+    def _grant(self, name: str, holder: str, most: int) -> ResultJson:
         before = self.leases.get(name)
         if before is None or before.holder or not before.token:
             return super()._grant(name, holder, most)
@@ -140,7 +140,7 @@
 class AnyVersion(ConfigStore):
     """Compare-and-set without the compare."""
 
-    def _apply_put(self, command: Command) -> Result:
+    def _apply_put(self, command: CommandJson) -> ResultJson:
         known = self.documents.get(command["doc"])
         number = known.active_number if known is not None else 0
         if known is not None and known.prepared is not None:
@@ -200,7 +200,7 @@
 class GivesAtOnce(QuotaTable):
     """A part that its process is asked to give up is another's at once."""
 
-    def apply(self, command: Command) -> Result:
+    def apply(self, command: CommandJson) -> ResultJson:
         result = super().apply(command)
         if command["do"] == "shrink" and "part" in result:
             self.tenants[command["tenant"]][result["holder"]] = QuotaShare(result["part"], result["part"])
--- a/marlstep/leases/client.py
+++ b/marlstep/leases/client.py
@@ -15,6 +15,7 @@
 
 from marlstep.consensus.raft import RandomSource
 from marlstep.consensus.replica import CommandRequest, CommandResponse
+from marlstep.consensus.state_machine import Command, CommandJson, command_json
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
@@ -50,12 +51,12 @@
 
     # Commands.
 
-    def propose(self, now: datetime, command: dict[str, Any]) -> int | None:
+    def propose(self, now: datetime, command: Command | CommandJson) -> int | None:
         """Ask the group for a command; its number, or None where too many wait already."""
         if len(self._outbound) >= MAX_OUTBOUND_COMMANDS:
             return None
         self._command_number += 1
-        body = orjson.dumps(command).decode()
+        body = orjson.dumps(command_json(command)).decode()
         self._outbound[self._command_number] = OutboundCommand(
             CommandRequest(self.holder.name, self._command_number, body), None, now
         )
--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from datetime import datetime
 
-from marlstep.consensus.state_machine import Command, Result
+from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.clock_drift import ClockDriftMonitor
 from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse, LeaseToken, QuotaShareRow
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
@@ -87,7 +87,7 @@
         """When that lease is over, by this voter's clock; None where it is not held."""
         return self._expiries.get(name)
 
-    def handle_heartbeat(self, now: datetime, beat: Heartbeat, round: int) -> list[Command]:
+    def handle_heartbeat(self, now: datetime, beat: Heartbeat, round: int) -> list[CommandJson]:
         """A beat came; it is answered once a majority has answered `round`. Gives what is to be proposed."""
         holder = f"{beat.node}/{beat.process_id}"
         before = self._holders.get(holder)
@@ -111,7 +111,7 @@
                 returned += self._propose_end(name, token, "return")
         return returned
 
-    def _propose_end(self, name: str, token: int, what: str) -> list[Command]:
+    def _propose_end(self, name: str, token: int, what: str) -> list[CommandJson]:
         if self._ending_tokens.get(name) == token:
             return []
         self._ending_tokens[name] = token
@@ -169,11 +169,11 @@
         """Before that not all who wait have been heard, and the first would get all there is."""
         return None if self._leader_since is None else self._leader_since + self.settings.renewal_interval
 
-    def tick(self, now: datetime) -> list[Command]:
+    def tick(self, now: datetime) -> list[CommandJson]:
         """What is to be proposed."""
         if self._leader_since is None:
             return []
-        commands: list[Command] = []
+        commands: list[CommandJson] = []
         for name, until in list(self._expiries.items()):
             if now >= until:
                 del self._expiries[name]
@@ -184,7 +184,7 @@
             commands += self._propose_grants(now)
         return commands
 
-    def _propose_grants(self, now: datetime) -> list[Command]:
+    def _propose_grants(self, now: datetime) -> list[CommandJson]:
         live = now - self.settings.term
         for holder in [one for one, waits in self._holders.items() if waits.received_at < live]:
             del self._holders[holder]
@@ -197,7 +197,7 @@
         counts = {holder: self.table.held_counts[holder] for holder in self._holders}
         for holder in self._proposed_grants.values():
             counts[holder] = counts.get(holder, 0) + 1
-        commands: list[Command] = []
+        commands: list[CommandJson] = []
         for name, holders in wanted.items():
             free = [
                 one
@@ -226,7 +226,7 @@
 
     # What the log says.
 
-    def on_applied(self, now: datetime, command: Command, result: Result, round: int) -> None:
+    def on_applied(self, now: datetime, command: CommandJson, result: ResultJson, round: int) -> None:
         """A command of leases was committed. `round` is one whose answers will come after now."""
         if self._leader_since is None:
             return
--- a/marlstep/leases/table.py
+++ b/marlstep/leases/table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from marlstep.consensus.state_machine import Command, Result
+from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 
 MAX_LEASES = 10_000
@@ -38,7 +38,7 @@
     def leases_of(self, holder: str) -> list[tuple[str, int]]:
         return [(name, one.token) for name, one in self.leases.items() if one.holder == holder]
 
-    def apply(self, command: Command) -> Result:
+    def apply(self, command: CommandJson) -> ResultJson:
         name = command["name"]
         if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
             raise ValueError("a lease's name")
@@ -49,7 +49,7 @@
                 return self._end(name, int(command["token"]))
         raise ValueError(f"nothing that is done to a lease: {command['do']!r}")
 
-    def _grant(self, name: str, holder: str, most: int) -> Result:
+    def _grant(self, name: str, holder: str, most: int) -> ResultJson:
         lease = self.leases.get(name)
         if lease is not None and lease.holder:
             return {"held": lease.holder, "token": lease.token}
@@ -71,7 +71,7 @@
             del self.leases[free]
         return free is not None
 
-    def _end(self, name: str, token: int) -> Result:
+    def _end(self, name: str, token: int) -> ResultJson:
         lease = self.leases.get(name)
         if lease is None or not lease.holder or lease.token != token:
             return {"ended": False}
--- a/marlstep/membership/quotas.py
+++ b/marlstep/membership/quotas.py
@@ -12,7 +12,7 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.state_machine import Command, Result
+from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.messages import LeaseToken, QuotaShareRow
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.leases.table import LeaseTable
@@ -72,7 +72,7 @@
             if (part := parts.get(holder)) is not None
         )
 
-    def apply(self, command: Command) -> Result:
+    def apply(self, command: CommandJson) -> ResultJson:
         live = set(self.live_processes())
         for parts in self.tenants.values():
             for holder in [one for one in parts if one not in live]:
@@ -155,7 +155,7 @@
         totals: Mapping[str, float],
         demands: Mapping[str, Mapping[str, float]],
         every: timedelta = BALANCE_INTERVAL,
-    ) -> list[Command]:
+    ) -> list[CommandJson]:
         """What is to be proposed. `totals` by tenant; `demands` by process and tenant, requests a second."""
         if self._last_run is not None and now < self._last_run + every:
             return []
@@ -163,7 +163,7 @@
         if set(totals) != set(shares.tenants):
             return [{"m": "shares", "do": "tenants", "names": sorted(totals)}]
         live = shares.live_processes()
-        commands: list[Command] = []
+        commands: list[CommandJson] = []
         for tenant, parts in shares.tenants.items():
             demand = {holder: told.get(tenant, 0.0) for holder, told in demands.items()}
             commands += self._propose_transfers(
@@ -174,7 +174,7 @@
     @staticmethod
     def _propose_transfers(
         tenant: str, parts: Mapping[str, QuotaShare], targets: Mapping[str, int], free: int
-    ) -> list[Command]:
+    ) -> list[CommandJson]:
         told = {"m": "shares", "tenant": tenant}
         have = {holder: parts.get(holder, QuotaShare(0, 0)) for holder in targets}
         lacks = {
@@ -183,7 +183,7 @@
         hungry = sorted(
             (one for one in lacks if lacks[one] >= MIN_TRANSFER), key=lambda one: (-lacks[one], one)
         )
-        commands: list[Command] = []
+        commands: list[CommandJson] = []
         for one in hungry:
             gets = min(lacks[one], free)
             if gets >= min(MIN_TRANSFER, lacks[one]):
--- a/marlstep/membership/roster.py
+++ b/marlstep/membership/roster.py
@@ -12,7 +12,7 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.state_machine import Command, Result
+from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, read_fields, wire, write_fields
 from marlstep.units import SECOND
 
@@ -43,7 +43,7 @@
     def members(self) -> frozenset[str]:
         return frozenset(name for name, one in self.nodes.items() if one.is_member)
 
-    def apply(self, command: Command) -> Result:
+    def apply(self, command: CommandJson) -> ResultJson:
         what = command["do"]
         if what == "believe":
             self.confirmed_failures = sorted({str(one)[:64] for one in command["nodes"]})[:MAX_NODES]
@@ -60,7 +60,7 @@
                 return self._readmit(name)
         raise ValueError(f"nothing that is done to a member: {what!r}")
 
-    def _admit(self, name: str) -> Result:
+    def _admit(self, name: str) -> ResultJson:
         one = self.nodes.get(name)
         if one is None:
             if len(self.members()) >= MAX_NODES:
@@ -71,7 +71,7 @@
         one.is_member, one.reason = True, ""
         return {"admitted": name}
 
-    def _remove(self, name: str, why: str, held_off: bool) -> Result:
+    def _remove(self, name: str, why: str, held_off: bool) -> ResultJson:
         one = self.nodes.get(name)
         if one is None:
             return {"refused": "nobody of that name"}
@@ -87,7 +87,7 @@
             del self.nodes[other]
         return {"removed": name}
 
-    def _readmit(self, name: str) -> Result:
+    def _readmit(self, name: str) -> ResultJson:
         one = self.nodes.get(name)
         if one is None:
             return {"refused": "nobody of that name"}
@@ -148,13 +148,13 @@
         words: Mapping[str, FailureReport],
         holds: frozenset[str],
         term: timedelta,
-    ) -> list[Command]:
+    ) -> list[CommandJson]:
         """What is to be proposed. `words` by process; `holds` are the nodes that have any lease; `term` the longest."""
         if self._leader_since is None or now < self._leader_since + term:
             return []  # not all have been heard yet
         fresh = [one for one in words.values() if one.received_at >= now - term]
         heard = {one.node for one in fresh}
-        commands: list[Command] = self._propose_admissions(now, agreed, heard, fresh)
+        commands: list[CommandJson] = self._propose_admissions(now, agreed, heard, fresh)
         self._proposed_removals = {one: at for one, at in self._proposed_removals.items() if at >= now - term}
         failed = [
             one for one in self._failed_members(agreed, heard, fresh) if one not in self._proposed_removals
@@ -188,12 +188,12 @@
 
     def _propose_admissions(
         self, now: datetime, agreed: Roster, heard: set[str], fresh: list[FailureReport]
-    ) -> list[Command]:
+    ) -> list[CommandJson]:
         """Who is heard without a break for its probation."""
         doubted = {name for one in fresh for name in one.failed_nodes}
         for name in [one for one in self._healthy_since if one not in heard or one in doubted]:
             del self._healthy_since[name]
-        commands: list[Command] = []
+        commands: list[CommandJson] = []
         for name in sorted(heard - agreed.members() - doubted):
             since = self._healthy_since.setdefault(name, now)
             row = agreed.nodes.get(name)
--- a/marlstep/net/framing.py
+++ b/marlstep/net/framing.py
@@ -12,12 +12,13 @@
 import zlib
 from collections.abc import Callable
 
+from marlstep.errors import MarlstepError
 from marlstep.net.ring import Ring
 
 KEYED_BYTES = 16
 
 
-class CorruptError(ValueError):
+class CorruptError(MarlstepError, ValueError):
     """What the other process wrote can't be read. Nothing after it can be trusted."""
 
 
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -19,7 +19,7 @@
 
 import orjson
 
-from marlstep.consensus.state_machine import Command, Result
+from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.messages import DocumentStatus
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.leases.table import LeaseTable
@@ -191,7 +191,7 @@
 
     # Commands.
 
-    def apply(self, command: Command) -> Result:
+    def apply(self, command: CommandJson) -> ResultJson:
         self._statuses = self._allowances = None
         match command["do"]:
             case "part":
@@ -212,7 +212,7 @@
                 return self._apply_withdraw(one, int(command["version"]), str(command["why"]))
         raise ValueError(f"nothing that is done to a document: {command['do']!r}")
 
-    def _apply_chunk(self, upload: str, offset: int, data: Any) -> Result:
+    def _apply_chunk(self, upload: str, offset: int, data: Any) -> ResultJson:
         """A document comes in pieces, as an entry of the log is small."""
         if not isinstance(data, str) or not 0 < len(upload) <= 64:
             raise ValueError("a piece of a document")
@@ -226,7 +226,7 @@
             self._uploads.popitem(last=False)
         return {"taken": offset + len(data)}
 
-    def _apply_put(self, command: Command) -> Result:
+    def _apply_put(self, command: CommandJson) -> ResultJson:
         name, kind = command["doc"], Kind(command["kind"])
         if not isinstance(name, str) or not 0 < len(name) <= 64:
             raise ValueError("a document's name")
@@ -269,7 +269,7 @@
             str(command["at"])[:40],
         )
         one.prepared = PreparedVersion(made, bool(command.get("hold_out")), stage)
-        told: Result = {
+        told: ResultJson = {
             "prepares": made.number,
             "digest": made.digest,
             "waits_for": self.missing_acknowledgements(one),
@@ -301,7 +301,7 @@
         return Rollout(nodes, for_ms, worse, least)
 
     @staticmethod
-    def _apply_get(one: Document) -> Result:
+    def _apply_get(one: Document) -> ResultJson:
         """What all have agreed on at this place of the log."""
         pending = one.prepared
         return {
@@ -312,7 +312,7 @@
             "turned_down": [dict(row) for row in one.rejected_versions],
         }
 
-    def _apply_ack(self, one: Document, command: Command) -> Result:
+    def _apply_ack(self, one: Document, command: CommandJson) -> ResultJson:
         pending, by = one.prepared, str(command["holder"])
         if pending is None or pending.version.number != int(command["version"]):
             return {"refused": "that change is not being prepared"}
@@ -330,7 +330,7 @@
             self._reject_prepared(one, f"{by} can't take it: {why}")
         return {"noted": by}
 
-    def _apply_commit(self, one: Document, version: int, whole: bool) -> Result:
+    def _apply_commit(self, one: Document, version: int, whole: bool) -> ResultJson:
         pending = one.prepared
         if pending is None or pending.version.number != version:
             return {"refused": "that change is not being prepared"}
@@ -354,7 +354,7 @@
         while len(one.versions) > 1 and (len(one.versions) > MAX_VERSIONS_KEPT or sizes > MAX_BYTES_KEPT):
             sizes -= len(one.versions.pop(0).content)
 
-    def _apply_withdraw(self, one: Document, version: int, why: str) -> Result:
+    def _apply_withdraw(self, one: Document, version: int, why: str) -> ResultJson:
         if one.prepared is None or one.prepared.version.number != version:
             return {"refused": "that change is not being prepared"}
         self._reject_prepared(one, why[:256])
--- a/marlstep/scheduled_tasks/run_log.py
+++ b/marlstep/scheduled_tasks/run_log.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from marlstep.consensus.state_machine import Command, Result
+from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.table import LeaseTable
 
 TASK_LEASE_PREFIX = "task/"  # of the names of tasks' leases
@@ -43,7 +43,7 @@
         self._table = table
         self.runs: dict[str, TaskRun] = {}
 
-    def apply(self, command: Command) -> Result:
+    def apply(self, command: CommandJson) -> ResultJson:
         task, token = command["task"], int(command["token"])
         if not isinstance(task, str):
             raise ValueError("a task's name")
@@ -67,7 +67,7 @@
         raise ValueError(f"nothing that is done to a task: {command['do']!r}")
 
     @staticmethod
-    def _describe(known: TaskRun) -> Result:
+    def _describe(known: TaskRun) -> ResultJson:
         return {
             "run": known.number,
             "token": known.token,
@@ -76,14 +76,14 @@
             "doubt": known.may_be_in_flight,
         }
 
-    def _apply_fenced(self, known: TaskRun) -> Result:
+    def _apply_fenced(self, known: TaskRun) -> ResultJson:
         """Nothing that was sent under an earlier token is on its way any more, or can be accepted."""
         known.may_be_in_flight = False
         if known.outcome is Outcome.OPEN:
             known.outcome = Outcome.UNKNOWN
         return {"fenced": True}
 
-    def _apply_begin(self, known: TaskRun, run: int, token: int, again: bool) -> Result:
+    def _apply_begin(self, known: TaskRun, run: int, token: int, again: bool) -> ResultJson:
         if known.outcome is Outcome.OPEN:
             return {"refused": "a run is open", **self._describe(known)}
         repeat = again or known.outcome in (Outcome.NOT_RUN, Outcome.FENCED_OFF)
@@ -94,7 +94,7 @@
         known.number, known.token, known.outcome = run, token, Outcome.OPEN
         return {"begun": run}
 
-    def _apply_end(self, known: TaskRun, run: int, token: int, outcome: Outcome) -> Result:
+    def _apply_end(self, known: TaskRun, run: int, token: int, outcome: Outcome) -> ResultJson:
         if known.number != run or known.outcome is not Outcome.OPEN or outcome is Outcome.OPEN:
             return {"refused": "no such run is open", **self._describe(known)}
         known.outcome = outcome
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,6 +12,7 @@
 # A part, and what it may import of the project, by prefix. The longest prefix of a module's name counts.
 MAY: dict[str, tuple[str, ...]] = {
     "petrelcart": ("petrelcart",),
+    "marlstep.errors": (),
     "marlstep.units": (),
     "marlstep.slots": (),
     "marlstep.timer_queue": (),
@@ -260,7 +261,7 @@
             continue
         for one in imports(path):
             if one.startswith(("marlstep", "petrelcart")) and not any(
-                within(one, good) for good in MAY[part]
+                within(one, good) for good in (*MAY[part], "marlstep.errors")
             ):
                 faults.append(f"{name} imports {one}")
     assert faults == []
