--- /dev/null
+++ b/tests/admission/random_world.py
@@ -0,0 +1,272 @@
+"""A seeded world round an admission controller: random events in, actions out, a digest of all that was said.
+
+The world draws from `random.Random(seed)` alone, and obeys the actions only as far as the next events need it, so a
+sequence is the same wherever it is played as long as the controller's actions are.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import hashlib
+import random
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+
+from petrelcart.interface import (
+    Action,
+    Allowance,
+    Arrival,
+    Attach,
+    Below,
+    Call,
+    CallEnded,
+    CallNeeded,
+    Changed,
+    Drain,
+    Effect,
+    Event,
+    Fail,
+    Forget,
+    Gone,
+    Halt,
+    HaltMode,
+    Health,
+    IdleLimit,
+    Keep,
+    Learnt,
+    Log,
+    Outcome,
+    Refuse,
+    Room,
+    Run,
+    RunEnded,
+    Say,
+    Saying,
+    SetTimer,
+    Settings,
+    Share,
+    Skip,
+    TenantSettings,
+    TimerDue,
+)
+from petrelcart.policy import Controller
+from tests.support import helpers
+
+TURNS = 40
+MS = 1_000
+OUTCOMES = (*[Outcome.OK] * 12, *Outcome)
+STORED_NAMES: dict[type, str] = {
+    Run: "run",
+    Halt: "halt",
+    Refuse: "refuse",
+    Fail: "fail",
+    Keep: "keep",
+    Forget: "forget",
+    Attach: "attach",
+    Call: "call",
+    Skip: "skip",
+    Say: "say",
+    Health: "health",
+    IdleLimit: "idle",
+    SetTimer: "timer",
+    Log: "log",
+}
+
+
+@dataclass(slots=True)
+class KnownRequest:
+    """What the world remembers of one request."""
+
+    number: int
+    request_class: str
+    key: int
+    keyed: bool
+    caller: int
+    state: str = "held"  # held, running, at call, calling, paused, attached, over
+    kept: bool = False
+
+
+def variants() -> dict[str, Settings]:
+    """Settings that between them reach every branch: halts, dependencies, sayings, tenants, cold starts."""
+    classes = tuple(dataclasses.replace(kind, calls=True) for kind in helpers.CLASSES)
+    late = tuple(
+        dataclasses.replace(kind, late_share=0.2, skip_worth=0.5 if kind.effect is Effect.SAFE else 0.0)
+        for kind in classes
+    )
+    tenants = (
+        TenantSettings("riad", 0.2, 12.0),
+        TenantSettings("souk", 0.1, 0.0),
+        TenantSettings("dar", 0.1, 90.0),
+    )
+    return {
+        "plain": helpers.settings(classes=classes),
+        "drop, shared dependency": helpers.settings(
+            classes=late, halt=HaltMode.DROP, below=Below.SHARED, calls_out=0.6, fall_multiple=3.0
+        ),
+        "no halt, cold, little memory": helpers.settings(
+            classes=late, halt=HaltMode.NONE, cold=True, memory_kb=200.0, warm_after_us=2_000 * MS
+        ),
+        "tenants and credit": helpers.settings(
+            classes=late, tenants=tenants, over_share_worth=0.1, say=Saying.CREDIT, marks_retry=True
+        ),
+        "tier, one core": helpers.settings(
+            classes=classes, cores=1, below=Below.TIER, say=Saying.LEVEL, memory_kb=500.0
+        ),
+        "shared dependency, cold, tenants": helpers.settings(
+            classes=late,
+            tenants=tenants,
+            over_share_worth=0.3,
+            cold=True,
+            below=Below.SHARED,
+            calls_out=2.0,
+            cores=4,
+        ),
+    }
+
+
+class RandomWorld:
+    """One controller, its clock, and all that happens to it."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.settings = settings
+        self.random = random.Random(f"{seed}")
+        self.controller = Controller(settings, seed)
+        self.now = helpers.START
+        self.requests: dict[str, KnownRequest] = {}
+        self.timers: list[tuple[int, int]] = []
+        self.pending: list[Event] = []
+        self.draining = False
+        self.busy = self.random.random()
+        self.actions_seen: set[str] = set()
+        self.digest = hashlib.blake2b(digest_size=16)
+
+    def play(self, turns: int = TURNS) -> str:
+        """The digest of all actions of so many turns."""
+        for _ in range(turns):
+            self.now += int(self.random.choice((1, 7, 20, 60, 180)) * MS * (0.5 + self.random.random()))
+            actions = self.controller.decide(self.now, list(self._events()))
+            for action in actions:
+                name = STORED_NAMES[type(action)]
+                self.actions_seen.add(name)
+                self.digest.update(f"{self.now} {name} {dataclasses.astuple(action)!r}\n".encode())
+                self._obey(action)
+            used = self.controller.used()
+            self.digest.update(f"used {used[0]!r} {used[1]!r}\n".encode())
+        learnt = self.controller.learnt()
+        self.digest.update(f"learnt {dataclasses.astuple(learnt)!r}\n".encode())
+        return self.digest.hexdigest()
+
+    def _events(self) -> Iterator[Event]:
+        yield from self.pending
+        self.pending = []
+        for _ in range(self.random.randrange(0, 2 + int(4 * self.busy))):
+            yield self._arrival()
+        for name, known in list(self.requests.items()):
+            if (event := self._progress(name, known)) is not None:
+                yield event
+        due = [(when, tag) for when, tag in self.timers if when <= self.now]
+        self.timers = [(when, tag) for when, tag in self.timers if when > self.now]
+        for _, tag in due:
+            gauges = {
+                "cpu": self.random.choice((0.3, 0.9, 1.0)),
+                "conns": float(self.random.randrange(0, 80)),
+            }
+            yield TimerDue(tag, gauges if self.random.random() < 0.9 else {})
+        if self.random.random() < 0.06:
+            yield self._rare_event()
+
+    def _arrival(self) -> Arrival:
+        kind = self.random.choice(self.settings.classes)
+        key = self.random.randrange(8)
+        number = len(self.requests)
+        name = (
+            f"r{number}" if self.random.random() < 0.98 or not number else f"r{self.random.randrange(number)}"
+        )
+        prior = None
+        if kind.effect is Effect.KEYED:
+            same = [
+                one for one, known in self.requests.items() if known.key == key and known.keyed and known.kept
+            ]
+            prior = same[-1] if same else None
+        caller = self.random.randrange(12)
+        self.requests[name] = KnownRequest(number, kind.name, key, kind.effect is Effect.KEYED, caller)
+        unread = self.random.choice((0, 0, 0, 3, 40, 900)) * MS
+        return Arrival(
+            name,
+            kind.name if self.random.random() < 0.99 else "unknown",
+            self.random.choice((5.0, 20.0, 60.0)),
+            caller,
+            unread,
+            gives_up_us=self.now + self.random.choice((200, 1_500, 4_000)) * MS
+            if self.random.random() < 0.7
+            else None,
+            tenant=self.random.choice((None, "riad", "souk", "dar")) if self.settings.tenants else None,
+            key=key,
+            again=self.random.random() < 0.2,
+            prior=prior,
+            pool=self.random.choice(("", "", "", "west")),
+        )
+
+    def _progress(self, name: str, known: KnownRequest) -> Event | None:
+        if known.state == "over":
+            return None
+        chance = self.random.random()
+        if chance < 0.01:
+            return Gone(name)
+        if known.state == "running" and chance < 0.25:
+            known.state = "over"
+            return RunEnded(name, self.random.choice(OUTCOMES), self.random.randrange(300) * MS)
+        if known.state == "running" and chance < 0.40:
+            known.state = "at call"
+            return CallNeeded(name)
+        if known.state == "calling" and chance < 0.45:
+            known.state = "at call"
+            outcome = self.random.choice(OUTCOMES)
+            if outcome is Outcome.OK:
+                known.state = "running"
+            return CallEnded(name, outcome, self.random.randrange(1, 400) * MS)
+        return None
+
+    def _rare_event(self) -> Event:
+        makers: list[Callable[[], Event]] = [
+            lambda: Share(self.random.choice((0.2, 0.5, 1.0))),
+            lambda: Room("west", self.random.randrange(0, 4)),
+            lambda: Allowance("riad", self.random.choice((0.0, 3.0, 60.0))),
+            lambda: Learnt(3.0, 20_000.0, 30_000.0, 40_000.0, {"low": 50_000.0, "high": 10_000.0}),
+            self._changed,
+        ]
+        if not self.draining and self.random.random() < 0.2:
+            self.draining = True
+            return Drain(self.now + 3_000 * MS, self.random.random() < 0.3, self.now - 5 * MS)
+        return self.random.choice(makers)()
+
+    def _changed(self) -> Changed:
+        kept = self.settings.classes[1:]
+        fewer = dataclasses.replace(self.settings, classes=kept, memory_kb=self.settings.memory_kb * 0.8)
+        return Changed(fewer, self.settings.classes[:1])
+
+    def _obey(self, action: Action) -> None:
+        match action:
+            case SetTimer():
+                self.timers.append((self.now + action.after_us, action.tag))
+            case Run(id=name):
+                self.requests[name].state = "running"
+            case Halt(id=name):
+                if self.random.random() < 0.9:
+                    self.requests[name].state = "paused"
+                    self.pending.append(RunEnded(name, Outcome.CANCELLED, 0))
+            case Refuse(id=name) | Fail(id=name):
+                if self.requests[name].state != "running":
+                    self.requests[name].state = "over"
+            case Call(id=name):
+                self.requests[name].state = "calling"
+            case Skip(id=name):
+                self.requests[name].state = "running"
+            case Keep(id=name):
+                self.requests[name].kept = True
+            case Forget(id=name):
+                self.requests[name].kept = False
+            case Attach(id=name):
+                self.requests[name].state = "attached"
+            case _:
+                pass
--- /dev/null
+++ b/tests/admission/record.py
@@ -0,0 +1,30 @@
+"""Writes the digests of the controller's actions anew: `python -m tests.admission.record`; no test does."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+from tests.admission.random_world import RandomWorld, variants
+
+DIGESTS = Path(__file__).parent / "action_digests.json"
+SEEDS_PER_VARIANT = 500
+SEEDS_PER_DIGEST = 50
+
+
+def digests_of(variant: str) -> list[str]:
+    """One digest for each run of `SEEDS_PER_DIGEST` sequences."""
+    settings = variants()[variant]
+    found = []
+    for first in range(0, SEEDS_PER_VARIANT, SEEDS_PER_DIGEST):
+        played = [RandomWorld(settings, seed).play() for seed in range(first, first + SEEDS_PER_DIGEST)]
+        found.append("".join(digest[:6] for digest in played))
+    return found
+
+
+def main() -> None:
+    DIGESTS.write_text(json.dumps({variant: digests_of(variant) for variant in variants()}, indent=1) + "\n")
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/admission/test_action_digests.py
@@ -0,0 +1,34 @@
+"""The controller's actions on three thousand random event sequences are those of the version that wrote the digests."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from tests.admission.random_world import STORED_NAMES, RandomWorld, variants
+from tests.admission.record import DIGESTS, SEEDS_PER_DIGEST, SEEDS_PER_VARIANT, digests_of
+
+STORED: dict[str, list[str]] = json.loads(DIGESTS.read_text())
+
+
+@pytest.mark.parametrize("variant", list(variants()))
+def test_actions_on_random_sequences_are_the_stored_ones(variant: str) -> None:
+    assert digests_of(variant) == STORED[variant]
+
+
+def test_every_variant_has_all_its_digests() -> None:
+    assert STORED.keys() == variants().keys()
+    for rows in STORED.values():
+        assert len(rows) == SEEDS_PER_VARIANT // SEEDS_PER_DIGEST
+        assert all(len(row) == 6 * SEEDS_PER_DIGEST for row in rows)
+
+
+def test_the_sequences_reach_every_action() -> None:
+    played = set()
+    for settings in variants().values():
+        for seed in range(SEEDS_PER_DIGEST):
+            world = RandomWorld(settings, seed)
+            world.play()
+            played |= world.actions_seen
+    assert played == set(STORED_NAMES.values()) - {"log"}  # the controller writes no log
