--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 VENV := .venv/bin
 
 .PHONY: build test lint format run sim bench-traces bench-replay bench-fleet drill-leases drill-virtual \
-	drill-breakages explore-leases bench-rules drill-rules drill-rules-virtual explore-rules
+	drill-breakages explore-leases bench-rules drill-rules drill-rules-virtual explore-rules mixed-versions
 
 build: .venv/requirements-dev.txt
 
@@ -69,3 +69,9 @@
 
 explore-leases: build
 	$(VENV)/python -m marlstep explore leases --seconds 300
+
+# Two versions together (docs/operations.md), outside CI: OLD is a checkout of the version before, as of git worktree.
+ROUNDS ?= 1
+
+mixed-versions: build
+	$(VENV)/python -m benchmarks.mixed_versions --old $(OLD) --rounds $(ROUNDS) all
--- /dev/null
+++ b/benchmarks/mixed/cluster.py
@@ -0,0 +1,211 @@
+"""Three nodes of a fleet, each of a version of its own: their files, their stores and their processes."""
+
+from __future__ import annotations
+
+import json
+import re
+import secrets
+import socket
+from pathlib import Path
+from typing import Any
+
+from benchmarks.mixed.http_client import HttpAddress
+from benchmarks.mixed.server_process import Launch, LogFindings, ServerProcess, read_log
+from benchmarks.mixed.upgrade_site import PLATFORM_CONFIG
+from benchmarks.mixed.versions import CheckFailed, Version
+from marlstep.drill.links import Ports
+from marlstep.drill.witness import Witness
+from marlstep.standins.servers import StandIns
+
+NAMES = ("n1", "n2", "n3")
+TERM_MS = 1_500
+RULES_LEASE_MS = 1_500
+UNSAFE_TASK = "report"  # its class must not be repeated
+TASKS: dict[str, dict[str, Any]] = {
+    "sweep": {"every_ms": 250, "class": "schedule-save", "longest_ms": 250},
+    "rotate": {"every_ms": 400, "class": "temp-history", "longest_ms": 250},
+    UNSAFE_TASK: {"every_ms": 300, "class": "setpoint-cmd", "longest_ms": 250},
+}
+DOCUMENTS = ("settings", "tenants", "servers")  # each of the kind that it is named after
+TENANTS = {"north": 40.0, "south": 20.0}  # allowances a second of the whole service
+CORES, CALL_US = 2.0, 5_000
+DRAIN_GRACE_US = 300_000
+# An elder gives the node's address up just before its store: its successor may look in between, and looks again.
+STORE_IN_USE = re.compile(r"voter\.sqlite is in use by another process")
+
+
+class FleetNode:
+    """One node over its lives: the processes change, addresses and store stay."""
+
+    def __init__(self, cluster: Cluster, name: str) -> None:
+        self.cluster, self.name = cluster, name
+        self.folder = cluster.folder / name
+        self.store = self.folder / "store"
+        self.meeting_folder = self.folder / "tmp"
+        self.meeting_folder.mkdir(parents=True)
+        self.fleet_port, self.uwsgi_port, admin_port = (cluster.ports.take() for _ in range(3))
+        self.admin = HttpAddress("127.0.0.1", admin_port, cluster.token)
+        self.listening = socket.create_server(("127.0.0.1", 0), backlog=128)
+        self.processes: list[ServerProcess] = []
+        self.operator = self.folder / "operator.toml"
+
+    @property
+    def process(self) -> ServerProcess:
+        """The one that was started last."""
+        return self.processes[-1]
+
+    @property
+    def version(self) -> Version:
+        return self.process.version
+
+    def write_operator(self) -> None:
+        """The operator's file: the same for all versions that run this node."""
+        self.operator.write_text("\n".join(self._operator_lines()) + "\n")
+
+    def _operator_lines(self) -> list[str]:
+        cluster = self.cluster
+        lines = [
+            "[admin]",
+            f'listen = "127.0.0.1:{self.admin.port}"',
+            f'token_file = "{cluster.folder / "token"}"',
+            "[uwsgi]",
+            f'listen = "127.0.0.1:{self.uwsgi_port}"',
+            f'pool.main.servers = ["127.0.0.1:{cluster.witness.port}"]',
+            "[uwsgi.vars]",
+            'class = "HTTP_X_CLASS"',
+            'id = "HTTP_X_ID"',
+            "[fleet]",
+            'name = "mixed"',
+            f"voters = {json.dumps(NAMES)}",
+            f'key_file = "{cluster.folder / "key"}"',
+            f'store = "{self.store}"',
+            f"term_ms = {TERM_MS}",
+            "patience_ms = 400",
+            "beat_ms = 80",
+            "[fleet.nodes]",
+            *(f'{name} = "127.0.0.1:{node.fleet_port}"' for name, node in cluster.nodes.items()),
+            "[fleet.members]",
+            "probation_ms = 500",
+            f'zone = "zone-{self.name}"',
+            "[fleet.rules]",
+            f"lease_ms = {RULES_LEASE_MS}",
+            "shares = true",
+        ]
+        for kind in DOCUMENTS:
+            lines += [f"[fleet.rules.documents.{kind}]", f'kind = "{kind}"']
+        for task, row in TASKS.items():
+            lines.append(f"[fleet.tasks.{task}]")
+            lines += [f"{key} = {json.dumps(value)}" for key, value in row.items()]
+        for tenant, allowance in TENANTS.items():
+            lines += [f"[tenants.{tenant}]", "share = 0.5", f"allowance_per_s = {allowance}"]
+        return lines
+
+    def write_config(self, addresses: dict[str, str], door: HttpAddress, path: Path) -> None:
+        config = {
+            **self.cluster.config,
+            "name": self.name,
+            "listen": f"127.0.0.1:{self.listening.getsockname()[1]}",
+            "mgmt": f"{door.host}:{door.port}",
+            "kernel": addresses["kernel"],
+            "db": addresses["db"],
+        }
+        path.write_text(json.dumps(config))
+
+    async def start(self, version: Version) -> ServerProcess:
+        """A process of that version, beside the one that runs or in its place; returns when it is ready."""
+        number = len(self.processes) + 1
+        stand_ins = StandIns(CORES, 1.0, CALL_US)
+        await stand_ins.open()
+        self.cluster.stand_ins.append(stand_ins)
+        door = HttpAddress("127.0.0.1", self.cluster.ports.take())
+        config = self.folder / f"config-{number}.json"
+        self.write_config(stand_ins.addresses, door, config)
+        log = self.folder / f"{self.name}-{number}-{version.label}.log"
+        launch = Launch(config, self.listening, self.meeting_folder, door, log, self.operator)
+        process = ServerProcess(version, launch)
+        self.processes.append(process)
+        await process.start()
+        await process.wait_ready()
+        return process
+
+    async def make_group(self, version: Version) -> None:
+        """The first voter of a new group, by that version's own command."""
+        config = self.folder / "config-0.json"
+        self.write_config({"kernel": "127.0.0.1:1", "db": "127.0.0.1:1"}, HttpAddress("127.0.0.1", 1), config)
+        await version.run("fleet", "init", "--config", str(config), "--operator", str(self.operator))
+
+    async def kill(self) -> None:
+        await self.process.kill()
+
+    async def drain(self) -> None:
+        """The notice to leave, without a process that comes after this one. Raises CheckFailed."""
+        code = await self.process.terminate()
+        if code:
+            raise CheckFailed(f"{self.name} ended with {code} after the notice to leave")
+
+    async def restart(self) -> None:
+        """Killed and started again, of the same version."""
+        version = self.version
+        await self.kill()
+        await self.start(version)
+
+    async def upgrade(self, version: Version) -> None:
+        """A process of that version takes over from the one that runs. Raises CheckFailed."""
+        elder = self.process
+        self.cluster.successors.append(await self.start(version))
+        code = await elder.terminate()
+        if code:
+            raise CheckFailed(f"the elder process of {self.name} ended with {code}")
+
+
+class Cluster:
+    """Use as a context: nothing that it started outlives it."""
+
+    def __init__(self, folder: Path, checkout: Path, seed: int) -> None:
+        self.folder = folder
+        self.token = secrets.token_hex(16)
+        self.config: dict[str, Any] = json.loads((checkout / PLATFORM_CONFIG).read_text())
+        self.config["settings"]["rules"]["drainGraceUs"] = DRAIN_GRACE_US
+        self.config["naming"] = None
+        self.ports = Ports()
+        self.witness = Witness(seed)
+        self.stand_ins: list[StandIns] = []
+        self.nodes: dict[str, FleetNode] = {}
+        self.successors: list[ServerProcess] = []  # that took over from a process that served
+
+    async def __aenter__(self) -> Cluster:
+        (self.folder / "token").write_text(self.token)
+        (self.folder / "key").write_text(secrets.token_hex(32))
+        await self.witness.open(self.ports.take())
+        for name in NAMES:
+            self.nodes[name] = FleetNode(self, name)
+        for node in self.nodes.values():
+            node.write_operator()
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        for process in self.processes:
+            if process.running:
+                await process.kill()
+        await self.witness.close()
+        for stand_ins in self.stand_ins:
+            stand_ins.close()
+        for node in self.nodes.values():
+            node.listening.close()
+        self.ports.close()
+
+    @property
+    def processes(self) -> list[ServerProcess]:
+        return [process for node in self.nodes.values() for process in node.processes]
+
+    def others(self, node: FleetNode) -> list[FleetNode]:
+        return [one for one in self.nodes.values() if one is not node]
+
+    def logs(self) -> dict[str, LogFindings]:
+        """Only a process that took over from another may have found the store still in use."""
+        return {
+            process.launch.log.stem: read_log(
+                process.launch.log, STORE_IN_USE if process in self.successors else None
+            )
+            for process in self.processes
+        }
--- /dev/null
+++ b/benchmarks/mixed/scenario.py
@@ -0,0 +1,66 @@
+"""One scenario: run within its time, and its result."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Awaitable, Callable, Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import Any
+
+from benchmarks.mixed.http_client import CallFailed
+from benchmarks.mixed.server_process import LogFindings, ServerProcess
+from benchmarks.mixed.versions import CheckFailed
+
+FAILURES_SHOWN = 20
+LOG_LINES_SHOWN = 10
+
+
+@dataclass(slots=True)
+class Result:
+    name: str
+    failures: list[str] = field(default_factory=list)
+    counts: dict[str, Any] = field(default_factory=dict)
+    warnings: dict[str, int] = field(default_factory=dict)  # of the logs, by text; they break nothing
+    seconds: float = 0.0
+
+    @property
+    def held(self) -> bool:
+        return not self.failures
+
+    def check(self, holds: bool, failure: str) -> None:
+        if not holds:
+            self.failures.append(failure)
+
+    def check_processes(self, processes: Iterable[ServerProcess], logs: Mapping[str, LogFindings]) -> None:
+        """None ended by itself, and none logged an error."""
+        for process in processes:
+            self.check(not process.ended_by_itself, f"{process.launch.log.stem} ended by itself")
+        for name, found in logs.items():
+            self.failures += [f"log of {name}: {line}" for line in found.errors[:LOG_LINES_SHOWN]]
+            for text, count in found.warnings.items():
+                self.warnings[text] = self.warnings.get(text, 0) + count
+
+    def write(self) -> dict[str, Any]:
+        return {
+            "name": self.name,
+            "held": self.held,
+            "seconds": round(self.seconds, 1),
+            "failures": self.failures[:FAILURES_SHOWN],
+            "failure_count": len(self.failures),
+            "counts": self.counts,
+            "warnings": self.warnings,
+        }
+
+
+async def run_scenario(name: str, body: Callable[[Result], Awaitable[None]]) -> Result:
+    """What the body finds; a step of it that does not come is a failure. Raises CannotRun, OSError."""
+    result = Result(name)
+    began = time.monotonic()
+    try:
+        await body(result)
+    except (CheckFailed, CallFailed) as fault:
+        result.failures.append(str(fault))
+    except TimeoutError:
+        result.failures.append("the scenario's time was over")
+    result.seconds = time.monotonic() - began
+    return result
--- /dev/null
+++ b/benchmarks/mixed_versions.py
@@ -0,0 +1,86 @@
+"""Two versions of the program together, as real processes on loopback: an upgrade under load, and a fleet.
+
+    python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT all      # one JSON object, under three minutes
+    python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT upgrade --rounds 3
+
+The old version is a checkout of its own (`git worktree add`), the new one is the checkout of this file. Ends with 0
+where all held, with 1 where something broke, and with 2 where it could not be run.
+"""
+
+from __future__ import annotations
+
+import argparse
+import json
+import sys
+import tempfile
+import time
+from pathlib import Path
+from typing import Any
+
+import uvloop
+
+from benchmarks.mixed.fleet_scenarios import run_fleets
+from benchmarks.mixed.scenario import Result
+from benchmarks.mixed.upgrade_scenarios import run_upgrades
+from benchmarks.mixed.versions import CannotRun, Version, open_version
+
+HELD, BROKE, COULD_NOT_RUN = 0, 1, 2
+NEW_CHECKOUT = Path(__file__).resolve().parent.parent
+
+
+async def run_round(what: str, folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
+    results = []
+    if what in ("upgrade", "all"):
+        results += await run_upgrades(folder, old, new, seed)
+    if what in ("fleet", "all"):
+        results += await run_fleets(folder, old, new, seed)
+    return results
+
+
+async def measure(options: argparse.Namespace) -> dict[str, Any]:
+    """Raises CannotRun, OSError."""
+    began = time.monotonic()
+    old = await open_version("old", Path(options.old))
+    new = await open_version("new", NEW_CHECKOUT)
+    rounds = []
+    with tempfile.TemporaryDirectory(prefix="mixed-") as scratch:
+        kept = Path(options.logs) if options.logs else Path(scratch)
+        for number in range(options.rounds):
+            folder = kept / f"round-{number}"
+            folder.mkdir(parents=True)
+            rounds.append(await run_round(options.what, folder, old, new, options.seed + 100 * number))
+    results = [result for one in rounds for result in one]
+    return {
+        "verdict": "held" if all(result.held for result in results) else "broke",
+        "old": old.describe(),
+        "new": new.describe(),
+        "rounds": options.rounds,
+        "seed": options.seed,
+        "scenarios": len(results),
+        "broken": [result.name for result in results if not result.held],
+        "seconds": round(time.monotonic() - began, 1),
+        "results": [[result.write() for result in one] for one in rounds],
+    }
+
+
+def main() -> int:
+    parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
+    parser.add_argument("what", choices=("upgrade", "fleet", "all"))
+    parser.add_argument("--old", required=True, help="a checkout of the version before")
+    parser.add_argument("--rounds", type=int, default=1)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument(
+        "--logs", help="a folder that does not exist yet, for files and logs of all processes"
+    )
+    options = parser.parse_args()
+    try:
+        outcome = uvloop.run(measure(options))
+    except (CannotRun, OSError) as fault:
+        print(json.dumps({"verdict": "could not run", "why": str(fault)}))
+        return COULD_NOT_RUN
+    print(json.dumps(outcome))
+    return HELD if outcome["verdict"] == "held" else BROKE
+
+
+if __name__ == "__main__":
+    sys.exit(main())
