--- a/benchmarks/mixed/front_end.py
+++ b/benchmarks/mixed/front_end.py
@@ -21,6 +21,7 @@
 TWIN_SHARE = 0.1  # of the work with a name that is sent a second time before the first is answered
 REPEAT_SHARE = 0.4  # of it that is sent once more after its answer
 REPEAT_AFTER_S = (0.0, 0.6)
+MOST_REPEATS = 4  # on one connection: after eight requests that can't be taken the node closes it
 
 
 @dataclass(slots=True, frozen=True)
@@ -131,6 +132,7 @@
         self._record, self._reader, self._writer = record, reader, writer
         self.closing = False  # the node asked that nothing new be sent here
         self.ended = False
+        self.repeats = 0  # that were sent here
         self._open: dict[int, Try] = {}
         self._tag = 0
         self._reading = asyncio.get_running_loop().create_task(self._read())
@@ -145,6 +147,7 @@
         return not (self.closing or self.ended)
 
     def send(self, work: Work) -> Try:
+        self.repeats += bool(work.tries)
         one = self._record.new_try(work)
         self._tag += 1
         self._open[self._tag] = one
@@ -236,14 +239,15 @@
         for _ in range(BATCHES):
             if self._stop or not connection.usable:
                 return
-            tries = [connection.send(self._next_work()) for _ in range(TRIES_AT_ONCE)]
+            tries = [connection.send(self._next_work(connection)) for _ in range(TRIES_AT_ONCE)]
             for one in tries:
                 await wait_answer(one)
                 self._perhaps_repeat(one)
             await asyncio.sleep(PAUSE_S)
 
-    def _next_work(self) -> Work:
-        if self._repeats and self._repeats[0][0] <= time.monotonic():
+    def _next_work(self, connection: Connection) -> Work:
+        due = self._repeats and self._repeats[0][0] <= time.monotonic()
+        if due and connection.repeats < MOST_REPEATS:
             return self._repeats.popleft()[1]
         kind = self._chance.choices(CLASSES, [one.weight for one in CLASSES])[0]
         work = self.record.new_work(kind)
