--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -92,6 +92,15 @@
         assert len(judge(record, Counter(), killed_at).failures) == failures, (lost_at, killed_at)
 
 
+def test_a_request_that_was_taken_back_is_owed_nothing_and_its_work_still_runs_once() -> None:
+    for count, failures in ((1, 0), (2, 1)):
+        record = Record()
+        first, _ = sent(record, "meter-reading", "", "done")
+        first.taken_back = True
+        verdict = judge(record, runs(meter_reading=count), None)
+        assert len(verdict.failures) == failures and verdict.counts["taken_back"] == 1
+
+
 def test_too_many_refusals_are_a_failure_where_nobody_was_killed() -> None:
     record = Record()
     for _ in range(2):
