--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -15,6 +15,7 @@
 from benchmarks.mixed.fleet_client import (
     all_vote,
     ask,
+    ask_all,
     documents_agree,
     find_leader,
     members_agree,
@@ -40,6 +41,13 @@
 FILLERS = 8  # that ask for entries of the log at the same time, at each node
 TOO_MANY_S = 0.01  # pause of one whose order was not taken
 KEPT_BEHIND_SNAPSHOT = 500  # entries of the log: one that lags by more gets the snapshot
+UNREADABLE = (
+    "corrupt",
+    "corrupt datagrams",
+    "another fleet",
+    "another group",
+    "too large",
+)  # counts of a node
 WHOLE_ALLOWANCE = 1_000_000  # parts of an allowance are millionths
 UNSAFE = frozenset({UNSAFE_TASK})
 OLD_TO_NEW, NEW_TO_OLD = "old to new", "new to old"
@@ -65,19 +73,21 @@
     def evens(self) -> list[FleetNode]:
         return self.cluster.others(self.odd)
 
-    async def note_processes(self) -> None:
-        """Which process is of which version, for the record of the tasks' server."""
-        for node in self.nodes:
-            told = await ask(node, "/v1/fleet") if node.process.running else None
-            if told is not None:
-                self.version_of[f"{node.name}/{told['boot']}"] = node.version.label
+    async def look_at_processes(self) -> None:
+        """Which process is of which version, and whether any of them could not read another's messages."""
+        for name, told in (await ask_all(self.nodes, "/v1/fleet")).items():
+            version = self.cluster.nodes[name].version.label
+            self.version_of[f"{name}/{told['boot']}"] = version
+            for what in UNREADABLE:
+                count = told["lines"].get(what, 0)
+                self.result.check(not count, f"{name} ({version}) counts {count} messages as {what!r}")
 
     async def wait_whole(self) -> None:
         """All vote, all belong, and all act on the same versions."""
         await wait_until("all nodes vote", lambda: all_vote(self.nodes), FORMS_WITHIN_S)
         await wait_until("all nodes agree on members", lambda: members_agree(self.nodes), AGREES_WITHIN_S)
         await self.wait_documents()
-        await self.note_processes()
+        await self.look_at_processes()
 
     async def wait_documents(self) -> None:
         async def agree() -> bool:
@@ -98,6 +108,7 @@
             )
 
         await wait_until(f"all tasks are done by {sorted(names)}", moved, MOVES_WITHIN_S)
+        await self.look_at_processes()
 
 
 async def form(run: Run) -> None:
@@ -319,6 +330,7 @@
                     took[step.__name__] = round(loop.time() - began, 1)
             except (CheckFailed, CallFailed) as fault:
                 result.failures.append(f"{step.__name__}: {fault}")
+                await run.look_at_processes()
             result.counts["step_s"] = took
             judge_run(run)
 
