--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -22,7 +22,8 @@
 from marlstep.cluster.store import ReplicaStore
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming, Ready
-from marlstep.consensus.replica import CommandRequest, CommandResponse, Replica, ReplicaSettings
+from marlstep.consensus.replica import Replica, ReplicaSettings
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import NodeProcess, Rig, Settings
 from marlstep.drill.witness import clock_us
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -23,14 +23,8 @@
 from marlstep.config import Config
 from marlstep.config.fleet import ClusterConfig, TaskConfig
 from marlstep.consensus.raft import RaftTiming, Ready
-from marlstep.consensus.replica import (
-    CommandRequest,
-    CommandResponse,
-    JoinRequest,
-    Replica,
-    ReplicaSettings,
-    node_of,
-)
+from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.core.engine import Core
 from marlstep.leases.client import GroupClient
 from marlstep.leases.holder import LeaseEvent
--- a/marlstep/cluster/wire.py
+++ b/marlstep/cluster/wire.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from marlstep.consensus.replica import MESSAGES, Message
+from marlstep.consensus.replica_messages import MESSAGES, Message
 from marlstep.membership.messages import RECORDS, Ack, MembershipMessage, Nack, Ping, PingRequest
 from marlstep.membership.records import MemberRecord, is_address, read_records, write_records
 from marlstep.net.codec import BOOLEAN, Codec, wire
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -7,15 +7,15 @@
 
 from collections import deque
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from datetime import datetime, timedelta
-from typing import Any, ClassVar
+from typing import Any
 
 import orjson
 
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
-from marlstep.consensus.messages import RAFT_MESSAGES, RaftMessage
 from marlstep.consensus.raft import Raft, RaftTiming, RandomSource, Ready
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest, Message
 from marlstep.consensus.state_machine import (
     Command,
     CommandJson,
@@ -30,7 +30,6 @@
 from marlstep.leases.table import LeaseTable
 from marlstep.membership.quotas import QuotaBalancer, QuotaTable
 from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
-from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, wire
 from marlstep.replicated_config.documents import CHUNK_CHARACTERS
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
@@ -47,39 +46,6 @@
 )  # a voter that is silent for so long may be replaced by its node's new identity
 
 
-@dataclass(slots=True, frozen=True)
-class CommandRequest:
-    """A named command from a node, sent again until it is told."""
-
-    wire_tag: ClassVar[str] = "Ask"
-
-    client: str = field(metadata=wire("by", TEXT))
-    number: int = field(metadata=wire("number", INTEGER))
-    command: str = field(metadata=wire("command", TEXT))  # JSON
-
-
-@dataclass(slots=True, frozen=True)
-class CommandResponse:
-    """`done`: it was applied, and this is its result, as JSON. Else: ask that node."""
-
-    wire_tag: ClassVar[str] = "Told"
-
-    number: int = field(metadata=wire("number", INTEGER))
-    applied: bool = field(metadata=wire("done", BOOLEAN))
-    leader: str = field(metadata=wire("leader", TEXT))
-    result: str = field(metadata=wire("result", TEXT), default="")
-
-
-@dataclass(slots=True, frozen=True)
-class JoinRequest:
-    """A store without a past asks to be taken in: first to listen, and to vote once it has caught up."""
-
-    wire_tag: ClassVar[str] = "Join"
-
-    node: str = field(metadata=wire("node", TEXT))
-    identity: str = field(metadata=wire("identity", TEXT))
-
-
 @dataclass(slots=True, frozen=True)
 class ReplicaEvent:
     """Of who leads or votes, for the log."""
@@ -88,20 +54,6 @@
     reason: str
 
 
-Message = (
-    RaftMessage
-    | CommandRequest
-    | CommandResponse
-    | Heartbeat
-    | HeartbeatResponse
-    | JoinRequest
-    | ServerRecovered
-    | FetchChunk
-    | DocumentChunk
-    | RelayAnnouncement
-)
-
-
 def node_of(identity: str) -> str:
     """Of a voter's identity (`node#store`) or of a process's name (`node/boot`)."""
     return identity.partition("#")[0].partition("/")[0]
@@ -513,17 +465,3 @@
 
 def _write(value: object) -> str:
     return orjson.dumps(value).decode()
-
-
-MESSAGES = (
-    *RAFT_MESSAGES,
-    CommandRequest,
-    CommandResponse,
-    Heartbeat,
-    HeartbeatResponse,
-    JoinRequest,
-    ServerRecovered,
-    FetchChunk,
-    DocumentChunk,
-    RelayAnnouncement,
-)
--- a/marlstep/drill/virtual.py
+++ b/marlstep/drill/virtual.py
@@ -18,14 +18,8 @@
 from marlstep.consensus.log import Configuration, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.messages import RequestVoteResponse
 from marlstep.consensus.raft import RaftTiming, Ready
-from marlstep.consensus.replica import (
-    CommandRequest,
-    CommandResponse,
-    JoinRequest,
-    Replica,
-    ReplicaSettings,
-    node_of,
-)
+from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.drill.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
 from marlstep.drill.broken import Breakage
 from marlstep.drill.plan import HEAL_MS, Fault, Plan
--- a/marlstep/leases/client.py
+++ b/marlstep/leases/client.py
@@ -14,7 +14,7 @@
 import orjson
 
 from marlstep.consensus.raft import RandomSource
-from marlstep.consensus.replica import CommandRequest, CommandResponse
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse
 from marlstep.consensus.state_machine import Command, CommandJson, command_json
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -14,14 +14,8 @@
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, RaftLog, Snapshot
 from marlstep.consensus.messages import AppendEntries, AppendEntriesResponse, LogRegressed, RequestVote
 from marlstep.consensus.raft import MAX_CHARACTERS_PER_MESSAGE, Raft, RaftTiming, Role
-from marlstep.consensus.replica import (
-    COMPACTION_THRESHOLD,
-    CommandRequest,
-    CommandResponse,
-    JoinRequest,
-    Replica,
-    ReplicaSettings,
-)
+from marlstep.consensus.replica import COMPACTION_THRESHOLD, Replica, ReplicaSettings
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.consensus.state_machine import StateMachines
 from marlstep.leases.settings import LeaseSettings
 from marlstep.net.framing import CorruptError
--- a/tests/golden/node_messages.py
+++ b/tests/golden/node_messages.py
@@ -17,7 +17,7 @@
     RequestVoteResponse,
     TimeoutNow,
 )
-from marlstep.consensus.replica import CommandRequest, CommandResponse, JoinRequest
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.leases.messages import (
     DocumentStatus,
     Heartbeat,
--- a/tests/golden/test_node_messages.py
+++ b/tests/golden/test_node_messages.py
@@ -6,7 +6,7 @@
 import pytest
 
 from marlstep.cluster import wire
-from marlstep.consensus.replica import MESSAGES as VOTER_MESSAGES
+from marlstep.consensus.replica_messages import MESSAGES as VOTER_MESSAGES
 from tests.golden import checks
 from tests.golden.conversation import classes_of, tags_of
 from tests.golden.mutations import Path
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -18,7 +18,8 @@
 from marlstep.config.fleet import ClusterConfig
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming
-from marlstep.consensus.replica import CommandRequest, CommandResponse, Message, Replica, ReplicaSettings
+from marlstep.consensus.replica import Replica, ReplicaSettings
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, Message
 from marlstep.leases.messages import DocumentState, Heartbeat, HeartbeatResponse, LeaseToken, RequestCounts
 from marlstep.node import Node
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -169,6 +169,7 @@
     "marlstep/consensus/messages.py",
     "marlstep/consensus/raft.py",
     "marlstep/consensus/replica.py",
+    "marlstep/consensus/replica_messages.py",
     "marlstep/core/duty.py",
     "marlstep/core/keys.py",
     "marlstep/handover/peer.py",
