--- a/marlstep/consensus/log.py
+++ b/marlstep/consensus/log.py
@@ -1,23 +1,58 @@
-"""The replicated log in memory: entries behind a snapshot, and the groups of voters that it has named."""
+"""The replicated log in memory: the entries behind a snapshot, and the configurations that they name.
+
+Terms and rules are those of the Raft paper, section 5.3 (log replication), section 6 (cluster membership) and section
+7 (log compaction).
+"""
 
 from __future__ import annotations
 
 import enum
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from itertools import islice
 
 import orjson
 
+from marlstep.errors import MarlstepError
+
+
+class InvalidConfigurationError(MarlstepError, ValueError):
+    """The text of a configuration entry does not name each member once."""
+
+    def __init__(self, text: str) -> None:
+        """Quote the text that was read."""
+        super().__init__(f"a configuration must name each member once, as text: {text[:200]}")
+
+
+class LogGapError(MarlstepError, ValueError):
+    """The entries that a store gave back do not follow on each other or on the snapshot."""
+
+    def __init__(self, expected: int, found: int) -> None:
+        """Name the index that should have followed and the one that does."""
+        super().__init__(f"the log has entry {found} where entry {expected} was expected")
+
+
+class EntryNotFoundError(MarlstepError, LookupError):
+    """The entry was compacted into the snapshot, or was never appended."""
+
+    def __init__(self, index: int, first: int, last: int) -> None:
+        """Name the index that was asked for and the bounds of the log."""
+        super().__init__(f"entry {index} is not in the log, which has entries {first} to {last}")
+
 
 class EntryType(enum.StrEnum):
-    NOOP = "empty"  # the first of a leader's term
-    COMMAND = "command"  # for the machine
-    CONFIGURATION = "group"  # who votes from here on
+    """What an entry is for. The values stand in messages and in stores."""
+
+    NOOP = "empty"  # the first entry of a leader's term
+    COMMAND = "command"  # for a state machine
+    CONFIGURATION = "group"  # the voters and learners from here on
 
 
 @dataclass(slots=True, frozen=True)
 class LogEntry:
-    index: int  # from 1
+    """One entry of the log. Indexes count from 1."""
+
+    index: int
     term: int
     entry_type: EntryType
     body: str
@@ -25,35 +60,42 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """Who votes and who only listens, by identity."""
+    """The members of the group by identity: voters, and learners that replicate the log without a vote."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
 
     @property
     def members(self) -> tuple[str, ...]:
+        """The voters, then the learners."""
         return self.voters + self.learners
 
     @property
     def quorum(self) -> int:
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def encode(self) -> str:
+        """Write the configuration as the body of a log entry."""
         return orjson.dumps([self.voters, self.learners]).decode()
 
     @staticmethod
     def decode(text: str) -> Configuration:
-        """Raises ValueError."""
+        """Read what `encode` wrote.
+
+        Raises:
+            ValueError: The text is not JSON, or a member is not text or is named twice.
+        """
         voters, learners = orjson.loads(text)
         names = [*voters, *learners]
         if not all(isinstance(name, str) for name in names) or len(set(names)) < len(names):
-            raise ValueError("a group's members must be names, each once")
+            raise InvalidConfigurationError(text)
         return Configuration(tuple(voters), tuple(learners))
 
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """What the machine had after the entry at `index`, and the group as of then."""
+    """The state machines after the entry at `index`, and the configuration as of that entry."""
 
     index: int = 0
     term: int = 0
@@ -63,7 +105,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """What a voter's store gives back at a start: all that was durable."""
+    """All that was durable, as a replica's store gives it back at a start (figure 2 of the paper)."""
 
     term: int = 0
     voted_for: str = ""
@@ -72,15 +114,20 @@
 
 
 class RaftLog:
-    """Raises LookupError for what the snapshot has swallowed, or what is not there."""
+    """The entries that were not yet discarded, the latest snapshot, and the configurations in force by index.
+
+    Methods that take an index raise LookupError for an entry that was compacted away or that is not there.
+    """
 
     def __init__(self, saved: PersistentState) -> None:
+        """Start from what the store gave back; raise ValueError where its entries leave a gap."""
         self.snapshot = saved.snapshot
-        self._snapshot_index, self._snapshot_term = saved.snapshot.index, saved.snapshot.term
+        # The entry before the first one kept. It lies before the snapshot where entries were kept for slow members.
+        self._base_index, self._base_term = saved.snapshot.index, saved.snapshot.term
         self._entries = list(saved.entries)
-        for number, entry in enumerate(self._entries, self._snapshot_index + 1):
-            if entry.index != number:
-                raise ValueError(f"the log has entry {entry.index} where {number} should be")
+        for expected, entry in enumerate(self._entries, self._base_index + 1):
+            if entry.index != expected:
+                raise LogGapError(expected, entry.index)
         self._configurations = [(saved.snapshot.index, saved.snapshot.configuration)]
         for entry in self._entries:
             self._record_configuration(entry)
@@ -91,77 +138,110 @@
 
     @property
     def last_index(self) -> int:
-        return self._snapshot_index + len(self._entries)
+        """The index of the last entry, or of the snapshot where no entry follows it."""
+        return self._base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        return self._entries[-1].term if self._entries else self._snapshot_term
+        """The term of the entry at `last_index`."""
+        return self._entries[-1].term if self._entries else self._base_term
 
     @property
     def first_index(self) -> int:
-        """The first entry that is still here; what is before it is in the snapshot."""
-        return self._snapshot_index + 1
+        """The index of the first entry that is still kept; what is before it is in the snapshot."""
+        return self._base_index + 1
 
     @property
     def configuration(self) -> Configuration:
-        """In force: the last that was appended, committed or not."""
+        """The configuration in force: the last one appended, committed or not (section 6)."""
         return self._configurations[-1][1]
 
     @property
     def configuration_index(self) -> int:
+        """The index of the entry that holds the configuration in force."""
         return self._configurations[-1][0]
 
     def configuration_at(self, index: int) -> Configuration:
-        return next(group for at, group in reversed(self._configurations) if at <= index)
+        """Return the configuration that was in force at the entry `index`."""
+        return next(
+            configuration for start, configuration in reversed(self._configurations) if start <= index
+        )
 
     def matches(self, index: int, term: int) -> bool:
-        """That very entry is here, or was before it went into the snapshot."""
-        return index < self._snapshot_index or (index <= self.last_index and self.term_at(index) == term)
+        """Tell whether the log holds that entry, or held it before it was compacted."""
+        return index < self._base_index or (index <= self.last_index and self.term_at(index) == term)
 
     def term_at(self, index: int) -> int:
-        if index == self._snapshot_index:
-            return self._snapshot_term
+        """Return the term of the entry `index`, which may be the last one compacted away."""
+        if index == self._base_index:
+            return self._base_term
         return self[index].term
 
     def __getitem__(self, index: int) -> LogEntry:
-        if not self._snapshot_index < index <= self.last_index:
-            raise LookupError(
-                f"entry {index} is not in the log, which has {self.first_index} to {self.last_index}"
-            )
-        return self._entries[index - self._snapshot_index - 1]
+        """Return the entry `index`."""
+        if not self._base_index < index <= self.last_index:
+            raise EntryNotFoundError(index, self.first_index, self.last_index)
+        return self._entries[index - self._base_index - 1]
 
     def slice(self, first: int, last: int) -> list[LogEntry]:
-        """Both included."""
-        if first <= self._snapshot_index:
-            raise LookupError(f"entry {first} is in the snapshot")
-        return list(
-            islice(self._entries, first - self._snapshot_index - 1, max(0, last - self._snapshot_index))
-        )
+        """Return the entries from `first` to `last`, both included."""
+        if first <= self._base_index:
+            raise EntryNotFoundError(first, self.first_index, self.last_index)
+        return list(islice(self._entries, first - self._base_index - 1, max(0, last - self._base_index)))
 
     def append(self, entry: LogEntry) -> None:
+        """Add the entry behind the last one."""
         assert entry.index == self.last_index + 1
         self._entries.append(entry)
         self._record_configuration(entry)
 
+    def append_from_leader(self, entries: Sequence[LogEntry], commit_index: int) -> int | None:
+        """Append the leader's entries that are missing, and replace those that conflict (section 5.3).
+
+        Returns:
+            The index of the first entry that was overwritten; None where none was.
+        """
+        overwritten = None
+        for entry in entries:
+            if entry.index <= self.last_index:
+                if self.matches(entry.index, entry.term):
+                    continue
+                assert entry.index > commit_index, "a committed entry would be overwritten"
+                self.truncate_from(entry.index)
+                overwritten = entry.index
+            self.append(entry)
+        return overwritten
+
+    def conflict_hint(self, index: int, commit_index: int) -> int:
+        """Return the entry before all of the term found at `index`, from where the leader should try again.
+
+        Skipping the whole term saves a round trip for each of its entries (end of section 5.3).
+        """
+        term = self.term_at(index)
+        while index > max(commit_index, self._base_index) and self.term_at(index) == term:
+            index -= 1
+        return index
+
     def truncate_from(self, first: int) -> None:
-        """Drop that entry and all behind it: another leader's log goes on differently."""
-        del self._entries[first - self._snapshot_index - 1 :]
+        """Drop the entry `first` and all after it."""
+        del self._entries[first - self._base_index - 1 :]
         self._configurations = [
             self._configurations[0],
-            *(one for one in self._configurations[1:] if one[0] < first),
+            *(recorded for recorded in self._configurations[1:] if recorded[0] < first),
         ]
 
     def compact(self, snapshot: Snapshot, keep: int) -> None:
-        """The snapshot stands for all up to its index; the last `keep` of those stay for members that lag."""
-        base = max(self._snapshot_index, snapshot.index - keep)
+        """Discard the entries that the snapshot covers, except the last `keep`, which serve slow members."""
+        base = max(self._base_index, snapshot.index - keep)
         term = self.term_at(base)
-        group = self.configuration_at(base)
-        del self._entries[: base - self._snapshot_index]
-        self._configurations = [(base, group), *(one for one in self._configurations if one[0] > base)]
-        self._snapshot_index, self._snapshot_term, self.snapshot = base, term, snapshot
+        configuration = self.configuration_at(base)
+        del self._entries[: base - self._base_index]
+        later = [recorded for recorded in self._configurations if recorded[0] > base]
+        self._configurations = [(base, configuration), *later]
+        self._base_index, self._base_term, self.snapshot = base, term, snapshot
 
     def restore(self, snapshot: Snapshot) -> None:
-        """The snapshot takes the place of all that is here."""
+        """Replace the whole log by a snapshot that the leader sent."""
         self._entries.clear()
-        self._snapshot_index, self._snapshot_term, self.snapshot = snapshot.index, snapshot.term, snapshot
+        self._base_index, self._base_term, self.snapshot = snapshot.index, snapshot.term, snapshot
         self._configurations = [(snapshot.index, snapshot.configuration)]
--- a/marlstep/consensus/messages.py
+++ b/marlstep/consensus/messages.py
@@ -1,26 +1,40 @@
-"""What voters write to each other. Each names the term of who wrote it."""
+"""The messages of the Raft protocol between members of a group.
+
+Each carries the term of its sender. The wire tags and keys beside the fields are the stored form; field names follow
+the paper's figures 2 (RequestVote, AppendEntries) and 13 (InstallSnapshot).
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import ClassVar
+from typing import Any, ClassVar
 
 from marlstep.consensus.log import Configuration, EntryType, LogEntry
+from marlstep.errors import MarlstepError
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, ValueType, wire
 
 
-def _read_entries(value: object) -> tuple[LogEntry, ...]:
-    if not isinstance(value, list):
-        raise ValueError("entries must be a list")
-    made = []
-    for row in value:
-        index, term, kind, body = row["index"], row["term"], EntryType(row["kind"]), row["body"]
-        if type(index) is not int or type(term) is not int or not isinstance(body, str):
-            raise ValueError("no entry")
-        if kind is EntryType.CONFIGURATION:
-            Configuration.decode(body)
-        made.append(LogEntry(index, term, kind, body))
-    return tuple(made)
+class MalformedMessageError(MarlstepError, ValueError):
+    """A value inside a message has another form than its field requires."""
+
+    def __init__(self, key: str, expected: str, found: object) -> None:
+        """Name the wire key, the form that was expected of its value, and the value."""
+        super().__init__(f"{key}: expected {expected}, found {repr(found)[:200]}")
+
+
+def _read_entries(rows: object) -> tuple[LogEntry, ...]:
+    if not isinstance(rows, list):
+        raise MalformedMessageError("entries", "a list", rows)
+    return tuple(_read_entry(row) for row in rows)
+
+
+def _read_entry(row: dict[str, Any]) -> LogEntry:
+    index, term, entry_type, body = row["index"], row["term"], EntryType(row["kind"]), row["body"]
+    if type(index) is not int or type(term) is not int or not isinstance(body, str):
+        raise MalformedMessageError("entries", "an integer index and term and a text body", row)
+    if entry_type is EntryType.CONFIGURATION:
+        Configuration.decode(body)
+    return LogEntry(index, term, entry_type, body)
 
 
 def _write_entries(entries: tuple[LogEntry, ...]) -> object:
@@ -30,31 +44,31 @@
     ]
 
 
-def _read_group(value: object) -> Configuration:
+def _read_configuration(value: object) -> Configuration:
     if not isinstance(value, dict):
-        raise ValueError("no group")
+        raise MalformedMessageError("group", "an object with voters and learners", value)
     voters, learners = value["voters"], value["learners"]
     if not all(isinstance(name, str) for name in [*voters, *learners]):
-        raise ValueError("a group's members must be names")
+        raise MalformedMessageError("group", "members that are text", value)
     return Configuration(tuple(voters), tuple(learners))
 
 
-def _write_group(group: Configuration) -> object:
-    return {"voters": group.voters, "learners": group.learners}
+def _write_configuration(configuration: Configuration) -> object:
+    return {"voters": configuration.voters, "learners": configuration.learners}
 
 
 ENTRIES = ValueType(_read_entries, _write_entries)
-GROUP = ValueType(_read_group, _write_group)
+CONFIGURATION = ValueType(_read_configuration, _write_configuration)
 
 
 @dataclass(slots=True, frozen=True)
 class AppendEntries:
-    """From the leader: the entries behind `prev`, perhaps none, and how far the log is committed."""
+    """The leader's entries after `prev_log_index`, perhaps none, and its commit index (section 5.3)."""
 
     wire_tag: ClassVar[str] = "Append"
 
     term: int = field(metadata=wire("term", INTEGER))
-    # grows with every broadcast of a leader: an answer to it proves that it led after it was sent
+    # Grows with every broadcast of a leader, so a response proves that it still led after that broadcast was sent.
     heartbeat_round: int = field(metadata=wire("round", INTEGER))
     prev_log_index: int = field(metadata=wire("prev", INTEGER))
     prev_log_term: int = field(metadata=wire("prev_term", INTEGER))
@@ -64,7 +78,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendEntriesResponse:
-    """`last` is what is durable here and the same as the leader's; or, refused, where to try from."""
+    """The answer to AppendEntries.
+
+    On success `match_index` is the last entry that is durable and equal to the leader's; on a rejection it is the
+    index from which the leader should try again.
+    """
 
     wire_tag: ClassVar[str] = "Appended"
 
@@ -76,7 +94,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestVote:
-    """`pre`: would you vote for me in that term? `forced`: the leader itself asked for this election."""
+    """A candidate's request for a vote (section 5.2).
+
+    `pre_vote` asks whether the vote would be granted in `term`, without entering it (section 9.6 of the
+    dissertation). `leadership_transfer` marks an election that the leader itself started (section 3.10 there).
+    """
 
     wire_tag: ClassVar[str] = "VoteAsk"
 
@@ -89,7 +111,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestVoteResponse:
-    """`asked` is the term that was asked for, `term` the voter's own."""
+    """The answer to RequestVote: `term` is the voter's own, `requested_term` the one that was asked for."""
 
     wire_tag: ClassVar[str] = "Vote"
 
@@ -101,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstallSnapshotChunk:
-    """A piece of the snapshot at `index`, `offset` characters into it."""
+    """A part of the leader's snapshot that starts `offset` characters into its data (section 7)."""
 
     wire_tag: ClassVar[str] = "SnapshotPart"
 
@@ -109,7 +131,7 @@
     heartbeat_round: int = field(metadata=wire("round", INTEGER))
     last_included_index: int = field(metadata=wire("index", INTEGER))
     last_included_term: int = field(metadata=wire("index_term", INTEGER))
-    configuration: Configuration = field(metadata=wire("group", GROUP))
+    configuration: Configuration = field(metadata=wire("group", CONFIGURATION))
     offset: int = field(metadata=wire("offset", INTEGER))
     data: str = field(metadata=wire("data", TEXT))
     done: bool = field(metadata=wire("done", BOOLEAN))
@@ -117,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstallSnapshotResponse:
-    """So much of the snapshot at `index` is here; `done` once it is in force and durable."""
+    """The answer to a chunk: how many characters were received; `done` once the snapshot is installed and durable."""
 
     wire_tag: ClassVar[str] = "SnapshotTaken"
 
@@ -130,7 +152,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimeoutNow:
-    """From a leader that leaves: stand for election at once."""
+    """A leader's order to start an election at once (leadership transfer, section 3.10 of the dissertation)."""
 
     wire_tag: ClassVar[str] = "ElectNow"
 
@@ -139,7 +161,10 @@
 
 @dataclass(slots=True, frozen=True)
 class LogRegressed:
-    """From the leader: you said before that more was durable with you. You are not who you were."""
+    """A leader's notice that the member had acknowledged more entries than its log has now.
+
+    Such a member has lost durable state and must rejoin under a new identity.
+    """
 
     wire_tag: ClassVar[str] = "Forgot"
 
--- a/marlstep/consensus/raft.py
+++ b/marlstep/consensus/raft.py
@@ -359,21 +359,13 @@
             self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, False, log.last_index))
             return
         if not log.matches(told.prev_log_index, told.prev_log_term):
-            # All of the term that differs is in doubt: the leader tries from before it.
-            term, hint = log.term_at(told.prev_log_index), told.prev_log_index
-            while hint > max(self.commit_index, log.first_index - 1) and log.term_at(hint) == term:
-                hint -= 1
+            hint = log.conflict_hint(told.prev_log_index, self.commit_index)
             self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, False, hint))
             return
-        for entry in told.entries:
-            if entry.index <= log.last_index:
-                if log.matches(entry.index, entry.term):
-                    continue
-                assert entry.index > self.commit_index, "a committed entry would be overwritten"
-                log.truncate_from(entry.index)
-                self._durable_index = min(self._durable_index, entry.index - 1)
-                self._handed_out_index = min(self._handed_out_index, entry.index - 1)
-            log.append(entry)
+        overwritten = log.append_from_leader(told.entries, self.commit_index)
+        if overwritten is not None:
+            self._durable_index = min(self._durable_index, overwritten - 1)
+            self._handed_out_index = min(self._handed_out_index, overwritten - 1)
         same = told.prev_log_index + len(told.entries)
         self.commit_index = max(self.commit_index, min(told.leader_commit, same))
         self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, True, same))
