--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -659,7 +659,7 @@
         settled = holder.leaving and self.client.is_idle
         if leads and settled and self.replica is not None and now >= self._hand_at:
             self._hand_at = now + HAND_AGAIN
-            if to := self.replica.transfer_leadership(now):
+            if to := self.replica.transfer_leadership():
                 log.info("fleet: leadership is handed to %s, as this node leaves", to)
                 self.drive_soon()
         over = self._leaving_until is not None and now >= self._leaving_until
--- a/marlstep/consensus/messages.py
+++ b/marlstep/consensus/messages.py
@@ -13,6 +13,9 @@
 from marlstep.errors import MarlstepError
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, ValueType, wire
 
+# The bodies of the entries of one AppendEntries, or the data of one InstallSnapshotChunk.
+MAX_CHARACTERS_PER_MESSAGE = 12 * 1024
+
 
 class MalformedMessageError(MarlstepError, ValueError):
     """A value inside a message has another form than its field requires."""
--- a/marlstep/consensus/raft.py
+++ b/marlstep/consensus/raft.py
@@ -1,22 +1,22 @@
-"""One voter's part in agreeing on a log, by the terms of the Raft paper and of the dissertation behind it.
+"""The core of Raft for one member of a group, after the Raft paper and Ongaro's dissertation.
 
-It is told of messages and of the time, and says what is to be stored and sent. What it says in `take` must be durable
-before the messages that go with it are sent; what it says in `prompt` may go at once. It never looks at a clock, and
-chance is passed in.
-
-    follower ──no leader for a while──▶ asking ──a majority would──▶ candidate ──a majority did──▶ leader
-        ▲               (asks without a new term, so that one that was cut off disturbs nobody)      │
-        └──────────── a higher term, a leader of this term, or no majority heard any more ───────────┘
+It does no I/O: the caller passes in messages, the time and a source of randomness, stores what `take_ready` returns,
+and sends messages. Messages of `take_immediate_messages` may be sent at once; those of a `Ready` only after its state
+is durable. Elections, replication, snapshot transfer and the bookkeeping of `Ready` have modules of their own; here is
+where they meet, as one rule often concerns the term, the log and the commit index together.
 """
 
 from __future__ import annotations
 
-import enum
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from datetime import datetime, timedelta
-from typing import Protocol
+from datetime import datetime
 
+from marlstep.consensus.configuration_change import (
+    ConfigurationChangeRejectedError,
+    ConfigurationChangeRejection,
+    check_configuration_change,
+)
+from marlstep.consensus.election import Election, ElectionTimer, RaftTiming, RandomSource, Role
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, RaftLog, Snapshot
 from marlstep.consensus.messages import (
     AppendEntries,
@@ -29,274 +29,142 @@
     RequestVoteResponse,
     TimeoutNow,
 )
-from marlstep.units import EPOCH, MILLISECOND
-
-MAX_ENTRIES_PER_MESSAGE = 64  # of one message
-MAX_CHARACTERS_PER_MESSAGE = 12 * 1024  # of the entries of one message, and of a piece of a snapshot
-MAX_IN_FLIGHT_ENTRIES = 1024  # entries that may be on their way to one member
-
-
-class RandomSource(Protocol):
-    """The seeded source that is passed in."""
-
-    def random(self) -> float: ...
-
-
-class Role(enum.Enum):
-    FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"
-    CANDIDATE = "candidate"
-    LEADER = "leader"
-
-
-@dataclass(slots=True, frozen=True)
-class RaftTiming:
-    """An election begins after between `patience` and twice that without a leader's word."""
-
-    heartbeat_interval: timedelta = 100 * MILLISECOND
-    election_timeout: timedelta = 500 * MILLISECOND
-
-
-@dataclass(slots=True)
-class Ready:
-    """To be made durable, in this order, and then the messages to be sent."""
-
-    number: int
-    term: int
-    voted_for: str
-    snapshot: Snapshot | None = None  # stands for all up to its index
-    replaces_log: bool = False  # the snapshot came from the leader: nothing of the log here stays
-    keep_after_index: int = 0  # with a snapshot: entries after this index stay in the log
-    entries: list[LogEntry] = field(
-        default_factory=list
-    )  # the first takes the place of all from its index on
-    messages: list[tuple[str, RaftMessage]] = field(default_factory=list)
-    needs_sync: bool = False  # there is more to it than messages
-    last_index: int = 0  # of the log, once this is durable
-    last_term: int = 0
+from marlstep.consensus.progress import PeerProgress
+from marlstep.consensus.ready import AddressedMessage, Outbox, Ready, ReadyTracker
+from marlstep.consensus.replication import Replication
+from marlstep.consensus.snapshot_transfer import SnapshotAssembler
 
-
-@dataclass(slots=True)
-class PeerProgress:
-    """What the leader knows of a member."""
-
-    next_index: int
-    match_index: int = 0
-    match_round: int = 0  # in which that was said
-    acknowledged_round: int = 0  # the highest that it has answered
-    last_contact: datetime | None = None
-    probing: bool = True  # nothing more is sent until it is known where its log stands
-    probe_in_flight: bool = False  # while probing: a message is out
-    snapshot_offset: int | None = None  # inside a snapshot
+__all__ = [
+    "Raft",
+    "RaftTiming",
+    "RandomSource",
+    "Ready",
+    "Role",
+]
 
 
 class Raft:
+    """One member's state and the rules by which messages and time change it."""
+
     def __init__(
-        self, me: str, saved: PersistentState, timing: RaftTiming, chance: RandomSource, now: datetime
+        self,
+        identity: str,
+        saved: PersistentState,
+        timing: RaftTiming,
+        random_source: RandomSource,
+        now: datetime,
     ) -> None:
-        """`me` is this voter's identity; it goes with its store."""
-        self.identity, self.timing, self.max_entries_per_message = me, timing, MAX_ENTRIES_PER_MESSAGE
-        self.term, self.voted_for = saved.term, saved.voted_for
+        """Start as a follower from what the store gave back; `identity` belongs to that store."""
+        self.identity = identity
+        self.timing = timing
         self.log = RaftLog(saved)
         self.commit_index = saved.snapshot.index
         self.last_applied = saved.snapshot.index
-        self.role = Role.FOLLOWER
-        self.leader = ""  # as far as is known
-        self.log_regressed = False  # the store is not what this voter had: it must not go on as who it was
-        self.progress: dict[str, PeerProgress] = {}
-        self._random = chance
-        self._last_leader_contact: datetime | None = None  # a word of the leader
-        self._election_deadline = now
-        self._election_deferred = False  # it woke late, and has given itself a beat more
-        self._next_heartbeat = now
-        self._votes_received: set[str] = set()
-        self._forced = False
-        self.heartbeat_round = 0
-        self._role_since = now  # in this role
-        self._term_start_index = 0  # index of the empty entry of this leader's term
+        self.log_regressed = False  # durable state was lost: this member must not go on under its identity
+        self._outbox = Outbox()
+        timer = ElectionTimer(timing, random_source, now)
+        self.election = Election(identity, saved, self.log, self._outbox, timer, now)
+        self.replication = Replication(self, self._outbox, timing, now)
+        self._ready_tracker = ReadyTracker(saved, self.log)
+        self._incoming_snapshot = SnapshotAssembler()
+        self._snapshot_to_apply: Snapshot | None = None
+        self._term_start_index = 0  # of the no-op entry with which this leader's term began
         self._durable_index = self.log.last_index
-        self._ready_number = 0
-        self._handed_out_term, self._handed_out_vote = self.term, self.voted_for
-        self._handed_out_index = self.log.last_index  # handed out in a `Ready`
-        self._handed_out_snapshot_index = saved.snapshot.index
-        self._snapshot_to_store: Snapshot | None = None
-        self._snapshot_to_apply: Snapshot | None = None  # for `applies`
-        self._incoming_chunks: list[str] = []  # pieces of a snapshot
-        self._incoming_snapshot = (0, 0)
-        self._messages_after_sync: list[tuple[str, RaftMessage]] = []
-        self._immediate_messages: list[tuple[str, RaftMessage]] = []
-        self._broadcast_due = False
-        self._reset_election_timer(now)
-
-    # What others read.
+
+    # State that others read.
+
+    @property
+    def term(self) -> int:
+        """The current term."""
+        return self.election.term
+
+    @property
+    def voted_for(self) -> str:
+        """The candidate that got this member's vote in the current term; empty where none did."""
+        return self.election.voted_for
+
+    @property
+    def role(self) -> Role:
+        """The role in the current term."""
+        return self.election.role
+
+    @property
+    def leader(self) -> str:
+        """The leader of the current term; empty where it is not known."""
+        return self.election.leader
 
     @property
     def configuration(self) -> Configuration:
+        """The configuration in force."""
         return self.log.configuration
 
     @property
     def is_leader(self) -> bool:
-        return self.role is Role.LEADER
+        """Whether this member leads the current term, as far as it knows."""
+        return self.election.role is Role.LEADER
 
     @property
     def is_established_leader(self) -> bool:
-        """It leads, and all that was committed before its term is known to it as committed, and applied."""
+        """Whether it leads and has applied all that was committed before its term (section 8)."""
         return self.is_leader and self.last_applied >= self._term_start_index
 
     @property
-    def confirmed_round(self) -> int:
-        """The highest round that a majority has answered: whoever led after it was sent, it was this voter."""
-        rounds = sorted(
-            (
-                self.heartbeat_round if one == self.identity else self._progress_of(one).acknowledged_round
-                for one in self.configuration.voters
-            ),
-            reverse=True,
-        )
-        return rounds[self.configuration.quorum - 1] if rounds else 0
+    def progress(self) -> dict[str, PeerProgress]:
+        """The progress of the other members in the last term that this member led."""
+        return self.replication.progress
 
-    def next_due(self) -> datetime:
-        """When `tick` has something to do."""
-        return self._next_heartbeat if self.is_leader else self._election_deadline
+    @property
+    def heartbeat_round(self) -> int:
+        """The number of broadcasts in the last term that this member led."""
+        return self.replication.heartbeat_round
 
-    def replication_lag(self, member: str) -> int:
-        """Entries that the member is behind."""
-        return self.log.last_index - (
-            self.log.last_index if member == self.identity else self._progress_of(member).match_index
-        )
+    @property
+    def confirmed_round(self) -> int:
+        """The highest heartbeat round that a majority has answered."""
+        return self.replication.confirmed_round
 
-    def _progress_of(self, member: str) -> PeerProgress:
-        peer = self.progress.get(member)
-        if peer is None:
-            peer = self.progress[member] = PeerProgress(self.log.last_index + 1)
-        return peer
+    def replication_lag(self, member: str) -> int:
+        """Return the number of entries that a member is behind this leader's log."""
+        return self.replication.lag_of(member)
 
     # Time.
 
+    def next_due(self) -> datetime:
+        """Return the time at which `tick` has something to do."""
+        return self.replication.next_heartbeat if self.is_leader else self.election.timer.deadline
+
     def tick(self, now: datetime) -> None:
+        """Send a heartbeat, step down or start an election where that is due."""
         if self.is_leader:
-            if now >= self._next_heartbeat:
-                if not self._hears_majority(now):
-                    self._become_follower(now, self.term, "")
-                else:
-                    self._broadcast(now)
-        elif now >= self._election_deadline + self.timing.heartbeat_interval and not self._election_deferred:
-            # It woke late, and reads its timers before its lines: the leader's word may wait there. A process that
-            # gets no time would else ask for an election that nobody needs, again and again.
-            self._election_deferred, self._election_deadline = True, now + self.timing.heartbeat_interval
-        elif now >= self._election_deadline:
-            self._start_election(now, forced=False)
-
-    def _reset_election_timer(self, now: datetime) -> None:
-        self._election_deferred = False
-        self._election_deadline = now + self.timing.election_timeout * (1 + self._random.random())
+            if now >= self.replication.next_heartbeat:
+                self._heartbeat_or_step_down(now)
+        elif self.election.timer.has_expired(now):
+            self._start_election(now, leadership_transfer=False)
+
+    def _heartbeat_or_step_down(self, now: datetime) -> None:
+        if self._hears_majority(now):
+            self.replication.broadcast(now)
+        else:
+            self.election.become_follower(now, self.term, leader="")
 
     def _hears_majority(self, now: datetime) -> bool:
+        """Check the leader's quorum (section 6.2 of the dissertation)."""
         since = now - 2 * self.timing.election_timeout
-        if since < self._role_since:
-            return True  # they have had no time to answer yet
-        heard = [
-            one == self.identity or (self._progress_of(one).last_contact or EPOCH) >= since
-            for one in self.configuration.voters
-        ]
-        return sum(heard) >= self.configuration.quorum
+        if since < self.election.role_since:
+            return True  # the term is too young for all to have answered
+        return self.replication.hears_majority_since(since)
 
     def _hears_leader(self, now: datetime) -> bool:
         if self.is_leader:
             return self._hears_majority(now)
-        return (
-            bool(self.leader)
-            and self._last_leader_contact is not None
-            and now < self._last_leader_contact + self.timing.election_timeout
-        )
-
-    # Elections.
-
-    def _start_election(self, now: datetime, forced: bool) -> None:
-        self._reset_election_timer(now)
-        if self.identity not in self.configuration.voters or self.log_regressed:
-            return
-        self.leader = ""
-        self._role_since = now
-        if forced:
-            self._become_candidate(now, forced)
-        else:
-            self.role, self._votes_received = Role.PRE_CANDIDATE, set()
-            self._request_votes(self.term + 1, pre=True, forced=False)
-
-    def _become_candidate(self, now: datetime, forced: bool) -> None:
-        self.role, self._votes_received = Role.CANDIDATE, set()
-        self.term, self.voted_for = self.term + 1, self.identity
-        self._reset_election_timer(now)
-        self._request_votes(self.term, pre=False, forced=forced)
-
-    def _request_votes(self, term: int, pre: bool, forced: bool) -> None:
-        ask = RequestVote(term, pre, forced, self.log.last_index, self.log.last_term)
-        for voter in self.configuration.voters:
-            # Its own vote too counts only when it is durable: it comes back as a message.
-            self._send(
-                voter, RequestVoteResponse(self.term, term, pre, True) if voter == self.identity else ask
-            )
-
-    def _handle_request_vote(self, now: datetime, sender: str, ask: RequestVote) -> None:
-        fresh = (ask.last_log_term, ask.last_log_index) >= (self.log.last_term, self.log.last_index)
-        if ask.pre_vote:
-            granted = fresh and ask.term > self.term and not self._hears_leader(now)
-        else:
-            granted = (
-                fresh and ask.term == self.term and self.voted_for in ("", sender) and not self.is_leader
-            )
-            if granted:
-                self.voted_for = sender
-                self._reset_election_timer(now)
-        self._send(
-            sender, RequestVoteResponse(self.term, ask.term, ask.pre_vote, granted and not self.log_regressed)
-        )
-
-    def _handle_vote_response(self, now: datetime, sender: str, vote: RequestVoteResponse) -> None:
-        if not vote.granted or sender not in self.configuration.voters:
-            return
-        if vote.pre_vote and self.role is Role.PRE_CANDIDATE and vote.requested_term == self.term + 1:
-            self._votes_received.add(sender)
-            if len(self._votes_received) >= self.configuration.quorum:
-                self._become_candidate(now, forced=False)
-        elif not vote.pre_vote and self.role is Role.CANDIDATE and vote.requested_term == self.term:
-            self._votes_received.add(sender)
-            if len(self._votes_received) >= self.configuration.quorum:
-                self._become_leader(now)
-
-    def _become_leader(self, now: datetime) -> None:
-        self.role, self.leader, self._role_since, self.heartbeat_round = Role.LEADER, self.identity, now, 0
-        self.progress = {
-            one: PeerProgress(self.log.last_index + 1)
-            for one in self.configuration.members
-            if one != self.identity
-        }
-        self._term_start_index = self._append(EntryType.NOOP, "")
-        self._broadcast(now)
-
-    def _become_follower(self, now: datetime, term: int, leader: str) -> None:
-        if term > self.term:
-            self.term, self.voted_for = term, ""
-        if self.role is not Role.FOLLOWER:
-            self.role, self._role_since = Role.FOLLOWER, now
-            self._reset_election_timer(now)
-        self.leader = leader
+        return bool(self.leader) and self.election.timer.has_recent_leader_contact(now)
 
     # Messages.
 
     def step(self, now: datetime, sender: str, message: RaftMessage) -> None:
-        """A message came from another member, or from this one itself."""
-        if isinstance(message, RequestVote):
-            if message.term > self.term and not message.pre_vote:
-                if self._hears_leader(now) and not message.leadership_transfer:
-                    return  # there is a leader: one that does not hear it must not unseat it
-                self._become_follower(now, message.term, "")
-        elif message.term > self.term and not (
-            isinstance(message, RequestVoteResponse) and message.pre_vote and message.granted
-        ):
-            from_leader = isinstance(message, AppendEntries | InstallSnapshotChunk)
-            self._become_follower(now, message.term, sender if from_leader else "")
+        """Handle a message of another member, or of this one to itself."""
+        if not self._observe_term(now, sender, message):
+            return
         if message.term < self.term:
             self._reject_stale_term(sender, message)
             return
@@ -306,358 +174,249 @@
             case RequestVoteResponse():
                 self._handle_vote_response(now, sender, message)
             case AppendEntries() | InstallSnapshotChunk():
-                if self.is_leader:
-                    return  # none but this one leads in its term; a message of its own cannot come from there
-                self._become_follower(now, self.term, sender)
-                self._last_leader_contact = now
-                self._reset_election_timer(now)
-                if isinstance(message, AppendEntries):
-                    self._handle_append_entries(sender, message)
-                else:
-                    self._handle_snapshot_chunk(sender, message)
+                self._handle_leader_message(now, sender, message)
             case AppendEntriesResponse():
                 self._handle_append_response(now, sender, message)
             case InstallSnapshotResponse():
                 self._handle_snapshot_response(now, sender, message)
             case TimeoutNow():
-                if not self.is_leader and message.term == self.term:
-                    self._start_election(now, forced=True)
+                self._handle_timeout_now(now)
             case LogRegressed():
-                if (
-                    message.term == self.term
-                    and sender == self.leader
-                    and self._durable_index < message.acknowledged_index
-                ):
-                    self.log_regressed = True
+                self._handle_log_regressed(sender, message)
+
+    def _observe_term(self, now: datetime, sender: str, message: RaftMessage) -> bool:
+        """Enter the message's term where it is newer; return whether the message may be handled."""
+        if message.term <= self.term:
+            return True
+        match message:
+            case RequestVote(pre_vote=True) | RequestVoteResponse(pre_vote=True, granted=True):
+                pass  # a pre-vote changes no term
+            case RequestVote(leadership_transfer=False) if self._hears_leader(now):
+                return False  # a member that was removed or cut off must not depose a leader (section 6)
+            case AppendEntries() | InstallSnapshotChunk():
+                self.election.become_follower(now, message.term, leader=sender)
+            case _:
+                self.election.become_follower(now, message.term, leader="")
+        return True
 
     def _reject_stale_term(self, sender: str, message: RaftMessage) -> None:
-        """Who writes in an old term hears of the new one."""
+        """Answer a request of an older term, so that its sender learns of the current one."""
+        response: RaftMessage
         match message:
             case AppendEntries():
-                self._send(
-                    sender,
-                    AppendEntriesResponse(self.term, message.heartbeat_round, False, self.log.last_index),
+                response = AppendEntriesResponse(
+                    self.term, message.heartbeat_round, success=False, match_index=self.log.last_index
                 )
             case InstallSnapshotChunk():
-                self._send(
-                    sender,
-                    InstallSnapshotResponse(
-                        self.term, message.heartbeat_round, message.last_included_index, 0, False
-                    ),
+                response = InstallSnapshotResponse(
+                    self.term, message.heartbeat_round, message.last_included_index, offset=0, done=False
                 )
             case RequestVote():
-                self._send(sender, RequestVoteResponse(self.term, message.term, message.pre_vote, False))
+                response = RequestVoteResponse(self.term, message.term, message.pre_vote, granted=False)
+            case _:
+                return
+        self._outbox.send_after_sync(sender, response)
 
-    def _send(self, to: str, message: RaftMessage) -> None:
-        self._messages_after_sync.append((to, message))
+    # Elections.
 
-    # The log, where this one follows.
+    def _start_election(self, now: datetime, *, leadership_transfer: bool) -> None:
+        self.election.timer.reset(now)
+        if self.identity in self.configuration.voters and not self.log_regressed:
+            self.election.campaign(now, leadership_transfer=leadership_transfer)
 
-    def _handle_append_entries(self, sender: str, told: AppendEntries) -> None:
-        log = self.log
-        if told.prev_log_index > log.last_index:
-            self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, False, log.last_index))
-            return
-        if not log.matches(told.prev_log_index, told.prev_log_term):
-            hint = log.conflict_hint(told.prev_log_index, self.commit_index)
-            self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, False, hint))
-            return
-        overwritten = log.append_from_leader(told.entries, self.commit_index)
+    def _handle_request_vote(self, now: datetime, sender: str, request: RequestVote) -> None:
+        if request.pre_vote:
+            granted = self.election.may_grant_pre_vote(request) and not self._hears_leader(now)
+        else:
+            granted = self.election.grant_vote(now, sender, request)
+        granted = granted and not self.log_regressed
+        response = RequestVoteResponse(self.term, request.term, request.pre_vote, granted)
+        self._outbox.send_after_sync(sender, response)
+
+    def _handle_vote_response(self, now: datetime, sender: str, response: RequestVoteResponse) -> None:
+        if self.election.record_vote(now, sender, response):
+            self._become_leader(now)
+
+    def _become_leader(self, now: datetime) -> None:
+        self.election.become_leader(now)
+        self.replication.start_term()
+        self._term_start_index = self._append(EntryType.NOOP, "")
+        self.replication.broadcast(now)
+
+    def _handle_timeout_now(self, now: datetime) -> None:
+        if not self.is_leader:
+            self._start_election(now, leadership_transfer=True)
+
+    # Following a leader.
+
+    def _handle_leader_message(
+        self, now: datetime, sender: str, message: AppendEntries | InstallSnapshotChunk
+    ) -> None:
+        if self.is_leader:
+            return  # a term has one leader, so this is no message of its leader
+        self.election.become_follower(now, self.term, leader=sender)
+        self.election.timer.record_leader_contact(now)
+        match message:
+            case AppendEntries():
+                self._handle_append_entries(sender, message)
+            case InstallSnapshotChunk():
+                self._handle_snapshot_chunk(sender, message)
+
+    def _handle_append_entries(self, sender: str, request: AppendEntries) -> None:
+        if request.prev_log_index > self.log.last_index:
+            success, index = False, self.log.last_index
+        elif not self.log.matches(request.prev_log_index, request.prev_log_term):
+            success, index = False, self.log.conflict_hint(request.prev_log_index, self.commit_index)
+        else:
+            success, index = True, self._append_from_leader(request)
+        response = AppendEntriesResponse(self.term, request.heartbeat_round, success, index)
+        self._outbox.send_after_sync(sender, response)
+
+    def _append_from_leader(self, request: AppendEntries) -> int:
+        """Take over the leader's entries and commit index; return the last entry that matches the leader's log."""
+        overwritten = self.log.append_from_leader(request.entries, self.commit_index)
         if overwritten is not None:
             self._durable_index = min(self._durable_index, overwritten - 1)
-            self._handed_out_index = min(self._handed_out_index, overwritten - 1)
-        same = told.prev_log_index + len(told.entries)
-        self.commit_index = max(self.commit_index, min(told.leader_commit, same))
-        self._send(sender, AppendEntriesResponse(self.term, told.heartbeat_round, True, same))
-
-    def _handle_snapshot_chunk(self, sender: str, part: InstallSnapshotChunk) -> None:
-        if part.last_included_index <= self.commit_index:  # it is here already, or more
-            self._send(
-                sender,
-                InstallSnapshotResponse(self.term, part.heartbeat_round, part.last_included_index, 0, True),
-            )
-            return
-        if self._incoming_snapshot != (part.last_included_index, part.last_included_term) or part.offset == 0:
-            self._incoming_chunks, self._incoming_snapshot = (
-                [],
-                (part.last_included_index, part.last_included_term),
-            )
-        length = sum(map(len, self._incoming_chunks))
-        if part.offset == length:
-            self._incoming_chunks.append(part.data)
-            length += len(part.data)
-            if part.done:
-                snapshot = Snapshot(
-                    part.last_included_index,
-                    part.last_included_term,
-                    part.configuration,
-                    "".join(self._incoming_chunks),
-                )
-                self._incoming_chunks, self._incoming_snapshot = [], (0, 0)
-                self.log.restore(snapshot)
-                self.commit_index = self.last_applied = self._durable_index = self._handed_out_index = (
-                    part.last_included_index
-                )
-                self._snapshot_to_store = self._snapshot_to_apply = snapshot
-                self._send(
-                    sender,
-                    InstallSnapshotResponse(
-                        self.term, part.heartbeat_round, part.last_included_index, length, True
-                    ),
-                )
-                return
-        self._send(
-            sender,
-            InstallSnapshotResponse(self.term, part.heartbeat_round, part.last_included_index, length, False),
+            self._ready_tracker.record_truncation(overwritten)
+        match_index = request.prev_log_index + len(request.entries)
+        self.commit_index = max(self.commit_index, min(request.leader_commit, match_index))
+        return match_index
+
+    def _handle_snapshot_chunk(self, sender: str, chunk: InstallSnapshotChunk) -> None:
+        if chunk.last_included_index <= self.commit_index:
+            offset, done = 0, True  # the log already has all that the snapshot covers
+        elif (snapshot := self._incoming_snapshot.add(chunk)) is not None:
+            self._install_snapshot(snapshot)
+            offset, done = len(snapshot.data), True
+        else:
+            offset, done = self._incoming_snapshot.received_characters, False
+        response = InstallSnapshotResponse(
+            self.term, chunk.heartbeat_round, chunk.last_included_index, offset, done
         )
+        self._outbox.send_after_sync(sender, response)
+
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        self.log.restore(snapshot)
+        self.commit_index = self.last_applied = self._durable_index = snapshot.index
+        self._snapshot_to_apply = snapshot
+        self._ready_tracker.record_received_snapshot(snapshot)
+
+    def _handle_log_regressed(self, sender: str, message: LogRegressed) -> None:
+        if sender == self.leader and self._durable_index < message.acknowledged_index:
+            self.log_regressed = True
 
-    # The log, where this one leads.
+    # Leading.
 
-    def propose(self, now: datetime, body: str, kind: EntryType = EntryType.COMMAND) -> int | None:
-        """The index under which it will be committed if this voter still leads then; None where it does not."""
+    def propose(self, body: str, entry_type: EntryType = EntryType.COMMAND) -> int | None:
+        """Append an entry; return its index, at which it commits if this member still leads then.
+
+        Returns:
+            None where this member does not lead.
+        """
         if not self.is_leader:
             return None
-        index = self._append(kind, body)
-        self._broadcast_due = True
+        index = self._append(entry_type, body)
+        self.replication.request_broadcast()
         return index
 
-    def _append(self, kind: EntryType, body: str) -> int:
-        entry = LogEntry(self.log.last_index + 1, self.term, kind, body)
+    def _append(self, entry_type: EntryType, body: str) -> int:
+        entry = LogEntry(self.log.last_index + 1, self.term, entry_type, body)
         self.log.append(entry)
         return entry.index
 
-    def change_configuration(self, now: datetime, group: Configuration) -> str:
-        """Ask for another group; gives why not, or an empty text. One voter at a time comes or goes."""
+    def change_configuration(self, configuration: Configuration) -> None:
+        """Propose another configuration, in which at most one voter is added or removed (section 4.1, dissertation).
+
+        Raises:
+            ConfigurationChangeRejectedError: The change breaks a rule, or this member may not propose it now.
+        """
         if not self.is_established_leader:
-            return "this voter does not lead, or not for long enough"
-        if self.log.configuration_index > self.commit_index:
-            return "the change before is not committed yet"
-        if len(set(group.voters) ^ set(self.configuration.voters)) > 1:
-            return "only one voter may come or go at a time"
-        if not group.voters:
-            return "a group needs a voter"
-        self.propose(now, group.encode(), EntryType.CONFIGURATION)
-        return ""
-
-    def transfer_leadership(self, now: datetime) -> str:
-        """Ask the voter that is furthest to stand for election; gives its name, or an empty text."""
-        others = [one for one in self.configuration.voters if one != self.identity]
-        if not self.is_leader or not others:
-            return ""
-        best = max(
-            others,
-            key=lambda one: (self._progress_of(one).match_index, self._progress_of(one).acknowledged_round),
-        )
-        if self._progress_of(best).match_index < self.log.last_index:
-            return ""
-        self._immediate_messages.append((best, TimeoutNow(self.term)))
-        return best
-
-    def _broadcast(self, now: datetime) -> None:
-        self.heartbeat_round += 1
-        self._next_heartbeat = now + self.timing.heartbeat_interval
-        self._broadcast_due = False
-        for member in self.configuration.members:
-            if member != self.identity:
-                self._replicate_to(member, beat=True)
-
-    def _replicate_to(self, member: str, beat: bool) -> None:
-        """What it lacks, as far as there is room on the way; on a beat at least a sign of life."""
-        peer = self._progress_of(member)
-        if peer.next_index < self.log.first_index:
-            self._send_snapshot_chunk(member, peer)
-            return
-        last = self.log.last_index
-        if peer.probing:
-            last = peer.next_index - 1  # only asked where its log stands
-            if not beat and peer.probe_in_flight:
-                return
-            peer.probe_in_flight = True
-        sent = False
-        while not sent or (
-            peer.next_index <= last and peer.next_index - peer.match_index <= MAX_IN_FLIGHT_ENTRIES
-        ):
-            entries = self._entries_for_message(peer.next_index, last)
-            if not entries and sent:
-                break
-            prev = peer.next_index - 1
-            message = AppendEntries(
-                self.term,
-                self.heartbeat_round,
-                prev,
-                self.log.term_at(prev),
-                self.commit_index,
-                tuple(entries),
-            )
-            self._immediate_messages.append((member, message))
-            peer.next_index += len(entries)
-            sent = True
-
-    def _entries_for_message(self, first: int, last: int) -> list[LogEntry]:
-        some: list[LogEntry] = []
-        size = 0
-        for entry in self.log.slice(first, min(last, first + self.max_entries_per_message - 1)):
-            size += len(entry.body) + 32
-            if some and size > MAX_CHARACTERS_PER_MESSAGE:
-                break
-            some.append(entry)
-        return some
-
-    def _send_snapshot_chunk(self, member: str, peer: PeerProgress) -> None:
-        snapshot = self.log.snapshot
-        offset = peer.snapshot_offset or 0
-        data = snapshot.data[offset : offset + MAX_CHARACTERS_PER_MESSAGE]
-        done = offset + len(data) >= len(snapshot.data)
-        part = InstallSnapshotChunk(
-            self.term,
-            self.heartbeat_round,
-            snapshot.index,
-            snapshot.term,
-            snapshot.configuration,
-            offset,
-            data,
-            done,
-        )
-        self._immediate_messages.append((member, part))
+            raise ConfigurationChangeRejectedError(ConfigurationChangeRejection.NOT_ESTABLISHED_LEADER)
+        change_pending = self.log.configuration_index > self.commit_index
+        check_configuration_change(self.configuration, configuration, change_pending=change_pending)
+        self.propose(configuration.encode(), EntryType.CONFIGURATION)
 
-    def _record_contact(self, now: datetime, sender: str, round: int) -> PeerProgress | None:
-        if not self.is_leader or sender not in self.configuration.members:
-            return None
-        peer = self._progress_of(sender)
-        peer.last_contact = now
-        peer.acknowledged_round = max(peer.acknowledged_round, min(round, self.heartbeat_round))
-        return peer
-
-    def _handle_append_response(self, now: datetime, sender: str, told: AppendEntriesResponse) -> None:
-        peer = self._record_contact(now, sender, told.heartbeat_round)
-        if peer is None:
+    def transfer_leadership(self) -> str | None:
+        """Order the voter with the longest matching log to start an election.
+
+        Returns:
+            The identity of that voter; None where this member does not lead or no voter has all entries.
+        """
+        return self.replication.transfer_leadership() if self.is_leader else None
+
+    def _handle_append_response(self, now: datetime, sender: str, response: AppendEntriesResponse) -> None:
+        if not self._is_led(sender):
             return
-        if told.success:
-            peer.probing = peer.probe_in_flight = False
-            if told.match_index > peer.match_index:
-                peer.match_index, peer.match_round = told.match_index, told.heartbeat_round
-                self._advance_commit_index()
-            peer.next_index = max(peer.next_index, peer.match_index + 1)
-            if peer.next_index <= self.log.last_index:
-                self._replicate_to(sender, beat=False)
+        peer = self.replication.record_contact(now, sender, response.heartbeat_round)
+        if not response.success:
+            self.replication.handle_rejection(sender, response)
             return
-        if told.match_index < peer.match_index:
-            if told.heartbeat_round > peer.match_round:  # said later, so it no longer has what it said it had
-                self._send(sender, LogRegressed(self.term, peer.match_index))
-                peer.next_index = peer.match_index + 1
+        if peer.record_match(response.match_index, response.heartbeat_round):
+            self._advance_commit_index()
+        self.replication.replicate_missing(sender)
+
+    def _handle_snapshot_response(
+        self, now: datetime, sender: str, response: InstallSnapshotResponse
+    ) -> None:
+        if not self._is_led(sender):
             return
-        if peer.probing and not peer.probe_in_flight:
+        peer = self.replication.record_contact(now, sender, response.heartbeat_round)
+        if not response.done:
+            self.replication.handle_snapshot_progress(sender, response)
             return
-        peer.probing, peer.probe_in_flight, peer.snapshot_offset = True, False, None
-        peer.next_index = max(peer.match_index + 1, min(peer.next_index - 1, told.match_index + 1))
-        self._replicate_to(sender, beat=False)
+        peer.record_installed_snapshot(response.last_included_index, response.heartbeat_round)
+        self._advance_commit_index()
+        self.replication.replicate_to(sender, heartbeat=False)
 
-    def _handle_snapshot_response(self, now: datetime, sender: str, told: InstallSnapshotResponse) -> None:
-        peer = self._record_contact(now, sender, told.heartbeat_round)
-        if peer is None:
-            return
-        if told.done:
-            peer.match_index, peer.match_round = (
-                max(peer.match_index, told.last_included_index),
-                told.heartbeat_round,
-            )
-            peer.next_index, peer.snapshot_offset, peer.probing, peer.probe_in_flight = (
-                peer.match_index + 1,
-                None,
-                True,
-                False,
-            )
-            self._advance_commit_index()
-            self._replicate_to(sender, beat=False)
-        elif told.last_included_index == self.log.snapshot.index and told.offset > (
-            peer.snapshot_offset or 0
-        ):
-            peer.snapshot_offset = told.offset
-            self._replicate_to(sender, beat=False)
-        elif told.last_included_index == self.log.snapshot.index and told.offset < (
-            peer.snapshot_offset or 0
-        ):
-            peer.snapshot_offset = told.offset  # it began anew; the next beat sends from there
-        elif told.last_included_index != self.log.snapshot.index:
-            peer.snapshot_offset = None
+    def _is_led(self, member: str) -> bool:
+        return self.is_leader and member in self.configuration.members
 
     def _advance_commit_index(self) -> None:
-        """Commit what a majority has, if it ends in an entry of this leader's own term (5.4.2 of the paper)."""
-        group = self.configuration
-        have = sorted(
-            (
-                self._durable_index if one == self.identity else self._progress_of(one).match_index
-                for one in group.voters
-            ),
-            reverse=True,
-        )
-        index = have[group.quorum - 1] if have else 0
-        if index > self.commit_index and self.log.term_at(index) == self.term:
-            self.commit_index = index
-            self._broadcast_due = True  # the others hear of it at once
-            if self.log.configuration_index <= index and self.identity not in group.voters:
-                self.role, self.leader = Role.FOLLOWER, ""  # it was voted out, and has seen that through
-
-    # What is to be done.
-
-    def take_immediate_messages(self, now: datetime) -> list[tuple[str, RaftMessage]]:
-        """Messages that may leave at once: nothing of this voter's has to be durable for them."""
-        if self._broadcast_due and self.is_leader:
-            self._broadcast(now)
-        messages, self._immediate_messages = self._immediate_messages, []
-        return messages
+        """Commit what a majority has, if its last entry is of the current term (section 5.4.2, figure 8)."""
+        index = self.replication.quorum_match_index(self._durable_index)
+        if index <= self.commit_index or self.log.term_at(index) != self.term:
+            return
+        self.commit_index = index
+        self.replication.request_broadcast()
+        if self.log.configuration_index <= index and self.identity not in self.configuration.voters:
+            self.election.leave()
+
+    # Output for the driver.
+
+    def take_immediate_messages(self, now: datetime) -> list[AddressedMessage]:
+        """Return the messages that may be sent at once, each once."""
+        if self.is_leader:
+            self.replication.broadcast_if_requested(now)
+        return self._outbox.take_immediate()
 
     def take_ready(self) -> Ready | None:
-        """What is to be made durable, and sent after that; None where there is nothing. One after the other."""
-        entries = self.log.slice(max(self._handed_out_index + 1, self.log.first_index), self.log.last_index)
-        snapshot, replaces = self._snapshot_to_store, self._snapshot_to_store is not None
-        if snapshot is None and self.log.snapshot.index > self._handed_out_snapshot_index:
-            snapshot = self.log.snapshot
-        changed = (self.term, self.voted_for) != (self._handed_out_term, self._handed_out_vote)
-        if not (entries or snapshot or changed or self._messages_after_sync):
-            return None
-        self._ready_number += 1
-        ready = Ready(
-            self._ready_number,
-            self.term,
-            self.voted_for,
-            snapshot,
-            replaces,
-            self.log.first_index - 1,
-            entries,
-        )
-        ready.needs_sync = bool(entries or snapshot or changed)
-        ready.messages, self._messages_after_sync = self._messages_after_sync, []
-        ready.last_index, ready.last_term = self.log.last_index, self.log.last_term
-        self._handed_out_term, self._handed_out_vote, self._handed_out_index = (
-            self.term,
-            self.voted_for,
-            self.log.last_index,
-        )
-        self._handed_out_snapshot_index, self._snapshot_to_store = self.log.snapshot.index, None
-        return ready
+        """Return the state to make durable and the messages to send after that; None where there is neither.
+
+        The values must be made durable one after the other, each then passed to `acknowledge_durable`.
+        """
+        return self._ready_tracker.next_ready(self.term, self.voted_for, self.log, self._outbox)
 
     def acknowledge_durable(self, ready: Ready) -> None:
-        """That is durable."""
+        """Note that the state of `ready` is durable."""
         if self.log.matches(ready.last_index, ready.last_term) and ready.last_index <= self.log.last_index:
             self._durable_index = max(self._durable_index, ready.last_index)
         if self.is_leader:
             self._advance_commit_index()
 
     def take_committed(self) -> list[LogEntry | Snapshot]:
-        """What the machine has to take in now, in order; each is given once."""
-        found: list[LogEntry | Snapshot] = []
+        """Return what the state machines have to apply now, in order, each once."""
+        committed: list[LogEntry | Snapshot] = []
         if self._snapshot_to_apply is not None:
-            found.append(self._snapshot_to_apply)
+            committed.append(self._snapshot_to_apply)
             self._snapshot_to_apply = None
         if self.commit_index > self.last_applied:
-            found += self.log.slice(self.last_applied + 1, self.commit_index)
+            committed += self.log.slice(self.last_applied + 1, self.commit_index)
             self.last_applied = self.commit_index
-        return found
+        return committed
 
     def compact(self, data: Callable[[], str], keep: int) -> None:
-        """All that was applied goes into a snapshot; the last `keep` entries stay for members that lag."""
+        """Cover all applied entries by a snapshot of `data()`, and keep the last `keep` of them for slow members."""
         index = self.last_applied
         if index > self.log.snapshot.index:
-            group = self.log.configuration_at(index)
-            self.log.compact(Snapshot(index, self.log.term_at(index), group, data()), keep)
+            configuration = self.log.configuration_at(index)
+            self.log.compact(Snapshot(index, self.log.term_at(index), configuration, data()), keep)
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import contextlib
 from collections import deque
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -13,6 +14,7 @@
 
 import orjson
 
+from marlstep.consensus.configuration_change import ConfigurationChangeRejectedError
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import Raft, RaftTiming, RandomSource, Ready
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest, Message
@@ -192,7 +194,7 @@
             )
 
     def _propose(self, now: datetime, command: Command | CommandJson) -> None:
-        self.raft.propose(now, _write(command_json(command)))
+        self.raft.propose(_write(command_json(command)))
 
     # Who is in the group.
 
@@ -255,7 +257,8 @@
         return True
 
     def _change_configuration(self, now: datetime, group: Configuration, why: str) -> None:
-        if not self.raft.change_configuration(now, group):
+        with contextlib.suppress(ConfigurationChangeRejectedError):
+            self.raft.change_configuration(group)
             self.events.append(ReplicaEvent(f"group: {why}", "asked by its node"))
 
     def _is_caught_up(self, now: datetime, identity: str) -> bool:
@@ -442,9 +445,9 @@
         self.raft.acknowledge_durable(ready)
         self._advance(now)
 
-    def transfer_leadership(self, now: datetime) -> str:
-        """Hand the leadership over; gives to whom, or an empty text."""
-        return self.raft.transfer_leadership(now)
+    def transfer_leadership(self) -> str | None:
+        """Hand the leadership over; return the identity of the next leader, None where no voter is ready."""
+        return self.raft.transfer_leadership()
 
     def status(self) -> dict[str, Any]:
         raft = self.raft
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -7,8 +7,9 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.raft import MAX_ENTRIES_PER_MESSAGE, Raft
+from marlstep.consensus.raft import Raft
 from marlstep.consensus.replica import Replica
+from marlstep.consensus.replication import MAX_ENTRIES_PER_MESSAGE
 from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
@@ -49,16 +50,10 @@
     """What a majority has is committed, whatever its term: figure 8 of the paper."""
 
     def _advance_commit_index(self) -> None:
-        have = sorted(
-            (
-                self._durable_index if one == self.identity else self._progress_of(one).match_index
-                for one in self.configuration.voters
-            ),
-            reverse=True,
-        )
-        index = have[self.configuration.quorum - 1] if have else 0
+        index = self.replication.quorum_match_index(self._durable_index)
         if index > self.commit_index:
-            self.commit_index, self._broadcast_due = index, True
+            self.commit_index = index
+            self.replication.request_broadcast()
 
 
 class ReusesTokens(LeaseTable):
--- a/marlstep/drill/explore.py
+++ b/marlstep/drill/explore.py
@@ -197,7 +197,7 @@
         for part, like in pairs:
             if part is not None:
                 part.__class__ = like.__class__
-        voter.raft.max_entries_per_message = old.raft.max_entries_per_message
+        voter.raft.replication.max_entries_per_message = old.raft.replication.max_entries_per_message
         self.put(name, voter)
 
     def settle(self, name: str, voter: Replica, bounds: Bounds) -> None:
@@ -295,12 +295,12 @@
             peers,
         ),
         (
-            raft._last_leader_contact,
-            raft._election_deadline,
-            raft._election_deferred,
-            raft._next_heartbeat,
-            raft._role_since,
-            tuple(sorted(raft._votes_received)),
+            raft.election.timer.last_leader_contact,
+            raft.election.timer.deadline,
+            raft.election.timer.deferred,
+            raft.replication.next_heartbeat,
+            raft.election.role_since,
+            tuple(sorted(raft.election.votes_received)),
         ),
         (tuple(keeper._expiries.items()), tuple(keeper._ending_tokens.items()), keeper._leader_since, waits),
         (tuple(keeper._proposed_grants.items()), tuple(keeper._holders), keeper._grants_due),
@@ -419,7 +419,7 @@
     for name, disk in disks.items():
         voter = make_voter(name, disk, START, TIMING, settings, _none)
         breakage.put_on_voter(voter)
-        voter.raft.max_entries_per_message = breakage.most_entries
+        voter.raft.replication.max_entries_per_message = breakage.most_entries
         state.put(name, voter)
     for number, name in enumerate(holders):
         one = GroupClient(name, "1", VOTERS, settings, Even(0.0))
--- a/marlstep/drill/virtual.py
+++ b/marlstep/drill/virtual.py
@@ -167,7 +167,7 @@
         saved = disk.copy().saved
         chance = random.Random(world.chance.random())
         voter = Replica(disk.identity, saved, settings, world.machines, chance, self.now)
-        voter.raft.max_entries_per_message = world.breakage.most_entries
+        voter.raft.replication.max_entries_per_message = world.breakage.most_entries
         return voter
 
     def kill(self) -> None:
@@ -385,7 +385,7 @@
         self.leaving = True
         self.participant.release_leases(self.now)
         if self.voter is not None:
-            self.voter.transfer_leadership(self.now)
+            self.voter.transfer_leadership()
 
     # What is checked of it.
 
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -11,9 +11,17 @@
 from hypothesis import strategies as st
 
 from marlstep.cluster.wire import CODEC, Envelope, read_envelope, write_envelope
+from marlstep.consensus.configuration_change import ConfigurationChangeRejectedError
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, RaftLog, Snapshot
-from marlstep.consensus.messages import AppendEntries, AppendEntriesResponse, LogRegressed, RequestVote
-from marlstep.consensus.raft import MAX_CHARACTERS_PER_MESSAGE, Raft, RaftTiming, Role
+from marlstep.consensus.messages import (
+    MAX_CHARACTERS_PER_MESSAGE,
+    AppendEntries,
+    AppendEntriesResponse,
+    LogRegressed,
+    RequestVote,
+    TimeoutNow,
+)
+from marlstep.consensus.raft import Raft, RaftTiming, Role
 from marlstep.consensus.replica import COMPACTION_THRESHOLD, Replica, ReplicaSettings
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.consensus.state_machine import StateMachines
@@ -97,7 +105,7 @@
     leader = cluster.leader()
     assert sum(raft.is_leader for raft in cluster.voters.values()) == 1
     for number in range(5):
-        leader.propose(cluster.now, f"c{number}")
+        leader.propose(f"c{number}")
     cluster.settle()
     cluster.pass_time(timedelta(milliseconds=300))
     assert {tuple(cluster.commands(name)) for name in cluster.voters} == {("c0", "c1", "c2", "c3", "c4")}
@@ -124,19 +132,19 @@
     leader = cluster.leader()
     cluster.cut |= {name for name in cluster.voters if name != leader.identity}
     cluster.pass_time(timedelta(seconds=2))
-    assert leader.role is not Role.LEADER and leader.propose(cluster.now, "lost") is None
+    assert leader.role is not Role.LEADER and leader.propose("lost") is None
 
 
 def test_what_was_committed_stays_when_the_leader_is_lost_and_what_was_not_goes() -> None:
     cluster = Cluster()
     first = cluster.leader()
-    first.propose(cluster.now, "kept")
+    first.propose("kept")
     cluster.settle()
     cluster.cut.add(first.identity)
-    first.propose(cluster.now, "lost")
+    first.propose("lost")
     second = cluster.leader()
     assert second is not first
-    second.propose(cluster.now, "after")
+    second.propose("after")
     cluster.settle()
     cluster.cut.clear()
     cluster.pass_time(timedelta(seconds=2))
@@ -164,7 +172,7 @@
     late = next(name for name in cluster.voters if name != leader.identity)
     cluster.cut.add(late)
     for number in range(50):
-        leader.propose(cluster.now, f"c{number}")
+        leader.propose(f"c{number}")
     cluster.settle()
     data = "x" * (3 * MAX_CHARACTERS_PER_MESSAGE + 7)
     leader.compact(lambda: data, keep=2)
@@ -177,7 +185,7 @@
         cluster.pass_time(timedelta(milliseconds=150))
     got = [one for one in cluster.applied[late] if isinstance(one, Snapshot)]
     assert [one.data for one in got] == [data]
-    leader.propose(cluster.now, "behind it")
+    leader.propose("behind it")
     cluster.settle()
     cluster.pass_time(timedelta(milliseconds=200))
     assert cluster.commands(late)[-1] == "behind it"
@@ -188,16 +196,18 @@
     cluster = Cluster()
     leader = cluster.leader()
     four = (*leader.configuration.voters, "v3#1")
-    assert "one voter" in leader.change_configuration(cluster.now, Configuration((*four, "v4#1")))
-    assert not leader.change_configuration(cluster.now, Configuration(leader.configuration.voters, ("v3#1",)))
-    assert "not committed" in leader.change_configuration(cluster.now, Configuration(four))
+    with pytest.raises(ConfigurationChangeRejectedError, match="one voter"):
+        leader.change_configuration(Configuration((*four, "v4#1")))
+    leader.change_configuration(Configuration(leader.configuration.voters, ("v3#1",)))
+    with pytest.raises(ConfigurationChangeRejectedError, match="not committed"):
+        leader.change_configuration(Configuration(four))
     cluster.add("v3#1", PersistentState(), 9)
     cluster.pass_time(timedelta(milliseconds=400))
-    assert not leader.change_configuration(cluster.now, Configuration(four))
+    leader.change_configuration(Configuration(four))
     cluster.pass_time(timedelta(milliseconds=400))
     assert cluster.voters["v3#1"].configuration.voters == four
     rest = tuple(name for name in four if name != leader.identity)
-    assert not leader.change_configuration(cluster.now, Configuration(rest))
+    leader.change_configuration(Configuration(rest))
     cluster.pass_time(timedelta(milliseconds=300))
     assert not leader.is_leader  # it saw its own going through, and went
     assert cluster.leader().identity in rest
@@ -206,7 +216,7 @@
 def test_leadership_is_handed_over_at_once() -> None:
     cluster = Cluster()
     leader = cluster.leader()
-    to = leader.transfer_leadership(cluster.now)
+    to = leader.transfer_leadership()
     cluster.settle()
     assert to and cluster.voters[to].is_leader and not leader.is_leader
 
@@ -218,12 +228,12 @@
     before = PersistentState(
         cluster.disks[old].term, cluster.disks[old].voted_for, cluster.disks[old].snapshot, []
     )
-    leader.propose(cluster.now, "durable there")
+    leader.propose("durable there")
     cluster.settle()
     again = cluster.add(old, before, 5)
     cluster.pass_time(timedelta(milliseconds=500))
     assert again.log_regressed
-    again._start_election(cluster.now, forced=True)
+    again.step(cluster.now, leader.identity, TimeoutNow(leader.term))
     assert not again.is_leader and again.role is Role.FOLLOWER  # it stands for nothing any more
 
 
@@ -232,7 +242,7 @@
     leader = cluster.leader()
     other = cluster.voters[next(name for name in cluster.voters if name != leader.identity)]
     stale = AppendEntriesResponse(leader.term, 1, False, 0)
-    leader.propose(cluster.now, "more")
+    leader.propose("more")
     cluster.settle()
     leader.step(cluster.now, other.identity, stale)
     cluster.settle()
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -160,7 +160,7 @@
 
     def plain(self, body: str) -> None:
         """Any text as an entry, also one that no proposer writes."""
-        self.voter.raft.propose(self.clock.now(), body)
+        self.voter.raft.propose(body)
         self.voter.tick(self.clock.now())
         self.turn()
 
