--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -23,14 +23,8 @@
 from marlstep.config import Config
 from marlstep.config.fleet import ClusterConfig, TaskConfig
 from marlstep.consensus.raft import RaftTiming, Ready
-from marlstep.consensus.replica import (
-    CommandRequest,
-    CommandResponse,
-    JoinRequest,
-    Replica,
-    ReplicaSettings,
-    node_of,
-)
+from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.core.engine import Core
 from marlstep.leases.client import GroupClient
 from marlstep.leases.holder import LeaseEvent
@@ -665,7 +659,7 @@
         settled = holder.leaving and self.client.is_idle
         if leads and settled and self.replica is not None and now >= self._hand_at:
             self._hand_at = now + HAND_AGAIN
-            if to := self.replica.transfer_leadership(now):
+            if to := self.replica.transfer_leadership():
                 log.info("fleet: leadership is handed to %s, as this node leaves", to)
                 self.drive_soon()
         over = self._leaving_until is not None and now >= self._leaving_until
--- a/marlstep/drill/virtual.py
+++ b/marlstep/drill/virtual.py
@@ -18,14 +18,8 @@
 from marlstep.consensus.log import Configuration, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.messages import RequestVoteResponse
 from marlstep.consensus.raft import RaftTiming, Ready
-from marlstep.consensus.replica import (
-    CommandRequest,
-    CommandResponse,
-    JoinRequest,
-    Replica,
-    ReplicaSettings,
-    node_of,
-)
+from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.drill.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
 from marlstep.drill.broken import Breakage
 from marlstep.drill.plan import HEAL_MS, Fault, Plan
@@ -173,7 +167,7 @@
         saved = disk.copy().saved
         chance = random.Random(world.chance.random())
         voter = Replica(disk.identity, saved, settings, world.machines, chance, self.now)
-        voter.raft.max_entries_per_message = world.breakage.most_entries
+        voter.raft.replication.max_entries_per_message = world.breakage.most_entries
         return voter
 
     def kill(self) -> None:
@@ -391,7 +385,7 @@
         self.leaving = True
         self.participant.release_leases(self.now)
         if self.voter is not None:
-            self.voter.transfer_leadership(self.now)
+            self.voter.transfer_leadership()
 
     # What is checked of it.
 
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -18,7 +18,8 @@
 from marlstep.config.fleet import ClusterConfig
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming
-from marlstep.consensus.replica import CommandRequest, CommandResponse, Message, Replica, ReplicaSettings
+from marlstep.consensus.replica import Replica, ReplicaSettings
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, Message
 from marlstep.leases.messages import DocumentState, Heartbeat, HeartbeatResponse, LeaseToken, RequestCounts
 from marlstep.node import Node
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
@@ -159,7 +160,7 @@
 
     def plain(self, body: str) -> None:
         """Any text as an entry, also one that no proposer writes."""
-        self.voter.raft.propose(self.clock.now(), body)
+        self.voter.raft.propose(body)
         self.voter.tick(self.clock.now())
         self.turn()
 
