--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -191,7 +191,7 @@
             case LoseDocument():
                 self._stop(do)
             case ProposeFirstVersion():
-                if not fleet.capabilities.proposes:
+                if not fleet.capabilities.proposes_documents:
                     return []
                 local = self._documents.local_content(self.definitions[do.name].kind.value)
                 log.info("fleet: the group has no %s yet: this node's file is proposed as its first", do.name)
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -62,7 +62,7 @@
 
     def _may_probe(self, probing: Probing, server: str, out_until: datetime, now: datetime) -> bool:
         """Cut off from who knocks for all, each node knocks for itself."""
-        alone = self._fleet.capabilities.knocks_for_itself and now >= out_until
+        alone = self._fleet.capabilities.checks_servers_itself and now >= out_until
         return probing.may_probe(server, out_until, now) or alone
 
     def tick(self, now: datetime) -> None:
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -13,6 +13,7 @@
 from marlstep.membership.messages import Ping, StateExchange
 from marlstep.membership.partition_state import Capabilities, PartitionObservation, PartitionTracker
 from marlstep.membership.records import MemberRecord, MemberState
+from marlstep.net.codec import write_fields
 from marlstep.net.framing import CorruptError
 from marlstep.net.ring import Ring
 from marlstep.timer_queue import Deadline
@@ -269,13 +270,12 @@
     def partition_status(self) -> dict[str, Any]:
         now, standing = self._fleet.steady.now(), self.partition
         sight = self.observation(now)
-        conduct = standing.capabilities
         return {
             "node": self.detector.local.node,
             "situation": standing.state.value,
             "for_ms": (now - standing.since) // MILLISECOND,
             "overdue": standing.overdue,
-            "conduct": {name: getattr(conduct, name) for name in Capabilities.__dataclass_fields__},
+            "conduct": write_fields(standing.capabilities),
             "sees": {
                 "group_answers": sight.quorum_responds,
                 "hears": sight.receives,
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -248,7 +248,7 @@
             names += [TASK_LEASE_PREFIX + name for name in self.runners]
             if self.health_checks is not None:
                 names += [POOL_LEASE_PREFIX + name for name in self.health_checks.pools()]
-        if not self.capabilities.wants_leases:
+        if not self.capabilities.requests_leases:
             names = [name for name in names if name in self.client.holder.held]
         if self.config_driver is not None:
             names.append(self.config_driver.lease)
@@ -565,7 +565,7 @@
                 else:
                     runner.lease_lost()
                     self._forget_asks(name)
-            if not self.capabilities.begins_tasks and not runner.busy:
+            if not self.capabilities.starts_tasks and not runner.busy:
                 continue
             wanted = runner.next_action(now, self.wall(), holder.time_left(lease, now))
             if wanted is not None:
@@ -596,7 +596,7 @@
             self.drive_soon()
             return
         assert self.task_frontend is not None
-        if not self.capabilities.begins_tasks:  # it came to this while the run was being begun
+        if not self.capabilities.starts_tasks:  # it came to this while the run was being begun
             runner.handle_result(now, do, Outcome.NOT_RUN)
             self.drive_soon()
             return
@@ -604,7 +604,7 @@
 
         def left() -> timedelta:
             holder = self.client.holder
-            if holder.token(lease) != do.token or not self.capabilities.begins_tasks:
+            if holder.token(lease) != do.token or not self.capabilities.starts_tasks:
                 return timedelta(
                     0
                 )  # asked once more where the act leaves this node: the module may have held it
@@ -658,7 +658,7 @@
             and self.replica.raft.is_leader
             and len(self.replica.raft.configuration.voters) > 1
         )
-        if not self.capabilities.hands_over and not keep:
+        if not self.capabilities.transfers_leases and not keep:
             self._give_way()  # nobody is there to take anything
             return
         # The lead goes last: who comes to lead hears all who wait first, and what is given back would wait with them.
--- a/marlstep/drill/members.py
+++ b/marlstep/drill/members.py
@@ -25,7 +25,7 @@
 TROUBLED = ("kill", "stop", "isolate", "deaf", "mute", "split", "drain", "restart all", "crash at", "upgrade")
 AFTER_US = 8_000_000  # beyond a fault in which a node may still be taken for failed
 ON_ITS_WAY_US = 700_000  # of an act, from the node's decision to its server
-FORBIDDEN = {one.value for one in PartitionState if not CAPABILITIES[one].begins_tasks}
+FORBIDDEN = {one.value for one in PartitionState if not CAPABILITIES[one].starts_tasks}
 
 
 @dataclass(slots=True, frozen=True)
--- a/marlstep/membership/messages.py
+++ b/marlstep/membership/messages.py
@@ -1,4 +1,7 @@
-"""What detectors write to each other. Each carries records on its back; none is sent again by itself."""
+"""Messages between failure detectors, after SWIM and Lifeguard.
+
+Each message piggybacks membership records (SWIM, section 4.1). None is retransmitted.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ping:
-    """Are you there? `node` is who is meant: an address may have another by now."""
+    """Probe of `node`, which is named since another node may have taken its address (SWIM, section 3.1)."""
 
     wire_tag: ClassVar[str] = "Ping"
 
@@ -24,6 +27,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Ack:
+    """Acknowledgement of the ping with that number."""
+
     wire_tag: ClassVar[str] = "Ack"
 
     number: int = field(metadata=wire("number", INTEGER))
@@ -32,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PingRequest:
-    """I had no answer from `node`: ask it in my place."""
+    """Request for an indirect probe: ping `node` on behalf of the sender (SWIM's ping-req, section 3.1)."""
 
     wire_tag: ClassVar[str] = "PingFor"
 
@@ -44,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Nack:
-    """I asked, and had no answer either: but yours came here, and you hear me."""
+    """An indirect probe had no answer in time, but this request did arrive (Lifeguard, section IV-A)."""
 
     wire_tag: ClassVar[str] = "Nack"
 
@@ -54,9 +59,9 @@
 
 @dataclass(slots=True, frozen=True)
 class StateExchange:
-    """All that is known, in parts, over a line; `answer`: and now yours."""
+    """One page of all records that a node has, over a stream: memberlist's push-pull anti-entropy."""
 
-    answer: bool
+    answer: bool  # the receiver is to send its own records; set on the last page alone
     records: tuple[MemberRecord, ...] = ()
 
 
--- a/marlstep/membership/partition_state.py
+++ b/marlstep/membership/partition_state.py
@@ -1,28 +1,35 @@
-"""Where this node stands among the others, and what each part of it does there. No part decides that for itself.
+"""Classify this node's side of a network partition, and state which activities it permits.
 
-One table says it. A situation for the worse is taken once it has lasted `worse_after`, one for the better after
-`better_after`; who comes back from a bad one settles first. A bad one that lasts beyond its bound is overdue: operators
-are called, and that is all that changes, as nothing else can be known.
+`classify` turns one observation into a state without memory. `PartitionTracker` adds hysteresis: a state for the worse
+is entered after a short delay, one for the better after a longer one, and a node that reconnects passes through
+`RECOVERING` first. `CAPABILITIES` is the single table of what a node may do in each state; no component decides that
+for itself. A state that lasts longer than its bound in `OVERDUE_AFTER` is flagged for operators and has no other
+effect, as the node can learn nothing more by itself.
 """
 
 from __future__ import annotations
 
 import enum
 from collections import deque
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
+from marlstep.net.codec import BOOLEAN, wire
 from marlstep.units import MILLISECOND, SECOND
 
+MAX_TRANSITIONS_KEPT = 64
+
 
 class PartitionState(enum.Enum):
+    """Which side of a partition this node is on. The values are shown to operators."""
+
     HEALTHY = "all well"
     SUSPICION = "some are suspected"
-    MAJORITY = "on the majority's side"  # the group answers, and some are gone
+    MAJORITY = "on the majority's side"  # the quorum responds, and members are unreachable
     MINORITY = "on the minority's side"
-    ISOLATED = "alone"  # nobody is heard
-    UNHEARD = "hears, and is not heard"
-    QUORUM_LOST = "the group is lost"  # most of the voters are there, and it does not answer
+    ISOLATED = "alone"  # nothing is received
+    UNHEARD = "hears, and is not heard"  # messages are received, and no probe is acknowledged
+    QUORUM_LOST = "the group is lost"  # most voters are alive, and the quorum does not respond
     RECOVERING = "coming back"
 
 
@@ -31,29 +38,57 @@
 
 @dataclass(slots=True, frozen=True)
 class Capabilities:
-    """What the parts of a node do."""
-
-    wants_leases: bool  # asks for leases of tasks that it does not hold
-    begins_tasks: bool  # under a lease that it holds
-    proposes: bool  # first versions of documents, from its files
-    knocks_for_itself: bool  # at servers that are out: who knocks for all can't tell it what came of it
-    hands_over: bool  # the lead and its leases, before it leaves: else it goes at once
-    grows: bool  # asks for a larger part of an allowance
-
-
-_ALL_CAPABILITIES = Capabilities(True, True, True, False, True, True)
-_CUT_OFF_CAPABILITIES = Capabilities(False, False, False, True, False, False)
+    """What the components of a node may do. The JSON keys are those of the `situation` admin page."""
+
+    # acquire leases of tasks that this node does not hold
+    requests_leases: bool = field(metadata=wire("wants_leases", BOOLEAN))
+    # start runs under a lease that this node holds
+    starts_tasks: bool = field(metadata=wire("begins_tasks", BOOLEAN))
+    # propose the first version of a document from a local file
+    proposes_documents: bool = field(metadata=wire("proposes", BOOLEAN))
+    # probe ejected servers itself, as results of the elected prober can't reach it
+    checks_servers_itself: bool = field(metadata=wire("knocks_for_itself", BOOLEAN))
+    # transfer leadership and leases before a shutdown, instead of stopping at once
+    transfers_leases: bool = field(metadata=wire("hands_over", BOOLEAN))
+    # ask for a larger share of a tenant's quota
+    requests_quota: bool = field(metadata=wire("grows", BOOLEAN))
+
+
+_ALL_CAPABILITIES = Capabilities(
+    requests_leases=True,
+    starts_tasks=True,
+    proposes_documents=True,
+    checks_servers_itself=False,
+    transfers_leases=True,
+    requests_quota=True,
+)
+_CUT_OFF_CAPABILITIES = Capabilities(
+    requests_leases=False,
+    starts_tasks=False,
+    proposes_documents=False,
+    checks_servers_itself=True,
+    transfers_leases=False,
+    requests_quota=False,
+)
+_RECOVERING_CAPABILITIES = Capabilities(
+    requests_leases=False,
+    starts_tasks=True,
+    proposes_documents=False,
+    checks_servers_itself=True,
+    transfers_leases=True,
+    requests_quota=False,
+)
 CAPABILITIES = {
     PartitionState.HEALTHY: _ALL_CAPABILITIES,
     PartitionState.SUSPICION: _ALL_CAPABILITIES,
     PartitionState.MAJORITY: _ALL_CAPABILITIES,
-    PartitionState.RECOVERING: Capabilities(False, True, False, True, True, False),
+    PartitionState.RECOVERING: _RECOVERING_CAPABILITIES,
     PartitionState.MINORITY: _CUT_OFF_CAPABILITIES,
     PartitionState.ISOLATED: _CUT_OFF_CAPABILITIES,
     PartitionState.UNHEARD: _CUT_OFF_CAPABILITIES,
-    PartitionState.QUORUM_LOST: Capabilities(False, False, False, True, False, False),
+    PartitionState.QUORUM_LOST: _CUT_OFF_CAPABILITIES,
 }
-# How long each may last before operators are called; None: for ever.
+# How long a state may last before operators are alerted; None: without limit.
 OVERDUE_AFTER: dict[PartitionState, timedelta | None] = {
     PartitionState.HEALTHY: None,
     PartitionState.SUSPICION: 60 * SECOND,
@@ -68,111 +103,131 @@
 
 @dataclass(slots=True, frozen=True)
 class PartitionObservation:
-    """What is seen now. Each says which source it is of: heard, agreed, or the group's own answers."""
+    """What this node knows of the others at one moment, by source."""
 
-    quorum_responds: bool  # the group, within a lease's term
+    quorum_responds: bool  # the consensus group has answered within a lease's term
     voters: frozenset[str]
-    alive: frozenset[str]  # heard, this node among them
-    suspected: frozenset[str]  # heard
-    roster: frozenset[str]  # empty where this node does not know
-    receives: bool  # anybody, of late
-    is_acknowledged: bool  # a probe of its own was answered, of late
-
-
-def classify(sight: PartitionObservation) -> PartitionState:
-    """At this moment, without regard to what was before."""
-    if sight.quorum_responds:
-        if sight.roster - sight.alive:
-            return PartitionState.MAJORITY
-        return PartitionState.SUSPICION if sight.suspected else PartitionState.HEALTHY
-    if not sight.receives:
+    alive: frozenset[str]  # by the failure detector, this node included
+    suspected: frozenset[str]  # by the failure detector
+    roster: frozenset[str]  # by the replicated log; empty where this node has no replica
+    receives: bool  # a message came from any node recently
+    is_acknowledged: bool  # a probe of this node was acknowledged recently
+
+
+def classify(observation: PartitionObservation) -> PartitionState:
+    """Return the state that one observation shows, without regard to earlier ones."""
+    if observation.quorum_responds:
+        return _classify_connected(observation)
+    if not observation.receives:
         return PartitionState.ISOLATED
-    if not sight.is_acknowledged:
+    if not observation.is_acknowledged:
         return PartitionState.UNHEARD
-    if 2 * len(sight.voters & sight.alive) > len(sight.voters):
+    if 2 * len(observation.voters & observation.alive) > len(observation.voters):
         return PartitionState.QUORUM_LOST
     return PartitionState.MINORITY
 
 
+def _classify_connected(observation: PartitionObservation) -> PartitionState:
+    if observation.roster - observation.alive:
+        return PartitionState.MAJORITY
+    return PartitionState.SUSPICION if observation.suspected else PartitionState.HEALTHY
+
+
 @dataclass(slots=True, frozen=True)
 class Transition:
+    """A change of state, kept for operators."""
+
     at: datetime
     state: PartitionState
     previous: PartitionState
 
 
 class PartitionTracker:
-    """The situation that counts, over time. Pure."""
+    """The state machine over observations. It does no I/O; the clock's time is passed in."""
 
     def __init__(
         self,
         now: datetime,
-        worse_after: timedelta = 300 * MILLISECOND,
-        better_after: timedelta = 1 * SECOND,
-        settles: timedelta = 2 * SECOND,
+        degrade_after: timedelta = 300 * MILLISECOND,
+        improve_after: timedelta = 1 * SECOND,
+        settle_time: timedelta = 2 * SECOND,
     ) -> None:
+        """Start in `RECOVERING`; `settle_time` is how long that state lasts once observations are connected."""
         self.state = PartitionState.RECOVERING
         self.since = now
         self.overdue = False
-        self.transitions: deque[Transition] = deque(maxlen=64)
-        self._degrade_after, self._improve_after, self._settle_time = worse_after, better_after, settles
-        self._observed: PartitionState | None = None  # at this moment, and since when
+        self.transitions: deque[Transition] = deque(maxlen=MAX_TRANSITIONS_KEPT)
+        self._degrade_after = degrade_after
+        self._improve_after = improve_after
+        self._settle_time = settle_time
+        self._observed: PartitionState | None = None
         self._observed_since = now
         self._connected_since: datetime | None = None
-        self._disconnected_since: datetime | None = None  # whichever of the bad ones it was
+        self._disconnected_since: datetime | None = None  # across changes between disconnected states
 
     @property
     def capabilities(self) -> Capabilities:
+        """What this node may do in the present state."""
         return CAPABILITIES[self.state]
 
-    def observe(self, now: datetime, sight: PartitionObservation) -> bool:
-        """Whether the situation is another now."""
-        seen = classify(sight)
-        if seen is not self._observed:
-            self._observed, self._observed_since = seen, now
-        self._connected_since = (self._connected_since or now) if seen in CONNECTED_STATES else None
-        self._disconnected_since = (self._disconnected_since or now) if seen not in CONNECTED_STATES else None
-        after = self._next_state(now, seen)
-        longest = OVERDUE_AFTER[self.state]
-        if after is self.state:
-            self.overdue = longest is not None and now >= self.since + longest
+    def observe(self, now: datetime, observation: PartitionObservation) -> bool:
+        """Take one observation; return whether the state changed."""
+        observed = classify(observation)
+        self._track_durations(now, observed)
+        following = self._next_state(now, observed)
+        if following is self.state:
+            limit = OVERDUE_AFTER[self.state]
+            self.overdue = limit is not None and now >= self.since + limit
             return False
-        self.transitions.append(Transition(now, after, self.state))
-        self.state, self.since, self.overdue = after, now, False
+        self.transitions.append(Transition(now, following, self.state))
+        self.state, self.since, self.overdue = following, now, False
         return True
 
-    def _next_state(self, now: datetime, seen: PartitionState) -> PartitionState:
-        here = self.state
-        if seen is here:
-            return here
-        if here is PartitionState.RECOVERING:
-            # Flapping between good ones does not keep it here, and a bad one ends it.
-            if (
-                self._connected_since is not None
-                and now >= max(self._connected_since, self.since) + self._settle_time
-            ):
-                return seen
-            return seen if self._disconnected_long_enough(now) else here
-        if here in CONNECTED_STATES and seen in CONNECTED_STATES:
-            wait = self._improve_after if seen is PartitionState.HEALTHY else self._degrade_after
-            return seen if now >= self._observed_since + wait else here
-        if here in CONNECTED_STATES:
-            return seen if self._disconnected_long_enough(now) else here
-        if seen in CONNECTED_STATES:
+    def _track_durations(self, now: datetime, observed: PartitionState) -> None:
+        if observed is not self._observed:
+            self._observed, self._observed_since = observed, now
+        if observed in CONNECTED_STATES:
+            self._connected_since = self._connected_since or now
+            self._disconnected_since = None
+        else:
+            self._connected_since = None
+            self._disconnected_since = self._disconnected_since or now
+
+    def _next_state(self, now: datetime, observed: PartitionState) -> PartitionState:
+        if observed is self.state:
+            return self.state
+        if self.state is PartitionState.RECOVERING:
+            may_change = self._has_settled(now) or self._disconnected_long_enough(now)
+        elif self.state in CONNECTED_STATES:
+            may_change = self._may_leave_connected_state(now, observed)
+        elif observed in CONNECTED_STATES:
             return PartitionState.RECOVERING
-        return seen if now >= self._observed_since + self._degrade_after else here
+        else:
+            may_change = now >= self._observed_since + self._degrade_after
+        return observed if may_change else self.state
+
+    def _has_settled(self, now: datetime) -> bool:
+        """Flapping between connected states does not prolong `RECOVERING`."""
+        connected_since = self._connected_since
+        return connected_since is not None and now >= max(connected_since, self.since) + self._settle_time
+
+    def _may_leave_connected_state(self, now: datetime, observed: PartitionState) -> bool:
+        if observed not in CONNECTED_STATES:
+            return self._disconnected_long_enough(now)
+        delay = self._improve_after if observed is PartitionState.HEALTHY else self._degrade_after
+        return now >= self._observed_since + delay
 
     def _disconnected_long_enough(self, now: datetime) -> bool:
-        """Long enough, also where one bad one gave way to another."""
+        """Counts from the first disconnected observation, also where one such state followed another."""
         return self._disconnected_since is not None and now >= self._disconnected_since + self._degrade_after
 
     def next_due(self) -> datetime | None:
-        """When it may change though nothing new is seen."""
-        due = []
-        if self._observed is not self.state:
-            due += [self._observed_since + self._degrade_after, self._observed_since + self._improve_after]
-            if self._disconnected_since is not None:
-                due.append(self._disconnected_since + self._degrade_after)
-            if self.state is PartitionState.RECOVERING and self._connected_since is not None:
-                due.append(max(self._connected_since, self.since) + self._settle_time)
-        return min(due, default=None)
+        """Return when the state may change without a new observation; None if it can't."""
+        if self._observed is self.state:
+            return None
+        due = [self._observed_since + self._degrade_after, self._observed_since + self._improve_after]
+        if self._disconnected_since is not None:
+            due.append(self._disconnected_since + self._degrade_after)
+        if self.state is PartitionState.RECOVERING and self._connected_since is not None:
+            due.append(max(self._connected_since, self.since) + self._settle_time)
+        return min(due)
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -695,7 +695,7 @@
             turns += standing.observe(now, SIGHTS[situation])
             cut_off = 0 if SIGHTS[situation].quorum_responds else cut_off + 1
             if cut_off > 4:
-                assert not standing.capabilities.begins_tasks and not standing.capabilities.wants_leases
+                assert not standing.capabilities.starts_tasks and not standing.capabilities.requests_leases
             assert standing.capabilities is CAPABILITIES[standing.state]
     assert turns <= 1 + sum(steps for _, steps in rows) / 3 + len(rows)
 
