--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -13,7 +13,9 @@
 from marlstep.leases.holder import HeartbeatReport
 from marlstep.leases.messages import RequestCounts
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
-from marlstep.membership.quotas import DemandEstimator, QuotaLease, quota_limit_violation
+from marlstep.membership.quota_commands import ConfirmShrink
+from marlstep.membership.quota_lease import DemandEstimator, QuotaLease
+from marlstep.membership.quota_table import quota_limit_violation
 from marlstep.net.codec import write_fields
 from marlstep.replicated_config.documents import (
     CHUNK_CHARACTERS,
@@ -126,8 +128,7 @@
         if self._config.quotas_shared:
             for tenant, to in self.quota_lease.update(holder.quota_shares):
                 self._share(tenant)  # used no more, before that is said
-                told = {"m": "shares", "do": "gave", "tenant": tenant, "holder": holder.name, "to": to}
-                number = self._fleet.client.propose(now, told)
+                number = self._fleet.client.propose(now, ConfirmShrink(tenant, holder.name, to))
                 if number is None:
                     self.quota_lease.report_lost(tenant)
                 else:
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -36,7 +36,7 @@
 from marlstep.leases.holder import LeaseEvent
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.membership.partition_state import CAPABILITIES, Capabilities, PartitionState
-from marlstep.membership.quotas import QuotaTable
+from marlstep.membership.quota_table import QuotaTable
 from marlstep.membership.roster import Roster
 from marlstep.net.eventloop import LoopWaker
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -28,7 +28,8 @@
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.membership.quotas import QuotaBalancer, QuotaTable
+from marlstep.membership.quota_balancer import QuotaBalancer
+from marlstep.membership.quota_table import QuotaTable
 from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, wire
 from marlstep.replicated_config.documents import CHUNK_CHARACTERS
@@ -380,10 +381,10 @@
                 if self.settings.roster is not None and self.roster is not None:
                     self._reconcile_roster(now, self.roster)
                 if self.settings.quotas and self.quotas is not None and self.config_store is not None:
-                    for command in self.quota_balancer.rebalance(
+                    for quota_command in self.quota_balancer.rebalance(
                         now, self.quotas, self.config_store.allowances(), self._demands()
                     ):
-                        self._propose(now, command)
+                        self._propose(now, quota_command)
         if raft.last_applied - raft.log.snapshot.index >= COMPACTION_THRESHOLD:
             raft.compact(self.machines.snapshot, ENTRIES_KEPT_AFTER_COMPACTION)
         if raft.leader != self._last_known_leader:
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -17,7 +17,7 @@
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Lease, LeaseTable
 from marlstep.membership.failure_detector import FailureDetector
-from marlstep.membership.quotas import QuotaShare, QuotaTable
+from marlstep.membership.quota_table import QuotaShare, QuotaTable
 from marlstep.membership.records import MemberRecord
 from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
 from marlstep.replicated_config.rollout import RolloutMonitor
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -19,7 +19,8 @@
 from marlstep.drill.plan import Plan
 from marlstep.drill.virtual import Broken, VirtualNode, World, broken_by
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
-from marlstep.membership.quotas import FULL_QUOTA, QuotaLease, QuotaTable
+from marlstep.membership.quota_lease import QuotaLease
+from marlstep.membership.quota_table import FULL_QUOTA, QuotaTable
 from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, content_digest
 from marlstep.replicated_config.follower import (
     AcknowledgeVersion,
--- /dev/null
+++ b/marlstep/membership/quota_balancer.py
@@ -0,0 +1,122 @@
+"""Leader's side of quota shares: move shares of each tenant's allowance to the processes with demand."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from datetime import datetime, timedelta
+
+from marlstep.membership.quota_commands import GrowShare, QuotaCommand, SetTenants, ShrinkShare
+from marlstep.membership.quota_table import FULL_QUOTA, QuotaShare, QuotaTable
+from marlstep.units import MILLISECOND
+
+BALANCE_INTERVAL = 300 * MILLISECOND
+RESERVED_SHARE = 0.04  # split evenly, so that a process without demand can serve its first requests
+DEMAND_HEADROOM = 1.25  # factor on the measured demand, which may grow before the next run
+MIN_TRANSFER = FULL_QUOTA // 100  # a smaller change is not worth a log entry
+MAX_TRANSFERS = 16  # per run
+
+
+def target_shares(live: list[str], demand: Mapping[str, float], allowance: float) -> dict[str, int]:
+    """Return the share that each live process should have, by max-min fairness.
+
+    Each gets a reserve, then what its demand needs. Where that exceeds the allowance, the smallest demands are met
+    first and the others get equal parts. What nobody asks for is split evenly. `demand` by process and `allowance` are
+    requests a second.
+    """
+    if not live:
+        return {}
+    reserve = int(FULL_QUOTA * RESERVED_SHARE / len(live))
+    remaining = FULL_QUOTA - reserve * len(live)
+    targets = dict.fromkeys(live, reserve)
+    unmet = sorted(
+        (max(0, _needed_share(demand.get(holder, 0.0), allowance) - reserve), holder) for holder in live
+    )
+    for position, (needed, holder) in enumerate(unmet):
+        granted = min(needed, remaining // (len(unmet) - position))
+        targets[holder] += granted
+        remaining -= granted
+    for holder in live:
+        targets[holder] += remaining // len(live)
+    return targets
+
+
+def _needed_share(demand: float, allowance: float) -> int:
+    if not allowance:
+        return 0
+    return min(FULL_QUOTA, int(FULL_QUOTA * DEMAND_HEADROOM * max(0.0, demand) / allowance))
+
+
+class QuotaBalancer:
+    """Propose changes of shares, a few per run. A new leader needs nothing of its predecessor."""
+
+    def __init__(self) -> None:
+        """Run with the first call of `rebalance`."""
+        self._last_run: datetime | None = None
+
+    def become_leader(self) -> None:
+        """Forget what an earlier leadership of this node did."""
+        self._last_run = None
+
+    def rebalance(
+        self,
+        now: datetime,
+        table: QuotaTable,
+        allowances: Mapping[str, float],
+        demands: Mapping[str, Mapping[str, float]],
+        interval: timedelta = BALANCE_INTERVAL,
+    ) -> list[QuotaCommand]:
+        """Return the commands to propose.
+
+        `allowances` by tenant, and `demands` by process and tenant, are requests a second.
+        """
+        if self._last_run is not None and now < self._last_run + interval:
+            return []
+        self._last_run = now
+        if set(allowances) != set(table.tenants):
+            return [SetTenants(tuple(sorted(allowances)))]
+        live = table.live_processes()
+        commands: list[QuotaCommand] = []
+        for tenant, shares in table.tenants.items():
+            demand = {holder: by_tenant.get(tenant, 0.0) for holder, by_tenant in demands.items()}
+            targets = target_shares(live, demand, allowances[tenant])
+            commands += _propose_transfers(tenant, shares, targets, table.free(tenant))
+        return commands[:MAX_TRANSFERS]
+
+
+def _propose_transfers(
+    tenant: str, shares: Mapping[str, QuotaShare], targets: Mapping[str, int], free: int
+) -> list[QuotaCommand]:
+    """Grow shares out of what is free, and shrink others by as much as is still missing."""
+    current = {holder: shares.get(holder, QuotaShare(0, 0)) for holder in targets}
+    shortfalls = {
+        holder: targets[holder] - share.granted
+        for holder, share in current.items()
+        if share.target == share.granted
+    }
+    growing = sorted(
+        (holder for holder in shortfalls if shortfalls[holder] >= MIN_TRANSFER),
+        key=lambda holder: (-shortfalls[holder], holder),
+    )
+    commands: list[QuotaCommand] = []
+    for holder in growing:
+        increase = min(shortfalls[holder], free)
+        if increase >= min(MIN_TRANSFER, shortfalls[holder]):
+            free -= increase
+            commands.append(GrowShare(tenant, holder, current[holder].granted + increase))
+    missing = sum(shortfalls[holder] for holder in growing) - max(0, free)
+    return commands + _propose_shrinks(tenant, current, targets, missing)
+
+
+def _propose_shrinks(
+    tenant: str, current: Mapping[str, QuotaShare], targets: Mapping[str, int], missing: int
+) -> list[QuotaCommand]:
+    """Shrink the shares that exceed their targets the most, until what is asked back covers `missing`."""
+    commands: list[QuotaCommand] = []
+    asked_back = sum(share.granted - share.target for share in current.values())
+    for holder in sorted(current, key=lambda holder: (targets[holder] - current[holder].granted, holder)):
+        spare = current[holder].target - targets[holder]
+        if missing <= asked_back or spare < MIN_TRANSFER:
+            break
+        asked_back += spare
+        commands.append(ShrinkShare(tenant, holder, targets[holder]))
+    return commands
--- /dev/null
+++ b/marlstep/membership/quota_lease.py
@@ -0,0 +1,87 @@
+"""A process's side of quota shares: its demand, and the shares that it may use under its configuration lease."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+from typing import NamedTuple
+
+from marlstep.leases.messages import QuotaShareRow
+from marlstep.membership.quota_table import FULL_QUOTA
+from marlstep.units import MILLISECOND, SECOND
+
+SMOOTHING_TIME = 1_500 * MILLISECOND  # some heartbeats long
+
+TenantDemand = tuple[str, int]  # tenant, thousandths of a request a second
+
+
+@dataclass(slots=True, frozen=True)
+class _Sample:
+    at: datetime
+    count: int  # requests since the process began
+    rate: float  # requests a second, smoothed
+
+
+class DemandEstimator:
+    """Estimate the demand of each tenant at one process, as an exponentially weighted moving average."""
+
+    def __init__(self, smoothing_time: timedelta = SMOOTHING_TIME) -> None:
+        """`smoothing_time` is the time after which a sample has replaced all earlier ones."""
+        self._smoothing_time = smoothing_time
+        self._samples: dict[str, _Sample] = {}
+
+    def estimate(self, now: datetime, counts: Mapping[str, int]) -> tuple[TenantDemand, ...]:
+        """Return the demand by tenant. `counts` are all requests of each since the process began."""
+        for tenant in [tenant for tenant in self._samples if tenant not in counts]:
+            del self._samples[tenant]
+        for tenant, count in counts.items():
+            previous = self._samples.get(tenant, _Sample(now, count, 0.0))
+            rate = previous.rate
+            if elapsed := now - previous.at:
+                current_rate = (count - previous.count) * (SECOND / elapsed)
+                rate += (current_rate - rate) * min(1.0, elapsed / self._smoothing_time)
+            self._samples[tenant] = _Sample(now, count, rate)
+        return tuple((tenant, round(sample.rate * 1000)) for tenant, sample in self._samples.items())
+
+
+class ShrunkShare(NamedTuple):
+    """A share that this process has shrunk, and has to confirm in the log."""
+
+    tenant: str
+    share: int  # millionths
+
+
+class QuotaLease:
+    """The shares that one process may use. They hold as long as its lease on the configuration."""
+
+    def __init__(self) -> None:
+        """Start without any share."""
+        self.shares: dict[str, int] = {}
+        self._reported: dict[str, int] = {}
+
+    def update(self, rows: tuple[QuotaShareRow, ...]) -> list[ShrunkShare]:
+        """Take the shares of a heartbeat's response; return those to confirm, each once.
+
+        Where a smaller share is asked for, it is used from now on, before the confirmation.
+        """
+        self.shares = {tenant: min(granted, target) for tenant, granted, target in rows}
+        shrunk = {tenant: target for tenant, granted, target in rows if target < granted}
+        unreported = [
+            ShrunkShare(tenant, share)
+            for tenant, share in shrunk.items()
+            if self._reported.get(tenant) != share
+        ]
+        self._reported = {
+            tenant: share for tenant, share in self._reported.items() if shrunk.get(tenant) == share
+        }
+        self._reported |= dict(unreported)
+        return unreported
+
+    def report_lost(self, tenant: str) -> None:
+        """Return that tenant's share with the next `update` again, as the log did not take its confirmation."""
+        self._reported.pop(tenant, None)
+
+    def share_of(self, tenant: str) -> float:
+        """Return the share of the whole allowance, from 0 to 1; 0 before the leader has granted any."""
+        return self.shares.get(tenant, 0) / FULL_QUOTA
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -9,7 +9,7 @@
 from marlstep.consensus.log import Configuration
 from marlstep.consensus.state_machine import StateMachine, StateMachines
 from marlstep.leases.table import Lease, LeaseTable
-from marlstep.membership.quotas import QuotaShare, QuotaTable
+from marlstep.membership.quota_table import QuotaShare, QuotaTable
 from marlstep.membership.roster import Roster, RosterEntry
 from marlstep.replicated_config.documents import DocumentVersion, Kind
 from marlstep.replicated_config.store import ConfigStore, Document, PreparedVersion, Rollout
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -46,16 +46,10 @@
     PartitionTracker,
     classify,
 )
-from marlstep.membership.quotas import (
-    BALANCE_INTERVAL,
-    FULL_QUOTA,
-    DemandEstimator,
-    QuotaBalancer,
-    QuotaLease,
-    QuotaTable,
-    quota_limit_violation,
-    target_shares,
-)
+from marlstep.membership.quota_balancer import BALANCE_INTERVAL, QuotaBalancer, target_shares
+from marlstep.membership.quota_commands import ConfirmShrink, GrowShare, SetTenants
+from marlstep.membership.quota_lease import DemandEstimator, QuotaLease
+from marlstep.membership.quota_table import FULL_QUOTA, QuotaTable, quota_limit_violation
 from marlstep.membership.records import MemberRecord, MemberState, read_records, write_records
 from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
 from marlstep.net.framing import CorruptError
@@ -549,14 +543,14 @@
             looks += 1
             assert looks < 12 + nodes
             for command in balance.rebalance(now, shares, {"t": 100.0}, {hungry: {"t": 100.0}}):
-                shares.apply(command)
+                shares.apply(command.to_json())
                 messages += 1
             for one in names:
                 for tenant, to in using[one].update(shares.shares_of(one)):
-                    shares.apply({"do": "gave", "tenant": tenant, "holder": one, "to": to})
+                    shares.apply(ConfirmShrink(tenant, one, to).to_json())
         assert messages <= 4 * nodes + 8
     assert not balance.rebalance(now + BALANCE_INTERVAL / 2, shares, {"t": 100.0}, {})  # not so soon again
-    assert balance.rebalance(now + BALANCE_INTERVAL, shares, {"u": 1.0}, {})[0]["do"] == "tenants"
+    assert balance.rebalance(now + BALANCE_INTERVAL, shares, {"u": 1.0}, {}) == [SetTenants(("u",))]
 
 
 def test_more_tenants_than_an_answer_can_tell_of_are_turned_down() -> None:
@@ -592,7 +586,8 @@
     table.apply({"do": "expire", "name": "rules/a/1", "token": table.leases["rules/a/1"].token})
     # The leader sees that at once, though nothing about parts was in the log since then.
     [grow] = QuotaBalancer().rebalance(NOW, shares, {"t": 100.0}, {"b/1": {"t": 100.0}})
-    assert grow["holder"] == "b/1" and grow["to"] >= 0.95 * FULL_QUOTA and "part" in shares.apply(grow)
+    assert isinstance(grow, GrowShare) and grow.holder == "b/1" and grow.share >= 0.95 * FULL_QUOTA
+    assert "part" in shares.apply(grow.to_json())
 
 
 def test_processes_share_an_allowance_by_demand(tmp_path: Path) -> None:
