--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -38,6 +38,7 @@
 from marlstep.membership.partition_state import CAPABILITIES, Capabilities, PartitionState
 from marlstep.membership.quota_table import QuotaTable
 from marlstep.membership.roster import Roster
+from marlstep.membership.roster_commands import ConfirmFailures, ReadmitNode, RemoveNode, RosterCommand
 from marlstep.net.eventloop import LoopWaker
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.store import ConfigStore
@@ -752,15 +753,15 @@
         """Raises ValueError, KeyError, TypeError."""
         match what:
             case "remove":
-                command: dict[str, Any] = {"do": "remove", "node": str(told["node"]), "held_off": True}
-                command["why"] = str(told.get("why", "an operator"))
+                node, reason = str(told["node"]), str(told.get("why", "an operator"))
+                command: RosterCommand = RemoveNode(node, reason, blocked_by_operator=True)
             case "readmit":
-                command = {"do": "readmit", "node": str(told["node"])}
+                command = ReadmitNode(str(told["node"]))
             case "believe":
-                command = {"do": "believe", "nodes": [str(one) for one in told["nodes"]]}
+                command = ConfirmFailures(tuple(str(node) for node in told["nodes"]))
             case _:
                 raise ValueError(f"there is nothing like {what[:32]}")
-        number = self.client.propose(self.steady.now(), {"m": "members", **command})
+        number = self.client.propose(self.steady.now(), command)
         if number is None:
             raise ValueError("too much is asked for already")
         self._orders[number] = what
--- a/marlstep/config/fleet.py
+++ b/marlstep/config/fleet.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from marlstep.leases.settings import LeaseSettings
     from marlstep.membership.failure_detector import DetectorSettings
-    from marlstep.membership.roster import RosterSettings
+    from marlstep.membership.roster_controller import RosterSettings
     from marlstep.replicated_config.documents import DocumentDefinition
     from marlstep.scheduled_tasks.runner import TaskPlan
 
@@ -212,7 +212,7 @@
         return None
     from marlstep.membership.failure_detector import DetectorSettings
     from marlstep.membership.records import MAX_NAME_LENGTH
-    from marlstep.membership.roster import RosterSettings
+    from marlstep.membership.roster_controller import RosterSettings
 
     path = "fleet.members"
     told = table(raw, "members", path)
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -30,7 +30,8 @@
 from marlstep.leases.table import LeaseTable
 from marlstep.membership.quota_balancer import QuotaBalancer
 from marlstep.membership.quota_table import QuotaTable
-from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
+from marlstep.membership.roster import Roster
+from marlstep.membership.roster_controller import FailureReport, RosterController, RosterSettings
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, wire
 from marlstep.replicated_config.documents import CHUNK_CHARACTERS
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
@@ -431,13 +432,14 @@
         }
         holds = frozenset(lease.node for lease in self.leases.leases.values() if lease.holder)
         leases = self.settings.leases
-        for command in self.roster_controller.reconcile(
+        for change in self.roster_controller.reconcile(
             now, agreed, words, holds, max(leases.term, leases.config_term)
         ):
+            command = change.to_json()
             self.events.append(
                 ReplicaEvent(f"{command['do']} {command['node']}", command.get("why", "it is heard"))
             )
-            self._propose(now, command)
+            self._propose(now, change)
 
     def process_standings(self, now: datetime) -> list[dict[str, Any]]:
         """What each process has said of itself, as far as this leader has heard."""
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -51,7 +51,8 @@
 from marlstep.membership.quota_lease import DemandEstimator, QuotaLease
 from marlstep.membership.quota_table import FULL_QUOTA, QuotaTable, quota_limit_violation
 from marlstep.membership.records import MemberRecord, MemberState, read_records, write_records
-from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
+from marlstep.membership.roster import Roster
+from marlstep.membership.roster_controller import FailureReport, RosterController, RosterSettings
 from marlstep.net.framing import CorruptError
 from marlstep.units import EPOCH, MILLISECOND, SECOND
 from tests.support.node import SETTINGS, raw_config
@@ -399,7 +400,8 @@
         for _ in range(int(seconds * 10)):
             self.now += 100 * MILLISECOND
             words = {f"{one}/1": FailureReport(one, self.now, frozenset(failed)) for one in heard}
-            for command in self.keeping.reconcile(self.now, self.agreed, words, frozenset(holds), 2 * SECOND):
+            for change in self.keeping.reconcile(self.now, self.agreed, words, frozenset(holds), 2 * SECOND):
+                command = change.to_json()
                 self.agreed.apply(command)
                 self.done.append(f"{command['do']} {command['node']}")
         return self.done
