--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -30,8 +30,9 @@
 from marlstep.leases.holder import LeaseEvent
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.membership.partition_state import CAPABILITIES, Capabilities, PartitionState
-from marlstep.membership.quotas import QuotaTable
+from marlstep.membership.quota_table import QuotaTable
 from marlstep.membership.roster import Roster
+from marlstep.membership.roster_commands import ConfirmFailures, ReadmitNode, RemoveNode, RosterCommand
 from marlstep.net.eventloop import LoopWaker
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.store import ConfigStore
@@ -242,7 +243,7 @@
             names += [TASK_LEASE_PREFIX + name for name in self.runners]
             if self.health_checks is not None:
                 names += [POOL_LEASE_PREFIX + name for name in self.health_checks.pools()]
-        if not self.capabilities.wants_leases:
+        if not self.capabilities.requests_leases:
             names = [name for name in names if name in self.client.holder.held]
         if self.config_driver is not None:
             names.append(self.config_driver.lease)
@@ -559,7 +560,7 @@
                 else:
                     runner.lease_lost()
                     self._forget_asks(name)
-            if not self.capabilities.begins_tasks and not runner.busy:
+            if not self.capabilities.starts_tasks and not runner.busy:
                 continue
             wanted = runner.next_action(now, self.wall(), holder.time_left(lease, now))
             if wanted is not None:
@@ -590,7 +591,7 @@
             self.drive_soon()
             return
         assert self.task_frontend is not None
-        if not self.capabilities.begins_tasks:  # it came to this while the run was being begun
+        if not self.capabilities.starts_tasks:  # it came to this while the run was being begun
             runner.handle_result(now, do, Outcome.NOT_RUN)
             self.drive_soon()
             return
@@ -598,7 +599,7 @@
 
         def left() -> timedelta:
             holder = self.client.holder
-            if holder.token(lease) != do.token or not self.capabilities.begins_tasks:
+            if holder.token(lease) != do.token or not self.capabilities.starts_tasks:
                 return timedelta(
                     0
                 )  # asked once more where the act leaves this node: the module may have held it
@@ -652,7 +653,7 @@
             and self.replica.raft.is_leader
             and len(self.replica.raft.configuration.voters) > 1
         )
-        if not self.capabilities.hands_over and not keep:
+        if not self.capabilities.transfers_leases and not keep:
             self._give_way()  # nobody is there to take anything
             return
         # The lead goes last: who comes to lead hears all who wait first, and what is given back would wait with them.
@@ -746,15 +747,15 @@
         """Raises ValueError, KeyError, TypeError."""
         match what:
             case "remove":
-                command: dict[str, Any] = {"do": "remove", "node": str(told["node"]), "held_off": True}
-                command["why"] = str(told.get("why", "an operator"))
+                node, reason = str(told["node"]), str(told.get("why", "an operator"))
+                command: RosterCommand = RemoveNode(node, reason, blocked_by_operator=True)
             case "readmit":
-                command = {"do": "readmit", "node": str(told["node"])}
+                command = ReadmitNode(str(told["node"]))
             case "believe":
-                command = {"do": "believe", "nodes": [str(one) for one in told["nodes"]]}
+                command = ConfirmFailures(tuple(str(node) for node in told["nodes"]))
             case _:
                 raise ValueError(f"there is nothing like {what[:32]}")
-        number = self.client.propose(self.steady.now(), {"m": "members", **command})
+        number = self.client.propose(self.steady.now(), command)
         if number is None:
             raise ValueError("too much is asked for already")
         self._orders[number] = what
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -30,8 +30,10 @@
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.membership.quotas import QuotaBalancer, QuotaTable
-from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
+from marlstep.membership.quota_balancer import QuotaBalancer
+from marlstep.membership.quota_table import QuotaTable
+from marlstep.membership.roster import Roster
+from marlstep.membership.roster_controller import FailureReport, RosterController, RosterSettings
 from marlstep.replicated_config.documents import CHUNK_CHARACTERS
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
@@ -335,10 +337,10 @@
                 if self.settings.roster is not None and self.roster is not None:
                     self._reconcile_roster(now, self.roster)
                 if self.settings.quotas and self.quotas is not None and self.config_store is not None:
-                    for command in self.quota_balancer.rebalance(
+                    for quota_command in self.quota_balancer.rebalance(
                         now, self.quotas, self.config_store.allowances(), self._demands()
                     ):
-                        self._propose(now, command)
+                        self._propose(now, quota_command)
         if raft.last_applied - raft.log.snapshot.index >= COMPACTION_THRESHOLD:
             raft.compact(self.machines.snapshot, ENTRIES_KEPT_AFTER_COMPACTION)
         if raft.leader != self._last_known_leader:
@@ -385,13 +387,14 @@
         }
         holds = frozenset(lease.node for lease in self.leases.leases.values() if lease.holder)
         leases = self.settings.leases
-        for command in self.roster_controller.reconcile(
+        for change in self.roster_controller.reconcile(
             now, agreed, words, holds, max(leases.term, leases.config_term)
         ):
+            command = change.to_json()
             self.events.append(
                 ReplicaEvent(f"{command['do']} {command['node']}", command.get("why", "it is heard"))
             )
-            self._propose(now, command)
+            self._propose(now, change)
 
     def process_standings(self, now: datetime) -> list[dict[str, Any]]:
         """What each process has said of itself, as far as this leader has heard."""
