--- a/marlstep/leases/clock_drift.py
+++ b/marlstep/leases/clock_drift.py
@@ -1,8 +1,8 @@
-"""Whether a node's clock goes as it is stated to: the leader sees it in the beats.
+"""Detection, on the leader, of node clocks that drift by more than the settings guard against.
 
-Each beat carries the node's clock. Over windows of some seconds the two clocks should have gone the same way, within
-twice the drift and what a message may be late. A beat that is late makes one window long and the next one short; so
-only two windows in a row that err the same way are believed.
+Each heartbeat carries its sender's clock. Over windows of some seconds both clocks should advance by the same time,
+within twice the drift and the delay of a message. A late heartbeat makes one window long and the next one short, so an
+error is believed only when two windows in a row err in the same direction.
 """
 
 from __future__ import annotations
@@ -10,48 +10,61 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from marlstep.units import MILLISECOND, SECOND
+from marlstep.units import MILLISECOND, SECOND, ZERO
 
 MEASUREMENT_WINDOW = 3 * SECOND
-MESSAGE_DELAY_ALLOWANCE = 100 * MILLISECOND  # that a message may be, and is no drift
+MESSAGE_DELAY_ALLOWANCE = 100 * MILLISECOND  # a message's delay that does not count as drift
 
 
 @dataclass(slots=True)
 class ClockObservation:
+    """The start of the current window of one process, and the result of the window before."""
+
     remote_time: datetime
     local_time: datetime
-    previous_sign: int = 0  # of the window before, where it erred
+    previous_sign: int = 0  # direction of the previous window's error; 0 where it was within bounds
     exceeds_bound: bool = False
 
 
 class ClockDriftMonitor:
-    def __init__(self, drift: float) -> None:
-        self._max_drift = drift
+    """Compares the clocks of processes with the leader's own."""
+
+    def __init__(self, max_drift: float) -> None:
+        """`max_drift` is the largest error of a clock that is allowed, as a share of true time."""
+        self._max_drift = max_drift
         self._observations: dict[str, ClockObservation] = {}
 
-    def observe(self, name: str, theirs: datetime, ours: datetime) -> float | None:
-        """A beat with the clock of `name` came. Gives by which share it errs, once, when that is first believed."""
-        one = self._observations.get(name)
-        if one is None or theirs < one.remote_time:
-            self._observations[name] = ClockObservation(theirs, ours)
+    def observe(self, process: str, remote_time: datetime, local_time: datetime) -> float | None:
+        """Record the clock that a heartbeat of `process` carried.
+
+        Returns its relative error once, when it is first believed to exceed the bound; None otherwise.
+        """
+        known = self._observations.get(process)
+        if known is None or remote_time < known.remote_time:
+            self._observations[process] = ClockObservation(remote_time, local_time)
             return None
-        passed: timedelta = ours - one.local_time
-        if passed < MEASUREMENT_WINDOW:
+        elapsed = local_time - known.local_time
+        if elapsed < MEASUREMENT_WINDOW:
             return None
-        error = (theirs - one.remote_time) - passed
-        limit = 2 * self._max_drift * passed + MESSAGE_DELAY_ALLOWANCE
-        sign = 0 if abs(error) <= limit else 1 if error > timedelta(0) else -1
-        believed = sign != 0 and sign == one.previous_sign
-        first = believed and not one.exceeds_bound
-        one.remote_time, one.local_time, one.previous_sign, one.exceeds_bound = theirs, ours, sign, believed
-        return error / passed if first else None
-
-    def exceeds_bound(self, name: str) -> bool:
-        """Its clock errs by more than the group guards against: only tokens protect from it."""
-        one = self._observations.get(name)
-        return one is not None and one.exceeds_bound
-
-    def retain_only(self, names: set[str]) -> None:
-        """Forget all others."""
-        for name in self._observations.keys() - names:
-            del self._observations[name]
+        error = (remote_time - known.remote_time) - elapsed
+        sign = self._sign_beyond_bound(error, elapsed)
+        exceeds = sign != 0 and sign == known.previous_sign
+        newly_exceeds = exceeds and not known.exceeds_bound
+        self._observations[process] = ClockObservation(remote_time, local_time, sign, exceeds)
+        return error / elapsed if newly_exceeds else None
+
+    def _sign_beyond_bound(self, error: timedelta, elapsed: timedelta) -> int:
+        limit = 2 * self._max_drift * elapsed + MESSAGE_DELAY_ALLOWANCE
+        if abs(error) <= limit:
+            return 0
+        return 1 if error > ZERO else -1
+
+    def exceeds_bound(self, process: str) -> bool:
+        """Whether its clock errs by more than leases guard against, so that only fencing tokens protect from it."""
+        known = self._observations.get(process)
+        return known is not None and known.exceeds_bound
+
+    def retain_only(self, processes: set[str]) -> None:
+        """Forget all other processes."""
+        for process in self._observations.keys() - processes:
+            del self._observations[process]
