--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -60,7 +60,7 @@
     def restrict(self) -> None:
         """The lesser of the allowances that it knows of."""
 
-    def request_counts(self) -> RequestCounts:
+    def request_counts(self) -> tuple[int, int, int]:
         """Requests that were read, of them refused, and failed or late."""
 
     def tenant_counts(self) -> dict[str, int]:
@@ -112,7 +112,8 @@
             if not self._config.quotas_shared
             else self._demand.estimate(now, self._documents.tenant_counts())
         )
-        return self.follower.document_states(now), self._documents.request_counts(), demand
+        counts = RequestCounts(*self._documents.request_counts())
+        return HeartbeatReport(self.follower.document_states(now), counts, demand)
 
     def accepts_work(self) -> bool:
         """Asked by the core for each new request, by the clock: a stopped process may not know yet that time passed."""
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -11,6 +11,7 @@
 from marlstep.consensus.replica import Replica
 from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
+from marlstep.leases.commands import GrantLease, LeaseGranted, LeaseResult
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
 from marlstep.leases.manager import LeaseManager, no_quota_shares
 from marlstep.leases.messages import DocumentStatus, HeartbeatResponse, RequestCounts
@@ -64,13 +65,13 @@
 class ReusesTokens(LeaseTable):
     """A lease's next grant has the token of the one before."""
 
-    def _grant(self, name: str, holder: str, most: int) -> ResultJson:
-        before = self.leases.get(name)
+    def _grant(self, command: GrantLease) -> LeaseResult:
+        before, holder = self.leases.get(command.name), command.holder
         if before is None or before.holder or not before.token:
-            return super()._grant(name, holder, most)
+            return super()._grant(command)
         self.held_counts[holder] += 1
-        self.leases[name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
-        return {"granted": holder, "token": before.token}
+        self.leases[command.name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
+        return LeaseGranted(holder, before.token)
 
 
 class Unconfirmed(LeaseManager):
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -18,6 +18,8 @@
 from marlstep.drill.linear import Call, Came, unordered
 from marlstep.drill.plan import Plan
 from marlstep.drill.virtual import Broken, VirtualNode, World, broken_by
+from marlstep.leases.holder import HeartbeatReport
+from marlstep.leases.messages import RequestCounts, TenantDemand
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.membership.quotas import FULL_QUOTA, QuotaLease, QuotaTable
 from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, content_digest
@@ -110,7 +112,7 @@
                     kept.version, kept.content, kept.state = one.version, one.content, FollowerState.ACTING
         follower.start()
 
-    def _report(self, node: VirtualNode, follower: ConfigFollower, now: Any) -> Any:
+    def _report(self, node: VirtualNode, follower: ConfigFollower, now: Any) -> HeartbeatReport:
         """A beat's figures: so many requests since the last, most of them refused under a sick content."""
         figures = self._figures.setdefault(node.participant.holder.name, [0, 0, 0])
         figures[0] += 20
@@ -120,7 +122,8 @@
         figures[1] += 15 if sick else 1
         # Demand for the tenant's allowance goes from node to node, and now and then is more than all of it.
         at = (self.true_us // 3_000_000 + self.plan.nodes.index(node.name)) % len(self.plan.nodes)
-        return follower.document_states(now), tuple(figures), ((TENANT, (150_000, 40_000, 0)[min(at, 2)]),)
+        demand = TenantDemand(TENANT, (150_000, 40_000, 0)[min(at, 2)])
+        return HeartbeatReport(follower.document_states(now), RequestCounts(*figures), (demand,))
 
     # What nodes do.
 
--- a/marlstep/leases/holder.py
+++ b/marlstep/leases/holder.py
@@ -11,6 +11,7 @@
 from datetime import datetime, timedelta
 
 from marlstep.leases.messages import (
+    NO_REQUESTS,
     DocumentState,
     DocumentStatus,
     Heartbeat,
@@ -18,18 +19,25 @@
     LeaseToken,
     QuotaShareRow,
     RequestCounts,
+    TenantDemand,
 )
 from marlstep.leases.settings import LeaseSettings
 from marlstep.units import ZERO, instant_us
 
 MAX_UNANSWERED_HEARTBEATS = 32  # whose answers may still come
-HeartbeatReport = tuple[
-    tuple[DocumentState, ...], RequestCounts, tuple[LeaseToken, ...]
-]  # what a beat tells of the node beside its leases
+
+
+@dataclass(slots=True, frozen=True)
+class HeartbeatReport:
+    """What a heartbeat carries beside leases."""
+
+    document_states: tuple[DocumentState, ...] = ()
+    request_counts: RequestCounts = NO_REQUESTS
+    tenant_demand: tuple[TenantDemand, ...] = ()
 
 
 def empty_report(now: datetime) -> HeartbeatReport:
-    return (), (0, 0, 0), ()
+    return HeartbeatReport()
 
 
 def no_failed_nodes() -> tuple[str, ...]:
@@ -118,13 +126,23 @@
         self._sent_heartbeats[self._heartbeat_number] = now
         while len(self._sent_heartbeats) > MAX_UNANSWERED_HEARTBEATS:
             self._sent_heartbeats.popitem(last=False)
-        returns = tuple(self._returned_tokens.items())
+        returns = tuple(LeaseToken(name, token) for name, token in self._returned_tokens.items())
         names = tuple(self.wanted)
-        acts, figures, demand = self.report(now)
+        report = self.report(now)
         clock, most = instant_us(now), self.settings.max_per_node
         number, failed = self._heartbeat_number, self.failed_nodes()
         return Heartbeat(
-            self.node, self.process_id, number, names, returns, most, clock, acts, figures, failed, demand
+            self.node,
+            self.process_id,
+            number,
+            names,
+            returns,
+            most,
+            clock,
+            report.document_states,
+            report.request_counts,
+            failed,
+            report.tenant_demand,
         )
 
     def handle_response(self, now: datetime, answer: HeartbeatResponse) -> list[LeaseEvent]:
--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -14,6 +14,7 @@
 from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.clock_drift import ClockDriftMonitor
 from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse, LeaseToken, QuotaShareRow
+from marlstep.leases.names import is_config_lease
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
 from marlstep.units import instant
@@ -134,7 +135,7 @@
             del self._pending_responses[holder]
             held = self.table.leases_of(holder)
             if not self._is_eligible(holder):  # not named, so not acted on any more; it ends here by time
-                held = [(name, token) for name, token in held if name.startswith(CONFIG_LEASE_PREFIX)]
+                held = [lease for lease in held if is_config_lease(lease.name)]
             leases = tuple(self._active_leases(now, held, renew=not one.is_push))
             self._response_sequence += 1
             drifts = self._drift_monitor.exceeds_bound(holder)
@@ -151,7 +152,7 @@
                 continue
             if renew:
                 self._expiries[name] = self.settings.leader_expiry(now, name)
-            yield name, token
+            yield LeaseToken(name, token)
 
     # Time.
 
--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -1,106 +1,178 @@
-"""What holders and the group write to each other about leases."""
+"""Messages between lease holders, their group's leader and each other."""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import ClassVar
+from typing import ClassVar, NamedTuple
 
+from marlstep.errors import MarlstepError
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, ValueType, read_fields, wire, write_fields
 
-LeaseToken = tuple[str, int]  # name and token
-DocumentState = tuple[
-    str, int, str, int, str
-]  # document, version, state, for how many ms, why it is no further
-QuotaShareRow = tuple[str, int, int]  # tenant, millionths of its allowance, and what they are to come down to
-RequestCounts = tuple[
-    int, int, int
-]  # requests read, of them refused, and failed or late, since the process began
 
+class InvalidValueError(MarlstepError, ValueError):
+    """A field of a message that is not of the expected form."""
 
-def read_lease_tokens(value: object) -> tuple[LeaseToken, ...]:
-    """Raises ValueError or TypeError."""
+    def __init__(self, expected: str, value: object) -> None:
+        """`expected` is the form, as a noun phrase; `value` is what came."""
+        super().__init__(f"expected {expected}, got {value!r:.80}")
+
+
+class LeaseToken(NamedTuple):
+    """A lease under one of its grants. It is written as a list, as are the other rows below."""
+
+    name: str
+    token: int
+
+
+class TenantDemand(NamedTuple):
+    """How much work of one tenant comes to a process."""
+
+    tenant: str
+    millirequests_per_s: int
+
+
+class DocumentState(NamedTuple):
+    """What a process does with one replicated document."""
+
+    document: str
+    version: int
+    state: str
+    for_ms: int  # since when it has been in that state
+    reason: str  # why it acts on no newer version; empty where there is none
+
+
+class QuotaShareRow(NamedTuple):
+    """The part of a tenant's allowance that one process may use."""
+
+    tenant: str
+    granted: int  # millionths of the allowance
+    target: int  # millionths that it is asked to come down to; the same where nothing is asked
+
+
+class RequestCounts(NamedTuple):
+    """Requests of one process since it began."""
+
+    read: int = 0
+    refused: int = 0  # of those that were read
+    failed: int = 0  # of those that were read: failed or late
+
+
+NO_REQUESTS = RequestCounts()
+
+
+def _read_list(value: object) -> list[object]:
     if not isinstance(value, list):
-        raise ValueError("leases must be a list")
-    for name, token in value:
-        if not isinstance(name, str) or type(token) is not int:
-            raise ValueError("a lease has a name and a token")
-    return tuple((name, token) for name, token in value)
+        raise InvalidValueError("a list", value)
+    return value
+
+
+def _read_text(value: object) -> str:
+    if not isinstance(value, str):
+        raise InvalidValueError("a string", value)
+    return value
+
+
+def _read_integer(value: object) -> int:
+    if type(value) is not int:  # a boolean is none
+        raise InvalidValueError("an integer", value)
+    return value
+
+
+def _read_row(value: object, length: int) -> list[object]:
+    row = _read_list(value)
+    if len(row) != length:
+        raise InvalidValueError(f"a list of {length}", value)
+    return row
+
+
+def read_lease_tokens(value: object) -> tuple[LeaseToken, ...]:
+    """Rows of a name and a token. Raises InvalidValueError."""
+    rows = (_read_row(row, 2) for row in _read_list(value))
+    return tuple(LeaseToken(_read_text(name), _read_integer(token)) for name, token in rows)
+
+
+def read_tenant_demand(value: object) -> tuple[TenantDemand, ...]:
+    """Rows of a tenant and its demand. Raises InvalidValueError."""
+    rows = (_read_row(row, 2) for row in _read_list(value))
+    return tuple(TenantDemand(_read_text(tenant), _read_integer(demand)) for tenant, demand in rows)
 
 
 def read_names(value: object) -> tuple[str, ...]:
-    """Raises ValueError."""
-    if not isinstance(value, list) or not all(isinstance(name, str) for name in value):
-        raise ValueError("names must be a list of words")
-    return tuple(value)
+    """A list of names. Raises InvalidValueError."""
+    return tuple(_read_text(name) for name in _read_list(value))
 
 
 def read_document_states(value: object) -> tuple[DocumentState, ...]:
-    """Raises ValueError or TypeError."""
-    if not isinstance(value, list):
-        raise ValueError("acts must be a list")
-    rows = [(name, version, state, for_ms, why) for name, version, state, for_ms, why in value]
-    for name, version, state, for_ms, why in rows:
-        texts, numbers = (name, state, why), (version, for_ms)
-        if not all(isinstance(one, str) for one in texts) or any(type(one) is not int for one in numbers):
-            raise ValueError("no word of what is acted on")
-    return tuple(rows)
+    """Rows of five columns, one for each document. Raises InvalidValueError."""
+    rows = (_read_row(row, 5) for row in _read_list(value))
+    return tuple(
+        DocumentState(
+            _read_text(document),
+            _read_integer(version),
+            _read_text(state),
+            _read_integer(for_ms),
+            _read_text(reason),
+        )
+        for document, version, state, for_ms, reason in rows
+    )
 
 
 def read_request_counts(value: object) -> RequestCounts:
-    """Raises ValueError or TypeError."""
-    if not isinstance(value, list) or any(type(one) is not int for one in value):
-        raise ValueError("figures must be numbers")
-    asked, refused, failed = value
-    return asked, refused, failed
+    """One row of three counts. Raises InvalidValueError."""
+    return RequestCounts(*(_read_integer(count) for count in _read_row(value, 3)))
 
 
 def read_quota_shares(value: object) -> tuple[QuotaShareRow, ...]:
-    """Raises ValueError or TypeError."""
-    if not isinstance(value, list):
-        raise ValueError("shares must be a list")
-    rows = [(tenant, now, asked) for tenant, now, asked in value]
-    if not all(isinstance(row[0], str) and type(row[1]) is int and type(row[2]) is int for row in rows):
-        raise ValueError("a share has a tenant and two parts")
-    return tuple(rows)
+    """Rows of a tenant, its part and the part's target. Raises InvalidValueError."""
+    rows = (_read_row(row, 3) for row in _read_list(value))
+    return tuple(
+        QuotaShareRow(_read_text(tenant), _read_integer(granted), _read_integer(target))
+        for tenant, granted, target in rows
+    )
+
+
+def _write_rows(rows: Iterable[tuple[object, ...]]) -> list[list[object]]:
+    """As lists: the JSON writer takes no subclass of tuple."""
+    return [list(row) for row in rows]
 
 
-LEASE_TOKENS = ValueType(read_lease_tokens)
+LEASE_TOKENS = ValueType(read_lease_tokens, _write_rows)
+TENANT_DEMAND = ValueType(read_tenant_demand, _write_rows)
 NAMES = ValueType(read_names)
-DOCUMENT_STATES = ValueType(read_document_states)
-REQUEST_COUNTS = ValueType(read_request_counts)
-QUOTA_SHARES = ValueType(read_quota_shares)
+DOCUMENT_STATES = ValueType(read_document_states, _write_rows)
+REQUEST_COUNTS = ValueType(read_request_counts, list)
+QUOTA_SHARES = ValueType(read_quota_shares, _write_rows)
 
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """A node's word to the group: it is there, wants these leases, and has done with those.
+    """From a process to its group: it is alive, wants these leases, and gives those back.
 
-    One that wants a lease it holds renews it by that.
+    It renews a lease that it holds by wanting it.
     """
 
     wire_tag: ClassVar[str] = "Beat"
 
     node: str = field(metadata=wire("node", TEXT))
-    process_id: str = field(metadata=wire("boot", TEXT))  # of this life of the node's process
-    number: int = field(metadata=wire("number", INTEGER))
+    process_id: str = field(metadata=wire("boot", TEXT))  # never used again, also by the same node
+    number: int = field(metadata=wire("number", INTEGER))  # grows by one with each heartbeat of the process
     wanted_leases: tuple[str, ...] = field(metadata=wire("wants", NAMES))
     returned_leases: tuple[LeaseToken, ...] = field(metadata=wire("returns", LEASE_TOKENS), default=())
-    max_leases: int = field(metadata=wire("most", INTEGER), default=0)  # leases that it takes; 0: any number
-    # of the node, to see whether it goes true
+    # The most leases of tasks that it takes; 0: any number.
+    max_leases: int = field(metadata=wire("most", INTEGER), default=0)
+    # Its clock, for the leader to measure its drift; 0: not sent.
     clock_us: int = field(metadata=wire("clock_us", INTEGER), default=0)
-    document_states: tuple[DocumentState, ...] = field(
-        metadata=wire("acts", DOCUMENT_STATES), default=()
-    )  # which documents it acts on
-    request_counts: RequestCounts = field(metadata=wire("figures", REQUEST_COUNTS), default=(0, 0, 0))
-    # nodes that it hears as failed
+    document_states: tuple[DocumentState, ...] = field(metadata=wire("acts", DOCUMENT_STATES), default=())
+    request_counts: RequestCounts = field(metadata=wire("figures", REQUEST_COUNTS), default=NO_REQUESTS)
+    # Nodes that its failure detector takes for failed.
     failed_nodes: tuple[str, ...] = field(metadata=wire("failed", NAMES), default=())
-    # by tenant, thousandths of a request a second
-    tenant_demand: tuple[LeaseToken, ...] = field(metadata=wire("demand", LEASE_TOKENS), default=())
+    tenant_demand: tuple[TenantDemand, ...] = field(metadata=wire("demand", TENANT_DEMAND), default=())
 
 
 @dataclass(slots=True, frozen=True)
 class DocumentStatus:
-    """How one document stands: the version in force, and the one that is being prepared, if any."""
+    """One replicated document: its version in force, and the one that is being prepared, if any."""
 
     name: str = field(metadata=wire("name", TEXT))
     version: int = field(metadata=wire("version", INTEGER))
@@ -108,20 +180,18 @@
     prepared_version: int = field(metadata=wire("pending", INTEGER), default=0)  # 0: none
     prepared_digest: str = field(metadata=wire("pending_digest", TEXT), default="")
     strict: bool = field(metadata=wire("strict", BOOLEAN), default=False)
-    # nodes that act on the one that is being prepared already: a stage
+    # Nodes that act on the prepared version already: a stage of its rollout.
     rollout_nodes: tuple[str, ...] = field(metadata=wire("on", NAMES), default=())
 
 
 def read_document_statuses(value: object) -> tuple[DocumentStatus, ...]:
-    """Raises ValueError or TypeError."""
-    if not isinstance(value, list):
-        raise ValueError("news must be a list")
-    return tuple(read_fields(DocumentStatus, row) for row in value)
+    """Objects, one for each document. Raises ValueError, KeyError, TypeError or AttributeError."""
+    return tuple(read_fields(DocumentStatus, status) for status in _read_list(value))
 
 
-def write_document_statuses(news: tuple[DocumentStatus, ...]) -> object:
-    """As JSON has it."""
-    return [write_fields(one) for one in news]
+def write_document_statuses(statuses: Iterable[DocumentStatus]) -> list[object]:
+    """The statuses as JSON values."""
+    return [write_fields(status) for status in statuses]
 
 
 DOCUMENT_STATUSES = ValueType(read_document_statuses, write_document_statuses)
@@ -129,8 +199,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayAnnouncement:
-    """From a process of a node that does not have the node's address yet to the one that has: it is to be passed what
-    is for it, to this port."""
+    """From a successor process to its node's present one, which has the node's address.
+
+    Messages for the successor are to be forwarded to this port.
+    """
 
     wire_tag: ClassVar[str] = "Relay"
 
@@ -140,29 +212,28 @@
 
 @dataclass(slots=True, frozen=True)
 class HeartbeatResponse:
-    """The leader's answer to a beat: all leases that are this node's. `good` is false from who does not lead.
+    """The leader's response to a heartbeat: all leases that are the process's.
 
-    Term and count order the answers: one that was overtaken is of no use any more.
+    Term and sequence order the responses: one that was overtaken by a later one is void.
     """
 
     wire_tag: ClassVar[str] = "Beaten"
 
     number: int = field(metadata=wire("number", INTEGER))
     from_leader: bool = field(metadata=wire("good", BOOLEAN))
-    leader: str = field(metadata=wire("leader", TEXT))  # node, as far as is known
+    leader: str = field(metadata=wire("leader", TEXT))  # its node; empty where it is not known
     term: int = field(metadata=wire("term", INTEGER), default=0)
-    sequence: int = field(metadata=wire("count", INTEGER), default=0)  # grows with every answer of a leader
+    sequence: int = field(metadata=wire("count", INTEGER), default=0)  # grows with each response
     leases: tuple[LeaseToken, ...] = field(metadata=wire("leases", LEASE_TOKENS), default=())
-    # the node's clock errs beyond what is guarded against
+    # The process's clock drifts by more than leases guard against.
     clock_drifts: bool = field(metadata=wire("drifts", BOOLEAN), default=False)
     documents: tuple[DocumentStatus, ...] = field(metadata=wire("news", DOCUMENT_STATUSES), default=())
-    # of allowances, that are this process's
     quota_shares: tuple[QuotaShareRow, ...] = field(metadata=wire("shares", QUOTA_SHARES), default=())
 
 
 @dataclass(slots=True, frozen=True)
 class ServerRecovered:
-    """From the holder of a pool's lease to all: a connection to this server stood."""
+    """From the holder of a pool's lease to all nodes: it could connect to this server again."""
 
     wire_tag: ClassVar[str] = "Probed"
 
--- a/marlstep/leases/table.py
+++ b/marlstep/leases/table.py
@@ -1,4 +1,7 @@
-"""Who holds which lease, as the log has it: a machine. It knows no time; who leads proposes when one is over."""
+"""The replicated table of leases: who holds which, under which token.
+
+The table knows no time: the leader proposes when a lease is over.
+"""
 
 from __future__ import annotations
 
@@ -7,102 +10,126 @@
 from typing import Any
 
 from marlstep.consensus.state_machine import CommandJson, ResultJson
-from marlstep.leases.settings import CONFIG_LEASE_PREFIX
+from marlstep.leases.commands import (
+    EndLease,
+    GrantLease,
+    LeaseAlreadyHeld,
+    LeaseEnded,
+    LeaseGranted,
+    LeaseLimitReached,
+    LeaseNotHeld,
+    LeaseResult,
+    parse_lease_command,
+)
+from marlstep.leases.messages import LeaseToken
+from marlstep.leases.names import is_config_lease, node_of
 
 MAX_LEASES = 10_000
-MAX_NAME_LENGTH = 128  # characters
+TABLE_LIMIT = "table"  # as results name the limit of the whole table
 
 
 @dataclass(slots=True)
 class Lease:
-    holder: str  # node/boot; empty where it is free
+    """One lease, held or free."""
+
+    holder: str  # node/process; empty where it is free
     token: int  # of the last grant
     previous_node: str = ""  # node that had it before it became free
     grant_count: int = 0
 
     @property
     def node(self) -> str:
-        return self.holder.partition("/")[0]
+        """The node that holds it; empty where it is free."""
+        return node_of(self.holder)
 
 
 class LeaseTable:
+    """The state machine of leases. Tokens are counted for all leases together, and only grow."""
+
     def __init__(self) -> None:
+        """An empty table."""
         self.leases: dict[str, Lease] = {}
         self.last_token = 0  # the last that was given out, for any lease
-        self.held_counts: Counter[str] = Counter()  # held, by holder
+        self.held_counts: Counter[str] = Counter()  # leases of tasks that each process holds
 
     def holder(self, name: str) -> str:
+        """The process that holds that lease; empty where it is free."""
         lease = self.leases.get(name)
         return lease.holder if lease is not None else ""
 
-    def leases_of(self, holder: str) -> list[tuple[str, int]]:
-        return [(name, one.token) for name, one in self.leases.items() if one.holder == holder]
+    def leases_of(self, holder: str) -> list[LeaseToken]:
+        """All leases that one process holds."""
+        return [
+            LeaseToken(name, lease.token) for name, lease in self.leases.items() if lease.holder == holder
+        ]
 
     def apply(self, command: CommandJson) -> ResultJson:
-        name = command["name"]
-        if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
-            raise ValueError("a lease's name")
-        match command["do"]:
-            case "grant":
-                return self._grant(name, str(command["holder"]), int(command["most"]))
-            case "expire" | "return":
-                return self._end(name, int(command["token"]))
-        raise ValueError(f"nothing that is done to a lease: {command['do']!r}")
-
-    def _grant(self, name: str, holder: str, most: int) -> ResultJson:
-        lease = self.leases.get(name)
+        """Apply one command of the log. Raises as `parse_lease_command` does, and has changed nothing then."""
+        return self._execute(parse_lease_command(command)).to_json()
+
+    def _execute(self, command: GrantLease | EndLease) -> LeaseResult:
+        match command:
+            case GrantLease():
+                return self._grant(command)
+            case EndLease():
+                return self._end(command)
+
+    def _grant(self, command: GrantLease) -> LeaseResult:
+        lease = self.leases.get(command.name)
         if lease is not None and lease.holder:
-            return {"held": lease.holder, "token": lease.token}
-        if most and self.held_counts[holder] >= most:
-            return {"full": holder}
+            return LeaseAlreadyHeld(lease.holder, lease.token)
+        if command.max_held and self.held_counts[command.holder] >= command.max_held:
+            return LeaseLimitReached(command.holder)
         if lease is None:
             if len(self.leases) >= MAX_LEASES and not self._evict_free_lease():
-                return {"full": "table"}
-            lease = self.leases[name] = Lease("", 0)
+                return LeaseLimitReached(TABLE_LIMIT)
+            lease = self.leases[command.name] = Lease("", 0)
         self.last_token += 1
-        lease.holder, lease.token, lease.grant_count = holder, self.last_token, lease.grant_count + 1
-        self._adjust_count(name, holder, 1)
-        return {"granted": holder, "token": lease.token}
+        lease.holder, lease.token = command.holder, self.last_token
+        lease.grant_count += 1
+        self._adjust_count(command.name, command.holder, 1)
+        return LeaseGranted(command.holder, lease.token)
 
     def _evict_free_lease(self) -> bool:
-        """A free lease's place; nothing is lost with it, as tokens are counted for all together."""
+        """Make place for one lease. Nothing is lost, as tokens are counted for all leases together."""
         free = next((name for name, lease in self.leases.items() if not lease.holder), None)
         if free is not None:
             del self.leases[free]
         return free is not None
 
-    def _end(self, name: str, token: int) -> ResultJson:
-        lease = self.leases.get(name)
-        if lease is None or not lease.holder or lease.token != token:
-            return {"ended": False}
-        self._adjust_count(name, lease.holder, -1)
-        was, lease.previous_node, lease.holder = lease.holder, lease.node, ""
-        if name.startswith(CONFIG_LEASE_PREFIX):
-            del self.leases[name]  # of one life of one process: it is not wanted again
-        return {"ended": True, "holder": was}
-
-    def _adjust_count(self, name: str, holder: str, by: int) -> None:
-        """Leases on the rules are no task, and count for nothing."""
-        if not name.startswith(CONFIG_LEASE_PREFIX):
-            self.held_counts[holder] += by
+    def _end(self, command: EndLease) -> LeaseResult:
+        lease = self.leases.get(command.name)
+        if lease is None or not lease.holder or lease.token != command.token:
+            return LeaseNotHeld()
+        previous_holder = lease.holder
+        self._adjust_count(command.name, previous_holder, -1)
+        lease.previous_node, lease.holder = lease.node, ""
+        if is_config_lease(command.name):
+            del self.leases[command.name]  # of one process, that will not want it again
+        return LeaseEnded(previous_holder)
+
+    def _adjust_count(self, name: str, holder: str, change: int) -> None:
+        """Leases on replicated configuration are no tasks, and don't count."""
+        if not is_config_lease(name):
+            self.held_counts[holder] += change
             if not self.held_counts[holder]:
                 del self.held_counts[holder]
 
     def snapshot(self) -> object:
+        """The whole table as JSON."""
         rows = [
-            [name, one.holder, one.token, one.previous_node, one.grant_count]
-            for name, one in self.leases.items()
+            [name, lease.holder, lease.token, lease.previous_node, lease.grant_count]
+            for name, lease in self.leases.items()
         ]
         return {"token": self.last_token, "leases": rows}
 
-    def restore(self, told: Any) -> None:
-        self.last_token = int(told["token"])
+    def restore(self, stored: Any) -> None:
+        """Replace the table with what `snapshot` gave."""
+        self.last_token = int(stored["token"])
         self.leases = {
-            name: Lease(holder, token, last, grants) for name, holder, token, last, grants in told["leases"]
+            name: Lease(holder, token, previous_node, grant_count)
+            for name, holder, token, previous_node, grant_count in stored["leases"]
         }
-        held = (
-            one.holder
-            for name, one in self.leases.items()
-            if one.holder and not name.startswith(CONFIG_LEASE_PREFIX)
+        self.held_counts = Counter(
+            lease.holder for name, lease in self.leases.items() if lease.holder and not is_config_lease(name)
         )
-        self.held_counts = Counter(held)
--- a/marlstep/membership/quotas.py
+++ b/marlstep/membership/quotas.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from marlstep.consensus.state_machine import CommandJson, ResultJson
-from marlstep.leases.messages import LeaseToken, QuotaShareRow
+from marlstep.leases.messages import QuotaShareRow, TenantDemand
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.leases.table import LeaseTable
 from marlstep.membership.records import MAX_NAME_LENGTH
@@ -67,7 +67,7 @@
     def shares_of(self, holder: str) -> tuple[QuotaShareRow, ...]:
         """What one process is told: tenant, its part, and what it is asked to come down to."""
         return tuple(
-            (tenant, part.granted, part.target)
+            QuotaShareRow(tenant, part.granted, part.target)
             for tenant, parts in self.tenants.items()
             if (part := parts.get(holder)) is not None
         )
@@ -207,7 +207,7 @@
         self._smoothing = smoothed
         self._samples: dict[str, tuple[datetime, int, float]] = {}  # when, how many so far, requests a second
 
-    def estimate(self, now: datetime, counts: Mapping[str, int]) -> tuple[LeaseToken, ...]:
+    def estimate(self, now: datetime, counts: Mapping[str, int]) -> tuple[TenantDemand, ...]:
         """Thousandths of a request a second, by tenant; `counts` are of all requests so far."""
         for tenant in [one for one in self._samples if one not in counts]:
             del self._samples[tenant]
@@ -216,7 +216,9 @@
             if passed := now - at:
                 rate += ((count - before) * (SECOND / passed) - rate) * min(1.0, passed / self._smoothing)
             self._samples[tenant] = (now, count, rate)
-        return tuple((tenant, round(rate * 1000)) for tenant, (_, _, rate) in self._samples.items())
+        return tuple(
+            TenantDemand(tenant, round(rate * 1000)) for tenant, (_, _, rate) in self._samples.items()
+        )
 
 
 class QuotaLease:
--- a/marlstep/replicated_config/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -298,7 +298,7 @@
     def document_states(self, now: datetime) -> tuple[DocumentState, ...]:
         """For the group and for operators: what is acted on here, for how long, and why nothing newer."""
         return tuple(
-            (
+            DocumentState(
                 name,
                 one.version,
                 one.state.name.lower(),
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -134,7 +134,11 @@
                 continue
             side = watched.off
             if holder.partition("/")[0] in stage.nodes:
-                acts = {row[0]: row[1] for row in heard.heartbeat.document_states if row[2] == "acting"}
+                acts = {
+                    one.document: one.version
+                    for one in heard.heartbeat.document_states
+                    if one.state == "acting"
+                }
                 if acts.get(name) != pending.version.number:
                     continue
                 side = watched.on
@@ -143,7 +147,7 @@
 
     def is_degraded(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
         """Why the staged nodes do worse than chance explains; empty where they do not."""
-        asked, others = here[0], there[0]
+        asked, others = here.read, there.read
         if asked < max(least, 1):
             return ""
         share, usual = bad(here) / asked, bad(there) / others if others else 0.0
@@ -155,17 +159,17 @@
 
 
 def bad(figures: RequestCounts) -> int:
-    return figures[1] + figures[2]
+    return figures.refused + figures.failed
 
 
 def total(counted: Iterable[CountRange]) -> RequestCounts:
     asked = refused = failed = 0
     for one in counted:
-        asked += one.last[0] - one.first[0]
-        refused += one.last[1] - one.first[1]
-        failed += one.last[2] - one.first[2]
-    return asked, min(refused, asked), min(failed, asked - min(refused, asked))
+        asked += one.last.read - one.first.read
+        refused += one.last.refused - one.first.refused
+        failed += one.last.failed - one.first.failed
+    return RequestCounts(asked, min(refused, asked), min(failed, asked - min(refused, asked)))
 
 
 def describe(figures: RequestCounts) -> str:
-    return f"{figures[1]} refused and {figures[2]} failed of {figures[0]}"
+    return f"{figures.refused} refused and {figures.failed} failed of {figures.read}"
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -6,6 +6,7 @@
 from pathlib import Path
 from typing import Any
 
+from marlstep.leases.messages import DocumentState, LeaseToken, RequestCounts, TenantDemand
 from marlstep.replicated_config.documents import canonical_json, content_digest
 from marlstep.scheduled_tasks.run_log import Outcome
 from marlstep.scheduled_tasks.runner import RunnerAction, TaskPlan, TaskRunner
@@ -86,7 +87,7 @@
     second.wants += ("task/sweep", "probe/main")
     token = world.voter.leases.leases["task/sweep"].token
     first.wants = tuple(name for name in first.wants if name != "task/sweep")
-    first.returns = (("task/sweep", token),)
+    first.returns = (LeaseToken("task/sweep", token),)
     world.pass_time(1_000)
     first.returns = ()
     third.wants += ("task/short",)
@@ -336,11 +337,11 @@
     for name in nodes:
         process = world.processes.get(f"{name}/b1")
         if process is not None:
-            process.acts = (("servers", version, "acting", 10, ""),)
+            process.acts = (DocumentState("servers", version, "acting", 10, ""),)
     world.pass_time(200)
     for process in world.processes.values():
         read, refused, wrong = process.figures
-        process.figures = (read + 100, refused, wrong + (failed if process.node in nodes else 0))
+        process.figures = RequestCounts(read + 100, refused, wrong + (failed if process.node in nodes else 0))
 
 
 # Shares.
@@ -350,11 +351,11 @@
     """Parts of allowances move to where the demand is, and come down where others have more."""
     world.pass_time(1_500)
     busy, other = world.processes["n2/b1"], world.processes["n3/b1"]
-    busy.demand = (("riad", 60_000), ("sade", 30_000))
+    busy.demand = (TenantDemand("riad", 60_000), TenantDemand("sade", 30_000))
     world.pass_time(2_000)
     given_back(world)
-    other.demand = (("riad", 60_000),)
-    busy.demand = (("sade", 30_000),)
+    other.demand = (TenantDemand("riad", 60_000),)
+    busy.demand = (TenantDemand("sade", 30_000),)
     world.pass_time(2_000)
     given_back(world)
     base = {"m": "shares", "tenant": "riad", "holder": "n2/b1"}
--- a/tests/golden/node_messages.py
+++ b/tests/golden/node_messages.py
@@ -19,11 +19,16 @@
 )
 from marlstep.consensus.replica import CommandRequest, CommandResponse, JoinRequest
 from marlstep.leases.messages import (
+    DocumentState,
     DocumentStatus,
     Heartbeat,
     HeartbeatResponse,
+    LeaseToken,
+    QuotaShareRow,
     RelayAnnouncement,
+    RequestCounts,
     ServerRecovered,
+    TenantDemand,
 )
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
@@ -89,13 +94,16 @@
         process_id="b2",
         number=17,
         wanted_leases=("task/a", "pool/é"),
-        returned_leases=(("task/b", 21), ("task/c", 22)),
+        returned_leases=(LeaseToken("task/b", 21), LeaseToken("task/c", 22)),
         max_leases=9,
         clock_us=1_800_000_000_000_123,
-        document_states=(("tenants", 3, "in force", 250, ""), ("servers", 1, "held out", 10, 'why "not"')),
-        request_counts=(100, 20, 3),
+        document_states=(
+            DocumentState("tenants", 3, "in force", 250, ""),
+            DocumentState("servers", 1, "held out", 10, 'why "not"'),
+        ),
+        request_counts=RequestCounts(100, 20, 3),
         failed_nodes=("n3", "n4"),
-        tenant_demand=(("acme", 1500), ("öst", 2)),
+        tenant_demand=(TenantDemand("acme", 1500), TenantDemand("öst", 2)),
     ),
     "Beat/defaults": Heartbeat(node="n2/b2", process_id="b2", number=17, wanted_leases=()),
     "Beaten/full": HeartbeatResponse(
@@ -104,10 +112,10 @@
         leader="n1",
         term=7,
         sequence=99,
-        leases=(("task/a", 23), ("pool/é", 24)),
+        leases=(LeaseToken("task/a", 23), LeaseToken("pool/é", 24)),
         clock_drifts=True,
         documents=NEWS,
-        quota_shares=(("acme", 500_000, 250_000), ("öst", 10_000, 10_000)),
+        quota_shares=(QuotaShareRow("acme", 500_000, 250_000), QuotaShareRow("öst", 10_000, 10_000)),
     ),
     "Beaten/defaults": HeartbeatResponse(number=17, from_leader=False, leader=""),
     "Join/full": JoinRequest(node="n3", identity="n3#c"),
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -19,7 +19,15 @@
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming
 from marlstep.consensus.replica import CommandRequest, CommandResponse, Message, Replica, ReplicaSettings
-from marlstep.leases.messages import DocumentState, Heartbeat, HeartbeatResponse, LeaseToken, RequestCounts
+from marlstep.leases.messages import (
+    NO_REQUESTS,
+    DocumentState,
+    Heartbeat,
+    HeartbeatResponse,
+    LeaseToken,
+    RequestCounts,
+    TenantDemand,
+)
 from marlstep.node import Node
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from tests.golden.everything import KEY, operator_config, platform_config
@@ -46,9 +54,9 @@
     returns: tuple[LeaseToken, ...] = ()
     most: int = 0
     acts: tuple[DocumentState, ...] = ()
-    figures: RequestCounts = (0, 0, 0)
+    figures: RequestCounts = NO_REQUESTS
     failed: tuple[str, ...] = ()
-    demand: tuple[LeaseToken, ...] = ()
+    demand: tuple[TenantDemand, ...] = ()
     silent: bool = False
     beats: int = 0
 
--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from marlstep.leases.manager import LeaseManager
-from marlstep.leases.messages import Heartbeat
+from marlstep.leases.messages import Heartbeat, LeaseToken
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import LeaseTable
 from marlstep.units import EPOCH
@@ -29,7 +29,7 @@
         for command in commands:
             self.keeper.on_applied(self.now, command, self.table.apply(command), 0)
 
-    def beat(self, node: str, *wants: str, returns: tuple[tuple[str, int], ...] = (), most: int = 0) -> Any:
+    def beat(self, node: str, *wants: str, returns: tuple[LeaseToken, ...] = (), most: int = 0) -> Any:
         self.numbers[node] = number = self.numbers.get(node, 0) + 1
         self.apply(
             self.keeper.handle_heartbeat(self.now, Heartbeat(node, "b", number, wants, returns, most), 0)
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from marlstep.leases.holder import LeaseHolder
-from marlstep.leases.messages import HeartbeatResponse
+from marlstep.leases.messages import HeartbeatResponse, LeaseToken
 from marlstep.units import MILLISECOND, SECOND, ZERO
 from tests.leases.support import NOW, TOLD
 
 
 def answer(number: int, count: int, *leases: tuple[str, int], term: int = 1) -> HeartbeatResponse:
-    return HeartbeatResponse(number, True, "n1", term, count, leases)
+    return HeartbeatResponse(number, True, "n1", term, count, tuple(LeaseToken(*lease) for lease in leases))
 
 
 def holding() -> LeaseHolder:
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marlstep.leases.messages import Heartbeat
+from marlstep.leases.messages import Heartbeat, LeaseToken
 from marlstep.units import ZERO
 from tests.leases.support import TOLD, Group
 
@@ -87,9 +87,9 @@
     group.after(TOLD.renewal_interval)
     before = {name: group.table.holder(name) for name in ("x", "y")}
     mine = [name for name, holder in before.items() if holder == "a/b"]
-    group.beat("a", returns=tuple((name, group.table.leases[name].token) for name in mine))
+    group.beat("a", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in mine))
     assert all(group.table.holder(name) == "b/b" for name in mine)
-    group.beat("b", returns=tuple((name, group.table.leases[name].token) for name in ("x", "y")))
+    group.beat("b", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in ("x", "y")))
     group.beat("b", "x", "y")
     group.beat("a", "x", "y")
     group.beat("c", "x", "y")
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -29,7 +29,13 @@
 from marlstep.drill.rig import Rig, Settings
 from marlstep.drill.rules import CLIENTS, SERVERS, Arrival, ListServers, Load, Operators, judge
 from marlstep.drill.virtual_rules import run_rules
-from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse
+from marlstep.leases.messages import (
+    DocumentState,
+    DocumentStatus,
+    Heartbeat,
+    HeartbeatResponse,
+    RequestCounts,
+)
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import (
     DisconnectPolicy,
@@ -642,10 +648,8 @@
             more = figures.get(holder[0], (0, 0, 0))
             self.figures[holder] = row = [one + other for one, other in zip(row, more, strict=True)]
             version = 2 if holder == "b/1" and acts else 1
-            told = (("d", version, "acting", 0, ""),)
-            beat = Heartbeat(
-                holder[0], "1", 1, (), document_states=told, request_counts=(row[0], row[1], row[2])
-            )
+            told = (DocumentState("d", version, "acting", 0, ""),)
+            beat = Heartbeat(holder[0], "1", 1, (), document_states=told, request_counts=RequestCounts(*row))
             beats[holder] = ReceivedHeartbeat(beat, self.now)
         found = self.watch.evaluate(self.now, self.log.book, beats, SECOND)
         return [(one.promote, one.reason) for one in found]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -178,6 +178,8 @@
     "marlstep/leases/manager.py",
     "marlstep/leases/messages.py",
     "marlstep/leases/client.py",
+    "marlstep/leases/commands.py",
+    "marlstep/leases/names.py",
     "marlstep/leases/settings.py",
     "marlstep/leases/table.py",
     "marlstep/membership/roster.py",
