--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -30,10 +30,10 @@
 class CountsFromAnswer(LeaseHolder):
     """A lease is counted from the answer in the place of the question."""
 
-    def handle_response(self, now: datetime, answer: HeartbeatResponse) -> list[LeaseEvent]:
-        if answer.number in self._sent_heartbeats:
-            self._sent_heartbeats[answer.number] = now
-        return super().handle_response(now, answer)
+    def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
+        if response.number in self._sent_heartbeats:
+            self._sent_heartbeats[response.number] = now
+        return super().handle_response(now, response)
 
 
 class NeverLapses(LeaseHolder):
--- a/marlstep/leases/client.py
+++ b/marlstep/leases/client.py
@@ -1,6 +1,7 @@
-"""A node's part in the group, voter or not: its beats, its leases, and the commands that it asks for.
+"""A process's link to its consensus group: heartbeats, leases, and commands for the log.
 
-Pure, as all here: it is told of time and messages, and says what to send to which voter.
+It works the same on voters and on other nodes, and does no I/O: it is given the time and messages, and returns what to
+send to which voter.
 """
 
 from __future__ import annotations
@@ -9,158 +10,187 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from datetime import datetime, timedelta
-from typing import Any
 
 import orjson
 
 from marlstep.consensus.raft import RandomSource
 from marlstep.consensus.replica import CommandRequest, CommandResponse
-from marlstep.consensus.state_machine import Command, CommandJson, command_json
-from marlstep.leases.holder import LeaseEvent, LeaseHolder
+from marlstep.consensus.state_machine import Command, CommandJson, ResultJson, command_json
+from marlstep.leases.holder import LeaseEvent, LeaseEventKind, LeaseHolder
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
-from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
+from marlstep.leases.names import is_config_lease
+from marlstep.leases.settings import LeaseSettings
 
 MAX_LATENCY_SAMPLES = 200
-MAX_OUTBOUND_COMMANDS = 32  # commands that wait for their results; the group remembers twice as many
+MAX_OUTBOUND_COMMANDS = 32  # without a result; the group remembers twice as many results of each process
+TARGET_SWITCHES_PER_TIMEOUT = 4  # where no voter knows the leader
+
+GroupMessage = Heartbeat | CommandRequest
+GroupResponse = HeartbeatResponse | CommandResponse
 
 
 @dataclass(slots=True)
 class OutboundCommand:
+    """A command that has no result yet."""
+
     request: CommandRequest
-    sent_at: datetime | None
+    sent_at: datetime | None  # the last time; None where it is to be sent at once
     created_at: datetime
 
 
 class GroupClient:
+    """Sends heartbeats and commands to the voter that is taken for the leader, and to another if it doesn't respond."""
+
     def __init__(
-        self, node: str, boot: str, voters: tuple[str, ...], settings: LeaseSettings, chance: RandomSource
+        self,
+        node: str,
+        process_id: str,
+        voters: tuple[str, ...],
+        settings: LeaseSettings,
+        random_source: RandomSource,
     ) -> None:
-        """`voters` are the nodes that may vote; `boot` is of this life of the process, never used again."""
-        self.holder = LeaseHolder(node, boot, settings)
+        """`voters` are the nodes that may vote; `process_id` is of this process alone, and never used again."""
+        self.holder = LeaseHolder(node, process_id, settings)
         self.voters, self.settings = voters, settings
-        self.target = node if node in voters else voters[int(chance.random() * len(voters)) % len(voters)]
-        self.results: OrderedDict[int, dict[str, Any]] = OrderedDict()
-        self.last_response_at: datetime | None = None  # the group's last good answer to a beat
-        self.command_latencies: deque[timedelta] = deque(
-            maxlen=MAX_LATENCY_SAMPLES
-        )  # of the last commands, from the question on
+        self.target = node if node in voters else self._random_voter(random_source)
+        self.results: OrderedDict[int, ResultJson] = OrderedDict()
+        self.last_response_at: datetime | None = None  # of the leader, to a heartbeat
+        self.command_latencies: deque[timedelta] = deque(maxlen=MAX_LATENCY_SAMPLES)  # from `propose` on
         self._command_number = 0
         self._outbound: OrderedDict[int, OutboundCommand] = OrderedDict()
         self._next_heartbeat: datetime | None = None
-        self._unanswered_since: datetime | None = None  # since when a beat waits
+        self._unanswered_since: datetime | None = None  # when the oldest unanswered heartbeat was sent
+
+    def _random_voter(self, random_source: RandomSource) -> str:
+        return self.voters[int(random_source.random() * len(self.voters)) % len(self.voters)]
 
     # Commands.
 
     def propose(self, now: datetime, command: Command | CommandJson) -> int | None:
-        """Ask the group for a command; its number, or None where too many wait already."""
+        """Ask the group for a command. Returns its number, or None where too many wait for results already."""
         if len(self._outbound) >= MAX_OUTBOUND_COMMANDS:
             return None
         self._command_number += 1
         body = orjson.dumps(command_json(command)).decode()
-        self._outbound[self._command_number] = OutboundCommand(
-            CommandRequest(self.holder.name, self._command_number, body), None, now
-        )
+        request = CommandRequest(self.holder.name, self._command_number, body)
+        self._outbound[self._command_number] = OutboundCommand(request, None, now)
         return self._command_number
 
     def abandon(self, number: int) -> None:
-        """Nobody waits for that result any more. It may still be applied."""
+        """Wait for that command's result no longer. The command may still be applied."""
         self._outbound.pop(number, None)
         self.results.pop(number, None)
 
-    def take_result(self, number: int) -> dict[str, Any] | None:
+    def take_result(self, number: int) -> ResultJson | None:
+        """Remove and return that command's result; None before it came."""
         return self.results.pop(number, None)
 
     # Time.
 
     def schedule_heartbeat(self, now: datetime) -> None:
+        """Send the next heartbeat at `now`, before its time."""
         self._next_heartbeat = now
 
-    def tick(self, now: datetime) -> tuple[list[tuple[str, Heartbeat | CommandRequest]], list[LeaseEvent]]:
-        """What is to be sent now, and what changed by time alone."""
-        changes = self.holder.tick(now)
-        wait = self.settings.response_timeout
-        if self._unanswered_since is not None and now >= self._unanswered_since + wait:
-            self._switch_target(now, "")  # it does not answer: the next
-        sends: list[tuple[str, Heartbeat | CommandRequest]] = []
+    def tick(self, now: datetime) -> tuple[list[tuple[str, GroupMessage]], list[LeaseEvent]]:
+        """Return the messages to send now, each with its voter, and the leases that have expired."""
+        events = self.holder.tick(now)
+        timeout = self.settings.response_timeout
+        if self._unanswered_since is not None and now >= self._unanswered_since + timeout:
+            self._switch_target(now, "")
+        messages: list[tuple[str, GroupMessage]] = []
         if self._next_heartbeat is None or now >= self._next_heartbeat:
-            self._next_heartbeat = now + self.settings.renewal_interval
-            if self._unanswered_since is None:
-                self._unanswered_since = now
-            sends.append((self.target, self.holder.make_heartbeat(now)))
-        for out in self._outbound.values():
-            if out.sent_at is None or now >= out.sent_at + wait:
-                out.sent_at = now
-                sends.append((self.target, out.request))
-        return sends, changes
+            messages.append((self.target, self._make_heartbeat(now)))
+        for outbound in self._outbound.values():
+            if outbound.sent_at is None or now >= outbound.sent_at + timeout:
+                outbound.sent_at = now
+                messages.append((self.target, outbound.request))
+        return messages, events
+
+    def _make_heartbeat(self, now: datetime) -> Heartbeat:
+        self._next_heartbeat = now + self.settings.renewal_interval
+        if self._unanswered_since is None:
+            self._unanswered_since = now
+        return self.holder.make_heartbeat(now)
 
     def next_due(self, now: datetime) -> datetime:
-        wait = self.settings.response_timeout
+        """When `tick` has something to do next."""
+        timeout = self.settings.response_timeout
         due = [self._next_heartbeat or now]
-        due += [now if out.sent_at is None else out.sent_at + wait for out in self._outbound.values()]
+        due += [
+            now if outbound.sent_at is None else outbound.sent_at + timeout
+            for outbound in self._outbound.values()
+        ]
         if self._unanswered_since is not None:
-            due.append(self._unanswered_since + wait)
-        if (over := self.holder.next_due()) is not None:
-            due.append(over)
+            due.append(self._unanswered_since + timeout)
+        if (expiry := self.holder.next_due()) is not None:
+            due.append(expiry)
         return min(due)
 
     def _switch_target(self, now: datetime, leader: str) -> None:
-        """Ask another voter, at once: the one that is said to lead, or the next in the list."""
+        """Turn to the leader where one is named, and otherwise to the next voter."""
         if leader in self.voters and leader != self.target:
             self.target = leader
         else:
-            at = self.voters.index(self.target) if self.target in self.voters else -1
-            self.target = self.voters[(at + 1) % len(self.voters)]
+            index = self.voters.index(self.target) if self.target in self.voters else -1
+            self.target = self.voters[(index + 1) % len(self.voters)]
         self._unanswered_since = None
-        self._next_heartbeat = now if leader else now + self.settings.response_timeout / 4
-
-    # Answers.
-
-    def handle_response(
-        self, now: datetime, sender: str, message: HeartbeatResponse | CommandResponse
+        delay = self.settings.response_timeout / TARGET_SWITCHES_PER_TIMEOUT
+        self._next_heartbeat = now if leader else now + delay
+
+    # Responses.
+
+    def handle_response(self, now: datetime, sender: str, message: GroupResponse) -> list[LeaseEvent]:
+        """Take in a response of the node `sender`. Returns the leases that changed by it."""
+        match message:
+            case CommandResponse():
+                self._handle_command_response(now, sender, message)
+                return []
+            case HeartbeatResponse():
+                return self._handle_heartbeat_response(now, sender, message)
+
+    def _handle_heartbeat_response(
+        self, now: datetime, sender: str, message: HeartbeatResponse
     ) -> list[LeaseEvent]:
-        """`sender` is the node that the answer came from."""
-        if isinstance(message, CommandResponse):
-            self._handle_command_response(now, sender, message)
-            return []
         if not message.from_leader:
             if sender == self.target:
                 self._switch_target(now, message.leader)
             return []
         self._unanswered_since, self.last_response_at = None, now
         self.target = sender
-        changes = self.holder.handle_response(now, message)
-        if any(change.event == "gained" for change in changes):
-            self.schedule_heartbeat(now)  # the time of a lease that was waited for began with an old beat
-        return changes
+        events = self.holder.handle_response(now, message)
+        if any(event.event is LeaseEventKind.GAINED for event in events):
+            # A grant that was waited for is counted from an old heartbeat, so little of its term may be left.
+            self.schedule_heartbeat(now)
+        return events
 
     def _handle_command_response(self, now: datetime, sender: str, message: CommandResponse) -> None:
-        out = self._outbound.get(message.number)
-        if out is None:
+        outbound = self._outbound.get(message.number)
+        if outbound is None:
             return
         if not message.applied:
             if message.leader and sender == self.target:
                 self._switch_target(now, message.leader)
-                out.sent_at = None
+                outbound.sent_at = None
             return
         del self._outbound[message.number]
-        self.command_latencies.append(now - out.created_at)
+        self.command_latencies.append(now - outbound.created_at)
         result = orjson.loads(message.result)
         self.results[message.number] = result if isinstance(result, dict) else {"error": "no result"}
 
-    # The end.
+    # Shutdown.
 
     def release_leases(self, now: datetime, keep: Iterable[str] = ()) -> list[LeaseEvent]:
-        """Give all other leases back, at once."""
-        changes = self.holder.release_all(keep)
+        """Give back all leases but those in `keep`, at once."""
+        events = self.holder.release_all(keep)
         self.schedule_heartbeat(now)
-        return changes
+        return events
 
     @property
     def is_idle(self) -> bool:
-        """No task is held, and nothing that was given back is still the group's to take."""
-        tasks = any(not name.startswith(CONFIG_LEASE_PREFIX) for name in self.holder.held)
-        return not tasks and not self.holder.returning and not self._outbound
+        """Whether no task's lease is held, none is being returned, and no command waits for its result."""
+        holds_tasks = any(not is_config_lease(name) for name in self.holder.held)
+        return not holds_tasks and not self.holder.returning and not self._outbound
 
     def time_since_response(self, now: datetime) -> timedelta | None:
-        """Since the group's last answer; None before the first."""
+        """The time since the leader's last response to a heartbeat; None before the first."""
         return None if self.last_response_at is None else now - self.last_response_at
--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -13,8 +13,8 @@
 class InvalidValueError(MarlstepError, ValueError):
     """A field of a message that is not of the expected form."""
 
-    def __init__(self, expected: str, value: object) -> None:
-        """`expected` is the form, as a noun phrase; `value` is what came."""
+    def __init__(self, value: object, expected: str) -> None:
+        """`value` is what came; `expected` is the form, as a noun phrase."""
         super().__init__(f"expected {expected}, got {value!r:.80}")
 
 
@@ -63,26 +63,26 @@
 
 def _read_list(value: object) -> list[object]:
     if not isinstance(value, list):
-        raise InvalidValueError("a list", value)
+        raise InvalidValueError(value, "a list")
     return value
 
 
 def _read_text(value: object) -> str:
     if not isinstance(value, str):
-        raise InvalidValueError("a string", value)
+        raise InvalidValueError(value, "a string")
     return value
 
 
 def _read_integer(value: object) -> int:
     if type(value) is not int:  # a boolean is none
-        raise InvalidValueError("an integer", value)
+        raise InvalidValueError(value, "an integer")
     return value
 
 
 def _read_row(value: object, length: int) -> list[object]:
     row = _read_list(value)
     if len(row) != length:
-        raise InvalidValueError(f"a list of {length}", value)
+        raise InvalidValueError(value, f"a list of {length}")
     return row
 
 
--- a/marlstep/leases/table.py
+++ b/marlstep/leases/table.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 from dataclasses import dataclass
-from typing import Any
+from typing import TypedDict
 
 from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.commands import (
@@ -28,6 +28,16 @@
 TABLE_LIMIT = "table"  # as results name the limit of the whole table
 
 
+LeaseRow = tuple[str, str, int, str, int]  # name and the fields of `Lease`; JSON has a list
+
+
+class LeaseTableSnapshot(TypedDict):
+    """The lease table as JSON."""
+
+    token: int
+    leases: list[LeaseRow]
+
+
 @dataclass(slots=True)
 class Lease:
     """One lease, held or free."""
@@ -115,15 +125,15 @@
             if not self.held_counts[holder]:
                 del self.held_counts[holder]
 
-    def snapshot(self) -> object:
+    def snapshot(self) -> LeaseTableSnapshot:
         """The whole table as JSON."""
         rows = [
-            [name, lease.holder, lease.token, lease.previous_node, lease.grant_count]
+            (name, lease.holder, lease.token, lease.previous_node, lease.grant_count)
             for name, lease in self.leases.items()
         ]
         return {"token": self.last_token, "leases": rows}
 
-    def restore(self, stored: Any) -> None:
+    def restore(self, stored: LeaseTableSnapshot) -> None:
         """Replace the table with what `snapshot` gave."""
         self.last_token = int(stored["token"])
         self.leases = {
