--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -12,6 +12,7 @@
 from marlstep.consensus.replication import MAX_ENTRIES_PER_MESSAGE
 from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
+from marlstep.leases.commands import GrantLease, LeaseGranted, LeaseResult
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
 from marlstep.leases.manager import LeaseManager, no_quota_shares
 from marlstep.leases.messages import DocumentStatus, HeartbeatResponse, RequestCounts
@@ -30,10 +31,10 @@
 class CountsFromAnswer(LeaseHolder):
     """A lease is counted from the answer in the place of the question."""
 
-    def handle_response(self, now: datetime, answer: HeartbeatResponse) -> list[LeaseEvent]:
-        if answer.number in self._sent_heartbeats:
-            self._sent_heartbeats[answer.number] = now
-        return super().handle_response(now, answer)
+    def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
+        if response.number in self._sent_heartbeats:
+            self._sent_heartbeats[response.number] = now
+        return super().handle_response(now, response)
 
 
 class NeverLapses(LeaseHolder):
@@ -59,13 +60,13 @@
 class ReusesTokens(LeaseTable):
     """A lease's next grant has the token of the one before."""
 
-    def _grant(self, name: str, holder: str, most: int) -> ResultJson:
-        before = self.leases.get(name)
+    def _grant(self, command: GrantLease) -> LeaseResult:
+        before, holder = self.leases.get(command.name), command.holder
         if before is None or before.holder or not before.token:
-            return super()._grant(name, holder, most)
+            return super()._grant(command)
         self.held_counts[holder] += 1
-        self.leases[name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
-        return {"granted": holder, "token": before.token}
+        self.leases[command.name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
+        return LeaseGranted(holder, before.token)
 
 
 class Unconfirmed(LeaseManager):
--- a/marlstep/membership/quota_lease.py
+++ b/marlstep/membership/quota_lease.py
@@ -7,14 +7,12 @@
 from datetime import datetime, timedelta
 from typing import NamedTuple
 
-from marlstep.leases.messages import QuotaShareRow
+from marlstep.leases.messages import QuotaShareRow, TenantDemand
 from marlstep.membership.quota_table import FULL_QUOTA
 from marlstep.units import MILLISECOND, SECOND
 
 SMOOTHING_TIME = 1_500 * MILLISECOND  # some heartbeats long
 
-TenantDemand = tuple[str, int]  # tenant, thousandths of a request a second
-
 
 @dataclass(slots=True, frozen=True)
 class _Sample:
@@ -42,7 +40,9 @@
                 current_rate = (count - previous.count) * (SECOND / elapsed)
                 rate += (current_rate - rate) * min(1.0, elapsed / self._smoothing_time)
             self._samples[tenant] = _Sample(now, count, rate)
-        return tuple((tenant, round(sample.rate * 1000)) for tenant, sample in self._samples.items())
+        return tuple(
+            TenantDemand(tenant, round(sample.rate * 1000)) for tenant, sample in self._samples.items()
+        )
 
 
 class ShrunkShare(NamedTuple):
--- a/marlstep/membership/quota_table.py
+++ b/marlstep/membership/quota_table.py
@@ -85,7 +85,7 @@
     def shares_of(self, holder: str) -> tuple[QuotaShareRow, ...]:
         """Return the rows for one process's heartbeat response: tenant, granted share, target."""
         return tuple(
-            (tenant, share.granted, share.target)
+            QuotaShareRow(tenant, share.granted, share.target)
             for tenant, shares in self.tenants.items()
             if (share := shares.get(holder)) is not None
         )
