--- a/marlstep/cli/fleet.py
+++ b/marlstep/cli/fleet.py
@@ -284,13 +284,14 @@
 
     The other voters start with nothing, ask to be taken in, and vote once they have caught up.
     """
-    from marlstep.cluster.store import StoreError, StoreRefusedError, make_group
+    from marlstep.cluster.recovery import create_group
+    from marlstep.cluster.store_errors import StoreError, StoreRefusedError
 
     told = voter_of(config, operator)
     assert told.store is not None
     group_name = f"1.{secrets.token_hex(8)}"
     try:
-        make_group(told.store, told.node, f"{told.node}#{secrets.token_hex(6)}", group_name)
+        create_group(told.store, told.node, f"{told.node}#{secrets.token_hex(6)}", group_name)
     except (StoreError, StoreRefusedError) as fault:
         raise click.ClickException(str(fault)) from fault
     click.echo(
@@ -310,8 +311,8 @@
 
     Tokens go on a million above those that this store knows, so that no old one can pass for new.
     """
-    from marlstep.cluster.store import StoreError, StoreRefusedError
-    from marlstep.cluster.store import recover as recovered
+    from marlstep.cluster.recovery import recover_group
+    from marlstep.cluster.store_errors import StoreError, StoreRefusedError
 
     if not yes:
         raise click.UsageError(
@@ -320,7 +321,7 @@
     told = voter_of(config, operator)
     assert told.store is not None
     try:
-        found = recovered(told.store, told.node, f"{epoch}.{secrets.token_hex(8)}")
+        found = recover_group(told.store, told.node, f"{epoch}.{secrets.token_hex(8)}")
     except (StoreError, StoreRefusedError) as fault:
         raise click.ClickException(str(fault)) from fault
-    click.echo(json.dumps(found))
+    click.echo(json.dumps(found.to_json()))
--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -26,7 +26,8 @@
 from marlstep.__main__ import PLAIN
 from marlstep.cluster import node as cluster_node_module
 from marlstep.cluster.node import ClusterNode
-from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError
+from marlstep.cluster.store import OpenedStore, ReplicaStore
+from marlstep.cluster.store_errors import StoreError
 from marlstep.consensus.raft import Ready
 from marlstep.drill.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
@@ -98,7 +99,7 @@
         if orders.disk_ms:
             time.sleep(orders.disk_ms / 1000)
         if orders.disk_full:
-            raise StoreError(f"{self.path}: {apsw.FullError('database or disk is full')}")
+            raise StoreError(self.path, apsw.FullError("database or disk is full"))
         save(self, ready)
 
     def hooked(self: ClusterNode, *words: Any, **named: Any) -> None:
--- a/marlstep/drill/rig.py
+++ b/marlstep/drill/rig.py
@@ -18,7 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.cluster.store import FILE, make_group
+from marlstep.cluster.recovery import create_group
+from marlstep.cluster.store import FILE_NAME
 from marlstep.drill.links import Link, Ports
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.witness import Witness, clock_us
@@ -285,7 +286,7 @@
             self._sites.append(site)
             node.write(site.addresses)
         first = plan.voters[0]
-        make_group(
+        create_group(
             self.nodes[first].store, first, f"{first}#{secrets.token_hex(4)}", f"1.{secrets.token_hex(4)}"
         )
         for node in self.nodes.values():
@@ -428,7 +429,7 @@
         self.counts["kills"] += 1
         if store == "wipe":
             shutil.rmtree(node.store, ignore_errors=True)
-        elif store == "old store" and (node.folder / "old" / FILE).exists():
+        elif store == "old store" and (node.folder / "old" / FILE_NAME).exists():
             shutil.rmtree(node.store, ignore_errors=True)
             shutil.copytree(node.folder / "old", node.store)
         await asyncio.sleep(span)
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -1,4 +1,4 @@
-"""A voter's memory on a disk that is cut, corrupt, copied, full, read-only, in use or of another version."""
+"""A replica's store on a disk where it is truncated, corrupt, copied, full, read-only, in use or of another version."""
 
 from __future__ import annotations
 
@@ -11,17 +11,11 @@
 import apsw
 import pytest
 
-from marlstep.cluster.store import (
-    FILE,
-    OpenedStore,
-    ReplicaStore,
-    StoreError,
-    StoreRefusedError,
-    make_group,
-    recover,
-)
+from marlstep.cluster.store import FILE_NAME, ReplicaStore
+from marlstep.cluster.store_errors import StoreError, StoreRefusedError
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import Ready
+from tests.cluster.stores import reopened
 
 
 def ready(first: int, last: int, term: int = 1, **other: object) -> Ready:
@@ -29,14 +23,6 @@
     return Ready(1, term, "n1#a", entries=rows, **other)  # type: ignore[arg-type]
 
 
-def reopened(folder: Path, identity: str = "n1#new") -> OpenedStore:
-    store = ReplicaStore(folder)
-    try:
-        return store.open("n1", identity)
-    finally:
-        store.close()
-
-
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
     """A store with ten entries."""
@@ -48,11 +34,11 @@
     return tmp_path / "s"
 
 
-def test_what_was_saved_comes_back(folder: Path) -> None:
-    told = reopened(folder)
-    assert (told.identity, told.group, told.fresh) == ("n1#a", "1.g", False)
-    assert (told.state.term, told.state.voted_for) == (1, "n1#a")
-    assert [one.index for one in told.state.entries] == list(range(1, 11))
+def test_a_reopened_store_has_what_was_saved(folder: Path) -> None:
+    opened = reopened(folder)
+    assert (opened.identity, opened.group, opened.fresh) == ("n1#a", "1.g", False)
+    assert (opened.state.term, opened.state.voted_for) == (1, "n1#a")
+    assert [entry.index for entry in opened.state.entries] == list(range(1, 11))
     store = ReplicaStore(folder)
     store.open("n1", "x")
     store.save(ready(6, 7, term=2))  # another leader's log goes on differently from 6 on
@@ -60,7 +46,8 @@
     store.save(Ready(2, 2, "", Snapshot(5, 1, group, "data"), keep_after_index=3))
     store.close()
     saved = reopened(folder).state
-    assert saved.snapshot == Snapshot(5, 1, group, "data") and [one.index for one in saved.entries] == [6, 7]
+    assert saved.snapshot == Snapshot(5, 1, group, "data")
+    assert [entry.index for entry in saved.entries] == [6, 7]
     store = ReplicaStore(folder)
     store.open("n1", "x")
     store.save(Ready(3, 3, "", Snapshot(90, 3, group, "far"), replaces_log=True, keep_after_index=90))
@@ -68,43 +55,43 @@
     assert reopened(folder).state == PersistentState(3, "", Snapshot(90, 3, group, "far"), [])
 
 
-def test_a_copy_is_not_the_memory_of_this_voter(folder: Path, tmp_path: Path) -> None:
+def test_a_copy_is_set_aside_and_the_replica_gets_a_new_identity(folder: Path, tmp_path: Path) -> None:
     shutil.copytree(folder, tmp_path / "backup")
     shutil.rmtree(folder)
     shutil.copytree(tmp_path / "backup", folder)
-    told = reopened(folder)
-    assert told.fresh and told.identity == "n1#new" and told.state.term == 0
-    assert (folder / "voter.aside-1").exists()  # kept for whoever wants to look
+    opened = reopened(folder)
+    assert opened.fresh and opened.identity == "n1#new" and opened.state.term == 0
+    assert (folder / "voter.aside-1").exists()  # kept for a post-mortem
 
 
-def test_a_file_cut_at_any_place_or_with_a_changed_byte_is_never_taken_for_the_whole(folder: Path) -> None:
-    path = folder / FILE
-    whole = path.read_bytes()
+def test_a_truncated_file_or_one_with_a_flipped_bit_is_never_read_as_intact(folder: Path) -> None:
+    path = folder / FILE_NAME
+    intact = path.read_bytes()
     stat = path.stat()
-    chance = random.Random(5)
+    rng = random.Random(5)
     for number in range(60):
-        data = bytearray(whole)
+        data = bytearray(intact)
         if number % 2:
-            del data[chance.randrange(len(data)) :]
+            del data[rng.randrange(len(data)) :]
         else:
-            data[chance.randrange(len(data))] ^= 1 << chance.randrange(8)
-        for left in folder.iterdir():
-            if left.name != FILE:
-                left.unlink()
+            data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
+        for file in folder.iterdir():
+            if file.name != FILE_NAME:
+                file.unlink()
         if not path.exists():
             path.touch()
         path.write_bytes(bytes(data))
         try:
-            told = reopened(folder)
+            opened = reopened(folder)
         except StoreRefusedError:
             continue  # the format's own number was hit
         except StoreError:
             continue
-        whole_again = [one.body for one in told.state.entries] == [
+        intact_again = [entry.body for entry in opened.state.entries] == [
             f'{{"n":{index}}}' for index in range(1, 11)
         ]
-        assert told.fresh or whole_again or path.stat().st_ino != stat.st_ino
-        if told.fresh:  # set aside: put a file of the old identity back
+        assert opened.fresh or intact_again or path.stat().st_ino != stat.st_ino
+        if opened.fresh:  # set aside: put a file of the old identity back
             path.unlink()
             for aside in folder.glob("*aside*"):
                 aside.unlink()
@@ -112,18 +99,18 @@
             store.open("n1", "n1#a")
             store.save(ready(1, 10))
             store.close()
-            whole, stat = path.read_bytes(), path.stat()
+            intact, stat = path.read_bytes(), path.stat()
 
 
-def test_a_newer_format_and_another_nodes_store_are_refused_by_name_and_left_alone(folder: Path) -> None:
-    db = apsw.Connection(str(folder / FILE))
+def test_a_newer_format_and_another_nodes_store_are_refused_and_left_unchanged(folder: Path) -> None:
+    db = apsw.Connection(str(folder / FILE_NAME))
     db.execute("update facts set value = '2' where name = 'format'")
     db.close()
-    before = (folder / FILE).read_bytes()
+    before = (folder / FILE_NAME).read_bytes()
     with pytest.raises(StoreRefusedError, match="format 2, of a newer program"):
         reopened(folder)
-    assert (folder / FILE).read_bytes() == before
-    db = apsw.Connection(str(folder / FILE))
+    assert (folder / FILE_NAME).read_bytes() == before
+    db = apsw.Connection(str(folder / FILE_NAME))
     db.execute("update facts set value = '1' where name = 'format'")
     db.close()
     with pytest.raises(StoreRefusedError, match="of node n1, and this is n2"):
@@ -134,21 +121,23 @@
     store = ReplicaStore(folder)
     store.open("n1", "x")
     program = (
-        "from pathlib import Path; import sys; from marlstep.cluster.store import *\n"
+        "from pathlib import Path; import sys\n"
+        "from marlstep.cluster.store import ReplicaStore\n"
+        "from marlstep.cluster.store_errors import StoreRefusedError\n"
         "try: ReplicaStore(Path(sys.argv[1])).open('n1', 'x')\n"
         "except StoreRefusedError as fault: print(fault)"
     )
-    told = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", program, str(folder)], capture_output=True, text=True, check=True,
         cwd=Path(__file__).parent.parent.parent,
     )  # fmt: skip
-    assert "is in use by another process" in told.stdout
+    assert "is in use by another process" in process.stdout
     store.save(ready(11, 12))
     store.close()
     assert len(reopened(folder).state.entries) == 12
 
 
-def test_a_full_disk_fails_the_commit_and_what_was_durable_stays(folder: Path) -> None:
+def test_a_full_disk_fails_the_save_and_earlier_entries_stay(folder: Path) -> None:
     store = ReplicaStore(folder)
     store.open("n1", "x")
     assert store._db is not None
@@ -156,10 +145,10 @@
     with pytest.raises(StoreError, match="full"):
         store.save(ready(11, 2_000))
     store.close()
-    assert [one.index for one in reopened(folder).state.entries] == list(range(1, 11))
+    assert [entry.index for entry in reopened(folder).state.entries] == list(range(1, 11))
 
 
-def test_a_store_that_cant_be_made_or_written_says_so(tmp_path: Path) -> None:
+def test_a_store_that_cannot_be_created_or_written_raises_store_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("no folder")
     with pytest.raises(StoreError):
         ReplicaStore(tmp_path / "file").open("n1", "x")
@@ -168,31 +157,3 @@
     store.close()
     with pytest.raises(StoreError, match="closed"):
         store.save(ready(1, 2))
-
-
-def test_a_group_is_made_once_and_goes_on_from_one_store_with_tokens_far_above(tmp_path: Path) -> None:
-    make_group(tmp_path, "n1", "n1#a", "1.g")
-    with pytest.raises(StoreRefusedError, match="there already"):
-        make_group(tmp_path, "n1", "n1#b", "1.h")
-    told = reopened(tmp_path)
-    assert told.state.snapshot.configuration == Configuration(("n1#a",)) and told.group == "1.g"
-    store = ReplicaStore(tmp_path)
-    store.open("n1", "x")
-    grant = '{"m":"leases","do":"grant","name":"task/t","holder":"n2/b","most":0}'
-    rows = [
-        LogEntry(1, 1, EntryType.COMMAND, grant),
-        LogEntry(2, 1, EntryType.CONFIGURATION, Configuration(("n1#a", "n2#b")).encode()),
-    ]
-    store.save(Ready(1, 1, "n1#a", entries=rows))
-    store.close()
-    found = recover(tmp_path, "n1", "2.h")
-    assert found["token"] == 1_000_001
-    told = reopened(tmp_path)
-    assert (
-        told.group == "2.h"
-        and told.state.snapshot.configuration == Configuration(("n1#a",))
-        and told.state.term == 2
-    )
-    assert '"task/t","n2/b",1' in told.state.snapshot.data and not told.state.entries
-    with pytest.raises(StoreRefusedError, match="not there"):
-        recover(tmp_path / "other", "n1", "2.h")
