--- /dev/null
+++ b/marlstep/cluster/outbound_peer.py
@@ -0,0 +1,127 @@
+"""The connection to one other node: opened when there is something to send, and again after a backoff.
+
+Frames are dropped where they can't be sent soon: the protocols above repeat what matters to them.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from datetime import datetime
+
+from marlstep.cluster.drop_recorder import DropRecorder
+from marlstep.net.eventloop import Address, Cancel, Dial
+from marlstep.net.stream import RingStream
+from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.units import MILLISECOND, SECOND
+
+RING_SIZE = 64  # nothing is read here, and what is written waits in asyncio's transport
+MAX_QUEUED_FRAMES = 64  # that wait for a connection; the oldest are dropped
+CONNECT_TIMEOUT = 1 * SECOND
+MIN_BACKOFF, MAX_BACKOFF = 20 * MILLISECOND, 500 * MILLISECOND  # between attempts to connect; it doubles
+WRITE_STALL_TIMEOUT = 1 * SECOND  # after which a peer that reads nothing is disconnected
+
+
+class OutgoingConnection(RingStream):
+    """A connection that this node has opened. It carries frames one way: to the other node."""
+
+    def __init__(self, on_lost: Callable[[OutgoingConnection], None]) -> None:
+        """`on_lost` is called once, when the connection is gone."""
+        super().__init__(RING_SIZE)
+        self._on_lost = on_lost
+
+    def received(self) -> None:
+        """Discard what the peer sends: nothing is expected from it."""
+        if self.inbox.used:
+            self.inbox.skip(self.inbox.used)
+        if self.at_end:
+            self.abort()
+
+    def lost(self) -> None:
+        """Tell the owner."""
+        self._on_lost(self)
+
+
+class OutboundPeer:
+    """Sends frames to the node at one address, over at most one connection at a time."""
+
+    def __init__(self, address: Address, timeline: TimerQueue, dial: Dial, drops: DropRecorder) -> None:
+        """No connection is opened before the first frame is sent."""
+        self._address, self._timeline, self._dial, self._drops = address, timeline, dial, drops
+        self._connection: OutgoingConnection | None = None
+        self._cancel_dialing: Cancel | None = None  # while an attempt to connect is under way
+        self._connect_deadline: Deadline | None = None
+        self._redial_at: datetime | None = None
+        self._backoff = MIN_BACKOFF
+        self._queued: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
+        self._stalled_since: datetime | None = None
+
+    def send(self, frame: bytes) -> None:
+        """Send a frame, or queue it until there is a connection; it may be dropped."""
+        now = self._timeline.now()
+        if self._connection is not None and self._connection.connected:
+            self._send_on(self._connection, frame, now)
+            return
+        if len(self._queued) == MAX_QUEUED_FRAMES:
+            self._drops.counts["dropped"] += 1
+        self._queued.append(frame)
+        if self._cancel_dialing is None and (self._redial_at is None or now >= self._redial_at):
+            self._connect(now)
+
+    def _send_on(self, connection: OutgoingConnection, frame: bytes, now: datetime) -> None:
+        if not connection.clogged:
+            self._stalled_since = None
+            connection.send(frame)
+            return
+        self._drops.counts["dropped"] += 1
+        if self._stalled_since is None:
+            self._stalled_since = now
+        elif now > self._stalled_since + WRITE_STALL_TIMEOUT:
+            self._drops.record("cut", f"{self._address} does not read")
+            connection.abort()
+
+    def _connect(self, now: datetime) -> None:
+        connection = OutgoingConnection(self._on_lost)
+        self._connect_deadline = self._timeline.at(
+            now + CONNECT_TIMEOUT, lambda: self._on_dialed(connection, TimeoutError("no connection in time"))
+        )
+        self._cancel_dialing = self._dial(
+            lambda: connection, self._address, lambda fault: self._on_dialed(connection, fault)
+        )
+
+    def _on_dialed(self, connection: OutgoingConnection, fault: OSError | None) -> None:
+        if self._cancel_dialing is None:
+            return  # the attempt timed out or was cancelled before
+        cancel_dialing, self._cancel_dialing = self._cancel_dialing, None
+        self._timeline.cancel(self._connect_deadline)
+        now = self._timeline.now()
+        if fault is not None or not connection.connected:
+            if isinstance(fault, TimeoutError):
+                cancel_dialing()
+                connection.abort()
+            self._back_off(now)
+            return
+        self._connection, self._backoff = connection, MIN_BACKOFF
+        self._redial_at, self._stalled_since = None, None
+        while self._queued:
+            connection.send(self._queued.popleft())
+
+    def _back_off(self, now: datetime) -> None:
+        """Put off the next attempt. What is queued would be out of date by then, and is dropped."""
+        self._queued.clear()
+        self._redial_at = now + self._backoff
+        self._backoff = min(MAX_BACKOFF, 2 * self._backoff)
+
+    def _on_lost(self, connection: OutgoingConnection) -> None:
+        if connection is self._connection:
+            self._connection = None
+            self._back_off(self._timeline.now())
+
+    def close(self) -> None:
+        """Give up an attempt to connect, and close the connection once what was sent is out."""
+        if self._cancel_dialing is not None:
+            self._cancel_dialing()
+            self._cancel_dialing = None
+        self._timeline.cancel(self._connect_deadline)
+        if self._connection is not None:
+            self._connection.finish()
