--- a/marlstep/cluster/incoming_connection.py
+++ b/marlstep/cluster/incoming_connection.py
@@ -6,14 +6,13 @@
 from typing import Protocol
 
 from marlstep.cluster.drop_recorder import DropRecorder
-from marlstep.cluster.wire import MAX_MESSAGE_BYTES
+from marlstep.cluster.wire import MAX_FRAME_HEAD_BYTES, MAX_MESSAGE_BYTES
 from marlstep.net.framing import CorruptError, Framing
 from marlstep.net.stream import RingStream
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import SECOND
 
 RING_SIZE = 64 * 1024
-MAX_FRAME_HEAD_BYTES = 64
 FIRST_FRAME_TIMEOUT = 2 * SECOND  # from the connection's opening to its first whole frame
 assert RING_SIZE >= MAX_MESSAGE_BYTES + MAX_FRAME_HEAD_BYTES
 
--- a/marlstep/cluster/transport.py
+++ b/marlstep/cluster/transport.py
@@ -14,7 +14,7 @@
 from marlstep.cluster.incoming_connection import IncomingConnection
 from marlstep.cluster.outbound_peer import OutboundPeer
 from marlstep.net.eventloop import Address, Dial, dial
-from marlstep.net.framing import Framing
+from marlstep.net.framing import FrameTooLargeError, Framing
 from marlstep.timer_queue import TimerQueue
 
 ACCEPT_BACKLOG = 128
@@ -104,7 +104,7 @@
             return
         try:
             frame = self._framing.write(body)
-        except ValueError as fault:
+        except FrameTooLargeError as fault:
             self.record_drop("too large", str(fault))
             return
         self.counts["sent"] += 1
--- a/marlstep/cluster/wire.py
+++ b/marlstep/cluster/wire.py
@@ -1,4 +1,4 @@
-"""What nodes write to each other: frames under the fleet's key, each with one message and who it is from and for."""
+"""Messages between nodes: envelopes on a stream and datagrams, both in frames under the fleet's key."""
 
 from __future__ import annotations
 
@@ -10,19 +10,24 @@
 from marlstep.consensus.replica import MESSAGES, Message
 from marlstep.membership.messages import RECORDS, Ack, MembershipMessage, Nack, Ping, PingRequest
 from marlstep.membership.records import MemberRecord, is_address, read_records, write_records
-from marlstep.net.codec import BOOLEAN, Codec, wire
-from marlstep.net.framing import CorruptError, Framing, keyed
+from marlstep.net.codec import BOOLEAN, Codec, MalformedMessageError, wire
+from marlstep.net.framing import Framing, keyed
 
 STREAM_MARK = b"MSF1"
-MAX_MESSAGE_BYTES = 60 * 1024  # of one message
+MAX_MESSAGE_BYTES = 60 * 1024  # of one envelope
+MAX_KEY_BYTES = 64  # what BLAKE2b takes; the rest of a longer key is not used
+MAX_FRAME_HEAD_BYTES = 64  # an upper bound; a datagram must fit with it
 
 
 @dataclass(slots=True, frozen=True)
 class Envelope:
-    """`sender` and `to` are identities of voters, names of processes, or of nodes."""
+    """A message, with where it comes from and goes to.
+
+    `sender` and `to` are identities of replicas, or names of processes or of nodes.
+    """
 
     fleet: str
-    group: str  # of voters; empty where the sender does not know it yet
+    group: str  # of replicas; empty where the sender does not know it yet
     sender: str
     to: str
     message: Message | ExchangeMessage
@@ -30,70 +35,69 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeMessage:
-    """An exchange of members, over a line: who says so, and what it knows."""
+    """A part of a full exchange of membership records, over a stream."""
 
     wire_tag: ClassVar[str] = "Exchanged"
 
-    sender: tuple[MemberRecord, ...] = field(metadata=wire("me", RECORDS))
-    answer: bool = field(metadata=wire("answer", BOOLEAN))
+    sender: tuple[MemberRecord, ...] = field(metadata=wire("me", RECORDS))  # the sender's own record
+    answer: bool = field(metadata=wire("answer", BOOLEAN))  # the receiver is to send its records in turn
     records: tuple[MemberRecord, ...] = field(metadata=wire("records", RECORDS))
 
 
-CODEC = Codec((*MESSAGES, ExchangeMessage), ignore_unknown_keys=True)
-DATAGRAMS = Codec((Ping, Ack, PingRequest, Nack), ignore_unknown_keys=True)
+CODEC = Codec[Message | ExchangeMessage]((*MESSAGES, ExchangeMessage), ignore_unknown_keys=True)
+DATAGRAMS = Codec[MembershipMessage]((Ping, Ack, PingRequest, Nack), ignore_unknown_keys=True)
 DATAGRAM_MARK = b"MSD1"
-MAX_DATAGRAM_BYTES = 1_400  # bytes, with the frame: it goes through any network in one piece
+MAX_DATAGRAM_BYTES = 1_400  # with the frame: fits one packet on all common networks
 
 
 def datagram_framing(key: bytes) -> Framing:
-    return Framing(DATAGRAM_MARK, MAX_DATAGRAM_BYTES, keyed(key[:64]))
+    """Return the framing of datagrams under the fleet's key."""
+    return Framing(DATAGRAM_MARK, MAX_DATAGRAM_BYTES, keyed(key[:MAX_KEY_BYTES]))
 
 
 def write_datagram(fleet: str, sender: MemberRecord, message: MembershipMessage) -> bytes:
-    """The body of a datagram, with as many of the records as it has place for. Raises ValueError."""
+    """Return the body of a datagram, with as many of the message's records as fit into it."""
     carried = len(message.records)
     while True:
         fitting = replace(message, records=message.records[:carried])
         body = orjson.dumps([fleet, write_records([sender])[0], DATAGRAMS.dump(fitting)])
-        if len(body) <= MAX_DATAGRAM_BYTES - 64 or not carried:
+        if len(body) <= MAX_DATAGRAM_BYTES - MAX_FRAME_HEAD_BYTES or not carried:
             return body
         carried -= 1
 
 
 def read_datagram(body: bytes) -> tuple[str, MemberRecord, MembershipMessage]:
-    """Raises CorruptError."""
+    """Return the fleet, the sender's record and the message of a datagram. Raises MalformedMessageError."""
     try:
-        fleet, sender, told = orjson.loads(body)
+        fleet, sender, dumped_message = orjson.loads(body)
         [record] = read_records([sender])
     except (ValueError, TypeError) as fault:
-        raise CorruptError(f"no datagram: {fault!r}") from fault
-    message = DATAGRAMS.load(told)
-    assert isinstance(message, Ping | Ack | PingRequest | Nack)
+        raise MalformedMessageError("datagram", fault) from fault
+    message = DATAGRAMS.load(dumped_message)
     if not isinstance(fleet, str):
-        raise CorruptError("a datagram names its fleet")
+        raise MalformedMessageError("datagram", "the name of the fleet is no string")
     if isinstance(message, PingRequest) and not is_address(message.address):
-        raise CorruptError("who is to be asked has no address")
+        raise MalformedMessageError("datagram", f"expected a target's address, found {message.address!r}")
     return fleet, record, message
 
 
 def stream_framing(key: bytes) -> Framing:
-    return Framing(STREAM_MARK, MAX_MESSAGE_BYTES, keyed(key[:64]))
+    """Return the framing of streams under the fleet's key."""
+    return Framing(STREAM_MARK, MAX_MESSAGE_BYTES, keyed(key[:MAX_KEY_BYTES]))
 
 
 def write_envelope(envelope: Envelope) -> bytes:
-    """The body of a frame."""
+    """Return the body of a frame on a stream."""
     names = (envelope.fleet, envelope.group, envelope.sender, envelope.to)
     return orjson.dumps([*names, CODEC.dump(envelope.message)])
 
 
 def read_envelope(body: bytes) -> Envelope:
-    """Raises CorruptError."""
+    """Return the envelope in a frame's body. Raises MalformedMessageError."""
     try:
-        fleet, group, sender, to, told = orjson.loads(body)
+        fleet, group, sender, to, dumped_message = orjson.loads(body)
     except (ValueError, TypeError) as fault:
-        raise CorruptError(f"no envelope: {fault!r}") from fault
-    if not all(isinstance(part, str) for part in (fleet, group, sender, to)):
-        raise CorruptError("an envelope's names must be text")
-    message = CODEC.load(told)
-    assert isinstance(message, (*MESSAGES, ExchangeMessage))
-    return Envelope(fleet, group, sender, to, message)
+        raise MalformedMessageError("envelope", fault) from fault
+    if not all(isinstance(name, str) for name in (fleet, group, sender, to)):
+        raise MalformedMessageError("envelope", "a name is no string")
+    return Envelope(fleet, group, sender, to, CODEC.load(dumped_message))
--- a/marlstep/net/codec.py
+++ b/marlstep/net/codec.py
@@ -11,6 +11,9 @@
 
 A class may therefore be renamed, and so may its fields, without a change on the wire. Parts of messages and of
 snapshots are written the same way, without a tag (`write_fields`, `read_fields`).
+
+Values that can't be read raise ValueError or TypeError themselves, not subclasses: state machines read commands with
+these functions, and the `repr` of the error is part of a command's replicated result.
 """
 
 from __future__ import annotations
@@ -19,16 +22,42 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, fields
 from types import MappingProxyType
-from typing import Any, ClassVar, Protocol, TypeVar, cast
+from typing import Any, ClassVar, Generic, Protocol, TypeVar, cast
 
 import orjson
 
+from marlstep.errors import MarlstepError
 from marlstep.net.framing import CorruptError
 
 METADATA_KEY = "wire"
 
 Reader = Callable[[object], object]
 Part = TypeVar("Part")
+MessageT = TypeVar("MessageT")
+
+
+class MalformedMessageError(CorruptError):
+    """A message can't be read: it is no JSON, has an unknown tag, or a field has a wrong value."""
+
+    def __init__(self, part: str, problem: object) -> None:
+        """Name the part that can't be read, and what is wrong with it: text, or the error that reading it raised."""
+        super().__init__(f"malformed {part}: {problem if isinstance(problem, str) else repr(problem)}")
+
+
+class MissingWireNameError(MarlstepError, TypeError):
+    """A message class is declared wrongly: one of its fields has no wire name."""
+
+    def __init__(self, message_class: type, field_name: str) -> None:
+        """Name the field by its class and its Python name."""
+        super().__init__(f"{message_class.__name__}.{field_name} has no wire name")
+
+
+class DuplicateTagError(MarlstepError, TypeError):
+    """Two message classes of one codec are declared with the same wire tag."""
+
+    def __init__(self, tag: str) -> None:
+        """`tag` is the one that both have."""
+        super().__init__(f"two message classes have the wire tag {tag!r}")
 
 
 class Message(Protocol):
@@ -38,8 +67,8 @@
     __dataclass_fields__: ClassVar[dict[str, Any]]
 
 
-def unchanged(value: Any) -> object:
-    """The writer of values that JSON holds as they are."""
+def unchanged(value: object) -> object:
+    """Return a value as it is: the writer of those that JSON can hold."""
     return value
 
 
@@ -47,7 +76,7 @@
 class ValueType:
     """How a field's value is read from JSON and written to it.
 
-    `read` raises ValueError, KeyError, TypeError or AttributeError for a value that it cannot take.
+    `read` raises ValueError, KeyError, TypeError or AttributeError for a value that is not of this type.
     """
 
     read: Reader
@@ -56,22 +85,26 @@
 
 @dataclass(slots=True, frozen=True)
 class WireField:
-    """The wire's name of one field, and the type of its values there."""
+    """The name of a field on the wire, and the type of its values there."""
 
     key: str
     value_type: ValueType
 
 
 def wire(key: str, value_type: ValueType) -> Mapping[str, WireField]:
-    """The `metadata` of a dataclass field that is written under `key`."""
+    """Make the `metadata` of a dataclass field that is written under `key`."""
     return {METADATA_KEY: WireField(key, value_type)}
 
 
+def _mismatch(expected: str, value: object) -> str:
+    return f"expected {expected}, got {type(value).__name__}"
+
+
 def _instance_reader(expected: str, *types: type) -> Reader:
     def read(value: object) -> object:
         is_bool_by_mistake = isinstance(value, bool) and bool not in types
         if is_bool_by_mistake or not isinstance(value, types):
-            raise ValueError(f"expected {expected}, got {type(value).__name__}")
+            raise ValueError(_mismatch(expected, value))
         return value
 
     return read
@@ -86,11 +119,11 @@
 
 
 def list_of(item_type: ValueType) -> ValueType:
-    """Lists, each of whose items is of that type."""
+    """Lists whose items are all of that type."""
 
     def read(value: object) -> list[object]:
         if not isinstance(value, list):
-            raise TypeError(f"expected a list, got {type(value).__name__}")
+            raise TypeError(_mismatch("a list", value))
         return [item_type.read(item) for item in value]
 
     return ValueType(read, lambda items: [item_type.write(item) for item in items])
@@ -114,44 +147,46 @@
     return ValueType(lambda value: read_fields(part_class, value), write_fields)
 
 
-_wire_fields: dict[type, dict[str, WireField]] = {}  # of each class that was asked for, by Python name
+_wire_fields: dict[type, dict[str, WireField]] = {}  # a cache: of each class, by the fields' Python names
 
 
 def wire_fields(message_class: type) -> dict[str, WireField]:
-    """The wire form of each field, by its Python name. Raises TypeError where a field has none."""
+    """Return the wire form of each field, by its Python name. Raises TypeError where a field has none."""
     found = _wire_fields.get(message_class)
     if found is None:
         found = {}
         for part in fields(message_class):
             wire_field = part.metadata.get(METADATA_KEY)
             if not isinstance(wire_field, WireField):
-                raise TypeError(f"{message_class.__name__}.{part.name} has no wire name")
+                raise MissingWireNameError(message_class, part.name)
             found[part.name] = wire_field
         _wire_fields[message_class] = found
     return found
 
 
-def write_fields(message: Any) -> dict[str, object]:
-    """The fields of one message or of a part of one, by their wire keys."""
+def write_fields(message: object) -> dict[str, object]:
+    """Return the fields of a message or of a part of one as JSON values, by their wire keys."""
     return {
         wire_field.key: wire_field.value_type.write(getattr(message, name))
         for name, wire_field in wire_fields(type(message)).items()
     }
 
 
-def read_fields(part_class: type[Part], values: Any) -> Part:
-    """What `write_fields` gave. A key that is left out has its field's default.
+def read_fields(part_class: type[Part], values: object) -> Part:
+    """Make a message or a part of one from what `write_fields` returned.
 
-    Raises ValueError, KeyError, TypeError or AttributeError for a wrong value, a key that is not known, or one that is
-    left out and has no default.
+    A key that is left out has its field's default. Raises ValueError, KeyError, TypeError or AttributeError for a wrong
+    value, an unknown key, or one that is left out and has no default.
     """
+    keyed_values = cast(Mapping[str, object], values)  # another type raises one of these errors below
     known = {wire_field.key for wire_field in wire_fields(part_class).values()}
-    if unknown := dict(values).keys() - known:
-        raise ValueError(f"{part_class.__name__} has no {sorted(unknown)}")
-    return _build(part_class, values)
+    if unknown := dict(keyed_values).keys() - known:
+        message = f"{part_class.__name__} has no {sorted(unknown)}"
+        raise ValueError(message)
+    return _build(part_class, keyed_values)
 
 
-def _build(part_class: type[Part], values: Any) -> Part:
+def _build(part_class: type[Part], values: Mapping[str, object]) -> Part:
     # A field that is left out and has no default makes the constructor raise TypeError.
     arguments = {
         name: _read_value(part_class, wire_field, values[wire_field.key])
@@ -161,55 +196,58 @@
     return part_class(**arguments)
 
 
-class Codec:
+class Codec(Generic[MessageT]):
     """Reads and writes a fixed set of message classes; every value that is read is checked."""
 
-    def __init__(self, message_classes: Iterable[type], ignore_unknown_keys: bool = False) -> None:
-        """`ignore_unknown_keys`: fields that are not known come from a newer program, and are passed over."""
+    def __init__(self, message_classes: Iterable[type[MessageT]], ignore_unknown_keys: bool = False) -> None:
+        """`ignore_unknown_keys`: take fields that are not known for those of a newer program, and ignore them."""
         self._ignore_unknown_keys = ignore_unknown_keys
-        self._classes: dict[str, type] = {}
+        self._classes: dict[str, type[MessageT]] = {}
         for message_class in message_classes:
-            tag = cast(Any, message_class).wire_tag
+            tag = cast(type[Message], message_class).wire_tag
             if tag in self._classes:
-                raise TypeError(f"two message classes have the wire tag {tag!r}")
+                raise DuplicateTagError(tag)
             self._classes[tag] = message_class
             wire_fields(message_class)  # raises here, at import, rather than with the first message
 
     @property
-    def message_classes(self) -> Mapping[str, type]:
+    def message_classes(self) -> Mapping[str, type[MessageT]]:
         """All classes that this codec knows, by wire tag."""
         return MappingProxyType(self._classes)
 
-    def dump(self, message: Any) -> list[object]:
-        """The message as JSON values: its tag and its fields."""
-        return [message.wire_tag, write_fields(message)]
+    def dump(self, message: MessageT) -> list[object]:
+        """Return a message as JSON values: its tag and its fields."""
+        return [cast(Message, message).wire_tag, write_fields(message)]
 
-    def write(self, message: object) -> bytes:
-        """The message as JSON text."""
+    def write(self, message: MessageT) -> bytes:
+        """Return a message as JSON text."""
         return orjson.dumps(self.dump(message))
 
-    def read(self, body: bytes) -> object:
-        """The message that `body` holds. Raises CorruptError."""
+    def read(self, body: bytes) -> MessageT:
+        """Return the message that JSON text holds. Raises MalformedMessageError."""
         try:
             dumped = orjson.loads(body)
         except ValueError as fault:
-            raise CorruptError(f"no message: {fault!r}") from fault
+            raise MalformedMessageError("message", fault) from fault
         return self.load(dumped)
 
-    def load(self, dumped: Any) -> object:
-        """The message that `dump` gave. Raises CorruptError."""
+    def load(self, dumped: object) -> MessageT:
+        """Return the message that JSON values hold. Raises MalformedMessageError."""
         try:
-            tag, values = dumped
+            tag, values = cast(
+                tuple[str, Mapping[str, object]], dumped
+            )  # other types raise what is caught here
             message_class = self._classes[tag]
             if self._ignore_unknown_keys:
                 return _build(message_class, values)
             return read_fields(message_class, values)
         except (ValueError, KeyError, TypeError, AttributeError) as fault:
-            raise CorruptError(f"no message: {fault!r}") from fault
+            raise MalformedMessageError("message", fault) from fault
 
 
 def _read_value(message_class: type, wire_field: WireField, value: object) -> object:
     try:
         return wire_field.value_type.read(value)
     except (ValueError, KeyError, TypeError, AttributeError) as fault:
-        raise ValueError(f"{message_class.__name__}.{wire_field.key}: {fault!r}") from fault
+        message = f"{message_class.__name__}.{wire_field.key}: {fault!r}"
+        raise ValueError(message) from fault
--- a/marlstep/net/framing.py
+++ b/marlstep/net/framing.py
@@ -1,8 +1,8 @@
-"""Frames on a stream between processes of this program: a mark, a length, a checksum, and one message.
+"""Frames on a stream between processes of this program: a header, and a body that holds one message.
 
-4 bytes    the mark: which conversation, and its version
-4 bytes    length of what follows the head
-n bytes    checksum of the body, as long as the conversation has it
+4 bytes    magic: which protocol, and its version
+4 bytes    length of the body in bytes, big-endian
+n bytes    checksum of the body; its length depends on the protocol
            the body
 """
 
@@ -15,20 +15,53 @@
 from marlstep.errors import MarlstepError
 from marlstep.net.ring import Ring
 
-KEYED_BYTES = 16
+LENGTH_BYTES = 4
+KEYED_BYTES = 16  # of a keyed checksum
 
 
 class CorruptError(MarlstepError, ValueError):
-    """What the other process wrote can't be read. Nothing after it can be trusted."""
+    """What another process wrote can't be read. On a stream, nothing after it can be read either."""
+
+
+class UnknownMagicError(CorruptError):
+    """A frame begins with the magic of another protocol or version."""
+
+    def __init__(self, found: bytes) -> None:
+        """`found` stands where the magic should."""
+        super().__init__(f"no frame of this version: {found!r}")
+
+
+class FrameLengthError(CorruptError):
+    """A frame's header announces a body that is larger than the protocol allows."""
+
+    def __init__(self, size: int, limit: int) -> None:
+        """Sizes are in bytes."""
+        super().__init__(f"a message of {size} bytes, {limit} at the most")
+
+
+class ChecksumError(CorruptError):
+    """A frame's body does not have the checksum that its header gives: it was damaged, or has another key."""
+
+    def __init__(self, expected: bytes, found: bytes) -> None:
+        """`expected` stands in the header, `found` is that of the body."""
+        super().__init__(f"the checksum is wrong: expected {expected.hex()}, found {found.hex()}")
+
+
+class FrameTooLargeError(MarlstepError, ValueError):
+    """A body is larger than the protocol allows; the other side would refuse it."""
+
+    def __init__(self, size: int, limit: int) -> None:
+        """Sizes are in bytes."""
+        super().__init__(f"a message of {size} bytes, {limit} at the most")
 
 
 def crc(body: bytes) -> bytes:
-    """For a conversation on a Unix socket in the node's own folder."""
+    """Return the CRC-32 of a body, for connections that only this node's own processes can open."""
     return zlib.crc32(body).to_bytes(4, "big")
 
 
 def keyed(key: bytes) -> Callable[[bytes], bytes]:
-    """A checksum that only those who have the key (up to 64 bytes) can make: BLAKE2b, 16 bytes."""
+    """Make a checksum that only holders of the key (up to 64 bytes) can compute: BLAKE2b, 16 bytes."""
 
     def check(body: bytes) -> bytes:
         return hashlib.blake2b(body, digest_size=KEYED_BYTES, key=key).digest()
@@ -37,35 +70,36 @@
 
 
 class Framing:
-    """One conversation's frames."""
+    """Writes and reads the frames of one protocol."""
 
-    def __init__(self, mark: bytes, most: int, check: Callable[[bytes], bytes]) -> None:
-        """`most` bytes of one body; `check` gives the same number of bytes for each body."""
-        self.mark, self.most, self._check = mark, most, check
-        self._width = len(check(b""))
-        self.head = len(mark) + 4 + self._width
+    def __init__(self, magic: bytes, max_body_bytes: int, checksum: Callable[[bytes], bytes]) -> None:
+        """`checksum` returns the same number of bytes for every body."""
+        self._magic, self._max_body_bytes, self._checksum = magic, max_body_bytes, checksum
+        self._length_end = len(magic) + LENGTH_BYTES
+        self._header_bytes = self._length_end + len(checksum(b""))
 
     def write(self, body: bytes) -> bytes:
-        """Raises ValueError where the body is over what the other side takes."""
-        if len(body) > self.most:
-            raise ValueError(f"a message of {len(body)} bytes, {self.most} at the most")
-        return self.mark + len(body).to_bytes(4, "big") + self._check(body) + body
+        """Return the frame of a body. Raises FrameTooLargeError."""
+        if len(body) > self._max_body_bytes:
+            raise FrameTooLargeError(len(body), self._max_body_bytes)
+        return self._magic + len(body).to_bytes(LENGTH_BYTES, "big") + self._checksum(body) + body
 
     def read(self, ring: Ring) -> bytes | None:
-        """The next body; None until more is read. Raises CorruptError."""
-        head = ring.peek(self.head)
-        mark = head[: len(self.mark)]
-        if not self.mark.startswith(mark):
-            raise CorruptError(f"no frame of this version: {mark!r}")
-        if len(head) < len(self.mark) + 4:
+        """Take the next body out of the ring; None until a whole frame is there. Raises CorruptError."""
+        header = ring.peek(self._header_bytes)
+        magic = header[: len(self._magic)]
+        if not self._magic.startswith(magic):  # checked as soon as the first byte is there
+            raise UnknownMagicError(magic)
+        if len(header) < self._length_end:
             return None
-        size = int.from_bytes(head[len(mark) : len(mark) + 4], "big")
-        if size > self.most:
-            raise CorruptError(f"a message of {size} bytes")
-        if ring.used < self.head + size:
+        size = int.from_bytes(header[len(magic) : self._length_end], "big")
+        if size > self._max_body_bytes:
+            raise FrameLengthError(size, self._max_body_bytes)
+        if ring.used < self._header_bytes + size:
             return None
-        ring.skip(self.head)
+        ring.skip(self._header_bytes)
         body = ring.take(size)
-        if self._check(body) != head[len(mark) + 4 :]:
-            raise CorruptError("the checksum is wrong")
+        checksum = self._checksum(body)
+        if checksum != header[self._length_end :]:
+            raise ChecksumError(header[self._length_end :], checksum)
         return body
--- a/tests/golden/conversation.py
+++ b/tests/golden/conversation.py
@@ -77,9 +77,9 @@
         return self.read(body)
 
 
-def classes_of(codec: Codec) -> set[type]:
+def classes_of(codec: Codec[Any]) -> set[type]:
     return set(codec.message_classes.values())
 
 
-def tags_of(codec: Codec) -> set[str]:
+def tags_of(codec: Codec[Any]) -> set[str]:
     return set(codec.message_classes)
