--- a/marlstep/fronts/resp_wire.py
+++ b/marlstep/fronts/resp_wire.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Mapping
 
-from marlstep.net.ring import LineTooLong, Ring
+from marlstep.net.ring import LineTooLongError, Ring
 
 HEAD_LIMIT = 16  # of the lines that hold a count or a length
 LIMITS = (16, 20, 128, 1024, 2048)  # of the words: verb, tag, class, fields, body
@@ -49,7 +49,7 @@
             return words
         try:
             return self._next(ring)
-        except (ValueError, LineTooLong) as fault:
+        except (ValueError, LineTooLongError) as fault:
             known = len(self._words) >= 2 and self._words[0] in VERBS
             raise Malformed(str(fault), read_tag(self._words[1]) if known else None) from None
 
--- a/marlstep/net/eventloop.py
+++ b/marlstep/net/eventloop.py
@@ -9,13 +9,14 @@
 from marlstep.units import ZERO, SystemClock
 
 Address = tuple[str, int]
-Make = Callable[[], asyncio.BaseProtocol]
-Done = Callable[[OSError | None], None]  # told once: None where the connection stands
+ProtocolFactory = Callable[[], asyncio.BaseProtocol]
+DialCallback = Callable[[OSError | None], None]  # told once: None where the connection stands
 Cancel = Callable[[], object]
-Dial = Callable[[Make, Address, Done], Cancel]  # the caller keeps what it is given until it is told
+# The caller keeps the canceller until its callback is called.
+Dial = Callable[[ProtocolFactory, Address, DialCallback], Cancel]
 
 
-def dial(make: Make, address: Address, done: Done) -> Cancel:
+def dial(make: ProtocolFactory, address: Address, done: DialCallback) -> Cancel:
     loop = asyncio.get_running_loop()
 
     async def connect() -> None:
--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -4,19 +4,19 @@
 
 import logging
 
-from marlstep.net.ring import LineTooLong
+from marlstep.net.ring import LineTooLongError
 from marlstep.net.stream import RingStream
 
 log = logging.getLogger(__name__)
 
 
-class LineFault(ValueError):
+class LineProtocolError(ValueError):
     """The peer wrote what leaves it open where the next line begins."""
 
 
-def length(word: str, limit: int) -> int:
+def parse_length(word: str, limit: int) -> int:
     if not (word.isascii() and word.isdigit() and len(word) < 10) or int(word) > limit:
-        raise LineFault(f"not a length: {word[:32]!r}")
+        raise LineProtocolError(f"not a length: {word[:32]!r}")
     return int(word)
 
 
@@ -35,18 +35,18 @@
         return self._words is not None or self.inbox.used > 0
 
     def body_length(self, words: list[str]) -> int | None:
-        """How long the body behind this line is; None where none follows. May raise LineFault."""
+        """How long the body behind this line is; None where none follows. May raise LineProtocolError."""
         raise NotImplementedError
 
     def message(self, words: list[str], body: bytes) -> None:
-        """One whole message. May raise LineFault."""
+        """One whole message. May raise LineProtocolError."""
         raise NotImplementedError
 
     def received(self) -> None:
         try:
             while self._next():
                 pass
-        except (LineFault, LineTooLong) as fault:
+        except (LineProtocolError, LineTooLongError) as fault:
             log.error("%s dropped: %s", type(self).__name__, fault)
             self.abort()
         if self.at_end:
@@ -67,7 +67,7 @@
             return False
         body = self.inbox.take(self._length)
         if self.inbox.take(2) != b"\r\n":
-            raise LineFault("a body longer than its length")
+            raise LineProtocolError("a body longer than its length")
         words, self._words = self._words, None
         self.message(words, body)
         return True
--- a/marlstep/net/ring.py
+++ b/marlstep/net/ring.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 
-class LineTooLong(ValueError):
+class LineTooLongError(ValueError):
     """No line end within the bytes a line may take."""
 
 
@@ -74,7 +74,7 @@
         return bytes(self._view[start : start + count])
 
     def line(self, limit: int) -> bytes | None:
-        """The next line without its CR LF; None while it is not whole, LineTooLong past the limit."""
+        """The next line without its CR LF; None while it is not whole, LineTooLongError past the limit."""
         if self._start + self.used <= self.size:  # it lies in one piece: looked at where it is
             most = min(self.used, limit + 2)
             end = self._data.find(b"\r\n", self._start, self._start + most)
@@ -89,5 +89,5 @@
                 self.skip(end + 2)
                 return head[:end]
         if most >= limit + 2:
-            raise LineTooLong(f"no line end within {limit} bytes")
+            raise LineTooLongError(f"no line end within {limit} bytes")
         return None
--- a/marlstep/platform/db.py
+++ b/marlstep/platform/db.py
@@ -17,7 +17,7 @@
 
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
-from marlstep.net.lines import LineFault, LineStream, length
+from marlstep.net.lines import LineProtocolError, LineStream, parse_length
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND, whole_ms
 from petrelcart.interface import Effect, Outcome
@@ -68,7 +68,7 @@
         self._database.link_lost(self)
 
     def body_length(self, words: list[str]) -> int | None:
-        return length(words[2], BODY_LIMIT) if len(words) == 3 and words[1] == "ROWS" else None
+        return parse_length(words[2], BODY_LIMIT) if len(words) == 3 and words[1] == "ROWS" else None
 
     def received(self) -> None:
         served = self.call is not None
@@ -88,7 +88,7 @@
             case [id, end] if end in ENDS:
                 outcome = ENDS[end]
             case _:
-                raise LineFault(f"unknown reply {' '.join(words)[:64]!r}")
+                raise LineProtocolError(f"unknown reply {' '.join(words)[:64]!r}")
         if self.call is not None and self.call.id == id:
             self._database.ended(self.call, outcome, body)
         else:
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -18,7 +18,7 @@
 
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
-from marlstep.net.lines import LineFault, LineStream, length
+from marlstep.net.lines import LineProtocolError, LineStream, parse_length
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 from petrelcart.interface import Outcome
@@ -78,8 +78,8 @@
         if parts is None:
             return None
         if len(words) != parts:
-            raise LineFault(f"malformed {words[0]}")
-        return length(words[-1], BODY_LIMIT)
+            raise LineProtocolError(f"malformed {words[0]}")
+        return parse_length(words[-1], BODY_LIMIT)
 
     def message(self, words: list[str], body: bytes) -> None:
         self._kernel.notice(self, words, body)
@@ -216,14 +216,14 @@
     def _is_new(self, word: str) -> bool:
         """Each notice counts once, however often a new link repeats it."""
         if not (word.isascii() and word.isdigit()):
-            raise LineFault(f"not the number of a notice: {word[:32]!r}")
+            raise LineProtocolError(f"not the number of a notice: {word[:32]!r}")
         number = int(word)
         if number <= self._last:
             return False
         if number > self._last + 1:
             if self._asked_again != self._last:  # a new link repeats it, if the kernel has it still
                 self._asked_again = self._last
-                raise LineFault(f"notice {number} after {self._last}")
+                raise LineProtocolError(f"notice {number} after {self._last}")
             log.error("kernel notices %d to %d were never read", self._last + 1, number - 1)
         self._last = number
         return True
--- a/marlstep/standins/servers.py
+++ b/marlstep/standins/servers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from marlstep.fronts.uwsgi_wire import PacketReader, write_response
-from marlstep.net.lines import LineFault, LineStream, length
+from marlstep.net.lines import LineProtocolError, LineStream, parse_length
 from marlstep.net.stream import RingStream
 from marlstep.standins.cores import Machine, Notice, ran
 
@@ -113,7 +113,7 @@
             case ["NOIO", id, _]:
                 self._done(link, machine.answer_call(id, left_out=True), "NOIO", id)
             case _:
-                raise LineFault(f"no command: {' '.join(words)[:64]!r}")
+                raise LineProtocolError(f"no command: {' '.join(words)[:64]!r}")
         self.driven.look()
 
     def over(self, id: str) -> None:
@@ -135,7 +135,7 @@
 
     def body_length(self, words: list[str]) -> int | None:
         parts = WITH_BODY.get(words[0])
-        return length(words[-1], BODY_LIMIT) if parts is not None and len(words) == parts else None
+        return parse_length(words[-1], BODY_LIMIT) if parts is not None and len(words) == parts else None
 
     def message(self, words: list[str], body: bytes) -> None:
         self._server.command(self, words, body)
@@ -159,7 +159,7 @@
         self._server = server
 
     def body_length(self, words: list[str]) -> int | None:
-        return length(words[3], BODY_LIMIT) if len(words) == 4 and words[0] == "Q" else None
+        return parse_length(words[3], BODY_LIMIT) if len(words) == 4 and words[0] == "Q" else None
 
     def message(self, words: list[str], body: bytes) -> None:
         if words[0] == "Q" and len(words) == 4:
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -9,7 +9,7 @@
 
 from marlstep.core.engine import Core, Ports
 from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
-from marlstep.net.eventloop import Address, Done, Make
+from marlstep.net.eventloop import Address, DialCallback, ProtocolFactory
 from marlstep.net.stream import RingStream
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND
@@ -172,9 +172,9 @@
     """Connections that are opened, or refused, by hand."""
 
     def __init__(self) -> None:
-        self.waiting: list[tuple[Make, Address, Done]] = []
+        self.waiting: list[tuple[ProtocolFactory, Address, DialCallback]] = []
 
-    def __call__(self, make: Make, address: Address, done: Done) -> Callable[[], object]:
+    def __call__(self, make: ProtocolFactory, address: Address, done: DialCallback) -> Callable[[], object]:
         one = (make, address, done)
         self.waiting.append(one)
         return lambda: self.waiting.remove(one)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -13,7 +13,7 @@
 from marlstep.fronts.resp_wire import FrameReader, Malformed, read_fields, write_fields, write_frame
 from marlstep.fronts.uwsgi import read_cost
 from marlstep.fronts.uwsgi_wire import BadPacket, PacketReader, read_variables, write_packet
-from marlstep.net.ring import LineTooLong, Ring
+from marlstep.net.ring import LineTooLongError, Ring
 from marlstep.platform import kernel
 from petrelcart.interface import Outcome
 from tests.support.node import HandClock, HandDial, Notes, Wire
@@ -209,5 +209,5 @@
         assert (ring.used, ring.peek(99)) == (len(model), model)
     try:
         assert ring.line(4) is None
-    except LineTooLong:
+    except LineTooLongError:
         assert len(model) >= 6
