--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -1,58 +1,91 @@
-"""Streams of lines of words. Some lines are followed by a body, whose length is their last word."""
+"""Connections whose messages are lines of words; some lines are followed by a body, whose length they give."""
 
 from __future__ import annotations
 
 import logging
 
+from marlstep.errors import MarlstepError
 from marlstep.net.ring import LineTooLongError
 from marlstep.net.stream import RingStream
 
 log = logging.getLogger(__name__)
 
+MAX_LENGTH_DIGITS = 9
+MAX_SHOWN_CHARACTERS = 32  # of a wrong word, in the log
+BODY_END = b"\r\n"
+BODY_END_BYTES = len(BODY_END)
 
-class LineProtocolError(ValueError):
-    """The peer wrote what leaves it open where the next line begins."""
+
+class LineProtocolError(MarlstepError, ValueError):
+    """The peer broke the protocol, so that it is not known where its next message begins."""
+
+
+class InvalidLengthError(LineProtocolError):
+    """A word that gives a body's length is no number, or is over the limit."""
+
+    def __init__(self, word: str) -> None:
+        """`word` is what was found."""
+        super().__init__(f"not a length: {word[:MAX_SHOWN_CHARACTERS]!r}")
+
+
+class UnterminatedBodyError(LineProtocolError):
+    """A body is not followed by a line end."""
+
+    def __init__(self, found: bytes) -> None:
+        """`found` are the bytes in its place."""
+        super().__init__(f"expected {BODY_END!r} after a body, found {found!r}")
 
 
 def parse_length(word: str, limit: int) -> int:
-    if not (word.isascii() and word.isdigit() and len(word) < 10) or int(word) > limit:
-        raise LineProtocolError(f"not a length: {word[:32]!r}")
+    """Return a body's length in bytes. Raises InvalidLengthError."""
+    is_number = word.isascii() and word.isdigit() and len(word) <= MAX_LENGTH_DIGITS
+    if not is_number or int(word) > limit:
+        raise InvalidLengthError(word)
     return int(word)
 
 
 class LineStream(RingStream):
-    """Cuts the stream into messages. Broken framing ends the connection, as does the end of the peer."""
+    """Divides the stream into messages.
+
+    A fault in the protocol ends the connection, and so does the end of the peer's stream.
+    """
 
     def __init__(self, ring_size: int, line_limit: int) -> None:
+        """Both are in bytes; a body with its line end must fit into the ring."""
         super().__init__(ring_size)
         self._line_limit = line_limit
-        self._words: list[str] | None = None  # of a message whose body is not whole yet
+        self._words: list[str] | None = None  # of a message whose body is incomplete
         self._length = 0
 
     @property
     def partial(self) -> bool:
-        """Part of a message has been read."""
+        """Whether a part of a message has been read."""
         return self._words is not None or self.inbox.used > 0
 
     def body_length(self, words: list[str]) -> int | None:
-        """How long the body behind this line is; None where none follows. May raise LineProtocolError."""
+        """Return the length of the body after this line; None where none follows. May raise LineProtocolError."""
         raise NotImplementedError
 
     def message(self, words: list[str], body: bytes) -> None:
-        """One whole message. May raise LineProtocolError."""
+        """Handle a complete message. May raise LineProtocolError."""
         raise NotImplementedError
 
     def received(self) -> None:
+        """Handle all messages that are complete."""
         try:
-            while self._next():
+            while self._read_message():
                 pass
         except (LineProtocolError, LineTooLongError) as fault:
-            log.error("%s dropped: %s", type(self).__name__, fault)
-            self.abort()
+            self._abort_for(fault)
         if self.at_end:
             self.abort()
 
-    def _next(self) -> bool:
+    def _abort_for(self, fault: Exception) -> None:
+        log.error("connection aborted: protocol error connection=%s reason=%s", type(self).__name__, fault)
+        self.abort()
+
+    def _read_message(self) -> bool:
+        """Read and handle the next message; False until it is complete."""
         if self._words is None:
             line = self.inbox.line(self._line_limit)
             if line is None:
@@ -63,11 +96,12 @@
                 self.message(words, b"")
                 return True
             self._words, self._length = words, size
-        if self.inbox.used < self._length + 2:
+        if self.inbox.used < self._length + BODY_END_BYTES:
             return False
         body = self.inbox.take(self._length)
-        if self.inbox.take(2) != b"\r\n":
-            raise LineProtocolError("a body longer than its length")
+        end = self.inbox.take(BODY_END_BYTES)
+        if end != BODY_END:
+            raise UnterminatedBodyError(end)
         words, self._words = self._words, None
         self.message(words, body)
         return True
--- a/marlstep/net/ring.py
+++ b/marlstep/net/ring.py
@@ -1,19 +1,36 @@
-"""A ring buffer of fixed size: one for each direction of a connection.
+"""A ring buffer of bytes, of fixed size: one for each direction of a connection.
 
-Its memory is taken when the first byte comes: a connection that never says anything costs none.
+Its memory is allocated with the first byte, so that a connection that never carries any costs none.
 """
 
 from __future__ import annotations
 
+from marlstep.errors import MarlstepError
 
-class LineTooLongError(ValueError):
-    """No line end within the bytes a line may take."""
+
+class LineTooLongError(MarlstepError, ValueError):
+    """There is no line end within the bytes that a line may take."""
+
+    def __init__(self, limit: int) -> None:
+        """`limit` is in bytes, without the line end."""
+        super().__init__(f"no line end within {limit} bytes")
+
+
+class RingRangeError(MarlstepError, ValueError):
+    """More bytes were to be written or skipped than there is space for, or than there are."""
+
+    def __init__(self, count: int, limit: int) -> None:
+        """`count` is not between 0 and `limit`."""
+        super().__init__(f"expected 0 to {limit} bytes, got {count}")
 
 
 class Ring:
+    """A first-in first-out buffer of up to `size` bytes, of which `used` are in it."""
+
     __slots__ = ("_data", "_start", "_view", "size", "used")
 
     def __init__(self, size: int) -> None:
+        """`size` is in bytes; none are allocated yet."""
         self.size = size
         self.used = 0
         self._start = 0
@@ -22,10 +39,11 @@
 
     @property
     def free(self) -> int:
+        """The bytes that can be written until something is taken."""
         return self.size - self.used
 
     def space(self) -> memoryview:
-        """The free bytes that lie in one piece, to be written in place; then call `wrote`."""
+        """Return the contiguous free bytes, to be written in place; call `wrote` after that."""
         if not self._view:
             self._data = bytearray(self.size)
             self._view = memoryview(self._data)
@@ -36,35 +54,38 @@
         return min(self.size - end, self.free)
 
     def wrote(self, count: int) -> None:
+        """Take in the first `count` bytes of `space()`. Raises RingRangeError."""
         if not 0 <= count <= self.free:
-            raise ValueError("more written than there was room for")
+            raise RingRangeError(count, self.free)
         self.used += count
 
     def put(self, data: bytes | memoryview) -> int:
-        """Copy in as much as there is room for; tell how much that was."""
-        done = 0
-        while done < len(data) and self.free:
-            room = self.space()
-            part = min(len(room), len(data) - done)
-            room[:part] = data[done : done + part]
-            self.wrote(part)
-            done += part
-        return done
+        """Copy in as much as there is space for, and return how much that was."""
+        copied = 0
+        while copied < len(data) and self.free:
+            space = self.space()
+            count = min(len(space), len(data) - copied)
+            space[:count] = data[copied : copied + count]
+            self.wrote(count)
+            copied += count
+        return copied
 
     def peek(self, count: int) -> bytes:
-        """The first `count` bytes, or as many as there are."""
+        """Return the first `count` bytes, or as many as there are, and leave them in the ring."""
         count = min(count, self.used)
         first = min(count, self.size - self._start)
-        head = bytes(self._view[self._start : self._start + first])
-        return head + bytes(self._view[: count - first]) if count > first else head
+        data = bytes(self._view[self._start : self._start + first])
+        return data + bytes(self._view[: count - first]) if count > first else data
 
     def skip(self, count: int) -> None:
+        """Remove the first `count` bytes. Raises RingRangeError."""
         if not 0 <= count <= self.used:
-            raise ValueError("more skipped than there was")
+            raise RingRangeError(count, self.used)
         self.used -= count
         self._start = (self._start + count) % self.size if self.used else 0
 
     def take(self, count: int) -> bytes:
+        """Remove and return the first `count` bytes, or as many as there are."""
         if count >= self.used or self._start + count > self.size:
             data = self.peek(count)
             self.skip(len(data))
@@ -74,20 +95,20 @@
         return bytes(self._view[start : start + count])
 
     def line(self, limit: int) -> bytes | None:
-        """The next line without its CR LF; None while it is not whole, LineTooLongError past the limit."""
-        if self._start + self.used <= self.size:  # it lies in one piece: looked at where it is
-            most = min(self.used, limit + 2)
-            end = self._data.find(b"\r\n", self._start, self._start + most)
+        """Remove and return the next line, without its CR LF; None until it is complete. Raises LineTooLongError."""
+        if self._start + self.used <= self.size:  # contiguous: searched in place
+            searched = min(self.used, limit + 2)
+            end = self._data.find(b"\r\n", self._start, self._start + searched)
             if end >= 0:
                 line = bytes(self._view[self._start : end])
                 self.skip(len(line) + 2)
                 return line
         else:
-            head = self.peek(limit + 2)
-            most, end = len(head), head.find(b"\r\n")
+            data = self.peek(limit + 2)
+            searched, end = len(data), data.find(b"\r\n")
             if end >= 0:
                 self.skip(end + 2)
-                return head[:end]
-        if most >= limit + 2:
-            raise LineTooLongError(f"no line end within {limit} bytes")
+                return data[:end]
+        if searched >= limit + 2:
+            raise LineTooLongError(limit)
         return None
--- a/marlstep/net/stream.py
+++ b/marlstep/net/stream.py
@@ -1,8 +1,8 @@
-"""The base of every TCP connection: an asyncio protocol with one ring buffer a direction.
+"""The base of every TCP connection: an asyncio protocol with one ring buffer per direction.
 
-What is read lands in the ring without a copy. What is written goes out with all else of the same pass of the
-loop. Where the peer does not take it, it waits in the other ring; what finds that ring full waits in a line
-beside it, and no more is read from the peer until that line is gone.
+What is read goes into the inbox without a copy. What is written goes to the loop's transport as long as the peer reads,
+and uvloop sends out all of one pass together. Else it waits in the outbox, and what does not fit there in an overflow
+queue; no more is read from the peer until that queue is empty (backpressure).
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 from marlstep.net.ring import Ring
 
 log = logging.getLogger(__name__)
-BATCH = 16 * 1024  # bytes that the transport may gather for one write
+WRITE_BUFFER_LIMIT = 16 * 1024  # bytes in asyncio's transport, above which writing is paused
 
 
 class RingStream(asyncio.BufferedProtocol):
-    """Subclasses give `received` and `lost`; they consume `inbox` and call `send`."""
+    """A connection. Subclasses implement `received` and `lost`, consume `inbox` and call `send`."""
 
     def __init__(self, ring_size: int) -> None:
+        """`ring_size` is the size of the inbox and of the outbox, in bytes each."""
         self.inbox = Ring(ring_size)
         self._outbox = Ring(ring_size)
         self._overflow: deque[bytes] = deque()
@@ -31,47 +32,50 @@
         self._finishing = False
         self.at_end = False  # the peer will send no more
 
-    # What a subclass gives.
+    # For subclasses to implement.
 
     def made(self) -> None:
-        """The connection stands."""
+        """Handle the connection's opening."""
 
     def received(self) -> None:
-        """There is more in `inbox`, or the peer has ended, or there is room to write again."""
+        """Consume `inbox`: there is more in it, the peer has ended its stream, or it reads again."""
         raise NotImplementedError
 
     def lost(self) -> None:
-        """The connection is gone. Called once."""
+        """Handle the connection's loss. Called once."""
         raise NotImplementedError
 
-    # What a subclass uses.
+    # For subclasses and owners to call.
 
     @property
     def connected(self) -> bool:
+        """Whether the connection is open, and not being closed."""
         return self._transport is not None and not self._transport.is_closing()
 
     @property
     def clogged(self) -> bool:
-        """The peer does not take what was sent: nothing more should be read from it."""
+        """Whether the peer does not read what was sent: nothing more is read from it then."""
         return bool(self._overflow)
 
     def send(self, data: bytes) -> None:
+        """Send data, or queue it where the peer does not read; ignored where there is no connection."""
         if not self.connected:
             return
         if self._writable and not self._outbox.used and self._transport is not None:
-            self._transport.write(data)  # nothing waits before it, and the peer takes what it is sent
+            self._transport.write(data)  # nothing is queued before it, and the peer reads
             return
-        done = 0 if self._overflow else self._outbox.put(data)
-        if done < len(data):
-            self._overflow.append(data[done:])
+        queued = 0 if self._overflow else self._outbox.put(data)
+        if queued < len(data):
+            self._overflow.append(data[queued:])
         self._flush()
 
     def finish(self) -> None:
-        """Read no more, and close once all that was sent is out."""
+        """Read no more, and close once all that was sent is written out."""
         self._finishing = True
         self._flush()
 
     def abort(self) -> None:
+        """Close at once; what is queued is lost."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -81,15 +85,15 @@
             transport.write(self._outbox.take(self._outbox.used))
             while self._overflow and self._outbox.free:
                 data = self._overflow.popleft()
-                done = self._outbox.put(data)
-                if done < len(data):
-                    self._overflow.appendleft(data[done:])
-        self._steer()
+                queued = self._outbox.put(data)
+                if queued < len(data):
+                    self._overflow.appendleft(data[queued:])
+        self._update_reading()
         if self._finishing and transport is not None and not self._outbox.used:
             transport.close()
 
-    def _steer(self) -> None:
-        """Read only while there is room to read into and the peer takes what it is sent."""
+    def _update_reading(self) -> None:
+        """Read only while there is space in the inbox and the peer reads what it is sent."""
         if self._transport is None or self._transport.is_closing():
             return
         wanted = not self._finishing and not self.clogged and self.inbox.free > 0
@@ -99,49 +103,56 @@
             self._transport.pause_reading()
         self._reading = wanted
 
-    # What asyncio calls.
+    # For asyncio to call.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport that asyncio has connected."""
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=BATCH, low=0)
+        self._transport.set_write_buffer_limits(high=WRITE_BUFFER_LIMIT, low=0)
         self.made()
 
-    def get_buffer(self, sizehint: int) -> memoryview:
+    def get_buffer(self, _sizehint: int) -> memoryview:
+        """Return where asyncio is to read into. Reading is paused while there is no space."""
         return self.inbox.space()
 
     def buffer_updated(self, nbytes: int) -> None:
+        """Take in what asyncio has read."""
         self.inbox.wrote(nbytes)
-        self._take()
+        self._handle_received()
 
     def eof_received(self) -> bool:
+        """Note the end of the peer's stream."""
         self.at_end = True
-        self._take()
-        return True  # what is open is still answered; the subclass closes
+        self._handle_received()
+        return True  # asyncio leaves it open: requests in flight are still answered, and the subclass closes
 
-    def _take(self) -> None:
+    def _handle_received(self) -> None:
         if self._finishing:
             self.inbox.skip(self.inbox.used)
             return
         try:
             self.received()
         except Exception:
-            # A fault in one connection's handling ends that connection and no other.
-            log.exception("connection dropped after a fault of our own")
+            # A fault in the handling of one connection must end no other.
+            log.exception("connection aborted: unhandled error in its handler")
             self.abort()
             return
-        self._steer()
+        self._update_reading()
 
     def pause_writing(self) -> None:
+        """Queue from now on: the peer does not read."""
         self._writable = False
 
     def resume_writing(self) -> None:
+        """Write out what is queued, and read again."""
         self._writable = True
         was_clogged = self.clogged
         self._flush()
         if was_clogged and not self.clogged and not self._finishing:
-            self._take()  # what lies in the inbox waited for this
+            self._handle_received()  # what is in the inbox was held back until now
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Drop what is queued, and tell the subclass."""
         self._transport = None
         self._overflow.clear()
         self.lost()
