--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -16,8 +16,7 @@
 from marlstep.cluster import wire
 from marlstep.cluster.config_documents import ConfigDocuments, ConfigDriver
 from marlstep.cluster.health_checks import POOL_LEASE_PREFIX, HealthCheckCoordinator
-from marlstep.cluster.store import OpenedStore, ReplicaStore
-from marlstep.cluster.store_errors import StoreError, StoreRefusedError
+from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError, StoreRefusedError
 from marlstep.cluster.task_frontend import TaskFrontend
 from marlstep.cluster.transport import ClusterTransport
 from marlstep.components.base import Component, StartPhase
--- a/marlstep/cluster/store.py
+++ b/marlstep/cluster/store.py
@@ -23,6 +23,9 @@
 from marlstep.consensus.log import PersistentState
 from marlstep.consensus.raft import Ready
 
+# With the errors that opening and saving raise, so that a caller needs this module alone.
+__all__ = ["FILE_NAME", "ForeignStoreError", "OpenedStore", "ReplicaStore", "StoreError", "StoreRefusedError"]
+
 log = logging.getLogger(__name__)
 
 FILE_NAME = "voter.sqlite"
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -1,6 +1,7 @@
-"""Acts of tasks as requests: through the core, its module and rules, to the pool's servers, like any other.
+"""The frontend of scheduled tasks: a task's run is a request through the core, like those of clients.
 
-The lease is looked at once more at the moment when the request leaves: in the module's hold it may have run out.
+It is subject to admission control and goes to the same pool of servers. The task's lease is checked again at the moment
+the request leaves this node: it may have run out while admission control delayed the request.
 """
 
 from __future__ import annotations
@@ -22,7 +23,9 @@
 
 log = logging.getLogger(__name__)
 
-FENCED_STATUSES = (409, 412)  # by which a server says that it has seen a later token
+FENCED_STATUSES = (409, 412)  # HTTP: the server has seen a later fencing token
+SUCCESS_STATUSES = range(200, 300)  # HTTP
+NO_STATUS = 0
 REQUEST_MEMORY_KB = 8.0
 
 OutcomeCallback = Callable[[Outcome], None]
@@ -30,43 +33,52 @@
 
 @dataclass(slots=True)
 class TaskRequest:
+    """One request of a task, from its submission to its outcome."""
+
     task: TaskConfig
-    do: RunnerAction
-    told: OutcomeCallback
-    left: Callable[[], timedelta]  # of the lease, for this grant
-    handle: int = 0
-    started: bool = False
-    bound: Deadline | None = None
+    action: RunnerAction
+    on_outcome: OutcomeCallback
+    lease_time_left: Callable[[], timedelta]  # under the token of the action
+    handle: int = 0  # the core's, to cancel it
+    started: bool = False  # it has left this node
+    deadline: Deadline | None = None
 
 
 class LeaseGuard:
-    """The backend of tasks' requests: the pool's, behind a last look at the lease."""
+    """The backend of tasks' requests: that of the pool, behind a check that may refuse a start."""
 
-    def __init__(self, backend: Backend, front: TaskFrontend) -> None:
-        self._backend, self._front = backend, front
+    def __init__(self, backend: Backend, may_start: Callable[[Request], bool]) -> None:
+        """`may_start` is asked in the same turn in which the request would leave."""
+        self._backend, self._may_start = backend, may_start
 
     def start(self, request: Request) -> None:
-        if self._front.may_start(request):
+        """Start a request whose lease is long enough; the other ends without a run."""
+        if self._may_start(request):
             self._backend.start(request)
 
     def pause(self, request: Request) -> None:
+        """Pass on to the pool's backend."""
         self._backend.pause(request)
 
     def resume(self, request: Request) -> None:
+        """Pass on to the pool's backend."""
         self._backend.resume(request)
 
     def supply(self, request: Request, reply: bytes) -> None:
+        """Pass on to the pool's backend."""
         self._backend.supply(request, reply)
 
     def skip(self, request: Request) -> None:
+        """Pass on to the pool's backend."""
         self._backend.skip(request)
 
     def abandon(self, request: Request) -> None:
+        """Pass on to the pool's backend."""
         self._backend.abandon(request)
 
 
 class TaskFrontend:
-    """Where the acts of this node's tasks come from, and their answers go."""
+    """Submits the requests of this node's tasks to the core, and reports their outcomes."""
 
     def __init__(
         self,
@@ -78,9 +90,9 @@
         holder: str,
         class_variable: str,
     ) -> None:
-        """`timeline` is the core's, `steady` the one by which leases are counted."""
+        """`timeline` is that of the core, `steady` the monotonic one that leases are counted by."""
         self._core, self._timeline, self._steady = core, timeline, steady
-        self._backend = LeaseGuard(backend, self)
+        self._backend = LeaseGuard(backend, self.may_start)
         self.pool_of = pool_of
         self._holder, self._class_variable = holder, class_variable
         self._requests: dict[int, TaskRequest] = {}
@@ -88,103 +100,112 @@
         self.on_step: Callable[[str], None] = lambda step: None  # the rig's hook; nothing in the product
 
     def execute(
-        self, task: TaskConfig, do: RunnerAction, left: Callable[[], timedelta], told: OutcomeCallback
+        self,
+        task: TaskConfig,
+        action: RunnerAction,
+        lease_time_left: Callable[[], timedelta],
+        on_outcome: OutcomeCallback,
     ) -> None:
-        """`told` is called once, with what the act came to."""
+        """Submit the request of an action; `on_outcome` is called once, when it has ended."""
         self._number += 1
         number, plan = self._number, task.plan
-        variables = {
-            "REQUEST_METHOD": "POST",
-            "PATH_INFO": f"/task/{plan.name}",
-            "SERVER_PROTOCOL": "HTTP/1.1",
-            "CONTENT_LENGTH": "0",
-            **task.variables,
-            self._class_variable: plan.request_class,
-            "HTTP_X_TASK": plan.name,
-            "HTTP_X_TASK_TOKEN": str(do.token),
-            "HTTP_X_TASK_RUN": str(do.run),
-            "HTTP_X_TASK_HOLDER": self._holder,
-            "HTTP_X_TASK_FENCE": "1" if do.what == "fence" else "0",
-        }
         offer = Offer(
             id=f"task-{number}",
             kind=plan.request_class,
-            body=write_packet(variables),
+            body=write_packet(self._variables(task, action)),
             arrived=self._timeline.now(),
             kb=REQUEST_MEMORY_KB,
             pool=self.pool_of(plan.request_class),
-            once=f"{plan.name}/{do.what}/{do.run}/{do.token}/{number}",
+            once=f"{plan.name}/{action.what}/{action.run}/{action.token}/{number}",
         )
-        acting = self._requests[number] = TaskRequest(task, do, told, left)
-        acting.bound = self._steady.at(
-            self._steady.now() + max(left(), ZERO), lambda: self._out_of_time(number)
+        acting = self._requests[number] = TaskRequest(task, action, on_outcome, lease_time_left)
+        acting.deadline = self._steady.at(
+            self._steady.now() + max(lease_time_left(), ZERO), lambda: self._on_deadline(number)
         )
         try:
             acting.handle = self._core.submit(self, (0, number), self._backend, offer)
         except Refused as fault:
-            log.warning("task %s: not taken: %s", plan.name, fault)
-            self._over(number, Outcome.NOT_RUN)
+            log.warning("task request rejected: task=%s reason=%s", plan.name, fault)
+            self._end(number, Outcome.NOT_RUN)
+
+    def _variables(self, task: TaskConfig, action: RunnerAction) -> dict[str, str]:
+        """Return the variables of the uwsgi packet; the operator's may override the first four, and no others."""
+        plan = task.plan
+        return {
+            "REQUEST_METHOD": "POST",
+            "PATH_INFO": f"/task/{plan.name}",
+            "SERVER_PROTOCOL": "HTTP/1.1",
+            "CONTENT_LENGTH": "0",
+            **task.variables,
+            self._class_variable: plan.request_class,
+            "HTTP_X_TASK": plan.name,
+            "HTTP_X_TASK_TOKEN": str(action.token),
+            "HTTP_X_TASK_RUN": str(action.run),
+            "HTTP_X_TASK_HOLDER": self._holder,
+            "HTTP_X_TASK_FENCE": "1" if action.what == "fence" else "0",
+        }
 
     def may_start(self, request: Request) -> bool:
-        """The last look, in the turn in which the request leaves."""
+        """Check the lease in the turn in which a request would leave, and note that it leaves."""
         acting = self._requests.get(request.ticket[1])
-        if acting is None or acting.left() < acting.task.plan.timeout + LEASE_MARGIN:
+        if acting is None or acting.lease_time_left() < acting.task.plan.timeout + LEASE_MARGIN:
             if acting is not None:
-                log.warning("task %s: its lease was too short when its turn came", acting.task.plan.name)
-            # Told in a turn of its own: the core is in the midst of starting it.
+                log.warning("task request not started: lease too short task=%s", acting.task.plan.name)
+            # In a turn of its own: the core is still starting the request in this one.
             self._timeline.soon(lambda: self._core.run_ended(request.id, RunOutcome.FULL, ZERO))
             return False
         acting.started = True
-        self._steady.cancel(acting.bound)
+        self._steady.cancel(acting.deadline)
         number = request.ticket[1]
         self.on_step("leaving")
         until: datetime = self._steady.now() + acting.task.plan.timeout
-        acting.bound = self._steady.at(until, lambda: self._out_of_time(number))
+        acting.deadline = self._steady.at(until, lambda: self._on_deadline(number))
         return True
 
-    def _out_of_time(self, number: int) -> None:
+    def _on_deadline(self, number: int) -> None:
         acting = self._requests.get(number)
         if acting is None:
             return
         handle, started = acting.handle, acting.started
-        self._over(number, Outcome.UNKNOWN if started else Outcome.NOT_RUN)
+        self._end(number, Outcome.UNKNOWN if started else Outcome.NOT_RUN)
         self._core.client_gone(handle)
 
-    def _over(self, number: int, outcome: Outcome) -> None:
-        """The one place where an act is given back."""
+    def _end(self, number: int, outcome: Outcome) -> None:
+        """Report an outcome; every request ends here, and only once."""
         acting = self._requests.pop(number, None)
         if acting is not None:
-            self._steady.cancel(acting.bound)
-            acting.told(outcome)
+            self._steady.cancel(acting.deadline)
+            acting.on_outcome(outcome)
 
-    # What the core tells a front.
+    # For the core to call.
 
     def deliver(self, ticket: Ticket, answer: Answer) -> None:
+        """Take the answer to a request, unless its deadline came before."""
         acting = self._requests.get(ticket[1])
         if acting is not None:
-            self._over(ticket[1], outcome_of(answer, acting.started))
+            self._end(ticket[1], outcome_of(answer, acting.started))
 
     def limit_idle(self, after: timedelta) -> None:
-        """There are no connections here."""
+        """Do nothing: there are no connections here."""
 
     def stop_accepting(self) -> None:
-        """The runners are told to leave, and begin nothing more."""
+        """Do nothing: the runners are draining by then, and begin nothing more."""
 
 
 def outcome_of(answer: Answer, started: bool) -> Outcome:
-    """What an answer says of an act: only the server's own word, or its not having left, is proof."""
+    """Return what an answer proves: only the server's response, or that the request never left, is certain."""
     match answer.verdict:
         case Verdict.DONE:
             status = status_of(answer.body)
             if status in FENCED_STATUSES:
                 return Outcome.FENCED_OFF
-            return Outcome.DONE if 200 <= status < 300 else Outcome.FAILED
+            return Outcome.DONE if status in SUCCESS_STATUSES else Outcome.FAILED
         case Verdict.REFUSED:
             return Outcome.NOT_RUN
     return Outcome.UNKNOWN if started else Outcome.NOT_RUN
 
 
 def status_of(response: bytes) -> int:
-    """0 where there is none."""
+    """Return the HTTP status of a response; NO_STATUS where there is none."""
     words = response[:32].split(b" ", 2)
-    return int(words[1]) if len(words) > 1 and words[1].isdigit() else 0
+    return int(words[1]) if len(words) > 1 and words[1].isdigit() else NO_STATUS
--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -26,8 +26,7 @@
 from marlstep.__main__ import PLAIN
 from marlstep.cluster import node as cluster_node_module
 from marlstep.cluster.node import ClusterNode
-from marlstep.cluster.store import OpenedStore, ReplicaStore
-from marlstep.cluster.store_errors import StoreError
+from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError
 from marlstep.consensus.raft import Ready
 from marlstep.drill.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
