--- a/marlstep/cluster/transport.py
+++ b/marlstep/cluster/transport.py
@@ -18,8 +18,7 @@
 from marlstep.timer_queue import TimerQueue
 
 ACCEPT_BACKLOG = 128
-INCOMING_PER_NODE = 4  # connections: processes of an upgrade, and those not yet seen to be lost
-INCOMING_SPARE = 16
+INCOMING_PER_NODE, INCOMING_SPARE = 4, 16  # bounds on open connections that others have opened
 
 
 class ClusterTransport:
--- a/marlstep/cluster/wire.py
+++ b/marlstep/cluster/wire.py
@@ -13,7 +13,7 @@
 from marlstep.net.codec import BOOLEAN, Codec, MalformedMessageError, wire
 from marlstep.net.framing import Framing, keyed
 
-STREAM_MARK = b"MSF1"
+STREAM_MAGIC = b"MSF1"
 MAX_MESSAGE_BYTES = 60 * 1024  # of one envelope
 MAX_KEY_BYTES = 64  # what BLAKE2b takes; the rest of a longer key is not used
 MAX_FRAME_HEAD_BYTES = 64  # an upper bound; a datagram must fit with it
@@ -46,13 +46,13 @@
 
 CODEC = Codec[Message | ExchangeMessage]((*MESSAGES, ExchangeMessage), ignore_unknown_keys=True)
 DATAGRAMS = Codec[MembershipMessage]((Ping, Ack, PingRequest, Nack), ignore_unknown_keys=True)
-DATAGRAM_MARK = b"MSD1"
+DATAGRAM_MAGIC = b"MSD1"
 MAX_DATAGRAM_BYTES = 1_400  # with the frame: fits one packet on all common networks
 
 
 def datagram_framing(key: bytes) -> Framing:
     """Return the framing of datagrams under the fleet's key."""
-    return Framing(DATAGRAM_MARK, MAX_DATAGRAM_BYTES, keyed(key[:MAX_KEY_BYTES]))
+    return Framing(DATAGRAM_MAGIC, MAX_DATAGRAM_BYTES, keyed(key[:MAX_KEY_BYTES]))
 
 
 def write_datagram(fleet: str, sender: MemberRecord, message: MembershipMessage) -> bytes:
@@ -83,7 +83,7 @@
 
 def stream_framing(key: bytes) -> Framing:
     """Return the framing of streams under the fleet's key."""
-    return Framing(STREAM_MARK, MAX_MESSAGE_BYTES, keyed(key[:MAX_KEY_BYTES]))
+    return Framing(STREAM_MAGIC, MAX_MESSAGE_BYTES, keyed(key[:MAX_KEY_BYTES]))
 
 
 def write_envelope(envelope: Envelope) -> bytes:
--- a/marlstep/drill/links.py
+++ b/marlstep/drill/links.py
@@ -8,10 +8,10 @@
 import socket
 from typing import cast
 
-from marlstep.cluster.wire import STREAM_MARK
+from marlstep.cluster.wire import STREAM_MAGIC
 from marlstep.net.framing import KEYED_BYTES
 
-HEAD = len(STREAM_MARK) + 4 + KEYED_BYTES
+HEAD = len(STREAM_MAGIC) + 4 + KEYED_BYTES
 CHUNK = 64 * 1024
 TRIES = 20  # ports of the system's choice, of which both halves have to be free
 
@@ -101,7 +101,7 @@
         old: list[bytes] = []
         while True:
             head = await reader.readexactly(HEAD)
-            size = int.from_bytes(head[len(STREAM_MARK) : len(STREAM_MARK) + 4], "big")
+            size = int.from_bytes(head[len(STREAM_MAGIC) : len(STREAM_MAGIC) + 4], "big")
             frame = head + await reader.readexactly(size)
             now = loop.time()
             if out.is_closing():
--- a/marlstep/net/codec.py
+++ b/marlstep/net/codec.py
@@ -234,9 +234,8 @@
     def load(self, dumped: object) -> MessageT:
         """Return the message that JSON values hold. Raises MalformedMessageError."""
         try:
-            tag, values = cast(
-                tuple[str, Mapping[str, object]], dumped
-            )  # other types raise what is caught here
+            # Values of another shape raise one of the errors that are caught here.
+            tag, values = cast(tuple[str, Mapping[str, object]], dumped)
             message_class = self._classes[tag]
             if self._ignore_unknown_keys:
                 return _build(message_class, values)
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -48,7 +48,7 @@
 WRITTEN = b'["Draw",{"p":[{"a":1,"b":""},{"a":2,"b":"two"}],"c":"r","o":{"a":0,"b":"zero"},"f":true}]'
 
 
-def test_tags_and_keys_are_those_of_the_wire_not_of_python() -> None:
+def test_tags_and_keys_follow_the_wire_names_not_those_of_python() -> None:
     codec = Codec((Drawing,))
     assert codec.write(DRAWING) == WRITTEN
     assert codec.read(WRITTEN) == DRAWING
@@ -99,12 +99,12 @@
     ],
 )
 @pytest.mark.parametrize("ignore_unknown_keys", [True, False])
-def test_what_cannot_be_read_raises_one_error(body: bytes, ignore_unknown_keys: bool) -> None:
+def test_a_malformed_message_raises_a_corrupt_error(body: bytes, ignore_unknown_keys: bool) -> None:
     with pytest.raises(CorruptError):
         Codec((Drawing,), ignore_unknown_keys).read(body)
 
 
-def test_unknown_keys_are_refused_or_passed_over_as_the_codec_was_told() -> None:
+def test_unknown_keys_are_refused_unless_the_codec_ignores_them() -> None:
     body = b'["Draw",{"p":[],"c":"r","new":1}]'
     assert Codec((Drawing,), ignore_unknown_keys=True).read(body) == Drawing([], Colour.RED)
     with pytest.raises(CorruptError, match="new"):
