--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -98,7 +98,7 @@
         if orders.disk_ms:
             time.sleep(orders.disk_ms / 1000)
         if orders.disk_full:
-            raise StoreError(f"{self.path}: {apsw.FullError('database or disk is full')}")
+            raise StoreError(self.path, apsw.FullError("database or disk is full"))
         save(self, ready)
 
     def hooked(self: ClusterNode, *words: Any, **named: Any) -> None:
