--- a/marlstep/cli/fleet.py
+++ b/marlstep/cli/fleet.py
@@ -15,7 +15,7 @@
 import click
 
 from marlstep.config import ConfigError, load
-from marlstep.config.fleet import ClusterConfig
+from marlstep.config.cluster import ClusterConfig
 
 WAIT_S = 10.0  # for the group to answer one order
 Where = tuple[str | None, str | None, str | None]  # operator's file, administration, token's file
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -9,7 +9,7 @@
 from datetime import datetime, timedelta
 from typing import TYPE_CHECKING, Any, Protocol
 
-from marlstep.config.fleet import ReplicatedConfigSettings
+from marlstep.config.cluster import ReplicatedConfigSettings
 from marlstep.leases.holder import HeartbeatReport
 from marlstep.leases.messages import RequestCounts
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from marlstep.cluster import wire
-from marlstep.config.fleet import MembershipConfig
+from marlstep.config.cluster import MembershipConfig
 from marlstep.membership.failure_detector import FailureDetector, OutboundMessage
 from marlstep.membership.messages import Ping, StateExchange
 from marlstep.membership.partition_state import Capabilities, PartitionObservation, PartitionTracker
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -21,7 +21,7 @@
 from marlstep.cluster.transport import ClusterTransport
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
-from marlstep.config.fleet import ClusterConfig, TaskConfig
+from marlstep.config.cluster import ClusterConfig, TaskConfig
 from marlstep.consensus.raft import RaftTiming, Ready
 from marlstep.consensus.replica import (
     CommandRequest,
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -35,7 +35,7 @@
 from petrelcart.interface import ClassSettings, Effect, Settings, TenantSettings
 
 if TYPE_CHECKING:
-    from marlstep.config.fleet import ClusterConfig
+    from marlstep.config.cluster import ClusterConfig
     from marlstep.pool.plan import Plan
 
 LEAST_MEMORY_MB = 24  # the interpreter and the program alone take 16
@@ -281,7 +281,7 @@
 def _fleet(operator: Table, name: str, settings: Settings, uwsgi: bool) -> ClusterConfig | None:
     if "fleet" not in operator:
         return None
-    from marlstep.config.fleet import read_cluster  # not loaded unless it is there
+    from marlstep.config.cluster import read_cluster  # not loaded unless it is there
 
     safe = {kind.name: kind.effect is Effect.SAFE for kind in settings.classes}
     return read_cluster(operator, name, safe, uwsgi)
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -15,7 +15,7 @@
 from marlstep.cluster.node import ClusterNode, state_machines
 from marlstep.cluster.transport import ClusterTransport
 from marlstep.config import check
-from marlstep.config.fleet import ClusterConfig
+from marlstep.config.cluster import ClusterConfig
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming
 from marlstep.consensus.replica import CommandRequest, CommandResponse, Message, Replica, ReplicaSettings
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -222,7 +222,7 @@
 # What a node that was told nothing more must not load: it lives in 32 MB.
 ABSENT = (
     "apsw", "argparse", "blake3", "click", "csv", "gzip", "hdrh", "marlstep.admin", "marlstep.cli",
-    "marlstep.config.fleet", "marlstep.config.governed", "marlstep.consensus", "marlstep.drill",
+    "marlstep.config.cluster", "marlstep.config.governed", "marlstep.consensus", "marlstep.drill",
     "marlstep.cluster", "marlstep.fronts.uwsgi", "marlstep.handover", "marlstep.learned",
     "marlstep.leases", "marlstep.membership", "marlstep.components.admin", "marlstep.components.config_documents",
     "marlstep.components.health_endpoint", "marlstep.components.cluster", "marlstep.components.hot_restart",
