--- a/marlstep/components/admin.py
+++ b/marlstep/components/admin.py
@@ -1,4 +1,4 @@
-"""The administration API, as a part."""
+"""The administration API as a component."""
 
 from __future__ import annotations
 
@@ -7,32 +7,38 @@
 
 from marlstep.admin.api import Admin
 from marlstep.components.base import Component, StartPhase
-from marlstep.config import Config
+from marlstep.config import AdminConfig, Config
 
 if TYPE_CHECKING:
-    from marlstep.node import Node
+    from marlstep.components.host import AdminHost
 
 log = logging.getLogger("marlstep")
 
 
 class AdminComponent(Component):
+    """Serves the administration API on its own address."""
+
     name: ClassVar[str] = "admin"
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_FRONTENDS
 
-    def __init__(self, node: Node) -> None:
-        assert node.config.admin is not None
+    def __init__(self, host: AdminHost, config: AdminConfig) -> None:
+        """Make the service; it shows all components that the host has by the time of a request."""
         self.service = Admin(
-            node.core, node.timeline, node.config.admin.token, node.drain, lambda: node.components.values()
+            host.core, host.timeline, config.token, host.drain, lambda: host.components.values()
         )
 
-    async def open(self, config: Config, shared: bool) -> None:
+    async def open(self, config: Config, reuse_address: bool, /) -> None:
+        """Listen. Raises OSError."""
         assert config.admin is not None
-        await self.service.listen(config.admin.listen, shared=shared)
+        await self.service.listen(config.admin.listen, shared=reuse_address)
         log.info("administration on %s:%d", *config.admin.listen)
 
     def stop(self) -> None:
+        """Stop listening."""
         self.service.stop_accepting()
 
 
-def make(node: Node, room: int) -> AdminComponent:
-    return AdminComponent(node)
+def make(host: AdminHost) -> AdminComponent:
+    """Make the component of a node whose configuration turns it on."""
+    assert host.config.admin is not None
+    return AdminComponent(host, host.config.admin)
--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -1,11 +1,14 @@
-"""The shape that every optional part of a node has. What there is, and what turns it on, is the table in
-`marlstep/components`: a new part is one line there, and none in the wiring.
+"""The base of all optional components of a node.
+
+Which there are, and what turns each on, is the table in `registry`: a new component is one line there, and none in
+the wiring.
 """
 
 from __future__ import annotations
 
 import enum
-from typing import TYPE_CHECKING, Any, ClassVar
+from datetime import datetime
+from typing import TYPE_CHECKING, Any, ClassVar, Protocol
 
 if TYPE_CHECKING:
     from marlstep.config import Config
@@ -13,29 +16,52 @@
 
 
 class StartPhase(enum.Enum):
-    """When a part takes its address."""
+    """When a component takes its address."""
 
     BEFORE_SERVING = "first"  # before the node serves, to say that it does not yet
-    WITH_CLIENTS = "beside"  # whatever this process of the node is on
-    WITH_FRONTENDS = "serving"  # with the node's own front
+    WITH_CLIENTS = "beside"  # whichever process of the node serves
+    WITH_FRONTENDS = "serving"  # with the platform's frontend
+
+
+class RestartState(Protocol):
+    """What a node has to know of its predecessor and its successor process."""
+
+    @property
+    def has_predecessor(self) -> bool:
+        """Another process of this node is older than this one."""
+
+    @property
+    def has_predecessor_serving(self) -> bool:
+        """At the start another process served, whose place this one is to take."""
+
+    @property
+    def is_standby(self) -> bool:
+        """Another process serves, and this one does not yet."""
+
+    def hand_over_to_successor(self, now: datetime, /) -> bool:
+        """Leave; whether another process serves in this one's place."""
+
+    def serving_state_changed(self, ready: bool, /) -> None:
+        """Tell the others that an operator quiesced or resumed the node at this process."""
 
 
 class Component:
-    """What a node may have beside its core. A subclass gives what it has need of."""
+    """What a node may have beside its core. A subclass overrides what it has need of."""
 
     name: ClassVar[str]
     start_phase: ClassVar[StartPhase]
-    descriptors = 0  # that it may take from the node's room for connections
-    front: Front | None = None  # that the core has to know of
+    descriptors = 0  # that it may take from the node's budget for connections
+    front: Front | None = None  # the frontend that the core has to know of
+    restart_state: RestartState | None = None  # of the one component that knows the node's other processes
 
-    async def open(self, config: Config, reuse_address: bool) -> None:
-        """Take its address; `shared`: another process of this node may have it too. Raises OSError."""
+    async def open(self, config: Config, reuse_address: bool, /) -> None:
+        """Take its address; `reuse_address`: another process of this node may have it too. Raises OSError."""
 
-    def reconfigure(self, config: Config) -> None:
-        """New settings were taken over."""
+    def reconfigure(self, config: Config, /) -> None:
+        """Take over another configuration, which is in force by now."""
 
     def drain(self) -> None:
-        """The notice to leave, or a successor serves: finish what is here."""
+        """Begin to leave, alone or with a successor that serves: finish what is here."""
 
     @property
     def busy(self) -> bool:
@@ -43,23 +69,21 @@
         return False
 
     def stop(self) -> None:
-        """The node ends: give back all that can be given back at once."""
+        """Give back all that can be given back at once: the node ends."""
 
     async def close(self) -> None:
         """Wait for what takes longer."""
 
     def status(self) -> dict[str, Any]:
-        """What operators are shown, as JSON."""
+        """Give what operators are shown, as JSON."""
         return {}
 
-    def read_resource(self, path: str) -> dict[str, Any] | None:
-        """What operators read by `GET /v1/NAME` of the administration API; None where it is not this part's."""
-        return None
+    def read_resource(self, path: str, /) -> dict[str, Any] | None:
+        """Answer `GET /v1/NAME` of the administration API; None where it is not this component's."""
 
-    def execute_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any] | None:
-        """What operators ask for by `POST /v1/NAME`, likewise. Raises ValueError where it makes no sense."""
-        return None
+    def execute_order(self, path: str, arguments: dict[str, Any], /) -> dict[str, Any] | None:
+        """Carry out `POST /v1/NAME`, likewise. Raises ValueError where the arguments make no sense."""
 
     def metrics(self) -> dict[str, float]:
-        """What is counted or measured now, by the name that metrics have for it."""
+        """Give what is counted or measured now, by the name that metrics have for it."""
         return {}
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -1,4 +1,4 @@
-"""The node's place in a fleet, as a part."""
+"""The node's part in a cluster as a component."""
 
 from __future__ import annotations
 
@@ -8,29 +8,32 @@
 from marlstep.components.uwsgi import UwsgiComponent
 
 if TYPE_CHECKING:
-    from marlstep.node import Node
+    from marlstep.components.host import ClusterHost
 
 
-def make(node: Node, room: int) -> ClusterNode:
-    told = node.config
-    assert told.fleet is not None
-    uwsgi = node.components.get("uwsgi")
-    servers = uwsgi if isinstance(uwsgi, UwsgiComponent) else None
+def make(host: ClusterHost) -> ClusterNode:
+    """Make the component of a node whose configuration turns it on."""
+    config = host.config
+    assert config.fleet is not None
+    component = host.components.get("uwsgi")
+    uwsgi = component if isinstance(component, UwsgiComponent) else None
     documents = None
-    if told.fleet.replicated_config is not None:
+    if config.fleet.replicated_config is not None:
         from marlstep.components.config_documents import NodeConfigDocuments  # only where documents are named
 
-        documents = NodeConfigDocuments(node)
-    fleet = ClusterNode(
-        told.fleet,
-        node.core,
-        node.timeline,
-        upstream=None if servers is None else servers.upstream,
-        pool_of=(lambda kind: "") if servers is None else (lambda kind: servers.front.pool_of(kind)),
-        class_variable="" if servers is None else servers.front.mapped.kind,
-        seed=told.seed,
+        documents = NodeConfigDocuments(host.config_reloader, host.core)
+    cluster = ClusterNode(
+        config.fleet,
+        host.core,
+        host.timeline,
+        upstream=None if uwsgi is None else uwsgi.upstream,
+        pool_of=(lambda _: "")
+        if uwsgi is None
+        else (lambda request_class: uwsgi.front.pool_of(request_class)),
+        class_variable="" if uwsgi is None else uwsgi.front.mapped.kind,
+        seed=config.seed,
         documents=documents,
     )
-    if fleet.config_driver is not None:
-        node.core.may_take = fleet.config_driver.accepts_work
-    return fleet
+    if cluster.config_driver is not None:
+        host.core.may_take = cluster.config_driver.accepts_work
+    return cluster
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -1,78 +1,98 @@
-"""The node, as documents of its fleet govern it: through the path that SIGHUP takes."""
+"""The node as documents of its cluster govern it, by the path that SIGHUP takes."""
 
 from __future__ import annotations
 
 import json
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from marlstep.config import ConfigError
 from marlstep.config.governed import Governed, part_of
 
 if TYPE_CHECKING:
-    from marlstep.node import Node
+    from marlstep.components.host import GovernedConfig
+    from marlstep.core.engine import Core
 
 log = logging.getLogger("marlstep")
 
+MIN_ALLOWANCE_CHANGE = 1 / 10_000  # of the whole allowance: a lesser change is not worth a turn of the core
+
 
 class NodeConfigDocuments:
-    def __init__(self, node: Node) -> None:
-        self._node = node
-        self._governed = node.governed = Governed()
-        self._own = node.config  # as its files have it
+    """Checks documents against the node's configuration, and puts them in force."""
+
+    def __init__(self, governed_config: GovernedConfig, core: Core) -> None:
+        """Govern the configuration from now on, without any document yet."""
+        self._config, self._core = governed_config, core
+        self._governed = governed_config.governed = Governed()
+        self._own = governed_config.config  # as its files have it
         self._versions: dict[str, int] = {}
-        self._allowances: dict[str, float] = {}  # the least that any version in force here gave
+        self._lowest_allowances: dict[str, float] = {}  # that any version in force here gave, by tenant
 
-    def local_content(self, kind: str) -> Any:
+    def local_content(self, kind: str) -> object:
+        """Give what the node's own files say of this kind."""
         return part_of(self._own, kind)
 
     def check(self, kind: str, content: str) -> str:
-        """By the same code as a file, and against all else that is in force."""
+        """Give why the node can't act on this content, beside all else in force; empty where it can.
+
+        A document is checked by the same code as a file.
+        """
         try:
-            self._governed.put_on(self._node.config, **{kind: json.loads(content)})
-        except (ConfigError, ValueError, KeyError, TypeError, AttributeError) as fault:
-            return str(fault) or repr(fault)
+            self._governed.put_on(self._config.config, **{kind: json.loads(content)})
+        except (ConfigError, ValueError, KeyError, TypeError, AttributeError) as error:
+            return str(error) or repr(error)
         return ""
 
     def activate(self, kind: str, version: int, content: str) -> None:
-        """Raises ValueError."""
-        told = json.loads(content)
+        """Put a version in force. Raises ValueError."""
+        document = json.loads(content)
         try:
-            self._node.apply_config(self._governed.put_on(self._node.config, **{kind: told}))
-        except ConfigError as fault:
-            raise ValueError(str(fault)) from fault
-        before = {name: one.allowance_per_s for name, one in self._node.core.tenants.items()}
-        self._allowances = {
-            name: min(least, before.get(name, least)) for name, least in self._allowances.items()
-        }
-        self._allowances |= {name: least for name, least in before.items() if name not in self._allowances}
-        self._governed.keep(kind, told)
+            self._config.apply_config(self._governed.put_on(self._config.config, **{kind: document}))
+        except ConfigError as error:
+            raise ValueError(str(error)) from error
+        self._note_allowances()
+        self._governed.keep(kind, document)
         self._versions[kind] = version
-        self._node.core.rules = ",".join(
-            f"{name}={number}" for name, number in sorted(self._versions.items())
-        )
+        self._core.rules = ",".join(f"{name}={number}" for name, number in sorted(self._versions.items()))
+
+    def _note_allowances(self) -> None:
+        allowances = {name: tenant.allowance_per_s for name, tenant in self._core.tenants.items()}
+        lowest = {
+            name: min(allowance, allowances.get(name, allowance))
+            for name, allowance in self._lowest_allowances.items()
+        }
+        self._lowest_allowances = {**allowances, **lowest}
 
     def request_counts(self) -> tuple[int, int, int]:
-        return self._node.core.figures
+        """Count the requests that were read, of them rejected, and failed or late."""
+        return self._core.figures
 
     def tenant_counts(self) -> dict[str, int]:
-        core = self._node.core
-        limited = [one.name for one in core.settings.tenants if one.allowance_per_s]
+        """Count the requests that were read of each tenant that has an allowance."""
+        core = self._core
+        limited = [tenant.name for tenant in core.settings.tenants if tenant.allowance_per_s]
         return {name: core.tenant_counts[name]["read"] for name in limited}
 
-    def set_quota_share(self, tenant: str, part: float) -> None:
-        """The module takes an allowance for that of all peers, and its own part for an equal one."""
-        core = self._node.core
-        whole = {one.name: one.allowance_per_s for one in core.settings.tenants}.get(tenant, 0.0)
-        per_s = whole * part * core.settings.peers
-        if tenant in core.tenants and abs(core.tenants[tenant].allowance_per_s - per_s) > whole / 10_000:
+    def set_quota_share(self, tenant: str, share: float) -> None:
+        """Set a tenant's allowance here to a share of the whole.
+
+        The decision module takes an allowance for that of all peers, and its own share for an equal one.
+        """
+        core = self._core
+        allowances = {settings.name: settings.allowance_per_s for settings in core.settings.tenants}
+        whole = allowances.get(tenant, 0.0)
+        per_s = whole * share * core.settings.peers
+        if tenant not in core.tenants:
+            return
+        if abs(core.tenants[tenant].allowance_per_s - per_s) > whole * MIN_ALLOWANCE_CHANGE:
             core.allow(tenant, per_s)
 
     def restrict(self) -> None:
-        """The least allowance that any version gave, for each tenant that is still there."""
-        core = self._node.core
-        for name, least in self._allowances.items():
+        """Narrow the allowance of each tenant that is still there to the lowest that any version gave."""
+        core = self._core
+        for name, lowest in self._lowest_allowances.items():
             tenant = core.tenants.get(name)
-            if tenant is not None and least < tenant.allowance_per_s:
-                log.warning("tenant %s: allowance narrowed to %g a second", name, least)
-                core.allow(name, least)
+            if tenant is not None and lowest < tenant.allowance_per_s:
+                log.warning("tenant %s: allowance narrowed to %g a second", name, lowest)
+                core.allow(name, lowest)
--- a/marlstep/components/health_endpoint.py
+++ b/marlstep/components/health_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door, as a part."""
+"""The health endpoint as a component."""
 
 from __future__ import annotations
 
@@ -8,30 +8,35 @@
 from marlstep.admin.door import Door
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
+from marlstep.resource_budget import HEALTH_ENDPOINT_CONNECTIONS
 
 if TYPE_CHECKING:
-    from marlstep.node import Node
+    from marlstep.components.host import HealthEndpointHost
 
 log = logging.getLogger("marlstep")
 
 
 class HealthEndpointComponent(Component):
+    """Tells the platform whether requests are wanted here, from before the node serves."""
+
     name: ClassVar[str] = "door"
     start_phase: ClassVar[StartPhase] = StartPhase.BEFORE_SERVING
 
-    def __init__(self, node: Node) -> None:
-        from marlstep.node import HEALTH_ENDPOINT_CONNECTIONS
-
-        self.service = Door(node.core, node.timeline, node.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS)
+    def __init__(self, host: HealthEndpointHost) -> None:
+        """Make the service."""
+        self.service = Door(host.core, host.timeline, host.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS)
 
-    async def open(self, config: Config, shared: bool) -> None:
+    async def open(self, config: Config, _reuse_address: bool, /) -> None:
+        """Listen, always on an address of this process alone. Raises OSError."""
         assert config.mgmt is not None
         await self.service.listen(config.mgmt)
         log.info("operators' door on %s:%d", *config.mgmt)
 
     def stop(self) -> None:
+        """Stop listening."""
         self.service.stop_accepting()
 
 
-def make(node: Node, room: int) -> HealthEndpointComponent:
-    return HealthEndpointComponent(node)
+def make(host: HealthEndpointHost) -> HealthEndpointComponent:
+    """Make the component of a node whose configuration turns it on."""
+    return HealthEndpointComponent(host)
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -1,4 +1,4 @@
-"""The meeting with other processes of this node, as a part: only where a listening socket is passed."""
+"""Hot restart as a component: the node's other processes, where the platform passes a listening socket."""
 
 from __future__ import annotations
 
@@ -15,64 +15,71 @@
 from marlstep.units import span
 
 if TYPE_CHECKING:
-    from marlstep.node import Node
+    from marlstep.components.host import HotRestartHost
 
 log = logging.getLogger("marlstep")
 
 
 class HotRestartComponent(Component):
+    """Meets the predecessor and the successor process in the folder that they have in common."""
+
     name: ClassVar[str] = "handover"
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_CLIENTS
 
-    def __init__(self, node: Node) -> None:
-        self._node = node
+    def __init__(self, host: HotRestartHost) -> None:
+        """Know of no other process before `open`."""
+        self._host = host
         self._channel: Meeting | None = None
-        self.has_predecessor_serving = False  # another process serves, whose place this one is to take
+        self.has_predecessor_serving = False
+        self.restart_state = self
 
-    async def open(self, config: Config, shared: bool) -> None:
+    async def open(self, config: Config, _reuse_address: bool, /) -> None:
+        """Meet the other processes; the one that serves, if any, is known from then on."""
         if config.folder is None:
             log.warning("TMPDIR is not set: an upgrade will not know this process")
             return
-        node = self._node
-        beside = Beside(
-            node.core,
-            node.timeline,
-            Hooks(
-                take_over=node.take_over,
-                successor_lost=node.successor_lost,
-                successor_leaves=node.successor_draining,
-                bound=node.limit_memory_share,
-                connected=lambda: len(node.resp.connections) / node.connection_budget(2)[1],
-                duty_changed=lambda: node.naming.tell(node.core.duty.wanted),
-            ),
+        core, timeline = self._host.core, self._host.timeline
+        adapter = Beside(core, timeline, self._hooks())
+
+        def make_handover(generation: int) -> Handover:
+            return Handover(adapter, generation, os.getpid(), *self._lost_process_times())
+
+        channel = self._channel = Meeting(config.folder, config.name, timeline, make_handover)
+        core.on_cores_up = lambda: channel.handover.cores_up(timeline.now())
+        self.has_predecessor_serving = await channel.open()
+        adapter.watch(channel.handover)
+
+    def _hooks(self) -> Hooks:
+        host = self._host
+        return Hooks(
+            take_over=host.take_over,
+            successor_lost=host.drain_controller.successor_lost,
+            successor_leaves=host.drain_controller.successor_draining,
+            bound=host.limit_memory_share,
+            connected=host.connection_share,
+            duty_changed=host.report_serving_state,
         )
 
-        def make(generation: int) -> Handover:
-            return Handover(beside, generation, os.getpid(), *self._times())
-
-        meeting = self._channel = Meeting(config.folder, config.name, node.timeline, make)
-        node.core.on_cores_up = lambda: meeting.handover.cores_up(node.timeline.now())
-        self.has_predecessor_serving = await meeting.open()
-        beside.watch(meeting.handover)
-
-    def _times(self) -> tuple[timedelta, timedelta]:
-        """After which a process that was lost has ended, with its runs; and for how long repeats of them come."""
-        kinds = self._node.config.settings.classes
-        longest = max(span(kind.deadline_us) for kind in kinds)
-        window = max(span(kind.window_us + kind.deadline_us) for kind in kinds)
-        return self._node.restart_drain_timeout() + longest, window
+    def _lost_process_times(self) -> tuple[timedelta, timedelta]:
+        """Give after which time a lost process has ended with its runs, and how long its requests are repeated."""
+        classes = self._host.config.settings.classes
+        longest = max(span(request_class.deadline_us) for request_class in classes)
+        repeated = max(span(request_class.window_us + request_class.deadline_us) for request_class in classes)
+        return self._host.drain_controller.restart_timeout() + longest, repeated
 
-    def reconfigure(self, config: Config) -> None:
+    def reconfigure(self, _config: Config, /) -> None:
+        """Take over the deadlines in force."""
         if self._channel is not None:
-            self._channel.handover.renew(*self._times())
+            self._channel.handover.renew(*self._lost_process_times())
 
-    def serving_state_changed(self, wanted: bool) -> None:
-        """The node was quiesced, or resumed, at this process's door."""
+    def serving_state_changed(self, ready: bool, /) -> None:
+        """Tell the others that an operator quiesced or resumed the node at this process."""
         if self._channel is not None:
-            self._channel.handover.duty_changed(wanted)
+            self._channel.handover.duty_changed(ready)
 
     @property
     def has_predecessor(self) -> bool:
+        """Another process of this node is older than this one."""
         return self._channel is not None and self._channel.handover.has_elder
 
     @property
@@ -80,14 +87,16 @@
         """Another process serves, and this one does not yet."""
         return self._channel is not None and self._channel.handover.takes_nothing
 
-    def hand_over_to_successor(self, now: datetime) -> bool:
-        """This process is told to leave: whether another serves in its place."""
+    def hand_over_to_successor(self, now: datetime, /) -> bool:
+        """Leave; whether another process serves in this one's place."""
         return self._channel is not None and self._channel.handover.leave(now)
 
     def stop(self) -> None:
+        """Leave the meeting."""
         if self._channel is not None:
             self._channel.close()
 
 
-def make(node: Node, room: int) -> HotRestartComponent:
-    return HotRestartComponent(node)
+def make(host: HotRestartHost) -> HotRestartComponent:
+    """Make the component of a node whose configuration turns it on."""
+    return HotRestartComponent(host)
--- /dev/null
+++ b/marlstep/components/registry.py
@@ -0,0 +1,62 @@
+"""Registry of the optional components: what of the configuration turns each on, and how it is made.
+
+A component's modules are loaded only once it is made: a node that has none of them lives in 32 MB.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING, NamedTuple
+
+from marlstep.components.base import Component
+from marlstep.config import Config
+
+if TYPE_CHECKING:
+    from marlstep.components.host import ComponentHost
+
+
+class Registration(NamedTuple):
+    """One component: whether a configuration turns it on, and its factory."""
+
+    is_enabled: Callable[[Config], bool]
+    make: Callable[[ComponentHost, int], Component]  # the number: connections that the node has capacity for
+
+
+def _make_uwsgi(host: ComponentHost, max_connections: int) -> Component:
+    from marlstep.components.uwsgi import make
+
+    return make(host, max_connections)
+
+
+def _make_health_endpoint(host: ComponentHost, _max_connections: int) -> Component:
+    from marlstep.components.health_endpoint import make
+
+    return make(host)
+
+
+def _make_admin(host: ComponentHost, _max_connections: int) -> Component:
+    from marlstep.components.admin import make
+
+    return make(host)
+
+
+def _make_cluster(host: ComponentHost, _max_connections: int) -> Component:
+    from marlstep.components.cluster import make
+
+    return make(host)
+
+
+def _make_hot_restart(host: ComponentHost, _max_connections: int) -> Component:
+    from marlstep.components.hot_restart import make
+
+    return make(host)
+
+
+# In the order in which they are made and opened: a component may use those before it.
+REGISTRY: tuple[Registration, ...] = (
+    Registration(lambda config: config.uwsgi is not None, _make_uwsgi),
+    Registration(lambda config: config.mgmt is not None, _make_health_endpoint),
+    Registration(lambda config: config.admin is not None, _make_admin),
+    Registration(lambda config: config.fleet is not None, _make_cluster),
+    Registration(lambda config: config.passed is not None, _make_hot_restart),
+)
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -1,4 +1,4 @@
-"""The uwsgi front with its pools of servers, as a part."""
+"""The uwsgi frontend with its pools of servers as a component."""
 
 from __future__ import annotations
 
@@ -7,64 +7,75 @@
 from typing import TYPE_CHECKING, Any, ClassVar
 
 from marlstep.components.base import Component, StartPhase
-from marlstep.config import Config
+from marlstep.config import Config, UwsgiConfig
 from marlstep.fronts.uwsgi import UwsgiFront
 from marlstep.pool.plan import pool_of
 from marlstep.upstreams.upstream import Upstream
 
 if TYPE_CHECKING:
-    from marlstep.node import Node
+    from marlstep.components.host import NodeServices
 
 log = logging.getLogger("marlstep")
 
+DESCRIPTORS_PER_REQUEST = 2  # the client's connection and the one to a server
+MAX_SHARE = 2  # of the node's connections at most one in so many goes to this frontend
+
 
 class UwsgiComponent(Component):
+    """Takes requests over uwsgi and balances them over servers."""
+
     name: ClassVar[str] = "uwsgi"
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_FRONTENDS
     front: UwsgiFront
 
-    def __init__(self, node: Node, room: int) -> None:
-        told = node.config.uwsgi
-        assert told is not None
-        # Each of its requests may hold two descriptors: the client's and the upstream's.
-        limit = min(told.connections, room // 4)
-        self.descriptors = 2 * limit
-        limits = told.response_limit, node.config.seed
-        self.upstream = Upstream(told.pools, node.timeline, lambda: node.core, *limits)
+    def __init__(self, host: NodeServices, config: UwsgiConfig, max_connections: int) -> None:
+        """Make the frontend; `max_connections` is what the whole node has capacity for."""
+        limit = min(config.connections, max_connections // (MAX_SHARE * DESCRIPTORS_PER_REQUEST))
+        self.descriptors = DESCRIPTORS_PER_REQUEST * limit
+        self.upstream = Upstream(
+            config.pools, host.timeline, lambda: host.core, config.response_limit, host.config.seed
+        )
         self.front = UwsgiFront(
-            node.core,
-            node.timeline,
+            host.core,
+            host.timeline,
             self.upstream,
             limit,
-            told.read_timeout,
-            told.mapped,
-            told.body_limit,
-            partial(pool_of, told.pools),
+            config.read_timeout,
+            config.mapped,
+            config.body_limit,
+            partial(pool_of, config.pools),
         )
 
-    async def open(self, config: Config, shared: bool) -> None:
+    async def open(self, config: Config, reuse_address: bool, /) -> None:
+        """Listen. Raises OSError."""
         assert config.uwsgi is not None
-        await self.front.listen(config.uwsgi.listen, shared=shared)
+        await self.front.listen(config.uwsgi.listen, shared=reuse_address)
         log.info("uwsgi on %s:%d", *config.uwsgi.listen)
 
-    def reconfigure(self, config: Config) -> None:
+    def reconfigure(self, config: Config, /) -> None:
+        """Take over the pools in force, and how requests are mapped to classes."""
         if config.uwsgi is not None:
             self.upstream.move(config.uwsgi.pools)
             self.front.pool_of = partial(pool_of, config.uwsgi.pools)
             self.front.mapped = config.uwsgi.mapped
 
     def stop(self) -> None:
+        """Close the connections to servers."""
         self.upstream.close()
 
     def status(self) -> dict[str, Any]:
+        """Give the connections and what each pool counted."""
         return {
             "connections": len(self.front.connections),
             "pools": {name: dict(pool.counts) for name, pool in self.upstream.pools.items()},
         }
 
     def metrics(self) -> dict[str, float]:
+        """Give the connections."""
         return {"uwsgi_connections": len(self.front.connections)}
 
 
-def make(node: Node, room: int) -> UwsgiComponent:
-    return UwsgiComponent(node, room)
+def make(host: NodeServices, max_connections: int) -> UwsgiComponent:
+    """Make the component of a node whose configuration turns it on."""
+    assert host.config.uwsgi is not None
+    return UwsgiComponent(host, host.config.uwsgi, max_connections)
--- /dev/null
+++ b/marlstep/drain.py
@@ -0,0 +1,111 @@
+"""Graceful shutdown: from SIGTERM until all is answered, alone or beside a successor process."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import signal
+from collections.abc import Callable, Mapping
+from datetime import datetime, timedelta
+
+from marlstep.components.base import Component, RestartState
+from marlstep.config import Config
+from marlstep.core.engine import Core
+from marlstep.frontend_group import FrontendGroup
+from marlstep.platform.naming import Naming
+from marlstep.timer_queue import TimerQueue
+from marlstep.units import MILLISECOND, SECOND, span
+
+log = logging.getLogger("marlstep")
+
+MAX_RESTART_DEADLINE = 3 * SECOND  # of the longest deadline, for a process that has a successor
+RESTART_DEADLINE_MARGIN = 700 * MILLISECOND
+DRAIN_POLL_INTERVAL = 20 * MILLISECOND  # between checks whether the drain is done
+EXIT_MARGIN = 100 * MILLISECOND  # before the platform stops the process, it ends by itself
+
+
+class DrainController:
+    """Decides how a process leaves, and when it has left."""
+
+    def __init__(
+        self,
+        config: Callable[[], Config],
+        core: Core,
+        timeline: TimerQueue,
+        naming: Naming,
+        frontends: FrontendGroup,
+        components: Mapping[str, Component],
+        on_drained: Callable[[], None],
+    ) -> None:
+        """Call `on_drained` where the process may end."""
+        self._config, self._core, self._timeline = config, core, timeline
+        self._naming, self._frontends, self._components = naming, frontends, components
+        self._on_drained = on_drained
+        core.on_grace_over = self._poll
+
+    @property
+    def restart_state(self) -> RestartState | None:
+        """What is known of the node's other processes; None where the platform passes no socket."""
+        states = (component.restart_state for component in self._components.values())
+        return next((state for state in states if state is not None), None)
+
+    def handle_signals(self) -> None:
+        """Drain at SIGTERM and SIGINT from now on."""
+        loop = asyncio.get_running_loop()
+
+        def notify(*_: object) -> None:
+            # Called at once, also while the loop is busy with something long: the grace counts from here.
+            if not loop.is_closed():
+                loop.call_soon_threadsafe(self.drain, self._timeline.now())
+
+        for number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(number, notify)
+
+    def drain(self, noticed: datetime | None = None) -> None:
+        """Leave. With a successor that serves, this process only finishes what it has."""
+        now = noticed or self._timeline.now()
+        for component in self._components.values():
+            component.drain()
+        state = self.restart_state
+        if state is not None and state.is_standby:
+            self._on_drained()  # the predecessor goes on, and with it its reports
+        elif state is not None and state.hand_over_to_successor(now):
+            self._core.hand_over(now + self.restart_timeout())
+        else:
+            self._core.drain(now + self._config().stop, now)
+            # A predecessor that serves reports on; one that has handed over reports last when it hears of this.
+            self._naming.leave(last_word=state is None or not state.has_predecessor)
+
+    def restart_timeout(self) -> timedelta:
+        """Time from SIGTERM to the end where a successor serves."""
+        longest = max(span(request_class.deadline_us) for request_class in self._config().settings.classes)
+        return min(longest, MAX_RESTART_DEADLINE) + RESTART_DEADLINE_MARGIN
+
+    def successor_lost(self) -> None:
+        """Drain now if SIGTERM has come: it was none as long as a successor served."""
+        if self._core.stops_at is not None and not self._core.told_to_leave:
+            log.warning("the successor is gone: the notice to leave counts from now")
+            self._frontends.accept_again()
+            self._naming.leave()
+            self._frontends.resume(self._config())
+            self._core.drain(self._core.stops_at)
+
+    def successor_draining(self) -> None:
+        """Report no more: the successor has said its last to the name service, and no request is to come here."""
+        if self._core.stops_at is not None:
+            self._naming.leave()
+
+    def _poll(self) -> None:
+        """End once all is answered and the peers have closed, or when time is up."""
+        core, now = self._core, self._timeline.now()
+        out_of_time = core.stops_at is not None and now >= core.stops_at - EXIT_MARGIN
+        if out_of_time or not self._is_busy():
+            self._on_drained()
+        else:
+            self._timeline.at(now + DRAIN_POLL_INTERVAL, self._poll)
+
+    def _is_busy(self) -> bool:
+        connections = self._frontends.connection_count()
+        if connections or any(component.busy for component in self._components.values()):
+            return True
+        return bool(self._core.unanswered or self._core.in_grace)
--- /dev/null
+++ b/marlstep/frontend_group.py
@@ -0,0 +1,66 @@
+"""All frontends of one node: they start to listen together, also later than the process itself."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable, Callable, Iterable
+
+from marlstep.config import Config
+from marlstep.core.model import Front
+from marlstep.fronts.base import Listener
+from marlstep.fronts.resp import RespFront
+
+log = logging.getLogger("marlstep")
+
+
+class FrontendGroup:
+    """The platform's frontend, and those of components that open with it."""
+
+    def __init__(
+        self,
+        resp: RespFront,
+        others: Iterable[Front],
+        open_components: Callable[[], Awaitable[None]],
+        on_failure: Callable[[], None],
+    ) -> None:
+        """Call `on_failure` where an address can't be had after `take_over`; `failure` tells why."""
+        self.resp = resp
+        self.all: list[Front] = [resp, *others]
+        self.failure: OSError | None = None
+        self._open_components = open_components
+        self._on_failure = on_failure
+        self._listen_task: asyncio.Task[None] | None = None
+
+    async def listen(self, config: Config) -> None:
+        """Listen for the platform, then open the components that belong to it. Raises OSError."""
+        await self.resp.listen(config.listen, config.passed)
+        log.info("%s listens on %s:%d", config.name, *config.listen)
+        await self._open_components()
+
+    def take_over(self, config: Config) -> None:
+        """Begin to listen in the place of another process, unless that has begun before."""
+        if self._listen_task is None:
+            self.resume(config)
+
+    def resume(self, config: Config) -> None:
+        """Begin to listen, unless this process listens already."""
+        if not self.resp.listening:
+            self._listen_task = asyncio.get_running_loop().create_task(self.listen(config))
+            self._listen_task.add_done_callback(self._listened)
+
+    def _listened(self, task: asyncio.Task[None]) -> None:
+        error = None if task.cancelled() else task.exception()
+        if isinstance(error, OSError):
+            self.failure = error
+            self._on_failure()
+
+    def accept_again(self) -> None:
+        """Accept connections again after `stop_accepting`."""
+        for frontend in self.all:
+            if isinstance(frontend, Listener):
+                frontend.accept_again()
+
+    def connection_count(self) -> int:
+        """Count the open connections of all frontends."""
+        return sum(len(frontend.connections) for frontend in self.all if isinstance(frontend, Listener))
--- /dev/null
+++ b/marlstep/reload.py
@@ -0,0 +1,69 @@
+"""Configuration in force, and its reload: by SIGHUP from the files, or by documents that the cluster agreed on."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import signal
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from marlstep.config import Config, ConfigError, changes, renewed
+
+if TYPE_CHECKING:
+    from marlstep.config.governed import Governed
+
+log = logging.getLogger("marlstep")
+
+
+class ConfigReloader:
+    """Owner of the configuration in force. A new one is taken whole or not at all."""
+
+    def __init__(
+        self, config: Config, read_config: Callable[[], Config], on_change: Callable[[Config], None]
+    ) -> None:
+        """Call `on_change` with the configuration replaced, once the new one is in force."""
+        self.config = config
+        self.governed: Governed | None = None  # documents in force, where the cluster agrees on any
+        self._read_config = read_config
+        self._on_change = on_change
+
+    def handle_signal(self) -> None:
+        """Reload at each SIGHUP from now on."""
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload)
+
+    def reload(self) -> None:
+        """Read the configuration again. What is wrong with it is logged by its key, and the old one stays."""
+        try:
+            self.apply_config(self._with_documents(self._read_config()))
+        except ConfigError as error:
+            _log_rejected(error)
+            return
+        log.info("configuration read again")
+
+    def _with_documents(self, config: Config) -> Config:
+        """Put the documents in force in the place of what files say."""
+        if self.governed is None:
+            return config
+        for difference in self.governed.differing(config):
+            log.warning("%s", difference)
+        return self.governed.put_on(config)
+
+    def apply_config(self, config: Config) -> None:
+        """Put another configuration in force. Raises ConfigError."""
+        replaced = self.config
+        self.config, restart_keys = renewed(replaced, config)
+        for key in restart_keys:
+            log.warning("%s has changed: that takes a new start", key)
+        self._on_change(replaced)
+
+
+def log_setting_changes(replaced: Config, config: Config) -> None:
+    """Log each setting that differs, in a line of its own."""
+    for line in changes(replaced.settings, config.settings):
+        log.info("settings: %s", line)
+
+
+def _log_rejected(error: ConfigError) -> None:
+    # Without a traceback: the message names the key, and that is what who wrote the file can mend.
+    log.error("configuration not taken, the old one stays: %s", error)
--- /dev/null
+++ b/marlstep/status_log.py
@@ -0,0 +1,42 @@
+"""Periodic status: one log line on what passed since the last, to compare with what the peers saw."""
+
+from __future__ import annotations
+
+import logging
+from collections import Counter
+from collections.abc import Callable
+
+from marlstep.core.engine import Core
+from marlstep.timer_queue import TimerQueue
+from marlstep.units import SECOND
+
+log = logging.getLogger("marlstep")
+
+STATUS_INTERVAL = 10 * SECOND
+
+
+class StatusLog:
+    """Logs the counters of the core as differences, and its gauges as they are."""
+
+    def __init__(self, core: Core, timeline: TimerQueue, connection_count: Callable[[], int]) -> None:
+        """Log nothing before `start`."""
+        self._core, self._timeline = core, timeline
+        self._connection_count = connection_count
+        self._logged: Counter[str] = Counter()
+
+    def start(self) -> None:
+        """Log a line after each interval from now on."""
+        self._timeline.at(self._timeline.now() + STATUS_INTERVAL, self._log_status)
+
+    def _log_status(self) -> None:
+        core = self._core
+        passed = core.counts - self._logged
+        self._logged = core.counts.copy()
+        log.info(
+            "%s; in hand %d, free value %s, connections %d",
+            ", ".join(f"{name} {count}" for name, count in sorted(passed.items())) or "nothing read",
+            core.in_hand,
+            "-" if core.say is None else f"{core.say:.1f}",
+            self._connection_count(),
+        )
+        self.start()
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -381,7 +381,7 @@
         self.governed: Governed | None = None
         super().__init__()
         self.core.renew(self.config.settings)
-        self.documents = NodeConfigDocuments(self)  # type: ignore[arg-type]
+        self.documents = NodeConfigDocuments(self, self.core)
 
     def apply_config(self, told: Any) -> None:
         self.config = told
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -700,7 +700,7 @@
     # Guards against a hand-over that closes the door behind a notice to leave that has taken its place.
     async def run(place: Place) -> None:
         place.core.hand_over(place.node.timeline.now() + 3_700 * MILLISECOND)
-        place.node.successor_lost()
+        place.node.drain_controller.successor_lost()
         await place.step(40)
         caller = await place.call()
         caller.ask(1, "list")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -115,13 +115,13 @@
         assert (await over_resp(node, "setpoint-cmd", 1, b"call")).endswith(b"rows\r\n")
         for text in ("{", json.dumps(raw_config(kernel="nowhere")), "[]"):
             path.write_text(text)
-            node.reload()
+            node.config_reloader.reload()
         await names[0][0].came.wait()
         assert (await over_resp(node, "setpoint-cmd", 2, b"call")).endswith(b"rows\r\n")
         kernels[1].notices = list(kernels[0].notices)  # it is one kernel: runs and numbers go on
         for one in (1, 0):
             write(one)
-            node.reload()
+            node.config_reloader.reload()
         write(1)
         os.kill(os.getpid(), signal.SIGHUP)
         await names[1][0].came.wait()
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -174,7 +174,7 @@
     node = Node(read(), HandClock().timeline, read)
     before, controller = node.config, node.core._controller
     path.write_text(fault(copy.deepcopy(raw_config(db="127.0.0.1:5", kernel="127.0.0.1:9"))))
-    node.reload()
+    node.config_reloader.reload()
     assert node.config is before and node.core.settings is before.settings
     assert controller.settings is before.settings and node.kernel._address == before.kernel
     [line] = [record.getMessage() for record in caplog.records if record.levelname == "ERROR"]
