--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -28,7 +28,7 @@
     Ticket,
     Verdict,
 )
-from marlstep.slots import SlotTable, TableFull
+from marlstep.slots import SlotTable, TableFullError
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO, instant, instant_us, span, span_us
 from petrelcart.interface import (
@@ -206,7 +206,7 @@
             raise Refused("too many in hand for this process's part of the node")
         try:
             request.handle = self._requests.add(request)
-        except TableFull as fault:
+        except TableFullError as fault:
             raise Refused(str(fault)) from fault
         self._by_id[offer.id] = request.handle
         request.deadline = self._timeline.at(due, lambda: self._overdue(request))
--- a/marlstep/fronts/base.py
+++ b/marlstep/fronts/base.py
@@ -16,7 +16,7 @@
 from marlstep.core.engine import Core
 from marlstep.core.model import Answer, Ticket
 from marlstep.net.stream import RingStream
-from marlstep.slots import SlotTable, TableFull
+from marlstep.slots import SlotTable, TableFullError
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
@@ -169,9 +169,9 @@
                 oldest.abort()
         try:
             if len(table) >= self.room:
-                raise TableFull("the part of the table that is this process's")
+                raise TableFullError("the part of the table that is this process's")
             connection.handle = table.add(connection)
-        except TableFull:
+        except TableFullError:
             if self._turned_away % 100 == 0:
                 log.warning("connections turned away: the table is full (%d so far)", self._turned_away + 1)
             self._turned_away += 1
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -183,7 +183,7 @@
     if stall_ms := os.environ.get("MARLSTEP_STALL_MS", ""):
         from marlstep.event_loop_watchdog import EventLoopWatchdog  # not loaded unless it is turned on
 
-        EventLoopWatchdog(timeline, max(1, int(stall_ms)) * MILLISECOND).look()
+        EventLoopWatchdog(timeline, max(1, int(stall_ms)) * MILLISECOND).start()
     await node.open()
     await node.ended.wait()
     await node.close()
--- a/marlstep/pool/table.py
+++ b/marlstep/pool/table.py
@@ -15,7 +15,7 @@
 
 from marlstep.pool.estimate import AdaptiveLimit, LimitSettings, PeakEwma
 from marlstep.pool.health import Health, HealthSettings, State
-from marlstep.slots import SlotTable, TableFull
+from marlstep.slots import SlotTable, TableFullError
 from marlstep.units import MILLISECOND, ZERO
 
 MOST_SERVERS = 1_024
@@ -92,11 +92,11 @@
         """The pool holds these from now on; gives the names that came and those that go.
 
         A server that goes keeps what it has until that has ended. One that comes back before then is the same.
-        Raises TableFull where there are too many, and changes nothing then.
+        Raises TableFullError where there are too many, and changes nothing then.
         """
         wanted = dict.fromkeys(names)
         if len(wanted) + sum(server.leaving for server in self._servers) > MOST_SERVERS:
-            raise TableFull(f"a pool holds {MOST_SERVERS} servers at the most")
+            raise TableFullError(f"a pool holds {MOST_SERVERS} servers at the most")
         came, gone = [], []
         for server in self._servers:
             if server.name not in wanted and not server.leaving:
--- a/marlstep/slots.py
+++ b/marlstep/slots.py
@@ -1,37 +1,56 @@
-"""Tables of numbered slots. A handle names a slot and its generation, so a late use finds nothing."""
+"""Tables of numbered slots. A handle names a slot and its generation, so that a late use finds nothing."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
+from marlstep.errors import MarlstepError
+
 T = TypeVar("T")
 INDEX_BITS = 20
 INDEX_MASK = (1 << INDEX_BITS) - 1
 
 
-class TableFull(Exception):
-    """All slots are taken."""
+class TableFullError(MarlstepError):
+    """All slots are taken: the caller has to wait until one is freed, or to reject."""
+
+    @classmethod
+    def at_limit(cls, limit: int) -> TableFullError:
+        """Say that the whole table is in use."""
+        return cls(f"all {limit} slots are taken")
+
+
+class InvalidTableLimitError(MarlstepError, ValueError):
+    """A limit that handles can't number."""
+
+    def __init__(self, limit: int) -> None:
+        """Name the limit that was asked for."""
+        super().__init__(f"a table holds from 1 to 2^{INDEX_BITS} - 1 slots, not {limit}")
 
 
 class SlotTable(Generic[T]):
+    """Values by handle, at most `limit` at once. Memory is taken only as slots are used."""
+
     def __init__(self, limit: int) -> None:
+        """Make an empty table. Raises InvalidTableLimitError."""
         if not 0 < limit <= INDEX_MASK:
-            raise ValueError("a table holds from 1 to 2^20 - 1 slots")
+            raise InvalidTableLimitError(limit)
         self.limit = limit
         self._values: list[T | None] = []
         self._generations: list[int] = []
         self._free: list[int] = []
 
     def __len__(self) -> int:
+        """Count the slots that are taken."""
         return len(self._values) - len(self._free)
 
     def __iter__(self) -> Iterator[T]:
-        """The values as they are now; slots may be given back on the way."""
+        """Iterate over the values as they are now; slots may be freed meanwhile."""
         return iter([value for value in self._values if value is not None])
 
     def add(self, value: T) -> int:
-        """Take a slot; the handle is good until `free`."""
+        """Take a slot, and return its handle, which is good until `free`. Raises TableFullError."""
         if self._free:
             index = self._free.pop()
             self._values[index] = value
@@ -40,17 +59,18 @@
             self._values.append(value)
             self._generations.append(0)
         else:
-            raise TableFull(f"all {self.limit} slots are taken")
+            raise TableFullError.at_limit(self.limit)
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, handle: int) -> T | None:
+        """Look up a value; None where its slot has been freed."""
         index = handle & INDEX_MASK
         if index >= len(self._values) or self._generations[index] != handle >> INDEX_BITS:
             return None
         return self._values[index]
 
     def free(self, handle: int) -> bool:
-        """Give the slot back; False where the handle is an old one."""
+        """Free the slot; False where that has been done before."""
         if self.get(handle) is None:
             return False
         index = handle & INDEX_MASK
--- a/tests/test_event_loop_watchdog.py
+++ b/tests/test_event_loop_watchdog.py
@@ -16,7 +16,7 @@
         pass
 
 clock = HandClock()
-EventLoopWatchdog(clock.timeline, 50 * MILLISECOND).look()
+EventLoopWatchdog(clock.timeline, 50 * MILLISECOND).start()
 clock.advance(500)  # it comes round ten times over, and nothing is said
 stuck()
 """
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -13,7 +13,7 @@
 from marlstep.pool.estimate import AdaptiveLimit, Floor, LimitSettings, PeakEwma
 from marlstep.pool.health import HealthSettings, State
 from marlstep.pool.table import PoolSettings, Server, ServerTable
-from marlstep.slots import TableFull
+from marlstep.slots import TableFullError
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 from tests.test_parsers import FIXED
 
@@ -239,7 +239,7 @@
     table.succeeded(server.handle, START, MILLISECOND)
     assert table.named("s0") is None and len(table) == 1
     table.succeeded(server.handle, START, MILLISECOND)  # late, and of nobody
-    with pytest.raises(TableFull):
+    with pytest.raises(TableFullError):
         table.set_members([f"x{index}" for index in range(2_000)], START)
     assert len(table) == 1
 
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marlstep.slots import SlotTable, TableFull
+from marlstep.slots import SlotTable, TableFullError
 from marlstep.units import MILLISECOND, SECOND, instant, instant_us, span, span_us, whole_ms
 from tests.support.node import START, HandClock
 
@@ -46,7 +46,7 @@
     second = table.add("b")
     assert table.get(first) is None and table.get(second) == "b" and list(table) == ["b"]
     table.add("c")
-    with pytest.raises(TableFull):
+    with pytest.raises(TableFullError):
         table.add("d")
 
 
