--- a/marlstep/config/readers.py
+++ b/marlstep/config/readers.py
@@ -6,14 +6,26 @@
 from collections.abc import Callable, Mapping
 from pathlib import Path
 
+from marlstep.errors import MarlstepError
+
 Address = tuple[str, int]
 Table = Mapping[str, object]
 MISSING = object()
 
 
-class ConfigError(Exception):
+class ConfigError(MarlstepError):
     """What is wrong with the configuration, in one line that names the key."""
 
+    @classmethod
+    def unmet(cls, path: str, requirement: str) -> ConfigError:
+        """Name the key and what it must be: `fleet.voters must name 1, 3, 5 or 7 nodes`."""
+        return cls(f"{path} {requirement}")
+
+    @classmethod
+    def found(cls, path: str, problem: str) -> ConfigError:
+        """Name the key and what is wrong with its value: `fleet.voters: n9 is not in fleet.nodes`."""
+        return cls(f"{path}: {problem}")
+
 
 def read_file(path: str, named_by: str, parse: Callable[[str], object]) -> Table:
     try:
@@ -77,6 +89,14 @@
     return float(value)
 
 
+def flag(raw: Table, key: str, path: str) -> bool:
+    """Read a boolean, which is false by default."""
+    value = raw.get(key, False)
+    if not isinstance(value, bool):
+        raise ConfigError.unmet(path, "must be true or false")
+    return value
+
+
 def address(raw: Table, key: str, path: str, default: object = MISSING) -> Address:
     """`1.2.3.4:90`: there are no names to look up."""
     value = take(raw, key, path, default)
