--- a/marlstep/components/admin.py
+++ b/marlstep/components/admin.py
@@ -31,7 +31,7 @@
         """Listen. Raises OSError."""
         assert config.admin is not None
         await self.service.listen(config.admin.listen, shared=reuse_address)
-        log.info("administration on %s:%d", *config.admin.listen)
+        log.info("listening: component=admin address=%s:%d", *config.admin.listen)
 
     def stop(self) -> None:
         """Stop listening."""
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -94,5 +94,5 @@
         for name, lowest in self._lowest_allowances.items():
             tenant = core.tenants.get(name)
             if tenant is not None and lowest < tenant.allowance_per_s:
-                log.warning("tenant %s: allowance narrowed to %g a second", name, lowest)
+                log.warning("allowance narrowed: tenant=%s allowance_per_s=%g", name, lowest)
                 core.allow(name, lowest)
--- a/marlstep/components/health_endpoint.py
+++ b/marlstep/components/health_endpoint.py
@@ -30,7 +30,7 @@
         """Listen, always on an address of this process alone. Raises OSError."""
         assert config.mgmt is not None
         await self.service.listen(config.mgmt)
-        log.info("operators' door on %s:%d", *config.mgmt)
+        log.info("listening: component=health_endpoint address=%s:%d", *config.mgmt)
 
     def stop(self) -> None:
         """Stop listening."""
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -36,7 +36,7 @@
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
         """Meet the other processes; the one that serves, if any, is known from then on."""
         if config.folder is None:
-            log.warning("TMPDIR is not set: an upgrade will not know this process")
+            log.warning("hot restart is off: TMPDIR is not set")
             return
         core, timeline = self._host.core, self._host.timeline
         adapter = Beside(core, timeline, self._hooks())
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -50,7 +50,7 @@
         """Listen. Raises OSError."""
         assert config.uwsgi is not None
         await self.front.listen(config.uwsgi.listen, shared=reuse_address)
-        log.info("uwsgi on %s:%d", *config.uwsgi.listen)
+        log.info("listening: component=uwsgi address=%s:%d", *config.uwsgi.listen)
 
     def reconfigure(self, config: Config, /) -> None:
         """Take over the pools in force, and how requests are mapped to classes."""
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -84,7 +84,7 @@
     def successor_lost(self) -> None:
         """Drain now if SIGTERM has come: it was none as long as a successor served."""
         if self._core.stops_at is not None and not self._core.told_to_leave:
-            log.warning("the successor is gone: the notice to leave counts from now")
+            log.warning("successor lost while leaving: this process drains now")
             self._frontends.accept_again()
             self._naming.leave()
             self._frontends.resume(self._config())
--- a/marlstep/frontend_group.py
+++ b/marlstep/frontend_group.py
@@ -35,7 +35,7 @@
     async def listen(self, config: Config) -> None:
         """Listen for the platform, then open the components that belong to it. Raises OSError."""
         await self.resp.listen(config.listen, config.passed)
-        log.info("%s listens on %s:%d", config.name, *config.listen)
+        log.info("listening: node=%s address=%s:%d", config.name, *config.listen)
         await self._open_components()
 
     def take_over(self, config: Config) -> None:
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -25,7 +25,7 @@
 from marlstep.platform.naming import Naming
 from marlstep.reload import ConfigReloader, log_setting_changes
 from marlstep.resource_budget import resource_budget
-from marlstep.status_log import StatusLog
+from marlstep.status_log import StatusLog, format_counters
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, span
 
@@ -98,7 +98,12 @@
         await self._open_components(StartPhase.BEFORE_SERVING)
         self.core.start()
         config = self.config
-        log.info("limits: %.2f cores, %d MB, %d sockets", config.cores, config.memory >> 20, config.sockets)
+        log.info(
+            "resource limits: cores=%.2f memory_mb=%d descriptors=%d",
+            config.cores,
+            config.memory >> 20,
+            config.sockets,
+        )
         await self._open_components(StartPhase.WITH_CLIENTS)
         restart_state = self.drain_controller.restart_state
         if self.core.told_to_leave and restart_state is not None and restart_state.is_standby:
@@ -119,10 +124,10 @@
     async def close(self) -> None:
         """Give back all that was taken."""
         log.info(
-            "ends with %d unanswered, %d in hand: %s",
+            "stopped: unanswered=%d in_flight=%d %s",
             self.core.unanswered,
             self.core.in_hand,
-            dict(self.core.counts),
+            format_counters(self.core.counts),
         )
         for component in self.components.values():
             component.stop()
@@ -224,5 +229,5 @@
 
 def _cannot_serve(error: OSError) -> int:
     # Without a traceback: the message names the address, and that is what an operator can mend.
-    log.error("can't serve: %s", error)
+    log.error("cannot serve: %s", error)
     return EXIT_ADDRESS
--- a/marlstep/reload.py
+++ b/marlstep/reload.py
@@ -39,7 +39,7 @@
         except ConfigError as error:
             _log_rejected(error)
             return
-        log.info("configuration read again")
+        log.info("configuration reloaded")
 
     def _with_documents(self, config: Config) -> Config:
         """Put the documents in force in the place of what files say."""
@@ -54,16 +54,16 @@
         replaced = self.config
         self.config, restart_keys = renewed(replaced, config)
         for key in restart_keys:
-            log.warning("%s has changed: that takes a new start", key)
+            log.warning("configuration key needs a restart: key=%s", key)
         self._on_change(replaced)
 
 
 def log_setting_changes(replaced: Config, config: Config) -> None:
     """Log each setting that differs, in a line of its own."""
     for line in changes(replaced.settings, config.settings):
-        log.info("settings: %s", line)
+        log.info("settings changed: %s", line)
 
 
 def _log_rejected(error: ConfigError) -> None:
     # Without a traceback: the message names the key, and that is what who wrote the file can mend.
-    log.error("configuration not taken, the old one stays: %s", error)
+    log.error("configuration rejected, the running one stays in force: %s", error)
--- a/marlstep/status_log.py
+++ b/marlstep/status_log.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 
 from marlstep.core.engine import Core
 from marlstep.timer_queue import TimerQueue
@@ -15,6 +15,11 @@
 STATUS_INTERVAL = 10 * SECOND
 
 
+def format_counters(counts: Mapping[str, int]) -> str:
+    """Format counters for a log line, in the order of their names: `done=2 read=3`."""
+    return " ".join(f"{name.replace(' ', '_')}={count}" for name, count in sorted(counts.items())) or "idle"
+
+
 class StatusLog:
     """Logs the counters of the core as differences, and its gauges as they are."""
 
@@ -33,8 +38,8 @@
         passed = core.counts - self._logged
         self._logged = core.counts.copy()
         log.info(
-            "%s; in hand %d, free value %s, connections %d",
-            ", ".join(f"{name} {count}" for name, count in sorted(passed.items())) or "nothing read",
+            "status: %s in_flight=%d advertised=%s connections=%d",
+            format_counters(passed),
             core.in_hand,
             "-" if core.say is None else f"{core.say:.1f}",
             self._connection_count(),
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -193,7 +193,7 @@
 
     with caplog.at_level("INFO"):
         on(run)
-    assert caplog.text.count("done 1, read 1, runs 1; in hand 0, free value ") == 2
+    assert caplog.text.count("status: done=1 read=1 runs=1 in_flight=0 advertised=") == 2
 
 
 def test_the_notice_to_leave_ends_the_node_with_all_answered() -> None:
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -178,7 +178,7 @@
     assert node.config is before and node.core.settings is before.settings
     assert controller.settings is before.settings and node.kernel._address == before.kernel
     [line] = [record.getMessage() for record in caplog.records if record.levelname == "ERROR"]
-    assert str(path) in line and "the old one stays" in line
+    assert str(path) in line and "the running one stays in force" in line
     with pytest.raises(ConfigError, match=message):
         renewed(before, read())
 
