--- /dev/null
+++ b/tests/cluster/test_admin.py
@@ -0,0 +1,79 @@
+"""A cluster of real processes as its operators see it, and its port against strangers."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import json
+import socket
+from pathlib import Path
+
+import pytest
+
+from marlstep.cli.main import call
+from marlstep.cluster import wire
+from marlstep.consensus.messages import RequestVote
+from marlstep.drill.rig import Rig, Settings
+from marlstep.net.framing import Framing, keyed
+from tests.cluster.support import CONFIG, written
+
+
+def test_operators_see_the_fleet_and_strangers_change_nothing(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """A calm fleet, asked as an operator asks; and its port against frames that are none of its own."""
+    settings = Settings(json.loads(CONFIG.read_text()))
+
+    async def drill() -> None:
+        async with Rig(written(21, 2_000), settings, tmp_path) as rig:
+            await rig.run()
+            port = rig.nodes["n1"].fleet
+            before = await rig.nodes["n1"].call("/v1/fleet")
+            key = (rig.folder / "key").read_bytes()
+            await asyncio.to_thread(strangers, port, key, before["group"])
+            await asyncio.sleep(0.3)
+            after = await rig.nodes["n1"].call("/v1/fleet")
+            assert after["voter"]["term"] == before["voter"]["term"]
+            assert after["lines"]["corrupt"] >= 4 and after["lines"]["another fleet"] >= 1
+            assert after["lines"]["another group"] >= 1
+            operator = str(rig.nodes["n1"].folder / "operator.toml")
+            for command in ("status", "leases", "log"):
+                for extra in ([], ["--json"]):
+                    words = ["fleet", command, "--operator", operator, *extra]
+                    assert await asyncio.to_thread(call, words) == 0
+            metrics = await asyncio.to_thread(fetch, rig.nodes["n1"].admin, "/v1/metrics", rig.token)
+            assert b"# TYPE marlstep_fleet_term gauge" in metrics
+            assert b"marlstep_fleet_line_corrupt_total" in metrics
+
+    asyncio.run(drill())
+    out = capsys.readouterr().out
+    assert "of fleet drill" in out and "task/sweep" in out and "leader is" in out
+
+
+def fetch(port: int, path: str, token: str) -> bytes:
+    with socket.create_connection(("127.0.0.1", port), timeout=3) as line:
+        line.sendall(f"GET {path} HTTP/1.1\r\nAuthorization: Bearer {token}\r\n\r\n".encode())
+        return b"".join(iter(lambda: line.recv(65536), b""))
+
+
+def strangers(port: int, key: bytes, group: str) -> None:
+    ask = RequestVote(999, False, True, 999, 999)
+    theirs = wire.write_envelope(wire.Envelope("drill", group, "n2#x", "n1", ask))
+    frames = [
+        wire.stream_framing(b"k" * 32).write(theirs),  # another key
+        Framing(b"MSF9", 1 << 16, keyed(key)).write(theirs),  # another version
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\0" * 4096,
+        b"MSF1" + (3 << 30).to_bytes(4, "big") + b"\0" * 64,  # 3 GB are to come
+        wire.stream_framing(key).write(wire.write_envelope(wire.Envelope("other", group, "n2#x", "n1", ask))),
+        wire.stream_framing(key).write(
+            wire.write_envelope(wire.Envelope("drill", "1.feedbeef", "n2#x", "n1", ask))
+        ),
+        wire.stream_framing(key).write(b'["drill", 1, 2]'),
+        wire.stream_framing(key).write(theirs)[:-3],  # cut short
+    ]
+    for frame in frames:
+        with socket.create_connection(("127.0.0.1", port), timeout=3) as line, contextlib.suppress(OSError):
+            line.sendall(frame)
+            line.shutdown(socket.SHUT_WR)
+            line.recv(100)
