--- a/marlstep/cluster/admin.py
+++ b/marlstep/cluster/admin.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from marlstep.cluster.config_documents import ConfigDriver
+from marlstep.cluster.config_orders import ConfigOrders
+from marlstep.cluster.config_status import ConfigStatusReporter
 from marlstep.cluster.context import HISTORY_LENGTH, NodeContext
 from marlstep.cluster.errors import UnknownOrderError
 from marlstep.cluster.interfaces import TurnRequester
@@ -25,12 +26,14 @@
         turns: TurnRequester,
         status: StatusReporter,
         membership: ClusterMembership | None,
-        config_driver: ConfigDriver | None,
+        config_orders: ConfigOrders | None,
+        config_status: ConfigStatusReporter | None,
         results: OrderResults,
     ) -> None:
         """`results` is shared with the orders about documents."""
         self._context, self._turns = context, turns
-        self._membership, self._config_driver = membership, config_driver
+        self._membership = membership
+        self._config_orders, self._config_status = config_orders, config_status
         self._results = results
         self._orders = OrderTracker(context.client, results, HISTORY_LENGTH)
         self._readers: dict[str, Reader] = {
@@ -41,7 +44,9 @@
         if membership is not None:
             self._readers["fleet/members"] = membership.status
             self._readers["fleet/situation"] = membership.partition_status
-        if membership is not None or config_driver is not None:
+        if config_status is not None:
+            self._readers["fleet/rules"] = lambda: config_status.overview().to_json()
+        if membership is not None or config_status is not None:
             self._readers["fleet/asked"] = self.order_results
 
     def read_resource(self, path: str) -> dict[str, Any] | None:
@@ -50,8 +55,8 @@
         if reader is not None:
             return reader()
         match path.split("/"):
-            case ["fleet", *rest] if self._config_driver is not None:
-                return self._config_driver.call(rest)
+            case ["fleet", "rules", document] if self._config_status is not None:
+                return self._config_status.versions(document)
         return None
 
     def order_results(self) -> dict[str, Any]:
@@ -68,8 +73,8 @@
             TypeError: an argument is of a wrong type.
         """
         match path.split("/"):
-            case ["fleet", "rules", order] if self._config_driver is not None:
-                return self._config_driver.order(order, arguments)
+            case ["fleet", "rules", order] if self._config_orders is not None:
+                return self._config_orders.execute(order, arguments)
             case ["fleet", "members", order] if self._membership is not None:
                 return self._order_members(order, arguments)
         return None
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -1,29 +1,25 @@
-"""Documents on a node: what the follower decides is carried out here, between two turns of the core."""
+"""Replicated documents on a node: carries out what the follower decides, between two turns of the core."""
 
 from __future__ import annotations
 
 import json
 import logging
-import secrets
-from dataclasses import dataclass
 from datetime import datetime, timedelta
-from typing import Any
 
+from marlstep.cluster.config_quotas import QuotaDriver
+from marlstep.cluster.config_uploads import ConfigUploads
 from marlstep.cluster.context import NodeContext
-from marlstep.cluster.interfaces import ConfigDocuments, LeaderRequester, ReplicaHolder, Step, TurnRequester
+from marlstep.cluster.interfaces import ConfigDocuments, LeaderRequester, Step, TurnRequester
 from marlstep.cluster.order_tracker import OrderResults, OrderTracker
 from marlstep.config.fleet import ReplicatedConfigSettings
 from marlstep.leases.holder import HeartbeatReport
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
-from marlstep.membership.quotas import DemandEstimator, QuotaLease, quota_limit_violation
-from marlstep.net.codec import write_fields
+from marlstep.membership.quotas import quota_limit_violation
 from marlstep.replicated_config.documents import (
-    CHUNK_CHARACTERS,
     DisconnectPolicy,
     DocumentDefinition,
     Kind,
     canonical_json,
-    content_digest,
     differences,
 )
 from marlstep.replicated_config.follower import (
@@ -32,389 +28,211 @@
     CheckVersion,
     ConfigFollower,
     FollowerAction,
-    FollowerState,
     LoseDocument,
     ProposeFirstVersion,
 )
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
-from marlstep.units import MILLISECOND
 
 log = logging.getLogger(__name__)
 
-KEPT_ANSWERS = 64  # to what operators asked for
-
-
-@dataclass(slots=True)
-class Upload:
-    """A document on its way into the log, piece by piece."""
-
-    name: str
-    content: str
-    put: dict[str, Any]
-    upload: str
-    offset: int = 0
-    number: int | None = None
-    put_out: bool = False
+MAX_ORDER_RESULTS = 64  # kept for operators to fetch
+MAX_DIFFERENCES = 20  # that operators are shown of two contents
+DISCONNECT_EFFECTS = {  # shown to operators
+    DisconnectPolicy.STOP: "new work is refused",
+    DisconnectPolicy.NARROW: "the lesser of what is known counts",
+    DisconnectPolicy.KEEP: "goes on, and may contradict the others",
+}
 
 
 class ConfigDriver:
+    """Follows the cluster's documents under a lease of its own."""
+
     def __init__(
         self,
         context: NodeContext,
         turns: TurnRequester,
         leader: LeaderRequester,
-        replica_holder: ReplicaHolder,
         config: ReplicatedConfigSettings,
         documents: ConfigDocuments,
         results: OrderResults,
     ) -> None:
-        self._context, self._turns, self._leader = context, turns, leader
-        self._replica_holder, self._config, self._documents = replica_holder, config, documents
-        self.quota_lease = QuotaLease()
-        self._demand = DemandEstimator()
-        self._quota_reports: dict[int, str] = {}
+        """`documents` is the node, as far as documents configure it; `results` is shared with other orders."""
+        self._context, self._leader = context, leader
+        self.settings, self._documents = config, documents
         self.follower = ConfigFollower(config.documents, context.config.node)
-        self.definitions = {one.name: one for one in config.documents}
-        self.lease = CONFIG_LEASE_PREFIX + context.client.holder.name
+        self.definitions = {definition.name: definition for definition in config.documents}
+        self.lease = CONFIG_LEASE_PREFIX + context.process_name
+        self.orders = OrderTracker(context.client, results, MAX_ORDER_RESULTS)
+        self.uploads = ConfigUploads(context, turns, self.orders)
+        self.quotas = QuotaDriver(context, documents) if config.quotas_shared else None
+        self._acknowledgements: dict[int, AcknowledgeVersion] = {}  # by the command's number
         context.client.holder.report = self._report
-        self._acks: dict[int, AcknowledgeVersion] = {}
-        self._orders = OrderTracker(context.client, results, KEPT_ANSWERS)
-        self._uploads: list[Upload] = []
-        for do in self.follower.start():
-            self._carry_out(do, context.steady.now())
+        self._carry_out_all(self.follower.start(), context.steady.now())
 
     def lease_time_left(self, now: datetime) -> timedelta:
+        """Return how long documents may still be acted on."""
         return self._context.client.holder.time_left(self.lease, now)
 
-    def _report(self, now: datetime) -> HeartbeatReport:
-        """What each beat tells the group of this process."""
-        demand = (
-            ()
-            if not self._config.quotas_shared
-            else self._demand.estimate(now, self._documents.tenant_counts())
-        )
-        return self.follower.document_states(now), self._documents.request_counts(), demand
-
     def accepts_work(self) -> bool:
-        """Asked by the core for each new request, by the clock: a stopped process may not know yet that time passed."""
+        """Return whether a new request may be admitted.
+
+        Asked for each request, by the clock: a process that was stopped may not know yet that its lease has expired.
+        """
         return self.follower.accepts_work(self.lease_time_left(self._context.steady.now()))
 
-    # What comes.
+    def _report(self, now: datetime) -> HeartbeatReport:
+        """Return what each heartbeat reports of this process."""
+        demand = () if self.quotas is None else self.quotas.estimate_demand(now)
+        return self.follower.document_states(now), self._documents.request_counts(), demand
+
+    # Events.
 
     def handle_heartbeat_response(self, now: datetime) -> None:
+        """Follow the shares and document statuses of the last response."""
         holder = self._context.client.holder
-        news, holder.documents = holder.documents, None
-        if self._config.quotas_shared:
-            for tenant, to in self.quota_lease.update(holder.quota_shares):
-                self._share(tenant)  # used no more, before that is said
-                told = {"m": "shares", "do": "gave", "tenant": tenant, "holder": holder.name, "to": to}
-                number = self._context.client.propose(now, told)
-                if number is None:
-                    self.quota_lease.report_lost(tenant)
-                else:
-                    self._quota_reports[number] = tenant
-            for tenant in self.quota_lease.shares:
-                self._share(tenant)
-        if news is not None:
-            self._do(self.follower.handle_statuses(now, news, self.lease_time_left(now)), now)
-
-    def handle_chunk(self, now: datetime, piece: DocumentChunk) -> None:
-        self._do(self.follower.handle_chunk(now, piece, self.lease_time_left(now)), now)
+        statuses, holder.documents = holder.documents, None
+        if self.quotas is not None:
+            self.quotas.handle_heartbeat_response(now)
+        if statuses is not None:
+            actions = self.follower.handle_statuses(now, statuses, self.lease_time_left(now))
+            self._carry_out_all(actions, now)
+
+    def handle_chunk(self, now: datetime, chunk: DocumentChunk) -> None:
+        """Take in a part of a document that was fetched."""
+        self._carry_out_all(self.follower.handle_chunk(now, chunk, self.lease_time_left(now)), now)
 
     def tick(self, now: datetime) -> None:
-        """In every turn of the fleet's part, and when the lease is over."""
-        participant = self._context.client
-        for number in list(self._acks):
-            if (result := participant.take_result(number)) is not None:
-                ack = self._acks.pop(number)
+        """Take in results and go on; runs in every turn, so also when the lease expires."""
+        self._collect_acknowledgements()
+        if self.quotas is not None:
+            self.quotas.collect_results()
+        self.orders.collect()
+        self.uploads.tick(now)
+        self._carry_out_all(self.follower.tick(now, self.lease_time_left(now)), now)
+
+    def _collect_acknowledgements(self) -> None:
+        for number in list(self._acknowledgements):
+            if (result := self._context.client.take_result(number)) is not None:
+                acknowledged = self._acknowledgements.pop(number)
                 if "refused" in result:
-                    self.follower.acknowledgement_lost(ack.name, ack.version)
-        for number in list(self._quota_reports):
-            if (result := participant.take_result(number)) is not None:
-                tenant = self._quota_reports.pop(number)
-                if "refused" in result:
-                    self.quota_lease.report_lost(tenant)
-        self._orders.collect()
-        for upload in list(self._uploads):
-            self._push(upload, now)
-        self._do(self.follower.tick(now, self.lease_time_left(now)), now)
+                    self.follower.acknowledgement_lost(acknowledged.name, acknowledged.version)
 
-    # What is to be done.
+    # Actions.
 
-    def _do(self, done: list[FollowerAction], now: datetime) -> None:
-        queue = list(done)
+    def _carry_out_all(self, actions: list[FollowerAction], now: datetime) -> None:
+        queue = list(actions)
         while queue:
             queue += self._carry_out(queue.pop(0), now)
 
-    def _carry_out(self, do: FollowerAction, now: datetime) -> list[FollowerAction]:
-        participant = self._context.client
-        match do:
+    def _carry_out(self, action: FollowerAction, now: datetime) -> list[FollowerAction]:
+        """Carry out one action; return those that follow from it."""
+        match action:
             case CheckVersion():
-                why = self._check(self.definitions[do.name], do.content)
-                if why:
-                    log.error("fleet: version %d of %s can't be taken here: %s", do.version, do.name, why)
-                return self.follower.handle_check_result(now, do, why, self.lease_time_left(now))
+                return self._check_version(action, now)
             case AcknowledgeVersion():
-                told: dict[str, Any] = {"m": "rules", "do": "ack", "doc": do.name, "version": do.version}
-                told |= {"digest": do.digest, "holder": participant.holder.name, "why": do.rejection}
-                number = participant.propose(now, told)
-                if number is None:
-                    self.follower.acknowledgement_lost(do.name, do.version)
-                else:
-                    self._acks[number] = do
-                    self._context.observer.reached(Step.VERSION_ACKNOWLEDGED)
+                self._acknowledge(action, now)
             case FetchChunk():
-                self._leader.request_leader(do)
+                self._leader.request_leader(action)
             case ActivateVersion():
-                self._act(do)
+                self._activate(action)
             case LoseDocument():
-                self._stop(do)
+                self._lose(action)
             case ProposeFirstVersion():
-                if not self._context.capabilities.proposes:
-                    return []
-                local = self._documents.local_content(self.definitions[do.name].kind.value)
-                log.info("fleet: the group has no %s yet: this node's file is proposed as its first", do.name)
-                self.put(
-                    now,
-                    do.name,
-                    canonical_json(local),
-                    0,
-                    self._context.config.node,
-                    "from the files of this node",
-                )
+                self._propose_first_version(action)
         return []
 
-    def _act(self, do: ActivateVersion) -> None:
-        named = self.definitions[do.name]
+    def _check_version(self, action: CheckVersion, now: datetime) -> list[FollowerAction]:
+        rejection = self.rejection_of(self.definitions[action.name], action.content)
+        if rejection:
+            log.error(
+                "fleet: version rejected document=%s version=%d reason=%r",
+                action.name,
+                action.version,
+                rejection,
+            )
+        return self.follower.handle_check_result(now, action, rejection, self.lease_time_left(now))
+
+    def _acknowledge(self, action: AcknowledgeVersion, now: datetime) -> None:
+        command = {
+            "m": "rules",
+            "do": "ack",
+            "doc": action.name,
+            "version": action.version,
+            "digest": action.digest,
+            "holder": self._context.process_name,
+            "why": action.rejection,
+        }
+        number = self._context.client.propose(now, command)
+        if number is None:
+            self.follower.acknowledgement_lost(action.name, action.version)
+        else:
+            self._acknowledgements[number] = action
+            self._context.observer.reached(Step.VERSION_ACKNOWLEDGED)
+
+    def _propose_first_version(self, action: ProposeFirstVersion) -> None:
+        if not self._context.capabilities.proposes:
+            return
+        content = self._documents.local_content(self.definitions[action.name].kind.value)
+        log.info("fleet: proposing first version from local file document=%s", action.name)
+        node = self._context.config.node
+        self.put(action.name, canonical_json(content), 0, node, "from the files of this node")
+
+    def _activate(self, action: ActivateVersion) -> None:
+        definition = self.definitions[action.name]
         try:
-            self._documents.activate(named.kind.value, do.version, do.content)
-        except ValueError as fault:  # it was checked: this is a fault of our own
-            log.exception("fleet: version %d of %s was not taken over: %s", do.version, do.name, fault)
+            self._documents.activate(definition.kind.value, action.version, action.content)
+        except ValueError:  # it was checked before: a fault of this program
+            log.exception("fleet: activation failed document=%s version=%d", action.name, action.version)
             return
-        if self._config.quotas_shared and named.kind is Kind.TENANTS:
-            for tenant in self._documents.tenant_counts():
-                self._share(tenant)
+        if self.quotas is not None and definition.kind is Kind.TENANTS:
+            self.quotas.apply_all()
         self._context.observer.reached(Step.VERSION_ACTIVATED)
-        log.info("fleet: acts on version %d of %s", do.version, do.name)
-        self._context.record_event(f"acts on version {do.version} of {do.name}", "it is in force")
-
-    def _check(self, named: DocumentDefinition, content: str) -> str:
-        """Why this node can't act on that; empty where it can."""
-        why = self._documents.check(named.kind.value, content)
-        if not why and self._config.quotas_shared and named.kind is Kind.TENANTS:
-            why = quota_limit_violation(json.loads(content).get("tenants", {}))
-        return why
-
-    def _share(self, tenant: str) -> None:
-        self._documents.set_quota_share(tenant, self.quota_lease.share_of(tenant))
-
-    def _stop(self, do: LoseDocument) -> None:
-        how = {
-            DisconnectPolicy.STOP: "new work is refused",
-            DisconnectPolicy.NARROW: "the lesser of what is known counts",
-            DisconnectPolicy.KEEP: "goes on, and may contradict the others",
-        }[do.policy]
-        log.warning("fleet: no lease on %s: %s (%s)", do.name, how, do.reason)
-        self._context.record_event(f"no lease on {do.name}: {how}", do.reason)
+        log.info("fleet: version activated document=%s version=%d", action.name, action.version)
+        self._context.record_event(f"acts on version {action.version} of {action.name}", "it is in force")
+
+    def _lose(self, action: LoseDocument) -> None:
+        effect = DISCONNECT_EFFECTS[action.policy]
+        log.warning(
+            "fleet: document lease lost document=%s policy=%s reason=%r",
+            action.name,
+            action.policy.value,
+            action.reason,
+        )
+        self._context.record_event(f"no lease on {action.name}: {effect}", action.reason)
         self._context.counts["rules stopped"] += 1
-        if do.policy is DisconnectPolicy.NARROW:
+        if action.policy is DisconnectPolicy.NARROW:
             self._documents.restrict()
 
-    # Putting a version into the log.
+    # For operators' orders and status.
 
-    def put(
-        self, now: datetime, name: str, content: str, expect: int, author: str, note: str, **how: Any
-    ) -> None:
-        """In pieces, and then the change itself."""
-        named = self.definitions[name]
-        upload = secrets.token_hex(8)
-        put: dict[str, Any] = {
-            "m": "rules",
-            "do": "put",
-            "doc": name,
-            "kind": named.kind.value,
-            "strict": named.strict,
-        }
-        put |= {"upload": upload, "digest": content_digest(content), "expect": expect}
-        put |= {"author": author, "note": note}
-        put |= {"at": self._context.wall().isoformat(timespec="seconds"), **how}
-        self._uploads.append(Upload(name, content, put, upload))
-        self._turns.schedule()
-
-    def _push(self, one: Upload, now: datetime) -> None:
-        participant = self._context.client
-        if one.number is not None:
-            result = participant.take_result(one.number)
-            if result is None:
-                return
-            if one.put_out or "taken" not in result:
-                self._uploads.remove(one)
-                self._orders.record(one.number, {"what": f"put {one.name}", **result})
-                log.info("fleet: put of %s: %s", one.name, result)
-                return
-            one.offset, one.number = int(result["taken"]), None
-        data = one.content[one.offset : one.offset + CHUNK_CHARACTERS]
-        one.put_out = not data
-        self._context.observer.reached(Step.VERSION_PROPOSING if one.put_out else Step.CHUNK_UPLOADING)
-        piece = {"m": "rules", "do": "part", "upload": one.upload, "offset": one.offset, "data": data}
-        one.number = participant.propose(now, one.put if one.put_out else piece)
-
-    # Operators.
-
-    def order(self, what: str, told: dict[str, Any]) -> dict[str, Any]:
-        """Raises ValueError, KeyError, TypeError."""
-        now = self._context.steady.now()
-        if what == "part":
-            piece = {"m": "rules", "do": "part", "upload": str(told["upload"])}
-            command = {**piece, "offset": int(told["offset"]), "data": str(told["data"])}
-            self._context.observer.reached(Step.CHUNK_UPLOADING)
-        elif what == "standings":
-            command = {"m": "standings", "from": int(told.get("from", 0))}
-        else:
-            named = self._named(told)
-            match what:
-                case "put":
-                    command = {"m": "rules", "do": "put", "doc": named.name, "kind": named.kind.value}
-                    command |= {"strict": named.strict, "upload": str(told["upload"])}
-                    command |= {"digest": str(told["digest"])}
-                    command |= {"expect": int(told["expect"]), "author": str(told.get("author", ""))}
-                    command |= {"note": str(told.get("note", ""))}
-                    command |= {"at": self._context.wall().isoformat(timespec="seconds")}
-                    command |= {"hold_out": bool(told.get("hold_out")), "force": bool(told.get("force"))}
-                    if (stage := told.get("stage")) is not None:
-                        command["stage"] = parse_rollout(stage)
-                    self._context.observer.reached(Step.VERSION_PROPOSING)
-                case "get":
-                    command = {"m": "rules", "do": "get", "doc": named.name}
-                case "go":
-                    command = {"m": "rules", "do": "commit", "doc": named.name, "whole": True}
-                    command |= {"version": int(told["version"])}
-                case "withdraw":
-                    command = {"m": "rules", "do": "withdraw", "doc": named.name}
-                    command |= {"version": int(told["version"]), "why": str(told.get("why", "an operator"))}
-                case "fix" | "unfix":
-                    return self._fixed(named, what, told, now)
-                case _:
-                    raise ValueError(f"there is nothing like {what[:32]}")
-        accepted = self._orders.propose(now, what, command)
-        self._turns.schedule()
-        return accepted
-
-    def _named(self, told: dict[str, Any]) -> DocumentDefinition:
-        named = self.definitions.get(str(told["doc"]))
-        if named is None:
-            raise ValueError(f"no document {str(told['doc'])[:64]!r}: {', '.join(self.definitions)}")
-        return named
-
-    def _fixed(
-        self, named: DocumentDefinition, what: str, told: dict[str, Any], now: datetime
-    ) -> dict[str, Any]:
-        if what == "unfix":
-            return self._unfixed(named, now)
-        content = canonical_json(told["content"])
-        if why := self._check(named, content):
-            raise ValueError(why)
-        log.warning("fleet: %s: an operator's fixed version is in force on this node alone", named.name)
-        self._do(self.follower.pin(now, named.name, content), now)
-        return {"fixed": True}
-
-    def _unfixed(self, named: DocumentDefinition, now: datetime) -> dict[str, Any]:
-        """Nothing is merged: what the group has counts, and how the two differed is said."""
-        one = self.follower.documents[named.name]
-        if one.state is not FollowerState.FIXED:
-            return {"fixed": False, "differed": []}
-        differed = self._against_group(named.name)
-        log.warning("fleet: %s: the fixed version is taken back by an operator", named.name)
-        for line in ["not known, as the group was not heard"] if differed is None else differed:
-            log.warning("fleet: %s: the group's version against the fixed one: %s", named.name, line)
-            self._context.record_event(f"the fixed version of {named.name} differed", line)
-        self._do(self.follower.unpin(named.name), now)
-        return {"fixed": False, "differed": differed}
-
-    def _against_group(self, name: str) -> list[str] | None:
-        """What the group's version in force has otherwise than the one fixed here; None where that is not known."""
-        theirs = self.follower.group_content(name)
-        if theirs is None:
-            return None
-        mine = self.follower.documents[name].content
-        return list(differences(json.loads(mine), json.loads(theirs)))[:20]
-
-    def call(self, rest: list[str]) -> dict[str, Any] | None:
-        match rest:
-            case ["rules"]:
-                return self.status()
-            case ["rules", name] if name in self.definitions:
-                return self._versions(name)
-        return None
-
-    def status(self) -> dict[str, Any]:
-        now = self._context.steady.now()
-        rows = []
-        for one in self.follower.documents.values():
-            target = one.target
-            rows.append(
-                {
-                    "name": one.definition.name,
-                    "kind": one.definition.kind.value,
-                    "strict": one.definition.strict,
-                    "cut_off": one.definition.disconnect_policy.value,
-                    "state": one.state.value,
-                    "version": one.version,
-                    "in_force": None if target is None else target.version,
-                    "preparing": None if target is None else target.prepared_version or None,
-                    "against_group": self._against_group(one.definition.name)
-                    if one.state is FollowerState.FIXED
-                    else None,
-                    "differs": [] if not one.content else self._differs(one.definition, one.content),
-                }
-            )
-        return {
-            "node": self._context.config.node,
-            "lease_ms": self.lease_time_left(now) // MILLISECOND,
-            "agree_within_ms": self._config.agree_within // MILLISECOND,
-            "takes_work": self.accepts_work(),
-            "acts": [list(row) for row in self.follower.document_states(now)],
-            "parts": self.quota_lease.shares if self._config.quotas_shared else None,
-            "documents": rows,
-        }
+    def put(self, document: str, content: str, expected_version: int, author: str, note: str) -> None:
+        """Begin to put a version into the log, as the one after `expected_version`."""
+        self.uploads.put(self.definitions[document], content, expected_version, author, note)
 
-    def _differs(self, named: DocumentDefinition, content: str) -> list[str]:
-        """How this node's own files differ from what is in force."""
-        return list(differences(json.loads(content), self._documents.local_content(named.kind.value)))[:20]
-
-    def _versions(self, name: str) -> dict[str, Any]:
-        """All that the log has of it, where this node votes; else what is in force here."""
-        voter, mine = self._replica_holder.replica, self.follower.documents[name]
-        book = None if voter is None else voter.config_store
-        document = None if book is None else book.documents.get(name)
-        if book is None or document is None:
-            return {"name": name, "versions": [{"version": mine.version, "content": mine.content}]}
-        pending = document.prepared
-        return {
-            "name": name,
-            "in_force": document.active_number,
-            "versions": [
-                {
-                    "version": one.number,
-                    "author": one.author,
-                    "note": one.note,
-                    "at": one.at,
-                    "content": one.content,
-                }
-                for one in document.versions
-            ],
-            "preparing": None if pending is None else pending.version.number,
-            "stage": None if pending is None or pending.rollout is None else write_fields(pending.rollout),
-            "waits_for": book.missing_acknowledgements(document),
-            "held_out": document.excluded,
-            "turned_down": document.rejected_versions,
-        }
+    def rejection_of(self, definition: DocumentDefinition, content: str) -> str:
+        """Return why this node can't act on that content; empty where it can."""
+        rejection = self._documents.check(definition.kind.value, content)
+        if not rejection and self.quotas is not None and definition.kind is Kind.TENANTS:
+            return quota_limit_violation(json.loads(content).get("tenants", {}))
+        return rejection
+
+    def pin(self, now: datetime, document: str, content: str) -> None:
+        """Act on that content on this node alone, until it is unpinned."""
+        self._carry_out_all(self.follower.pin(now, document, content), now)
 
+    def unpin(self, now: datetime, document: str) -> None:
+        """Act on the group's version again."""
+        self._carry_out_all(self.follower.unpin(document), now)
+
+    def differences_from_group(self, document: str) -> list[str] | None:
+        """Return how the group's active version differs from the one here; None where that is not known."""
+        group_content = self.follower.group_content(document)
+        if group_content is None:
+            return None
+        content = self.follower.documents[document].content
+        return list(differences(json.loads(content), json.loads(group_content)))[:MAX_DIFFERENCES]
 
-def parse_rollout(told: Any) -> dict[str, Any]:
-    """As an operator asks for it. Raises ValueError, KeyError, TypeError."""
-    stage: dict[str, Any] = {"for_ms": int(told["for_ms"]), "worse": float(told["worse"])}
-    stage["least"] = int(told["least"])
-    if "share" in told:
-        return {**stage, "share": float(told["share"])}
-    return {**stage, "nodes": [str(one) for one in told["nodes"]]}
+    def differences_from_files(self, definition: DocumentDefinition, content: str) -> list[str]:
+        """Return how this node's own files differ from that content."""
+        local = self._documents.local_content(definition.kind.value)
+        return list(differences(json.loads(content), local))[:MAX_DIFFERENCES]
--- /dev/null
+++ b/marlstep/cluster/config_orders.py
@@ -0,0 +1,150 @@
+"""Operators' orders about replicated documents: commands for the log, and versions pinned on this node alone."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Mapping
+from datetime import datetime
+from typing import Any
+
+from marlstep.cluster.config_documents import ConfigDriver
+from marlstep.cluster.context import NodeContext
+from marlstep.cluster.errors import RejectedContentError, UnknownDocumentError, UnknownOrderError
+from marlstep.cluster.interfaces import Step, TurnRequester
+from marlstep.replicated_config.documents import DocumentDefinition, canonical_json
+from marlstep.replicated_config.follower import FollowerState
+
+log = logging.getLogger(__name__)
+
+GROUP_UNKNOWN = "not known, as the group was not heard"  # shown in place of the differences from its version
+Arguments = Mapping[str, Any]  # of an order, as JSON
+
+
+class ConfigOrders:
+    """Carries out the orders of `fleet/rules`."""
+
+    def __init__(self, context: NodeContext, turns: TurnRequester, driver: ConfigDriver) -> None:
+        """`driver` follows the documents on this node."""
+        self._context, self._turns, self._driver = context, turns, driver
+
+    def execute(self, order: str, arguments: Arguments) -> dict[str, Any]:
+        """Carry out an order; return its answer, or the number to fetch its result by, as JSON.
+
+        Raises:
+            ValueError: the order or an argument makes no sense.
+            KeyError: an argument is missing.
+            TypeError: an argument is of a wrong type.
+        """
+        now = self._context.steady.now()
+        match order:
+            case "part":
+                command = chunk_command(arguments)
+                self._context.observer.reached(Step.CHUNK_UPLOADING)
+            case "standings":
+                command = {"m": "standings", "from": int(arguments.get("from", 0))}
+            case "fix":
+                return self._pin(self._definition(arguments), arguments, now)
+            case "unfix":
+                return self._unpin(self._definition(arguments), now)
+            case _:
+                command = self._document_command(order, self._definition(arguments), arguments)
+        accepted = self._driver.orders.propose(now, order, command)
+        self._turns.schedule()
+        return accepted
+
+    def _definition(self, arguments: Arguments) -> DocumentDefinition:
+        name = str(arguments["doc"])
+        definition = self._driver.definitions.get(name)
+        if definition is None:
+            raise UnknownDocumentError(name, self._driver.definitions)
+        return definition
+
+    def _document_command(
+        self, order: str, definition: DocumentDefinition, arguments: Arguments
+    ) -> dict[str, Any]:
+        match order:
+            case "put":
+                command = self._put_command(definition, arguments)
+                self._context.observer.reached(Step.VERSION_PROPOSING)
+                return command
+            case "get":
+                return {"m": "rules", "do": "get", "doc": definition.name}
+            case "go":
+                command = {"m": "rules", "do": "commit", "doc": definition.name, "whole": True}
+                return {**command, "version": int(arguments["version"])}
+            case "withdraw":
+                command = {"m": "rules", "do": "withdraw", "doc": definition.name}
+                command["version"] = int(arguments["version"])
+                return {**command, "why": str(arguments.get("why", "an operator"))}
+        raise UnknownOrderError(order)
+
+    def _put_command(self, definition: DocumentDefinition, arguments: Arguments) -> dict[str, Any]:
+        command: dict[str, Any] = {
+            "m": "rules",
+            "do": "put",
+            "doc": definition.name,
+            "kind": definition.kind.value,
+            "strict": definition.strict,
+            "upload": str(arguments["upload"]),
+            "digest": str(arguments["digest"]),
+            "expect": int(arguments["expect"]),
+            "author": str(arguments.get("author", "")),
+            "note": str(arguments.get("note", "")),
+            "at": self._context.wall().isoformat(timespec="seconds"),
+            "hold_out": bool(arguments.get("hold_out")),
+            "force": bool(arguments.get("force")),
+        }
+        if (stage := arguments.get("stage")) is not None:
+            command["stage"] = rollout_json(stage)
+        return command
+
+    def _pin(self, definition: DocumentDefinition, arguments: Arguments, now: datetime) -> dict[str, Any]:
+        content = canonical_json(arguments["content"])
+        if rejection := self._driver.rejection_of(definition, content):
+            raise RejectedContentError(rejection)
+        log.warning("fleet: version pinned on this node by an operator document=%s", definition.name)
+        self._driver.pin(now, definition.name, content)
+        return {"fixed": True}
+
+    def _unpin(self, definition: DocumentDefinition, now: datetime) -> dict[str, Any]:
+        """Return to the group's version, and report how the pinned one differed; nothing is merged."""
+        name = definition.name
+        if self._driver.follower.documents[name].state is not FollowerState.FIXED:
+            return {"fixed": False, "differed": []}
+        differed = self._driver.differences_from_group(name)
+        log.warning("fleet: version unpinned by an operator document=%s", name)
+        for line in [GROUP_UNKNOWN] if differed is None else differed:
+            log.warning("fleet: group's version differed from the pinned one document=%s %s", name, line)
+            self._context.record_event(f"the fixed version of {name} differed", line)
+        self._driver.unpin(now, name)
+        return {"fixed": False, "differed": differed}
+
+
+def chunk_command(arguments: Arguments) -> dict[str, Any]:
+    """Return the command that adds a chunk to an upload.
+
+    Raises:
+        ValueError: the offset is no number.
+        KeyError: an argument is missing.
+        TypeError: an argument is of a wrong type.
+    """
+    command = {"m": "rules", "do": "part", "upload": str(arguments["upload"])}
+    return {**command, "offset": int(arguments["offset"]), "data": str(arguments["data"])}
+
+
+def rollout_json(arguments: Arguments) -> dict[str, Any]:
+    """Return the rollout of an order as the log stores it.
+
+    Raises:
+        ValueError: an argument makes no sense.
+        KeyError: an argument is missing.
+        TypeError: an argument is of a wrong type.
+    """
+    rollout: dict[str, Any] = {
+        "for_ms": int(arguments["for_ms"]),
+        "worse": float(arguments["worse"]),
+        "least": int(arguments["least"]),
+    }
+    if "share" in arguments:
+        return {**rollout, "share": float(arguments["share"])}
+    return {**rollout, "nodes": [str(node) for node in arguments["nodes"]]}
--- /dev/null
+++ b/marlstep/cluster/config_quotas.py
@@ -0,0 +1,63 @@
+"""Quota shares on a node: the limits of tenants that the group divides among the nodes by their demand."""
+
+from __future__ import annotations
+
+from datetime import datetime
+
+from marlstep.cluster.context import NodeContext
+from marlstep.cluster.interfaces import ConfigDocuments
+from marlstep.leases.messages import LeaseToken
+from marlstep.membership.quotas import DemandEstimator, QuotaLease
+
+
+class QuotaDriver:
+    """Applies the shares that come with heartbeat responses, and reports what was given back."""
+
+    def __init__(self, context: NodeContext, documents: ConfigDocuments) -> None:
+        """`documents` is where the shares are applied."""
+        self._context, self._documents = context, documents
+        self._lease = QuotaLease()
+        self._demand = DemandEstimator()
+        self._reports: dict[int, str] = {}  # tenant by the number of the command that reports a reduction
+
+    @property
+    def shares(self) -> dict[str, int]:
+        """The shares that this node uses, by tenant."""
+        return self._lease.shares
+
+    def estimate_demand(self, now: datetime) -> tuple[LeaseToken, ...]:
+        """Return the demand that a heartbeat reports."""
+        return self._demand.estimate(now, self._documents.tenant_counts())
+
+    def handle_heartbeat_response(self, now: datetime) -> None:
+        """Apply the shares of the last response."""
+        holder = self._context.client.holder
+        for tenant, reduced_to in self._lease.update(holder.quota_shares):
+            self._apply(tenant)  # before the reduction is reported: another node may use it from then on
+            self._report(now, tenant, holder.name, reduced_to)
+        for tenant in self._lease.shares:
+            self._apply(tenant)
+
+    def apply_all(self) -> None:
+        """Apply the shares to limits that were just replaced."""
+        for tenant in self._documents.tenant_counts():
+            self._apply(tenant)
+
+    def collect_results(self) -> None:
+        """Report once more what the group rejected."""
+        for number in list(self._reports):
+            if (result := self._context.client.take_result(number)) is not None:
+                tenant = self._reports.pop(number)
+                if "refused" in result:
+                    self._lease.report_lost(tenant)
+
+    def _report(self, now: datetime, tenant: str, holder: str, reduced_to: int) -> None:
+        command = {"m": "shares", "do": "gave", "tenant": tenant, "holder": holder, "to": reduced_to}
+        number = self._context.client.propose(now, command)
+        if number is None:
+            self._lease.report_lost(tenant)
+        else:
+            self._reports[number] = tenant
+
+    def _apply(self, tenant: str) -> None:
+        self._documents.set_quota_share(tenant, self._lease.share_of(tenant))
--- a/marlstep/cluster/interfaces.py
+++ b/marlstep/cluster/interfaces.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import enum
-from datetime import datetime
 from typing import Protocol
 
 from marlstep.cluster.wire import ExchangeMessage
@@ -126,10 +125,3 @@
 
     def set_quota_share(self, tenant: str, part: float) -> None:
         """Set the tenant's allowance on this node to that part of the whole, from 0 to 1."""
-
-
-class DeadlineSource(Protocol):
-    """Has work that falls due."""
-
-    def next_due(self, now: datetime) -> datetime | None:
-        """Return when it next needs a turn, or None where nothing is due."""
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -10,6 +10,8 @@
 from marlstep.cluster import wire
 from marlstep.cluster.admin import AdminCommands
 from marlstep.cluster.config_documents import ConfigDriver
+from marlstep.cluster.config_orders import ConfigOrders
+from marlstep.cluster.config_status import ConfigStatusReporter
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.group_identity import GroupIdentity
 from marlstep.cluster.health_checks import HealthCheckCoordinator
@@ -100,9 +102,7 @@
         self._status = StatusReporter(
             self.context, group, self.router, self.replica_driver, self.leases, self.task_driver
         )
-        self.admin = AdminCommands(
-            self.context, self.turns, self._status, self.membership, self.config_driver, results
-        )
+        self.admin = self._make_admin(results)
         self._add_handlers()
         self.leases.update_wanted()
 
@@ -132,9 +132,14 @@
         config = self.context.config.replicated_config
         if config is None or documents is None:
             return None
-        return ConfigDriver(
-            self.context, self.turns, self.router, self.replica_driver, config, documents, results
-        )
+        return ConfigDriver(self.context, self.turns, self.router, config, documents, results)
+
+    def _make_admin(self, results: OrderResults) -> AdminCommands:
+        orders = status = None
+        if self.config_driver is not None:
+            orders = ConfigOrders(self.context, self.turns, self.config_driver)
+            status = ConfigStatusReporter(self.context, self.replica_driver, self.config_driver)
+        return AdminCommands(self.context, self.turns, self._status, self.membership, orders, status, results)
 
     def _work_leases(self) -> list[str]:
         """Name the leases of tasks and of pools whose servers are checked for all nodes."""
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -253,7 +253,7 @@
     servers = {name: row["servers"] for name, row in POOLS.items()}
     contents: dict[str, object] = {"settings": SETTINGS, "tenants": ALLOWANCES, "servers": servers}
     for name, content in contents.items():  # as a node proposes its own file's where the group has none
-        rules.put(world.clock.now(), name, canonical_json(content), 0, "n6", "from the files of this node")
+        rules.put(name, canonical_json(content), 0, "n6", "from the files of this node")
         world.pass_time(500)
         acked_by_all(world, name)
     world.order("fleet/rules/get", {"doc": "settings"})
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -72,7 +72,7 @@
             "servers": {**SERVERS, "main": [*SERVERS["main"], "127.0.0.1:3"]},
         }
         for name, content in contents.items():
-            rules.put(world.clock.now(), name, canonical_json(content), 0, "n6", "first")
+            rules.put(name, canonical_json(content), 0, "n6", "first")
             world.pass_time(500)
             acked_by_all(world, name)
         put(world, "settings", SETTINGS, 1)
