--- /dev/null
+++ b/tests/cluster/test_order_tracker.py
@@ -0,0 +1,49 @@
+"""Operators' orders that wait for their results."""
+
+from __future__ import annotations
+
+import random
+from collections import OrderedDict
+from typing import Any
+
+import pytest
+
+from marlstep.cluster.errors import TooManyOrdersError
+from marlstep.cluster.order_tracker import OrderTracker
+from marlstep.leases.client import MAX_OUTBOUND_COMMANDS, GroupClient
+from marlstep.leases.settings import LeaseSettings
+from tests.support.node import START
+
+COMMAND = {"m": "rules", "do": "get", "doc": "settings"}
+
+
+def client() -> GroupClient:
+    return GroupClient("n1", "b1", ("n1",), LeaseSettings(), random.Random(1))
+
+
+def test_a_result_is_kept_with_the_order_that_it_answers() -> None:
+    results: OrderedDict[int, dict[str, Any]] = OrderedDict()
+    group = client()
+    tracker = OrderTracker(group, results, limit=10)
+    accepted = tracker.propose(START, "get", COMMAND)
+    tracker.collect()
+    assert results == {}
+    group.results[accepted["asked"]] = {"version": 3}
+    tracker.collect()
+    assert results == {accepted["asked"]: {"what": "get", "version": 3}}
+
+
+def test_the_oldest_results_are_dropped_beyond_the_limit() -> None:
+    results: OrderedDict[int, dict[str, Any]] = OrderedDict()
+    tracker = OrderTracker(client(), results, limit=2)
+    for number in range(4):
+        tracker.record(number, {"what": "get"})
+    assert list(results) == [2, 3]
+
+
+def test_an_order_is_rejected_while_too_many_commands_wait() -> None:
+    tracker = OrderTracker(client(), OrderedDict(), limit=2)
+    for _ in range(MAX_OUTBOUND_COMMANDS):
+        tracker.propose(START, "get", COMMAND)
+    with pytest.raises(TooManyOrdersError, match="too much is asked for already"):
+        tracker.propose(START, "get", COMMAND)
--- /dev/null
+++ b/tests/cluster/test_relay.py
@@ -0,0 +1,87 @@
+"""The relay between two processes of a node."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from marlstep.cluster.relay import RelayAnnouncer
+from marlstep.consensus.replica import JoinRequest
+from marlstep.leases.messages import RelayAnnouncement
+from tests.cluster.support import NodeParts
+
+SUCCESSOR = "n1/next"
+JOIN = JoinRequest("n2", "n2#x")
+
+
+def announced(parts: NodeParts, sender: str = SUCCESSOR, holder: str = SUCCESSOR, port: int = 7999) -> None:
+    parts.deliver(parts.envelope(sender, "n1", RelayAnnouncement(holder, port)))
+
+
+def test_messages_to_and_from_the_successor_are_forwarded(tmp_path: Path) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        announced(parts)
+        assert parts.relay.has_successor
+        assert parts.transport.addresses == {SUCCESSOR: (parts.config.listen[0], 7999)}
+        to_successor = parts.envelope("n2", SUCCESSOR, JOIN)
+        from_successor = parts.envelope(SUCCESSOR, "n3", JOIN)
+        parts.deliver(to_successor)
+        parts.deliver(from_successor)
+        assert parts.transport.sent == [(SUCCESSOR, to_successor), ("n3", from_successor)]
+
+    asyncio.run(course())
+
+
+@pytest.mark.parametrize(("sender", "holder"), [("n2/b", "n2/b"), ("n2/b", SUCCESSOR), (SUCCESSOR, "n2/b")])
+def test_an_announcement_counts_only_from_a_process_of_this_node_itself(
+    sender: str, holder: str, tmp_path: Path
+) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        announced(parts, sender, holder)
+        assert not parts.relay.has_successor
+        assert parts.transport.addresses == {}
+
+    asyncio.run(course())
+
+
+def test_a_later_successor_takes_the_place_of_the_earlier(tmp_path: Path) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        announced(parts)
+        announced(parts, "n1/third", "n1/third", 7998)
+        assert parts.transport.addresses == {"n1/third": (parts.config.listen[0], 7998)}
+
+    asyncio.run(course())
+
+
+def test_a_process_that_is_a_successor_itself_does_not_relay(tmp_path: Path) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        announced(parts)
+        parts.context.process.relay_port = 7000
+        parts.deliver(parts.envelope("n2", SUCCESSOR, JOIN))
+        assert parts.transport.sent == []
+
+    asyncio.run(course())
+
+
+def test_the_successor_repeats_its_announcement_until_it_has_the_address(tmp_path: Path) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        announcer = RelayAnnouncer(parts.context, parts.router)
+        announcer.tick(parts.clock.now())
+        assert parts.transport.sent == []
+        assert announcer.next_due() is None
+        parts.context.process.relay_port = 7999
+        for _ in range(7):
+            announcer.tick(parts.clock.now())
+            parts.clock.advance(100)
+        messages = [envelope.message for _, envelope in parts.transport.sent]
+        assert messages == [RelayAnnouncement(parts.context.process_name, 7999)] * 3
+        assert announcer.next_due() is not None
+
+    asyncio.run(course())
