--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from marlstep.config.cluster import TaskConfig
+from marlstep.cluster.interfaces import Step, StepObserver
+from marlstep.config.fleet import TaskConfig
 from marlstep.core.engine import Core, Refused
 from marlstep.core.model import Answer, Backend, Offer, Request, Ticket, Verdict
 from marlstep.fronts.uwsgi_wire import write_packet
@@ -89,6 +90,7 @@
         pool_of: Callable[[str], str],
         holder: str,
         class_variable: str,
+        observer: StepObserver,
     ) -> None:
         """`timeline` is that of the core, `steady` the monotonic one that leases are counted by."""
         self._core, self._timeline, self._steady = core, timeline, steady
@@ -97,7 +99,7 @@
         self._holder, self._class_variable = holder, class_variable
         self._requests: dict[int, TaskRequest] = {}
         self._number = 0
-        self.on_step: Callable[[str], None] = lambda step: None  # the rig's hook; nothing in the product
+        self._observer = observer
 
     def execute(
         self,
@@ -157,7 +159,7 @@
         acting.started = True
         self._steady.cancel(acting.deadline)
         number = request.ticket[1]
-        self.on_step("leaving")
+        self._observer.reached(Step.REQUEST_STARTING)
         until: datetime = self._steady.now() + acting.task.plan.timeout
         acting.deadline = self._steady.at(until, lambda: self._on_deadline(number))
         return True
