--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -445,8 +445,8 @@
         self._save(voter)
         while voter.events:
             change = voter.events.popleft()
-            log.info("fleet: %s (%s)", change.what, change.reason)
-            self.note(change.what, change.reason)
+            log.info("fleet: %s (%s)", change.summary, change.reason)
+            self.note(change.summary, change.reason)
         if voter.raft.log_regressed:
             self._start_anew("the leader knows that more was durable here than the store has")
             return
@@ -803,7 +803,7 @@
             "drifts": self._drifts,
             "heard_ms": None if cut_off is None else cut_off // MILLISECOND,
             "asked_ms": [round(took / MILLISECOND, 2) for took in self.client.command_latencies],
-            "voter": None if voter is None else voter.status(),
+            "voter": None if voter is None else voter.status().to_json(),
             "lines": dict(self.transport.counts),
             "counts": dict(self.counts),
         }
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -1,129 +1,100 @@
-"""One voter whole: its part in the log, the machines on it, and what it does for nodes while it leads.
+"""A replica: one member of the Raft group, with its state machines and, while it leads, the leader's duties.
 
-Still without I/O: what drives it stores and sends what it says, on sockets or on a virtual network.
+It does no I/O: its driver stores and sends what it returns, on sockets or on a simulated network.
 """
 
 from __future__ import annotations
 
-import contextlib
 from collections import deque
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
-from datetime import datetime, timedelta
-from typing import Any
+from datetime import datetime
+from typing import NamedTuple
 
 import orjson
 
-from marlstep.consensus.configuration_change import ConfigurationChangeRejectedError
+from marlstep.consensus.group_membership import GroupMembership
+from marlstep.consensus.leader_duties import LeaderDuties, MachineName, ReplicatedState
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
-from marlstep.consensus.raft import Raft, RaftTiming, RandomSource, Ready
+from marlstep.consensus.raft import Raft, RandomSource, Ready
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest, Message
-from marlstep.consensus.state_machine import (
-    Command,
-    CommandJson,
-    ResultJson,
-    StateMachine,
-    StateMachines,
-    command_json,
-)
-from marlstep.leases.manager import LeaseManager, no_quota_shares
+from marlstep.consensus.replica_settings import ReplicaSettings, node_of
+from marlstep.consensus.replica_status import COUNTERS, ReplicaEvent, ReplicaStatus
+from marlstep.consensus.state_machine import CommandJson, ResultJson, StateMachine, StateMachines
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
-from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.membership.quotas import QuotaBalancer, QuotaTable
-from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
 from marlstep.replicated_config.documents import CHUNK_CHARACTERS
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
-from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
-from marlstep.replicated_config.store import ConfigStore
-from marlstep.units import MILLISECOND, SECOND
 
-COMPACTION_THRESHOLD = 2_000  # entries behind the snapshot
+__all__ = ["COMPACTION_THRESHOLD", "AppliedCommand", "Replica", "ReplicaEvent", "ReplicaSettings", "node_of"]
+
+COMPACTION_THRESHOLD = 2_000  # applied entries after the snapshot, at which the log is compacted
 ENTRIES_KEPT_AFTER_COMPACTION = 500  # of them, for members that lag a little
 APPLIED_HISTORY_LENGTH = 256
-STANDINGS_PER_PAGE = 50  # processes that one answer tells of: a message has its limit
-MAX_LAG_TO_VOTE = 32  # entries that a learner may be behind to become a voter
-JOIN_REQUEST_EXPIRY = (
-    5 * SECOND
-)  # a voter that is silent for so long may be replaced by its node's new identity
-
-
-@dataclass(slots=True, frozen=True)
-class ReplicaEvent:
-    """Of who leads or votes, for the log."""
-
-    what: str
-    reason: str
-
+STANDINGS_QUERY = "standings"  # a request's machine name that the leader answers without the log
+STANDINGS_PER_PAGE = 50  # processes in one answer, as a message's size is limited
+MISSING_DOCUMENT_LENGTH = -1  # the length that a chunk of an unknown document version states
 
-def node_of(identity: str) -> str:
-    """Of a voter's identity (`node#store`) or of a process's name (`node/boot`)."""
-    return identity.partition("#")[0].partition("/")[0]
 
+class AppliedCommand(NamedTuple):
+    """A command that the state machines have applied, with its entry's index."""
 
-@dataclass(slots=True, frozen=True)
-class ReplicaSettings:
-    timing: RaftTiming
-    leases: LeaseSettings
-    eligible_nodes: tuple[str, ...]  # nodes that may vote
-    roster: RosterSettings | None = None  # where the group keeps a list of who belongs to the fleet
-    quotas: bool = False  # tenants' allowances are for the whole service
+    log_index: int
+    command: CommandJson
+    result: ResultJson
 
 
 class Replica:
+    """One member of the group, as its driver sees it."""
+
     def __init__(
         self,
-        me: str,
+        identity: str,
         saved: PersistentState,
         settings: ReplicaSettings,
         machines: Callable[[LeaseTable], Mapping[str, StateMachine]],
-        chance: RandomSource,
+        random_source: RandomSource,
         now: datetime,
     ) -> None:
-        """`machines` gives those beside the leases, which may look at the table of these.
+        """Start from what the store gave back.
+
+        `machines` makes the state machines beside the lease table, which they may read.
 
-        Raises ValueError where the snapshot can't be read by them.
+        Raises:
+            ValueError: The state machines cannot read the stored snapshot.
         """
-        self.identity, self.node, self.settings = me, node_of(me), settings
-        self.raft = Raft(me, saved, settings.timing, chance, now)
+        self.identity, self.node, self.settings = identity, node_of(identity), settings
+        self.raft = Raft(identity, saved, settings.timing, random_source, now)
         self.leases = LeaseTable()
-        self.machines = StateMachines({"leases": self.leases, **machines(self.leases)})
+        self.machines = StateMachines({MachineName.LEASES: self.leases, **machines(self.leases)})
         if saved.snapshot.data:
             self.machines.restore(saved.snapshot.data)
-        self.lease_manager = LeaseManager(self.leases, settings.leases)
-        book = self.machines.machines.get("rules")
-        self.config_store: ConfigStore | None = book if isinstance(book, ConfigStore) else None
-        self.rollout = RolloutMonitor()
-        agreed = self.machines.machines.get("members")
-        self.roster: Roster | None = agreed if isinstance(agreed, Roster) else None
-        shares = self.machines.machines.get("shares")
-        self.quotas: QuotaTable | None = shares if isinstance(shares, QuotaTable) else None
-        self.quota_balancer = QuotaBalancer()
-        self.roster_controller = RosterController(settings.roster or RosterSettings())
-        self._committing: set[tuple[str, int]] = set()
-        self.events: deque[ReplicaEvent] = deque()  # for whoever drives it to log
-        self.applied: deque[tuple[int, CommandJson, ResultJson]] = deque(maxlen=APPLIED_HISTORY_LENGTH)
-        self.counts = dict.fromkeys(("commands", "elections", "beats", "asks", "snapshots", "drifting"), 0)
-        self._leadership_term = 0  # the term in which the keeper was told that this voter leads
-        self._pending_requests: dict[tuple[str, int], str] = {}  # who waits for which command
+        state = ReplicatedState.of(self.leases, self.machines)
+        self.config_store, self.roster, self.quotas = state.config_store, state.roster, state.quotas
+        self.events: deque[ReplicaEvent] = deque()  # for the driver to log and to remove
+        self.duties = LeaderDuties(self.node, self.raft, state, settings, self.events)
+        self.lease_manager, self.rollout = self.duties.lease_manager, self.duties.rollout
+        self.roster_controller = self.duties.roster_controller
+        self.group = GroupMembership(self.raft, self.events)
+        self.applied: deque[AppliedCommand] = deque(maxlen=APPLIED_HISTORY_LENGTH)
+        self.counts = dict.fromkeys(COUNTERS, 0)
+        self._pending_requests: dict[tuple[str, int], str] = {}  # sender by client and number
         self._outbox: list[tuple[str, Message]] = []
-        self._join_requests: dict[str, datetime] = {}  # identities that wait to be taken in
-        self._next_reconcile = now  # when to look again whether the group is as it should be
+        self._next_reconcile = now
         self._last_known_leader = ""
 
-    # What comes in.
+    # Input.
 
     def step(self, now: datetime, sender: str, message: Message) -> None:
-        """A message from another member of the group or from a node."""
+        """Handle a message of another member or of a node."""
         match message:
             case Heartbeat():
                 self._handle_heartbeat(now, sender, message)
             case CommandRequest():
                 self._handle_command_request(now, sender, message)
             case JoinRequest():
-                self._handle_join_request(now, sender, message)
+                self.group.handle_join_request(now, sender, message, self.settings.eligible_nodes)
             case FetchChunk():
-                self._handle_fetch(sender, message)
+                self._handle_fetch_chunk(sender, message)
             case (
                 CommandResponse()
                 | HeartbeatResponse()
@@ -131,340 +102,189 @@
                 | DocumentChunk()
                 | RelayAnnouncement()
             ):
-                pass  # of a node's own part, not of a voter's
+                pass  # for the node's client of the group
             case _:
                 self.raft.step(now, sender, message)
         self._advance(now)
 
     def tick(self, now: datetime) -> None:
+        """Do what is due by time."""
         self.raft.tick(now)
         self._advance(now)
 
     def next_due(self) -> datetime:
-        due = self.raft.next_due()
-        leases = self.lease_manager.next_due() if self.raft.is_established_leader else None
-        return due if leases is None else min(due, leases)
+        """Return the time at which `tick` has something to do."""
+        raft_due = self.raft.next_due()
+        duties_due = self.duties.next_due() if self.raft.is_established_leader else None
+        return raft_due if duties_due is None else min(raft_due, duties_due)
 
-    def _handle_heartbeat(self, now: datetime, sender: str, beat: Heartbeat) -> None:
+    def transfer_leadership(self) -> str | None:
+        """Hand the leadership over; return the identity of the next leader, None where no voter is ready."""
+        return self.raft.transfer_leadership()
+
+    def _handle_heartbeat(self, now: datetime, sender: str, heartbeat: Heartbeat) -> None:
         if not self.raft.is_established_leader:
-            self._outbox.append((sender, HeartbeatResponse(beat.number, False, node_of(self.raft.leader))))
+            redirect = HeartbeatResponse(heartbeat.number, False, node_of(self.raft.leader))
+            self._outbox.append((sender, redirect))
             return
         self.counts["beats"] += 1
-        for command in self.lease_manager.handle_heartbeat(now, beat, self.raft.heartbeat_round + 1):
-            self._propose(now, command)
+        self.duties.handle_heartbeat(now, heartbeat)
 
-    def _handle_command_request(self, now: datetime, sender: str, ask: CommandRequest) -> None:
-        known = (
-            self.machines.cached_result(ask.client, ask.number) if self.raft.is_established_leader else None
-        )
-        if known is not None:
-            self._outbox.append((sender, CommandResponse(ask.number, True, self.node, _write(known))))
-        elif not self.raft.is_established_leader:
-            self._outbox.append((sender, CommandResponse(ask.number, False, node_of(self.raft.leader))))
-        elif (ask.client, ask.number) not in self._pending_requests:
-            self.counts["asks"] += 1
-            try:
-                command = orjson.loads(ask.command)
-            except ValueError:
-                command = None
-            if not isinstance(command, dict):
-                refused = _write({"error": "no command: an object is wanted"})
-                self._outbox.append((sender, CommandResponse(ask.number, True, self.node, refused)))
-                return
-            if command.get("m") == "standings":  # nothing for the log: what this one has heard
-                rows, first = self.process_standings(now), command.get("from")
-                first = first if isinstance(first, int) and first >= 0 else 0
-                told = {"standings": rows[first : first + STANDINGS_PER_PAGE], "of": len(rows)}
-                self._outbox.append((sender, CommandResponse(ask.number, True, self.node, _write(told))))
-                return
-            self._pending_requests[ask.client, ask.number] = sender
-            self._propose(now, {**command, "by": ask.client, "no": ask.number})
-
-    def _handle_fetch(self, sender: str, asked: FetchChunk) -> None:
-        """A piece of a document, for a node that has no log."""
+    def _handle_fetch_chunk(self, sender: str, request: FetchChunk) -> None:
+        """Send a chunk of a document to a node that has no log."""
         if self.config_store is None or not self.raft.is_established_leader:
             return
-        content = self.config_store.content(asked.name, asked.version)
+        content = self.config_store.content(request.name, request.version)
         if content is None:
-            self._outbox.append((sender, DocumentChunk(asked.name, asked.version, asked.offset, -1, "")))
-        elif 0 <= asked.offset < max(1, len(content)):
-            data = content[asked.offset : asked.offset + CHUNK_CHARACTERS]
-            self._outbox.append(
-                (sender, DocumentChunk(asked.name, asked.version, asked.offset, len(content), data))
-            )
-
-    def _propose(self, now: datetime, command: Command | CommandJson) -> None:
-        self.raft.propose(_write(command_json(command)))
-
-    # Who is in the group.
-
-    def _handle_join_request(self, now: datetime, sender: str, join: JoinRequest) -> None:
-        node = join.node
-        if (
-            node in self.settings.eligible_nodes
-            and node_of(join.identity) == node
-            and sender == join.identity
-        ):
-            self._join_requests[join.identity] = now
-
-    def _reconcile_configuration(self, now: datetime) -> None:
-        """One step at a time: take in who waits, let it vote once it has caught up in its old self's place."""
-        raft = self.raft
-        if not raft.is_established_leader or raft.log.configuration_index > raft.commit_index:
+            length, data = MISSING_DOCUMENT_LENGTH, ""
+        elif 0 <= request.offset < max(1, len(content)):
+            length, data = len(content), content[request.offset : request.offset + CHUNK_CHARACTERS]
+        else:
             return
-        group = raft.configuration
-        for identity in group.members:
-            if node_of(identity) not in self.settings.eligible_nodes and self._remove_member(
-                now, group, identity
-            ):
-                return
-        for identity, asked in list(self._join_requests.items()):
-            if identity in group.voters or asked < now - JOIN_REQUEST_EXPIRY:
-                del self._join_requests[identity]
-            elif identity not in group.learners:
-                others = tuple(one for one in group.learners if node_of(one) != node_of(identity))
-                self._change_configuration(
-                    now, Configuration(group.voters, (*others, identity)), f"{identity} listens"
-                )
-                return
-            elif self._is_caught_up(now, identity):
-                before = [one for one in group.voters if node_of(one) == node_of(identity)]
-                left = [one for one in group.voters if one not in before]
-                if before and len(group.voters) > 1:
-                    if all(self._is_silent(now, one) for one in before) and self._majority_is_alive(
-                        now, left
-                    ):
-                        voters, learners = tuple(left), group.learners
-                        self._change_configuration(
-                            now, Configuration(voters, learners), f"{before[0]} is replaced by {identity}"
-                        )
-                elif not before:
-                    learners = tuple(one for one in group.learners if one != identity)
-                    self._change_configuration(
-                        now, Configuration((*group.voters, identity), learners), f"{identity} votes"
-                    )
-                return
-
-    def _remove_member(self, now: datetime, group: Configuration, identity: str) -> bool:
-        """A member whose node is not named any more goes, where the others can do without it."""
-        voters = [one for one in group.voters if one != identity]
-        learners = tuple(one for one in group.learners if one != identity)
-        if not voters or not self._majority_is_alive(now, voters):
-            return False
-        self._change_configuration(
-            now, Configuration(tuple(voters), learners), f"{identity} goes, as its node is not named any more"
-        )
-        return True
-
-    def _change_configuration(self, now: datetime, group: Configuration, why: str) -> None:
-        with contextlib.suppress(ConfigurationChangeRejectedError):
-            self.raft.change_configuration(group)
-            self.events.append(ReplicaEvent(f"group: {why}", "asked by its node"))
-
-    def _is_caught_up(self, now: datetime, identity: str) -> bool:
-        peer = self.raft.progress.get(identity)
-        return (
-            peer is not None
-            and peer.match_index > 0
-            and self.raft.replication_lag(identity) <= MAX_LAG_TO_VOTE
-        )
+        chunk = DocumentChunk(request.name, request.version, request.offset, length, data)
+        self._outbox.append((sender, chunk))
 
-    def _is_silent(self, now: datetime, identity: str) -> bool:
-        """Its node has another store now: the old self can't come back, unless it is this very voter."""
-        peer = self.raft.progress.get(identity)
-        return identity != self.identity and (
-            peer is None or peer.last_contact is None or peer.last_contact < now - self._contact_timeout
-        )
+    # Commands of clients.
+
+    def _handle_command_request(self, now: datetime, sender: str, request: CommandRequest) -> None:
+        if not self.raft.is_established_leader:
+            redirect = CommandResponse(request.number, False, node_of(self.raft.leader))
+            self._outbox.append((sender, redirect))
+            return
+        cached = self.machines.cached_result(request.client, request.number)
+        if cached is not None:
+            self._respond(sender, request.number, cached)
+        elif (request.client, request.number) not in self._pending_requests:
+            self.counts["asks"] += 1
+            self._handle_new_command(now, sender, request)
 
-    @property
-    def _contact_timeout(self) -> timedelta:
-        return 2 * self.raft.timing.election_timeout
+    def _handle_new_command(self, now: datetime, sender: str, request: CommandRequest) -> None:
+        command = _parse_object(request.command)
+        if command is None:
+            self._respond(sender, request.number, {"error": "no command: an object is wanted"})
+        elif command.get("m") == STANDINGS_QUERY:
+            self._respond(sender, request.number, self._standings_page(now, command.get("from")))
+        else:
+            self._pending_requests[request.client, request.number] = sender
+            self.raft.propose(_to_json_text({**command, "by": request.client, "no": request.number}))
 
-    def _majority_is_alive(self, now: datetime, voters: list[str]) -> bool:
-        """A majority of them has been heard of late: without the one that goes they can go on."""
-        heard = sum(one == self.identity or not self._is_silent(now, one) for one in voters)
-        return heard >= len(voters) // 2 + 1
+    def _standings_page(self, now: datetime, requested_start: object) -> ResultJson:
+        standings = [standing.to_json() for standing in self.duties.process_standings(now)]
+        start = requested_start if isinstance(requested_start, int) and requested_start >= 0 else 0
+        return {"standings": standings[start : start + STANDINGS_PER_PAGE], "of": len(standings)}
 
-    # What follows.
+    def _respond(self, to: str, number: int, result: ResultJson) -> None:
+        self._outbox.append((to, CommandResponse(number, True, self.node, _to_json_text(result))))
+
+    # Progress after each input.
 
     def _advance(self, now: datetime) -> None:
-        raft = self.raft
-        for item in raft.take_committed():
-            if isinstance(item, Snapshot):
-                if item.data:
-                    self.machines.restore(item.data)
-                self.counts["snapshots"] += 1
-            elif item.entry_type is EntryType.COMMAND:
-                self._apply(now, item)
-            elif item.entry_type is EntryType.CONFIGURATION:
-                self.events.append(
-                    ReplicaEvent(f"group is now {Configuration.decode(item.body).voters}", "committed")
-                )
-        if raft.is_established_leader and self._leadership_term != raft.term:
-            self._leadership_term = raft.term
-            self.counts["elections"] += 1
-            self.lease_manager.become_leader(now)
-            self.rollout.become_leader()
-            self.roster_controller.become_leader(now)
-            self.quota_balancer.become_leader()
-            self._publish_roster()
-            self._committing.clear()
-        elif not raft.is_leader and self._leadership_term:
-            self._leadership_term = 0
-            self._pending_requests.clear()
-            self._join_requests.clear()
-            self.lease_manager.step_down()
-        if raft.is_established_leader:
-            for command in self.lease_manager.tick(now):
-                self._propose(now, command)
-            if self.config_store is not None:
-                self._reconcile_config_versions(now, self.config_store)
-            news = () if self.config_store is None else self.config_store.statuses()
-            shares = no_quota_shares if self.quotas is None else self.quotas.shares_of
-            self._outbox += self.lease_manager.take_responses(
-                now, raft.confirmed_round, self.node, raft.term, news, shares
-            )
-            for holder, error in self.lease_manager.detected_drifts:
-                self.counts["drifting"] += 1
-                what = f"the clock of {holder} errs by {error:+.1%} against this one"
-                self.events.append(ReplicaEvent(what, "beyond the stated drift: only tokens protect from it"))
-            self.lease_manager.detected_drifts.clear()
-            if now >= self._next_reconcile:
-                self._next_reconcile = now + raft.timing.heartbeat_interval
-                self._reconcile_configuration(now)
-                if self.settings.roster is not None and self.roster is not None:
-                    self._reconcile_roster(now, self.roster)
-                if self.settings.quotas and self.quotas is not None and self.config_store is not None:
-                    for command in self.quota_balancer.rebalance(
-                        now, self.quotas, self.config_store.allowances(), self._demands()
-                    ):
-                        self._propose(now, command)
-        if raft.last_applied - raft.log.snapshot.index >= COMPACTION_THRESHOLD:
-            raft.compact(self.machines.snapshot, ENTRIES_KEPT_AFTER_COMPACTION)
-        if raft.leader != self._last_known_leader:
-            before, self._last_known_leader = self._last_known_leader, raft.leader
-            why = f"term {raft.term}, before: {before or 'none'}"
-            self.events.append(ReplicaEvent(f"leader is {raft.leader or 'unknown'}", why))
-
-    def _reconcile_config_versions(self, now: datetime, book: ConfigStore) -> None:
-        """A change that all who act have said they can take comes into force."""
-        for name, version in book.ready_to_commit():
-            if (name, version) not in self._committing:
-                self._committing.add((name, version))
-                self._propose(now, {"m": "rules", "do": "commit", "doc": name, "version": version})
-        if not book.active_rollouts():
-            return
-        beats = {holder: ReceivedHeartbeat(beat, at) for holder, beat, at in self.lease_manager.heartbeats()}
-        for one in self.rollout.evaluate(now, book, beats, self.settings.leases.term_of(CONFIG_LEASE_PREFIX)):
-            if (one.name, one.version) not in self._committing:
-                self._committing.add((one.name, one.version))
-                told = {"m": "rules", "doc": one.name, "version": one.version, "why": one.reason}
-                self._propose(
-                    now, told | ({"do": "commit", "whole": True} if one.promote else {"do": "withdraw"})
-                )
-                way = "goes on to all" if one.promote else "goes back"
-                self.events.append(
-                    ReplicaEvent(f"staged version {one.version} of {one.name} {way}", one.reason)
-                )
-
-    def _demands(self) -> dict[str, dict[str, float]]:
-        return {
-            holder: {tenant: per_ks / 1000 for tenant, per_ks in beat.tenant_demand}
-            for holder, beat, _ in self.lease_manager.heartbeats()
-        }
-
-    def _publish_roster(self) -> None:
-        """Before anybody belongs all may have tasks: the first are taken in only after a term and a probation."""
-        if self.settings.roster is not None and self.roster is not None:
-            self.lease_manager.set_eligible_nodes(self.roster.members() or None)
-
-    def _reconcile_roster(self, now: datetime, agreed: Roster) -> None:
-        words = {
-            holder: FailureReport(node_of(holder), at, frozenset(beat.failed_nodes))
-            for holder, beat, at in self.lease_manager.heartbeats()
-        }
-        holds = frozenset(lease.node for lease in self.leases.leases.values() if lease.holder)
-        leases = self.settings.leases
-        for command in self.roster_controller.reconcile(
-            now, agreed, words, holds, max(leases.term, leases.config_term)
-        ):
-            self.events.append(
-                ReplicaEvent(f"{command['do']} {command['node']}", command.get("why", "it is heard"))
-            )
-            self._propose(now, command)
-
-    def process_standings(self, now: datetime) -> list[dict[str, Any]]:
-        """What each process has said of itself, as far as this leader has heard."""
-        rows = []
-        for holder, beat, at in self.lease_manager.heartbeats():
-            until = self.lease_manager.expiry_of(CONFIG_LEASE_PREFIX + holder)
-            rows.append(
-                {
-                    "process": holder,
-                    "heard_ms": (now - at) // MILLISECOND,
-                    "lease_ms": 0 if until is None else max(0, (until - now) // MILLISECOND),
-                    "acts": [list(row) for row in beat.document_states],
-                    "figures": list(beat.request_counts),
-                }
-            )
-        return sorted(rows, key=lambda row: str(row["process"]))
-
-    def _apply(self, now: datetime, entry: LogEntry) -> None:
+        self._apply_committed(now)
+        self._observe_leadership(now)
+        if self.raft.is_established_leader:
+            self._lead(now)
+        self._compact_if_needed()
+        self._report_leader_change()
+
+    def _apply_committed(self, now: datetime) -> None:
+        for committed in self.raft.take_committed():
+            if isinstance(committed, Snapshot):
+                self._restore(committed)
+            elif committed.entry_type is EntryType.COMMAND:
+                self._apply_command(now, committed)
+            elif committed.entry_type is EntryType.CONFIGURATION:
+                voters = Configuration.decode(committed.body).voters
+                self.events.append(ReplicaEvent(f"group is now {voters}", "committed"))
+
+    def _restore(self, snapshot: Snapshot) -> None:
+        if snapshot.data:
+            self.machines.restore(snapshot.data)
+        self.counts["snapshots"] += 1
+
+    def _apply_command(self, now: datetime, entry: LogEntry) -> None:
         command, result = self.machines.apply(entry.body)
         self.counts["commands"] += 1
-        self.applied.append((entry.index, command, result))
-        if command.get("m") == "leases" and self._leadership_term == self.raft.term:
-            self.lease_manager.on_applied(now, command, result, self.raft.heartbeat_round + 1)
-        if command.get("m") == "rules" and command.get("do") != "part":
-            self._committing.discard((str(command.get("doc")), command.get("version", 0)))
-            if self._leadership_term == self.raft.term and ("acked" not in result):
-                self.lease_manager.push_to_all(self.raft.heartbeat_round + 1)
-        if command.get("m") == "members":
-            self._publish_roster()
-        if command.get("m") == "shares" and self._leadership_term == self.raft.term and "part" in result:
-            self.lease_manager.push_to(result["holder"], self.raft.heartbeat_round + 1)
-        by, number = command.get("by"), command.get("no")
-        if isinstance(by, str) and isinstance(number, int):
-            waiting = self._pending_requests.pop((by, number), None)
-            if waiting is not None:
-                self._outbox.append((waiting, CommandResponse(number, True, self.node, _write(result))))
-
-    # What goes out.
+        self.applied.append(AppliedCommand(entry.index, command, result))
+        self.duties.handle_applied(now, command, result)
+        client, number = command.get("by"), command.get("no")
+        if isinstance(client, str) and isinstance(number, int):
+            sender = self._pending_requests.pop((client, number), None)
+            if sender is not None:
+                self._respond(sender, number, result)
+
+    def _observe_leadership(self, now: datetime) -> None:
+        if self.raft.is_established_leader and not self.duties.is_current:
+            self.counts["elections"] += 1
+            self.duties.start_term(now)
+        elif not self.raft.is_leader and self.duties.is_active:
+            self.duties.step_down()
+            self._pending_requests.clear()
+            self.group.clear()
+
+    def _lead(self, now: datetime) -> None:
+        self.duties.expire_and_grant_leases(now)
+        self.duties.activate_config_versions(now)
+        self._outbox += self.duties.take_heartbeat_responses(now)
+        self.counts["drifting"] += self.duties.report_drifting_clocks()
+        if now >= self._next_reconcile:
+            self._next_reconcile = now + self.raft.timing.heartbeat_interval
+            self.group.reconcile(now, self.settings.eligible_nodes)
+            self.duties.reconcile_roster(now)
+            self.duties.rebalance_quotas(now)
+
+    def _compact_if_needed(self) -> None:
+        if self.raft.last_applied - self.raft.log.snapshot.index >= COMPACTION_THRESHOLD:
+            self.raft.compact(self.machines.snapshot, ENTRIES_KEPT_AFTER_COMPACTION)
+
+    def _report_leader_change(self) -> None:
+        leader = self.raft.leader
+        if leader != self._last_known_leader:
+            reason = f"term {self.raft.term}, before: {self._last_known_leader or 'none'}"
+            self.events.append(ReplicaEvent(f"leader is {leader or 'unknown'}", reason))
+            self._last_known_leader = leader
+
+    # Output for the driver.
 
     def take_immediate_messages(self, now: datetime) -> list[tuple[str, Message]]:
-        """To be sent at once."""
-        out, self._outbox = self._outbox, []
-        out += self.raft.take_immediate_messages(now)
-        return out
+        """Return the messages that may be sent at once, each once."""
+        messages, self._outbox = self._outbox, []
+        messages += self.raft.take_immediate_messages(now)
+        return messages
 
     def take_ready(self) -> Ready | None:
-        """To be made durable, its messages to be sent after that, and then told to `synced`."""
+        """Return state to make durable and messages to send after that; then call `acknowledge_durable`."""
         return self.raft.take_ready()
 
     def acknowledge_durable(self, now: datetime, ready: Ready) -> None:
+        """Note that the state of `ready` is durable."""
         self.raft.acknowledge_durable(ready)
         self._advance(now)
 
-    def transfer_leadership(self) -> str | None:
-        """Hand the leadership over; return the identity of the next leader, None where no voter is ready."""
-        return self.raft.transfer_leadership()
-
-    def status(self) -> dict[str, Any]:
+    def status(self) -> ReplicaStatus:
+        """Return the state that operators are shown."""
         raft = self.raft
-        return {
-            "identity": self.identity,
-            "role": raft.role.value,
-            "term": raft.term,
-            "leader": raft.leader,
-            "last": raft.log.last_index,
-            "commit": raft.commit_index,
-            "snapshot": raft.log.snapshot.index,
-            "voters": list(raft.configuration.voters),
-            "learners": list(raft.configuration.learners),
-            "lag": {one: raft.replication_lag(one) for one in raft.progress} if raft.is_leader else {},
-            "counts": dict(self.counts),
-        }
-
-
-def _write(value: object) -> str:
+        return ReplicaStatus(
+            identity=self.identity,
+            role=raft.role.value,
+            term=raft.term,
+            leader=raft.leader,
+            last_index=raft.log.last_index,
+            commit_index=raft.commit_index,
+            snapshot_index=raft.log.snapshot.index,
+            voters=raft.configuration.voters,
+            learners=raft.configuration.learners,
+            lag={member: raft.replication_lag(member) for member in raft.progress} if raft.is_leader else {},
+            counts=dict(self.counts),
+        )
+
+
+def _parse_object(text: str) -> CommandJson | None:
+    try:
+        command = orjson.loads(text)
+    except ValueError:
+        return None
+    return command if isinstance(command, dict) else None
+
+
+def _to_json_text(value: CommandJson) -> str:
     return orjson.dumps(value).decode()
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/drill/explore_rules.py
@@ -277,7 +277,7 @@
 
 
 def book_key(voter: Replica) -> tuple[Any, ...]:
-    return tuple(voter._pending_requests), tuple(sorted(voter._committing))
+    return tuple(voter._pending_requests), tuple(sorted(voter.duties.proposed_decisions))
 
 
 def lapsed(breakage: Breakage, strict: bool, voters: tuple[str, ...]) -> RulesState:
