--- a/marlstep/consensus/election.py
+++ b/marlstep/consensus/election.py
@@ -145,7 +145,7 @@
 
     def _request_votes(self, term: int, *, pre_vote: bool, leadership_transfer: bool) -> None:
         request = RequestVote(term, pre_vote, leadership_transfer, self._log.last_index, self._log.last_term)
-        # The candidate's own vote counts only when it is durable, so it too takes the way of a message.
+        # The candidate's own vote counts only when it is durable, so it too is sent as a message.
         own_vote = RequestVoteResponse(self.term, term, pre_vote, granted=True)
         for voter in self._log.configuration.voters:
             self._outbox.send_after_sync(voter, own_vote if voter == self.identity else request)
--- a/marlstep/consensus/replica_messages.py
+++ b/marlstep/consensus/replica_messages.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandRequest:
-    """A named command from a node, sent again until it is told."""
+    """A command of a client, which sends it again until it gets a response (section 8 of the paper)."""
 
     wire_tag: ClassVar[str] = "Ask"
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandResponse:
-    """`done`: it was applied, and this is its result, as JSON. Else: ask that node."""
+    """The answer to a command: its result as JSON if it was applied, otherwise the node to ask next."""
 
     wire_tag: ClassVar[str] = "Told"
 
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JoinRequest:
-    """A store without a past asks to be taken in: first to listen, and to vote once it has caught up."""
+    """A replica with an empty store asks to join the group, first as a learner."""
 
     wire_tag: ClassVar[str] = "Join"
 
--- /dev/null
+++ b/tests/consensus/test_configuration_change.py
@@ -0,0 +1,32 @@
+"""Changes of the configuration by one voter at a time."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+import pytest
+
+from marlstep.consensus.configuration_change import ConfigurationChangeRejectedError
+from marlstep.consensus.log import Configuration, PersistentState
+from tests.consensus.support import RaftCluster
+
+
+def test_voters_are_added_and_removed_one_at_a_time() -> None:
+    cluster = RaftCluster()
+    leader = cluster.leader()
+    four = (*leader.configuration.voters, "v3#1")
+    with pytest.raises(ConfigurationChangeRejectedError, match="one voter"):
+        leader.change_configuration(Configuration((*four, "v4#1")))
+    leader.change_configuration(Configuration(leader.configuration.voters, ("v3#1",)))
+    with pytest.raises(ConfigurationChangeRejectedError, match="not committed"):
+        leader.change_configuration(Configuration(four))
+    cluster.add("v3#1", PersistentState(), 9)
+    cluster.pass_time(timedelta(milliseconds=400))
+    leader.change_configuration(Configuration(four))
+    cluster.pass_time(timedelta(milliseconds=400))
+    assert cluster.members["v3#1"].configuration.voters == four
+    remaining = tuple(name for name in four if name != leader.identity)
+    leader.change_configuration(Configuration(remaining))
+    cluster.pass_time(timedelta(milliseconds=300))
+    assert not leader.is_leader  # it led until its own removal was committed
+    assert cluster.leader().identity in remaining
