--- a/marlstep/cluster/replica_driver.py
+++ b/marlstep/cluster/replica_driver.py
@@ -175,8 +175,8 @@
     def _record_events(self, replica: Replica) -> None:
         while replica.events:
             event = replica.events.popleft()
-            log.info("fleet: replica event=%r reason=%r", event.what, event.reason)
-            self._context.record_event(event.what, event.reason)
+            log.info("fleet: replica event=%r reason=%r", event.summary, event.reason)
+            self._context.record_event(event.summary, event.reason)
 
     def _request_join(self, replica: Replica, now: datetime) -> None:
         configuration = replica.raft.configuration
--- a/marlstep/cluster/status_report.py
+++ b/marlstep/cluster/status_report.py
@@ -47,7 +47,7 @@
             self._leases.clock_drifts,
             context.client.time_since_response(context.steady.now()),
             tuple(context.client.command_latencies),
-            None if replica is None else replica.status(),
+            None if replica is None else replica.status().to_json(),
             dict(self._router.transport.counts),
             dict(context.counts),
         )
