--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -360,8 +360,8 @@
             self._join_requests.clear()
             self.lease_manager.step_down()
         if raft.is_established_leader:
-            for command in self.lease_manager.tick(now):
-                self._propose(now, command)
+            for lease_command in self.lease_manager.tick(now):
+                self._propose(now, lease_command)
             if self.config_store is not None:
                 self._reconcile_config_versions(now, self.config_store)
             news = () if self.config_store is None else self.config_store.statuses()
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -80,13 +80,13 @@
     def take_responses(
         self,
         now: datetime,
-        confirmed: int,
+        confirmed_round: int,
         leader: str,
         term: int,
-        news: tuple[DocumentStatus, ...] = (),
-        shares: Any = no_quota_shares,
+        documents: tuple[DocumentStatus, ...] = (),
+        quota_shares: Any = no_quota_shares,
     ) -> list[tuple[str, HeartbeatResponse]]:
-        return super().take_responses(now, 1 << 60, leader, term, news, shares)
+        return super().take_responses(now, 1 << 60, leader, term, documents, quota_shares)
 
 
 class NeverStepsDown(Raft):
--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -1,8 +1,8 @@
-"""The leader's side of leases: when one is over, and who gets the next.
+"""The leader's side of leases: when one expires, and which process is granted it next.
 
-Nothing of this is in the log: a voter that comes to lead counts all terms anew, in full, from the moment it leads. A
-renewal is answered only after a majority has confirmed, after the beat came, that this voter leads: then no other can
-have begun to count before the holder asked.
+None of this is in the log. A voter that becomes leader counts all terms anew, in full, from that moment. A renewal is
+answered only after a majority has confirmed, after the heartbeat came, that this voter leads: then no other leader can
+have begun to count before the holder sent its heartbeat.
 """
 
 from __future__ import annotations
@@ -13,146 +13,203 @@
 
 from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.leases.clock_drift import ClockDriftMonitor
+from marlstep.leases.commands import EndLease, EndReason, GrantLease, LeaseCommand
 from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse, LeaseToken, QuotaShareRow
-from marlstep.leases.names import is_config_lease
-from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
+from marlstep.leases.names import ProcessName, is_config_lease, node_of
+from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import LeaseTable
 from marlstep.units import instant
 
 
 @dataclass(slots=True)
 class HolderState:
-    """One node, as its last beat has it."""
+    """One process, as its last heartbeat has it."""
 
     heartbeat: Heartbeat
     received_at: datetime
-    wanted_since: dict[str, datetime]  # it wants each of these since then
+    wanted_since: dict[str, datetime]  # by lease: since when it has wanted each without a break
 
 
 @dataclass(slots=True, frozen=True)
 class PendingResponse:
+    """A heartbeat to be answered once a majority has confirmed the leader in `heartbeat_round` or later."""
+
     heartbeat: Heartbeat
     heartbeat_round: int
-    is_push: bool = False  # the beat was answered before: it renews nothing again
+    is_push: bool = False  # the heartbeat was answered before: it renews nothing again
 
 
-def no_quota_shares(holder: str) -> tuple[QuotaShareRow, ...]:
+def no_quota_shares(_holder: str) -> tuple[QuotaShareRow, ...]:
+    """The quota shares of a process where quotas are not shared."""
     return ()
 
 
 class LeaseManager:
+    """Grants, renews and ends the leases of one table while its voter leads."""
+
     def __init__(self, table: LeaseTable, settings: LeaseSettings) -> None:
+        """`table` is this voter's state machine of leases, as far as the log is applied to it."""
         self.table, self.settings = table, settings
         self._leader_since: datetime | None = None
         self._expiries: dict[str, datetime] = {}
-        self._ending_tokens: dict[str, int] = {}  # proposed to end, by token: not renewed any more
-        self._proposed_grants: dict[str, str] = {}
+        self._ending_tokens: dict[str, int] = {}  # of leases whose end is proposed: not renewed any more
+        self._proposed_grants: dict[str, str] = {}  # holder by lease
         self._holders: dict[str, HolderState] = {}
-        self._pending_responses: dict[str, PendingResponse] = {}
-        self._response_sequence = 0  # of answers
+        self._pending_responses: dict[str, PendingResponse] = {}  # by holder
+        self._response_sequence = 0
         self._drift_monitor = ClockDriftMonitor(settings.drift)
-        self._eligible_nodes: frozenset[str] | None = None  # nodes that may have leases of tasks; None: all
+        self._eligible_nodes: frozenset[str] | None = None  # that may hold leases of tasks; None: all
         self.detected_drifts: list[
             tuple[str, float]
-        ] = []  # clocks that were found to err, to be told and counted
+        ] = []  # holder and error, for the caller to take and clear
         self._grants_due = False  # something changed that may allow a grant
 
+    # Leadership.
+
     def become_leader(self, now: datetime) -> None:
-        """This voter leads from now on."""
+        """Lead from now on: each held lease gets a whole term."""
         self._leader_since = now
         held = (name for name, lease in self.table.leases.items() if lease.holder)
         self._expiries = {name: self.settings.leader_expiry(now, name) for name in held}
-        self._ending_tokens, self._proposed_grants, self._holders, self._pending_responses = {}, {}, {}, {}
+        self._ending_tokens, self._proposed_grants = {}, {}
+        self._holders, self._pending_responses = {}, {}
         self._drift_monitor.retain_only(set())
         self._grants_due = True
 
     def step_down(self) -> None:
+        """Lead no longer."""
         self._leader_since = None
         self._pending_responses.clear()
 
     def set_eligible_nodes(self, nodes: frozenset[str] | None) -> None:
-        """Only these may have leases of tasks from now on: others get none, and none of theirs is renewed."""
+        """Grant and renew leases of tasks only to these nodes; None: to all."""
         if nodes != self._eligible_nodes:
             self._eligible_nodes, self._grants_due = nodes, True
 
     def _is_eligible(self, holder: str) -> bool:
-        return self._eligible_nodes is None or holder.partition("/")[0] in self._eligible_nodes
+        return self._eligible_nodes is None or node_of(holder) in self._eligible_nodes
 
-    # What nodes say.
+    # Heartbeats.
 
     def heartbeats(self) -> Iterable[tuple[str, Heartbeat, datetime]]:
-        """Each process's last beat, and when it came."""
-        return ((holder, one.heartbeat, one.received_at) for holder, one in self._holders.items())
+        """Each process's last heartbeat, and when it came."""
+        return ((holder, state.heartbeat, state.received_at) for holder, state in self._holders.items())
 
     def expiry_of(self, name: str) -> datetime | None:
-        """When that lease is over, by this voter's clock; None where it is not held."""
+        """When that lease expires, by this voter's clock; None where it is not held."""
         return self._expiries.get(name)
 
-    def handle_heartbeat(self, now: datetime, beat: Heartbeat, round: int) -> list[CommandJson]:
-        """A beat came; it is answered once a majority has answered `round`. Gives what is to be proposed."""
-        holder = f"{beat.node}/{beat.process_id}"
-        before = self._holders.get(holder)
-        if before is not None and beat.number < before.heartbeat.number:
+    def handle_heartbeat(
+        self, now: datetime, heartbeat: Heartbeat, heartbeat_round: int
+    ) -> list[LeaseCommand]:
+        """Take in a heartbeat, to be answered once a majority has confirmed the leader in `heartbeat_round`.
+
+        Returns the commands to propose.
+        """
+        holder = str(ProcessName(heartbeat.node, heartbeat.process_id))
+        previous = self._holders.get(holder)
+        if previous is not None and heartbeat.number < previous.heartbeat.number:
             return []  # overtaken by a later one
-        since = before.wanted_since if before is not None else {}
-        wants = {name: since.get(name, now) for name in beat.wanted_leases}
-        if before is None or wants.keys() != since.keys():
+        self._record_holder(now, holder, heartbeat, previous)
+        self._measure_drift(now, holder, heartbeat)
+        self._pending_responses[holder] = PendingResponse(heartbeat, heartbeat_round)
+        return self._propose_returns(holder, heartbeat.returned_leases)
+
+    def _record_holder(
+        self, now: datetime, holder: str, heartbeat: Heartbeat, previous: HolderState | None
+    ) -> None:
+        since = previous.wanted_since if previous is not None else {}
+        wanted_since = {name: since.get(name, now) for name in heartbeat.wanted_leases}
+        if previous is None or wanted_since.keys() != since.keys():
             self._grants_due = True
-        self._holders[holder] = HolderState(beat, now, wants)
-        if (
-            beat.clock_us
-            and (error := self._drift_monitor.observe(holder, instant(beat.clock_us), now)) is not None
-        ):
+        self._holders[holder] = HolderState(heartbeat, now, wanted_since)
+
+    def _measure_drift(self, now: datetime, holder: str, heartbeat: Heartbeat) -> None:
+        if not heartbeat.clock_us:
+            return
+        error = self._drift_monitor.observe(holder, instant(heartbeat.clock_us), now)
+        if error is not None:
             self.detected_drifts.append((holder, error))
-        self._pending_responses[holder] = PendingResponse(beat, round)
-        returned = []
-        for name, token in beat.returned_leases:
+
+    def _propose_returns(self, holder: str, returned: Iterable[LeaseToken]) -> list[LeaseCommand]:
+        commands: list[LeaseCommand] = []
+        for name, token in returned:
             lease = self.table.leases.get(name)
             if lease is not None and lease.holder == holder and lease.token == token:
-                returned += self._propose_end(name, token, "return")
-        return returned
+                commands += self._propose_end(name, token, EndReason.RETURNED)
+        return commands
 
-    def _propose_end(self, name: str, token: int, what: str) -> list[CommandJson]:
+    def _propose_end(self, name: str, token: int, reason: EndReason) -> list[LeaseCommand]:
         if self._ending_tokens.get(name) == token:
-            return []
+            return []  # proposed already
         self._ending_tokens[name] = token
-        return [{"m": "leases", "do": what, "name": name, "token": token}]
+        return [EndLease(name, token, reason)]
+
+    # Responses.
 
     def take_responses(
         self,
         now: datetime,
-        confirmed: int,
+        confirmed_round: int,
         leader: str,
         term: int,
-        news: tuple[DocumentStatus, ...] = (),
-        shares: Callable[[str], tuple[QuotaShareRow, ...]] = no_quota_shares,
+        documents: tuple[DocumentStatus, ...] = (),
+        quota_shares: Callable[[str], tuple[QuotaShareRow, ...]] = no_quota_shares,
     ) -> list[tuple[str, HeartbeatResponse]]:
-        """The beats that can be answered now, by holder. The leases in an answer to a new beat are renewed."""
-        found = []
-        for holder, one in list(self._pending_responses.items()):
-            if one.heartbeat_round > confirmed:
+        """Return the responses that can be given now, each with its holder.
+
+        A majority has confirmed this leader up to `confirmed_round`. A response renews the leases in it, unless it is
+        a push.
+        """
+        responses = []
+        for holder, pending in list(self._pending_responses.items()):
+            if pending.heartbeat_round > confirmed_round:
                 continue
             del self._pending_responses[holder]
-            held = self.table.leases_of(holder)
-            if not self._is_eligible(holder):  # not named, so not acted on any more; it ends here by time
-                held = [lease for lease in held if is_config_lease(lease.name)]
-            leases = tuple(self._active_leases(now, held, renew=not one.is_push))
+            leases = tuple(self._active_leases(now, self._renewable(holder), renew=not pending.is_push))
             self._response_sequence += 1
-            drifts = self._drift_monitor.exceeds_bound(holder)
-            mine = shares(holder)
-            told = HeartbeatResponse(
-                one.heartbeat.number, True, leader, term, self._response_sequence, leases, drifts, news, mine
+            response = HeartbeatResponse(
+                number=pending.heartbeat.number,
+                from_leader=True,
+                leader=leader,
+                term=term,
+                sequence=self._response_sequence,
+                leases=leases,
+                clock_drifts=self._drift_monitor.exceeds_bound(holder),
+                documents=documents,
+                quota_shares=quota_shares(holder),
             )
-            found.append((holder, told))
-        return found
-
-    def _active_leases(self, now: datetime, held: Iterable[LeaseToken], renew: bool) -> Iterable[LeaseToken]:
-        for name, token in held:
-            if self._ending_tokens.get(name) == token:
+            responses.append((holder, response))
+        return responses
+
+    def _renewable(self, holder: str) -> list[LeaseToken]:
+        """The leases to name to their holder. What is not named is not acted on, and ends by its term."""
+        held = self.table.leases_of(holder)
+        if self._is_eligible(holder):
+            return held
+        return [lease for lease in held if is_config_lease(lease.name)]
+
+    def _active_leases(
+        self, now: datetime, held: Iterable[LeaseToken], *, renew: bool
+    ) -> Iterable[LeaseToken]:
+        for lease in held:
+            if self._ending_tokens.get(lease.name) == lease.token:
                 continue
             if renew:
-                self._expiries[name] = self.settings.leader_expiry(now, name)
-            yield LeaseToken(name, token)
+                self._expiries[lease.name] = self.settings.leader_expiry(now, lease.name)
+            yield lease
+
+    def push_to_all(self, heartbeat_round: int) -> None:
+        """Answer all processes under a config lease once more, as there is news for them."""
+        for name, lease in self.table.leases.items():
+            if is_config_lease(name) and lease.holder:
+                self.push_to(lease.holder, heartbeat_round)
+
+    def push_to(self, holder: str, heartbeat_round: int) -> None:
+        """Answer that holder's last heartbeat once more, so that it need not wait for its next one."""
+        state = self._holders.get(holder)
+        if state is not None and holder not in self._pending_responses:
+            self._pending_responses[holder] = PendingResponse(state.heartbeat, heartbeat_round, is_push=True)
 
     # Time.
 
@@ -167,94 +224,109 @@
 
     @property
     def _grants_start_at(self) -> datetime | None:
-        """Before that not all who wait have been heard, and the first would get all there is."""
+        """Until then not all waiting processes have been heard, and the first would be granted everything."""
         return None if self._leader_since is None else self._leader_since + self.settings.renewal_interval
 
-    def tick(self, now: datetime) -> list[CommandJson]:
-        """What is to be proposed."""
+    def tick(self, now: datetime) -> list[LeaseCommand]:
+        """Return the commands to propose: ends of expired leases, and grants."""
         if self._leader_since is None:
             return []
-        commands: list[CommandJson] = []
-        for name, until in list(self._expiries.items()):
-            if now >= until:
-                del self._expiries[name]
-                commands += self._propose_end(name, self.table.leases[name].token, "expire")
+        commands = self._propose_expiries(now)
         settled = self._grants_start_at is not None and now >= self._grants_start_at
         if self._grants_due and settled:
             self._grants_due = False
             commands += self._propose_grants(now)
         return commands
 
-    def _propose_grants(self, now: datetime) -> list[CommandJson]:
-        live = now - self.settings.term
-        for holder in [one for one, waits in self._holders.items() if waits.received_at < live]:
+    def _propose_expiries(self, now: datetime) -> list[LeaseCommand]:
+        commands: list[LeaseCommand] = []
+        for name, expiry in list(self._expiries.items()):
+            if now >= expiry:
+                del self._expiries[name]
+                commands += self._propose_end(name, self.table.leases[name].token, EndReason.EXPIRED)
+        return commands
+
+    # Grants.
+
+    def _propose_grants(self, now: datetime) -> list[LeaseCommand]:
+        self._forget_silent_holders(now)
+        counts = self._held_counts()
+        commands: list[LeaseCommand] = []
+        for name, waiting in self._waiting_holders().items():
+            candidates = [holder for holder in waiting if self._may_be_granted(name, holder, counts)]
+            if not candidates:
+                continue
+            chosen = min(candidates, key=lambda holder: self._grant_priority(name, holder, counts))
+            self._proposed_grants[name] = chosen
+            if is_config_lease(name):
+                commands.append(GrantLease(name, chosen, max_held=0))
+                continue
+            counts[chosen] += 1
+            commands.append(GrantLease(name, chosen, self._holders[chosen].heartbeat.max_leases))
+        return commands
+
+    def _forget_silent_holders(self, now: datetime) -> None:
+        oldest = now - self.settings.term
+        for holder in [holder for holder, state in self._holders.items() if state.received_at < oldest]:
             del self._holders[holder]
         self._drift_monitor.retain_only(set(self._holders))
-        wanted: dict[str, list[str]] = {}
-        for holder, waits in self._holders.items():
-            for name in waits.wanted_since:
-                if not self.table.holder(name) and name not in self._proposed_grants:
-                    wanted.setdefault(name, []).append(holder)
+
+    def _held_counts(self) -> dict[str, int]:
+        """How many leases each process holds or is about to be granted."""
         counts = {holder: self.table.held_counts[holder] for holder in self._holders}
         for holder in self._proposed_grants.values():
             counts[holder] = counts.get(holder, 0) + 1
-        commands: list[CommandJson] = []
-        for name, holders in wanted.items():
-            free = [
-                one
-                for one in holders
-                if name.startswith(CONFIG_LEASE_PREFIX)
-                or (self._is_eligible(one) and self._below_limit(one, counts))
-            ]
-            if not free:
-                continue
-            chosen = min(free, key=lambda one: self._grant_priority(name, one, counts))
-            self._proposed_grants[name] = chosen
-            counts[chosen] = counts.get(chosen, 0) + (not name.startswith(CONFIG_LEASE_PREFIX))
-            most = 0 if name.startswith(CONFIG_LEASE_PREFIX) else self._holders[chosen].heartbeat.max_leases
-            commands.append({"m": "leases", "do": "grant", "name": name, "holder": chosen, "most": most})
-        return commands
+        return counts
+
+    def _waiting_holders(self) -> dict[str, list[str]]:
+        """The processes that want each of the free leases."""
+        waiting: dict[str, list[str]] = {}
+        for holder, state in self._holders.items():
+            for name in state.wanted_since:
+                if not self.table.holder(name) and name not in self._proposed_grants:
+                    waiting.setdefault(name, []).append(holder)
+        return waiting
 
-    def _below_limit(self, holder: str, counts: dict[str, int]) -> bool:
-        most = self._holders[holder].heartbeat.max_leases
-        return not most or counts.get(holder, 0) < most
+    def _may_be_granted(self, name: str, holder: str, counts: dict[str, int]) -> bool:
+        if is_config_lease(name):
+            return True
+        limit = self._holders[holder].heartbeat.max_leases
+        return self._is_eligible(holder) and (not limit or counts[holder] < limit)
 
     def _grant_priority(self, name: str, holder: str, counts: dict[str, int]) -> tuple[int, datetime, str]:
-        """The least comes first: few leases, and then a long wait. Who had it last counts as having one less."""
+        """The least is granted first: fewest leases, then longest wait. The previous node counts as having one less."""
         lease = self.table.leases.get(name)
-        stays = lease is not None and lease.previous_node == holder.partition("/")[0]
-        return counts.get(holder, 0) - stays, self._holders[holder].wanted_since[name], holder
+        had_it_last = lease is not None and lease.previous_node == node_of(holder)
+        return counts[holder] - had_it_last, self._holders[holder].wanted_since[name], holder
 
-    # What the log says.
+    # Applied commands.
 
-    def on_applied(self, now: datetime, command: CommandJson, result: ResultJson, round: int) -> None:
-        """A command of leases was committed. `round` is one whose answers will come after now."""
+    def on_applied(
+        self, now: datetime, command: CommandJson, result: ResultJson, heartbeat_round: int
+    ) -> None:
+        """Follow a committed command, valid or not. `heartbeat_round` is one that begins after now."""
         if self._leader_since is None:
             return
         name = str(command.get("name"))
         match command.get("do"):
             case "grant":
-                self._proposed_grants.pop(name, None)
-                if "granted" in result:
-                    self._expiries[name] = self.settings.leader_expiry(now, name)
-                    self.push_to(result["granted"], round)
-                else:
-                    self._grants_due = True
-            case "expire" | "return":
-                if self._ending_tokens.get(name) == command.get("token"):
-                    del self._ending_tokens[name]
-                if result.get("ended"):
-                    self._expiries.pop(name, None)
-                    self._grants_due = True
-
-    def push_to_all(self, round: int) -> None:
-        """There is news for all who hold a lease on the rules."""
-        for name, lease in self.table.leases.items():
-            if name.startswith(CONFIG_LEASE_PREFIX) and lease.holder:
-                self.push_to(lease.holder, round)
-
-    def push_to(self, holder: str, round: int) -> None:
-        """It need not wait for its next beat to hear of a grant."""
-        waits = self._holders.get(holder)
-        if waits is not None and holder not in self._pending_responses:
-            self._pending_responses[holder] = PendingResponse(waits.heartbeat, round, is_push=True)
+                self._on_grant_applied(now, name, result.get("granted"), heartbeat_round)
+            case EndReason.EXPIRED.value | EndReason.RETURNED.value:
+                self._on_end_applied(name, command.get("token"), ended=bool(result.get("ended")))
+
+    def _on_grant_applied(
+        self, now: datetime, name: str, granted_to: str | None, heartbeat_round: int
+    ) -> None:
+        self._proposed_grants.pop(name, None)
+        if granted_to is None:
+            self._grants_due = True
+            return
+        self._expiries[name] = self.settings.leader_expiry(now, name)
+        self.push_to(granted_to, heartbeat_round)
+
+    def _on_end_applied(self, name: str, token: int | None, *, ended: bool) -> None:
+        if self._ending_tokens.get(name) == token:
+            self._ending_tokens.pop(name, None)
+        if ended:
+            self._expiries.pop(name, None)
+            self._grants_due = True
--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -3,40 +3,45 @@
 from __future__ import annotations
 
 from datetime import timedelta
-from typing import Any
 
+from marlstep.leases.commands import LeaseCommand
 from marlstep.leases.manager import LeaseManager
-from marlstep.leases.messages import Heartbeat, LeaseToken
+from marlstep.leases.messages import Heartbeat, HeartbeatResponse, LeaseToken
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import LeaseTable
 from marlstep.units import EPOCH
 
 NOW = EPOCH + timedelta(days=9)
-TOLD = LeaseSettings()
+SETTINGS = LeaseSettings()
 
 
 class Group:
-    """A leader whose proposals are applied at once."""
+    """A leader whose proposals are applied at once, on a clock that the test moves."""
 
-    def __init__(self, told: LeaseSettings = TOLD) -> None:
+    def __init__(self, settings: LeaseSettings = SETTINGS) -> None:
         self.table = LeaseTable()
-        self.keeper = LeaseManager(self.table, told)
+        self.manager = LeaseManager(self.table, settings)
         self.now = NOW
         self.numbers: dict[str, int] = {}
-        self.keeper.become_leader(self.now)
+        self.manager.become_leader(self.now)
 
-    def apply(self, commands: list[Any]) -> None:
+    def apply(self, commands: list[LeaseCommand]) -> None:
         for command in commands:
-            self.keeper.on_applied(self.now, command, self.table.apply(command), 0)
+            stored = command.to_json()
+            self.manager.on_applied(self.now, stored, self.table.apply(stored), 0)
 
-    def beat(self, node: str, *wants: str, returns: tuple[LeaseToken, ...] = (), most: int = 0) -> Any:
+    def beat(
+        self, node: str, *wants: str, returns: tuple[LeaseToken, ...] = (), max_leases: int = 0
+    ) -> dict[str, HeartbeatResponse]:
         self.numbers[node] = number = self.numbers.get(node, 0) + 1
         self.apply(
-            self.keeper.handle_heartbeat(self.now, Heartbeat(node, "b", number, wants, returns, most), 0)
+            self.manager.handle_heartbeat(
+                self.now, Heartbeat(node, "b", number, wants, returns, max_leases), 0
+            )
         )
-        self.apply(self.keeper.tick(self.now))
-        return dict(self.keeper.take_responses(self.now, 1, "n1", 1))
+        self.apply(self.manager.tick(self.now))
+        return dict(self.manager.take_responses(self.now, 1, "n1", 1))
 
     def after(self, span: timedelta) -> None:
         self.now += span
-        self.apply(self.keeper.tick(self.now))
+        self.apply(self.manager.tick(self.now))
--- a/tests/leases/test_clock_drift.py
+++ b/tests/leases/test_clock_drift.py
@@ -12,12 +12,12 @@
 @pytest.mark.parametrize(
     ("rate", "found"), [(1.0, False), (1.01, False), (0.99, False), (1.2, True), (0.8, True)]
 )
-def test_a_clock_beyond_the_drift_is_told_and_a_late_beat_is_not(rate: float, found: bool) -> None:
-    watch = ClockDriftMonitor(0.01)
-    told = []
+def test_a_clock_beyond_the_drift_is_found_and_a_late_heartbeat_is_not(rate: float, found: bool) -> None:
+    monitor = ClockDriftMonitor(0.01)
+    observed = []
     for second in range(60):
         late = 900 * MILLISECOND if second in (5, 20, 21, 40) else ZERO  # a stopped process, a slow line
-        told.append(watch.observe("a", NOW + second * rate * SECOND, NOW + second * SECOND + late))
-    errors = [one for one in told if one is not None]
-    assert bool(errors) is found and watch.exceeds_bound("a") is found
-    assert all(abs(one - (rate - 1)) < 0.25 for one in errors)
+        observed.append(monitor.observe("a", NOW + second * rate * SECOND, NOW + second * SECOND + late))
+    errors = [error for error in observed if error is not None]
+    assert bool(errors) is found and monitor.exceeds_bound("a") is found
+    assert all(abs(error - (rate - 1)) < 0.25 for error in errors)
--- a/tests/leases/test_settings.py
+++ b/tests/leases/test_settings.py
@@ -17,12 +17,12 @@
     st.floats(-1, 1),
     st.floats(0, 1),
 )
-def test_a_holder_stops_first_whatever_its_clock_and_the_leaders_do_within_the_drift(
-    term: float, drift: float, mine: float, theirs: float, late: float
+def test_the_holder_stops_before_the_leader_whatever_both_clocks_do_within_the_drift(
+    term: float, drift: float, holder_error: float, leader_error: float, delay: float
 ) -> None:
-    told = LeaseSettings(term * SECOND, drift)
-    my_rate, their_rate = 1 + mine * drift, 1 + theirs * drift
-    # In true seconds from the moment when the holder asked; the leader answers at `late`.
-    holder_ends = (told.holder_expiry(NOW) - NOW) / SECOND / my_rate
-    group_ends = late + (told.leader_expiry(NOW) - NOW) / SECOND / their_rate
-    assert holder_ends <= group_ends + 2e-6  # datetimes have whole microseconds
+    settings = LeaseSettings(term * SECOND, drift)
+    holder_rate, leader_rate = 1 + holder_error * drift, 1 + leader_error * drift
+    # In true seconds from the moment when the holder sent its heartbeat; the leader answers at `delay`.
+    holder_ends = (settings.holder_expiry(NOW) - NOW) / SECOND / holder_rate
+    leader_ends = delay + (settings.leader_expiry(NOW) - NOW) / SECOND / leader_rate
+    assert holder_ends <= leader_ends + 2e-6  # datetimes have whole microseconds
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -430,7 +430,8 @@
             *keeper.handle_heartbeat(now, Heartbeat(node, "1", 1, ("task/t", f"rules/{node}/1")), 0),
             *keeper.tick(now),
         ]:
-            keeper.on_applied(now, command, table.apply(command), 0)
+            stored = command.to_json()
+            keeper.on_applied(now, stored, table.apply(stored), 0)
         return dict(keeper.take_responses(now, 9, "l", 1))[f"{node}/1"].leases
 
     keeper.set_eligible_nodes(frozenset("b"))
