--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -41,8 +41,10 @@
 from marlstep.net.eventloop import LoopWaker
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.store import ConfigStore
-from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, Outcome, RunLog
-from marlstep.scheduled_tasks.runner import RunnerAction, TaskRunner
+from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, RunLog
+from marlstep.scheduled_tasks.runner import TaskRunner
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND, SteadyClock
 from marlstep.upstreams.upstream import Upstream
@@ -552,7 +554,7 @@
             result = participant.take_result(number)
             if result is not None:
                 task, do = self._asked.pop(number)
-                if do.what == "begin" and "begun" in result:
+                if do.kind is ActionKind.BEGIN and "begun" in result:
                     self.on_step("begun")
                 self.runners[task].handle_result(now, do, result)
         for name, runner in self.runners.items():
@@ -585,8 +587,8 @@
 
     def _do(self, task: TaskConfig, runner: TaskRunner, do: RunnerAction, now: datetime) -> None:
         name = task.plan.name
-        if do.what not in ("act", "fence"):
-            if do.what == "end":
+        if not do.is_request:
+            if do.kind is ActionKind.END:
                 self.on_step("ending")
             number = self.client.propose(now, do.command(name))
             if number is None:
@@ -611,7 +613,7 @@
             return holder.time_left(lease, self.steady.now())
 
         def told(outcome: Outcome) -> None:
-            log.info("fleet: task %s run %d token %d: %s: %s", name, do.run, do.token, do.what, outcome.value)
+            log.info("fleet: task %s run %d token %d: %s: %s", name, do.run, do.token, do.kind, outcome.value)
             runner.handle_result(self.steady.now(), do, outcome)
             self.drive_soon()
 
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -14,8 +14,9 @@
 from marlstep.core.engine import Core, Refused
 from marlstep.core.model import Answer, Backend, Offer, Request, Ticket, Verdict
 from marlstep.fronts.uwsgi_wire import write_packet
-from marlstep.scheduled_tasks.run_log import Outcome
-from marlstep.scheduled_tasks.runner import LEASE_MARGIN, RunnerAction
+from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.runner import LEASE_MARGIN
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import ZERO
 from petrelcart.interface import Outcome as RunOutcome
@@ -104,7 +105,7 @@
             "HTTP_X_TASK_TOKEN": str(do.token),
             "HTTP_X_TASK_RUN": str(do.run),
             "HTTP_X_TASK_HOLDER": self._holder,
-            "HTTP_X_TASK_FENCE": "1" if do.what == "fence" else "0",
+            "HTTP_X_TASK_FENCE": "1" if do.kind is ActionKind.FENCE else "0",
         }
         offer = Offer(
             id=f"task-{number}",
@@ -113,7 +114,7 @@
             arrived=self._timeline.now(),
             kb=REQUEST_MEMORY_KB,
             pool=self.pool_of(plan.request_class),
-            once=f"{plan.name}/{do.what}/{do.run}/{do.token}/{number}",
+            once=f"{plan.name}/{do.kind}/{do.run}/{do.token}/{number}",
         )
         acting = self._requests[number] = TaskRequest(task, do, told, left)
         acting.bound = self._steady.at(
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -23,7 +23,8 @@
 from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
 from marlstep.replicated_config.rollout import RolloutMonitor
 from marlstep.replicated_config.store import ConfigStore, Document
-from marlstep.scheduled_tasks.runner import RunnerAction, RunnerState, TaskRunner
+from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
+from marlstep.scheduled_tasks.runner import RunnerState, TaskRunner
 from marlstep.units import MILLISECOND, ZERO
 
 
@@ -118,7 +119,7 @@
 
     def next_action(self, now: datetime, wall: datetime, left: timedelta) -> RunnerAction | None:
         do = super().next_action(now, wall, left)
-        while do is not None and do.what in ("begin", "end"):
+        while do is not None and do.kind in (ActionKind.BEGIN, ActionKind.END):
             self.handle_result(now, do, {"begun": do.run})
             do = super().next_action(now, wall, left)
         return do
--- a/marlstep/drill/virtual.py
+++ b/marlstep/drill/virtual.py
@@ -33,9 +33,11 @@
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
 from marlstep.replicated_config.messages import FetchChunk
-from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, Outcome, RunLog
-from marlstep.scheduled_tasks.runner import RunnerAction, TaskRunner
+from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, RunLog
 from marlstep.scheduled_tasks.runner import TaskPlan as TaskPlan
+from marlstep.scheduled_tasks.runner import TaskRunner
 from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import EPOCH, MILLISECOND, span, span_us
 
@@ -350,7 +352,7 @@
                 if number not in self._asked:
                     continue
                 task, do = self._asked.pop(number)
-                if do.what == "begin" and "begun" in result and self.reached("begun"):
+                if do.kind is ActionKind.BEGIN and "begun" in result and self.reached("begun"):
                     return
                 self.runners[task].handle_result(now, do, result)
         for task, runner in self.runners.items():
@@ -370,12 +372,12 @@
                     return
 
     def _do(self, task: str, do: RunnerAction, now: datetime) -> None:
-        if do.what in ("act", "fence"):
-            if do.what == "act" and self.reached("acted"):
+        if do.is_request:
+            if do.kind is ActionKind.EXECUTE and self.reached("acted"):
                 return
             self.world.act(self, task, do)
             return
-        if do.what == "end" and self.reached("ended"):
+        if do.kind is ActionKind.END and self.reached("ended"):
             return
         number = self.participant.propose(now, do.command(task))
         if number is None:
@@ -632,7 +634,7 @@
             delay += self.chance.randrange(600_000)
         elif self.chance.random() < self.breakage.stuck:
             delay += self.chance.randrange(4_000_000)  # stuck in a line on the way, for longer than a term
-        work = 0 if do.what == "fence" else self.chance.randrange(5_000, MOST_WORK_US)
+        work = 0 if do.kind is ActionKind.FENCE else self.chance.randrange(5_000, MOST_WORK_US)
         life = node.life
         open_still = [True]
 
@@ -644,7 +646,7 @@
         def arrive() -> None:
             taken = self._receiver.takes(task, do.token)
             began = self.true_us
-            fence = do.what == "fence"
+            fence = do.kind is ActionKind.FENCE
             self.acts.append(Act(task, node.name, do.token, do.run, began, began + work, taken, fence))
             outcome = Outcome.DONE if taken else Outcome.FENCED_OFF
             if self.chance.random() >= 0.02:  # else the answer is lost
--- a/marlstep/leases/__init__.py
+++ b/marlstep/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases: one holder at a time, with a token that grows with every grant. Decisions only."""
+"""Leases: one holder at a time, with a fencing token that grows with each grant. No I/O."""
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -8,8 +8,9 @@
 
 from marlstep.leases.messages import DocumentState, LeaseToken, RequestCounts, TenantDemand
 from marlstep.replicated_config.documents import canonical_json, content_digest
-from marlstep.scheduled_tasks.run_log import Outcome
-from marlstep.scheduled_tasks.runner import RunnerAction, TaskPlan, TaskRunner
+from marlstep.scheduled_tasks.actions import RunnerAction
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.runner import TaskPlan, TaskRunner
 from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import MILLISECOND, SECOND
 from tests.golden.everything import POOLS, TENANTS, counted_names
@@ -145,20 +146,22 @@
         left = list(outcomes)
         while left:
             do = self.wanted()
-            if do.what in ("act", "fence"):
+            if do.is_request:
                 outcome = left.pop(0)
                 if outcome is None:
                     self.runner.lease_lost()
                     return
                 self.runner.handle_result(self.world.clock.now(), do, outcome)
                 continue
-            result = self.world.ask(self.by, do.command(self.task))
+            result = self.world.ask(self.by, dict(do.command(self.task).to_json()))
             self.runner.handle_result(self.world.clock.now(), do, result)
 
     def one(self) -> None:
         """One command more."""
         do = self.wanted()
-        self.runner.handle_result(self.world.clock.now(), do, self.world.ask(self.by, do.command(self.task)))
+        self.runner.handle_result(
+            self.world.clock.now(), do, self.world.ask(self.by, dict(do.command(self.task).to_json()))
+        )
 
     def pass_on(self) -> None:
         """The lease goes to another grant."""
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -13,7 +13,8 @@
 from marlstep.membership.roster import Roster, RosterEntry
 from marlstep.replicated_config.documents import DocumentVersion, Kind
 from marlstep.replicated_config.store import ConfigStore, Document, PreparedVersion, Rollout
-from marlstep.scheduled_tasks.run_log import Outcome, RunLog, TaskRun
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.run_log import RunLog, TaskRun
 from tests.golden.conversation import DATA
 
 PATH = DATA / "snapshots.json"
--- a/tests/scheduled_tasks/support.py
+++ b/tests/scheduled_tasks/support.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from datetime import timedelta
-from typing import Any
+from datetime import datetime, timedelta
 
 from marlstep.leases.table import LeaseTable
-from marlstep.scheduled_tasks.run_log import Outcome, RunLog
+from marlstep.scheduled_tasks.actions import ActionKind
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.run_log import RunLog
 from marlstep.scheduled_tasks.runner import TaskPlan, TaskRunner
 from marlstep.scheduled_tasks.schedule import MissedRunPolicy, Schedule
 from marlstep.units import EPOCH, MILLISECOND, SECOND
@@ -14,18 +15,18 @@
 NOW = EPOCH + timedelta(days=9)
 
 
-def plan(safe: bool) -> TaskPlan:
+def task_plan(idempotent: bool) -> TaskPlan:
     return TaskPlan(
-        "t", Schedule(SECOND, missed=MissedRunPolicy.ONCE), "schedule-save", safe, 300 * MILLISECOND
+        "t", Schedule(SECOND, missed=MissedRunPolicy.ONCE), "schedule-save", idempotent, 300 * MILLISECOND
     )
 
 
-class Log:
-    """The lease and the record, as the group has them."""
+class Group:
+    """The lease and the run log of the task "t", as the group has them."""
 
     def __init__(self) -> None:
         self.table = LeaseTable()
-        self.record = RunLog(self.table)
+        self.run_log = RunLog(self.table)
 
     def grant(self, holder: str) -> int:
         lease = self.table.leases.get("task/t")
@@ -33,17 +34,19 @@
             self.table.apply({"do": "expire", "name": "task/t", "token": lease.token})
         return int(self.table.apply({"do": "grant", "name": "task/t", "holder": holder, "most": 0})["token"])
 
-    def run(self, runner: TaskRunner, now: Any, until: str, outcome: Outcome = Outcome.DONE) -> list[str]:
-        """Let it go on until it would do that; what it did before is given."""
-        done: list[str] = []
+    def run(
+        self, runner: TaskRunner, now: datetime, until: ActionKind | None, outcome: Outcome = Outcome.DONE
+    ) -> list[ActionKind]:
+        """Do the runner's actions, until the next is `until` or for thirty rounds. Returns those that were done."""
+        done: list[ActionKind] = []
         for _ in range(30):
-            do = runner.next_action(now, now, 2 * SECOND)
-            if do is None:
+            action = runner.next_action(now, now, 2 * SECOND)
+            if action is None:
                 now += 100 * MILLISECOND
                 continue
-            if do.what == until:
+            if action.kind is until:
                 return done
-            done.append(do.what)
-            result = outcome if do.what in ("act", "fence") else self.record.apply(do.command("t"))
-            runner.handle_result(now, do, result)
+            done.append(action.kind)
+            result = outcome if action.is_request else self.run_log.apply(action.command("t").to_json())
+            runner.handle_result(now, action, result)
         return done
--- a/tests/scheduled_tasks/test_schedule.py
+++ b/tests/scheduled_tasks/test_schedule.py
@@ -7,7 +7,7 @@
 from tests.scheduled_tasks.support import NOW
 
 
-def test_a_schedule_numbers_runs_and_skips_or_makes_up_what_was_missed() -> None:
+def test_missed_runs_are_skipped_or_executed_once_by_policy() -> None:
     skip, once = Schedule(10 * SECOND), Schedule(10 * SECOND, missed=MissedRunPolicy.ONCE)
     run = skip.current_run(NOW)
     assert skip.due_run(NOW, run - 1) == run and skip.due_run(NOW, run) is None
