--- a/marlstep/cluster/task_driver.py
+++ b/marlstep/cluster/task_driver.py
@@ -10,14 +10,14 @@
 from marlstep.cluster.interfaces import Step, TurnRequester
 from marlstep.cluster.task_frontend import TaskFrontend
 from marlstep.config.cluster import TaskConfig
-from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, Outcome
-from marlstep.scheduled_tasks.runner import RunnerAction, TaskRunner
+from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX
+from marlstep.scheduled_tasks.runner import TaskRunner
 from marlstep.units import ZERO
 
 log = logging.getLogger(__name__)
 
-POOL_ACTIONS = frozenset({"act", "fence"})  # requests to servers; all others are commands of the log
-
 
 class TaskDriver:
     """Carries out what the runners of all tasks decide."""
@@ -68,7 +68,7 @@
             if result is None:
                 continue
             name, action = self._proposals.pop(number)
-            if action.what == "begin" and "begun" in result:
+            if action.kind is ActionKind.BEGIN and "begun" in result:
                 self._context.observer.reached(Step.RUN_BEGUN)
             self.runners[name].handle_result(now, action, result)
 
@@ -90,13 +90,13 @@
                 self._context.client.abandon(number)
 
     def _start(self, task: TaskConfig, runner: TaskRunner, action: RunnerAction, now: datetime) -> None:
-        if action.what in POOL_ACTIONS:
+        if action.is_request:
             self._request(task, runner, action, now)
         else:
             self._propose(task.plan.name, runner, action, now)
 
     def _propose(self, name: str, runner: TaskRunner, action: RunnerAction, now: datetime) -> None:
-        if action.what == "end":
+        if action.kind is ActionKind.END:
             self._context.observer.reached(Step.RUN_ENDING)
         number = self._context.client.propose(now, action.command(name))
         if number is None:
@@ -135,7 +135,7 @@
             runner.plan.name,
             action.run,
             action.token,
-            action.what,
+            action.kind,
             outcome.value,
         )
         runner.handle_result(self._context.steady.now(), action, outcome)
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -16,8 +16,9 @@
 from marlstep.core.engine import Core, Refused
 from marlstep.core.model import Answer, Backend, Offer, Request, Ticket, Verdict
 from marlstep.fronts.uwsgi_wire import write_packet
-from marlstep.scheduled_tasks.run_log import Outcome
-from marlstep.scheduled_tasks.runner import LEASE_MARGIN, RunnerAction
+from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
+from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.runner import LEASE_MARGIN
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import ZERO
 from petrelcart.interface import Outcome as RunOutcome
@@ -118,7 +119,7 @@
             arrived=self._timeline.now(),
             kb=REQUEST_MEMORY_KB,
             pool=self.pool_of(plan.request_class),
-            once=f"{plan.name}/{action.what}/{action.run}/{action.token}/{number}",
+            once=f"{plan.name}/{action.kind}/{action.run}/{action.token}/{number}",
         )
         acting = self._requests[number] = TaskRequest(task, action, on_outcome, lease_time_left)
         acting.deadline = self._steady.at(
@@ -144,7 +145,7 @@
             "HTTP_X_TASK_TOKEN": str(action.token),
             "HTTP_X_TASK_RUN": str(action.run),
             "HTTP_X_TASK_HOLDER": self._holder,
-            "HTTP_X_TASK_FENCE": "1" if action.what == "fence" else "0",
+            "HTTP_X_TASK_FENCE": "1" if action.kind is ActionKind.FENCE else "0",
         }
 
     def may_start(self, request: Request) -> bool:
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -24,7 +24,8 @@
 from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
 from marlstep.replicated_config.rollout import RolloutMonitor
 from marlstep.replicated_config.store import ConfigStore, Document
-from marlstep.scheduled_tasks.runner import RunnerAction, RunnerState, TaskRunner
+from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
+from marlstep.scheduled_tasks.runner import RunnerState, TaskRunner
 from marlstep.units import MILLISECOND, ZERO
 
 
@@ -75,13 +76,13 @@
     def take_responses(
         self,
         now: datetime,
-        confirmed: int,
+        confirmed_round: int,
         leader: str,
         term: int,
-        news: tuple[DocumentStatus, ...] = (),
-        shares: Any = no_quota_shares,
+        documents: tuple[DocumentStatus, ...] = (),
+        quota_shares: Any = no_quota_shares,
     ) -> list[tuple[str, HeartbeatResponse]]:
-        return super().take_responses(now, 1 << 60, leader, term, news, shares)
+        return super().take_responses(now, 1 << 60, leader, term, documents, quota_shares)
 
 
 class NeverStepsDown(Raft):
@@ -113,7 +114,7 @@
 
     def next_action(self, now: datetime, wall: datetime, left: timedelta) -> RunnerAction | None:
         do = super().next_action(now, wall, left)
-        while do is not None and do.what in ("begin", "end"):
+        while do is not None and do.kind in (ActionKind.BEGIN, ActionKind.END):
             self.handle_result(now, do, {"begun": do.run})
             do = super().next_action(now, wall, left)
         return do
