--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -230,7 +230,7 @@
     def _carry_out(self, node: VirtualNode, done: list[Any]) -> None:
         super()._carry_out(node, done)
         for name, one in self.followers[node.name].documents.items():
-            if one.state is FollowerState.ACTING:
+            if one.state is FollowerState.ACTIVE:
                 self.acted.setdefault((name, one.version), {}).setdefault(node.name, self.true_us)
 
     def watch(self) -> None:
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -31,8 +31,8 @@
     ConfigFollower,
     FollowerAction,
     FollowerState,
-    LoseDocument,
     ProposeFirstVersion,
+    SuspendDocument,
 )
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.units import MILLISECOND
@@ -188,7 +188,7 @@
                 fleet.ask_leader(do)
             case ActivateVersion():
                 self._act(do)
-            case LoseDocument():
+            case SuspendDocument():
                 self._stop(do)
             case ProposeFirstVersion():
                 if not fleet.capabilities.proposes:
@@ -224,7 +224,7 @@
     def _share(self, tenant: str) -> None:
         self._documents.set_quota_share(tenant, self.quota_lease.share_of(tenant))
 
-    def _stop(self, do: LoseDocument) -> None:
+    def _stop(self, do: SuspendDocument) -> None:
         how = {
             DisconnectPolicy.STOP: "new work is refused",
             DisconnectPolicy.NARROW: "the lesser of what is known counts",
@@ -345,7 +345,7 @@
     def _unfixed(self, named: DocumentDefinition, now: datetime) -> dict[str, Any]:
         """Nothing is merged: what the group has counts, and how the two differed is said."""
         one = self.follower.documents[named.name]
-        if one.state is not FollowerState.FIXED:
+        if one.state is not FollowerState.PINNED:
             return {"fixed": False, "differed": []}
         differed = self._against_group(named.name)
         log.warning("fleet: %s: the fixed version is taken back by an operator", named.name)
@@ -384,12 +384,12 @@
                     "kind": one.definition.kind.value,
                     "strict": one.definition.strict,
                     "cut_off": one.definition.disconnect_policy.value,
-                    "state": one.state.value,
+                    "state": one.state.description,
                     "version": one.version,
                     "in_force": None if target is None else target.version,
                     "preparing": None if target is None else target.prepared_version or None,
                     "against_group": self._against_group(one.definition.name)
-                    if one.state is FollowerState.FIXED
+                    if one.state is FollowerState.PINNED
                     else None,
                     "differs": [] if not one.content else self._differs(one.definition, one.content),
                 }
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -19,7 +19,7 @@
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.quotas import QuotaShare, QuotaTable
 from marlstep.membership.records import MemberRecord
-from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
+from marlstep.replicated_config.follower import ConfigFollower, FollowerState, SuspendDocument
 from marlstep.replicated_config.rollout import RolloutMonitor
 from marlstep.replicated_config.store import ConfigStore, Document
 from marlstep.scheduled_tasks.runner import RunnerAction, RunnerState, TaskRunner
@@ -168,7 +168,7 @@
         state = one.state
         done = super()._prepare(now, one, target)
         one.state = state
-        return [do for do in done if not isinstance(do, LoseDocument)]
+        return [do for do in done if not isinstance(do, SuspendDocument)]
 
 
 class TrustsItsDisk(ConfigFollower):
@@ -185,9 +185,9 @@
     def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
         state = one.state
         done = super()._reach_version(now, one, version, digest, pending)
-        if one.state is FollowerState.BEHIND:
+        if one.state is FollowerState.CATCHING_UP:
             one.state = state
-        return [do for do in done if not (isinstance(do, LoseDocument) and "not here yet" in do.reason)]
+        return [do for do in done if not (isinstance(do, SuspendDocument) and "not here yet" in do.reason)]
 
 
 class NeverLooks(RolloutMonitor):
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/drill/explore_rules.py
@@ -39,8 +39,8 @@
     CheckVersion,
     ConfigFollower,
     FollowerAction,
-    LoseDocument,
     ProposeFirstVersion,
+    SuspendDocument,
 )
 from marlstep.replicated_config.follower import FollowerState as Follows
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
@@ -132,14 +132,14 @@
                     self._sends.append((self.participant.target, do))
                 case ProposeFirstVersion():
                     self.put(now, "[1]", 0)
-                case ActivateVersion() | LoseDocument():
+                case ActivateVersion() | SuspendDocument():
                     pass  # where it stands is read from the follower
 
     def acting(self, now: datetime) -> tuple[int, datetime] | None:
         """The version that it acts on, and until when."""
         one = self.follower.documents[DOCUMENT]
         left = self.holder.time_left(self.lease, now)
-        return (one.version, now + left) if one.state is Follows.ACTING and left else None
+        return (one.version, now + left) if one.state is Follows.ACTIVE and left else None
 
 
 @dataclass(slots=True)
@@ -260,18 +260,18 @@
 
 def node_key(one: RulesNode) -> tuple[Any, ...]:
     at = one.follower.documents[DOCUMENT]
-    held, checks = tuple((at.prepared_contents or {}).items()), tuple(at.checks.items())
+    held, checks = tuple((at.prepared_contents or {}).items()), tuple(at.check_results.items())
     mine = (
         at.state,
         at.version,
         at.target,
-        at.fetching,
-        at.chunks,
-        at.asked,
+        at.fetching_version,
+        at.fetched_text,
+        at.fetch_sent_at,
         held,
         checks,
-        at.acked,
-        at.found,
+        at.acknowledged_version,
+        at.proposed_at,
     )
     return (*mine, holder_key(one.participant), tuple(one.participant._outbound), tuple(one._acks.items()))
 
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -27,8 +27,8 @@
     CheckVersion,
     ConfigFollower,
     FollowerState,
-    LoseDocument,
     ProposeFirstVersion,
+    SuspendDocument,
 )
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.store import ConfigStore
@@ -107,7 +107,7 @@
             for name, one in before.documents.items():  # acts on what it had, without asking
                 if one.version:
                     kept = follower.documents[name]
-                    kept.version, kept.content, kept.state = one.version, one.content, FollowerState.ACTING
+                    kept.version, kept.content, kept.state = one.version, one.content, FollowerState.ACTIVE
         follower.start()
 
     def _report(self, node: VirtualNode, follower: ConfigFollower, now: Any) -> Any:
@@ -115,7 +115,7 @@
         figures = self._figures.setdefault(node.participant.holder.name, [0, 0, 0])
         figures[0] += 20
         sick = any(
-            one.state is FollowerState.ACTING and SICK in one.content for one in follower.documents.values()
+            one.state is FollowerState.ACTIVE and SICK in one.content for one in follower.documents.values()
         )
         figures[1] += 15 if sick else 1
         # Demand for the tenant's allowance goes from node to node, and now and then is more than all of it.
@@ -200,7 +200,7 @@
                         return
                 case ProposeFirstVersion():
                     self._put(node, do.name, 0, json.dumps({"first": 1}))
-                case LoseDocument():
+                case SuspendDocument():
                     self.counts["stops"] += 1
         self.watch()
 
@@ -276,7 +276,7 @@
                 number, on = self._staged.get(named.name, (0, []))
                 if one.version == number and node.name in on:
                     continue  # what an operator asked for
-                if one.state is FollowerState.ACTING and held:
+                if one.state is FollowerState.ACTIVE and held:
                     versions[one.version] = node.name
             if len(versions) > 1:
                 if named.strict:
--- a/marlstep/replicated_config/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -21,13 +21,19 @@
 
 
 class FollowerState(enum.Enum):
-    UNKNOWN = "has not heard of a version yet"
-    ACTING = "acts on it"
-    SUSPENDED = "has stopped for the next version"
-    CUT_OFF = "its lease has run out"
-    BEHIND = "fetches the version that is in force"
-    HELD_OUT = "can't take it"
-    FIXED = "an operator's fixed version is in force"
+    """What a node does with one document. Heartbeats and status pages carry the wire word."""
+
+    UNKNOWN = ("unknown", "has not heard of a version yet")
+    ACTIVE = ("acting", "acts on it")
+    SUSPENDED = ("suspended", "has stopped for the next version")
+    LEASE_EXPIRED = ("cut_off", "its lease has run out")
+    CATCHING_UP = ("behind", "fetches the version that is in force")
+    EXCLUDED = ("held_out", "can't take it")
+    PINNED = ("fixed", "an operator's fixed version is in force")
+
+    def __init__(self, wire_word: str, description: str) -> None:
+        self.wire_word = wire_word
+        self.description = description
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,7 +65,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LoseDocument:
+class SuspendDocument:
     """No new work under the document from now on, by its cut-off rule; `why` is for the log."""
 
     name: str
@@ -75,7 +81,7 @@
 
 
 FollowerAction = (
-    CheckVersion | AcknowledgeVersion | ActivateVersion | LoseDocument | ProposeFirstVersion | FetchChunk
+    CheckVersion | AcknowledgeVersion | ActivateVersion | SuspendDocument | ProposeFirstVersion | FetchChunk
 )
 
 
@@ -87,17 +93,17 @@
     state: FollowerState = FollowerState.UNKNOWN
     version: int = 0  # that it acts on, or acted on last
     content: str = ""
-    since: datetime | None = None
+    active_since: datetime | None = None
     target: DocumentStatus | None = None
-    fetching: int = 0  # version
-    chunks: str = ""
-    asked: datetime | None = None
+    fetching_version: int = 0  # version
+    fetched_text: str = ""
+    fetch_sent_at: datetime | None = None
     prepared_contents: dict[int, str] | None = None  # contents that came whole, by version
-    checks: dict[int, str] = field(
+    check_results: dict[int, str] = field(
         default_factory=dict
     )  # by version: why it can't be taken, empty where it can
-    acked: int = 0
-    found: datetime | None = None  # missing in the group, and its first version proposed
+    acknowledged_version: int = 0
+    proposed_at: datetime | None = None  # missing in the group, and its first version proposed
 
 
 class ConfigFollower:
@@ -117,10 +123,12 @@
         for name, one in self.documents.items():
             one.target = by_name.get(name)
             if one.target is None:
-                if one.state is FollowerState.FIXED:
+                if one.state is FollowerState.PINNED:
                     continue
-                if left > ZERO and (one.found is None or now >= one.found + PROPOSE_RETRY_INTERVAL):
-                    one.found = now
+                if left > ZERO and (
+                    one.proposed_at is None or now >= one.proposed_at + PROPOSE_RETRY_INTERVAL
+                ):
+                    one.proposed_at = now
                     done.append(ProposeFirstVersion(name))
             elif left > ZERO:
                 done += self._follow(now, one)
@@ -130,7 +138,7 @@
         target = one.target
         assert target is not None
         done: list[FollowerAction] = []
-        if one.state is FollowerState.FIXED:  # only to show how the two differ
+        if one.state is FollowerState.PINNED:  # only to show how the two differ
             known = (
                 not target.version or self._content_or_fetch(one, target.version, target.digest) is not None
             )
@@ -143,7 +151,9 @@
         if number:
             done += self._reach_version(now, one, number, digest, then)
         # One content at a time: what is acted on comes first, and what is prepared when that is here.
-        waits = 0 < one.fetching == number or any(isinstance(do, FetchChunk | CheckVersion) for do in done)
+        waits = 0 < one.fetching_version == number or any(
+            isinstance(do, FetchChunk | CheckVersion) for do in done
+        )
         if target.prepared_version and not waits:
             done += self._prepare(now, one, target)
         return done
@@ -152,58 +162,58 @@
         self, now: datetime, one: FollowedDocument, version: int, digest: str, pending: int
     ) -> list[FollowerAction]:
         """That version is in force."""
-        if one.definition.strict and pending and one.acked == pending:
-            if one.state is not FollowerState.HELD_OUT:
+        if one.definition.strict and pending and one.acknowledged_version == pending:
+            if one.state is not FollowerState.EXCLUDED:
                 one.state = (
                     FollowerState.SUSPENDED
                 )  # it has said that it stopped: until it hears how that change ended
             return []
-        if one.state is FollowerState.ACTING and one.version == version:
+        if one.state is FollowerState.ACTIVE and one.version == version:
             return []
         content = self._content_or_fetch(one, version, digest)
         if content is None:
             done = self._fetch(now, one, version)
-            if one.state is not FollowerState.ACTING:
+            if one.state is not FollowerState.ACTIVE:
                 return done
             # Its lease was over for a while, and the change went through without it: with a lease again it must not
             # go on with what it has, however long the new one takes to come.
-            one.state = FollowerState.BEHIND
+            one.state = FollowerState.CATCHING_UP
             why = f"version {version} is in force, and not here yet"
-            return [LoseDocument(one.definition.name, one.definition.disconnect_policy, why), *done]
-        if version not in one.checks:
+            return [SuspendDocument(one.definition.name, one.definition.disconnect_policy, why), *done]
+        if version not in one.check_results:
             return [CheckVersion(one.definition.name, version, content)]
-        if why := one.checks[version]:
-            if one.state is FollowerState.HELD_OUT:
+        if why := one.check_results[version]:
+            if one.state is FollowerState.EXCLUDED:
                 return []
-            one.state = FollowerState.HELD_OUT
+            one.state = FollowerState.EXCLUDED
             return [
-                LoseDocument(
+                SuspendDocument(
                     one.definition.name, DisconnectPolicy.STOP, f"version {version} can't be taken: {why}"
                 )
             ]
-        one.version, one.content, one.since, one.state = version, content, now, FollowerState.ACTING
+        one.version, one.content, one.active_since, one.state = version, content, now, FollowerState.ACTIVE
         least = min(version, one.target.version if one.target is not None else version)
         one.prepared_contents = {
             number: text for number, text in (one.prepared_contents or {}).items() if number >= least
         }
-        one.checks = {number: why for number, why in one.checks.items() if number >= least}
+        one.check_results = {number: why for number, why in one.check_results.items() if number >= least}
         return [ActivateVersion(one.definition.name, version, content)]
 
     def _prepare(self, now: datetime, one: FollowedDocument, target: DocumentStatus) -> list[FollowerAction]:
         """A change is being prepared: say whether it can be taken, and for a strict document stop before that."""
-        if one.acked == target.prepared_version:
+        if one.acknowledged_version == target.prepared_version:
             return []
         content = self._content_or_fetch(one, target.prepared_version, target.prepared_digest)
         if content is None:
             return self._fetch(now, one, target.prepared_version)
-        if target.prepared_version not in one.checks:
+        if target.prepared_version not in one.check_results:
             return [CheckVersion(one.definition.name, target.prepared_version, content)]
-        one.acked = target.prepared_version
+        one.acknowledged_version = target.prepared_version
         done: list[FollowerAction] = []
-        if one.definition.strict and one.state is FollowerState.ACTING:
+        if one.definition.strict and one.state is FollowerState.ACTIVE:
             one.state = FollowerState.SUSPENDED
             done.append(
-                LoseDocument(
+                SuspendDocument(
                     one.definition.name,
                     DisconnectPolicy.STOP,
                     f"until version {target.prepared_version} is in force",
@@ -215,7 +225,7 @@
                 one.definition.name,
                 target.prepared_version,
                 target.prepared_digest,
-                one.checks[target.prepared_version],
+                one.check_results[target.prepared_version],
             ),
         ]
 
@@ -225,23 +235,28 @@
         return content if content is not None and content_digest(content) == digest else None
 
     def _fetch(self, now: datetime, one: FollowedDocument, version: int) -> list[FollowerAction]:
-        if one.fetching != version:
-            one.fetching, one.chunks, one.asked = version, "", None
-        if one.asked is not None and now < one.asked + FETCH_RETRY_INTERVAL:
+        if one.fetching_version != version:
+            one.fetching_version, one.fetched_text, one.fetch_sent_at = version, "", None
+        if one.fetch_sent_at is not None and now < one.fetch_sent_at + FETCH_RETRY_INTERVAL:
             return []
-        one.asked = now
-        return [FetchChunk(one.definition.name, version, len(one.chunks))]
+        one.fetch_sent_at = now
+        return [FetchChunk(one.definition.name, version, len(one.fetched_text))]
 
     def handle_chunk(self, now: datetime, piece: DocumentChunk, left: timedelta) -> list[FollowerAction]:
         one = self.documents.get(piece.name)
-        if one is None or one.fetching != piece.version or piece.offset != len(one.chunks) or piece.size < 0:
+        if (
+            one is None
+            or one.fetching_version != piece.version
+            or piece.offset != len(one.fetched_text)
+            or piece.size < 0
+        ):
             return []
-        one.chunks += piece.data
-        one.asked = None
-        if len(one.chunks) < piece.size:
+        one.fetched_text += piece.data
+        one.fetch_sent_at = None
+        if len(one.fetched_text) < piece.size:
             return self._fetch(now, one, piece.version)
-        one.prepared_contents = {**(one.prepared_contents or {}), piece.version: one.chunks}
-        one.fetching, one.chunks = 0, ""
+        one.prepared_contents = {**(one.prepared_contents or {}), piece.version: one.fetched_text}
+        one.fetching_version, one.fetched_text = 0, ""
         return self._follow(now, one) if one.target is not None and left > ZERO else []
 
     def handle_check_result(
@@ -249,14 +264,14 @@
     ) -> list[FollowerAction]:
         """What the check of a content came to; empty: this node can act on it."""
         one = self.documents[check.name]
-        one.checks[check.version] = why
+        one.check_results[check.version] = why
         return self._follow(now, one) if one.target is not None and left > ZERO else []
 
     def acknowledgement_lost(self, name: str, version: int) -> None:
         """The log did not take it: it is said again."""
         one = self.documents[name]
-        if one.acked == version:
-            one.acked = 0
+        if one.acknowledged_version == version:
+            one.acknowledged_version = 0
 
     # Time.
 
@@ -267,10 +282,10 @@
             if left > ZERO:
                 if one.target is not None:
                     done += self._follow(now, one)
-            elif one.state in (FollowerState.ACTING, FollowerState.SUSPENDED, FollowerState.BEHIND):
-                one.state = FollowerState.CUT_OFF
+            elif one.state in (FollowerState.ACTIVE, FollowerState.SUSPENDED, FollowerState.CATCHING_UP):
+                one.state = FollowerState.LEASE_EXPIRED
                 done.append(
-                    LoseDocument(
+                    SuspendDocument(
                         one.definition.name,
                         one.definition.disconnect_policy,
                         "the lease on the rules has run out",
@@ -285,13 +300,13 @@
     @staticmethod
     def _document_accepts_work(one: FollowedDocument, left: timedelta) -> bool:
         match one.state:
-            case FollowerState.FIXED:
+            case FollowerState.PINNED:
                 return True
-            case FollowerState.SUSPENDED | FollowerState.HELD_OUT:
+            case FollowerState.SUSPENDED | FollowerState.EXCLUDED:
                 return False
-            case FollowerState.ACTING if left > ZERO:
+            case FollowerState.ACTIVE if left > ZERO:
                 return True
-            case FollowerState.BEHIND if one.definition.strict:
+            case FollowerState.CATCHING_UP if one.definition.strict:
                 return False
         return one.definition.disconnect_policy is not DisconnectPolicy.STOP
 
@@ -301,8 +316,8 @@
             (
                 name,
                 one.version,
-                one.state.name.lower(),
-                0 if one.since is None else max(0, (now - one.since) // MILLISECOND),
+                one.state.wire_word,
+                0 if one.active_since is None else max(0, (now - one.active_since) // MILLISECOND),
                 self._reason(one),
             )
             for name, one in self.documents.items()
@@ -310,19 +325,19 @@
 
     @staticmethod
     def _reason(one: FollowedDocument) -> str:
-        if one.state is FollowerState.ACTING and one.target is not None and one.version == one.target.version:
+        if one.state is FollowerState.ACTIVE and one.target is not None and one.version == one.target.version:
             return ""
-        if one.fetching:
-            return f"fetches version {one.fetching}, has {len(one.chunks)} characters of it"
-        if one.state is FollowerState.HELD_OUT:
-            return max(one.checks.items(), default=(0, ""))[1][:128]
+        if one.fetching_version:
+            return f"fetches version {one.fetching_version}, has {len(one.fetched_text)} characters of it"
+        if one.state is FollowerState.EXCLUDED:
+            return max(one.check_results.items(), default=(0, ""))[1][:128]
         if (
-            one.state is FollowerState.ACTING
+            one.state is FollowerState.ACTIVE
             and one.target is not None
             and one.version == one.target.prepared_version
         ):
             return "a stage: it is among the first"
-        return str(one.state.value)
+        return one.state.description
 
     def group_content(self, name: str) -> str | None:
         """The content that is in force in the group, beside a fixed one; None where it is not known here."""
@@ -334,7 +349,7 @@
     def start(self) -> list[FollowerAction]:
         """At a start nothing is acted on before the group has said which version is in force."""
         return [
-            LoseDocument(one.definition.name, one.definition.disconnect_policy, "not heard of yet")
+            SuspendDocument(one.definition.name, one.definition.disconnect_policy, "not heard of yet")
             for one in self.documents.values()
         ]
 
@@ -343,12 +358,12 @@
     def pin(self, now: datetime, name: str, content: str) -> list[FollowerAction]:
         """A fixed version by an operator's word, until `unfix`: for a group that is lost."""
         one = self.documents[name]
-        one.state, one.content, one.version, one.since = FollowerState.FIXED, content, -1, now
+        one.state, one.content, one.version, one.active_since = FollowerState.PINNED, content, -1, now
         return [ActivateVersion(name, -1, content)]
 
     def unpin(self, name: str) -> list[FollowerAction]:
         one = self.documents[name]
-        if one.state is not FollowerState.FIXED:
+        if one.state is not FollowerState.PINNED:
             return []
         one.state, one.version = FollowerState.UNKNOWN, 0
-        return [LoseDocument(name, one.definition.disconnect_policy, "the fixed version was taken back")]
+        return [SuspendDocument(name, one.definition.disconnect_policy, "the fixed version was taken back")]
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -13,6 +13,7 @@
 from datetime import datetime, timedelta
 
 from marlstep.leases.messages import Heartbeat, RequestCounts
+from marlstep.replicated_config.follower import FollowerState
 from marlstep.replicated_config.store import ConfigStore, PreparedVersion
 from marlstep.units import MILLISECOND, SECOND
 
@@ -134,7 +135,11 @@
                 continue
             side = watched.off
             if holder.partition("/")[0] in stage.nodes:
-                acts = {row[0]: row[1] for row in heard.heartbeat.document_states if row[2] == "acting"}
+                acts = {
+                    row[0]: row[1]
+                    for row in heard.heartbeat.document_states
+                    if row[2] == FollowerState.ACTIVE.wire_word
+                }
                 if acts.get(name) != pending.version.number:
                     continue
                 side = watched.on
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -45,8 +45,8 @@
     CheckVersion,
     ConfigFollower,
     FollowerState,
-    LoseDocument,
     ProposeFirstVersion,
+    SuspendDocument,
 )
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
@@ -262,7 +262,7 @@
 def test_a_version_is_acted_on_once_it_is_in_force_and_an_old_one_until_then() -> None:
     node = Node(PLAIN)
     assert node.told(1) == ["ActivateVersion"] and node.one.version == 1
-    assert node.told(1, 2) == ["AcknowledgeVersion"] and node.one.state is FollowerState.ACTING
+    assert node.told(1, 2) == ["AcknowledgeVersion"] and node.one.state is FollowerState.ACTIVE
     assert node.told(1, 2) == []  # said once
     assert node.told(2) == ["ActivateVersion"] and node.one.content == "[2]"
 
@@ -271,7 +271,7 @@
     node = Node(STRICT)
     node.told(1)
     assert (
-        node.told(1, 2) == ["LoseDocument", "AcknowledgeVersion"]
+        node.told(1, 2) == ["SuspendDocument", "AcknowledgeVersion"]
         and node.one.state is FollowerState.SUSPENDED
     )
     assert node.told(1, 2) == [] and node.one.state is FollowerState.SUSPENDED
@@ -287,21 +287,21 @@
 def test_without_a_lease_nothing_is_acted_on_and_a_restart_asks_first() -> None:
     node = Node(PLAIN)
     [stop] = node.follower.start()
-    assert isinstance(stop, LoseDocument)
+    assert isinstance(stop, SuspendDocument)
     assert node.told(1, left=ZERO) == [] and node.one.state is FollowerState.UNKNOWN
     node.told(1)
     [stop] = node.follower.tick(NOW, ZERO)
-    assert isinstance(stop, LoseDocument) and not node.follower.tick(NOW, ZERO)
+    assert isinstance(stop, SuspendDocument) and not node.follower.tick(NOW, ZERO)
     assert node.told(2) == ["ActivateVersion"]
 
 
 def test_a_node_that_cant_take_a_version_says_why_and_stops_when_it_is_in_force() -> None:
     node = Node(STRICT, why="an older program")
     node.told(1)
-    assert node.told(1, 2) == ["LoseDocument", "AcknowledgeVersion"]
+    assert node.told(1, 2) == ["SuspendDocument", "AcknowledgeVersion"]
     assert isinstance(node.done[1], AcknowledgeVersion) and node.done[1].rejection == "an older program"
-    assert node.told(2) == ["LoseDocument"] and node.one.state is FollowerState.HELD_OUT
-    assert node.told(2, 3) == ["AcknowledgeVersion"] and node.one.state is FollowerState.HELD_OUT
+    assert node.told(2) == ["SuspendDocument"] and node.one.state is FollowerState.EXCLUDED
+    assert node.told(2, 3) == ["AcknowledgeVersion"] and node.one.state is FollowerState.EXCLUDED
 
 
 def test_a_document_that_the_group_lacks_is_proposed_from_the_files() -> None:
@@ -318,7 +318,7 @@
     node.told(1)
     assert node.follower.pin(NOW, "d", "[9]") == [ActivateVersion("d", -1, "[9]")]
     assert node.told(2) == [] and node.follower.tick(NOW, ZERO) == []
-    assert isinstance(node.follower.unpin("d")[0], LoseDocument)
+    assert isinstance(node.follower.unpin("d")[0], SuspendDocument)
     assert node.told(2) == ["ActivateVersion"]
 
 
@@ -333,11 +333,11 @@
         node.told(version, pending if pending > version else 0, SECOND if left else ZERO)
         if not left:
             node.follower.tick(NOW, ZERO)
-            assert node.one.state is not FollowerState.ACTING
+            assert node.one.state is not FollowerState.ACTIVE
         elif strict and pending > version:
-            assert node.one.state is FollowerState.SUSPENDED and node.one.acked == pending
+            assert node.one.state is FollowerState.SUSPENDED and node.one.acknowledged_version == pending
         else:
-            assert node.one.state is FollowerState.ACTING and node.one.version == version
+            assert node.one.state is FollowerState.ACTIVE and node.one.version == version
 
 
 # In the node.
@@ -714,7 +714,10 @@
     done = node.follower.handle_statuses(
         NOW, (news,), SECOND
     )  # without a look between: its lease was over, and is there again
-    assert [type(do) for do in done] == [LoseDocument, FetchChunk] and node.one.state is FollowerState.BEHIND
+    assert [type(do) for do in done] == [
+        SuspendDocument,
+        FetchChunk,
+    ] and node.one.state is FollowerState.CATCHING_UP
     assert "fetches version 2" in node.follower.document_states(NOW)[0][4]
 
 
@@ -723,7 +726,7 @@
     node.told(1)
     node.follower.pin(NOW, "d", "[9]")
     assert node.follower.group_content("d") == "[1]"
-    assert node.told(3) == [] and node.one.state is FollowerState.FIXED
+    assert node.told(3) == [] and node.one.state is FollowerState.PINNED
     assert node.follower.group_content("d") == "[3]" and node.one.content == "[9]"
 
 
