--- a/marlstep/cli/rules.py
+++ b/marlstep/cli/rules.py
@@ -15,7 +15,8 @@
 from marlstep.cli.fleet import Where, asked, call, table
 from marlstep.cli.fleet import order as fleet_order
 from marlstep.cli.spans import SPAN_TYPE
-from marlstep.replicated_config.documents import canonical_json, content_digest, differences
+from marlstep.replicated_config.comparison import differences
+from marlstep.replicated_config.documents import canonical_json, content_digest
 
 PIECE = 1_200  # characters in one call: the administration takes bodies of 4 KB
 
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -15,6 +15,7 @@
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.membership.quotas import DemandEstimator, QuotaLease, quota_limit_violation
 from marlstep.net.codec import write_fields
+from marlstep.replicated_config.comparison import differences
 from marlstep.replicated_config.documents import (
     CHUNK_CHARACTERS,
     DisconnectPolicy,
@@ -22,7 +23,6 @@
     Kind,
     canonical_json,
     content_digest,
-    differences,
 )
 from marlstep.replicated_config.follower import (
     AcknowledgeVersion,
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -19,9 +19,12 @@
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.quotas import QuotaShare, QuotaTable
 from marlstep.membership.records import MemberRecord
+from marlstep.replicated_config.commands import PrepareVersion
+from marlstep.replicated_config.documents import Document
 from marlstep.replicated_config.follower import ConfigFollower, FollowerState, SuspendDocument
+from marlstep.replicated_config.results import VersionPrepared
 from marlstep.replicated_config.rollout import RolloutMonitor
-from marlstep.replicated_config.store import ConfigStore, Document
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.scheduled_tasks.runner import RunnerAction, RunnerState, TaskRunner
 from marlstep.units import MILLISECOND, ZERO
 
@@ -140,12 +143,12 @@
 class AnyVersion(ConfigStore):
     """Compare-and-set without the compare."""
 
-    def _apply_put(self, command: CommandJson) -> ResultJson:
-        known = self.documents.get(command["doc"])
+    def _apply_prepare(self, command: PrepareVersion) -> VersionPrepared:
+        known = self.documents.get(command.document)
         number = known.active_number if known is not None else 0
         if known is not None and known.prepared is not None:
             known.prepared = None
-        return super()._apply_put({**command, "expect": number})
+        return super()._apply_prepare(replace(command, expected_version=number))
 
 
 class CountsEarlierLives(ConfigStore):
--- /dev/null
+++ b/marlstep/replicated_config/comparison.py
@@ -0,0 +1,78 @@
+"""Comparison of two contents of a document: readable differences, and server lists that shrink too much."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+import orjson
+
+from marlstep.replicated_config.documents import canonical_json
+
+SHOWN_CHARACTERS = 60  # of a value in a line of differences
+
+
+@dataclass(slots=True, frozen=True)
+class PoolShrinkage:
+    """A pool that a change would empty, or deprive of over half of its servers."""
+
+    pool: str
+    before: int  # servers
+    kept: int  # of them
+    emptied: bool
+
+    def describe(self) -> str:
+        """Return the text for operators; it is part of replicated results."""
+        if self.emptied:
+            return f"pool {self.pool} would be empty"
+        return f"pool {self.pool} would lose {self.before - self.kept} of {self.before} servers"
+
+
+def find_unsafe_shrinkage(before: str, after: str) -> PoolShrinkage | None:
+    """Return the first pool that shrinks too much for a change without force, if there is one."""
+    old, new = orjson.loads(before), orjson.loads(after)
+    for pool, servers in old.items():
+        kept = len(set(servers) & set(new.get(pool, ())))
+        emptied = not new.get(pool)
+        if emptied or kept * 2 < len(servers):
+            return PoolShrinkage(pool, len(servers), kept, emptied)
+    return None
+
+
+def differences(before: object, after: object, path: str = "") -> Iterator[str]:
+    """Yield a line for each value or list that differs; rows with a name are matched by it."""
+    if isinstance(before, dict) and isinstance(after, dict):
+        for key in sorted({*before, *after}):
+            yield from differences(before.get(key), after.get(key), f"{path}.{key}".lstrip("."))
+        return
+    rows_before, rows_after = _rows_by_name(before), _rows_by_name(after)
+    if rows_before is not None and rows_after is not None:
+        yield from differences(rows_before, rows_after, path)
+    elif before is None:
+        yield f"{path} is new: {_shortened(after)}"
+    elif after is None:
+        yield f"{path} is gone, was {_shortened(before)}"
+    elif before != after:
+        yield _changed_value(before, after, path)
+
+
+def _changed_value(before: object, after: object, path: str) -> str:
+    if not isinstance(before, list) or not isinstance(after, list):
+        return f"{path} {_shortened(before)} is now {_shortened(after)}"
+    added = [item for item in after if item not in before]
+    removed = [item for item in before if item not in after]
+    return f"{path}: {len(added)} come ({_shortened(added)}), {len(removed)} go ({_shortened(removed)})"
+
+
+def _rows_by_name(value: object) -> dict[str, object] | None:
+    """The rows of a non-empty list by their names; None for anything else."""
+    if not isinstance(value, list) or not value:
+        return None
+    if not all(isinstance(row, dict) and "name" in row for row in value):
+        return None
+    return {row["name"]: row for row in value}
+
+
+def _shortened(value: object) -> str:
+    text = canonical_json(value)
+    return text if len(text) <= SHOWN_CHARACTERS else text[: SHOWN_CHARACTERS - 3] + "..."
--- a/marlstep/replicated_config/documents.py
+++ b/marlstep/replicated_config/documents.py
@@ -1,107 +1,141 @@
-"""What documents there are, what is kept of each version, and what a change of one would change."""
+"""The data types of versioned documents, with the form in which snapshots store them."""
 
 from __future__ import annotations
 
 import enum
 import hashlib
-from collections.abc import Iterator
 from dataclasses import dataclass, field
 from typing import Any
 
 import orjson
 
-from marlstep.net.codec import INTEGER, TEXT, wire
+from marlstep.net.codec import (
+    BOOLEAN,
+    INTEGER,
+    NUMBER,
+    OBJECT,
+    TEXT,
+    list_of,
+    member_of,
+    nested,
+    optional,
+    wire,
+)
 
 MAX_DOCUMENT_BYTES = 1 << 20  # of one document
 CHUNK_CHARACTERS = 6 * 1024  # characters of a document in one command or message
 
 
 class Kind(enum.StrEnum):
+    """What a document configures. The class's name is part of replicated error texts."""
+
     SETTINGS = "settings"  # the platform's `settings`
-    TENANTS = "tenants"  # the operator's tenants and worths
-    SERVERS = "servers"  # of each pool
+    TENANTS = "tenants"  # the operator's tenants and their priority weights
+    SERVERS = "servers"  # the servers of each pool
 
 
 class DisconnectPolicy(enum.StrEnum):
-    """What a node does whose lease on the rules has run out."""
+    """What a node does with a document once its configuration lease has expired."""
 
-    STOP = "stop"  # health is bad, and new work is refused at once with a time to return
-    NARROW = "narrow"  # of tenants: the lesser of the allowances that it knows of
-    KEEP = "keep"  # goes on, and says that it may contradict
+    STOP = "stop"  # report unhealthy, and reject new work with a Retry-After
+    NARROW = "narrow"  # tenants only: apply the smallest of the known allowances
+    KEEP = "keep"  # continue, and report that this may contradict other nodes
 
 
 @dataclass(slots=True, frozen=True)
 class DocumentDefinition:
-    """A document, as the operator's file names it. The same on all nodes."""
+    """A document as the operator's file declares it; the same on all nodes."""
 
     name: str
     kind: Kind
-    strict: bool  # old stops everywhere before new begins anywhere
+    strict: bool  # the old version stops on every node before the new one starts on any
     disconnect_policy: DisconnectPolicy
 
 
+def content_digest(content: str) -> str:
+    """Return the digest by which nodes compare contents, in hexadecimal."""
+    return hashlib.blake2b(content.encode(), digest_size=16).hexdigest()
+
+
+def canonical_json(value: object) -> str:
+    """Return the JSON text of a content with sorted keys, so that equal contents have equal digests."""
+    return orjson.dumps(value, option=orjson.OPT_SORT_KEYS).decode()
+
+
 @dataclass(slots=True, frozen=True)
 class DocumentVersion:
+    """One immutable version of a document."""
+
     number: int = field(metadata=wire("version", INTEGER))
     content: str = field(metadata=wire("content", TEXT))  # canonical JSON
     author: str = field(metadata=wire("author", TEXT))
     note: str = field(metadata=wire("note", TEXT))
-    at: str = field(metadata=wire("at", TEXT))  # the proposer's wall clock; nothing is decided by it
+    at: str = field(metadata=wire("at", TEXT))  # the proposer's wall clock, for display only
 
     @property
     def digest(self) -> str:
+        """The digest of the content."""
         return content_digest(self.content)
 
 
-def content_digest(content: str) -> str:
-    return hashlib.blake2b(content.encode(), digest_size=16).hexdigest()
+@dataclass(slots=True)
+class Rollout:
+    """A canary rollout: the nodes that activate a prepared version first, and the criteria for promoting it."""
 
+    nodes: list[str] = field(metadata=wire("nodes", list_of(TEXT)))
+    duration_ms: int = field(metadata=wire("for_ms", INTEGER))
+    # By how much the share of failing requests may be higher on these nodes than on the others.
+    max_degradation: float = field(metadata=wire("worse", NUMBER))
+    min_requests: int = field(metadata=wire("least", INTEGER))  # to be observed on these nodes
+    started: bool = field(metadata=wire("begun", BOOLEAN), default=False)
 
-def canonical_json(value: object) -> str:
-    return orjson.dumps(value, option=orjson.OPT_SORT_KEYS).decode()
+
+@dataclass(slots=True)
+class PreparedVersion:
+    """A version in the first phase: nodes acknowledge or reject it before it may be committed."""
+
+    version: DocumentVersion = field(metadata=wire("version", nested(DocumentVersion)))
+    # Commit without the nodes that reject it, instead of withdrawing it.
+    may_exclude: bool = field(metadata=wire("hold_out", BOOLEAN))
+    rollout: Rollout | None = field(metadata=wire("stage", optional(nested(Rollout))), default=None)
+    # Processes, as `node/process generation`.
+    acknowledgements: list[str] = field(metadata=wire("acked", list_of(TEXT)), default_factory=list)
+    # Reasons by process.
+    rejections: dict[str, str] = field(metadata=wire("refused", OBJECT), default_factory=dict)
+
+    @property
+    def rollout_started(self) -> bool:
+        """Whether the nodes of its canary rollout activate it already."""
+        return self.rollout is not None and self.rollout.started
 
 
-def shrinks_too_much(before: str, after: str) -> str:
-    """Why a list of servers may not be changed so without force; empty where it may."""
-    old, new = orjson.loads(before), orjson.loads(after)
-    for pool, servers in old.items():
-        left = len(set(servers) & set(new.get(pool, ())))
-        if not new.get(pool):
-            return f"pool {pool} would be empty"
-        if left * 2 < len(servers):
-            return f"pool {pool} would lose {len(servers) - left} of {len(servers)} servers"
-    return ""
-
-
-def differences(before: Any, after: Any, path: str = "") -> Iterator[str]:
-    """A line for each figure or list that is another; rows with a name are told apart by it."""
-    if isinstance(before, dict) and isinstance(after, dict):
-        for key in sorted({*before, *after}):
-            yield from differences(before.get(key), after.get(key), f"{path}.{key}".lstrip("."))
-    elif _rows(before) and _rows(after):
-        yield from differences(
-            {one["name"]: one for one in before}, {one["name"]: one for one in after}, path
-        )
-    elif before is None:
-        yield f"{path} is new: {_short(after)}"
-    elif after is None:
-        yield f"{path} is gone, was {_short(before)}"
-    elif isinstance(before, list) and isinstance(after, list) and before != after:
-        come = [one for one in after if one not in before]
-        gone = [one for one in before if one not in after]
-        yield f"{path}: {len(come)} come ({_short(come)}), {len(gone)} go ({_short(gone)})"
-    elif before != after:
-        yield f"{path} {_short(before)} is now {_short(after)}"
-
-
-def _rows(value: Any) -> bool:
-    return (
-        isinstance(value, list)
-        and bool(value)
-        and all(isinstance(one, dict) and "name" in one for one in value)
+@dataclass(slots=True)
+class Document:
+    """A document's committed versions, and the one that is being prepared."""
+
+    kind: Kind = field(metadata=wire("kind", member_of(Kind)))
+    strict: bool = field(metadata=wire("strict", BOOLEAN))
+    # The last one is active.
+    versions: list[DocumentVersion] = field(
+        metadata=wire("versions", list_of(nested(DocumentVersion))), default_factory=list
+    )
+    # The highest number given so far: a number is never given twice.
+    version_count: int = field(metadata=wire("count", INTEGER), default=0)
+    prepared: PreparedVersion | None = field(
+        metadata=wire("pending", optional(nested(PreparedVersion))), default=None
+    )
+    # Processes that rejected the active version, with their reasons.
+    excluded: dict[str, str] = field(metadata=wire("held_out", OBJECT), default_factory=dict)
+    rejected_versions: list[dict[str, Any]] = field(
+        metadata=wire("turned_down", list_of(OBJECT)), default_factory=list
     )
 
+    @property
+    def active(self) -> DocumentVersion | None:
+        """The version that was committed last; None before the first."""
+        return self.versions[-1] if self.versions else None
 
-def _short(value: Any) -> str:
-    text = canonical_json(value)
-    return text if len(text) <= 60 else text[:57] + "..."
+    @property
+    def active_number(self) -> int:
+        """The number of the active version; 0 before the first."""
+        return self.versions[-1].number if self.versions else 0
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -12,9 +12,12 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
+from marlstep.consensus.state_machine import CommandJson
 from marlstep.leases.messages import Heartbeat, RequestCounts
+from marlstep.replicated_config.commands import MACHINE
+from marlstep.replicated_config.documents import PreparedVersion
 from marlstep.replicated_config.follower import FollowerState
-from marlstep.replicated_config.store import ConfigStore, PreparedVersion
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND, SECOND
 
 SIGNIFICANCE = (
@@ -40,6 +43,12 @@
     promote: bool
     reason: str
 
+    def to_json(self) -> CommandJson:
+        """Return the command that carries the decision out, as the log stores it."""
+        stored: dict[str, object] = {"m": MACHINE, "doc": self.name, "version": self.version}
+        stored["why"] = self.reason
+        return stored | ({"do": "commit", "whole": True} if self.promote else {"do": "withdraw"})
+
 
 @dataclass(slots=True)
 class CountRange:
--- /dev/null
+++ b/marlstep/replicated_config/rollout_plan.py
@@ -0,0 +1,73 @@
+"""Planning of a canary rollout: which nodes activate a version first, within which bounds."""
+
+from __future__ import annotations
+
+import hashlib
+import math
+from collections.abc import Iterable, Sequence
+
+from marlstep.replicated_config.commands import Number, PrepareVersion, RolloutRequest
+from marlstep.replicated_config.documents import Rollout
+from marlstep.replicated_config.errors import (
+    FirstVersionRolloutError,
+    InvalidRolloutBoundsError,
+    InvalidRolloutShareError,
+    NoControlGroupError,
+    NodesNotActiveError,
+    StrictRolloutError,
+)
+
+MAX_ROLLOUT_MS = 7 * 24 * 3_600_000
+
+
+def node_of_process(process: str) -> str:
+    """Return the node of a process that is named `node/process generation`."""
+    return process.partition("/")[0]
+
+
+def plan_rollout(
+    change: PrepareVersion, request: RolloutRequest, active_version: int, live_processes: Iterable[str]
+) -> Rollout:
+    """Choose the nodes that activate the change first.
+
+    Raises:
+        RolloutRejectedError: The document or the present nodes do not permit it.
+        ValueError, KeyError: A value of the request is out of bounds or missing.
+    """
+    if change.strict:
+        raise StrictRolloutError
+    if not active_version:
+        raise FirstVersionRolloutError
+    live_nodes = sorted({node_of_process(process) for process in live_processes})
+    nodes = sorted(set(request.nodes))
+    if not nodes:
+        nodes = _sample_nodes(live_nodes, request.share, f"{change.document} {active_version}")
+    if missing := [node for node in nodes if node not in live_nodes]:
+        raise NodesNotActiveError(missing)
+    if len(nodes) >= len(live_nodes):
+        raise NoControlGroupError
+    return _with_bounds(nodes, request)
+
+
+def _sample_nodes(live_nodes: Sequence[str], share: float | None, seed: str) -> list[str]:
+    """Draw a share of the nodes, the same ones on every replica, and others for each version."""
+    wanted_share = _required("share", share)
+    if not 0 < wanted_share < 1:
+        raise InvalidRolloutShareError
+    shuffled = sorted(live_nodes, key=lambda node: hashlib.blake2b(f"{node} {seed}".encode()).digest())
+    return sorted(shuffled[: max(1, math.ceil(wanted_share * len(live_nodes)))])
+
+
+def _with_bounds(nodes: list[str], request: RolloutRequest) -> Rollout:
+    duration_ms = _required("for_ms", request.duration_ms)
+    min_requests = _required("least", request.min_requests)
+    max_degradation = _required("worse", request.max_degradation)
+    if not 0 < duration_ms <= MAX_ROLLOUT_MS or min_requests < 0 or not 0 <= max_degradation <= 1:
+        raise InvalidRolloutBoundsError
+    return Rollout(nodes, duration_ms, max_degradation, min_requests)
+
+
+def _required(key: str, value: Number | None) -> Number:
+    if value is None:
+        raise KeyError(key)
+    return value
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -1,20 +1,19 @@
-"""All documents, as the log has them: a machine. A change is prepared before it counts.
+"""The replicated state machine of versioned documents, with two-phase activation.
 
-    put (compare-and-set) ──▶ prepared ──every node with a live lease has said that it can take it──▶ in force
-                                 └────────one that must act on it can't, or it is withdrawn────▶ turned down
+    prepare (compare-and-set) ──▶ prepared ──acknowledged by every live process──▶ committed: active
+                                     └──rejected by a process, or withdrawn──▶ withdrawn
 
-A staged change stands between: once all have said so, the named nodes act on it alone, until it goes on or back.
+A version with a canary rollout is active on the nodes of the rollout alone, once all processes have acknowledged it,
+until it is promoted to all nodes or withdrawn.
 
-Who has to say so is read from the table of leases, which is on the same log: a node that comes while a change is being
-prepared has to say so as well, and one whose lease was ended does not act on anything any more.
+Which processes are live is read from the lease table on the same log: a process that starts while a version is being
+prepared has to acknowledge it as well, and one whose configuration lease has expired no longer acts on any version.
 """
 
 from __future__ import annotations
 
-import hashlib
-import math
 from collections import OrderedDict
-from dataclasses import dataclass, field
+from collections.abc import Mapping
 from typing import Any
 
 import orjson
@@ -23,360 +22,356 @@
 from marlstep.leases.messages import DocumentStatus
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.leases.table import LeaseTable
-from marlstep.net.codec import (
-    BOOLEAN,
-    INTEGER,
-    NUMBER,
-    OBJECT,
-    TEXT,
-    list_of,
-    member_of,
-    nested,
-    optional,
-    read_fields,
-    wire,
-    write_fields,
+from marlstep.net.codec import read_fields, write_fields
+from marlstep.replicated_config.commands import (
+    CommitVersion,
+    ConfigCommand,
+    PrepareOptions,
+    PrepareVersion,
+    ReadDocument,
+    RecordAcknowledgement,
+    UploadChunk,
+    WithdrawVersion,
+    parse_config_command,
 )
+from marlstep.replicated_config.comparison import find_unsafe_shrinkage
 from marlstep.replicated_config.documents import (
     MAX_DOCUMENT_BYTES,
+    Document,
     DocumentVersion,
     Kind,
+    PreparedVersion,
     content_digest,
-    shrinks_too_much,
 )
+from marlstep.replicated_config.errors import (
+    ChangeInProgressError,
+    ChunkOffsetError,
+    CommandRejectedError,
+    DigestMismatchError,
+    DocumentTooLargeError,
+    IncompleteUploadError,
+    KindMismatchError,
+    NoConfigLeaseError,
+    NotPreparedError,
+    RolloutInProgressError,
+    TooManyDocumentsError,
+    UnknownDocumentError,
+    UnsafeShrinkageError,
+    VersionConflictError,
+)
+from marlstep.replicated_config.results import (
+    AcknowledgementRecorded,
+    ChunkStored,
+    CommitDelayed,
+    ConfigResult,
+    DocumentSummary,
+    RejectionRecorded,
+    RolloutStarted,
+    VersionCommitted,
+    VersionPrepared,
+    VersionWithdrawn,
+)
+from marlstep.replicated_config.rollout_plan import plan_rollout
 
 MAX_DOCUMENTS = 32
 MAX_VERSIONS_KEPT = 50  # of a document, with their content, as long as that fits
 MAX_BYTES_KEPT = 4 << 20  # of the content of a document's older versions
 MAX_UPLOADS = 8
 MAX_REJECTED_KEPT = 10
-MAX_ROLLOUT_MS = 7 * 24 * 3_600_000
-
-
-@dataclass(slots=True)
-class Rollout:
-    """Of a change that some nodes act on first."""
-
-    nodes: list[str] = field(metadata=wire("nodes", list_of(TEXT)))
-    duration_ms: int = field(metadata=wire("for_ms", INTEGER))
-    max_degradation: float = field(
-        metadata=wire("worse", NUMBER)
-    )  # share of requests by which these nodes may do worse
-    min_requests: int = field(metadata=wire("least", INTEGER))  # requests that have to be seen on them
-    started: bool = field(metadata=wire("begun", BOOLEAN), default=False)
-
-
-@dataclass(slots=True)
-class PreparedVersion:
-    version: DocumentVersion = field(metadata=wire("version", nested(DocumentVersion)))
-    # It goes through without the nodes that can't take it.
-    may_exclude: bool = field(metadata=wire("hold_out", BOOLEAN))
-    rollout: Rollout | None = field(metadata=wire("stage", optional(nested(Rollout))), default=None)
-    # Processes, as node/boot.
-    acknowledgements: list[str] = field(metadata=wire("acked", list_of(TEXT)), default_factory=list)
-    # And why.
-    rejections: dict[str, str] = field(metadata=wire("refused", OBJECT), default_factory=dict)
-
-
-@dataclass(slots=True)
-class Document:
-    kind: Kind = field(metadata=wire("kind", member_of(Kind)))
-    strict: bool = field(metadata=wire("strict", BOOLEAN))
-    # The last is in force.
-    versions: list[DocumentVersion] = field(
-        metadata=wire("versions", list_of(nested(DocumentVersion))), default_factory=list
-    )
-    version_count: int = field(metadata=wire("count", INTEGER), default=0)
-    prepared: PreparedVersion | None = field(
-        metadata=wire("pending", optional(nested(PreparedVersion))), default=None
-    )
-    # From the version in force, and why.
-    excluded: dict[str, str] = field(metadata=wire("held_out", OBJECT), default_factory=dict)
-    rejected_versions: list[dict[str, Any]] = field(
-        metadata=wire("turned_down", list_of(OBJECT)), default_factory=list
-    )
-
-    @property
-    def active(self) -> DocumentVersion | None:
-        return self.versions[-1] if self.versions else None
-
-    @property
-    def active_number(self) -> int:
-        """Of the version in force; 0 where there is none yet."""
-        return self.versions[-1].number if self.versions else 0
+MAX_AUTHOR_CHARACTERS = 64
+MAX_REASON_CHARACTERS = 256  # of notes, rejections and withdrawals
+MAX_TIME_CHARACTERS = 40
+COMMANDS_WITHOUT_DOCUMENT = ("part", "put")  # the others are about a document that exists
 
 
 class ConfigStore:
+    """All documents, as the log's commands have made them."""
+
     def __init__(self, table: LeaseTable) -> None:
+        """Create an empty store; `table` tells which processes have a live configuration lease."""
         self._table = table
         self.documents: dict[str, Document] = {}
         self._uploads: OrderedDict[str, str] = OrderedDict()
-        self._statuses: tuple[DocumentStatus, ...] | None = None  # until something changes
+        self._statuses: tuple[DocumentStatus, ...] | None = None  # cached until the next command
         self._allowances: dict[str, float] | None = None  # likewise
 
-    # What others read.
+    # Reads.
 
     def live_processes(self) -> list[str]:
-        """The processes that act on documents now."""
+        """Return the processes with a live configuration lease, as `node/process generation`."""
         return [
-            one.holder
-            for name, one in self._table.leases.items()
-            if name.startswith(CONFIG_LEASE_PREFIX) and one.holder
+            lease.holder
+            for name, lease in self._table.leases.items()
+            if name.startswith(CONFIG_LEASE_PREFIX) and lease.holder
         ]
 
     def missing_acknowledgements(self, document: Document) -> list[str]:
-        """Whose word a change still lacks."""
-        pending = document.prepared
-        if pending is None:
+        """Return the live processes that have neither acknowledged nor rejected the prepared version."""
+        prepared = document.prepared
+        if prepared is None:
             return []
         return [
-            one
-            for one in self.live_processes()
-            if one not in pending.acknowledgements and one not in pending.rejections
+            process
+            for process in self.live_processes()
+            if process not in prepared.acknowledgements and process not in prepared.rejections
         ]
 
     def ready_to_commit(self) -> list[tuple[str, int]]:
-        """The changes that can come into force now."""
-        found = []
-        for name, one in self.documents.items():
-            pending = one.prepared
-            begun = pending is not None and pending.rollout is not None and pending.rollout.started
-            if pending is not None and not begun and not self.missing_acknowledgements(one):
-                found.append((name, pending.version.number))
-        return found
+        """Return the documents, with their prepared versions, that can be committed or start their rollout."""
+        return [
+            (name, document.prepared.version.number)
+            for name, document in self.documents.items()
+            if document.prepared is not None
+            and not document.prepared.rollout_started
+            and not self.missing_acknowledgements(document)
+        ]
 
     def active_rollouts(self) -> list[tuple[str, PreparedVersion]]:
-        """The changes that some nodes act on already."""
+        """Return the documents, with their prepared versions, whose canary rollout has started."""
         return [
-            (name, one.prepared)
-            for name, one in self.documents.items()
-            if one.prepared is not None and one.prepared.rollout is not None and one.prepared.rollout.started
+            (name, document.prepared)
+            for name, document in self.documents.items()
+            if document.prepared is not None and document.prepared.rollout_started
         ]
 
     def statuses(self) -> tuple[DocumentStatus, ...]:
+        """Return the status of each document for heartbeat responses."""
         if self._statuses is None:
-            self._statuses = tuple(self._status_of(name, one) for name, one in self.documents.items())
+            self._statuses = tuple(
+                self._status_of(name, document) for name, document in self.documents.items()
+            )
         return self._statuses
 
     @staticmethod
-    def _status_of(name: str, one: Document) -> DocumentStatus:
-        digest = one.active.digest if one.active else ""
-        pending = one.prepared
-        if pending is None:
-            return DocumentStatus(name, one.active_number, digest, strict=one.strict)
-        stage = pending.rollout
-        on = tuple(stage.nodes) if stage is not None and stage.started else ()
-        told = pending.version
-        return DocumentStatus(name, one.active_number, digest, told.number, told.digest, one.strict, on)
+    def _status_of(name: str, document: Document) -> DocumentStatus:
+        digest = document.active.digest if document.active else ""
+        prepared = document.prepared
+        if prepared is None:
+            return DocumentStatus(name, document.active_number, digest, strict=document.strict)
+        rollout = prepared.rollout
+        return DocumentStatus(
+            name,
+            document.active_number,
+            digest,
+            prepared_version=prepared.version.number,
+            prepared_digest=prepared.version.digest,
+            strict=document.strict,
+            rollout_nodes=tuple(rollout.nodes) if rollout is not None and rollout.started else (),
+        )
 
     def allowances(self) -> dict[str, float]:
-        """Of each tenant, requests a second, by the version in force; those without one are not limited."""
+        """Return each tenant's allowance in requests per second; a tenant without one is not limited."""
         if self._allowances is None:
             self._allowances = {}
-            for one in self.documents.values():
-                if one.kind is Kind.TENANTS and one.active is not None:
-                    rows = orjson.loads(one.active.content).get("tenants", {})
-                    told = {name: row.get("allowance_per_s") for name, row in rows.items()}
-                    self._allowances |= {name: float(per_s) for name, per_s in told.items() if per_s}
+            for document in self.documents.values():
+                if document.kind is Kind.TENANTS and document.active is not None:
+                    self._allowances |= _tenant_allowances(document.active.content)
         return self._allowances
 
     def content(self, name: str, version: int) -> str | None:
-        """None where that version is not kept."""
-        one = self.documents.get(name)
-        if one is None:
+        """Return the content of a version; None where it is not kept."""
+        document = self.documents.get(name)
+        if document is None:
             return None
-        if one.prepared is not None and one.prepared.version.number == version:
-            return one.prepared.version.content
-        return next((kept.content for kept in one.versions if kept.number == version), None)
+        prepared = document.prepared
+        if prepared is not None and prepared.version.number == version:
+            return prepared.version.content
+        return next((kept.content for kept in document.versions if kept.number == version), None)
 
     # Commands.
 
     def apply(self, command: CommandJson) -> ResultJson:
+        """Apply a command of the log. Raises ValueError, KeyError or TypeError for a malformed one."""
         self._statuses = self._allowances = None
-        match command["do"]:
-            case "part":
-                return self._apply_chunk(str(command["upload"]), int(command["offset"]), command["data"])
-            case "put":
-                return self._apply_put(command)
-        one = self.documents.get(command["doc"])
-        if one is None:
-            return {"refused": "no such document"}
-        match command["do"]:
-            case "ack":
-                return self._apply_ack(one, command)
-            case "commit":
-                return self._apply_commit(one, int(command["version"]), bool(command.get("whole")))
-            case "get":
-                return self._apply_get(one)
-            case "withdraw":
-                return self._apply_withdraw(one, int(command["version"]), str(command["why"]))
-        raise ValueError(f"nothing that is done to a document: {command['do']!r}")
-
-    def _apply_chunk(self, upload: str, offset: int, data: Any) -> ResultJson:
-        """A document comes in pieces, as an entry of the log is small."""
-        if not isinstance(data, str) or not 0 < len(upload) <= 64:
-            raise ValueError("a piece of a document")
-        so_far = self._uploads.pop(upload, "") if offset else ""
-        if offset != len(so_far):
-            return {"refused": f"the next piece begins at {len(so_far)}"}
-        if len(so_far) + len(data) > MAX_DOCUMENT_BYTES:
-            return {"refused": f"a document has {MAX_DOCUMENT_BYTES} bytes at the most"}
-        self._uploads[upload] = so_far + data
+        try:
+            # Before the rest is parsed: this answer takes precedence, on every replica of any version.
+            if command["do"] not in COMMANDS_WITHOUT_DOCUMENT and command["doc"] not in self.documents:
+                raise UnknownDocumentError
+            return self._dispatch(parse_config_command(command)).to_json()
+        except CommandRejectedError as rejection:
+            return rejection.to_json()
+
+    def _dispatch(self, command: ConfigCommand) -> ConfigResult:
+        match command:
+            case UploadChunk():
+                return self._apply_chunk(command)
+            case PrepareVersion():
+                return self._apply_prepare(command)
+            case ReadDocument():
+                return self._apply_read(command)
+            case RecordAcknowledgement():
+                return self._apply_acknowledgement(command)
+            case CommitVersion():
+                return self._apply_commit(command)
+            case WithdrawVersion():
+                return self._apply_withdraw(command)
+
+    def _apply_chunk(self, chunk: UploadChunk) -> ChunkStored:
+        received = self._uploads.pop(chunk.upload, "") if chunk.offset else ""
+        if chunk.offset != len(received):
+            raise ChunkOffsetError(len(received))
+        if len(received) + len(chunk.data) > MAX_DOCUMENT_BYTES:
+            raise DocumentTooLargeError(MAX_DOCUMENT_BYTES)
+        self._uploads[chunk.upload] = received + chunk.data
         while len(self._uploads) > MAX_UPLOADS:
             self._uploads.popitem(last=False)
-        return {"taken": offset + len(data)}
-
-    def _apply_put(self, command: CommandJson) -> ResultJson:
-        name, kind = command["doc"], Kind(command["kind"])
-        if not isinstance(name, str) or not 0 < len(name) <= 64:
-            raise ValueError("a document's name")
-        content = self._uploads.get(str(command["upload"]))
-        if content is None or content_digest(content) != str(command["digest"]):
-            return {"refused": "its content did not come whole"}
-        one = self.documents.get(name)
-        number = one.active_number if one is not None else 0
-        if number != int(command["expect"]):
-            return {
-                "refused": f"version {number} is in force, and {command['expect']} was expected",
-                "version": number,
-            }
-        if one is not None and one.prepared is not None:
-            waits = self.missing_acknowledgements(one)
-            return {"refused": "a change is on its way", "version": number, "waits_for": waits}
-        if one is not None and one.kind is not kind:
-            return {"refused": f"it is of kind {one.kind.value}"}
-        if one is None and len(self.documents) >= MAX_DOCUMENTS:
-            return {"refused": f"a fleet has {MAX_DOCUMENTS} documents at the most"}
-        if one is not None and one.active is not None and kind is Kind.SERVERS and not command.get("force"):
-            why = shrinks_too_much(one.active.content, content)
-            if why:
-                return {"refused": f"{why}: say so with force"}
-        stage = None
-        if command.get("stage") is not None:
-            asked = self._plan_rollout(command["doc"], number, bool(command["strict"]), command["stage"])
-            if isinstance(asked, str):
-                return {"refused": asked}
-            stage = asked
-        del self._uploads[str(command["upload"])]
-        if one is None:
-            one = self.documents[name] = Document(kind, bool(command["strict"]))
-        one.version_count = max(one.version_count, number) + 1
-        made = DocumentVersion(
-            one.version_count,
-            content,
-            str(command["author"])[:64],
-            str(command["note"])[:256],
-            str(command["at"])[:40],
+        return ChunkStored(chunk.offset + len(chunk.data))
+
+    def _apply_prepare(self, command: PrepareVersion) -> VersionPrepared:
+        options = command.options or PrepareOptions()
+        content = self._uploaded_content(command)
+        document = self.documents.get(command.document)
+        active_number = document.active_number if document is not None else 0
+        if active_number != command.expected_version:
+            raise VersionConflictError(active_number, command.expected_version)
+        self._check_admissible(command, document)
+        if not options.force:
+            _check_shrinkage(command.kind, document, content)
+        rollout = None
+        if options.rollout is not None:
+            rollout = plan_rollout(command, options.rollout, active_number, self.live_processes())
+        # Nothing is rejected from here on, and so nothing was changed by a command that is.
+        del self._uploads[command.upload]
+        if document is None:
+            document = self.documents[command.document] = Document(command.kind, command.strict)
+        version = _next_version(document, command, content)
+        document.prepared = PreparedVersion(version, options.may_exclude, rollout)
+        return VersionPrepared(
+            version.number,
+            version.digest,
+            self.missing_acknowledgements(document),
+            None if rollout is None else rollout.nodes,
         )
-        one.prepared = PreparedVersion(made, bool(command.get("hold_out")), stage)
-        told: ResultJson = {
-            "prepares": made.number,
-            "digest": made.digest,
-            "waits_for": self.missing_acknowledgements(one),
-        }
-        return told if stage is None else {**told, "first_on": stage.nodes}
-
-    def _plan_rollout(self, name: str, number: int, strict: bool, told: Any) -> Rollout | str:
-        """Or why there can't be one. Raises ValueError, KeyError, TypeError."""
-        if strict:
-            return "a strict document can't be staged: two versions of it never stand side by side"
-        if not number:
-            return "the first version can't be staged: there is nothing to compare it with"
-        live = sorted({one.partition("/")[0] for one in self.live_processes()})
-        nodes = sorted({str(one) for one in told.get("nodes", ())})
-        if not nodes:
-            # Others each time: by the name and the number of the version that it follows.
-            share = float(told["share"])
-            if not 0 < share < 1:
-                raise ValueError("a share is between 0 and 1")
-            drawn = sorted(live, key=lambda one: hashlib.blake2b(f"{one} {name} {number}".encode()).digest())
-            nodes = sorted(drawn[: max(1, math.ceil(share * len(live)))])
-        if missing := [one for one in nodes if one not in live]:
-            return f"{', '.join(missing)} does not act on documents now"
-        if len(nodes) >= len(live):
-            return "a stage on all nodes is none: at least one has to stay as it is"
-        for_ms, least, worse = int(told["for_ms"]), int(told["least"]), float(told["worse"])
-        if not 0 < for_ms <= MAX_ROLLOUT_MS or least < 0 or not 0 <= worse <= 1:
-            raise ValueError("a stage's time, least or worse")
-        return Rollout(nodes, for_ms, worse, least)
-
-    @staticmethod
-    def _apply_get(one: Document) -> ResultJson:
-        """What all have agreed on at this place of the log."""
-        pending = one.prepared
-        return {
-            "version": one.active_number,
-            "digest": one.active.digest if one.active else "",
-            "pending": pending.version.number if pending is not None else 0,
-            "staged": bool(pending is not None and pending.rollout is not None and pending.rollout.started),
-            "turned_down": [dict(row) for row in one.rejected_versions],
-        }
-
-    def _apply_ack(self, one: Document, command: CommandJson) -> ResultJson:
-        pending, by = one.prepared, str(command["holder"])
-        if pending is None or pending.version.number != int(command["version"]):
-            return {"refused": "that change is not being prepared"}
-        if pending.version.digest != command["digest"]:
-            return {"refused": "the content is another"}
-        if by not in self.live_processes():
-            return {"refused": "that process has no lease on the rules"}
-        why = str(command.get("why", ""))[:256]
-        if not why:
-            if by not in pending.acknowledgements:
-                pending.acknowledgements.append(by)
-            return {"acked": by}
-        pending.rejections[by] = why
-        if not pending.may_exclude:
-            self._reject_prepared(one, f"{by} can't take it: {why}")
-        return {"noted": by}
-
-    def _apply_commit(self, one: Document, version: int, whole: bool) -> ResultJson:
-        pending = one.prepared
-        if pending is None or pending.version.number != version:
-            return {"refused": "that change is not being prepared"}
-        if waits := self.missing_acknowledgements(one):
-            return {"waits_for": waits}  # somebody came meanwhile
-        stage = pending.rollout
-        if stage is not None and not stage.started:
-            stage.started = True
-            return {"staged": version, "first_on": stage.nodes}
-        if stage is not None and not whole:
-            return {"refused": "it is staged: it goes on once its time is over"}
-        one.versions.append(pending.version)
-        one.excluded, one.prepared = dict(pending.rejections), None
-        self._discard_old_versions(one)
-        return {"in_force": version}
 
-    @staticmethod
-    def _discard_old_versions(one: Document) -> None:
-        """The oldest versions go, where there are too many or they take too much."""
-        sizes = sum(len(kept.content) for kept in one.versions[:-1])
-        while len(one.versions) > 1 and (len(one.versions) > MAX_VERSIONS_KEPT or sizes > MAX_BYTES_KEPT):
-            sizes -= len(one.versions.pop(0).content)
-
-    def _apply_withdraw(self, one: Document, version: int, why: str) -> ResultJson:
-        if one.prepared is None or one.prepared.version.number != version:
-            return {"refused": "that change is not being prepared"}
-        self._reject_prepared(one, why[:256])
-        return {"withdrawn": version}
+    def _uploaded_content(self, command: PrepareVersion) -> str:
+        content = self._uploads.get(command.upload)
+        if content is None or content_digest(content) != command.digest:
+            raise IncompleteUploadError
+        return content
+
+    def _check_admissible(self, command: PrepareVersion, document: Document | None) -> None:
+        if document is None:
+            if len(self.documents) >= MAX_DOCUMENTS:
+                raise TooManyDocumentsError(MAX_DOCUMENTS)
+            return
+        if document.prepared is not None:
+            raise ChangeInProgressError(document.active_number, self.missing_acknowledgements(document))
+        if document.kind is not command.kind:
+            raise KindMismatchError(document.kind.value)
+
+    def _apply_read(self, command: ReadDocument) -> DocumentSummary:
+        document = self.documents[command.document]
+        prepared = document.prepared
+        return DocumentSummary(
+            version=document.active_number,
+            digest=document.active.digest if document.active else "",
+            prepared_version=prepared.version.number if prepared is not None else 0,
+            rollout_started=prepared is not None and prepared.rollout_started,
+            rejected_versions=document.rejected_versions,
+        )
 
-    @staticmethod
-    def _reject_prepared(one: Document, why: str) -> None:
-        assert one.prepared is not None
-        told = one.prepared.version
-        one.rejected_versions.append({"version": told.number, "author": told.author, "why": why})
-        del one.rejected_versions[:-MAX_REJECTED_KEPT]
-        one.prepared = None
+    def _apply_acknowledgement(
+        self, command: RecordAcknowledgement
+    ) -> AcknowledgementRecorded | RejectionRecorded:
+        document = self.documents[command.document]
+        prepared = _prepared_version(document, command.version)
+        if prepared.version.digest != command.digest:
+            raise DigestMismatchError
+        if command.holder not in self.live_processes():
+            raise NoConfigLeaseError
+        reason = command.rejection[:MAX_REASON_CHARACTERS]
+        if not reason:
+            if command.holder not in prepared.acknowledgements:
+                prepared.acknowledgements.append(command.holder)
+            return AcknowledgementRecorded(command.holder)
+        prepared.rejections[command.holder] = reason
+        if not prepared.may_exclude:
+            _withdraw_prepared(document, f"{command.holder} can't take it: {reason}")
+        return RejectionRecorded(command.holder)
+
+    def _apply_commit(self, command: CommitVersion) -> CommitDelayed | RolloutStarted | VersionCommitted:
+        document = self.documents[command.document]
+        prepared = _prepared_version(document, command.version)
+        if waits_for := self.missing_acknowledgements(document):
+            return CommitDelayed(waits_for)  # a process started after the commit was proposed
+        rollout = prepared.rollout
+        if rollout is not None and not rollout.started:
+            rollout.started = True
+            return RolloutStarted(command.version, rollout.nodes)
+        if rollout is not None and not command.promote:
+            raise RolloutInProgressError
+        document.versions.append(prepared.version)
+        document.excluded, document.prepared = dict(prepared.rejections), None
+        _discard_old_versions(document)
+        return VersionCommitted(command.version)
+
+    def _apply_withdraw(self, command: WithdrawVersion) -> VersionWithdrawn:
+        document = self.documents[command.document]
+        _prepared_version(document, command.version)
+        _withdraw_prepared(document, command.reason[:MAX_REASON_CHARACTERS])
+        return VersionWithdrawn(command.version)
 
     # Snapshots.
 
     def snapshot(self) -> object:
+        """Return the whole state as JSON."""
         return {
-            "documents": [[name, write_fields(one)] for name, one in self.documents.items()],
+            "documents": [[name, write_fields(document)] for name, document in self.documents.items()],
             "uploads": list(self._uploads.items()),
         }
 
-    def restore(self, told: Any) -> None:
+    def restore(self, stored: Mapping[str, Any]) -> None:
+        """Replace the state by what `snapshot` returned. Raises ValueError, KeyError or TypeError."""
         self._statuses = self._allowances = None
-        self._uploads = OrderedDict((key, data) for key, data in told["uploads"])
-        self.documents = {name: read_fields(Document, row) for name, row in told["documents"]}
+        self._uploads = OrderedDict((upload, data) for upload, data in stored["uploads"])
+        self.documents = {name: read_fields(Document, values) for name, values in stored["documents"]}
+
+
+def _tenant_allowances(content: str) -> dict[str, float]:
+    tenants = orjson.loads(content).get("tenants", {})
+    per_s = {name: tenant.get("allowance_per_s") for name, tenant in tenants.items()}
+    return {name: float(allowance) for name, allowance in per_s.items() if allowance}
+
+
+def _check_shrinkage(kind: Kind, document: Document | None, content: str) -> None:
+    if kind is not Kind.SERVERS or document is None or document.active is None:
+        return
+    shrinkage = find_unsafe_shrinkage(document.active.content, content)
+    if shrinkage is not None:
+        raise UnsafeShrinkageError(shrinkage)
+
+
+def _next_version(document: Document, command: PrepareVersion, content: str) -> DocumentVersion:
+    document.version_count = max(document.version_count, document.active_number) + 1
+    return DocumentVersion(
+        document.version_count,
+        content,
+        command.author[:MAX_AUTHOR_CHARACTERS],
+        command.note[:MAX_REASON_CHARACTERS],
+        command.at[:MAX_TIME_CHARACTERS],
+    )
+
+
+def _prepared_version(document: Document, version: int) -> PreparedVersion:
+    """Return what is being prepared. Raises NotPreparedError where that is another version, or none."""
+    prepared = document.prepared
+    if prepared is None or prepared.version.number != version:
+        raise NotPreparedError
+    return prepared
+
+
+def _withdraw_prepared(document: Document, reason: str) -> None:
+    assert document.prepared is not None
+    version = document.prepared.version
+    document.rejected_versions.append({"version": version.number, "author": version.author, "why": reason})
+    del document.rejected_versions[:-MAX_REJECTED_KEPT]
+    document.prepared = None
+
+
+def _discard_old_versions(document: Document) -> None:
+    """Discard the oldest versions while there are too many, or while they are too large together."""
+    size = sum(len(kept.content) for kept in document.versions[:-1])
+    while len(document.versions) > 1 and (
+        len(document.versions) > MAX_VERSIONS_KEPT or size > MAX_BYTES_KEPT
+    ):
+        size -= len(document.versions.pop(0).content)
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -11,8 +11,8 @@
 from marlstep.leases.table import Lease, LeaseTable
 from marlstep.membership.quotas import QuotaShare, QuotaTable
 from marlstep.membership.roster import Roster, RosterEntry
-from marlstep.replicated_config.documents import DocumentVersion, Kind
-from marlstep.replicated_config.store import ConfigStore, Document, PreparedVersion, Rollout
+from marlstep.replicated_config.documents import Document, DocumentVersion, Kind, PreparedVersion, Rollout
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.scheduled_tasks.run_log import Outcome, RunLog, TaskRun
 from tests.golden.conversation import DATA
 
--- /dev/null
+++ b/tests/replicated_config/test_commands.py
@@ -0,0 +1,60 @@
+"""The typed commands against the stored ones that the program's proposers wrote."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import pytest
+
+from marlstep.consensus.state_machine import InvalidCommandError
+from marlstep.replicated_config.commands import MACHINE, CommitVersion, WithdrawVersion, parse_config_command
+from marlstep.replicated_config.rollout import RolloutDecision
+from tests.golden.files import read_golden
+
+ROWS: list[dict[str, str]] = read_golden("log_commands.json")
+CLIENT_KEYS = ("by", "no")  # added by the client that sends the command
+
+
+def stored_commands() -> list[dict[str, Any]]:
+    """The golden commands of this machine that it accepted."""
+    found = []
+    for row in ROWS:
+        if "error" in json.loads(row["result"]):
+            continue
+        command = json.loads(row["body"])
+        if command.get("m") == MACHINE:
+            found.append({key: value for key, value in command.items() if key not in CLIENT_KEYS})
+    return found
+
+
+def test_commands_are_written_as_they_were_parsed_byte_by_byte() -> None:
+    commands = [command for command in stored_commands() if list(command)[1] == "do"]
+    assert {command["do"] for command in commands} == {"part", "put", "get", "ack", "commit", "withdraw"}
+    for command in commands:
+        assert json.dumps(parse_config_command(command).to_json()) == json.dumps(command)
+
+
+def test_decisions_on_a_rollout_are_written_byte_by_byte_and_parsed_as_commands() -> None:
+    commands = [
+        command for command in stored_commands() if list(command)[:4] == ["m", "doc", "version", "why"]
+    ]
+    assert {command["do"] for command in commands} == {"commit", "withdraw"}
+    for command in commands:
+        promote = command["do"] == "commit"
+        decision = RolloutDecision(command["doc"], command["version"], promote, command["why"])
+        assert json.dumps(decision.to_json()) == json.dumps(command)
+        parsed = parse_config_command(command)
+        if promote:
+            assert parsed == CommitVersion(command["doc"], command["version"], promote=True)
+        else:
+            assert parsed == WithdrawVersion(command["doc"], command["version"], command["why"])
+
+
+@pytest.mark.parametrize("command", [{"do": "other"}, {"do": "part", "upload": "", "offset": 0, "data": "x"}])
+def test_a_malformed_command_is_an_error_with_the_replicated_text_of_a_value_error(
+    command: dict[str, Any],
+) -> None:
+    with pytest.raises(InvalidCommandError) as raised:
+        parse_config_command(command)
+    assert repr(raised.value).startswith("ValueError(")
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -31,13 +31,12 @@
 from marlstep.drill.virtual_rules import run_rules
 from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse
 from marlstep.leases.table import LeaseTable
+from marlstep.replicated_config.comparison import differences, find_unsafe_shrinkage
 from marlstep.replicated_config.documents import (
     DisconnectPolicy,
     DocumentDefinition,
     Kind,
     content_digest,
-    differences,
-    shrinks_too_much,
 )
 from marlstep.replicated_config.follower import (
     AcknowledgeVersion,
@@ -176,7 +175,7 @@
     assert "would be empty" in log.put('{"p":[]}', 1, "servers")["refused"]
     assert "would lose 2 of 3" in log.put('{"p":["a"]}', 1, "servers")["refused"]
     assert "prepares" in log.put('{"p":["a","b"]}', 1, "servers")
-    assert not shrinks_too_much('{"p":["a"]}', '{"p":["a"],"q":["b"]}')
+    assert find_unsafe_shrinkage('{"p":["a"]}', '{"p":["a"],"q":["b"]}') is None
     other = Log()
     other.put('{"p":["a","b","c"]}', 0, "servers")
     other.commit()
