--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -29,7 +29,7 @@
 from marlstep.drill.witness import clock_us
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import content_digest
-from marlstep.replicated_config.follower import FollowerState
+from marlstep.replicated_config.followed_document import FollowerState
 from marlstep.replicated_config.store import ConfigStore
 
 ACTS = "acts on version "
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -24,13 +24,13 @@
     canonical_json,
     content_digest,
 )
-from marlstep.replicated_config.follower import (
+from marlstep.replicated_config.followed_document import FollowerState
+from marlstep.replicated_config.follower import ConfigFollower
+from marlstep.replicated_config.follower_actions import (
     AcknowledgeVersion,
     ActivateVersion,
     CheckVersion,
-    ConfigFollower,
     FollowerAction,
-    FollowerState,
     ProposeFirstVersion,
     SuspendDocument,
 )
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -21,7 +21,9 @@
 from marlstep.membership.records import MemberRecord
 from marlstep.replicated_config.commands import PrepareVersion
 from marlstep.replicated_config.documents import Document
-from marlstep.replicated_config.follower import ConfigFollower, FollowerState, SuspendDocument
+from marlstep.replicated_config.followed_document import FollowerState
+from marlstep.replicated_config.follower import ConfigFollower
+from marlstep.replicated_config.follower_actions import SuspendDocument
 from marlstep.replicated_config.results import VersionPrepared
 from marlstep.replicated_config.rollout import RolloutMonitor
 from marlstep.replicated_config.store import ConfigStore
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/drill/explore_rules.py
@@ -33,16 +33,16 @@
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, content_digest
-from marlstep.replicated_config.follower import (
+from marlstep.replicated_config.followed_document import FollowerState as Follows
+from marlstep.replicated_config.follower import ConfigFollower
+from marlstep.replicated_config.follower_actions import (
     AcknowledgeVersion,
     ActivateVersion,
     CheckVersion,
-    ConfigFollower,
     FollowerAction,
     ProposeFirstVersion,
     SuspendDocument,
 )
-from marlstep.replicated_config.follower import FollowerState as Follows
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -21,12 +21,12 @@
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
 from marlstep.membership.quotas import FULL_QUOTA, QuotaLease, QuotaTable
 from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, content_digest
-from marlstep.replicated_config.follower import (
+from marlstep.replicated_config.followed_document import FollowerState
+from marlstep.replicated_config.follower import ConfigFollower
+from marlstep.replicated_config.follower_actions import (
     AcknowledgeVersion,
     ActivateVersion,
     CheckVersion,
-    ConfigFollower,
-    FollowerState,
     ProposeFirstVersion,
     SuspendDocument,
 )
--- a/marlstep/replicated_config/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -1,369 +1,252 @@
-"""A node's side of documents: which version it acts on, until when, and what it does without the group.
+"""A node's side of versioned documents: which version is active here, until when, and what happens without a group.
 
-It acts on a version only under its own lease on the rules, counted as all leases are. The news that renews the lease
-tells which version is in force, in the same message: who renewed after a change came into force knows of it, and who
-did not stops acting when its lease runs out. So no node acts on an old version for longer than the lease's term.
+A version is active only under the node's own configuration lease. The heartbeat response that renews the lease also
+names the active version: a node that renewed after a commit knows of the new version, and one that did not stops when
+its lease expires. So no node acts on an old version for longer than the term of the lease.
 """
 
 from __future__ import annotations
 
-import enum
-from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
 from marlstep.leases.messages import DocumentState, DocumentStatus
-from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, content_digest
+from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition
+from marlstep.replicated_config.followed_document import FollowedDocument, FollowerState
+from marlstep.replicated_config.follower_actions import (
+    AcknowledgeVersion,
+    ActivateVersion,
+    CheckVersion,
+    FollowerAction,
+    ProposeFirstVersion,
+    SuspendDocument,
+)
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.units import MILLISECOND, ZERO
 
-FETCH_RETRY_INTERVAL = 300 * MILLISECOND
 PROPOSE_RETRY_INTERVAL = 3_000 * MILLISECOND
+PINNED_VERSION = -1  # the number that a pinned content has
 
+_STATES_UNDER_LEASE = (FollowerState.ACTIVE, FollowerState.SUSPENDED, FollowerState.CATCHING_UP)
 
-class FollowerState(enum.Enum):
-    """What a node does with one document. Heartbeats and status pages carry the wire word."""
-
-    UNKNOWN = ("unknown", "has not heard of a version yet")
-    ACTIVE = ("acting", "acts on it")
-    SUSPENDED = ("suspended", "has stopped for the next version")
-    LEASE_EXPIRED = ("cut_off", "its lease has run out")
-    CATCHING_UP = ("behind", "fetches the version that is in force")
-    EXCLUDED = ("held_out", "can't take it")
-    PINNED = ("fixed", "an operator's fixed version is in force")
-
-    def __init__(self, wire_word: str, description: str) -> None:
-        self.wire_word = wire_word
-        self.description = description
-
-
-@dataclass(slots=True, frozen=True)
-class CheckVersion:
-    """Can this node act on that content? `Follower.checked` is to be told."""
-
-    name: str
-    version: int
-    content: str
 
+class ConfigFollower:
+    """All documents that a node follows. Its methods return actions for the driver, in order."""
 
-@dataclass(slots=True, frozen=True)
-class AcknowledgeVersion:
-    """To be asked for in the log."""
-
-    name: str
-    version: int
-    digest: str
-    rejection: str  # empty: it can be taken
-
-
-@dataclass(slots=True, frozen=True)
-class ActivateVersion:
-    """From now on, between two turns."""
-
-    name: str
-    version: int
-    content: str
+    def __init__(self, definitions: tuple[DocumentDefinition, ...], node: str = "") -> None:
+        """Follow no version yet; `node` is this node's name, as canary rollouts name it."""
+        self.node = node
+        self.documents = {definition.name: FollowedDocument(definition) for definition in definitions}
 
+    def start(self) -> list[FollowerAction]:
+        """Suspend all documents: nothing is active before the group has named a version."""
+        return [_suspend_by_policy(document, "not heard of yet") for document in self.documents.values()]
 
-@dataclass(slots=True, frozen=True)
-class SuspendDocument:
-    """No new work under the document from now on, by its cut-off rule; `why` is for the log."""
+    # Messages.
 
-    name: str
-    policy: DisconnectPolicy
-    reason: str
+    def handle_statuses(
+        self, now: datetime, statuses: tuple[DocumentStatus, ...], lease_left: timedelta
+    ) -> list[FollowerAction]:
+        """Follow the statuses of a heartbeat response; `lease_left` is what it left of the configuration lease."""
+        status_by_name = {status.name: status for status in statuses}
+        actions: list[FollowerAction] = []
+        for name, document in self.documents.items():
+            document.target = status_by_name.get(name)
+            if lease_left <= ZERO:
+                continue
+            if document.target is None:
+                actions += self._propose_first_version(now, document)
+            else:
+                actions += self._follow(now, document)
+        return actions
+
+    def handle_chunk(
+        self, now: datetime, chunk: DocumentChunk, lease_left: timedelta
+    ) -> list[FollowerAction]:
+        """Take the next part of a content that is being fetched; any other part is ignored."""
+        document = self.documents.get(chunk.name)
+        if document is None or not document.expects(chunk):
+            return []
+        if not document.add_chunk(chunk):
+            return [*document.fetch(now, chunk.version)]
+        return self._follow_under_lease(now, document, lease_left)
 
+    def handle_check_result(
+        self, now: datetime, check: CheckVersion, rejection: str, lease_left: timedelta
+    ) -> list[FollowerAction]:
+        """Take the result of a validation; an empty rejection says that the version can be activated."""
+        document = self.documents[check.name]
+        document.check_results[check.version] = rejection
+        return self._follow_under_lease(now, document, lease_left)
 
-@dataclass(slots=True, frozen=True)
-class ProposeFirstVersion:
-    """The group has no such document: the local file's content is to be proposed as its first version."""
+    def acknowledgement_lost(self, name: str, version: int) -> None:
+        """Acknowledge again: the log did not take it."""
+        document = self.documents[name]
+        if document.acknowledged_version == version:
+            document.acknowledged_version = 0
 
-    name: str
+    # Time.
 
+    def tick(self, now: datetime, lease_left: timedelta) -> list[FollowerAction]:
+        """Let time pass: follow while there is a lease, and suspend what is active without one."""
+        actions: list[FollowerAction] = []
+        for document in self.documents.values():
+            if lease_left > ZERO:
+                actions += self._follow_under_lease(now, document, lease_left)
+            elif document.state in _STATES_UNDER_LEASE:
+                document.state = FollowerState.LEASE_EXPIRED
+                actions.append(_suspend_by_policy(document, "the lease on the rules has run out"))
+        return actions
+
+    def accepts_work(self, lease_left: timedelta) -> bool:
+        """Whether new work may start now; requests in flight continue in any case."""
+        return all(document.accepts_work(lease_left) for document in self.documents.values())
 
-FollowerAction = (
-    CheckVersion | AcknowledgeVersion | ActivateVersion | SuspendDocument | ProposeFirstVersion | FetchChunk
-)
+    def document_states(self, now: datetime) -> tuple[DocumentState, ...]:
+        """Return what is active here, for how long, and why nothing newer is, for heartbeats and operators."""
+        return tuple(document.report(now) for document in self.documents.values())
 
+    def group_content(self, name: str) -> str | None:
+        """Return the content that is active in the group, for comparison with a pinned one; None if not known."""
+        document = self.documents[name]
+        if document.target is None:
+            return None
+        return document.content_of(document.target.version, document.target.digest)
 
-@dataclass(slots=True)
-class FollowedDocument:
-    """One document, here."""
+    # Operators.
 
-    definition: DocumentDefinition
-    state: FollowerState = FollowerState.UNKNOWN
-    version: int = 0  # that it acts on, or acted on last
-    content: str = ""
-    active_since: datetime | None = None
-    target: DocumentStatus | None = None
-    fetching_version: int = 0  # version
-    fetched_text: str = ""
-    fetch_sent_at: datetime | None = None
-    prepared_contents: dict[int, str] | None = None  # contents that came whole, by version
-    check_results: dict[int, str] = field(
-        default_factory=dict
-    )  # by version: why it can't be taken, empty where it can
-    acknowledged_version: int = 0
-    proposed_at: datetime | None = None  # missing in the group, and its first version proposed
+    def pin(self, now: datetime, name: str, content: str) -> list[FollowerAction]:
+        """Activate a content by an operator's order, until `unpin`: for a group that has lost its majority."""
+        document = self.documents[name]
+        document.state, document.content = FollowerState.PINNED, content
+        document.version, document.active_since = PINNED_VERSION, now
+        return [ActivateVersion(name, PINNED_VERSION, content)]
 
+    def unpin(self, name: str) -> list[FollowerAction]:
+        """Suspend a pinned document until the group names a version."""
+        document = self.documents[name]
+        if document.state is not FollowerState.PINNED:
+            return []
+        document.state, document.version = FollowerState.UNKNOWN, 0
+        return [_suspend_by_policy(document, "the fixed version was taken back")]
 
-class ConfigFollower:
-    def __init__(self, named: tuple[DocumentDefinition, ...], node: str = "") -> None:
-        """`node` is this one's name: of a staged change it may have to be among the first."""
-        self.node = node
-        self.documents = {one.name: FollowedDocument(one) for one in named}
+    # Steps towards the version that the group names.
 
-    # What comes.
+    @staticmethod
+    def _propose_first_version(now: datetime, document: FollowedDocument) -> list[FollowerAction]:
+        if document.state is FollowerState.PINNED:
+            return []
+        if document.proposed_at is not None and now < document.proposed_at + PROPOSE_RETRY_INTERVAL:
+            return []
+        document.proposed_at = now
+        return [ProposeFirstVersion(document.definition.name)]
 
-    def handle_statuses(
-        self, now: datetime, news: tuple[DocumentStatus, ...], left: timedelta
+    def _follow_under_lease(
+        self, now: datetime, document: FollowedDocument, lease_left: timedelta
     ) -> list[FollowerAction]:
-        """News came with a renewal; `left` is of the lease on the rules."""
-        by_name = {one.name: one for one in news}
-        done: list[FollowerAction] = []
-        for name, one in self.documents.items():
-            one.target = by_name.get(name)
-            if one.target is None:
-                if one.state is FollowerState.PINNED:
-                    continue
-                if left > ZERO and (
-                    one.proposed_at is None or now >= one.proposed_at + PROPOSE_RETRY_INTERVAL
-                ):
-                    one.proposed_at = now
-                    done.append(ProposeFirstVersion(name))
-            elif left > ZERO:
-                done += self._follow(now, one)
-        return done
-
-    def _follow(self, now: datetime, one: FollowedDocument) -> list[FollowerAction]:
-        target = one.target
+        if document.target is None or lease_left <= ZERO:
+            return []
+        return self._follow(now, document)
+
+    def _follow(self, now: datetime, document: FollowedDocument) -> list[FollowerAction]:
+        target = document.target
         assert target is not None
-        done: list[FollowerAction] = []
-        if one.state is FollowerState.PINNED:  # only to show how the two differ
-            known = (
-                not target.version or self._content_or_fetch(one, target.version, target.digest) is not None
-            )
-            return [] if known else self._fetch(now, one, target.version)
-        number, digest, then = target.version, target.digest, target.prepared_version
-        if (
-            target.prepared_version and self.node in target.rollout_nodes
-        ):  # a stage, and this node is among the first
-            number, digest, then = target.prepared_version, target.prepared_digest, 0
-        if number:
-            done += self._reach_version(now, one, number, digest, then)
-        # One content at a time: what is acted on comes first, and what is prepared when that is here.
-        waits = 0 < one.fetching_version == number or any(
-            isinstance(do, FetchChunk | CheckVersion) for do in done
+        if document.state is FollowerState.PINNED:
+            return self._fetch_for_comparison(now, document, target)
+        version, digest, prepared_version = target.version, target.digest, target.prepared_version
+        if prepared_version and self.node in target.rollout_nodes:
+            # In a canary rollout, the prepared version is the active one for this node.
+            version, digest, prepared_version = target.prepared_version, target.prepared_digest, 0
+        actions: list[FollowerAction] = []
+        if version:
+            actions += self._reach_version(now, document, version, digest, prepared_version)
+        # One content at a time: the active version comes first, the prepared one once that is here.
+        is_busy = 0 < document.fetching_version == version or any(
+            isinstance(action, FetchChunk | CheckVersion) for action in actions
         )
-        if target.prepared_version and not waits:
-            done += self._prepare(now, one, target)
-        return done
-
-    def _reach_version(
-        self, now: datetime, one: FollowedDocument, version: int, digest: str, pending: int
-    ) -> list[FollowerAction]:
-        """That version is in force."""
-        if one.definition.strict and pending and one.acknowledged_version == pending:
-            if one.state is not FollowerState.EXCLUDED:
-                one.state = (
-                    FollowerState.SUSPENDED
-                )  # it has said that it stopped: until it hears how that change ended
-            return []
-        if one.state is FollowerState.ACTIVE and one.version == version:
-            return []
-        content = self._content_or_fetch(one, version, digest)
-        if content is None:
-            done = self._fetch(now, one, version)
-            if one.state is not FollowerState.ACTIVE:
-                return done
-            # Its lease was over for a while, and the change went through without it: with a lease again it must not
-            # go on with what it has, however long the new one takes to come.
-            one.state = FollowerState.CATCHING_UP
-            why = f"version {version} is in force, and not here yet"
-            return [SuspendDocument(one.definition.name, one.definition.disconnect_policy, why), *done]
-        if version not in one.check_results:
-            return [CheckVersion(one.definition.name, version, content)]
-        if why := one.check_results[version]:
-            if one.state is FollowerState.EXCLUDED:
-                return []
-            one.state = FollowerState.EXCLUDED
-            return [
-                SuspendDocument(
-                    one.definition.name, DisconnectPolicy.STOP, f"version {version} can't be taken: {why}"
-                )
-            ]
-        one.version, one.content, one.active_since, one.state = version, content, now, FollowerState.ACTIVE
-        least = min(version, one.target.version if one.target is not None else version)
-        one.prepared_contents = {
-            number: text for number, text in (one.prepared_contents or {}).items() if number >= least
-        }
-        one.check_results = {number: why for number, why in one.check_results.items() if number >= least}
-        return [ActivateVersion(one.definition.name, version, content)]
-
-    def _prepare(self, now: datetime, one: FollowedDocument, target: DocumentStatus) -> list[FollowerAction]:
-        """A change is being prepared: say whether it can be taken, and for a strict document stop before that."""
-        if one.acknowledged_version == target.prepared_version:
-            return []
-        content = self._content_or_fetch(one, target.prepared_version, target.prepared_digest)
-        if content is None:
-            return self._fetch(now, one, target.prepared_version)
-        if target.prepared_version not in one.check_results:
-            return [CheckVersion(one.definition.name, target.prepared_version, content)]
-        one.acknowledged_version = target.prepared_version
-        done: list[FollowerAction] = []
-        if one.definition.strict and one.state is FollowerState.ACTIVE:
-            one.state = FollowerState.SUSPENDED
-            done.append(
-                SuspendDocument(
-                    one.definition.name,
-                    DisconnectPolicy.STOP,
-                    f"until version {target.prepared_version} is in force",
-                )
-            )
-        return [
-            *done,
-            AcknowledgeVersion(
-                one.definition.name,
-                target.prepared_version,
-                target.prepared_digest,
-                one.check_results[target.prepared_version],
-            ),
-        ]
+        if target.prepared_version and not is_busy:
+            actions += self._prepare(now, document, target)
+        return actions
 
     @staticmethod
-    def _content_or_fetch(one: FollowedDocument, version: int, digest: str) -> str | None:
-        content = (one.prepared_contents or {}).get(version)
-        return content if content is not None and content_digest(content) == digest else None
-
-    def _fetch(self, now: datetime, one: FollowedDocument, version: int) -> list[FollowerAction]:
-        if one.fetching_version != version:
-            one.fetching_version, one.fetched_text, one.fetch_sent_at = version, "", None
-        if one.fetch_sent_at is not None and now < one.fetch_sent_at + FETCH_RETRY_INTERVAL:
+    def _fetch_for_comparison(
+        now: datetime, document: FollowedDocument, target: DocumentStatus
+    ) -> list[FollowerAction]:
+        """Fetch the group's content beside a pinned one, to show how they differ."""
+        if not target.version or document.content_of(target.version, target.digest) is not None:
             return []
-        one.fetch_sent_at = now
-        return [FetchChunk(one.definition.name, version, len(one.fetched_text))]
+        return [*document.fetch(now, target.version)]
 
-    def handle_chunk(self, now: datetime, piece: DocumentChunk, left: timedelta) -> list[FollowerAction]:
-        one = self.documents.get(piece.name)
+    def _reach_version(
+        self, now: datetime, document: FollowedDocument, version: int, digest: str, prepared_version: int
+    ) -> list[FollowerAction]:
+        """Take the next step towards activating a version that the group has committed."""
         if (
-            one is None
-            or one.fetching_version != piece.version
-            or piece.offset != len(one.fetched_text)
-            or piece.size < 0
+            document.definition.strict
+            and prepared_version
+            and document.acknowledged_version == prepared_version
         ):
+            # It has acknowledged that it stopped, so it stays so until it hears how that change ended.
+            if document.state is not FollowerState.EXCLUDED:
+                document.state = FollowerState.SUSPENDED
             return []
-        one.fetched_text += piece.data
-        one.fetch_sent_at = None
-        if len(one.fetched_text) < piece.size:
-            return self._fetch(now, one, piece.version)
-        one.prepared_contents = {**(one.prepared_contents or {}), piece.version: one.fetched_text}
-        one.fetching_version, one.fetched_text = 0, ""
-        return self._follow(now, one) if one.target is not None and left > ZERO else []
-
-    def handle_check_result(
-        self, now: datetime, check: CheckVersion, why: str, left: timedelta
-    ) -> list[FollowerAction]:
-        """What the check of a content came to; empty: this node can act on it."""
-        one = self.documents[check.name]
-        one.check_results[check.version] = why
-        return self._follow(now, one) if one.target is not None and left > ZERO else []
-
-    def acknowledgement_lost(self, name: str, version: int) -> None:
-        """The log did not take it: it is said again."""
-        one = self.documents[name]
-        if one.acknowledged_version == version:
-            one.acknowledged_version = 0
-
-    # Time.
-
-    def tick(self, now: datetime, left: timedelta) -> list[FollowerAction]:
-        """Whenever time has passed: without a lease nothing is acted on any more, by each document's rule."""
-        done: list[FollowerAction] = []
-        for one in self.documents.values():
-            if left > ZERO:
-                if one.target is not None:
-                    done += self._follow(now, one)
-            elif one.state in (FollowerState.ACTIVE, FollowerState.SUSPENDED, FollowerState.CATCHING_UP):
-                one.state = FollowerState.LEASE_EXPIRED
-                done.append(
-                    SuspendDocument(
-                        one.definition.name,
-                        one.definition.disconnect_policy,
-                        "the lease on the rules has run out",
-                    )
-                )
-        return done
-
-    def accepts_work(self, left: timedelta) -> bool:
-        """Whether new work may be taken now, with so much left of the lease; work in hand goes on in any case."""
-        return all(self._document_accepts_work(one, left) for one in self.documents.values())
+        if document.is_active_on(version):
+            return []
+        content = document.content_of(version, digest)
+        if content is None:
+            return self._catch_up(now, document, version)
+        return self._activate_if_valid(now, document, version, content)
 
     @staticmethod
-    def _document_accepts_work(one: FollowedDocument, left: timedelta) -> bool:
-        match one.state:
-            case FollowerState.PINNED:
-                return True
-            case FollowerState.SUSPENDED | FollowerState.EXCLUDED:
-                return False
-            case FollowerState.ACTIVE if left > ZERO:
-                return True
-            case FollowerState.CATCHING_UP if one.definition.strict:
-                return False
-        return one.definition.disconnect_policy is not DisconnectPolicy.STOP
-
-    def document_states(self, now: datetime) -> tuple[DocumentState, ...]:
-        """For the group and for operators: what is acted on here, for how long, and why nothing newer."""
-        return tuple(
-            (
-                name,
-                one.version,
-                one.state.wire_word,
-                0 if one.active_since is None else max(0, (now - one.active_since) // MILLISECOND),
-                self._reason(one),
-            )
-            for name, one in self.documents.items()
-        )
+    def _catch_up(now: datetime, document: FollowedDocument, version: int) -> list[FollowerAction]:
+        fetches = document.fetch(now, version)
+        if document.state is not FollowerState.ACTIVE:
+            return [*fetches]
+        # Its lease had expired for a while, and the change was committed without it: with a new lease it must not
+        # continue with the old version, however long the new one takes to arrive.
+        document.state = FollowerState.CATCHING_UP
+        reason = f"version {version} is in force, and not here yet"
+        return [_suspend_by_policy(document, reason), *fetches]
 
     @staticmethod
-    def _reason(one: FollowedDocument) -> str:
-        if one.state is FollowerState.ACTIVE and one.target is not None and one.version == one.target.version:
-            return ""
-        if one.fetching_version:
-            return f"fetches version {one.fetching_version}, has {len(one.fetched_text)} characters of it"
-        if one.state is FollowerState.EXCLUDED:
-            return max(one.check_results.items(), default=(0, ""))[1][:128]
-        if (
-            one.state is FollowerState.ACTIVE
-            and one.target is not None
-            and one.version == one.target.prepared_version
-        ):
-            return "a stage: it is among the first"
-        return one.state.description
-
-    def group_content(self, name: str) -> str | None:
-        """The content that is in force in the group, beside a fixed one; None where it is not known here."""
-        one = self.documents[name]
-        if one.target is None:
-            return None
-        return self._content_or_fetch(one, one.target.version, one.target.digest)
-
-    def start(self) -> list[FollowerAction]:
-        """At a start nothing is acted on before the group has said which version is in force."""
-        return [
-            SuspendDocument(one.definition.name, one.definition.disconnect_policy, "not heard of yet")
-            for one in self.documents.values()
-        ]
-
-    # Operators.
+    def _activate_if_valid(
+        now: datetime, document: FollowedDocument, version: int, content: str
+    ) -> list[FollowerAction]:
+        name = document.definition.name
+        if version not in document.check_results:
+            return [CheckVersion(name, version, content)]
+        if rejection := document.check_results[version]:
+            if document.state is FollowerState.EXCLUDED:
+                return []
+            document.state = FollowerState.EXCLUDED
+            reason = f"version {version} can't be taken: {rejection}"
+            return [SuspendDocument(name, DisconnectPolicy.STOP, reason)]
+        document.activate(now, version, content)
+        return [ActivateVersion(name, version, content)]
+
+    def _prepare(
+        self, now: datetime, document: FollowedDocument, target: DocumentStatus
+    ) -> list[FollowerAction]:
+        """Acknowledge or reject the prepared version; a strict document is suspended before that."""
+        name, version = document.definition.name, target.prepared_version
+        if document.acknowledged_version == version:
+            return []
+        content = document.content_of(version, target.prepared_digest)
+        if content is None:
+            return [*document.fetch(now, version)]
+        if version not in document.check_results:
+            return [CheckVersion(name, version, content)]
+        document.acknowledged_version = version
+        actions: list[FollowerAction] = []
+        if document.definition.strict and document.state is FollowerState.ACTIVE:
+            document.state = FollowerState.SUSPENDED
+            reason = f"until version {version} is in force"
+            actions.append(SuspendDocument(name, DisconnectPolicy.STOP, reason))
+        acknowledgement = AcknowledgeVersion(
+            name, version, target.prepared_digest, document.check_results[version]
+        )
+        return [*actions, acknowledgement]
 
-    def pin(self, now: datetime, name: str, content: str) -> list[FollowerAction]:
-        """A fixed version by an operator's word, until `unfix`: for a group that is lost."""
-        one = self.documents[name]
-        one.state, one.content, one.version, one.active_since = FollowerState.PINNED, content, -1, now
-        return [ActivateVersion(name, -1, content)]
 
-    def unpin(self, name: str) -> list[FollowerAction]:
-        one = self.documents[name]
-        if one.state is not FollowerState.PINNED:
-            return []
-        one.state, one.version = FollowerState.UNKNOWN, 0
-        return [SuspendDocument(name, one.definition.disconnect_policy, "the fixed version was taken back")]
+def _suspend_by_policy(document: FollowedDocument, reason: str) -> SuspendDocument:
+    definition = document.definition
+    return SuspendDocument(definition.name, definition.disconnect_policy, reason)
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -16,7 +16,7 @@
 from marlstep.leases.messages import Heartbeat, RequestCounts
 from marlstep.replicated_config.commands import MACHINE
 from marlstep.replicated_config.documents import PreparedVersion
-from marlstep.replicated_config.follower import FollowerState
+from marlstep.replicated_config.followed_document import FollowerState
 from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND, SECOND
 
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -38,12 +38,12 @@
     Kind,
     content_digest,
 )
-from marlstep.replicated_config.follower import (
+from marlstep.replicated_config.followed_document import FollowerState
+from marlstep.replicated_config.follower import ConfigFollower
+from marlstep.replicated_config.follower_actions import (
     AcknowledgeVersion,
     ActivateVersion,
     CheckVersion,
-    ConfigFollower,
-    FollowerState,
     ProposeFirstVersion,
     SuspendDocument,
 )
