--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -198,8 +198,10 @@
 class NeverLooks(RolloutMonitor):
     """A stage goes on after its time, however its nodes do."""
 
-    def is_degraded(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
-        return ""
+    def is_degraded(
+        self, canaries: RequestCounts, controls: RequestCounts, max_degradation: float, min_requests: int
+    ) -> bool:
+        return False
 
 
 class GivesAtOnce(QuotaTable):
--- a/marlstep/replicated_config/__init__.py
+++ b/marlstep/replicated_config/__init__.py
@@ -1,1 +1,1 @@
-"""Documents with versions on which a fleet agrees: settings, tenants, lists of servers. Decisions only."""
+"""Versioned configuration documents on which a cluster agrees: settings, tenants, server lists. Decisions, no I/O."""
--- a/marlstep/replicated_config/messages.py
+++ b/marlstep/replicated_config/messages.py
@@ -1,4 +1,4 @@
-"""How the content of documents comes to nodes that have no log."""
+"""The messages by which nodes fetch the contents of documents from the leader, chunk by chunk."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchChunk:
-    """From a node to the leader: the next piece of that version."""
+    """A request of a node to the leader: the chunk of a version that begins at `offset` characters."""
 
     wire_tag: ClassVar[str] = "Fetch"
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DocumentChunk:
-    """`size` characters are the whole; -1: that version is not kept."""
+    """A chunk of a version whose content has `size` characters; a size of -1 says that the version is not kept."""
 
     wire_tag: ClassVar[str] = "Piece"
 
