--- a/marlstep/replicated_config/documents.py
+++ b/marlstep/replicated_config/documents.py
@@ -23,6 +23,9 @@
 )
 
 MAX_DOCUMENT_BYTES = 1 << 20  # of one document
+MAX_VERSIONS_KEPT = 50  # of a document, with their content, as long as that fits
+MAX_BYTES_KEPT = 4 << 20  # of the content of a document's older versions
+MAX_REJECTED_KEPT = 10
 CHUNK_CHARACTERS = 6 * 1024  # characters of a document in one command or message
 
 
@@ -139,3 +142,24 @@
     def active_number(self) -> int:
         """The number of the active version; 0 before the first."""
         return self.versions[-1].number if self.versions else 0
+
+    def commit_prepared(self) -> None:
+        """Make the prepared version the active one, without the processes that rejected it."""
+        assert self.prepared is not None
+        self.versions.append(self.prepared.version)
+        self.excluded, self.prepared = dict(self.prepared.rejections), None
+        self._discard_old_versions()
+
+    def withdraw_prepared(self, reason: str) -> None:
+        """Drop the prepared version, and keep the reason for operators."""
+        assert self.prepared is not None
+        version = self.prepared.version
+        self.rejected_versions.append({"version": version.number, "author": version.author, "why": reason})
+        del self.rejected_versions[:-MAX_REJECTED_KEPT]
+        self.prepared = None
+
+    def _discard_old_versions(self) -> None:
+        """Discard the oldest versions while there are too many, or while they are too large together."""
+        size = sum(len(kept.content) for kept in self.versions[:-1])
+        while len(self.versions) > 1 and (len(self.versions) > MAX_VERSIONS_KEPT or size > MAX_BYTES_KEPT):
+            size -= len(self.versions.pop(0).content)
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -74,10 +74,7 @@
 from marlstep.replicated_config.rollout_plan import plan_rollout
 
 MAX_DOCUMENTS = 32
-MAX_VERSIONS_KEPT = 50  # of a document, with their content, as long as that fits
-MAX_BYTES_KEPT = 4 << 20  # of the content of a document's older versions
 MAX_UPLOADS = 8
-MAX_REJECTED_KEPT = 10
 MAX_AUTHOR_CHARACTERS = 64
 MAX_REASON_CHARACTERS = 256  # of notes, rejections and withdrawals
 MAX_TIME_CHARACTERS = 40
@@ -286,7 +283,7 @@
             return AcknowledgementRecorded(command.holder)
         prepared.rejections[command.holder] = reason
         if not prepared.may_exclude:
-            _withdraw_prepared(document, f"{command.holder} can't take it: {reason}")
+            document.withdraw_prepared(f"{command.holder} can't take it: {reason}")
         return RejectionRecorded(command.holder)
 
     def _apply_commit(self, command: CommitVersion) -> CommitDelayed | RolloutStarted | VersionCommitted:
@@ -300,15 +297,13 @@
             return RolloutStarted(command.version, rollout.nodes)
         if rollout is not None and not command.promote:
             raise RolloutInProgressError
-        document.versions.append(prepared.version)
-        document.excluded, document.prepared = dict(prepared.rejections), None
-        _discard_old_versions(document)
+        document.commit_prepared()
         return VersionCommitted(command.version)
 
     def _apply_withdraw(self, command: WithdrawVersion) -> VersionWithdrawn:
         document = self.documents[command.document]
         _prepared_version(document, command.version)
-        _withdraw_prepared(document, command.reason[:MAX_REASON_CHARACTERS])
+        document.withdraw_prepared(command.reason[:MAX_REASON_CHARACTERS])
         return VersionWithdrawn(command.version)
 
     # Snapshots.
@@ -358,20 +353,3 @@
     if prepared is None or prepared.version.number != version:
         raise NotPreparedError
     return prepared
-
-
-def _withdraw_prepared(document: Document, reason: str) -> None:
-    assert document.prepared is not None
-    version = document.prepared.version
-    document.rejected_versions.append({"version": version.number, "author": version.author, "why": reason})
-    del document.rejected_versions[:-MAX_REJECTED_KEPT]
-    document.prepared = None
-
-
-def _discard_old_versions(document: Document) -> None:
-    """Discard the oldest versions while there are too many, or while they are too large together."""
-    size = sum(len(kept.content) for kept in document.versions[:-1])
-    while len(document.versions) > 1 and (
-        len(document.versions) > MAX_VERSIONS_KEPT or size > MAX_BYTES_KEPT
-    ):
-        size -= len(document.versions.pop(0).content)
--- a/tests/replicated_config/test_replicated_config.py
+++ b/tests/replicated_config/test_replicated_config.py
@@ -33,6 +33,7 @@
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.comparison import differences, find_unsafe_shrinkage
 from marlstep.replicated_config.documents import (
+    MAX_VERSIONS_KEPT,
     DisconnectPolicy,
     DocumentDefinition,
     Kind,
@@ -49,7 +50,7 @@
 )
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
-from marlstep.replicated_config.store import MAX_VERSIONS_KEPT, ConfigStore
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 from tests.support.node import SETTINGS, Desk, raw_config
 
