--- a/tests/replicated_config/support.py
+++ b/tests/replicated_config/support.py
@@ -13,10 +13,9 @@
     Kind,
     content_digest,
 )
+from marlstep.replicated_config.followed_document import FollowedDocument
 from marlstep.replicated_config.follower import ConfigFollower
-from marlstep.replicated_config.follower_actions import (
-    CheckVersion,
-)
+from marlstep.replicated_config.follower_actions import CheckVersion, FollowerAction
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
 from marlstep.replicated_config.store import ConfigStore
@@ -25,128 +24,149 @@
 NOW = EPOCH + timedelta(days=9)
 
 
-class Log:
-    """A book whose commands are applied at once, and nodes with a lease on the rules."""
+class ConfigLog:
+    """A store whose commands are applied at once, and processes with a configuration lease."""
 
-    def __init__(self, *nodes: str) -> None:
+    def __init__(self, *processes: str) -> None:
         self.table = LeaseTable()
-        self.book = ConfigStore(self.table)
+        self.store = ConfigStore(self.table)
         self.uploads = 0
-        for node in nodes:
-            self.join(node)
+        for process in processes:
+            self.grant_lease(process)
 
-    def join(self, holder: str) -> None:
-        self.table.apply({"do": "grant", "name": f"rules/{holder}", "holder": holder, "most": 0})
+    def grant_lease(self, process: str) -> None:
+        self.table.apply({"do": "grant", "name": f"rules/{process}", "holder": process, "most": 0})
 
-    def gone(self, holder: str) -> None:
-        token = self.table.leases[f"rules/{holder}"].token
-        self.table.apply({"do": "expire", "name": f"rules/{holder}", "token": token})
+    def expire_lease(self, process: str) -> None:
+        token = self.table.leases[f"rules/{process}"].token
+        self.table.apply({"do": "expire", "name": f"rules/{process}", "token": token})
 
-    def put(self, content: str, expect: int, kind: str = "settings", **how: Any) -> dict[str, Any]:
+    def put(self, content: str, expect: int, kind: str = "settings", **options: Any) -> dict[str, Any]:
         self.uploads += 1
         upload = f"u{self.uploads}"
-        for at in range(0, len(content), 10):
-            told = {"do": "part", "upload": upload, "offset": at, "data": content[at : at + 10]}
-            assert "taken" in self.book.apply(told)
+        for offset in range(0, len(content), 10):
+            chunk = {"do": "part", "upload": upload, "offset": offset, "data": content[offset : offset + 10]}
+            assert "taken" in self.store.apply(chunk)
         put = {"do": "put", "doc": "d", "kind": kind, "strict": False, "upload": upload, "expect": expect}
-        return self.book.apply(
-            {**put, "digest": content_digest(content), "author": "me", "note": "", "at": "", **how}
-        )
+        put |= {"digest": content_digest(content), "author": "me", "note": "", "at": ""}
+        return self.store.apply({**put, **options})
+
+    def acknowledge(self, process: str, rejection: str = "") -> dict[str, Any]:
+        prepared = self.store.documents["d"].prepared
+        version = prepared.version if prepared is not None else None
+        command: dict[str, Any] = {"do": "ack", "doc": "d", "holder": process, "why": rejection}
+        command["version"] = version.number if version else 0
+        command["digest"] = version.digest if version else ""
+        return self.store.apply(command)
 
-    def ack(self, holder: str, why: str = "") -> dict[str, Any]:
-        pending = self.book.documents["d"].prepared
-        version = pending.version if pending is not None else None
-        told: dict[str, Any] = {"do": "ack", "doc": "d", "holder": holder, "why": why}
-        told |= {"version": version.number if version else 0, "digest": version.digest if version else ""}
-        return self.book.apply(told)
+    def acknowledge_by_all(self) -> None:
+        for process in self.store.live_processes():
+            self.acknowledge(process)
 
     def commit(self) -> list[dict[str, Any]]:
         return [
-            self.book.apply({"do": "commit", "doc": name, "version": version})
-            for name, version in self.book.ready_to_commit()
+            self.store.apply({"do": "commit", "doc": name, "version": version})
+            for name, version in self.store.ready_to_commit()
         ]
 
     @property
-    def in_force(self) -> int:
-        return self.book.documents["d"].active_number
+    def active_version(self) -> int:
+        return self.store.documents["d"].active_number
 
 
 PLAIN = DocumentDefinition("d", Kind.SETTINGS, False, DisconnectPolicy.STOP)
 STRICT = DocumentDefinition("d", Kind.TENANTS, True, DisconnectPolicy.STOP)
 
 
-class Node:
-    """A follower whose contents come whole and are good."""
+class FollowerHarness:
+    """A follower whose fetches are answered at once; later versions than the first are validated as told."""
 
-    def __init__(self, named: DocumentDefinition, why: str = "") -> None:
-        self.follower = ConfigFollower((named,))
+    def __init__(self, definition: DocumentDefinition, rejection: str = "") -> None:
+        self.follower = ConfigFollower((definition,))
         self.contents = {1: "[1]", 2: "[2]", 3: "[3]"}
-        self.why = why
-        self.done: list[Any] = []
+        self.rejection = rejection
+        self.actions: list[Any] = []  # of the last status, but for fetches and validations
 
     @property
-    def one(self) -> Any:
+    def document(self) -> FollowedDocument:
         return self.follower.documents["d"]
 
-    def told(
-        self, version: int, pending: int = 0, left: timedelta = SECOND, on: tuple[str, ...] = ()
-    ) -> list[Any]:
-        digest = content_digest(self.contents.get(version, ""))
-        then = content_digest(self.contents.get(pending, ""))
-        news = DocumentStatus("d", version, digest, pending, then, self.one.definition.strict, on)
-        self.done = []
-        self._go(self.follower.handle_statuses(NOW, (news,), left), left)
-        return [type(do).__name__ for do in self.done]
-
-    def _go(self, queue: list[Any], left: timedelta) -> None:
+    def receive(
+        self,
+        version: int,
+        prepared: int = 0,
+        lease_left: timedelta = SECOND,
+        rollout_nodes: tuple[str, ...] = (),
+    ) -> list[str]:
+        """Receive a status of the document; return the names of the actions."""
+        status = DocumentStatus(
+            "d",
+            version,
+            content_digest(self.contents.get(version, "")),
+            prepared,
+            content_digest(self.contents.get(prepared, "")),
+            self.document.definition.strict,
+            rollout_nodes,
+        )
+        self.actions = []
+        self._carry_out(self.follower.handle_statuses(NOW, (status,), lease_left), lease_left)
+        return [type(action).__name__ for action in self.actions]
+
+    def _carry_out(self, queue: list[FollowerAction], lease_left: timedelta) -> None:
         while queue:
-            do = queue.pop(0)
-            match do:
+            match action := queue.pop(0):
                 case FetchChunk():
-                    content = self.contents[do.version]
-                    half = len(content) // 2 + 1
-                    data = content[do.offset : do.offset + half]
-                    piece = DocumentChunk("d", do.version, do.offset, len(content), data)
-                    queue += self.follower.handle_chunk(NOW, piece, left)
+                    queue += self.follower.handle_chunk(NOW, self._chunk(action), lease_left)
                 case CheckVersion():
-                    queue += self.follower.handle_check_result(
-                        NOW, do, self.why if do.version > 1 else "", left
-                    )
+                    rejection = self.rejection if action.version > 1 else ""
+                    queue += self.follower.handle_check_result(NOW, action, rejection, lease_left)
                 case _:
-                    self.done.append(do)
+                    self.actions.append(action)
+
+    def _chunk(self, fetch: FetchChunk) -> DocumentChunk:
+        """Half of the content, so that it takes two chunks."""
+        content = self.contents[fetch.version]
+        data = content[fetch.offset : fetch.offset + len(content) // 2 + 1]
+        return DocumentChunk("d", fetch.version, fetch.offset, len(content), data)
 
 
-class Staged:
-    """A stage on b, looked at by a leader, with what each process says of itself."""
+class RolloutHarness:
+    """A rollout of version 2 on node b that a leader evaluates, with the heartbeats of all processes."""
 
-    def __init__(self, least: int = 100) -> None:
-        self.log = Log("a/1", "b/1", "c/1")
+    def __init__(self, min_requests: int = 100) -> None:
+        self.log = ConfigLog("a/1", "b/1", "c/1")
         self.log.put("[1]", 0)
-        self._all_say_so()
-        stage = {"for_ms": 2000, "worse": 0.02, "least": least, "nodes": ["b"]}
+        self._acknowledge_and_commit()
+        stage = {"for_ms": 2000, "worse": 0.02, "least": min_requests, "nodes": ["b"]}
         self.log.put("[2]", 1, stage=stage)
-        self._all_say_so()
-        self.watch = RolloutMonitor()
-        self.figures = {one: [0, 0, 0] for one in ("a/1", "b/1", "c/1")}
+        self._acknowledge_and_commit()
+        self.monitor = RolloutMonitor()
+        self.counts = {process: [0, 0, 0] for process in ("a/1", "b/1", "c/1")}
         self.now = NOW
 
-    def _all_say_so(self) -> None:
-        for one in self.log.book.live_processes():
-            self.log.ack(one)
+    def _acknowledge_and_commit(self) -> None:
+        self.log.acknowledge_by_all()
         self.log.commit()
 
-    def look(self, after: int, acts: bool = True, **figures: tuple[int, int, int]) -> list[tuple[bool, str]]:
-        """So many ms later, each has these more requests, refused ones, failed ones."""
-        self.now += after * MILLISECOND
-        beats = {}
-        for holder, row in self.figures.items():
-            more = figures.get(holder[0], (0, 0, 0))
-            self.figures[holder] = row = [one + other for one, other in zip(row, more, strict=True)]
-            version = 2 if holder == "b/1" and acts else 1
-            told = (("d", version, "acting", 0, ""),)
-            beat = Heartbeat(
-                holder[0], "1", 1, (), document_states=told, request_counts=(row[0], row[1], row[2])
+    def evaluate(
+        self, after_ms: int, adopted: bool = True, **new_counts: tuple[int, int, int]
+    ) -> list[tuple[bool, str]]:
+        """Let time pass in which each node reads, rejects and fails so many more requests, and evaluate."""
+        self.now += after_ms * MILLISECOND
+        heartbeats = {}
+        for process, counts in self.counts.items():
+            node = process[0]
+            added = new_counts.get(node, (0, 0, 0))
+            self.counts[process] = counts = [old + new for old, new in zip(counts, added, strict=True)]
+            version = 2 if process == "b/1" and adopted else 1
+            heartbeat = Heartbeat(
+                node,
+                "1",
+                1,
+                (),
+                document_states=(("d", version, "acting", 0, ""),),
+                request_counts=(counts[0], counts[1], counts[2]),
             )
-            beats[holder] = ReceivedHeartbeat(beat, self.now)
-        found = self.watch.evaluate(self.now, self.log.book, beats, SECOND)
-        return [(one.promote, one.reason) for one in found]
+            heartbeats[process] = ReceivedHeartbeat(heartbeat, self.now)
+        decisions = self.monitor.evaluate(self.now, self.log.store, heartbeats, SECOND)
+        return [(decision.promote, decision.reason) for decision in decisions]
--- a/tests/replicated_config/test_command_line.py
+++ b/tests/replicated_config/test_command_line.py
@@ -7,7 +7,7 @@
 from marlstep.cli.main import call
 
 
-def test_the_command_line_refuses_what_makes_no_sense(tmp_path: Path) -> None:
+def test_contradictory_options_are_rejected(tmp_path: Path) -> None:
     path = tmp_path / "x.json"
     path.write_text("{}")
     where = ["--admin", "127.0.0.1:9", "--token-file", str(path)]
--- a/tests/replicated_config/test_comparison.py
+++ b/tests/replicated_config/test_comparison.py
@@ -5,7 +5,7 @@
 from marlstep.replicated_config.comparison import differences
 
 
-def test_differences_name_the_class_and_the_figure() -> None:
+def test_differences_name_the_row_and_the_value() -> None:
     before = {"classes": [{"name": "a", "aimUs": 5, "worth": 1.0}], "rules": {"x": 1}}
     after = {"classes": [{"name": "a", "aimUs": 6, "worth": 1.0}, {"name": "b"}], "list": [1]}
     lines = list(differences(before, after))
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -15,7 +15,7 @@
 from tests.support.node import SETTINGS, Desk, raw_config
 
 
-def test_new_work_without_rules_is_refused_at_once_and_what_was_taken_goes_on() -> None:
+def test_new_work_is_rejected_while_suspended_and_requests_in_flight_complete() -> None:
     desk = Desk()
     desk.core.may_take = lambda: True
     desk.submit(1)
@@ -27,7 +27,7 @@
     assert desk.verdicts(1) == [Verdict.DONE] and desk.core.in_hand == 0
 
 
-def test_a_document_is_checked_as_a_file_is_and_a_file_that_differs_is_told() -> None:
+def test_a_document_is_validated_like_a_file_and_a_differing_file_is_reported() -> None:
     config = check(raw_config(settings=SETTINGS), {"tenants": {"a": {"share": 0.5, "allowance_per_s": 5.0}}})
     governed = Governed()
     assert governed.put_on(config) is config
@@ -60,7 +60,7 @@
         self.core.renew(told.settings)
 
 
-def test_an_allowance_halved_in_a_burst_counts_at_once_and_narrow_takes_the_least() -> None:
+def test_a_halved_allowance_applies_at_once_and_narrow_takes_the_smallest() -> None:
     def tenants(per_s: float) -> str:
         return json.dumps({"tenants": {"riad": {"share": 0.5, "allowance_per_s": per_s}}})
 
@@ -89,7 +89,7 @@
     assert node.documents.tenant_counts() == {"riad": 24}
 
 
-def test_a_class_goes_by_a_document_while_its_requests_are_in_hand_and_the_node_is_quiesced() -> None:
+def test_a_request_class_can_be_removed_while_its_requests_are_in_flight() -> None:
     node = GovernedNode({})
     for number in range(40):
         node.submit(number, "temp-history")
--- a/tests/replicated_config/test_linearizability.py
+++ b/tests/replicated_config/test_linearizability.py
@@ -18,7 +18,7 @@
     return Call(client, begun, ended, expect, Came.DONE, version)
 
 
-def test_histories_that_no_register_could_give_are_found() -> None:
+def test_histories_that_are_not_linearizable_are_detected() -> None:
     good = [done("a", 0, 5, 1, 2), told("b", 1, 3, 1), told("c", 2, 4, 2), told("b", 6, 7, 2)]
     assert not unordered(good, first=1)
     wrong = {
@@ -39,7 +39,7 @@
 @given(
     st.lists(st.tuples(st.integers(0, 9), st.booleans(), st.integers(0, 30), st.integers(0, 30)), max_size=25)
 )
-def test_what_a_register_did_is_explained_however_the_calls_overlap(
+def test_histories_of_a_register_are_linearizable_however_the_calls_overlap(
     rows: list[tuple[int, bool, int, int]],
 ) -> None:
     calls, version, now = [], 1, 0
--- a/tests/replicated_config/test_messages.py
+++ b/tests/replicated_config/test_messages.py
@@ -8,7 +8,7 @@
 from marlstep.leases.messages import DocumentStatus, Heartbeat, HeartbeatResponse
 
 
-def test_an_older_programs_beat_and_a_newer_ones_news_are_understood() -> None:
+def test_heartbeats_of_older_and_responses_of_newer_programs_are_read() -> None:
     beat = CODEC.dump(Heartbeat("a", "1", 2, ("x",)))
     old = [beat[0], {key: value for key, value in dict(beat[1]).items() if key not in ("acts", "figures")}]  # type: ignore[call-overload]
     assert CODEC.load(json.loads(json.dumps(old))) == Heartbeat("a", "1", 2, ("x",))
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -21,7 +21,7 @@
 CONFIG = ROOT / "deploy" / "node.json"
 
 
-def test_the_judge_finds_an_old_list_beside_a_newer_one() -> None:
+def test_the_checker_detects_an_old_list_used_after_a_newer_one() -> None:
     good = [
         Arrival("a", 0, 10, 12),
         Arrival("b", 0, 18, 30),
@@ -75,7 +75,7 @@
 )  # fmt: skip
 
 
-def test_a_list_in_force_is_not_put_again_however_many_tries_get_no_answer() -> None:
+def test_the_active_list_is_not_put_again_however_many_attempts_get_no_answer() -> None:
     # Guards against a drill that called its own start a contradiction: on a slow machine 36 tries had no answer, which
     # pushed the first list out of sight while the nodes still acted on it, and a later version got it again.
     operators = Operators(None, None, 1)  # type: ignore[arg-type]
@@ -93,14 +93,14 @@
         return dict(zip([*PLANS, "missed"], pool.map(rules_one, work), strict=True))
 
 
-def test_the_servers_find_a_rule_that_real_nodes_miss_on_purpose(drilled: dict[str, Any]) -> None:
+def test_the_servers_detect_a_mutation_of_real_processes(drilled: dict[str, Any]) -> None:
     told = drilled["missed"]
     assert told["verdict"] == "broken" and told["strict_contradictions"], told["answers"]
     assert not told["lost"] and not told["answered_twice"]
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_processes_agree_within_the_stated_time(name: str, drilled: dict[str, dict[str, Any]]) -> None:
+def test_processes_agree_within_the_configured_time(name: str, drilled: dict[str, dict[str, Any]]) -> None:
     told = drilled[name]
     shown = {key: value for key, value in told.items() if key not in ("plan", "answers")}
     assert told["verdict"] == "held", json.dumps(shown)  # a dict would be cut short
@@ -108,7 +108,9 @@
     assert told["calls"] > 20 and not told["disorder"]
 
 
-def test_a_list_is_tried_on_one_node_first(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_server_list_is_rolled_out_on_one_node_first(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     """As an operator does it, under load: a list that fails goes back by itself, a good one goes on to all."""
     free = Ports()
     servers = ListServers()
--- a/tests/replicated_config/test_settings.py
+++ b/tests/replicated_config/test_settings.py
@@ -22,7 +22,7 @@
         ({"documents": {"d": {"kind": "settings"}, "e": {"kind": "settings"}}}, "one document of a kind"),
     ],
 )
-def test_rules_that_cant_hold_their_time_are_refused(
+def test_settings_that_contradict_each_other_are_rejected(
     changes: dict[str, Any], message: str, tmp_path: Path
 ) -> None:
     (tmp_path / "key").write_text("k" * 32)
--- a/tests/replicated_config/test_virtual_drill.py
+++ b/tests/replicated_config/test_virtual_drill.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("seed", range(50, 54))
-def test_nodes_do_not_contradict_each_other_on_the_virtual_network(seed: int) -> None:
+def test_nodes_do_not_contradict_each_other_on_the_simulated_network(seed: int) -> None:
     world, why = run_rules(draw(seed, Shape(length_ms=16_000)))
     assert not why and sum(len(seen.acted) for seen in world.seen.values()) >= 4
 
@@ -26,14 +26,14 @@
 
 
 @pytest.mark.parametrize("name", sorted(FOUND))
-def test_a_deliberate_breakage_of_the_rules_is_found(name: str) -> None:
+def test_the_simulated_drill_detects_each_mutation(name: str) -> None:
     broken = RULES_BREAKAGES[name]
     plan = draw(FOUND[name], broken.shape)
     assert run_rules(plan, broken)[1] and not run_rules(plan)[1]
 
 
 @pytest.mark.parametrize("start", sorted(set(STARTS) - {"three"}))
-def test_every_order_of_a_change_holds(start: str) -> None:
+def test_the_walk_finds_no_violation_in_any_order_of_messages(start: str) -> None:
     found = walk_rules(start, Breakage(), replace(STARTS[start][-1], depth=9), seconds=60)
     assert found.complete and not found.broken and found.states > 300
 
@@ -46,7 +46,7 @@
         ("lapsed", "acts-while-behind", 1),
     ],
 )
-def test_the_walk_finds_what_is_broken_on_purpose(start: str, name: str, crashes: int) -> None:
+def test_the_walk_detects_each_mutation(start: str, name: str, crashes: int) -> None:
     bounds = replace(STARTS[start][-1], crashes=crashes)
     found = walk_rules(start, RULES_BREAKAGES[name], bounds, seconds=60)
     assert "two act on different versions" in found.broken and found.trace
