--- a/tests/replicated_config/test_follower.py
+++ b/tests/replicated_config/test_follower.py
@@ -140,3 +140,15 @@
     assert node.follower.group_content("d") == "[1]"
     assert node.receive(3) == [] and node.document.state is FollowerState.PINNED
     assert node.follower.group_content("d") == "[3]" and node.document.content == "[9]"
+
+
+def test_each_state_has_the_word_that_heartbeats_and_status_pages_carry() -> None:
+    assert {state: state.wire_word for state in FollowerState} == {
+        FollowerState.UNKNOWN: "unknown",
+        FollowerState.ACTIVE: "acting",
+        FollowerState.SUSPENDED: "suspended",
+        FollowerState.LEASE_EXPIRED: "cut_off",
+        FollowerState.CATCHING_UP: "behind",
+        FollowerState.EXCLUDED: "held_out",
+        FollowerState.PINNED: "fixed",
+    }
--- a/tests/replicated_config/test_store.py
+++ b/tests/replicated_config/test_store.py
@@ -5,6 +5,8 @@
 import json
 from typing import Any
 
+import pytest
+
 from marlstep.replicated_config.comparison import find_unsafe_shrinkage
 from marlstep.replicated_config.documents import (
     MAX_VERSIONS_KEPT,
@@ -161,3 +163,8 @@
         and not log.store.statuses()[0].rollout_nodes
     )
     assert log.store.apply({"do": "get", "doc": "d"})["version"] == 3
+
+
+@pytest.mark.parametrize("do", ["get", "ack", "commit", "withdraw", "none"])
+def test_a_command_about_an_unknown_document_is_rejected_before_the_rest_is_parsed(do: str) -> None:
+    assert ConfigLog().store.apply({"do": do, "doc": "d"}) == {"refused": "no such document"}
