--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -68,7 +68,8 @@
 }  # fmt: skip
 
 
-# A change comes into force without the word of all: who is cut off for less than its lease acts on the old one.
+# A version is committed without all acknowledgements: a node that is isolated for less than the term of its lease
+# still has the old one active.
 MISSED = Plan(
     37, NODES, NODES[:3], 15_000, (1.0,) * 5,
     tuple(Fault(3_000 + at * 1_500, 1_100, "isolate", node) for at, node in enumerate(("n4", "n5") * 3)),
@@ -94,29 +95,29 @@
 
 
 def test_the_servers_detect_a_mutation_of_real_processes(drilled: dict[str, Any]) -> None:
-    told = drilled["missed"]
-    assert told["verdict"] == "broken" and told["strict_contradictions"], told["answers"]
-    assert not told["lost"] and not told["answered_twice"]
+    report = drilled["missed"]
+    assert report["verdict"] == "broken" and report["strict_contradictions"], report["answers"]
+    assert not report["lost"] and not report["answered_twice"]
 
 
 @pytest.mark.parametrize("name", PLANS)
 def test_processes_agree_within_the_configured_time(name: str, drilled: dict[str, dict[str, Any]]) -> None:
-    told = drilled[name]
-    shown = {key: value for key, value in told.items() if key not in ("plan", "answers")}
-    assert told["verdict"] == "held", json.dumps(shown)  # a dict would be cut short
-    assert told["changes"] >= 3 and not told["strict_contradictions"] and not told["lost"]
-    assert told["calls"] > 20 and not told["disorder"]
+    report = drilled[name]
+    summary = {key: value for key, value in report.items() if key not in ("plan", "answers")}
+    assert report["verdict"] == "held", json.dumps(summary)  # a dict would be cut short
+    assert report["changes"] >= 3 and not report["strict_contradictions"] and not report["lost"]
+    assert report["calls"] > 20 and not report["disorder"]
 
 
 def test_a_server_list_is_rolled_out_on_one_node_first(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """As an operator does it, under load: a list that fails goes back by itself, a good one goes on to all."""
-    free = Ports()
+    """By an operator's commands, under load: a failing list is withdrawn, a good one promoted."""
+    ports = Ports()
     servers = ListServers()
 
     async def drill() -> None:
-        await servers.open(free)
+        await servers.open(ports)
         rules: dict[str, dict[str, Any]] = {"servers": {"kind": "servers", "cut_off": "keep"}}
         pool = (f"127.0.0.1:{servers.ports[0]}",)
         settings = Settings(json.loads(CONFIG.read_text()), tasks={}, pool=pool, rules=rules)
@@ -126,29 +127,36 @@
             await asyncio.sleep(2.0)
             operator = str(rig.nodes["n2"].folder / "operator.toml")
 
-            async def words(*told: str) -> int:
-                return await asyncio.to_thread(call, ["rules", *told, "--operator", operator])
+            async def run_command(*arguments: str) -> int:
+                return await asyncio.to_thread(call, ["rules", *arguments, "--operator", operator])
 
-            def wrote(port: int) -> str:
+            def write_list(port: int) -> str:
                 path = tmp_path / f"{port}.json"
                 main = [f"127.0.0.1:{rig.witness.port}"]
                 path.write_text(json.dumps({"main": main, "more": [f"127.0.0.1:{port}"]}))
                 return str(path)
 
             stage = ("--node", "n5", "--least", "20", "--wait", "25", "--force")
-            bad, good = wrote(free.take()), wrote(servers.ports[1])
-            assert await words("stage", "servers", bad, "--expect", "1", "--for", "20s", *stage) == 2
-            assert await words("stage", "servers", good, "--expect", "1", "--for", "1500ms", *stage) == 0
-            assert await words("status") == 0 and await words("status", "--here") == 0
-            assert await words("get", "servers", "--agreed") == 0 and await words("log", "servers") == 0
-            assert await words("rollback", "servers", "1", "--expect", "3", "--force", "--wait", "5") == 0
+            bad, good = write_list(ports.take()), write_list(servers.ports[1])
+            assert await run_command("stage", "servers", bad, "--expect", "1", "--for", "20s", *stage) == 2
+            assert (
+                await run_command("stage", "servers", good, "--expect", "1", "--for", "1500ms", *stage) == 0
+            )
+            assert await run_command("status") == 0 and await run_command("status", "--here") == 0
+            assert (
+                await run_command("get", "servers", "--agreed") == 0
+                and await run_command("log", "servers") == 0
+            )
+            assert (
+                await run_command("rollback", "servers", "1", "--expect", "3", "--force", "--wait", "5") == 0
+            )
             load.stop = True
             await running
             assert not load.lost and not load.twice
 
     asyncio.run(drill())
     servers.close()
-    free.close()
-    told = capsys.readouterr()
-    assert "turned down: its nodes do worse" in told.err and "version 3 is in force" in told.out
-    assert all(f"{node}/" in told.out for node in NODES) and "version 4 is in force" in told.out
+    ports.close()
+    output = capsys.readouterr()
+    assert "turned down: its nodes do worse" in output.err and "version 3 is in force" in output.out
+    assert all(f"{node}/" in output.out for node in NODES) and "version 4 is in force" in output.out
