--- a/marlstep/cluster/config_orders.py
+++ b/marlstep/cluster/config_orders.py
@@ -12,7 +12,7 @@
 from marlstep.cluster.errors import RejectedContentError, UnknownDocumentError, UnknownOrderError
 from marlstep.cluster.interfaces import Step, TurnRequester
 from marlstep.replicated_config.documents import DocumentDefinition, canonical_json
-from marlstep.replicated_config.follower import FollowerState
+from marlstep.replicated_config.followed_document import FollowerState
 
 log = logging.getLogger(__name__)
 
@@ -109,7 +109,7 @@
     def _unpin(self, definition: DocumentDefinition, now: datetime) -> dict[str, Any]:
         """Return to the group's version, and report how the pinned one differed; nothing is merged."""
         name = definition.name
-        if self._driver.follower.documents[name].state is not FollowerState.FIXED:
+        if self._driver.follower.documents[name].state is not FollowerState.PINNED:
             return {"fixed": False, "differed": []}
         differed = self._driver.differences_from_group(name)
         log.warning("fleet: version unpinned by an operator document=%s", name)
--- a/marlstep/cluster/config_status.py
+++ b/marlstep/cluster/config_status.py
@@ -10,9 +10,9 @@
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.interfaces import ReplicaHolder
 from marlstep.net.codec import write_fields
-from marlstep.replicated_config.documents import DocumentDefinition
-from marlstep.replicated_config.follower import FollowedDocument, FollowerState
-from marlstep.replicated_config.store import ConfigStore, Document
+from marlstep.replicated_config.documents import Document, DocumentDefinition
+from marlstep.replicated_config.followed_document import FollowedDocument, FollowerState
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND
 
 
@@ -35,7 +35,7 @@
             "kind": self.definition.kind.value,
             "strict": self.definition.strict,
             "cut_off": self.definition.disconnect_policy.value,
-            "state": self.state.value,
+            "state": self.state.description,
             "version": self.version,
             "in_force": self.active_version,
             "preparing": self.prepared_version,
@@ -91,7 +91,7 @@
 
     def _document(self, followed: FollowedDocument) -> FollowedDocumentStatus:
         definition, target, driver = followed.definition, followed.target, self._driver
-        is_pinned = followed.state is FollowerState.FIXED
+        is_pinned = followed.state is FollowerState.PINNED
         return FollowedDocumentStatus(
             definition,
             followed.state,
