--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,7 +20,8 @@
 from marlstep.cluster import wire
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.virtual_members import run_members
-from marlstep.membership.failure_detector import DetectorSettings, FailureDetector
+from marlstep.membership.detector_settings import DetectorSettings
+from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.messages import Ack, MembershipMessage, Ping
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.net.ring import Ring
--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -210,7 +210,7 @@
     from dataclasses import asdict
 
     from marlstep.drill.virtual_members import run_members
-    from marlstep.membership.failure_detector import DetectorSettings
+    from marlstep.membership.detector_settings import DetectorSettings
 
     plan, name, loss, slow, doubts = work
     breakage = MEMBERS_BREAKAGES[name] if name else Breakage()
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -9,8 +9,8 @@
 
 from marlstep.cluster import wire
 from marlstep.config.fleet import MembershipConfig
-from marlstep.membership.failure_detector import FailureDetector, OutboundMessage
-from marlstep.membership.messages import Ping, StateExchange
+from marlstep.membership.failure_detector import FailureDetector
+from marlstep.membership.messages import OutboundMessage, Ping, StateExchange
 from marlstep.membership.partition_state import Capabilities, PartitionObservation, PartitionTracker
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.net.codec import write_fields
@@ -90,7 +90,7 @@
 
     def leave(self) -> None:
         """Say that this node goes, where no other process of it takes its place."""
-        self._send_all(self.detector.leave(self._fleet.steady.now()))
+        self._send_all(self.detector.leave())
 
     def close(self) -> None:
         self._fleet.steady.cancel(self._alarm)
--- a/marlstep/config/fleet.py
+++ b/marlstep/config/fleet.py
@@ -24,7 +24,7 @@
 
 if TYPE_CHECKING:
     from marlstep.leases.settings import LeaseSettings
-    from marlstep.membership.failure_detector import DetectorSettings
+    from marlstep.membership.detector_settings import DetectorSettings
     from marlstep.membership.roster_controller import RosterSettings
     from marlstep.replicated_config.documents import DocumentDefinition
     from marlstep.scheduled_tasks.runner import TaskPlan
@@ -210,7 +210,7 @@
 def _members(raw: Table, nodes: Mapping[str, Address], voters: tuple[str, ...]) -> MembershipConfig | None:
     if "members" not in raw:
         return None
-    from marlstep.membership.failure_detector import DetectorSettings
+    from marlstep.membership.detector_settings import DetectorSettings
     from marlstep.membership.records import MAX_NAME_LENGTH
     from marlstep.membership.roster_controller import RosterSettings
 
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -220,7 +220,7 @@
 class TakesAnyLife(FailureDetector):
     """What is heard last of a name counts, of whichever of its processes."""
 
-    def _merge_record(self, now: datetime, record: MemberRecord, why: str) -> bool:
+    def _merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
         member = self.members.get(record.node)
         if (
             member is not None
@@ -228,9 +228,9 @@
             and record.precedence <= member.record.precedence
         ):
             member.record = replace(record, generation=member.record.generation)
-            self._add_to_probe_order(member)
+            self._restart_suspicion(member)
             return True
-        return super()._merge_record(now, record, why)
+        return super()._merge_record(now, record, reason)
 
 
 def same(settings: LeaseSettings) -> LeaseSettings:
--- a/marlstep/drill/virtual_members.py
+++ b/marlstep/drill/virtual_members.py
@@ -17,7 +17,9 @@
 from marlstep.drill.broken import Breakage
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.virtual import START, Broken
-from marlstep.membership.failure_detector import DetectorSettings, FailureDetector, OutboundMessage
+from marlstep.membership.detector_settings import DetectorSettings
+from marlstep.membership.failure_detector import FailureDetector
+from marlstep.membership.messages import OutboundMessage
 from marlstep.membership.records import MemberRecord, MemberState, write_records
 from marlstep.units import span
 
@@ -243,7 +245,7 @@
             case "drain":
                 if node.up:
                     node.leaving = True
-                    self.send_all(node, node.detector.leave(self.now))
+                    self.send_all(node, node.detector.leave())
                     self.after(50_000, lambda: self.kill(node, us))
                     self.last_fault_us = max(self.last_fault_us, until + 50_000)
             case "cut" | "one way" | "slow":
--- /dev/null
+++ b/marlstep/membership/indirect_probes.py
@@ -0,0 +1,66 @@
+"""Indirect probes on behalf of other nodes (SWIM's ping-req, section 3.1, with Lifeguard's nack, section IV-A)."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+
+from marlstep.membership.broadcast_queue import BroadcastQueue
+from marlstep.membership.messages import Ack, Nack, OutboundMessage, PingRequest
+from marlstep.membership.pings import PingFactory
+
+MAX_INDIRECT_PROBES = 256  # unanswered at the same time
+
+
+@dataclass(slots=True)
+class IndirectProbe:
+    """A probe that another node asked for."""
+
+    requester_address: str
+    requester_number: int
+    nack_at: datetime
+
+
+class IndirectProbes:
+    """All unanswered probes on behalf of others, by the number of this node's ping."""
+
+    def __init__(
+        self, broadcasts: BroadcastQueue, pings: PingFactory, probe_timeout: timedelta, counts: Counter[str]
+    ) -> None:
+        """A probe without an answer within `probe_timeout` is reported to its requester by a nack."""
+        self._broadcasts = broadcasts
+        self._pings = pings
+        self._probe_timeout = probe_timeout
+        self._counts = counts
+        self._probes: dict[int, IndirectProbe] = {}
+
+    def due_times(self) -> list[datetime]:
+        """Return when `expire` has something to do."""
+        return [probe.nack_at for probe in self._probes.values()]
+
+    def start(self, now: datetime, requester_address: str, request: PingRequest) -> list[OutboundMessage]:
+        """Ping the requested node, unless too many probes are open."""
+        if len(self._probes) >= MAX_INDIRECT_PROBES:
+            self._counts["relays refused"] += 1
+            return []
+        ping = self._pings.make(request.node)
+        self._probes[ping.number] = IndirectProbe(
+            requester_address, request.number, now + self._probe_timeout
+        )
+        return [OutboundMessage(request.address, ping)]
+
+    def acknowledge(self, number: int) -> OutboundMessage | None:
+        """Return the ack to forward, or None where that number is of no probe for others."""
+        probe = self._probes.pop(number, None)
+        if probe is None:
+            return None
+        return OutboundMessage(probe.requester_address, Ack(probe.requester_number, self._broadcasts.take()))
+
+    def expire(self, now: datetime) -> list[OutboundMessage]:
+        """Return the nacks that are due. A later ack is ignored."""
+        expired = [number for number, probe in self._probes.items() if now >= probe.nack_at]
+        return [self._nack(self._probes.pop(number)) for number in expired]
+
+    def _nack(self, probe: IndirectProbe) -> OutboundMessage:
+        return OutboundMessage(probe.requester_address, Nack(probe.requester_number, self._broadcasts.take()))
--- a/marlstep/membership/messages.py
+++ b/marlstep/membership/messages.py
@@ -67,3 +67,12 @@
 
 MembershipMessage = Ping | Ack | PingRequest | Nack | StateExchange
 MEMBERSHIP_MESSAGES = (Ping, Ack, PingRequest, Nack, StateExchange)
+
+
+@dataclass(slots=True, frozen=True)
+class OutboundMessage:
+    """A message that the failure detector's caller is to send."""
+
+    address: str
+    message: MembershipMessage
+    over_stream: bool = False  # too large for a datagram
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -36,8 +36,9 @@
 from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.membership.failure_detector import DetectorSettings, FailureDetector, OutboundMessage
-from marlstep.membership.messages import Ack, Nack, Ping, PingRequest, StateExchange
+from marlstep.membership.detector_settings import DetectorSettings
+from marlstep.membership.failure_detector import FailureDetector
+from marlstep.membership.messages import Ack, Nack, OutboundMessage, Ping, PingRequest, StateExchange
 from marlstep.membership.partition_state import (
     CAPABILITIES,
     CONNECTED_STATES,
