--- /dev/null
+++ b/tests/membership/test_datagrams.py
@@ -0,0 +1,77 @@
+"""Membership messages as datagrams and over streams."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from dataclasses import replace
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from marlstep.cluster import wire
+from marlstep.cluster.node import ClusterNode
+from marlstep.membership.messages import Ack, Nack, Ping, PingRequest
+from marlstep.membership.records import MemberRecord, read_records, write_records
+from marlstep.net.framing import CorruptError
+from tests.membership.support import record
+
+
+def wired(node: str, number: int = 0) -> MemberRecord:
+    return replace(record(node, number=number), address="10.1.2.3:7001")
+
+
+def test_datagrams_come_back_as_they_were_and_fit_into_one_packet() -> None:
+    rows = tuple(wired(f"node-{number}", number) for number in range(60))
+    for message in (Ping(1, "b", rows), Ack(2, rows), PingRequest(3, "b", "127.0.0.1:1", rows), Nack(4)):
+        body = wire.write_datagram("f", wired("a"), message)
+        frame = wire.datagram_framing(b"k" * 32).write(body)
+        assert len(frame) <= wire.MAX_DATAGRAM_BYTES
+        fleet, sender, read = wire.read_datagram(body)
+        assert (fleet, sender) == ("f", wired("a")) and type(read) is type(message)
+        assert read.records == message.records[: len(read.records)] and (
+            len(read.records) > 5 or not message.records
+        )
+    exchanged = wire.ExchangeMessage((wired("a"),), True, rows)
+    told = wire.read_envelope(wire.write_envelope(wire.Envelope("f", "", "a/1", "b", exchanged)))
+    assert told.message == exchanged
+    assert read_records(json.loads(json.dumps(write_records(rows)))) == rows
+
+
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"",
+        b"[]",
+        b'["f",[],["Ping",{}]]',
+        b'["f",["a","b",-1,0,"alive","1.1.1.1:1","",""],["Ack",{"number":1}]]',
+        b'["f",["a","b",1,0,"there","1.1.1.1:1","",""],["Ack",{"number":1}]]',
+        b'[1,["a","b",1,0,"alive","1.1.1.1:1","",""],["Ack",{"number":1}]]',
+        b'["f",["a","b",1,0,"alive","1.1.1.1:1","",""],["Told",{"number":1}]]',
+        *(
+            f'["f",["a","b",1,0,"alive","{address}","",""],["Ack",{{"number":1}}]]'.encode()
+            for address in ("", "abc", "localhost:1", "1.1.1.1", "1.1.1.1:x", "1.1.1.1:0", "1.1.1.1:99999")
+        ),
+        b'["f",["a","b",1,0,"alive","1.1.1.1:1","",""],["PingFor",{"number":1,"node":"c","address":"c:1"}]]',
+    ],
+)
+def test_a_datagram_without_sense_is_corrupt(body: bytes) -> None:
+    with pytest.raises(CorruptError):
+        wire.read_datagram(body)
+
+
+def test_datagrams_are_opened_once_the_elder_has_given_the_address_up() -> None:
+    class Taken:
+        tries = 0
+
+        async def open(self) -> None:
+            self.tries += 1
+            if self.tries < 3:
+                raise OSError(98, "Address already in use")
+
+    members: Any = Taken()
+    fleet = object.__new__(ClusterNode)
+    fleet._closed, fleet.config = False, SimpleNamespace(listen=("127.0.0.1", 1))  # type: ignore[assignment]
+    asyncio.run(fleet._open_datagrams(members))
+    assert members.tries == 3
