--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -20,25 +20,29 @@
 
 
 def record(
-    node: str, state: MemberState = MemberState.ALIVE, boot: str = "b1", born: int = 5, number: int = 0
+    node: str,
+    state: MemberState = MemberState.ALIVE,
+    process_id: str = "b1",
+    generation: int = 5,
+    incarnation: int = 0,
 ) -> MemberRecord:
-    return MemberRecord(node, boot, born, number, state, node, "z1")
+    return MemberRecord(node, process_id, generation, incarnation, state, node, "z1")
 
 
 def detector(node: str = "a", **settings: Any) -> FailureDetector:
     return FailureDetector(record(node), DetectorSettings(**settings), random.Random(1), NOW)
 
 
-def known(one: FailureDetector, *nodes: str) -> FailureDetector:
+def with_members(observer: FailureDetector, *nodes: str) -> FailureDetector:
     for node in nodes:
-        one.receive(NOW, record(node), Ack(0))
-    return one
+        observer.receive(NOW, record(node), Ack(0))
+    return observer
 
 
-def service(*nodes: str) -> tuple[LeaseTable, QuotaTable]:
-    table = LeaseTable()
+def leases_and_quotas(*nodes: str) -> tuple[LeaseTable, QuotaTable]:
+    leases = LeaseTable()
     for node in nodes:
-        table.apply({"do": "grant", "name": f"rules/{node}", "holder": node, "most": 0})
-    shares = QuotaTable(table)
-    shares.apply({"do": "tenants", "names": ["t"]})
-    return table, shares
+        leases.apply({"do": "grant", "name": f"rules/{node}", "holder": node, "most": 0})
+    quotas = QuotaTable(leases)
+    quotas.apply({"do": "tenants", "names": ["t"]})
+    return leases, quotas
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -18,25 +18,30 @@
 from tests.membership.support import record
 
 
-def wired(node: str, number: int = 0) -> MemberRecord:
-    return replace(record(node, number=number), address="10.1.2.3:7001")
+def addressed_record(node: str, incarnation: int = 0) -> MemberRecord:
+    return replace(record(node, incarnation=incarnation), address="10.1.2.3:7001")
 
 
-def test_datagrams_come_back_as_they_were_and_fit_into_one_packet() -> None:
-    rows = tuple(wired(f"node-{number}", number) for number in range(60))
-    for message in (Ping(1, "b", rows), Ack(2, rows), PingRequest(3, "b", "127.0.0.1:1", rows), Nack(4)):
-        body = wire.write_datagram("f", wired("a"), message)
+def test_messages_survive_a_round_trip_and_datagrams_fit_into_one_packet() -> None:
+    records = tuple(addressed_record(f"node-{number}", number) for number in range(60))
+    for message in (
+        Ping(1, "b", records),
+        Ack(2, records),
+        PingRequest(3, "b", "127.0.0.1:1", records),
+        Nack(4),
+    ):
+        body = wire.write_datagram("f", addressed_record("a"), message)
         frame = wire.datagram_framing(b"k" * 32).write(body)
         assert len(frame) <= wire.MAX_DATAGRAM_BYTES
-        fleet, sender, read = wire.read_datagram(body)
-        assert (fleet, sender) == ("f", wired("a")) and type(read) is type(message)
+        cluster, sender, read = wire.read_datagram(body)
+        assert (cluster, sender) == ("f", addressed_record("a")) and type(read) is type(message)
         assert read.records == message.records[: len(read.records)] and (
             len(read.records) > 5 or not message.records
         )
-    exchanged = wire.ExchangeMessage((wired("a"),), True, rows)
-    told = wire.read_envelope(wire.write_envelope(wire.Envelope("f", "", "a/1", "b", exchanged)))
-    assert told.message == exchanged
-    assert read_records(json.loads(json.dumps(write_records(rows)))) == rows
+    exchange = wire.ExchangeMessage((addressed_record("a"),), True, records)
+    envelope = wire.read_envelope(wire.write_envelope(wire.Envelope("f", "", "a/1", "b", exchange)))
+    assert envelope.message == exchange
+    assert read_records(json.loads(json.dumps(write_records(records)))) == records
 
 
 @pytest.mark.parametrize(
@@ -56,13 +61,13 @@
         b'["f",["a","b",1,0,"alive","1.1.1.1:1","",""],["PingFor",{"number":1,"node":"c","address":"c:1"}]]',
     ],
 )
-def test_a_datagram_without_sense_is_corrupt(body: bytes) -> None:
+def test_an_invalid_datagram_is_corrupt(body: bytes) -> None:
     with pytest.raises(CorruptError):
         wire.read_datagram(body)
 
 
-def test_datagrams_are_opened_once_the_elder_has_given_the_address_up() -> None:
-    class Taken:
+def test_opening_the_datagram_socket_is_retried_until_the_predecessor_has_closed_its_own() -> None:
+    class AddressInUse:
         tries = 0
 
         async def open(self) -> None:
@@ -70,8 +75,8 @@
             if self.tries < 3:
                 raise OSError(98, "Address already in use")
 
-    members: Any = Taken()
-    fleet = object.__new__(ClusterNode)
-    fleet._closed, fleet.config = False, SimpleNamespace(listen=("127.0.0.1", 1))  # type: ignore[assignment]
-    asyncio.run(fleet._open_datagrams(members))
+    members: Any = AddressInUse()
+    cluster = object.__new__(ClusterNode)
+    cluster._closed, cluster.config = False, SimpleNamespace(listen=("127.0.0.1", 1))  # type: ignore[assignment]
+    asyncio.run(cluster._open_datagrams(members))
     assert members.tries == 3
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -13,165 +13,173 @@
 from marlstep.membership.messages import Ack, Nack, OutboundMessage, Ping, PingRequest, StateExchange
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.units import SECOND
-from tests.membership.support import NOW, detector, known, record
+from tests.membership.support import NOW, detector, record, with_members
 
 
-def test_a_probe_goes_through_others_before_a_node_is_suspected_and_then_failed() -> None:
-    one = known(detector(), "b", "c", "d", "e")
+def test_indirect_probes_precede_suspicion_and_confirmations_shorten_its_timeout() -> None:
+    observer = with_members(detector(), "b", "c", "d", "e")
     now = NOW
-    [ping] = [send for send in ticks(one, now) if isinstance(send.message, Ping)]
+    [ping] = [send for send in tick_until_sending(observer, now) if isinstance(send.message, Ping)]
     assert isinstance(ping.message, Ping)
     name = ping.message.node
-    now = one.next_due()
-    asked = one.tick(now)
-    assert [type(send.message) for send in asked] == [PingRequest] * 3 and name not in [
-        one.address for one in asked
+    now = observer.next_due()
+    requests = observer.tick(now)
+    assert [type(send.message) for send in requests] == [PingRequest] * 3 and name not in [
+        request.address for request in requests
     ]
     probe = ping.message.number
-    for send in asked:  # they hear this node, and had no answer either
-        one.receive(now, record(send.address), Nack(probe))
-    while one.members[name].record.state is MemberState.ALIVE:
-        now = one.next_due()
-        one.tick(now)
+    for send in requests:  # they received the request, and had no ack either
+        observer.receive(now, record(send.address), Nack(probe))
+    while observer.members[name].record.state is MemberState.ALIVE:
+        now = observer.next_due()
+        observer.tick(now)
     assert (
-        one.members[name].record.state is MemberState.SUSPECT
-        and one.local_health == 0
-        and name in one.alive()
+        observer.members[name].record.state is MemberState.SUSPECT
+        and observer.local_health == 0
+        and name in observer.alive()
     )
     for other in ("b", "c", "d", "e"):
-        if other != name:  # the others suspect it too: that shortens the time to refute
-            before = one.members[name].suspicion_ends_at
+        if other != name:  # a confirmation, which shortens the timeout
+            before = observer.members[name].suspicion_ends_at
             suspect = replace(record(name, MemberState.SUSPECT), reported_by=other)
-            one.receive(now, record(other), Ack(0, (suspect,)))
-            after = one.members[name].suspicion_ends_at
+            observer.receive(now, record(other), Ack(0, (suspect,)))
+            after = observer.members[name].suspicion_ends_at
             assert before is not None and after is not None and after <= before
-    over = one.members[name].suspicion_ends_at
-    assert over is not None and over <= now + 2 * SECOND
-    while one.members[name].record.state is MemberState.SUSPECT:
-        now = one.next_due()
-        one.tick(now)
-    assert one.members[name].record.state is MemberState.FAILED and name not in one.alive() and now == over
+    deadline = observer.members[name].suspicion_ends_at
+    assert deadline is not None and deadline <= now + 2 * SECOND
+    while observer.members[name].record.state is MemberState.SUSPECT:
+        now = observer.next_due()
+        observer.tick(now)
+    assert (
+        observer.members[name].record.state is MemberState.FAILED
+        and name not in observer.alive()
+        and now == deadline
+    )
 
 
-def ticks(one: FailureDetector, now: datetime) -> list[OutboundMessage]:
-    """Until it says something."""
+def tick_until_sending(observer: FailureDetector, now: datetime) -> list[OutboundMessage]:
+    """Tick until there is something to send."""
     for _ in range(50):
-        now = max(now, one.next_due())
-        if sends := one.tick(now):
+        now = max(now, observer.next_due())
+        if sends := observer.tick(now):
             return sends
-    raise AssertionError("it says nothing")
+    raise AssertionError("nothing to send in 50 ticks")
 
 
-def test_who_hears_that_it_is_suspected_refutes_that_and_comes_back_from_failed_too() -> None:
-    one = known(detector(), "b")
+def test_a_suspected_or_failed_node_refutes_with_a_higher_incarnation() -> None:
+    observer = with_members(detector(), "b")
     for number, state in enumerate((MemberState.SUSPECT, MemberState.FAILED)):
-        [ack] = one.receive(NOW, record("b"), Ping(1, "a", (record("a", state, number=number),)))
-        assert one.local.incarnation == number + 1 and one.local_health == number + 1
+        [ack] = observer.receive(NOW, record("b"), Ping(1, "a", (record("a", state, incarnation=number),)))
+        assert observer.local.incarnation == number + 1 and observer.local_health == number + 1
         assert isinstance(ack.message, Ack)
-    other = known(detector("b"), "a")
+    other = with_members(detector("b"), "a")
     other.receive(NOW, record("c"), Ack(0, (record("a", MemberState.FAILED),)))
     assert "a" not in other.alive()
-    # The node that is taken for failed is told so, as only itself can put that right.
-    [said] = other.receive(NOW, record("a"), Ack(3))
-    assert isinstance(said.message, Ping) and said.message.records[0].state is MemberState.FAILED
-    other.receive(NOW, one.local, Ack(0))
+    # The failed node is sent that record, as only itself can refute it.
+    [correction] = other.receive(NOW, record("a"), Ack(3))
+    assert isinstance(correction.message, Ping) and correction.message.records[0].state is MemberState.FAILED
+    other.receive(NOW, observer.local, Ack(0))
     assert "a" in other.alive()
 
 
-def test_a_life_that_is_over_does_not_come_back_and_an_old_clock_does_no_harm() -> None:
-    one = known(detector(), "b")
-    one.receive(NOW, record("b", boot="b2", born=9), Ack(0))
-    one.receive(NOW, record("c"), Ack(0, (record("b", number=7),)))  # a late word of its first life
-    assert one.members["b"].record.process_id == "b2"
-    # Started again with a clock that is behind: it hears of its own earlier life, and goes beyond.
-    young = detector("b")
-    young.local = replace(young.local, process_id="b3", generation=1)
-    [told] = one.receive(NOW, young.local, Ack(0))
-    young.receive(NOW, one.local, told.message)
-    assert young.local.generation == 10
-    one.receive(NOW, young.local, Ack(0))
-    assert one.members["b"].record.process_id == "b3"
+def test_an_earlier_process_of_a_name_does_not_return_and_an_old_clock_does_no_harm() -> None:
+    observer = with_members(detector(), "b")
+    observer.receive(NOW, record("b", process_id="b2", generation=9), Ack(0))
+    observer.receive(NOW, record("c"), Ack(0, (record("b", incarnation=7),)))  # delayed, of the first process
+    assert observer.members["b"].record.process_id == "b2"
+    # Restarted with a clock that is behind: it receives the record of its earlier process, and exceeds it.
+    restarted = detector("b")
+    restarted.local = replace(restarted.local, process_id="b3", generation=1)
+    [reply] = observer.receive(NOW, restarted.local, Ack(0))
+    restarted.receive(NOW, observer.local, reply.message)
+    assert restarted.local.generation == 10
+    observer.receive(NOW, restarted.local, Ack(0))
+    assert observer.members["b"].record.process_id == "b3"
 
 
-def test_two_with_one_name_are_told_apart_from_a_restart() -> None:
-    one = detector()
+def test_a_name_conflict_is_distinguished_from_a_restart() -> None:
+    observer = detector()
     for number in range(6):
-        one.receive(
-            NOW, record("b"), Ack(0, (record("a", boot="other", born=one.local.generation + number),))
+        observer.receive(
+            NOW,
+            record("b"),
+            Ack(0, (record("a", process_id="other", generation=observer.local.generation + number),)),
         )
-    assert one.name_conflict and one.events[-1].event == "another process has this name"
+    assert observer.name_conflict and observer.events[-1].event == "another process has this name"
 
 
-def test_a_node_that_wakes_late_doubts_itself_first() -> None:
-    for doubts in (True, False):
-        one = known(detector(local_health_enabled=doubts), "b", "c", "d")
-        one.receive(NOW, record("c"), Ack(0, (replace(record("b", MemberState.SUSPECT), reported_by="c"),)))
-        late = one.next_due() + 9 * SECOND
-        one.tick(late)
-        assert one.local_health == int(doubts) and one.counts["late"] == 1
-        one.next_due()
-        one.tick(late + SECOND)
-        failed = one.members["b"].record.state is MemberState.FAILED
-        assert failed is not doubts  # a refutation may wait in its socket
+def test_a_late_wakeup_degrades_local_health_and_extends_suspicions() -> None:
+    for enabled in (True, False):
+        observer = with_members(detector(local_health_enabled=enabled), "b", "c", "d")
+        observer.receive(
+            NOW, record("c"), Ack(0, (replace(record("b", MemberState.SUSPECT), reported_by="c"),))
+        )
+        late = observer.next_due() + 9 * SECOND
+        observer.tick(late)
+        assert observer.local_health == int(enabled) and observer.counts["late"] == 1
+        observer.next_due()
+        observer.tick(late + SECOND)
+        failed = observer.members["b"].record.state is MemberState.FAILED
+        assert failed is not enabled  # a refutation may wait in the socket's buffer
 
 
-def test_names_that_are_gone_are_forgotten_and_memory_stays_bounded() -> None:
-    one = detector(reclaim_after=SECOND, exchange_interval=SECOND)
+def test_failed_names_are_reclaimed_and_the_number_of_members_is_bounded() -> None:
+    observer = detector(reclaim_after=SECOND, exchange_interval=SECOND)
     for number in range(2_500):
-        one.receive(NOW, record("x"), Ack(0, (record(f"n{number}"),)))
-    assert len(one.members) == 2_000 and one.counts["crowded"] > 400
+        observer.receive(NOW, record("x"), Ack(0, (record(f"n{number}"),)))
+    assert len(observer.members) == 2_000 and observer.counts["crowded"] > 400
     for number in range(2_000):
-        one.receive(NOW, record("x"), Ack(0, (record(f"n{number}", MemberState.FAILED),)))
-    one.receive(NOW, record("x"), Ack(0, (record("never-heard", MemberState.FAILED),)))
-    assert "never-heard" not in one.members
+        observer.receive(NOW, record("x"), Ack(0, (record(f"n{number}", MemberState.FAILED),)))
+    observer.receive(NOW, record("x"), Ack(0, (record("never-heard", MemberState.FAILED),)))
+    assert "never-heard" not in observer.members
     now = NOW
     for _ in range(40):
-        now = max(now + SECOND, one.next_due())
-        one.tick(now)
-    assert len(one.members) < 5
+        now = max(now + SECOND, observer.next_due())
+        observer.tick(now)
+    assert len(observer.members) < 5
 
 
-def test_an_exchange_comes_in_parts_and_only_the_last_asks_for_an_answer() -> None:
-    one = detector()
+def test_a_state_exchange_is_paged_and_an_answer_requests_none() -> None:
+    observer = detector()
     for number in range(450):
-        one.receive(NOW, record("x"), Ack(0, (record(f"n{number}"),)))
-    pages = one.receive(NOW, record("b"), StateExchange(True, (record("b"),)))
+        observer.receive(NOW, record("x"), Ack(0, (record(f"n{number}"),)))
+    pages = observer.receive(NOW, record("b"), StateExchange(True, (record("b"),)))
     assert len(pages) == 5 and all(page.over_stream for page in pages)
     other = detector("z")
     for page in pages:
         assert isinstance(page.message, StateExchange) and not page.message.answer
-        other.receive(NOW, one.local, page.message)
-    assert other.alive() >= one.alive()
+        other.receive(NOW, observer.local, page.message)
+    assert other.alive() >= observer.alive()
 
 
-states = st.sampled_from(list(MemberState))
+member_states = st.sampled_from(list(MemberState))
 
 
-words = st.builds(
+random_records = st.builds(
     record,
     st.sampled_from("bcd"),
-    states,
+    member_states,
     st.sampled_from(["b1", "b2"]),
     st.integers(0, 3),
     st.integers(0, 3),
 )
 
 
-@given(st.lists(words, max_size=25), st.randoms())
-def test_whatever_comes_in_whatever_order_all_end_with_the_same(
-    said: list[MemberRecord], chance: Any
+@given(st.lists(random_records, max_size=25), st.randoms())
+def test_records_converge_in_any_order_and_precedence_only_rises(
+    records: list[MemberRecord], shuffler: Any
 ) -> None:
-    """Records count by their order alone; and what is known of a name only goes up."""
+    """Precedence alone decides, whatever the order of arrival."""
     first, second = detector(), detector()
-    shuffled = list(said)
-    chance.shuffle(shuffled)
-    for one, rows in ((first, said), (second, shuffled)):
+    shuffled = list(records)
+    shuffler.shuffle(shuffled)
+    for observer, rows in ((first, records), (second, shuffled)):
         for node in "bcd":
-            one.receive(NOW, record(node, born=0, boot=""), Ack(0))
+            observer.receive(NOW, record(node, generation=0, process_id=""), Ack(0))
         for row in rows:
-            before = one.members[row.node].record.precedence
-            one.receive(NOW, record("e"), Ack(0, (row,)))
-            assert one.members[row.node].record.precedence >= before
-    assert {k: v.record.precedence for k, v in first.members.items()} == {
-        k: v.record.precedence for k, v in second.members.items()
+            before = observer.members[row.node].record.precedence
+            observer.receive(NOW, record("e"), Ack(0, (row,)))
+            assert observer.members[row.node].record.precedence >= before
+    assert {name: member.record.precedence for name, member in first.members.items()} == {
+        name: member.record.precedence for name, member in second.members.items()
     }
--- a/tests/membership/test_partition_state.py
+++ b/tests/membership/test_partition_state.py
@@ -19,67 +19,69 @@
 from marlstep.units import MILLISECOND
 from tests.membership.support import NOW
 
-WELL = PartitionObservation(
+HEALTHY = PartitionObservation(
     True, frozenset("abc"), frozenset("abcd"), frozenset(), frozenset("abcd"), True, True
 )
 
 
-SIGHTS = {
-    PartitionState.HEALTHY: WELL,
-    PartitionState.SUSPICION: replace(WELL, suspected=frozenset("d")),
-    PartitionState.MAJORITY: replace(WELL, alive=frozenset("abc")),
-    PartitionState.MINORITY: replace(WELL, quorum_responds=False, alive=frozenset("ad")),
-    PartitionState.QUORUM_LOST: replace(WELL, quorum_responds=False),
-    PartitionState.UNHEARD: replace(WELL, quorum_responds=False, is_acknowledged=False),
-    PartitionState.ISOLATED: replace(WELL, quorum_responds=False, receives=False, is_acknowledged=False),
+OBSERVATIONS = {
+    PartitionState.HEALTHY: HEALTHY,
+    PartitionState.SUSPICION: replace(HEALTHY, suspected=frozenset("d")),
+    PartitionState.MAJORITY: replace(HEALTHY, alive=frozenset("abc")),
+    PartitionState.MINORITY: replace(HEALTHY, quorum_responds=False, alive=frozenset("ad")),
+    PartitionState.QUORUM_LOST: replace(HEALTHY, quorum_responds=False),
+    PartitionState.UNHEARD: replace(HEALTHY, quorum_responds=False, is_acknowledged=False),
+    PartitionState.ISOLATED: replace(HEALTHY, quorum_responds=False, receives=False, is_acknowledged=False),
 }
 
 
-@pytest.mark.parametrize("situation", SIGHTS)
-def test_each_situation_is_told_by_what_is_seen_and_left_by_way_of_coming_back(
-    situation: PartitionState,
+@pytest.mark.parametrize("state", OBSERVATIONS)
+def test_each_state_is_entered_by_its_observation_and_left_through_recovering(
+    state: PartitionState,
 ) -> None:
-    assert classify(SIGHTS[situation]) is situation
-    standing, now = PartitionTracker(NOW), NOW
-    seen = []
+    assert classify(OBSERVATIONS[state]) is state
+    tracker, now = PartitionTracker(NOW), NOW
+    entered = []
 
-    def go(sight: PartitionObservation, seconds: float) -> None:
+    def observe_for(observation: PartitionObservation, seconds: float) -> None:
         nonlocal now
         for _ in range(int(seconds * 20)):
             now += 50 * MILLISECOND
-            if standing.observe(now, sight):
-                seen.append(standing.state)
+            if tracker.observe(now, observation):
+                entered.append(tracker.state)
 
-    go(WELL, 3)
-    assert standing.state is PartitionState.HEALTHY and seen == [PartitionState.HEALTHY]
-    go(SIGHTS[situation], 1)
-    assert standing.state is situation
-    go(WELL, 5)
-    bad = situation not in CONNECTED_STATES
-    assert standing.state is PartitionState.HEALTHY and (PartitionState.RECOVERING in seen) is bad
-    go(SIGHTS[situation], 0.2)  # too short to count
-    assert standing.state is PartitionState.HEALTHY
+    observe_for(HEALTHY, 3)
+    assert tracker.state is PartitionState.HEALTHY and entered == [PartitionState.HEALTHY]
+    observe_for(OBSERVATIONS[state], 1)
+    assert tracker.state is state
+    observe_for(HEALTHY, 5)
+    was_disconnected = state not in CONNECTED_STATES
+    assert (
+        tracker.state is PartitionState.HEALTHY and (PartitionState.RECOVERING in entered) is was_disconnected
+    )
+    observe_for(OBSERVATIONS[state], 0.2)  # too short to count
+    assert tracker.state is PartitionState.HEALTHY
 
 
-@given(st.lists(st.tuples(st.sampled_from(sorted(SIGHTS, key=str)), st.integers(1, 60)), max_size=30))
-def test_no_task_is_begun_where_the_group_does_not_answer_and_turns_are_not_too_many(
-    rows: list[tuple[PartitionState, int]],
+@given(st.lists(st.tuples(st.sampled_from(sorted(OBSERVATIONS, key=str)), st.integers(1, 60)), max_size=30))
+def test_no_task_starts_without_a_quorum_and_transitions_are_bounded(
+    phases: list[tuple[PartitionState, int]],
 ) -> None:
-    standing, now, turns, cut_off = PartitionTracker(NOW), NOW, 0, 0
-    for situation, steps in rows:
+    tracker, now, transitions, steps_without_quorum = PartitionTracker(NOW), NOW, 0, 0
+    for state, steps in phases:
         for _ in range(steps):
             now += 100 * MILLISECOND
-            turns += standing.observe(now, SIGHTS[situation])
-            cut_off = 0 if SIGHTS[situation].quorum_responds else cut_off + 1
-            if cut_off > 4:
-                assert not standing.capabilities.starts_tasks and not standing.capabilities.requests_leases
-            assert standing.capabilities is CAPABILITIES[standing.state]
-    assert turns <= 1 + sum(steps for _, steps in rows) / 3 + len(rows)
+            transitions += tracker.observe(now, OBSERVATIONS[state])
+            steps_without_quorum = 0 if OBSERVATIONS[state].quorum_responds else steps_without_quorum + 1
+            if steps_without_quorum > 4:
+                assert not tracker.capabilities.starts_tasks and not tracker.capabilities.requests_leases
+            assert tracker.capabilities is CAPABILITIES[tracker.state]
+    assert transitions <= 1 + sum(steps for _, steps in phases) / 3 + len(phases)
 
 
-def test_a_bad_situation_that_lasts_is_overdue() -> None:
-    standing, now = PartitionTracker(NOW), NOW
+def test_a_lasting_loss_of_quorum_is_overdue() -> None:
+    tracker, now = PartitionTracker(NOW), NOW
     for _ in range(400):
         now += 100 * MILLISECOND
-        standing.observe(now, SIGHTS[PartitionState.QUORUM_LOST])
-    assert standing.overdue and standing.state is PartitionState.QUORUM_LOST
+        tracker.observe(now, OBSERVATIONS[PartitionState.QUORUM_LOST])
+    assert tracker.overdue and tracker.state is PartitionState.QUORUM_LOST
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -28,50 +28,50 @@
 
 
 def test_processes_share_an_allowance_by_demand(tmp_path: Path) -> None:
-    """Requests of one tenant at one node alone, which then dies: what all may use is never over the whole."""
+    """One tenant's requests come to one node, which then dies: the sum of all shares stays within the allowance."""
     rules: dict[str, dict[str, Any]] = {"tenants": {"kind": "tenants"}}
-    free, servers = Ports(), ListServers()
-    seen: list[dict[str, int]] = []
+    ports, servers = Ports(), ListServers()
+    polls: list[dict[str, int]] = []
 
     async def drill() -> tuple[float, float]:
-        await servers.open(free)
+        await servers.open(ports)
         pool = (f"127.0.0.1:{servers.ports[0]}",)
-        told = json.loads(CONFIG.read_text())
-        settings = Settings(told, tasks={}, pool=pool, rules=rules, tenants={"riad": 40.0})
-        async with Rig(Plan(63, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as rig:
+        config = json.loads(CONFIG.read_text())
+        settings = Settings(config, tasks={}, pool=pool, rules=rules, tenants={"riad": 40.0})
+        async with Rig(Plan(63, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as cluster:
 
-            async def ask(name: str) -> None:
+            async def send_request(name: str) -> None:
                 with contextlib.suppress(OSError):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", rig.nodes[name].uwsgi)
-                    told = {"HTTP_X_CLASS": "temp-history", "HTTP_X_TENANT": "riad", "CONTENT_LENGTH": "0"}
-                    told |= {"HTTP_X_NODE": name, "HTTP_X_SENT": "0"}
-                    writer.write(write_packet(told))
+                    reader, writer = await asyncio.open_connection("127.0.0.1", cluster.nodes[name].uwsgi)
+                    headers = {"HTTP_X_CLASS": "temp-history", "HTTP_X_TENANT": "riad", "CONTENT_LENGTH": "0"}
+                    headers |= {"HTTP_X_NODE": name, "HTTP_X_SENT": "0"}
+                    writer.write(write_packet(headers))
                     await reader.read(1_000)
                     writer.close()
 
-            async def until(name: str, part: float) -> float:
+            async def await_share(name: str, expected_share: float) -> float:
                 for _ in range(400):
-                    rows = {}
-                    for one, node in rig.nodes.items():
+                    shares = {}
+                    for polled, node in cluster.nodes.items():
                         with contextlib.suppress(OSError, ValueError):
-                            told = await node.call("/v1/fleet/rules")
-                            rows[one] = told["parts"].get("riad", 0) if told["lease_ms"] else 0
-                    seen.append(rows)
-                    if rows.get(name, 0) >= part * FULL_QUOTA:
+                            status = await node.call("/v1/fleet/rules")
+                            shares[polled] = status["parts"].get("riad", 0) if status["lease_ms"] else 0
+                    polls.append(shares)
+                    if shares.get(name, 0) >= expected_share * FULL_QUOTA:
                         break
-                    await asyncio.gather(*(ask(name) for _ in range(3)), asyncio.sleep(0.05))
-                return seen[-1].get(name, 0) / FULL_QUOTA
+                    await asyncio.gather(*(send_request(name) for _ in range(3)), asyncio.sleep(0.05))
+                return polls[-1].get(name, 0) / FULL_QUOTA
 
-            first = await until("n4", 0.9)
-            rig.nodes["n4"].signal(signal.SIGKILL)
-            return first, await until("n5", 0.9)
+            first = await await_share("n4", 0.9)
+            cluster.nodes["n4"].signal(signal.SIGKILL)
+            return first, await await_share("n5", 0.9)
 
     first, second = asyncio.run(drill())
     servers.close()
-    free.close()
+    ports.close()
     assert first >= 0.9 and second >= 0.9
-    # Polled one after another, so a part that moves may be seen twice: the virtual network looks at one moment.
-    assert sum(sum(rows.values()) > 1.02 * FULL_QUOTA for rows in seen) <= len(seen) / 4
+    # Nodes are polled one after another, so a share that moves may be counted twice.
+    assert sum(sum(shares.values()) > 1.02 * FULL_QUOTA for shares in polls) <= len(polls) / 4
 
 
 PLANS = {
@@ -91,42 +91,42 @@
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_processes_find_each_other_again(name: str) -> None:
-    told = members_one((PLANS[name], str(CONFIG), "", ""))
-    told.pop("plan", None)
-    assert told["verdict"] == "held", told
-    assert told["acts"] > 10 and told["situations"] > 12 and not told["wrongly_removed"]
+def test_processes_converge_after_faults(name: str) -> None:
+    result = members_one((PLANS[name], str(CONFIG), "", ""))
+    result.pop("plan", None)
+    assert result["verdict"] == "held", result
+    assert result["acts"] > 10 and result["situations"] > 12 and not result["wrongly_removed"]
 
 
-def test_the_drill_finds_acts_that_a_situation_forbids() -> None:
-    """All nodes keep acting on a lease that they had, whatever their situation: the first holder is cut off."""
+def test_the_drill_detects_effects_that_a_partition_state_forbids() -> None:
+    """Nodes do what their partition state forbids, and the first lease holder is isolated."""
     plan = Plan(64, NODES[:5], NODES[:3], 11_000, (1.0,) * 5, (Fault(3_000, 7_000, "isolate", "@holder"),))
-    told = members_one((plan, str(CONFIG), "", "acts-in-any-situation"))
-    assert told["verdict"] == "broken" and told["forbidden_acts"], told["situations"]
+    result = members_one((plan, str(CONFIG), "", "acts-in-any-situation"))
+    assert result["verdict"] == "broken" and result["forbidden_acts"], result["situations"]
 
 
-def test_operators_see_who_is_there_and_have_the_last_word(
+def test_operators_list_remove_readmit_and_confirm_members(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     settings = Settings(json.loads(CONFIG.read_text()), members=True)
 
     async def drill() -> None:
-        async with Rig(Plan(62, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as rig:
-            operator = str(rig.nodes["n1"].folder / "operator.toml")
+        async with Rig(Plan(62, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as cluster:
+            operator = str(cluster.nodes["n1"].folder / "operator.toml")
 
-            async def words(*told: str) -> int:
-                return await asyncio.to_thread(call, ["fleet", *told, "--operator", operator])
+            async def run_command(*arguments: str) -> int:
+                return await asyncio.to_thread(call, ["fleet", *arguments, "--operator", operator])
 
-            async def belong(wanted: set[str]) -> None:
+            async def await_members(expected: set[str]) -> None:
                 for _ in range(200):
-                    told = await rig.nodes["n1"].call("/v1/fleet/members")
-                    if {one["node"] for one in told["members"] if one["agreed"]} == wanted:
+                    status = await cluster.nodes["n1"].call("/v1/fleet/members")
+                    if {row["node"] for row in status["members"] if row["agreed"]} == expected:
                         return
                     await asyncio.sleep(0.1)
-                raise AssertionError(told)
+                raise AssertionError(status)
 
-            await belong(set(NODES[:5]))
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
+            await await_members(set(NODES[:5]))
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
                 for junk in (
                     b"",
                     b"x",
@@ -134,15 +134,15 @@
                     b"MSD1" + (9).to_bytes(4, "big") * 9,
                     b"\xff" * 1_400,
                 ):
-                    stranger.sendto(junk, ("127.0.0.1", rig.nodes["n1"].fleet))
-            assert await words("remove", "n5", "--why", "its disk is replaced") == 0
-            await belong(set(NODES[:4]))
-            assert await words("readmit", "n5") == 0
-            await belong(set(NODES[:5]))
-            assert await words("believe", "n4") == 0 and await words("remove", "nobody") == 2
+                    unknown_sender.sendto(junk, ("127.0.0.1", cluster.nodes["n1"].fleet))
+            assert await run_command("remove", "n5", "--why", "its disk is replaced") == 0
+            await await_members(set(NODES[:4]))
+            assert await run_command("readmit", "n5") == 0
+            await await_members(set(NODES[:5]))
+            assert await run_command("believe", "n4") == 0 and await run_command("remove", "nobody") == 2
             for command in (["members"], ["members", "--json"], ["situation"], ["situation", "--json"]):
-                assert await words(*command) == 0
-            status = await rig.nodes["n1"].call("/v1/fleet")
+                assert await run_command(*command) == 0
+            status = await cluster.nodes["n1"].call("/v1/fleet")
             assert status["lines"]["corrupt datagrams"] >= 4
 
     asyncio.run(drill())
--- a/tests/membership/test_quota_lease.py
+++ b/tests/membership/test_quota_lease.py
@@ -7,15 +7,15 @@
 from tests.membership.support import NOW
 
 
-def test_demand_follows_what_comes_and_forgets_who_is_gone() -> None:
-    demand, now, count = DemandEstimator(), NOW, 0
+def test_estimated_demand_follows_the_request_rate_and_forgets_absent_tenants() -> None:
+    estimator, now, count = DemandEstimator(), NOW, 0
     for _ in range(20):
         now += 500 * MILLISECOND
         count += 20
-        told = dict(demand.estimate(now, {"t": count}))
-    assert 38_000 < told["t"] <= 40_000
-    assert demand.estimate(now, {"t": count}) == tuple(told.items())  # no time passed
+        rates = dict(estimator.estimate(now, {"t": count}))
+    assert 38_000 < rates["t"] <= 40_000
+    assert estimator.estimate(now, {"t": count}) == tuple(rates.items())  # no time passed
     for _ in range(20):
         now += 500 * MILLISECOND
-        told = dict(demand.estimate(now, {"t": count}))
-    assert told["t"] < 1_000 and not demand.estimate(now, {})
+        rates = dict(estimator.estimate(now, {"t": count}))
+    assert rates["t"] < 1_000 and not estimator.estimate(now, {})
--- a/tests/membership/test_roster_controller.py
+++ b/tests/membership/test_roster_controller.py
@@ -16,100 +16,106 @@
 from tests.membership.support import NOW
 
 
-class Group:
-    """A leader that looks every 100 ms at what the nodes say."""
+class RosterGroup:
+    """A leader that reconciles the roster every 100 ms."""
 
     def __init__(self, *nodes: str, **settings: Any) -> None:
-        self.agreed = Roster()
-        self.keeping = RosterController(RosterSettings(**settings))
+        self.roster = Roster()
+        self.controller = RosterController(RosterSettings(**settings))
         self.now = NOW
-        self.keeping.become_leader(self.now)
+        self.controller.become_leader(self.now)
         for node in nodes:
-            self.agreed.apply({"do": "admit", "node": node})
-        self.done: list[str] = []
+            self.roster.apply({"do": "admit", "node": node})
+        self.changes: list[str] = []
 
-    def go(self, seconds: float, heard: str, failed: str = "", holds: str = "") -> list[str]:
-        """These are heard, and each hears those as failed. What was done."""
-        self.done = []
+    def run(self, seconds: float, heard: str, failed: str = "", lease_holders: str = "") -> list[str]:
+        """Reconcile while the nodes of `heard` report those of `failed`; return the changes that were made."""
+        self.changes = []
         for _ in range(int(seconds * 10)):
             self.now += 100 * MILLISECOND
-            words = {f"{one}/1": FailureReport(one, self.now, frozenset(failed)) for one in heard}
-            for change in self.keeping.reconcile(self.now, self.agreed, words, frozenset(holds), 2 * SECOND):
+            reports = {f"{node}/1": FailureReport(node, self.now, frozenset(failed)) for node in heard}
+            for change in self.controller.reconcile(
+                self.now, self.roster, reports, frozenset(lease_holders), 2 * SECOND
+            ):
                 command = change.to_json()
-                self.agreed.apply(command)
-                self.done.append(f"{command['do']} {command['node']}")
-        return self.done
+                self.roster.apply(command)
+                self.changes.append(f"{command['do']} {command['node']}")
+        return self.changes
 
 
-def test_a_node_is_taken_out_when_enough_hear_it_as_failed_and_its_leases_are_over() -> None:
-    group = Group(*"abcde")
-    assert not group.go(1.5, "abcd", "e")  # who has just come to lead has not heard all
-    assert not group.go(3, "abcd", "e", holds="e")
-    assert group.go(1, "abcd", "e") == ["remove e"] and group.agreed.members() == frozenset("abcd")
-    assert not group.go(1, "abcde") and group.go(5, "abcde") == ["admit e"]  # after its probation
-    assert not group.go(5, "abcd", "")  # silent alone is not failed
+def test_a_node_is_removed_once_a_majority_reports_it_and_its_leases_have_ended() -> None:
+    group = RosterGroup(*"abcde")
+    assert not group.run(1.5, "abcd", "e")  # a new leader has not heard from all
+    assert not group.run(3, "abcd", "e", lease_holders="e")
+    assert group.run(1, "abcd", "e") == ["remove e"] and group.roster.members() == frozenset("abcd")
+    assert not group.run(1, "abcde") and group.run(5, "abcde") == ["admit e"]  # after its probation
+    assert not group.run(5, "abcd", "")  # silence alone is no failure
 
 
-def test_only_who_belongs_has_leases_of_tasks_and_the_others_end_by_time() -> None:
+def test_only_members_are_granted_task_leases_and_leases_of_others_expire() -> None:
     table = LeaseTable()
-    keeper = LeaseManager(table, LeaseSettings())
-    keeper.become_leader(NOW)
+    manager = LeaseManager(table, LeaseSettings())
+    manager.become_leader(NOW)
 
-    def go(now: datetime, node: str) -> tuple[Any, ...]:
+    def renew(now: datetime, node: str) -> tuple[Any, ...]:
         for command in [
-            *keeper.handle_heartbeat(now, Heartbeat(node, "1", 1, ("task/t", f"rules/{node}/1")), 0),
-            *keeper.tick(now),
+            *manager.handle_heartbeat(now, Heartbeat(node, "1", 1, ("task/t", f"rules/{node}/1")), 0),
+            *manager.tick(now),
         ]:
-            keeper.on_applied(now, command, table.apply(command), 0)
-        return dict(keeper.take_responses(now, 9, "l", 1))[f"{node}/1"].leases
+            manager.on_applied(now, command, table.apply(command), 0)
+        return dict(manager.take_responses(now, 9, "l", 1))[f"{node}/1"].leases
 
-    keeper.set_eligible_nodes(frozenset("b"))
+    manager.set_eligible_nodes(frozenset("b"))
     later = NOW + 4 * SECOND
-    assert [name for name, _ in go(later, "a")] == ["rules/a/1"]  # documents are acted on by whoever is there
-    assert len(go(later, "b")) == 2
-    keeper.set_eligible_nodes(frozenset("a"))
-    assert [name for name, _ in go(later + SECOND, "b")] == ["rules/b/1"] and table.holder("task/t") == "b/1"
-    go(later + 2 * SECOND, "a")
-    assert table.holder("task/t") == "b/1"  # it may still act on what it was told before
-    over = later + 4 * SECOND
-    go(over, "a")
+    assert [name for name, _ in renew(later, "a")] == ["rules/a/1"]  # configuration leases are for all nodes
+    assert len(renew(later, "b")) == 2
+    manager.set_eligible_nodes(frozenset("a"))
+    assert [name for name, _ in renew(later + SECOND, "b")] == ["rules/b/1"] and table.holder(
+        "task/t"
+    ) == "b/1"
+    renew(later + 2 * SECOND, "a")
+    assert table.holder("task/t") == "b/1"  # it may still rely on its earlier grant
+    expiry = later + 4 * SECOND
+    renew(expiry, "a")
     assert table.holder("task/t") in ("", "a/1")
-    go(over, "a")
+    renew(expiry, "a")
     assert table.holder("task/t") == "a/1"
 
 
-def test_one_that_flaps_waits_longer_each_time() -> None:
-    group = Group(*"abcde")
-    group.go(2, "abcde")
+def test_probation_doubles_for_a_flapping_node() -> None:
+    group = RosterGroup(*"abcde")
+    group.run(2, "abcde")
     waits = []
     for _ in range(4):
-        assert group.go(3, "abcd", "e") == ["remove e"]
+        assert group.run(3, "abcd", "e") == ["remove e"]
         waits.append(0)
-        while not group.go(1, "abcde"):
+        while not group.run(1, "abcde"):
             waits[-1] += 1
     assert waits == sorted(waits) and waits[-1] >= 3 * max(1, waits[0])
 
 
-def test_many_that_seem_to_fail_at_once_are_not_believed_until_operators_say_so() -> None:
-    group = Group(*"abcdefghij")
-    group.go(3, "abcdefghij")
-    assert not group.go(30, "abcdef", "ghij") and group.keeping.withheld_removals == list("ghij")
-    group.agreed.apply({"do": "believe", "nodes": ["g", "h"]})
-    assert group.go(1, "abcdef", "ghij") == ["remove g", "remove h"]
-    assert not group.agreed.confirmed_failures and group.agreed.members() >= frozenset("ij")
-
-
-def test_one_node_alone_sees_nothing_that_is_enough_and_operators_have_the_last_word() -> None:
-    group = Group(*"abcd")
-    group.go(3, "abcd")
-    # Only the leader's own node hears d as failed.
-    words = {f"{one}/1": FailureReport(one, group.now, frozenset("d" if one == "a" else "")) for one in "abc"}
-    assert not group.keeping.reconcile(group.now, group.agreed, words, frozenset(), 2 * SECOND)
-    assert "removed" in group.agreed.apply({"do": "remove", "node": "d", "why": "x", "held_off": True})
-    assert not group.go(20, "abcd") and "refused" in group.agreed.apply({"do": "admit", "node": "d"})
-    group.agreed.apply({"do": "readmit", "node": "d"})
-    assert group.go(10, "abcd") == ["admit d"]
-    again = Roster()
-    again.restore(json.loads(json.dumps(group.agreed.snapshot())))
-    assert again.snapshot() == group.agreed.snapshot()
-    assert "refused" in again.apply({"do": "remove", "node": "z", "why": ""})
+def test_removals_of_many_nodes_at_once_are_withheld_until_operators_confirm() -> None:
+    group = RosterGroup(*"abcdefghij")
+    group.run(3, "abcdefghij")
+    assert not group.run(30, "abcdef", "ghij") and group.controller.withheld_removals == list("ghij")
+    group.roster.apply({"do": "believe", "nodes": ["g", "h"]})
+    assert group.run(1, "abcdef", "ghij") == ["remove g", "remove h"]
+    assert not group.roster.confirmed_failures and group.roster.members() >= frozenset("ij")
+
+
+def test_one_report_removes_nobody_and_an_operator_s_removal_blocks_admission() -> None:
+    group = RosterGroup(*"abcd")
+    group.run(3, "abcd")
+    # Only the leader's own node reports d as failed.
+    reports = {
+        f"{node}/1": FailureReport(node, group.now, frozenset("d" if node == "a" else "")) for node in "abc"
+    }
+    assert not group.controller.reconcile(group.now, group.roster, reports, frozenset(), 2 * SECOND)
+    assert "removed" in group.roster.apply({"do": "remove", "node": "d", "why": "x", "held_off": True})
+    assert not group.run(20, "abcd") and "refused" in group.roster.apply({"do": "admit", "node": "d"})
+    group.roster.apply({"do": "readmit", "node": "d"})
+    assert group.run(10, "abcd") == ["admit d"]
+    restored = Roster()
+    restored.restore(json.loads(json.dumps(group.roster.snapshot())))
+    assert restored.snapshot() == group.roster.snapshot()
+    assert "refused" in restored.apply({"do": "remove", "node": "z", "why": ""})
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -21,11 +21,18 @@
         ({"zone": "z" * 65}, "zone has 64 characters"),
     ],
 )
-def test_wrong_members_are_named_by_their_key(changes: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_an_invalid_members_section_is_reported_by_its_key(
+    changes: dict[str, Any], message: str, tmp_path: Path
+) -> None:
     (tmp_path / "key").write_text("k" * 32)
-    told = {"name": "f", "voters": ["n1"], "nodes": {"n1": "127.0.0.1:1"}, "key_file": str(tmp_path / "key")}
-    told |= {"store": str(tmp_path), "members": {"zone": "north"}}
-    fleet = check(raw_config(settings=SETTINGS), {"fleet": told}).fleet
-    assert fleet is not None and fleet.membership is not None and fleet.membership.seeds == ("n1",)
+    section = {
+        "name": "f",
+        "voters": ["n1"],
+        "nodes": {"n1": "127.0.0.1:1"},
+        "key_file": str(tmp_path / "key"),
+    }
+    section |= {"store": str(tmp_path), "members": {"zone": "north"}}
+    cluster = check(raw_config(settings=SETTINGS), {"fleet": section}).fleet
+    assert cluster is not None and cluster.membership is not None and cluster.membership.seeds == ("n1",)
     with pytest.raises(ConfigError, match=message):
-        check(raw_config(settings=SETTINGS), {"fleet": {**told, "members": changes}})
+        check(raw_config(settings=SETTINGS), {"fleet": {**section, "members": changes}})
--- a/tests/membership/test_virtual_network.py
+++ b/tests/membership/test_virtual_network.py
@@ -19,31 +19,31 @@
 
 
 @pytest.mark.parametrize("seed", range(30, 36))
-def test_all_hear_of_all_in_the_end_on_the_virtual_network(seed: int) -> None:
+def test_all_views_converge_after_random_faults(seed: int) -> None:
     plan = draw(seed, Shape(nodes=12, length_ms=30_000, kinds=KINDS, every_ms=2_000))
-    world, why = run_members(plan, loss=0.05)
-    assert not why and world.measured.datagrams > 500
+    world, violation = run_members(plan, loss=0.05)
+    assert not violation and world.measured.datagrams > 500
 
 
-def cuts(*groups: tuple[str, ...], at: int = 5_000, span: int = 8_000) -> tuple[Fault, ...]:
-    """Nobody of one group hears anybody of another."""
+def cuts_between(*groups: tuple[str, ...], at: int = 5_000, span: int = 8_000) -> tuple[Fault, ...]:
+    """Cut all links between the groups."""
     return tuple(
-        Fault(at, span, "cut", one, other)
-        for number, here in enumerate(groups)
-        for there in groups[number + 1 :]
-        for one in here
-        for other in there
+        Fault(at, span, "cut", node, other)
+        for number, group in enumerate(groups)
+        for opposite in groups[number + 1 :]
+        for node in group
+        for other in opposite
     )
 
 
-HARD = {
+HARD_CASES = {
     "stopped for 1 s, 5 s, 30 s": (
         Fault(4_000, 1_000, "stop", "n1"),
         Fault(4_000, 5_000, "stop", "n5"),
         Fault(4_000, 30_000, "stop", "n9"),
     ),
-    "three sides": cuts(NODES[:4], NODES[4:8], NODES[8:]),
-    "a bridge that alone sees both sides": cuts(NODES[:6], NODES[7:]),
+    "three sides": cuts_between(NODES[:4], NODES[4:8], NODES[8:]),
+    "a bridge that alone sees both sides": cuts_between(NODES[:6], NODES[7:]),
     "heard by nobody": (Fault(5_000, 9_000, "mute", "n5"),),
     "hears nobody": (Fault(5_000, 9_000, "deaf", "n5"),),
     "one way to each": tuple(Fault(5_000, 9_000, "one way", "n5", other) for other in NODES if other != "n5")[
@@ -56,45 +56,47 @@
 }
 
 
-@pytest.mark.parametrize("name", HARD)
+@pytest.mark.parametrize("name", HARD_CASES)
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_a_hard_case_ends_with_all_hearing_of_all(name: str, loss: float) -> None:
-    last = max(one.at_ms + one.for_ms for one in HARD[name])
+def test_all_views_converge_after_a_hard_fault_case(name: str, loss: float) -> None:
+    last = max(fault.at_ms + fault.for_ms for fault in HARD_CASES[name])
     length = last + (12_000 if not loss else 30_000)
-    world, why = run_members(Plan(5, NODES, NODES[:3], length, (1.0,) * 12, HARD[name]), loss=loss)
+    world, violation = run_members(
+        Plan(5, NODES, NODES[:3], length, (1.0,) * 12, HARD_CASES[name]), loss=loss
+    )
     if not loss:
-        assert not why and not (name == "one way to each" and world.measured.false_failures)
-    else:  # with a third of all datagrams lost somebody is suspected at any moment, and seldom taken for failed
+        assert not violation and not (name == "one way to each" and world.measured.false_failures)
+    else:  # with such a loss some node is suspected at any moment, and seldom declared failed
         minutes = length / 60_000
         assert world.measured.false_failures / len(NODES) / minutes < 12
 
 
-def test_a_slow_node_is_not_taken_for_dead_and_does_not_make_others_look_dead() -> None:
+def test_slow_nodes_cause_no_false_failures() -> None:
     plan = Plan(7, NODES, NODES[:3], 60_000, (1.0,) * 12, ())
-    world, why = run_members(
+    world, violation = run_members(
         plan, loss=0.01, slow=0.25
-    )  # a loop that is late by up to a second, again and again
-    assert not why and not world.measured.false_failures
+    )  # event loops that are often late, by up to a second
+    assert not violation and not world.measured.false_failures
     assert sum(node.detector.counts["late"] for node in world.nodes.values()) > 10
 
 
 @pytest.mark.parametrize(("name", "seed"), [("incarnation-not-raised", 3), ("old-boot-taken", 0)])
-def test_a_deliberate_breakage_of_the_members_is_found(name: str, seed: int) -> None:
+def test_the_simulation_detects_a_mutation_of_the_detector(name: str, seed: int) -> None:
     plan = draw(seed, Shape(nodes=12, length_ms=40_000, kinds=KINDS, every_ms=2_500))
     assert run_members(plan, MEMBERS_BREAKAGES[name])[1] and not run_members(plan, Breakage())[1]
 
 
-def test_without_faults_nobody_is_suspected_and_the_load_does_not_grow_with_the_fleet() -> None:
+def test_without_faults_nobody_is_suspected_and_load_per_node_is_constant() -> None:
     rates = []
     for nodes in (10, 60):
         names = tuple(f"n{number}" for number in range(nodes))
-        world, why = run_members(Plan(1, names, names[:3], 20_000, (1.0,) * nodes, ()), loss=0.0)
-        assert not why and not world.measured.false_suspicions
+        world, violation = run_members(Plan(1, names, names[:3], 20_000, (1.0,) * nodes, ()), loss=0.0)
+        assert not violation and not world.measured.false_suspicions
         rates.append(world.measured.datagrams / nodes)
     assert rates[1] < 1.2 * rates[0]
 
 
-def test_the_checkers_find_a_wrong_removal_and_an_act_that_is_forbidden() -> None:
+def test_the_checkers_find_a_wrong_removal_and_a_forbidden_effect() -> None:
     lines = {
         Line(10, "n1", "remove n2"),
         Line(10, "n1", "remove n3"),
@@ -106,11 +108,13 @@
     assert not forbidden_acts(lines, [replace(late, began_us=400_000), replace(late, node="n5/x")])
 
 
-def test_the_drill_of_members_exits_as_the_others_do() -> None:
-    words = ["drill", "members", "--nodes", "9", "--for", "20s", "--jobs", "1", "--json"]
-    assert call([*words, "--virtual", "--loss", "0.2", "--slow", "0.2", "--seeds", "2"]) == 0
-    assert call([*words, "--virtual", "--calm", "--trusting"]) == 0
-    bad = ["drill", "members", "--nodes", "12", "--for", "40s", "--virtual", "--seed", "0"]
-    assert call([*bad, "--broken", "old-boot-taken"]) == 1 and call(bad) == 0
-    assert call([*words, "--virtual", "--broken", "acts-in-any-situation"]) == 2
-    assert call(["drill", "leases", "--broken", "vote-not-synced"]) == 2  # it is of the virtual network
+def test_the_members_drill_has_the_exit_codes_of_the_other_drills() -> None:
+    arguments = ["drill", "members", "--nodes", "9", "--for", "20s", "--jobs", "1", "--json"]
+    assert call([*arguments, "--virtual", "--loss", "0.2", "--slow", "0.2", "--seeds", "2"]) == 0
+    assert call([*arguments, "--virtual", "--calm", "--trusting"]) == 0
+    faulty = ["drill", "members", "--nodes", "12", "--for", "40s", "--virtual", "--seed", "0"]
+    assert call([*faulty, "--broken", "old-boot-taken"]) == 1 and call(faulty) == 0
+    assert call([*arguments, "--virtual", "--broken", "acts-in-any-situation"]) == 2
+    assert (
+        call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
+    )  # that mutation is of the simulated network alone
