--- a/marlstep/membership/__init__.py
+++ b/marlstep/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet: what a node hears of the others, what all agree on, and what it does while they disagree."""
+"""Membership: failure detection by gossip, the agreed roster, shares of quotas, and behaviour in a partition."""
--- a/marlstep/membership/failure_detector.py
+++ b/marlstep/membership/failure_detector.py
@@ -41,7 +41,7 @@
 
 MAX_GENERATION_RAISES = 5  # above another process of the name, before that is taken for a conflict of names
 MAX_EVENTS_KEPT = 256
-LEAVE_FANOUT = 5  # members that are told of a shutdown
+LEAVE_FANOUT = 5  # members that a shutdown is announced to
 
 
 class FailureDetector:
