--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -13,8 +13,8 @@
 from marlstep.cluster.interfaces import ExchangeSender, MembershipEvents, ReplicaHolder
 from marlstep.cluster.membership_status import MembershipStatus, MemberStatus, PartitionStatus
 from marlstep.config.cluster import MembershipConfig
-from marlstep.membership.failure_detector import FailureDetector, OutboundMessage
-from marlstep.membership.messages import Ping, StateExchange
+from marlstep.membership.failure_detector import FailureDetector
+from marlstep.membership.messages import OutboundMessage, Ping, StateExchange
 from marlstep.membership.partition_state import PartitionObservation, PartitionTracker
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.net.framing import CorruptError
@@ -104,7 +104,7 @@
 
     def leave(self) -> None:
         """Announce that this node leaves, where no other process of it takes its place."""
-        self._send_all(self.detector.leave(self._context.steady.now()))
+        self._send_all(self.detector.leave())
 
     def close(self) -> None:
         """Release the address; may be called again."""
--- a/marlstep/config/cluster_settings.py
+++ b/marlstep/config/cluster_settings.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from marlstep.leases.settings import LeaseSettings
-    from marlstep.membership.failure_detector import DetectorSettings
+    from marlstep.membership.detector_settings import DetectorSettings
     from marlstep.membership.roster_controller import RosterSettings
     from marlstep.replicated_config.documents import DocumentDefinition
     from marlstep.scheduled_tasks.runner import TaskPlan
