--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -193,10 +193,11 @@
         self, now: datetime, held: Iterable[LeaseToken], *, renew: bool
     ) -> Iterable[LeaseToken]:
         for lease in held:
-            if self._ending_tokens.get(lease.name) == lease.token:
+            name, token = lease
+            if self._ending_tokens.get(name) == token:
                 continue
             if renew:
-                self._expiries[lease.name] = self.settings.leader_expiry(now, lease.name)
+                self._expiries[name] = self.settings.leader_expiry(now, name)
             yield lease
 
     def push_to_all(self, heartbeat_round: int) -> None:
--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import ClassVar, NamedTuple
+from itertools import starmap
+from typing import Any, ClassVar, NamedTuple
 
 from marlstep.errors import MarlstepError
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, ValueType, read_fields, wire, write_fields
@@ -61,80 +62,58 @@
 NO_REQUESTS = RequestCounts()
 
 
-def _read_list(value: object) -> list[object]:
+def _read_list(value: object) -> list[Any]:
     if not isinstance(value, list):
         raise InvalidValueError(value, "a list")
     return value
 
 
-def _read_text(value: object) -> str:
-    if not isinstance(value, str):
-        raise InvalidValueError(value, "a string")
-    return value
-
-
-def _read_integer(value: object) -> int:
-    if type(value) is not int:  # a boolean is none
-        raise InvalidValueError(value, "an integer")
-    return value
-
-
-def _read_row(value: object, length: int) -> list[object]:
-    row = _read_list(value)
-    if len(row) != length:
-        raise InvalidValueError(value, f"a list of {length}")
-    return row
+def _read_rows(value: object, *column_types: type) -> list[list[Any]]:
+    """A list of rows that have a value of each of these types, and no other. A boolean is no integer."""
+    rows = _read_list(value)
+    for row in rows:
+        if not isinstance(row, list) or tuple(map(type, row)) != column_types:
+            raise InvalidValueError(row, f"a row of {', '.join(kind.__name__ for kind in column_types)}")
+    return rows
 
 
 def read_lease_tokens(value: object) -> tuple[LeaseToken, ...]:
     """Rows of a name and a token. Raises InvalidValueError."""
-    rows = (_read_row(row, 2) for row in _read_list(value))
-    return tuple(LeaseToken(_read_text(name), _read_integer(token)) for name, token in rows)
+    return tuple(starmap(LeaseToken, _read_rows(value, str, int)))
 
 
 def read_tenant_demand(value: object) -> tuple[TenantDemand, ...]:
     """Rows of a tenant and its demand. Raises InvalidValueError."""
-    rows = (_read_row(row, 2) for row in _read_list(value))
-    return tuple(TenantDemand(_read_text(tenant), _read_integer(demand)) for tenant, demand in rows)
+    return tuple(starmap(TenantDemand, _read_rows(value, str, int)))
 
 
 def read_names(value: object) -> tuple[str, ...]:
     """A list of names. Raises InvalidValueError."""
-    return tuple(_read_text(name) for name in _read_list(value))
+    names = _read_list(value)
+    if not all(isinstance(name, str) for name in names):
+        raise InvalidValueError(value, "a list of strings")
+    return tuple(names)
 
 
 def read_document_states(value: object) -> tuple[DocumentState, ...]:
     """Rows of five columns, one for each document. Raises InvalidValueError."""
-    rows = (_read_row(row, 5) for row in _read_list(value))
-    return tuple(
-        DocumentState(
-            _read_text(document),
-            _read_integer(version),
-            _read_text(state),
-            _read_integer(for_ms),
-            _read_text(reason),
-        )
-        for document, version, state, for_ms, reason in rows
-    )
+    return tuple(starmap(DocumentState, _read_rows(value, str, int, str, int, str)))
 
 
 def read_request_counts(value: object) -> RequestCounts:
     """One row of three counts. Raises InvalidValueError."""
-    return RequestCounts(*(_read_integer(count) for count in _read_row(value, 3)))
+    [counts] = _read_rows([value], int, int, int)
+    return RequestCounts(*counts)
 
 
 def read_quota_shares(value: object) -> tuple[QuotaShareRow, ...]:
     """Rows of a tenant, its part and the part's target. Raises InvalidValueError."""
-    rows = (_read_row(row, 3) for row in _read_list(value))
-    return tuple(
-        QuotaShareRow(_read_text(tenant), _read_integer(granted), _read_integer(target))
-        for tenant, granted, target in rows
-    )
+    return tuple(starmap(QuotaShareRow, _read_rows(value, str, int, int)))
 
 
 def _write_rows(rows: Iterable[tuple[object, ...]]) -> list[list[object]]:
     """As lists: the JSON writer takes no subclass of tuple."""
-    return [list(row) for row in rows]
+    return list(map(list, rows))
 
 
 LEASE_TOKENS = ValueType(read_lease_tokens, _write_rows)
--- a/marlstep/scheduled_tasks/__init__.py
+++ b/marlstep/scheduled_tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks that a fleet does once: when, by whom, and what is known of a run that was begun. Decisions only."""
+"""Tasks that one process of the group executes on a schedule, at most once at a time. No I/O."""
