--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -2,16 +2,10 @@
 
 from __future__ import annotations
 
-import asyncio
-
 import pytest
 
 from marlstep.config import ConfigError, check
-from marlstep.core.engine import MOST_REQUESTS
 from marlstep.fronts.resp_wire import write_frame
-from marlstep.net.eventloop import LoopWaker
-from marlstep.node import Node
-from marlstep.timer_queue import TimerQueue
 from marlstep.units import SECOND
 from tests.support.node import raw_config
 from tests.test_resp import Platform, exec_frame, instant_ms
@@ -19,23 +13,6 @@
 KINDS = (b"temp-history", b"schedule-save", b"setpoint-cmd")
 
 
-@pytest.mark.parametrize(
-    ("memory_mb", "sockets", "connections", "requests"),
-    [(32, 384, 320, 1228), (24, 384, 128, 409), (192, 512, 448, MOST_REQUESTS), (192, 64, 16, MOST_REQUESTS)],
-)
-def test_the_tables_fit_the_machine_that_the_configuration_names(
-    memory_mb: int, sockets: int, connections: int, requests: int
-) -> None:
-    # Guards against a node that is killed for memory, or runs out of descriptors, on a small machine.
-    async def run() -> None:
-        limits = {"cores": 0.25, "memory_mb": memory_mb, "sockets": sockets}
-        node = Node(check(raw_config(limits=limits)), TimerQueue(LoopWaker(asyncio.get_running_loop())))
-        assert node.resp.connections.limit == connections
-        assert node.core._requests.limit == requests
-
-    asyncio.run(run())
-
-
 @pytest.mark.parametrize("limits", [{"memory_mb": 1}, {"cores": 0}, {"cores": "half"}])
 def test_limits_that_cannot_be_are_named(limits: dict[str, object]) -> None:
     with pytest.raises(ConfigError, match=r"limits\.(memory_mb|cores) must be"):
--- /dev/null
+++ b/tests/test_resource_budget.py
@@ -0,0 +1,49 @@
+"""The budget of requests and connections, from the limits that the configuration names."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from marlstep.config import check
+from marlstep.core.engine import MOST_REQUESTS
+from marlstep.net.eventloop import LoopWaker
+from marlstep.node import Node
+from marlstep.resource_budget import ResourceBudget, resource_budget
+from marlstep.timer_queue import TimerQueue
+from tests.support.node import raw_config
+
+
+@pytest.mark.parametrize(
+    ("memory_mb", "sockets", "connections", "requests"),
+    [(32, 384, 320, 1228), (24, 384, 128, 409), (192, 512, 448, MOST_REQUESTS), (192, 64, 16, MOST_REQUESTS)],
+)
+def test_the_tables_fit_the_machine_that_the_configuration_names(
+    memory_mb: int, sockets: int, connections: int, requests: int
+) -> None:
+    # Guards against a node that is killed for memory, or runs out of descriptors, on a small machine.
+    async def run() -> None:
+        limits = {"cores": 0.25, "memory_mb": memory_mb, "sockets": sockets}
+        node = Node(check(raw_config(limits=limits)), TimerQueue(LoopWaker(asyncio.get_running_loop())))
+        assert node.resp.connections.limit == connections
+        assert node.core._requests.limit == requests
+
+    asyncio.run(run())
+
+
+@pytest.mark.parametrize(
+    ("memory_mb", "sockets", "other", "budget"),
+    [
+        (64, 512, {}, ResourceBudget(2457, 384)),
+        (64, 512, {"mgmt": "127.0.0.1:0"}, ResourceBudget(2457, 288)),
+        (32, 384, {}, ResourceBudget(204, 64)),
+        (64, 64, {}, ResourceBudget(2457, 16)),
+    ],
+)
+def test_two_processes_reserve_memory_and_descriptors_for_each(
+    memory_mb: int, sockets: int, other: dict[str, Any], budget: ResourceBudget
+) -> None:
+    config = check(raw_config(limits={"memory_mb": memory_mb, "sockets": sockets}, **other))
+    assert resource_budget(config, processes=2) == budget
