--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -78,7 +78,8 @@
         return max_connections
 
     def _make_frontends(self) -> FrontendGroup:
-        others = [part.front for part in self.components.values() if part.front is not None]
+        fronts = (component.front for component in self.components.values())
+        others = [front for front in fronts if front is not None]
         frontends = FrontendGroup(
             self.resp, others, partial(self._open_components, StartPhase.WITH_FRONTENDS), self.ended.set
         )
--- /dev/null
+++ b/tests/config/test_cluster.py
@@ -0,0 +1,153 @@
+"""`[fleet]` of the operator's file: values that don't fit each other are named by their key, byte for byte."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from marlstep.config import ConfigError, check
+from tests.golden.everything import NODES, operator_config, platform_config
+
+LONG = "z" * 65
+NAMED = {name: f"127.0.0.1:{7000 + number}" for number, name in enumerate(NODES, 1)}
+
+
+def fault(folder: Path, path: str, value: object) -> str:
+    """What is said of a complete section with this value at this path."""
+    operator = operator_config(folder)
+    row: dict[str, Any] = operator["fleet"]
+    *above, key = path.split(".")
+    for name in above:
+        row = row[name]
+    row[key] = value
+    with pytest.raises(ConfigError) as raised:
+        check(platform_config(), operator)
+    return str(raised.value)
+
+
+@pytest.mark.parametrize(
+    ("path", "value", "message"),
+    [
+        ("nodes", {}, "fleet.nodes must name 1 to 500 nodes"),
+        (
+            "nodes",
+            {"n1": "127.0.0.1:1", "a/b": "127.0.0.1:2"},
+            "fleet.nodes.a/b: a node's name has no #, / or blank",
+        ),
+        ("nodes", {"n2": "127.0.0.1:1"}, "fleet.nodes must name this node, n1"),
+        ("voters", ["n1", "n2"], "fleet.voters must name 1, 3, 5 or 7 nodes, each once"),
+        ("voters", ["n1", "n2", "n2"], "fleet.voters must name 1, 3, 5 or 7 nodes, each once"),
+        ("voters", ["n1", "n2", "n9"], "fleet.voters: n9 is not in fleet.nodes"),
+        ("patience_ms", 269, "fleet.patience_ms must be at least three times fleet.beat_ms"),
+        (
+            "term_ms",
+            899,
+            "fleet.term_ms must be at least twice fleet.patience_ms: an election must not end it",
+        ),
+        ("rules.lease_ms", 899, "fleet.rules.lease_ms must be at least twice fleet.patience_ms"),
+        (
+            "rules.agree_within_ms",
+            2479,
+            "fleet.rules.agree_within_ms must be at least 2480: the lease, two beats of the leader, "
+            "and 500 ms that a node may be late",
+        ),
+        (
+            "rules.documents.settings.kind",
+            "colour",
+            "fleet.rules.documents.settings: 'colour' is not a valid Kind",
+        ),
+        (
+            "rules.documents.settings.kind",
+            "tenants",
+            "fleet.rules.documents: there is one document of a kind at the most",
+        ),
+        (
+            "rules.documents.settings.cut_off",
+            "narrow",
+            "fleet.rules.documents.settings.cut_off: narrow is for tenants alone",
+        ),
+        (
+            "rules.documents.tenants.strict",
+            "yes",
+            "fleet.rules.documents.tenants.strict must be true or false",
+        ),
+        (
+            "rules.documents",
+            {},
+            "fleet.rules.shares needs a document of kind tenants: it has the allowances",
+        ),
+        (
+            "members.answer_ms",
+            201,
+            "fleet.members.answer_ms must be at most a third of period_ms: others are asked in the rest",
+        ),
+        ("members.seeds", ["n9"], "fleet.members.seeds: n9 is not in fleet.nodes"),
+        ("members.zone", LONG, "fleet.members.zone has 64 characters at the most"),
+        (
+            "nodes",
+            {**NAMED, LONG: "127.0.0.1:1"},
+            f"fleet.nodes.{LONG}: with fleet.members a node's name has 64 characters at most",
+        ),
+        (
+            "tasks.sweep.class",
+            "colour",
+            "fleet.tasks.sweep.class must be one of schedule-save, setpoint-cmd, temp-history",
+        ),
+        ("tasks.sweep.at", "03:30", "fleet.tasks.sweep must have either every_ms or at"),
+        ("tasks.nightly.at", "24:00", "fleet.tasks.nightly.at must be a time of day in UTC, as 03:30"),
+        (
+            "tasks.sweep.longest_ms",
+            1001,
+            "fleet.tasks.sweep.longest_ms must be at most half of fleet.term_ms: an act has to end within it",
+        ),
+        ("tasks.sweep.missed", "late", "fleet.tasks.sweep.missed must be skip or once"),
+        ("tasks.sweep.vars", {"A": 1}, "fleet.tasks.sweep.vars.A must be text"),
+    ],
+)
+def test_values_that_do_not_fit_are_named_by_their_key(
+    path: str, value: object, message: str, tmp_path: Path
+) -> None:
+    assert fault(tmp_path, path, value) == message
+
+
+@pytest.mark.parametrize(
+    ("needing", "message"),
+    [
+        (
+            {"rules": {"documents": {"pools": {"kind": "servers"}}}},
+            "fleet.rules.documents.pools.kind: servers needs [uwsgi]",
+        ),
+        (
+            {"tasks": {"sweep": {"every_ms": 1000, "class": "schedule-save"}}},
+            "fleet.tasks needs [uwsgi]: a task is a request to its servers",
+        ),
+        ({"probes": True}, "fleet.probes needs [uwsgi]: it is about the servers of its pools"),
+    ],
+)
+def test_what_needs_servers_is_rejected_without_the_uwsgi_frontend(
+    needing: dict[str, Any], message: str, tmp_path: Path
+) -> None:
+    without: dict[str, Any] = {"rules": {"documents": {}}, "tasks": {}, "probes": False}
+    operator = operator_config(tmp_path, **without)
+    del operator["uwsgi"]
+    check(platform_config(), operator)
+    operator["fleet"] |= needing
+    with pytest.raises(ConfigError) as raised:
+        check(platform_config(), operator)
+    assert str(raised.value) == message
+
+
+def test_a_key_that_is_too_short_is_rejected(tmp_path: Path) -> None:
+    short = tmp_path / "short"
+    short.write_text(" 31 bytes and blanks around them ")
+    assert fault(tmp_path, "key_file", str(short)) == f"fleet.key_file: {short} must hold at least 32 bytes"
+
+
+def test_a_key_that_cannot_be_read_is_named_with_the_reason(tmp_path: Path) -> None:
+    path = tmp_path / "none"
+    assert (
+        fault(tmp_path, "key_file", str(path))
+        == f"fleet.key_file: {path} can't be read: No such file or directory"
+    )
--- /dev/null
+++ b/tests/test_status_log.py
@@ -0,0 +1,31 @@
+"""The periodic status: differences of counters, and gauges as they are."""
+
+from __future__ import annotations
+
+import pytest
+
+from marlstep.status_log import STATUS_INTERVAL, StatusLog, format_counters
+from marlstep.units import MILLISECOND
+from tests.support.node import Desk
+
+
+def test_counters_stand_in_the_order_of_their_names_without_blanks() -> None:
+    assert format_counters({"runs": 2, "without rules": 1, "done": 3}) == "done=3 runs=2 without_rules=1"
+
+
+def test_a_status_without_counts_says_that_the_node_is_idle() -> None:
+    assert format_counters({}) == "idle"
+
+
+def test_each_line_counts_from_the_one_before(caplog: pytest.LogCaptureFixture) -> None:
+    desk = Desk()
+    StatusLog(desk.core, desk.clock.timeline, lambda: 5).start()
+    with caplog.at_level("INFO", "marlstep"):
+        for count in (2, 0):
+            desk.core.counts["read"] += count
+            desk.clock.advance(STATUS_INTERVAL / MILLISECOND)
+    lines = [record.getMessage() for record in caplog.records if record.getMessage().startswith("status: ")]
+    assert lines == [
+        "status: read=2 in_flight=0 advertised=- connections=5",
+        "status: idle in_flight=0 advertised=- connections=5",
+    ]
