--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -18,9 +18,9 @@
 class StartPhase(enum.Enum):
     """When a component takes its address."""
 
-    BEFORE_SERVING = "first"  # before the node serves, to say that it does not yet
-    WITH_CLIENTS = "beside"  # whichever process of the node serves
-    WITH_FRONTENDS = "serving"  # with the platform's frontend
+    BEFORE_SERVING = "before serving"  # before the node serves, to say that it does not yet
+    WITH_CLIENTS = "with clients"  # whichever process of the node serves
+    WITH_FRONTENDS = "with frontends"  # with the platform's frontend
 
 
 class RestartState(Protocol):
