--- a/marlstep/config/readers.py
+++ b/marlstep/config/readers.py
@@ -11,6 +11,7 @@
 Address = tuple[str, int]
 Table = Mapping[str, object]
 MISSING = object()
+MAX_PORT = 65_535
 
 
 class ConfigError(MarlstepError):
@@ -28,69 +29,79 @@
 
 
 def read_file(path: str, named_by: str, parse: Callable[[str], object]) -> Table:
+    """Read and parse a file that holds a table. Raises ConfigError, which tells what named the file."""
     try:
         raw = parse(Path(path).read_text("utf-8"))
-    except OSError as fault:
-        raise ConfigError(f"{named_by}: {path}: {fault.strerror}") from fault
-    except ValueError as fault:
-        raise ConfigError(f"{named_by}: {path} can't be read: {fault}") from fault
+    except OSError as error:
+        raise ConfigError.found(named_by, f"{path}: {error.strerror}") from error
+    except ValueError as error:
+        raise ConfigError.found(named_by, f"{path} can't be read: {error}") from error
     if not isinstance(raw, dict):
-        raise ConfigError(f"{named_by}: {path} does not hold a table")
+        raise ConfigError.found(named_by, f"{path} does not hold a table")
     return raw
 
 
 def known(raw: Table, path: str, keys: tuple[str, ...]) -> None:
+    """Check that the table has no other keys. Raises ConfigError."""
     for key in raw:
         if key not in keys:
-            raise ConfigError(f"{path}.{key} is not known".lstrip("."))
+            raise ConfigError.unmet(f"{path}.{key}".lstrip("."), "is not known")
 
 
 def take(raw: Table, key: str, path: str, default: object = MISSING) -> object:
+    """Read any value. Raises ConfigError where there is none, and no default."""
     value = raw.get(key)
     if value is None:
         if default is MISSING:
-            raise ConfigError(f"{path} is missing")
+            raise ConfigError.unmet(path, "is missing")
         return default
     return value
 
 
 def table(raw: Table, key: str, path: str, default: object = MISSING) -> Table:
+    """Read a table. Raises ConfigError."""
     value = take(raw, key, path, default)
     if not isinstance(value, Mapping):
-        raise ConfigError(f"{path} must be a table")
+        raise ConfigError.unmet(path, "must be a table")
     return value
 
 
 def word(raw: Table, key: str, path: str, default: object = MISSING) -> str:
+    """Read a printable text without blanks. Raises ConfigError."""
     value = take(raw, key, path, default)
     if not isinstance(value, str) or not value or not value.isprintable() or " " in value:
-        raise ConfigError(f"{path} must be a word")
+        raise ConfigError.unmet(path, "must be a word")
     return value
 
 
 def words(raw: Table, key: str, path: str, default: object = MISSING) -> list[str]:
+    """Read a list of words. Raises ConfigError."""
     value = take(raw, key, path, default)
     if not isinstance(value, list):
-        raise ConfigError(f"{path} must be a list of words")
-    return [word({"at": one}, "at", f"{path}[{index}]") for index, one in enumerate(value)]
+        raise ConfigError.unmet(path, "must be a list of words")
+    return [word({"at": item}, "at", f"{path}[{index}]") for index, item in enumerate(value)]
 
 
-def whole(raw: Table, key: str, path: str, least: int, most: int, default: object = MISSING) -> int:
+def whole(raw: Table, key: str, path: str, minimum: int, maximum: int, default: object = MISSING) -> int:
+    """Read a whole number within the bounds. Raises ConfigError."""
     value = take(raw, key, path, default)
-    if not isinstance(value, int) or isinstance(value, bool) or not least <= value <= most:
-        raise ConfigError(f"{path} must be a whole number from {least} to {most}")
+    if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
+        raise ConfigError.unmet(path, f"must be a whole number from {minimum} to {maximum}")
     return value
 
 
-def number(raw: Table, key: str, path: str, least: float, most: float, default: object = MISSING) -> float:
+def number(
+    raw: Table, key: str, path: str, minimum: float, maximum: float, default: object = MISSING
+) -> float:
+    """Read a number within the bounds. Raises ConfigError."""
     value = take(raw, key, path, default)
-    if not isinstance(value, int | float) or isinstance(value, bool) or not least <= value <= most:
-        raise ConfigError(f"{path} must be a number from {least} to {most}")
+    if not isinstance(value, int | float) or isinstance(value, bool) or not minimum <= value <= maximum:
+        raise ConfigError.unmet(path, f"must be a number from {minimum} to {maximum}")
     return float(value)
 
 
 def flag(raw: Table, key: str, path: str) -> bool:
-    """Read a boolean, which is false by default."""
+    """Read a boolean, which is false by default. Raises ConfigError."""
     value = raw.get(key, False)
     if not isinstance(value, bool):
         raise ConfigError.unmet(path, "must be true or false")
@@ -98,13 +109,14 @@
 
 
 def address(raw: Table, key: str, path: str, default: object = MISSING) -> Address:
-    """`1.2.3.4:90`: there are no names to look up."""
-    value = take(raw, key, path, default)
-    host, _, port = str(value).rpartition(":")
+    """Read an address such as `1.2.3.4:90`; there are no names to look up. Raises ConfigError."""
+    host, _, port = str(take(raw, key, path, default)).rpartition(":")
+    host = host.strip("[]")
     try:
-        ipaddress.ip_address(host.strip("[]"))
-        if not port.isdigit() or not 0 <= int(port) <= 65535:
-            raise ValueError
-    except ValueError as fault:
-        raise ConfigError(f"{path} must be a numeric address and a port, as 127.0.0.1:9090") from fault
-    return host.strip("[]"), int(port)
+        ipaddress.ip_address(host)
+        is_valid = port.isdigit() and int(port) <= MAX_PORT
+    except ValueError:
+        is_valid = False
+    if not is_valid:
+        raise ConfigError.unmet(path, "must be a numeric address and a port, as 127.0.0.1:9090")
+    return host, int(port)
