--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes as its operators see it, and its port against strangers."""
+"""A cluster of real processes as its operators see it, and its port against foreign frames."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from marlstep.consensus.messages import RequestVote
 from marlstep.drill.rig import Rig, Settings
 from marlstep.net.framing import Framing, keyed
-from tests.cluster.support import CONFIG, written
+from tests.cluster.support import CONFIG, make_plan
 
 
-def test_operators_see_the_fleet_and_strangers_change_nothing(
+def test_operators_see_a_calm_cluster_and_foreign_frames_are_counted_and_change_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """A calm fleet, asked as an operator asks; and its port against frames that are none of its own."""
+    """Ask as an operator does, then send to a node's port frames that no node of the cluster wrote."""
     settings = Settings(json.loads(CONFIG.read_text()))
 
     async def drill() -> None:
-        async with Rig(written(21, 2_000), settings, tmp_path) as rig:
+        async with Rig(make_plan(21, 2_000), settings, tmp_path) as rig:
             await rig.run()
             port = rig.nodes["n1"].fleet
             before = await rig.nodes["n1"].call("/v1/fleet")
             key = (rig.folder / "key").read_bytes()
-            await asyncio.to_thread(strangers, port, key, before["group"])
+            await asyncio.to_thread(send_foreign_frames, port, key, before["group"])
             await asyncio.sleep(0.3)
             after = await rig.nodes["n1"].call("/v1/fleet")
             assert after["voter"]["term"] == before["voter"]["term"]
@@ -56,21 +56,23 @@
         return b"".join(iter(lambda: line.recv(65536), b""))
 
 
-def strangers(port: int, key: bytes, group: str) -> None:
-    ask = RequestVote(999, False, True, 999, 999)
-    theirs = wire.write_envelope(wire.Envelope("drill", group, "n2#x", "n1", ask))
+def send_foreign_frames(port: int, key: bytes, group: str) -> None:
+    request = RequestVote(999, False, True, 999, 999)
+    valid = wire.write_envelope(wire.Envelope("drill", group, "n2#x", "n1", request))
     frames = [
-        wire.stream_framing(b"k" * 32).write(theirs),  # another key
-        Framing(b"MSF9", 1 << 16, keyed(key)).write(theirs),  # another version
+        wire.stream_framing(b"k" * 32).write(valid),  # another key
+        Framing(b"MSF9", 1 << 16, keyed(key)).write(valid),  # another version
         b"GET / HTTP/1.1\r\n\r\n",
         b"\0" * 4096,
         b"MSF1" + (3 << 30).to_bytes(4, "big") + b"\0" * 64,  # 3 GB are to come
-        wire.stream_framing(key).write(wire.write_envelope(wire.Envelope("other", group, "n2#x", "n1", ask))),
         wire.stream_framing(key).write(
-            wire.write_envelope(wire.Envelope("drill", "1.feedbeef", "n2#x", "n1", ask))
+            wire.write_envelope(wire.Envelope("other", group, "n2#x", "n1", request))
+        ),
+        wire.stream_framing(key).write(
+            wire.write_envelope(wire.Envelope("drill", "1.feedbeef", "n2#x", "n1", request))
         ),
         wire.stream_framing(key).write(b'["drill", 1, 2]'),
-        wire.stream_framing(key).write(theirs)[:-3],  # cut short
+        wire.stream_framing(key).write(valid)[:-3],  # cut short
     ]
     for frame in frames:
         with socket.create_connection(("127.0.0.1", port), timeout=3) as line, contextlib.suppress(OSError):
--- a/tests/cluster/test_config.py
+++ b/tests/cluster/test_config.py
@@ -34,12 +34,14 @@
         ({"tasks": {"t": {"every_ms": 1000, "class": "schedule-save"}}}, "fleet.tasks needs [uwsgi]"),
     ],
 )
-def test_a_wrong_fleet_is_named_by_its_key(changes: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_an_error_names_the_key_of_a_wrong_cluster_section(
+    changes: dict[str, Any], message: str, tmp_path: Path
+) -> None:
     (tmp_path / "key").write_text("k" * 32)
-    told = {**GOOD, "key_file": str(tmp_path / "key"), "store": str(tmp_path)}
-    assert check(raw_config(settings=SETTINGS), {"fleet": told}).fleet is not None
+    section = {**GOOD, "key_file": str(tmp_path / "key"), "store": str(tmp_path)}
+    assert check(raw_config(settings=SETTINGS), {"fleet": section}).fleet is not None
     with pytest.raises(ConfigError, match=message.replace("[", r"\[")):
-        check(raw_config(settings=SETTINGS), {"fleet": {**told, **changes}})
+        check(raw_config(settings=SETTINGS), {"fleet": {**section, **changes}})
 
 
 @pytest.mark.parametrize(
@@ -54,7 +56,7 @@
         ({"every_ms": 1000, "class": "schedule-save", "vars": {"A": 1}}, "vars.A must be text"),
     ],
 )
-def test_a_wrong_task_is_named_by_its_key(task: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_an_error_names_the_key_of_a_wrong_task(task: dict[str, Any], message: str, tmp_path: Path) -> None:
     (tmp_path / "key").write_text("k" * 32)
     fleet = {**GOOD, "key_file": str(tmp_path / "key"), "store": str(tmp_path), "tasks": {"t": task}}
     uwsgi = {"listen": "127.0.0.1:0", "upstream": "127.0.0.1:1", "vars": {"class": "X"}}
--- a/tests/cluster/test_group_commands.py
+++ b/tests/cluster/test_group_commands.py
@@ -11,7 +11,7 @@
 from tests.cluster.support import CONFIG
 
 
-def test_a_group_is_made_and_gone_on_with_from_the_command_line(
+def test_a_group_is_made_and_recovered_from_the_command_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "key").write_text("k" * 32)
--- a/tests/cluster/test_health_checks.py
+++ b/tests/cluster/test_health_checks.py
@@ -12,24 +12,24 @@
 from marlstep.drill.rig import NodeProcess, Rig, Settings
 from marlstep.fronts.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
-from tests.cluster.support import CONFIG, NODES, written
+from tests.cluster.support import CONFIG, NODES, make_plan
 
 
-class Server:
-    """One server of a pool, that can be gone and come back; it counts requests by the node that they came through."""
+class PoolServer:
+    """One server of a pool that can stop and recover; it counts requests by the node that they came through."""
 
     def __init__(self, port: int) -> None:
         self.port, self.seen = port, Counter[str]()
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        self.server = await asyncio.start_server(self._taken, "127.0.0.1", self.port)
+        self.server = await asyncio.start_server(self._handle, "127.0.0.1", self.port)
 
     def close(self) -> None:
         assert self.server is not None
         self.server.close()
 
-    async def _taken(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         packets, ring = PacketReader(1 << 16), Ring(1 << 16)
         with contextlib.suppress(OSError):
             while (packet := packets.next(ring)) is None:
@@ -48,53 +48,53 @@
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
 
-    async def one(node: NodeProcess) -> None:
+    async def client(node: NodeProcess) -> None:
         while loop.time() < end:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", node.uwsgi)
-                told = {"HTTP_X_CLASS": "temp-history", "HTTP_X_NODE": node.name, "CONTENT_LENGTH": "0"}
-                writer.write(write_packet(told))
+                variables = {"HTTP_X_CLASS": "temp-history", "HTTP_X_NODE": node.name, "CONTENT_LENGTH": "0"}
+                writer.write(write_packet(variables))
                 await reader.read(1000)
                 writer.close()
             await asyncio.sleep(0.02)
 
     # Some at once: a choice by expected completion tries a server that failed once more only where others are busy.
-    await asyncio.gather(*(one(node) for node in rig.nodes.values() for _ in range(6)))
+    await asyncio.gather(*(client(node) for node in rig.nodes.values() for _ in range(6)))
 
 
-async def put_out(rig: Rig) -> bool:
-    """Each node has failed to reach a server often enough to put it out."""
+async def is_ejected_everywhere(rig: Rig) -> bool:
+    """Return whether each node has failed to reach a server often enough to eject it."""
     failed: list[int] = [
         (await node.call("/v1/parts"))["uwsgi"]["pools"]["more"]["not reached"] for node in rig.nodes.values()
     ]
     return min(failed) >= 5
 
 
-def test_one_node_finds_out_for_all_that_a_server_is_back(tmp_path: Path) -> None:
-    free = Ports()
-    steady, other, lost = (Server(free.take()) for _ in range(3))
-    pool = tuple(f"127.0.0.1:{one.port}" for one in (steady, other, lost))
+def test_one_node_alone_checks_an_ejected_server_and_notifies_all_of_its_recovery(tmp_path: Path) -> None:
+    ports = Ports()
+    steady, other, ejected = (PoolServer(ports.take()) for _ in range(3))
+    pool = tuple(f"127.0.0.1:{server.port}" for server in (steady, other, ejected))
     settings = Settings(json.loads(CONFIG.read_text()), tasks={}, pool=pool)
 
     async def drill() -> list[int]:
         await steady.open()
         await other.open()
-        async with Rig(written(22, 0), settings, tmp_path) as rig:
-            for _ in range(10):  # the third server is not there: each node puts it out
+        async with Rig(make_plan(22, 0), settings, tmp_path) as rig:
+            for _ in range(10):  # the third server is not there: each node ejects it
                 await send(rig, 2.0)
-                if await put_out(rig):
+                if await is_ejected_everywhere(rig):
                     break
             await send(rig, 2.0)
             statuses = (await rig.statuses()).values()
-            knocks = [told["counts"].get("knocks", 0) for told in statuses]
-            await lost.open()
+            checks = [status["counts"].get("knocks", 0) for status in statuses]
+            await ejected.open()
             for _ in range(15):  # the choice of two gives a server that seems slower little at first
                 await send(rig, 2.0)
-                if set(lost.seen) == set(NODES):
+                if set(ejected.seen) == set(NODES):
                     break
-        return sorted(knocks)
+        return sorted(checks)
 
-    knocks = asyncio.run(drill())
-    assert knocks[-1] >= 2 and not any(knocks[:-1])  # one alone knocks
-    assert set(lost.seen) == set(NODES)  # and all give it work again
-    free.close()
+    checks = asyncio.run(drill())
+    assert checks[-1] >= 2 and not any(checks[:-1])  # one node alone checks
+    assert set(ejected.seen) == set(NODES)  # and all give it work again
+    ports.close()
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -14,26 +14,26 @@
 from marlstep.timer_queue import TimerQueue
 
 
-def test_a_line_that_says_nothing_and_one_that_does_not_read_are_cut() -> None:
-    async def both() -> None:
+def test_connections_that_send_nothing_or_do_not_read_are_closed() -> None:
+    async def course() -> None:
         loop = asyncio.get_running_loop()
         timeline = TimerQueue(LoopWaker(loop))
         framing = wire.stream_framing(b"k" * 32)
-        free = Ports()
-        port, deaf = free.take(), free.take()
-        lines = ClusterTransport({"deaf": ("127.0.0.1", deaf)}, framing, timeline, lambda body: None)
-        await lines.listen(("127.0.0.1", port))
+        ports = Ports()
+        port, deaf = ports.take(), ports.take()
+        transport = ClusterTransport({"deaf": ("127.0.0.1", deaf)}, framing, timeline, lambda body: None)
+        await transport.listen(("127.0.0.1", port))
         with (
             socket.create_server(("127.0.0.1", deaf)),
             socket.create_connection(("127.0.0.1", port)) as silent,
         ):
             silent.setblocking(False)
             for _ in range(600):
-                lines.send("deaf", b"x" * 50_000)
+                transport.send("deaf", b"x" * 50_000)
                 await asyncio.sleep(0.005)
-            assert lines.counts["dropped"] and lines.counts["cut"]
-            assert lines.counts["silent"] == 1
-        await lines.close()
-        free.close()
+            assert transport.counts["dropped"] and transport.counts["cut"]
+            assert transport.counts["silent"] == 1
+        await transport.close()
+        ports.close()
 
-    uvloop.run(both())
+    uvloop.run(course())
