--- /dev/null
+++ b/tests/cluster/test_lease_driver.py
@@ -0,0 +1,125 @@
+"""Which leases a process wants, and what it records of their changes."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from pathlib import Path
+
+import pytest
+
+from marlstep.cluster.lease_driver import LeaseDriver
+from marlstep.leases.holder import LeaseEvent
+from marlstep.leases.messages import HeartbeatResponse
+from marlstep.membership.partition_state import CAPABILITIES, PartitionState, PartitionTracker
+from tests.cluster.support import NodeParts
+
+WORK = ("task/sweep", "pool/main")
+CONFIG_LEASE = "rules/n1/b"
+
+
+def lease_driver(parts: NodeParts) -> LeaseDriver:
+    return LeaseDriver(parts.context, parts.turns, parts.router, lambda: WORK, CONFIG_LEASE)
+
+
+def wanted(parts: NodeParts) -> list[str]:
+    return list(parts.context.client.holder.wanted)
+
+
+def test_a_process_wants_the_leases_of_its_work_and_of_its_documents(tmp_path: Path) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        lease_driver(parts).update_wanted()
+        assert wanted(parts) == [*WORK, CONFIG_LEASE]
+
+    asyncio.run(course())
+
+
+def test_a_successor_without_the_address_wants_the_lease_of_documents_alone(tmp_path: Path) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        parts.context.process.relay_port = 7999
+        lease_driver(parts).update_wanted()
+        assert wanted(parts) == [CONFIG_LEASE]
+
+    asyncio.run(course())
+
+
+def test_a_node_cut_off_from_the_group_wants_no_new_leases(tmp_path: Path) -> None:
+    cut_off = next(state for state in PartitionState if not CAPABILITIES[state].wants_leases)
+
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        tracker = parts.context.partition = PartitionTracker(parts.clock.now())
+        tracker.state = cut_off
+        lease_driver(parts).capabilities_changed()
+        assert wanted(parts) == [CONFIG_LEASE]
+
+    asyncio.run(course())
+
+
+def test_a_draining_process_keeps_what_is_busy_and_the_lease_of_documents(tmp_path: Path) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        driver = lease_driver(parts)
+        driver.update_wanted()
+        now = parts.clock.now()
+        parts.context.process.drain_deadline = now
+        driver.release(now, keep=["task/sweep"])
+        assert wanted(parts) == ["task/sweep", CONFIG_LEASE]
+        assert not parts.context.client.holder.leaving
+        driver.update_wanted()  # wants nothing again
+        assert wanted(parts) == ["task/sweep", CONFIG_LEASE]
+        driver.release(now, keep=[])
+        assert wanted(parts) == [CONFIG_LEASE]
+        assert parts.context.client.holder.leaving
+
+    asyncio.run(course())
+
+
+def test_a_response_to_another_process_is_not_taken_in(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        driver, client = lease_driver(parts), parts.context.client
+        taken: list[str] = []
+
+        def handle_response(now: object, sender: str, message: object) -> list[LeaseEvent]:
+            taken.append(sender)
+            return [LeaseEvent("task/sweep", 4, "gained", "granted")]
+
+        monkeypatch.setattr(client, "handle_response", handle_response)
+        response = object.__new__(HeartbeatResponse)
+        now = parts.clock.now()
+        other = parts.envelope("n2", "n1/other", response)
+        assert not driver.handle_response(now, other, response)
+        assert taken == []
+        own = parts.envelope("n2", parts.context.process_name, response)
+        assert driver.handle_response(now, own, response)
+        assert taken == ["n2"]
+        assert parts.context.counts == {"leases gained": 1}
+        [event] = parts.context.history
+        assert (event["what"], event["why"]) == ("lease task/sweep gained", "token 4: granted")
+
+    asyncio.run(course())
+
+
+def test_a_clock_drift_is_logged_and_counted_once_as_it_begins(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    async def course() -> None:
+        parts = NodeParts(tmp_path)
+        driver, client = lease_driver(parts), parts.context.client
+        monkeypatch.setattr(client, "handle_response", lambda now, sender, message: [])
+        response = object.__new__(HeartbeatResponse)
+        own = parts.envelope("n2", parts.context.process_name, response)
+        for drifts in (True, True, False, False, True):
+            client.holder.clock_drifts = drifts
+            driver.handle_response(parts.clock.now(), own, response)
+            assert driver.clock_drifts is drifts
+        assert parts.context.counts["drifts"] == 2
+
+    with caplog.at_level(logging.ERROR):
+        asyncio.run(course())
+    assert sum("clock drift" in record.message for record in caplog.records) == 2
