--- a/marlstep/cluster/interfaces.py
+++ b/marlstep/cluster/interfaces.py
@@ -98,6 +98,23 @@
         """Handle a change of what this node may do in its partition state."""
 
 
+class MembershipEndpoint(Protocol):
+    """Membership, as far as the lifecycle opens and closes it."""
+
+    async def open(self) -> None:
+        """Listen for datagrams and join.
+
+        Raises:
+            OSError: the address can't be taken.
+        """
+
+    def leave(self) -> None:
+        """Announce that this node leaves."""
+
+    def close(self) -> None:
+        """Release the address; may be called again."""
+
+
 class ConfigDocuments(Protocol):
     """The node, as far as replicated documents configure it."""
 
--- a/marlstep/cluster/lifecycle.py
+++ b/marlstep/cluster/lifecycle.py
@@ -11,8 +11,8 @@
 from datetime import datetime
 
 from marlstep.cluster.context import NodeContext
+from marlstep.cluster.interfaces import MembershipEndpoint
 from marlstep.cluster.lease_driver import LeaseDriver
-from marlstep.cluster.membership import ClusterMembership
 from marlstep.cluster.relay import SuccessorRelay
 from marlstep.cluster.replica_driver import ReplicaDriver
 from marlstep.cluster.router import MessageRouter
@@ -40,7 +40,7 @@
         replica_driver: ReplicaDriver,
         leases: LeaseDriver,
         tasks: TaskDriver,
-        membership: ClusterMembership | None,
+        membership: MembershipEndpoint | None,
         follows_documents: bool,
     ) -> None:
         """`follows_documents`: a successor needs the cluster's documents before it has the address."""
@@ -91,7 +91,7 @@
                 await self._open_through_predecessor()
             await asyncio.sleep(ADDRESS_RETRY_DELAY.total_seconds())
 
-    async def _open_datagrams(self, membership: ClusterMembership) -> None:
+    async def _open_datagrams(self, membership: MembershipEndpoint) -> None:
         """Open the datagram endpoint; a predecessor may have it a moment longer than the stream address."""
         address, is_first_attempt = self._context.config.listen, True
         while not self._context.process.is_closed:
