--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -5,17 +5,19 @@
 
 from __future__ import annotations
 
+import contextlib
 from collections import deque
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from datetime import datetime, timedelta
-from typing import Any, ClassVar
+from typing import Any
 
 import orjson
 
+from marlstep.consensus.configuration_change import ConfigurationChangeRejectedError
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
-from marlstep.consensus.messages import RAFT_MESSAGES, RaftMessage
 from marlstep.consensus.raft import Raft, RaftTiming, RandomSource, Ready
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest, Message
 from marlstep.consensus.state_machine import (
     Command,
     CommandJson,
@@ -28,9 +30,10 @@
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
-from marlstep.membership.quotas import QuotaBalancer, QuotaTable
-from marlstep.membership.roster import FailureReport, Roster, RosterController, RosterSettings
-from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, wire
+from marlstep.membership.quota_balancer import QuotaBalancer
+from marlstep.membership.quota_table import QuotaTable
+from marlstep.membership.roster import Roster
+from marlstep.membership.roster_controller import FailureReport, RosterController, RosterSettings
 from marlstep.replicated_config.documents import CHUNK_CHARACTERS
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutMonitor
@@ -47,39 +50,6 @@
 )  # a voter that is silent for so long may be replaced by its node's new identity
 
 
-@dataclass(slots=True, frozen=True)
-class CommandRequest:
-    """A named command from a node, sent again until it is told."""
-
-    wire_tag: ClassVar[str] = "Ask"
-
-    client: str = field(metadata=wire("by", TEXT))
-    number: int = field(metadata=wire("number", INTEGER))
-    command: str = field(metadata=wire("command", TEXT))  # JSON
-
-
-@dataclass(slots=True, frozen=True)
-class CommandResponse:
-    """`done`: it was applied, and this is its result, as JSON. Else: ask that node."""
-
-    wire_tag: ClassVar[str] = "Told"
-
-    number: int = field(metadata=wire("number", INTEGER))
-    applied: bool = field(metadata=wire("done", BOOLEAN))
-    leader: str = field(metadata=wire("leader", TEXT))
-    result: str = field(metadata=wire("result", TEXT), default="")
-
-
-@dataclass(slots=True, frozen=True)
-class JoinRequest:
-    """A store without a past asks to be taken in: first to listen, and to vote once it has caught up."""
-
-    wire_tag: ClassVar[str] = "Join"
-
-    node: str = field(metadata=wire("node", TEXT))
-    identity: str = field(metadata=wire("identity", TEXT))
-
-
 @dataclass(slots=True, frozen=True)
 class ReplicaEvent:
     """Of who leads or votes, for the log."""
@@ -88,20 +58,6 @@
     reason: str
 
 
-Message = (
-    RaftMessage
-    | CommandRequest
-    | CommandResponse
-    | Heartbeat
-    | HeartbeatResponse
-    | JoinRequest
-    | ServerRecovered
-    | FetchChunk
-    | DocumentChunk
-    | RelayAnnouncement
-)
-
-
 def node_of(identity: str) -> str:
     """Of a voter's identity (`node#store`) or of a process's name (`node/boot`)."""
     return identity.partition("#")[0].partition("/")[0]
@@ -240,7 +196,7 @@
             )
 
     def _propose(self, now: datetime, command: Command | CommandJson) -> None:
-        self.raft.propose(now, _write(command_json(command)))
+        self.raft.propose(_write(command_json(command)))
 
     # Who is in the group.
 
@@ -303,7 +259,8 @@
         return True
 
     def _change_configuration(self, now: datetime, group: Configuration, why: str) -> None:
-        if not self.raft.change_configuration(now, group):
+        with contextlib.suppress(ConfigurationChangeRejectedError):
+            self.raft.change_configuration(group)
             self.events.append(ReplicaEvent(f"group: {why}", "asked by its node"))
 
     def _is_caught_up(self, now: datetime, identity: str) -> bool:
@@ -380,10 +337,10 @@
                 if self.settings.roster is not None and self.roster is not None:
                     self._reconcile_roster(now, self.roster)
                 if self.settings.quotas and self.quotas is not None and self.config_store is not None:
-                    for command in self.quota_balancer.rebalance(
+                    for quota_command in self.quota_balancer.rebalance(
                         now, self.quotas, self.config_store.allowances(), self._demands()
                     ):
-                        self._propose(now, command)
+                        self._propose(now, quota_command)
         if raft.last_applied - raft.log.snapshot.index >= COMPACTION_THRESHOLD:
             raft.compact(self.machines.snapshot, ENTRIES_KEPT_AFTER_COMPACTION)
         if raft.leader != self._last_known_leader:
@@ -430,13 +387,14 @@
         }
         holds = frozenset(lease.node for lease in self.leases.leases.values() if lease.holder)
         leases = self.settings.leases
-        for command in self.roster_controller.reconcile(
+        for change in self.roster_controller.reconcile(
             now, agreed, words, holds, max(leases.term, leases.config_term)
         ):
+            command = change.to_json()
             self.events.append(
                 ReplicaEvent(f"{command['do']} {command['node']}", command.get("why", "it is heard"))
             )
-            self._propose(now, command)
+            self._propose(now, change)
 
     def process_standings(self, now: datetime) -> list[dict[str, Any]]:
         """What each process has said of itself, as far as this leader has heard."""
@@ -490,9 +448,9 @@
         self.raft.acknowledge_durable(ready)
         self._advance(now)
 
-    def transfer_leadership(self, now: datetime) -> str:
-        """Hand the leadership over; gives to whom, or an empty text."""
-        return self.raft.transfer_leadership(now)
+    def transfer_leadership(self) -> str | None:
+        """Hand the leadership over; return the identity of the next leader, None where no voter is ready."""
+        return self.raft.transfer_leadership()
 
     def status(self) -> dict[str, Any]:
         raft = self.raft
@@ -513,17 +471,3 @@
 
 def _write(value: object) -> str:
     return orjson.dumps(value).decode()
-
-
-MESSAGES = (
-    *RAFT_MESSAGES,
-    CommandRequest,
-    CommandResponse,
-    Heartbeat,
-    HeartbeatResponse,
-    JoinRequest,
-    ServerRecovered,
-    FetchChunk,
-    DocumentChunk,
-    RelayAnnouncement,
-)
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -7,17 +7,19 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from marlstep.consensus.raft import MAX_ENTRIES_PER_MESSAGE, Raft
+from marlstep.consensus.raft import Raft
 from marlstep.consensus.replica import Replica
+from marlstep.consensus.replication import MAX_ENTRIES_PER_MESSAGE
 from marlstep.consensus.state_machine import CommandJson, ResultJson
 from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
+from marlstep.leases.commands import GrantLease, LeaseGranted, LeaseResult
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
 from marlstep.leases.manager import LeaseManager, no_quota_shares
 from marlstep.leases.messages import DocumentStatus, HeartbeatResponse, RequestCounts
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Lease, LeaseTable
 from marlstep.membership.failure_detector import FailureDetector
-from marlstep.membership.quotas import QuotaShare, QuotaTable
+from marlstep.membership.quota_table import QuotaShare, QuotaTable
 from marlstep.membership.records import MemberRecord
 from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
 from marlstep.replicated_config.rollout import RolloutMonitor
@@ -29,10 +31,10 @@
 class CountsFromAnswer(LeaseHolder):
     """A lease is counted from the answer in the place of the question."""
 
-    def handle_response(self, now: datetime, answer: HeartbeatResponse) -> list[LeaseEvent]:
-        if answer.number in self._sent_heartbeats:
-            self._sent_heartbeats[answer.number] = now
-        return super().handle_response(now, answer)
+    def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
+        if response.number in self._sent_heartbeats:
+            self._sent_heartbeats[response.number] = now
+        return super().handle_response(now, response)
 
 
 class NeverLapses(LeaseHolder):
@@ -49,28 +51,22 @@
     """What a majority has is committed, whatever its term: figure 8 of the paper."""
 
     def _advance_commit_index(self) -> None:
-        have = sorted(
-            (
-                self._durable_index if one == self.identity else self._progress_of(one).match_index
-                for one in self.configuration.voters
-            ),
-            reverse=True,
-        )
-        index = have[self.configuration.quorum - 1] if have else 0
+        index = self.replication.quorum_match_index(self._durable_index)
         if index > self.commit_index:
-            self.commit_index, self._broadcast_due = index, True
+            self.commit_index = index
+            self.replication.request_broadcast()
 
 
 class ReusesTokens(LeaseTable):
     """A lease's next grant has the token of the one before."""
 
-    def _grant(self, name: str, holder: str, most: int) -> ResultJson:
-        before = self.leases.get(name)
+    def _grant(self, command: GrantLease) -> LeaseResult:
+        before, holder = self.leases.get(command.name), command.holder
         if before is None or before.holder or not before.token:
-            return super()._grant(name, holder, most)
+            return super()._grant(command)
         self.held_counts[holder] += 1
-        self.leases[name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
-        return {"granted": holder, "token": before.token}
+        self.leases[command.name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
+        return LeaseGranted(holder, before.token)
 
 
 class Unconfirmed(LeaseManager):
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -5,11 +5,11 @@
 import json
 from collections.abc import Mapping
 
-from marlstep.cluster.node import state_machines
+from marlstep.cluster.replica_driver import state_machines
 from marlstep.consensus.log import Configuration
 from marlstep.consensus.state_machine import StateMachine, StateMachines
 from marlstep.leases.table import Lease, LeaseTable
-from marlstep.membership.quotas import QuotaShare, QuotaTable
+from marlstep.membership.quota_table import QuotaShare, QuotaTable
 from marlstep.membership.roster import Roster, RosterEntry
 from marlstep.replicated_config.documents import DocumentVersion, Kind
 from marlstep.replicated_config.store import ConfigStore, Document, PreparedVersion, Rollout
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -12,14 +12,24 @@
 import orjson
 
 from marlstep.cluster import wire
-from marlstep.cluster.node import ClusterNode, state_machines
+from marlstep.cluster.node import ClusterNode
+from marlstep.cluster.replica_driver import state_machines
 from marlstep.cluster.transport import ClusterTransport
 from marlstep.config import check
-from marlstep.config.fleet import ClusterConfig
+from marlstep.config.cluster import ClusterConfig
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.raft import RaftTiming
-from marlstep.consensus.replica import CommandRequest, CommandResponse, Message, Replica, ReplicaSettings
-from marlstep.leases.messages import DocumentState, Heartbeat, HeartbeatResponse, LeaseToken, RequestCounts
+from marlstep.consensus.replica import Replica, ReplicaSettings
+from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, Message
+from marlstep.leases.messages import (
+    NO_REQUESTS,
+    DocumentState,
+    Heartbeat,
+    HeartbeatResponse,
+    LeaseToken,
+    RequestCounts,
+    TenantDemand,
+)
 from marlstep.node import Node
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from tests.golden.everything import KEY, operator_config, platform_config
@@ -46,9 +56,9 @@
     returns: tuple[LeaseToken, ...] = ()
     most: int = 0
     acts: tuple[DocumentState, ...] = ()
-    figures: RequestCounts = (0, 0, 0)
+    figures: RequestCounts = NO_REQUESTS
     failed: tuple[str, ...] = ()
-    demand: tuple[LeaseToken, ...] = ()
+    demand: tuple[TenantDemand, ...] = ()
     silent: bool = False
     beats: int = 0
 
@@ -119,8 +129,8 @@
             for to, message in self.voter.take_immediate_messages(now):
                 self._told(to, message)
             rules.tick(now)
-            for _, sent in self.fleet.client.tick(now)[0]:
-                self.voter.step(now, self.fleet.client.holder.name, sent)
+            for _, sent in self.fleet.context.client.tick(now)[0]:
+                self.voter.step(now, self.fleet.context.client.holder.name, sent)
             kept, self.lines.kept = self.lines.kept, []
             for body in kept:
                 envelope = wire.read_envelope(body)
@@ -130,13 +140,13 @@
         self._keep()
 
     def _told(self, to: str, message: Message) -> None:
-        holder, rules, now = self.fleet.client.holder, self.fleet.config_driver, self.clock.now()
+        holder, rules, now = self.fleet.context.client.holder, self.fleet.config_driver, self.clock.now()
         assert rules is not None
         if to != holder.name:
             return
         match message:
             case HeartbeatResponse() | CommandResponse():
-                self.fleet.client.handle_response(now, "n1", message)
+                self.fleet.context.client.handle_response(now, "n1", message)
                 rules.handle_heartbeat_response(now)
             case DocumentChunk():
                 rules.handle_chunk(now, message)
@@ -159,7 +169,7 @@
 
     def plain(self, body: str) -> None:
         """Any text as an entry, also one that no proposer writes."""
-        self.voter.raft.propose(self.clock.now(), body)
+        self.voter.raft.propose(body)
         self.voter.tick(self.clock.now())
         self.turn()
 
@@ -170,7 +180,7 @@
         number = str(answer["asked"])
         for _ in range(10):
             self.turn()
-            found = self.fleet.told_orders()
+            found = self.fleet.admin.order_results()
             if number in found:
                 result: dict[str, Any] = found[number]
                 return result
@@ -185,10 +195,10 @@
     node = Node(config, clock.timeline)
     fleet = node.components["fleet"]
     assert isinstance(fleet, ClusterNode)
-    fleet.steady = clock.timeline
+    fleet.context.steady = clock.timeline
     lines = KeptLines(
         config.fleet.nodes, wire.stream_framing(KEY.encode()), clock.timeline, lambda body: None
     )
     lines.kept = []
-    fleet.transport = lines
+    fleet.router.transport = lines
     return World(clock, node, fleet, lone_voter(config.fleet, clock), lines)
