--- a/tests/cluster/test_lease_driver.py
+++ b/tests/cluster/test_lease_driver.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marlstep.cluster.lease_driver import LeaseDriver
-from marlstep.leases.holder import LeaseEvent
+from marlstep.leases.holder import LeaseEvent, LeaseEventKind
 from marlstep.leases.messages import HeartbeatResponse
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState, PartitionTracker
 from tests.cluster.support import NodeParts
@@ -46,7 +46,7 @@
 
 
 def test_a_node_cut_off_from_the_group_wants_no_new_leases(tmp_path: Path) -> None:
-    cut_off = next(state for state in PartitionState if not CAPABILITIES[state].wants_leases)
+    cut_off = next(state for state in PartitionState if not CAPABILITIES[state].requests_leases)
 
     async def course() -> None:
         parts = NodeParts(tmp_path)
@@ -87,7 +87,7 @@
 
         def handle_response(now: object, sender: str, message: object) -> list[LeaseEvent]:
             taken.append(sender)
-            return [LeaseEvent("task/sweep", 4, "gained", "granted")]
+            return [LeaseEvent("task/sweep", 4, LeaseEventKind.GAINED, "granted")]
 
         monkeypatch.setattr(client, "handle_response", handle_response)
         response = object.__new__(HeartbeatResponse)
--- a/tests/cluster/test_lifecycle.py
+++ b/tests/cluster/test_lifecycle.py
@@ -115,7 +115,7 @@
 def test_a_process_cut_off_from_all_others_does_not_wait_to_hand_over(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    cut_off = next(state for state in PartitionState if not CAPABILITIES[state].hands_over)
+    cut_off = next(state for state in PartitionState if not CAPABILITIES[state].transfers_leases)
 
     async def course() -> None:
         process = Process(tmp_path)
--- a/tests/cluster/test_replica_driver.py
+++ b/tests/cluster/test_replica_driver.py
@@ -13,12 +13,15 @@
 from marlstep.cluster import replica_driver
 from marlstep.cluster.group_identity import GroupChange
 from marlstep.cluster.interfaces import Step
+from marlstep.cluster.recovery import create_group
 from marlstep.cluster.replica_driver import ReplicaDriver
-from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError, make_group
+from marlstep.cluster.store import OpenedStore, ReplicaStore
+from marlstep.cluster.store_errors import StoreError
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.messages import RequestVote
 from marlstep.consensus.raft import Ready
-from marlstep.consensus.replica import CommandRequest, JoinRequest, Message, Replica
+from marlstep.consensus.replica import Replica
+from marlstep.consensus.replica_messages import CommandRequest, JoinRequest, Message
 from marlstep.units import MILLISECOND
 from tests.cluster.support import NodeParts
 
@@ -121,7 +124,7 @@
     """The driver of the only voter of a group, whose store is made but not open."""
     parts.context.config = config = replace(parts.config, voters=("n1",))
     assert config.store is not None
-    make_group(config.store, "n1", IDENTITY, "1.aa")
+    create_group(config.store, "n1", IDENTITY, "1.aa")
     driver = ReplicaDriver(parts.context, parts.turns, parts.router, parts.group)
     parts.router.handle_others(driver.handle_message, driver.handle_group_change)
     return driver
@@ -194,7 +197,7 @@
         driver = alone(parts)
         await driver.open()
         before = driver.replica
-        failures.append(StoreError("disk full"))
+        failures.append(StoreError(tmp_path, "disk full"))
         await pass_until(parts, driver, lambda: driver.replica not in (before, None))
         after = driver.replica
         assert after is not None
