--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -30,7 +30,7 @@
             stored = command.to_json()
             self.manager.on_applied(self.now, stored, self.table.apply(stored), 0)
 
-    def beat(
+    def heartbeat(
         self, node: str, *wants: str, returns: tuple[LeaseToken, ...] = (), max_leases: int = 0
     ) -> dict[str, HeartbeatResponse]:
         self.numbers[node] = number = self.numbers.get(node, 0) + 1
@@ -42,6 +42,6 @@
         self.apply(self.manager.tick(self.now))
         return dict(self.manager.take_responses(self.now, 1, "n1", 1))
 
-    def after(self, span: timedelta) -> None:
+    def advance(self, span: timedelta) -> None:
         self.now += span
         self.apply(self.manager.tick(self.now))
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -12,42 +12,42 @@
     group = Group()
     names = [f"t{number}" for number in range(12)]
     for node in ("a", "b", "c"):
-        group.beat(node, *names, max_leases=3 if node == "c" else 0)
+        group.heartbeat(node, *names, max_leases=3 if node == "c" else 0)
     assert not group.table.held_counts  # not before all had the time to be heard
-    group.after(SETTINGS.renewal_interval)
+    group.advance(SETTINGS.renewal_interval)
     assert sorted(group.table.held_counts.values()) == [3, 4, 5]
     assert group.table.held_counts["c/b"] == 3
 
 
 def test_a_lease_is_granted_anew_only_after_its_whole_term_and_the_drift_margin() -> None:
     group = Group()
-    group.beat("a", "x")
-    group.after(SETTINGS.renewal_interval)
-    group.beat("b", "x")
+    group.heartbeat("a", "x")
+    group.advance(SETTINGS.renewal_interval)
+    group.heartbeat("b", "x")
     assert group.table.holder("x") == "a/b"
-    group.after(SETTINGS.term * 1.0099)
-    group.beat("b", "x")
+    group.advance(SETTINGS.term * 1.0099)
+    group.heartbeat("b", "x")
     assert group.table.holder("x") == "a/b"
-    group.after(SETTINGS.term * 0.0002)
-    group.after(ZERO)  # its end is committed, and then it is granted
+    group.advance(SETTINGS.term * 0.0002)
+    group.advance(ZERO)  # its end is committed, and then it is granted
     assert group.table.holder("x") == "b/b" and group.table.leases["x"].token == 2
 
 
 def test_a_new_leader_counts_all_terms_anew() -> None:
     group = Group()
-    group.beat("a", "x")
-    group.after(SETTINGS.renewal_interval)
+    group.heartbeat("a", "x")
+    group.advance(SETTINGS.renewal_interval)
     group.now += SETTINGS.term
     group.manager.become_leader(group.now)
-    group.beat("b", "x")
-    group.after(SETTINGS.term)
+    group.heartbeat("b", "x")
+    group.advance(SETTINGS.term)
     assert group.table.holder("x") == "a/b"
 
 
 def test_a_renewal_waits_until_a_majority_confirms_the_leader() -> None:
     group = Group()
-    group.beat("a", "x")
-    group.after(SETTINGS.renewal_interval)
+    group.heartbeat("a", "x")
+    group.advance(SETTINGS.renewal_interval)
     group.manager.take_responses(group.now, 1, "n1", 1)
     group.manager.handle_heartbeat(group.now, Heartbeat("a", "b", 9, ("x",)), 5)
     assert group.manager.take_responses(group.now, 4, "n1", 1) == []
@@ -58,14 +58,14 @@
 def test_a_pushed_response_renews_nothing_for_a_dead_holder() -> None:
     """Pushes follow each change of a document: if they renewed, a dead process would keep its leases."""
     group = Group()
-    group.beat("a", "x", "rules/a/b")
-    group.after(SETTINGS.renewal_interval)
+    group.heartbeat("a", "x", "rules/a/b")
+    group.advance(SETTINGS.renewal_interval)
     assert (
         group.table.holder("rules/a/b") == group.table.holder("x") == "a/b"
         and not group.table.held_counts["b"]
     )
     for _ in range(10):
-        group.after(SETTINGS.term / 5)
+        group.advance(SETTINGS.term / 5)
         group.manager.push_to_all(1)
         group.manager.take_responses(group.now, 1, "n1", 1)
     assert not group.table.holder("x") and "rules/a/b" not in group.table.leases
@@ -73,8 +73,8 @@
 
 def test_a_lease_whose_end_is_proposed_is_not_renewed() -> None:
     group = Group()
-    group.beat("a", "x")
-    group.after(SETTINGS.renewal_interval)
+    group.heartbeat("a", "x")
+    group.advance(SETTINGS.renewal_interval)
     group.now += SETTINGS.term * 2
     assert group.manager.tick(group.now) == [EndLease("x", 1, EndReason.EXPIRED)]  # not applied yet
     group.manager.handle_heartbeat(group.now, Heartbeat("a", "b", 99, ("x",)), 0)
@@ -84,16 +84,18 @@
 def test_a_returned_lease_is_granted_at_once_and_may_come_back_to_its_previous_node() -> None:
     group = Group()
     for node in ("a", "b"):
-        group.beat(node, "x", "y")
-    group.after(SETTINGS.renewal_interval)
+        group.heartbeat(node, "x", "y")
+    group.advance(SETTINGS.renewal_interval)
     before = {name: group.table.holder(name) for name in ("x", "y")}
     mine = [name for name, holder in before.items() if holder == "a/b"]
-    group.beat("a", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in mine))
+    group.heartbeat("a", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in mine))
     assert all(group.table.holder(name) == "b/b" for name in mine)
-    group.beat("b", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in ("x", "y")))
-    group.beat("b", "x", "y")
-    group.beat("a", "x", "y")
-    group.beat("c", "x", "y")
+    group.heartbeat(
+        "b", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in ("x", "y"))
+    )
+    group.heartbeat("b", "x", "y")
+    group.heartbeat("a", "x", "y")
+    group.heartbeat("c", "x", "y")
     assert all(group.table.holder(name) for name in ("x", "y"))
 
 
@@ -101,21 +103,21 @@
     group = Group()
     names = [f"t{number}" for number in range(1000)]
     for node in ("a", "b", "c", "d"):
-        group.beat(node, *names)
-    group.after(SETTINGS.renewal_interval)
+        group.heartbeat(node, *names)
+    group.advance(SETTINGS.renewal_interval)
     assert all(count == 250 for count in group.table.held_counts.values())
-    assert len(group.beat("a", *names)["a/b"].leases) == 250
-    group.after(2 * SETTINGS.term)
+    assert len(group.heartbeat("a", *names)["a/b"].leases) == 250
+    group.advance(2 * SETTINGS.term)
     assert not group.table.held_counts
-    group.beat("d", *names)
+    group.heartbeat("d", *names)
     assert group.table.held_counts["d/b"] == 1000 and group.table.last_token == 2000
 
 
 def test_an_end_without_a_token_changes_nothing_on_the_leader() -> None:
     """Any client may put such a command into the log; it once raised KeyError here, outside the state machine."""
     group = Group()
-    group.beat("a", "x")
-    group.after(SETTINGS.renewal_interval)
+    group.heartbeat("a", "x")
+    group.advance(SETTINGS.renewal_interval)
     for name in ("x", "unknown"):
         command = {"m": "leases", "do": "expire", "name": name}
         group.manager.on_applied(group.now, command, {"error": "no command: KeyError('token')"}, 0)
--- a/tests/pool/test_probing.py
+++ b/tests/pool/test_probing.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
+from datetime import timedelta
+
 from marlstep.pool.probing import Probing
-from marlstep.units import MILLISECOND, SECOND
-from tests.leases.support import NOW
+from marlstep.units import EPOCH, MILLISECOND, SECOND
+
+NOW = EPOCH + timedelta(days=9)
 
 
-def test_one_node_knocks_and_the_others_wait_for_its_word_or_go_alone() -> None:
+def test_one_node_probes_and_the_others_wait_for_its_report_or_probe_alone() -> None:
     holder, other = Probing(6 * SECOND), Probing(6 * SECOND)
     out = {"s": NOW}
     assert holder.to_dial(out, NOW - MILLISECOND) == [] and holder.to_dial(out, NOW) == ["s"]
