--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -16,7 +16,7 @@
 from marlstep.leases.messages import DocumentStatus, HeartbeatResponse, RequestCounts
 from marlstep.leases.settings import LeaseSettings
 from marlstep.leases.table import Lease, LeaseTable
-from marlstep.membership.failure_detector import FailureDetector
+from marlstep.membership.membership_state import MembershipState
 from marlstep.membership.quota_table import QuotaShare, QuotaTable
 from marlstep.membership.records import MemberRecord
 from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
@@ -207,21 +207,21 @@
         return result
 
 
-class NeverRaises(FailureDetector):
+class NeverRaises(MembershipState):
     """Who hears that it is suspected says only that it is there, with the incarnation that it had."""
 
     def _refute(self, now: datetime, record: MemberRecord) -> None:
-        me = self.local
+        me = self.members.local
         super()._refute(now, record)
         if record.process_id == me.process_id:
-            self.local = me
+            self.members.local = me
 
 
-class TakesAnyLife(FailureDetector):
+class TakesAnyLife(MembershipState):
     """What is heard last of a name counts, of whichever of its processes."""
 
-    def _merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
-        member = self.members.get(record.node)
+    def merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
+        member = self.members.others.get(record.node)
         if (
             member is not None
             and record.process_id != member.record.process_id
@@ -230,7 +230,7 @@
             member.record = replace(record, generation=member.record.generation)
             self._restart_suspicion(member)
             return True
-        return super()._merge_record(now, record, reason)
+        return super().merge_record(now, record, reason)
 
 
 def same(settings: LeaseSettings) -> LeaseSettings:
--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -112,7 +112,7 @@
         if self.config_driver is not None:
             breakage.put_on(self.config_driver.follower)
         if self.membership is not None:
-            breakage.put_on(self.membership.detector)
+            breakage.put_on(self.membership.detector.state)
 
     def voting(self: ClusterNode, told: OpenedStore) -> None:
         vote(self, told)
--- a/marlstep/drill/virtual_members.py
+++ b/marlstep/drill/virtual_members.py
@@ -75,7 +75,7 @@
         me = MemberRecord(self.name, f"b{self.life}", born, 0, MemberState.ALIVE, self.address, self.zone)
         chance = random.Random(world.chance.random())
         self.detector = FailureDetector(me, world.settings, chance, world.now)
-        world.breakage.put_on(self.detector)
+        world.breakage.put_on(self.detector.state)
         seeds = [one for one in world.seeds if one != self.name]
         world.send_all(self, self.detector.join(seeds))
         self.drive()
--- a/marlstep/membership/failure_detector.py
+++ b/marlstep/membership/failure_detector.py
@@ -22,7 +22,8 @@
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.indirect_probes import IndirectProbes
 from marlstep.membership.local_health import LocalHealth
-from marlstep.membership.member_list import MAX_MEMBERS, Member, MemberList, MembershipEvent
+from marlstep.membership.member_list import Member, MemberList, MembershipEvent
+from marlstep.membership.membership_state import MembershipState
 from marlstep.membership.messages import (
     Ack,
     MembershipMessage,
@@ -34,13 +35,10 @@
 )
 from marlstep.membership.pings import PingFactory
 from marlstep.membership.probing import Probe, Prober
-from marlstep.membership.records import REACHABLE_STATES, MemberRecord, MemberState
+from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.membership.sampling import sample
 from marlstep.membership.state_exchange import StateExchanger
-from marlstep.membership.suspicion import SuspicionTimeouts
 
-MAX_GENERATION_RAISES = 5  # above another process of the name, before that is taken for a conflict of names
-MAX_EVENTS_KEPT = 256
 LEAVE_FANOUT = 5  # members that a shutdown is announced to
 
 
@@ -52,9 +50,7 @@
     ) -> None:
         """Start alone, with the record that this node has of itself."""
         self.settings = settings
-        self.events: deque[MembershipEvent] = deque(maxlen=MAX_EVENTS_KEPT)
         self.counts: Counter[str] = Counter()
-        self.name_conflict = False  # another live process uses this node's name
         self.last_received_at: datetime | None = None
         self.last_acknowledged_at: datetime | None = None  # the last ack of a probe of this node
         self._random = random
@@ -64,7 +60,6 @@
         )
         self._pings = PingFactory(self._broadcasts)
         self._health = LocalHealth(settings.local_health_enabled)
-        self._suspicions = SuspicionTimeouts(self._members, settings)
         self._prober = Prober(
             self._members,
             self._broadcasts,
@@ -79,10 +74,16 @@
         self._indirect_probes = IndirectProbes(
             self._broadcasts, self._pings, settings.probe_timeout, self.counts
         )
+        self.state = MembershipState(
+            self._members,
+            self._broadcasts,
+            self._pings,
+            self._health,
+            self._exchanger,
+            settings,
+            self.counts,
+        )
         self._due = now
-        self._generation_raises = 0
-        self._has_left = False
-        self._broadcasts.enqueue(local.node)
 
     # Queries.
 
@@ -95,6 +96,16 @@
     def local(self, record: MemberRecord) -> None:
         self._members.local = record
 
+    @property
+    def events(self) -> deque[MembershipEvent]:
+        """Changes for operators; the caller takes them out."""
+        return self.state.events
+
+    @property
+    def name_conflict(self) -> bool:
+        """Another live process uses this node's name."""
+        return self.state.name_conflict
+
     @property
     def members(self) -> dict[str, Member]:
         """All other nodes, by name."""
@@ -136,7 +147,7 @@
 
     def leave(self) -> list[OutboundMessage]:
         """Announce the shutdown of this node, so that it is not suspected."""
-        self._has_left = True
+        self.state.has_left = True
         self.local = replace(self.local, state=MemberState.LEFT)
         ack = Ack(self._pings.next_number(), (self.local,))
         addresses = sample(self._random, self._members.reachable_addresses(), LEAVE_FANOUT)
@@ -151,7 +162,7 @@
             self._handle_late_wakeup(now, lateness)
         sends = self._indirect_probes.expire(now)
         sends += self._advance_probing(now)
-        sends += self._expire_suspicions(now)
+        sends += self.state.expire_suspicions(now)
         if now >= self._exchanger.next_due:
             sends += self._exchanger.start_exchange(now)
             for name in self._members.reclaim(now, self.settings.reclaim_after):
@@ -184,129 +195,8 @@
         if probe.expected_nacks_missing:
             self._health.degrade()
         self.counts["unanswered"] += 1
-        member = self.members.get(probe.node)
-        if member is None or member.record.state not in REACHABLE_STATES:
-            return
-        # Where others suspect it already, this is an independent confirmation.
-        if self.local.node not in member.suspected_by:
-            suspect = member.record.with_state(MemberState.SUSPECT, self.local.node)
-            reason = f"no answer, also not through {probe.indirect_requests} others"
-            self._merge_record(now, suspect, reason)
-
-    def _expire_suspicions(self, now: datetime) -> list[OutboundMessage]:
-        sends = []
-        for member in list(self.members.values()):
-            if member.suspicion_ends_at is None or now < member.suspicion_ends_at:
-                continue
-            if self.local.node not in member.suspected_by and not member.last_probe_sent:
-                sends.append(self._probe_before_failing(now, member))
-            else:
-                failed = member.record.with_state(MemberState.FAILED, self.local.node)
-                reason = f"suspected by {', '.join(sorted(member.suspected_by))}, and not refuted"
-                self._merge_record(now, failed, reason)
-        return sends
-
-    def _probe_before_failing(self, now: datetime, member: Member) -> OutboundMessage:
-        """Ping a member that only others suspect, perhaps long ago: it may have refuted since."""
-        member.last_probe_sent = True
-        timeout = 2 * self.settings.probe_timeout * self._health.timeout_factor
-        member.suspicion_ends_at = now + timeout
-        return self._pings.correcting(member.record, member.record.address)
-
-    # Records.
-
-    def _merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
-        """Take a record if it overrides what is known (SWIM, section 4.2); return whether it did."""
-        if record.node == self.local.node:
-            self._refute(now, record)
-            return False
-        member = self.members.get(record.node)
-        if member is None:
-            return self._add_member(now, record, reason)
-        if record.precedence <= member.record.precedence:
-            self._confirm_suspicion(member, record)
-            return False
-        self._replace_record(now, member, record, reason)
-        return True
-
-    def _add_member(self, now: datetime, record: MemberRecord, reason: str) -> bool:
-        if record.state not in REACHABLE_STATES:
-            return False  # a name that is forgotten here: else its record would circulate for ever
-        if len(self.members) >= MAX_MEMBERS:
-            self.counts["crowded"] += 1
-            return False
-        member = self.members[record.node] = Member(record, now)
-        self._record_event(now, record, reason)
-        self._restart_suspicion(member)
-        return True
-
-    def _confirm_suspicion(self, member: Member, record: MemberRecord) -> None:
-        """Count the suspicion of another node, and pass it on (Lifeguard, section IV-B)."""
-        known = member.record
-        if (
-            record.state is MemberState.SUSPECT is known.state
-            and record.process_generation == known.process_generation
-            and record.incarnation == known.incarnation
-            and record.reported_by not in member.suspected_by
-        ):
-            member.suspected_by.add(record.reported_by)
-            member.suspicion_ends_at = self._suspicions.deadline(member)
-            self._broadcasts.enqueue(record.node)
-            member.record = record
-
-    def _replace_record(self, now: datetime, member: Member, record: MemberRecord, reason: str) -> None:
-        known = member.record
-        same_process = record.process_generation == known.process_generation
-        if same_process and known.state is MemberState.FAILED and record.state is MemberState.ALIVE:
-            self._exchanger.handle_reconnection(now, record)
-        if record.state is not known.state or not same_process:
-            member.state_since = now
-            self._record_event(now, record, reason)
-        member.record = record
-        self._restart_suspicion(member)
-
-    def _restart_suspicion(self, member: Member) -> None:
-        """Start or end the suspicion, by the member's new record, and disseminate that record."""
-        is_suspect = member.record.state is MemberState.SUSPECT
-        member.suspected_by = {member.record.reported_by} if is_suspect else set()
-        member.suspicion_ends_at = self._suspicions.deadline(member) if is_suspect else None
-        member.last_probe_sent = False
-        self._broadcasts.enqueue(member.record.node)
-
-    def _record_event(self, now: datetime, record: MemberRecord, reason: str) -> None:
-        self.counts[record.state.value] += 1
-        event = f"{record.state.value}, process {record.process_id}"
-        self.events.append(MembershipEvent(now, record.node, event, record.reported_by, reason))
-
-    def _refute(self, now: datetime, record: MemberRecord) -> None:
-        """Answer a record of this node's name: a suspicion of this process, or an earlier process."""
-        if record.process_id == self.local.process_id:
-            self._refute_suspicion(record)
-        elif record.process_generation >= self.local.process_generation:
-            self._raise_generation(now, record)
-
-    def _refute_suspicion(self, record: MemberRecord) -> None:
-        """Override a suspicion with a higher incarnation (SWIM, section 4.2); it also is a sign of slowness here."""
-        local = self.local
-        is_current = (record.generation, record.incarnation) >= (local.generation, local.incarnation)
-        if record.state is MemberState.ALIVE or self._has_left or not is_current:
-            return
-        self.local = replace(local, incarnation=record.incarnation + 1)
-        self.counts["refuted"] += 1
-        self._health.degrade()
-        self._broadcasts.enqueue(local.node)
-
-    def _raise_generation(self, now: datetime, record: MemberRecord) -> None:
-        """Override another process of this name; one that keeps coming back is alive, and a conflict."""
-        local = self.local
-        self.local = replace(local, generation=record.generation + 1, incarnation=0)
-        self._generation_raises += 1
-        self._broadcasts.enqueue(local.node)
-        is_repeated = self._generation_raises >= MAX_GENERATION_RAISES
-        if is_repeated and record.state in REACHABLE_STATES and not self.name_conflict:
-            self.name_conflict = True
-            event = "another process has this name"
-            self.events.append(MembershipEvent(now, local.node, event, record.process_id, record.address))
+        reason = f"no answer, also not through {probe.indirect_requests} others"
+        self.state.suspect(now, probe.node, reason)
 
     # Messages.
 
@@ -317,10 +207,10 @@
         if sender.node == self.local.node and sender.process_id == self.local.process_id:
             return []
         self.last_received_at = now
-        self._merge_record(now, sender, "it said so itself")
+        self.state.merge_record(now, sender, "it said so itself")
         overriding = self._record_overriding(sender)
         for record in message.records:
-            self._merge_record(now, record, f"heard from {sender.node}")
+            self.state.merge_record(now, record, f"heard from {sender.node}")
         match message:
             case Ping():
                 return self._handle_ping(sender, message, overriding)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -191,6 +191,7 @@
     "marlstep/membership/indirect_probes.py",
     "marlstep/membership/local_health.py",
     "marlstep/membership/member_list.py",
+    "marlstep/membership/membership_state.py",
     "marlstep/membership/pings.py",
     "marlstep/membership/probing.py",
     "marlstep/membership/sampling.py",
