--- a/marlstep/replicated_config/commands.py
+++ b/marlstep/replicated_config/commands.py
@@ -156,7 +156,11 @@
 
 
 def parse_config_command(stored: CommandJson) -> ConfigCommand:
-    """Parse a command of the log. Raises ValueError, KeyError or TypeError."""
+    """Parse a command of the log, with all of its fields, before any state is changed by it.
+
+    Raises:
+        ValueError, KeyError, TypeError: A field is missing or has no meaning.
+    """
     match stored["do"]:
         case "part":
             return _parse_chunk(stored)
--- a/tests/replicated_config/test_commands.py
+++ b/tests/replicated_config/test_commands.py
@@ -9,8 +9,10 @@
 
 from marlstep.consensus.state_machine import InvalidCommandError
 from marlstep.replicated_config.commands import MACHINE, CommitVersion, WithdrawVersion, parse_config_command
+from marlstep.replicated_config.documents import content_digest
 from marlstep.replicated_config.rollout import RolloutDecision
 from tests.golden.files import read_golden
+from tests.replicated_config.support import ConfigLog
 
 ROWS: list[dict[str, str]] = read_golden("log_commands.json")
 CLIENT_KEYS = ("by", "no")  # added by the client that sends the command
@@ -58,3 +60,16 @@
     with pytest.raises(InvalidCommandError) as raised:
         parse_config_command(command)
     assert repr(raised.value).startswith("ValueError(")
+
+
+@pytest.mark.parametrize("missing", ["kind", "strict", "upload", "digest", "expect", "author", "note", "at"])
+def test_a_change_that_lacks_a_field_changes_nothing(missing: str) -> None:
+    log = ConfigLog()
+    log.store.apply({"do": "part", "upload": "u", "offset": 0, "data": "[1]"})
+    before = log.store.snapshot()
+    command = {"do": "put", "doc": "d", "kind": "settings", "strict": False, "upload": "u", "expect": 0}
+    command |= {"digest": content_digest("[1]"), "author": "", "note": "", "at": ""}
+    with pytest.raises(KeyError, match=missing):
+        log.store.apply({key: value for key, value in command.items() if key != missing})
+    assert log.store.snapshot() == before
+    assert log.store.apply(command)["prepares"] == 1
