--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -20,6 +20,7 @@
 from typing import Any
 
 from benchmarks.fleet import CONFIG, plan, quantiles, usage
+from marlstep.consensus.state_machine import StoredCommand
 from marlstep.drill.links import Ports
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import NodeProcess, Rig, Settings
@@ -261,7 +262,7 @@
         upload, expect = f"b{number}", standing.target.version
         part: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": 0}
         part["data"] = json.dumps({"n": number})
-        node.participant.propose(node.now, part)
+        node.participant.propose(node.now, StoredCommand(part))
         node.drive()
         counts.append(-world.counts["messages"])
         world.after(1_000_000, lambda: counts.append(counts.pop() + world.counts["messages"]))
@@ -279,7 +280,7 @@
             }
             told |= {"upload": upload, "digest": content_digest(part["data"]), "expect": expect}
             told |= {"author": "", "note": "", "at": ""}
-            node.participant.propose(node.now, told)
+            node.participant.propose(node.now, StoredCommand(told))
             node.drive()
 
         world.after(100_000, then)
--- a/marlstep/cluster/admin.py
+++ b/marlstep/cluster/admin.py
@@ -13,6 +13,7 @@
 from marlstep.cluster.membership import ClusterMembership
 from marlstep.cluster.order_tracker import OrderResults, OrderTracker
 from marlstep.cluster.status_report import StatusReporter
+from marlstep.membership.roster_commands import ConfirmFailures, ReadmitNode, RemoveNode, RosterCommand
 
 Reader = Callable[[], dict[str, Any]]
 
@@ -80,14 +81,14 @@
         return None
 
     def _order_members(self, order: str, arguments: dict[str, Any]) -> dict[str, Any]:
-        command = {"m": "members", **members_command(order, arguments)}
+        command = roster_command(order, arguments)
         accepted = self._orders.propose(self._context.steady.now(), order, command)
         self._turns.schedule()
         return accepted
 
 
-def members_command(order: str, arguments: dict[str, Any]) -> dict[str, Any]:
-    """Return the roster's command for an order, without the name of the state machine.
+def roster_command(order: str, arguments: dict[str, Any]) -> RosterCommand:
+    """Return the roster's command for an order.
 
     Raises:
         UnknownOrderError: there is no such order.
@@ -97,9 +98,9 @@
     match order:
         case "remove":
             reason = str(arguments.get("why", "an operator"))
-            return {"do": "remove", "node": str(arguments["node"]), "held_off": True, "why": reason}
+            return RemoveNode(str(arguments["node"]), reason, blocked_by_operator=True)
         case "readmit":
-            return {"do": "readmit", "node": str(arguments["node"])}
+            return ReadmitNode(str(arguments["node"]))
         case "believe":
-            return {"do": "believe", "nodes": [str(node) for node in arguments["nodes"]]}
+            return ConfirmFailures(tuple(str(node) for node in arguments["nodes"]))
     raise UnknownOrderError(order)
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -15,6 +15,7 @@
 from marlstep.leases.holder import HeartbeatReport
 from marlstep.leases.names import CONFIG_LEASE_PREFIX
 from marlstep.membership.quota_table import quota_limit_violation
+from marlstep.replicated_config.commands import RecordAcknowledgement
 from marlstep.replicated_config.comparison import differences
 from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, canonical_json
 from marlstep.replicated_config.follower import ConfigFollower
@@ -149,15 +150,9 @@
         return self.follower.handle_check_result(now, action, rejection, self.lease_time_left(now))
 
     def _acknowledge(self, action: AcknowledgeVersion, now: datetime) -> None:
-        command = {
-            "m": "rules",
-            "do": "ack",
-            "doc": action.name,
-            "version": action.version,
-            "digest": action.digest,
-            "holder": self._context.process_name,
-            "why": action.rejection,
-        }
+        command = RecordAcknowledgement(
+            action.name, action.version, action.digest, self._context.process_name, action.rejection
+        )
         number = self._context.client.propose(now, command)
         if number is None:
             self.follower.acknowledgement_lost(action.name, action.version)
--- a/marlstep/cluster/config_orders.py
+++ b/marlstep/cluster/config_orders.py
@@ -11,6 +11,17 @@
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.errors import RejectedContentError, UnknownDocumentError, UnknownOrderError
 from marlstep.cluster.interfaces import Step, TurnRequester
+from marlstep.consensus.replica_messages import ReadStandings
+from marlstep.consensus.state_machine import Command
+from marlstep.replicated_config.commands import (
+    CommitVersion,
+    PrepareOptions,
+    PrepareVersion,
+    ReadDocument,
+    RolloutRequest,
+    UploadChunk,
+    WithdrawVersion,
+)
 from marlstep.replicated_config.documents import DocumentDefinition, canonical_json
 from marlstep.replicated_config.followed_document import FollowerState
 
@@ -36,12 +47,13 @@
             TypeError: an argument is of a wrong type.
         """
         now = self._context.steady.now()
+        command: Command
         match order:
             case "part":
                 command = chunk_command(arguments)
                 self._context.observer.reached(Step.CHUNK_UPLOADING)
             case "standings":
-                command = {"m": "standings", "from": int(arguments.get("from", 0))}
+                command = ReadStandings(int(arguments.get("from", 0)))
             case "fix":
                 return self._pin(self._definition(arguments), arguments, now)
             case "unfix":
@@ -59,44 +71,39 @@
             raise UnknownDocumentError(name, self._driver.definitions)
         return definition
 
-    def _document_command(
-        self, order: str, definition: DocumentDefinition, arguments: Arguments
-    ) -> dict[str, Any]:
+    def _document_command(self, order: str, definition: DocumentDefinition, arguments: Arguments) -> Command:
         match order:
             case "put":
                 command = self._put_command(definition, arguments)
                 self._context.observer.reached(Step.VERSION_PROPOSING)
                 return command
             case "get":
-                return {"m": "rules", "do": "get", "doc": definition.name}
+                return ReadDocument(definition.name)
             case "go":
-                command = {"m": "rules", "do": "commit", "doc": definition.name, "whole": True}
-                return {**command, "version": int(arguments["version"])}
+                return CommitVersion(definition.name, int(arguments["version"]), promote=True)
             case "withdraw":
-                command = {"m": "rules", "do": "withdraw", "doc": definition.name}
-                command["version"] = int(arguments["version"])
-                return {**command, "why": str(arguments.get("why", "an operator"))}
+                reason = str(arguments.get("why", "an operator"))
+                return WithdrawVersion(definition.name, int(arguments["version"]), reason)
         raise UnknownOrderError(order)
 
-    def _put_command(self, definition: DocumentDefinition, arguments: Arguments) -> dict[str, Any]:
-        command: dict[str, Any] = {
-            "m": "rules",
-            "do": "put",
-            "doc": definition.name,
-            "kind": definition.kind.value,
-            "strict": definition.strict,
-            "upload": str(arguments["upload"]),
-            "digest": str(arguments["digest"]),
-            "expect": int(arguments["expect"]),
-            "author": str(arguments.get("author", "")),
-            "note": str(arguments.get("note", "")),
-            "at": self._context.wall().isoformat(timespec="seconds"),
-            "hold_out": bool(arguments.get("hold_out")),
-            "force": bool(arguments.get("force")),
-        }
-        if (stage := arguments.get("stage")) is not None:
-            command["stage"] = rollout_json(stage)
-        return command
+    def _put_command(self, definition: DocumentDefinition, arguments: Arguments) -> PrepareVersion:
+        stage = arguments.get("stage")
+        return PrepareVersion(
+            definition.name,
+            definition.kind,
+            definition.strict,
+            str(arguments["upload"]),
+            str(arguments["digest"]),
+            int(arguments["expect"]),
+            str(arguments.get("author", "")),
+            str(arguments.get("note", "")),
+            self._context.wall().isoformat(timespec="seconds"),
+            PrepareOptions(
+                may_exclude=bool(arguments.get("hold_out")),
+                force=bool(arguments.get("force")),
+                rollout=None if stage is None else rollout_request(stage),
+            ),
+        )
 
     def _pin(self, definition: DocumentDefinition, arguments: Arguments, now: datetime) -> dict[str, Any]:
         content = canonical_json(arguments["content"])
@@ -120,7 +127,7 @@
         return {"fixed": False, "differed": differed}
 
 
-def chunk_command(arguments: Arguments) -> dict[str, Any]:
+def chunk_command(arguments: Arguments) -> UploadChunk:
     """Return the command that adds a chunk to an upload.
 
     Raises:
@@ -128,23 +135,22 @@
         KeyError: an argument is missing.
         TypeError: an argument is of a wrong type.
     """
-    command = {"m": "rules", "do": "part", "upload": str(arguments["upload"])}
-    return {**command, "offset": int(arguments["offset"]), "data": str(arguments["data"])}
+    return UploadChunk(str(arguments["upload"]), int(arguments["offset"]), str(arguments["data"]))
 
 
-def rollout_json(arguments: Arguments) -> dict[str, Any]:
-    """Return the rollout of an order as the log stores it.
+def rollout_request(arguments: Arguments) -> RolloutRequest:
+    """Return the rollout that an order asks for.
 
     Raises:
         ValueError: an argument makes no sense.
         KeyError: an argument is missing.
         TypeError: an argument is of a wrong type.
     """
-    rollout: dict[str, Any] = {
-        "for_ms": int(arguments["for_ms"]),
-        "worse": float(arguments["worse"]),
-        "least": int(arguments["least"]),
-    }
+    duration_ms = int(arguments["for_ms"])
+    max_degradation = float(arguments["worse"])
+    min_requests = int(arguments["least"])
     if "share" in arguments:
-        return {**rollout, "share": float(arguments["share"])}
-    return {**rollout, "nodes": [str(node) for node in arguments["nodes"]]}
+        share = float(arguments["share"])
+        return RolloutRequest(duration_ms, max_degradation, min_requests, share=share)
+    nodes = tuple(str(node) for node in arguments["nodes"])
+    return RolloutRequest(duration_ms, max_degradation, min_requests, nodes)
--- a/marlstep/cluster/config_uploads.py
+++ b/marlstep/cluster/config_uploads.py
@@ -6,11 +6,11 @@
 import secrets
 from dataclasses import dataclass
 from datetime import datetime
-from typing import Any
 
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.interfaces import Step, TurnRequester
 from marlstep.cluster.order_tracker import OrderTracker
+from marlstep.replicated_config.commands import PrepareVersion, UploadChunk
 from marlstep.replicated_config.documents import CHUNK_CHARACTERS, DocumentDefinition, content_digest
 
 log = logging.getLogger(__name__)
@@ -23,18 +23,18 @@
     document: str
     content: str
     upload_id: str
-    put_command: dict[str, Any]
+    put_command: PrepareVersion
     offset: int = 0  # in characters
     number: int | None = None  # of the command whose result is waited for
     is_put: bool = False  # that command is the put
 
-    def next_command(self) -> dict[str, Any]:
+    def next_command(self) -> UploadChunk | PrepareVersion:
         """Return the next chunk's command, or the put once all chunks were taken."""
         data = self.content[self.offset : self.offset + CHUNK_CHARACTERS]
         self.is_put = not data
         if self.is_put:
             return self.put_command
-        return {"m": "rules", "do": "part", "upload": self.upload_id, "offset": self.offset, "data": data}
+        return UploadChunk(self.upload_id, self.offset, data)
 
 
 class ConfigUploads:
@@ -50,19 +50,17 @@
     ) -> None:
         """Begin to put a version that is to follow `expected_version`."""
         upload_id = secrets.token_hex(8)
-        command: dict[str, Any] = {
-            "m": "rules",
-            "do": "put",
-            "doc": definition.name,
-            "kind": definition.kind.value,
-            "strict": definition.strict,
-            "upload": upload_id,
-            "digest": content_digest(content),
-            "expect": expected_version,
-            "author": author,
-            "note": note,
-            "at": self._context.wall().isoformat(timespec="seconds"),
-        }
+        command = PrepareVersion(
+            definition.name,
+            definition.kind,
+            definition.strict,
+            upload_id,
+            content_digest(content),
+            expected_version,
+            author,
+            note,
+            self._context.wall().isoformat(timespec="seconds"),
+        )
         self._uploads.append(Upload(definition.name, content, upload_id, command))
         self._turns.schedule()
 
--- a/marlstep/cluster/lifecycle.py
+++ b/marlstep/cluster/lifecycle.py
@@ -166,7 +166,7 @@
         is_settled = client.holder.leaving and client.is_idle
         if leads_others and is_settled and now >= self._next_transfer_at:
             self._next_transfer_at = now + TRANSFER_INTERVAL
-            self._replica_driver.transfer_leadership(now)
+            self._replica_driver.transfer_leadership()
         if now >= deadline or (is_settled and not leads_others):
             self._leave()
         else:
--- a/marlstep/cluster/order_tracker.py
+++ b/marlstep/cluster/order_tracker.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from marlstep.cluster.errors import TooManyOrdersError
-from marlstep.consensus.state_machine import Command, CommandJson
+from marlstep.consensus.state_machine import Command
 from marlstep.leases.client import GroupClient
 
 OrderResults = OrderedDict[int, dict[str, Any]]  # by the command's number
@@ -21,7 +21,7 @@
         self._client, self._results, self._limit = client, results, limit
         self._pending: dict[int, str] = {}
 
-    def propose(self, now: datetime, order: str, command: Command | CommandJson) -> dict[str, Any]:
+    def propose(self, now: datetime, order: str, command: Command) -> dict[str, Any]:
         """Propose the command of an order; return the number to fetch its result by, as JSON.
 
         Raises:
--- a/marlstep/cluster/replica_driver.py
+++ b/marlstep/cluster/replica_driver.py
@@ -201,7 +201,7 @@
         raft = self.replica.raft
         return raft.is_leader and len(raft.configuration.voters) > 1
 
-    def transfer_leadership(self, now: datetime) -> None:
+    def transfer_leadership(self) -> None:
         """Offer leadership to the voter that is furthest."""
         if self.replica is not None and (successor := self.replica.transfer_leadership()):
             log.info("fleet: leadership offered to=%s reason=draining", successor)
--- a/marlstep/consensus/leader_duties.py
+++ b/marlstep/consensus/leader_duties.py
@@ -17,7 +17,7 @@
 from marlstep.consensus.raft import Raft
 from marlstep.consensus.replica_settings import ReplicaSettings, node_of
 from marlstep.consensus.replica_status import ProcessStanding, ReplicaEvent
-from marlstep.consensus.state_machine import Command, CommandJson, ResultJson, StateMachines, command_json
+from marlstep.consensus.state_machine import Command, CommandJson, ResultJson, StateMachines
 from marlstep.leases.manager import LeaseManager, no_quota_shares
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
@@ -26,6 +26,7 @@
 from marlstep.membership.quota_table import QuotaTable
 from marlstep.membership.roster import Roster
 from marlstep.membership.roster_controller import FailureReport, RosterController, RosterSettings
+from marlstep.replicated_config.commands import CommitVersion
 from marlstep.replicated_config.rollout import ReceivedHeartbeat, RolloutDecision, RolloutMonitor
 from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND
@@ -177,9 +178,7 @@
             return
         for name, version in store.ready_to_commit():
             if self._may_decide(name, version):
-                self._propose(
-                    {"m": MachineName.CONFIG_STORE, "do": "commit", "doc": name, "version": version}
-                )
+                self._propose(CommitVersion(name, version))
         if store.active_rollouts():
             self._evaluate_rollouts(now, store)
 
@@ -194,18 +193,8 @@
                 self._propose_rollout_decision(decision)
 
     def _propose_rollout_decision(self, decision: RolloutDecision) -> None:
-        command = {
-            "m": MachineName.CONFIG_STORE,
-            "doc": decision.name,
-            "version": decision.version,
-            "why": decision.reason,
-        }
-        if decision.promote:
-            self._propose(command | {"do": "commit", "whole": True})
-            outcome = "goes on to all"
-        else:
-            self._propose(command | {"do": "withdraw"})
-            outcome = "goes back"
+        self._propose(decision)
+        outcome = "goes on to all" if decision.promote else "goes back"
         summary = f"staged version {decision.version} of {decision.name} {outcome}"
         self._events.append(ReplicaEvent(summary, decision.reason))
 
@@ -230,7 +219,7 @@
         lease_holders = frozenset(lease.node for lease in self._state.leases.leases.values() if lease.holder)
         longest_term = max(self._settings.leases.term, self._settings.leases.config_term)
         for command in self.roster_controller.reconcile(now, roster, reports, lease_holders, longest_term):
-            stored = command_json(command)
+            stored = command.to_json()
             summary = f"{stored['do']} {stored['node']}"
             self._events.append(ReplicaEvent(summary, stored.get("why", "it is heard")))
             self._propose(command)
@@ -268,9 +257,9 @@
             case MachineName.QUOTAS if self.is_current and "part" in result:
                 self.lease_manager.push_to(result["holder"], next_round)
 
-    def _propose_all(self, commands: Iterable[Command | CommandJson]) -> None:
+    def _propose_all(self, commands: Iterable[Command]) -> None:
         for command in commands:
             self._propose(command)
 
-    def _propose(self, command: Command | CommandJson) -> None:
-        self._raft.propose(orjson.dumps(command_json(command)).decode())
+    def _propose(self, command: Command) -> None:
+        self._raft.propose(orjson.dumps(command.to_json()).decode())
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -16,7 +16,13 @@
 from marlstep.consensus.leader_duties import LeaderDuties, MachineName, ReplicatedState
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import Raft, RandomSource, Ready
-from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest, Message
+from marlstep.consensus.replica_messages import (
+    STANDINGS_QUERY,
+    CommandRequest,
+    CommandResponse,
+    JoinRequest,
+    Message,
+)
 from marlstep.consensus.replica_settings import ReplicaSettings, node_of
 from marlstep.consensus.replica_status import COUNTERS, ReplicaEvent, ReplicaStatus
 from marlstep.consensus.state_machine import CommandJson, ResultJson, StateMachine, StateMachines
@@ -30,7 +36,6 @@
 COMPACTION_THRESHOLD = 2_000  # applied entries after the snapshot, at which the log is compacted
 ENTRIES_KEPT_AFTER_COMPACTION = 500  # of them, for members that lag a little
 APPLIED_HISTORY_LENGTH = 256
-STANDINGS_QUERY = "standings"  # a request's machine name that the leader answers without the log
 STANDINGS_PER_PAGE = 50  # processes in one answer, as a message's size is limited
 MISSING_DOCUMENT_LENGTH = -1  # the length that a chunk of an unknown document version states
 
--- a/marlstep/consensus/replica_messages.py
+++ b/marlstep/consensus/replica_messages.py
@@ -6,6 +6,7 @@
 from typing import ClassVar
 
 from marlstep.consensus.messages import RAFT_MESSAGES, RaftMessage
+from marlstep.consensus.state_machine import CommandJson
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse, RelayAnnouncement, ServerRecovered
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, wire
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
@@ -34,6 +35,20 @@
     result: str = field(metadata=wire("result", TEXT), default="")
 
 
+STANDINGS_QUERY = "standings"  # a request's machine name that the leader answers without the log
+
+
+@dataclass(slots=True, frozen=True)
+class ReadStandings:
+    """Ask the leader what each process has reported, from one row on. It is answered without the log."""
+
+    start: int = 0
+
+    def to_json(self) -> CommandJson:
+        """Return the form in which a `CommandRequest` carries it."""
+        return {"m": STANDINGS_QUERY, "from": self.start}
+
+
 @dataclass(slots=True, frozen=True)
 class JoinRequest:
     """A replica with an empty store asks to join the group, first as a learner."""
--- a/marlstep/consensus/state_machine.py
+++ b/marlstep/consensus/state_machine.py
@@ -9,6 +9,7 @@
 
 from collections import OrderedDict
 from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 import orjson
@@ -30,9 +31,15 @@
         """Return the command as the log stores it, its keys in the order that the log has."""
 
 
-def command_json(command: Command | CommandJson) -> CommandJson:
-    """Return the stored form of a command."""
-    return command if isinstance(command, Mapping) else command.to_json()
+@dataclass(slots=True, frozen=True)
+class StoredCommand:
+    """A command given in its stored form, as fault injection and measurements write it."""
+
+    stored: CommandJson
+
+    def to_json(self) -> CommandJson:
+        """Return the stored form."""
+        return self.stored
 
 
 class InvalidCommandError(MarlstepError, ValueError):
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/drill/explore_rules.py
@@ -14,7 +14,7 @@
 
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.replica import Replica, node_of
-from marlstep.consensus.state_machine import StateMachine
+from marlstep.consensus.state_machine import StateMachine, StoredCommand
 from marlstep.drill.broken import Breakage
 from marlstep.drill.explore import (
     START,
@@ -81,8 +81,8 @@
         named = self.follower.documents[DOCUMENT].definition
         put: dict[str, Any] = {**told, "do": "put", "expect": expect, "strict": named.strict}
         put |= {"digest": content_digest(content), "author": "", "note": "", "at": ""}
-        self.participant.propose(now, {**told, "do": "part", "offset": 0, "data": content})
-        self.participant.propose(now, put)
+        self.participant.propose(now, StoredCommand({**told, "do": "part", "offset": 0, "data": content}))
+        self.participant.propose(now, StoredCommand(put))
 
     def tick(self, now: datetime) -> list[tuple[str, Any]]:
         sends, _ = self.participant.tick(now)
@@ -125,7 +125,7 @@
                 case AcknowledgeVersion():
                     told = {"m": "rules", "do": "ack", "doc": do.name, "version": do.version, "why": ""}
                     told |= {"digest": do.digest, "holder": self.holder.name}
-                    number = self.participant.propose(now, told)
+                    number = self.participant.propose(now, StoredCommand(told))
                     assert number is not None
                     self._acks[number] = do.version
                 case FetchChunk():
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/drill/virtual_rules.py
@@ -14,6 +14,7 @@
 from typing import Any
 
 from marlstep.consensus.replica import ReplicaSettings
+from marlstep.consensus.state_machine import StoredCommand
 from marlstep.drill.broken import Breakage
 from marlstep.drill.linear import Call, Came, unordered
 from marlstep.drill.plan import Plan
@@ -133,7 +134,9 @@
         using, now = self.using[node.name], node.now
         for tenant, to in using.update(node.participant.holder.quota_shares):
             told = {"m": "shares", "do": "gave", "tenant": tenant, "to": to}
-            number = node.participant.propose(now, {**told, "holder": node.participant.holder.name})
+            number = node.participant.propose(
+                now, StoredCommand({**told, "holder": node.participant.holder.name})
+            )
             if number is None:
                 using.report_lost(tenant)
             else:
@@ -186,7 +189,7 @@
                         "digest": do.digest,
                     }
                     told |= {"holder": node.participant.holder.name, "why": do.rejection}
-                    number = node.participant.propose(now, told)
+                    number = node.participant.propose(now, StoredCommand(told))
                     if number is None:
                         follower.acknowledgement_lost(do.name, do.version)
                     else:
@@ -222,7 +225,7 @@
         upload, now = f"u{self._uploads}", node.now
         for offset in range(0, len(content), 4_000):
             piece: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": offset}
-            node.participant.propose(now, {**piece, "data": content[offset : offset + 4_000]})
+            node.participant.propose(now, StoredCommand({**piece, "data": content[offset : offset + 4_000]}))
         kind = next(one for one in DOCUMENTS if one.name == name)
         put: dict[str, Any] = {"m": "rules", "do": "put", "doc": name, "kind": kind.kind.value}
         put |= {"strict": kind.strict, "upload": upload, "digest": content_digest(content), "expect": expect}
@@ -230,7 +233,7 @@
         put |= {"at": "", "hold_out": hold_out, "stage": stage}
         if node.reached("uploading"):
             return None
-        number = node.participant.propose(now, put)
+        number = node.participant.propose(now, StoredCommand(put))
         node.drive()
         return None if node.reached("put") else number
 
@@ -373,7 +376,7 @@
             self._waits = (node, node.life, number)
 
     def _ask(self, node: VirtualNode, name: str) -> None:
-        number = node.participant.propose(node.now, {"m": "rules", "do": "get", "doc": name})
+        number = node.participant.propose(node.now, StoredCommand({"m": "rules", "do": "get", "doc": name}))
         if number is not None:
             self._waits = (node, node.life, number)
             node.drive()
--- a/marlstep/leases/client.py
+++ b/marlstep/leases/client.py
@@ -15,7 +15,7 @@
 
 from marlstep.consensus.raft import RandomSource
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse
-from marlstep.consensus.state_machine import Command, CommandJson, ResultJson, command_json
+from marlstep.consensus.state_machine import Command, ResultJson
 from marlstep.leases.holder import LeaseEvent, LeaseEventKind, LeaseHolder
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.names import is_config_lease
@@ -66,12 +66,12 @@
 
     # Commands.
 
-    def propose(self, now: datetime, command: Command | CommandJson) -> int | None:
+    def propose(self, now: datetime, command: Command) -> int | None:
         """Ask the group for a command. Returns its number, or None where too many wait for results already."""
         if len(self._outbound) >= MAX_OUTBOUND_COMMANDS:
             return None
         self._command_number += 1
-        body = orjson.dumps(command_json(command)).decode()
+        body = orjson.dumps(command.to_json()).decode()
         request = CommandRequest(self.holder.name, self._command_number, body)
         self._outbound[self._command_number] = OutboundCommand(request, None, now)
         return self._command_number
--- a/tests/cluster/test_order_tracker.py
+++ b/tests/cluster/test_order_tracker.py
@@ -12,9 +12,10 @@
 from marlstep.cluster.order_tracker import OrderTracker
 from marlstep.leases.client import MAX_OUTBOUND_COMMANDS, GroupClient
 from marlstep.leases.settings import LeaseSettings
+from marlstep.replicated_config.commands import ReadDocument
 from tests.support.node import START
 
-COMMAND = {"m": "rules", "do": "get", "doc": "settings"}
+COMMAND = ReadDocument("settings")
 
 
 def client() -> GroupClient:
