--- a/tests/cluster/test_lifecycle.py
+++ b/tests/cluster/test_lifecycle.py
@@ -134,7 +134,7 @@
     offers: list[object] = []
     leads = [True]
     monkeypatch.setattr(ReplicaDriver, "leads_others", property(lambda self: leads[0]))
-    monkeypatch.setattr(ReplicaDriver, "transfer_leadership", lambda self, now: offers.append(now))
+    monkeypatch.setattr(ReplicaDriver, "transfer_leadership", lambda self: offers.append("offer"))
 
     async def course() -> None:
         process = Process(tmp_path)
