--- /dev/null
+++ b/marlstep/admission/events.py
@@ -0,0 +1,193 @@
+"""Events: what has happened to a server, as its admission controller is told.
+
+Times are microseconds on one clock that only advances, sizes are kilobytes. An `id` is that of a request.
+"""
+
+from __future__ import annotations
+
+import enum
+import typing
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+from marlstep.admission.settings import ClassSettings, Settings
+
+LARGEST_ESTIMATE = 1e12  # microseconds or requests; more than that was not measured
+
+
+class Outcome(enum.StrEnum):
+    """How a run or a call ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    FULL = "full"
+    TIMEOUT = "timeout"
+    CONNECT_FAILED = "connect_failed"
+    RESET = "reset"
+    CANCELLED = "cancelled"
+    MOOT = "moot"
+
+    @property
+    def never_ran(self) -> bool:
+        """Whether this ending proves that nothing took effect."""
+        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+
+
+@dataclass(slots=True)
+class Arrival:
+    """A request has been read; it is queued until it runs or is answered."""
+
+    id: str
+    kind: str  # the name of its request class
+    kb: float  # memory that it takes while it is queued
+    caller: int
+    unread_us: int  # how long it lay unread in the server's buffers
+    gives_up_us: int | None = None  # clock time at which the caller stops waiting
+    tenant: str | None = None
+    key: int | None = None
+    again: bool = False  # marked as a retry
+    rank: float = 0.0
+    hint_us: int | None = None
+    prior: str | None = None  # the request with the same idempotency key that this one repeats
+    write: bool = False
+    pool: str = ""  # of the servers that would do the work; "": the cores of this one
+
+
+@dataclass(slots=True)
+class Gone:
+    """The client no longer waits; no answer is owed."""
+
+    id: str
+
+
+@dataclass(slots=True)
+class CallNeeded:
+    """A run stands off the cores until it is told to call, to go on without, or failed."""
+
+    id: str
+
+
+@dataclass(slots=True)
+class CallEnded:
+    """A downstream call has ended."""
+
+    id: str
+    outcome: Outcome
+    elapsed_us: int
+
+
+@dataclass(slots=True)
+class RunEnded:
+    """A run has ended, or has been preempted (cancelled)."""
+
+    id: str
+    outcome: Outcome
+    elapsed_us: int
+
+
+@dataclass(slots=True)
+class Drain:
+    """This server shuts down gracefully; its process is stopped at the given time."""
+
+    stops_us: int
+    succeeded: bool = False  # another process takes its place: what still arrives is run as ever
+    noticed_us: int = 0  # when the notice came, where that was before this event; else 0
+
+
+@dataclass(slots=True)
+class TimerDue:
+    """A timer that the controller asked for is due."""
+
+    tag: int
+    gauges: Mapping[str, float] = field(default_factory=dict)  # cpu, runq, memory, conns; where measured
+
+
+@dataclass(slots=True)
+class Allowance:
+    """From now on a tenant may send so many requests a second, over all servers of the tier."""
+
+    tenant: str
+    per_s: float
+
+
+@dataclass(slots=True)
+class Changed:
+    """From now on these settings hold. Requests in flight keep the class that they came with."""
+
+    settings: Settings
+    retired: tuple[ClassSettings, ...] = ()  # no longer among the classes, but may still arrive
+
+
+@dataclass(slots=True)
+class Room:
+    """From now on the servers of a pool run so many requests at once."""
+
+    pool: str
+    most: int
+
+
+@dataclass(slots=True)
+class Share:
+    """Another process serves beside this one on the same cores: this one's part of memory and concurrency."""
+
+    portion: float
+
+
+@dataclass(slots=True)
+class Learnt:
+    """What the controller of another process of this server has measured; 0: nothing.
+
+    It passes between two processes, which may be of different versions, as JSON under the names of `STORED_NAMES`.
+    """
+
+    limit: float = 0.0
+    base_us: float = 0.0
+    call_usual_us: float = 0.0
+    call_mean_us: float = 0.0
+    means_us: Mapping[str, float] = field(default_factory=dict)
+
+    @classmethod
+    def from_mapping(cls, raw: Mapping[str, object]) -> Learnt:
+        """Read what another version may have written; a value that makes no sense counts as unknown."""
+        means = raw.get(MEANS_STORED_NAME)
+        rows = means.items() if isinstance(means, Mapping) else ()
+        return cls(
+            **{name: _plausible(raw.get(stored)) for name, stored in STORED_NAMES.items()},
+            means_us={str(name): _plausible(value) for name, value in rows},
+        )
+
+    def to_json(self) -> dict[str, object]:
+        """Give the stored form, keys in their fixed order."""
+        plain: dict[str, object] = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
+        return {**plain, MEANS_STORED_NAME: dict(self.means_us)}
+
+
+# The keys of `Learnt` between two processes, by field; they don't follow the fields' names.
+STORED_NAMES = {
+    "limit": "limit",
+    "base_us": "base_us",
+    "call_usual_us": "call_usual_us",
+    "call_mean_us": "call_mean_us",
+}
+MEANS_STORED_NAME = "means_us"
+
+
+def _plausible(value: object) -> float:
+    good = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < LARGEST_ESTIMATE
+    return float(typing.cast(float, value)) if good else 0.0
+
+
+Event = (
+    Arrival
+    | Gone
+    | CallNeeded
+    | CallEnded
+    | RunEnded
+    | Drain
+    | TimerDue
+    | Allowance
+    | Changed
+    | Room
+    | Share
+    | Learnt
+)
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -9,7 +9,7 @@
 import logging
 from collections import Counter
 from collections.abc import Callable, Mapping
-from dataclasses import asdict, dataclass, replace
+from dataclasses import dataclass, replace
 from datetime import datetime, timedelta
 
 from marlstep.core.duty import Duty
@@ -411,7 +411,7 @@
         return self._controller.used()
 
     def learnt(self) -> dict[str, object]:
-        return asdict(self._controller.learnt())
+        return self._controller.learnt().to_json()
 
     def learn(self, learnt: Mapping[str, object]) -> None:
         """What the module of another process of this node has learnt; what makes no sense is left out."""
