--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -137,7 +137,7 @@
 class Learnt:
     """What the controller of another process of this server has measured; 0: nothing.
 
-    It passes between two processes, which may be of different versions, as JSON under the names of `STORED_NAMES`.
+    It passes between two processes, perhaps of different versions, as JSON under the names of `STORED_NAMES`.
     """
 
     limit: float = 0.0
--- /dev/null
+++ b/marlstep/admission/server_state.py
@@ -0,0 +1,167 @@
+"""What the parts of the admission controller share: clock, settings in force, requests and measurements.
+
+Arithmetic on what the server was told, and the holders of what is known. Nothing here decides.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from marlstep.admission.actions import Action, Keep
+from marlstep.admission.call_latency import CallLatency
+from marlstep.admission.call_reserve import CallReserve
+from marlstep.admission.caller_activity import CallerActivity
+from marlstep.admission.entry import ALIVE, IN_RUN, Entry, State
+from marlstep.admission.entry_index import EntryIndex
+from marlstep.admission.run_statistics import RunStatistics
+from marlstep.admission.settings import ClassSettings, Settings
+from marlstep.admission.timing import NEVER
+from marlstep.admission.token_buckets import TokenBuckets
+from marlstep.admission.wake_heap import WakeHeap
+
+TICKS_PER_OBJECTIVE = 40  # in the shortest latency objective: deadlines and limits need no finer clock
+SMALLEST_PORTION = 1e-6  # above 0: it divides
+
+
+class ServerState:
+    """What is known of the server; durations are microseconds.
+
+    `memory_kb` and `concurrency` are what this process may use of what the server survives, by the rule's own
+    formula. A cold server warms up from the first time that passes.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        """Start with the whole server to this process, and nothing measured."""
+        self.now = 0
+        self.actions: list[Action] = []  # of this turn
+        self.portion = 1.0  # less while another process serves beside this one
+        self.last_arrival = NEVER  # while it drains: what arrives later is not run
+        self.answer_by = NEVER  # before its process is stopped
+        self._started_at: int | None = None
+        self.wakes = WakeHeap()
+        self.buckets = TokenBuckets()  # of tenants
+        self.callers = CallerActivity()
+        self.statistics = RunStatistics()
+        self.call_reserve = CallReserve()
+        self.entries = EntryIndex(settings)
+        self.configure(settings, ())
+        self.call_latency = CallLatency(self.shortest_objective)
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether the server leaves service, without a successor."""
+        return self.last_arrival < NEVER
+
+    def configure(self, settings: Settings, retired: tuple[ClassSettings, ...]) -> None:
+        """Put new settings in force; what was measured stays."""
+        self.settings = settings
+        self.idle_us = settings.idle_us  # as long as nothing shortens it
+        self.classes = {each.name: each for each in (*retired, *settings.classes)}
+        self.quotas_per_s = {each.name: each.allowance_per_s / settings.peers for each in settings.tenants}
+        self.buckets.keep_only(self.quotas_per_s)
+        self.shortest_objective = min(each.aim_us for each in settings.classes)
+        self.highest_weight = max(each.worth for each in settings.classes)
+        self.tick = settings.tick_us + self.shortest_objective // TICKS_PER_OBJECTIVE
+        self.answer_margin = self.tick + settings.tick_us  # before a deadline: the next tick could be late
+        self.entries.configure(settings)
+        in_use = [entry.request_class for entry in self.entries.by_id.values()]
+        self.statistics.configure([*self.classes.values(), *in_use])
+        self._update_capacity()
+
+    def begin_turn(self, now: int) -> bool:
+        """Let time pass, and tell whether this turn is the first."""
+        is_first = self._started_at is None
+        if is_first:
+            self._started_at = now
+        self.call_reserve.refill(now - self.now)
+        self.now, self.actions = now, []
+        if self.settings.cold:
+            self._update_capacity()
+        return is_first
+
+    def end_second(self) -> None:
+        """Let measurements fade, and forget callers that have not been heard for long."""
+        self.callers.forget_silent(self.now, self.settings.heeded_us)
+        self.statistics.end_second()
+
+    def set_portion(self, portion: float) -> None:
+        """Use this part of the server from now on."""
+        self.portion = max(portion, SMALLEST_PORTION)
+        self._update_capacity()
+
+    def add(self, entry: Entry, unread_us: int) -> None:
+        """Take an arrival in: queued, and looked at again when its objective or its deadline is due."""
+        entry.deadline = min(entry.deadline, self.answer_by)
+        self.callers.record(entry.caller, self.now)
+        self.statistics.record_read_lag(unread_us)
+        self.entries.add(entry)
+        self.move(entry, State.QUEUED)
+        self.wakes.add(entry, min(entry.objective + 1, entry.deadline - self.answer_margin))
+
+    def move(self, entry: Entry, state: State) -> None:
+        """Put an entry into a state, and count what it used in the one before.
+
+        A finished entry with an idempotency key stays known, so that repeats are recognised.
+        """
+        elapsed_us = self.now - entry.since
+        if entry.state is State.RUNNING:
+            entry.run_us += elapsed_us
+            self.statistics.spent_us[entry.request_class.worth] += elapsed_us
+        elif entry.state is State.CALLING:  # an abandoned call stays in the dependency's hands for a while
+            lingers_us = self.settings.linger_us if state is not State.RUNNING else 0
+            self.call_reserve.give_back(entry.reserved_call_us, elapsed_us + lingers_us)
+        if state is State.FINISHED and entry.state is not State.FINISHED:
+            self.statistics.runs_ended += entry.run_us > 0
+        self.entries.move(entry, state, self.now)
+        if state is State.FINISHED and entry.is_keyed:
+            self.wakes.add(entry, entry.recognised_until)
+        elif state is State.FINISHED:
+            del self.entries.by_id[entry.id]
+
+    def await_call(self, entry: Entry) -> None:
+        """Begin a step of a run that needs a downstream call."""
+        entry.calls_made, entry.calls_never_ran, entry.next_call_at = 0, 0, self.now
+        self.move(entry, State.AWAITING_CALL)
+
+    def begin_call(self, entry: Entry, until: int) -> None:
+        """Take a call that is given up at this time out of the reserve; abandoned, it lingers a while."""
+        entry.reserved_call_us = until - self.now + self.settings.linger_us
+        self.call_reserve.take(entry.reserved_call_us)
+        entry.calls_made += 1
+        self.move(entry, State.CALLING)
+
+    def keep_key(self, entry: Entry) -> None:
+        """Keep an entry's idempotency key, and its memory, for its class's window from the arrival."""
+        window_end = entry.arrived_at + entry.request_class.window_us
+        until = max(self.now, window_end) + self.settings.tick_us
+        self.entries.keep_key(entry, until)
+        self.wakes.add(entry, until)
+        self.actions.append(Keep(entry.id, until - self.now))
+
+    def due_entries(self) -> Iterator[Entry]:
+        """Give the entries that are due; an expired key is freed before, an expired entry dropped after."""
+        while (entry := self.wakes.pop_due(self.now, self.entries.is_current)) is not None:
+            if 0 < entry.key_kept_until <= self.now:
+                self.entries.release_key(entry)
+            yield entry
+            if entry.state is State.FINISHED and entry.recognised_until <= self.now:
+                self.entries.by_id.pop(entry.id, None)
+
+    def used(self) -> tuple[float, float]:
+        """Give the share of the server's room that is in use, and that all in flight may come to use."""
+        memory_kb, concurrency = self.settings.memory_kb, self.concurrency / self.portion
+        running_kb = sum(self.entries.size(entry, State.RUNNING) for entry in self.entries.in_states(*ALIVE))
+        in_use = max(self.entries.memory_kb / memory_kb, self.entries.count(*IN_RUN) / concurrency)
+        return in_use, max(running_kb / memory_kb, self.entries.count_unfinished() / concurrency)
+
+    def set_quota(self, tenant: str, per_s: float) -> None:
+        """Change a tenant's quota, which all servers of the tier share."""
+        self.quotas_per_s[tenant] = per_s / self.settings.peers
+
+    def _update_capacity(self) -> None:
+        settings, warmth = self.settings, 1.0
+        if settings.cold and self._started_at is not None and settings.warm_after_us > 0:
+            warmed = (self.now - self._started_at) / settings.warm_after_us
+            warmth = min(1.0, settings.cold_share + (1 - settings.cold_share) * warmed)
+        self.memory_kb = settings.memory_kb * self.portion
+        self.concurrency = settings.cores * (1 + (settings.fall_multiple - 1) * warmth) * self.portion
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -1,7 +1,7 @@
 """Settings of one server's admission controller, as the simulator or the platform gives them at its start.
 
-Durations are whole microseconds, sizes are kilobytes. The names of the fields are the keys of the stored settings, and
-stand in the messages of errors.
+Durations are whole microseconds, sizes are kilobytes. The names of the fields are the keys of the stored settings,
+and stand in the messages of errors.
 """
 
 from __future__ import annotations
--- /dev/null
+++ b/marlstep/admission/timing.py
@@ -0,0 +1,6 @@
+"""Constants of the controller's clock, which counts microseconds."""
+
+from __future__ import annotations
+
+SECOND = 1_000_000
+NEVER = 1 << 62  # later than any time on the clock
