--- /dev/null
+++ b/marlstep/simulator/messages.py
@@ -0,0 +1,123 @@
+"""The simulator's messages: events as it writes them, actions as it reads them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import orjson
+
+from marlstep.admission.actions import (
+    Action,
+    Attach,
+    Call,
+    Fail,
+    Forget,
+    Halt,
+    Health,
+    IdleLimit,
+    Keep,
+    Log,
+    Refuse,
+    Run,
+    Say,
+    SetTimer,
+    Skip,
+)
+from marlstep.admission.events import (
+    Arrival,
+    CallEnded,
+    CallNeeded,
+    Drain,
+    Event,
+    Gone,
+    Outcome,
+    RunEnded,
+    TimerDue,
+)
+
+RawMessage = dict[str, Any]
+
+OUTCOMES = {
+    "served": Outcome.OK,
+    "server_error": Outcome.ERROR,
+    "turned_away": Outcome.FULL,
+    "no_answer": Outcome.TIMEOUT,
+    "no_connection": Outcome.CONNECT_FAILED,
+    "connection_lost": Outcome.RESET,
+    "called_off": Outcome.CANCELLED,
+    "not_sent": Outcome.MOOT,
+}
+GAUGES = {"cpu_busy": "cpu", "runnable": "runq", "mem_used": "memory", "sockets": "conns"}
+
+
+def _read_arrival(raw: RawMessage) -> Arrival:
+    return Arrival(
+        id=raw["id"],
+        kind=raw["class"],
+        kb=raw["kb"],
+        caller=raw.get("neighbour") or 0,
+        unread_us=raw.get("unreadForUs") or 0,
+        gives_up_us=raw.get("dropDeadUs") or None,
+        tenant=raw.get("team") or None,
+        key=raw.get("entity"),
+        again=bool(raw.get("againByClient")),
+        rank=raw.get("prio") or 0.0,
+        hint_us=raw.get("weightHintUs"),
+        prior=raw.get("prior") or None,
+        write=bool(raw.get("mutates")),
+    )
+
+
+def _read_gauges(raw: dict[str, float]) -> dict[str, float]:
+    return {GAUGES[name]: value for name, value in raw.items() if name in GAUGES}
+
+
+# By the message's `m`. A reader raises KeyError for a field that is missing or has an unknown value.
+READERS: dict[str, Callable[[RawMessage], Event]] = {
+    "request": _read_arrival,
+    "timedOutClient": lambda raw: Gone(raw["id"]),
+    "needsDep": lambda raw: CallNeeded(raw["id"]),
+    "depReply": lambda raw: CallEnded(raw["id"], OUTCOMES[raw["code"]], raw.get("elapsedUs") or 0),
+    "workDone": lambda raw: RunEnded(raw["id"], OUTCOMES[raw["code"]], raw.get("elapsedUs") or 0),
+    "drain": lambda raw: Drain(raw["dropDeadUs"]),
+    "tickDue": lambda raw: TimerDue(raw["keyBack"], _read_gauges(raw.get("report") or {})),
+}
+
+
+def _write_refusal(action: Refuse) -> RawMessage:
+    return {
+        "m": "overloadReply",
+        "id": action.id,
+        "retryAfterUs": action.retry_after_us,
+        "giveUp": action.give_up,
+    }
+
+
+WRITERS: dict[type[Any], Callable[[Any], RawMessage]] = {
+    Run: lambda action: {"m": "process", "id": action.id},
+    Halt: lambda action: {"m": "abortWork", "id": action.id},
+    Refuse: _write_refusal,
+    Fail: lambda action: {"m": "abort", "id": action.id},
+    Keep: lambda action: {"m": "retain", "id": action.id, "lifetimeUs": action.lifetime_us},
+    Forget: lambda action: {"m": "unpin", "id": action.id},
+    Attach: lambda action: {"m": "attach", "id": action.id},
+    Call: lambda action: {"m": "callDep", "id": action.id, "tryUntilUs": action.until_us},
+    Skip: lambda action: {"m": "bypass", "id": action.id},
+    Say: lambda action: {"m": "announce", "value": action.value},
+    Health: lambda action: {"m": "readiness", "stored": action.stored, "on": action.good},
+    IdleLimit: lambda action: {"m": "idleLimit", "lifetimeUs": action.after_us},
+    SetTimer: lambda action: {"m": "arm", "offsetUs": action.after_us, "keyBack": action.tag},
+    Log: lambda action: {"m": "log", "msg": action.text},
+}
+
+
+def write_action(server: int, action: Action) -> bytes:
+    """Write an action of one instance as a line, without its end."""
+    return orjson.dumps(WRITERS[type(action)](action) | {"serverId": server})
+
+
+def write_crash(server: int, error: Exception) -> bytes:
+    """Report that the controller of one instance has failed."""
+    text = f"{type(error).__name__}: {error}"
+    return orjson.dumps({"m": "die", "serverId": server, "msg": text})
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -11,8 +11,9 @@
 
 # A part, and what it may import of the project, by prefix. The longest prefix of a module's name counts.
 MAY: dict[str, tuple[str, ...]] = {
-    "petrelcart": ("petrelcart", "marlstep.admission"),
+    "petrelcart": ("petrelcart", "marlstep.admission", "marlstep.simulator"),
     "marlstep.admission": ("marlstep.admission",),
+    "marlstep.simulator": ("marlstep.simulator", "marlstep.admission"),
     "marlstep.errors": (),
     "marlstep.units": (),
     "marlstep.slots": (),
