--- a/marlstep/admission/actions.py
+++ b/marlstep/admission/actions.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(slots=True)
-class Halt:
+class Preempt:
     """Preempt a run; the server reports when it has stopped."""
 
     id: str
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: rejected, never ran."""
 
     id: str
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Keep:
+class KeepKey:
     """Keep the idempotency key of a request for so long."""
 
     id: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class Forget:
+class ForgetKey:
     """Drop the idempotency key of a request that never ran."""
 
     id: str
@@ -69,14 +69,14 @@
 
 
 @dataclass(slots=True)
-class Skip:
+class SkipCall:
     """Go on without the downstream call."""
 
     id: str
 
 
 @dataclass(slots=True)
-class Say:
+class Advertise:
     """Advertise a value to callers; the settings tell how they read it."""
 
     value: float
@@ -112,6 +112,6 @@
     text: str
 
 
-Answer = Refuse | Fail
-Signal = Say | Health | IdleLimit | SetTimer | Log
-Action = Run | Halt | Answer | Keep | Forget | Attach | Call | Skip | Signal
+Answer = Reject | Fail
+Signal = Advertise | Health | IdleLimit | SetTimer | Log
+Action = Run | Preempt | Answer | KeepKey | ForgetKey | Attach | Call | SkipCall | Signal
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -7,7 +7,7 @@
 from marlstep.admission.actions import Action, Health, IdleLimit
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.parts import Parts
-from marlstep.admission.settings import Saying, Settings
+from marlstep.admission.settings import LoadSignal, Settings
 from marlstep.admission.timing import NEVER, SECOND
 from marlstep.admission.turn_timer import TurnTimer
 
@@ -48,7 +48,7 @@
         """Give the share of the server's room that is in use, and that all in flight may come to use."""
         return self.state.used()
 
-    def learnt(self) -> events.Learnt:
+    def learnt(self) -> events.Measurements:
         """Give what was measured, for the controller of another process of this server."""
         return self.parts.learnt()
 
@@ -66,7 +66,7 @@
     def _on_timer(self, event: events.TimerDue) -> None:
         self.timer.fired(event.tag)
         self.parts.queue.resume_unstopped()
-        if self.state.settings.say is Saying.CREDIT:
+        if self.state.settings.say is LoadSignal.CREDIT:
             self.parts.advisor.advertise_credit()
         if self.state.now - self.parts.concurrency.adjusted_at >= SECOND:
             is_busy = event.gauges.get("cpu", 1.0) >= BUSY
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -2,13 +2,13 @@
 
 from dataclasses import dataclass
 
-from marlstep.admission.actions import Call, Skip
+from marlstep.admission.actions import Call, SkipCall
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.events import CallEnded, Outcome
 from marlstep.admission.lifecycle import RequestLifecycle
 from marlstep.admission.run_queue import rank
 from marlstep.admission.server_state import ServerState
-from marlstep.admission.settings import Below
+from marlstep.admission.settings import Downstream
 
 PATIENCE = 5.0  # times what calls take: one that may be made again is given up then, and made again
 BUDGET_SHARE = (
@@ -28,7 +28,7 @@
     def configure(self) -> None:
         """Follow new settings."""
         settings = self.state.settings
-        rate = BUDGET_SHARE * settings.calls_out * (settings.below is Below.SHARED)
+        rate = BUDGET_SHARE * settings.calls_out * (settings.below is Downstream.SHARED)
         self.state.call_reserve.configure(rate, rate * settings.calls_over_us)
 
     def dispatch(self) -> None:
@@ -89,7 +89,7 @@
 
     def _go_without(self, entry: Entry) -> None:
         if entry.request_class.skip_worth > 0:
-            self.state.actions.append(Skip(entry.id))
+            self.state.actions.append(SkipCall(entry.id))
             self.state.move(entry, State.RUNNING)
         else:
             self.lifecycle.answer(entry)
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True)
-class Gone:
+class ClientDisconnected:
     """The client no longer waits; no answer is owed."""
 
     id: str
@@ -103,7 +103,7 @@
 
 
 @dataclass(slots=True)
-class Allowance:
+class QuotaChanged:
     """From now on a tenant may send so many requests a second, over all servers of the tier."""
 
     tenant: str
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True)
-class Changed:
+class SettingsChanged:
     """From now on these settings hold. Requests in flight keep the class that they came with."""
 
     settings: Settings
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class PoolCapacityChanged:
     """From now on the servers of a pool run so many requests at once."""
 
     pool: str
@@ -127,14 +127,14 @@
 
 
 @dataclass(slots=True)
-class Share:
+class PortionChanged:
     """Another process serves beside this one on the same cores: this one's part of memory and concurrency."""
 
     portion: float
 
 
 @dataclass(slots=True)
-class Learnt:
+class Measurements:
     """What the controller of another process of this server has measured; 0: nothing.
 
     It passes between two processes, perhaps of different versions, as JSON under the names of `STORED_NAMES`.
@@ -147,7 +147,7 @@
     means_us: Mapping[str, float] = field(default_factory=dict)
 
     @classmethod
-    def from_mapping(cls, raw: Mapping[str, object]) -> Learnt:
+    def from_mapping(cls, raw: Mapping[str, object]) -> Measurements:
         """Read what another version may have written; a value that makes no sense counts as unknown."""
         means = raw.get(MEANS_STORED_NAME)
         rows = means.items() if isinstance(means, Mapping) else ()
@@ -162,7 +162,7 @@
         return {**plain, MEANS_STORED_NAME: dict(self.means_us)}
 
 
-# The keys of `Learnt` between two processes, by field; they don't follow the fields' names.
+# The keys of `Measurements` between two processes, by field; they don't follow the fields' names.
 STORED_NAMES = {
     "limit": "limit",
     "base_us": "base_us",
@@ -179,15 +179,15 @@
 
 Event = (
     Arrival
-    | Gone
+    | ClientDisconnected
     | CallNeeded
     | CallEnded
     | RunEnded
     | Drain
     | TimerDue
-    | Allowance
-    | Changed
-    | Room
-    | Share
-    | Learnt
+    | QuotaChanged
+    | SettingsChanged
+    | PoolCapacityChanged
+    | PortionChanged
+    | Measurements
 )
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from marlstep.admission.actions import Attach, Refuse
+from marlstep.admission.actions import Attach, Reject
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.events import Arrival
 from marlstep.admission.lifecycle import RequestLifecycle
@@ -24,7 +24,7 @@
         """Take in a request that has been read."""
         request_class = self.state.classes.get(event.kind)
         if request_class is None:
-            self.state.actions.append(Refuse(event.id, 0, give_up=True))
+            self.state.actions.append(Reject(event.id, 0, give_up=True))
             return
         if replaced := self.state.entries.by_id.get(event.id):  # its sender is done with the one before
             replaced.answer_owed = False
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from marlstep.admission.actions import Fail, Forget, Refuse
+from marlstep.admission.actions import Fail, ForgetKey, Reject
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.retry_advisor import RetryAdvisor
 from marlstep.admission.server_state import ServerState
@@ -25,7 +25,7 @@
         if entry.has_run:
             self.state.actions.append(Fail(entry.id))
         else:
-            self.state.actions.append(Refuse(entry.id, self.advisor.retry_after(), give_up))
+            self.state.actions.append(Reject(entry.id, self.advisor.retry_after(), give_up))
         self.abandon(entry)
 
     def abandon(self, entry: Entry) -> None:
@@ -38,4 +38,4 @@
         """Put an end to an entry; its key is dropped where it never ran, so that a retry may run."""
         self.state.move(entry, State.FINISHED)
         if entry.is_keyed and not entry.has_run and self.state.entries.release_key(entry):
-            self.state.actions.append(Forget(entry.id))
+            self.state.actions.append(ForgetKey(entry.id))
--- a/marlstep/admission/parts.py
+++ b/marlstep/admission/parts.py
@@ -12,16 +12,16 @@
 from marlstep.admission.concurrency_limit import ConcurrencyLimit
 from marlstep.admission.downstream_calls import DownstreamCalls
 from marlstep.admission.events import (
-    Allowance,
     Arrival,
     CallEnded,
     CallNeeded,
-    Changed,
-    Gone,
-    Learnt,
-    Room,
+    ClientDisconnected,
+    Measurements,
+    PoolCapacityChanged,
+    PortionChanged,
+    QuotaChanged,
     RunEnded,
-    Share,
+    SettingsChanged,
 )
 from marlstep.admission.intake import Intake
 from marlstep.admission.lifecycle import RequestLifecycle
@@ -58,20 +58,20 @@
         """Give what takes each kind of event, but for those of the controller itself."""
         return {
             Arrival: self.intake.arrive,
-            Gone: self._on_gone,
+            ClientDisconnected: self._on_client_disconnected,
             CallNeeded: self._on_call_needed,
             CallEnded: self._on_call_ended,
             RunEnded: self._on_run_ended,
-            Allowance: self._on_allowance,
-            Changed: self._on_changed,
-            Learnt: self._on_learnt,
-            Room: self._on_room,
-            Share: self._on_share,
+            QuotaChanged: self._on_quota_changed,
+            SettingsChanged: self._on_settings_changed,
+            Measurements: self._on_measurements,
+            PoolCapacityChanged: self._on_pool_capacity_changed,
+            PortionChanged: self._on_portion_changed,
         }
 
-    def learnt(self) -> Learnt:
+    def learnt(self) -> Measurements:
         """Give what was measured, for the controller of another process of this server."""
-        return Learnt(
+        return Measurements(
             limit=self.concurrency.limit,
             base_us=self.state.statistics.least_run_us,
             call_usual_us=self.state.call_latency.usual_us,
@@ -81,7 +81,7 @@
 
     # Events of a request that has ended here are passed over.
 
-    def _on_gone(self, event: Gone) -> None:
+    def _on_client_disconnected(self, event: ClientDisconnected) -> None:
         if (entry := self.state.entries.unfinished(event.id)) is not None:
             self.lifecycle.abandon(entry)
 
@@ -97,21 +97,21 @@
         if (entry := self.state.entries.unfinished(event.id)) is not None:
             self.queue.end(entry, event.outcome)
 
-    def _on_learnt(self, event: Learnt) -> None:
+    def _on_measurements(self, event: Measurements) -> None:
         self.concurrency.adopt(event.limit)
         self.state.statistics.adopt(event.means_us, event.base_us)
         self.state.call_latency.adopt(event.call_usual_us, event.call_mean_us)
 
-    def _on_changed(self, event: Changed) -> None:
+    def _on_settings_changed(self, event: SettingsChanged) -> None:
         self.configure(event.settings, event.retired)
         if self.state.idle_us > 0:
             self.state.actions.append(IdleLimit(self.state.idle_us))
 
-    def _on_room(self, event: Room) -> None:
+    def _on_pool_capacity_changed(self, event: PoolCapacityChanged) -> None:
         self.state.entries.pool_capacity[event.pool] = event.most
 
-    def _on_share(self, event: Share) -> None:
+    def _on_portion_changed(self, event: PortionChanged) -> None:
         self.state.set_portion(event.portion)
 
-    def _on_allowance(self, event: Allowance) -> None:
+    def _on_quota_changed(self, event: QuotaChanged) -> None:
         self.state.set_quota(event.tenant, event.per_s)
--- a/marlstep/admission/retry_advisor.py
+++ b/marlstep/admission/retry_advisor.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from marlstep.admission.actions import Say
+from marlstep.admission.actions import Advertise
 from marlstep.admission.concurrency_limit import ConcurrencyLimit
 from marlstep.admission.entry import State
 from marlstep.admission.memory_ledger import QUEUE_SHARE
@@ -46,4 +46,4 @@
             credit = max(1.0, work * lag_factor / self.count_callers())
         if abs(credit - self.advertised) > LEAST_CHANGE * self.advertised:
             self.advertised = credit
-            self.state.actions.append(Say(credit))
+            self.state.actions.append(Advertise(credit))
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -2,14 +2,14 @@
 
 from dataclasses import dataclass
 
-from marlstep.admission.actions import Halt, Run
+from marlstep.admission.actions import Preempt, Run
 from marlstep.admission.concurrency_limit import ConcurrencyLimit
 from marlstep.admission.entry import ALIVE, IN_RUN, Entry, State
 from marlstep.admission.events import Outcome
 from marlstep.admission.lifecycle import RequestLifecycle
 from marlstep.admission.memory_ledger import MemoryLedger
 from marlstep.admission.server_state import ServerState
-from marlstep.admission.settings import HaltMode
+from marlstep.admission.settings import PreemptionMode
 
 NEED = 0.5  # of a class's mean run: with less time left a run would most likely end too late
 CROWD_SHARE = 0.9  # of the concurrency survived, never passed: calls come back to the cores unasked
@@ -57,7 +57,7 @@
         may_go_on = entry.answer_owed and entry.state in (State.STOPPING, State.RUNNING)
         if outcome is Outcome.CANCELLED and may_go_on:  # where it had been taken for lost, it runs
             entry.was_paused = True
-            is_kept = self.state.settings.halt is HaltMode.PAUSE
+            is_kept = self.state.settings.halt is PreemptionMode.PAUSE
             self.state.move(entry, State.PAUSED if is_kept else State.QUEUED)
             return
         entry.answer_owed = False
@@ -106,10 +106,10 @@
 
     def _halt(self, entry: Entry) -> bool:
         mode = self.state.settings.halt
-        is_lost = mode is HaltMode.DROP and entry.answer_owed and not entry.is_safe
-        if mode is HaltMode.NONE or is_lost:
+        is_lost = mode is PreemptionMode.DROP and entry.answer_owed and not entry.is_safe
+        if mode is PreemptionMode.NONE or is_lost:
             return False
-        self.state.actions.append(Halt(entry.id))
+        self.state.actions.append(Preempt(entry.id))
         self.state.move(entry, State.STOPPING)
         return True
 
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/server_state.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterator
 
-from marlstep.admission.actions import Action, Keep
+from marlstep.admission.actions import Action, KeepKey
 from marlstep.admission.call_latency import CallLatency
 from marlstep.admission.call_reserve import CallReserve
 from marlstep.admission.caller_activity import CallerActivity
@@ -136,7 +136,7 @@
         until = max(self.now, window_end) + self.settings.tick_us
         self.entries.keep_key(entry, until)
         self.wakes.add(entry, until)
-        self.actions.append(Keep(entry.id, until - self.now))
+        self.actions.append(KeepKey(entry.id, until - self.now))
 
     def due_entries(self) -> Iterator[Entry]:
         """Give the entries that are due; an expired key is freed before, an expired entry dropped after."""
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -32,7 +32,7 @@
     UNSAFE = "unsafe"  # at most once
 
 
-class HaltMode(enum.StrEnum):
+class PreemptionMode(enum.StrEnum):
     """What becomes of a run that is preempted."""
 
     NONE = "none"  # runs can't be preempted
@@ -40,7 +40,7 @@
     PAUSE = "pause"  # it keeps its progress and its memory
 
 
-class Saying(enum.StrEnum):
+class LoadSignal(enum.StrEnum):
     """How callers read the value that a server advertises."""
 
     NONE = "none"
@@ -49,7 +49,7 @@
     WEIGHT = "weight"  # the chance that a caller does not skip this server
 
 
-class Below(enum.StrEnum):
+class Downstream(enum.StrEnum):
     """What the downstream calls of a server reach."""
 
     NONE = "none"
@@ -103,10 +103,10 @@
     drain_grace_us: int
     answer_slack_us: int
     tick_us: int
-    halt: HaltMode
-    say: Saying
+    halt: PreemptionMode
+    say: LoadSignal
     heeded_us: int  # for which callers heed an advertised value
-    below: Below
+    below: Downstream
     calls_out: float  # mean number of calls this server may have in the dependency's hands; 0: not bounded
     calls_over_us: int
     linger_us: int  # for which an abandoned call stays in the dependency's hands
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -9,28 +9,28 @@
 
 from marlstep.admission.actions import (
     Action,
+    Advertise,
     Attach,
     Call,
     Fail,
-    Forget,
-    Halt,
+    ForgetKey,
     Health,
     IdleLimit,
-    Keep,
+    KeepKey,
     Log,
-    Refuse,
+    Preempt,
+    Reject,
     Run,
-    Say,
     SetTimer,
-    Skip,
+    SkipCall,
 )
 from marlstep.admission.events import (
     Arrival,
     CallEnded,
     CallNeeded,
+    ClientDisconnected,
     Drain,
     Event,
-    Gone,
     Outcome,
     RunEnded,
     TimerDue,
@@ -76,7 +76,7 @@
 # By the message's `m`. A reader raises KeyError for a field that is missing or has an unknown value.
 READERS: dict[str, Callable[[RawMessage], Event]] = {
     "request": _read_arrival,
-    "timedOutClient": lambda raw: Gone(raw["id"]),
+    "timedOutClient": lambda raw: ClientDisconnected(raw["id"]),
     "needsDep": lambda raw: CallNeeded(raw["id"]),
     "depReply": lambda raw: CallEnded(raw["id"], OUTCOMES[raw["code"]], raw.get("elapsedUs") or 0),
     "workDone": lambda raw: RunEnded(raw["id"], OUTCOMES[raw["code"]], raw.get("elapsedUs") or 0),
@@ -85,7 +85,7 @@
 }
 
 
-def _write_refusal(action: Refuse) -> RawMessage:
+def _write_rejection(action: Reject) -> RawMessage:
     return {
         "m": "overloadReply",
         "id": action.id,
@@ -96,15 +96,15 @@
 
 WRITERS: dict[type[Any], Callable[[Any], RawMessage]] = {
     Run: lambda action: {"m": "process", "id": action.id},
-    Halt: lambda action: {"m": "abortWork", "id": action.id},
-    Refuse: _write_refusal,
+    Preempt: lambda action: {"m": "abortWork", "id": action.id},
+    Reject: _write_rejection,
     Fail: lambda action: {"m": "abort", "id": action.id},
-    Keep: lambda action: {"m": "retain", "id": action.id, "lifetimeUs": action.lifetime_us},
-    Forget: lambda action: {"m": "unpin", "id": action.id},
+    KeepKey: lambda action: {"m": "retain", "id": action.id, "lifetimeUs": action.lifetime_us},
+    ForgetKey: lambda action: {"m": "unpin", "id": action.id},
     Attach: lambda action: {"m": "attach", "id": action.id},
     Call: lambda action: {"m": "callDep", "id": action.id, "tryUntilUs": action.until_us},
-    Skip: lambda action: {"m": "bypass", "id": action.id},
-    Say: lambda action: {"m": "announce", "value": action.value},
+    SkipCall: lambda action: {"m": "bypass", "id": action.id},
+    Advertise: lambda action: {"m": "announce", "value": action.value},
     Health: lambda action: {"m": "readiness", "stored": action.stored, "on": action.good},
     IdleLimit: lambda action: {"m": "idleLimit", "lifetimeUs": action.after_us},
     SetTimer: lambda action: {"m": "arm", "offsetUs": action.after_us, "keyBack": action.tag},
--- a/petrelcart/interface.py
+++ b/petrelcart/interface.py
@@ -8,44 +8,74 @@
     Attach,
     Call,
     Fail,
-    Forget,
-    Halt,
     Health,
     IdleLimit,
-    Keep,
     Log,
-    Refuse,
     Run,
-    Say,
     SetTimer,
     Signal,
-    Skip,
+)
+from marlstep.admission.actions import (
+    Advertise as Say,
+)
+from marlstep.admission.actions import (
+    ForgetKey as Forget,
+)
+from marlstep.admission.actions import (
+    KeepKey as Keep,
+)
+from marlstep.admission.actions import (
+    Preempt as Halt,
+)
+from marlstep.admission.actions import (
+    Reject as Refuse,
+)
+from marlstep.admission.actions import (
+    SkipCall as Skip,
 )
 from marlstep.admission.events import (
-    Allowance,
     Arrival,
     CallEnded,
     CallNeeded,
-    Changed,
     Drain,
     Event,
-    Gone,
-    Learnt,
     Outcome,
-    Room,
     RunEnded,
-    Share,
     TimerDue,
 )
+from marlstep.admission.events import (
+    ClientDisconnected as Gone,
+)
+from marlstep.admission.events import (
+    Measurements as Learnt,
+)
+from marlstep.admission.events import (
+    PoolCapacityChanged as Room,
+)
+from marlstep.admission.events import (
+    PortionChanged as Share,
+)
+from marlstep.admission.events import (
+    QuotaChanged as Allowance,
+)
+from marlstep.admission.events import (
+    SettingsChanged as Changed,
+)
 from marlstep.admission.settings import (
-    Below,
     ClassSettings,
     Effect,
-    HaltMode,
-    Saying,
     Settings,
     TenantSettings,
 )
+from marlstep.admission.settings import (
+    Downstream as Below,
+)
+from marlstep.admission.settings import (
+    LoadSignal as Saying,
+)
+from marlstep.admission.settings import (
+    PreemptionMode as HaltMode,
+)
 
 __all__ = [
     "Action",
--- a/tests/admission/test_events.py
+++ b/tests/admission/test_events.py
@@ -4,7 +4,7 @@
 
 import json
 
-from marlstep.admission.events import Learnt
+from marlstep.admission.events import Measurements
 
 STORED = (
     '{"limit": 2.5, "base_us": 300.0, "call_usual_us": 40.0, "call_mean_us": 50.0, '
@@ -13,11 +13,11 @@
 
 
 def test_what_was_learnt_is_written_under_its_stored_names_in_their_order() -> None:
-    learnt = Learnt(2.5, 300.0, 40.0, 50.0, {"low": 7.0, "high": 0.0})
+    learnt = Measurements(2.5, 300.0, 40.0, 50.0, {"low": 7.0, "high": 0.0})
     assert json.dumps(learnt.to_json()) == STORED
-    assert Learnt.from_mapping(json.loads(STORED)) == learnt
+    assert Measurements.from_mapping(json.loads(STORED)) == learnt
 
 
 def test_what_is_absent_or_makes_no_sense_reads_as_unknown() -> None:
     raw = {"limit": True, "base_us": -1, "call_usual_us": 1e13, "means_us": {"low": "x", 3: 4}, "more": 1}
-    assert Learnt.from_mapping(raw) == Learnt(means_us={"low": 0.0, "3": 4.0})
+    assert Measurements.from_mapping(raw) == Measurements(means_us={"low": 0.0, "3": 4.0})
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -93,7 +93,7 @@
             if isinstance(action, SetTimer):
                 at = max(now + 5 * MS, now + action.after_us + shift_ms * MS)
                 timers += [(at, action.tag)] * times
-            elif type(action).__name__ in ("Fail", "Refuse"):
+            elif type(action).__name__ in ("Fail", "Reject"):
                 answered[action.id] = now  # type: ignore[union-attr]
         if not timers:
             break
@@ -109,7 +109,7 @@
     for index in range(4):
         server.arrive(f"r{index}")
     server.step(TimerDue(server.controller.timer.armed_at, {}), after_ms=9_000)
-    assert {id for action, id in server.done if action in ("Fail", "Refuse")} == {"r0", "r1", "r2", "r3"}
+    assert {id for action, id in server.done if action in ("Fail", "Reject")} == {"r0", "r1", "r2", "r3"}
 
 
 def test_a_class_of_effect_runs_once_with_one_core_and_no_memory_to_spare() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -57,14 +57,14 @@
     server = Server()
     server.arrive("old")
     server.arrive("new")
-    assert server.arrive("top", "high") == [("Halt", "new"), ("Run", "top")]
+    assert server.arrive("top", "high") == [("Preempt", "new"), ("Run", "top")]
 
 
 def test_an_arrival_does_not_pause_its_own_class() -> None:
     server = Server()
     for id in ("a", "b", "c"):
         server.arrive(id, "high")
-    assert ("Halt", "a") not in server.done and ("Run", "c") not in server.done
+    assert ("Preempt", "a") not in server.done and ("Run", "c") not in server.done
 
 
 def test_held_requests_start_by_worth_then_by_age() -> None:
@@ -101,8 +101,8 @@
 def test_an_arrival_over_n_is_refused_at_once() -> None:
     server = Server(cores=1, memory_kb=100.0)  # N: a run of 40 kB and four held of 10 kB under 80 kB
     for index in range(5):
-        assert ("Refuse", f"r{index}") not in server.arrive(f"r{index}")
-    assert server.arrive("over") == [("Refuse", "over")]
+        assert ("Reject", f"r{index}") not in server.arrive(f"r{index}")
+    assert server.arrive("over") == [("Reject", "over")]
 
 
 def test_the_running_limit_grows_by_two_a_second_while_the_cores_have_time() -> None:
@@ -156,7 +156,7 @@
     for index in range(5):
         server.arrive(f"r{index}")
     server.tick(after_ms=2001)
-    assert ("Refuse", "new") not in server.arrive("new")
+    assert ("Reject", "new") not in server.arrive("new")
 
 
 def refused_of_a_line(marks_retry: bool, run_ms: int) -> list[str]:
@@ -166,7 +166,7 @@
         server.end(f"done{index}", after_ms=run_ms)
     for index in range(8):
         server.arrive(f"r{index}")
-    return [id for action, id in server.done if action == "Refuse"]
+    return [id for action, id in server.done if action == "Reject"]
 
 
 def test_an_arrival_that_the_line_keeps_past_its_aim_is_refused_at_once() -> None:
@@ -208,7 +208,7 @@
     server.step(CallNeeded("a"))
     [call] = server.find(Call)
     assert call.until_us < START + 2_000 * MS
-    assert server.step(CallEnded("a", Outcome.TIMEOUT, 1_900 * MS), after_ms=1950) == [("Skip", "a")]
+    assert server.step(CallEnded("a", Outcome.TIMEOUT, 1_900 * MS), after_ms=1950) == [("SkipCall", "a")]
 
 
 def test_while_calls_are_slow_one_at_a_time_is_made_where_they_may_be_left_out() -> None:
@@ -221,7 +221,7 @@
     server.arrive("a")
     server.arrive("b")
     assert server.step(CallNeeded("a")) == [("Call", "a")]
-    assert server.step(CallNeeded("b"), after_ms=1) == [("Skip", "b")]
+    assert server.step(CallNeeded("b"), after_ms=1) == [("SkipCall", "b")]
 
 
 def test_a_run_with_a_key_goes_on_for_its_callers_next_try() -> None:
@@ -297,7 +297,7 @@
 def test_what_could_never_be_started_is_refused_at_once() -> None:
     # Guards against a client whose figures fill the hold, so that all others are refused.
     server = Server(cores=1, memory_kb=1_000.0, run_factor=4.0)
-    assert server.arrive("huge", kb=300.0) == [("Refuse", "huge")]
+    assert server.arrive("huge", kb=300.0) == [("Reject", "huge")]
     assert server.arrive("large", kb=200.0) == [("Run", "large")]
 
 
