--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -332,7 +332,11 @@
         assert [await caller.word(tag) for tag in tags] == ["done"] * len(tags)
         assert place.kernel.classes[f"{1:016x}"] == other
         module = place.core._controller
-        assert place.core.in_hand == 0 and module.memory == 0 and module._in_hand() == 0
+        assert (
+            place.core.in_hand == 0
+            and module.state.entries.memory_kb == 0
+            and module.state.entries.count_unfinished() == 0
+        )
         caller.ask(9, "unlock")
         await place.kernel.read("SCHED", 9)
         place.kernel.reap(9)
