--- a/tests/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -21,9 +21,9 @@
     TimerDue,
 )
 from petrelcart.policy import Controller
+from tests.admission.test_properties import CLASSES, STEP, Model
 from tests.support import helpers
 from tests.support.helpers import MS, START, Server, a_class
-from tests.test_properties import CLASSES, STEP, Model
 
 EDGES: dict[str, dict[str, Any]] = {
     "no share of calls is told": {"below": Below.SHARED, "calls_out": 0.0},
--- a/tests/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 PACKAGE = "marlstep/admission"
 CONTROLLER = f"{PACKAGE}/controller.py"
 DECIDING: list[str] = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
