--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 	$(VENV)/python -m marlstep $(if $(OPERATOR),--operator $(OPERATOR))
 
 sim: build
-	$(VENV)/python -m petrelcart.benchlink
+	$(VENV)/python -m marlstep.simulator
 
 # Long measurements, outside CI; each prints one JSON object.
 bench-traces: build
--- a/marlstep/__init__.py
+++ b/marlstep/__init__.py
@@ -1,1 +1,1 @@
-"""The node: requests, attempts and outcomes on real sockets, decided by petrelcart."""
+"""The node: requests, attempts and outcomes on real sockets, decided by `marlstep.admission`."""
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -54,9 +54,9 @@
 
     def _on_drain(self, event: events.Drain) -> None:
         """Answer all before the process is stopped; without a successor, run no late arrival."""
-        self.state.answer_by = event.stops_us - DRAIN_TICKS * self.state.tick
-        if not event.succeeded:
-            noticed_at = event.noticed_us or self.state.now
+        self.state.answer_by = event.stops_at - DRAIN_TICKS * self.state.tick
+        if not event.has_successor:
+            noticed_at = event.noticed_at or self.state.now
             self.state.last_arrival = noticed_at + self.state.settings.drain_grace_us
             self.state.actions.append(Health(stored=True, good=False))
         for entry in self.state.entries.by_id.values():
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -73,7 +73,7 @@
             deadline=event.gives_up_us or max(now, arrived_at + request_class.deadline_us),
             objective=arrived_at + request_class.aim_us,
             recognised_until=arrived_at + request_class.window_us + request_class.deadline_us,
-            memory_kb=event.kb,
+            memory_kb=event.memory_kb,
             caller=event.caller,
             pool=event.pool,
             is_safe=request_class.effect is Effect.SAFE,
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -38,18 +38,18 @@
     """A request has been read; it is queued until it runs or is answered."""
 
     id: str
-    kind: str  # the name of its request class
-    kb: float  # memory that it takes while it is queued
+    request_class: str  # the name of its request class
+    memory_kb: float  # memory that it takes while it is queued
     caller: int
     unread_us: int  # how long it lay unread in the server's buffers
     gives_up_us: int | None = None  # clock time at which the caller stops waiting
     tenant: str | None = None
     key: int | None = None
-    again: bool = False  # marked as a retry
+    is_retry: bool = False  # marked as a retry
     rank: float = 0.0
-    hint_us: int | None = None
+    cost_hint_us: int | None = None
     prior: str | None = None  # the request with the same idempotency key that this one repeats
-    write: bool = False
+    is_write: bool = False
     pool: str = ""  # of the servers that would do the work; "": the cores of this one
 
 
@@ -89,9 +89,9 @@
 class Drain:
     """This server shuts down gracefully; its process is stopped at the given time."""
 
-    stops_us: int
-    succeeded: bool = False  # another process takes its place: what still arrives is run as ever
-    noticed_us: int = 0  # when the notice came, where that was before this event; else 0
+    stops_at: int
+    has_successor: bool = False  # another process takes its place: what still arrives is run as ever
+    noticed_at: int = 0  # when the notice came, where that was before this event; else 0
 
 
 @dataclass(slots=True)
@@ -123,7 +123,7 @@
     """From now on the servers of a pool run so many requests at once."""
 
     pool: str
-    most: int
+    capacity: int
 
 
 @dataclass(slots=True)
@@ -141,10 +141,10 @@
     """
 
     limit: float = 0.0
-    base_us: float = 0.0
-    call_usual_us: float = 0.0
-    call_mean_us: float = 0.0
-    means_us: Mapping[str, float] = field(default_factory=dict)
+    least_run_us: float = 0.0
+    usual_call_us: float = 0.0
+    mean_call_us: float = 0.0
+    mean_run_us: Mapping[str, float] = field(default_factory=dict)
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, object]) -> Measurements:
@@ -153,21 +153,21 @@
         rows = means.items() if isinstance(means, Mapping) else ()
         return cls(
             **{name: _plausible(raw.get(stored)) for name, stored in STORED_NAMES.items()},
-            means_us={str(name): _plausible(value) for name, value in rows},
+            mean_run_us={str(name): _plausible(value) for name, value in rows},
         )
 
     def to_json(self) -> dict[str, object]:
         """Give the stored form, keys in their fixed order."""
         plain: dict[str, object] = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
-        return {**plain, MEANS_STORED_NAME: dict(self.means_us)}
+        return {**plain, MEANS_STORED_NAME: dict(self.mean_run_us)}
 
 
 # The keys of `Measurements` between two processes, by field; they don't follow the fields' names.
 STORED_NAMES = {
     "limit": "limit",
-    "base_us": "base_us",
-    "call_usual_us": "call_usual_us",
-    "call_mean_us": "call_mean_us",
+    "least_run_us": "base_us",
+    "usual_call_us": "call_usual_us",
+    "mean_call_us": "call_mean_us",
 }
 MEANS_STORED_NAME = "means_us"
 
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -22,7 +22,7 @@
 
     def arrive(self, event: Arrival) -> None:
         """Take in a request that has been read."""
-        request_class = self.state.classes.get(event.kind)
+        request_class = self.state.classes.get(event.request_class)
         if request_class is None:
             self.state.actions.append(Reject(event.id, 0, give_up=True))
             return
--- a/marlstep/admission/parts.py
+++ b/marlstep/admission/parts.py
@@ -73,10 +73,10 @@
         """Give what was measured, for the controller of another process of this server."""
         return Measurements(
             limit=self.concurrency.limit,
-            base_us=self.state.statistics.least_run_us,
-            call_usual_us=self.state.call_latency.usual_us,
-            call_mean_us=self.state.call_latency.mean_us,
-            means_us=dict(self.state.statistics.mean_run_us),
+            least_run_us=self.state.statistics.least_run_us,
+            usual_call_us=self.state.call_latency.usual_us,
+            mean_call_us=self.state.call_latency.mean_us,
+            mean_run_us=dict(self.state.statistics.mean_run_us),
         )
 
     # Events of a request that has ended here are passed over.
@@ -99,8 +99,8 @@
 
     def _on_measurements(self, event: Measurements) -> None:
         self.concurrency.adopt(event.limit)
-        self.state.statistics.adopt(event.means_us, event.base_us)
-        self.state.call_latency.adopt(event.call_usual_us, event.call_mean_us)
+        self.state.statistics.adopt(event.mean_run_us, event.least_run_us)
+        self.state.call_latency.adopt(event.usual_call_us, event.mean_call_us)
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
         self.configure(event.settings, event.retired)
@@ -108,7 +108,7 @@
             self.state.actions.append(IdleLimit(self.state.idle_us))
 
     def _on_pool_capacity_changed(self, event: PoolCapacityChanged) -> None:
-        self.state.entries.pool_capacity[event.pool] = event.most
+        self.state.entries.pool_capacity[event.pool] = event.capacity
 
     def _on_portion_changed(self, event: PortionChanged) -> None:
         self.state.set_portion(event.portion)
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
+from marlstep.admission.events import Outcome as RunOutcome
 from marlstep.config.fleet import TaskConfig
 from marlstep.core.engine import Core, Refused
 from marlstep.core.model import Answer, Backend, Offer, Request, Ticket, Verdict
@@ -18,7 +19,6 @@
 from marlstep.scheduled_tasks.runner import LEASE_MARGIN, RunnerAction
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import ZERO
-from petrelcart.interface import Outcome as RunOutcome
 
 log = logging.getLogger(__name__)
 
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -15,6 +15,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from marlstep.admission.settings import ClassSettings, Effect, Settings, TenantSettings
 from marlstep.config.readers import (
     Address,
     ConfigError,
@@ -30,9 +31,8 @@
     words,
 )
 from marlstep.fronts.mapped import Mapped
+from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
-from petrelcart.benchlink import read_settings
-from petrelcart.interface import ClassSettings, Effect, Settings, TenantSettings
 
 if TYPE_CHECKING:
     from marlstep.config.fleet import ClusterConfig
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -12,6 +12,41 @@
 from dataclasses import dataclass, replace
 from datetime import datetime, timedelta
 
+from marlstep.admission.actions import (
+    Action,
+    Advertise,
+    Attach,
+    Call,
+    Fail,
+    ForgetKey,
+    Health,
+    IdleLimit,
+    KeepKey,
+    Log,
+    Preempt,
+    Reject,
+    Run,
+    SetTimer,
+    SkipCall,
+)
+from marlstep.admission.controller import Controller
+from marlstep.admission.events import (
+    Arrival,
+    CallEnded,
+    CallNeeded,
+    ClientDisconnected,
+    Drain,
+    Event,
+    Measurements,
+    Outcome,
+    PoolCapacityChanged,
+    PortionChanged,
+    QuotaChanged,
+    RunEnded,
+    SettingsChanged,
+    TimerDue,
+)
+from marlstep.admission.settings import ClassSettings, Effect, PreemptionMode, Settings
 from marlstep.core.duty import Duty
 from marlstep.core.keys import Key, KeyTable, Known, label
 from marlstep.core.model import (
@@ -31,42 +66,6 @@
 from marlstep.slots import SlotTable, TableFull
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO, instant, instant_us, span, span_us
-from petrelcart.interface import (
-    Action,
-    Allowance,
-    Arrival,
-    Attach,
-    Call,
-    CallEnded,
-    CallNeeded,
-    Changed,
-    ClassSettings,
-    Drain,
-    Effect,
-    Event,
-    Fail,
-    Forget,
-    Gone,
-    Halt,
-    HaltMode,
-    Health,
-    IdleLimit,
-    Keep,
-    Learnt,
-    Log,
-    Outcome,
-    Refuse,
-    Room,
-    Run,
-    RunEnded,
-    Say,
-    SetTimer,
-    Settings,
-    Share,
-    Skip,
-    TimerDue,
-)
-from petrelcart.policy import Controller
 
 log = logging.getLogger(__name__)
 
@@ -243,22 +242,22 @@
         self._post(
             Arrival(
                 id=offer.id,
-                kind=offer.kind,
-                kb=offer.kb,
+                request_class=offer.kind,
+                memory_kb=offer.kb,
                 caller=offer.caller,
                 unread_us=max(0, span_us(self._timeline.now() - offer.arrived)),
                 tenant=offer.tenant,
                 key=offer.key,
-                again=offer.retry,
+                is_retry=offer.retry,
                 rank=offer.rank,
-                hint_us=None if offer.cost is None else span_us(offer.cost),
+                cost_hint_us=None if offer.cost is None else span_us(offer.cost),
                 # One that is not in hand any more has run, or may have: its id may be another's by now.
                 prior=None
                 if prior is None
                 else prior.id
                 if self._standing(request, prior)
                 else ABROAD + prior.id,
-                write=request.kind.effect is not Effect.SAFE,
+                is_write=request.kind.effect is not Effect.SAFE,
                 pool=offer.pool,
             )
         )
@@ -291,13 +290,13 @@
         request = self._requests.get(handle)
         if request is not None and not request.answered:
             self._count(request, "gone")
-            self._post(Gone(request.id))
+            self._post(ClientDisconnected(request.id))
             self._settle(request)
 
     def allow(self, tenant: str, per_s: float) -> None:
         """Change a tenant's allowance from now on."""
         self.tenants[tenant] = replace(self.tenants[tenant], allowance_per_s=per_s)
-        self._post(Allowance(tenant, per_s))
+        self._post(QuotaChanged(tenant, per_s))
 
     def renew(self, settings: Settings) -> None:
         """Other settings from now on. What is in hand keeps the class that it came with.
@@ -327,7 +326,9 @@
         if settings.say is not old.say:
             self.say = None  # it was a number of another kind
         self.settings = settings
-        self._post(Changed(replace(settings, tenants=tuple(self.tenants.values())), tuple(retired.values())))
+        self._post(
+            SettingsChanged(replace(settings, tenants=tuple(self.tenants.values())), tuple(retired.values()))
+        )
 
     def _count(self, request: Request, what: str) -> None:
         self.counts[what] += 1
@@ -343,7 +344,7 @@
         if outcome is Outcome.CANCELLED and request.halting and not request.answered:
             request.halting = False
             request.worked = True
-            dropped = self.settings.halt is HaltMode.DROP
+            dropped = self.settings.halt is PreemptionMode.DROP
             request.stage = Stage.HELD if dropped else Stage.PAUSED
         else:
             if request.stage is Stage.CALLING:
@@ -392,7 +393,7 @@
         self._post(CallEnded(id, outcome, span_us(elapsed)))
 
     def room(self, pool: str, most: int) -> None:
-        self._post(Room(pool, most))
+        self._post(PoolCapacityChanged(pool, most))
 
     def gauges(self, values: Mapping[str, float]) -> None:
         self._readings, self._read_at = values, self._timeline.now()
@@ -404,7 +405,7 @@
     def take_share(self, share: float, most_requests: int) -> None:
         """This process's part of the node's room, from now on."""
         self._most = min(most_requests, self._requests.limit)
-        self._post(Share(share))
+        self._post(PortionChanged(share))
 
     def used(self) -> tuple[float, float]:
         """Of the node's room: what is in use here, and what all that is in hand may come to use."""
@@ -415,7 +416,7 @@
 
     def learn(self, learnt: Mapping[str, object]) -> None:
         """What the module of another process of this node has learnt; what makes no sense is left out."""
-        self._post(Learnt.from_mapping(learnt))
+        self._post(Measurements.from_mapping(learnt))
 
     def adopt(self, key: Key, told: Known) -> None:
         """Another process says this of a piece of work."""
@@ -451,7 +452,7 @@
         noticed = noticed or self._timeline.now()
         self._run_after = noticed + span(self.settings.drain_grace_us)
         self._end_at(stops_at)
-        self._post(Drain(instant_us(stops_at), noticed_us=instant_us(noticed)))
+        self._post(Drain(instant_us(stops_at), noticed_at=instant_us(noticed)))
         self._timeline.at(
             min(self._run_after, stops_at - STOP_MARGIN),
             lambda: self._timeline.after_reading(self._grace_over),
@@ -462,7 +463,7 @@
         if self.stops_at is None:
             self.duty.hand_over()
             self._end_at(stops_at)
-            self._post(Drain(instant_us(stops_at), succeeded=True))
+            self._post(Drain(instant_us(stops_at), has_successor=True))
             # What has come to a socket of this process alone is read first: nobody else will.
             self._timeline.after_reading(self._handed_over)
 
@@ -509,7 +510,7 @@
         match action:
             case SetTimer(after_us, tag):
                 self._timeline.at(self._timeline.now() + span(after_us), lambda: self._timer(tag))
-            case Say(value):
+            case Advertise(value):
                 self.say = value
             case Health(_, good):
                 self._module_well = good
@@ -525,11 +526,11 @@
         match action:
             case Run():
                 self._run(request)
-            case Halt():
+            case Preempt():
                 if request.stage is Stage.RUNNING:
                     request.halting = True
                     request.backend.pause(request)
-            case Refuse(_, retry_after_us, give_up):
+            case Reject(_, retry_after_us, give_up):
                 if request.started and request.kind.effect is not Effect.SAFE:
                     log.error("the module refused work that has run: failed instead")
                     self._answer(request, Answer(Verdict.FAILED))
@@ -538,16 +539,16 @@
             case Fail():
                 verdict = Verdict.FAILED if request.faulty else Verdict.EXPIRED
                 self._answer(request, Answer(verdict))
-            case Keep(_, lifetime_us):
+            case KeepKey(_, lifetime_us):
                 self._keep(request, span(lifetime_us))
-            case Forget():
+            case ForgetKey():
                 if request.key:
                     self.keys.drop(request.key, request.id, kept_too=True)
             case Attach():
                 self._attach(request)
             case Call(_, until_us):
                 self._call(request, instant(until_us))
-            case Skip():
+            case SkipCall():
                 request.stage, request.faulty = Stage.RUNNING, False
                 request.backend.skip(request)
         self._release_if_over(request)
@@ -559,7 +560,7 @@
         if request.answered or late or (effect and request.started and request.stage is not Stage.PAUSED):
             log.error("the module would run %s against the rules: given up", request.id)
             self._give_up(request)
-            self._post(Gone(request.id))
+            self._post(ClientDisconnected(request.id))
         elif request.stage is Stage.PAUSED:
             request.stage = Stage.RUNNING
             request.backend.resume(request)
@@ -646,7 +647,7 @@
         if not request.answered:
             log.warning("%s was still unanswered when due", request.id)
             self._give_up(request)
-            self._post(Gone(request.id))
+            self._post(ClientDisconnected(request.id))
 
     def _give_up(self, request: Request) -> None:
         if request.answered:
--- a/marlstep/core/model.py
+++ b/marlstep/core/model.py
@@ -8,8 +8,9 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
+from marlstep.admission.events import Outcome
+from marlstep.admission.settings import ClassSettings
 from marlstep.timer_queue import Deadline
-from petrelcart.interface import ClassSettings, Outcome
 
 Ticket = tuple[int, int]  # a front's own way to find where an answer goes
 
--- a/marlstep/platform/db.py
+++ b/marlstep/platform/db.py
@@ -15,12 +15,13 @@
 from datetime import datetime
 from functools import partial
 
+from marlstep.admission.events import Outcome
+from marlstep.admission.settings import Effect
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineFault, LineStream, length
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, SECOND, whole_ms
-from petrelcart.interface import Effect, Outcome
 
 log = logging.getLogger(__name__)
 
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -16,12 +16,12 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from marlstep.admission.events import Outcome
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineFault, LineStream, length
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
-from petrelcart.interface import Outcome
 
 log = logging.getLogger(__name__)
 
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -54,18 +54,18 @@
 def _read_arrival(raw: RawMessage) -> Arrival:
     return Arrival(
         id=raw["id"],
-        kind=raw["class"],
-        kb=raw["kb"],
+        request_class=raw["class"],
+        memory_kb=raw["kb"],
         caller=raw.get("neighbour") or 0,
         unread_us=raw.get("unreadForUs") or 0,
         gives_up_us=raw.get("dropDeadUs") or None,
         tenant=raw.get("team") or None,
         key=raw.get("entity"),
-        again=bool(raw.get("againByClient")),
+        is_retry=bool(raw.get("againByClient")),
         rank=raw.get("prio") or 0.0,
-        hint_us=raw.get("weightHintUs"),
+        cost_hint_us=raw.get("weightHintUs"),
         prior=raw.get("prior") or None,
-        write=bool(raw.get("mutates")),
+        is_write=bool(raw.get("mutates")),
     )
 
 
--- a/marlstep/traces/replay/figures.py
+++ b/marlstep/traces/replay/figures.py
@@ -14,8 +14,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from marlstep.admission.settings import ClassSettings
 from marlstep.traces.mapping import Planned
-from petrelcart.interface import ClassSettings
 
 MOST_US = 60_000_000
 WORST_SECONDS = 10
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -9,6 +9,8 @@
 from collections.abc import Callable, Iterator, Sequence
 from datetime import datetime, timedelta
 
+from marlstep.admission.events import Outcome
+from marlstep.admission.settings import Settings
 from marlstep.core.engine import Core, Ports, Refused
 from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
 from marlstep.standins.cores import Machine, Notice, Plan
@@ -16,7 +18,6 @@
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
 from marlstep.units import EPOCH, MICROSECOND, SECOND, span, span_us
-from petrelcart.interface import Outcome, Settings
 
 START = EPOCH + 1_800_000_000 * SECOND
 HELD_KB = 20.0
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -13,6 +13,8 @@
 from dataclasses import dataclass, field
 from datetime import datetime
 
+from marlstep.admission.events import Outcome
+from marlstep.admission.settings import Effect
 from marlstep.core.model import Request, Sink
 from marlstep.net.eventloop import Dial, dial
 from marlstep.pool.plan import Address, Plan, server_name
@@ -21,7 +23,6 @@
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 from marlstep.upstreams.attempt import Attempt
-from petrelcart.interface import Effect, Outcome
 
 log = logging.getLogger(__name__)
 
--- a/petrelcart/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Overload control that lives inside each server of a fleet."""
--- a/tests/admission/random_world.py
+++ b/tests/admission/random_world.py
@@ -12,44 +12,48 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from petrelcart.interface import (
+from marlstep.admission.actions import (
     Action,
-    Allowance,
-    Arrival,
+    Advertise,
     Attach,
-    Below,
     Call,
-    CallEnded,
-    CallNeeded,
-    Changed,
-    Drain,
-    Effect,
-    Event,
     Fail,
-    Forget,
-    Gone,
-    Halt,
-    HaltMode,
+    ForgetKey,
     Health,
     IdleLimit,
-    Keep,
-    Learnt,
+    KeepKey,
     Log,
-    Outcome,
-    Refuse,
-    Room,
+    Preempt,
+    Reject,
     Run,
-    RunEnded,
-    Say,
-    Saying,
     SetTimer,
+    SkipCall,
+)
+from marlstep.admission.controller import Controller
+from marlstep.admission.events import (
+    Arrival,
+    CallEnded,
+    CallNeeded,
+    ClientDisconnected,
+    Drain,
+    Event,
+    Measurements,
+    Outcome,
+    PoolCapacityChanged,
+    PortionChanged,
+    QuotaChanged,
+    RunEnded,
+    SettingsChanged,
+    TimerDue,
+)
+from marlstep.admission.settings import (
+    Downstream,
+    Effect,
+    LoadSignal,
+    PreemptionMode,
     Settings,
-    Share,
-    Skip,
     TenantSettings,
-    TimerDue,
 )
-from petrelcart.policy import Controller
 from tests.support import helpers
 
 TURNS = 40
@@ -57,15 +61,15 @@
 OUTCOMES = (*[Outcome.OK] * 12, *Outcome)
 STORED_NAMES: dict[type, str] = {
     Run: "run",
-    Halt: "halt",
-    Refuse: "refuse",
+    Preempt: "halt",
+    Reject: "refuse",
     Fail: "fail",
-    Keep: "keep",
-    Forget: "forget",
+    KeepKey: "keep",
+    ForgetKey: "forget",
     Attach: "attach",
     Call: "call",
-    Skip: "skip",
-    Say: "say",
+    SkipCall: "skip",
+    Advertise: "say",
     Health: "health",
     IdleLimit: "idle",
     SetTimer: "timer",
@@ -101,23 +105,23 @@
     return {
         "plain": helpers.settings(classes=classes),
         "drop, shared dependency": helpers.settings(
-            classes=late, halt=HaltMode.DROP, below=Below.SHARED, calls_out=0.6, fall_multiple=3.0
+            classes=late, halt=PreemptionMode.DROP, below=Downstream.SHARED, calls_out=0.6, fall_multiple=3.0
         ),
         "no halt, cold, little memory": helpers.settings(
-            classes=late, halt=HaltMode.NONE, cold=True, memory_kb=200.0, warm_after_us=2_000 * MS
+            classes=late, halt=PreemptionMode.NONE, cold=True, memory_kb=200.0, warm_after_us=2_000 * MS
         ),
         "tenants and credit": helpers.settings(
-            classes=late, tenants=tenants, over_share_worth=0.1, say=Saying.CREDIT, marks_retry=True
+            classes=late, tenants=tenants, over_share_worth=0.1, say=LoadSignal.CREDIT, marks_retry=True
         ),
         "tier, one core": helpers.settings(
-            classes=classes, cores=1, below=Below.TIER, say=Saying.LEVEL, memory_kb=500.0
+            classes=classes, cores=1, below=Downstream.TIER, say=LoadSignal.LEVEL, memory_kb=500.0
         ),
         "shared dependency, cold, tenants": helpers.settings(
             classes=late,
             tenants=tenants,
             over_share_worth=0.3,
             cold=True,
-            below=Below.SHARED,
+            below=Downstream.SHARED,
             calls_out=2.0,
             cores=4,
         ),
@@ -202,7 +206,7 @@
             else None,
             tenant=self.random.choice((None, "riad", "souk", "dar")) if self.settings.tenants else None,
             key=key,
-            again=self.random.random() < 0.2,
+            is_retry=self.random.random() < 0.2,
             prior=prior,
             pool=self.random.choice(("", "", "", "west")),
         )
@@ -212,7 +216,7 @@
             return None
         chance = self.random.random()
         if chance < 0.01:
-            return Gone(name)
+            return ClientDisconnected(name)
         if known.state == "running" and chance < 0.25:
             known.state = "over"
             return RunEnded(name, self.random.choice(OUTCOMES), self.random.randrange(300) * MS)
@@ -229,10 +233,10 @@
 
     def _rare_event(self) -> Event:
         makers: list[Callable[[], Event]] = [
-            lambda: Share(self.random.choice((0.2, 0.5, 1.0))),
-            lambda: Room("west", self.random.randrange(0, 4)),
-            lambda: Allowance("riad", self.random.choice((0.0, 3.0, 60.0))),
-            lambda: Learnt(3.0, 20_000.0, 30_000.0, 40_000.0, {"low": 50_000.0, "high": 10_000.0}),
+            lambda: PortionChanged(self.random.choice((0.2, 0.5, 1.0))),
+            lambda: PoolCapacityChanged("west", self.random.randrange(0, 4)),
+            lambda: QuotaChanged("riad", self.random.choice((0.0, 3.0, 60.0))),
+            lambda: Measurements(3.0, 20_000.0, 30_000.0, 40_000.0, {"low": 50_000.0, "high": 10_000.0}),
             self._changed,
         ]
         if not self.draining and self.random.random() < 0.2:
@@ -240,10 +244,10 @@
             return Drain(self.now + 3_000 * MS, self.random.random() < 0.3, self.now - 5 * MS)
         return self.random.choice(makers)()
 
-    def _changed(self) -> Changed:
+    def _changed(self) -> SettingsChanged:
         kept = self.settings.classes[1:]
         fewer = dataclasses.replace(self.settings, classes=kept, memory_kb=self.settings.memory_kb * 0.8)
-        return Changed(fewer, self.settings.classes[:1])
+        return SettingsChanged(fewer, self.settings.classes[:1])
 
     def _obey(self, action: Action) -> None:
         match action:
@@ -251,20 +255,20 @@
                 self.timers.append((self.now + action.after_us, action.tag))
             case Run(id=name):
                 self.requests[name].state = "running"
-            case Halt(id=name):
+            case Preempt(id=name):
                 if self.random.random() < 0.9:
                     self.requests[name].state = "paused"
                     self.pending.append(RunEnded(name, Outcome.CANCELLED, 0))
-            case Refuse(id=name) | Fail(id=name):
+            case Reject(id=name) | Fail(id=name):
                 if self.requests[name].state != "running":
                     self.requests[name].state = "over"
             case Call(id=name):
                 self.requests[name].state = "calling"
-            case Skip(id=name):
+            case SkipCall(id=name):
                 self.requests[name].state = "running"
-            case Keep(id=name):
+            case KeepKey(id=name):
                 self.requests[name].kept = True
-            case Forget(id=name):
+            case ForgetKey(id=name):
                 self.requests[name].kept = False
             case Attach(id=name):
                 self.requests[name].state = "attached"
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -8,32 +8,23 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelcart.interface import (
-    Arrival,
-    Below,
-    CallNeeded,
-    Effect,
-    Gone,
-    Outcome,
-    RunEnded,
-    Saying,
-    SetTimer,
-    TimerDue,
-)
-from petrelcart.policy import Controller
+from marlstep.admission.actions import SetTimer
+from marlstep.admission.controller import Controller
+from marlstep.admission.events import Arrival, CallNeeded, ClientDisconnected, Outcome, RunEnded, TimerDue
+from marlstep.admission.settings import Downstream, Effect, LoadSignal
 from tests.admission.test_properties import CLASSES, STEP, Model
 from tests.support import helpers
 from tests.support.helpers import MS, START, Server, a_class
 
 EDGES: dict[str, dict[str, Any]] = {
-    "no share of calls is told": {"below": Below.SHARED, "calls_out": 0.0},
-    "a share of calls under one": {"below": Below.SHARED, "calls_out": 0.3},
-    "a share of calls far above": {"below": Below.SHARED, "calls_out": 1000.0},
-    "no callers": {"callers": 0, "say": Saying.CREDIT},
-    "a thousand callers": {"callers": 1000, "say": Saying.CREDIT},
+    "no share of calls is told": {"below": Downstream.SHARED, "calls_out": 0.0},
+    "a share of calls under one": {"below": Downstream.SHARED, "calls_out": 0.3},
+    "a share of calls far above": {"below": Downstream.SHARED, "calls_out": 1000.0},
+    "no callers": {"callers": 0, "say": LoadSignal.CREDIT},
+    "a thousand callers": {"callers": 1000, "say": LoadSignal.CREDIT},
     "one core": {"cores": 1},
     "a hold shorter than the running set": {"cores": 8, "memory_kb": 70.0},
-    "callers that are never heard again": {"say": Saying.CREDIT, "heeded_us": 0},
+    "callers that are never heard again": {"say": LoadSignal.CREDIT, "heeded_us": 0},
     "no idle limit": {"idle_us": 0},
 }
 
@@ -51,7 +42,7 @@
 
 
 def test_a_share_that_one_call_overfills_lets_one_out_at_a_time() -> None:
-    server = Server(cores=4, below=Below.SHARED, calls_out=0.01)
+    server = Server(cores=4, below=Downstream.SHARED, calls_out=0.01)
     server.arrive("a")
     server.arrive("b")
     calls = [id for action, id in server.step(CallNeeded("a"), CallNeeded("b")) if action == "Call"]
@@ -59,13 +50,13 @@
 
 
 def test_what_is_remembered_stays_bounded_while_callers_come_and_go() -> None:
-    server = Server(cores=2, say=Saying.CREDIT, below=Below.SHARED, calls_out=0.5)
+    server = Server(cores=2, say=LoadSignal.CREDIT, below=Downstream.SHARED, calls_out=0.5)
     sizes = []
     for turn in range(4_000):
         id, kind = f"r{turn}", ("low", "keyed", "high")[turn % 3]
         server.arrive(id, kind, after_ms=50, caller=turn)
         if turn % 7 == 0:
-            server.step(Gone(id))
+            server.step(ClientDisconnected(id))
         server.end(id, after_ms=50)
         server.step(TimerDue(server.controller.timer.armed_at, {"cpu": 0.5, "conns": 50.0}))
         own = server.controller
@@ -116,7 +107,7 @@
     keyed = a_class("keyed", effect=Effect.KEYED)
     server = Server(classes=(keyed,), cores=1, memory_kb=50.0)
     server.arrive("k", "keyed")
-    server.arrive("again", "keyed", prior="k", kb=4.0)
+    server.arrive("again", "keyed", prior="k", memory_kb=4.0)
     server.step(RunEnded("k", Outcome.OK, 0))
     assert [id for action, id in server.done if action == "Run"].count("k") <= 1
     assert ("Run", "again") not in server.done or ("Run", "k") not in server.done
--- a/tests/admission/test_events.py
+++ b/tests/admission/test_events.py
@@ -20,4 +20,4 @@
 
 def test_what_is_absent_or_makes_no_sense_reads_as_unknown() -> None:
     raw = {"limit": True, "base_us": -1, "call_usual_us": 1e13, "means_us": {"low": "x", 3: 4}, "more": 1}
-    assert Measurements.from_mapping(raw) == Measurements(means_us={"low": 0.0, "3": 4.0})
+    assert Measurements.from_mapping(raw) == Measurements(mean_run_us={"low": 0.0, "3": 4.0})
--- a/tests/admission/test_mechanism.py
+++ b/tests/admission/test_mechanism.py
@@ -1,22 +1,9 @@
 """The ordinary path: each step of pre-emptive resume by class."""
 
-from petrelcart.interface import (
-    Arrival,
-    Below,
-    Call,
-    CallEnded,
-    CallNeeded,
-    Effect,
-    Event,
-    Health,
-    IdleLimit,
-    Outcome,
-    Say,
-    Saying,
-    SetTimer,
-    TimerDue,
-)
-from petrelcart.policy import Controller
+from marlstep.admission.actions import Advertise, Call, Health, IdleLimit, SetTimer
+from marlstep.admission.controller import Controller
+from marlstep.admission.events import Arrival, CallEnded, CallNeeded, Event, Outcome, TimerDue
+from marlstep.admission.settings import Downstream, Effect, LoadSignal
 from tests.support.helpers import MS, START, Server, a_class, settings
 
 
@@ -188,22 +175,24 @@
 
 
 def test_callers_get_credit_only_once_there_is_a_line() -> None:
-    server = Server(cores=1, say=Saying.CREDIT)
+    server = Server(cores=1, say=LoadSignal.CREDIT)
     for index in range(2):
         server.arrive(f"done{index}")
         server.end(f"done{index}", after_ms=400)
     server.tick()
-    [free] = server.find(Say)
+    [free] = server.find(Advertise)
     server.arrive("a")
     server.arrive("b")
     server.tick(after_ms=50)
-    [bound] = server.find(Say)
+    [bound] = server.find(Advertise)
     assert 1 <= bound.value < free.value
     assert server.now > START
 
 
 def test_a_class_that_may_goes_on_without_its_call_in_time_for_its_aim() -> None:
-    server = Server(classes=(a_class("low", calls=True, skip_worth=0.5),), below=Below.SHARED, calls_out=4.0)
+    server = Server(
+        classes=(a_class("low", calls=True, skip_worth=0.5),), below=Downstream.SHARED, calls_out=4.0
+    )
     server.arrive("a")
     server.step(CallNeeded("a"))
     [call] = server.find(Call)
@@ -212,7 +201,9 @@
 
 
 def test_while_calls_are_slow_one_at_a_time_is_made_where_they_may_be_left_out() -> None:
-    server = Server(classes=(a_class("low", calls=True, skip_worth=0.5),), below=Below.SHARED, calls_out=4.0)
+    server = Server(
+        classes=(a_class("low", calls=True, skip_worth=0.5),), below=Downstream.SHARED, calls_out=4.0
+    )
     for index in range(10):
         server.arrive(f"r{index}")
         server.step(CallNeeded(f"r{index}"))
@@ -280,7 +271,7 @@
     # had asked once, and for ten seconds half of all requests were turned away with cores to spare.
     said = []
     for others in (0, 40):
-        server = Server(cores=1, say=Saying.CREDIT, memory_kb=100_000.0)
+        server = Server(cores=1, say=LoadSignal.CREDIT, memory_kb=100_000.0)
         for index in range(30):
             server.arrive(f"done{index}", caller=index % 3)
             server.end(f"done{index}", after_ms=20)
@@ -290,15 +281,15 @@
         server.arrive("a")
         server.arrive("b")
         server.tick(after_ms=50)
-        said.append(server.find(Say)[0].value)
+        said.append(server.find(Advertise)[0].value)
     assert said[1] > 0.5 * said[0]
 
 
 def test_what_could_never_be_started_is_refused_at_once() -> None:
     # Guards against a client whose figures fill the hold, so that all others are refused.
     server = Server(cores=1, memory_kb=1_000.0, run_factor=4.0)
-    assert server.arrive("huge", kb=300.0) == [("Reject", "huge")]
-    assert server.arrive("large", kb=200.0) == [("Run", "large")]
+    assert server.arrive("huge", memory_kb=300.0) == [("Reject", "huge")]
+    assert server.arrive("large", memory_kb=200.0) == [("Run", "large")]
 
 
 def test_a_call_that_may_be_made_again_is_not_waited_for_to_the_end_and_a_setpoints_is() -> None:
@@ -330,7 +321,7 @@
 
 
 def test_a_run_that_the_kernel_did_not_know_tells_nothing_of_the_pace() -> None:
-    server = Server(cores=1, say=Saying.CREDIT)
+    server = Server(cores=1, say=LoadSignal.CREDIT)
     server.arrive("real")
     server.end("real", after_ms=400)
     pace = server.controller.state.statistics.us_per_run()
@@ -348,11 +339,11 @@
     controller = Controller(settings(cores=1), seed=1)
     controller.decide(START, [])
     twice: list[Event] = [
-        Arrival("a", "low", kb=10.0, caller=1, unread_us=0),
-        Arrival("b", "low", kb=10.0, caller=1, unread_us=0),
+        Arrival("a", "low", memory_kb=10.0, caller=1, unread_us=0),
+        Arrival("b", "low", memory_kb=10.0, caller=1, unread_us=0),
     ]
     controller.decide(START, twice)
-    controller.decide(START + MS, [Arrival("a", "high", kb=10.0, caller=1, unread_us=0)])
+    controller.decide(START + MS, [Arrival("a", "high", memory_kb=10.0, caller=1, unread_us=0)])
     assert (
         controller.state.entries.count_unfinished() == 2
         and controller.state.entries.by_id["a"].request_class.name == "high"
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -7,32 +7,31 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from petrelcart.interface import (
-    Arrival,
+from marlstep.admission.actions import (
     Attach,
-    Below,
     Call,
+    Fail,
+    ForgetKey,
+    KeepKey,
+    Preempt,
+    Reject,
+    Run,
+    SetTimer,
+    SkipCall,
+)
+from marlstep.admission.controller import Controller
+from marlstep.admission.events import (
+    Arrival,
     CallEnded,
     CallNeeded,
-    ClassSettings,
+    ClientDisconnected,
     Drain,
     Event,
-    Fail,
-    Forget,
-    Gone,
-    Halt,
-    HaltMode,
-    Keep,
     Outcome,
-    Refuse,
-    Run,
     RunEnded,
-    SetTimer,
-    Settings,
-    Skip,
     TimerDue,
 )
-from petrelcart.policy import Controller
+from marlstep.admission.settings import ClassSettings, Downstream, PreemptionMode, Settings
 from tests.support import helpers
 from tests.support.helpers import MS, START
 
@@ -139,7 +138,7 @@
             elif one.state in ("call", "calling"):
                 self.pending.append(RunEnded(id, Outcome.CANCELLED, 0))
                 one.state = "over"
-            return [Gone(id)]
+            return [ClientDisconnected(id)]
         return []
 
     def ends(self, id: str, one: Try, outcome: Outcome) -> list[Event]:
@@ -152,37 +151,39 @@
 
     def obey(self, action: object) -> None:
         one = self.tries[action.id] if isinstance(
-            action, Run | Halt | Refuse | Fail | Keep | Forget | Attach | Call | Skip
+            action, Run | Preempt | Reject | Fail | KeepKey | ForgetKey | Attach | Call | SkipCall
         ) else None  # fmt: skip
         match action:
             case SetTimer():
                 self.timers.append((self.now + action.after_us, action.tag))
-            case Keep():
+            case KeepKey():
                 assert one is not None
                 assert one.kind.effect == "keyed"
                 self.kept = {id: until for id, until in self.kept.items() if self.tries[id].key != one.key}
                 self.kept[action.id] = self.now + action.lifetime_us
-            case Forget():
+            case ForgetKey():
                 assert one is not None
                 self.kept.pop(action.id, None)
                 assert not one.ran, "a key was forgotten after its run"
             case Run() if one and one.state in ("held", "paused"):
                 self.runs(action.id, one)
-            case Halt():
+            case Preempt():
                 assert one is not None
-                assert self.told.halt != HaltMode.NONE, "a halt where it is a fault"
+                assert self.told.halt != PreemptionMode.NONE, "a halt where it is a fault"
                 if one.state == "running" and self.draw.draw(st.integers(0, 9)) > 0:
                     over = one.answers or one.gone
-                    one.state = "over" if over else ("paused" if self.told.halt == HaltMode.PAUSE else "held")
+                    one.state = (
+                        "over" if over else ("paused" if self.told.halt == PreemptionMode.PAUSE else "held")
+                    )
                     self.pending.append(RunEnded(action.id, Outcome.CANCELLED, 0))
-            case Refuse() | Fail() if one:
+            case Reject() | Fail() if one:
                 self.answered(action, one)
             case Attach():
                 assert one is not None
                 one.state = "attached" if one.state == "held" else one.state
             case Call() if one and one.state == "call":
                 one.state, one.call_until = "calling", action.until_us
-            case Skip() if one:
+            case SkipCall() if one:
                 assert one.kind.skip_worth > 0, "a skip where it is a fault"
                 one.state = "running" if one.state == "call" else one.state
 
@@ -201,7 +202,7 @@
             assert one.arrived <= self.drained + self.told.drain_grace_us, "ran what came after the grace"
         one.ran, one.state = True, "running"
 
-    def answered(self, action: Refuse | Fail, one: Try) -> None:
+    def answered(self, action: Reject | Fail, one: Try) -> None:
         assert one.answers == 0 or one.gone, "answered twice"
         assert isinstance(action, Fail) or one.kind.effect == "safe" or not one.ran, "refused what has run"
         one.answers += 1
@@ -236,7 +237,7 @@
         self.lingering = [until for until in self.lingering if until > self.now]
         calls = sum(one.state == "calling" for one in self.tries.values()) + len(self.lingering)
         self.in_hand = [*self.in_hand, calls][-self.told.calls_over_us // STEP :]
-        if self.told.below == Below.SHARED and self.told.calls_out > 0:
+        if self.told.below == Downstream.SHARED and self.told.calls_out > 0:
             most = self.told.calls_out * self.told.calls_over_us / STEP
             assert sum(self.in_hand) <= most, "too many calls in hand in the mean"
 
@@ -244,14 +245,14 @@
 @settings(derandomize=True, deadline=None, max_examples=40, phases=[Phase.generate])
 @given(
     st.data(),
-    st.sampled_from(list(HaltMode)),
-    st.sampled_from(list(Below)),
+    st.sampled_from(list(PreemptionMode)),
+    st.sampled_from(list(Downstream)),
     st.booleans(),
     st.sampled_from([150.0, 400.0, 3000.0]),
     st.sampled_from([0.4, 1.0, 3.0]),
 )
 def test_the_four_rules_hold_on_any_sequence(
-    data: st.DataObject, halt: HaltMode, below: Below, cold: bool, memory: float, calls: float
+    data: st.DataObject, halt: PreemptionMode, below: Downstream, cold: bool, memory: float, calls: float
 ) -> None:
     told = helpers.settings(
         classes=CLASSES,
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -13,6 +13,7 @@
 
 from marlstep.admin.api import Admin
 from marlstep.admin.http import Call
+from marlstep.admission.events import Outcome
 from marlstep.cli.main import call
 from marlstep.cluster import wire
 from marlstep.components.admin import AdminComponent
@@ -21,7 +22,6 @@
 from marlstep.membership.partition_state import PartitionObservation
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.replicated_config.documents import canonical_json
-from petrelcart.interface import Outcome
 from tests.golden.commands import NODES, Running, acked_by_all, at_stage, leave_open, members, put
 from tests.golden.everything import KEY, TOKEN, counted_names
 from tests.golden.files import read_golden
--- a/tests/golden/test_restart_messages.py
+++ b/tests/golden/test_restart_messages.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from marlstep.admission.events import Measurements
 from marlstep.handover import wire
-from petrelcart.interface import Learnt
 from tests.golden import checks
 from tests.golden.conversation import classes_of, tags_of
 from tests.golden.restart_messages import CONVERSATION, LEARNT, MESSAGES
@@ -89,10 +89,10 @@
 def test_what_a_process_has_learnt_goes_over_under_the_stored_names() -> None:
     core = Elsewhere().core
     assert list(core.learnt()) == list(LEARNT)
-    assert Learnt.from_mapping(LEARNT) == Learnt(
+    assert Measurements.from_mapping(LEARNT) == Measurements(
         limit=12.5,
-        base_us=900.0,
-        call_usual_us=9000.0,
-        call_mean_us=9500.0,
-        means_us={"temp-history": 300000.0},
+        least_run_us=900.0,
+        usual_call_us=9000.0,
+        mean_call_us=9500.0,
+        mean_run_us={"temp-history": 300000.0},
     )
--- a/tests/test_benchlink.py
+++ b/tests/simulator/test_adapter.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from petrelcart.benchlink import Link, WireError, read_settings, serve
+from marlstep.simulator.adapter import Link, WireError, serve
+from marlstep.simulator.configuration import read_settings
 
 CONF: dict[str, Any] = {
     "classes": [
@@ -131,7 +132,7 @@
 )
 def test_what_is_malformed_is_told_in_one_line(line: str, words: str) -> None:
     text = '{"m":"mark","clockUs":5}\n' + line + '\n{"m":"eob"}\n'
-    command = [sys.executable, "-m", "petrelcart.benchlink"]
+    command = [sys.executable, "-m", "marlstep.simulator"]
     done = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
     assert done.returncode != 0 and done.stdout == ""
     assert words in done.stderr and done.stderr.count("\n") == 1
@@ -145,7 +146,7 @@
 
 
 def test_the_end_of_input_is_a_clean_exit() -> None:
-    command = [sys.executable, "-m", "petrelcart.benchlink"]
+    command = [sys.executable, "-m", "marlstep.simulator"]
     done = subprocess.run(command, input="", capture_output=True, text=True, check=False)
     assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
 
--- a/tests/support/elsewhere.py
+++ b/tests/support/elsewhere.py
@@ -5,12 +5,12 @@
 import copy
 from typing import Any
 
+from marlstep.admission.events import Outcome
 from marlstep.core.engine import Core, Ports
 from marlstep.fronts.resp import RespConnection, RespFront
 from marlstep.fronts.resp_wire import write_frame
+from marlstep.simulator.configuration import read_settings
 from marlstep.units import SECOND, instant_us
-from petrelcart.benchlink import read_settings
-from petrelcart.interface import Outcome
 from tests.support.node import Desk, Wire, raw_config
 
 ELSEWHERE: dict[str, Any] = {
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -5,21 +5,17 @@
 import dataclasses
 from typing import Any
 
-from petrelcart.interface import (
-    Action,
-    Arrival,
-    Below,
+from marlstep.admission.actions import Action
+from marlstep.admission.controller import Controller
+from marlstep.admission.events import Arrival, Event, Outcome, RunEnded, TimerDue
+from marlstep.admission.settings import (
     ClassSettings,
+    Downstream,
     Effect,
-    Event,
-    HaltMode,
-    Outcome,
-    RunEnded,
-    Saying,
+    LoadSignal,
+    PreemptionMode,
     Settings,
-    TimerDue,
 )
-from petrelcart.policy import Controller
 
 START = 5_000_000
 MS = 1000
@@ -67,10 +63,10 @@
         drain_grace_us=1_000 * MS,
         answer_slack_us=60 * MS,
         tick_us=5 * MS,
-        halt=HaltMode.PAUSE,
-        say=Saying.NONE,
+        halt=PreemptionMode.PAUSE,
+        say=LoadSignal.NONE,
         heeded_us=1_000 * MS,
-        below=Below.NONE,
+        below=Downstream.NONE,
         calls_out=0.0,
         calls_over_us=5_000 * MS,
         linger_us=200 * MS,
@@ -106,7 +102,7 @@
         return self.step(self.request(id, kind, after_ms=after_ms, **other), after_ms=after_ms)
 
     def request(self, id: str, kind: str = "low", after_ms: float = 0, **other: Any) -> Arrival:
-        plain = Arrival(id=id, kind=kind, kb=10.0, caller=1, unread_us=0)
+        plain = Arrival(id=id, request_class=kind, memory_kb=10.0, caller=1, unread_us=0)
         plain.gives_up_us = self.now + int(after_ms * MS) + 4_000 * MS
         return dataclasses.replace(plain, **other)
 
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -7,14 +7,14 @@
 from datetime import datetime, timedelta
 from typing import Any, cast
 
+from marlstep.admission.events import Outcome
 from marlstep.core.engine import Core, Ports
 from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
 from marlstep.net.eventloop import Address, Done, Make
 from marlstep.net.stream import RingStream
+from marlstep.simulator.configuration import read_settings
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND
-from petrelcart.benchlink import read_settings
-from petrelcart.interface import Outcome
 
 START = EPOCH + 1_800_000_000 * SECOND
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from marlstep.admission.events import Outcome
 from marlstep.core.engine import Refused, Repeated
 from marlstep.core.model import Request, Verdict
 from marlstep.units import SECOND
-from petrelcart.interface import Outcome
 from tests.support.node import SETTINGS, Desk
 
 
--- a/tests/test_core_properties.py
+++ b/tests/test_core_properties.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from marlstep.admission.events import Outcome
 from marlstep.core.engine import Refused
 from marlstep.core.model import Stage, Verdict
 from marlstep.units import MILLISECOND, SECOND
-from petrelcart.interface import Outcome
 from tests.support.node import Desk
 from tests.test_parsers import FIXED
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -12,6 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from marlstep.admission.events import Outcome
 from marlstep.core.duty import State
 from marlstep.core.engine import Refused
 from marlstep.core.model import Stage, Verdict
@@ -21,7 +22,6 @@
 from marlstep.handover.sharing import ALL, HALF, LEAST, Sharing
 from marlstep.net.ring import Ring
 from marlstep.units import MILLISECOND, SECOND
-from petrelcart.interface import Outcome
 from tests.support.node import SETTINGS, START, Desk, HandClock
 from tests.test_parsers import CUTS, FIXED, GARBAGE, pieces
 
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("marlstep", "petrelcart")
+PACKAGES = ("marlstep",)
 
 Graph = Mapping[str, set[str]]  # a module, and the modules that it imports
 
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from marlstep.admission.events import Outcome
 from marlstep.core.model import Request
 from marlstep.platform.kernel import Kernel
 from marlstep.units import MILLISECOND
-from petrelcart.interface import Outcome
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
 OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -11,7 +11,6 @@
 
 # A part, and what it may import of the project, by prefix. The longest prefix of a module's name counts.
 MAY: dict[str, tuple[str, ...]] = {
-    "petrelcart": ("petrelcart", "marlstep.admission", "marlstep.simulator"),
     "marlstep.admission": ("marlstep.admission",),
     "marlstep.simulator": ("marlstep.simulator", "marlstep.admission"),
     "marlstep.errors": (),
@@ -26,7 +25,7 @@
         "marlstep.slots",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart",
+        "marlstep.admission",
     ),
     "marlstep.fronts": (
         "marlstep.fronts",
@@ -49,7 +48,8 @@
         "marlstep.net",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.upstreams": (
         "marlstep.upstreams",
@@ -59,7 +59,8 @@
         "marlstep.pool",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.components.base": ("marlstep.config", "marlstep.core.model"),
     "marlstep.components": (
@@ -124,7 +125,8 @@
         "marlstep.timer_queue",
         "marlstep.units",
         "marlstep.upstreams.upstream",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.admin": (
         "marlstep.admin",
@@ -146,7 +148,8 @@
         "marlstep.standins",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.standins": ("marlstep.standins", "marlstep.fronts.uwsgi_wire", "marlstep.net"),
     "marlstep.config": (
@@ -160,7 +163,8 @@
         "marlstep.fronts.mapped",
         "marlstep.pool.plan",
         "marlstep.units",
-        "petrelcart",
+        "marlstep.admission.settings",
+        "marlstep.simulator.configuration",
     ),
 }
 # Modules that decide: no I/O, no clock, no source of chance of their own.
@@ -188,7 +192,6 @@
     "marlstep/admission/token_buckets.py",
     "marlstep/admission/turn_timer.py",
     "marlstep/admission/wake_heap.py",
-    "petrelcart/policy.py",
     "marlstep/consensus/log.py",
     "marlstep/consensus/state_machine.py",
     "marlstep/consensus/messages.py",
@@ -279,13 +282,13 @@
 
 def test_imports_go_one_way() -> None:
     faults = []
-    for path in sorted([*ROOT.glob("marlstep/**/*.py"), *ROOT.glob("petrelcart/*.py")]):
+    for path in sorted(ROOT.glob("marlstep/**/*.py")):
         name = module_name(path)
         part = max((prefix for prefix in MAY if within(name, prefix)), key=len, default=None)
         if part is None:
             continue
         for one in imports(path):
-            if one.startswith(("marlstep", "petrelcart")) and not any(
+            if one.startswith("marlstep") and not any(
                 within(one, good) for good in (*MAY[part], "marlstep.errors")
             ):
                 faults.append(f"{name} imports {one}")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -9,13 +9,13 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
+from marlstep.admission.events import Outcome
 from marlstep.fronts.resp import Tags, read_offer
 from marlstep.fronts.resp_wire import FrameReader, Malformed, read_fields, write_fields, write_frame
 from marlstep.fronts.uwsgi import read_cost
 from marlstep.fronts.uwsgi_wire import BadPacket, PacketReader, read_variables, write_packet
 from marlstep.net.ring import LineTooLong, Ring
 from marlstep.platform import kernel
-from petrelcart.interface import Outcome
 from tests.support.node import HandClock, HandDial, Notes, Wire
 from tests.test_db import Rig
 from tests.test_resp import Platform, exec_frame
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any
 
-from petrelcart.interface import Halt, Run, SetTimer
+from marlstep.admission.actions import Preempt, Run, SetTimer
 
 README = Path(__file__).parent.parent / "README.md"
 
@@ -14,4 +14,4 @@
     names: dict[str, Any] = {}
     exec(compile(code, "README.md", "exec"), names)
     assert names["first"] == [Run("a"), SetTimer(1_000_000, 1_000_000)]
-    assert names["second"] == [Halt("a"), Run("b")]
+    assert names["second"] == [Preempt("a"), Run("b")]
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -11,13 +11,14 @@
 
 import pytest
 
+from marlstep.admission.events import Outcome
+from marlstep.admission.settings import Settings
 from marlstep.config import Config, ConfigError, changes, check, load, renewed
 from marlstep.core.engine import RETIRED_FOR, Refused
 from marlstep.core.model import Verdict
 from marlstep.node import Node
+from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
-from petrelcart.benchlink import read_settings
-from petrelcart.interface import Outcome, Settings
 from tests.support.elsewhere import Elsewhere, elsewhere
 from tests.support.node import SETTINGS, Desk, HandClock, raw_config
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from marlstep.admission.events import Outcome
 from marlstep.core.model import Claimant, Told
 from marlstep.fronts.resp import RespConnection, RespFront
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.units import SECOND, instant_us
-from petrelcart.interface import Outcome
 from tests.support.node import START, Desk, Wire
 
 AT = instant_us(START) // 1000
--- a/tests/test_uwsgi.py
+++ b/tests/test_uwsgi.py
@@ -2,11 +2,11 @@
 
 import pytest
 
+from marlstep.admission.events import Outcome
 from marlstep.fronts.mapped import Mapped
 from marlstep.fronts.uwsgi import UwsgiConnection, UwsgiFront
 from marlstep.fronts.uwsgi_wire import write_packet
 from marlstep.units import SECOND
-from petrelcart.interface import Outcome
 from tests.support.node import Desk, Wire
 
 MAPPED = Mapped(
