--- a/tests/test_mechanism.py
+++ b/tests/admission/test_mechanism.py
@@ -1,22 +1,9 @@
 """The ordinary path: each step of pre-emptive resume by class."""
 
-from petrelcart.interface import (
-    Arrival,
-    Below,
-    Call,
-    CallEnded,
-    CallNeeded,
-    Effect,
-    Event,
-    Health,
-    IdleLimit,
-    Outcome,
-    Say,
-    Saying,
-    SetTimer,
-    TimerDue,
-)
-from petrelcart.policy import Controller
+from marlstep.admission.actions import Advertise, Call, Health, IdleLimit, SetTimer
+from marlstep.admission.controller import Controller
+from marlstep.admission.events import Arrival, CallEnded, CallNeeded, Event, Outcome, TimerDue
+from marlstep.admission.settings import Downstream, Effect, LoadSignal
 from tests.support.helpers import MS, START, Server, a_class, settings
 
 
@@ -34,7 +21,7 @@
         asked += len(server.find(SetTimer))
     for _ in range(200):
         server.now += 5 * MS
-        if server.controller.armed <= server.now:
+        if server.controller.timer.armed_at <= server.now:
             server.tick()
             asked += len(server.find(SetTimer))
     return asked
@@ -57,14 +44,14 @@
     server = Server()
     server.arrive("old")
     server.arrive("new")
-    assert server.arrive("top", "high") == [("Halt", "new"), ("Run", "top")]
+    assert server.arrive("top", "high") == [("Preempt", "new"), ("Run", "top")]
 
 
 def test_an_arrival_does_not_pause_its_own_class() -> None:
     server = Server()
     for id in ("a", "b", "c"):
         server.arrive(id, "high")
-    assert ("Halt", "a") not in server.done and ("Run", "c") not in server.done
+    assert ("Preempt", "a") not in server.done and ("Run", "c") not in server.done
 
 
 def test_held_requests_start_by_worth_then_by_age() -> None:
@@ -101,8 +88,8 @@
 def test_an_arrival_over_n_is_refused_at_once() -> None:
     server = Server(cores=1, memory_kb=100.0)  # N: a run of 40 kB and four held of 10 kB under 80 kB
     for index in range(5):
-        assert ("Refuse", f"r{index}") not in server.arrive(f"r{index}")
-    assert server.arrive("over") == [("Refuse", "over")]
+        assert ("Reject", f"r{index}") not in server.arrive(f"r{index}")
+    assert server.arrive("over") == [("Reject", "over")]
 
 
 def test_the_running_limit_grows_by_two_a_second_while_the_cores_have_time() -> None:
@@ -124,7 +111,7 @@
     for index in range(2):
         server.end(f"r{index}", after_ms=1)
     server.tick(after_ms=1000, cpu=1.0)  # runs took a second against a base of 10 ms
-    assert server.controller.limit < 3
+    assert server.controller.parts.concurrency.limit < 3
 
 
 def test_a_halt_that_did_not_take_is_seen() -> None:
@@ -156,7 +143,7 @@
     for index in range(5):
         server.arrive(f"r{index}")
     server.tick(after_ms=2001)
-    assert ("Refuse", "new") not in server.arrive("new")
+    assert ("Reject", "new") not in server.arrive("new")
 
 
 def refused_of_a_line(marks_retry: bool, run_ms: int) -> list[str]:
@@ -166,7 +153,7 @@
         server.end(f"done{index}", after_ms=run_ms)
     for index in range(8):
         server.arrive(f"r{index}")
-    return [id for action, id in server.done if action == "Refuse"]
+    return [id for action, id in server.done if action == "Reject"]
 
 
 def test_an_arrival_that_the_line_keeps_past_its_aim_is_refused_at_once() -> None:
@@ -188,31 +175,35 @@
 
 
 def test_callers_get_credit_only_once_there_is_a_line() -> None:
-    server = Server(cores=1, say=Saying.CREDIT)
+    server = Server(cores=1, say=LoadSignal.CREDIT)
     for index in range(2):
         server.arrive(f"done{index}")
         server.end(f"done{index}", after_ms=400)
     server.tick()
-    [free] = server.find(Say)
+    [free] = server.find(Advertise)
     server.arrive("a")
     server.arrive("b")
     server.tick(after_ms=50)
-    [bound] = server.find(Say)
+    [bound] = server.find(Advertise)
     assert 1 <= bound.value < free.value
     assert server.now > START
 
 
 def test_a_class_that_may_goes_on_without_its_call_in_time_for_its_aim() -> None:
-    server = Server(classes=(a_class("low", calls=True, skip_worth=0.5),), below=Below.SHARED, calls_out=4.0)
+    server = Server(
+        classes=(a_class("low", calls=True, skip_worth=0.5),), below=Downstream.SHARED, calls_out=4.0
+    )
     server.arrive("a")
     server.step(CallNeeded("a"))
     [call] = server.find(Call)
     assert call.until_us < START + 2_000 * MS
-    assert server.step(CallEnded("a", Outcome.TIMEOUT, 1_900 * MS), after_ms=1950) == [("Skip", "a")]
+    assert server.step(CallEnded("a", Outcome.TIMEOUT, 1_900 * MS), after_ms=1950) == [("SkipCall", "a")]
 
 
 def test_while_calls_are_slow_one_at_a_time_is_made_where_they_may_be_left_out() -> None:
-    server = Server(classes=(a_class("low", calls=True, skip_worth=0.5),), below=Below.SHARED, calls_out=4.0)
+    server = Server(
+        classes=(a_class("low", calls=True, skip_worth=0.5),), below=Downstream.SHARED, calls_out=4.0
+    )
     for index in range(10):
         server.arrive(f"r{index}")
         server.step(CallNeeded(f"r{index}"))
@@ -221,7 +212,7 @@
     server.arrive("a")
     server.arrive("b")
     assert server.step(CallNeeded("a")) == [("Call", "a")]
-    assert server.step(CallNeeded("b"), after_ms=1) == [("Skip", "b")]
+    assert server.step(CallNeeded("b"), after_ms=1) == [("SkipCall", "b")]
 
 
 def test_a_run_with_a_key_goes_on_for_its_callers_next_try() -> None:
@@ -255,7 +246,7 @@
         server.arrive(f"r{index}")
         server.tick(after_ms=4_000)  # failed at its due time and stopped
         server.end(f"r{index}", Outcome.CANCELLED)
-    assert server.controller.means["low"] > 2_000 * MS
+    assert server.controller.state.statistics.mean_run_us["low"] > 2_000 * MS
 
 
 def test_of_classes_of_one_worth_the_sooner_aim_starts_first() -> None:
@@ -280,7 +271,7 @@
     # had asked once, and for ten seconds half of all requests were turned away with cores to spare.
     said = []
     for others in (0, 40):
-        server = Server(cores=1, say=Saying.CREDIT, memory_kb=100_000.0)
+        server = Server(cores=1, say=LoadSignal.CREDIT, memory_kb=100_000.0)
         for index in range(30):
             server.arrive(f"done{index}", caller=index % 3)
             server.end(f"done{index}", after_ms=20)
@@ -290,15 +281,15 @@
         server.arrive("a")
         server.arrive("b")
         server.tick(after_ms=50)
-        said.append(server.find(Say)[0].value)
+        said.append(server.find(Advertise)[0].value)
     assert said[1] > 0.5 * said[0]
 
 
 def test_what_could_never_be_started_is_refused_at_once() -> None:
     # Guards against a client whose figures fill the hold, so that all others are refused.
     server = Server(cores=1, memory_kb=1_000.0, run_factor=4.0)
-    assert server.arrive("huge", kb=300.0) == [("Refuse", "huge")]
-    assert server.arrive("large", kb=200.0) == [("Run", "large")]
+    assert server.arrive("huge", memory_kb=300.0) == [("Reject", "huge")]
+    assert server.arrive("large", memory_kb=200.0) == [("Run", "large")]
 
 
 def test_a_call_that_may_be_made_again_is_not_waited_for_to_the_end_and_a_setpoints_is() -> None:
@@ -330,14 +321,17 @@
 
 
 def test_a_run_that_the_kernel_did_not_know_tells_nothing_of_the_pace() -> None:
-    server = Server(cores=1, say=Saying.CREDIT)
+    server = Server(cores=1, say=LoadSignal.CREDIT)
     server.arrive("real")
     server.end("real", after_ms=400)
-    pace = server.controller._pace()
+    pace = server.controller.state.statistics.us_per_run()
     for index in range(50):
         server.arrive(f"odd{index}", caller=7)
         server.end(f"odd{index}", Outcome.MOOT, after_ms=1)
-    assert server.controller._pace() == pace and server.controller._callers() == 1
+    assert (
+        server.controller.state.statistics.us_per_run() == pace
+        and server.controller.parts.advisor.count_callers() == 1
+    )
 
 
 def test_an_id_that_comes_again_takes_the_place_of_the_one_before() -> None:
@@ -345,14 +339,19 @@
     controller = Controller(settings(cores=1), seed=1)
     controller.decide(START, [])
     twice: list[Event] = [
-        Arrival("a", "low", kb=10.0, caller=1, unread_us=0),
-        Arrival("b", "low", kb=10.0, caller=1, unread_us=0),
+        Arrival("a", "low", memory_kb=10.0, caller=1, unread_us=0),
+        Arrival("b", "low", memory_kb=10.0, caller=1, unread_us=0),
     ]
     controller.decide(START, twice)
-    controller.decide(START + MS, [Arrival("a", "high", kb=10.0, caller=1, unread_us=0)])
-    assert controller._in_hand() == 2 and controller.ledger["a"].kind.name == "high"
+    controller.decide(START + MS, [Arrival("a", "high", memory_kb=10.0, caller=1, unread_us=0)])
+    assert (
+        controller.state.entries.count_unfinished() == 2
+        and controller.state.entries.by_id["a"].request_class.name == "high"
+    )
     for step in range(1, 10):
         controller.decide(START + step * 1_000 * MS, [])
     assert all(
-        controller.ledger.get(id) is one for held in controller.by_state.values() for id, one in held.items()
+        controller.state.entries.by_id.get(id) is one
+        for held in controller.state.entries.by_state.values()
+        for id, one in held.items()
     )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -11,7 +11,8 @@
 
 # A part, and what it may import of the project, by prefix. The longest prefix of a module's name counts.
 MAY: dict[str, tuple[str, ...]] = {
-    "petrelcart": ("petrelcart",),
+    "marlstep.admission": ("marlstep.admission",),
+    "marlstep.simulator": ("marlstep.simulator", "marlstep.admission"),
     "marlstep.errors": (),
     "marlstep.units": (),
     "marlstep.slots": (),
@@ -37,7 +38,7 @@
         "marlstep.slots",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart",
+        "marlstep.admission",
     ),
     "marlstep.fronts": (
         "marlstep.fronts",
@@ -60,7 +61,8 @@
         "marlstep.net",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.upstreams": (
         "marlstep.upstreams",
@@ -70,7 +72,8 @@
         "marlstep.pool",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.components.base": ("marlstep.config", "marlstep.core.model"),
     "marlstep.components": (
@@ -140,7 +143,8 @@
         "marlstep.timer_queue",
         "marlstep.units",
         "marlstep.upstreams.upstream",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.admin": (
         "marlstep.admin",
@@ -162,7 +166,8 @@
         "marlstep.standins",
         "marlstep.timer_queue",
         "marlstep.units",
-        "petrelcart.interface",
+        "marlstep.admission.events",
+        "marlstep.admission.settings",
     ),
     "marlstep.standins": ("marlstep.standins", "marlstep.fronts.uwsgi_wire", "marlstep.net"),
     "marlstep.config": (
@@ -176,12 +181,35 @@
         "marlstep.fronts.mapped",
         "marlstep.pool.plan",
         "marlstep.units",
-        "petrelcart",
+        "marlstep.admission.settings",
+        "marlstep.simulator.configuration",
     ),
 }
 # Modules that decide: no I/O, no clock, no source of chance of their own.
 DECIDE = (
-    "petrelcart/policy.py",
+    "marlstep/admission/actions.py",
+    "marlstep/admission/call_latency.py",
+    "marlstep/admission/call_reserve.py",
+    "marlstep/admission/caller_activity.py",
+    "marlstep/admission/concurrency_limit.py",
+    "marlstep/admission/controller.py",
+    "marlstep/admission/downstream_calls.py",
+    "marlstep/admission/entry.py",
+    "marlstep/admission/entry_index.py",
+    "marlstep/admission/events.py",
+    "marlstep/admission/intake.py",
+    "marlstep/admission/lifecycle.py",
+    "marlstep/admission/memory_ledger.py",
+    "marlstep/admission/parts.py",
+    "marlstep/admission/retry_advisor.py",
+    "marlstep/admission/run_queue.py",
+    "marlstep/admission/run_statistics.py",
+    "marlstep/admission/server_state.py",
+    "marlstep/admission/settings.py",
+    "marlstep/admission/timing.py",
+    "marlstep/admission/token_buckets.py",
+    "marlstep/admission/turn_timer.py",
+    "marlstep/admission/wake_heap.py",
     "marlstep/consensus/log.py",
     "marlstep/consensus/state_machine.py",
     "marlstep/consensus/messages.py",
@@ -312,13 +340,13 @@
 
 def test_imports_go_one_way() -> None:
     faults = []
-    for path in sorted([*ROOT.glob("marlstep/**/*.py"), *ROOT.glob("petrelcart/*.py")]):
+    for path in sorted(ROOT.glob("marlstep/**/*.py")):
         name = module_name(path)
         part = max((prefix for prefix in MAY if within(name, prefix)), key=len, default=None)
         if part is None:
             continue
         for one in imports(path):
-            if one.startswith(("marlstep", "petrelcart")) and not any(
+            if one.startswith("marlstep") and not any(
                 within(one, good) for good in (*MAY[part], "marlstep.errors")
             ):
                 faults.append(f"{name} imports {one}")
