--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
+import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
