--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -14,8 +14,8 @@
 import httptools
 
 from marlstep.core.engine import Core
-from marlstep.core.model import Answer
-from marlstep.fronts.base import Connection, Listener
+from marlstep.core.interfaces import Answer
+from marlstep.frontends.base import Connection, Listener
 from marlstep.timer_queue import TimerQueue
 
 log = logging.getLogger(__name__)
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -10,9 +10,9 @@
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.interfaces import RecoveryBroadcaster
 from marlstep.leases.messages import ServerRecovered
+from marlstep.load_balancing.health_checks import Probing
 from marlstep.net.eventloop import dial
 from marlstep.net.stream import RingStream
-from marlstep.pool.probing import Probing
 from marlstep.timer_queue import Deadline
 from marlstep.units import MILLISECOND
 from marlstep.upstreams.upstream import Upstream
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -15,8 +15,8 @@
 from marlstep.cluster.interfaces import Step, StepObserver
 from marlstep.config.cluster import TaskConfig
 from marlstep.core.engine import Core, Refused
-from marlstep.core.model import Answer, Backend, Offer, Request, Ticket, Verdict
-from marlstep.fronts.uwsgi_wire import write_packet
+from marlstep.core.interfaces import Answer, Backend, Offer, Request, Ticket, Verdict
+from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
 from marlstep.scheduled_tasks.outcomes import Outcome
 from marlstep.scheduled_tasks.runner import LEASE_MARGIN
--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from marlstep.config import Config
-    from marlstep.core.model import Front
+    from marlstep.core.interfaces import Front
 
 
 class StartPhase(enum.Enum):
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -9,9 +9,9 @@
 
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
-from marlstep.handover.beside import Beside, Hooks
-from marlstep.handover.meeting import Meeting
-from marlstep.handover.peer import Handover
+from marlstep.hot_restart.channel import Meeting
+from marlstep.hot_restart.host_adapter import Beside, Hooks
+from marlstep.hot_restart.restart import Handover
 from marlstep.units import span
 
 if TYPE_CHECKING:
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -8,8 +8,8 @@
 
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config, UwsgiConfig
-from marlstep.fronts.uwsgi import UwsgiFront
-from marlstep.pool.plan import pool_of
+from marlstep.frontends.uwsgi import UwsgiFront
+from marlstep.load_balancing.pool_plan import pool_of
 from marlstep.upstreams.upstream import Upstream
 
 if TYPE_CHECKING:
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -30,13 +30,13 @@
     word,
     words,
 )
-from marlstep.fronts.mapped import Mapped
+from marlstep.frontends.uwsgi_mapping import Mapped
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
 
 if TYPE_CHECKING:
     from marlstep.config.cluster import ClusterConfig
-    from marlstep.pool.plan import Plan
+    from marlstep.load_balancing.pool_plan import Plan
 
 LEAST_MEMORY_MB = 24  # the interpreter and the program alone take 16
 
@@ -339,7 +339,7 @@
 
 def _pools(raw: Table, kinds: set[str]) -> tuple[Plan, ...]:
     """The pools of servers; `upstream` is a pool of one, without limits."""
-    from marlstep.pool.plan import Plan  # a node without the front does not load it
+    from marlstep.load_balancing.pool_plan import Plan  # a node without the front does not load it
 
     if "pool" not in raw:
         return (Plan("", (address(raw, "upstream", "uwsgi.upstream"),), limited=False),)
@@ -358,7 +358,7 @@
 
 
 def _pool(rows: Table, name: str, kinds: set[str]) -> Plan:
-    from marlstep.pool.plan import Plan
+    from marlstep.load_balancing.pool_plan import Plan
 
     path = f"uwsgi.pool.{name}"
     row = table(rows, name, path)
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -47,9 +47,8 @@
     TimerDue,
 )
 from marlstep.admission.settings import ClassSettings, Effect, PreemptionMode, Settings
-from marlstep.core.duty import Duty
-from marlstep.core.keys import Key, KeyTable, Known, label
-from marlstep.core.model import (
+from marlstep.core.idempotency import Key, KeyTable, Known, label
+from marlstep.core.interfaces import (
     Answer,
     Backend,
     Claimant,
@@ -63,6 +62,7 @@
     Ticket,
     Verdict,
 )
+from marlstep.core.serving_state import Duty
 from marlstep.slots import SlotTable, TableFullError
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO, instant, instant_us, span, span_us
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -12,7 +12,7 @@
 from marlstep.config import Config
 from marlstep.core.engine import Core
 from marlstep.frontend_group import FrontendGroup
-from marlstep.platform.naming import Naming
+from marlstep.platform.name_service import Naming
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND, span
 
--- a/marlstep/drill/rules.py
+++ b/marlstep/drill/rules.py
@@ -23,7 +23,7 @@
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import NodeProcess, Rig, Settings
 from marlstep.drill.witness import clock_us
-from marlstep.fronts.uwsgi_wire import PacketReader, write_packet, write_response
+from marlstep.frontends.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
 from marlstep.replicated_config.documents import content_digest
 
--- a/marlstep/drill/witness.py
+++ b/marlstep/drill/witness.py
@@ -16,7 +16,7 @@
 from dataclasses import asdict
 
 from marlstep.drill.acts import Act, Receiver
-from marlstep.fronts.uwsgi_wire import PacketReader, write_response
+from marlstep.frontends.uwsgi_wire import PacketReader, write_response
 from marlstep.net.ring import Ring
 
 WORK_S = (0.005, 0.12)
--- a/marlstep/frontend_group.py
+++ b/marlstep/frontend_group.py
@@ -7,9 +7,9 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from marlstep.config import Config
-from marlstep.core.model import Front
-from marlstep.fronts.base import Listener
-from marlstep.fronts.resp import RespFront
+from marlstep.core.interfaces import Front
+from marlstep.frontends.base import Listener
+from marlstep.frontends.resp import RespFront
 
 log = logging.getLogger("marlstep")
 
--- a/marlstep/fronts/base.py
+++ b/marlstep/frontends/base.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 
 from marlstep.core.engine import Core
-from marlstep.core.model import Answer, Ticket
+from marlstep.core.interfaces import Answer, Ticket
 from marlstep.net.stream import RingStream
 from marlstep.slots import SlotTable, TableFullError
 from marlstep.timer_queue import Deadline, TimerQueue
--- a/marlstep/fronts/resp.py
+++ b/marlstep/frontends/resp.py
@@ -14,10 +14,17 @@
 from datetime import timedelta
 
 from marlstep.core.engine import Core, Refused
-from marlstep.core.keys import digest_of
-from marlstep.core.model import Answer, Backend, Offer, Verdict
-from marlstep.fronts.base import Connection, Listener
-from marlstep.fronts.resp_wire import FrameReader, Malformed, read_fields, read_tag, write_fields, write_frame
+from marlstep.core.idempotency import digest_of
+from marlstep.core.interfaces import Answer, Backend, Offer, Verdict
+from marlstep.frontends.base import Connection, Listener
+from marlstep.frontends.resp_wire import (
+    FrameReader,
+    Malformed,
+    read_fields,
+    read_tag,
+    write_fields,
+    write_frame,
+)
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND, whole_ms
 
--- a/marlstep/fronts/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -11,10 +11,10 @@
 from datetime import timedelta
 
 from marlstep.core.engine import Core, Refused, Repeated
-from marlstep.core.model import Answer, Backend, Offer, Verdict
-from marlstep.fronts.base import Connection, Listener
-from marlstep.fronts.mapped import Mapped
-from marlstep.fronts.uwsgi_wire import BadPacket, Packet, PacketReader, write_response
+from marlstep.core.interfaces import Answer, Backend, Offer, Verdict
+from marlstep.frontends.base import Connection, Listener
+from marlstep.frontends.uwsgi_mapping import Mapped
+from marlstep.frontends.uwsgi_wire import BadPacket, Packet, PacketReader, write_response
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
--- a/marlstep/handover/meeting.py
+++ b/marlstep/hot_restart/channel.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from marlstep.handover.peer import Handover
-from marlstep.handover.wire import MOST, CorruptError, Hello, Message, read, write
+from marlstep.hot_restart.messages import MOST, CorruptError, Hello, Message, read, write
+from marlstep.hot_restart.restart import Handover
 from marlstep.net.stream import RingStream
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND
--- a/marlstep/handover/beside.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -7,9 +7,9 @@
 from datetime import datetime
 
 from marlstep.core.engine import Core
-from marlstep.core.keys import Key, Known, label, read_label
-from marlstep.handover.peer import Handover
-from marlstep.handover.wire import Gone, Name
+from marlstep.core.idempotency import Key, Known, label, read_label
+from marlstep.hot_restart.messages import Gone, Name
+from marlstep.hot_restart.restart import Handover
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import instant, instant_us
 
--- a/marlstep/handover/peer.py
+++ b/marlstep/hot_restart/restart.py
@@ -12,9 +12,8 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from marlstep.core.model import Claimant, Told
-from marlstep.handover.sharing import Sharing
-from marlstep.handover.wire import (
+from marlstep.core.interfaces import Claimant, Told
+from marlstep.hot_restart.messages import (
     Claim,
     Claimed,
     Done,
@@ -28,6 +27,7 @@
     Ready,
     Whole,
 )
+from marlstep.hot_restart.resource_sharing import Sharing
 from marlstep.units import SECOND
 
 log = logging.getLogger(__name__)
--- a/marlstep/pool/table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -13,8 +13,8 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from marlstep.pool.estimate import AdaptiveLimit, LimitSettings, PeakEwma
-from marlstep.pool.health import Health, HealthSettings, State
+from marlstep.load_balancing.estimators import AdaptiveLimit, LimitSettings, PeakEwma
+from marlstep.load_balancing.outlier_detection import Health, HealthSettings, State
 from marlstep.slots import SlotTable, TableFullError
 from marlstep.units import MILLISECOND, ZERO
 
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -18,11 +18,11 @@
 from marlstep.core.engine import Core, Ports
 from marlstep.drain import DrainController
 from marlstep.frontend_group import FrontendGroup
-from marlstep.fronts.resp import RespFront
+from marlstep.frontends.resp import RespFront
 from marlstep.net.eventloop import LoopWaker
-from marlstep.platform.db import Database
+from marlstep.platform.database import Database
 from marlstep.platform.kernel import Kernel
-from marlstep.platform.naming import Naming
+from marlstep.platform.name_service import Naming
 from marlstep.reload import ConfigReloader, log_setting_changes
 from marlstep.resource_budget import resource_budget
 from marlstep.status_log import StatusLog, format_counters
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -17,7 +17,7 @@
 from datetime import timedelta
 
 from marlstep.admission.events import Outcome
-from marlstep.core.model import Request, Sink
+from marlstep.core.interfaces import Request, Sink
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineProtocolError, LineStream, parse_length
 from marlstep.timer_queue import Deadline, TimerQueue
--- a/marlstep/standins/servers.py
+++ b/marlstep/standins/servers.py
@@ -9,7 +9,7 @@
 import asyncio
 from collections.abc import Callable
 
-from marlstep.fronts.uwsgi_wire import PacketReader, write_response
+from marlstep.frontends.uwsgi_wire import PacketReader, write_response
 from marlstep.net.lines import LineProtocolError, LineStream, parse_length
 from marlstep.net.stream import RingStream
 from marlstep.standins.cores import Machine, Notice, ran
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -13,7 +13,7 @@
 from blake3 import blake3
 
 from marlstep.admission.settings import ClassSettings, Effect
-from marlstep.core.model import Verdict
+from marlstep.core.interfaces import Verdict
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.figures import Figures
 from marlstep.traces.retries import Retries
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -20,9 +20,9 @@
 
 import httptools
 
-from marlstep.core.model import Verdict
-from marlstep.fronts.resp_wire import FrameReader, read_fields, write_frame
-from marlstep.fronts.uwsgi_wire import write_packet
+from marlstep.core.interfaces import Verdict
+from marlstep.frontends.resp_wire import FrameReader, read_fields, write_frame
+from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.stream import RingStream
 from marlstep.standins.cores import Plan
 from marlstep.traces.mapping import Planned
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -12,7 +12,7 @@
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
 from marlstep.core.engine import Core, Ports, Refused
-from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
+from marlstep.core.interfaces import Answer, Offer, Request, Ticket, Verdict
 from marlstep.standins.cores import Machine, Notice, Plan
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.traces.mapping import Planned
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -8,10 +8,10 @@
 
 import httptools
 
-from marlstep.fronts.uwsgi_wire import HEAD, read_variables
+from marlstep.frontends.uwsgi_wire import HEAD, read_variables
+from marlstep.load_balancing.retries import End
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
-from marlstep.pool.tries import End
 from marlstep.timer_queue import Deadline, TimerQueue
 
 RING_SIZE = 16 * 1024
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -1,7 +1,7 @@
 """The client of the uwsgi servers behind the uwsgi front: a backend that does its work by sending it on.
 
-Servers stand in pools (`marlstep/pool`). Which server a request goes to, and whether it goes to another after a try
-that went wrong, is decided there; what is beyond all limits waits in the decision module, which is told the room.
+Servers stand in pools (`marlstep/load_balancing`). Which server a request goes to, and whether it goes to another
+after an attempt that failed, is decided there; what is beyond all limits waits in the decision module, which is told the room.
 A run can't be paused here, only given up, when its answer is out already.
 """
 
@@ -15,11 +15,11 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Effect
-from marlstep.core.model import Request, Sink
+from marlstep.core.interfaces import Request, Sink
+from marlstep.load_balancing.pool_plan import Address, Plan, server_name
+from marlstep.load_balancing.retries import End, Tries
+from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
 from marlstep.net.eventloop import Dial, dial
-from marlstep.pool.plan import Address, Plan, server_name
-from marlstep.pool.table import PoolSettings, Server, ServerTable
-from marlstep.pool.tries import End, Tries
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 from marlstep.upstreams.attempt import Attempt
--- a/tests/cluster/test_health_checks.py
+++ b/tests/cluster/test_health_checks.py
@@ -10,7 +10,7 @@
 
 from marlstep.drill.links import Ports
 from marlstep.drill.rig import NodeProcess, Rig, Settings
-from marlstep.fronts.uwsgi_wire import PacketReader, write_packet, write_response
+from marlstep.frontends.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
 from tests.cluster.support import CONFIG, NODES, make_plan
 
--- a/tests/test_core.py
+++ b/tests/core/test_core.py
@@ -6,7 +6,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.engine import Refused, Repeated
-from marlstep.core.model import Request, Verdict
+from marlstep.core.interfaces import Request, Verdict
 from marlstep.units import SECOND
 from tests.support.node import SETTINGS, Desk
 
--- a/tests/test_core_properties.py
+++ b/tests/core/test_core_properties.py
@@ -12,10 +12,10 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.engine import Refused
-from marlstep.core.model import Stage, Verdict
+from marlstep.core.interfaces import Stage, Verdict
 from marlstep.units import MILLISECOND, SECOND
+from tests.frontends.test_parsers import FIXED
 from tests.support.node import Desk
-from tests.test_parsers import FIXED
 
 KINDS = ("temp-history", "schedule-save", "setpoint-cmd")
 STEPS = st.one_of(
--- a/tests/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -11,16 +11,16 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.fronts.resp import Tags, read_offer
-from marlstep.fronts.resp_wire import FrameReader, Malformed, read_fields, write_fields, write_frame
-from marlstep.fronts.uwsgi import read_cost
-from marlstep.fronts.uwsgi_wire import BadPacket, PacketReader, read_variables, write_packet
+from marlstep.frontends.resp import Tags, read_offer
+from marlstep.frontends.resp_wire import FrameReader, Malformed, read_fields, write_fields, write_frame
+from marlstep.frontends.uwsgi import read_cost
+from marlstep.frontends.uwsgi_wire import BadPacket, PacketReader, read_variables, write_packet
 from marlstep.net.ring import LineTooLongError, Ring
 from marlstep.platform import kernel
+from tests.frontends.test_resp import Platform, exec_frame
+from tests.frontends.test_uwsgi import Gateway
+from tests.platform.test_database import Rig
 from tests.support.node import HandClock, HandDial, Notes, Wire
-from tests.test_db import Rig
-from tests.test_resp import Platform, exec_frame
-from tests.test_uwsgi import Gateway
 
 FIXED = settings(derandomize=True, max_examples=150, deadline=None, database=None)
 CUTS = st.lists(st.integers(1, 60), min_size=1, max_size=20)
--- a/tests/test_resp.py
+++ b/tests/frontends/test_resp.py
@@ -5,9 +5,9 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.model import Claimant, Told
-from marlstep.fronts.resp import RespConnection, RespFront
-from marlstep.fronts.resp_wire import write_frame
+from marlstep.core.interfaces import Claimant, Told
+from marlstep.frontends.resp import RespConnection, RespFront
+from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SECOND, instant_us
 from tests.support.node import START, Desk, Wire
 
--- a/tests/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -3,9 +3,9 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.fronts.mapped import Mapped
-from marlstep.fronts.uwsgi import UwsgiConnection, UwsgiFront
-from marlstep.fronts.uwsgi_wire import write_packet
+from marlstep.frontends.uwsgi import UwsgiConnection, UwsgiFront
+from marlstep.frontends.uwsgi_mapping import Mapped
+from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.units import SECOND
 from tests.support.node import Desk, Wire
 
--- a/tests/golden/restart_messages.py
+++ b/tests/golden/restart_messages.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from marlstep.handover import wire
+from marlstep.hot_restart import messages
 from tests.golden.conversation import Conversation, Sample
 
 LEARNT: dict[str, object] = {
@@ -14,29 +14,29 @@
     "call_mean_us": 9500.0,
     "means_us": {"temp-history": 300000.0},
 }
-MESSAGES: Mapping[str, wire.Message] = {
-    "Hello/full": wire.Hello(generation=3, pid=4321, wanted=False, taken=2, learnt=LEARNT),
-    "Hello/defaults": wire.Hello(generation=3, pid=4321),
-    "Name/full": wire.Name(
+MESSAGES: Mapping[str, messages.Message] = {
+    "Hello/full": messages.Hello(generation=3, pid=4321, wanted=False, taken=2, learnt=LEARNT),
+    "Hello/defaults": messages.Hello(generation=3, pid=4321),
+    "Name/full": messages.Name(
         kind="book", once="k-1", id="id-1", until_us=1_800_000_000_000_123, result="done\x00\xff", over=True
     ),
-    "Name/defaults": wire.Name(kind="book", once="k-1", id="id-1"),
-    "Gone/full": wire.Gone(kind="book", once="k-1", id="id-1"),
-    "Whole/full": wire.Whole(),
-    "Claim/full": wire.Claim(number=5, kind="book", once="k-1", id="id-1"),
-    "Claimed/full": wire.Claimed(number=5, granted=True),
-    "Give/full": wire.Give(share=0.375),
-    "Ready/full": wire.Ready(),
-    "Duty/full": wire.Duty(wanted=True),
-    "Leaves/full": wire.Leaves(succeeded=True),
-    "Done/full": wire.Done(),
+    "Name/defaults": messages.Name(kind="book", once="k-1", id="id-1"),
+    "Gone/full": messages.Gone(kind="book", once="k-1", id="id-1"),
+    "Whole/full": messages.Whole(),
+    "Claim/full": messages.Claim(number=5, kind="book", once="k-1", id="id-1"),
+    "Claimed/full": messages.Claimed(number=5, granted=True),
+    "Give/full": messages.Give(share=0.375),
+    "Ready/full": messages.Ready(),
+    "Duty/full": messages.Duty(wanted=True),
+    "Leaves/full": messages.Leaves(succeeded=True),
+    "Done/full": messages.Done(),
 }
 CONVERSATION = Conversation(
     file="restart_messages.json",
     samples={name: Sample(message) for name, message in MESSAGES.items()},
-    framing=wire.FRAMING,
-    write=wire.CODEC.write,
-    write_frame=wire.write,
-    read=wire.CODEC.read,
+    framing=messages.FRAMING,
+    write=messages.CODEC.write,
+    write_frame=messages.write,
+    read=messages.CODEC.read,
     message_path=(),
 )
--- a/tests/golden/test_restart_messages.py
+++ b/tests/golden/test_restart_messages.py
@@ -7,7 +7,7 @@
 import pytest
 
 from marlstep.admission.events import Measurements
-from marlstep.handover import wire
+from marlstep.hot_restart import messages
 from tests.golden import checks
 from tests.golden.conversation import classes_of, tags_of
 from tests.golden.restart_messages import CONVERSATION, LEARNT, MESSAGES
@@ -18,9 +18,9 @@
 
 
 def test_every_message_has_a_golden_entry() -> None:
-    classes, seen = classes_of(wire.CODEC), {type(one) for one in MESSAGES.values()}
-    assert classes == set(get_args(wire.Message))
-    checks.check_coverage(CONVERSATION, classes, tags_of(wire.CODEC), seen)
+    classes, seen = classes_of(messages.CODEC), {type(one) for one in MESSAGES.values()}
+    assert classes == set(get_args(messages.Message))
+    checks.check_coverage(CONVERSATION, classes, tags_of(messages.CODEC), seen)
 
 
 def test_full_messages_have_no_default_left() -> None:
@@ -83,7 +83,7 @@
 
 
 def test_a_whole_number_is_taken_for_a_share() -> None:
-    assert checks.read_json(CONVERSATION, ["Give", {"share": 1}]) == wire.Give(share=1)
+    assert checks.read_json(CONVERSATION, ["Give", {"share": 1}]) == messages.Give(share=1)
 
 
 def test_what_a_process_has_learnt_goes_over_under_the_stored_names() -> None:
--- a/tests/test_learned.py
+++ b/tests/gossip/test_facts.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.learned.facts import (
+from marlstep.gossip.facts import (
     CONTRADICTION,
     OWN_SHARE,
     OWN_SURE,
@@ -24,7 +24,7 @@
     to_plain,
 )
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
-from tests.test_parsers import FIXED
+from tests.frontends.test_parsers import FIXED
 
 NOW = EPOCH + 1_800_000_000 * SECOND
 LIMITS = Limits()
--- a/tests/test_handover.py
+++ b/tests/hot_restart/test_restart.py
@@ -13,17 +13,17 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.core.duty import State
 from marlstep.core.engine import Refused
-from marlstep.core.model import Stage, Verdict
-from marlstep.handover import wire
-from marlstep.handover.beside import Beside, Hooks
-from marlstep.handover.peer import ACKNOWLEDGED, MEETING, Handover
-from marlstep.handover.sharing import ALL, HALF, LEAST, Sharing
+from marlstep.core.interfaces import Stage, Verdict
+from marlstep.core.serving_state import State
+from marlstep.hot_restart import messages
+from marlstep.hot_restart.host_adapter import Beside, Hooks
+from marlstep.hot_restart.resource_sharing import ALL, HALF, LEAST, Sharing
+from marlstep.hot_restart.restart import ACKNOWLEDGED, MEETING, Handover
 from marlstep.net.ring import Ring
 from marlstep.units import MILLISECOND, SECOND
+from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
 from tests.support.node import SETTINGS, START, Desk, HandClock
-from tests.test_parsers import CUTS, FIXED, GARBAGE, pieces
 
 WAIT, WINDOW = 7 * SECOND, 11 * SECOND
 CLASSES = [dict(row) for row in SETTINGS["classes"]]
@@ -36,12 +36,12 @@
 
     def __init__(self) -> None:
         self.data = bytearray()
-        self.ring = Ring(2 * wire.MOST)
+        self.ring = Ring(2 * messages.MOST)
         self.closed = False
 
-    def send(self, message: wire.Message) -> None:
+    def send(self, message: messages.Message) -> None:
         if not self.closed:
-            self.data += wire.write(message)
+            self.data += messages.write(message)
 
     def be_prompt(self) -> None:
         pass
@@ -97,12 +97,12 @@
         pipe, now = (self.up, self.clock.now()) if up else (self.down, self.clock.now())
         part, pipe.data = pipe.data[:most], pipe.data[most:]
         pipe.ring.put(bytes(part))
-        while not self.cut and (message := wire.read(pipe.ring)) is not None:
+        while not self.cut and (message := messages.read(pipe.ring)) is not None:
             if not up:
                 if not self.younger.dead:
                     self.younger.handover.from_elder(message, now)
             elif not self.elder.dead:
-                if isinstance(message, wire.Hello):
+                if isinstance(message, messages.Hello):
                     self.elder.handover.meet_younger(self.down, message)
                 else:
                     self.elder.handover.from_younger(message, now)
@@ -292,10 +292,10 @@
 def test_a_third_start_is_sent_on_to_the_second() -> None:
     pair = ready_pair()
     pipe = Pipe()
-    assert not pair.elder.handover.meet_younger(pipe, wire.Hello(3, 3))
+    assert not pair.elder.handover.meet_younger(pipe, messages.Hello(3, 3))
     pipe.ring.put(bytes(pipe.data))
-    hello = wire.read(pipe.ring)
-    assert isinstance(hello, wire.Hello) and hello.taken == 2 and not hello.learnt
+    hello = messages.read(pipe.ring)
+    assert isinstance(hello, messages.Hello) and hello.taken == 2 and not hello.learnt
 
 
 def test_what_was_learnt_and_a_quiesce_go_over_and_a_resume_comes_back() -> None:
@@ -396,7 +396,7 @@
     pair = ready_pair()
     number = pair.submit(pair.younger, "schedule-save", "k")
     pair.deliver(True)
-    pair.down.data[:0] = wire.write(wire.Name("schedule-save", "k", f"r{number}"))
+    pair.down.data[:0] = messages.write(messages.Name("schedule-save", "k", f"r{number}"))
     pair.deliver(False)
     assert pair.younger.desk.backend.told == [("start", f"r{number}")]
 
@@ -603,16 +603,16 @@
 
 
 MESSAGES = (
-    wire.Hello(2, 77, False, 0, {"limit": 3.5, "means_us": {"a": 1}}),
-    wire.Name("setpoint-cmd", "k", "id", 1_700_000_000_000_000, "r\u00ff\x00", True),
-    wire.Gone("a", "b", "c"),
-    wire.Whole(),
-    wire.Claim(3, "a", "b", "c"),
-    wire.Claimed(3, True),
-    wire.Give(0.25),
-    wire.Ready(),
-    wire.Duty(False),
-    wire.Done(),
+    messages.Hello(2, 77, False, 0, {"limit": 3.5, "means_us": {"a": 1}}),
+    messages.Name("setpoint-cmd", "k", "id", 1_700_000_000_000_000, "r\u00ff\x00", True),
+    messages.Gone("a", "b", "c"),
+    messages.Whole(),
+    messages.Claim(3, "a", "b", "c"),
+    messages.Claimed(3, True),
+    messages.Give(0.25),
+    messages.Ready(),
+    messages.Duty(False),
+    messages.Done(),
 )
 
 
@@ -620,9 +620,9 @@
 @given(CUTS)
 def test_messages_come_whole_out_of_any_pieces(cuts: list[int]) -> None:
     ring, came = Ring(4096), []
-    for part in pieces(b"".join(wire.write(one) for one in MESSAGES), cuts):
+    for part in pieces(b"".join(messages.write(one) for one in MESSAGES), cuts):
         ring.put(part)
-        while (message := wire.read(ring)) is not None:
+        while (message := messages.read(ring)) is not None:
             came.append(message)
     assert tuple(came) == MESSAGES and not ring.used
 
@@ -630,19 +630,19 @@
 @FIXED
 @given(GARBAGE, st.integers(0, 200), st.sampled_from(MESSAGES))
 def test_garbage_and_single_wrong_bits_are_told_as_corrupt(
-    garbage: bytes, bit: int, message: wire.Message
+    garbage: bytes, bit: int, message: messages.Message
 ) -> None:
     ring = Ring(8192)
     ring.put(garbage[:4000])
-    with contextlib.suppress(wire.CorruptError):
-        while wire.read(ring) is not None:
+    with contextlib.suppress(messages.CorruptError):
+        while messages.read(ring) is not None:
             pass
-    data = bytearray(wire.write(message))
+    data = bytearray(messages.write(message))
     data[bit // 8 % len(data)] ^= 1 << bit % 8
     ring = Ring(8192)
     ring.put(bytes(data))
-    with contextlib.suppress(wire.CorruptError):
-        assert wire.read(ring) is None  # a longer length: more has to come
+    with contextlib.suppress(messages.CorruptError):
+        assert messages.read(ring) is None  # a longer length: more has to come
 
 
 @pytest.mark.parametrize(
@@ -652,16 +652,16 @@
 def test_a_message_with_a_good_checksum_and_no_sense_is_corrupt(body: bytes) -> None:
 
     ring = Ring(4096)
-    ring.put(wire.FRAMING.write(body))
-    with pytest.raises(wire.CorruptError):
-        wire.read(ring)
+    ring.put(messages.FRAMING.write(body))
+    with pytest.raises(messages.CorruptError):
+        messages.read(ring)
 
 
 def test_another_version_is_known_by_its_first_bytes() -> None:
     ring = Ring(4096)
     ring.put(b"MSH2")
-    with pytest.raises(wire.CorruptError, match="no frame of this version"):
-        wire.read(ring)
+    with pytest.raises(messages.CorruptError, match="no frame of this version"):
+        messages.read(ring)
     pair = Pair()
     pair.elder.handover.stranger_came(pair.clock.now())
     pair.younger.handover.sharing.elder_came()
--- a/tests/pool/test_probing.py
+++ b/tests/load_balancing/test_health_checks.py
@@ -4,7 +4,7 @@
 
 from datetime import timedelta
 
-from marlstep.pool.probing import Probing
+from marlstep.load_balancing.health_checks import Probing
 from marlstep.units import EPOCH, MILLISECOND, SECOND
 
 NOW = EPOCH + timedelta(days=9)
--- a/tests/test_pool.py
+++ b/tests/load_balancing/test_load_balancing.py
@@ -10,12 +10,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.pool.estimate import AdaptiveLimit, Floor, LimitSettings, PeakEwma
-from marlstep.pool.health import HealthSettings, State
-from marlstep.pool.table import PoolSettings, Server, ServerTable
+from marlstep.load_balancing.estimators import AdaptiveLimit, Floor, LimitSettings, PeakEwma
+from marlstep.load_balancing.outlier_detection import HealthSettings, State
+from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
 from marlstep.slots import TableFullError
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
-from tests.test_parsers import FIXED
+from tests.frontends.test_parsers import FIXED
 
 START = EPOCH + 1_800_000_000 * SECOND
 
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -18,7 +18,7 @@
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.rig import Rig, Settings
 from marlstep.drill.rules import ListServers
-from marlstep.fronts.uwsgi_wire import write_packet
+from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.membership.quota_table import FULL_QUOTA
 from tests.membership.support import NODES
 
--- a/tests/test_db.py
+++ b/tests/platform/test_database.py
@@ -7,8 +7,8 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.model import Request
-from marlstep.platform.db import MOST_LINKS, MOST_RESTING, Database
+from marlstep.core.interfaces import Request
+from marlstep.platform.database import MOST_LINKS, MOST_RESTING, Database
 from marlstep.units import SECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
--- a/tests/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -5,7 +5,7 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.model import Request
+from marlstep.core.interfaces import Request
 from marlstep.platform.kernel import Kernel
 from marlstep.units import MILLISECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
--- a/tests/test_named_crossings.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -1,6 +1,6 @@
 """Named work, callers that take back, a dependency that all share, and settings that name who may ask: on sockets.
 
-As tests/test_crossings.py; the rows stand in docs/crossings.md.
+As tests/races/test_shutdown_and_reload.py; the rows stand in docs/crossings.md.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 import pytest
 
-from marlstep.fronts.resp_wire import write_frame
+from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import MILLISECOND, SECOND
+from tests.races.test_shutdown_and_reload import GRACE_MS, one_core
 from tests.support.crossing import Caller, Place, at, until
 from tests.support.elsewhere import ELSEWHERE, elsewhere
-from tests.test_crossings import GRACE_MS, one_core
 
 WINDOW_MS = 2_000
 
--- a/tests/test_names.py
+++ b/tests/races/test_idempotency_keys.py
@@ -5,9 +5,9 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.keys import KeyTable, Known, digest_of, label, read_label
-from marlstep.fronts.resp import RespConnection
-from marlstep.fronts.resp_wire import write_frame
+from marlstep.core.idempotency import KeyTable, Known, digest_of, label, read_label
+from marlstep.frontends.resp import RespConnection
+from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 from tests.support.elsewhere import Elsewhere, answered
 from tests.support.node import START, Wire
--- a/tests/test_crossings.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from marlstep.fronts.resp_wire import write_frame
+from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import MILLISECOND, SECOND
 from tests.support.crossing import Caller, HeldDatabase, HeldKernel, Place, Reports, at, until
 from tests.support.elsewhere import ELSEWHERE, elsewhere
@@ -697,7 +697,7 @@
     at(tmp_path, run)
 
 
-# An upgrade (two processes: tests/test_upgrade_crossings.py).
+# An upgrade (two processes: tests/hot_restart/test_upgrade_races.py).
 
 
 def test_the_successor_is_lost_before_the_hand_over_is_through(tmp_path: Path) -> None:
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -10,7 +10,7 @@
 from marlstep.components.config_documents import NodeConfigDocuments
 from marlstep.config import ConfigError, check
 from marlstep.config.governed import Governed, part_of
-from marlstep.core.model import Verdict
+from marlstep.core.interfaces import Verdict
 from marlstep.units import ZERO
 from tests.support.node import SETTINGS, Desk, raw_config
 
--- a/tests/support/crossing.py
+++ b/tests/support/crossing.py
@@ -20,8 +20,8 @@
 import uvloop
 
 from marlstep.config import Config, check, load
-from marlstep.fronts.resp import RespConnection
-from marlstep.fronts.resp_wire import FrameReader, write_frame
+from marlstep.frontends.resp import RespConnection
+from marlstep.frontends.resp_wire import FrameReader, write_frame
 from marlstep.net.ring import Ring
 from marlstep.node import Node
 from marlstep.timer_queue import TimerQueue
--- a/tests/support/elsewhere.py
+++ b/tests/support/elsewhere.py
@@ -7,8 +7,8 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.engine import Core, Ports
-from marlstep.fronts.resp import RespConnection, RespFront
-from marlstep.fronts.resp_wire import write_frame
+from marlstep.frontends.resp import RespConnection, RespFront
+from marlstep.frontends.resp_wire import write_frame
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import SECOND, instant_us
 from tests.support.node import Desk, Wire, raw_config
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -9,7 +9,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.engine import Core, Ports
-from marlstep.core.model import Answer, Offer, Request, Ticket, Verdict
+from marlstep.core.interfaces import Answer, Offer, Request, Ticket, Verdict
 from marlstep.net.eventloop import Address, DialCallback, ProtocolFactory
 from marlstep.net.stream import RingStream
 from marlstep.simulator.configuration import read_settings
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections import Counter
 
-from marlstep.fronts.uwsgi_wire import PacketReader
+from marlstep.frontends.uwsgi_wire import PacketReader
 from marlstep.net.ring import Ring
 
 
--- a/tests/support/upgrading.py
+++ b/tests/support/upgrading.py
@@ -16,7 +16,7 @@
 
 import uvloop
 
-from marlstep.fronts.resp_wire import write_frame
+from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SystemClock, instant_us
 from tests.support.node import raw_config
 from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, StandIn
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,10 +5,10 @@
 import pytest
 
 from marlstep.config import ConfigError, check
-from marlstep.fronts.resp_wire import write_frame
+from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SECOND
+from tests.frontends.test_resp import Platform, exec_frame, instant_ms
 from tests.support.node import raw_config
-from tests.test_resp import Platform, exec_frame, instant_ms
 
 KINDS = (b"temp-history", b"schedule-save", b"setpoint-cmd")
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -13,12 +13,12 @@
 from marlstep.admin.door import PATIENCE, Door
 from marlstep.admin.http import BODY_LIMIT, HEAD_LIMIT, HttpConnection
 from marlstep.config import ConfigError, check, load
-from marlstep.core.duty import Duty, State
-from marlstep.core.model import Verdict
-from marlstep.fronts.base import NEW_LEAST
+from marlstep.core.interfaces import Verdict
+from marlstep.core.serving_state import Duty, State
+from marlstep.frontends.base import NEW_LEAST
 from marlstep.units import MILLISECOND, SECOND
+from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
 from tests.support.node import Desk, Wire, raw_config
-from tests.test_parsers import CUTS, FIXED, GARBAGE, pieces
 
 CONNECTIONS = 48
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -15,8 +15,8 @@
 from marlstep.components.admin import AdminComponent
 from marlstep.components.uwsgi import UwsgiComponent
 from marlstep.config import check
-from marlstep.fronts.resp_wire import write_frame
-from marlstep.fronts.uwsgi_wire import write_packet
+from marlstep.frontends.resp_wire import write_frame
+from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.timer_queue import TimerQueue
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from marlstep.config import check, load, renewed
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.platform.naming import EVERY, Naming
+from marlstep.platform.name_service import EVERY, Naming
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
 from tests.support.node import HandClock, raw_config
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -15,7 +15,7 @@
 from marlstep.admission.settings import Settings
 from marlstep.config import Config, ConfigError, changes, check, load, renewed
 from marlstep.core.engine import RETIRED_FOR, Refused
-from marlstep.core.model import Verdict
+from marlstep.core.interfaces import Verdict
 from marlstep.node import Node
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -23,7 +23,7 @@
 from marlstep.config import check
 from marlstep.config.readers import ConfigError
 from marlstep.config.traces import check_trace
-from marlstep.core.model import Verdict
+from marlstep.core.interfaces import Verdict
 from marlstep.standins.cores import Machine, Plan, Sharing, ran, read_plan
 from marlstep.standins.servers import StandIns, account
 from marlstep.traces.formats import named
@@ -35,8 +35,8 @@
 from marlstep.traces.rows import Arrival
 from marlstep.traces.schedule import BLOCK_ROWS, Schedule, ScheduleError, Writer
 from marlstep.traces.window import Counts, Section, busiest, compressed, cut, dispersion, repeated, thinned
+from tests.frontends.test_parsers import FIXED
 from tests.support.node import raw_config
-from tests.test_parsers import FIXED
 
 ROOT = Path(__file__).parent.parent
 KINDS = ("temp-history", "schedule-save", "setpoint-cmd")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,13 +15,13 @@
 from marlstep.admin.http import HttpConnection
 from marlstep.cli.main import call
 from marlstep.config import ConfigError, check
-from marlstep.core.model import Verdict
+from marlstep.core.interfaces import Verdict
 from marlstep.traces import tenants
 from marlstep.traces.reading import Account
 from marlstep.traces.rows import Arrival
 from marlstep.units import SECOND
+from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
 from tests.support.node import Desk, Wire, raw_config
-from tests.test_parsers import CUTS, FIXED, GARBAGE, pieces
 
 TOKEN = "0123456789abcdef"
 TENANTS = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -21,7 +21,7 @@
 from marlstep.traces.order import SURE, Reorder
 from marlstep.traces.reading import Reading, Strict
 from marlstep.traces.rows import Arrival, Reject
-from tests.test_parsers import FIXED
+from tests.frontends.test_parsers import FIXED
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "traces"
 GENERIC = Generic(Columns("at_ms", 1_000, "site", "kind", "work_ms", "gateway"))
--- a/tests/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.core.model import Verdict
+from marlstep.core.interfaces import Verdict
+from marlstep.load_balancing.estimators import LimitSettings
+from marlstep.load_balancing.outlier_detection import HealthSettings, State
+from marlstep.load_balancing.pool_plan import Plan, pool_of
+from marlstep.load_balancing.server_table import PoolSettings, Server
 from marlstep.net.eventloop import Address
-from marlstep.pool.estimate import LimitSettings
-from marlstep.pool.health import HealthSettings, State
-from marlstep.pool.plan import Plan, pool_of
-from marlstep.pool.table import PoolSettings, Server
 from marlstep.units import MILLISECOND, SECOND
 from marlstep.upstreams.upstream import Upstream
+from tests.frontends.test_parsers import FIXED
 from tests.support.node import Desk, HandDial, Wire
-from tests.test_parsers import FIXED
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 FULL = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
