--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -59,7 +59,7 @@
                     "healthy": self.core.healthy,
                     "draining": self.core.draining,
                     "unanswered": self.core.unanswered,
-                    "in_hand": self.core.in_hand,
+                    "in_hand": self.core.in_flight,
                 }
             case "GET", ["v1", "counters"]:
                 return 200, dict(sorted(self.core.counts.items()))
@@ -69,7 +69,7 @@
                 return 200, self._tenant(name)
             case "PUT", ["v1", "tenants", name]:
                 self._tenant(name)
-                self.core.allow(name, self._allowance(call.body))
+                self.core.set_allowance(name, self._allowance(call.body))
                 return 200, self._tenant(name)
             case "POST", ["v1", "drain"]:
                 log.warning("drain asked for by the administration")
@@ -106,7 +106,7 @@
         from marlstep.admin.metrics import written  # its library is loaded with the first call
 
         figures = {f"requests_{name}_total": float(count) for name, count in self.core.counts.items()}
-        figures |= {"in_hand": float(self.core.in_hand), "unanswered": float(self.core.unanswered)}
+        figures |= {"in_hand": float(self.core.in_flight), "unanswered": float(self.core.unanswered)}
         for part in self._parts():
             figures |= part.metrics()
         return written(figures)
--- a/marlstep/admin/door.py
+++ b/marlstep/admin/door.py
@@ -31,24 +31,30 @@
         match call.path:
             case "/admin/health":
                 method_for(call, "GET")
-                return 200 if self.core.duty.can_serve else 503, self._state()
+                return 200 if self.core.serving_state.can_serve else 503, self._state()
             case "/admin/quiesce":
                 method_for(call, "POST")
-                return self._ask("quiesce", self.core.duty.quiesce)
+                return self._ask("quiesce", self.core.serving_state.quiesce)
             case "/admin/resume":
                 method_for(call, "POST")
-                return self._ask("resume", self.core.duty.resume)
+                return self._ask("resume", self.core.serving_state.resume)
         raise Problem(404, "no such call")
 
     def _ask(self, what: str, change: Callable[[], bool]) -> tuple[int, object]:
-        before = self.core.duty.state
+        before = self.core.serving_state.phase
         if not change():
             log.warning("%s asked for at the door: too late, the node leaves", what)
             raise Problem(409, "the node leaves")
-        log.info("%s asked for at the door: %s, was %s", what, self.core.duty.state.value, before.value)
+        log.info(
+            "%s asked for at the door: %s, was %s", what, self.core.serving_state.phase.value, before.value
+        )
         self._changed()
         return 200, self._state()
 
     def _state(self) -> dict[str, object]:
         core = self.core
-        return {"state": core.duty.state.value, "in_hand": core.in_hand, "unanswered": core.unanswered}
+        return {
+            "state": core.serving_state.phase.value,
+            "in_hand": core.in_flight,
+            "unanswered": core.unanswered,
+        }
--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -14,7 +14,7 @@
 import httptools
 
 from marlstep.core.engine import Core
-from marlstep.core.interfaces import Answer
+from marlstep.core.interfaces import Response
 from marlstep.frontends.base import Connection, Listener
 from marlstep.timer_queue import TimerQueue
 
@@ -136,17 +136,17 @@
 
     # What the listener asks for.
 
-    def answer(self, number: int, answer: Answer) -> None:
+    def send_response(self, number: int, answer: Response) -> None:
         """No request of the core comes from here."""
 
-    def gone(self) -> None:
+    def peer_closed(self) -> None:
         """Nothing is open here for long."""
 
-    def overdue(self) -> None:
+    def read_timed_out(self) -> None:
         self._refuse(Problem(408, "no whole call came in time"))
         self.finish()
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         self.finish()
 
 
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -10,10 +10,10 @@
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.interfaces import RecoveryBroadcaster
 from marlstep.leases.messages import ServerRecovered
-from marlstep.load_balancing.health_checks import Probing
+from marlstep.load_balancing.health_checks import PoolHealthChecks
 from marlstep.net.eventloop import dial
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Deadline
+from marlstep.timer_queue import Timer
 from marlstep.units import MILLISECOND
 from marlstep.upstreams.upstream import Upstream
 
@@ -55,9 +55,9 @@
         """A server waits `fallback_after` its ejection time for the holder; then this node decides for itself."""
         self._context, self._broadcaster = context, broadcaster
         self._upstream, self._fallback_after = upstream, fallback_after
-        self._probing: dict[str, Probing] = {}
+        self._probing: dict[str, PoolHealthChecks] = {}
         self._next_check_at: datetime | None = None
-        self._alarm: Deadline | None = None
+        self._alarm: Timer | None = None
 
     def pools(self) -> Iterable[str]:
         """Return the pools whose servers can be ejected."""
@@ -67,14 +67,14 @@
         """Return the names of these pools' leases."""
         return [POOL_LEASE_PREFIX + name for name in self.pools()]
 
-    def _probing_of(self, pool: str) -> Probing:
+    def _probing_of(self, pool: str) -> PoolHealthChecks:
         probing = self._probing.get(pool)
         if probing is None:
-            probing = self._probing[pool] = Probing(self._fallback_after)
+            probing = self._probing[pool] = PoolHealthChecks(self._fallback_after)
             self._upstream.pools[pool].table.may_probe = partial(self._may_probe, probing)
         return probing
 
-    def _may_probe(self, probing: Probing, server: str, out_until: datetime, now: datetime) -> bool:
+    def _may_probe(self, probing: PoolHealthChecks, server: str, out_until: datetime, now: datetime) -> bool:
         is_alone = self._context.capabilities.checks_servers_itself and now >= out_until
         return probing.may_probe(server, out_until, now) or is_alone
 
@@ -91,10 +91,10 @@
 
     def _check_pool(self, pool: str, now: datetime, wall: datetime) -> None:
         probing = self._probing_of(pool)
-        ejected = self._upstream.pools[pool].table.out()
+        ejected = self._upstream.pools[pool].table.ejected()
         if not self._context.client.holder.time_left(POOL_LEASE_PREFIX + pool, now):
             return
-        for server in probing.to_dial(ejected, wall):
+        for server in probing.servers_to_check(ejected, wall):
             self._start_check(pool, server)
 
     def _start_check(self, pool: str, server: str) -> None:
@@ -108,7 +108,7 @@
         token = holder.token(lease)
         if not holder.time_left(lease, self._context.steady.now()):
             return  # another node checks by now
-        self._probing_of(pool).dialled(server, error is None)
+        self._probing_of(pool).check_finished(server, error is None)
         if error is None:
             log.info("fleet: server recovered, notifying all nodes pool=%s server=%s", pool, server)
             self._broadcaster.broadcast(ServerRecovered(pool, server, token))
@@ -118,7 +118,9 @@
         pool = self._upstream.pools.get(message.pool)
         if pool is None:
             return
-        if not self._probing_of(message.pool).told(message.server, message.token, pool.table.out()):
+        if not self._probing_of(message.pool).peer_reported_recovery(
+            message.server, message.token, pool.table.ejected()
+        ):
             self._context.counts["probes refused"] += 1
 
     def close(self) -> None:
--- a/marlstep/cluster/incoming_connection.py
+++ b/marlstep/cluster/incoming_connection.py
@@ -9,7 +9,7 @@
 from marlstep.cluster.wire import MAX_FRAME_HEAD_BYTES, MAX_MESSAGE_BYTES
 from marlstep.net.framing import CorruptError, Framing
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import SECOND
 
 RING_SIZE = 64 * 1024
@@ -42,7 +42,7 @@
         super().__init__(RING_SIZE)
         self._table, self._framing, self._timeline = table, framing, timeline
         self._deliver, self._drops = deliver, drops
-        self._first_frame_deadline: Deadline | None = None
+        self._first_frame_deadline: Timer | None = None
 
     def made(self) -> None:
         """Enter the connection in the table, and bound the time to its first frame."""
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -19,7 +19,7 @@
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.net.framing import CorruptError
 from marlstep.net.ring import Ring
-from marlstep.timer_queue import Deadline
+from marlstep.timer_queue import Timer
 from marlstep.units import MILLISECOND, instant_us
 
 log = logging.getLogger(__name__)
@@ -65,7 +65,7 @@
         self.counts = context.counts
         self._framing = wire.datagram_framing(context.config.key)
         self._transport: asyncio.DatagramTransport | None = None
-        self._alarm: Deadline | None = None
+        self._alarm: Timer | None = None
         self._unlisted_peers: set[str] = set()  # that have an address at the transport
         context.client.holder.failed_nodes = self._failed_nodes
 
--- a/marlstep/cluster/outbound_peer.py
+++ b/marlstep/cluster/outbound_peer.py
@@ -12,7 +12,7 @@
 from marlstep.cluster.drop_recorder import DropRecorder
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
 RING_SIZE = 64  # nothing is read here, and what is written waits in asyncio's transport
@@ -50,7 +50,7 @@
         self._address, self._timeline, self._dial, self._drops = address, timeline, dial, drops
         self._connection: OutgoingConnection | None = None
         self._cancel_dialing: Cancel | None = None  # while an attempt to connect is under way
-        self._connect_deadline: Deadline | None = None
+        self._connect_deadline: Timer | None = None
         self._redial_at: datetime | None = None
         self._backoff = MIN_BACKOFF
         self._queued: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -14,13 +14,20 @@
 from marlstep.admission.events import Outcome as RunOutcome
 from marlstep.cluster.interfaces import Step, StepObserver
 from marlstep.config.cluster import TaskConfig
-from marlstep.core.engine import Core, Refused
-from marlstep.core.interfaces import Answer, Backend, Offer, Request, Ticket, Verdict
+from marlstep.core.engine import Core, RequestRejectedError
+from marlstep.core.interfaces import (
+    Backend,
+    InboundRequest,
+    Request,
+    Response,
+    ResponseHandle,
+    ResponseStatus,
+)
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
 from marlstep.scheduled_tasks.outcomes import Outcome
 from marlstep.scheduled_tasks.runner import LEASE_MARGIN
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import ZERO
 
 log = logging.getLogger(__name__)
@@ -43,7 +50,7 @@
     lease_time_left: Callable[[], timedelta]  # under the token of the action
     handle: int = 0  # the core's, to cancel it
     started: bool = False  # it has left this node
-    deadline: Deadline | None = None
+    deadline: Timer | None = None
 
 
 class LeaseGuard:
@@ -112,14 +119,14 @@
         """Submit the request of an action; `on_outcome` is called once, when it has ended."""
         self._number += 1
         number, plan = self._number, task.plan
-        offer = Offer(
+        offer = InboundRequest(
             id=f"task-{number}",
-            kind=plan.request_class,
+            request_class=plan.request_class,
             body=write_packet(self._variables(task, action)),
             arrived=self._timeline.now(),
-            kb=REQUEST_MEMORY_KB,
+            memory_kb=REQUEST_MEMORY_KB,
             pool=self.pool_of(plan.request_class),
-            once=f"{plan.name}/{action.kind}/{action.run}/{action.token}/{number}",
+            idempotency_key=f"{plan.name}/{action.kind}/{action.run}/{action.token}/{number}",
         )
         acting = self._requests[number] = TaskRequest(task, action, on_outcome, lease_time_left)
         acting.deadline = self._steady.at(
@@ -127,7 +134,7 @@
         )
         try:
             acting.handle = self._core.submit(self, (0, number), self._backend, offer)
-        except Refused as fault:
+        except RequestRejectedError as fault:
             log.warning("task request rejected: task=%s reason=%s", plan.name, fault)
             self._end(number, Outcome.NOT_RUN)
 
@@ -150,7 +157,7 @@
 
     def may_start(self, request: Request) -> bool:
         """Check the lease in the turn in which a request would leave, and note that it leaves."""
-        acting = self._requests.get(request.ticket[1])
+        acting = self._requests.get(request.response_handle[1])
         if acting is None or acting.lease_time_left() < acting.task.plan.timeout + LEASE_MARGIN:
             if acting is not None:
                 log.warning("task request not started: lease too short task=%s", acting.task.plan.name)
@@ -159,7 +166,7 @@
             return False
         acting.started = True
         self._steady.cancel(acting.deadline)
-        number = request.ticket[1]
+        number = request.response_handle[1]
         self._observer.reached(Step.REQUEST_STARTING)
         until: datetime = self._steady.now() + acting.task.plan.timeout
         acting.deadline = self._steady.at(until, lambda: self._on_deadline(number))
@@ -171,7 +178,7 @@
             return
         handle, started = acting.handle, acting.started
         self._end(number, Outcome.UNKNOWN if started else Outcome.NOT_RUN)
-        self._core.client_gone(handle)
+        self._core.client_disconnected(handle)
 
     def _end(self, number: int, outcome: Outcome) -> None:
         """Report an outcome; every request ends here, and only once."""
@@ -182,28 +189,28 @@
 
     # For the core to call.
 
-    def deliver(self, ticket: Ticket, answer: Answer) -> None:
+    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
         """Take the answer to a request, unless its deadline came before."""
         acting = self._requests.get(ticket[1])
         if acting is not None:
             self._end(ticket[1], outcome_of(answer, acting.started))
 
-    def limit_idle(self, after: timedelta) -> None:
+    def limit_idle_time(self, after: timedelta) -> None:
         """Do nothing: there are no connections here."""
 
     def stop_accepting(self) -> None:
         """Do nothing: the runners are draining by then, and begin nothing more."""
 
 
-def outcome_of(answer: Answer, started: bool) -> Outcome:
+def outcome_of(answer: Response, started: bool) -> Outcome:
     """Return what an answer proves: only the server's response, or that the request never left, is certain."""
-    match answer.verdict:
-        case Verdict.DONE:
+    match answer.status:
+        case ResponseStatus.DONE:
             status = status_of(answer.body)
             if status in FENCED_STATUSES:
                 return Outcome.FENCED_OFF
             return Outcome.DONE if status in SUCCESS_STATUSES else Outcome.FAILED
-        case Verdict.REFUSED:
+        case ResponseStatus.REJECTED:
             return Outcome.NOT_RUN
     return Outcome.UNKNOWN if started else Outcome.NOT_RUN
 
--- a/marlstep/cluster/turns.py
+++ b/marlstep/cluster/turns.py
@@ -6,7 +6,7 @@
 from datetime import datetime
 
 from marlstep.cluster.context import NodeContext
-from marlstep.timer_queue import Deadline
+from marlstep.timer_queue import Timer
 from marlstep.units import MILLISECOND
 
 
@@ -17,7 +17,7 @@
         """`run_turn` is called with the steady clock's time."""
         self._context, self._run_turn = context, run_turn
         self._is_scheduled = False
-        self._alarm: Deadline | None = None
+        self._alarm: Timer | None = None
 
     def schedule(self) -> None:
         """Ask for a turn in the next iteration of the event loop."""
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -35,5 +35,5 @@
         documents=documents,
     )
     if cluster.config_driver is not None:
-        host.core.may_take = cluster.config_driver.accepts_work
+        host.core.accepts_work = cluster.config_driver.accepts_work
     return cluster
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -55,7 +55,9 @@
         self._note_allowances()
         self._governed.keep(kind, document)
         self._versions[kind] = version
-        self._core.rules = ",".join(f"{name}={number}" for name, number in sorted(self._versions.items()))
+        self._core.config_versions = ",".join(
+            f"{name}={number}" for name, number in sorted(self._versions.items())
+        )
 
     def _note_allowances(self) -> None:
         allowances = {name: tenant.allowance_per_s for name, tenant in self._core.tenants.items()}
@@ -67,7 +69,7 @@
 
     def request_counts(self) -> RequestCounts:
         """Count the requests that were read, of them rejected, and failed or late."""
-        return RequestCounts(*self._core.figures)
+        return RequestCounts(*self._core.request_counts)
 
     def tenant_counts(self) -> dict[str, int]:
         """Count the requests that were read of each tenant that has an allowance."""
@@ -87,7 +89,7 @@
         if tenant not in core.tenants:
             return
         if abs(core.tenants[tenant].allowance_per_s - per_s) > whole * MIN_ALLOWANCE_CHANGE:
-            core.allow(tenant, per_s)
+            core.set_allowance(tenant, per_s)
 
     def restrict(self) -> None:
         """Narrow the allowance of each tenant that is still there to the lowest that any version gave."""
@@ -96,4 +98,4 @@
             tenant = core.tenants.get(name)
             if tenant is not None and lowest < tenant.allowance_per_s:
                 log.warning("allowance narrowed: tenant=%s allowance_per_s=%g", name, lowest)
-                core.allow(name, lowest)
+                core.set_allowance(name, lowest)
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -9,9 +9,9 @@
 
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
-from marlstep.hot_restart.channel import Meeting
-from marlstep.hot_restart.host_adapter import Beside, Hooks
-from marlstep.hot_restart.restart import Handover
+from marlstep.hot_restart.channel import RestartChannel
+from marlstep.hot_restart.host_adapter import HostAdapter, HostHooks
+from marlstep.hot_restart.restart import HotRestart
 from marlstep.units import span
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
     def __init__(self, host: HotRestartHost) -> None:
         """Know of no other process before `open`."""
         self._host = host
-        self._channel: Meeting | None = None
+        self._channel: RestartChannel | None = None
         self.has_predecessor_serving = False
         self.restart_state = self
 
@@ -39,25 +39,25 @@
             log.warning("hot restart is off: TMPDIR is not set")
             return
         core, timeline = self._host.core, self._host.timeline
-        adapter = Beside(core, timeline, self._hooks())
+        adapter = HostAdapter(core, timeline, self._hooks())
 
-        def make_handover(generation: int) -> Handover:
-            return Handover(adapter, generation, os.getpid(), *self._lost_process_times())
+        def make_handover(generation: int) -> HotRestart:
+            return HotRestart(adapter, generation, os.getpid(), *self._lost_process_times())
 
-        channel = self._channel = Meeting(config.folder, config.name, timeline, make_handover)
+        channel = self._channel = RestartChannel(config.folder, config.name, timeline, make_handover)
         core.on_cores_up = lambda: channel.handover.cores_up(timeline.now())
         self.has_predecessor_serving = await channel.open()
         adapter.watch(channel.handover)
 
-    def _hooks(self) -> Hooks:
+    def _hooks(self) -> HostHooks:
         host = self._host
-        return Hooks(
+        return HostHooks(
             take_over=host.take_over,
             successor_lost=host.drain_controller.successor_lost,
-            successor_leaves=host.drain_controller.successor_draining,
-            bound=host.limit_memory_share,
+            successor_draining=host.drain_controller.successor_draining,
+            limit_resources=host.limit_memory_share,
             connected=host.connection_share,
-            duty_changed=host.report_serving_state,
+            serving_state_changed=host.report_serving_state,
         )
 
     def _lost_process_times(self) -> tuple[timedelta, timedelta]:
@@ -70,26 +70,26 @@
     def reconfigure(self, _config: Config, /) -> None:
         """Take over the deadlines in force."""
         if self._channel is not None:
-            self._channel.handover.renew(*self._lost_process_times())
+            self._channel.handover.set_timeouts(*self._lost_process_times())
 
     def serving_state_changed(self, ready: bool, /) -> None:
         """Tell the others that an operator quiesced or resumed the node at this process."""
         if self._channel is not None:
-            self._channel.handover.duty_changed(ready)
+            self._channel.handover.serving_state_changed(ready)
 
     @property
     def has_predecessor(self) -> bool:
         """Another process of this node is older than this one."""
-        return self._channel is not None and self._channel.handover.has_elder
+        return self._channel is not None and self._channel.handover.has_predecessor
 
     @property
     def is_standby(self) -> bool:
         """Another process serves, and this one does not yet."""
-        return self._channel is not None and self._channel.handover.takes_nothing
+        return self._channel is not None and self._channel.handover.is_standby
 
     def hand_over_to_successor(self, now: datetime, /) -> bool:
         """Leave; whether another process serves in this one's place."""
-        return self._channel is not None and self._channel.handover.leave(now)
+        return self._channel is not None and self._channel.handover.drain(now)
 
     def stop(self) -> None:
         """Leave the meeting."""
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -8,7 +8,7 @@
 
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config, UwsgiConfig
-from marlstep.frontends.uwsgi import UwsgiFront
+from marlstep.frontends.uwsgi import UwsgiFrontend
 from marlstep.load_balancing.pool_plan import pool_of
 from marlstep.upstreams.upstream import Upstream
 
@@ -26,7 +26,7 @@
 
     name: ClassVar[str] = "uwsgi"
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_FRONTENDS
-    front: UwsgiFront
+    front: UwsgiFrontend
 
     def __init__(self, host: NodeServices, config: UwsgiConfig, max_connections: int) -> None:
         """Make the frontend; `max_connections` is what the whole node has capacity for."""
@@ -35,7 +35,7 @@
         self.upstream = Upstream(
             config.pools, host.timeline, lambda: host.core, config.response_limit, host.config.seed
         )
-        self.front = UwsgiFront(
+        self.front = UwsgiFrontend(
             host.core,
             host.timeline,
             self.upstream,
@@ -55,7 +55,7 @@
     def reconfigure(self, config: Config, /) -> None:
         """Take over the pools in force, and how requests are mapped to classes."""
         if config.uwsgi is not None:
-            self.upstream.move(config.uwsgi.pools)
+            self.upstream.set_plans(config.uwsgi.pools)
             self.front.pool_of = partial(pool_of, config.uwsgi.pools)
             self.front.mapped = config.uwsgi.mapped
 
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -30,13 +30,13 @@
     word,
     words,
 )
-from marlstep.frontends.uwsgi_mapping import Mapped
+from marlstep.frontends.uwsgi_mapping import UwsgiMapping
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
 
 if TYPE_CHECKING:
     from marlstep.config.cluster import ClusterConfig
-    from marlstep.load_balancing.pool_plan import Plan
+    from marlstep.load_balancing.pool_plan import PoolPlan
 
 LEAST_MEMORY_MB = 24  # the interpreter and the program alone take 16
 
@@ -79,8 +79,8 @@
     """The second front, from the operator's file."""
 
     listen: Address
-    pools: tuple[Plan, ...]
-    mapped: Mapped
+    pools: tuple[PoolPlan, ...]
+    mapped: UwsgiMapping
     body_limit: int
     response_limit: int
     connections: int
@@ -312,7 +312,7 @@
     sizes = UwsgiConfig(
         listen=address(raw, "listen", "uwsgi.listen"),
         pools=_pools(raw, kinds),
-        mapped=Mapped(
+        mapped=UwsgiMapping(
             kind=word(names, "class", "uwsgi.vars.class"),
             classes={said: kind(classes, said, f"uwsgi.classes.{said}") for said in classes},
             default_class=kind(raw, "default_class", "uwsgi.default_class")
@@ -337,12 +337,12 @@
     return sizes
 
 
-def _pools(raw: Table, kinds: set[str]) -> tuple[Plan, ...]:
+def _pools(raw: Table, kinds: set[str]) -> tuple[PoolPlan, ...]:
     """The pools of servers; `upstream` is a pool of one, without limits."""
-    from marlstep.load_balancing.pool_plan import Plan  # a node without the front does not load it
+    from marlstep.load_balancing.pool_plan import PoolPlan  # a node without the front does not load it
 
     if "pool" not in raw:
-        return (Plan("", (address(raw, "upstream", "uwsgi.upstream"),), limited=False),)
+        return (PoolPlan("", (address(raw, "upstream", "uwsgi.upstream"),), limited=False),)
     if "upstream" in raw:
         raise ConfigError("uwsgi.upstream and uwsgi.pool can't both be there")
     rows = table(raw, "pool", "uwsgi.pool")
@@ -357,8 +357,8 @@
     return plans
 
 
-def _pool(rows: Table, name: str, kinds: set[str]) -> Plan:
-    from marlstep.load_balancing.pool_plan import Plan
+def _pool(rows: Table, name: str, kinds: set[str]) -> PoolPlan:
+    from marlstep.load_balancing.pool_plan import PoolPlan
 
     path = f"uwsgi.pool.{name}"
     row = table(rows, name, path)
@@ -376,7 +376,7 @@
     refuses = take(row, "refuses", f"{path}.refuses", [])
     if not isinstance(refuses, list) or not all(type(one) is int and 400 <= one <= 599 for one in refuses):
         raise ConfigError(f"{path}.refuses must be a list of statuses from 400 to 599")
-    return Plan(
+    return PoolPlan(
         name=name,
         servers=addresses,
         classes=tuple(classes),
@@ -384,7 +384,7 @@
         boot_header=word(row, "boot_header", f"{path}.boot_header", "x-boot-id").lower(),
         connect_timeout=whole(row, "connect_timeout_ms", f"{path}.connect_timeout_ms", 1, 60_000, 1000)
         * MILLISECOND,
-        tries=whole(row, "tries", f"{path}.tries", 1, 16, 3),
+        max_attempts=whole(row, "tries", f"{path}.tries", 1, 16, 3),
     )
 
 
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -47,52 +47,52 @@
     TimerDue,
 )
 from marlstep.admission.settings import ClassSettings, Effect, PreemptionMode, Settings
-from marlstep.core.idempotency import Key, KeyTable, Known, label
+from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable, encode_label
 from marlstep.core.interfaces import (
-    Answer,
     Backend,
-    Claimant,
-    Front,
-    Gauges,
-    Offer,
-    Others,
+    CallClient,
+    ClaimResult,
+    Frontend,
+    GaugeSource,
+    InboundRequest,
     Request,
+    Response,
+    ResponseHandle,
+    ResponseStatus,
+    SiblingProcesses,
     Stage,
-    Store,
-    Ticket,
-    Verdict,
 )
-from marlstep.core.serving_state import Duty
+from marlstep.core.serving_state import ServingState
 from marlstep.slots import SlotTable, TableFullError
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO, instant, instant_us, span, span_us
 
 log = logging.getLogger(__name__)
 
-GAUGES_FRESH = 100 * MILLISECOND  # readings this young serve a timer as they are
-GAUGES_WAIT = 20 * MILLISECOND  # a timer waits no longer for new ones
+GAUGES_MAX_AGE = 100 * MILLISECOND  # readings this young serve a timer as they are
+GAUGES_TIMEOUT = 20 * MILLISECOND  # a timer waits no longer for new ones
 STOP_MARGIN = 150 * MILLISECOND  # before the process is stopped, all that is left is answered
-MOST_REQUESTS = 8_192  # in hand at once, about 40 MB; far beyond what the module's hold takes
+MAX_REQUESTS = 8_192  # in hand at once, about 40 MB; far beyond what the module's hold takes
 
 
-ABROAD = "elsewhere/"  # before the id of another process's try, which may be that of one here
-RETIRED_FOR = (
+ELSEWHERE_PREFIX = "elsewhere/"  # before the id of another process's try, which may be that of one here
+RETIRED_CLASS_GRACE = (
     3 * SECOND
 )  # front ends hear late that a class or a tenant is gone: until then it is still taken
 
 
-class Refused(Exception):
+class RequestRejectedError(Exception):
     """The request was not taken; nothing ran. The text says why."""
 
 
-class Repeated(Refused):
+class RepeatedWorkError(RequestRejectedError):
     """A repeat of work that ran, or may have: it fails, and must not come again."""
 
 
 @dataclass(slots=True)
 class Ports:
-    gauges: Gauges
-    store: Store
+    gauges: GaugeSource
+    store: CallClient
 
 
 class Core:
@@ -102,33 +102,35 @@
         seed: int,
         timeline: TimerQueue,
         ports: Ports,
-        most_requests: int = MOST_REQUESTS,
+        most_requests: int = MAX_REQUESTS,
     ) -> None:
         self.settings = settings
-        self.kinds = {kind.name: kind for kind in settings.classes}
+        self.classes = {kind.name: kind for kind in settings.classes}
         self._retired: dict[str, datetime] = {}  # classes that are gone, and until when they are taken
         self.tenants = {tenant.name: tenant for tenant in settings.tenants}
         self._former: dict[str, datetime] = {}  # tenants that are gone, likewise
         self.tenant_counts: dict[str, Counter[str]] = {name: Counter() for name in self.tenants}
-        self.say: float | None = None  # the free value, carried by every answer
-        self.duty = Duty()
+        self.advertised_value: float | None = None  # the free value, carried by every answer
+        self.serving_state = ServingState()
         self.counts: Counter[str] = Counter()
         self.stops_at: datetime | None = None
         self.on_grace_over: Callable[[], None] = lambda: None
         # Whether new work may be taken at all: in a fleet, not without rules to take it under.
-        self.may_take: Callable[[], bool] | None = None
-        self.rules = ""  # the versions of the documents that this node acts on, for the record
-        self.on_cores_up: Callable[[], None] = self.duty.ready
+        self.accepts_work: Callable[[], bool] | None = None
+        self.config_versions = ""  # the versions of the documents that this node acts on, for the record
+        self.on_cores_up: Callable[[], None] = self.serving_state.mark_ready
         self._ports = ports
         self._timeline = timeline
         self._controller = Controller(settings, seed)
         self._requests: SlotTable[Request] = SlotTable(most_requests)
         self._by_id: dict[str, int] = {}
-        self.keys = KeyTable()
-        self.others: Others | None = None  # other processes of this node, while there are any
-        self._abroad: dict[Key, list[str]] = {}  # repeats that wait for what runs in another process
+        self.idempotency_keys = KeyTable()
+        self.siblings: SiblingProcesses | None = None  # other processes of this node, while there are any
+        self._claims_elsewhere: dict[
+            IdempotencyKey, list[str]
+        ] = {}  # repeats that wait for what runs in another process
         self._most = most_requests  # in hand: less while two processes share the node
-        self._fronts: list[Front] = []
+        self._frontends: list[Frontend] = []
         self._module_well = True  # what the module would have health checks told
         self._events: list[Event] = []
         self._turn_due = False
@@ -136,26 +138,30 @@
         self._readings: Mapping[str, float] = {}
         self._read_at: datetime | None = None
         self._ticks: list[int] = []  # tags of timers that wait for readings
-        self._tick_wait: Deadline | None = None
+        self._tick_wait: Timer | None = None
         self._run_after: datetime | None = None  # what arrived later is not run: we leave
 
     def start(self) -> None:
         self._decide([])
 
-    def add_front(self, front: Front) -> None:
-        self._fronts.append(front)
+    def add_frontend(self, front: Frontend) -> None:
+        self._frontends.append(front)
 
     @property
     def healthy(self) -> bool:
         """What health checks are told."""
-        return self._module_well and self.duty.wanted and (self.may_take is None or self.may_take())
+        return (
+            self._module_well
+            and self.serving_state.wants_traffic
+            and (self.accepts_work is None or self.accepts_work())
+        )
 
     @property
     def draining(self) -> bool:
         return self.stops_at is not None
 
     @property
-    def told_to_leave(self) -> bool:
+    def shutdown_requested(self) -> bool:
         return self._run_after is not None
 
     @property
@@ -168,82 +174,88 @@
         return self._unanswered
 
     @property
-    def in_hand(self) -> int:
+    def in_flight(self) -> int:
         return len(self._requests)
 
     @property
-    def figures(self) -> tuple[int, int, int]:
+    def request_counts(self) -> tuple[int, int, int]:
         """Requests read so far, of them refused, and failed or late."""
-        failed = self.counts[Verdict.FAILED.value] + self.counts[Verdict.EXPIRED.value]
-        return self.counts["read"], self.counts[Verdict.REFUSED.value], failed
+        failed = self.counts[ResponseStatus.FAILED.value] + self.counts[ResponseStatus.EXPIRED.value]
+        return self.counts["read"], self.counts[ResponseStatus.REJECTED.value], failed
 
     # From fronts.
 
-    def submit(self, front: Front, ticket: Ticket, backend: Backend, offer: Offer) -> int:
+    def submit(self, front: Frontend, ticket: ResponseHandle, backend: Backend, offer: InboundRequest) -> int:
         """Take a request that was read. From here on it is owed one answer, unless this raises Refused."""
         now = self._timeline.now()
-        kind = self.kinds.get(offer.kind)
-        if kind is None or self._retired.get(offer.kind, now) < now:
-            raise Refused(f"unknown class {offer.kind[:64]!r}")
+        kind = self.classes.get(offer.request_class)
+        if kind is None or self._retired.get(offer.request_class, now) < now:
+            raise RequestRejectedError(f"unknown class {offer.request_class[:64]!r}")
         tenant = offer.tenant or ""
         strange = bool(self.tenants and tenant) and tenant not in self.tenants
         if strange and self._former.get(tenant, EPOCH) < now:
-            raise Refused(f"unknown tenant {tenant[:64]!r}")
-        if kind.effect is Effect.KEYED and not offer.once:
-            raise Refused("work that must not run twice, without the name that its tries share")
+            raise RequestRejectedError(f"unknown tenant {tenant[:64]!r}")
+        if kind.effect is Effect.KEYED and not offer.idempotency_key:
+            raise RequestRejectedError("work that must not run twice, without the name that its tries share")
         if offer.id in self._by_id:
-            raise Repeated("an id that is in hand already")
-        key = (offer.kind, offer.once) if offer.once and kind.effect is not Effect.SAFE else None
-        prior = self.keys.find(key, min(now, offer.arrived)) if key else None
+            raise RepeatedWorkError("an id that is in hand already")
+        key = (
+            (offer.request_class, offer.idempotency_key)
+            if offer.idempotency_key and kind.effect is not Effect.SAFE
+            else None
+        )
+        prior = self.idempotency_keys.find(key, min(now, offer.arrived)) if key else None
         if prior and kind.effect is Effect.UNSAFE:
-            raise Repeated("a repeat of work that must not run twice")
-        if prior and not prior.is_of(offer.digest):
-            raise Repeated("a name in use for work with another body")
+            raise RepeatedWorkError("a repeat of work that must not run twice")
+        if prior and not prior.matches_body(offer.digest):
+            raise RepeatedWorkError("a name in use for work with another body")
         due = max(now, offer.arrived + span(kind.deadline_us))
-        request = Request(offer, kind, front, ticket, backend, due, rules=self.rules, key=key)
+        request = Request(offer, kind, front, ticket, backend, due, rules=self.config_versions, key=key)
         if len(self._requests) >= self._most:
-            raise Refused("too many in hand for this process's part of the node")
+            raise RequestRejectedError("too many in hand for this process's part of the node")
         try:
             request.handle = self._requests.add(request)
         except TableFullError as fault:
-            raise Refused(str(fault)) from fault
+            raise RequestRejectedError(str(fault)) from fault
         self._by_id[offer.id] = request.handle
         request.deadline = self._timeline.at(due, lambda: self._overdue(request))
         self._unanswered += 1
         self._count(request, "read")
-        if self.may_take is not None and not self.may_take():
+        if self.accepts_work is not None and not self.accepts_work():
             # Told in a turn of its own: the front does not have the handle yet.
-            self._timeline.soon(lambda: self._turn_away(request))
+            self._timeline.soon(lambda: self._reject(request))
             return request.handle
-        if key and prior is None and self.others is not None:
+        if key and prior is None and self.siblings is not None:
             request.stage = Stage.CLAIMING
 
-            def told(outcome: Claimant) -> None:
+            def told(outcome: ClaimResult) -> None:
                 # It may be told before this returns, and no answer leaves before the front has its handle.
-                self._timeline.soon(lambda: self._claimed(request, key, outcome))
+                self._timeline.soon(lambda: self._claim_decided(request, key, outcome))
 
-            if self.others.claim(*key, label(offer.id, offer.digest), now, told):
+            if self.siblings.claim(*key, encode_label(offer.id, offer.digest), now, told):
                 return request.handle
-        self._hold(request, prior)
+        self._enqueue(request, prior)
         return request.handle
 
-    def _turn_away(self, request: Request) -> None:
+    def _reject(self, request: Request) -> None:
         """There are no rules here to take it under: the module never hears of it."""
         if not request.answered:
             self._count(request, "without rules")
-            self._answer(request, Answer(Verdict.REFUSED, after=self._come_back()))
+            self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
 
-    def _hold(self, request: Request, prior: Known | None) -> None:
+    def _enqueue(self, request: Request, prior: KeyRecord | None) -> None:
         """The module hears of it."""
-        offer = request.offer
+        offer = request.inbound
         request.stage = Stage.HELD
         if request.key:
-            self.keys.note(request.key, offer.id, self._came(request), request.offer.digest)
+            self.idempotency_keys.record(
+                request.key, offer.id, self._post_arrival(request), request.inbound.digest
+            )
         self._post(
             Arrival(
                 id=offer.id,
-                request_class=offer.kind,
-                memory_kb=offer.kb,
+                request_class=offer.request_class,
+                memory_kb=offer.memory_kb,
                 caller=offer.caller,
                 unread_us=max(0, span_us(self._timeline.now() - offer.arrived)),
                 tenant=offer.tenant,
@@ -254,38 +266,40 @@
                 # One that is not in hand any more has run, or may have: its id may be another's by now.
                 prior=None
                 if prior is None
-                else prior.id
+                else prior.request_id
                 if self._standing(request, prior)
-                else ABROAD + prior.id,
-                is_write=request.kind.effect is not Effect.SAFE,
+                else ELSEWHERE_PREFIX + prior.request_id,
+                is_write=request.class_settings.effect is not Effect.SAFE,
                 pool=offer.pool,
             )
         )
 
-    def _came(self, request: Request) -> datetime:
+    def _post_arrival(self, request: Request) -> datetime:
         """The moment at which it counts as having arrived: a caller's clock may run ahead."""
-        return min(self._timeline.now(), request.offer.arrived)
+        return min(self._timeline.now(), request.inbound.arrived)
 
-    def _claimed(self, request: Request, key: Key, told: Claimant) -> None:
+    def _claim_decided(self, request: Request, key: IdempotencyKey, told: ClaimResult) -> None:
         """Another process of this node has said whether the work may be held here, or nobody can."""
-        if told is Claimant.GRANTED:
-            self.keys.forget(key, request.id)  # the other has noted this very try, and may have said so
-        came = self._came(request)
-        prior = self.keys.find(key, came)
+        if told is ClaimResult.GRANTED:
+            self.idempotency_keys.forget(
+                key, request.id
+            )  # the other has noted this very try, and may have said so
+        came = self._post_arrival(request)
+        prior = self.idempotency_keys.find(key, came)
         if request.stage is not Stage.CLAIMING:  # its time is over: what was granted is given back
-            if told is Claimant.GRANTED and prior is None:
-                self.keys.note(key, request.id, came, request.offer.digest)
-                self.keys.drop(key, request.id, kept_too=False)
+            if told is ClaimResult.GRANTED and prior is None:
+                self.idempotency_keys.record(key, request.id, came, request.inbound.digest)
+                self.idempotency_keys.drop(key, request.id, kept_too=False)
         elif prior is not None and (
-            request.kind.effect is Effect.UNSAFE or not prior.is_of(request.offer.digest)
+            request.class_settings.effect is Effect.UNSAFE or not prior.matches_body(request.inbound.digest)
         ):
-            self._answer(request, Answer(Verdict.FAILED))
-        elif prior is not None or told is Claimant.GRANTED:
-            self._hold(request, prior)
+            self._respond(request, Response(ResponseStatus.FAILED))
+        elif prior is not None or told is ClaimResult.GRANTED:
+            self._enqueue(request, prior)
         else:  # it may have run there, and did not run here
-            self._answer(request, Answer(Verdict.REFUSED, after=self._come_back()))
+            self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
 
-    def client_gone(self, handle: int) -> None:
+    def client_disconnected(self, handle: int) -> None:
         """Nobody can take the answer any more."""
         request = self._requests.get(handle)
         if request is not None and not request.answered:
@@ -293,12 +307,12 @@
             self._post(ClientDisconnected(request.id))
             self._settle(request)
 
-    def allow(self, tenant: str, per_s: float) -> None:
+    def set_allowance(self, tenant: str, per_s: float) -> None:
         """Change a tenant's allowance from now on."""
         self.tenants[tenant] = replace(self.tenants[tenant], allowance_per_s=per_s)
         self._post(QuotaChanged(tenant, per_s))
 
-    def renew(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Other settings from now on. What is in hand keeps the class that it came with.
 
         An allowance that was changed here stays, unless the settings' own figure for it has changed.
@@ -311,20 +325,22 @@
         }
         self.tenant_counts = {name: self.tenant_counts.get(name, Counter()) for name in self.tenants}
         self._former = {name: end for name, end in self._former.items() if end >= now}
-        self._former |= dict.fromkeys(told.keys() - self.tenants.keys(), now + RETIRED_FOR)
+        self._former |= dict.fromkeys(told.keys() - self.tenants.keys(), now + RETIRED_CLASS_GRACE)
         told_kinds = {kind.name: kind for kind in old.classes}
         names = {kind.name for kind in settings.classes}
         gone = {kind.name: kind for kind in old.classes if kind.name not in names}
         until = {name: end for name, end in self._retired.items() if end >= now and name not in names}
-        retired: dict[str, ClassSettings] = {name: self.kinds[name] for name in until} | gone
-        self._retired = until | dict.fromkeys(gone, now + RETIRED_FOR)
-        self.kinds = retired | {kind.name: kind for kind in settings.classes}
+        retired: dict[str, ClassSettings] = {name: self.classes[name] for name in until} | gone
+        self._retired = until | dict.fromkeys(gone, now + RETIRED_CLASS_GRACE)
+        self.classes = retired | {kind.name: kind for kind in settings.classes}
         for kind in settings.classes:  # what ran under a shorter window must not come again within this one
             was = told_kinds.get(kind.name)
             if was is not None and kind.window_us > was.window_us:
-                self.keys.extend(kind.name, span(kind.window_us - was.window_us), now, span(kind.deadline_us))
+                self.idempotency_keys.extend(
+                    kind.name, span(kind.window_us - was.window_us), now, span(kind.deadline_us)
+                )
         if settings.say is not old.say:
-            self.say = None  # it was a number of another kind
+            self.advertised_value = None  # it was a number of another kind
         self.settings = settings
         self._post(
             SettingsChanged(replace(settings, tenants=tuple(self.tenants.values())), tuple(retired.values()))
@@ -332,7 +348,7 @@
 
     def _count(self, request: Request, what: str) -> None:
         self.counts[what] += 1
-        if (counts := self.tenant_counts.get(request.offer.tenant or "")) is not None:
+        if (counts := self.tenant_counts.get(request.inbound.tenant or "")) is not None:
             counts[what] += 1
 
     # From backends and stores.
@@ -348,10 +364,10 @@
             request.stage = Stage.HELD if dropped else Stage.PAUSED
         else:
             if request.stage is Stage.CALLING:
-                self._ports.store.give_up(request)
+                self._ports.store.abandon_call(request)
             request.stage = Stage.OVER
-            self._answer(request, self._answer_for(request, outcome, result))
-            self._pass_on(request, outcome, result)
+            self._respond(request, self._response_for(request, outcome, result))
+            self._forward_result(request, outcome, result)
             if outcome is Outcome.CANCELLED:
                 # It was not halted, and is over here: told as cancelled, the module would take it for paused,
                 # and keep it beside a request that comes under its id later.
@@ -359,14 +375,14 @@
         self._post(RunEnded(id, outcome, span_us(elapsed)))
         self._release_if_over(request)
 
-    def _answer_for(self, request: Request, outcome: Outcome, result: bytes) -> Answer:
+    def _response_for(self, request: Request, outcome: Outcome, result: bytes) -> Response:
         if outcome is Outcome.OK:
-            return Answer(Verdict.DONE, result)
+            return Response(ResponseStatus.DONE, result)
         if outcome.never_ran and not request.worked:
             if request.key:  # the work may come again
-                self.keys.drop(request.key, request.id, kept_too=True)
-            return Answer(Verdict.REFUSED, after=self._come_back())
-        return Answer(Verdict.FAILED)
+                self.idempotency_keys.drop(request.key, request.id, kept_too=True)
+            return Response(ResponseStatus.REJECTED, retry_after=self._retry_after())
+        return Response(ResponseStatus.FAILED)
 
     def cores_up(self) -> None:
         self.on_cores_up()
@@ -392,7 +408,7 @@
             request.stage = Stage.AT_CALL
         self._post(CallEnded(id, outcome, span_us(elapsed)))
 
-    def room(self, pool: str, most: int) -> None:
+    def pool_capacity(self, pool: str, most: int) -> None:
         self._post(PoolCapacityChanged(pool, most))
 
     def gauges(self, values: Mapping[str, float]) -> None:
@@ -418,25 +434,25 @@
         """What the module of another process of this node has learnt; what makes no sense is left out."""
         self._post(Measurements.from_mapping(learnt))
 
-    def adopt(self, key: Key, told: Known) -> None:
+    def adopt(self, key: IdempotencyKey, told: KeyRecord) -> None:
         """Another process says this of a piece of work."""
-        kind = self.kinds.get(key[0])
-        self.keys.adopt(key, told, self._timeline.now(), span(kind.deadline_us) if kind else ZERO)
-        if told.over or told.result is not None:
+        kind = self.classes.get(key[0])
+        self.idempotency_keys.adopt(key, told, self._timeline.now(), span(kind.deadline_us) if kind else ZERO)
+        if told.finished or told.result is not None:
             self._abroad_over(key, told.result)
 
-    def forget(self, key: Key, id: str) -> None:
+    def forget(self, key: IdempotencyKey, id: str) -> None:
         """The other's try never ran."""
-        if self.keys.forget(key, id):
+        if self.idempotency_keys.forget(key, id):
             self._abroad_over(key, None)
 
-    def orphan(self, until: datetime) -> None:
+    def orphan_remote_keys(self, until: datetime) -> None:
         """Nobody will say any more how the others' tries ended."""
-        for key in self.keys.orphan(until, self._timeline.now()):
+        for key in self.idempotency_keys.orphan_remote(until, self._timeline.now()):
             self._abroad_over(key, None)
 
-    def _abroad_over(self, key: Key, result: bytes | None) -> None:
-        for id in self._abroad.pop(key, ()):
+    def _abroad_over(self, key: IdempotencyKey, result: bytes | None) -> None:
+        for id in self._claims_elsewhere.pop(key, ()):
             if (repeat := self._find(id)) is not None and repeat.stage is Stage.ATTACHED:
                 self._share(repeat, Outcome.ERROR if result is None else Outcome.OK, result or b"")
 
@@ -447,7 +463,7 @@
 
         The grace counts from when the notice came, which may be before this is told.
         """
-        if not self.duty.leave():
+        if not self.serving_state.begin_drain():
             return
         noticed = noticed or self._timeline.now()
         self._run_after = noticed + span(self.settings.drain_grace_us)
@@ -458,33 +474,33 @@
             lambda: self._timeline.after_reading(self._grace_over),
         )
 
-    def hand_over(self, stops_at: datetime) -> None:
+    def begin_hand_over(self, stops_at: datetime) -> None:
         """Another process takes what comes from now on: what is here, and still comes here, is run as ever."""
         if self.stops_at is None:
-            self.duty.hand_over()
+            self.serving_state.begin_hand_over()
             self._end_at(stops_at)
             self._post(Drain(instant_us(stops_at), has_successor=True))
             # What has come to a socket of this process alone is read first: nobody else will.
             self._timeline.after_reading(self._handed_over)
 
     def _handed_over(self) -> None:
-        if not self.told_to_leave:  # else the successor was lost meanwhile: it is a drain by now
+        if not self.shutdown_requested:  # else the successor was lost meanwhile: it is a drain by now
             self._grace_over()
 
     def _end_at(self, stops_at: datetime) -> None:
         self.stops_at = min(stops_at, self.stops_at or stops_at)
-        log.info("leaving: %d in hand, %d unanswered", self.in_hand, self.unanswered)
-        self._timeline.at(self.stops_at - STOP_MARGIN, self._last_call)
+        log.info("leaving: %d in hand, %d unanswered", self.in_flight, self.unanswered)
+        self._timeline.at(self.stops_at - STOP_MARGIN, self._answer_remaining)
 
     def _grace_over(self) -> None:
-        for front in self._fronts:
+        for front in self._frontends:
             front.stop_accepting()
         self.on_grace_over()
 
-    def _last_call(self) -> None:
+    def _answer_remaining(self) -> None:
         """The module answers well before this; it is what stands behind it."""
         for request in self._requests:
-            self._give_up(request)
+            self._abandon(request)
 
     # Turns of the module.
 
@@ -492,9 +508,9 @@
         self._events.append(event)
         if not self._turn_due:
             self._turn_due = True
-            self._timeline.soon(self._turn)
+            self._timeline.soon(self._run_turn)
 
-    def _turn(self) -> None:
+    def _run_turn(self) -> None:
         self._turn_due = False
         events, self._events = self._events, []
         self._decide(events)
@@ -502,27 +518,27 @@
     def _decide(self, events: list[Event]) -> None:
         for action in self._controller.decide(instant_us(self._timeline.now()), events):
             try:
-                self._carry_out(action)
+                self._execute(action)
             except Exception:  # one action that fails must not take the others of its turn along
                 log.exception("%s was not carried out", action)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case SetTimer(after_us, tag):
                 self._timeline.at(self._timeline.now() + span(after_us), lambda: self._timer(tag))
             case Advertise(value):
-                self.say = value
+                self.advertised_value = value
             case Health(_, good):
                 self._module_well = good
             case IdleLimit(after_us):
-                for front in self._fronts:
-                    front.limit_idle(span(after_us))
+                for front in self._frontends:
+                    front.limit_idle_time(span(after_us))
             case Log(text):
                 log.info("module: %s", text)
             case _ if (request := self._find(action.id)) is not None:
-                self._act_on(request, action)
+                self._execute_on_request(request, action)
 
-    def _act_on(self, request: Request, action: Action) -> None:
+    def _execute_on_request(self, request: Request, action: Action) -> None:
         match action:
             case Run():
                 self._run(request)
@@ -531,19 +547,22 @@
                     request.halting = True
                     request.backend.pause(request)
             case Reject(_, retry_after_us, give_up):
-                if request.started and request.kind.effect is not Effect.SAFE:
+                if request.started and request.class_settings.effect is not Effect.SAFE:
                     log.error("the module refused work that has run: failed instead")
-                    self._answer(request, Answer(Verdict.FAILED))
+                    self._respond(request, Response(ResponseStatus.FAILED))
                 else:
-                    self._answer(request, Answer(Verdict.REFUSED, after=span(retry_after_us), last=give_up))
+                    self._respond(
+                        request,
+                        Response(ResponseStatus.REJECTED, retry_after=span(retry_after_us), last=give_up),
+                    )
             case Fail():
-                verdict = Verdict.FAILED if request.faulty else Verdict.EXPIRED
-                self._answer(request, Answer(verdict))
+                verdict = ResponseStatus.FAILED if request.faulty else ResponseStatus.EXPIRED
+                self._respond(request, Response(verdict))
             case KeepKey(_, lifetime_us):
                 self._keep(request, span(lifetime_us))
             case ForgetKey():
                 if request.key:
-                    self.keys.drop(request.key, request.id, kept_too=True)
+                    self.idempotency_keys.drop(request.key, request.id, kept_too=True)
             case Attach():
                 self._attach(request)
             case Call(_, until_us):
@@ -555,19 +574,21 @@
 
     def _run(self, request: Request) -> None:
         """The one place where work is started. It stands behind the module on the rules that cost a life."""
-        effect = request.kind.effect is not Effect.SAFE
-        late = self._run_after is not None and request.offer.arrived > self._run_after
+        effect = request.class_settings.effect is not Effect.SAFE
+        late = self._run_after is not None and request.inbound.arrived > self._run_after
         if request.answered or late or (effect and request.started and request.stage is not Stage.PAUSED):
             log.error("the module would run %s against the rules: given up", request.id)
-            self._give_up(request)
+            self._abandon(request)
             self._post(ClientDisconnected(request.id))
         elif request.stage is Stage.PAUSED:
             request.stage = Stage.RUNNING
             request.backend.resume(request)
         elif request.stage is Stage.HELD:
             request.stage, request.started = Stage.RUNNING, True
-            if request.kind.effect is Effect.UNSAFE:
-                self._keep(request, span(request.kind.window_us + request.kind.deadline_us))
+            if request.class_settings.effect is Effect.UNSAFE:
+                self._keep(
+                    request, span(request.class_settings.window_us + request.class_settings.deadline_us)
+                )
             self._count(request, "runs")
             request.backend.start(request)
 
@@ -583,32 +604,34 @@
     def _keep(self, request: Request, window: timedelta) -> None:
         """Its name stands for so long from now on. A try that lies unread past its deadline is never run."""
         if request.key:
-            now, unread = self._timeline.now(), span(request.kind.deadline_us)
-            self.keys.keep(request.key, request.id, now + window, now, unread, request.offer.digest)
+            now, unread = self._timeline.now(), span(request.class_settings.deadline_us)
+            self.idempotency_keys.retain(
+                request.key, request.id, now + window, now, unread, request.inbound.digest
+            )
 
-    def _standing(self, repeat: Request, known: Known) -> Request | None:
+    def _standing(self, repeat: Request, known: KeyRecord) -> Request | None:
         """The try that stands for the work, while it is in hand here. Clients may use an id again for other work."""
-        original = None if known.abroad or known.over else self._find(known.id)
+        original = None if known.elsewhere or known.finished else self._find(known.request_id)
         return original if original is not None and original.key == repeat.key else None
 
     def _attach(self, request: Request) -> None:
-        key = request.key or (request.offer.kind, "")
-        known = self.keys.find(key, self._came(request))
+        key = request.key or (request.inbound.request_class, "")
+        known = self.idempotency_keys.find(key, self._post_arrival(request))
         original = self._standing(request, known) if known else None
         request.stage = Stage.ATTACHED
         if known and known.result is not None:
             self._share(request, Outcome.OK, known.result)
         elif original is not None and original is not request:
             original.waiting.append(request.id)
-        elif known is not None and known.abroad and not known.over:
-            self._abroad.setdefault(key, []).append(request.id)
+        elif known is not None and known.elsewhere and not known.finished:
+            self._claims_elsewhere.setdefault(key, []).append(request.id)
         else:
             self._share(request, Outcome.ERROR, b"")
 
-    def _pass_on(self, request: Request, outcome: Outcome, result: bytes) -> None:
+    def _forward_result(self, request: Request, outcome: Outcome, result: bytes) -> None:
         """The end of a run, to the repeats that wait for it and those still to come."""
-        if request.key and request.kind.effect is Effect.KEYED:
-            self.keys.finish(request.key, request.id, result if outcome is Outcome.OK else None)
+        if request.key and request.class_settings.effect is Effect.KEYED:
+            self.idempotency_keys.finish(request.key, request.id, result if outcome is Outcome.OK else None)
         for id in request.waiting:
             repeat = self._find(id)
             if repeat is not None and repeat.stage is Stage.ATTACHED:
@@ -617,8 +640,11 @@
 
     def _share(self, repeat: Request, outcome: Outcome, result: bytes) -> None:
         repeat.stage = Stage.OVER
-        self._answer(
-            repeat, Answer(Verdict.DONE, result) if outcome is Outcome.OK else Answer(Verdict.FAILED)
+        self._respond(
+            repeat,
+            Response(ResponseStatus.DONE, result)
+            if outcome is Outcome.OK
+            else Response(ResponseStatus.FAILED),
         )
         self._post(RunEnded(repeat.id, outcome, 0))
         self._release_if_over(repeat)
@@ -627,11 +653,11 @@
 
     def _timer(self, tag: int) -> None:
         self._ticks.append(tag)
-        if self._read_at is not None and self._timeline.now() - self._read_at <= GAUGES_FRESH:
+        if self._read_at is not None and self._timeline.now() - self._read_at <= GAUGES_MAX_AGE:
             return self._post_ticks()
-        self._ports.gauges.ask()
+        self._ports.gauges.request_gauges()
         if self._tick_wait is None:
-            self._tick_wait = self._timeline.at(self._timeline.now() + GAUGES_WAIT, self._post_ticks)
+            self._tick_wait = self._timeline.at(self._timeline.now() + GAUGES_TIMEOUT, self._post_ticks)
 
     def _post_ticks(self) -> None:
         self._timeline.cancel(self._tick_wait)
@@ -646,28 +672,28 @@
         """Behind the module, which answers earlier: at the due time the answer goes out whatever happens."""
         if not request.answered:
             log.warning("%s was still unanswered when due", request.id)
-            self._give_up(request)
+            self._abandon(request)
             self._post(ClientDisconnected(request.id))
 
-    def _give_up(self, request: Request) -> None:
+    def _abandon(self, request: Request) -> None:
         if request.answered:
             return
         if request.started:
-            self._answer(request, Answer(Verdict.EXPIRED))
+            self._respond(request, Response(ResponseStatus.EXPIRED))
         else:
-            self._answer(request, Answer(Verdict.REFUSED, after=self._come_back()))
+            self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
         self._release_if_over(request)
 
-    def _come_back(self) -> timedelta:
+    def _retry_after(self) -> timedelta:
         """How long a caller is asked to stay away where the module was not asked."""
         return span(self.settings.max_retry_after_us) if self.settings.retry_after else ZERO
 
-    def _answer(self, request: Request, answer: Answer) -> None:
+    def _respond(self, request: Request, answer: Response) -> None:
         """The one place where final answers go out."""
         if request.answered:
             return
-        self._count(request, answer.verdict.value)
-        request.front.deliver(request.ticket, answer)
+        self._count(request, answer.status.value)
+        request.frontend.deliver(request.response_handle, answer)
         self._settle(request)
 
     def _settle(self, request: Request) -> None:
@@ -679,9 +705,11 @@
             request.backend.abandon(request)
         elif request.stage is not Stage.OVER:
             if request.key and request.stage is Stage.HELD and not request.started:
-                self.keys.drop(request.key, request.id, kept_too=True)  # it never began: its name is free
+                self.idempotency_keys.drop(
+                    request.key, request.id, kept_too=True
+                )  # it never began: its name is free
             request.stage = Stage.OVER
-            self._pass_on(request, Outcome.ERROR, b"")
+            self._forward_result(request, Outcome.ERROR, b"")
         self._release_if_over(request)
 
     def _release_if_over(self, request: Request) -> None:
@@ -689,7 +717,7 @@
         if request.answered and request.stage is Stage.OVER and self._requests.free(request.handle):
             del self._by_id[request.id]
             if request.key:
-                self.keys.drop(request.key, request.id, kept_too=False)
+                self.idempotency_keys.drop(request.key, request.id, kept_too=False)
 
     def _find(self, id: str) -> Request | None:
         handle = self._by_id.get(id)
--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -19,35 +19,35 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-Key = tuple[str, str]  # class, and the name of the work
+IdempotencyKey = tuple[str, str]  # class, and the name of the work
 DIGEST_BYTES = 16
 
 
-def digest_of(body: bytes) -> str:
+def body_digest(body: bytes) -> str:
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def label(id: str, digest: str) -> str:
+def encode_label(id: str, digest: str) -> str:
     """A try as other processes of the node are told of it. They take it for an id, also those that know no digests."""
     return f"{id}~{digest}" if digest else id
 
 
-def read_label(text: str) -> tuple[str, str]:
+def decode_label(text: str) -> tuple[str, str]:
     id, mark, digest = text.rpartition("~")
     return (id, digest) if mark and len(digest) == 2 * DIGEST_BYTES else (text, "")
 
 
 @dataclass(slots=True)
-class Known:
-    id: str  # the try that stands for the work
-    until: datetime | None = None  # None: as long as that try is in hand
+class KeyRecord:
+    request_id: str  # the try that stands for the work
+    expires_at: datetime | None = None  # None: as long as that try is in hand
     result: bytes | None = None
-    over: bool = False  # that try has ended
-    abroad: bool = False  # it is another process's
+    finished: bool = False  # that try has ended
+    elsewhere: bool = False  # it is another process's
     digest: str = ""  # of what its tries have in common; "": not known
     dropped_at: datetime | None = None  # later than `until`: what came before that may still be read
 
-    def is_of(self, digest: str) -> bool:
+    def matches_body(self, digest: str) -> bool:
         """A try with this digest may be one of the same work."""
         return not (self.digest and digest) or self.digest == digest
 
@@ -56,95 +56,110 @@
     """One entry for each piece of work. Entries past their time are dropped as others come."""
 
     def __init__(self) -> None:
-        self._known: dict[Key, Known] = {}
-        self._ends: list[tuple[datetime, Key]] = []  # when entries may be past their time
-        self.changed: Callable[[Key, Known, bool], None] = lambda key, known, gone: None
+        self._records: dict[IdempotencyKey, KeyRecord] = {}
+        self._expiries: list[tuple[datetime, IdempotencyKey]] = []  # when entries may be past their time
+        self.on_changed: Callable[[IdempotencyKey, KeyRecord, bool], None] = lambda key, known, gone: None
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._records)
 
-    def __iter__(self) -> Iterator[tuple[Key, Known]]:
+    def __iter__(self) -> Iterator[tuple[IdempotencyKey, KeyRecord]]:
         """All entries as they are now; some may be gone by the time they come."""
-        return iter([*self._known.items()])
+        return iter([*self._records.items()])
 
-    def find(self, key: Key, arrived: datetime) -> Known | None:
+    def find(self, key: IdempotencyKey, arrived: datetime) -> KeyRecord | None:
         """What a try that arrived then repeats."""
-        known = self._known.get(key)
-        return None if known is None or (known.until is not None and known.until <= arrived) else known
+        known = self._records.get(key)
+        return (
+            None if known is None or (known.expires_at is not None and known.expires_at <= arrived) else known
+        )
 
-    def note(self, key: Key, id: str, arrived: datetime, digest: str = "") -> None:
+    def record(self, key: IdempotencyKey, id: str, arrived: datetime, digest: str = "") -> None:
         """A try is in hand, though not yet kept: two that come together must know of each other."""
         if self.find(key, arrived) is None:
-            self._known[key] = Known(id, digest=digest)
-            self.changed(key, self._known[key], False)
-
-    def keep(
-        self, key: Key, id: str, until: datetime, now: datetime, unread: timedelta, digest: str = ""
+            self._records[key] = KeyRecord(id, digest=digest)
+            self.on_changed(key, self._records[key], False)
+
+    def retain(
+        self,
+        key: IdempotencyKey,
+        id: str,
+        until: datetime,
+        now: datetime,
+        unread: timedelta,
+        digest: str = "",
     ) -> None:
         """`unread`: for so long a try that arrived before the end may not be read yet."""
-        known = self._known.setdefault(key, Known(id))
-        known.id, known.abroad, known.over, known.digest = id, False, False, digest
+        known = self._records.setdefault(key, KeyRecord(id))
+        known.request_id, known.elsewhere, known.finished, known.digest = id, False, False, digest
         self._expires(key, known, until, now, unread)
-        self.changed(key, known, False)
+        self.on_changed(key, known, False)
 
     def extend(self, kind: str, by: timedelta, now: datetime, unread: timedelta) -> None:
         """The window of a class is longer from now on, for what was run before as well."""
-        kept = [(key, known) for key, known in self if key[0] == kind and known.until is not None]
+        kept = [(key, known) for key, known in self if key[0] == kind and known.expires_at is not None]
         for key, known in kept:
-            assert known.until is not None
-            self._expires(key, known, known.until + by, now, unread)
-            if not known.abroad:
-                self.changed(key, known, False)
+            assert known.expires_at is not None
+            self._expires(key, known, known.expires_at + by, now, unread)
+            if not known.elsewhere:
+                self.on_changed(key, known, False)
 
-    def finish(self, key: Key, id: str, result: bytes | None) -> None:
+    def finish(self, key: IdempotencyKey, id: str, result: bytes | None) -> None:
         """The try has ended, with a result that repeats may share or without."""
-        known = self._known.get(key)
-        if known is not None and known.id == id and not known.abroad:
-            known.result, known.over = result, True
-            self.changed(key, known, False)
-
-    def drop(self, key: Key, id: str, kept_too: bool) -> None:
-        known = self._known.get(key)
-        if known is not None and known.id == id and not known.abroad and (kept_too or known.until is None):
-            del self._known[key]
-            self.changed(key, known, True)
+        known = self._records.get(key)
+        if known is not None and known.request_id == id and not known.elsewhere:
+            known.result, known.finished = result, True
+            self.on_changed(key, known, False)
+
+    def drop(self, key: IdempotencyKey, id: str, kept_too: bool) -> None:
+        known = self._records.get(key)
+        if (
+            known is not None
+            and known.request_id == id
+            and not known.elsewhere
+            and (kept_too or known.expires_at is None)
+        ):
+            del self._records[key]
+            self.on_changed(key, known, True)
 
     # Of other processes.
 
-    def adopt(self, key: Key, told: Known, now: datetime, unread: timedelta) -> None:
+    def adopt(self, key: IdempotencyKey, told: KeyRecord, now: datetime, unread: timedelta) -> None:
         """Another process says this of the work. What is known here of an own try counts for more."""
-        known = self._known.get(key)
-        if known is not None and not known.abroad:
+        known = self._records.get(key)
+        if known is not None and not known.elsewhere:
             return
-        told.abroad = True
-        self._known[key] = told
-        if told.until is not None:
-            self._expires(key, told, told.until, now, unread)
+        told.elsewhere = True
+        self._records[key] = told
+        if told.expires_at is not None:
+            self._expires(key, told, told.expires_at, now, unread)
 
-    def forget(self, key: Key, id: str) -> bool:
+    def forget(self, key: IdempotencyKey, id: str) -> bool:
         """The other's try never ran."""
-        known = self._known.get(key)
-        if known is None or not known.abroad or known.id != id:
+        known = self._records.get(key)
+        if known is None or not known.elsewhere or known.request_id != id:
             return False
-        del self._known[key]
+        del self._records[key]
         return True
 
-    def orphan(self, until: datetime, now: datetime) -> list[Key]:
+    def orphan_remote(self, until: datetime, now: datetime) -> list[IdempotencyKey]:
         """Nobody will say any more how the others' tries ended: they may have run. Those not over by now."""
-        open_still = [key for key, known in self._known.items() if known.abroad and not known.over]
+        open_still = [key for key, known in self._records.items() if known.elsewhere and not known.finished]
         for key in open_still:
-            known = self._known[key]
-            known.over = True
-            if known.until is None:
+            known = self._records[key]
+            known.finished = True
+            if known.expires_at is None:
                 self._expires(key, known, until, now, timedelta(0))
         return open_still
 
-    def _expires(self, key: Key, known: Known, until: datetime, now: datetime, unread: timedelta) -> None:
-        known.until, known.dropped_at = until, until + unread
-        heapq.heappush(self._ends, (known.dropped_at, key))
-        while self._ends and self._ends[0][0] <= now:
-            end, key = heapq.heappop(self._ends)
-            over = self._known.get(key)
+    def _expires(
+        self, key: IdempotencyKey, known: KeyRecord, until: datetime, now: datetime, unread: timedelta
+    ) -> None:
+        known.expires_at, known.dropped_at = until, until + unread
+        heapq.heappush(self._expiries, (known.dropped_at, key))
+        while self._expiries and self._expiries[0][0] <= now:
+            end, key = heapq.heappop(self._expiries)
+            over = self._records.get(key)
             # An entry kept anew has a later end behind it.
             if over is not None and over.dropped_at is not None and over.dropped_at <= end:
-                del self._known[key]
+                del self._records[key]
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -10,20 +10,20 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import ClassSettings
-from marlstep.timer_queue import Deadline
+from marlstep.timer_queue import Timer
 
-Ticket = tuple[int, int]  # a front's own way to find where an answer goes
+ResponseHandle = tuple[int, int]  # a front's own way to find where an answer goes
 
 
 @dataclass(slots=True, frozen=True)
-class Offer:
+class InboundRequest:
     """A request as a front has read it."""
 
     id: str
-    kind: str
+    request_class: str
     body: bytes
     arrived: datetime
-    kb: float
+    memory_kb: float
     caller: int = 0
     retry: bool = False
     cost: timedelta | None = None
@@ -31,11 +31,11 @@
     tenant: str | None = None
     key: int | None = None
     pool: str = ""  # of servers that do the work, where the cores here do not
-    once: str | None = None  # names the work of which this is one try, where the wire tells
+    idempotency_key: str | None = None  # names the work of which this is one try, where the wire tells
     digest: str = ""  # of what all tries of that work have in common, where the wire promises any of that
 
 
-class Claimant(enum.Enum):
+class ClaimResult(enum.Enum):
     """What a claim of named work came to, where another process of this node had to be asked."""
 
     GRANTED = "granted"  # no process of this node has held it
@@ -43,30 +43,30 @@
     UNSURE = "unsure"  # nobody can say
 
 
-Told = Callable[[Claimant], None]
+ClaimCallback = Callable[[ClaimResult], None]
 
 
-class Others(Protocol):
+class SiblingProcesses(Protocol):
     """The other processes of this node, while one version takes over from another."""
 
-    def claim(self, kind: str, once: str, id: str, now: datetime, told: Told) -> bool:
+    def claim(self, kind: str, once: str, id: str, now: datetime, told: ClaimCallback) -> bool:
         """Ask whether this try may be held. False where nobody has to be asked."""
 
 
-class Verdict(enum.Enum):
+class ResponseStatus(enum.Enum):
     DONE = "done"
-    REFUSED = "refused"  # never ran
+    REJECTED = "refused"  # never ran
     FAILED = "failed"
     EXPIRED = "expired"  # failed, as its time ran out
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class Response:
     """The final answer to a request."""
 
-    verdict: Verdict
+    status: ResponseStatus
     body: bytes = b""
-    after: timedelta = timedelta(0)  # on a refusal: how long to stay away
+    retry_after: timedelta = timedelta(0)  # on a refusal: how long to stay away
     last: bool = False  # on a refusal: the wish that no other node be tried
 
 
@@ -81,12 +81,12 @@
     OVER = "over"
 
 
-class Front(Protocol):
+class Frontend(Protocol):
     """Where requests come from and answers go."""
 
-    def deliver(self, ticket: Ticket, answer: Answer) -> None: ...
+    def deliver(self, ticket: ResponseHandle, answer: Response) -> None: ...
 
-    def limit_idle(self, after: timedelta) -> None:
+    def limit_idle_time(self, after: timedelta) -> None:
         """Close connections that carry nothing for longer."""
 
     def stop_accepting(self) -> None:
@@ -113,27 +113,27 @@
         """The request was answered while its run goes on."""
 
 
-class Store(Protocol):
+class CallClient(Protocol):
     """What calls go to."""
 
     def call(self, request: Request, until: datetime) -> None: ...
 
-    def give_up(self, request: Request) -> None: ...
+    def abandon_call(self, request: Request) -> None: ...
 
 
-class Gauges(Protocol):
+class GaugeSource(Protocol):
     """Readings of the cores, memory and connections."""
 
-    def ask(self) -> None:
+    def request_gauges(self) -> None:
         """The answer comes to `Core.gauges`."""
 
 
 @dataclass(slots=True)
 class Request:
-    offer: Offer
-    kind: ClassSettings
-    front: Front
-    ticket: Ticket
+    inbound: InboundRequest
+    class_settings: ClassSettings
+    frontend: Frontend
+    response_handle: ResponseHandle
     backend: Backend
     due: datetime
     handle: int = 0
@@ -143,7 +143,7 @@
     halting: bool = False  # told to stop, and not yet known to have stopped
     faulty: bool = False  # its last attempt or call went wrong
     answered: bool = False
-    deadline: Deadline | None = None  # of the final answer
+    deadline: Timer | None = None  # of the final answer
     call_body: bytes = b""
     called_at: datetime | None = None
     waiting: list[str] = field(default_factory=list)  # repeats attached to this one
@@ -154,10 +154,10 @@
 
     @property
     def id(self) -> str:
-        return self.offer.id
+        return self.inbound.id
 
 
-class Sink(Protocol):
+class EventSink(Protocol):
     """What backends and stores tell the core."""
 
     def cores_up(self) -> None: ...
@@ -170,5 +170,5 @@
 
     def gauges(self, values: Mapping[str, float]) -> None: ...
 
-    def room(self, pool: str, most: int) -> None:
+    def pool_capacity(self, pool: str, most: int) -> None:
         """The servers of a pool take so many at once, from now on."""
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -12,7 +12,7 @@
 from marlstep.config import Config
 from marlstep.core.engine import Core
 from marlstep.frontend_group import FrontendGroup
-from marlstep.platform.name_service import Naming
+from marlstep.platform.name_service import NameService
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND, span
 
@@ -32,7 +32,7 @@
         config: Callable[[], Config],
         core: Core,
         timeline: TimerQueue,
-        naming: Naming,
+        naming: NameService,
         frontends: FrontendGroup,
         components: Mapping[str, Component],
         on_drained: Callable[[], None],
@@ -70,11 +70,11 @@
         if state is not None and state.is_standby:
             self._on_drained()  # the predecessor goes on, and with it its reports
         elif state is not None and state.hand_over_to_successor(now):
-            self._core.hand_over(now + self.restart_timeout())
+            self._core.begin_hand_over(now + self.restart_timeout())
         else:
             self._core.drain(now + self._config().stop, now)
             # A predecessor that serves reports on; one that has handed over reports last when it hears of this.
-            self._naming.leave(last_word=state is None or not state.has_predecessor)
+            self._naming.report_last(last_word=state is None or not state.has_predecessor)
 
     def restart_timeout(self) -> timedelta:
         """Time from SIGTERM to the end where a successor serves."""
@@ -83,17 +83,17 @@
 
     def successor_lost(self) -> None:
         """Drain now if SIGTERM has come: it was none as long as a successor served."""
-        if self._core.stops_at is not None and not self._core.told_to_leave:
+        if self._core.stops_at is not None and not self._core.shutdown_requested:
             log.warning("successor lost while leaving: this process drains now")
             self._frontends.accept_again()
-            self._naming.leave()
+            self._naming.report_last()
             self._frontends.resume(self._config())
             self._core.drain(self._core.stops_at)
 
     def successor_draining(self) -> None:
         """Report no more: the successor has said its last to the name service, and no request is to come here."""
         if self._core.stops_at is not None:
-            self._naming.leave()
+            self._naming.report_last()
 
     def _poll(self) -> None:
         """End once all is answered and the peers have closed, or when time is up."""
--- a/marlstep/frontend_group.py
+++ b/marlstep/frontend_group.py
@@ -7,9 +7,9 @@
 from collections.abc import Awaitable, Callable, Iterable
 
 from marlstep.config import Config
-from marlstep.core.interfaces import Front
+from marlstep.core.interfaces import Frontend
 from marlstep.frontends.base import Listener
-from marlstep.frontends.resp import RespFront
+from marlstep.frontends.resp import RespFrontend
 
 log = logging.getLogger("marlstep")
 
@@ -19,14 +19,14 @@
 
     def __init__(
         self,
-        resp: RespFront,
-        others: Iterable[Front],
+        resp: RespFrontend,
+        others: Iterable[Frontend],
         open_components: Callable[[], Awaitable[None]],
         on_failure: Callable[[], None],
     ) -> None:
         """Call `on_failure` where an address can't be had after `take_over`; `failure` tells why."""
         self.resp = resp
-        self.all: list[Front] = [resp, *others]
+        self.all: list[Frontend] = [resp, *others]
         self.failure: OSError | None = None
         self._open_components = open_components
         self._on_failure = on_failure
--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -14,20 +14,20 @@
 from datetime import timedelta
 
 from marlstep.core.engine import Core
-from marlstep.core.interfaces import Answer, Ticket
+from marlstep.core.interfaces import Response, ResponseHandle
 from marlstep.net.stream import RingStream
 from marlstep.slots import SlotTable, TableFullError
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
 
-LINGER = 2 * SECOND  # for the last of what was sent to be taken
-FULL_SHARE = 0.75  # of the table; from there on quiet connections make room
-NEW_SHARE = 0.25  # of the table, for connections that have brought nothing whole yet
-NEW_LEAST = 100 * MILLISECOND  # such a one stays for so long, if there is any room at all
+LINGER_TIME = 2 * SECOND  # for the last of what was sent to be taken
+CROWDED_SHARE = 0.75  # of the table; from there on quiet connections make room
+UNPROVEN_SHARE = 0.25  # of the table, for connections that have brought nothing whole yet
+MIN_UNPROVEN_AGE = 100 * MILLISECOND  # such a one stays for so long, if there is any room at all
 PASSED_BACKLOG = 4096  # others listen on that socket too: it must not shrink what they asked for
-SWEEP_LEAST = 50 * MILLISECOND  # between two looks for connections that are idle
+MIN_SWEEP_INTERVAL = 50 * MILLISECOND  # between two looks for connections that are idle
 
 
 class Connection(RingStream):
@@ -38,12 +38,12 @@
         self.listener = listener
         self.handle = 0
         now = listener.timeline.now()
-        self.since = self.heard = now
-        self._watch: Deadline | None = None
-        self._linger: Deadline | None = None
+        self.since = self.last_received = now
+        self._watch: Timer | None = None
+        self._linger: Timer | None = None
 
     def made(self) -> None:
-        if self.listener.admit(self):
+        if self.listener.accept(self):
             self.await_more()
         else:
             self.abort()
@@ -53,24 +53,24 @@
         timeline.cancel(self._watch)
         timeline.cancel(self._linger)
         if self.listener.release(self):
-            self.gone()
+            self.peer_closed()
 
     def await_more(self) -> None:
         """Something has to come, or to be taken, before the listener's patience is over."""
-        if self._watch is None and self.listener.patience:
+        if self._watch is None and self.listener.read_timeout:
             timeline = self.listener.timeline
-            due = timeline.now() + self.listener.patience
+            due = timeline.now() + self.listener.read_timeout
             watch = self._watch = timeline.at(
-                due, lambda: timeline.after_reading(lambda: self._out_of_patience(watch))
+                due, lambda: timeline.after_reading(lambda: self._timed_out(watch))
             )
 
-    def satisfied(self) -> None:
+    def request_completed(self) -> None:
         """What was waited for has come."""
         if self._watch is not None:
             self.listener.timeline.cancel(self._watch)
             self._watch = None
 
-    def _out_of_patience(self, watch: Deadline) -> None:
+    def _timed_out(self, watch: Timer) -> None:
         if self._watch is not watch:
             return  # what it waited for has come just now
         self._watch = None
@@ -80,32 +80,32 @@
             log.warning("connection cut off: its peer takes no answers")
             self.abort()
         else:
-            self.overdue()
+            self.read_timed_out()
 
     def finish(self) -> None:
         """As for any stream, but a peer that does not take what is left is cut off in the end."""
         if self._linger is None and self.connected:
             timeline = self.listener.timeline
-            self._linger = timeline.at(timeline.now() + LINGER, self.abort)
+            self._linger = timeline.at(timeline.now() + LINGER_TIME, self.abort)
         super().finish()
 
     # What a front gives.
 
-    def answer(self, number: int, answer: Answer) -> None:
+    def send_response(self, number: int, answer: Response) -> None:
         raise NotImplementedError
 
-    def gone(self) -> None:
+    def peer_closed(self) -> None:
         """The connection is lost: nobody can take the answers to what is open there."""
         raise NotImplementedError
 
-    def overdue(self) -> None:
+    def read_timed_out(self) -> None:
         """Nothing whole came in time."""
         raise NotImplementedError
 
     def idle(self) -> None:
         """It was quiet for the front's idle time, or has to make room."""
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """The front takes nothing new."""
         raise NotImplementedError
 
@@ -122,15 +122,15 @@
         self.core = core
         self.timeline = timeline
         self.connections: SlotTable[Connection] = SlotTable(limit)
-        self.room = limit  # of the table, what may be used: less while two processes share the node
-        self.patience = patience
+        self.capacity = limit  # of the table, what may be used: less while two processes share the node
+        self.read_timeout = patience
         self.idle_after = idle_after
-        self.leaving = False
+        self.draining = False
         self.port = 0  # where 0 was asked for, the one the system gave
         self._new: dict[int, Connection] = {}  # have brought nothing whole yet, the first come first
         self._quiet: dict[int, Connection] = {}  # the one that was heard longest ago first
-        self._sweep: Deadline | None = None
-        self._turned_away = 0
+        self._sweep: Timer | None = None
+        self._rejected_connections = 0
         self._server: asyncio.Server | None = None
 
     def make(self) -> Connection:
@@ -159,22 +159,24 @@
 
     # The table.
 
-    def admit(self, connection: Connection) -> bool:
+    def accept(self, connection: Connection) -> bool:
         table = self.connections
-        if len(table) >= FULL_SHARE * self.room and self._quiet:
+        if len(table) >= CROWDED_SHARE * self.capacity and self._quiet:
             next(iter(self._quiet.values())).idle()
-        if len(self._new) >= NEW_SHARE * self.room:
+        if len(self._new) >= UNPROVEN_SHARE * self.capacity:
             oldest = next(iter(self._new.values()))
-            if len(table) >= self.room - 1 or oldest.since + NEW_LEAST <= self.timeline.now():
+            if len(table) >= self.capacity - 1 or oldest.since + MIN_UNPROVEN_AGE <= self.timeline.now():
                 oldest.abort()
         try:
-            if len(table) >= self.room:
+            if len(table) >= self.capacity:
                 raise TableFullError("the part of the table that is this process's")
             connection.handle = table.add(connection)
         except TableFullError:
-            if self._turned_away % 100 == 0:
-                log.warning("connections turned away: the table is full (%d so far)", self._turned_away + 1)
-            self._turned_away += 1
+            if self._rejected_connections % 100 == 0:
+                log.warning(
+                    "connections turned away: the table is full (%d so far)", self._rejected_connections + 1
+                )
+            self._rejected_connections += 1
             return False
         self._new[connection.handle] = connection
         return True
@@ -201,7 +203,7 @@
         """Nothing is open there any more."""
         self._quiet.pop(connection.handle, None)
         self._quiet[connection.handle] = connection
-        connection.heard = self.timeline.now()
+        connection.last_received = self.timeline.now()
         if self._sweep is None:
             self._sweep_later()
 
@@ -209,35 +211,35 @@
         self.timeline.cancel(self._sweep)
         self._sweep = None
         if self._quiet and self.idle_after:
-            first = next(iter(self._quiet.values())).heard + self.idle_after
-            least = self.timeline.now() + SWEEP_LEAST
+            first = next(iter(self._quiet.values())).last_received + self.idle_after
+            least = self.timeline.now() + MIN_SWEEP_INTERVAL
             self._sweep = self.timeline.at(max(first, least), self._sweep_idle)
 
     def _sweep_idle(self) -> None:
         now = self.timeline.now()
         for connection in list(self._quiet.values()):
-            if connection.heard + self.idle_after > now:
+            if connection.last_received + self.idle_after > now:
                 break
             connection.idle()
         self._sweep_later()
 
-    def deliver(self, ticket: Ticket, answer: Answer) -> None:
+    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
         handle, number = ticket
         connection = self.connections.get(handle)
         if connection is not None:
-            connection.answer(number, answer)
+            connection.send_response(number, answer)
 
-    def limit_idle(self, after: timedelta) -> None:
+    def limit_idle_time(self, after: timedelta) -> None:
         self.idle_after = after
         self._sweep_later()
 
     def accept_again(self) -> None:
         """Who was to take what is new is gone. `listen` follows."""
-        self.leaving = False
+        self.draining = False
 
     def stop_accepting(self) -> None:
-        self.leaving = True
+        self.draining = True
         if self._server is not None:
             self._server.close()
         for connection in self.connections:
-            connection.leave()
+            connection.drain()
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -13,13 +13,13 @@
 import math
 from datetime import timedelta
 
-from marlstep.core.engine import Core, Refused
-from marlstep.core.idempotency import digest_of
-from marlstep.core.interfaces import Answer, Backend, Offer, Verdict
+from marlstep.core.engine import Core, RequestRejectedError
+from marlstep.core.idempotency import body_digest
+from marlstep.core.interfaces import Backend, InboundRequest, Response, ResponseStatus
 from marlstep.frontends.base import Connection, Listener
 from marlstep.frontends.resp_wire import (
     FrameReader,
-    Malformed,
+    MalformedFrameError,
     read_fields,
     read_tag,
     write_fields,
@@ -31,21 +31,21 @@
 log = logging.getLogger(__name__)
 
 RING_SIZE = 4 * 1024  # a frame is read word by word, and the longest word holds 2 KiB
-PATIENCE = 1.5 * SECOND  # for a frame to come whole, the first one from the connect
-COMPLAINTS = 5  # in the log a second
-FAULTS = 8  # frames that ask for what can't be had, before the connection is closed on
-OPEN_LIMIT = 32  # requests on one connection
-TAGS_AHEAD = 1024  # tags remembered out of order; one who jumps about more breaks the protocol
-CLOSE_AFTER = 200 * MILLISECOND  # a peer that was told of the close has crossed it by then, or is cut off
-WORDS = {
-    Verdict.DONE: b"done",
-    Verdict.REFUSED: b"later",
-    Verdict.FAILED: b"error",
-    Verdict.EXPIRED: b"error",
+READ_TIMEOUT = 1.5 * SECOND  # for a frame to come whole, the first one from the connect
+MAX_COMPLAINTS_PER_SECOND = 5  # in the log a second
+MAX_FAULTS = 8  # frames that ask for what can't be had, before the connection is closed on
+MAX_OPEN_REQUESTS = 32  # requests on one connection
+MAX_TAGS_AHEAD = 1024  # tags remembered out of order; one who jumps about more breaks the protocol
+CLOSE_DELAY = 200 * MILLISECOND  # a peer that was told of the close has crossed it by then, or is cut off
+STATUS_WORDS = {
+    ResponseStatus.DONE: b"done",
+    ResponseStatus.REJECTED: b"later",
+    ResponseStatus.FAILED: b"error",
+    ResponseStatus.EXPIRED: b"error",
 }
 
 
-def read_offer(kind: bytes, fields: bytes, body: bytes) -> Offer:
+def read_request(kind: bytes, fields: bytes, body: bytes) -> InboundRequest:
     """A request out of its words; raises ValueError that names what is wrong."""
     table = read_fields(fields)
     id = table.get("id", "")
@@ -55,20 +55,20 @@
     if not at.isdigit() or len(at) > 14:
         raise ValueError("at is no time in milliseconds")
     key, once = table.get("key"), table.get("once")
-    return Offer(
+    return InboundRequest(
         id=id,
-        kind=kind.decode("ascii"),
+        request_class=kind.decode("ascii"),
         body=body,
         arrived=EPOCH + int(at) * MILLISECOND,
-        kb=_number(table, "kb", above=0, below=2000),
+        memory_kb=_number(table, "kb", above=0, below=2000),
         caller=int(_number(table, "from", default=0, below=1e9)),
         retry=table.get("retry") == "1",
         cost=_number(table, "cost", below=1e9) * MILLISECOND if "cost" in table else None,
         rank=_number(table, "rank", default=0, below=1),
         tenant=table.get("tenant"),
         key=int(key, 16) >> 11 if key else None,
-        once=once,
-        digest=digest_of(body) if once else "",
+        idempotency_key=once,
+        digest=body_digest(body) if once else "",
     )
 
 
@@ -87,7 +87,7 @@
     return value
 
 
-class Tags:
+class TagTracker:
     """Which tags a connection has used: all up to one, and a few beyond."""
 
     def __init__(self) -> None:
@@ -96,7 +96,7 @@
 
     def take(self, tag: int) -> bool:
         """False where the tag was used before, or where too many lie out of order."""
-        if tag <= self._upto or tag in self._beyond or len(self._beyond) >= TAGS_AHEAD:
+        if tag <= self._upto or tag in self._beyond or len(self._beyond) >= MAX_TAGS_AHEAD:
             return False
         self._beyond.add(tag)
         while self._upto + 1 in self._beyond:
@@ -109,27 +109,27 @@
 
 
 class RespConnection(Connection):
-    def __init__(self, front: RespFront) -> None:
+    def __init__(self, front: RespFrontend) -> None:
         super().__init__(front, RING_SIZE)
-        self.front = front
+        self.frontend = front
         self._frames = FrameReader()
-        self._tags = Tags()
+        self._tags = TagTracker()
         self._open: dict[int, int] = {}  # tag to request
-        self._leaving = False  # the peer was told to send nothing new here
+        self._draining = False  # the peer was told to send nothing new here
         self._broken = False  # what the peer sends can't be told apart any more
         self._faults = 0
 
     def made(self) -> None:
         super().made()
-        if self.front.leaving:
-            self.leave()
+        if self.frontend.draining:
+            self.drain()
 
     def received(self) -> None:
         taken = False
         while not self._broken and not self.clogged:
             try:
                 frame = self._frames.next(self.inbox)
-            except Malformed as fault:
+            except MalformedFrameError as fault:
                 self._malformed(fault)
                 return
             if frame is None:
@@ -140,152 +140,152 @@
             self.inbox.skip(self.inbox.used)
         else:
             self._note_progress(taken)
-        if not self._open and self._at_last:
+        if not self._open and self._read_remaining:
             self.finish()
 
     @property
-    def _at_last(self) -> bool:
+    def _read_remaining(self) -> bool:
         """The peer sends no more. Where it took no answers, requests of its may lie here unread: they come first."""
         return self.at_end and not self.clogged
 
     def _note_progress(self, taken: bool) -> None:
         if taken:
-            self.front.proven(self)
+            self.frontend.proven(self)
         if taken or not self._waits:
-            self.satisfied()
+            self.request_completed()
         if self._waits:
             self.await_more()
         if self._open:
-            self.front.busy(self)
+            self.frontend.busy(self)
         elif taken:
-            self.front.quiet(self)
+            self.frontend.quiet(self)
 
     @property
     def _waits(self) -> bool:
         """Something has to come, or to be taken, before this connection can go on."""
-        return self.clogged or self.inbox.used > 0 or self._frames.inside or self.front.is_new(self)
+        return self.clogged or self.inbox.used > 0 or self._frames.inside or self.frontend.is_new(self)
 
     def _take_frame(self, frame: list[bytes]) -> None:
         tag = read_tag(frame[1]) if len(frame) > 1 else None
         if frame[0] == b"FORGET" and tag is not None and len(frame) == 2:
-            self._forget(tag)
+            self._handle_forget(tag)
         elif tag is None or not self._tags.take(tag):
-            self._malformed(Malformed("no tag, or one that came before", None))
+            self._malformed(MalformedFrameError("no tag, or one that came before", None))
         elif frame[0] == b"ALIVE" and len(frame) <= 3:
-            self._say(tag, b"healthy" if self.front.core.healthy else b"sick", {}, b"")
+            self._send_frame(tag, b"healthy" if self.frontend.core.healthy else b"sick", {}, b"")
         elif frame[0] == b"EXEC" and 4 <= len(frame) <= 5:
-            self._exec(tag, frame[2], frame[3], frame[4] if len(frame) == 5 else b"")
+            self._handle_exec(tag, frame[2], frame[3], frame[4] if len(frame) == 5 else b"")
         else:
             self._fail(tag, "unknown command")
 
-    def _exec(self, tag: int, kind: bytes, fields: bytes, body: bytes) -> None:
-        if len(self._open) >= OPEN_LIMIT:
-            self._fail(tag, f"over {OPEN_LIMIT} open")
+    def _handle_exec(self, tag: int, kind: bytes, fields: bytes, body: bytes) -> None:
+        if len(self._open) >= MAX_OPEN_REQUESTS:
+            self._fail(tag, f"over {MAX_OPEN_REQUESTS} open")
             return
         try:
-            offer = read_offer(kind, fields, body)
-            self._open[tag] = self.front.core.submit(
-                self.front, (self.handle, tag), self.front.backend, offer
+            offer = read_request(kind, fields, body)
+            self._open[tag] = self.frontend.core.submit(
+                self.frontend, (self.handle, tag), self.frontend.backend, offer
             )
-        except (ValueError, OverflowError, Refused) as fault:
+        except (ValueError, OverflowError, RequestRejectedError) as fault:
             self._fail(tag, str(fault))
 
-    def _forget(self, tag: int) -> None:
+    def _handle_forget(self, tag: int) -> None:
         """The peer stopped waiting: no answer is owed. It may have crossed the answer."""
         if (handle := self._open.pop(tag, None)) is not None:
-            self.front.core.client_gone(handle)
+            self.frontend.core.client_disconnected(handle)
         elif not self._tags.taken(tag):
             self._fault("taken back before it came")
 
     def _fail(self, tag: int, why: str) -> None:
-        self._say(tag, WORDS[Verdict.FAILED], {}, b"")
+        self._send_frame(tag, STATUS_WORDS[ResponseStatus.FAILED], {}, b"")
         self._fault(why)
 
     def _fault(self, why: str) -> None:
-        self.front.complain("request refused unread", why)
+        self.frontend.log_rejected("request refused unread", why)
         self._faults += 1
-        if self._faults == FAULTS and not self._broken:
-            self._malformed(Malformed(f"{FAULTS} requests that can't be taken", None))
+        if self._faults == MAX_FAULTS and not self._broken:
+            self._malformed(MalformedFrameError(f"{MAX_FAULTS} requests that can't be taken", None))
 
-    def _malformed(self, fault: Malformed) -> None:
-        self.front.complain("malformed", str(fault))
+    def _malformed(self, fault: MalformedFrameError) -> None:
+        self.frontend.log_rejected("malformed", str(fault))
         if fault.tag is not None and self._tags.take(fault.tag):
             self._fail(fault.tag, str(fault))
         self._broken = True
         self.inbox.skip(self.inbox.used)
-        self.leave()
+        self.drain()
 
-    def answer(self, number: int, answer: Answer) -> None:
+    def send_response(self, number: int, answer: Response) -> None:
         self._open.pop(number, None)
         fields: dict[str, str] = {}
-        if answer.verdict is Verdict.REFUSED:
-            if answer.after:
-                fields["after"] = str(whole_ms(answer.after))
+        if answer.status is ResponseStatus.REJECTED:
+            if answer.retry_after:
+                fields["after"] = str(whole_ms(answer.retry_after))
             if answer.last:
                 fields["last"] = "1"
-        self._say(number, WORDS[answer.verdict], fields, answer.body)
+        self._send_frame(number, STATUS_WORDS[answer.status], fields, answer.body)
         if self.clogged:
             self.await_more()
         if not self._open:
-            if self._broken or self._at_last:
+            if self._broken or self._read_remaining:
                 self.finish()
             else:
-                self.front.quiet(self)
+                self.frontend.quiet(self)
 
-    def _say(self, tag: int, word: bytes, fields: dict[str, str], body: bytes) -> None:
-        if self.front.core.say is not None:
-            fields = {"say": f"{self.front.core.say:.4f}", **fields}
+    def _send_frame(self, tag: int, word: bytes, fields: dict[str, str], body: bytes) -> None:
+        if self.frontend.core.advertised_value is not None:
+            fields = {"say": f"{self.frontend.core.advertised_value:.4f}", **fields}
         self.send(write_frame(b"%d" % tag, word, write_fields(fields), body))
 
-    def gone(self) -> None:
+    def peer_closed(self) -> None:
         for handle in self._open.values():
-            self.front.core.client_gone(handle)
+            self.frontend.core.client_disconnected(handle)
         self._open.clear()
 
-    def overdue(self) -> None:
+    def read_timed_out(self) -> None:
         if self._waits:
-            self._malformed(Malformed("no whole frame in time", None))
+            self._malformed(MalformedFrameError("no whole frame in time", None))
 
     def idle(self) -> None:
-        self.front.busy(self)  # told once
+        self.frontend.busy(self)  # told once
         if not self._open:
-            self.leave()
+            self.drain()
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Tell the peer to send nothing more here. It closes when all is answered, or is closed on later."""
         if self._broken and not self._open:
             self._send_closing()
             self.finish()
-        elif not self._leaving:
+        elif not self._draining:
             self._send_closing()
-            self._cut_later()
-        self._leaving = True
+            self._schedule_abort()
+        self._draining = True
 
     def _send_closing(self) -> None:
-        if not self._leaving:
+        if not self._draining:
             self.send(write_frame(b"0", b"closing"))
 
-    def _cut_later(self) -> None:
-        timeline = self.front.timeline
-        timeline.at(timeline.now() + CLOSE_AFTER, lambda: timeline.after_reading(self._cut))
+    def _schedule_abort(self) -> None:
+        timeline = self.frontend.timeline
+        timeline.at(timeline.now() + CLOSE_DELAY, lambda: timeline.after_reading(self._abort_after_close))
 
-    def _cut(self) -> None:
+    def _abort_after_close(self) -> None:
         """The peer should have closed. What crossed our word is still read and answered.
 
         A frame that is not whole yet is waited for as ever: no longer than the listener's patience.
         """
         unread = not self._broken and (self.clogged or self.inbox.used > 0 or self._frames.inside)
         if self.connected and (self._open or unread):
-            self._cut_later()
+            self._schedule_abort()
         else:
             self.finish()
 
 
-class RespFront(Listener):
+class RespFrontend(Listener):
     def __init__(
         self, core: Core, timeline: TimerQueue, backend: Backend, limit: int, idle_after: timedelta
     ) -> None:
-        super().__init__(core, timeline, limit, PATIENCE, idle_after)
+        super().__init__(core, timeline, limit, READ_TIMEOUT, idle_after)
         self.backend = backend
         self._complaints = 0
         self._complaints_since = timeline.now()
@@ -293,13 +293,13 @@
     def make(self) -> RespConnection:
         return RespConnection(self)
 
-    def complain(self, what: str, why: str) -> None:
+    def log_rejected(self, what: str, why: str) -> None:
         """Into the log, but only the first few of a second: bad clients come by the hundred."""
         now = self.timeline.now()
         if now - self._complaints_since >= SECOND:
-            if self._complaints > COMPLAINTS:
-                log.warning("and %d more bad requests", self._complaints - COMPLAINTS)
+            if self._complaints > MAX_COMPLAINTS_PER_SECOND:
+                log.warning("and %d more bad requests", self._complaints - MAX_COMPLAINTS_PER_SECOND)
             self._complaints, self._complaints_since = 0, now
         self._complaints += 1
-        if self._complaints <= COMPLAINTS:
+        if self._complaints <= MAX_COMPLAINTS_PER_SECOND:
             log.warning("%s: %s", what, why)
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -17,7 +17,7 @@
 )
 
 
-class Malformed(ValueError):
+class MalformedFrameError(ValueError):
     """The stream is no frame from here on. `tag` is that of the frame, where it was whole already."""
 
     def __init__(self, why: str, tag: int | None) -> None:
@@ -51,7 +51,7 @@
             return self._next(ring)
         except (ValueError, LineTooLongError) as fault:
             known = len(self._words) >= 2 and self._words[0] in VERBS
-            raise Malformed(str(fault), read_tag(self._words[1]) if known else None) from None
+            raise MalformedFrameError(str(fault), read_tag(self._words[1]) if known else None) from None
 
     def _next(self, ring: Ring) -> list[bytes] | None:
         if self._count < 0:
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from marlstep.core.engine import Core, Refused, Repeated
-from marlstep.core.interfaces import Answer, Backend, Offer, Verdict
+from marlstep.core.engine import Core, RepeatedWorkError, RequestRejectedError
+from marlstep.core.interfaces import Backend, InboundRequest, Response, ResponseStatus
 from marlstep.frontends.base import Connection, Listener
-from marlstep.frontends.uwsgi_mapping import Mapped
-from marlstep.frontends.uwsgi_wire import BadPacket, Packet, PacketReader, write_response
+from marlstep.frontends.uwsgi_mapping import UwsgiMapping
+from marlstep.frontends.uwsgi_wire import InvalidPacketError, Packet, PacketReader, write_response
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
@@ -35,9 +35,9 @@
 
 
 class UwsgiConnection(Connection):
-    def __init__(self, front: UwsgiFront) -> None:
+    def __init__(self, front: UwsgiFrontend) -> None:
         super().__init__(front, RING_SIZE)
-        self.front = front
+        self.frontend = front
         self._packet = PacketReader(front.body_limit)
         self._request: int | None = None
         self._taken = False  # its one packet is whole, or can't become so
@@ -48,24 +48,24 @@
                 packet = self._packet.next(self.inbox)
                 if packet is not None:
                     self._taken = True
-                    self.front.proven(self)
-                    self.satisfied()
+                    self.frontend.proven(self)
+                    self.request_completed()
                     self._submit(packet)
                 elif self.at_end:
                     self.finish()  # the client left inside its packet: there is no request to answer
-            except BadPacket as fault:
+            except InvalidPacketError as fault:
                 self._reject(fault.status, str(fault))
         if self._taken:
             self.inbox.skip(self.inbox.used)  # a connection carries one request
 
     def _submit(self, packet: Packet) -> None:
-        front = self.front
+        front = self.frontend
         try:
-            offer = front.read_offer(packet)
+            offer = front.read_request(packet)
             self._request = front.core.submit(front, (self.handle, 1), front.backend, offer)
-        except Repeated as fault:
+        except RepeatedWorkError as fault:
             self._reject(502, str(fault))
-        except Refused as fault:
+        except RequestRejectedError as fault:
             self._reject(400, str(fault))
 
     def _reject(self, status: int, why: str) -> None:
@@ -77,35 +77,35 @@
         self.send(response)
         self.finish()
 
-    def answer(self, number: int, answer: Answer) -> None:
+    def send_response(self, number: int, answer: Response) -> None:
         self._request = None
-        match answer.verdict:
-            case Verdict.DONE:
+        match answer.status:
+            case ResponseStatus.DONE:
                 self._respond(answer.body)
-            case Verdict.REFUSED:
-                wait = str(self.front.whole_seconds(answer.after))
+            case ResponseStatus.REJECTED:
+                wait = str(self.frontend.whole_seconds(answer.retry_after))
                 self._respond(write_response(503, {"Retry-After": wait}, "refused, it never ran"))
-            case Verdict.EXPIRED:
+            case ResponseStatus.EXPIRED:
                 self._respond(write_response(504, {}, "out of time"))
-            case Verdict.FAILED:
+            case ResponseStatus.FAILED:
                 self._respond(write_response(502, {}, "failed"))
 
-    def gone(self) -> None:
+    def peer_closed(self) -> None:
         if self._request is not None:
-            self.front.core.client_gone(self._request)
+            self.frontend.core.client_disconnected(self._request)
             self._request = None
 
-    def overdue(self) -> None:
+    def read_timed_out(self) -> None:
         if self._request is None:
             self.finish()
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """What was begun may still be sent whole, and is then answered."""
         if self._request is None and not self._packet.inside:
             self.finish()
 
 
-class UwsgiFront(Listener):
+class UwsgiFrontend(Listener):
     def __init__(
         self,
         core: Core,
@@ -113,7 +113,7 @@
         backend: Backend,
         limit: int,
         patience: timedelta,
-        mapped: Mapped,
+        mapped: UwsgiMapping,
         body_limit: int,
         pool_of: Callable[[str], str] = lambda kind: "",
     ) -> None:
@@ -127,29 +127,29 @@
     def make(self) -> UwsgiConnection:
         return UwsgiConnection(self)
 
-    def limit_idle(self, after: timedelta) -> None:
+    def limit_idle_time(self, after: timedelta) -> None:
         """Clients here open a connection for each request: the operator's own limit stays."""
 
-    def read_offer(self, packet: Packet) -> Offer:
+    def read_request(self, packet: Packet) -> InboundRequest:
         mapped, variables = self.mapped, packet.variables
         said = variables.get(mapped.kind, "")
         if len(once := variables.get(mapped.id or "") or "") > NAME_LIMIT:
-            raise Refused(f"{mapped.id} is over {NAME_LIMIT} characters")
+            raise RequestRejectedError(f"{mapped.id} is over {NAME_LIMIT} characters")
         kind = mapped.classes.get(said, said) or mapped.default_class or ""
-        if kind not in self.core.kinds and mapped.default_class:
+        if kind not in self.core.classes and mapped.default_class:
             kind = mapped.default_class
         self._number += 1
-        return Offer(
+        return InboundRequest(
             id=f"uwsgi-{self._number}",  # of this try; what the client names is the work
-            kind=kind,
+            request_class=kind,
             body=packet.raw,
             arrived=self.timeline.now(),
-            kb=max(mapped.kb, len(packet.raw) / 1024),
+            memory_kb=max(mapped.kb, len(packet.raw) / 1024),
             retry=_flag(variables.get(mapped.retry or "", "")),
             cost=read_cost(variables.get(mapped.cost or "")),
             tenant=variables.get(mapped.tenant or "") or None,
             pool=self.pool_of(kind),
-            once=once or None,
+            idempotency_key=once or None,
         )
 
     def whole_seconds(self, after: timedelta) -> int:
--- a/marlstep/frontends/uwsgi_mapping.py
+++ b/marlstep/frontends/uwsgi_mapping.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Mapped:
+class UwsgiMapping:
     """Which variables say what, as the operator's file has it."""
 
     kind: str
--- a/marlstep/frontends/uwsgi_wire.py
+++ b/marlstep/frontends/uwsgi_wire.py
@@ -14,7 +14,7 @@
 HEAD = 4
 
 
-class BadPacket(ValueError):
+class InvalidPacketError(ValueError):
     """What came is no packet this front takes; `status` is what the client is told."""
 
     def __init__(self, why: str, status: int = 400) -> None:
@@ -35,11 +35,11 @@
     while at < len(block):
         end = at + 2 + int.from_bytes(block[at : at + 2], "little")
         if at + 2 > len(block) or end > len(block):
-            raise BadPacket("a variable reaches past its block")
+            raise InvalidPacketError("a variable reaches past its block")
         words.append(block[at + 2 : end].decode("latin-1"))
         at = end
     if len(words) % 2:
-        raise BadPacket("a name without a value")
+        raise InvalidPacketError("a name without a value")
     return dict(zip(words[::2], words[1::2], strict=True))
 
 
@@ -80,18 +80,18 @@
 
     def _read_head(self) -> None:
         if self._raw[0] != 0:
-            raise BadPacket(f"modifier1 is {self._raw[0]}; requests have 0")
+            raise InvalidPacketError(f"modifier1 is {self._raw[0]}; requests have 0")
         size = int.from_bytes(self._raw[1:3], "little")
         if not size:
-            raise BadPacket("a packet without variables")
+            raise InvalidPacketError("a packet without variables")
         self._size += size
 
     def _body_length(self, variables: Mapping[str, str]) -> int:
         text = variables.get("CONTENT_LENGTH", "") or "0"
         if not (text.isascii() and text.isdigit()) or len(text) > 15:
-            raise BadPacket("CONTENT_LENGTH is no length")
+            raise InvalidPacketError("CONTENT_LENGTH is no length")
         if int(text) > self._body_limit:
-            raise BadPacket(f"a body of {text} bytes", 413)
+            raise InvalidPacketError(f"a body of {text} bytes", 413)
         return int(text)
 
 
--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -15,30 +15,30 @@
 from collections.abc import Callable, Iterator
 from pathlib import Path
 
-from marlstep.hot_restart.messages import MOST, CorruptError, Hello, Message, read, write
-from marlstep.hot_restart.restart import Handover
+from marlstep.hot_restart.messages import MAX_MESSAGE_BYTES, CorruptError, Hello, Message, read, write
+from marlstep.hot_restart.restart import HotRestart
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND
 
 log = logging.getLogger(__name__)
 
-RING_SIZE = 2 * MOST
+RING_SIZE = 2 * MAX_MESSAGE_BYTES
 TICK = 20 * MILLISECOND
-DIALLED = 0.5  # seconds for a connection to stand; one that listens and is stopped takes none
-TRIES = 20  # other processes may take a generation's name meanwhile
-HELD_BACK = 4 << 20  # bytes of names that may wait for the younger to read
+CONNECT_TIMEOUT_S = 0.5  # seconds for a connection to stand; one that listens and is stopped takes none
+MAX_CONNECT_ATTEMPTS = 20  # other processes may take a generation's name meanwhile
+MAX_UNSENT_BYTES = 4 << 20  # bytes of names that may wait for the younger to read
 PATH_LIMIT = 100  # of a Unix socket's name, in bytes; the system takes 107
 
 
-class PeerLine(RingStream):
+class PeerConnection(RingStream):
     """One connection to the other process.
 
     What is told must be out before the run that it speaks of begins, and a transport writes at the end of a pass of
     the loop: so messages go straight to a copy of the socket.
     """
 
-    def __init__(self, meeting: Meeting, elder: bool) -> None:
+    def __init__(self, meeting: RestartChannel, elder: bool) -> None:
         super().__init__(RING_SIZE)
         self._meeting, self.elder = meeting, elder
         self._socket: socket.socket | None = None
@@ -84,7 +84,7 @@
             while self._unsent:
                 del self._unsent[: self._socket.send(self._unsent, socket.MSG_DONTWAIT)]
         except BlockingIOError:
-            if self.prompt or len(self._unsent) > HELD_BACK:
+            if self.prompt or len(self._unsent) > MAX_UNSENT_BYTES:
                 log.error("the other process does not read: its line is cut")
                 self.close()
         except OSError:
@@ -95,10 +95,10 @@
         self.abort()
 
 
-class Line:
+class PeerLink:
     """The handover's side of a line."""
 
-    def __init__(self, stream: PeerLine) -> None:
+    def __init__(self, stream: PeerConnection) -> None:
         self._stream = stream
 
     def send(self, message: Message) -> None:
@@ -111,9 +111,9 @@
         self._stream.close()
 
 
-class Meeting:
+class RestartChannel:
     def __init__(
-        self, folder: Path, node: str, timeline: TimerQueue, make: Callable[[int], Handover]
+        self, folder: Path, node: str, timeline: TimerQueue, make: Callable[[int], HotRestart]
     ) -> None:
         """`make` is told the generation of this process."""
         self._folder, self._timeline, self._make = folder, timeline, make
@@ -121,9 +121,9 @@
         self.handover = make(0)
         self._path: Path | None = None
         self._server: asyncio.AbstractServer | None = None
-        self._elder: PeerLine | None = None
-        self._younger: PeerLine | None = None
-        self._tick: Deadline | None = None
+        self._predecessor: PeerConnection | None = None
+        self._successor: PeerConnection | None = None
+        self._tick: Timer | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> bool:
@@ -131,15 +131,15 @@
         elder, generation = None, 0
         try:
             found = self._found()
-            elder = await self._find_elder(found)
+            elder = await self._find_predecessor(found)
             generation = max(found, default=0) + 1
             generation = await self._listen(generation)
         except OSError as fault:  # no folder, nothing that may be written, no Unix sockets
             log.warning("no meeting in %s, an upgrade will not know this process: %s", self._folder, fault)
         self.handover = self._make(generation)
         if elder is not None:
-            self._elder = elder
-            self.handover.meet_elder(Line(elder), self._timeline.now())
+            self._predecessor = elder
+            self.handover.meet_predecessor(PeerLink(elder), self._timeline.now())
             elder.received()  # its hello may have come
             self._ticking()
         return elder is not None
@@ -154,7 +154,7 @@
     def _path_of(self, generation: int) -> Path:
         return self._folder / f"{self._stem}.{generation}.sock"
 
-    async def _find_elder(self, found: dict[int, Path]) -> PeerLine | None:
+    async def _find_predecessor(self, found: dict[int, Path]) -> PeerConnection | None:
         """The newest that answers. Files that refuse are of dead processes, and are removed."""
         for _, path in sorted(found.items(), reverse=True):
             try:
@@ -166,11 +166,11 @@
                 log.warning("%s does not answer: %s", path.name, fault)
         return None
 
-    async def _dial(self, path: Path) -> PeerLine:
+    async def _dial(self, path: Path) -> PeerConnection:
         loop = asyncio.get_running_loop()
         with short(path) as name:
-            dialled = loop.create_unix_connection(lambda: PeerLine(self, elder=True), name)
-            return (await asyncio.wait_for(dialled, DIALLED))[1]
+            dialled = loop.create_unix_connection(lambda: PeerConnection(self, elder=True), name)
+            return (await asyncio.wait_for(dialled, CONNECT_TIMEOUT_S))[1]
 
     async def _listen(self, generation: int) -> int:
         draft = self._folder / f"{self._stem}.{os.getpid()}.draft"
@@ -181,21 +181,21 @@
                 one.bind(name)
             draft.chmod(0o600)
             one.listen(8)
-            for number in range(generation, generation + TRIES):
+            for number in range(generation, generation + MAX_CONNECT_ATTEMPTS):
                 path = self._path_of(number)
                 with contextlib.suppress(FileExistsError):
                     path.hardlink_to(draft)
                     self._path = path
                     break
             else:
-                raise FileExistsError(f"all of {TRIES} names are taken")
+                raise FileExistsError(f"all of {MAX_CONNECT_ATTEMPTS} names are taken")
         except OSError:
             one.close()
             raise
         finally:
             draft.unlink(missing_ok=True)
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_unix_server(lambda: PeerLine(self, elder=False), sock=one)
+        self._server = await loop.create_unix_server(lambda: PeerConnection(self, elder=False), sock=one)
         return number
 
     def _redirect(self, generation: int) -> None:
@@ -203,16 +203,16 @@
 
         async def go() -> None:
             try:
-                self._elder = await self._dial(self._path_of(generation))
+                self._predecessor = await self._dial(self._path_of(generation))
             except (OSError, TimeoutError) as fault:
                 log.warning("generation %d does not answer: %s", generation, fault)
-                self.handover.elder_lost(self._timeline.now())
+                self.handover.predecessor_lost(self._timeline.now())
             else:
-                self.handover.meet_elder(Line(self._elder), self._timeline.now())
-                self._elder.received()
+                self.handover.meet_predecessor(PeerLink(self._predecessor), self._timeline.now())
+                self._predecessor.received()
 
-        if self._elder is not None:
-            old, self._elder = self._elder, None
+        if self._predecessor is not None:
+            old, self._predecessor = self._predecessor, None
             old.close()
         task = asyncio.get_running_loop().create_task(go())
         self._tasks.add(task)
@@ -220,38 +220,38 @@
 
     # What comes on the lines.
 
-    def message(self, line: PeerLine, message: Message) -> None:
+    def message(self, line: PeerConnection, message: Message) -> None:
         now = self._timeline.now()
         if not line.met and not isinstance(message, Hello):
             raise CorruptError("no hello")
-        if line is self._elder:
+        if line is self._predecessor:
             first, line.met = not line.met, True
-            if first and isinstance(message, Hello) and message.taken:
-                self._redirect(message.taken)
+            if first and isinstance(message, Hello) and message.successor_generation:
+                self._redirect(message.successor_generation)
             else:
-                self.handover.from_elder(message, now)
-        elif line is self._younger:
-            self.handover.from_younger(message, now)
+                self.handover.handle_predecessor_message(message, now)
+        elif line is self._successor:
+            self.handover.handle_successor_message(message, now)
         elif not line.elder and not line.met and isinstance(message, Hello):
             line.met = True
-            if self.handover.meet_younger(Line(line), message):
-                self._younger = line
+            if self.handover.meet_successor(PeerLink(line), message):
+                self._successor = line
                 self._ticking()
 
-    def stranger(self, line: PeerLine) -> None:
+    def stranger(self, line: PeerConnection) -> None:
         """What came first can't be understood."""
         if not line.elder:
-            self.handover.stranger_came(self._timeline.now())
+            self.handover.unknown_process_connected(self._timeline.now())
             self._ticking()
 
-    def lost(self, line: PeerLine) -> None:
+    def lost(self, line: PeerConnection) -> None:
         now = self._timeline.now()
-        if line is self._elder:
-            self._elder = None
-            self.handover.elder_lost(now)
-        elif line is self._younger:
-            self._younger = None
-            self.handover.younger_lost(now)
+        if line is self._predecessor:
+            self._predecessor = None
+            self.handover.predecessor_lost(now)
+        elif line is self._successor:
+            self._successor = None
+            self.handover.successor_lost(now)
         self._ticking()
 
     def _ticking(self) -> None:
@@ -260,7 +260,7 @@
 
     def _ticked(self) -> None:
         self._tick = None
-        for line in (self._elder, self._younger):
+        for line in (self._predecessor, self._successor):
             if line is not None:
                 line.push()
         self.handover.tick(self._timeline.now())
@@ -269,7 +269,7 @@
     def close(self) -> None:
         """The one place where the socket, its name and the lines are given back."""
         self.handover.done()
-        lines, self._elder, self._younger = (self._elder, self._younger), None, None
+        lines, self._predecessor, self._successor = (self._predecessor, self._successor), None, None
         for line in lines:
             if line is not None:
                 line.push()  # what is out is still read after the close
--- a/marlstep/hot_restart/messages.py
+++ b/marlstep/hot_restart/messages.py
@@ -10,8 +10,8 @@
 from marlstep.net.framing import Framing, crc
 from marlstep.net.ring import Ring
 
-MOST = 32 * 1024  # of one message
-FRAMING = Framing(b"MSH1", MOST, crc)
+MAX_MESSAGE_BYTES = 32 * 1024  # of one message
+FRAMING = Framing(b"MSH1", MAX_MESSAGE_BYTES, crc)
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,58 +22,58 @@
 
     generation: int = field(metadata=wire("generation", INTEGER))
     pid: int = field(metadata=wire("pid", INTEGER))
-    wanted: bool = field(metadata=wire("wanted", BOOLEAN), default=True)  # the node is not quiesced
+    wants_traffic: bool = field(metadata=wire("wanted", BOOLEAN), default=True)  # the node is not quiesced
     # the generation that the elder has as its younger already: go there
-    taken: int = field(metadata=wire("taken", INTEGER), default=0)
-    learnt: dict[str, object] = field(metadata=wire("learnt", OBJECT), default_factory=dict)
+    successor_generation: int = field(metadata=wire("taken", INTEGER), default=0)
+    learned_state: dict[str, object] = field(metadata=wire("learnt", OBJECT), default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Name:
+class KeyStatus:
     """A piece of work with an effect, and the try that stands for it."""
 
     wire_tag: ClassVar[str] = "Name"
 
-    kind: str = field(metadata=wire("kind", TEXT))
-    once: str = field(metadata=wire("once", TEXT))
-    id: str = field(metadata=wire("id", TEXT))
+    request_class: str = field(metadata=wire("kind", TEXT))
+    idempotency_key: str = field(metadata=wire("once", TEXT))
+    request_id: str = field(metadata=wire("id", TEXT))
     until_us: int = field(metadata=wire("until_us", INTEGER), default=0)  # 0: as long as that try is in hand
     result: str | None = field(metadata=wire("result", OPTIONAL_TEXT), default=None)  # as latin-1
-    over: bool = field(metadata=wire("over", BOOLEAN), default=False)  # that try has ended
+    finished: bool = field(metadata=wire("over", BOOLEAN), default=False)  # that try has ended
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class KeyReleased:
     """That try of the work never ran: it may come again."""
 
     wire_tag: ClassVar[str] = "Gone"
 
-    kind: str = field(metadata=wire("kind", TEXT))
-    once: str = field(metadata=wire("once", TEXT))
-    id: str = field(metadata=wire("id", TEXT))
+    request_class: str = field(metadata=wire("kind", TEXT))
+    idempotency_key: str = field(metadata=wire("once", TEXT))
+    request_id: str = field(metadata=wire("id", TEXT))
 
 
 @dataclass(slots=True, frozen=True)
-class Whole:
+class SnapshotComplete:
     """All names that the elder knows have been told; from here on only changes."""
 
     wire_tag: ClassVar[str] = "Whole"
 
 
 @dataclass(slots=True, frozen=True)
-class Claim:
+class ClaimRequest:
     """May this try be held? The elder answers."""
 
     wire_tag: ClassVar[str] = "Claim"
 
     number: int = field(metadata=wire("number", INTEGER))
-    kind: str = field(metadata=wire("kind", TEXT))
-    once: str = field(metadata=wire("once", TEXT))
-    id: str = field(metadata=wire("id", TEXT))
+    request_class: str = field(metadata=wire("kind", TEXT))
+    idempotency_key: str = field(metadata=wire("once", TEXT))
+    request_id: str = field(metadata=wire("id", TEXT))
 
 
 @dataclass(slots=True, frozen=True)
-class Claimed:
+class ClaimResponse:
     """The work is yours; or the name stood before it, and says what is known of it."""
 
     wire_tag: ClassVar[str] = "Claimed"
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Give:
+class GrantShare:
     """A share of the node's room, from now on yours."""
 
     wire_tag: ClassVar[str] = "Give"
@@ -92,40 +92,66 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ready:
+class SuccessorReady:
     """The younger takes connections; the elder acknowledges it."""
 
     wire_tag: ClassVar[str] = "Ready"
 
 
 @dataclass(slots=True, frozen=True)
-class Duty:
+class ServingStateChanged:
     """The node was quiesced, or resumed, at the other's door."""
 
     wire_tag: ClassVar[str] = "Duty"
 
-    wanted: bool = field(metadata=wire("wanted", BOOLEAN))
+    wants_traffic: bool = field(metadata=wire("wanted", BOOLEAN))
 
 
 @dataclass(slots=True, frozen=True)
-class Leaves:
+class SuccessorDraining:
     """The younger was told to leave as well. An elder that knows no such word drops the line."""
 
     wire_tag: ClassVar[str] = "Leaves"
 
     # by a process that came after it: the node goes on
-    succeeded: bool = field(metadata=wire("succeeded", BOOLEAN))
+    has_successor: bool = field(metadata=wire("succeeded", BOOLEAN))
 
 
 @dataclass(slots=True, frozen=True)
-class Done:
+class PredecessorDone:
     """The elder has nothing left: all is yours."""
 
     wire_tag: ClassVar[str] = "Done"
 
 
-Message = Hello | Name | Gone | Whole | Claim | Claimed | Give | Ready | Duty | Leaves | Done
-CODEC = Codec((Hello, Name, Gone, Whole, Claim, Claimed, Give, Ready, Duty, Leaves, Done))
+Message = (
+    Hello
+    | KeyStatus
+    | KeyReleased
+    | SnapshotComplete
+    | ClaimRequest
+    | ClaimResponse
+    | GrantShare
+    | SuccessorReady
+    | ServingStateChanged
+    | SuccessorDraining
+    | PredecessorDone
+)
+CODEC = Codec(
+    (
+        Hello,
+        KeyStatus,
+        KeyReleased,
+        SnapshotComplete,
+        ClaimRequest,
+        ClaimResponse,
+        GrantShare,
+        SuccessorReady,
+        ServingStateChanged,
+        SuccessorDraining,
+        PredecessorDone,
+    )
+)
 
 
 def write(message: Message) -> bytes:
--- a/marlstep/load_balancing/estimators.py
+++ b/marlstep/load_balancing/estimators.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Floor:
+class WindowedMinimum:
     """The least sample of the last one to two windows: what an answer takes where nothing is in its way.
 
     It is forgotten in time, so that a server that was moved to a slower machine is not held to its old figure.
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LimitSettings:
+class ConcurrencyLimitSettings:
     least: float = 2.0  # requests at once; the floor of every limit
     most: float = 256.0
     start: float = 8.0
@@ -76,16 +76,16 @@
 
 
 @dataclass(slots=True)
-class AdaptiveLimit:
+class AdaptiveConcurrencyLimit:
     """How many requests a server gets at once.
 
     Answers that take longer than their floor lower it (the gradient), a failure cuts it (multiplicative decrease),
     and it grows only while it is in use: a limit that no load has tested says nothing.
     """
 
-    settings: LimitSettings = field(default_factory=LimitSettings)
+    settings: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
     value: float = 0.0
-    floor: Floor = field(default_factory=Floor)
+    floor: WindowedMinimum = field(default_factory=WindowedMinimum)
     _stepped: datetime | None = None
     _cut: datetime | None = None
     _sum: timedelta = ZERO
--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -18,7 +18,7 @@
 from marlstep.units import SECOND
 
 
-class State(enum.Enum):
+class ServerState(enum.Enum):
     NEW = "new"
     HEALTHY = "healthy"
     SUSPECT = "suspect"
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HealthSettings:
+class OutlierSettings:
     in_a_row: int = 5  # failures one after another that eject
     share: float = 0.5  # of failures that ejects, where enough is known
     enough: float = 10.0  # attempts, fading, that a share must stand on
@@ -39,12 +39,12 @@
 
 
 @dataclass(slots=True)
-class Health:
+class ServerHealth:
     """One server's. It tells what should be; the table says whether the server may be put out."""
 
-    settings: HealthSettings
+    settings: OutlierSettings
     since: datetime  # in this state
-    state: State = State.NEW
+    state: ServerState = ServerState.NEW
     rate: FailureRate = field(default_factory=FailureRate)
     in_a_row: int = 0
     ejections: int = 0  # of late: each is twice as long as the one before
@@ -54,29 +54,31 @@
     def __post_init__(self) -> None:
         self.rising_since = self.since
 
-    def _to(self, state: State, now: datetime) -> None:
+    def _to(self, state: ServerState, now: datetime) -> None:
         self.state, self.since = state, now
 
     def succeeded(self, now: datetime) -> None:
         self.rate.add(now, failed=False)
         self.in_a_row = 0
-        if self.state is State.PROBING:
+        if self.state is ServerState.PROBING:
             self.rising_since = now
             self.rate.clear()
-        elif self.state is State.HEALTHY and self.ejections and now - self.since >= self.settings.forgive:
+        elif (
+            self.state is ServerState.HEALTHY and self.ejections and now - self.since >= self.settings.forgive
+        ):
             self.ejections = 0
-        if self.state in (State.NEW, State.SUSPECT, State.PROBING):
-            self._to(State.HEALTHY, now)
+        if self.state in (ServerState.NEW, ServerState.SUSPECT, ServerState.PROBING):
+            self._to(ServerState.HEALTHY, now)
 
     def failed(self, now: datetime) -> bool:
         """True where the server should be ejected now."""
         self.rate.add(now, failed=True)
         self.in_a_row += 1
-        if self.state in (State.NEW, State.HEALTHY):
-            self._to(State.SUSPECT, now)
-        if self.state is State.PROBING:
+        if self.state in (ServerState.NEW, ServerState.HEALTHY):
+            self._to(ServerState.SUSPECT, now)
+        if self.state is ServerState.PROBING:
             return True
-        if self.state is State.EJECTED:
+        if self.state is ServerState.EJECTED:
             return False
         told = self.settings
         many = self.rate.total >= told.enough and self.rate.share >= told.share
@@ -87,18 +89,18 @@
         self.until = now + min(told.longest, told.first * (1 << min(self.ejections, 16)))
         self.ejections += 1
         self.in_a_row = 0
-        self._to(State.EJECTED, now)
+        self._to(ServerState.EJECTED, now)
 
     def look(self, now: datetime) -> None:
         """An ejection whose time is over ends in a probe."""
-        if self.state is State.EJECTED and self.until is not None and now >= self.until:
-            self._to(State.PROBING, now)
+        if self.state is ServerState.EJECTED and self.until is not None and now >= self.until:
+            self._to(ServerState.PROBING, now)
 
     def spare(self, now: datetime) -> None:
         """It should be out, but too many are: it stays, suspect, and counts anew."""
         self.in_a_row = 0
         self.rate.clear()
-        self._to(State.SUSPECT, now)
+        self._to(ServerState.SUSPECT, now)
 
     def weight(self, now: datetime) -> float:
         """The share of its full work that it gets: less than 1 in slow start."""
--- a/marlstep/load_balancing/retries.py
+++ b/marlstep/load_balancing/retries.py
@@ -12,10 +12,10 @@
 
 from marlstep.units import MILLISECOND
 
-WORTHWHILE = 5 * MILLISECOND  # of time left: with less no server would answer
+MIN_TIME_LEFT = 5 * MILLISECOND  # of time left: with less no server would answer
 
 
-class End(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How an attempt on one server ended."""
 
     WELL = "well"
@@ -26,29 +26,29 @@
 
     @property
     def never_ran(self) -> bool:
-        return self in (End.NOT_REACHED, End.REFUSED)
+        return self in (AttemptOutcome.NOT_REACHED, AttemptOutcome.REFUSED)
 
 
 @dataclass(slots=True)
-class Tries:
+class RetryPolicy:
     """The attempts of one request."""
 
     safe: bool  # its class may run twice
     most: int
     due: datetime
-    tried: set[int] = field(default_factory=set)  # handles of servers
+    attempted_servers: set[int] = field(default_factory=set)  # handles of servers
     resent: bool = False
 
-    def began(self, handle: int) -> None:
-        self.tried.add(handle)
+    def attempt_started(self, handle: int) -> None:
+        self.attempted_servers.add(handle)
 
-    def again(self, end: End, now: datetime) -> bool:
+    def should_retry(self, end: AttemptOutcome, now: datetime) -> bool:
         """May the request go to a server that it has not been to?"""
-        if len(self.tried) >= self.most or self.due - now < WORTHWHILE:
+        if len(self.attempted_servers) >= self.most or self.due - now < MIN_TIME_LEFT:
             return False
         if end.never_ran:
             return True
-        if end is not End.BROKEN or not self.safe or self.resent:
+        if end is not AttemptOutcome.BROKEN or not self.safe or self.resent:
             return False
         self.resent = True
         return True
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -13,18 +13,18 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from marlstep.load_balancing.estimators import AdaptiveLimit, LimitSettings, PeakEwma
-from marlstep.load_balancing.outlier_detection import Health, HealthSettings, State
+from marlstep.load_balancing.estimators import AdaptiveConcurrencyLimit, ConcurrencyLimitSettings, PeakEwma
+from marlstep.load_balancing.outlier_detection import OutlierSettings, ServerHealth, ServerState
 from marlstep.slots import SlotTable, TableFullError
 from marlstep.units import MILLISECOND, ZERO
 
-MOST_SERVERS = 1_024
+MAX_SERVERS = 1_024
 UNKNOWN = 1 * MILLISECOND  # of a server that nothing is known of: it is soon known
 DRAWS = 6  # by chance, for two that are free, before all are looked at
 SUSPECT_COST = 3.0  # times its expected time, for a server that has just failed
 
 
-class Chance(Protocol):
+class RandomSource(Protocol):
     """The seeded source that is passed in."""
 
     def randrange(self, start: int, /) -> int: ...
@@ -32,8 +32,8 @@
 
 @dataclass(slots=True, frozen=True)
 class PoolSettings:
-    limits: LimitSettings = field(default_factory=LimitSettings)
-    health: HealthSettings = field(default_factory=HealthSettings)
+    limits: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
+    health: OutlierSettings = field(default_factory=OutlierSettings)
     most_out: float = 0.34  # of the servers that may be ejected at once
     fall: timedelta = 10_000 * MILLISECOND  # of the latency estimate
 
@@ -43,9 +43,9 @@
     """What is known of one server."""
 
     name: str  # host:port, as configured
-    health: Health
+    health: ServerHealth
     latency: PeakEwma
-    limit: AdaptiveLimit
+    limit: AdaptiveConcurrencyLimit
     handle: int = 0
     in_flight: int = 0
     refusals: int = 0  # by the server itself: they prove that nothing ran
@@ -57,19 +57,23 @@
 
     @property
     def usable(self) -> bool:
-        return not self.leaving and self.health.state in (State.NEW, State.HEALTHY, State.SUSPECT)
+        return not self.leaving and self.health.state in (
+            ServerState.NEW,
+            ServerState.HEALTHY,
+            ServerState.SUSPECT,
+        )
 
 
 class ServerTable:
     """Numbered slots, as everywhere: a handle that is late finds nothing."""
 
-    def __init__(self, settings: PoolSettings, chance: Chance) -> None:
+    def __init__(self, settings: PoolSettings, chance: RandomSource) -> None:
         self.settings = settings
         self._chance = chance
-        self._servers: SlotTable[Server] = SlotTable(MOST_SERVERS)
+        self._servers: SlotTable[Server] = SlotTable(MAX_SERVERS)
         self._by_name: dict[str, int] = {}
         self._members: list[Server] = []  # all but those that leave, in the order in which they came
-        self._out: dict[int, Server] = {}  # those that are ejected or probed
+        self._ejected: dict[int, Server] = {}  # those that are ejected or probed
         self.may_probe: Callable[[str, datetime, datetime], bool] = lambda name, until, now: True
         self.spared = 0  # servers that were not ejected, as too many were out
 
@@ -95,8 +99,8 @@
         Raises TableFullError where there are too many, and changes nothing then.
         """
         wanted = dict.fromkeys(names)
-        if len(wanted) + sum(server.leaving for server in self._servers) > MOST_SERVERS:
-            raise TableFullError(f"a pool holds {MOST_SERVERS} servers at the most")
+        if len(wanted) + sum(server.leaving for server in self._servers) > MAX_SERVERS:
+            raise TableFullError(f"a pool holds {MAX_SERVERS} servers at the most")
         came, gone = [], []
         for server in self._servers:
             if server.name not in wanted and not server.leaving:
@@ -117,9 +121,9 @@
     def _add(self, name: str, now: datetime) -> None:
         server = Server(
             name,
-            Health(self.settings.health, now),
+            ServerHealth(self.settings.health, now),
             PeakEwma(self.settings.fall),
-            AdaptiveLimit(self.settings.limits),
+            AdaptiveConcurrencyLimit(self.settings.limits),
         )
         server.handle = self._servers.add(server)
         self._by_name[name] = server.handle
@@ -128,11 +132,11 @@
         """The one place where a server's slot is given back."""
         if server.leaving and not server.in_flight and self._servers.free(server.handle):
             del self._by_name[server.name]
-            self._out.pop(server.handle, None)
+            self._ejected.pop(server.handle, None)
 
     # Which one.
 
-    def room(self, server: Server, now: datetime) -> int:
+    def server_capacity(self, server: Server, now: datetime) -> int:
         """How many more requests it may have."""
         if not server.usable:
             return 0
@@ -144,20 +148,20 @@
         for server in self._members:
             server.health.look(now)
             if server.usable:
-                total += max(0, self.room(server, now)) + server.in_flight
-            elif server.health.state is State.PROBING and self._allowed(server, now):
+                total += max(0, self.server_capacity(server, now)) + server.in_flight
+            elif server.health.state is ServerState.PROBING and self._allowed(server, now):
                 total += 1
         return total
 
     @property
     def changes(self) -> bool:
         """The capacity moves by itself: a server is out, or in slow start."""
-        return bool(self._out) or any(one.health.rising_since is not None for one in self._members)
+        return bool(self._ejected) or any(one.health.rising_since is not None for one in self._members)
 
     def cost(self, server: Server, now: datetime) -> timedelta:
         """When a request that went there now would be done, about."""
         took = max(UNKNOWN, server.latency.value or ZERO)
-        penalty = SUSPECT_COST if server.health.state is State.SUSPECT else 1.0
+        penalty = SUSPECT_COST if server.health.state is ServerState.SUSPECT else 1.0
         return took * (server.in_flight + 1) * penalty / server.health.weight(now)
 
     def choose(self, now: datetime, without: frozenset[int] = frozenset()) -> Server | None:
@@ -167,7 +171,11 @@
             return probe
         found = self._drawn(now, without)
         if not found:  # hardly any is free: look at all of them
-            found = [one for one in self._members if one.handle not in without and self.room(one, now) > 0]
+            found = [
+                one
+                for one in self._members
+                if one.handle not in without and self.server_capacity(one, now) > 0
+            ]
         if len(found) > 2:
             first = found.pop(self._chance.randrange(len(found)))
             found = [first, found[self._chance.randrange(len(found))]]
@@ -180,7 +188,7 @@
         members = self._members
         for _ in range(DRAWS if len(members) > DRAWS else 0):
             one = members[self._chance.randrange(len(members))]
-            if one not in found and one.handle not in without and self.room(one, now) > 0:
+            if one not in found and one.handle not in without and self.server_capacity(one, now) > 0:
                 found.append(one)
                 if len(found) == 2:
                     break
@@ -188,10 +196,10 @@
 
     def _probe(self, now: datetime, without: frozenset[int]) -> Server | None:
         """A server whose time out is over gets one request, before any other has a second chance to."""
-        for server in self._out.values():
+        for server in self._ejected.values():
             server.health.look(now)
             if (
-                server.health.state is State.PROBING
+                server.health.state is ServerState.PROBING
                 and not (server.probe_out or server.leaving or server.handle in without)
                 and self._allowed(server, now)
             ):
@@ -202,24 +210,24 @@
         """In a fleet one node finds out for all whether a server is back."""
         return server.health.until is None or self.may_probe(server.name, server.health.until, now)
 
-    def out(self) -> dict[str, datetime]:
+    def ejected(self) -> dict[str, datetime]:
         """The servers that are ejected or to be probed, and until when they were put out."""
         return {
             server.name: server.health.until
-            for server in self._out.values()
+            for server in self._ejected.values()
             if server.health.until is not None and not server.leaving
         }
 
     # What became of attempts.
 
-    def begun(self, handle: int) -> None:
+    def attempt_started(self, handle: int) -> None:
         server = self._servers.get(handle)
         if server is not None:
             server.in_flight += 1
             server.attempts += 1
-            server.probe_out = server.probe_out or server.health.state is State.PROBING
+            server.probe_out = server.probe_out or server.health.state is ServerState.PROBING
 
-    def _over(self, handle: int) -> Server | None:
+    def _attempt_over(self, handle: int) -> Server | None:
         server = self._servers.get(handle)
         if server is None or not server.in_flight:
             return None
@@ -227,7 +235,7 @@
         return server
 
     def succeeded(self, handle: int, now: datetime, took: timedelta) -> None:
-        server = self._over(handle)
+        server = self._attempt_over(handle)
         if server is None:
             return
         server.latency.observe(now, took)
@@ -238,12 +246,12 @@
     def _well(self, server: Server, now: datetime) -> None:
         server.health.succeeded(now)
         server.probe_out = False
-        if server.health.state is not State.EJECTED:
-            self._out.pop(server.handle, None)
+        if server.health.state is not ServerState.EJECTED:
+            self._ejected.pop(server.handle, None)
 
     def failed(self, handle: int, now: datetime, took: timedelta) -> None:
         """It broke, could not be reached, or took too long. `took` counts where it is more than was known."""
-        server = self._over(handle)
+        server = self._attempt_over(handle)
         if server is None:
             return
         if server.latency.value is not None and took > server.latency.value:
@@ -254,33 +262,33 @@
             self._eject(server, now)
         self._forget_if_done(server)
 
-    def refused(self, handle: int, now: datetime) -> None:
+    def attempt_refused(self, handle: int, now: datetime) -> None:
         """The server turned it away: it lives, and has too much."""
-        server = self._over(handle)
+        server = self._attempt_over(handle)
         if server is None:
             return
         server.refusals += 1
         server.limit.failed(now)
-        if server.health.state is State.PROBING:
+        if server.health.state is ServerState.PROBING:
             self._well(server, now)
         self._forget_if_done(server)
 
-    def given_up(self, handle: int) -> None:
+    def attempt_abandoned(self, handle: int) -> None:
         """Nobody waits for it any more; it tells nothing of the server."""
-        server = self._over(handle)
+        server = self._attempt_over(handle)
         if server is not None:
             server.probe_out = False
             self._forget_if_done(server)
 
     def _eject(self, server: Server, now: datetime) -> None:
-        out = sum(not one.leaving for one in self._out.values())
-        probed = server.health.state is State.PROBING
+        out = sum(not one.leaving for one in self._ejected.values())
+        probed = server.health.state is ServerState.PROBING
         if not probed and out + 1 > self.settings.most_out * len(self._members):
             self.spared += 1
             server.health.spare(now)
         else:
             server.health.eject(now)
-            self._out[server.handle] = server
+            self._ejected[server.handle] = server
 
     def booted(self, handle: int, boot: str, now: datetime) -> bool:
         """The server told who it is in its present life; True where that is another than before.
@@ -294,8 +302,8 @@
         server.boot, server.boot_seen = boot, now
         if changed:
             server.latency = PeakEwma(self.settings.fall)
-            server.limit = AdaptiveLimit(self.settings.limits)
-            server.health = Health(self.settings.health, now)
+            server.limit = AdaptiveConcurrencyLimit(self.settings.limits)
+            server.health = ServerHealth(self.settings.health, now)
             server.probe_out = False
-            self._out.pop(handle, None)
+            self._ejected.pop(handle, None)
         return changed
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -18,11 +18,11 @@
 from marlstep.core.engine import Core, Ports
 from marlstep.drain import DrainController
 from marlstep.frontend_group import FrontendGroup
-from marlstep.frontends.resp import RespFront
+from marlstep.frontends.resp import RespFrontend
 from marlstep.net.eventloop import LoopWaker
 from marlstep.platform.database import Database
 from marlstep.platform.kernel import Kernel
-from marlstep.platform.name_service import Naming
+from marlstep.platform.name_service import NameService
 from marlstep.reload import ConfigReloader, log_setting_changes
 from marlstep.resource_budget import resource_budget
 from marlstep.status_log import StatusLog, format_counters
@@ -51,11 +51,11 @@
         budget = resource_budget(config, processes=1)
         ports = Ports(self.kernel, self.database)
         self.core = Core(config.settings, config.seed, timeline, ports, budget.requests)
-        self.naming = Naming(config.name, config.naming, timeline)
+        self.naming = NameService(config.name, config.naming, timeline)
         self.components: dict[str, Component] = {}
         max_connections = self._make_components(config, budget.connections)
         idle_timeout = span(config.settings.idle_us)
-        self.resp = RespFront(self.core, timeline, self.kernel, max_connections, idle_timeout)
+        self.resp = RespFrontend(self.core, timeline, self.kernel, max_connections, idle_timeout)
         self.frontends = self._make_frontends()
         self.drain_controller = DrainController(
             lambda: self.config,
@@ -84,7 +84,7 @@
             self.resp, others, partial(self._open_components, StartPhase.WITH_FRONTENDS), self.ended.set
         )
         for frontend in frontends.all:
-            self.core.add_front(frontend)
+            self.core.add_frontend(frontend)
         return frontends
 
     @property
@@ -107,7 +107,7 @@
         )
         await self._open_components(StartPhase.WITH_CLIENTS)
         restart_state = self.drain_controller.restart_state
-        if self.core.told_to_leave and restart_state is not None and restart_state.is_standby:
+        if self.core.shutdown_requested and restart_state is not None and restart_state.is_standby:
             self.ended.set()
         if restart_state is None or not restart_state.has_predecessor_serving:
             await self.frontends.listen(self.config)
@@ -127,7 +127,7 @@
         log.info(
             "stopped: unanswered=%d in_flight=%d %s",
             self.core.unanswered,
-            self.core.in_hand,
+            self.core.in_flight,
             format_counters(self.core.counts),
         )
         for component in self.components.values():
@@ -140,15 +140,15 @@
     def _reconfigure(self, replaced: Config) -> None:
         """Give each part its share of the configuration that has come into force."""
         config = self.config
-        self.kernel.move(config.kernel)
-        self.database.move(config.db)
-        self.naming.move(config.naming)
+        self.kernel.change_address(config.kernel)
+        self.database.change_address(config.db)
+        self.naming.change_address(config.naming)
         for component in self.components.values():
             component.reconfigure(config)
         if config.settings != replaced.settings:
             log_setting_changes(replaced, config)
-            self.kernel.rename(config.gauges)
-            self.core.renew(config.settings)
+            self.kernel.set_gauge_names(config.gauges)
+            self.core.apply_settings(config.settings)
 
     # What components use of the node: see marlstep/components/host.py.
 
@@ -165,17 +165,17 @@
         self.report_serving_state()
         restart_state = self.drain_controller.restart_state
         if restart_state is not None:
-            restart_state.serving_state_changed(self.core.duty.wanted)
+            restart_state.serving_state_changed(self.core.serving_state.wants_traffic)
 
     def report_serving_state(self) -> None:
         """Tell the name service whether requests are wanted here."""
-        self.naming.tell(self.core.duty.wanted)
+        self.naming.report_state(self.core.serving_state.wants_traffic)
 
     def limit_memory_share(self, share: float) -> None:
         """Bound this process to its share, 0 to 1, of the node's requests and connections."""
         budget = resource_budget(self.config, processes=1 if share >= 1 else 2)
         self.core.take_share(share, max(1, int(share * budget.requests)))
-        self.resp.room = max(1, int(share * budget.connections))
+        self.resp.capacity = max(1, int(share * budget.connections))
 
     def connection_share(self) -> float:
         """Tell which share of the connections that two processes have together is in use in this one."""
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -17,10 +17,10 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Effect
-from marlstep.core.interfaces import Request, Sink
+from marlstep.core.interfaces import EventSink, Request
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineProtocolError, LineStream, parse_length
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, SECOND, whole_ms
 
 log = logging.getLogger(__name__)
@@ -34,10 +34,12 @@
 RING_SIZE = 16 * 1024
 LINE_LIMIT = 256
 BODY_LIMIT = RING_SIZE - LINE_LIMIT  # results hold 4 KiB at the most
-REST = 2 * SECOND  # a connection that lies idle for longer is closed; the other side does after 10 s
+IDLE_CONNECTION_TIMEOUT = (
+    2 * SECOND
+)  # a connection that lies idle for longer is closed; the other side does after 10 s
 LATE = 50 * MILLISECOND  # past its time a reply may still be on its way for so long
-MOST_RESTING = 16  # each setpoint's call leaves one more
-MOST_LINKS = 40  # far over the calls that the module has in hand at once
+MAX_IDLE_CONNECTIONS = 16  # each setpoint's call leaves one more
+MAX_CONNECTIONS = 40  # far over the calls that the module has in hand at once
 
 
 @dataclass(slots=True)
@@ -46,11 +48,11 @@
     body: bytes
     until: datetime
     once: bool  # must not be made twice
-    deadline: Deadline | None = None
-    link: DatabaseLink | None = None
+    deadline: Timer | None = None
+    link: DatabaseConnection | None = None
 
 
-class DatabaseLink(LineStream):
+class DatabaseConnection(LineStream):
     """One connection to the database."""
 
     def __init__(self, database: Database, address: Address) -> None:
@@ -58,15 +60,15 @@
         self.address = address
         self.call: _Call | None = None
         self.served = ""  # the request of its last call
-        self.idle: Deadline | None = None
+        self.idle: Timer | None = None
         self._database = database
         self._spoilt = False  # more came than belongs to its call: good for this one reply, and no more
 
     def made(self) -> None:
-        self._database.link_up(self)
+        self._database.connection_opened(self)
 
     def lost(self) -> None:
-        self._database.link_lost(self)
+        self._database.connection_lost(self)
 
     def body_length(self, words: list[str]) -> int | None:
         return parse_length(words[2], BODY_LIMIT) if len(words) == 3 and words[1] == "ROWS" else None
@@ -78,7 +80,7 @@
             return
         # Looked at when all that came together is read: what is there beside its reply belongs to nobody.
         if served and self.connected and not (self._spoilt or self.partial or self.at_end):
-            self._database.rest(self)
+            self._database.return_to_pool(self)
         else:
             self.abort()
 
@@ -91,7 +93,7 @@
             case _:
                 raise LineProtocolError(f"unknown reply {' '.join(words)[:64]!r}")
         if self.call is not None and self.call.id == id:
-            self._database.ended(self.call, outcome, body)
+            self._database.call_ended(self.call, outcome, body)
         else:
             log.warning("database: a reply to no call of this connection, which is dropped")
             self._spoilt = True
@@ -99,7 +101,7 @@
 
 class Database:
     def __init__(
-        self, address: Address | None, timeline: TimerQueue, sink: Callable[[], Sink], dial: Dial = dial
+        self, address: Address | None, timeline: TimerQueue, sink: Callable[[], EventSink], dial: Dial = dial
     ) -> None:
         self._address = address
         self._dial = dial
@@ -107,12 +109,12 @@
         self._sink = sink
         self._calls: dict[str, _Call] = {}  # in hand, by the request they are made for
         self._queue: deque[_Call] = deque()  # have no connection yet
-        self._links: set[DatabaseLink] = set()  # all that stand
-        self._resting: list[DatabaseLink] = []  # those free for a call, the last used at the end
+        self._links: set[DatabaseConnection] = set()  # all that stand
+        self._resting: list[DatabaseConnection] = []  # those free for a call, the last used at the end
         self._opening: dict[int, Cancel] = {}  # those on their way
         self._number = 0
 
-    def move(self, address: Address | None) -> None:
+    def change_address(self, address: Address | None) -> None:
         """From now on calls go to this address; those on their way may end where they are."""
         if address == self._address:
             return
@@ -122,18 +124,18 @@
         self._serve()
 
     def call(self, request: Request, until: datetime) -> None:
-        self.give_up(request)
-        call = _Call(request.id, request.call_body, until, request.kind.effect is not Effect.SAFE)
+        self.abandon_call(request)
+        call = _Call(request.id, request.call_body, until, request.class_settings.effect is not Effect.SAFE)
         late = partial(self._timed_out, call)
         call.deadline = self._timeline.at(until + LATE, lambda: self._timeline.after_reading(late))
         self._calls[call.id] = call
-        if (link := self._rested(call)) is not None:
+        if (link := self._take_idle(call)) is not None:
             self._send(call, link)
         else:
             self._queue.append(call)
             self._serve()
 
-    def give_up(self, request: Request) -> None:
+    def abandon_call(self, request: Request) -> None:
         if (call := self._calls.get(request.id)) is not None:
             self._drop(call)
 
@@ -147,10 +149,10 @@
         """As many connections on their way as there are calls that wait for one."""
         while len(self._opening) < len(self._queue):
             if self._address is None:
-                return self._nobody_there()
-            if (link := self._rested(self._queue[0])) is not None:
+                return self._fail_queued()
+            if (link := self._take_idle(self._queue[0])) is not None:
                 self._send(self._queue.popleft(), link)
-            elif len(self._links) + len(self._opening) < MOST_LINKS:
+            elif len(self._links) + len(self._opening) < MAX_CONNECTIONS:
                 self._open(self._address)
             else:
                 if self._resting:  # when it is gone, this is looked at again
@@ -161,7 +163,9 @@
         self._number += 1
         number = self._number
         self._opening[number] = self._dial(
-            lambda: DatabaseLink(self, address), address, lambda fault: self._opened(number, address, fault)
+            lambda: DatabaseConnection(self, address),
+            address,
+            lambda fault: self._opened(number, address, fault),
         )
 
     def _opened(self, number: int, address: Address, fault: OSError | None) -> None:
@@ -170,46 +174,48 @@
             return self._serve()
         log.warning("database not reached: %s", fault)
         if self._queue:  # the others have connections of their own on their way
-            self.ended(self._queue[0], Outcome.CONNECT_FAILED)
+            self.call_ended(self._queue[0], Outcome.CONNECT_FAILED)
         self._serve()
 
-    def _nobody_there(self) -> None:
+    def _fail_queued(self) -> None:
         """No connection: it proves that what waited for one never ran."""
         for call in list(self._queue):
-            self.ended(call, Outcome.CONNECT_FAILED)
+            self.call_ended(call, Outcome.CONNECT_FAILED)
 
-    def link_up(self, link: DatabaseLink) -> None:
+    def connection_opened(self, link: DatabaseConnection) -> None:
         self._links.add(link)
         if link.address != self._address:
             self._retire(link)
         elif self._queue:
             self._send(self._queue.popleft(), link)
         else:
-            self.rest(link)
+            self.return_to_pool(link)
 
-    def link_lost(self, link: DatabaseLink) -> None:
+    def connection_lost(self, link: DatabaseConnection) -> None:
         """The one place where a connection is given back."""
         self._links.discard(link)
         self._timeline.cancel(link.idle)
         if link in self._resting:
             self._resting.remove(link)
         if link.call is not None:
-            self.ended(link.call, Outcome.RESET)  # one that breaks under a call proves nothing
+            self.call_ended(link.call, Outcome.RESET)  # one that breaks under a call proves nothing
         self._serve()
 
-    def rest(self, link: DatabaseLink) -> None:
+    def return_to_pool(self, link: DatabaseConnection) -> None:
         """The connection is free: for the next call that waits, or to lie idle for a while."""
         if link.address != self._address:
             self._retire(link)
             return
-        if len(self._resting) >= MOST_RESTING:
+        if len(self._resting) >= MAX_IDLE_CONNECTIONS:
             self._retire(self._resting[0])
         self._resting.append(link)
-        link.idle = self._timeline.at(self._timeline.now() + REST, lambda: self._retire(link))
+        link.idle = self._timeline.at(
+            self._timeline.now() + IDLE_CONNECTION_TIMEOUT, lambda: self._retire(link)
+        )
         if self._queue:
             self._serve()
 
-    def _rested(self, call: _Call) -> DatabaseLink | None:
+    def _take_idle(self, call: _Call) -> DatabaseConnection | None:
         """The connection that lay idle for the shortest time, where this call may use one that did.
 
         The second copy of a reply may come late: not to be taken for one to its next call.
@@ -220,18 +226,18 @@
         self._timeline.cancel(link.idle)
         return link
 
-    def _retire(self, link: DatabaseLink) -> None:
+    def _retire(self, link: DatabaseConnection) -> None:
         if link in self._resting:
             self._resting.remove(link)
         self._timeline.cancel(link.idle)
         link.abort()
 
-    def _send(self, call: _Call, link: DatabaseLink) -> None:
+    def _send(self, call: _Call, link: DatabaseConnection) -> None:
         call.link, link.call, link.served = link, call, call.id
         left = max(1, whole_ms(call.until - self._timeline.now()))
         link.send(f"Q {call.id} {left} {len(call.body)}\r\n".encode() + call.body + b"\r\n")
 
-    def ended(self, call: _Call, outcome: Outcome, body: bytes = b"") -> None:
+    def call_ended(self, call: _Call, outcome: Outcome, body: bytes = b"") -> None:
         if self._calls.get(call.id) is call:
             link, call.link = call.link, None
             if link is not None:
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -17,10 +17,10 @@
 from datetime import timedelta
 
 from marlstep.admission.events import Outcome
-from marlstep.core.interfaces import Request, Sink
+from marlstep.core.interfaces import EventSink, Request
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineProtocolError, LineStream, parse_length
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 
 log = logging.getLogger(__name__)
@@ -35,7 +35,7 @@
 LINE_LIMIT = 8 * 1024
 BODY_LIMIT = 64 * 1024  # the protocol names 4 KiB for results
 WITH_BODY = {"REAP": 6, "IOREQ": 4}  # the number of words of lines that a body follows
-RETRY_FIRST, RETRY_MOST = 20 * MILLISECOND, 1000 * MILLISECOND  # between tries, after a first one at once
+MIN_BACKOFF, MAX_BACKOFF = 20 * MILLISECOND, 1000 * MILLISECOND  # between tries, after a first one at once
 SYNC_TAG = "sync"
 
 
@@ -58,7 +58,7 @@
         return self.data.split(b" ", 1)[0].decode()
 
 
-class KernelLink(LineStream):
+class KernelConnection(LineStream):
     """One connection to the kernel."""
 
     def __init__(self, kernel: Kernel, address: Address) -> None:
@@ -68,10 +68,10 @@
         self._kernel = kernel
 
     def made(self) -> None:
-        self._kernel.link_up(self)
+        self._kernel.connection_opened(self)
 
     def lost(self) -> None:
-        self._kernel.link_lost(self)
+        self._kernel.connection_lost(self)
 
     def body_length(self, words: list[str]) -> int | None:
         parts = WITH_BODY.get(words[0])
@@ -93,7 +93,7 @@
         address: Address,
         gauge_names: Sequence[str],
         timeline: TimerQueue,
-        sink: Callable[[], Sink],
+        sink: Callable[[], EventSink],
         dial: Dial = dial,
     ) -> None:
         self._address = address
@@ -101,13 +101,13 @@
         self._gauge_names = gauge_names
         self._timeline = timeline
         self._sink = sink
-        self._link: KernelLink | None = None
+        self._link: KernelConnection | None = None
         self._synced = False
         self._last = 0  # the number of the last notice that was read
         self._asked_again = -1  # the one after which some were missing
         self._unconfirmed: dict[str, list[_Command]] = {}
         self._call_numbers: dict[str, int] = {}  # the notice by which a run asked for its call
-        self._retry = RETRY_FIRST
+        self._retry = MIN_BACKOFF
         self._closing = False
         self._asked = 0
         self._written: deque[_Command] = deque()  # on this link, in order, and not known to be read
@@ -115,7 +115,7 @@
             None  # the tag of gauges asked for, and how many were written before
         )
         self._opening: Cancel | None = None
-        self._later: Deadline | None = None
+        self._later: Timer | None = None
 
     def open(self) -> None:
         self._connect()
@@ -126,14 +126,14 @@
         if self._link is not None:
             self._link.abort()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """The kernel is reached elsewhere from now on. The old link serves until the new one stands."""
         if address != self._address:
-            self._address, self._retry = address, RETRY_FIRST
+            self._address, self._retry = address, MIN_BACKOFF
             self._stop_opening()
             self._connect()
 
-    def rename(self, gauge_names: Sequence[str]) -> None:
+    def set_gauge_names(self, gauge_names: Sequence[str]) -> None:
         """The order of the gauges has changed."""
         self._gauge_names = gauge_names
 
@@ -148,7 +148,7 @@
         self._later = None
         if not self._closing and self._opening is None:
             address = self._address
-            self._opening = self._dial(lambda: KernelLink(self, address), address, self._opened)
+            self._opening = self._dial(lambda: KernelConnection(self, address), address, self._opened)
 
     def _opened(self, fault: OSError | None) -> None:
         self._opening = None
@@ -160,11 +160,11 @@
     def _connect_later(self) -> None:
         if not self._closing and self._opening is None and self._later is None:
             self._later = self._timeline.at(self._timeline.now() + self._retry, self._connect)
-            self._retry = min(RETRY_MOST, self._retry * 2)
+            self._retry = min(MAX_BACKOFF, self._retry * 2)
 
     # The link.
 
-    def link_up(self, link: KernelLink) -> None:
+    def connection_opened(self, link: KernelConnection) -> None:
         if link.address != self._address:  # it moved while the connection was on its way
             link.abort()
             return
@@ -175,7 +175,7 @@
         if before is not None:
             before.abort()
 
-    def link_lost(self, link: KernelLink) -> None:
+    def connection_lost(self, link: KernelConnection) -> None:
         if self._link is not link:
             return
         self._link, self._synced = None, False
@@ -187,7 +187,7 @@
         else:
             self._connect_later()
 
-    def notice(self, link: KernelLink, words: list[str], body: bytes) -> None:
+    def notice(self, link: KernelConnection, words: list[str], body: bytes) -> None:
         if link is not self._link:
             return  # a newer link has taken its place, and repeats what was not read here
         match words:
@@ -230,7 +230,7 @@
 
     def _booted(self, state: str, age: str) -> None:
         log.info("kernel up, %s at its start %s ms ago", state, age)
-        self._retry = RETRY_FIRST
+        self._retry = MIN_BACKOFF
         self._sink().cores_up()
         if self._link is not None:
             self._link.booted = True
@@ -271,8 +271,8 @@
     # Commands.
 
     def start(self, request: Request) -> None:
-        offer = request.offer
-        head = f"SCHED {offer.id} {offer.kind} {len(offer.body)}\r\n".encode()
+        offer = request.inbound
+        head = f"SCHED {offer.id} {offer.request_class} {len(offer.body)}\r\n".encode()
         self._command(offer.id, head + offer.body + b"\r\n")
 
     def pause(self, request: Request) -> None:
@@ -291,7 +291,7 @@
     def abandon(self, request: Request) -> None:
         """The kernel ends the run of a request that is over at its next call, or runs it out."""
 
-    def ask(self) -> None:
+    def request_gauges(self) -> None:
         if self._synced:
             self._asked += 1
             if self._probe is None:
--- a/marlstep/platform/name_service.py
+++ b/marlstep/platform/name_service.py
@@ -10,18 +10,18 @@
 import logging
 from typing import cast
 
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND
 
 log = logging.getLogger(__name__)
 Address = tuple[str, int]
-EVERY = 300 * MILLISECOND
+REPORT_INTERVAL = 300 * MILLISECOND
 
 
 class _Endpoint(asyncio.DatagramProtocol):
     """The socket for one address."""
 
-    def __init__(self, naming: Naming, address: Address) -> None:
+    def __init__(self, naming: NameService, address: Address) -> None:
         self._naming, self._address = naming, address
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -31,12 +31,12 @@
         """The name service is down. No entry lapses meanwhile; the next report is due soon anyway."""
 
 
-class Naming:
+class NameService:
     def __init__(self, name: str, address: Address | None, timeline: TimerQueue) -> None:
         self._name, self._address, self._timeline = name, address, timeline
         self._transport: asyncio.DatagramTransport | None = None
         self._opening: asyncio.Task[None] | None = None
-        self._next: Deadline | None = None
+        self._next: Timer | None = None
         self._left = False
         self._state = "yes"
 
@@ -53,9 +53,9 @@
         ) as fault:  # no descriptor is free, perhaps; who is not listed still serves those who know it
             log.error("no reports to the name service: %s", fault)
             if not self._left and address == self._address:
-                self._next = self._timeline.at(self._timeline.now() + EVERY, self.open)
+                self._next = self._timeline.at(self._timeline.now() + REPORT_INTERVAL, self.open)
 
-    def move(self, address: Address | None) -> None:
+    def change_address(self, address: Address | None) -> None:
         """Reports go to this address from now on, the first at once."""
         if address != self._address:
             self._address = address
@@ -85,20 +85,20 @@
             self.open()
             return
         self._send(self._state)
-        self._next = self._timeline.at(self._timeline.now() + EVERY, self._report)
+        self._next = self._timeline.at(self._timeline.now() + REPORT_INTERVAL, self._report)
 
     def _send(self, state: str) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(f"renew {self._name} {state}".encode())
 
-    def tell(self, wanted: bool) -> None:
+    def report_state(self, wanted: bool) -> None:
         """Whether requests are wanted here; a change is reported at once. The entry stays either way."""
         state = "yes" if wanted else "no"
         if state != self._state and not self._left:
             self._state = state
             self._send(state)
 
-    def leave(self, last_word: bool = True) -> None:
+    def report_last(self, last_word: bool = True) -> None:
         """Say so once and report no more: the entry lapses. Without a word where another process reports on."""
         if last_word:
             self._send("no")
--- a/marlstep/resource_budget.py
+++ b/marlstep/resource_budget.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from marlstep.config import Config
-from marlstep.core.engine import MOST_REQUESTS
+from marlstep.core.engine import MAX_REQUESTS
 
 HEALTH_ENDPOINT_CONNECTIONS = 48
 RESERVED_DESCRIPTORS = 64  # descriptors that are no frontend's connection
@@ -33,4 +33,4 @@
     descriptors = config.sockets - processes * reserved
     # With a small limit of descriptors, clients still get their minimum.
     connections = max(min(descriptors, half // CONNECTION_MEMORY), MIN_CONNECTIONS)
-    return ResourceBudget(min(MOST_REQUESTS, half // REQUEST_MEMORY), connections)
+    return ResourceBudget(min(MAX_REQUESTS, half // REQUEST_MEMORY), connections)
--- a/marlstep/status_log.py
+++ b/marlstep/status_log.py
@@ -40,8 +40,8 @@
         log.info(
             "status: %s in_flight=%d advertised=%s connections=%d",
             format_counters(passed),
-            core.in_hand,
-            "-" if core.say is None else f"{core.say:.1f}",
+            core.in_flight,
+            "-" if core.advertised_value is None else f"{core.advertised_value:.1f}",
             self._connection_count(),
         )
         self.start()
--- a/marlstep/timer_queue.py
+++ b/marlstep/timer_queue.py
@@ -25,7 +25,7 @@
         """Call back in the next turn of the loop."""
 
 
-class Deadline:
+class Timer:
     """One entry of the queue, ordered by time and then by number; without a callback once it is over."""
 
     __slots__ = ("callback", "number", "when")
@@ -35,7 +35,7 @@
         self.when, self.number = when, number
         self.callback: Callable[[], None] | None = callback
 
-    def __lt__(self, other: Deadline) -> bool:
+    def __lt__(self, other: Timer) -> bool:
         """Order entries for the heap."""
         return (self.when, self.number) < (other.when, other.number)
 
@@ -46,7 +46,7 @@
     def __init__(self, waker: Waker) -> None:
         """Count by the clock of this waker. Its alarm belongs to the queue alone."""
         self._waker = waker
-        self._heap: list[Deadline] = []
+        self._heap: list[Timer] = []
         self._number = 0
         self._cancelled = 0  # entries that are still in the heap
         self._alarm: datetime | None = None
@@ -57,10 +57,10 @@
         """Count the deadlines that are set."""
         return len(self._heap) - self._cancelled
 
-    def at(self, when: datetime, callback: Callable[[], None]) -> Deadline:
+    def at(self, when: datetime, callback: Callable[[], None]) -> Timer:
         """Call back at that time. The entry is good for `cancel`."""
         self._number += 1
-        deadline = Deadline(when, self._number, callback)
+        deadline = Timer(when, self._number, callback)
         heapq.heappush(self._heap, deadline)
         self._set_alarm()
         return deadline
@@ -72,7 +72,7 @@
         """
         self.soon(lambda: self.soon(callback))
 
-    def cancel(self, deadline: Deadline | None) -> None:
+    def cancel(self, deadline: Timer | None) -> None:
         """Never call back; without effect where the deadline is over, or is none."""
         if deadline is None or deadline.callback is None:
             return
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -13,7 +13,7 @@
 from blake3 import blake3
 
 from marlstep.admission.settings import ClassSettings, Effect
-from marlstep.core.interfaces import Verdict
+from marlstep.core.interfaces import ResponseStatus
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.figures import Figures
 from marlstep.traces.retries import Retries
@@ -77,7 +77,7 @@
         self.figures.sent_late(now_us - one.at_us)
 
     def answered(
-        self, id: str, verdict: Verdict, now_us: int, after_us: int = 0, poor: bool = False
+        self, id: str, verdict: ResponseStatus, now_us: int, after_us: int = 0, poor: bool = False
     ) -> Try | None:
         """A final answer came; gives the next try where there is one."""
         work = self._open.pop(id, None)
@@ -91,10 +91,10 @@
             self.counts["late_answers"] += 1
         kind = self.classes[work.planned.kind]
         work.open = None
-        if verdict is Verdict.DONE:
+        if verdict is ResponseStatus.DONE:
             self.figures.done(work.planned, kind, now_us - work.planned.at_us, poor)
             return None
-        if verdict is not Verdict.REFUSED and kind.effect is not Effect.SAFE:
+        if verdict is not ResponseStatus.REJECTED and kind.effect is not Effect.SAFE:
             return None
         at = self._next(work, now_us, after_us)
         if at is None or at - work.planned.at_us >= kind.aim_us:
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -20,7 +20,7 @@
 
 import httptools
 
-from marlstep.core.interfaces import Verdict
+from marlstep.core.interfaces import ResponseStatus
 from marlstep.frontends.resp_wire import FrameReader, read_fields, write_frame
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.stream import RingStream
@@ -34,9 +34,9 @@
 HELD_KB = 20.0
 READY_S = 20.0  # for the node to answer its first health check
 LEAD_US = 300_000  # from the last preparation to the first request
-WORDS = {b"done": Verdict.DONE, b"later": Verdict.REFUSED}
-STATUS = {200: Verdict.DONE, 503: Verdict.REFUSED, 504: Verdict.EXPIRED}
-OnAnswer = Callable[[str, Verdict, int, bool], None]  # id, verdict, after in microseconds, poor
+WORDS = {b"done": ResponseStatus.DONE, b"later": ResponseStatus.REJECTED}
+STATUS = {200: ResponseStatus.DONE, 503: ResponseStatus.REJECTED, 504: ResponseStatus.EXPIRED}
+OnAnswer = Callable[[str, ResponseStatus, int, bool], None]  # id, verdict, after in microseconds, poor
 
 
 class ReplayError(Exception):
@@ -72,7 +72,9 @@
             body = words[3] if len(words) > 3 else b""
             if id is not None:
                 after = int(fields.get("after", "0")) * 1000
-                self._on_answer(id, WORDS.get(words[1], Verdict.FAILED), after, body.startswith(b"poor"))
+                self._on_answer(
+                    id, WORDS.get(words[1], ResponseStatus.FAILED), after, body.startswith(b"poor")
+                )
         if (self.closing and not self.open) or self.at_end:
             self.finish()
 
@@ -102,7 +104,7 @@
         self._body += body
 
     def on_message_complete(self) -> None:
-        verdict = STATUS.get(self._parser.get_status_code(), Verdict.FAILED)
+        verdict = STATUS.get(self._parser.get_status_code(), ResponseStatus.FAILED)
         self._on_answer(self._id, verdict, self._after, self._body.startswith(b"poor"))
         self.finish()
 
@@ -330,7 +332,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _answered(self, id: str, verdict: Verdict, after_us: int, poor: bool) -> None:
+    def _answered(self, id: str, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
         stand_ins = self._children[0]
         if stand_ins.stdin is not None:
             stand_ins.stdin.write(b"%d %b\n" % (self._where.pop(id, 0), id.encode()))
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -11,10 +11,10 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
-from marlstep.core.engine import Core, Ports, Refused
-from marlstep.core.interfaces import Answer, Offer, Request, Ticket, Verdict
+from marlstep.core.engine import Core, Ports, RequestRejectedError
+from marlstep.core.interfaces import InboundRequest, Request, Response, ResponseHandle, ResponseStatus
 from marlstep.standins.cores import Machine, Notice, Plan
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
 from marlstep.units import EPOCH, MICROSECOND, SECOND, span, span_us
@@ -105,7 +105,7 @@
         self.campaign.sent(one, self.clock.us())
         self.nodes[one.node].take(one)
 
-    def answered(self, one: Try, verdict: Verdict, after_us: int, poor: bool) -> None:
+    def answered(self, one: Try, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
         following = self.campaign.answered(one.id, verdict, self.clock.us(), after_us, poor)
         if following is not None:
             self.timeline.at(START + span(following.at_us), lambda: self._send(following))
@@ -127,23 +127,23 @@
         self.clock, self.timeline = world.clock, world.timeline
         self._gauge_names, self._call = gauge_names, span(call_us)
         self.core = Core(settings, seed, self.timeline, Ports(self, self))
-        self.core.add_front(self)
+        self.core.add_frontend(self)
         self._tries: dict[int, Try] = {}
         self._number = 0
-        self._alarm: Deadline | None = None
-        self._calls: dict[str, Deadline] = {}
+        self._alarm: Timer | None = None
+        self._calls: dict[str, Timer] = {}
 
     def take(self, one: Try) -> None:
         """A request arrives."""
         planned, number = one.work.planned, one.work.number
         plan = Plan(number, planned.work_us, calls_of(self.world.campaign.classes[planned.kind], number))
         self._number += 1
-        offer = Offer(
+        offer = InboundRequest(
             id=one.id,
-            kind=planned.kind,
+            request_class=planned.kind,
             body=plan.body(),
             arrived=self.clock.now(),
-            kb=HELD_KB,
+            memory_kb=HELD_KB,
             caller=number % CALLERS,
             retry=one.again,
             cost=span(round(planned.work_us / self.machine.sharing.speed)),
@@ -152,26 +152,26 @@
         self._tries[self._number] = one
         try:
             self.core.submit(self, (0, self._number), self, offer)
-        except Refused:
+        except RequestRejectedError:
             del self._tries[self._number]
-            self.timeline.soon(lambda: self.world.answered(one, Verdict.FAILED, 0, False))
+            self.timeline.soon(lambda: self.world.answered(one, ResponseStatus.FAILED, 0, False))
 
     # As a front.
 
-    def deliver(self, ticket: Ticket, answer: Answer) -> None:
+    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
         one = self._tries.pop(ticket[1])
         poor = answer.body.startswith(b"poor")
-        verdict, after = answer.verdict, span_us(answer.after)
+        verdict, after = answer.status, span_us(answer.retry_after)
         self.timeline.soon(lambda: self._delivered(one, verdict, after, poor))
 
-    def _delivered(self, one: Try, verdict: Verdict, after_us: int, poor: bool) -> None:
+    def _delivered(self, one: Try, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
         self.world.answered(one, verdict, after_us, poor)
         self._advance()
         if (notice := self.machine.over(one.id)) is not None:
             self._notice(notice)
         self._look()
 
-    def limit_idle(self, after: timedelta) -> None:
+    def limit_idle_time(self, after: timedelta) -> None:
         """There are no connections here."""
 
     def stop_accepting(self) -> None:
@@ -212,8 +212,8 @@
         self.timeline.soon(carry_out)
 
     def start(self, request: Request) -> None:
-        offer = request.offer
-        self._told(request, lambda: self.machine.start(offer.id, offer.kind, offer.body))
+        offer = request.inbound
+        self._told(request, lambda: self.machine.start(offer.id, offer.request_class, offer.body))
 
     def pause(self, request: Request) -> None:
         def halt() -> bool:
@@ -235,7 +235,7 @@
     def abandon(self, request: Request) -> None:
         """The machine hears of it by the answer."""
 
-    def ask(self) -> None:
+    def request_gauges(self) -> None:
         self._advance()
         values = dict(zip(self._gauge_names, self.machine.gauges(), strict=False))
         self.timeline.soon(lambda: self.core.gauges(values))
@@ -252,5 +252,5 @@
         del self._calls[id]
         self.core.call_ended(id, outcome, b"rows" if outcome is Outcome.OK else b"")
 
-    def give_up(self, request: Request) -> None:
+    def abandon_call(self, request: Request) -> None:
         self.timeline.cancel(self._calls.pop(request.id, None))
