--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -9,27 +9,27 @@
 import httptools
 
 from marlstep.frontends.uwsgi_wire import HEAD, read_variables
-from marlstep.load_balancing.retries import End
+from marlstep.load_balancing.retries import AttemptOutcome
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
-from marlstep.timer_queue import Deadline, TimerQueue
+from marlstep.timer_queue import Timer, TimerQueue
 
 RING_SIZE = 16 * 1024
 
 
-class Owner(Protocol):
+class AttemptOwner(Protocol):
     response_limit: int
 
-    def waits_for(self, attempt: Attempt) -> bool: ...
+    def response_awaited(self, attempt: Attempt) -> bool: ...
 
-    def ended(self, attempt: Attempt, end: End, why: str) -> None:
+    def attempt_ended(self, attempt: Attempt, end: AttemptOutcome, why: str) -> None:
         """Told once, and not any more after `waits_for` is false."""
 
 
 class Attempt(RingStream):
     def __init__(
         self,
-        owner: Owner,
+        owner: AttemptOwner,
         id: str,
         packet: bytes,
         since: datetime,
@@ -46,13 +46,11 @@
         self._parser = httptools.HttpResponseParser(self)
         self._headers_done = self._complete = self._sized = False
         self._opening: Cancel | None = None
-        self._patience: Deadline | None = None
+        self._timeout: Timer | None = None
 
     def open(self, dial: Dial, address: Address, timeline: TimerQueue, within: timedelta) -> None:
         self._timeline = timeline
-        self._patience = timeline.at(
-            timeline.now() + within, lambda: self.not_opened("no connection in time")
-        )
+        self._timeout = timeline.at(timeline.now() + within, lambda: self.not_opened("no connection in time"))
         self._opening = dial(lambda: self, address, self._opened)
 
     def _opened(self, fault: OSError | None) -> None:
@@ -62,11 +60,11 @@
 
     def not_opened(self, why: str) -> None:
         """It proves that nothing ran only where the packet had not begun to leave."""
-        self._end(End.BROKEN if self.sent else End.NOT_REACHED, f"not reached: {why}")
+        self._end(AttemptOutcome.BROKEN if self.sent else AttemptOutcome.NOT_REACHED, f"not reached: {why}")
 
     def made(self) -> None:
-        self._timeline.cancel(self._patience)
-        if self._owner.waits_for(self):
+        self._timeline.cancel(self._timeout)
+        if self._owner.response_awaited(self):
             self.sent = True
             self.send(self._packet)
         else:  # given up while the connection was on its way: it must not run now
@@ -79,14 +77,14 @@
             if data:
                 self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            return self._end(End.BROKEN, f"no response: {fault!r}")
+            return self._end(AttemptOutcome.BROKEN, f"no response: {fault!r}")
         if len(self.response) > self._owner.response_limit:
-            self._end(End.BROKEN, f"a response of over {self._owner.response_limit} bytes")
+            self._end(AttemptOutcome.BROKEN, f"a response of over {self._owner.response_limit} bytes")
         elif self._complete or (self.at_end and self._headers_done and not self._cut_short()):
             status = self._parser.get_status_code()
-            self._end(End.REFUSED if status in self._refuses else End.WELL, "")
+            self._end(AttemptOutcome.REFUSED if status in self._refuses else AttemptOutcome.WELL, "")
         elif self.at_end:
-            self._end(End.BROKEN, "the response was cut short")
+            self._end(AttemptOutcome.BROKEN, "the response was cut short")
 
     def _cut_short(self) -> bool:
         """Is a body owed that has not come? A response that names no length ends with its connection."""
@@ -97,15 +95,15 @@
         return read_variables(self._packet[HEAD : HEAD + size]).get("REQUEST_METHOD") == "HEAD"
 
     def lost(self) -> None:
-        self._end(End.BROKEN, "the connection broke")
+        self._end(AttemptOutcome.BROKEN, "the connection broke")
 
-    def _end(self, end: End, why: str) -> None:
-        if self._owner.waits_for(self):
-            self._owner.ended(self, end, why)
+    def _end(self, end: AttemptOutcome, why: str) -> None:
+        if self._owner.response_awaited(self):
+            self._owner.attempt_ended(self, end, why)
 
-    def let_go(self) -> None:
+    def abandon(self) -> None:
         """Its owner is done with it."""
-        self._timeline.cancel(self._patience)
+        self._timeline.cancel(self._timeout)
         if self._opening is not None:
             self._opening()
             self._opening = None
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -5,8 +5,8 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import Refused, Repeated
-from marlstep.core.interfaces import Request, Verdict
+from marlstep.core.engine import RepeatedWorkError, RequestRejectedError
+from marlstep.core.interfaces import Request, ResponseStatus
 from marlstep.units import SECOND
 from tests.support.node import SETTINGS, Desk
 
@@ -16,8 +16,8 @@
     desk.submit(1)
     assert desk.backend.told == [("start", "r1")]
     desk.end(1)
-    assert [(a.verdict, a.body) for a in desk.answers[1]] == [(Verdict.DONE, b"result")]
-    assert desk.core.in_hand == 0
+    assert [(a.status, a.body) for a in desk.answers[1]] == [(ResponseStatus.DONE, b"result")]
+    assert desk.core.in_flight == 0
 
 
 def test_a_higher_class_pauses_a_lower_run_and_it_resumes() -> None:
@@ -48,7 +48,7 @@
     desk.clock.settle()
     desk.core.call_ended("r1", Outcome.RESET)
     desk.clock.advance(500)
-    assert desk.verdicts(1) == [Verdict.FAILED]
+    assert desk.verdicts(1) == [ResponseStatus.FAILED]
     assert [what for what, _ in desk.backend.told].count("call ask") == 1
 
 
@@ -57,9 +57,9 @@
     for number in range(1, 4):
         desk.submit(number, "setpoint-cmd")
     desk.clock.advance(1800)
-    assert desk.verdicts(1) == [Verdict.EXPIRED]
-    assert desk.verdicts(3) == [Verdict.REFUSED]
-    assert 0 * SECOND < desk.answers[3][0].after <= SECOND
+    assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
+    assert desk.verdicts(3) == [ResponseStatus.REJECTED]
+    assert 0 * SECOND < desk.answers[3][0].retry_after <= SECOND
 
 
 def test_an_end_after_the_answer_gives_no_second_one() -> None:
@@ -67,8 +67,8 @@
     desk.submit(1, "setpoint-cmd")
     desk.clock.advance(1800)
     desk.end(1)
-    assert desk.verdicts(1) == [Verdict.EXPIRED]
-    assert desk.core.in_hand == 0
+    assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
+    assert desk.core.in_flight == 0
 
 
 def test_a_run_that_never_began_is_refused_but_one_that_had_is_failed() -> None:
@@ -76,27 +76,27 @@
     desk = Desk(cores=1)
     desk.submit(1, "setpoint-cmd")
     desk.end(1, Outcome.MOOT)
-    assert desk.verdicts(1) == [Verdict.REFUSED]
+    assert desk.verdicts(1) == [ResponseStatus.REJECTED]
     desk.submit(2)
     desk.submit(3, "setpoint-cmd")
     desk.end(2, Outcome.CANCELLED)
     desk.end(3)
     desk.end(2, Outcome.MOOT)
-    assert desk.verdicts(2) == [Verdict.FAILED]
+    assert desk.verdicts(2) == [ResponseStatus.FAILED]
 
 
 def test_a_setpoint_named_again_does_not_run_again_unless_it_never_ran() -> None:
     desk = Desk()
-    desk.submit(1, "setpoint-cmd", once="boiler-7")
-    with pytest.raises(Repeated):
-        desk.submit(2, "setpoint-cmd", once="boiler-7")
+    desk.submit(1, "setpoint-cmd", idempotency_key="boiler-7")
+    with pytest.raises(RepeatedWorkError):
+        desk.submit(2, "setpoint-cmd", idempotency_key="boiler-7")
     desk.end(1, Outcome.CONNECT_FAILED)
-    desk.submit(3, "setpoint-cmd", once="boiler-7")
+    desk.submit(3, "setpoint-cmd", idempotency_key="boiler-7")
     desk.end(3, Outcome.RESET)
-    with pytest.raises(Repeated):
-        desk.submit(4, "setpoint-cmd", once="boiler-7")
+    with pytest.raises(RepeatedWorkError):
+        desk.submit(4, "setpoint-cmd", idempotency_key="boiler-7")
     assert [id for what, id in desk.backend.told if what == "start"] == ["r1", "r3"]
-    assert (desk.verdicts(1), desk.verdicts(3)) == ([Verdict.REFUSED], [Verdict.FAILED])
+    assert (desk.verdicts(1), desk.verdicts(3)) == ([ResponseStatus.REJECTED], [ResponseStatus.FAILED])
 
 
 KEYED: dict[str, Any] = {
@@ -117,15 +117,15 @@
 def test_a_repeat_of_keyed_work_shares_its_result() -> None:
     desk = Desk(**KEYED)
 
-    desk.submit(1, "keyed", once="k")
-    desk.submit(2, "keyed", once="k")
+    desk.submit(1, "keyed", idempotency_key="k")
+    desk.submit(2, "keyed", idempotency_key="k")
     assert desk.verdicts(2) == []
     desk.end(1)
-    desk.submit(3, "keyed", once="k")
+    desk.submit(3, "keyed", idempotency_key="k")
     assert [desk.answers[number][0].body for number in (1, 2, 3)] == [b"result"] * 3
     assert [what for what, _ in desk.backend.told] == ["start"]
     desk.clock.advance(6000)
-    desk.submit(4, "keyed", once="k")
+    desk.submit(4, "keyed", idempotency_key="k")
     assert desk.backend.told[-1] == ("start", "r4")
 
 
@@ -138,18 +138,18 @@
     desk.clock.advance(20)
     assert desk.stopped
     desk.submit(2)
-    assert desk.verdicts(2) == [Verdict.REFUSED]
+    assert desk.verdicts(2) == [ResponseStatus.REJECTED]
     desk.clock.advance(600)
-    assert desk.verdicts(1) == [Verdict.EXPIRED]
+    assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
     assert desk.core.unanswered == 0
 
 
 def test_unknown_classes_and_ids_in_hand_are_not_taken() -> None:
     desk = Desk()
-    with pytest.raises(Refused):
+    with pytest.raises(RequestRejectedError):
         desk.submit(1, "no-such")
     desk.submit(2)
-    with pytest.raises(Refused):
+    with pytest.raises(RequestRejectedError):
         desk.submit(2)
     assert desk.core.unanswered == 1
 
@@ -157,11 +157,11 @@
 def test_a_client_that_is_gone_is_owed_nothing_and_its_run_is_stopped() -> None:
     desk = Desk()
     handle = desk.submit(1)
-    desk.core.client_gone(handle)
+    desk.core.client_disconnected(handle)
     desk.clock.settle()
     assert desk.backend.told == [("start", "r1"), ("abandon", "r1"), ("pause", "r1")]
     desk.end(1, Outcome.CANCELLED)
-    assert not desk.answers and desk.core.in_hand == 0
+    assert not desk.answers and desk.core.in_flight == 0
 
 
 def test_the_due_time_is_kept_even_if_the_module_were_silent(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -170,7 +170,7 @@
     monkeypatch.setattr(desk.core._controller, "decide", lambda now, events: [])
     desk.submit(2)
     desk.clock.advance(8700)
-    assert (desk.verdicts(1), desk.verdicts(2)) == ([Verdict.EXPIRED], [Verdict.REFUSED])
+    assert (desk.verdicts(1), desk.verdicts(2)) == ([ResponseStatus.EXPIRED], [ResponseStatus.REJECTED])
 
 
 def test_an_action_that_fails_takes_no_other_of_its_turn_along(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -187,7 +187,7 @@
     desk.submit(2)
     assert desk.backend.told == [("start", "r2")]
     desk.clock.advance(2700)
-    assert desk.verdicts(1) == [Verdict.EXPIRED]
+    assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
 
 
 def test_a_run_that_goes_on_without_its_call_can_be_paused() -> None:
@@ -210,7 +210,7 @@
     desk.submit(2, "setpoint-cmd")
     desk.core.call_needed("r1", b"ask")
     desk.end(1, Outcome.CANCELLED)
-    assert desk.verdicts(1) == [Verdict.FAILED]
+    assert desk.verdicts(1) == [ResponseStatus.FAILED]
 
 
 def test_a_paused_request_that_is_given_up_gives_its_slot_back() -> None:
@@ -219,7 +219,7 @@
     desk.submit(2, "setpoint-cmd")
     desk.end(1, Outcome.CANCELLED)
     desk.clock.advance(750)
-    assert desk.verdicts(1) == [Verdict.EXPIRED]
+    assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
     assert [request.id for request in desk.core._requests] == ["r2"]
 
 
@@ -231,12 +231,13 @@
     desk.submit(1)
     desk.end(1, Outcome.CANCELLED)
     assert (
-        desk.verdicts(1) == [Verdict.FAILED] and desk.core._controller.state.entries.count_unfinished() == 0
+        desk.verdicts(1) == [ResponseStatus.FAILED]
+        and desk.core._controller.state.entries.count_unfinished() == 0
     )
     desk.submit(1, "schedule-save")
     desk.end(1)
     desk.clock.advance(10_000)
-    assert desk.verdicts(1) == [Verdict.FAILED, Verdict.DONE] and desk.core.in_hand == 0
+    assert desk.verdicts(1) == [ResponseStatus.FAILED, ResponseStatus.DONE] and desk.core.in_flight == 0
 
 
 def test_a_client_that_repeats_id_and_name_of_keyed_work_that_ended_shares_its_result() -> None:
@@ -245,7 +246,7 @@
     rows[1].update(semantics="deduplicated")
     desk = Desk(classes=rows)
     for _ in range(4):
-        desk.submit(1, "schedule-save", once="k")
+        desk.submit(1, "schedule-save", idempotency_key="k")
         desk.end(1)
-    assert desk.verdicts(1) == [Verdict.DONE] * 4
+    assert desk.verdicts(1) == [ResponseStatus.DONE] * 4
     assert desk.backend.told == [("start", "r1")]
--- a/tests/core/test_core_properties.py
+++ b/tests/core/test_core_properties.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import Refused
-from marlstep.core.interfaces import Stage, Verdict
+from marlstep.core.engine import RequestRejectedError
+from marlstep.core.interfaces import ResponseStatus, Stage
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import FIXED
 from tests.support.node import Desk
@@ -49,8 +49,8 @@
             case "submit", str(kind):
                 number = len(self.read) + 1
                 try:
-                    self.read[f"r{number}"] = desk.submit(number, kind, once=more)
-                except Refused:
+                    self.read[f"r{number}"] = desk.submit(number, kind, idempotency_key=more)
+                except RequestRejectedError:
                     self.read[f"r{number}"] = -1
                     return
                 if desk.clock.now() > self.grace_over_at:
@@ -67,14 +67,16 @@
                 id = list(self.read)[index % len(self.read)]
                 if self.read[id] >= 0 and not desk.answers.get(int(id[1:])):
                     self.gone.add(id)
-                core.client_gone(self.read[id]) if self.read[id] >= 0 else None
+                core.client_disconnected(self.read[id]) if self.read[id] >= 0 else None
             case "advance", int(ms):
                 desk.clock.advance(ms)
             case "quiesce", bool(on):
-                assert (core.duty.quiesce() if on else core.duty.resume()) is not core.draining
+                assert (
+                    core.serving_state.quiesce() if on else core.serving_state.resume()
+                ) is not core.draining
             case "renew", tuple(names):
                 kinds = tuple(kind for kind in self.settings.classes if kind.name in names)
-                core.renew(replace(self.settings, classes=kinds))
+                core.apply_settings(replace(self.settings, classes=kinds))
             case "drain", _ if not core.draining:
                 core.drain(desk.clock.now() + 3.2 * SECOND)
                 self.grace_over_at = desk.clock.now() + 2.5 * SECOND
@@ -105,9 +107,9 @@
         assert len(given) == (0 if id in play.gone or handle < 0 else 1), id
         assert starts[id] <= 1
         assert not (id in play.late and starts[id]), id
-        if given and given[0].verdict is Verdict.REFUSED:
-            assert 0 * SECOND <= given[0].after <= SECOND
-    assert core.unanswered == core.in_hand == 0
+        if given and given[0].status is ResponseStatus.REJECTED:
+            assert 0 * SECOND <= given[0].retry_after <= SECOND
+    assert core.unanswered == core.in_flight == 0
 
 
 IDS = st.integers(1, 6)
@@ -134,10 +136,10 @@
     for what, number, how in turns:
         match what:
             case "submit":
-                with contextlib.suppress(Refused):
+                with contextlib.suppress(RequestRejectedError):
                     handles[number] = desk.submit(number, kind, late_ms=how)
             case "gone":
-                desk.core.client_gone(handles.get(number, 0))
+                desk.core.client_disconnected(handles.get(number, 0))
             case "end":
                 desk.core.run_ended(f"r{number}", how, MILLISECOND)
             case "need":
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -11,10 +11,16 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.frontends.resp import Tags, read_offer
-from marlstep.frontends.resp_wire import FrameReader, Malformed, read_fields, write_fields, write_frame
+from marlstep.frontends.resp import TagTracker, read_request
+from marlstep.frontends.resp_wire import (
+    FrameReader,
+    MalformedFrameError,
+    read_fields,
+    write_fields,
+    write_frame,
+)
 from marlstep.frontends.uwsgi import read_cost
-from marlstep.frontends.uwsgi_wire import BadPacket, PacketReader, read_variables, write_packet
+from marlstep.frontends.uwsgi_wire import InvalidPacketError, PacketReader, read_variables, write_packet
 from marlstep.net.ring import LineTooLongError, Ring
 from marlstep.platform import kernel
 from tests.frontends.test_resp import Platform, exec_frame
@@ -85,7 +91,7 @@
                 try:
                     while (one := reader.next(ring)) is not None:
                         found.append(one)
-                except Malformed as fault:
+                except MalformedFrameError as fault:
                     found.append((str(fault), fault.tag))
                     break
             results.append(found)
@@ -171,13 +177,13 @@
 @FIXED
 @given(st.binary(max_size=200), st.text(max_size=20))
 def test_the_readers_of_parts_raise_what_their_callers_catch(data: bytes, text: str) -> None:
-    for read in (read_variables, read_fields, lambda word: read_offer(b"x", word, b"")):
-        with contextlib.suppress(BadPacket, ValueError, OverflowError):
+    for read in (read_variables, read_fields, lambda word: read_request(b"x", word, b"")):
+        with contextlib.suppress(InvalidPacketError, ValueError, OverflowError):
             read(data)
     read_cost(text)
     try:
         read_all(FrameReader().next, [data])
-    except Malformed as fault:
+    except MalformedFrameError as fault:
         assert fault.tag is None or fault.tag > 0
 
 
@@ -190,7 +196,7 @@
 @FIXED
 @given(st.permutations(range(1, 30)))
 def test_each_tag_is_taken_once_in_any_order(order: list[int]) -> None:
-    tags = Tags()
+    tags = TagTracker()
     assert all(tags.take(tag) for tag in order)
     assert not any(tags.take(tag) for tag in order)
 
--- a/tests/frontends/test_resp.py
+++ b/tests/frontends/test_resp.py
@@ -5,8 +5,8 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.interfaces import Claimant, Told
-from marlstep.frontends.resp import RespConnection, RespFront
+from marlstep.core.interfaces import ClaimCallback, ClaimResult
+from marlstep.frontends.resp import RespConnection, RespFrontend
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SECOND, instant_us
 from tests.support.node import START, Desk, Wire
@@ -25,9 +25,9 @@
     def __init__(self, cores: int = 2, limit: int = 8) -> None:
         self.desk = Desk(cores)
         clock = self.desk.clock
-        self.front = RespFront(self.desk.core, clock.timeline, self.desk.backend, limit, 15 * SECOND)
-        self.desk.core.add_front(self.front)
-        self.desk.core.say = None
+        self.front = RespFrontend(self.desk.core, clock.timeline, self.desk.backend, limit, 15 * SECOND)
+        self.desk.core.add_frontend(self.front)
+        self.desk.core.advertised_value = None
 
     def connect(self) -> Wire:
         return Wire(RespConnection(self.front))
@@ -52,8 +52,8 @@
 class Unsure:
     """Another process that may have run the work, and can't say."""
 
-    def claim(self, kind: str, once: str, id: str, now: datetime, told: Told) -> bool:
-        told(Claimant.UNSURE)
+    def claim(self, kind: str, once: str, id: str, now: datetime, told: ClaimCallback) -> bool:
+        told(ClaimResult.UNSURE)
         return True
 
 
@@ -61,27 +61,27 @@
     # Guards against an answer that leaves before the front has noted its request: the connection never closed.
     platform = Platform()
     wire = platform.connect()
-    platform.desk.core.others = Unsure()
+    platform.desk.core.siblings = Unsure()
     platform.feed(wire, exec_frame(1, b"setpoint-cmd", fields=FIELDS + b",once=k"))
     assert wire.take() == write_frame(b"1", b"later", b"after=1000", b"")
     platform.front.stop_accepting()
     platform.desk.clock.advance(500)
-    assert wire.closed and platform.desk.core.in_hand == 0
+    assert wire.closed and platform.desk.core.in_flight == 0
 
 
 def test_health_checks_are_answered_and_every_answer_carries_the_free_value() -> None:
     platform = Platform()
     wire = platform.connect()
-    platform.desk.core.say = 2.5
+    platform.desk.core.advertised_value = 2.5
     platform.feed(wire, write_frame(b"ALIVE", b"8", b""))
-    platform.desk.core.duty.quiesce()
+    platform.desk.core.serving_state.quiesce()
     platform.feed(wire, write_frame(b"ALIVE", b"9"))
     assert wire.take() == write_frame(b"8", b"healthy", b"say=2.5000", b"") + write_frame(
         b"9", b"sick", b"say=2.5000", b""
     )
     other = platform.connect()
     for good, word in ((False, b"sick"), (True, b"healthy")):  # on connections old and new
-        (platform.desk.core.duty.resume if good else platform.desk.core.duty.quiesce)()
+        (platform.desk.core.serving_state.resume if good else platform.desk.core.serving_state.quiesce)()
         for number, one in enumerate((wire, other), 10 + 2 * good):
             platform.feed(one, write_frame(b"ALIVE", b"%d" % number, b""))
             assert one.take() == write_frame(b"%d" % number, word, b"say=2.5000", b"")
@@ -299,7 +299,7 @@
     for wire in wires:
         platform.feed(wire, write_frame(b"ALIVE", b"1"))
     platform.feed(wires[0], exec_frame(2))
-    platform.front.limit_idle(SECOND)
+    platform.front.limit_idle_time(SECOND)
     platform.desk.clock.advance(1_100)
     assert b"closing" not in wires[0].take() and b"closing" in wires[1].take()
 
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -3,13 +3,13 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.frontends.uwsgi import UwsgiConnection, UwsgiFront
-from marlstep.frontends.uwsgi_mapping import Mapped
+from marlstep.frontends.uwsgi import UwsgiConnection, UwsgiFrontend
+from marlstep.frontends.uwsgi_mapping import UwsgiMapping
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.units import SECOND
 from tests.support.node import Desk, Wire
 
-MAPPED = Mapped(
+MAPPED = UwsgiMapping(
     kind="X_CLASS",
     classes={"setpoint": "setpoint-cmd"},
     id="X_ID",
@@ -26,10 +26,10 @@
 
     def __init__(self, cores: int = 2) -> None:
         self.desk = Desk(cores)
-        self.front = UwsgiFront(
+        self.front = UwsgiFrontend(
             self.desk.core, self.desk.clock.timeline, self.desk.backend, 8, 2 * SECOND, MAPPED, 100
         )
-        self.desk.core.add_front(self.front)
+        self.desk.core.add_frontend(self.front)
         self.number = 0
 
     def connect(self) -> Wire:
@@ -58,7 +58,7 @@
         gateway = Gateway()
         wire = gateway.connect()
         wire.feed(packet[:cut])
-        assert gateway.desk.core.in_hand == 0
+        assert gateway.desk.core.in_flight == 0
         wire.feed(packet[cut:])
         gateway.desk.clock.settle()
         assert gateway.desk.backend.told == [("start", "uwsgi-1")]
@@ -70,15 +70,20 @@
     gateway = Gateway()
     gateway.send(READ | {"CONTENT_LENGTH": "5"}, b"hello", step=1)
     [request] = gateway.desk.core._requests
-    assert request.offer.body == write_packet(READ | {"CONTENT_LENGTH": "5"}, b"hello")
+    assert request.inbound.body == write_packet(READ | {"CONTENT_LENGTH": "5"}, b"hello")
 
 
 def test_variables_are_mapped_as_the_operator_says() -> None:
     gateway = Gateway()
     gateway.send({"X_CLASS": "setpoint", "X_ID": "b7", "X_RETRY": "1", "X_COST": "12.5", "X_TENANT": "t"})
     [request] = gateway.desk.core._requests
-    offer = request.offer
-    assert (offer.kind, offer.once, offer.retry, offer.tenant) == ("setpoint-cmd", "b7", True, "t")
+    offer = request.inbound
+    assert (offer.request_class, offer.idempotency_key, offer.retry, offer.tenant) == (
+        "setpoint-cmd",
+        "b7",
+        True,
+        "t",
+    )
     assert offer.cost == 0.0125 * SECOND
 
 
@@ -100,7 +105,7 @@
     gateway = Gateway()
     wire = gateway.connect()
     wire.feed(packet)
-    assert status(wire) == 400 and gateway.desk.core.in_hand == 0
+    assert status(wire) == 400 and gateway.desk.core.in_flight == 0
 
 
 def test_a_body_that_is_too_large_is_answered_413_unread() -> None:
@@ -164,7 +169,7 @@
     gateway.desk.clock.settle()
     assert ("abandon", "uwsgi-1") in gateway.desk.backend.told
     gateway.end(Outcome.CANCELLED, b"")
-    assert gateway.desk.core.in_hand == 0 and len(gateway.front.connections) == 0
+    assert gateway.desk.core.in_flight == 0 and len(gateway.front.connections) == 0
 
 
 @pytest.mark.parametrize("part", [b"", write_packet(READ)[:9], write_packet(READ | {"CONTENT_LENGTH": "9"})])
--- a/tests/golden/restart_messages.py
+++ b/tests/golden/restart_messages.py
@@ -15,21 +15,30 @@
     "means_us": {"temp-history": 300000.0},
 }
 MESSAGES: Mapping[str, messages.Message] = {
-    "Hello/full": messages.Hello(generation=3, pid=4321, wanted=False, taken=2, learnt=LEARNT),
+    "Hello/full": messages.Hello(
+        generation=3, pid=4321, wants_traffic=False, successor_generation=2, learned_state=LEARNT
+    ),
     "Hello/defaults": messages.Hello(generation=3, pid=4321),
-    "Name/full": messages.Name(
-        kind="book", once="k-1", id="id-1", until_us=1_800_000_000_000_123, result="done\x00\xff", over=True
+    "Name/full": messages.KeyStatus(
+        request_class="book",
+        idempotency_key="k-1",
+        request_id="id-1",
+        until_us=1_800_000_000_000_123,
+        result="done\x00\xff",
+        finished=True,
+    ),
+    "Name/defaults": messages.KeyStatus(request_class="book", idempotency_key="k-1", request_id="id-1"),
+    "Gone/full": messages.KeyReleased(request_class="book", idempotency_key="k-1", request_id="id-1"),
+    "Whole/full": messages.SnapshotComplete(),
+    "Claim/full": messages.ClaimRequest(
+        number=5, request_class="book", idempotency_key="k-1", request_id="id-1"
     ),
-    "Name/defaults": messages.Name(kind="book", once="k-1", id="id-1"),
-    "Gone/full": messages.Gone(kind="book", once="k-1", id="id-1"),
-    "Whole/full": messages.Whole(),
-    "Claim/full": messages.Claim(number=5, kind="book", once="k-1", id="id-1"),
-    "Claimed/full": messages.Claimed(number=5, granted=True),
-    "Give/full": messages.Give(share=0.375),
-    "Ready/full": messages.Ready(),
-    "Duty/full": messages.Duty(wanted=True),
-    "Leaves/full": messages.Leaves(succeeded=True),
-    "Done/full": messages.Done(),
+    "Claimed/full": messages.ClaimResponse(number=5, granted=True),
+    "Give/full": messages.GrantShare(share=0.375),
+    "Ready/full": messages.SuccessorReady(),
+    "Duty/full": messages.ServingStateChanged(wants_traffic=True),
+    "Leaves/full": messages.SuccessorDraining(has_successor=True),
+    "Done/full": messages.PredecessorDone(),
 }
 CONVERSATION = Conversation(
     file="restart_messages.json",
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -193,8 +193,8 @@
     desk.end(2, Outcome.ERROR)
     desk.submit(9, late_ms=60_000, tenant="riad")
     desk.core.call_needed("r3", b"ask")
-    desk.core.client_gone(desk.submit(8, tenant="riad"))
-    desk.core.may_take = lambda: False
+    desk.core.client_disconnected(desk.submit(8, tenant="riad"))
+    desk.core.accepts_work = lambda: False
     desk.submit(7, tenant="riad")
     desk.clock.advance(60_000)
     paths = ("/v1/counters", "/v1/tenants")
--- a/tests/hot_restart/test_passed_socket.py
+++ b/tests/hot_restart/test_passed_socket.py
@@ -71,7 +71,7 @@
                 number += 1
                 assert b"done" in await over_resp(nodes[stays], "setpoint-cmd", number)
             assert nodes[stays].core.counts["read"] == read + 3
-            nodes[leaves].resp.leaving = False
+            nodes[leaves].resp.draining = False
             await nodes[leaves].resp.listen(config.listen, config.passed)
         for node in nodes:
             node.resp.stop_accepting()
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import Refused
-from marlstep.core.interfaces import Stage, Verdict
-from marlstep.core.serving_state import State
+from marlstep.core.engine import RequestRejectedError
+from marlstep.core.interfaces import ResponseStatus, Stage
+from marlstep.core.serving_state import ServingPhase
 from marlstep.hot_restart import messages
-from marlstep.hot_restart.host_adapter import Beside, Hooks
-from marlstep.hot_restart.resource_sharing import ALL, HALF, LEAST, Sharing
-from marlstep.hot_restart.restart import ACKNOWLEDGED, MEETING, Handover
+from marlstep.hot_restart.host_adapter import HostAdapter, HostHooks
+from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_SHARE, ResourceSharing
+from marlstep.hot_restart.restart import ACKNOWLEDGE_TIMEOUT, MEETING_TIMEOUT, HotRestart
 from marlstep.net.ring import Ring
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
@@ -36,7 +36,7 @@
 
     def __init__(self) -> None:
         self.data = bytearray()
-        self.ring = Ring(2 * messages.MOST)
+        self.ring = Ring(2 * messages.MAX_MESSAGE_BYTES)
         self.closed = False
 
     def send(self, message: messages.Message) -> None:
@@ -56,16 +56,16 @@
         self.opened = self.lost = self.told = False
         self.connected = 0.0
         self.bounds: list[float] = []
-        hooks = Hooks(
+        hooks = HostHooks(
             take_over=lambda: setattr(self, "opened", True),
             successor_lost=lambda: setattr(self, "lost", True),
-            successor_leaves=lambda: setattr(self, "told", True),
-            bound=self._bound,
+            successor_draining=lambda: setattr(self, "told", True),
+            limit_resources=self._bound,
             connected=lambda: self.connected,
-            duty_changed=lambda: None,
+            serving_state_changed=lambda: None,
         )
-        beside = Beside(self.desk.core, clock.timeline, hooks)
-        self.handover = Handover(beside, generation, generation, WAIT, WINDOW)
+        beside = HostAdapter(self.desk.core, clock.timeline, hooks)
+        self.handover = HotRestart(beside, generation, generation, WAIT, WINDOW)
         beside.watch(self.handover)
         self.dead = False
         self.rights = dict[str, tuple[str, str]]()  # id to the work it names
@@ -88,7 +88,7 @@
         self.number = 0
 
     def meet(self, cores_up: bool = True) -> None:
-        self.younger.handover.meet_elder(self.up, self.clock.now())
+        self.younger.handover.meet_predecessor(self.up, self.clock.now())
         if cores_up:
             self.younger.handover.cores_up(self.clock.now())
 
@@ -100,12 +100,12 @@
         while not self.cut and (message := messages.read(pipe.ring)) is not None:
             if not up:
                 if not self.younger.dead:
-                    self.younger.handover.from_elder(message, now)
+                    self.younger.handover.handle_predecessor_message(message, now)
             elif not self.elder.dead:
                 if isinstance(message, messages.Hello):
-                    self.elder.handover.meet_younger(self.down, message)
+                    self.elder.handover.meet_successor(self.down, message)
                 else:
-                    self.elder.handover.from_younger(message, now)
+                    self.elder.handover.handle_successor_message(message, now)
         self.clock.settle()
 
     def settle(self, ms: int = 0) -> None:
@@ -133,16 +133,16 @@
         for pipe in (self.up, self.down):
             pipe.close()
         if not self.elder.dead:
-            self.elder.handover.younger_lost(self.clock.now())
+            self.elder.handover.successor_lost(self.clock.now())
         if not self.younger.dead:
-            self.younger.handover.elder_lost(self.clock.now())
+            self.younger.handover.predecessor_lost(self.clock.now())
         self.clock.settle()
 
     def submit(self, process: Process, kind: str, once: str | None) -> int:
         self.number += 1
         if once:
             process.rights[f"r{self.number}"] = (kind, once)
-        process.desk.submit(self.number, kind, once=once)
+        process.desk.submit(self.number, kind, idempotency_key=once)
         return self.number
 
     def starts(self) -> Counter[tuple[str, str]]:
@@ -164,10 +164,14 @@
 
 def test_a_lone_process_serves_at_once_with_all_the_room() -> None:
     process = Process(HandClock(), 1)
-    assert process.desk.core.duty.state.value == "starting"
+    assert process.desk.core.serving_state.phase.value == "starting"
     process.handover.cores_up(START)
-    assert process.opened and process.desk.core.duty.state is State.SERVING and process.handover.idle
-    assert not process.handover.leave(START) and not process.bounds  # SIGTERM is the notice to leave
+    assert (
+        process.opened
+        and process.desk.core.serving_state.phase is ServingPhase.SERVING
+        and process.handover.idle
+    )
+    assert not process.handover.drain(START) and not process.bounds  # SIGTERM is the notice to leave
 
 
 def test_the_younger_says_yes_only_after_the_elder_knows_that_it_takes_connections() -> None:
@@ -177,21 +181,21 @@
     pair.settle(40)
     assert not pair.younger.opened  # it has all but its kernel
     pair.younger.handover.cores_up(pair.clock.now())
-    assert pair.younger.opened and not pair.younger.desk.core.duty.can_serve
-    assert not pair.elder.handover.leave(pair.clock.now())
+    assert pair.younger.opened and not pair.younger.desk.core.serving_state.can_serve
+    assert not pair.elder.handover.drain(pair.clock.now())
     pair.deliver(True)
     pair.deliver(False)
-    assert pair.younger.desk.core.duty.can_serve and pair.elder.handover.leave(pair.clock.now())
+    assert pair.younger.desk.core.serving_state.can_serve and pair.elder.handover.drain(pair.clock.now())
 
 
 def test_an_elder_that_hangs_delays_its_successor_for_four_seconds_at_most() -> None:
     pair = Pair()
     pair.meet()
-    for span in (MEETING, ACKNOWLEDGED):
-        assert not pair.younger.desk.core.duty.can_serve
+    for span in (MEETING_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
+        assert not pair.younger.desk.core.serving_state.can_serve
         pair.clock.advance(span / MILLISECOND)
         pair.younger.handover.tick(pair.clock.now())
-    assert pair.younger.opened and pair.younger.desk.core.duty.can_serve
+    assert pair.younger.opened and pair.younger.desk.core.serving_state.can_serve
 
 
 def test_room_goes_over_as_the_elder_empties_and_never_adds_up_to_more_than_all() -> None:
@@ -200,33 +204,33 @@
     pair.meet()
     pair.settle(40)
     shares = [process.handover.sharing._mine for process in pair.living]
-    assert shares[1] == pytest.approx(0.1) and pair.elder.handover.sharing.bound == HALF
+    assert shares[1] == pytest.approx(0.1) and pair.elder.handover.sharing.limit == HALF_SHARE
     pair.elder.connected = 0.3
     pair.settle(40)
-    assert pair.younger.handover.sharing.bound == pytest.approx(HALF)
-    assert pair.elder.handover.leave(pair.clock.now())
+    assert pair.younger.handover.sharing.limit == pytest.approx(HALF_SHARE)
+    assert pair.elder.handover.drain(pair.clock.now())
     pair.elder.connected = 0.0
     pair.settle(40)
-    assert pair.younger.handover.sharing.bound == pytest.approx(ALL - LEAST)
+    assert pair.younger.handover.sharing.limit == pytest.approx(FULL_SHARE - MIN_SHARE)
     pair.elder.handover.done()
     pair.settle()
-    assert pair.younger.handover.sharing.bound == ALL and pair.younger.handover.idle
-    assert pair.younger.desk.core._controller.state.portion == ALL
+    assert pair.younger.handover.sharing.limit == FULL_SHARE and pair.younger.handover.idle
+    assert pair.younger.desk.core._controller.state.portion == FULL_SHARE
 
 
 def test_the_module_keeps_to_its_part_of_memory_and_crowd() -> None:
     desk = Desk(cores=2)
     desk.core.take_share(0.02, 100)  # of a crowd of ten
     for number in range(1, 9):
-        desk.submit(number, "temp-history", kb=1.0)
+        desk.submit(number, "temp-history", memory_kb=1.0)
     assert len([id for what, id in desk.backend.told if what == "start"]) == 1
     desk.core.take_share(0.5, 100)
     desk.clock.advance(100)
     assert len([id for what, id in desk.backend.told if what == "start"]) == 2
     desk.core.take_share(0.02, 100)
-    desk.submit(9, "temp-history", kb=300.0)
-    assert desk.verdicts(9) == [Verdict.REFUSED]
-    with pytest.raises(Refused, match="this process's part"):
+    desk.submit(9, "temp-history", memory_kb=300.0)
+    assert desk.verdicts(9) == [ResponseStatus.REJECTED]
+    with pytest.raises(RequestRejectedError, match="this process's part"):
         desk.core.take_share(0.5, 3)
         desk.submit(10)
 
@@ -234,28 +238,28 @@
 def test_an_elder_with_a_successor_runs_all_that_still_comes_and_stays_healthy() -> None:
     desk = Desk(cores=2)
     desk.core.cores_up()
-    desk.core.hand_over(desk.clock.now() + 3700 * MILLISECOND)
+    desk.core.begin_hand_over(desk.clock.now() + 3700 * MILLISECOND)
     assert not desk.stopped  # what has come by now is read first: else it is closed on unread
     desk.clock.settle()
-    assert desk.stopped and desk.core.healthy and desk.core.duty.state is State.HANDING_OVER
+    assert desk.stopped and desk.core.healthy and desk.core.serving_state.phase is ServingPhase.HANDING_OVER
     desk.clock.advance(2_600)
     desk.submit(1)  # over 2.5 s later: this is no drain
     desk.end(1)
     desk.submit(2)
     desk.clock.advance(950)
-    assert (desk.verdicts(1), desk.verdicts(2)) == ([Verdict.DONE], [Verdict.EXPIRED])
+    assert (desk.verdicts(1), desk.verdicts(2)) == ([ResponseStatus.DONE], [ResponseStatus.EXPIRED])
 
 
 def test_if_the_successor_dies_the_notice_to_leave_counts_from_then() -> None:
     pair = ready_pair()
-    assert pair.elder.handover.leave(pair.clock.now())
+    assert pair.elder.handover.drain(pair.clock.now())
     pair.kill(pair.younger)
     assert pair.elder.lost and not pair.elder.handover.has_successor
     # What the dead one ran may still be on the cores, so its share comes back later.
-    assert pair.elder.handover.sharing.bound == pytest.approx(LEAST)
+    assert pair.elder.handover.sharing.limit == pytest.approx(MIN_SHARE)
     pair.clock.advance(WAIT / MILLISECOND)
     pair.elder.handover.tick(pair.clock.now())
-    assert pair.elder.handover.sharing.bound == ALL
+    assert pair.elder.handover.sharing.limit == FULL_SHARE
 
 
 @pytest.mark.parametrize("first", ["elder", "younger"])
@@ -264,12 +268,12 @@
     pair = ready_pair()
     younger, elder = pair.younger.handover, pair.elder.handover
     if first == "elder":
-        assert elder.leave(pair.clock.now())
-    assert not younger.leave(pair.clock.now())
+        assert elder.drain(pair.clock.now())
+    assert not younger.drain(pair.clock.now())
     pair.settle()
     assert pair.elder.told and not elder.has_successor
     if first == "younger":
-        assert not elder.leave(pair.clock.now())  # the notice to the node, as nobody comes after
+        assert not elder.drain(pair.clock.now())  # the notice to the node, as nobody comes after
     pair.kill(pair.younger)
     assert not pair.elder.lost
 
@@ -277,14 +281,14 @@
 def test_after_new_settings_a_lost_process_is_waited_for_as_long_as_the_longest_of_both_say() -> None:
     # Guards against named work that is run twice: the window in which it may come again was that of the start.
     pair = ready_pair()
-    pair.younger.handover.renew(WAIT / 2, 3 * WINDOW)
+    pair.younger.handover.set_timeouts(WAIT / 2, 3 * WINDOW)
     pair.kill(pair.elder)
     pair.clock.advance(WAIT / MILLISECOND - 100)
     pair.younger.handover.tick(pair.clock.now())
-    assert pair.younger.handover.sharing.bound == HALF
+    assert pair.younger.handover.sharing.limit == HALF_SHARE
     pair.clock.advance(2 * WINDOW / MILLISECOND)
     assert pair.younger.handover.unsure(pair.clock.now())
-    pair.younger.handover.renew(WAIT, WINDOW)
+    pair.younger.handover.set_timeouts(WAIT, WINDOW)
     pair.clock.advance(WINDOW / MILLISECOND)
     assert not pair.younger.handover.unsure(pair.clock.now())
 
@@ -292,15 +296,15 @@
 def test_a_third_start_is_sent_on_to_the_second() -> None:
     pair = ready_pair()
     pipe = Pipe()
-    assert not pair.elder.handover.meet_younger(pipe, messages.Hello(3, 3))
+    assert not pair.elder.handover.meet_successor(pipe, messages.Hello(3, 3))
     pipe.ring.put(bytes(pipe.data))
     hello = messages.read(pipe.ring)
-    assert isinstance(hello, messages.Hello) and hello.taken == 2 and not hello.learnt
+    assert isinstance(hello, messages.Hello) and hello.successor_generation == 2 and not hello.learned_state
 
 
 def test_what_was_learnt_and_a_quiesce_go_over_and_a_resume_comes_back() -> None:
     pair = Pair()
-    pair.elder.desk.core.duty.quiesce()
+    pair.elder.desk.core.serving_state.quiesce()
     controller = pair.elder.desk.core._controller
     controller.state.statistics.mean_run_us["temp-history"] = 300_000.0
     controller.state.call_latency.usual_us = 9_000.0
@@ -312,9 +316,9 @@
     assert learnt.state.call_latency.usual_us == 9_000.0
     assert 1.0 <= learnt.parts.concurrency.limit <= learnt.state.concurrency
     core = pair.younger.desk.core
-    assert not core.healthy and core.duty.can_serve
-    core.duty.resume()
-    pair.younger.handover.duty_changed(True)
+    assert not core.healthy and core.serving_state.can_serve
+    core.serving_state.resume()
+    pair.younger.handover.serving_state_changed(True)
     pair.settle()
     assert pair.elder.desk.core.healthy
 
@@ -338,7 +342,7 @@
     third = pair.submit(pair.younger, kind, "m")
     pair.settle(40)
     fourth = pair.number + 1
-    with contextlib.suppress(Refused):  # told to the front at once where the effect is unsafe
+    with contextlib.suppress(RequestRejectedError):  # told to the front at once where the effect is unsafe
         pair.submit(pair.elder, kind, "m")
     pair.settle()
     assert pair.starts() == {(kind, "k"): 1, (kind, "m"): 1}
@@ -346,10 +350,10 @@
     pair.younger.desk.end(third)
     pair.settle()
     fifth = pair.number + 1
-    with contextlib.suppress(Refused):
+    with contextlib.suppress(RequestRejectedError):
         pair.submit(pair.younger, kind, "k")
     pair.settle()
-    wanted, at_once = ([Verdict.DONE],) * 2 if effect == "keyed" else ([Verdict.FAILED], [])
+    wanted, at_once = ([ResponseStatus.DONE],) * 2 if effect == "keyed" else ([ResponseStatus.FAILED], [])
     assert [pair.younger.desk.verdicts(number) for number in (second, fifth)] == [wanted, at_once]
     assert pair.elder.desk.verdicts(fourth) == at_once
     assert pair.starts() == {(kind, "k"): 1, (kind, "m"): 1}
@@ -364,15 +368,15 @@
     again = pair.submit(pair.younger, "schedule-save", "w" * 256)
     pair.settle()
     [answer] = pair.younger.desk.answers[again]
-    shared = (Verdict.DONE, result) if len(result) <= 4096 else (Verdict.FAILED, b"")
-    assert (answer.verdict, answer.body) == shared and sum(pair.starts().values()) == 1
+    shared = (ResponseStatus.DONE, result) if len(result) <= 4096 else (ResponseStatus.FAILED, b"")
+    assert (answer.status, answer.body) == shared and sum(pair.starts().values()) == 1
 
 
 def test_work_that_was_granted_to_the_younger_is_known_to_the_elder_from_that_moment() -> None:
     pair = ready_pair()
     pair.submit(pair.younger, "setpoint-cmd", "k")
     pair.deliver(True)
-    with pytest.raises(Refused, match="must not run twice"):
+    with pytest.raises(RequestRejectedError, match="must not run twice"):
         pair.submit(pair.elder, "setpoint-cmd", "k")
     pair.deliver(False)
     assert pair.starts() == {("setpoint-cmd", "k"): 1}
@@ -389,14 +393,14 @@
     pair.settle(100)
     pair.elder.desk.end(first)
     pair.settle(100)
-    assert pair.younger.desk.verdicts(again) == pair.younger.desk.verdicts(again + 1) == [Verdict.DONE]
+    assert pair.younger.desk.verdicts(again) == pair.younger.desk.verdicts(again + 1) == [ResponseStatus.DONE]
 
 
 def test_a_name_that_is_told_before_its_claim_is_answered_is_no_repeat() -> None:
     pair = ready_pair()
     number = pair.submit(pair.younger, "schedule-save", "k")
     pair.deliver(True)
-    pair.down.data[:0] = messages.write(messages.Name("schedule-save", "k", f"r{number}"))
+    pair.down.data[:0] = messages.write(messages.KeyStatus("schedule-save", "k", f"r{number}"))
     pair.deliver(False)
     assert pair.younger.desk.backend.told == [("start", f"r{number}")]
 
@@ -416,7 +420,7 @@
     pair = ready_pair()
     number = pair.submit(pair.younger, "setpoint-cmd", "k")
     pair.clock.advance(4_400)  # nobody answers the claim in all its time
-    assert pair.younger.desk.verdicts(number) == [Verdict.REFUSED]
+    assert pair.younger.desk.verdicts(number) == [ResponseStatus.REJECTED]
     pair.settle()
     pair.submit(pair.elder, "setpoint-cmd", "k")
     assert pair.starts()[("setpoint-cmd", "k")] == 1
@@ -427,10 +431,10 @@
     waiting = pair.submit(pair.younger, "setpoint-cmd", "k")
     pair.up.data.clear()  # the claim was never read
     pair.kill(pair.elder)
-    assert pair.younger.desk.verdicts(waiting) == [Verdict.REFUSED]
+    assert pair.younger.desk.verdicts(waiting) == [ResponseStatus.REJECTED]
     unsure = pair.submit(pair.younger, "setpoint-cmd", "m")
     free = pair.submit(pair.younger, "setpoint-cmd", None)
-    assert pair.younger.desk.verdicts(unsure) == [Verdict.REFUSED]
+    assert pair.younger.desk.verdicts(unsure) == [ResponseStatus.REJECTED]
     assert ("start", f"r{free}") in pair.younger.desk.backend.told
     pair.younger.desk.end(free)
     pair.clock.advance(WINDOW / MILLISECOND)
@@ -448,7 +452,7 @@
     pair.settle()
     pair.kill(pair.elder)
     assert ("start", f"r{waiting}") in pair.younger.desk.backend.told
-    with pytest.raises(Refused, match="must not run twice"):
+    with pytest.raises(RequestRejectedError, match="must not run twice"):
         pair.submit(pair.younger, "setpoint-cmd", "k")
 
 
@@ -469,10 +473,10 @@
         pair.down.data = pair.down.data[:at]
         pair.kill(pair.elder)
         pair.younger.handover.tick(pair.clock.now())
-        assert pair.younger.desk.core.duty.can_serve and pair.younger.opened
-        assert 0 < pair.younger.handover.sharing.bound <= HALF
+        assert pair.younger.desk.core.serving_state.can_serve and pair.younger.opened
+        assert 0 < pair.younger.handover.sharing.limit <= HALF_SHARE
         for number in range(3):
-            with contextlib.suppress(Refused):
+            with contextlib.suppress(RequestRejectedError):
                 pair.submit(pair.younger, "setpoint-cmd", f"k{number}")
         assert not pair.younger.desk.backend.told
 
@@ -519,7 +523,7 @@
                 pass
             case "submit" if process is self.elder or process.opened:
                 once = f"k{number}" if choice in CASES else None
-                with contextlib.suppress(Refused):
+                with contextlib.suppress(RequestRejectedError):
                     self.submit(process, choice, once)
                     self.read.append((process, self.number))
             case "end":
@@ -533,18 +537,18 @@
                 process.handover.tick(self.clock.now())
             case "connected" if process is self.elder or process.opened:
                 # A process opens none beyond its bound; what is open already may stay above it.
-                most = process.handover.sharing.bound
+                most = process.handover.sharing.limit
                 process.connected = min(number / 10, max(most, process.connected))
-            case "leave" if process.handover.leave(self.clock.now()):
-                core.hand_over(self.clock.now() + 3700 * MILLISECOND)
+            case "leave" if process.handover.drain(self.clock.now()):
+                core.begin_hand_over(self.clock.now() + 3700 * MILLISECOND)
         self.clock.settle()
         self.check()
 
     def check(self) -> None:
         if self.met and len(self.living) == 2:
             in_use = 0 if self.cut else 1  # after a cut each can do no more than bound itself
-            used = [max(one.handover.sharing.bound, in_use * one.connected) for one in self.living]
-            assert sum(used) <= ALL + 1e-6
+            used = [max(one.handover.sharing.limit, in_use * one.connected) for one in self.living]
+            assert sum(used) <= FULL_SHARE + 1e-6
         starts = self.starts()
         assert all(count <= 1 for count in starts.values()), starts
 
@@ -577,42 +581,42 @@
 @FIXED
 @given(GIVES)
 def test_shares_add_up_to_all_at_the_most(steps: list[tuple[str, float]]) -> None:
-    elder, younger, now = Sharing(), Sharing(), START
-    younger.elder_came()
-    elder.younger_came()
+    elder, younger, now = ResourceSharing(), ResourceSharing(), START
+    younger.predecessor_connected()
+    elder.successor_connected()
     lost = False
     for what, figure in steps:
         match what:
             case "give" | "rest" if not lost:
-                younger.got(elder.give(figure, rest=what == "rest"))
+                younger.receive(elder.give(figure, rest=what == "rest"))
             case "leave" if not lost:
-                elder.leave(figure)
+                elder.drain(figure)
             case "lost" if not lost:
                 lost = True
-                elder.younger_lost(now, WAIT)
-                younger.elder_lost(now, WAIT)
+                elder.successor_lost(now, WAIT)
+                younger.predecessor_lost(now, WAIT)
             case "wait":
                 now += timedelta(seconds=figure)
                 elder.pass_time(now)
                 younger.pass_time(now)
         if now < START + WAIT:
-            assert elder.bound + younger.bound <= ALL + 1e-9
+            assert elder.limit + younger.limit <= FULL_SHARE + 1e-9
     if lost:
         younger.pass_time(now + WAIT)
-        assert younger.bound == pytest.approx(ALL) and younger.alone
+        assert younger.limit == pytest.approx(FULL_SHARE) and younger.alone
 
 
 MESSAGES = (
     messages.Hello(2, 77, False, 0, {"limit": 3.5, "means_us": {"a": 1}}),
-    messages.Name("setpoint-cmd", "k", "id", 1_700_000_000_000_000, "r\u00ff\x00", True),
-    messages.Gone("a", "b", "c"),
-    messages.Whole(),
-    messages.Claim(3, "a", "b", "c"),
-    messages.Claimed(3, True),
-    messages.Give(0.25),
-    messages.Ready(),
-    messages.Duty(False),
-    messages.Done(),
+    messages.KeyStatus("setpoint-cmd", "k", "id", 1_700_000_000_000_000, "r\u00ff\x00", True),
+    messages.KeyReleased("a", "b", "c"),
+    messages.SnapshotComplete(),
+    messages.ClaimRequest(3, "a", "b", "c"),
+    messages.ClaimResponse(3, True),
+    messages.GrantShare(0.25),
+    messages.SuccessorReady(),
+    messages.ServingStateChanged(False),
+    messages.PredecessorDone(),
 )
 
 
@@ -663,7 +667,7 @@
     with pytest.raises(messages.CorruptError, match="no frame of this version"):
         messages.read(ring)
     pair = Pair()
-    pair.elder.handover.stranger_came(pair.clock.now())
-    pair.younger.handover.sharing.elder_came()
-    pair.younger.handover.sharing.elder_lost(pair.clock.now(), WAIT)
-    assert pair.elder.handover.sharing.bound + pair.younger.handover.sharing.bound == ALL
+    pair.elder.handover.unknown_process_connected(pair.clock.now())
+    pair.younger.handover.sharing.predecessor_connected()
+    pair.younger.handover.sharing.predecessor_lost(pair.clock.now(), WAIT)
+    assert pair.elder.handover.sharing.limit + pair.younger.handover.sharing.limit == FULL_SHARE
--- a/tests/load_balancing/test_load_balancing.py
+++ b/tests/load_balancing/test_load_balancing.py
@@ -10,8 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.load_balancing.estimators import AdaptiveLimit, Floor, LimitSettings, PeakEwma
-from marlstep.load_balancing.outlier_detection import HealthSettings, State
+from marlstep.load_balancing.estimators import (
+    AdaptiveConcurrencyLimit,
+    ConcurrencyLimitSettings,
+    PeakEwma,
+    WindowedMinimum,
+)
+from marlstep.load_balancing.outlier_detection import OutlierSettings, ServerState
 from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
 from marlstep.slots import TableFullError
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
@@ -35,7 +40,7 @@
 def fail(table: ServerTable, name: str, now: datetime, times: int = 5) -> None:
     server = one_of(table, name)
     for _ in range(times):
-        table.begun(server.handle)
+        table.attempt_started(server.handle)
         table.failed(server.handle, now, 10 * MILLISECOND)
 
 
@@ -46,7 +51,7 @@
         server = table.choose(now)
         assert server is not None
         found[server.name] += 1
-        table.begun(server.handle)
+        table.attempt_started(server.handle)
         table.succeeded(server.handle, now, took)
     return found
 
@@ -70,7 +75,7 @@
 def test_an_estimate_lies_between_the_least_and_the_most_that_was_seen(
     samples: list[tuple[int, int]],
 ) -> None:
-    mean, floor, now, seen = PeakEwma(), Floor(), START, []
+    mean, floor, now, seen = PeakEwma(), WindowedMinimum(), START, []
     for wait, sample in samples:
         now += wait * MILLISECOND
         seen.append(sample * MILLISECOND)
@@ -81,14 +86,14 @@
 
 
 def test_the_floor_is_forgotten_after_two_windows() -> None:
-    floor = Floor(window=30 * SECOND)
+    floor = WindowedMinimum(window=30 * SECOND)
     floor.observe(START, 5 * MILLISECOND)
     for second in range(1, 70):
         floor.observe(START + second * SECOND, 50 * MILLISECOND)
     assert floor.value == 50 * MILLISECOND
 
 
-def drive(limit: AdaptiveLimit, capacity: int, seconds: int, start: datetime) -> datetime:
+def drive(limit: AdaptiveConcurrencyLimit, capacity: int, seconds: int, start: datetime) -> datetime:
     """A server that does `capacity` requests in 20 ms each, and makes what is beyond wait its turn."""
     now = start
     for _ in range(seconds * 20):
@@ -101,7 +106,7 @@
 
 
 def test_the_limit_finds_what_a_server_can_do_and_follows_it() -> None:
-    limit = AdaptiveLimit(LimitSettings())
+    limit = AdaptiveConcurrencyLimit(ConcurrencyLimitSettings())
     now = drive(limit, 40, 30, START)
     assert 40 <= limit.value <= 90
     drive(limit, 10, 30, now)  # it lost three quarters of what it could do
@@ -109,7 +114,7 @@
 
 
 def test_a_limit_that_no_load_tests_does_not_grow_and_failures_of_one_step_cut_once() -> None:
-    limit = AdaptiveLimit(LimitSettings(start=16))
+    limit = AdaptiveConcurrencyLimit(ConcurrencyLimitSettings(start=16))
     now = START
     for _ in range(200):
         now += 50 * MILLISECOND
@@ -120,7 +125,7 @@
     assert limit.value == pytest.approx(16 * 0.8)
     for step in range(100):
         limit.failed(now + step * SECOND)
-    assert limit.value == LimitSettings().least
+    assert limit.value == ConcurrencyLimitSettings().least
 
 
 # Health.
@@ -132,36 +137,36 @@
     fail(table, "s0", now)
     server = one_of(table, "s0")
     for _ in range(7):
-        assert server.health.state is State.EJECTED and server.health.until is not None
+        assert server.health.state is ServerState.EJECTED and server.health.until is not None
         out.append((server.health.until - now) / SECOND)
         assert "s0" not in take(table, server.health.until - MILLISECOND, 40)
         now = server.health.until
         assert table.choose(now) is server
-        table.begun(server.handle)
+        table.attempt_started(server.handle)
         assert table.choose(now) is not server  # one probe at a time
         table.failed(server.handle, now, 10 * MILLISECOND)
     assert out == [2, 4, 8, 16, 32, 60, 60]
     assert server.health.until is not None
     now = server.health.until
-    assert take(table, now, 1) == {"s0": 1} and server.health.state is State.HEALTHY
+    assert take(table, now, 1) == {"s0": 1} and server.health.state is ServerState.HEALTHY
 
 
 def test_what_comes_back_starts_slowly() -> None:
-    table = pool(2, limits=LimitSettings(least=50, start=50))
+    table = pool(2, limits=ConcurrencyLimitSettings(least=50, start=50))
     for second in (0, 10):
         take(table, START + second * SECOND, 1)
     now = START + 100 * SECOND
     fail(table, "s0", now)  # of two, none may be out: it stays
-    assert one_of(table, "s0").health.state is State.SUSPECT and table.spared == 1
-    table = pool(3, limits=LimitSettings(least=50, start=50))
+    assert one_of(table, "s0").health.state is ServerState.SUSPECT and table.spared == 1
+    table = pool(3, limits=ConcurrencyLimitSettings(least=50, start=50))
     server = one_of(table, "s0")
     now = START + 100 * SECOND
     fail(table, "s0", now)
     now += 2 * SECOND
     assert table.choose(now) is server
-    table.begun(server.handle)
+    table.attempt_started(server.handle)
     table.succeeded(server.handle, now, 10 * MILLISECOND)
-    rooms = [table.room(server, now + second * SECOND) for second in (0, 5, 10)]
+    rooms = [table.server_capacity(server, now + second * SECOND) for second in (0, 5, 10)]
     assert rooms == [5, 27, 50]
 
 
@@ -169,7 +174,7 @@
     table = pool(10)
     for index in range(10):
         fail(table, f"s{index}", START, times=20)
-    out = [server for server in table if server.health.state is State.EJECTED]
+    out = [server for server in table if server.health.state is ServerState.EJECTED]
     assert len(out) == 3 and table.spared >= 7
     assert take(table, START, 50).total() == 50
 
@@ -182,7 +187,10 @@
     assert not table.booted(server.handle, "a", START)
     states = [server.health.state]
     assert table.booted(server.handle, "b", START)
-    assert [*states, server.health.state] == [State.EJECTED, State.NEW] and server.latency.value is None
+    assert [*states, server.health.state] == [
+        ServerState.EJECTED,
+        ServerState.NEW,
+    ] and server.latency.value is None
     assert table.booted(server.handle + (1 << 30), "c", START) is False
 
 
@@ -194,29 +202,31 @@
     now = START + 20 * SECOND
     for name, took in (("s0", 10), ("s1", 40)):
         server = one_of(table, name)
-        table.begun(server.handle)
+        table.attempt_started(server.handle)
         table.succeeded(server.handle, now, took * MILLISECOND)
     held: list[Server] = []
     for _ in range(8):
         chosen = table.choose(now)
         assert chosen is not None
-        table.begun(chosen.handle)
+        table.attempt_started(chosen.handle)
         held.append(chosen)
     counts = Counter(server.name for server in held)
     assert counts["s0"] > 2 * counts["s1"]
     before = one_of(table, "s0").limit.value
-    table.refused(held[0].handle, now)
+    table.attempt_refused(held[0].handle, now)
     assert held[0].refusals == 1 and one_of(table, held[0].name).limit.value < before
 
 
 def test_where_all_are_full_nothing_is_chosen_and_the_work_waits() -> None:
-    table = pool(3, limits=LimitSettings(least=1, start=2), health=HealthSettings(slow_start=MILLISECOND))
+    table = pool(
+        3, limits=ConcurrencyLimitSettings(least=1, start=2), health=OutlierSettings(slow_start=MILLISECOND)
+    )
     now, held = START + SECOND, []
     while (server := table.choose(now)) is not None:
-        table.begun(server.handle)
+        table.attempt_started(server.handle)
         held.append(server.handle)
     assert len(held) == 6
-    table.given_up(held[0])
+    table.attempt_abandoned(held[0])
     assert table.choose(now) is not None
     assert table.choose(now, frozenset(server.handle for server in table)) is None
 
@@ -230,7 +240,7 @@
 def test_servers_come_and_go_and_what_they_have_ends_where_it_is() -> None:
     table = pool(3)
     server = one_of(table, "s0")
-    table.begun(server.handle)
+    table.attempt_started(server.handle)
     assert table.set_members(["s1", "s2", "s3", "s3"], START) == (["s3"], ["s0"])
     assert len(table) == 4 and server.leaving and "s0" not in take(table, START, 30)
     assert table.set_members(["s0", "s1", "s2"], START) == (["s0"], ["s3"])
@@ -267,12 +277,12 @@
                 server = table.choose(now, without)
                 if server is not None:
                     assert server.handle not in without and not server.leaving
-                    assert server.health.state is not State.EJECTED
+                    assert server.health.state is not ServerState.EJECTED
                     assert server.in_flight < max(1, server.limit.value)
-                    table.begun(server.handle)
+                    table.attempt_started(server.handle)
                     held.append(server.handle)
                 else:
-                    assert all(table.room(one, now) <= 0 or one.handle in without for one in table)
+                    assert all(table.server_capacity(one, now) <= 0 or one.handle in without for one in table)
             case "wait":
                 now += number * MILLISECOND
             case "members":
@@ -287,16 +297,18 @@
                 elif what == "fail":
                     table.failed(handle, now, number * MILLISECOND)
                 elif what == "refuse":
-                    table.refused(handle, now)
+                    table.attempt_refused(handle, now)
                 else:
-                    table.given_up(handle)
+                    table.attempt_abandoned(handle)
         assert sum(server.in_flight for server in table) == len(held)
         members = [server for server in table if not server.leaving]
-        out = [server for server in members if server.health.state in (State.EJECTED, State.PROBING)]
-        assert set(out) <= set(table._out.values())
+        out = [
+            server for server in members if server.health.state in (ServerState.EJECTED, ServerState.PROBING)
+        ]
+        assert set(out) <= set(table._ejected.values())
         for server in table:
-            assert LimitSettings().least <= server.limit.value <= LimitSettings().most
+            assert ConcurrencyLimitSettings().least <= server.limit.value <= ConcurrencyLimitSettings().most
             assert 0 < server.health.weight(now) <= 1 and table.cost(server, now) > ZERO
     for handle in held:
-        table.given_up(handle)
+        table.attempt_abandoned(handle)
     assert sum(server.in_flight for server in table) == 0 and not any(server.leaving for server in table)
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -8,7 +8,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.interfaces import Request
-from marlstep.platform.database import MOST_LINKS, MOST_RESTING, Database
+from marlstep.platform.database import MAX_CONNECTIONS, MAX_IDLE_CONNECTIONS, Database
 from marlstep.units import SECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
@@ -131,7 +131,7 @@
     again = rig.dial.accept()
     again.feed(b"r1 FULL\r\n")
     assert rig.ends() == [Outcome.FULL]
-    rig.database.give_up(request)
+    rig.database.abandon_call(request)
     assert rig.ends() == [Outcome.FULL]
 
 
@@ -175,10 +175,10 @@
 def test_of_the_connections_that_setpoints_leave_a_few_stay_for_other_calls() -> None:
     # Guards against all idle ones being dropped at once when there were too many.
     rig = Rig()
-    wires = [rig.open(number, "setpoint-cmd") for number in range(1, MOST_RESTING + 3)]
+    wires = [rig.open(number, "setpoint-cmd") for number in range(1, MAX_IDLE_CONNECTIONS + 3)]
     for number, wire in enumerate(wires, 1):
         wire.feed(ROWS % b"r%d" % number)
-    assert [wire.closed for wire in wires] == [True] * 2 + [False] * MOST_RESTING
+    assert [wire.closed for wire in wires] == [True] * 2 + [False] * MAX_IDLE_CONNECTIONS
     rig.call(50)
     assert wires[-1].take() and not rig.dial.waiting
 
@@ -186,16 +186,16 @@
 def test_connections_are_bounded_and_the_calls_beyond_wait_for_one() -> None:
     rig = Rig()
     [request] = [rig.call()]
-    for number in range(2, MOST_LINKS + 2):
+    for number in range(2, MAX_CONNECTIONS + 2):
         rig.database.call(
-            dataclasses.replace(request, offer=dataclasses.replace(request.offer, id=f"r{number}")),
+            dataclasses.replace(request, inbound=dataclasses.replace(request.inbound, id=f"r{number}")),
             rig.clock.now() + SECOND,
         )
-    assert len(rig.dial.waiting) == MOST_LINKS
-    wires = [rig.dial.accept() for _ in range(MOST_LINKS)]
+    assert len(rig.dial.waiting) == MAX_CONNECTIONS
+    wires = [rig.dial.accept() for _ in range(MAX_CONNECTIONS)]
     assert not rig.dial.waiting
     wires[0].feed(ROWS % b"r1")
-    assert wires[0].take().endswith(b"Q r%d 1000 3\r\nask\r\n" % (MOST_LINKS + 1))
+    assert wires[0].take().endswith(b"Q r%d 1000 3\r\nask\r\n" % (MAX_CONNECTIONS + 1))
 
 
 def test_after_a_move_new_calls_go_to_the_new_address_and_old_ones_end_where_they_are() -> None:
@@ -203,7 +203,7 @@
     busy, idle = rig.open(1), rig.open(2)
     idle.feed(ROWS % b"r2")
     rig.call(3, "setpoint-cmd")
-    rig.database.move(NEW)
+    rig.database.change_address(NEW)
     rig.call(4)
     assert idle.closed and not busy.closed
     assert [address for _, address, _ in rig.dial.waiting] == [OLD, NEW]
@@ -216,6 +216,6 @@
 
 def test_without_an_address_a_call_never_runs() -> None:
     rig = Rig()
-    rig.database.move(None)
+    rig.database.change_address(None)
     rig.call()
     assert rig.ends() == [Outcome.CONNECT_FAILED]
--- a/tests/platform/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -37,7 +37,7 @@
     desk = Desk()
     desk.submit(1)
     [request] = desk.core._requests
-    request.offer = dataclasses.replace(request.offer, id=id)
+    request.inbound = dataclasses.replace(request.inbound, id=id)
     return request
 
 
@@ -129,11 +129,11 @@
     rig = Rig()
     old = rig.connect()
     old.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\nREAP 1 z complete 1 0\r\n\r\n")
-    rig.kernel.move(NEW)
+    rig.kernel.change_address(NEW)
     sched(rig, "a")
     assert b"SCHED a" in old.written and not old.closed  # it serves until the new one stands
-    rig.kernel.move(OLD)
-    rig.kernel.move(NEW)
+    rig.kernel.change_address(OLD)
+    rig.kernel.change_address(NEW)
     [(_, address, _)] = rig.dial.waiting
     assert address == NEW
     new = rig.connect()
@@ -178,7 +178,7 @@
     rig, wire = linked()
     rig.kernel.start(one("a"))
     rig.kernel.supply(one("b"), b"rows")
-    rig.kernel.ask()
+    rig.kernel.request_gauges()
     rig.kernel.start(one("c"))  # behind the question: it may not have been read
     wire.feed(b"INFO g1 0 0\r\n")
     assert again(rig, wire) == b"SCHED c temp-history 4\r\nbody\r\n"
@@ -187,7 +187,7 @@
 def test_gauges_that_were_asked_for_on_a_link_that_broke_say_nothing_of_the_next() -> None:
     rig, wire = linked()
     rig.kernel.start(one("a"))
-    rig.kernel.ask()
+    rig.kernel.request_gauges()
     wire.close()
     wire = rig.connect()
     wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\nINFO g1 0 0\r\n")
@@ -199,7 +199,7 @@
     rig, wire = linked()
     request = one("a")
     rig.kernel.resume(request)
-    rig.kernel.ask()
+    rig.kernel.request_gauges()
     wire.feed(b"REAP 1 a cancelled 1 0\r\n\r\n")  # paused once more
     rig.kernel.resume(request)
     wire.feed(b"INFO g1 0 0\r\n")
@@ -213,6 +213,6 @@
     rig, wire = linked()
     rig.kernel.start(one("a"))
     for _ in range(100):
-        rig.kernel.ask()
+        rig.kernel.request_gauges()
     wire.feed(b"INFO g1 0 0\r\n")
     assert again(rig, wire) == b""
--- a/tests/races/test_idempotency_across_events.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -108,7 +108,7 @@
                 kernel.reap(1, "cancelled", b"")
                 assert await other.word(2) == "error"
         assert kernel.count("SCHED", 1) + kernel.count("SCHED", 2) == 1 and caller.count(1) == 0
-        await until(lambda: place.core.in_hand == 0)
+        await until(lambda: place.core.in_flight == 0)
         again = await place.call()
         book(again, 1, 3)  # what has run is never refused
         assert await again.word(1) == ("done" if where in ("held", "running") else "error")
@@ -162,7 +162,7 @@
         assert (caller.count(1), caller.count(2)) == (0, 1) and place.kernel.count("SCHED", 1) == 0
         caller.reset()
         await until(lambda: len(place.node.resp.connections) == 0)
-        assert place.core.in_hand == 0 and place.core._controller.state.entries.memory_kb == 0
+        assert place.core.in_flight == 0 and place.core._controller.state.entries.memory_kb == 0
 
     at(tmp_path, run)
 
@@ -250,7 +250,7 @@
             said = b"renew n1 yes" if word == "healthy" else b"renew n1 no"
             await until(lambda: place.reports.seen[-1] == said)
 
-        duty = place.core.duty
+        duty = place.core.serving_state
         await both("healthy")
         duty.quiesce()
         place.node.serving_state_changed()
@@ -280,7 +280,7 @@
         assert await caller.word(1) == "error"
         caller.ask(2, "book", tenant="north", once="k")
         await served(place, caller, 2, 2)
-        assert caller.count(1) == 1 and len(place.kernel.commands) == 1 and place.core.in_hand == 0
+        assert caller.count(1) == 1 and len(place.kernel.commands) == 1 and place.core.in_flight == 0
 
     at(tmp_path, run)
 
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -5,7 +5,7 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.idempotency import KeyTable, Known, digest_of, label, read_label
+from marlstep.core.idempotency import KeyRecord, KeyTable, body_digest, decode_label, encode_label
 from marlstep.frontends.resp import RespConnection
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
@@ -98,22 +98,22 @@
     table = KeyTable()
     for number in range(100):
         now = START + number * SECOND
-        table.keep(("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
+        table.retain(("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
     assert len(table) <= 3
     # A later window for the same name outlives the end of the one before.
-    table.keep(("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
-    table.keep(("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
+    table.retain(("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
+    table.retain(("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
     assert table.find(("book", "k99"), START + 111 * SECOND) is not None
 
 
 def test_other_processes_hear_the_digest_and_those_that_know_none_still_know_the_try() -> None:
-    one = label("9b1f03aa5c7e2d41", digest_of(b"body"))
-    assert read_label(one) == ("9b1f03aa5c7e2d41", digest_of(b"body"))
-    assert read_label("uwsgi~7") == ("uwsgi~7", "") and label("r1", "") == "r1"
+    one = encode_label("9b1f03aa5c7e2d41", body_digest(b"body"))
+    assert decode_label(one) == ("9b1f03aa5c7e2d41", body_digest(b"body"))
+    assert decode_label("uwsgi~7") == ("uwsgi~7", "") and encode_label("r1", "") == "r1"
     assert (
-        Known("r1", digest="a").is_of("")
-        and Known("r1").is_of("a")
-        and not Known("r1", digest="a").is_of("b")
+        KeyRecord("r1", digest="a").matches_body("")
+        and KeyRecord("r1").matches_body("a")
+        and not KeyRecord("r1", digest="a").matches_body("b")
     )
 
 
@@ -136,11 +136,11 @@
         desk.feed(wire, write_frame(b"FORGET", b"%d" % tag))  # twice
     desk.ended(3)
     desk.ended(1, b"", Outcome.CANCELLED)
-    assert wire.take() == b"" and desk.core.in_hand == 0 and desk.core.unanswered == 0
+    assert wire.take() == b"" and desk.core.in_flight == 0 and desk.core.unanswered == 0
     assert [desk.starts(id) for id in (1, 2, 3, 4)] == [1, 1, 1, 0]
     wire.close()  # the reset behind it gives nothing back twice
     desk.clock.settle()
-    assert desk.core.in_hand == 0 and len(desk.front.connections) == 0
+    assert desk.core.in_flight == 0 and len(desk.front.connections) == 0
 
 
 def test_taking_back_what_was_answered_breaks_no_connection_and_asking_for_it_without_end_does() -> None:
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -333,7 +333,7 @@
         assert place.kernel.classes[f"{1:016x}"] == other
         module = place.core._controller
         assert (
-            place.core.in_hand == 0
+            place.core.in_flight == 0
             and module.state.entries.memory_kb == 0
             and module.state.entries.count_unfinished() == 0
         )
@@ -454,7 +454,7 @@
         place.kernel.reap(1, body=b"late")
         place.kernel.reap(2, body=b"mine")
         assert await second.answer(1) == [b"done", b"mine"] and second.count(1) == 1
-        await until(lambda: place.core.in_hand == 0)
+        await until(lambda: place.core.in_flight == 0)
 
     at(tmp_path, run)
 
@@ -530,7 +530,7 @@
         place.kernel.reap(2, body=b"y" * 60_000)
         await until(lambda: old.clogged)
         old.idle()
-        old.leave()  # the cut comes 0.2 s after
+        old.drain()  # the cut comes 0.2 s after
         if how == "reset":
             first.reset()
         else:
@@ -545,7 +545,7 @@
         await place.step(650)  # the cut has come, and come again
         place.kernel.reap(9, body=b"mine")
         assert await second.answer(3) == [b"done", b"mine"] and second.count(3) == 1
-        await until(lambda: place.core.in_hand == 0)
+        await until(lambda: place.core.in_flight == 0)
 
     at(tmp_path, run)
 
@@ -601,7 +601,7 @@
         await place.kernel.read("SCHED", 2)
         place.kernel.reap(2)
         assert await caller.word(2) == "done" and caller.count(1) == 1
-        await until(lambda: place.core.in_hand == 0)
+        await until(lambda: place.core.in_flight == 0)
 
     at(tmp_path, run, settings=one_core(halt="suspend"))
 
@@ -644,7 +644,7 @@
         await place.step(1_220)  # an open is given up after 1.2 s
         assert await caller.word(1) == "error"
         place.kernel.reap(1, "cancelled", b"")
-        await until(lambda: place.core.in_hand == 0)
+        await until(lambda: place.core.in_flight == 0)
         line.write(b"%016x ROWS 4\r\nrows\r\n" % 1)
         caller.ask(2, "ping")
         await place.kernel.read("SCHED", 2)
@@ -703,7 +703,7 @@
 def test_the_successor_is_lost_before_the_hand_over_is_through(tmp_path: Path) -> None:
     # Guards against a hand-over that closes the door behind a notice to leave that has taken its place.
     async def run(place: Place) -> None:
-        place.core.hand_over(place.node.timeline.now() + 3_700 * MILLISECOND)
+        place.core.begin_hand_over(place.node.timeline.now() + 3_700 * MILLISECOND)
         place.node.drain_controller.successor_lost()
         await place.step(40)
         caller = await place.call()
@@ -771,10 +771,10 @@
         seen = len(place.reports.seen)
         await place.step(700)
         await until(lambda: len(place.reports.seen) >= seen + 2)
-        place.core.duty.quiesce()
+        place.core.serving_state.quiesce()
         place.node.serving_state_changed()
         await until(lambda: place.reports.seen[-1] == b"renew n1 no")
-        place.core.duty.resume()
+        place.core.serving_state.resume()
         place.node.serving_state_changed()
         await until(lambda: place.reports.seen[-1] == b"renew n1 yes")
         await place.terminate()
@@ -827,7 +827,7 @@
     meanwhile: str, where: str, tmp_path: Path
 ) -> None:
     async def run(place: Place) -> None:
-        duty = place.core.duty
+        duty = place.core.serving_state
         if meanwhile == "resume":
             duty.quiesce()
             place.node.serving_state_changed()
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -10,21 +10,21 @@
 from marlstep.components.config_documents import NodeConfigDocuments
 from marlstep.config import ConfigError, check
 from marlstep.config.governed import Governed, part_of
-from marlstep.core.interfaces import Verdict
+from marlstep.core.interfaces import ResponseStatus
 from marlstep.units import ZERO
 from tests.support.node import SETTINGS, Desk, raw_config
 
 
 def test_new_work_is_rejected_while_suspended_and_requests_in_flight_complete() -> None:
     desk = Desk()
-    desk.core.may_take = lambda: True
+    desk.core.accepts_work = lambda: True
     desk.submit(1)
-    desk.core.may_take = lambda: False
+    desk.core.accepts_work = lambda: False
     desk.submit(2)
     assert not desk.core.healthy
-    assert desk.verdicts(2) == [Verdict.REFUSED] and desk.answers[2][0].after > ZERO
+    assert desk.verdicts(2) == [ResponseStatus.REJECTED] and desk.answers[2][0].retry_after > ZERO
     desk.end(1)
-    assert desk.verdicts(1) == [Verdict.DONE] and desk.core.in_hand == 0
+    assert desk.verdicts(1) == [ResponseStatus.DONE] and desk.core.in_flight == 0
 
 
 def test_a_document_is_validated_like_a_file_and_a_differing_file_is_reported() -> None:
@@ -52,12 +52,12 @@
         self.config = check(raw_config(settings=SETTINGS), tenants)
         self.governed: Governed | None = None
         super().__init__()
-        self.core.renew(self.config.settings)
+        self.core.apply_settings(self.config.settings)
         self.documents = NodeConfigDocuments(self, self.core)
 
     def apply_config(self, told: Any) -> None:
         self.config = told
-        self.core.renew(told.settings)
+        self.core.apply_settings(told.settings)
 
 
 def test_a_halved_allowance_applies_at_once_and_narrow_takes_the_smallest() -> None:
@@ -71,16 +71,16 @@
     node.documents.activate("tenants", 2, tenants(5.0))
     for number in range(12, 24):
         node.submit(number, tenant="riad")
-    assert node.core.tenants["riad"].allowance_per_s == 5.0 and node.core.rules == "tenants=2"
+    assert node.core.tenants["riad"].allowance_per_s == 5.0 and node.core.config_versions == "tenants=2"
     node.documents.activate("tenants", 3, tenants(20.0))
     node.documents.restrict()  # cut off: the least that it knows of
     assert node.core.tenants["riad"].allowance_per_s == 5.0
     for number in range(24):
         node.end(number)
     node.clock.advance(60_000)
-    assert all(len(node.answers[number]) == 1 for number in range(24)) and not node.core.in_hand
+    assert all(len(node.answers[number]) == 1 for number in range(24)) and not node.core.in_flight
     read, refused, failed = node.documents.request_counts()
-    done = sum(node.verdicts(number) == [Verdict.DONE] for number in range(24))
+    done = sum(node.verdicts(number) == [ResponseStatus.DONE] for number in range(24))
     assert read == 24 and refused + failed == read - done
     # The module takes an allowance for that of all peers: a part of the whole service's is so much for this node.
     node.documents.activate("tenants", 4, tenants(8.0))
@@ -98,16 +98,16 @@
     swapped = json.loads(json.dumps(SETTINGS))
     swapped["classes"][2].update(name="boiler-cmd", aimUs=400_000, hardLimitUs=2_000_000.0, worth=5.0)
     assert not node.documents.check("settings", json.dumps(swapped))
-    node.core.duty.quiesce()
+    node.core.serving_state.quiesce()
     node.documents.activate("settings", 2, json.dumps(swapped))
-    assert not node.core.healthy and node.core.rules == "settings=2"
-    assert node.core.in_hand > 50  # taken under the version before, and still its own
-    node.core.duty.resume()
+    assert not node.core.healthy and node.core.config_versions == "settings=2"
+    assert node.core.in_flight > 50  # taken under the version before, and still its own
+    node.core.serving_state.resume()
     node.submit(60, "boiler-cmd")
     node.submit(61, "setpoint-cmd")  # gone, but its front end has not heard of it
     for _ in range(3):
         for number in range(62):
             node.end(number)
         node.clock.advance(30_000)
-    assert all(len(node.answers[number]) == 1 for number in range(62)) and not node.core.in_hand
-    assert node.verdicts(60) == [Verdict.DONE]
+    assert all(len(node.answers[number]) == 1 for number in range(62)) and not node.core.in_flight
+    assert node.verdicts(60) == [ResponseStatus.DONE]
--- a/tests/support/crossing.py
+++ b/tests/support/crossing.py
@@ -212,7 +212,7 @@
         self.timeline = TimerQueue(self.waker)
         self.node = Node(self._read(), self.timeline, self._read)
         await self.node.open()
-        await until(lambda: self.core.duty.can_serve and self.reports.seen)
+        await until(lambda: self.core.serving_state.can_serve and self.reports.seen)
         return self
 
     def _read(self) -> Config:
--- a/tests/support/elsewhere.py
+++ b/tests/support/elsewhere.py
@@ -7,7 +7,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.engine import Core, Ports
-from marlstep.frontends.resp import RespConnection, RespFront
+from marlstep.frontends.resp import RespConnection, RespFrontend
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import SECOND, instant_us
@@ -90,8 +90,8 @@
         super().__init__()
         settings = read_settings(elsewhere(**info))
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
-        self.front = RespFront(self.core, self.clock.timeline, self.backend, limit, 15 * SECOND)
-        self.core.add_front(self.front)
+        self.front = RespFrontend(self.core, self.clock.timeline, self.backend, limit, 15 * SECOND)
+        self.core.add_frontend(self.front)
         self.core.start()
         self.clock.settle()
 
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -9,7 +9,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.engine import Core, Ports
-from marlstep.core.interfaces import Answer, Offer, Request, Ticket, Verdict
+from marlstep.core.interfaces import InboundRequest, Request, Response, ResponseHandle, ResponseStatus
 from marlstep.net.eventloop import Address, DialCallback, ProtocolFactory
 from marlstep.net.stream import RingStream
 from marlstep.simulator.configuration import read_settings
@@ -84,7 +84,7 @@
     def abandon(self, request: Request) -> None:
         self.told.append(("abandon", request.id))
 
-    def ask(self) -> None:
+    def request_gauges(self) -> None:
         pass
 
     # As a store.
@@ -92,7 +92,7 @@
     def call(self, request: Request, until: datetime) -> None:
         self.told.append((f"call {request.call_body.decode()}", request.id))
 
-    def give_up(self, request: Request) -> None:
+    def abandon_call(self, request: Request) -> None:
         self.told.append(("give up", request.id))
 
 
@@ -105,14 +105,14 @@
         info = {**SETTINGS["familyInfo"], "cpus": cores}
         settings = read_settings({**SETTINGS, "familyInfo": info, **other})
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
-        self.core.add_front(self)
+        self.core.add_frontend(self)
         self.core.start()
-        self.answers: dict[int, list[Answer]] = {}
+        self.answers: dict[int, list[Response]] = {}
         self.stopped = False
 
     def submit(self, number: int, kind: str = "temp-history", late_ms: float = 0, **other: Any) -> int:
         arrived = self.clock.now() - late_ms * MILLISECOND
-        offer = Offer(f"r{number}", kind, b"body", arrived, **{"kb": 10.0, **other})
+        offer = InboundRequest(f"r{number}", kind, b"body", arrived, **{"memory_kb": 10.0, **other})
         handle = self.core.submit(self, (0, number), self.backend, offer)
         self.clock.settle()
         return handle
@@ -121,13 +121,13 @@
         self.core.run_ended(f"r{number}", outcome, MILLISECOND, result)
         self.clock.settle()
 
-    def verdicts(self, number: int) -> list[Verdict]:
-        return [answer.verdict for answer in self.answers.get(number, [])]
+    def verdicts(self, number: int) -> list[ResponseStatus]:
+        return [answer.status for answer in self.answers.get(number, [])]
 
-    def deliver(self, ticket: Ticket, answer: Answer) -> None:
+    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
         self.answers.setdefault(ticket[1], []).append(answer)
 
-    def limit_idle(self, after: timedelta) -> None:
+    def limit_idle_time(self, after: timedelta) -> None:
         pass
 
     def stop_accepting(self) -> None:
@@ -257,7 +257,7 @@
     def call_ended(self, id: str, outcome: Any, reply: bytes = b"") -> None:
         self.told.append(("called", id, outcome, reply))
 
-    def room(self, pool: str, most: int) -> None:
+    def pool_capacity(self, pool: str, most: int) -> None:
         self.told.append(("room", pool, most))
 
     def gauges(self, values: Any) -> None:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -13,9 +13,9 @@
 from marlstep.admin.door import PATIENCE, Door
 from marlstep.admin.http import BODY_LIMIT, HEAD_LIMIT, HttpConnection
 from marlstep.config import ConfigError, check, load
-from marlstep.core.interfaces import Verdict
-from marlstep.core.serving_state import Duty, State
-from marlstep.frontends.base import NEW_LEAST
+from marlstep.core.interfaces import ResponseStatus
+from marlstep.core.serving_state import ServingPhase, ServingState
+from marlstep.frontends.base import MIN_UNPROVEN_AGE
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
 from tests.support.node import Desk, Wire, raw_config
@@ -29,7 +29,10 @@
         self.told: list[bool] = []
         core = self.desk.core
         self.door = Door(
-            core, self.desk.clock.timeline, lambda: self.told.append(core.duty.wanted), CONNECTIONS
+            core,
+            self.desk.clock.timeline,
+            lambda: self.told.append(core.serving_state.wants_traffic),
+            CONNECTIONS,
         )
 
     def connect(self) -> Wire:
@@ -64,7 +67,7 @@
     assert gate.ask("GET", "/admin/health") == 200  # the process itself is well
     gate.desk.submit(1)
     gate.desk.end(1)
-    assert gate.desk.verdicts(1) == [Verdict.DONE]
+    assert gate.desk.verdicts(1) == [ResponseStatus.DONE]
     for _ in range(2):
         assert gate.ask("POST", "/admin/resume") == 200 and gate.desk.core.healthy
     assert gate.told == [False, False, True, True]
@@ -126,7 +129,7 @@
         if number % 7 == 0:
             assert gate.ask("GET", "/admin/health") == 200
         if number % 50 == 0:
-            gate.desk.clock.advance(NEW_LEAST / MILLISECOND)
+            gate.desk.clock.advance(MIN_UNPROVEN_AGE / MILLISECOND)
     assert len(gate.door.connections) <= CONNECTIONS
     gate.desk.clock.advance(PATIENCE / MILLISECOND)
     assert all(wire.closed for wire in held) and len(gate.door.connections) == 0
@@ -146,24 +149,27 @@
     assert len(gate.door.connections) == 0 and gate.desk.core.healthy
 
 
-ASKED: dict[str, Callable[[Duty], Any]] = {
-    "ready": Duty.ready, "quiesce": Duty.quiesce, "resume": Duty.resume, "leave": Duty.leave,
-}  # fmt: skip
+ASKED: dict[str, Callable[[ServingState], Any]] = {
+    "ready": ServingState.mark_ready,
+    "quiesce": ServingState.quiesce,
+    "resume": ServingState.resume,
+    "leave": ServingState.begin_drain,
+}
 
 
 @FIXED
 @given(st.lists(st.sampled_from(sorted(ASKED)), max_size=8))
 def test_the_state_follows_what_was_asked_last_and_leaving_is_for_good(words: list[str]) -> None:
-    duty, ready, quiesced, left = Duty(), False, False, False
+    duty, ready, quiesced, left = ServingState(), False, False, False
     for word in words:
         told = ASKED[word](duty)
         if word in ("quiesce", "resume"):
             assert told is not left
             quiesced = quiesced if left else word == "quiesce"
         ready, left = ready or word == "ready", left or word == "leave"
-        assert duty.wanted is (not left and not quiesced) and duty.can_serve is (ready and not left)
-        wanted = State.LEAVING if left else State.QUIESCED if quiesced else State.SERVING
-        assert duty.state is (wanted if ready or left else State.STARTING)
+        assert duty.wants_traffic is (not left and not quiesced) and duty.can_serve is (ready and not left)
+        wanted = ServingPhase.LEAVING if left else ServingPhase.QUIESCED if quiesced else ServingPhase.SERVING
+        assert duty.phase is (wanted if ready or left else ServingPhase.STARTING)
 
 
 def test_the_address_of_the_door_comes_from_the_file_or_the_environment(tmp_path: Any) -> None:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -109,7 +109,7 @@
         lost = [[answer for answer in part if b"done" not in answer] for part in (answers[:30], answers[30:])]
         assert lost == [[], []]
         assert set(site.uwsgi.runs.values()) | set(site.kernel.runs.values()) == {1}
-        assert site.node.core.in_hand == 0
+        assert site.node.core.in_flight == 0
 
     on(run)
 
@@ -178,7 +178,7 @@
         await site.uwsgi.reached.wait()
         site.push(1.8 * SECOND)
         assert (await waiting).startswith(b"HTTP/1.1 504 ")
-        while site.node.core.in_hand:
+        while site.node.core.in_flight:
             await asyncio.sleep(0)
 
     on(run)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from marlstep.config import check, load, renewed
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.platform.name_service import EVERY, Naming
+from marlstep.platform.name_service import REPORT_INTERVAL, NameService
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
 from tests.support.node import HandClock, raw_config
@@ -57,7 +57,7 @@
 
 def test_reports_come_so_often_that_a_lost_quarter_of_them_lets_no_entry_lapse() -> None:
     # Guards against a node that falls off the list: an entry lapses after 3 s without a report.
-    in_a_row = (3000 * MILLISECOND) // EVERY
+    in_a_row = (3000 * MILLISECOND) // REPORT_INTERVAL
     assert 0.25**in_a_row < 1e-5
 
 
@@ -79,14 +79,14 @@
 def test_a_socket_that_comes_after_the_address_has_changed_is_closed_and_one_reports() -> None:
     # Guards against reports to an old address, and against two sockets that report side by side.
     clock, here, there = HandClock(), ("127.0.0.1", 1), ("127.0.0.1", 2)
-    naming = Naming("n1", here, clock.timeline)
+    naming = NameService("n1", here, clock.timeline)
     late, first, second = Socket(), Socket(), Socket()
     for address, socket in ((there, late), (here, first), (here, second)):
         naming.opened(address, cast(asyncio.DatagramTransport, socket))
     clock.advance(1_000)
     assert late.closed and first.closed and not late.sent and len(first.sent) == 1
     assert second.sent == [b"renew n1 yes"] * 4
-    naming.leave()
+    naming.report_last()
     clock.advance(1_000)
     assert second.closed and second.sent[4:] == [b"renew n1 no"]
 
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -14,8 +14,8 @@
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
 from marlstep.config import Config, ConfigError, changes, check, load, renewed
-from marlstep.core.engine import RETIRED_FOR, Refused
-from marlstep.core.interfaces import Verdict
+from marlstep.core.engine import RETIRED_CLASS_GRACE, RequestRejectedError
+from marlstep.core.interfaces import ResponseStatus
 from marlstep.node import Node
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
@@ -45,7 +45,7 @@
     desk.submit(4, "setpoint-cmd")  # the second is told to halt for it
     desk.end(2, Outcome.CANCELLED)
     assert [id for what, id in desk.backend.told if what == "start"] == ["r1", "r2", "r4"]
-    desk.core.renew(settings(swapped))
+    desk.core.apply_settings(settings(swapped))
     desk.clock.settle()
     assert desk.core._controller.state.statistics.mean_run_us.keys() == {
         "temp-history",
@@ -57,19 +57,19 @@
     desk.submit(6, "setpoint-cmd")  # gone, but its front end has not heard of it
     for number in (4, 1, 5, 6, 2, 3):
         desk.end(number)
-    assert all(desk.verdicts(number) == [Verdict.DONE] for number in range(1, 7))
-    assert desk.core.in_hand == 0 and desk.core._controller.state.entries.count_unfinished() == 0
+    assert all(desk.verdicts(number) == [ResponseStatus.DONE] for number in range(1, 7))
+    assert desk.core.in_flight == 0 and desk.core._controller.state.entries.count_unfinished() == 0
 
 
 def test_a_class_that_is_gone_is_taken_for_a_while_then_unknown_and_known_again_when_it_returns() -> None:
     desk = Desk()
-    desk.core.renew(settings(swapped))
-    desk.core.renew(settings(swapped))  # the same once more ends no grace
+    desk.core.apply_settings(settings(swapped))
+    desk.core.apply_settings(settings(swapped))  # the same once more ends no grace
     desk.submit(1, "setpoint-cmd")
-    desk.clock.advance(RETIRED_FOR / MILLISECOND + 1)
-    with pytest.raises(Refused, match="unknown class"):
+    desk.clock.advance(RETIRED_CLASS_GRACE / MILLISECOND + 1)
+    with pytest.raises(RequestRejectedError, match="unknown class"):
         desk.submit(2, "setpoint-cmd")
-    desk.core.renew(read_settings(SETTINGS))
+    desk.core.apply_settings(read_settings(SETTINGS))
     desk.submit(3, "setpoint-cmd")
     desk.submit(4, "boiler-cmd")
 
@@ -78,7 +78,7 @@
     desk = Desk(cores=1)
     for number, kind in ((1, "setpoint-cmd"), (2, "boiler-cmd")):
         desk.submit(number, kind)
-        desk.core.renew(settings(swapped))
+        desk.core.apply_settings(settings(swapped))
         desk.clock.settle()
     dues = [request.due - desk.clock.now() for request in desk.core._requests]
     assert dues == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
@@ -99,7 +99,7 @@
         controller.state.callers.heard,
     )
     assert learnt[0] > 0
-    desk.core.renew(settings(lambda told: told["classes"][0].update(worth=2.0)))
+    desk.core.apply_settings(settings(lambda told: told["classes"][0].update(worth=2.0)))
     desk.clock.settle()
     assert (
         controller.state.statistics.mean_run_us["temp-history"],
@@ -107,7 +107,7 @@
         controller.state.callers.heard,
     ) == learnt
     assert controller.parts.concurrency.limit == 9.0
-    desk.core.renew(settings(lambda told: told["rules"].update(fallMultiple=2.0)))
+    desk.core.apply_settings(settings(lambda told: told["rules"].update(fallMultiple=2.0)))
     desk.clock.settle()
     assert controller.parts.concurrency.limit == 4.0  # the crowd that it survives now
 
@@ -115,13 +115,13 @@
 def test_an_allowance_changed_by_the_administration_stays_until_the_file_says_otherwise() -> None:
     rows = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
     desk = Desk(realms=rows)
-    desk.core.allow("riad", 7.0)
+    desk.core.set_allowance("riad", 7.0)
     for per_s, wanted in ((2.0, 7.0), (3.0, 3.0)):
         told = [{**rows[0], "allowancePerS": per_s}, {"name": "souk", "portion": 0.1, "allowancePerS": 1.0}]
-        desk.core.renew(read_settings({**SETTINGS, "realms": told}))
+        desk.core.apply_settings(read_settings({**SETTINGS, "realms": told}))
         desk.clock.settle()
         assert desk.core._controller.state.quotas_per_s == {"riad": wanted, "souk": 1.0}
-    desk.core.renew(read_settings(SETTINGS))
+    desk.core.apply_settings(read_settings(SETTINGS))
     assert not desk.core.tenants and not desk.core.tenant_counts
 
 
@@ -212,7 +212,7 @@
         desk.ask(wire, tag, kind, once=f"k{tag}")
     module = desk.core._controller
     for factor, key_kb in ((3.0, 50.0), (12.0, 1.0)):
-        desk.core.renew(read_settings(elsewhere(cpus=1, keyKb=key_kb, runMemFactor=factor)))
+        desk.core.apply_settings(read_settings(elsewhere(cpus=1, keyKb=key_kb, runMemFactor=factor)))
         desk.clock.settle()
         running = desk.starts(1) + desk.starts(2) + desk.starts(3) + desk.starts(4)
         assert module.state.entries.memory_kb == factor * running + (4 - running) + 2 * key_kb
@@ -232,7 +232,7 @@
         desk.ask(wire, 1, "book", once="k")
         desk.ended(1)
         told["classes"][2]["repeatWindowUs"] = window_us
-        desk.core.renew(read_settings(told))
+        desk.core.apply_settings(read_settings(told))
         desk.clock.advance(wait_ms)
         desk.ask(desk.connect(), 1, "book", id=2, once="k")
         assert desk.starts(2) == runs
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -23,7 +23,7 @@
 from marlstep.config import check
 from marlstep.config.readers import ConfigError
 from marlstep.config.traces import check_trace
-from marlstep.core.interfaces import Verdict
+from marlstep.core.interfaces import ResponseStatus
 from marlstep.standins.cores import Machine, Plan, Sharing, ran, read_plan
 from marlstep.standins.servers import StandIns, account
 from marlstep.traces.formats import named
@@ -323,7 +323,9 @@
 @FIXED
 @given(
     st.lists(
-        st.tuples(st.sampled_from(KINDS), st.lists(st.sampled_from(list(Verdict)), min_size=1, max_size=8)),
+        st.tuples(
+            st.sampled_from(KINDS), st.lists(st.sampled_from(list(ResponseStatus)), min_size=1, max_size=8)
+        ),
         min_size=1,
         max_size=6,
     ),
@@ -331,7 +333,7 @@
     st.integers(0, 900_000),
 )
 def test_a_setpoint_is_tried_again_only_where_it_never_ran(
-    works: list[tuple[str, list[Verdict]]], retries: Retries, after: int
+    works: list[tuple[str, list[ResponseStatus]]], retries: Retries, after: int
 ) -> None:
     one = campaign(retries)
     for number, (kind, verdicts) in enumerate(works):
@@ -346,8 +348,12 @@
             now = following.at_us + 1_000
             one.sent(following, following.at_us)
             last, following = following, one.answered(following.id, verdict, now, after)
-            done = verdict is Verdict.DONE
-            if done or retries is Retries.NONE or (kind == "setpoint-cmd" and verdict is not Verdict.REFUSED):
+            done = verdict is ResponseStatus.DONE
+            if (
+                done
+                or retries is Retries.NONE
+                or (kind == "setpoint-cmd" and verdict is not ResponseStatus.REJECTED)
+            ):
                 assert following is None
             assert one.answered(last.id, verdict, now) is None
     assert one.counts["twice"] == one.counts["answered"] and one.counts["sent"] >= len(works)
@@ -359,10 +365,10 @@
     plans = [Planned(0, "setpoint-cmd", "a", 100, 1), Planned(0, "temp-history", "b", 300, 1)]
     plans += [Planned(0, "temp-history", "b", 300, 1), Planned(0, "schedule-save", "b", 100, 1)]
     tries = [one.begin(number, planned) for number, planned in enumerate(plans)]
-    one.answered(tries[0].id, Verdict.DONE, 1_000)
-    one.answered(tries[1].id, Verdict.DONE, 1_000, poor=True)
-    one.answered(tries[2].id, Verdict.DONE, 2_700_000)  # after its aim
-    one.answered(tries[3].id, Verdict.REFUSED, 1_000)
+    one.answered(tries[0].id, ResponseStatus.DONE, 1_000)
+    one.answered(tries[1].id, ResponseStatus.DONE, 1_000, poor=True)
+    one.answered(tries[2].id, ResponseStatus.DONE, 2_700_000)  # after its aim
+    one.answered(tries[3].id, ResponseStatus.REJECTED, 1_000)
     assert one.figures.whole.service == (300 + 180) / (300 + 300 + 300 + 100)
     assert one.figures.report()["by_class"] == {
         "schedule-save": 0.0,
--- a/tests/test_resource_budget.py
+++ b/tests/test_resource_budget.py
@@ -8,7 +8,7 @@
 import pytest
 
 from marlstep.config import check
-from marlstep.core.engine import MOST_REQUESTS
+from marlstep.core.engine import MAX_REQUESTS
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.resource_budget import ResourceBudget, resource_budget
@@ -18,7 +18,7 @@
 
 @pytest.mark.parametrize(
     ("memory_mb", "sockets", "connections", "requests"),
-    [(32, 384, 320, 1228), (24, 384, 128, 409), (192, 512, 448, MOST_REQUESTS), (192, 64, 16, MOST_REQUESTS)],
+    [(32, 384, 320, 1228), (24, 384, 128, 409), (192, 512, 448, MAX_REQUESTS), (192, 64, 16, MAX_REQUESTS)],
 )
 def test_the_tables_fit_the_machine_that_the_configuration_names(
     memory_mb: int, sockets: int, connections: int, requests: int
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,7 +15,7 @@
 from marlstep.admin.http import HttpConnection
 from marlstep.cli.main import call
 from marlstep.config import ConfigError, check
-from marlstep.core.interfaces import Verdict
+from marlstep.core.interfaces import ResponseStatus
 from marlstep.traces import tenants
 from marlstep.traces.reading import Account
 from marlstep.traces.rows import Arrival
@@ -108,7 +108,7 @@
     assert office.ask("POST", "/v1/drain")[0] == 202 and office.drained == 1
     assert office.ask("GET", "/v1/health")[1]["draining"]
     office.desk.submit(1, late_ms=-2600)
-    assert office.desk.verdicts(1) == [Verdict.REFUSED]
+    assert office.desk.verdicts(1) == [ResponseStatus.REJECTED]
 
 
 @FIXED
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.core.interfaces import Verdict
-from marlstep.load_balancing.estimators import LimitSettings
-from marlstep.load_balancing.outlier_detection import HealthSettings, State
-from marlstep.load_balancing.pool_plan import Plan, pool_of
+from marlstep.core.interfaces import ResponseStatus
+from marlstep.load_balancing.estimators import ConcurrencyLimitSettings
+from marlstep.load_balancing.outlier_detection import OutlierSettings, ServerState
+from marlstep.load_balancing.pool_plan import PoolPlan, pool_of
 from marlstep.load_balancing.server_table import PoolSettings, Server
 from marlstep.net.eventloop import Address
 from marlstep.units import MILLISECOND, SECOND
@@ -22,7 +22,7 @@
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 FULL = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
-QUICK = HealthSettings(slow_start=MILLISECOND)
+QUICK = OutlierSettings(slow_start=MILLISECOND)
 
 
 def servers(*ports: int) -> tuple[Address, ...]:
@@ -35,8 +35,8 @@
     def __init__(self, *ports: int, **plan: Any) -> None:
         self.desk = Desk(cores=8)
         self.dial = HandDial()
-        self.plan = Plan("p", servers(*(ports or (1, 2, 3))), refuses=(503,), **plan)
-        settings = PoolSettings(LimitSettings(least=1, start=2), QUICK)
+        self.plan = PoolPlan("p", servers(*(ports or (1, 2, 3))), refuses=(503,), **plan)
+        settings = PoolSettings(ConcurrencyLimitSettings(least=1, start=2), QUICK)
         core = self.desk.core
         self.upstream = Upstream(
             (self.plan,), self.desk.clock.timeline, lambda: core, 4096, 1, settings, self.dial
@@ -85,7 +85,7 @@
     yard.reply(yard.dial.accept(), FULL)
     ports.append(yard.port)
     yard.reply(yard.dial.accept())
-    assert sorted(ports) == [1, 2, 3] and yard.desk.verdicts(1) == [Verdict.DONE]
+    assert sorted(ports) == [1, 2, 3] and yard.desk.verdicts(1) == [ResponseStatus.DONE]
     counts = yard.upstream.pools["p"].counts
     assert (counts["attempts"], counts["again"], counts["not reached"], counts["refused"]) == (3, 2, 1, 1)
 
@@ -95,7 +95,7 @@
     yard.send(1, "setpoint-cmd")
     for _ in range(3):
         yard.refuse()
-    assert yard.desk.verdicts(1) == [Verdict.REFUSED] and not yard.dial.waiting
+    assert yard.desk.verdicts(1) == [ResponseStatus.REJECTED] and not yard.dial.waiting
 
 
 def test_a_setpoint_that_may_have_reached_a_server_is_never_sent_again() -> None:
@@ -105,7 +105,7 @@
     assert wire.written
     wire.close()
     yard.settle()
-    assert yard.desk.verdicts(1) == [Verdict.FAILED] and not yard.dial.waiting
+    assert yard.desk.verdicts(1) == [ResponseStatus.FAILED] and not yard.dial.waiting
 
 
 def test_safe_work_is_sent_again_once_and_then_fails_even_where_the_last_server_refused_it() -> None:
@@ -121,7 +121,7 @@
             yard.reply(wire, FULL)
             yard.refuse()
         yard.settle()
-        assert yard.desk.verdicts(1) == [Verdict.FAILED] and not yard.dial.waiting
+        assert yard.desk.verdicts(1) == [ResponseStatus.FAILED] and not yard.dial.waiting
 
 
 def test_a_connection_that_does_not_come_is_given_up_in_time_and_one_that_comes_late_carries_nothing() -> (
@@ -134,7 +134,7 @@
     late = Wire(make())  # type: ignore[arg-type]
     assert late.closed and not late.written
     yard.reply(yard.dial.accept())
-    assert yard.desk.verdicts(1) == [Verdict.DONE]
+    assert yard.desk.verdicts(1) == [ResponseStatus.DONE]
 
 
 def test_work_beyond_the_room_of_the_pool_waits_in_the_module_by_worth() -> None:
@@ -158,17 +158,17 @@
     yard = Yard(1)
     yard.send(1, "setpoint-cmd")
     wire = yard.dial.accept()
-    yard.upstream.move((Plan("p", servers(2)),))
+    yard.upstream.set_plans((PoolPlan("p", servers(2)),))
     yard.settle()
     yard.send(2, "setpoint-cmd")
     assert yard.port == 2
     yard.reply(wire)
-    assert yard.desk.verdicts(1) == [Verdict.DONE] and list(yard.upstream.pools["p"].addresses) == [
+    assert yard.desk.verdicts(1) == [ResponseStatus.DONE] and list(yard.upstream.pools["p"].addresses) == [
         "127.0.0.1:2"
     ]
-    yard.upstream.move((Plan("q", servers(4)),))
+    yard.upstream.set_plans((PoolPlan("q", servers(4)),))
     yard.reply(yard.dial.accept())
-    assert yard.desk.verdicts(2) == [Verdict.DONE]
+    assert yard.desk.verdicts(2) == [ResponseStatus.DONE]
 
 
 def test_a_server_that_tells_another_life_is_known_for_nothing_of_the_last() -> None:
@@ -195,17 +195,21 @@
             else:
                 busy.append(yard.dial.accept())
         yard.settle()
-    assert yard.server(2).health.state is State.EJECTED and len(busy) == 4
+    assert yard.server(2).health.state is ServerState.EJECTED and len(busy) == 4
     for wire in busy:
         yard.reply(wire)
     answered = [verdict for number in range(1, 12) for verdict in yard.desk.verdicts(number)]
-    assert Counter(answered)[Verdict.DONE] == 4 and Counter(answered)[Verdict.REFUSED] >= 3  # none failed
+    assert (
+        Counter(answered)[ResponseStatus.DONE] == 4 and Counter(answered)[ResponseStatus.REJECTED] >= 3
+    )  # none failed
     yard.desk.clock.advance(2_000)
     yard.send(12)
     assert yard.port == 2  # the probe
     while yard.dial.waiting:
         yard.reply(yard.dial.accept())
-    assert yard.server(2).health.state is State.HEALTHY and yard.desk.verdicts(12) == [Verdict.DONE]
+    assert yard.server(2).health.state is ServerState.HEALTHY and yard.desk.verdicts(12) == [
+        ResponseStatus.DONE
+    ]
 
 
 @FIXED
@@ -234,18 +238,18 @@
             case "wait":
                 yard.desk.clock.advance(700)
             case "gone" if handles:
-                yard.desk.core.client_gone(handles.pop())
+                yard.desk.core.client_disconnected(handles.pop())
         yard.desk.clock.settle()
     yard.desk.clock.advance(12_000)
     gone = number - len(handles)
     answered = [len(yard.desk.verdicts(one)) for one in range(1, number + 1)]
     assert max(answered, default=0) <= 1 and answered.count(0) <= gone
-    assert yard.desk.core.in_hand == 0 and not yard.upstream._runs
+    assert yard.desk.core.in_flight == 0 and not yard.upstream._runs
     assert all(server.in_flight == 0 for server in yard.upstream.pools["p"].table)
 
 
 def test_the_pool_of_a_class_is_the_one_that_lists_it_or_the_one_that_lists_none() -> None:
-    plans = (Plan("a", servers(1), ("x",)), Plan("b", servers(2)))
+    plans = (PoolPlan("a", servers(1), ("x",)), PoolPlan("b", servers(2)))
     assert Counter(pool_of(plans, kind) for kind in ("x", "y", "z")) == {"b": 2, "a": 1}
 
 
@@ -254,7 +258,7 @@
     table = yard.upstream.pools["p"].table
     server = yard.server(1)
     for _ in range(5):
-        table.begun(server.handle)
+        table.attempt_started(server.handle)
         table.failed(server.handle, yard.desk.clock.now(), MILLISECOND)
     assert table.capacity(yard.desk.clock.now()) == 4
     assert table.capacity(yard.desk.clock.now() + 2 * SECOND) == 5  # the probe
