--- a/tests/support/crossing.py
+++ b/tests/support/crossing.py
@@ -20,8 +20,8 @@
 import uvloop
 
 from marlstep.config import Config, check, load
-from marlstep.fronts.resp import RespConnection
-from marlstep.fronts.resp_wire import FrameReader, write_frame
+from marlstep.frontends.resp import RespConnection
+from marlstep.frontends.resp_wire import FrameReader, write_frame
 from marlstep.net.ring import Ring
 from marlstep.node import Node
 from marlstep.timer_queue import TimerQueue
@@ -212,7 +212,7 @@
         self.timeline = TimerQueue(self.waker)
         self.node = Node(self._read(), self.timeline, self._read)
         await self.node.open()
-        await until(lambda: self.core.duty.can_serve and self.reports.seen)
+        await until(lambda: self.core.serving_state.can_serve and self.reports.seen)
         return self
 
     def _read(self) -> Config:
