--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -1,4 +1,4 @@
-"""Three nodes of a fleet, each of a version of its own: their files, their stores and their processes."""
+"""A cluster of three nodes, each of a version of its own: their files, their stores and their processes."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks.mixed.errors import ExitCodeError
 from benchmarks.mixed.http_client import HttpAddress
 from benchmarks.mixed.server_process import Launch, LogFindings, ServerProcess, read_log
 from benchmarks.mixed.upgrade_site import PLATFORM_CONFIG
-from benchmarks.mixed.versions import CheckFailed, Version
+from benchmarks.mixed.versions import Version
 from marlstep.drill.links import Ports
 from marlstep.drill.witness import Witness
 from marlstep.standins.servers import StandIns
 
 NAMES = ("n1", "n2", "n3")
-TERM_MS = 1_500
-RULES_LEASE_MS = 1_500
+LEASE_TERM_MS = 1_500
+DOCUMENTS_LEASE_MS = 1_500
 UNSAFE_TASK = "report"  # its class must not be repeated
 TASKS: dict[str, dict[str, Any]] = {
     "sweep": {"every_ms": 250, "class": "schedule-save", "longest_ms": 250},
@@ -27,22 +28,24 @@
     UNSAFE_TASK: {"every_ms": 300, "class": "setpoint-cmd", "longest_ms": 250},
 }
 DOCUMENTS = ("settings", "tenants", "servers")  # each of the kind that it is named after
-TENANTS = {"north": 40.0, "south": 20.0}  # allowances a second of the whole service
+TENANTS = {"north": 40.0, "south": 20.0}  # quotas per second of the whole service
 CORES, CALL_US = 2.0, 5_000
 DRAIN_GRACE_US = 300_000
-# An elder gives the node's address up just before its store: its successor may look in between, and looks again.
+# A predecessor closes the node's address just before its store: the successor may open the store in between,
+# and retries. The text stands in the error, whatever the log line around it says in either version.
 STORE_IN_USE = re.compile(r"voter\.sqlite is in use by another process")
 
 
 class FleetNode:
-    """One node over its lives: the processes change, addresses and store stay."""
+    """One node over its restarts: the processes change, addresses and store stay."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
+        """Create the node's folders and reserve its addresses."""
         self.cluster, self.name = cluster, name
         self.folder = cluster.folder / name
         self.store = self.folder / "store"
-        self.meeting_folder = self.folder / "tmp"
-        self.meeting_folder.mkdir(parents=True)
+        self.temporary_folder = self.folder / "tmp"
+        self.temporary_folder.mkdir(parents=True)
         self.fleet_port, self.uwsgi_port, admin_port = (cluster.ports.take() for _ in range(3))
         self.admin = HttpAddress("127.0.0.1", admin_port, cluster.token)
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=128)
@@ -51,15 +54,16 @@
 
     @property
     def process(self) -> ServerProcess:
-        """The one that was started last."""
+        """The process that was started last."""
         return self.processes[-1]
 
     @property
     def version(self) -> Version:
+        """The version of the process that was started last."""
         return self.process.version
 
     def write_operator(self) -> None:
-        """The operator's file: the same for all versions that run this node."""
+        """Write the operator's file: the same for all versions that run this node."""
         self.operator.write_text("\n".join(self._operator_lines()) + "\n")
 
     def _operator_lines(self) -> list[str]:
@@ -79,7 +83,7 @@
             f"voters = {json.dumps(NAMES)}",
             f'key_file = "{cluster.folder / "key"}"',
             f'store = "{self.store}"',
-            f"term_ms = {TERM_MS}",
+            f"term_ms = {LEASE_TERM_MS}",
             "patience_ms = 400",
             "beat_ms = 80",
             "[fleet.nodes]",
@@ -88,7 +92,7 @@
             "probation_ms = 500",
             f'zone = "zone-{self.name}"',
             "[fleet.rules]",
-            f"lease_ms = {RULES_LEASE_MS}",
+            f"lease_ms = {DOCUMENTS_LEASE_MS}",
             "shares = true",
         ]
         for kind in DOCUMENTS:
@@ -96,72 +100,84 @@
         for task, row in TASKS.items():
             lines.append(f"[fleet.tasks.{task}]")
             lines += [f"{key} = {json.dumps(value)}" for key, value in row.items()]
-        for tenant, allowance in TENANTS.items():
-            lines += [f"[tenants.{tenant}]", "share = 0.5", f"allowance_per_s = {allowance}"]
+        for tenant, quota in TENANTS.items():
+            lines += [f"[tenants.{tenant}]", "share = 0.5", f"allowance_per_s = {quota}"]
         return lines
 
-    def write_config(self, addresses: dict[str, str], door: HttpAddress, path: Path) -> None:
+    def write_config(self, addresses: dict[str, str], health_endpoint: HttpAddress, path: Path) -> None:
+        """Write the platform's configuration of one process; `addresses` are those of its emulators."""
         config = {
             **self.cluster.config,
             "name": self.name,
             "listen": f"127.0.0.1:{self.listening.getsockname()[1]}",
-            "mgmt": f"{door.host}:{door.port}",
+            "mgmt": f"{health_endpoint.host}:{health_endpoint.port}",
             "kernel": addresses["kernel"],
             "db": addresses["db"],
         }
         path.write_text(json.dumps(config))
 
     async def start(self, version: Version) -> ServerProcess:
-        """A process of that version, beside the one that runs or in its place; returns when it is ready."""
+        """Start a process of that version, beside the running one or after it; return when it is ready.
+
+        Raises CheckFailedError.
+        """
         number = len(self.processes) + 1
-        stand_ins = StandIns(CORES, 1.0, CALL_US)
-        await stand_ins.open()
-        self.cluster.stand_ins.append(stand_ins)
-        door = HttpAddress("127.0.0.1", self.cluster.ports.take())
+        emulators = StandIns(CORES, 1.0, CALL_US)
+        await emulators.open()
+        self.cluster.emulators.append(emulators)
+        health_endpoint = HttpAddress("127.0.0.1", self.cluster.ports.take())
         config = self.folder / f"config-{number}.json"
-        self.write_config(stand_ins.addresses, door, config)
+        self.write_config(emulators.addresses, health_endpoint, config)
         log = self.folder / f"{self.name}-{number}-{version.label}.log"
-        launch = Launch(config, self.listening, self.meeting_folder, door, log, self.operator)
+        launch = Launch(config, self.listening, self.temporary_folder, health_endpoint, log, self.operator)
         process = ServerProcess(version, launch)
         self.processes.append(process)
         await process.start()
         await process.wait_ready()
         return process
 
-    async def make_group(self, version: Version) -> None:
-        """The first voter of a new group, by that version's own command."""
+    async def init_group(self, version: Version) -> None:
+        """Create a new group with this node as its first voter, by that version's own command.
+
+        Raises CheckFailedError.
+        """
         config = self.folder / "config-0.json"
         self.write_config({"kernel": "127.0.0.1:1", "db": "127.0.0.1:1"}, HttpAddress("127.0.0.1", 1), config)
         await version.run("fleet", "init", "--config", str(config), "--operator", str(self.operator))
 
     async def kill(self) -> None:
+        """Kill the process that was started last."""
         await self.process.kill()
 
     async def drain(self) -> None:
-        """The notice to leave, without a process that comes after this one. Raises CheckFailed."""
+        """Send SIGTERM, without a successor process, and wait for the end. Raises CheckFailedError."""
         code = await self.process.terminate()
         if code:
-            raise CheckFailed(f"{self.name} ended with {code} after the notice to leave")
+            raise ExitCodeError(self.name, code, "after SIGTERM")
 
     async def restart(self) -> None:
-        """Killed and started again, of the same version."""
+        """Kill the process and start another of the same version. Raises CheckFailedError."""
         version = self.version
         await self.kill()
         await self.start(version)
 
     async def upgrade(self, version: Version) -> None:
-        """A process of that version takes over from the one that runs. Raises CheckFailed."""
-        elder = self.process
+        """Let a process of that version take over from the running one. Raises CheckFailedError."""
+        predecessor = self.process
         self.cluster.successors.append(await self.start(version))
-        code = await elder.terminate()
+        code = await predecessor.terminate()
         if code:
-            raise CheckFailed(f"the elder process of {self.name} ended with {code}")
+            raise ExitCodeError(predecessor.launch.log.stem, code, "after SIGTERM beside its successor")
 
 
 class Cluster:
-    """Use as a context: nothing that it started outlives it."""
+    """All nodes and the server of their tasks.
+
+    A context manager: no process that it started outlives it.
+    """
 
     def __init__(self, folder: Path, checkout: Path, seed: int) -> None:
+        """Prepare the cluster. The platform's configuration is that of the checkout."""
         self.folder = folder
         self.token = secrets.token_hex(16)
         self.config: dict[str, Any] = json.loads((checkout / PLATFORM_CONFIG).read_text())
@@ -169,11 +185,12 @@
         self.config["naming"] = None
         self.ports = Ports()
         self.witness = Witness(seed)
-        self.stand_ins: list[StandIns] = []
+        self.emulators: list[StandIns] = []
         self.nodes: dict[str, FleetNode] = {}
         self.successors: list[ServerProcess] = []  # that took over from a process that served
 
     async def __aenter__(self) -> Cluster:
+        """Write the files of all nodes and open the server of their tasks; no node is started."""
         (self.folder / "token").write_text(self.token)
         (self.folder / "key").write_text(secrets.token_hex(32))
         await self.witness.open(self.ports.take())
@@ -184,25 +201,31 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """Kill all processes and close all sockets."""
         for process in self.processes:
             if process.running:
                 await process.kill()
         await self.witness.close()
-        for stand_ins in self.stand_ins:
-            stand_ins.close()
+        for emulators in self.emulators:
+            emulators.close()
         for node in self.nodes.values():
             node.listening.close()
         self.ports.close()
 
     @property
     def processes(self) -> list[ServerProcess]:
+        """All processes that were started, by node."""
         return [process for node in self.nodes.values() for process in node.processes]
 
     def others(self, node: FleetNode) -> list[FleetNode]:
-        return [one for one in self.nodes.values() if one is not node]
+        """Return all nodes but this."""
+        return [other for other in self.nodes.values() if other is not node]
 
     def logs(self) -> dict[str, LogFindings]:
-        """Only a process that took over from another may have found the store still in use."""
+        """Read the logs of all processes.
+
+        Only a process that took over from another may have found the store still in use.
+        """
         return {
             process.launch.log.stem: read_log(
                 process.launch.log, STORE_IN_USE if process in self.successors else None
--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""A fleet of three nodes, one of them of another version than the two others."""
+"""A cluster of three nodes, one of them of another version than the two others."""
 
 from __future__ import annotations
 
@@ -9,26 +9,31 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
 from benchmarks.mixed.cluster import DOCUMENTS, NAMES, TASKS, UNSAFE_TASK, Cluster, FleetNode
+from benchmarks.mixed.errors import (
+    CallFailedError,
+    CheckFailedError,
+    CommandRejectedError,
+    NotElectedError,
+)
 from benchmarks.mixed.fleet_client import (
     all_vote,
-    ask,
-    ask_all,
     documents_agree,
+    fetch,
+    fetch_all,
     find_leader,
     members_agree,
-    order,
-    parts_fit,
     put_document,
+    quotas_fit,
     read_document,
+    submit_command,
 )
-from benchmarks.mixed.http_client import CallFailed
+from benchmarks.mixed.http_client import JsonObject
 from benchmarks.mixed.scenario import Result, run_scenario
 from benchmarks.mixed.server_process import wait_until
 from benchmarks.mixed.task_record import count_crossings, judge_acts, latest
-from benchmarks.mixed.versions import CheckFailed, Version
+from benchmarks.mixed.versions import Version
 from marlstep.drill.witness import clock_us
 
 SCENARIO_TIMEOUT_S = 100.0
@@ -36,69 +41,71 @@
 AGREES_WITHIN_S = 12.0
 MOVES_WITHIN_S = 12.0
 LEADS_WITHIN_S = 8.0
-MOST_ELECTIONS = 8  # until the node that is wanted has come to lead
+MAX_ELECTIONS = 8  # until the wanted node leads
 FILLS_WITHIN_S = 20.0
-FILLERS = 8  # that ask for entries of the log at the same time, at each node
-TOO_MANY_S = 0.01  # pause of one whose order was not taken
+FILLERS = 8  # tasks at each node that write entries of the log at the same time
+REJECTED_PAUSE_S = 0.01  # pause of a filler whose command was rejected
 KEPT_BEHIND_SNAPSHOT = 500  # entries of the log: one that lags by more gets the snapshot
-UNREADABLE = (
-    "corrupt",
-    "corrupt datagrams",
-    "another fleet",
-    "another group",
-    "too large",
-)  # counts of a node
-WHOLE_ALLOWANCE = 1_000_000  # parts of an allowance are millionths
+# A node's counters of messages that it could not read.
+UNREADABLE = ("corrupt", "corrupt datagrams", "another fleet", "another group", "too large")
+FULL_QUOTA = 1_000_000  # shares of a quota are millionths
 UNSAFE = frozenset({UNSAFE_TASK})
 OLD_TO_NEW, NEW_TO_OLD = "old to new", "new to old"
 
 
 @dataclass(slots=True)
 class Run:
-    """One fleet under test. `odd` is the node whose version the two others do not have."""
+    """One cluster under test. `odd` is the node whose version the two others do not have."""
 
     cluster: Cluster
     result: Result
     odd: FleetNode
     odd_version: Version
-    even_version: Version
+    majority_version: Version
     versions: dict[str, int] = field(default_factory=dict)  # of the documents in force
     version_of: dict[str, str] = field(default_factory=dict)  # of each process, by its name in the fleet
 
     @property
     def nodes(self) -> list[FleetNode]:
+        """All nodes."""
         return list(self.cluster.nodes.values())
 
     @property
-    def evens(self) -> list[FleetNode]:
+    def majority(self) -> list[FleetNode]:
+        """The two nodes of the same version."""
         return self.cluster.others(self.odd)
 
-    async def look_at_processes(self) -> None:
-        """Which process is of which version, and whether any of them could not read another's messages."""
-        for name, told in (await ask_all(self.nodes, "/v1/fleet")).items():
+    async def record_processes(self) -> None:
+        """Note which process is of which version; check that none got messages that it could not read."""
+        for name, status in (await fetch_all(self.nodes, "/v1/fleet")).items():
             version = self.cluster.nodes[name].version.label
-            self.version_of[f"{name}/{told['boot']}"] = version
-            for what in UNREADABLE:
-                count = told["lines"].get(what, 0)
-                self.result.check(not count, f"{name} ({version}) counts {count} messages as {what!r}")
+            self.version_of[f"{name}/{status['boot']}"] = version
+            for counter in UNREADABLE:
+                count = status["lines"].get(counter, 0)
+                self.result.check(not count, f"{name} ({version}) counts {count} messages as {counter!r}")
 
-    async def wait_whole(self) -> None:
-        """All vote, all belong, and all act on the same versions."""
+    async def wait_converged(self) -> None:
+        """Wait until all vote, all are members, and all act on the same versions. Raises CheckFailedError."""
         await wait_until("all nodes vote", lambda: all_vote(self.nodes), FORMS_WITHIN_S)
         await wait_until("all nodes agree on members", lambda: members_agree(self.nodes), AGREES_WITHIN_S)
         await self.wait_documents()
-        await self.look_at_processes()
+        await self.record_processes()
 
     async def wait_documents(self) -> None:
+        """Wait until all act on the expected versions. Raises CheckFailedError."""
+
         async def agree() -> bool:
-            fits = await parts_fit(self.nodes, WHOLE_ALLOWANCE)
-            self.result.check(fits, "the nodes use more than the whole of an allowance")
+            fits = await quotas_fit(self.nodes, FULL_QUOTA)
+            self.result.check(fits, "the nodes use more than the whole of a quota")
             return await documents_agree(self.nodes, self.versions)
 
         await wait_until(f"all nodes act on {self.versions}", agree, AGREES_WITHIN_S)
 
     async def wait_holders(self, allowed: list[FleetNode]) -> None:
-        """Every task is done by one of these, by an act that began after now."""
+        """Wait until each task was done by one of these, in an act that began after now.
+
+        Raises CheckFailedError.
+        """
         since, names = clock_us(), {node.name for node in allowed}
 
         async def moved() -> bool:
@@ -108,24 +115,28 @@
             )
 
         await wait_until(f"all tasks are done by {sorted(names)}", moved, MOVES_WITHIN_S)
-        await self.look_at_processes()
+        await self.record_processes()
 
 
 async def form(run: Run) -> None:
-    await run.odd.make_group(run.odd_version)
+    """Create the group at the odd node and let the two others join it."""
+    await run.odd.init_group(run.odd_version)
     await run.odd.start(run.odd_version)
-    for node in run.evens:
-        await node.start(run.even_version)
+    for node in run.majority:
+        await node.start(run.majority_version)
     run.versions = dict.fromkeys(DOCUMENTS, 1)  # what a node's own files say is proposed as the first
-    await run.wait_whole()
+    await run.wait_converged()
     await run.wait_holders(run.nodes)
 
 
 # Documents.
 
 
-def changed(name: str, content: Any, step: int) -> Any:
-    """The same document with another figure. A list of servers stays: a new version may say the same."""
+def changed_content(name: str, content: JsonObject, step: int) -> JsonObject:
+    """Return the document with another figure.
+
+    A list of servers stays as it is: a new version may say the same.
+    """
     content = copy.deepcopy(content)
     if name == "settings":
         content["classes"][0]["worth"] += step / 100
@@ -135,13 +146,15 @@
 
 
 async def put_from_each(run: Run) -> None:
-    """Each node changes each document in turn, and all act on it. An old expectation is refused."""
+    """Change each document at each node in turn; all must act on it. A stale expected version is rejected."""
     for step, node in enumerate(run.nodes, 1):
         for name in DOCUMENTS:
             before = await read_document(node, name)
-            told = await put_document(node, name, changed(name, before.content, step), before.version)
-            if told.get("prepares") != before.version + 1:
-                raise CheckFailed(f"{node.name}: {name} was not put: {told}")
+            result = await put_document(
+                node, name, changed_content(name, before.content, step), before.version
+            )
+            if result.get("prepares") != before.version + 1:
+                raise CommandRejectedError(node.name, f"a new version of {name}", result)
             run.versions[name] += 1
             await run.wait_documents()
             stale = await put_document(node, name, before.content, before.version)
@@ -149,18 +162,17 @@
 
 
 async def put_by_commands(run: Run) -> None:
-    """Each version's command line, at a node of the other version."""
-    even = run.evens[0]
-    for version, node in ((run.odd_version, even), (run.even_version, run.odd)):
+    """Change a document with each version's command line, at a node of the other version."""
+    for version, node in ((run.odd_version, run.majority[0]), (run.majority_version, run.odd)):
         before = await read_document(node, "tenants")
         path = run.cluster.folder / f"tenants-{version.label}.json"
-        path.write_text(json.dumps(changed("tenants", before.content, 1)))
-        where = ("--operator", str(node.operator))
+        path.write_text(json.dumps(changed_content("tenants", before.content, 1)))
+        operator_file = ("--operator", str(node.operator))
         expect = ("--expect", str(before.version), "--wait", "8")
-        await version.run("rules", "put", "tenants", str(path), *expect, *where)
+        await version.run("rules", "put", "tenants", str(path), *expect, *operator_file)
         run.versions["tenants"] += 1
-        told = json.loads(await version.run("fleet", "status", "--json", *where))
-        run.result.check(told["node"] == node.name, f"{version.label}: status of {node.name} is {told}")
+        status = json.loads(await version.run("fleet", "status", "--json", *operator_file))
+        run.result.check(status["node"] == node.name, f"{version.label}: status of {node.name} is {status}")
     await run.wait_documents()
 
 
@@ -168,40 +180,44 @@
 
 
 async def move_leases(run: Run) -> None:
-    """Away from the odd node, back to it alone, and away again: taken out, killed and told to leave by turns."""
-    killed, removed = run.evens
-    await order(killed, "members/remove", {"node": run.odd.name})
-    await run.wait_holders(run.evens)
-    await order(killed, "members/readmit", {"node": run.odd.name})
-    await run.wait_whole()
-    await order(run.odd, "members/remove", {"node": removed.name})
+    """Move the leases away from the odd node, back to it alone, and away again.
+
+    Nodes are removed from the roster, killed and terminated in turn.
+    """
+    killed, removed = run.majority
+    await submit_command(killed, "members/remove", {"node": run.odd.name})
+    await run.wait_holders(run.majority)
+    await submit_command(killed, "members/readmit", {"node": run.odd.name})
+    await run.wait_converged()
+    await submit_command(run.odd, "members/remove", {"node": removed.name})
     await killed.kill()
     await run.wait_holders([run.odd])
-    await killed.start(run.even_version)
-    await order(killed, "members/readmit", {"node": removed.name})
-    await run.wait_whole()
+    await killed.start(run.majority_version)
+    await submit_command(killed, "members/readmit", {"node": removed.name})
+    await run.wait_converged()
     await run.odd.drain()
-    await run.wait_holders(run.evens)
+    await run.wait_holders(run.majority)
     await run.odd.start(run.odd_version)
-    await run.wait_whole()
+    await run.wait_converged()
 
 
 async def let_odd_lead(run: Run) -> None:
-    """Leaders are killed until the odd node leads; then a document is changed under its lead."""
-    for _ in range(MOST_ELECTIONS):
+    """Kill leaders until the odd node leads, then change a document under its lead."""
+    for _ in range(MAX_ELECTIONS):
         leader = await wait_leader(run)
         if leader is run.odd:
             break
         await leader.restart()
         await wait_until("all nodes vote", lambda: all_vote(run.nodes), FORMS_WITHIN_S)
     else:
-        raise CheckFailed(f"{run.odd.name} did not come to lead in {MOST_ELECTIONS} elections")
-    await run.wait_whole()
+        raise NotElectedError(run.odd.name, MAX_ELECTIONS)
+    await run.wait_converged()
     await put_by_commands(run)
     await run.wait_holders(run.nodes)
 
 
 async def wait_leader(run: Run) -> FleetNode:
+    """Wait for a leader and return it. Raises CheckFailedError."""
     found = await find_leader(run.nodes)
 
     async def known() -> bool:
@@ -218,30 +234,30 @@
 
 
 async def install_snapshot(run: Run) -> None:
-    """The odd node is away until the others' log has grown beyond it; then it is given their snapshot."""
-    told = await ask(run.odd, "/v1/fleet")
-    if told is None:
-        raise CheckFailed(f"{run.odd.name} does not answer")
-    behind = int(told["voter"]["last"])
+    """Keep the odd node down until the others' log is compacted beyond its own.
+
+    When it is back it must install their snapshot.
+    """
+    behind = int((await run.odd.admin.call("/v1/fleet"))["voter"]["last"])
     await run.odd.kill()
     await fill_log(run, behind)
     await run.odd.start(run.odd_version)
-    await run.wait_whole()
-    told = await ask(run.odd, "/v1/fleet")
-    installed = 0 if told is None else told["voter"]["counts"]["snapshots"]
+    await run.wait_converged()
+    status = await fetch(run.odd, "/v1/fleet")
+    installed = 0 if status is None else status["voter"]["counts"]["snapshots"]
     run.result.counts["snapshots_installed"] = installed
     run.result.check(installed > 0, f"{run.odd.name} came back without a snapshot")
 
 
 async def fill_log(run: Run, behind: int) -> None:
-    """Commands that change nothing, until the leader's log begins after that entry."""
+    """Write commands that change nothing, until the leader's log begins after that entry."""
 
     async def compacted() -> bool:
-        leader = await find_leader(run.evens)
-        told = None if leader is None else await ask(run.cluster.nodes[leader.node], "/v1/fleet")
-        return told is not None and told["voter"]["snapshot"] > behind + KEPT_BEHIND_SNAPSHOT
+        leader = await find_leader(run.majority)
+        status = None if leader is None else await fetch(run.cluster.nodes[leader.node], "/v1/fleet")
+        return status is not None and status["voter"]["snapshot"] > behind + KEPT_BEHIND_SNAPSHOT
 
-    fillers = [asyncio.create_task(fill(node)) for node in run.evens for _ in range(FILLERS)]
+    fillers = [asyncio.create_task(fill(node)) for node in run.majority for _ in range(FILLERS)]
     try:
         await wait_until("the log is compacted", compacted, FILLS_WITHIN_S)
     finally:
@@ -251,38 +267,39 @@
 
 
 async def fill(node: FleetNode) -> None:
-    """One read after another, through the log, until it is cancelled."""
+    """Read through the log, one read after another, until cancelled."""
     while True:
-        with contextlib.suppress(CallFailed):
+        with contextlib.suppress(CallFailedError):
             await node.admin.call("/v1/fleet/rules/get", {"doc": "settings"})
             continue
-        await asyncio.sleep(TOO_MANY_S)  # as many are on their way as a node may have
+        await asyncio.sleep(REJECTED_PAUSE_S)  # as many are on their way as a node may have
 
 
 # Stores.
 
 
 async def exchange_stores(run: Run) -> None:
-    """The odd node's store is opened by the other version after a kill, and by its own after a handover."""
-    identity = await voter_identity(run.odd)
+    """Let the other version open the odd node's store after a kill, and its own after a hot restart."""
+    identity = await replica_identity(run.odd)
     await run.odd.kill()
-    await run.odd.start(run.even_version)
-    await run.wait_whole()
+    await run.odd.start(run.majority_version)
+    await run.wait_converged()
     await check_store(run, identity)
     await run.odd.upgrade(run.odd_version)
-    await run.wait_whole()
+    await run.wait_converged()
     await check_store(run, identity)
     await run.wait_holders(run.nodes)
 
 
-async def voter_identity(node: FleetNode) -> str:
-    told = await ask(node, "/v1/fleet")
-    return "" if told is None or not told["voter"] else str(told["voter"]["identity"])
+async def replica_identity(node: FleetNode) -> str:
+    """Return the identity under which a node votes; empty where it does not."""
+    status = await fetch(node, "/v1/fleet")
+    return "" if status is None or not status["voter"] else str(status["voter"]["identity"])
 
 
 async def check_store(run: Run, identity: str) -> None:
-    """The same voter goes on with the same file."""
-    now = await voter_identity(run.odd)
+    """Check that the same replica goes on with the same file."""
+    now = await replica_identity(run.odd)
     run.result.check(now == identity, f"{run.odd.name} votes as {now}, and was {identity}")
     aside = [path.name for path in run.odd.store.iterdir() if "aside" in path.name]
     run.result.check(not aside, f"{run.odd.name} set its store aside: {aside}")
@@ -299,48 +316,53 @@
 
 
 def judge_run(run: Run) -> None:
-    """The whole record at the end."""
+    """Judge the whole record at the end."""
     acts = list(run.cluster.witness.acts)
     run.result.failures += judge_acts(acts, UNSAFE)
     crossings = count_crossings(acts, run.version_of)
     for task in TASKS:
-        for way in (OLD_TO_NEW, NEW_TO_OLD):
-            run.result.check(crossings[task, way] > 0, f"the lease of {task} did not move from {way}")
+        for direction in (OLD_TO_NEW, NEW_TO_OLD):
+            run.result.check(
+                crossings[task, direction] > 0, f"the lease of {task} did not move from {direction}"
+            )
     run.result.counts |= {
         "acts": len(acts),
-        "changes_of_holder": {f"{task}, {way}": count for (task, way), count in sorted(crossings.items())},
+        "changes_of_holder": {
+            f"{task}, {direction}": count for (task, direction), count in sorted(crossings.items())
+        },
         "document_versions": dict(run.versions),
         "processes": len(run.cluster.processes),
     }
     run.result.check_processes(run.cluster.processes, run.cluster.logs())
 
 
-async def run_fleet(folder: Path, odd: Version, even: Version, seed: int) -> Result:
-    """One fleet whose first node is of the one version, and whose others are of the other."""
+async def run_fleet(folder: Path, odd: Version, majority: Version, seed: int) -> Result:
+    """Run all steps on one cluster: its first node has the one version, the others have the other."""
 
     async def body(result: Result) -> None:
-        async with asyncio.timeout(SCENARIO_TIMEOUT_S), Cluster(folder, even.checkout, seed) as cluster:
-            run = Run(cluster, result, cluster.nodes[NAMES[0]], odd, even)
+        async with asyncio.timeout(SCENARIO_TIMEOUT_S), Cluster(folder, majority.checkout, seed) as cluster:
+            run = Run(cluster, result, cluster.nodes[NAMES[0]], odd, majority)
             loop = asyncio.get_running_loop()
-            took: dict[str, float] = {}
+            durations_s: dict[str, float] = {}
             try:
                 for step in STEPS:
                     began = loop.time()
                     await step(run)
-                    took[step.__name__] = round(loop.time() - began, 1)
-            except (CheckFailed, CallFailed) as fault:
-                result.failures.append(f"{step.__name__}: {fault}")
-                await run.look_at_processes()
-            result.counts["step_s"] = took
+                    durations_s[step.__name__] = round(loop.time() - began, 1)
+            except (CheckFailedError, CallFailedError) as error:
+                result.failures.append(f"{step.__name__}: {error}")
+                await run.record_processes()
+            result.counts["step_s"] = durations_s
             judge_run(run)
 
-    return await run_scenario(f"fleet of one {odd.label} and two {even.label}", body)
+    return await run_scenario(f"fleet of one {odd.label} and two {majority.label}", body)
 
 
 async def run_fleets(folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
+    """Run both clusters, one after the other. Raises CannotRunError, OSError."""
     results = []
-    for odd, even in ((old, new), (new, old)):
-        place = folder / f"fleet-{odd.label}-among-{even.label}"
+    for odd, majority in ((old, new), (new, old)):
+        place = folder / f"fleet-{odd.label}-among-{majority.label}"
         place.mkdir()
-        results.append(await run_fleet(place, odd, even, seed))
+        results.append(await run_fleet(place, odd, majority, seed))
     return results
--- a/benchmarks/mixed/http_client.py
+++ b/benchmarks/mixed/http_client.py
@@ -1,42 +1,47 @@
-"""Calls to a node's HTTP surfaces, the operators' door and the administration: one call to a connection."""
+"""Calls to a node's health endpoint and administration API over HTTP: one call per connection."""
 
 from __future__ import annotations
 
 import asyncio
 import json
+from collections.abc import Mapping
 from dataclasses import dataclass
 from typing import Any
 
-CALL_TIMEOUT_S = 3.0
-
+from benchmarks.mixed.errors import CallFailedError
 
-class CallFailed(Exception):
-    """The node did not answer, or answered with an error status."""
+CALL_TIMEOUT_S = 3.0
+SUCCESS_STATUSES = (200, 202)
 
-    def __init__(self, why: str, status: int = 0) -> None:
-        super().__init__(why)
-        self.status = status  # 0: there was no answer
+JsonObject = dict[str, Any]
 
 
 @dataclass(slots=True, frozen=True)
 class HttpAddress:
+    """Where a node listens for HTTP, and the bearer token that it expects; none where that is empty."""
+
     host: str
     port: int
     token: str = ""
 
-    async def call(self, path: str, body: dict[str, Any] | None = None, method: str = "") -> Any:
-        """GET, or POST where there is a body; the JSON of the answer. Raises CallFailed."""
+    async def call(self, path: str, body: Mapping[str, Any] | None = None, method: str = "") -> JsonObject:
+        """Send GET, or POST where there is a body, and return the JSON object of the response.
+
+        Raises CallFailedError.
+        """
         method = method or ("GET" if body is None else "POST")
+        call = f"{method} {path}"
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 status, content = await self._exchange(method, path, body)
-        except (OSError, EOFError, TimeoutError, ValueError) as fault:
-            raise CallFailed(f"{method} {path}: {fault!r}") from fault
-        if status not in (200, 202):
-            raise CallFailed(f"{method} {path}: {status} {content[:200]!r}", status)
-        return json.loads(content)
-
-    async def _exchange(self, method: str, path: str, body: dict[str, Any] | None) -> tuple[int, bytes]:
+        except (OSError, EOFError, TimeoutError, ValueError) as error:
+            raise CallFailedError(call, repr(error)) from error
+        if status not in SUCCESS_STATUSES:
+            raise CallFailedError(call, f"{status} {content[:200]!r}", status)
+        response: JsonObject = json.loads(content)
+        return response
+
+    async def _exchange(self, method: str, path: str, body: Mapping[str, Any] | None) -> tuple[int, bytes]:
         content = b"" if body is None else json.dumps(body).encode()
         head = f"{method} {path} HTTP/1.1\r\n"
         if self.token:
@@ -45,11 +50,11 @@
         reader, writer = await asyncio.open_connection(self.host, self.port)
         try:
             writer.write(head.encode() + content)
-            answer = await reader.read(-1)
+            response = await reader.read(-1)
         finally:
             writer.close()
-        status_line, _, rest = answer.partition(b"\r\n")
+        status_line, _, rest = response.partition(b"\r\n")
         words = status_line.split()
         if len(words) < 2:
-            raise EOFError("closed without an answer")
+            raise asyncio.IncompleteReadError(response, None)
         return int(words[1]), rest.partition(b"\r\n\r\n")[2]
--- a/benchmarks/mixed/scenario.py
+++ b/benchmarks/mixed/scenario.py
@@ -7,9 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from benchmarks.mixed.http_client import CallFailed
+from benchmarks.mixed.errors import CallFailedError, CheckFailedError
 from benchmarks.mixed.server_process import LogFindings, ServerProcess
-from benchmarks.mixed.versions import CheckFailed
 
 FAILURES_SHOWN = 20
 LOG_LINES_SHOWN = 10
@@ -17,22 +16,26 @@
 
 @dataclass(slots=True)
 class Result:
+    """What a scenario found."""
+
     name: str
     failures: list[str] = field(default_factory=list)
     counts: dict[str, Any] = field(default_factory=dict)
-    warnings: dict[str, int] = field(default_factory=dict)  # of the logs, by text; they break nothing
+    warnings: dict[str, int] = field(default_factory=dict)  # of the logs, by text; they are no failures
     seconds: float = 0.0
 
     @property
     def held(self) -> bool:
+        """Whether there was no failure."""
         return not self.failures
 
     def check(self, holds: bool, failure: str) -> None:
+        """Add the failure unless the condition holds."""
         if not holds:
             self.failures.append(failure)
 
     def check_processes(self, processes: Iterable[ServerProcess], logs: Mapping[str, LogFindings]) -> None:
-        """None ended by itself, and none logged an error."""
+        """Check that no process ended by itself or logged an error; add up the warnings of their logs."""
         for process in processes:
             self.check(not process.ended_by_itself, f"{process.launch.log.stem} ended by itself")
         for name, found in logs.items():
@@ -40,7 +43,8 @@
             for text, count in found.warnings.items():
                 self.warnings[text] = self.warnings.get(text, 0) + count
 
-    def write(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
+        """Return what the report says of this scenario."""
         return {
             "name": self.name,
             "held": self.held,
@@ -53,13 +57,16 @@
 
 
 async def run_scenario(name: str, body: Callable[[Result], Awaitable[None]]) -> Result:
-    """What the body finds; a step of it that does not come is a failure. Raises CannotRun, OSError."""
+    """Run a scenario and return what it found; a step of it that fails is a failure.
+
+    Raises CannotRunError, OSError.
+    """
     result = Result(name)
     began = time.monotonic()
     try:
         await body(result)
-    except (CheckFailed, CallFailed) as fault:
-        result.failures.append(str(fault))
+    except (CheckFailedError, CallFailedError) as error:
+        result.failures.append(str(error))
     except TimeoutError:
         result.failures.append("the scenario's time was over")
     result.seconds = time.monotonic() - began
--- a/benchmarks/mixed/server_process.py
+++ b/benchmarks/mixed/server_process.py
@@ -1,4 +1,4 @@
-"""One process of the program, its door and its log."""
+"""One process of the program: its start and end, its health endpoint and its log."""
 
 from __future__ import annotations
 
@@ -12,50 +12,49 @@
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
-from benchmarks.mixed.http_client import CallFailed, HttpAddress
-from benchmarks.mixed.versions import CheckFailed, Version
+from benchmarks.mixed.errors import CallFailedError, ExitCodeError, StillRunningError, WaitTimeoutError
+from benchmarks.mixed.http_client import HttpAddress
+from benchmarks.mixed.versions import Version
 
 READY_WITHIN_S = 15.0
 ENDS_WITHIN_S = 8.0
 POLL_S = 0.02
+WARNING_CHARACTERS = 300  # of a line that are kept: its reason may stand at its end
 LOG_LINE = re.compile(r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3} (?P<level>[A-Z]+) (?P<text>.*)")
-CALM_LEVELS = ("DEBUG", "INFO")
+ORDINARY_LEVELS = ("DEBUG", "INFO")
 DIGITS = re.compile(r"\d+")
 
 
-async def wait_until(what: str, holds: Callable[[], Awaitable[bool]], within_s: float) -> None:
-    """Poll until it holds. Raises CheckFailed, naming what did not come, when the time is over."""
+async def wait_until(condition: str, holds: Callable[[], Awaitable[bool]], within_s: float) -> None:
+    """Poll until the condition holds. Raises CheckFailedError, with the condition, when the time is over."""
     deadline = time.monotonic() + within_s
     while not await holds():
         if time.monotonic() > deadline:
-            raise CheckFailed(f"not within {within_s:g} s: {what}")
+            raise WaitTimeoutError(condition, within_s)
         await asyncio.sleep(POLL_S)
 
 
 @dataclass(slots=True)
 class LogFindings:
-    """What a process logged beyond the ordinary."""
+    """What a process logged besides its ordinary lines."""
 
-    errors: list[str] = field(
-        default_factory=list
-    )  # but for the expected ones; also what is no line of the log: a traceback
-    warnings: Counter[str] = field(
-        default_factory=Counter
-    )  # with figures replaced, so that like is counted together
+    # Without the expected ones, and with lines that are not in the log's layout, as those of a traceback.
+    errors: list[str] = field(default_factory=list)
+    # By text with its digits replaced, so that equal warnings are counted together.
+    warnings: Counter[str] = field(default_factory=Counter)
 
 
 def read_log(path: Path, expected: re.Pattern[str] | None = None) -> LogFindings:
-    """`expected`: errors that may be logged, and are counted with the warnings."""
+    """Read a log. Errors that match `expected` are counted with the warnings."""
     findings = LogFindings()
     for line in path.read_text(errors="replace").splitlines():
         match = LOG_LINE.fullmatch(line)
         if match is None:
             findings.errors.append(line)
         elif match["level"] == "WARNING" or (expected is not None and expected.search(match["text"])):
-            findings.warnings[DIGITS.sub("N", match["text"])[:120]] += 1
-        elif match["level"] not in CALM_LEVELS:
+            findings.warnings[DIGITS.sub("N", match["text"])[:WARNING_CHARACTERS]] += 1
+        elif match["level"] not in ORDINARY_LEVELS:
             findings.errors.append(line)
     return findings
 
@@ -64,16 +63,19 @@
 class Launch:
     """What a process is started with."""
 
-    config: Path  # the platform's JSON
+    config: Path  # the platform's configuration, JSON
     listening: socket.socket  # the passed socket, which the platform holds for all versions
-    meeting_folder: Path  # where processes of one node find each other
-    door: HttpAddress
+    temporary_folder: Path  # holds the socket where processes of one node find each other
+    health_endpoint: HttpAddress
     log: Path
     operator: Path | None = None  # the operator's file
 
 
 class ServerProcess:
+    """A process of one version, started once."""
+
     def __init__(self, version: Version, launch: Launch) -> None:
+        """Prepare the process; `start` starts it."""
         self.version, self.launch = version, launch
         self.ended_on_purpose = False
         self.killed_at: float | None = None  # on the monotonic clock
@@ -83,12 +85,13 @@
         return () if self.launch.operator is None else ("--operator", str(self.launch.operator))
 
     async def start(self) -> None:
+        """Start the process, its standard error appended to its log. Raises OSError."""
         launch = self.launch
         descriptor = launch.listening.fileno()
         names = {
             "PROXY_CONFIG": str(launch.config),
             "PROXY_PASSED_SOCKET": str(descriptor),
-            "TMPDIR": str(launch.meeting_folder),
+            "TMPDIR": str(launch.temporary_folder),
         }
         with launch.log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
@@ -101,56 +104,73 @@
                 stderr=log,
             )
 
+    @property
+    def _name(self) -> str:
+        return f"a process of the {self.version.label} version"
+
+    @property
+    def exit_code(self) -> int | None:
+        """The exit code; None before the start and while it runs."""
+        return None if self._process is None else self._process.returncode
+
     @property
     def running(self) -> bool:
-        return self._process is not None and self._process.returncode is None
+        """Whether it was started and has not ended."""
+        return self._process is not None and self.exit_code is None
 
     @property
     def ended_by_itself(self) -> bool:
+        """Whether it ended without a signal from here."""
         return self._process is not None and not self.running and not self.ended_on_purpose
 
     async def state(self) -> str:
-        """What it is on, by its own account; empty where it does not answer."""
+        """Return the serving state at its health endpoint; empty where it does not answer."""
         try:
-            answer: dict[str, Any] = await self.launch.door.call("/admin/health")
-        except CallFailed:
+            health = await self.launch.health_endpoint.call("/admin/health")
+        except CallFailedError:
             return ""
-        return str(answer["state"])
+        return str(health["state"])
 
     async def is_ready(self) -> bool:
-        """Its door says yes. Raises CheckFailed where it has ended."""
+        """Whether its health endpoint answers. Raises CheckFailedError where the process has ended."""
         if not self.running:
-            raise CheckFailed(f"a process of the {self.version.label} version ended before it was ready")
+            raise ExitCodeError(self._name, self.exit_code, "before it was ready")
         return bool(await self.state())
 
     async def wait_ready(self) -> None:
-        await wait_until(f"the {self.version.label} version is ready", self.is_ready, READY_WITHIN_S)
+        """Wait until it serves. Raises CheckFailedError."""
+        await wait_until(f"{self._name} is ready", self.is_ready, READY_WITHIN_S)
 
     async def wait_state(self, wanted: str, within_s: float = 3.0) -> None:
+        """Wait until it is in that serving state. Raises CheckFailedError."""
+
         async def reached() -> bool:
             return await self.state() == wanted
 
-        await wait_until(f"state {wanted!r} of the {self.version.label} version", reached, within_s)
+        await wait_until(f"{self._name} is {wanted!r}", reached, within_s)
 
     def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal that is to end the process."""
         self.ended_on_purpose = True
         if self._process is not None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.send_signal(number)
 
     async def wait_end(self, within_s: float = ENDS_WITHIN_S) -> int:
-        """Its exit code. Raises CheckFailed where it does not end in time."""
+        """Wait for the end and return the exit code. Raises CheckFailedError where it does not come in time."""
         assert self._process is not None
         try:
             return await asyncio.wait_for(self._process.wait(), within_s)
         except TimeoutError:
-            raise CheckFailed(f"the {self.version.label} version did not end in {within_s:g} s") from None
+            raise StillRunningError(self._name, within_s) from None
 
     async def terminate(self, within_s: float = ENDS_WITHIN_S) -> int:
+        """Send SIGTERM and return the exit code. Raises CheckFailedError where it does not end in time."""
         self.send_signal(signal.SIGTERM)
         return await self.wait_end(within_s)
 
     async def kill(self) -> None:
+        """Send SIGKILL and wait for the end."""
         self.killed_at = time.monotonic()
         self.send_signal(signal.SIGKILL)
         if self._process is not None:
--- a/benchmarks/mixed/upgrade_scenarios.py
+++ b/benchmarks/mixed/upgrade_scenarios.py
@@ -1,6 +1,6 @@
-"""An elder process of one version and a younger of the other on one passed socket, under load.
+"""A predecessor process of one version and a successor of the other on one passed socket, under load.
 
-The upgrade goes through, is called off, or one of the two is killed in the middle of it.
+The upgrade completes, is called off, or one of the two is killed in the middle of it.
 """
 
 from __future__ import annotations
@@ -13,240 +13,247 @@
 from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
-from typing import Any
 
-from benchmarks.mixed.front_end import SENDERS, wait_answer
+from benchmarks.mixed.errors import CheckFailedError
+from benchmarks.mixed.front_end import SENDERS, wait_response
+from benchmarks.mixed.http_client import JsonObject
 from benchmarks.mixed.scenario import Result, run_scenario
 from benchmarks.mixed.server_process import ServerProcess
 from benchmarks.mixed.upgrade_site import NODE, UpgradeSite, platform_config
 from benchmarks.mixed.upgrade_steps import (
-    ELDER_ENDS_WITHIN_S,
-    check_duty_crosses,
+    PREDECESSOR_ENDS_WITHIN_S,
+    check_cancellation,
     check_repeats,
-    check_taken_back,
+    check_serving_state_shared,
     connect,
-    end_elder,
     end_node,
+    end_predecessor,
     judge_site,
-    more_answers,
     repeat,
     send_long_work,
+    wait_more_responses,
 )
-from benchmarks.mixed.versions import CheckFailed, Version
+from benchmarks.mixed.versions import Version
 
 SCENARIO_TIMEOUT_S = 40.0
-STEP_ANSWERS = 60  # between two steps of a scenario
+STEP_RESPONSES = 60  # between two steps of a scenario
 DRAIN_GRACE_US = 800_000
 LONGEST_DEADLINE_US = 4_000_000
-# After which the elder has the room again that a killed younger process had: docs/operators/daily.md.
-ROOM_RETURNS_S = ELDER_ENDS_WITHIN_S + LONGEST_DEADLINE_US / 1e6 + 0.5
-STILL_WANTED, NOT_WANTED = f"renew {NODE} yes".encode(), f"renew {NODE} no".encode()
+# After which the predecessor has the capacity again that a killed successor had: docs/operators/daily.md.
+CAPACITY_RETURNS_S = PREDECESSOR_ENDS_WITHIN_S + LONGEST_DEADLINE_US / 1e6 + 0.5
+READY_REPORT, NOT_READY_REPORT = f"renew {NODE} yes".encode(), f"renew {NODE} no".encode()
 
 
 class Moment(enum.StrEnum):
-    """Where in the handover a process is killed."""
+    """Where in the hot restart a process is killed."""
 
-    BEFORE_READY = "before the younger is ready"
+    BEFORE_READY = "before the successor is ready"
     BOTH_SERVE = "as both serve"
-    HANDING_OVER = "as the elder hands over"
+    HANDING_OVER = "as the predecessor hands over"
 
 
 @dataclass(slots=True, frozen=True)
 class Pair:
-    elder: Version
-    younger: Version
+    """The versions of the two processes."""
+
+    predecessor: Version
+    successor: Version
 
     @property
     def name(self) -> str:
-        return f"{self.elder.label} to {self.younger.label}"
+        """The direction of the upgrade, as the report names it."""
+        return f"{self.predecessor.label} to {self.successor.label}"
 
 
 async def complete_upgrade(result: Result, site: UpgradeSite, pair: Pair) -> float | None:
-    elder = await site.launch(pair.elder)
+    """Complete an upgrade: no request is lost, and no work with an effect runs twice."""
+    predecessor = await site.launch(pair.predecessor)
     site.load.start()
-    await more_answers(site, STEP_ANSWERS)
-    at_elder = await connect(site)
-    younger = await site.launch(pair.younger)
-    await more_answers(site, STEP_ANSWERS)
-    await check_duty_crosses(elder, younger)
-    await check_taken_back(result, site, at_elder)
-    await more_answers(site, SENDERS)
+    await wait_more_responses(site, STEP_RESPONSES)
+    at_predecessor = await connect(site)
+    successor = await site.launch(pair.successor)
+    await wait_more_responses(site, STEP_RESPONSES)
+    await check_serving_state_shared(predecessor, successor)
+    await check_cancellation(result, site, at_predecessor)
+    await wait_more_responses(site, SENDERS)
     reported = len(site.reports.received)
-    tries = send_long_work(site, at_elder)
-    await more_answers(site, SENDERS)
+    attempts = send_long_work(site, at_predecessor)
+    await wait_more_responses(site, SENDERS)
     began = time.monotonic()
-    elder.send_signal(signal.SIGTERM)
-    await elder.wait_state("handing over")
-    at_younger = await connect(site)
-    check_repeats(result, tries, await repeat(at_younger, tries))
-    await at_elder.close()
-    await at_younger.close()
-    await end_elder(result, elder, began)
-    await more_answers(site, STEP_ANSWERS)
+    predecessor.send_signal(signal.SIGTERM)
+    await predecessor.wait_state("handing over")
+    at_successor = await connect(site)
+    check_repeats(result, attempts, await repeat(at_successor, attempts))
+    await at_predecessor.close()
+    await at_successor.close()
+    await end_predecessor(result, predecessor, began)
+    await wait_more_responses(site, STEP_RESPONSES)
     later = site.reports.received[reported:]
-    result.check(NOT_WANTED not in later, "the node was reported as not wanted during the upgrade")
-    result.check(site.reports.received[-1:] == [STILL_WANTED], "the node is not reported as wanted")
-    await end_node(result, site, younger)
+    result.check(NOT_READY_REPORT not in later, "the node was reported as not ready during the upgrade")
+    result.check(site.reports.received[-1:] == [READY_REPORT], "the node is not reported as ready")
+    await end_node(result, site, successor)
     return None
 
 
-async def younger_told_to_leave(result: Result, site: UpgradeSite, pair: Pair) -> float | None:
-    """The upgrade is called off as both serve: the elder goes on, and no request is lost."""
-    elder = await site.launch(pair.elder)
+async def successor_terminated(result: Result, site: UpgradeSite, pair: Pair) -> float | None:
+    """Call the upgrade off as both serve: the predecessor goes on, and no request is lost."""
+    predecessor = await site.launch(pair.predecessor)
     site.load.start()
-    await more_answers(site, STEP_ANSWERS)
-    younger = await site.launch(pair.younger)
-    await more_answers(site, STEP_ANSWERS)
-    code = await younger.terminate()
-    result.check(code == 0, f"the younger ended with {code}")
-    await more_answers(site, STEP_ANSWERS)
-    await elder.wait_state("serving")
-    result.check(NOT_WANTED not in site.reports.received, "the node was reported as not wanted")
-    await end_node(result, site, elder)
+    await wait_more_responses(site, STEP_RESPONSES)
+    successor = await site.launch(pair.successor)
+    await wait_more_responses(site, STEP_RESPONSES)
+    code = await successor.terminate()
+    result.check(code == 0, f"the successor ended with {code}")
+    await wait_more_responses(site, STEP_RESPONSES)
+    await predecessor.wait_state("serving")
+    result.check(NOT_READY_REPORT not in site.reports.received, "the node was reported as not ready")
+    await end_node(result, site, predecessor)
     return None
 
 
-async def elder_killed(result: Result, site: UpgradeSite, pair: Pair, moment: Moment) -> float | None:
-    """The younger goes on alone."""
-    elder = await site.launch(pair.elder)
+async def predecessor_killed(result: Result, site: UpgradeSite, pair: Pair, moment: Moment) -> float | None:
+    """Kill the predecessor: the successor goes on alone."""
+    predecessor = await site.launch(pair.predecessor)
     site.load.start()
-    await more_answers(site, STEP_ANSWERS)
-    at_elder = await connect(site)
+    await wait_more_responses(site, STEP_RESPONSES)
+    at_predecessor = await connect(site)
     if moment is Moment.BEFORE_READY:
-        younger, kernel = await site.launch_without_kernel(pair.younger)
-        tries = send_long_work(site, at_elder)
-        await more_answers(site, SENDERS)
-        await elder.kill()
+        successor, kernel = await site.launch_without_kernel(pair.successor)
+        attempts = send_long_work(site, at_predecessor)
+        await wait_more_responses(site, SENDERS)
+        await predecessor.kill()
         kernel.opened.set()
-        await younger.wait_ready()
+        await successor.wait_ready()
     else:
-        younger = await site.launch(pair.younger)
-        await more_answers(site, STEP_ANSWERS)
-        tries = send_long_work(site, at_elder)
-        await more_answers(site, SENDERS)
+        successor = await site.launch(pair.successor)
+        await wait_more_responses(site, STEP_RESPONSES)
+        attempts = send_long_work(site, at_predecessor)
+        await wait_more_responses(site, SENDERS)
         if moment is Moment.HANDING_OVER:
-            elder.send_signal(signal.SIGTERM)
-            await elder.wait_state("handing over")
-        await elder.kill()
-    at_younger = await connect(site)
-    for one in await repeat(at_younger, tries):
-        result.check(one.word in ("error", "later", "done"), "a repeat after the kill was not answered")
-    await more_answers(site, STEP_ANSWERS)
-    await younger.wait_state("serving")
-    await at_elder.close()
-    await at_younger.close()
-    await end_node(result, site, younger)
-    return elder.killed_at
-
-
-async def younger_killed(result: Result, site: UpgradeSite, pair: Pair, moment: Moment) -> float | None:
-    """The upgrade goes through with a second younger process.
+            predecessor.send_signal(signal.SIGTERM)
+            await predecessor.wait_state("handing over")
+        await predecessor.kill()
+    at_successor = await connect(site)
+    for second in await repeat(at_successor, attempts):
+        result.check(second.status in ("error", "later", "done"), "a repeat after the kill was not answered")
+    await wait_more_responses(site, STEP_RESPONSES)
+    await successor.wait_state("serving")
+    await at_predecessor.close()
+    await at_successor.close()
+    await end_node(result, site, successor)
+    return predecessor.killed_at
+
+
+async def successor_killed(result: Result, site: UpgradeSite, pair: Pair, moment: Moment) -> float | None:
+    """Kill the successor: the upgrade completes with a second one.
 
     Where the first had taken no connection yet no request may be lost.
     """
-    elder = await site.launch(pair.elder)
+    predecessor = await site.launch(pair.predecessor)
     site.load.start()
-    await more_answers(site, STEP_ANSWERS)
+    await wait_more_responses(site, STEP_RESPONSES)
     if moment is Moment.HANDING_OVER:
-        return await younger_killed_while_handing_over(result, site, pair, elder)
+        return await successor_killed_while_handing_over(result, site, pair, predecessor)
     if moment is Moment.BEFORE_READY:
-        first, _ = await site.launch_without_kernel(pair.younger)
-        await more_answers(site, SENDERS)
+        first, _ = await site.launch_without_kernel(pair.successor)
+        await wait_more_responses(site, SENDERS)
     else:
-        first = await site.launch(pair.younger)
-        await more_answers(site, STEP_ANSWERS)
+        first = await site.launch(pair.successor)
+        await wait_more_responses(site, STEP_RESPONSES)
     await first.kill()
-    await asyncio.sleep(ROOM_RETURNS_S)
-    second = await site.launch(pair.younger)
-    await more_answers(site, STEP_ANSWERS)
+    await asyncio.sleep(CAPACITY_RETURNS_S)
+    second = await site.launch(pair.successor)
+    await wait_more_responses(site, STEP_RESPONSES)
     began = time.monotonic()
-    elder.send_signal(signal.SIGTERM)
-    await end_elder(result, elder, began)
-    await more_answers(site, STEP_ANSWERS)
+    predecessor.send_signal(signal.SIGTERM)
+    await end_predecessor(result, predecessor, began)
+    await wait_more_responses(site, STEP_RESPONSES)
     await second.wait_state("serving")
-    result.check(site.reports.received[-1:] == [STILL_WANTED], "the node is not reported as wanted")
+    result.check(site.reports.received[-1:] == [READY_REPORT], "the node is not reported as ready")
     await end_node(result, site, second)
     return None if moment is Moment.BEFORE_READY else first.killed_at
 
 
-async def younger_killed_while_handing_over(
-    result: Result, site: UpgradeSite, pair: Pair, elder: ServerProcess
+async def successor_killed_while_handing_over(
+    result: Result, site: UpgradeSite, pair: Pair, predecessor: ServerProcess
 ) -> float | None:
-    """The elder's SIGTERM is the notice to leave from then on: what comes in the grace is still answered.
+    """Kill the successor after the predecessor's SIGTERM, which then drains the node.
 
-    Then the node is started anew. It knows nothing of work before, as any node that comes: no name is sent again.
+    What comes in the grace period is still answered. Then the node is started anew. It knows nothing of earlier
+    work, as any new node: no idempotency key is sent again.
     """
-    at_elder = await connect(site)
-    first = await site.launch(pair.younger)
-    await more_answers(site, STEP_ANSWERS)
-    tries = send_long_work(site, at_elder)
-    await more_answers(site, SENDERS)
-    elder.send_signal(signal.SIGTERM)
-    await elder.wait_state("handing over")
+    at_predecessor = await connect(site)
+    first = await site.launch(pair.successor)
+    await wait_more_responses(site, STEP_RESPONSES)
+    attempts = send_long_work(site, at_predecessor)
+    await wait_more_responses(site, SENDERS)
+    predecessor.send_signal(signal.SIGTERM)
+    await predecessor.wait_state("handing over")
     await first.kill()
-    for one in tries:
-        await wait_answer(one)
-        result.check(one.word == "done", f"work in hand was answered {one.word or 'nothing'!r}")
-    await more_answers(site, SENDERS)
+    for attempt in attempts:
+        await wait_response(attempt)
+        result.check(attempt.status == "done", f"work in flight was answered {attempt.status or 'nothing'!r}")
+    await wait_more_responses(site, SENDERS)
     await site.load.stop()
-    code = await elder.wait_end()
-    result.check(code == 0, f"the elder ended with {code}")
-    result.check(NOT_WANTED in site.reports.received, "the node left and was not reported so")
-    second = await site.launch(pair.younger)
+    code = await predecessor.wait_end()
+    result.check(code == 0, f"the predecessor ended with {code}")
+    result.check(NOT_READY_REPORT in site.reports.received, "the node left and was not reported so")
+    second = await site.launch(pair.successor)
     at_second = await connect(site)
     await at_second.close()
     await second.wait_state("serving")
-    result.check(site.reports.received[-1:] == [STILL_WANTED], "the node is not reported as wanted")
+    result.check(site.reports.received[-1:] == [READY_REPORT], "the node is not reported as ready")
     await end_node(result, site, second)
     return first.killed_at
 
 
-def shorten_times(config: dict[str, Any]) -> None:
-    """So that a lost process is over soon."""
+def shorten_times(config: JsonObject) -> None:
+    """Shorten grace period and deadlines, so that a lost process is over soon."""
     settings = config["settings"]
     settings["rules"]["drainGraceUs"] = DRAIN_GRACE_US
     for row in settings["classes"]:
         row["hardLimitUs"] = min(row["hardLimitUs"], LONGEST_DEADLINE_US)
 
 
-# What happens on a site; gives when a process was killed that had connections.
+# What happens on a site. Returns when a process was killed that had connections, on the monotonic clock.
 Scenario = Callable[[Result, UpgradeSite, Pair], Awaitable[float | None]]
 
 
 def scenarios() -> dict[str, Scenario]:
-    found: dict[str, Scenario] = {"complete": complete_upgrade, "called off": younger_told_to_leave}
+    """Return all scenarios by title."""
+    found: dict[str, Scenario] = {"complete": complete_upgrade, "called off": successor_terminated}
     for moment in Moment:
-        found[f"elder killed {moment}"] = partial(elder_killed, moment=moment)
-        found[f"younger killed {moment}"] = partial(younger_killed, moment=moment)
+        found[f"predecessor killed {moment}"] = partial(predecessor_killed, moment=moment)
+        found[f"successor killed {moment}"] = partial(successor_killed, moment=moment)
     return found
 
 
 async def run_pair(
-    folder: Path, pair: Pair, what: str, scenario: Scenario, config: dict[str, Any], seed: int
+    folder: Path, pair: Pair, title: str, scenario: Scenario, config: JsonObject, seed: int
 ) -> Result:
-    """One scenario on a site of its own."""
+    """Run one scenario on a site of its own."""
 
     async def body(result: Result) -> None:
         async with asyncio.timeout(SCENARIO_TIMEOUT_S), UpgradeSite(folder, config, seed) as site:
             try:
                 killed_at = await scenario(result, site, pair)
-            except CheckFailed as fault:
-                result.failures.append(str(fault))
+            except CheckFailedError as error:
+                result.failures.append(str(error))
                 await site.load.stop()
-                killed_at = next((one.killed_at for one in site.processes if one.killed_at), None)
+                killed_at = next((process.killed_at for process in site.processes if process.killed_at), None)
             judge_site(result, site, killed_at)
 
-    return await run_scenario(f"upgrade {pair.name}, {what}", body)
+    return await run_scenario(f"upgrade {pair.name}, {title}", body)
 
 
 async def run_upgrades(folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
-    """All scenarios of both directions, one after the other."""
+    """Run all scenarios of both directions, one after the other. Raises CannotRunError, OSError."""
     config = platform_config(new.checkout)
     shorten_times(config)
     results: list[Result] = []
     for pair in (Pair(old, new), Pair(new, old)):
-        for what, scenario in scenarios().items():
+        for title, scenario in scenarios().items():
             place = folder / f"upgrade-{len(results)}"
             place.mkdir()
-            results.append(await run_pair(place, pair, what, scenario, config, seed + len(results)))
+            results.append(await run_pair(place, pair, title, scenario, config, seed + len(results)))
     return results
--- a/benchmarks/mixed/upgrade_steps.py
+++ b/benchmarks/mixed/upgrade_steps.py
@@ -1,113 +1,127 @@
-"""Steps that the scenarios of an upgrade have in common, and their checks."""
+"""Steps that the scenarios of an upgrade share, and their checks."""
 
 from __future__ import annotations
 
+import asyncio
+import os
 import time
 
-from benchmarks.mixed.front_end import CLASS_BY_NAME, Connection, Try, judge, wait_answer
+from benchmarks.mixed.front_end import CLASS_BY_NAME, Attempt, Connection, judge, wait_response
 from benchmarks.mixed.scenario import Result
 from benchmarks.mixed.server_process import ServerProcess, wait_until
 from benchmarks.mixed.upgrade_site import UpgradeSite
 
-ANSWERS_WITHIN_S = 10.0
-ELDER_ENDS_WITHIN_S = 3.7  # from SIGTERM, where a successor serves
-LONG_WORK_US = 300_000  # still runs when the elder hands over
+RESPONSES_WITHIN_S = 10.0
+PREDECESSOR_ENDS_WITHIN_S = 3.7  # from SIGTERM, where a successor serves
+LONG_WORK_US = 300_000  # still runs when the predecessor hands over
 LONG_WORKS = 3  # of each class with an effect
-CROWD = 20  # more work than the cores take at once: the rest is held
-TAKEN_BACK = 10  # of it
+CROWD = 20  # more work than the cores run at once: the rest is queued
+CANCELLED = 10  # of it
 
 
-async def more_answers(site: UpgradeSite, count: int) -> None:
-    wanted = site.load.record.answer_count + count
+async def wait_more_responses(site: UpgradeSite, count: int) -> None:
+    """Wait until the load has so many more responses. Raises CheckFailedError."""
+    wanted = site.load.record.response_count + count
 
     async def reached() -> bool:
-        return site.load.record.answer_count >= wanted
+        return site.load.record.response_count >= wanted
 
-    await wait_until(f"{count} more answers", reached, ANSWERS_WITHIN_S)
+    await wait_until(f"{count} more answers", reached, RESPONSES_WITHIN_S)
 
 
 async def connect(site: UpgradeSite) -> Connection:
-    """A connection that a process has taken: it has answered a request."""
+    """Open a connection that a process has accepted: it has answered a request."""
     connection = await Connection.open(site.load.record, site.load.port)
-    await wait_answer(connection.send(site.load.record.new_work(CLASS_BY_NAME["schedule-save"])))
+    await wait_response(connection.send(site.load.record.new_work(CLASS_BY_NAME["schedule-save"])))
     return connection
 
 
-def send_long_work(site: UpgradeSite, connection: Connection) -> list[Try]:
+def send_long_work(site: UpgradeSite, connection: Connection) -> list[Attempt]:
+    """Send work of each class with an effect that still runs when the predecessor hands over."""
     record = site.load.record
-    kinds = [kind for kind in CLASS_BY_NAME.values() if kind.has_effect]
-    works = [record.new_work(kind, LONG_WORK_US) for kind in kinds for _ in range(LONG_WORKS)]
+    classes = [request_class for request_class in CLASS_BY_NAME.values() if request_class.has_effect]
+    works = [
+        record.new_work(request_class, LONG_WORK_US) for request_class in classes for _ in range(LONG_WORKS)
+    ]
     return [connection.send(work) for work in works]
 
 
-async def repeat(connection: Connection, tries: list[Try]) -> list[Try]:
-    """The same work once more, elsewhere; returns when all of it is answered."""
-    repeats = [connection.send(one.work) for one in tries]
-    for one in [*tries, *repeats]:
-        await wait_answer(one)
+async def repeat(connection: Connection, attempts: list[Attempt]) -> list[Attempt]:
+    """Send the same work once more, elsewhere; return when all of it is answered."""
+    repeats = [connection.send(attempt.work) for attempt in attempts]
+    for attempt in [*attempts, *repeats]:
+        await wait_response(attempt)
     return repeats
 
 
-def check_repeats(result: Result, tries: list[Try], repeats: list[Try]) -> None:
-    """The first tries ran at the elder; what came back at the younger must say so."""
-    for first, second in zip(tries, repeats, strict=True):
-        what = f"long {first.work.kind.name} {first.work.number}"
-        result.check(first.word == "done", f"{what} was answered {first.word or 'nothing'!r}")
-        if first.work.kind.shares_result:
-            same = second.word == "done" and second.answers[0].body == first.answers[0].body
-            result.check(same, f"the repeat of {what} did not share its result: {second.word!r}")
+def check_repeats(result: Result, attempts: list[Attempt], repeats: list[Attempt]) -> None:
+    """Check responses of first attempts at the predecessor, and of their repeats at the successor."""
+    for first, second in zip(attempts, repeats, strict=True):
+        label = f"long {first.work.request_class.name} {first.work.number}"
+        result.check(first.status == "done", f"{label} was answered {first.status or 'nothing'!r}")
+        if first.work.request_class.shares_result:
+            same = second.status == "done" and second.responses[0].body == first.responses[0].body
+            result.check(same, f"the repeat of {label} did not share its result: {second.status!r}")
         else:
-            result.check(second.word == "error", f"the repeat of {what} was answered {second.word!r}")
+            result.check(second.status == "error", f"the repeat of {label} was answered {second.status!r}")
 
 
-async def end_elder(result: Result, elder: ServerProcess, began: float) -> None:
-    code = await elder.wait_end()
-    took = time.monotonic() - began
-    result.counts["elder_gone_s"] = round(took, 2)
-    result.check(code == 0, f"the elder ended with {code}")
-    result.check(took < ELDER_ENDS_WITHIN_S, f"the elder took {took:.1f} s to end")
+async def end_predecessor(result: Result, predecessor: ServerProcess, began: float) -> None:
+    """Wait for the end of the predecessor, whose SIGTERM was sent at `began`. Raises CheckFailedError."""
+    code = await predecessor.wait_end()
+    duration_s = time.monotonic() - began
+    result.counts["elder_gone_s"] = round(duration_s, 2)
+    result.check(code == 0, f"the predecessor ended with {code}")
+    result.check(duration_s < PREDECESSOR_ENDS_WITHIN_S, f"the predecessor took {duration_s:.1f} s to end")
 
 
 async def end_node(result: Result, site: UpgradeSite, last: ServerProcess) -> None:
-    """The load stops, the last process is told to leave, and all that was seen is judged."""
+    """Stop the load, terminate the last process, and check what it leaves. Raises CheckFailedError."""
     await site.load.stop()
     result.check(site.load.record.no_connection == 0, "the passed socket refused a connection")
     code = await last.terminate()
     result.check(code == 0, f"the last process ended with {code}")
-    left = len(list(site.meeting_folder.iterdir()))
+    left = len(await asyncio.to_thread(os.listdir, site.temporary_folder))
     killed = sum(process.killed_at is not None for process in site.processes)
-    result.check(left <= killed, "a process that was not killed left its meeting socket behind")
+    result.check(left <= killed, "a process that was not killed left its restart socket behind")
 
 
 def judge_site(result: Result, site: UpgradeSite, killed_at: float | None) -> None:
+    """Judge the record of the load and the logs."""
     verdict = judge(site.load.record, site.runs(), killed_at)
     result.failures += verdict.failures
     result.counts |= verdict.counts
     result.check_processes(site.processes, site.logs())
 
 
-async def check_duty_crosses(elder: ServerProcess, younger: ServerProcess) -> None:
-    """Quiesced at one door and resumed at the other: both say the same."""
-    await elder.launch.door.call("/admin/quiesce", method="POST")
-    await younger.wait_state("quiesced")
-    await younger.launch.door.call("/admin/resume", method="POST")
-    await elder.wait_state("serving")
-
-
-async def check_taken_back(result: Result, site: UpgradeSite, connection: Connection) -> None:
-    """Work is taken back at one process before it runs: it may be sent again, and to any process."""
-    record, kind = site.load.record, CLASS_BY_NAME["meter-reading"]
-    tries = [connection.send(record.new_work(kind, LONG_WORK_US)) for _ in range(CROWD)]
-    taken_back = tries[-TAKEN_BACK:]
-    for one in taken_back:
-        connection.take_back(one)
-    again = await connect(site)
-    repeats = [again.send(one.work) for one in taken_back]
-    for one in tries[:-TAKEN_BACK]:
-        await wait_answer(one)
-        result.check(one.word == "done", f"work in a crowd was answered {one.word or 'nothing'!r}")
-    for one in repeats:  # an error where the first try had begun: its result was given up with it
-        await wait_answer(one)
-        result.check(one.word in ("done", "error"), f"after a take-back came {one.word or 'nothing'!r}")
-    result.check(any(one.word == "done" for one in repeats), "no work that was taken back ran later")
-    await again.close()
+async def check_serving_state_shared(predecessor: ServerProcess, successor: ServerProcess) -> None:
+    """Quiesce at one health endpoint and resume at the other: both must say the same.
+
+    Raises CheckFailedError, CallFailedError.
+    """
+    await predecessor.launch.health_endpoint.call("/admin/quiesce", method="POST")
+    await successor.wait_state("quiesced")
+    await successor.launch.health_endpoint.call("/admin/resume", method="POST")
+    await predecessor.wait_state("serving")
+
+
+async def check_cancellation(result: Result, site: UpgradeSite, connection: Connection) -> None:
+    """Cancel requests at one process before they run: their work may be sent again, to any process."""
+    record, request_class = site.load.record, CLASS_BY_NAME["meter-reading"]
+    attempts = [connection.send(record.new_work(request_class, LONG_WORK_US)) for _ in range(CROWD)]
+    cancelled = attempts[-CANCELLED:]
+    for attempt in cancelled:
+        connection.cancel(attempt)
+    second_connection = await connect(site)
+    repeats = [second_connection.send(attempt.work) for attempt in cancelled]
+    for attempt in attempts[:-CANCELLED]:
+        await wait_response(attempt)
+        result.check(
+            attempt.status == "done", f"work in a crowd was answered {attempt.status or 'nothing'!r}"
+        )
+    for attempt in repeats:  # an error where the first attempt had begun: its result was dropped with it
+        await wait_response(attempt)
+        status = attempt.status
+        result.check(status in ("done", "error"), f"after a cancellation came {status or 'nothing'!r}")
+    result.check(any(attempt.status == "done" for attempt in repeats), "no cancelled work ran later")
+    await second_connection.close()
--- a/benchmarks/mixed/versions.py
+++ b/benchmarks/mixed/versions.py
@@ -9,46 +9,47 @@
 from dataclasses import dataclass
 from pathlib import Path
 
+from benchmarks.mixed.errors import CannotRunError, CheckFailedError, ExitCodeError, StillRunningError
+
 COMMAND_TIMEOUT_S = 15.0
+ERROR_CHARACTERS_SHOWN = 400
 SHOW_PACKAGE = "import marlstep; print(marlstep.__file__)"
 PROGRAM = "marlstep"
 PROGRAM_FOLDERS = ("marlstep", "petrelcart")
 
 
-class CannotRun(Exception):
-    """The measurement could not be made. It says nothing about the versions."""
-
-
-class CheckFailed(Exception):
-    """Something that two versions must do together did not happen."""
-
-
 @dataclass(slots=True, frozen=True)
 class Version:
+    """One version of the program, run from a checkout of its own."""
+
     label: str  # "old" or "new"
     checkout: Path
     commit: str
     modified: bool  # files of the program differ from the commit
 
     def environment(self, extra: Mapping[str, str] | None = None) -> dict[str, str]:
-        """What a process of this version is started with: only this checkout is on its path."""
-        kept = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
-        return {**kept, "PYTHONPATH": str(self.checkout), **(extra or {})}
+        """Return the environment of a process of this version: only this checkout is on its path."""
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
+        return {**inherited, "PYTHONPATH": str(self.checkout), **(extra or {})}
 
     def command(self, *arguments: str) -> list[str]:
-        """The command line of the program, by the interpreter that runs this measurement."""
+        """Return the command line of the program, by the interpreter that runs this measurement."""
         return [sys.executable, "-m", PROGRAM, *arguments]
 
     async def run(self, *arguments: str) -> str:
-        """One command of the program to its end; its standard output. Raises CheckFailed."""
+        """Run one command of the program to its end; return its standard output. Raises CheckFailedError."""
         return await run_program(self.command(*arguments), self.checkout, self.environment())
 
     def describe(self) -> dict[str, object]:
+        """Return what the report says of this version."""
         return {"commit": self.commit, "modified": self.modified}
 
 
 async def run_program(arguments: Sequence[str], folder: Path, environment: Mapping[str, str]) -> str:
-    """Standard output of a program that ends with 0. Raises CheckFailed otherwise."""
+    """Run a program to its end and return its standard output.
+
+    Raises CheckFailedError where it does not end in time, or with another exit code than 0.
+    """
     process = await asyncio.create_subprocess_exec(
         *arguments,
         cwd=folder,
@@ -60,23 +61,25 @@
     try:
         output, errors = await asyncio.wait_for(process.communicate(), COMMAND_TIMEOUT_S)
     except TimeoutError:
-        raise CheckFailed(f"{arguments[-1]} did not end in {COMMAND_TIMEOUT_S:.0f} s") from None
+        raise StillRunningError(arguments[-1], COMMAND_TIMEOUT_S) from None
     finally:
         if process.returncode is None:
             process.kill()
             await process.wait()
     if process.returncode:
-        said = errors.decode(errors="replace").strip()[-400:]
-        raise CheckFailed(f"{' '.join(arguments[1:])} ended with {process.returncode}: {said}")
+        last_errors = errors.decode(errors="replace").strip()[-ERROR_CHARACTERS_SHOWN:]
+        raise ExitCodeError(" ".join(arguments[1:]), process.returncode, last_errors)
     return output.decode()
 
 
 async def open_version(label: str, checkout: Path) -> Version:
-    """Raises CannotRun where the folder is no checkout from which the program can be started."""
-    checkout = checkout.resolve()
-    if not checkout.is_dir():
-        raise CannotRun(f"{label}: {checkout} is no folder")
-    version = Version(label, checkout, "", False)
+    """Check that the program can be started from this folder, an absolute path, and nowhere else.
+
+    Raises CannotRunError.
+    """
+    if not await asyncio.to_thread(checkout.is_dir):
+        raise CannotRunError(label, f"{checkout} is no folder")
+    version = Version(label, checkout, "", modified=False)
     environment = version.environment()
     try:
         package = await run_program([sys.executable, "-c", SHOW_PACKAGE], checkout, environment)
@@ -84,8 +87,8 @@
         changes = await run_program(
             ["git", "status", "--porcelain", "--", *PROGRAM_FOLDERS], checkout, environment
         )
-    except (CheckFailed, OSError) as fault:
-        raise CannotRun(f"{label}: {fault}") from fault
+    except (CheckFailedError, OSError) as error:
+        raise CannotRunError(label, str(error)) from error
     if not Path(package.strip()).is_relative_to(checkout):
-        raise CannotRun(f"{label}: the program would be loaded from {package.strip()}")
+        raise CannotRunError(label, f"the program would be loaded from {package.strip()}")
     return Version(label, checkout, commit.strip(), bool(changes.strip()))
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,10 +1,10 @@
-"""Two versions of the program together, as real processes on loopback: an upgrade under load, and a fleet.
+"""Two versions of the program together, as real processes on loopback: an upgrade under load, and a cluster.
 
-    python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT all      # one JSON object, under three minutes
+    python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT all    # one JSON object, under three minutes
     python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT upgrade --rounds 3
 
-The old version is a checkout of its own (`git worktree add`), the new one is the checkout of this file. Ends with 0
-where all held, with 1 where something broke, and with 2 where it could not be run.
+The old version is a checkout of its own (`git worktree add`), the new one is the checkout of this file. The
+exit code is 0 where all held, 1 where something broke, and 2 where it could not be run.
 """
 
 from __future__ import annotations
@@ -19,37 +19,44 @@
 
 import uvloop
 
+from benchmarks.mixed.errors import CannotRunError
 from benchmarks.mixed.fleet_scenarios import run_fleets
 from benchmarks.mixed.scenario import Result
 from benchmarks.mixed.upgrade_scenarios import run_upgrades
-from benchmarks.mixed.versions import CannotRun, Version, open_version
+from benchmarks.mixed.versions import Version, open_version
 
 HELD, BROKE, COULD_NOT_RUN = 0, 1, 2
 NEW_CHECKOUT = Path(__file__).resolve().parent.parent
 
 
-async def run_round(what: str, folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
+def resolved_path(text: str) -> Path:
+    """Return the absolute path, for the argument parser."""
+    return Path(text).resolve()
+
+
+async def run_round(selection: str, folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
+    """Run the selected scenarios once. Raises CannotRunError, OSError."""
     results = []
-    if what in ("upgrade", "all"):
+    if selection in ("upgrade", "all"):
         results += await run_upgrades(folder, old, new, seed)
-    if what in ("fleet", "all"):
+    if selection in ("fleet", "all"):
         results += await run_fleets(folder, old, new, seed)
     return results
 
 
 async def measure(options: argparse.Namespace) -> dict[str, Any]:
-    """Raises CannotRun, OSError."""
+    """Run all rounds and return the report. Raises CannotRunError, OSError."""
     began = time.monotonic()
-    old = await open_version("old", Path(options.old))
+    old = await open_version("old", options.old)
     new = await open_version("new", NEW_CHECKOUT)
     rounds = []
     with tempfile.TemporaryDirectory(prefix="mixed-") as scratch:
-        kept = Path(options.logs) if options.logs else Path(scratch)
+        logs = Path(options.logs) if options.logs else Path(scratch)
         for number in range(options.rounds):
-            folder = kept / f"round-{number}"
+            folder = logs / f"round-{number}"
             folder.mkdir(parents=True)
             rounds.append(await run_round(options.what, folder, old, new, options.seed + 100 * number))
-    results = [result for one in rounds for result in one]
+    results = [result for results in rounds for result in results]
     return {
         "verdict": "held" if all(result.held for result in results) else "broke",
         "old": old.describe(),
@@ -59,14 +66,15 @@
         "scenarios": len(results),
         "broken": [result.name for result in results if not result.held],
         "seconds": round(time.monotonic() - began, 1),
-        "results": [[result.write() for result in one] for one in rounds],
+        "results": [[result.to_json() for result in results] for results in rounds],
     }
 
 
 def main() -> int:
+    """Print the report and return the exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("what", choices=("upgrade", "fleet", "all"))
-    parser.add_argument("--old", required=True, help="a checkout of the version before")
+    parser.add_argument("--old", required=True, type=resolved_path, help="a checkout of the version before")
     parser.add_argument("--rounds", type=int, default=1)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
@@ -75,8 +83,8 @@
     options = parser.parse_args()
     try:
         outcome = uvloop.run(measure(options))
-    except (CannotRun, OSError) as fault:
-        print(json.dumps({"verdict": "could not run", "why": str(fault)}))
+    except (CannotRunError, OSError) as error:
+        print(json.dumps({"verdict": "could not run", "why": str(error)}))
         return COULD_NOT_RUN
     print(json.dumps(outcome))
     return HELD if outcome["verdict"] == "held" else BROKE
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import logging
 import subprocess
 import sys
 from collections import Counter
@@ -9,24 +10,27 @@
 
 import pytest
 
-from benchmarks.mixed.front_end import CLASS_BY_NAME, Answer, Record, Try, judge
+from benchmarks.mixed.cluster import STORE_IN_USE
+from benchmarks.mixed.front_end import CLASS_BY_NAME, Attempt, Record, Response, judge
 from benchmarks.mixed.scenario import Result
 from benchmarks.mixed.server_process import read_log
 from benchmarks.mixed.task_record import count_crossings, judge_acts
+from marlstep.__main__ import PLAIN
+from marlstep.cluster.store_errors import StoreRefusedError
 from marlstep.drill.acts import Act
 
 ROOT = Path(__file__).parent.parent
 KILLED_AT = 100.0
 
 
-def sent(record: Record, kind: str, *words: str) -> list[Try]:
-    """One piece of work with a try for each word, answered by it; by nothing where it is empty."""
-    work = record.new_work(CLASS_BY_NAME[kind])
-    tries = [record.new_try(work) for _ in words]
-    for one, word in zip(tries, words, strict=True):
-        if word:
-            one.answers.append(Answer(word, b"full %d" % work.number if word == "done" else b""))
-    return tries
+def sent(record: Record, request_class: str, *statuses: str) -> list[Attempt]:
+    """One piece of work with an attempt for each status, answered with it; not answered where it is empty."""
+    work = record.new_work(CLASS_BY_NAME[request_class])
+    attempts = [record.new_attempt(work) for _ in statuses]
+    for attempt, status in zip(attempts, statuses, strict=True):
+        if status:
+            attempt.responses.append(Response(status, b"full %d" % work.number if status == "done" else b""))
+    return attempts
 
 
 def runs(**counts: int) -> Counter[tuple[str, int]]:
@@ -51,8 +55,8 @@
 def test_a_second_answer_and_an_answer_to_nothing_are_found() -> None:
     record = Record()
     [one] = sent(record, "schedule-save", "done")
-    one.answers.append(one.answers[0])
-    record.strange_answers.append("[b'9', b'done']")
+    one.responses.append(one.responses[0])
+    record.unexpected_responses.append("[b'9', b'done']")
     failures = judge(record, runs(schedule_save=1), None).failures
     assert len(failures) == 2 and "to no request" in failures[0] and "answered 2 times" in failures[1]
 
@@ -60,7 +64,7 @@
 def test_the_result_of_other_work_and_a_result_of_no_run_are_found() -> None:
     record = Record()
     [one] = sent(record, "schedule-save", "done")
-    one.answers[0] = Answer("done", b"full 7")
+    one.responses[0] = Response("done", b"full 7")
     failures = judge(record, Counter(), None).failures
     assert any("result of other work" in fault for fault in failures)
     assert any("never ran" in fault for fault in failures)
@@ -92,16 +96,16 @@
         assert len(judge(record, Counter(), killed_at).failures) == failures, (lost_at, killed_at)
 
 
-def test_a_request_that_was_taken_back_is_owed_nothing_and_its_work_still_runs_once() -> None:
+def test_a_cancelled_request_is_owed_no_response_and_its_work_still_runs_once() -> None:
     for count, failures in ((1, 0), (2, 1)):
         record = Record()
         first, _ = sent(record, "meter-reading", "", "done")
-        first.taken_back = True
+        first.cancelled = True
         verdict = judge(record, runs(meter_reading=count), None)
         assert len(verdict.failures) == failures and verdict.counts["taken_back"] == 1
 
 
-def test_too_many_refusals_are_a_failure_where_nobody_was_killed() -> None:
+def test_too_many_rejections_are_a_failure_where_no_process_was_killed() -> None:
     record = Record()
     for _ in range(2):
         sent(record, "temp-history", "later")
@@ -149,6 +153,40 @@
     assert not result.held and len(result.failures) == 2
 
 
+STORE_IN_USE_BEFORE = "fleet: this node can't vote: /s/voter.sqlite is in use by another process"
+STORE_IN_USE_NOW = (
+    "fleet: store not opened, node can't vote retry_in=0:00:01 "
+    "error=/s/voter.sqlite is in use by another process"
+)
+
+
+@pytest.mark.parametrize("text", [STORE_IN_USE_BEFORE, STORE_IN_USE_NOW])
+def test_a_store_found_in_use_is_a_warning_only_where_it_is_expected(tmp_path: Path, text: str) -> None:
+    path = tmp_path / "node.log"
+    path.write_text(f"2026-01-01 00:00:00,000 ERROR marlstep.fleet.part: {text}\n")
+    expected = read_log(path, STORE_IN_USE)
+    assert expected.errors == [] and expected.warnings.total() == 1
+    assert next(iter(expected.warnings)).endswith("voter.sqlite is in use by another process")
+    unexpected = read_log(path)
+    assert len(unexpected.errors) == 1 and not unexpected.warnings
+
+
+def test_another_fault_of_the_store_is_an_error_also_where_a_store_in_use_is_expected(tmp_path: Path) -> None:
+    path = tmp_path / "node.log"
+    error = StoreRefusedError(Path("/s/voter.sqlite"), "has format 9, and this program reads up to 1")
+    path.write_text(f"2026-01-01 00:00:00,000 ERROR marlstep.cluster: store not opened error={error}\n")
+    assert len(read_log(path, STORE_IN_USE).errors) == 1
+
+
+def test_a_line_in_the_layout_of_the_program_is_read(tmp_path: Path) -> None:
+    error = StoreRefusedError(Path("/s/voter.sqlite"), "is in use by another process")
+    arguments = ("marlstep.cluster", logging.ERROR, __file__, 1, "store not opened error=%s", (error,), None)
+    path = tmp_path / "node.log"
+    path.write_text(logging.Formatter(PLAIN).format(logging.LogRecord(*arguments)) + "\n")
+    found = read_log(path, STORE_IN_USE)
+    assert found.errors == [] and found.warnings.total() == 1
+
+
 def test_a_folder_that_is_no_checkout_can_not_be_run(tmp_path: Path) -> None:
     command = [sys.executable, "-m", "benchmarks.mixed_versions", "--old", str(tmp_path), "upgrade"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=30)
