--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -29,7 +29,7 @@
 from marlstep.drill.witness import clock_us
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import content_digest
-from marlstep.replicated_config.follower import FollowerState
+from marlstep.replicated_config.followed_document import FollowerState
 from marlstep.replicated_config.store import ConfigStore
 
 ACTS = "acts on version "
@@ -230,7 +230,7 @@
     def _carry_out(self, node: VirtualNode, done: list[Any]) -> None:
         super()._carry_out(node, done)
         for name, one in self.followers[node.name].documents.items():
-            if one.state is FollowerState.ACTING:
+            if one.state is FollowerState.ACTIVE:
                 self.acted.setdefault((name, one.version), {}).setdefault(node.name, self.true_us)
 
     def watch(self) -> None:
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -11,25 +11,20 @@
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.interfaces import ConfigDocuments, LeaderRequester, Step, TurnRequester
 from marlstep.cluster.order_tracker import OrderResults, OrderTracker
-from marlstep.config.cluster import ReplicatedConfigSettings
+from marlstep.config.cluster_settings import ReplicatedConfigSettings
 from marlstep.leases.holder import HeartbeatReport
-from marlstep.leases.settings import CONFIG_LEASE_PREFIX
+from marlstep.leases.names import CONFIG_LEASE_PREFIX
 from marlstep.membership.quota_table import quota_limit_violation
-from marlstep.replicated_config.documents import (
-    DisconnectPolicy,
-    DocumentDefinition,
-    Kind,
-    canonical_json,
-    differences,
-)
-from marlstep.replicated_config.follower import (
+from marlstep.replicated_config.comparison import differences
+from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, canonical_json
+from marlstep.replicated_config.follower import ConfigFollower
+from marlstep.replicated_config.follower_actions import (
     AcknowledgeVersion,
     ActivateVersion,
     CheckVersion,
-    ConfigFollower,
     FollowerAction,
-    LoseDocument,
     ProposeFirstVersion,
+    SuspendDocument,
 )
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 
@@ -136,7 +131,7 @@
                 self._leader.request_leader(action)
             case ActivateVersion():
                 self._activate(action)
-            case LoseDocument():
+            case SuspendDocument():
                 self._lose(action)
             case ProposeFirstVersion():
                 self._propose_first_version(action)
@@ -191,7 +186,7 @@
         log.info("fleet: version activated document=%s version=%d", action.name, action.version)
         self._context.record_event(f"acts on version {action.version} of {action.name}", "it is in force")
 
-    def _lose(self, action: LoseDocument) -> None:
+    def _lose(self, action: SuspendDocument) -> None:
         effect = DISCONNECT_EFFECTS[action.policy]
         log.warning(
             "fleet: document lease lost document=%s policy=%s reason=%r",
--- a/marlstep/config/cluster_membership.py
+++ b/marlstep/config/cluster_membership.py
@@ -7,7 +7,7 @@
 
 from marlstep.config.cluster_settings import MembershipConfig
 from marlstep.config.readers import Address, ConfigError, Table, known, number, table, whole, word, words
-from marlstep.membership.failure_detector import DetectorSettings
+from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.records import MAX_NAME_LENGTH
 from marlstep.membership.roster_controller import RosterSettings
 from marlstep.units import MILLISECOND
--- a/marlstep/drill/broken.py
+++ b/marlstep/drill/broken.py
@@ -21,9 +21,14 @@
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.quota_table import QuotaShare, QuotaTable
 from marlstep.membership.records import MemberRecord
-from marlstep.replicated_config.follower import ConfigFollower, FollowerState, LoseDocument
+from marlstep.replicated_config.commands import PrepareVersion
+from marlstep.replicated_config.documents import Document
+from marlstep.replicated_config.followed_document import FollowerState
+from marlstep.replicated_config.follower import ConfigFollower
+from marlstep.replicated_config.follower_actions import SuspendDocument
+from marlstep.replicated_config.results import VersionPrepared
 from marlstep.replicated_config.rollout import RolloutMonitor
-from marlstep.replicated_config.store import ConfigStore, Document
+from marlstep.replicated_config.store import ConfigStore
 from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
 from marlstep.scheduled_tasks.runner import RunnerState, TaskRunner
 from marlstep.units import MILLISECOND, ZERO
@@ -137,12 +142,12 @@
 class AnyVersion(ConfigStore):
     """Compare-and-set without the compare."""
 
-    def _apply_put(self, command: CommandJson) -> ResultJson:
-        known = self.documents.get(command["doc"])
+    def _apply_prepare(self, command: PrepareVersion) -> VersionPrepared:
+        known = self.documents.get(command.document)
         number = known.active_number if known is not None else 0
         if known is not None and known.prepared is not None:
             known.prepared = None
-        return super()._apply_put({**command, "expect": number})
+        return super()._apply_prepare(replace(command, expected_version=number))
 
 
 class CountsEarlierLives(ConfigStore):
@@ -165,7 +170,7 @@
         state = one.state
         done = super()._prepare(now, one, target)
         one.state = state
-        return [do for do in done if not isinstance(do, LoseDocument)]
+        return [do for do in done if not isinstance(do, SuspendDocument)]
 
 
 class TrustsItsDisk(ConfigFollower):
@@ -182,16 +187,18 @@
     def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
         state = one.state
         done = super()._reach_version(now, one, version, digest, pending)
-        if one.state is FollowerState.BEHIND:
+        if one.state is FollowerState.CATCHING_UP:
             one.state = state
-        return [do for do in done if not (isinstance(do, LoseDocument) and "not here yet" in do.reason)]
+        return [do for do in done if not (isinstance(do, SuspendDocument) and "not here yet" in do.reason)]
 
 
 class NeverLooks(RolloutMonitor):
     """A stage goes on after its time, however its nodes do."""
 
-    def is_degraded(self, here: RequestCounts, there: RequestCounts, by: float, least: int) -> str:
-        return ""
+    def is_degraded(
+        self, canaries: RequestCounts, controls: RequestCounts, max_degradation: float, min_requests: int
+    ) -> bool:
+        return False
 
 
 class GivesAtOnce(QuotaTable):
@@ -217,7 +224,7 @@
 class TakesAnyLife(FailureDetector):
     """What is heard last of a name counts, of whichever of its processes."""
 
-    def _merge_record(self, now: datetime, record: MemberRecord, why: str) -> bool:
+    def _merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
         member = self.members.get(record.node)
         if (
             member is not None
@@ -225,9 +232,9 @@
             and record.precedence <= member.record.precedence
         ):
             member.record = replace(record, generation=member.record.generation)
-            self._add_to_probe_order(member)
+            self._restart_suspicion(member)
             return True
-        return super()._merge_record(now, record, why)
+        return super()._merge_record(now, record, reason)
 
 
 def same(settings: LeaseSettings) -> LeaseSettings:
--- /dev/null
+++ b/tests/membership/test_virtual_network.py
@@ -0,0 +1,120 @@
+"""Failure detectors on the simulated network: faults, mutations, and the drill's checkers and exit codes."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from marlstep.cli.main import call
+from marlstep.drill.acts import Act
+from marlstep.drill.broken import MEMBERS_BREAKAGES, Breakage
+from marlstep.drill.members import Line, forbidden_acts, wrongly_removed
+from marlstep.drill.plan import Fault, Plan, Shape, draw
+from marlstep.drill.virtual_members import KINDS, run_members
+from marlstep.membership.partition_state import (
+    PartitionState,
+)
+from tests.membership.support import NODES
+
+
+@pytest.mark.parametrize("seed", range(30, 36))
+def test_all_views_converge_after_random_faults(seed: int) -> None:
+    plan = draw(seed, Shape(nodes=12, length_ms=30_000, kinds=KINDS, every_ms=2_000))
+    world, violation = run_members(plan, loss=0.05)
+    assert not violation and world.measured.datagrams > 500
+
+
+def cuts_between(*groups: tuple[str, ...], at: int = 5_000, span: int = 8_000) -> tuple[Fault, ...]:
+    """Cut all links between the groups."""
+    return tuple(
+        Fault(at, span, "cut", node, other)
+        for number, group in enumerate(groups)
+        for opposite in groups[number + 1 :]
+        for node in group
+        for other in opposite
+    )
+
+
+HARD_CASES = {
+    "stopped for 1 s, 5 s, 30 s": (
+        Fault(4_000, 1_000, "stop", "n1"),
+        Fault(4_000, 5_000, "stop", "n5"),
+        Fault(4_000, 30_000, "stop", "n9"),
+    ),
+    "three sides": cuts_between(NODES[:4], NODES[4:8], NODES[8:]),
+    "a bridge that alone sees both sides": cuts_between(NODES[:6], NODES[7:]),
+    "heard by nobody": (Fault(5_000, 9_000, "mute", "n5"),),
+    "hears nobody": (Fault(5_000, 9_000, "deaf", "n5"),),
+    "one way to each": tuple(Fault(5_000, 9_000, "one way", "n5", other) for other in NODES if other != "n5")[
+        :6
+    ],
+    "60% replaced within 7 s": tuple(
+        Fault(5_000 + number * 1_000, 1_500, "kill", name) for number, name in enumerate(NODES[:7])
+    ),
+    "a zone lost, and back cold": tuple(Fault(5_000, 6_000, "kill", name) for name in NODES[::3]),
+}
+
+
+@pytest.mark.parametrize("name", HARD_CASES)
+@pytest.mark.parametrize("loss", [0.0, 0.3])
+def test_all_views_converge_after_a_hard_fault_case(name: str, loss: float) -> None:
+    last = max(fault.at_ms + fault.for_ms for fault in HARD_CASES[name])
+    length = last + (12_000 if not loss else 30_000)
+    world, violation = run_members(
+        Plan(5, NODES, NODES[:3], length, (1.0,) * 12, HARD_CASES[name]), loss=loss
+    )
+    if not loss:
+        assert not violation and not (name == "one way to each" and world.measured.false_failures)
+    else:  # with such a loss some node is suspected at any moment, and seldom declared failed
+        minutes = length / 60_000
+        assert world.measured.false_failures / len(NODES) / minutes < 12
+
+
+def test_slow_nodes_cause_no_false_failures() -> None:
+    plan = Plan(7, NODES, NODES[:3], 60_000, (1.0,) * 12, ())
+    world, violation = run_members(
+        plan, loss=0.01, slow=0.25
+    )  # event loops that are often late, by up to a second
+    assert not violation and not world.measured.false_failures
+    assert sum(node.detector.counts["late"] for node in world.nodes.values()) > 10
+
+
+@pytest.mark.parametrize(("name", "seed"), [("incarnation-not-raised", 3), ("old-boot-taken", 0)])
+def test_the_simulation_detects_a_mutation_of_the_detector(name: str, seed: int) -> None:
+    plan = draw(seed, Shape(nodes=12, length_ms=40_000, kinds=KINDS, every_ms=2_500))
+    assert run_members(plan, MEMBERS_BREAKAGES[name])[1] and not run_members(plan, Breakage())[1]
+
+
+def test_without_faults_nobody_is_suspected_and_load_per_node_is_constant() -> None:
+    rates = []
+    for nodes in (10, 60):
+        names = tuple(f"n{number}" for number in range(nodes))
+        world, violation = run_members(Plan(1, names, names[:3], 20_000, (1.0,) * nodes, ()), loss=0.0)
+        assert not violation and not world.measured.false_suspicions
+        rates.append(world.measured.datagrams / nodes)
+    assert rates[1] < 1.2 * rates[0]
+
+
+def test_the_checkers_find_a_wrong_removal_and_a_forbidden_effect() -> None:
+    lines = {
+        Line(10, "n1", "remove n2"),
+        Line(10, "n1", "remove n3"),
+        Line(5, "n4", f"situation is {PartitionState.ISOLATED.value}"),
+    }
+    assert wrongly_removed(lines, {"n2": [(5, 20)], "n3": [(11, 20)]}) == ["n3 at 10 by n1"]
+    late = Act("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
+    assert len(forbidden_acts(lines, [late])) == 1
+    assert not forbidden_acts(lines, [replace(late, began_us=400_000), replace(late, node="n5/x")])
+
+
+def test_the_members_drill_has_the_exit_codes_of_the_other_drills() -> None:
+    arguments = ["drill", "members", "--nodes", "9", "--for", "20s", "--jobs", "1", "--json"]
+    assert call([*arguments, "--virtual", "--loss", "0.2", "--slow", "0.2", "--seeds", "2"]) == 0
+    assert call([*arguments, "--virtual", "--calm", "--trusting"]) == 0
+    faulty = ["drill", "members", "--nodes", "12", "--for", "40s", "--virtual", "--seed", "0"]
+    assert call([*faulty, "--broken", "old-boot-taken"]) == 1 and call(faulty) == 0
+    assert call([*arguments, "--virtual", "--broken", "acts-in-any-situation"]) == 2
+    assert (
+        call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
+    )  # that mutation is of the simulated network alone
