--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,9 +1,10 @@
-"""What it costs to know who is there, and how well it is known: the detectors on the virtual network.
+"""The cost and the quality of failure detection: the detectors on the virtual network.
 
     .venv/bin/python -m benchmarks.members                       # one JSON object, some minutes
     .venv/bin/python -m benchmarks.members --nodes 10 --nodes 50
 
-The baseline of the same run is the detector without self-doubt. A plan kills one node in twenty, for good within it.
+The baseline of the same run is the detector without Lifeguard's local health. A plan kills one node in
+twenty, and none of them comes back within it.
 """
 
 from __future__ import annotations
@@ -34,28 +35,29 @@
 )  # fmt: skip
 
 
-def one(work: tuple[int, float, float, bool, int]) -> dict[str, Any]:
-    nodes, loss, slow, doubts, seconds = work
+def measure_case(case: tuple[int, float, float, bool, int]) -> dict[str, Any]:
+    """Run one case: nodes, loss, share of slow nodes, local health, and seconds. Return its figures."""
+    nodes, loss, slow, doubts, seconds = case
     names = tuple(f"n{number}" for number in range(nodes))
     kills = max(1, nodes // 20)
     dead = names[-kills:]
-    # They come back at the very end: the judge wants all to hear of all.
+    # They come back at the very end: the judge requires that all nodes hear of all.
     faults = tuple(
         Fault(5_000 + at * 4_000 // kills, seconds * 1_000, "kill", name) for at, name in enumerate(dead)
     )
     began = time.monotonic()
     plan = Plan(nodes, names, names[:3], seconds * 1_000, (1.0,) * nodes, faults)
-    world, _ = run_members(plan, None, DetectorSettings(local_health_enabled=doubts), loss, slow)
-    measured = world.measured
-    rows = sorted(measured.detected_us)
-    seen = len(rows)
+    cluster, _ = run_members(plan, None, DetectorSettings(local_health_enabled=doubts), loss, slow)
+    measured = cluster.measured
+    detected_us = sorted(measured.detected_us)
+    seen = len(detected_us)
     return {
         "nodes": nodes,
         "loss": loss,
         "slow": slow,
         "doubts": doubts,
-        "detected_ms_p50": round(rows[seen // 2] / 1000) if seen else None,
-        "detected_ms_p99": round(rows[int(seen * 0.99)] / 1000) if seen else None,
+        "detected_ms_p50": round(detected_us[seen // 2] / 1000) if seen else None,
+        "detected_ms_p99": round(detected_us[int(seen * 0.99)] / 1000) if seen else None,
         "detected_of": [seen, kills * (nodes - kills)],
         "false_suspicions_an_hour": round(measured.false_suspicions * 3_600 / seconds, 1),
         "false_failures_an_hour": round(measured.false_failures * 3_600 / seconds, 1),
@@ -66,8 +68,8 @@
     }
 
 
-def one_node(members: int, seconds: int) -> dict[str, Any]:
-    """A detector with so many members, its datagrams written, checked and read: what it takes of a core."""
+def measure_node(members: int, seconds: int) -> dict[str, Any]:
+    """Measure a detector with so many members, its datagrams written, checked and read."""
     framing = wire.datagram_framing(b"k" * 32)
     records = [
         MemberRecord(f"n{at}", f"{at:012x}", at, 0, MemberState.ALIVE, f"10.0.0.{at % 250}:7001", "z")
@@ -80,60 +82,61 @@
         detector.receive(EPOCH, record, Ack(0))
     memory = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    rng, now, frames, took = random.Random(2), EPOCH, 0, 0.0
+    rng, now, frames, elapsed_s = random.Random(2), EPOCH, 0, 0.0
 
-    def through(sender: MemberRecord, message: MembershipMessage) -> tuple[MemberRecord, MembershipMessage]:
+    def transmit(sender: MemberRecord, message: MembershipMessage) -> tuple[MemberRecord, MembershipMessage]:
         ring = Ring(4 * wire.MAX_DATAGRAM_BYTES)
         ring.put(framing.write(wire.write_datagram("fleet", sender, message)))
         body = framing.read(ring)
         assert body is not None
-        _, read, said = wire.read_datagram(body)
-        return read, said
+        _, received_sender, received_message = wire.read_datagram(body)
+        return received_sender, received_message
 
     while now < EPOCH + timedelta(seconds=seconds):
         now = max(now, detector.next_due())
         other = records[rng.randrange(1, members)]
-        asked = framing.write(wire.write_datagram("fleet", other, Ping(1, "n0", tuple(records[1:4]))))
+        ping = framing.write(wire.write_datagram("fleet", other, Ping(1, "n0", tuple(records[1:4]))))
         began = time.perf_counter()
         for send in detector.tick(now):
             if isinstance(send.message, Ping):
                 framing.write(wire.write_datagram("fleet", detector.local, send.message))
-                target = next(one for one in records if one.node == send.message.node)
-                detector.receive(now, *through(target, Ack(send.message.number)))
+                target = next(record for record in records if record.node == send.message.node)
+                detector.receive(now, *transmit(target, Ack(send.message.number)))
                 frames += 2
         # As often as it probes itself, another probes it.
         ring = Ring(4 * wire.MAX_DATAGRAM_BYTES)
-        ring.put(asked)
+        ring.put(ping)
         body = framing.read(ring)
         assert body is not None
         _, sender, message = wire.read_datagram(body)
         for send in detector.receive(now, sender, message):
             framing.write(wire.write_datagram("fleet", detector.local, send.message))
         frames += 2
-        took += time.perf_counter() - began
+        elapsed_s += time.perf_counter() - began
     return {
         "members": members,
-        "us_a_datagram": round(took / frames * 1e6, 1),
-        "percent_of_a_core_at_9_a_second": round(took / frames * 9 * 100, 3),
+        "us_a_datagram": round(elapsed_s / frames * 1e6, 1),
+        "percent_of_a_core_at_9_a_second": round(elapsed_s / frames * 9 * 100, 3),
         "memory_kb": round(memory / 1024),
     }
 
 
 def main() -> None:
+    """Run all cases and print the report."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--nodes", type=int, choices=sorted(SECONDS), action="append")
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     sizes = options.nodes or [10, 50, 200, 1_000]
-    work = [
+    cases = [
         (nodes, loss, slow, doubts, SECONDS[nodes])
         for nodes in sizes
         for loss, slow, doubts in (CASES if nodes < 1_000 else CASES[:2])
     ]
     with ProcessPoolExecutor(options.jobs) as pool:
-        found: dict[str, Any] = {"period_ms": 500, "rows": list(pool.map(one, work))}
-    found["one_node"] = [one_node(members, 300) for members in (12, 200, 1_000)]
-    print(json.dumps(found))
+        report: dict[str, Any] = {"period_ms": 500, "rows": list(pool.map(measure_case, cases))}
+    report["one_node"] = [measure_node(members, 300) for members in (12, 200, 1_000)]
+    print(json.dumps(report))
 
 
 if __name__ == "__main__":
--- a/benchmarks/mixed/front_end.py
+++ b/benchmarks/mixed/front_end.py
@@ -311,7 +311,7 @@
     """Judge a record.
 
     `runs` is how often each piece of work was started, by class and number, over all processes. `killed_at` is
-    when a process was killed that had connections, on the monotonic clock; None where none was.
+    when a process with connections was killed, on the monotonic clock; None where none was.
     """
     failures = [f"an answer to no request: {response}" for response in record.unexpected_responses]
     for work in record.works:
@@ -369,7 +369,7 @@
 
 
 def _may_fail(work: Work, killed_at: float | None) -> bool:
-    """Whether it is a repeat of work that may have run, and whose result is not shared or not known any more."""
+    """Whether it is a repeat of work that may have run, and whose result is not shared or not known."""
     repeated = len(work.attempts) > 1 and work.request_class.has_effect
     unknown = killed_at is not None or any(attempt.cancelled for attempt in work.attempts)
     return repeated and (unknown or not work.request_class.shares_result)
--- a/benchmarks/mixed/server_process.py
+++ b/benchmarks/mixed/server_process.py
@@ -157,7 +157,7 @@
                 self._process.send_signal(number)
 
     async def wait_end(self, within_s: float = ENDS_WITHIN_S) -> int:
-        """Wait for the end and return the exit code. Raises CheckFailedError where it does not come in time."""
+        """Wait for the end and return the exit code. Raises CheckFailedError when the time is over."""
         assert self._process is not None
         try:
             return await asyncio.wait_for(self._process.wait(), within_s)
--- a/benchmarks/mixed/upgrade_scenarios.py
+++ b/benchmarks/mixed/upgrade_scenarios.py
@@ -1,6 +1,6 @@
 """A predecessor process of one version and a successor of the other on one passed socket, under load.
 
-The upgrade completes, is called off, or one of the two is killed in the middle of it.
+The upgrade completes, is aborted, or one of the two is killed in the middle of it.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
 
 
 async def successor_terminated(result: Result, site: UpgradeSite, pair: Pair) -> float | None:
-    """Call the upgrade off as both serve: the predecessor goes on, and no request is lost."""
+    """Abort the upgrade as both serve: the predecessor goes on, and no request is lost."""
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
     await wait_more_responses(site, STEP_RESPONSES)
@@ -179,8 +179,8 @@
 ) -> float | None:
     """Kill the successor after the predecessor's SIGTERM, which then drains the node.
 
-    What comes in the grace period is still answered. Then the node is started anew. It knows nothing of earlier
-    work, as any new node: no idempotency key is sent again.
+    What comes in the grace period is still answered. Then the node is started anew. It knows nothing of
+    earlier work, as any new node: no idempotency key is sent again.
     """
     at_predecessor = await connect(site)
     first = await site.launch(pair.successor)
@@ -221,7 +221,7 @@
 
 def scenarios() -> dict[str, Scenario]:
     """Return all scenarios by title."""
-    found: dict[str, Scenario] = {"complete": complete_upgrade, "called off": successor_terminated}
+    found: dict[str, Scenario] = {"complete": complete_upgrade, "aborted": successor_terminated}
     for moment in Moment:
         found[f"predecessor killed {moment}"] = partial(predecessor_killed, moment=moment)
         found[f"successor killed {moment}"] = partial(successor_killed, moment=moment)
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -1,6 +1,6 @@
 """Two versions of the program together, as real processes on loopback: an upgrade under load, and a cluster.
 
-    python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT all    # one JSON object, under three minutes
+    python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT all  # one JSON object, under three minutes
     python -m benchmarks.mixed_versions --old PATH_TO_OLD_CHECKOUT upgrade --rounds 3
 
 The old version is a checkout of its own (`git worktree add`), the new one is the checkout of this file. The
--- a/benchmarks/replay_again.py
+++ b/benchmarks/replay_again.py
@@ -1,9 +1,9 @@
-"""Does a replay on sockets give the same service figure again? Five times at 0.9 and at 1.3 of capacity.
+"""Whether a replay on sockets gives the same service figure again: five times at 0.9 and at 1.3 of capacity.
 
     python benchmarks/replay_again.py [--speed S] [--nodes N] [--times N] [--for SECONDS]
 
-The baseline of the same run is the virtual replay, which is the same to the last digit. Prints one JSON object with
-the figures of each run and their spread, (largest - smallest) over their mean.
+The baseline of the same run is the virtual replay, which is the same to the last digit. Prints one JSON object
+with the figures of each run and their spread, (largest - smallest) over their mean.
 """
 
 from __future__ import annotations
@@ -22,34 +22,36 @@
 LOADS = (0.9, 1.3)
 
 
-def command(*words: str) -> dict[str, Any]:
-    done = subprocess.run(
-        [sys.executable, "-m", "marlstep", *words], capture_output=True, text=True, cwd=ROOT
+def run_command(*arguments: str) -> dict[str, Any]:
+    """Run a command of the program and return its JSON output; exit with its errors where it fails."""
+    completed = subprocess.run(
+        [sys.executable, "-m", "marlstep", *arguments], capture_output=True, text=True, cwd=ROOT
     )
-    if done.returncode:
-        raise SystemExit(done.stderr)
-    told: dict[str, Any] = json.loads(done.stdout)
-    return told
+    if completed.returncode:
+        raise SystemExit(completed.stderr)
+    output: dict[str, Any] = json.loads(completed.stdout)
+    return output
 
 
 def main() -> None:
+    """Run all replays and print the report."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--speed", default="2")
     parser.add_argument("--nodes", default="4")
     parser.add_argument("--times", type=int, default=5)
     parser.add_argument("--for", dest="length", default="20")
     options = parser.parse_args()
-    told: dict[str, Any] = {"benchmark": "replay_again", "machine": {"cores": os.cpu_count()}, "runs": {}}
+    report: dict[str, Any] = {"benchmark": "replay_again", "machine": {"cores": os.cpu_count()}, "runs": {}}
     with tempfile.TemporaryDirectory() as folder:
         schedule = str(Path(folder) / "a.sched")
-        command("trace", "compile", "--format", "google-2011", "--out", schedule, "--json", str(TRACE))
+        run_command("trace", "compile", "--format", "google-2011", "--out", schedule, "--json", str(TRACE))
         for load in LOADS:
-            words = ["trace", "replay", "--load", str(load), "--for", f"{options.length}s"]
-            words += ["--speed", options.speed, "--nodes", options.nodes, "--json", schedule]
-            runs = [command(*words) for _ in range(options.times)]
-            virtual = [command(*words[:2], "--virtual", *words[2:]) for _ in range(2)]
+            arguments = ["trace", "replay", "--load", str(load), "--for", f"{options.length}s"]
+            arguments += ["--speed", options.speed, "--nodes", options.nodes, "--json", schedule]
+            runs = [run_command(*arguments) for _ in range(options.times)]
+            virtual = [run_command(*arguments[:2], "--virtual", *arguments[2:]) for _ in range(2)]
             figures = [run["service"] for run in runs]
-            told["runs"][str(load)] = {
+            report["runs"][str(load)] = {
                 "service": figures,
                 "spread": (max(figures) - min(figures)) / (sum(figures) / len(figures)),
                 "virtual": virtual[0]["service"],
@@ -60,7 +62,7 @@
                 "node_cpu_s": [run["node_cpu_s"] for run in runs],
                 "late_sends_p99_ms": [run["late_sends_ms"]["p99"] for run in runs],
             }
-    print(json.dumps(told))
+    print(json.dumps(report))
 
 
 if __name__ == "__main__":
