--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -21,6 +21,7 @@
 
 from benchmarks.errors import VersionRejectedError
 from benchmarks.fleet import load_config, plan, quantiles, usage
+from marlstep.consensus.state_machine import StoredCommand
 from marlstep.drill.links import Ports
 from marlstep.drill.plan import Plan
 from marlstep.drill.rig import NodeProcess, Rig, Settings
@@ -278,7 +279,7 @@
         upload, expect = f"b{number}", followed.target.version
         part: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": 0}
         part["data"] = json.dumps({"n": number})
-        node.participant.propose(node.now, part)
+        node.participant.propose(node.now, StoredCommand(part))
         node.drive()
         counts.append(-world.counts["messages"])
         world.after(1_000_000, lambda: counts.append(counts.pop() + world.counts["messages"]))
@@ -295,7 +296,7 @@
             }
             command |= {"upload": upload, "digest": content_digest(part["data"]), "expect": expect}
             command |= {"author": "", "note": "", "at": ""}
-            node.participant.propose(node.now, command)
+            node.participant.propose(node.now, StoredCommand(command))
             node.drive()
 
         world.after(100_000, put)
