--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
+from marlstep.admission.events import Outcome as RunOutcome
 from marlstep.cluster.interfaces import Step, StepObserver
 from marlstep.config.cluster import TaskConfig
 from marlstep.core.engine import Core, Refused
@@ -21,7 +22,6 @@
 from marlstep.scheduled_tasks.runner import LEASE_MARGIN
 from marlstep.timer_queue import Deadline, TimerQueue
 from marlstep.units import ZERO
-from petrelcart.interface import Outcome as RunOutcome
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/marlstep/simulator/messages.py
@@ -0,0 +1,123 @@
+"""The simulator's messages: events as it writes them, actions as it reads them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import orjson
+
+from marlstep.admission.actions import (
+    Action,
+    Advertise,
+    Attach,
+    Call,
+    Fail,
+    ForgetKey,
+    Health,
+    IdleLimit,
+    KeepKey,
+    Log,
+    Preempt,
+    Reject,
+    Run,
+    SetTimer,
+    SkipCall,
+)
+from marlstep.admission.events import (
+    Arrival,
+    CallEnded,
+    CallNeeded,
+    ClientDisconnected,
+    Drain,
+    Event,
+    Outcome,
+    RunEnded,
+    TimerDue,
+)
+
+RawMessage = dict[str, Any]
+
+OUTCOMES = {
+    "served": Outcome.OK,
+    "server_error": Outcome.ERROR,
+    "turned_away": Outcome.FULL,
+    "no_answer": Outcome.TIMEOUT,
+    "no_connection": Outcome.CONNECT_FAILED,
+    "connection_lost": Outcome.RESET,
+    "called_off": Outcome.CANCELLED,
+    "not_sent": Outcome.MOOT,
+}
+GAUGES = {"cpu_busy": "cpu", "runnable": "runq", "mem_used": "memory", "sockets": "conns"}
+
+
+def _read_arrival(raw: RawMessage) -> Arrival:
+    return Arrival(
+        id=raw["id"],
+        request_class=raw["class"],
+        memory_kb=raw["kb"],
+        caller=raw.get("neighbour") or 0,
+        unread_us=raw.get("unreadForUs") or 0,
+        gives_up_us=raw.get("dropDeadUs") or None,
+        tenant=raw.get("team") or None,
+        key=raw.get("entity"),
+        is_retry=bool(raw.get("againByClient")),
+        rank=raw.get("prio") or 0.0,
+        cost_hint_us=raw.get("weightHintUs"),
+        prior=raw.get("prior") or None,
+        is_write=bool(raw.get("mutates")),
+    )
+
+
+def _read_gauges(raw: dict[str, float]) -> dict[str, float]:
+    return {GAUGES[name]: value for name, value in raw.items() if name in GAUGES}
+
+
+# By the message's `m`. A reader raises KeyError for a field that is missing or has an unknown value.
+READERS: dict[str, Callable[[RawMessage], Event]] = {
+    "request": _read_arrival,
+    "timedOutClient": lambda raw: ClientDisconnected(raw["id"]),
+    "needsDep": lambda raw: CallNeeded(raw["id"]),
+    "depReply": lambda raw: CallEnded(raw["id"], OUTCOMES[raw["code"]], raw.get("elapsedUs") or 0),
+    "workDone": lambda raw: RunEnded(raw["id"], OUTCOMES[raw["code"]], raw.get("elapsedUs") or 0),
+    "drain": lambda raw: Drain(raw["dropDeadUs"]),
+    "tickDue": lambda raw: TimerDue(raw["keyBack"], _read_gauges(raw.get("report") or {})),
+}
+
+
+def _write_rejection(action: Reject) -> RawMessage:
+    return {
+        "m": "overloadReply",
+        "id": action.id,
+        "retryAfterUs": action.retry_after_us,
+        "giveUp": action.give_up,
+    }
+
+
+WRITERS: dict[type[Any], Callable[[Any], RawMessage]] = {
+    Run: lambda action: {"m": "process", "id": action.id},
+    Preempt: lambda action: {"m": "abortWork", "id": action.id},
+    Reject: _write_rejection,
+    Fail: lambda action: {"m": "abort", "id": action.id},
+    KeepKey: lambda action: {"m": "retain", "id": action.id, "lifetimeUs": action.lifetime_us},
+    ForgetKey: lambda action: {"m": "unpin", "id": action.id},
+    Attach: lambda action: {"m": "attach", "id": action.id},
+    Call: lambda action: {"m": "callDep", "id": action.id, "tryUntilUs": action.until_us},
+    SkipCall: lambda action: {"m": "bypass", "id": action.id},
+    Advertise: lambda action: {"m": "announce", "value": action.value},
+    Health: lambda action: {"m": "readiness", "stored": action.stored, "on": action.good},
+    IdleLimit: lambda action: {"m": "idleLimit", "lifetimeUs": action.after_us},
+    SetTimer: lambda action: {"m": "arm", "offsetUs": action.after_us, "keyBack": action.tag},
+    Log: lambda action: {"m": "log", "msg": action.text},
+}
+
+
+def write_action(server: int, action: Action) -> bytes:
+    """Write an action of one instance as a line, without its end."""
+    return orjson.dumps(WRITERS[type(action)](action) | {"serverId": server})
+
+
+def write_crash(server: int, error: Exception) -> bytes:
+    """Report that the controller of one instance has failed."""
+    text = f"{type(error).__name__}: {error}"
+    return orjson.dumps({"m": "die", "serverId": server, "msg": text})
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from marlstep.admission.events import Outcome
 from marlstep.core.keys import KeyTable, Known, digest_of, label, read_label
 from marlstep.fronts.resp import RespConnection
 from marlstep.fronts.resp_wire import write_frame
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
-from petrelcart.interface import Outcome
 from tests.support.elsewhere import Elsewhere, answered
 from tests.support.node import START, Wire
 
@@ -166,7 +166,7 @@
     for number in range(1, 200):
         desk.ask(wire, number, "book", b"theirs", once=f"k{number}")
         desk.ended(number, b"", Outcome.MOOT)
-    assert desk.core._controller.memory == 0
+    assert desk.core._controller.state.entries.memory_kb == 0
     desk.ask(wire, 900, "book", once="good")
     assert desk.starts(900) == 1
 
@@ -179,7 +179,7 @@
         desk.ended(7)
         assert b"done" in wire.take()
         wire.close()
-    assert desk.core._controller.memory == 100.0
+    assert desk.core._controller.state.entries.memory_kb == 100.0
 
 
 # Answers that a peer does not take.
