--- a/benchmarks/mixed/versions.py
+++ b/benchmarks/mixed/versions.py
@@ -15,7 +15,7 @@
 ERROR_CHARACTERS_SHOWN = 400
 SHOW_PACKAGE = "import marlstep; print(marlstep.__file__)"
 PROGRAM = "marlstep"
-PROGRAM_FOLDERS = ("marlstep", "petrelcart")
+PROGRAM_FOLDERS = ("marlstep", "petrelcart")  # the latter in older versions only
 
 
 @dataclass(slots=True, frozen=True)
