--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -73,21 +73,13 @@
         if upstream is not None:
             frontend = self._make_frontend(core, timeline, upstream, pool_of, class_variable)
         self.task_driver = TaskDriver(self.context, self.turns, frontend)
-        self.health_checks: HealthCheckCoordinator | None = None
-        if config.shared_health_checks and upstream is not None:
-            self.health_checks = HealthCheckCoordinator(
-                self.context, self.router, upstream, config.leases.term * 2
-            )
+        self.health_checks = self._make_health_checks(upstream)
         results: OrderResults = OrderedDict()
         self.config_driver = self._make_config_driver(documents, results)
         config_lease = None if self.config_driver is None else self.config_driver.lease
         self.leases = LeaseDriver(self.context, self.turns, self.router, self._work_leases, config_lease)
         self._relay_announcer = RelayAnnouncer(self.context, self.router)
-        self.membership: ClusterMembership | None = None
-        if config.membership is not None:
-            self.membership = ClusterMembership(
-                self.context, self.router, self.replica_driver, self.leases, config.membership
-            )
+        self.membership = self._make_membership()
         self.lifecycle = Lifecycle(
             self.context,
             self.turns,
@@ -106,6 +98,19 @@
         self._add_handlers()
         self.leases.update_wanted()
 
+    def _make_health_checks(self, upstream: Upstream | None) -> HealthCheckCoordinator | None:
+        config = self.context.config
+        if not config.shared_health_checks or upstream is None:
+            return None
+        alone_after = config.leases.term * 2
+        return HealthCheckCoordinator(self.context, self.router, upstream, alone_after)
+
+    def _make_membership(self) -> ClusterMembership | None:
+        settings = self.context.config.membership
+        if settings is None:
+            return None
+        return ClusterMembership(self.context, self.router, self.replica_driver, self.leases, settings)
+
     def _make_frontend(
         self,
         core: Core,
