--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -128,12 +128,12 @@
             pool=self.pool_of(plan.request_class),
             idempotency_key=f"{plan.name}/{action.kind}/{action.run}/{action.token}/{number}",
         )
-        acting = self._requests[number] = TaskRequest(task, action, on_outcome, lease_time_left)
-        acting.deadline = self._steady.at(
+        task_request = self._requests[number] = TaskRequest(task, action, on_outcome, lease_time_left)
+        task_request.deadline = self._steady.at(
             self._steady.now() + max(lease_time_left(), ZERO), lambda: self._on_deadline(number)
         )
         try:
-            acting.handle = self._core.submit(self, (0, number), self._backend, offer)
+            task_request.handle = self._core.submit(self, (0, number), self._backend, offer)
         except RequestRejectedError as fault:
             log.warning("task request rejected: task=%s reason=%s", plan.name, fault)
             self._end(number, Outcome.NOT_RUN)
@@ -157,43 +157,46 @@
 
     def may_start(self, request: Request) -> bool:
         """Check the lease in the turn in which a request would leave, and note that it leaves."""
-        acting = self._requests.get(request.response_handle[1])
-        if acting is None or acting.lease_time_left() < acting.task.plan.timeout + LEASE_MARGIN:
-            if acting is not None:
-                log.warning("task request not started: lease too short task=%s", acting.task.plan.name)
+        task_request = self._requests.get(request.response_handle[1])
+        if (
+            task_request is None
+            or task_request.lease_time_left() < task_request.task.plan.timeout + LEASE_MARGIN
+        ):
+            if task_request is not None:
+                log.warning("task request not started: lease too short task=%s", task_request.task.plan.name)
             # In a turn of its own: the core is still starting the request in this one.
             self._timeline.soon(lambda: self._core.run_ended(request.id, RunOutcome.FULL, ZERO))
             return False
-        acting.started = True
-        self._steady.cancel(acting.deadline)
+        task_request.started = True
+        self._steady.cancel(task_request.deadline)
         number = request.response_handle[1]
         self._observer.reached(Step.REQUEST_STARTING)
-        until: datetime = self._steady.now() + acting.task.plan.timeout
-        acting.deadline = self._steady.at(until, lambda: self._on_deadline(number))
+        until: datetime = self._steady.now() + task_request.task.plan.timeout
+        task_request.deadline = self._steady.at(until, lambda: self._on_deadline(number))
         return True
 
     def _on_deadline(self, number: int) -> None:
-        acting = self._requests.get(number)
-        if acting is None:
+        task_request = self._requests.get(number)
+        if task_request is None:
             return
-        handle, started = acting.handle, acting.started
+        handle, started = task_request.handle, task_request.started
         self._end(number, Outcome.UNKNOWN if started else Outcome.NOT_RUN)
         self._core.client_disconnected(handle)
 
     def _end(self, number: int, outcome: Outcome) -> None:
         """Report an outcome; every request ends here, and only once."""
-        acting = self._requests.pop(number, None)
-        if acting is not None:
-            self._steady.cancel(acting.deadline)
-            acting.on_outcome(outcome)
+        task_request = self._requests.pop(number, None)
+        if task_request is not None:
+            self._steady.cancel(task_request.deadline)
+            task_request.on_outcome(outcome)
 
     # For the core to call.
 
     def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
         """Take the answer to a request, unless its deadline came before."""
-        acting = self._requests.get(ticket[1])
-        if acting is not None:
-            self._end(ticket[1], outcome_of(answer, acting.started))
+        task_request = self._requests.get(ticket[1])
+        if task_request is not None:
+            self._end(ticket[1], outcome_of(answer, task_request.started))
 
     def limit_idle_time(self, after: timedelta) -> None:
         """Do nothing: there are no connections here."""
