--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -119,7 +119,7 @@
         return {
             "name": name,
             "share": tenant.portion,
-            "allowance_per_s": tenant.allowance_per_s,
+            "allowance_per_s": tenant.quota_per_s,
             "counters": dict(sorted(counts.items())),
         }
 
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -66,7 +66,7 @@
     def _on_timer(self, event: events.TimerDue) -> None:
         self.timer.fired(event.tag)
         self.parts.queue.resume_unstopped()
-        if self.state.settings.say is LoadSignal.CREDIT:
+        if self.state.settings.load_signal is LoadSignal.CREDIT:
             self.parts.advisor.advertise_credit()
         if self.state.now - self.parts.concurrency.adjusted_at >= SECOND:
             is_busy = event.gauges.get("cpu", 1.0) >= BUSY
@@ -81,7 +81,7 @@
         state, in_use = self.state, self.state.entries.count_unfinished()
         kept = in_use + (in_use + state.settings.cores if is_busy else state.concurrency)
         fitting_us = max(state.tick, state.idle_us * kept / connections)
-        state.idle_us = int(min(state.settings.idle_us, fitting_us))
+        state.idle_us = int(min(state.settings.idle_timeout_us, fitting_us))
         state.actions.append(IdleLimit(state.idle_us))
 
     def _wake(self, entry: Entry) -> None:
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -28,8 +28,8 @@
     def configure(self) -> None:
         """Follow new settings."""
         settings = self.state.settings
-        rate = BUDGET_SHARE * settings.calls_out * (settings.below is Downstream.SHARED)
-        self.state.call_reserve.configure(rate, rate * settings.calls_over_us)
+        rate = BUDGET_SHARE * settings.mean_calls_in_flight * (settings.dependency is Downstream.SHARED)
+        self.state.call_reserve.configure(rate, rate * settings.call_averaging_us)
 
     def dispatch(self) -> None:
         """Make the calls that there is room for, and go on without those that would come too late."""
@@ -52,13 +52,13 @@
         entry.next_call_at = self.state.now + (self.state.tick << max(0, entry.calls_never_ran - 1))
         self.state.move(entry, State.AWAITING_CALL)
         attempts = ATTEMPTS if entry.is_safe else 1
-        never_ran_attempts = ATTEMPTS if entry.request_class.skip_worth > 0 else NEVER_RAN_ATTEMPTS
+        never_ran_attempts = ATTEMPTS if entry.request_class.skipped_call_factor > 0 else NEVER_RAN_ATTEMPTS
         if entry.calls_ran >= attempts or entry.calls_never_ran >= never_ran_attempts:
             self._go_without(entry)
 
     def _has_room(self, calling: int) -> bool:
         reserve, needed_us = self.state.call_reserve, self.state.call_latency.slow_us
-        least_us = min(reserve.capacity_us, needed_us + self.state.settings.linger_us)
+        least_us = min(reserve.capacity_us, needed_us + self.state.settings.abandoned_call_us)
         return (
             not reserve.rate or reserve.available_us >= least_us
         ) and calling + 1 <= self.state.concurrency
@@ -78,17 +78,19 @@
     def _is_better_skipped(self, entry: Entry, is_calling: bool) -> bool:
         """Tell whether a call may be left out and would come too late, or calls are slow."""
         is_slow = is_calling and self.state.call_latency.mean_us > self.state.call_latency.slow_us
-        return entry.request_class.skip_worth > 0 and (is_slow or self.state.now >= self._latest_end(entry))
+        return entry.request_class.skipped_call_factor > 0 and (
+            is_slow or self.state.now >= self._latest_end(entry)
+        )
 
     def _latest_end(self, entry: Entry) -> int:
         """Give the time after which a reply is of no use; a poorer answer in time is worth more than none."""
-        if entry.request_class.skip_worth <= 0:
+        if entry.request_class.skipped_call_factor <= 0:
             return entry.deadline
         mean_run_us = int(self.state.statistics.mean_run_us[entry.request_class.name])
         return min(entry.deadline, entry.objective - self.state.answer_margin - mean_run_us)
 
     def _go_without(self, entry: Entry) -> None:
-        if entry.request_class.skip_worth > 0:
+        if entry.request_class.skipped_call_factor > 0:
             self.state.actions.append(SkipCall(entry.id))
             self.state.move(entry, State.RUNNING)
         else:
--- a/marlstep/admission/entry_index.py
+++ b/marlstep/admission/entry_index.py
@@ -27,7 +27,7 @@
 
     def configure(self, settings: Settings) -> None:
         """Follow new settings: count all memory anew."""
-        self._run_factor, self.key_kb = settings.run_factor, settings.key_kb
+        self._run_factor, self.key_kb = settings.running_memory_factor, settings.idempotency_key_kb
         self._factors = dict.fromkeys(State, self._run_factor)
         self._factors |= {State.QUEUED: 1.0, State.ATTACHED: 1.0, State.FINISHED: 0.0}
         self.memory_kb = sum(
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -30,7 +30,7 @@
             replaced.answer_owed = False
             self.state.entries.release_key(replaced)
             self.lifecycle.finish(replaced)
-        weight = request_class.worth * self._quota_factor(event.tenant)
+        weight = request_class.priority_weight * self._quota_factor(event.tenant)
         entry = Entry.from_arrival(event, request_class, weight, self.state.now)
         self.state.add(entry, event.unread_us)
         self._place(entry, event.prior)
@@ -42,7 +42,7 @@
             return 1.0
         rate = quotas.get(tenant, 0.0)
         is_within = tenant in quotas and self.state.buckets.take(tenant, rate, max(1.0, rate), now)
-        return 1.0 if is_within else self.state.settings.over_share_worth
+        return 1.0 if is_within else self.state.settings.over_quota_factor
 
     def _place(self, entry: Entry, prior_id: str | None) -> None:
         prior = self.state.entries.latest_attempt(prior_id, entry) if prior_id else None
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -20,7 +20,7 @@
         if not entry.answer_owed:
             return
         # Retries elsewhere cost every server a read: only the highest class may, and all when we leave.
-        is_highest = entry.request_class.worth >= self.state.highest_weight
+        is_highest = entry.request_class.priority_weight >= self.state.highest_weight
         give_up = not (self.state.is_draining or is_highest)
         if entry.has_run:
             self.state.actions.append(Fail(entry.id))
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -26,4 +26,4 @@
     def queue_bound(self, entry: Entry, prior: Entry | None) -> float:
         """Give the bound of the queue, which leaves room for the entry's key where that is new."""
         is_new_key = entry.is_keyed and not (prior and prior.key_kept_until)
-        return QUEUE_SHARE * self.state.memory_kb - self.state.settings.key_kb * is_new_key
+        return QUEUE_SHARE * self.state.memory_kb - self.state.settings.idempotency_key_kb * is_new_key
--- a/marlstep/admission/retry_advisor.py
+++ b/marlstep/admission/retry_advisor.py
@@ -26,12 +26,14 @@
     def count_callers(self) -> int:
         """Count those heard lately; if most came only once, no more than the settings tell."""
         settings = self.state.settings
-        heard, came_again = self.state.callers.count(self.state.now - settings.heeded_us - 2 * SECOND)
-        return max(1, min(heard, max(settings.callers, came_again)))
+        heard, came_again = self.state.callers.count(
+            self.state.now - settings.load_signal_lifetime_us - 2 * SECOND
+        )
+        return max(1, min(heard, max(settings.caller_count, came_again)))
 
     def retry_after(self) -> int:
         """Give how long to stay away: until what waits here is done, at the pace of the last seconds."""
-        longest = self.state.settings.max_retry_after_us * self.state.settings.retry_after
+        longest = self.state.settings.max_retry_after_us * self.state.settings.sends_retry_after
         waiting = self.state.entries.count(State.QUEUED, State.PAUSED)
         line_us = waiting * self.state.statistics.us_per_run() / self.concurrency.limit
         return longest if self.state.is_draining else int(min(longest, max(self.state.tick, line_us)))
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -57,7 +57,7 @@
         may_go_on = entry.answer_owed and entry.state in (State.STOPPING, State.RUNNING)
         if outcome is Outcome.CANCELLED and may_go_on:  # where it had been taken for lost, it runs
             entry.was_paused = True
-            is_kept = self.state.settings.halt is PreemptionMode.PAUSE
+            is_kept = self.state.settings.preemption_mode is PreemptionMode.PAUSE
             self.state.move(entry, State.PAUSED if is_kept else State.QUEUED)
             return
         entry.answer_owed = False
@@ -82,7 +82,7 @@
         latest = max(entry.deadline, entry.objective) if entry.is_keyed else entry.deadline
         if not (entry.answer_owed or entry.is_keyed) or ready > latest:  # a key serves the caller's retry too
             return 0.0
-        return entry.weight * (entry.request_class.late_share if ready > entry.objective else 1.0)
+        return entry.weight * (entry.request_class.late_response_factor if ready > entry.objective else 1.0)
 
     def _update_priorities(self) -> None:
         """Set what each is worth now; answer what is past hope, and stop what runs for nobody."""
@@ -105,7 +105,7 @@
         return any(self._halt(entry) for entry in sorted(lower, key=rank, reverse=True))
 
     def _halt(self, entry: Entry) -> bool:
-        mode = self.state.settings.halt
+        mode = self.state.settings.preemption_mode
         is_lost = mode is PreemptionMode.DROP and entry.answer_owed and not entry.is_safe
         if mode is PreemptionMode.NONE or is_lost:
             return False
@@ -133,10 +133,10 @@
         """Tell whether those ahead of an arrival, at the pace of the last seconds, keep it too long."""
         settings, statistics, request_class = self.state.settings, self.state.statistics, entry.request_class
         us_per_run = statistics.us_per_run()
-        left_share = max(1 / settings.cores, 1 - statistics.share_above(request_class.worth))
+        left_share = max(1 / settings.cores, 1 - statistics.share_above(request_class.priority_weight))
         wait_us = ahead * us_per_run / self.concurrency.limit / left_share
-        share = 1.0 if settings.marks_retry else UNMARKED_SHARE
-        bound = min(entry.arrived_at + share * request_class.aim_us, entry.deadline)
+        share = 1.0 if settings.marks_retries else UNMARKED_SHARE
+        bound = min(entry.arrived_at + share * request_class.latency_objective_us, entry.deadline)
         return (
             us_per_run > 0
             and self.state.now + wait_us + self.state.statistics.mean_run_us[entry.request_class.name] > bound
--- a/marlstep/admission/run_statistics.py
+++ b/marlstep/admission/run_statistics.py
@@ -30,7 +30,7 @@
         """Hold figures for these classes; what was measured of them stays."""
         known = list(classes)
         self.mean_run_us = {each.name: self.mean_run_us.get(each.name, 0.0) for each in known}
-        self.spent_us = {each.worth: self.spent_us.get(each.worth, 0.0) for each in known}
+        self.spent_us = {each.priority_weight: self.spent_us.get(each.priority_weight, 0.0) for each in known}
 
     def record(self, entry: Entry, is_complete: bool) -> None:
         """Count a run that has ended; one that was cut short only shows that runs are longer."""
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/server_state.py
@@ -55,12 +55,12 @@
     def configure(self, settings: Settings, retired: tuple[ClassSettings, ...]) -> None:
         """Put new settings in force; what was measured stays."""
         self.settings = settings
-        self.idle_us = settings.idle_us  # as long as nothing shortens it
+        self.idle_us = settings.idle_timeout_us  # as long as nothing shortens it
         self.classes = {each.name: each for each in (*retired, *settings.classes)}
-        self.quotas_per_s = {each.name: each.allowance_per_s / settings.peers for each in settings.tenants}
+        self.quotas_per_s = {each.name: each.quota_per_s / settings.server_count for each in settings.tenants}
         self.buckets.keep_only(self.quotas_per_s)
-        self.shortest_objective = min(each.aim_us for each in settings.classes)
-        self.highest_weight = max(each.worth for each in settings.classes)
+        self.shortest_objective = min(each.latency_objective_us for each in settings.classes)
+        self.highest_weight = max(each.priority_weight for each in settings.classes)
         self.tick = settings.tick_us + self.shortest_objective // TICKS_PER_OBJECTIVE
         self.answer_margin = self.tick + settings.tick_us  # before a deadline: the next tick could be late
         self.entries.configure(settings)
@@ -75,13 +75,13 @@
             self._started_at = now
         self.call_reserve.refill(now - self.now)
         self.now, self.actions = now, []
-        if self.settings.cold:
+        if self.settings.warms_up:
             self._update_capacity()
         return is_first
 
     def end_second(self) -> None:
         """Let measurements fade, and forget callers that have not been heard for long."""
-        self.callers.forget_silent(self.now, self.settings.heeded_us)
+        self.callers.forget_silent(self.now, self.settings.load_signal_lifetime_us)
         self.statistics.end_second()
 
     def set_portion(self, portion: float) -> None:
@@ -106,9 +106,9 @@
         elapsed_us = self.now - entry.since
         if entry.state is State.RUNNING:
             entry.run_us += elapsed_us
-            self.statistics.spent_us[entry.request_class.worth] += elapsed_us
+            self.statistics.spent_us[entry.request_class.priority_weight] += elapsed_us
         elif entry.state is State.CALLING:  # an abandoned call stays in the dependency's hands for a while
-            lingers_us = self.settings.linger_us if state is not State.RUNNING else 0
+            lingers_us = self.settings.abandoned_call_us if state is not State.RUNNING else 0
             self.call_reserve.give_back(entry.reserved_call_us, elapsed_us + lingers_us)
         if state is State.FINISHED and entry.state is not State.FINISHED:
             self.statistics.runs_ended += entry.run_us > 0
@@ -125,14 +125,14 @@
 
     def begin_call(self, entry: Entry, until: int) -> None:
         """Take a call that is given up at this time out of the reserve; abandoned, it lingers a while."""
-        entry.reserved_call_us = until - self.now + self.settings.linger_us
+        entry.reserved_call_us = until - self.now + self.settings.abandoned_call_us
         self.call_reserve.take(entry.reserved_call_us)
         entry.calls_made += 1
         self.move(entry, State.CALLING)
 
     def keep_key(self, entry: Entry) -> None:
         """Keep an entry's idempotency key, and its memory, for its class's window from the arrival."""
-        window_end = entry.arrived_at + entry.request_class.window_us
+        window_end = entry.arrived_at + entry.request_class.idempotency_window_us
         until = max(self.now, window_end) + self.settings.tick_us
         self.entries.keep_key(entry, until)
         self.wakes.add(entry, until)
@@ -156,12 +156,16 @@
 
     def set_quota(self, tenant: str, per_s: float) -> None:
         """Change a tenant's quota, which all servers of the tier share."""
-        self.quotas_per_s[tenant] = per_s / self.settings.peers
+        self.quotas_per_s[tenant] = per_s / self.settings.server_count
 
     def _update_capacity(self) -> None:
         settings, warmth = self.settings, 1.0
-        if settings.cold and self._started_at is not None and settings.warm_after_us > 0:
-            warmed = (self.now - self._started_at) / settings.warm_after_us
-            warmth = min(1.0, settings.cold_share + (1 - settings.cold_share) * warmed)
+        if settings.warms_up and self._started_at is not None and settings.warm_up_us > 0:
+            warmed = (self.now - self._started_at) / settings.warm_up_us
+            warmth = min(
+                1.0, settings.initial_capacity_share + (1 - settings.initial_capacity_share) * warmed
+            )
         self.memory_kb = settings.memory_kb * self.portion
-        self.concurrency = settings.cores * (1 + (settings.fall_multiple - 1) * warmth) * self.portion
+        self.concurrency = (
+            settings.cores * (1 + (settings.overload_concurrency_factor - 1) * warmth) * self.portion
+        )
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -1,7 +1,7 @@
 """Settings of one server's admission controller, as the simulator or the platform gives them at its start.
 
-Durations are whole microseconds, sizes are kilobytes. The names of the fields are the keys of the stored settings,
-and stand in the messages of errors.
+Durations are whole microseconds, sizes are kilobytes. Stored settings have words of their own for most fields: the
+key stands beside the field, and errors name it.
 """
 
 from __future__ import annotations
@@ -11,10 +11,12 @@
 import types
 import typing
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from marlstep.errors import MarlstepError
 
+STORED_KEY = "stored_key"  # of the metadata of a field
+
 
 class InvalidSettingError(MarlstepError, ValueError):
     """A setting is missing, of the wrong type or impossible; the message starts with its path."""
@@ -57,72 +59,135 @@
     TIER = "tier"  # another tier of servers
 
 
+def stored_as(key: str) -> Mapping[str, str]:
+    """Return the metadata of a field that stored settings and operators know by another word."""
+    return {STORED_KEY: key}
+
+
+def stored_key(part: dataclasses.Field[typing.Any]) -> str:
+    """Return the key of a field in stored settings: its own name unless it was declared with another."""
+    return str(part.metadata.get(STORED_KEY, part.name))
+
+
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """One request class."""
+    """One request class.
+
+    Attributes:
+        name: by which requests name the class.
+        effect: whether a request may run again.
+        latency_objective_us: from the arrival; a later response earns only `late_response_factor`.
+        deadline_us: from the arrival; no response counts after it.
+        idempotency_window_us: how long an idempotency key is kept; 0 for classes without keys.
+        priority_weight: what a response within the objective earns.
+        late_response_factor: share of the priority weight that a response after the objective earns, 0 to 1.
+        makes_calls: whether runs of the class make downstream calls.
+        skipped_call_factor: share of the priority weight that is left when a call is skipped, 0 to 1; at 0 the
+            call may not be skipped.
+    """
 
     name: str
     effect: Effect
-    aim_us: int  # latency objective, from the request's arrival
-    deadline_us: int  # from the arrival; no answer counts after it
-    window_us: int  # for which an idempotency key is kept
-    worth: float  # priority weight
-    late_share: float  # of the priority weight, for an answer after the latency objective
-    calls: bool
-    skip_worth: float  # share of the priority weight that is left when a call is skipped
+    latency_objective_us: int = field(metadata=stored_as("aim_us"))
+    deadline_us: int
+    idempotency_window_us: int = field(metadata=stored_as("window_us"))
+    priority_weight: float = field(metadata=stored_as("worth"))
+    late_response_factor: float = field(metadata=stored_as("late_share"))
+    makes_calls: bool = field(metadata=stored_as("calls"))
+    skipped_call_factor: float = field(metadata=stored_as("skip_worth"))
 
 
 @dataclass(slots=True, frozen=True)
 class TenantSettings:
-    """One tenant and its quota over all servers of the tier."""
+    """One tenant.
+
+    Attributes:
+        name: by which requests name the tenant.
+        portion: of the traffic of the whole tier that is the tenant's, 0 to 1.
+        quota_per_s: requests a second over all servers of the tier that count in full; 0 for no quota.
+    """
 
     name: str
     portion: float
-    allowance_per_s: float
+    quota_per_s: float = field(metadata=stored_as("allowance_per_s"))
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one server is told at its start."""
+    """What one server knows of itself, its callers and its dependency from its start.
+
+    Attributes:
+        classes: the request classes that the server accepts.
+        tenants: the tenants that it accepts; empty where requests name none.
+        over_quota_factor: share of the priority weight of a request beyond its tenant's quota, 0 to 1.
+        cores: how many runs progress at full speed at once.
+        memory_kb: for requests and idempotency keys; the server is lost beyond it.
+        running_memory_factor: memory of a running or paused request as a multiple of a queued one.
+        idempotency_key_kb: memory of a kept idempotency key.
+        cacheable_us: how long the response to a read may serve other requests; 0 for never.
+        server_count: servers of this tier, this one included.
+        caller_count: callers of this tier.
+        warms_up: whether the server starts at a part of its capacity.
+        initial_capacity_share: of the capacity, at the start of a server that warms up, 0 to 1.
+        warm_up_us: after which a server that warms up has its full capacity.
+        overload_concurrency_factor: requests on the cores, for each core, that a warm server survives.
+        overload_duration_us: over which those requests are averaged.
+        drain_grace_us: from the notice to leave; what arrives later must not be run.
+        response_margin_us: after its due time, for which a response still counts.
+        tick_us: precision of the server's timers.
+        preemption_mode: what becomes of a run that is preempted.
+        load_signal: how callers read the value that the server advertises.
+        load_signal_lifetime_us: for which a caller heeds an advertised value.
+        dependency: what downstream calls reach.
+        mean_calls_in_flight: calls that this server may have in the dependency on the mean; 0 for no bound.
+        call_averaging_us: over which that mean is taken.
+        abandoned_call_us: for which an abandoned call stays in the dependency, at most.
+        idle_timeout_us: after which an idle connection is closed; 0 for never.
+        endpoint_list_follows_health: whether an unhealthy server leaves the callers' endpoint list.
+        deep_health_checks: whether a health check does real work unless it is answered from stored health.
+        sends_retry_after: whether a rejection may carry a Retry-After.
+        max_retry_after_us: the longest Retry-After that callers respect.
+        marks_retries: whether callers mark a retry as one.
+    """
 
     classes: tuple[ClassSettings, ...]
     tenants: tuple[TenantSettings, ...]
-    over_share_worth: float  # share of the priority weight of a request beyond its tenant's quota
+    over_quota_factor: float = field(metadata=stored_as("over_share_worth"))
     cores: int
     memory_kb: float
-    run_factor: float  # memory of a running or paused request, as a multiple of a queued one
-    key_kb: float  # memory of a kept idempotency key
-    fresh_us: int
-    peers: int  # servers of this tier, this one included
-    callers: int
-    cold: bool  # the server warms up from its start
-    cold_share: float
-    warm_after_us: int
-    fall_multiple: float  # concurrency that the server survives, as a multiple of its cores
-    fall_us: int
+    running_memory_factor: float = field(metadata=stored_as("run_factor"))
+    idempotency_key_kb: float = field(metadata=stored_as("key_kb"))
+    cacheable_us: int = field(metadata=stored_as("fresh_us"))
+    server_count: int = field(metadata=stored_as("peers"))
+    caller_count: int = field(metadata=stored_as("callers"))
+    warms_up: bool = field(metadata=stored_as("cold"))
+    initial_capacity_share: float = field(metadata=stored_as("cold_share"))
+    warm_up_us: int = field(metadata=stored_as("warm_after_us"))
+    overload_concurrency_factor: float = field(metadata=stored_as("fall_multiple"))
+    overload_duration_us: int = field(metadata=stored_as("fall_us"))
     drain_grace_us: int
-    answer_slack_us: int
+    response_margin_us: int = field(metadata=stored_as("answer_slack_us"))
     tick_us: int
-    halt: PreemptionMode
-    say: LoadSignal
-    heeded_us: int  # for which callers heed an advertised value
-    below: Downstream
-    calls_out: float  # mean number of calls this server may have in the dependency's hands; 0: not bounded
-    calls_over_us: int
-    linger_us: int  # for which an abandoned call stays in the dependency's hands
-    idle_us: int  # after which an idle connection is closed; 0: never
-    list_follows_health: bool
-    deep_checks: bool
-    retry_after: bool
+    preemption_mode: PreemptionMode = field(metadata=stored_as("halt"))
+    load_signal: LoadSignal = field(metadata=stored_as("say"))
+    load_signal_lifetime_us: int = field(metadata=stored_as("heeded_us"))
+    dependency: Downstream = field(metadata=stored_as("below"))
+    mean_calls_in_flight: float = field(metadata=stored_as("calls_out"))
+    call_averaging_us: int = field(metadata=stored_as("calls_over_us"))
+    abandoned_call_us: int = field(metadata=stored_as("linger_us"))
+    idle_timeout_us: int = field(metadata=stored_as("idle_us"))
+    endpoint_list_follows_health: bool = field(metadata=stored_as("list_follows_health"))
+    deep_health_checks: bool = field(metadata=stored_as("deep_checks"))
+    sends_retry_after: bool = field(metadata=stored_as("retry_after"))
     max_retry_after_us: int
-    marks_retry: bool
+    marks_retries: bool = field(metadata=stored_as("marks_retry"))
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, object]) -> Settings:
-        """Build from plain values.
+        """Build from plain values under their stored keys.
 
         Raises:
-            InvalidSettingError: a value is missing, of the wrong type or impossible.
+            InvalidSettingError: a value is missing, of the wrong type or impossible; it names the stored key.
         """
         return typing.cast(Settings, _read(cls, raw, ""))
 
@@ -131,11 +196,11 @@
         _require(self.cores >= 1, "cores", "must be at least 1")
         _require(len(self.classes) > 0, "classes", "must name at least one class")
         _require(self.memory_kb > 0, "memory_kb", "must be above 0")
-        _require(self.run_factor >= 1, "run_factor", "must be at least 1")
-        _require(self.fall_multiple >= 1, "fall_multiple", "must be at least 1")
-        _require(0 <= self.cold_share <= 1, "cold_share", "must lie between 0 and 1")
+        _require(self.running_memory_factor >= 1, "run_factor", "must be at least 1")
+        _require(self.overload_concurrency_factor >= 1, "fall_multiple", "must be at least 1")
+        _require(0 <= self.initial_capacity_share <= 1, "cold_share", "must lie between 0 and 1")
         _require(self.tick_us >= 1, "tick_us", "must be at least 1")
-        _require(self.peers >= 1, "peers", "must be at least 1")
+        _require(self.server_count >= 1, "peers", "must be at least 1")
         _require_not_negative(self, "")
         tables: dict[str, tuple[ClassSettings | TenantSettings, ...]]
         tables = {"classes": self.classes, "tenants": self.tenants}
@@ -147,8 +212,8 @@
         for index, request_class in enumerate(self.classes):
             path = f"classes[{index}]"
             _require(request_class.deadline_us >= 1, f"{path}.deadline_us", "must be at least 1")
-            _require(request_class.skip_worth <= 1, f"{path}.skip_worth", "must be at most 1")
-            _require(request_class.late_share <= 1, f"{path}.late_share", "must be at most 1")
+            _require(request_class.skipped_call_factor <= 1, f"{path}.skip_worth", "must be at most 1")
+            _require(request_class.late_response_factor <= 1, f"{path}.late_share", "must be at most 1")
 
 
 def _require(good: bool, path: str, problem: str) -> None:
@@ -160,7 +225,7 @@
     for part in dataclasses.fields(item):
         value = getattr(item, part.name)
         if isinstance(value, int | float):
-            _require(0 <= value < float("inf"), path + part.name, "must be a finite number, 0 or more")
+            _require(0 <= value < float("inf"), path + stored_key(part), "must be a finite number, 0 or more")
 
 
 def _read(wanted: object, raw: object, path: str) -> object:
@@ -189,7 +254,8 @@
     hints = typing.get_type_hints(wanted)
     values: dict[str, object] = {}
     for part in dataclasses.fields(wanted):
-        inner = f"{path}.{part.name}" if path else part.name
-        _require(part.name in table, inner, "is missing")
-        values[part.name] = _read(hints[part.name], table[part.name], inner)
+        key = stored_key(part)
+        inner = f"{path}.{key}" if path else key
+        _require(key in table, inner, "is missing")
+        values[part.name] = _read(hints[part.name], table[key], inner)
     return wanted(**values)
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -60,7 +60,7 @@
         )
 
     def _note_allowances(self) -> None:
-        allowances = {name: tenant.allowance_per_s for name, tenant in self._core.tenants.items()}
+        allowances = {name: tenant.quota_per_s for name, tenant in self._core.tenants.items()}
         lowest = {
             name: min(allowance, allowances.get(name, allowance))
             for name, allowance in self._lowest_allowances.items()
@@ -74,7 +74,7 @@
     def tenant_counts(self) -> dict[str, int]:
         """Count the requests that were read of each tenant that has an allowance."""
         core = self._core
-        limited = [tenant.name for tenant in core.settings.tenants if tenant.allowance_per_s]
+        limited = [tenant.name for tenant in core.settings.tenants if tenant.quota_per_s]
         return {name: core.tenant_counts[name]["read"] for name in limited}
 
     def set_quota_share(self, tenant: str, share: float) -> None:
@@ -83,12 +83,12 @@
         The decision module takes an allowance for that of all peers, and its own share for an equal one.
         """
         core = self._core
-        allowances = {settings.name: settings.allowance_per_s for settings in core.settings.tenants}
+        allowances = {settings.name: settings.quota_per_s for settings in core.settings.tenants}
         whole = allowances.get(tenant, 0.0)
-        per_s = whole * share * core.settings.peers
+        per_s = whole * share * core.settings.server_count
         if tenant not in core.tenants:
             return
-        if abs(core.tenants[tenant].allowance_per_s - per_s) > whole * MIN_ALLOWANCE_CHANGE:
+        if abs(core.tenants[tenant].quota_per_s - per_s) > whole * MIN_ALLOWANCE_CHANGE:
             core.set_allowance(tenant, per_s)
 
     def restrict(self) -> None:
@@ -96,6 +96,6 @@
         core = self._core
         for name, lowest in self._lowest_allowances.items():
             tenant = core.tenants.get(name)
-            if tenant is not None and lowest < tenant.allowance_per_s:
+            if tenant is not None and lowest < tenant.quota_per_s:
                 log.warning("allowance narrowed: tenant=%s allowance_per_s=%g", name, lowest)
                 core.set_allowance(name, lowest)
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -64,7 +64,9 @@
         """Give after which time a lost process has ended with its runs, and how long its requests are repeated."""
         classes = self._host.config.settings.classes
         longest = max(span(request_class.deadline_us) for request_class in classes)
-        repeated = max(span(request_class.window_us + request_class.deadline_us) for request_class in classes)
+        repeated = max(
+            span(request_class.idempotency_window_us + request_class.deadline_us) for request_class in classes
+        )
         return self._host.drain_controller.restart_timeout() + longest, repeated
 
     def reconfigure(self, _config: Config, /) -> None:
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from marlstep.admission.settings import ClassSettings, Effect, Settings, TenantSettings
+from marlstep.admission.settings import ClassSettings, Effect, Settings, TenantSettings, stored_key
 from marlstep.config.readers import (
     Address,
     ConfigError,
@@ -171,7 +171,8 @@
     for path in _missing(old.raw, told.raw, ""):
         raise ConfigError(f"{told.source}: {path} is missing, and the configuration in use has it")
     # What was told of the moment of the start does not change with a file that is read later.
-    told = replace(told, settings=replace(told.settings, cold=old.settings.cold, peers=old.settings.peers))
+    settings = replace(told.settings, warms_up=old.settings.warms_up, server_count=old.settings.server_count)
+    told = replace(told, settings=settings)
     uwsgi = old.uwsgi
     if uwsgi is not None and told.uwsgi is not None:
         uwsgi = replace(uwsgi, pools=told.uwsgi.pools, mapped=told.uwsgi.mapped)
@@ -226,14 +227,14 @@
     for part in fields(old):
         was, now = getattr(old, part.name), getattr(told, part.name)
         if was != now:
-            yield f"{part.name} {was} is now {now}"
+            yield f"{stored_key(part)} {was} is now {now}"
 
 
 def _hosted(settings: Settings, operator: Table) -> Settings:
     """The settings with the operator's tenants and worths in the place of the platform's."""
     if "over_share_worth" in operator:
         worth = number(operator, "over_share_worth", "over_share_worth", 0, 1)
-        settings = replace(settings, over_share_worth=worth)
+        settings = replace(settings, over_quota_factor=worth)
     if "tenants" in operator:
         rows = table(operator, "tenants", "tenants")
         settings = replace(settings, tenants=tuple(_tenant(rows, name) for name in rows))
@@ -247,7 +248,9 @@
         row = table(worths, name, f"classes.{name}")
         known(row, f"classes.{name}", ("worth",))
         worth = number(row, "worth", f"classes.{name}.worth", 0, 1e6)
-        kinds = (replace(kind, worth=worth) if kind.name == name else kind for kind in settings.classes)
+        kinds = (
+            replace(kind, priority_weight=worth) if kind.name == name else kind for kind in settings.classes
+        )
         settings = replace(settings, classes=tuple(kinds))
     return settings
 
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -309,7 +309,7 @@
 
     def set_allowance(self, tenant: str, per_s: float) -> None:
         """Change a tenant's allowance from now on."""
-        self.tenants[tenant] = replace(self.tenants[tenant], allowance_per_s=per_s)
+        self.tenants[tenant] = replace(self.tenants[tenant], quota_per_s=per_s)
         self._post(QuotaChanged(tenant, per_s))
 
     def apply_settings(self, settings: Settings) -> None:
@@ -335,11 +335,14 @@
         self.classes = retired | {kind.name: kind for kind in settings.classes}
         for kind in settings.classes:  # what ran under a shorter window must not come again within this one
             was = told_kinds.get(kind.name)
-            if was is not None and kind.window_us > was.window_us:
+            if was is not None and kind.idempotency_window_us > was.idempotency_window_us:
                 self.idempotency_keys.extend(
-                    kind.name, span(kind.window_us - was.window_us), now, span(kind.deadline_us)
+                    kind.name,
+                    span(kind.idempotency_window_us - was.idempotency_window_us),
+                    now,
+                    span(kind.deadline_us),
                 )
-        if settings.say is not old.say:
+        if settings.load_signal is not old.load_signal:
             self.advertised_value = None  # it was a number of another kind
         self.settings = settings
         self._post(
@@ -360,7 +363,7 @@
         if outcome is Outcome.CANCELLED and request.halting and not request.answered:
             request.halting = False
             request.worked = True
-            dropped = self.settings.halt is PreemptionMode.DROP
+            dropped = self.settings.preemption_mode is PreemptionMode.DROP
             request.stage = Stage.HELD if dropped else Stage.PAUSED
         else:
             if request.stage is Stage.CALLING:
@@ -587,7 +590,8 @@
             request.stage, request.started = Stage.RUNNING, True
             if request.class_settings.effect is Effect.UNSAFE:
                 self._keep(
-                    request, span(request.class_settings.window_us + request.class_settings.deadline_us)
+                    request,
+                    span(request.class_settings.idempotency_window_us + request.class_settings.deadline_us),
                 )
             self._count(request, "runs")
             request.backend.start(request)
@@ -686,7 +690,7 @@
 
     def _retry_after(self) -> timedelta:
         """How long a caller is asked to stay away where the module was not asked."""
-        return span(self.settings.max_retry_after_us) if self.settings.retry_after else ZERO
+        return span(self.settings.max_retry_after_us) if self.settings.sends_retry_after else ZERO
 
     def _respond(self, request: Request, answer: Response) -> None:
         """The one place where final answers go out."""
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -54,7 +54,7 @@
         self.naming = NameService(config.name, config.naming, timeline)
         self.components: dict[str, Component] = {}
         max_connections = self._make_components(config, budget.connections)
-        idle_timeout = span(config.settings.idle_us)
+        idle_timeout = span(config.settings.idle_timeout_us)
         self.resp = RespFrontend(self.core, timeline, self.kernel, max_connections, idle_timeout)
         self.frontends = self._make_frontends()
         self.drain_controller = DrainController(
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -58,7 +58,7 @@
 
     def begin(self, number: int, planned: Planned) -> Try:
         """The first try of a line of the schedule."""
-        self.figures.asked(planned, self.classes[planned.kind].worth)
+        self.figures.asked(planned, self.classes[planned.kind].priority_weight)
         self.counts["work"] += 1
         return self._try(Work(number, planned), planned.at_us)
 
@@ -97,7 +97,7 @@
         if verdict is not ResponseStatus.REJECTED and kind.effect is not Effect.SAFE:
             return None
         at = self._next(work, now_us, after_us)
-        if at is None or at - work.planned.at_us >= kind.aim_us:
+        if at is None or at - work.planned.at_us >= kind.latency_objective_us:
             return None  # an answer would come too late to be worth anything
         self.counts["retries"] += 1
         return self._try(work, at)
@@ -131,6 +131,6 @@
 
 def calls_of(kind: ClassSettings, number: int) -> int:
     """How many calls a piece of work makes: BRIEF's figures, once for history, 0 to 2 for a setpoint."""
-    if not kind.calls:
+    if not kind.makes_calls:
         return 0
     return CALLS[number % len(CALLS)] if kind.effect is not Effect.SAFE else 1
--- a/marlstep/traces/replay/figures.py
+++ b/marlstep/traces/replay/figures.py
@@ -71,11 +71,13 @@
     def done(self, planned: Planned, kind: ClassSettings, took_us: int, poor: bool) -> None:
         self.times.setdefault(planned.kind, histogram()).record_value(min(MOST_US, max(1, took_us)))
         self.poor += poor
-        if took_us > kind.aim_us:
+        if took_us > kind.latency_objective_us:
             self.after_aim += 1
             return
         for share in self._shares(planned):
-            share.earned += kind.worth * planned.work_us * (kind.skip_worth if poor else 1.0)
+            share.earned += (
+                kind.priority_weight * planned.work_us * (kind.skipped_call_factor if poor else 1.0)
+            )
 
     def sent_late(self, us: int) -> None:
         self.lateness.record_value(min(MOST_US, max(1, us)))
--- a/tests/admission/random_world.py
+++ b/tests/admission/random_world.py
@@ -92,9 +92,11 @@
 
 def variants() -> dict[str, Settings]:
     """Settings that between them reach every branch: halts, dependencies, sayings, tenants, cold starts."""
-    classes = tuple(dataclasses.replace(kind, calls=True) for kind in helpers.CLASSES)
+    classes = tuple(dataclasses.replace(kind, makes_calls=True) for kind in helpers.CLASSES)
     late = tuple(
-        dataclasses.replace(kind, late_share=0.2, skip_worth=0.5 if kind.effect is Effect.SAFE else 0.0)
+        dataclasses.replace(
+            kind, late_response_factor=0.2, skipped_call_factor=0.5 if kind.effect is Effect.SAFE else 0.0
+        )
         for kind in classes
     )
     tenants = (
@@ -105,24 +107,40 @@
     return {
         "plain": helpers.settings(classes=classes),
         "drop, shared dependency": helpers.settings(
-            classes=late, halt=PreemptionMode.DROP, below=Downstream.SHARED, calls_out=0.6, fall_multiple=3.0
+            classes=late,
+            preemption_mode=PreemptionMode.DROP,
+            dependency=Downstream.SHARED,
+            mean_calls_in_flight=0.6,
+            overload_concurrency_factor=3.0,
         ),
         "no halt, cold, little memory": helpers.settings(
-            classes=late, halt=PreemptionMode.NONE, cold=True, memory_kb=200.0, warm_after_us=2_000 * MS
+            classes=late,
+            preemption_mode=PreemptionMode.NONE,
+            warms_up=True,
+            memory_kb=200.0,
+            warm_up_us=2_000 * MS,
         ),
         "tenants and credit": helpers.settings(
-            classes=late, tenants=tenants, over_share_worth=0.1, say=LoadSignal.CREDIT, marks_retry=True
+            classes=late,
+            tenants=tenants,
+            over_quota_factor=0.1,
+            load_signal=LoadSignal.CREDIT,
+            marks_retries=True,
         ),
         "tier, one core": helpers.settings(
-            classes=classes, cores=1, below=Downstream.TIER, say=LoadSignal.LEVEL, memory_kb=500.0
+            classes=classes,
+            cores=1,
+            dependency=Downstream.TIER,
+            load_signal=LoadSignal.LEVEL,
+            memory_kb=500.0,
         ),
         "shared dependency, cold, tenants": helpers.settings(
             classes=late,
             tenants=tenants,
-            over_share_worth=0.3,
-            cold=True,
-            below=Downstream.SHARED,
-            calls_out=2.0,
+            over_quota_factor=0.3,
+            warms_up=True,
+            dependency=Downstream.SHARED,
+            mean_calls_in_flight=2.0,
             cores=4,
         ),
     }
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -17,15 +17,15 @@
 from tests.support.helpers import MS, START, Server, a_class
 
 EDGES: dict[str, dict[str, Any]] = {
-    "no share of calls is told": {"below": Downstream.SHARED, "calls_out": 0.0},
-    "a share of calls under one": {"below": Downstream.SHARED, "calls_out": 0.3},
-    "a share of calls far above": {"below": Downstream.SHARED, "calls_out": 1000.0},
-    "no callers": {"callers": 0, "say": LoadSignal.CREDIT},
-    "a thousand callers": {"callers": 1000, "say": LoadSignal.CREDIT},
+    "no share of calls is told": {"dependency": Downstream.SHARED, "mean_calls_in_flight": 0.0},
+    "a share of calls under one": {"dependency": Downstream.SHARED, "mean_calls_in_flight": 0.3},
+    "a share of calls far above": {"dependency": Downstream.SHARED, "mean_calls_in_flight": 1000.0},
+    "no callers": {"caller_count": 0, "load_signal": LoadSignal.CREDIT},
+    "a thousand callers": {"caller_count": 1000, "load_signal": LoadSignal.CREDIT},
     "one core": {"cores": 1},
     "a hold shorter than the running set": {"cores": 8, "memory_kb": 70.0},
-    "callers that are never heard again": {"say": LoadSignal.CREDIT, "heeded_us": 0},
-    "no idle limit": {"idle_us": 0},
+    "callers that are never heard again": {"load_signal": LoadSignal.CREDIT, "load_signal_lifetime_us": 0},
+    "no idle limit": {"idle_timeout_us": 0},
 }
 
 
@@ -42,7 +42,7 @@
 
 
 def test_a_share_that_one_call_overfills_lets_one_out_at_a_time() -> None:
-    server = Server(cores=4, below=Downstream.SHARED, calls_out=0.01)
+    server = Server(cores=4, dependency=Downstream.SHARED, mean_calls_in_flight=0.01)
     server.arrive("a")
     server.arrive("b")
     calls = [id for action, id in server.step(CallNeeded("a"), CallNeeded("b")) if action == "Call"]
@@ -50,7 +50,9 @@
 
 
 def test_what_is_remembered_stays_bounded_while_callers_come_and_go() -> None:
-    server = Server(cores=2, say=LoadSignal.CREDIT, below=Downstream.SHARED, calls_out=0.5)
+    server = Server(
+        cores=2, load_signal=LoadSignal.CREDIT, dependency=Downstream.SHARED, mean_calls_in_flight=0.5
+    )
     sizes = []
     for turn in range(4_000):
         id, kind = f"r{turn}", ("low", "keyed", "high")[turn % 3]
--- a/tests/admission/test_mechanism.py
+++ b/tests/admission/test_mechanism.py
@@ -147,7 +147,7 @@
 
 
 def refused_of_a_line(marks_retry: bool, run_ms: int) -> list[str]:
-    server = Server(cores=1, marks_retry=marks_retry)
+    server = Server(cores=1, marks_retries=marks_retry)
     for index in range(4):
         server.arrive(f"done{index}")
         server.end(f"done{index}", after_ms=run_ms)
@@ -175,7 +175,7 @@
 
 
 def test_callers_get_credit_only_once_there_is_a_line() -> None:
-    server = Server(cores=1, say=LoadSignal.CREDIT)
+    server = Server(cores=1, load_signal=LoadSignal.CREDIT)
     for index in range(2):
         server.arrive(f"done{index}")
         server.end(f"done{index}", after_ms=400)
@@ -191,7 +191,9 @@
 
 def test_a_class_that_may_goes_on_without_its_call_in_time_for_its_aim() -> None:
     server = Server(
-        classes=(a_class("low", calls=True, skip_worth=0.5),), below=Downstream.SHARED, calls_out=4.0
+        classes=(a_class("low", makes_calls=True, skipped_call_factor=0.5),),
+        dependency=Downstream.SHARED,
+        mean_calls_in_flight=4.0,
     )
     server.arrive("a")
     server.step(CallNeeded("a"))
@@ -202,7 +204,9 @@
 
 def test_while_calls_are_slow_one_at_a_time_is_made_where_they_may_be_left_out() -> None:
     server = Server(
-        classes=(a_class("low", calls=True, skip_worth=0.5),), below=Downstream.SHARED, calls_out=4.0
+        classes=(a_class("low", makes_calls=True, skipped_call_factor=0.5),),
+        dependency=Downstream.SHARED,
+        mean_calls_in_flight=4.0,
     )
     for index in range(10):
         server.arrive(f"r{index}")
@@ -223,7 +227,7 @@
 
 
 def test_idle_connections_are_closed_sooner_while_more_are_open_than_could_run() -> None:
-    server = Server(fall_multiple=8.0)  # 16 runs on two cores
+    server = Server(overload_concurrency_factor=8.0)  # 16 runs on two cores
     server.step(TimerDue(0, {"cpu": 0.5, "conns": 12.0}), after_ms=1000)
     assert server.find(IdleLimit) == [IdleLimit(30_000 * MS)]
     server.step(TimerDue(0, {"cpu": 0.5, "conns": 64.0}), after_ms=1000)
@@ -233,7 +237,7 @@
 
 
 def test_without_a_gauge_or_a_limit_nothing_is_said_of_idle_connections() -> None:
-    for server in (Server(), Server(idle_us=0)):
+    for server in (Server(), Server(idle_timeout_us=0)):
         server.step(TimerDue(0, {}), after_ms=1000)
         assert server.find(IdleLimit) == []
 
@@ -250,8 +254,11 @@
 
 
 def test_of_classes_of_one_worth_the_sooner_aim_starts_first() -> None:
-    slow, quick = a_class("slow", aim_us=3_500 * MS), a_class("quick", aim_us=1_500 * MS)
-    server = Server(cores=1, classes=(slow, quick, a_class("high", worth=3.0)))
+    slow, quick = (
+        a_class("slow", latency_objective_us=3_500 * MS),
+        a_class("quick", latency_objective_us=1_500 * MS),
+    )
+    server = Server(cores=1, classes=(slow, quick, a_class("high", priority_weight=3.0)))
     for index, kind in enumerate(("high", "slow", "quick")):
         server.arrive(str(index), kind, after_ms=1)
     assert server.end("0") == [("Run", "2")]
@@ -271,7 +278,7 @@
     # had asked once, and for ten seconds half of all requests were turned away with cores to spare.
     said = []
     for others in (0, 40):
-        server = Server(cores=1, say=LoadSignal.CREDIT, memory_kb=100_000.0)
+        server = Server(cores=1, load_signal=LoadSignal.CREDIT, memory_kb=100_000.0)
         for index in range(30):
             server.arrive(f"done{index}", caller=index % 3)
             server.end(f"done{index}", after_ms=20)
@@ -287,14 +294,17 @@
 
 def test_what_could_never_be_started_is_refused_at_once() -> None:
     # Guards against a client whose figures fill the hold, so that all others are refused.
-    server = Server(cores=1, memory_kb=1_000.0, run_factor=4.0)
+    server = Server(cores=1, memory_kb=1_000.0, running_memory_factor=4.0)
     assert server.arrive("huge", memory_kb=300.0) == [("Reject", "huge")]
     assert server.arrive("large", memory_kb=200.0) == [("Run", "large")]
 
 
 def test_a_call_that_may_be_made_again_is_not_waited_for_to_the_end_and_a_setpoints_is() -> None:
     # Guards against replies that never come: each held its run until nothing but a poorer answer was left.
-    low, unsafe = a_class("low", calls=True, skip_worth=0.5), a_class("set", effect=Effect.UNSAFE)
+    low, unsafe = (
+        a_class("low", makes_calls=True, skipped_call_factor=0.5),
+        a_class("set", effect=Effect.UNSAFE),
+    )
     server = Server(classes=(low, unsafe))
     server.arrive("a")
     server.arrive("b", "set")
@@ -306,7 +316,7 @@
 
 
 def test_a_call_that_never_ran_is_made_again_after_ever_longer_waits() -> None:
-    server = Server(classes=(a_class("set", effect=Effect.UNSAFE, calls=True),))
+    server = Server(classes=(a_class("set", effect=Effect.UNSAFE, makes_calls=True),))
     server.arrive("a", "set")
     assert server.step(CallNeeded("a")) == [("Call", "a")]
     waits = []
@@ -321,7 +331,7 @@
 
 
 def test_a_run_that_the_kernel_did_not_know_tells_nothing_of_the_pace() -> None:
-    server = Server(cores=1, say=LoadSignal.CREDIT)
+    server = Server(cores=1, load_signal=LoadSignal.CREDIT)
     server.arrive("real")
     server.end("real", after_ms=400)
     pace = server.controller.state.statistics.us_per_run()
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -37,7 +37,7 @@
 
 TURNS = 120
 STEP = 40 * MS
-CLASSES = tuple(dataclasses.replace(kind, calls=True) for kind in helpers.CLASSES)
+CLASSES = tuple(dataclasses.replace(kind, makes_calls=True) for kind in helpers.CLASSES)
 
 
 @dataclasses.dataclass
@@ -127,7 +127,7 @@
             ]
             one.state = "running" if outcome is Outcome.OK else "call"
             if outcome is Outcome.TIMEOUT:
-                self.lingering.append(self.now + self.told.linger_us)
+                self.lingering.append(self.now + self.told.abandoned_call_us)
             return [CallEnded(id, outcome, STEP)]
         if one.state == "attached" and lot < 4:
             return self.ends(id, one, Outcome.OK)
@@ -169,11 +169,13 @@
                 self.runs(action.id, one)
             case Preempt():
                 assert one is not None
-                assert self.told.halt != PreemptionMode.NONE, "a halt where it is a fault"
+                assert self.told.preemption_mode != PreemptionMode.NONE, "a halt where it is a fault"
                 if one.state == "running" and self.draw.draw(st.integers(0, 9)) > 0:
                     over = one.answers or one.gone
                     one.state = (
-                        "over" if over else ("paused" if self.told.halt == PreemptionMode.PAUSE else "held")
+                        "over"
+                        if over
+                        else ("paused" if self.told.preemption_mode == PreemptionMode.PAUSE else "held")
                     )
                     self.pending.append(RunEnded(action.id, Outcome.CANCELLED, 0))
             case Reject() | Fail() if one:
@@ -184,7 +186,7 @@
             case Call() if one and one.state == "call":
                 one.state, one.call_until = "calling", action.until_us
             case SkipCall() if one:
-                assert one.kind.skip_worth > 0, "a skip where it is a fault"
+                assert one.kind.skipped_call_factor > 0, "a skip where it is a fault"
                 one.state = "running" if one.state == "call" else one.state
 
     def runs(self, id: str, one: Try) -> None:
@@ -192,9 +194,11 @@
             if one.kind.effect != "safe":
                 assert not one.ran, "an effect ran twice"
             if one.kind.effect == "keyed":
-                assert self.kept.get(id, 0) >= one.arrived + one.kind.window_us, "a run without its key"
+                assert self.kept.get(id, 0) >= one.arrived + one.kind.idempotency_window_us, (
+                    "a run without its key"
+                )
                 for other in self.tries.values():
-                    within = abs(other.arrived - one.arrived) <= one.kind.window_us
+                    within = abs(other.arrived - one.arrived) <= one.kind.idempotency_window_us
                     assert other is one or other.key != one.key or not other.ran or not within, (
                         "an effect ran twice"
                     )
@@ -211,7 +215,7 @@
         elif one.state in ("call", "calling"):
             id = next(i for i, t in self.tries.items() if t is one)
             if one.state == "calling":
-                self.lingering.append(self.now + self.told.linger_us)
+                self.lingering.append(self.now + self.told.abandoned_call_us)
             one.state = "over"
             self.pending.append(RunEnded(id, Outcome.CANCELLED, 0))
 
@@ -219,26 +223,30 @@
 
     def check(self) -> None:
         self.kept = {id: until for id, until in self.kept.items() if until > self.now}
-        memory = len(self.kept) * self.told.key_kb
+        memory = len(self.kept) * self.told.idempotency_key_kb
         for id, one in self.tries.items():
             if one.state != "over":
-                memory += one.kb * (1.0 if one.state in ("held", "attached") else self.told.run_factor)
-            late = self.now > one.due + self.told.answer_slack_us
+                memory += one.kb * (
+                    1.0 if one.state in ("held", "attached") else self.told.running_memory_factor
+                )
+            late = self.now > one.due + self.told.response_margin_us
             assert one.answers or one.gone or not late, f"{id} got no answer in time"
             stopped = self.stops is not None and self.now >= self.stops - STEP
             assert one.answers or one.gone or not stopped, f"{id} had no answer before the stop"
         assert memory <= self.told.memory_kb, "out of memory"
         share = 1.0
-        if self.told.cold:
-            warmed = (self.now - START) / self.told.warm_after_us
-            share = min(1.0, self.told.cold_share + (1 - self.told.cold_share) * warmed)
-        crowd = self.told.cores * (1 + (self.told.fall_multiple - 1) * share)
+        if self.told.warms_up:
+            warmed = (self.now - START) / self.told.warm_up_us
+            share = min(
+                1.0, self.told.initial_capacity_share + (1 - self.told.initial_capacity_share) * warmed
+            )
+        crowd = self.told.cores * (1 + (self.told.overload_concurrency_factor - 1) * share)
         assert sum(one.state == "running" for one in self.tries.values()) <= crowd, "too great a crowd"
         self.lingering = [until for until in self.lingering if until > self.now]
         calls = sum(one.state == "calling" for one in self.tries.values()) + len(self.lingering)
-        self.in_hand = [*self.in_hand, calls][-self.told.calls_over_us // STEP :]
-        if self.told.below == Downstream.SHARED and self.told.calls_out > 0:
-            most = self.told.calls_out * self.told.calls_over_us / STEP
+        self.in_hand = [*self.in_hand, calls][-self.told.call_averaging_us // STEP :]
+        if self.told.dependency == Downstream.SHARED and self.told.mean_calls_in_flight > 0:
+            most = self.told.mean_calls_in_flight * self.told.call_averaging_us / STEP
             assert sum(self.in_hand) <= most, "too many calls in hand in the mean"
 
 
@@ -256,12 +264,12 @@
 ) -> None:
     told = helpers.settings(
         classes=CLASSES,
-        halt=halt,
-        below=below,
-        cold=cold,
+        preemption_mode=halt,
+        dependency=below,
+        warms_up=cold,
         memory_kb=memory,
-        calls_out=calls,
-        fall_multiple=4.0,
+        mean_calls_in_flight=calls,
+        overload_concurrency_factor=4.0,
     )
     model = Model(told, data)
     for _ in range(TURNS):
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -409,7 +409,7 @@
 def test_a_free_value_does_not_outlive_the_way_in_which_callers_read_it(tmp_path: Path) -> None:
     # Guards against a number of requests that is read as a rank: no caller would come any more.
     async def run(place: Place) -> None:
-        place.core.say = 12.0  # as the module said while callers counted requests by it
+        place.core.advertised_value = 12.0  # as the module said while callers counted requests by it
         await place.hang_up(settings=elsewhere(say="threshold"))
         caller = await place.call()
         caller.send(write_frame(b"ALIVE", b"1"))
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -32,7 +32,7 @@
     governed = Governed()
     assert governed.put_on(config) is config
     other = {"tenants": {"a": {"share": 0.5, "allowance_per_s": 9.0}}}
-    assert governed.put_on(config, tenants=other).settings.tenants[0].allowance_per_s == 9.0
+    assert governed.put_on(config, tenants=other).settings.tenants[0].quota_per_s == 9.0
     wrongs: list[Any] = [{"tenants": {"a": {"share": 2}}}, {"more": 1}, []]
     for wrong in wrongs:
         with pytest.raises(ConfigError):
@@ -42,7 +42,7 @@
     assert part_of(config, "settings") == SETTINGS
     governed.keep("tenants", other)
     assert "the files differ" in next(governed.differing(config)).replace("tenants of ", "")
-    assert governed.put_on(config).settings.tenants[0].allowance_per_s == 9.0
+    assert governed.put_on(config).settings.tenants[0].quota_per_s == 9.0
 
 
 class GovernedNode(Desk):
@@ -71,10 +71,10 @@
     node.documents.activate("tenants", 2, tenants(5.0))
     for number in range(12, 24):
         node.submit(number, tenant="riad")
-    assert node.core.tenants["riad"].allowance_per_s == 5.0 and node.core.config_versions == "tenants=2"
+    assert node.core.tenants["riad"].quota_per_s == 5.0 and node.core.config_versions == "tenants=2"
     node.documents.activate("tenants", 3, tenants(20.0))
     node.documents.restrict()  # cut off: the least that it knows of
-    assert node.core.tenants["riad"].allowance_per_s == 5.0
+    assert node.core.tenants["riad"].quota_per_s == 5.0
     for number in range(24):
         node.end(number)
     node.clock.advance(60_000)
@@ -85,7 +85,7 @@
     # The module takes an allowance for that of all peers: a part of the whole service's is so much for this node.
     node.documents.activate("tenants", 4, tenants(8.0))
     node.documents.set_quota_share("riad", 0.25)
-    assert node.core.tenants["riad"].allowance_per_s == 2.0 * node.core.settings.peers
+    assert node.core.tenants["riad"].quota_per_s == 2.0 * node.core.settings.server_count
     assert node.documents.tenant_counts() == {"riad": 24}
 
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -190,4 +190,6 @@
 
 def test_absent_options_mean_that_a_feature_is_off() -> None:
     told = read_settings(CONF)
-    assert told.tenants == () and told.say == "none" and told.below == "none" and not told.cold
+    assert (
+        told.tenants == () and told.load_signal == "none" and told.dependency == "none" and not told.warms_up
+    )
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -25,21 +25,21 @@
     plain = ClassSettings(
         name=name,
         effect=effect,
-        aim_us=2_000 * MS,
+        latency_objective_us=2_000 * MS,
         deadline_us=4_000 * MS,
-        window_us=8_000 * MS,
-        worth=worth,
-        late_share=0.0,
-        calls=False,
-        skip_worth=0.0,
+        idempotency_window_us=8_000 * MS,
+        priority_weight=worth,
+        late_response_factor=0.0,
+        makes_calls=False,
+        skipped_call_factor=0.0,
     )
     return dataclasses.replace(plain, **other)
 
 
 LOW = a_class("low")
-HIGH = a_class("high", worth=3.0)
-KEYED = a_class("keyed", worth=2.0, effect=Effect.KEYED)
-UNSAFE = a_class("unsafe", worth=2.0, effect=Effect.UNSAFE)
+HIGH = a_class("high", priority_weight=3.0)
+KEYED = a_class("keyed", priority_weight=2.0, effect=Effect.KEYED)
+UNSAFE = a_class("unsafe", priority_weight=2.0, effect=Effect.UNSAFE)
 CLASSES = (LOW, HIGH, KEYED, UNSAFE)
 
 
@@ -47,35 +47,35 @@
     plain = Settings(
         classes=CLASSES,
         tenants=(),
-        over_share_worth=1.0,
+        over_quota_factor=1.0,
         cores=2,
         memory_kb=1000.0,
-        run_factor=4.0,
-        key_kb=5.0,
-        fresh_us=0,
-        peers=3,
-        callers=2,
-        cold=False,
-        cold_share=0.25,
-        warm_after_us=10_000 * MS,
-        fall_multiple=8.0,
-        fall_us=1_500 * MS,
+        running_memory_factor=4.0,
+        idempotency_key_kb=5.0,
+        cacheable_us=0,
+        server_count=3,
+        caller_count=2,
+        warms_up=False,
+        initial_capacity_share=0.25,
+        warm_up_us=10_000 * MS,
+        overload_concurrency_factor=8.0,
+        overload_duration_us=1_500 * MS,
         drain_grace_us=1_000 * MS,
-        answer_slack_us=60 * MS,
+        response_margin_us=60 * MS,
         tick_us=5 * MS,
-        halt=PreemptionMode.PAUSE,
-        say=LoadSignal.NONE,
-        heeded_us=1_000 * MS,
-        below=Downstream.NONE,
-        calls_out=0.0,
-        calls_over_us=5_000 * MS,
-        linger_us=200 * MS,
-        idle_us=30_000 * MS,
-        list_follows_health=False,
-        deep_checks=False,
-        retry_after=True,
+        preemption_mode=PreemptionMode.PAUSE,
+        load_signal=LoadSignal.NONE,
+        load_signal_lifetime_us=1_000 * MS,
+        dependency=Downstream.NONE,
+        mean_calls_in_flight=0.0,
+        call_averaging_us=5_000 * MS,
+        abandoned_call_us=200 * MS,
+        idle_timeout_us=30_000 * MS,
+        endpoint_list_follows_health=False,
+        deep_health_checks=False,
+        sends_retry_after=True,
         max_retry_after_us=1_000 * MS,
-        marks_retry=False,
+        marks_retries=False,
     )
     return dataclasses.replace(plain, **other)
 
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -196,7 +196,7 @@
     old = check(raw_config())
     told = check(raw_config(settings={**other(swapped), "peersTotal": 7}))
     config, left_out = renewed(old, told)
-    assert left_out == [] and config.settings.peers == old.settings.peers
+    assert left_out == [] and config.settings.server_count == old.settings.server_count
     lines = changes(old.settings, config.settings)
     assert lines == ["class setpoint-cmd is gone", "class boiler-cmd is new"]
     slower = other(lambda told: told["classes"][0].update(aimUs=9))
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -344,7 +344,7 @@
             if following is None:
                 break
             assert not done and following.at_us >= now
-            assert following.at_us - planned.at_us < CLASSES[kind].aim_us
+            assert following.at_us - planned.at_us < CLASSES[kind].latency_objective_us
             now = following.at_us + 1_000
             one.sent(following, following.at_us)
             last, following = following, one.answered(following.id, verdict, now, after)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -175,7 +175,7 @@
     assert operator["tenants"]["a"] == {"share": 0.666667, "allowance_per_s": 1.0}
     settings = check(raw_config(), operator).settings
     assert {tenant.name for tenant in settings.tenants} == {"a", "others"}
-    assert [kind.worth for kind in settings.classes] == [1.0, 1.0, 2.0]
+    assert [kind.priority_weight for kind in settings.classes] == [1.0, 1.0, 2.0]
 
 
 def tallied(*rows: tuple[str, str]) -> Account:
