--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -69,7 +69,7 @@
                 return 200, self._tenant(name)
             case "PUT", ["v1", "tenants", name]:
                 self._tenant(name)
-                self.core.set_allowance(name, self._allowance(call.body))
+                self.core.set_quota(name, self._allowance(call.body))
                 return 200, self._tenant(name)
             case "POST", ["v1", "drain"]:
                 log.warning("drain asked for by the administration")
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -44,13 +44,13 @@
         self._arm_timer()
         return self.state.actions
 
-    def used(self) -> tuple[float, float]:
+    def memory_and_concurrency_in_use(self) -> tuple[float, float]:
         """Give the share of the server's room that is in use, and that all in flight may come to use."""
-        return self.state.used()
+        return self.state.memory_and_concurrency_in_use()
 
-    def learnt(self) -> events.Measurements:
+    def measurements(self) -> events.Measurements:
         """Give what was measured, for the controller of another process of this server."""
-        return self.parts.learnt()
+        return self.parts.measurements()
 
     def _on_drain(self, event: events.Drain) -> None:
         """Answer all before the process is stopped; without a successor, run no late arrival."""
--- a/marlstep/admission/parts.py
+++ b/marlstep/admission/parts.py
@@ -69,7 +69,7 @@
             PortionChanged: self._on_portion_changed,
         }
 
-    def learnt(self) -> Measurements:
+    def measurements(self) -> Measurements:
         """Give what was measured, for the controller of another process of this server."""
         return Measurements(
             limit=self.concurrency.limit,
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/server_state.py
@@ -147,7 +147,7 @@
             if entry.state is State.FINISHED and entry.recognised_until <= self.now:
                 self.entries.by_id.pop(entry.id, None)
 
-    def used(self) -> tuple[float, float]:
+    def memory_and_concurrency_in_use(self) -> tuple[float, float]:
         """Give the share of the server's room that is in use, and that all in flight may come to use."""
         memory_kb, concurrency = self.settings.memory_kb, self.concurrency / self.portion
         running_kb = sum(self.entries.size(entry, State.RUNNING) for entry in self.entries.in_states(*ALIVE))
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -123,7 +123,7 @@
             id=f"task-{number}",
             request_class=plan.request_class,
             body=write_packet(self._variables(task, action)),
-            arrived=self._timeline.now(),
+            arrived_at=self._timeline.now(),
             memory_kb=REQUEST_MEMORY_KB,
             pool=self.pool_of(plan.request_class),
             idempotency_key=f"{plan.name}/{action.kind}/{action.run}/{action.token}/{number}",
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -89,7 +89,7 @@
         if tenant not in core.tenants:
             return
         if abs(core.tenants[tenant].quota_per_s - per_s) > whole * MIN_ALLOWANCE_CHANGE:
-            core.set_allowance(tenant, per_s)
+            core.set_quota(tenant, per_s)
 
     def restrict(self) -> None:
         """Narrow the allowance of each tenant that is still there to the lowest that any version gave."""
@@ -98,4 +98,4 @@
             tenant = core.tenants.get(name)
             if tenant is not None and lowest < tenant.quota_per_s:
                 log.warning("allowance narrowed: tenant=%s allowance_per_s=%g", name, lowest)
-                core.set_allowance(name, lowest)
+                core.set_quota(name, lowest)
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -45,7 +45,7 @@
             return HotRestart(adapter, generation, os.getpid(), *self._lost_process_times())
 
         channel = self._channel = RestartChannel(config.folder, config.name, timeline, make_handover)
-        core.on_cores_up = lambda: channel.handover.cores_up(timeline.now())
+        core.on_backend_ready = lambda: channel.handover.backend_ready(timeline.now())
         self.has_predecessor_serving = await channel.open()
         adapter.watch(channel.handover)
 
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -118,7 +118,7 @@
         # Whether new work may be taken at all: in a fleet, not without rules to take it under.
         self.accepts_work: Callable[[], bool] | None = None
         self.config_versions = ""  # the versions of the documents that this node acts on, for the record
-        self.on_cores_up: Callable[[], None] = self.serving_state.mark_ready
+        self.on_backend_ready: Callable[[], None] = self.serving_state.mark_ready
         self._ports = ports
         self._timeline = timeline
         self._controller = Controller(settings, seed)
@@ -204,13 +204,15 @@
             if offer.idempotency_key and kind.effect is not Effect.SAFE
             else None
         )
-        prior = self.idempotency_keys.find(key, min(now, offer.arrived)) if key else None
+        prior = self.idempotency_keys.find(key, min(now, offer.arrived_at)) if key else None
         if prior and kind.effect is Effect.UNSAFE:
             raise RepeatedWorkError("a repeat of work that must not run twice")
         if prior and not prior.matches_body(offer.digest):
             raise RepeatedWorkError("a name in use for work with another body")
-        due = max(now, offer.arrived + span(kind.deadline_us))
-        request = Request(offer, kind, front, ticket, backend, due, rules=self.config_versions, key=key)
+        due = max(now, offer.arrived_at + span(kind.deadline_us))
+        request = Request(
+            offer, kind, front, ticket, backend, due, config_versions=self.config_versions, key=key
+        )
         if len(self._requests) >= self._most:
             raise RequestRejectedError("too many in hand for this process's part of the node")
         try:
@@ -246,7 +248,7 @@
     def _enqueue(self, request: Request, prior: KeyRecord | None) -> None:
         """The module hears of it."""
         offer = request.inbound
-        request.stage = Stage.HELD
+        request.stage = Stage.QUEUED
         if request.key:
             self.idempotency_keys.record(
                 request.key, offer.id, self._post_arrival(request), request.inbound.digest
@@ -257,12 +259,12 @@
                 request_class=offer.request_class,
                 memory_kb=offer.memory_kb,
                 caller=offer.caller,
-                unread_us=max(0, span_us(self._timeline.now() - offer.arrived)),
+                unread_us=max(0, span_us(self._timeline.now() - offer.arrived_at)),
                 tenant=offer.tenant,
-                key=offer.key,
-                is_retry=offer.retry,
+                key=offer.entity,
+                is_retry=offer.is_retry,
                 rank=offer.rank,
-                cost_hint_us=None if offer.cost is None else span_us(offer.cost),
+                cost_hint_us=None if offer.cost_hint is None else span_us(offer.cost_hint),
                 # One that is not in hand any more has run, or may have: its id may be another's by now.
                 prior=None
                 if prior is None
@@ -276,7 +278,7 @@
 
     def _post_arrival(self, request: Request) -> datetime:
         """The moment at which it counts as having arrived: a caller's clock may run ahead."""
-        return min(self._timeline.now(), request.inbound.arrived)
+        return min(self._timeline.now(), request.inbound.arrived_at)
 
     def _claim_decided(self, request: Request, key: IdempotencyKey, told: ClaimResult) -> None:
         """Another process of this node has said whether the work may be held here, or nobody can."""
@@ -307,7 +309,7 @@
             self._post(ClientDisconnected(request.id))
             self._settle(request)
 
-    def set_allowance(self, tenant: str, per_s: float) -> None:
+    def set_quota(self, tenant: str, per_s: float) -> None:
         """Change a tenant's allowance from now on."""
         self.tenants[tenant] = replace(self.tenants[tenant], quota_per_s=per_s)
         self._post(QuotaChanged(tenant, per_s))
@@ -364,11 +366,11 @@
             request.halting = False
             request.worked = True
             dropped = self.settings.preemption_mode is PreemptionMode.DROP
-            request.stage = Stage.HELD if dropped else Stage.PAUSED
+            request.stage = Stage.QUEUED if dropped else Stage.PAUSED
         else:
             if request.stage is Stage.CALLING:
                 self._ports.store.abandon_call(request)
-            request.stage = Stage.OVER
+            request.stage = Stage.FINISHED
             self._respond(request, self._response_for(request, outcome, result))
             self._forward_result(request, outcome, result)
             if outcome is Outcome.CANCELLED:
@@ -387,13 +389,13 @@
             return Response(ResponseStatus.REJECTED, retry_after=self._retry_after())
         return Response(ResponseStatus.FAILED)
 
-    def cores_up(self) -> None:
-        self.on_cores_up()
+    def backend_ready(self) -> None:
+        self.on_backend_ready()
 
     def call_needed(self, id: str, body: bytes) -> None:
         request = self._find(id)
         if request is not None:
-            request.stage, request.call_body, request.worked = Stage.AT_CALL, body, True
+            request.stage, request.call_body, request.worked = Stage.AWAITING_CALL, body, True
             request.halting = False  # it came to the call before the halt reached it
             self._post(CallNeeded(id))
 
@@ -408,7 +410,7 @@
             request.stage = Stage.RUNNING
             request.backend.supply(request, reply)
         else:
-            request.stage = Stage.AT_CALL
+            request.stage = Stage.AWAITING_CALL
         self._post(CallEnded(id, outcome, span_us(elapsed)))
 
     def pool_capacity(self, pool: str, most: int) -> None:
@@ -421,30 +423,30 @@
 
     # Other processes of this node.
 
-    def take_share(self, share: float, most_requests: int) -> None:
+    def set_capacity_share(self, share: float, most_requests: int) -> None:
         """This process's part of the node's room, from now on."""
         self._most = min(most_requests, self._requests.limit)
         self._post(PortionChanged(share))
 
-    def used(self) -> tuple[float, float]:
+    def memory_and_concurrency_in_use(self) -> tuple[float, float]:
         """Of the node's room: what is in use here, and what all that is in hand may come to use."""
-        return self._controller.used()
+        return self._controller.memory_and_concurrency_in_use()
 
-    def learnt(self) -> dict[str, object]:
-        return self._controller.learnt().to_json()
+    def measurements(self) -> dict[str, object]:
+        return self._controller.measurements().to_json()
 
-    def learn(self, learnt: Mapping[str, object]) -> None:
+    def adopt_measurements(self, learnt: Mapping[str, object]) -> None:
         """What the module of another process of this node has learnt; what makes no sense is left out."""
         self._post(Measurements.from_mapping(learnt))
 
-    def adopt(self, key: IdempotencyKey, told: KeyRecord) -> None:
+    def adopt_remote_key(self, key: IdempotencyKey, told: KeyRecord) -> None:
         """Another process says this of a piece of work."""
         kind = self.classes.get(key[0])
         self.idempotency_keys.adopt(key, told, self._timeline.now(), span(kind.deadline_us) if kind else ZERO)
         if told.finished or told.result is not None:
             self._abroad_over(key, told.result)
 
-    def forget(self, key: IdempotencyKey, id: str) -> None:
+    def forget_remote_key(self, key: IdempotencyKey, id: str) -> None:
         """The other's try never ran."""
         if self.idempotency_keys.forget(key, id):
             self._abroad_over(key, None)
@@ -556,7 +558,9 @@
                 else:
                     self._respond(
                         request,
-                        Response(ResponseStatus.REJECTED, retry_after=span(retry_after_us), last=give_up),
+                        Response(
+                            ResponseStatus.REJECTED, retry_after=span(retry_after_us), no_failover=give_up
+                        ),
                     )
             case Fail():
                 verdict = ResponseStatus.FAILED if request.faulty else ResponseStatus.EXPIRED
@@ -578,7 +582,7 @@
     def _run(self, request: Request) -> None:
         """The one place where work is started. It stands behind the module on the rules that cost a life."""
         effect = request.class_settings.effect is not Effect.SAFE
-        late = self._run_after is not None and request.inbound.arrived > self._run_after
+        late = self._run_after is not None and request.inbound.arrived_at > self._run_after
         if request.answered or late or (effect and request.started and request.stage is not Stage.PAUSED):
             log.error("the module would run %s against the rules: given up", request.id)
             self._abandon(request)
@@ -586,7 +590,7 @@
         elif request.stage is Stage.PAUSED:
             request.stage = Stage.RUNNING
             request.backend.resume(request)
-        elif request.stage is Stage.HELD:
+        elif request.stage is Stage.QUEUED:
             request.stage, request.started = Stage.RUNNING, True
             if request.class_settings.effect is Effect.UNSAFE:
                 self._keep(
@@ -597,7 +601,7 @@
             request.backend.start(request)
 
     def _call(self, request: Request, until: datetime) -> None:
-        if request.stage is not Stage.AT_CALL:
+        if request.stage is not Stage.AWAITING_CALL:
             return
         request.stage, request.called_at = Stage.CALLING, self._timeline.now()
         self._count(request, "calls")
@@ -643,7 +647,7 @@
         request.waiting.clear()
 
     def _share(self, repeat: Request, outcome: Outcome, result: bytes) -> None:
-        repeat.stage = Stage.OVER
+        repeat.stage = Stage.FINISHED
         self._respond(
             repeat,
             Response(ResponseStatus.DONE, result)
@@ -705,20 +709,20 @@
         request.answered = True
         self._unanswered -= 1
         self._timeline.cancel(request.deadline)
-        if request.stage in (Stage.RUNNING, Stage.AT_CALL, Stage.CALLING):
+        if request.stage in (Stage.RUNNING, Stage.AWAITING_CALL, Stage.CALLING):
             request.backend.abandon(request)
-        elif request.stage is not Stage.OVER:
-            if request.key and request.stage is Stage.HELD and not request.started:
+        elif request.stage is not Stage.FINISHED:
+            if request.key and request.stage is Stage.QUEUED and not request.started:
                 self.idempotency_keys.drop(
                     request.key, request.id, kept_too=True
                 )  # it never began: its name is free
-            request.stage = Stage.OVER
+            request.stage = Stage.FINISHED
             self._forward_result(request, Outcome.ERROR, b"")
         self._release_if_over(request)
 
     def _release_if_over(self, request: Request) -> None:
         """The one place where a request's slot is given back: answered, and its run over."""
-        if request.answered and request.stage is Stage.OVER and self._requests.free(request.handle):
+        if request.answered and request.stage is Stage.FINISHED and self._requests.free(request.handle):
             del self._by_id[request.id]
             if request.key:
                 self.idempotency_keys.drop(request.key, request.id, kept_too=False)
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -22,14 +22,14 @@
     id: str
     request_class: str
     body: bytes
-    arrived: datetime
+    arrived_at: datetime
     memory_kb: float
     caller: int = 0
-    retry: bool = False
-    cost: timedelta | None = None
+    is_retry: bool = False
+    cost_hint: timedelta | None = None
     rank: float = 0.0
     tenant: str | None = None
-    key: int | None = None
+    entity: int | None = None  # the subject of the request
     pool: str = ""  # of servers that do the work, where the cores here do not
     idempotency_key: str | None = None  # names the work of which this is one try, where the wire tells
     digest: str = ""  # of what all tries of that work have in common, where the wire promises any of that
@@ -67,18 +67,18 @@
     status: ResponseStatus
     body: bytes = b""
     retry_after: timedelta = timedelta(0)  # on a refusal: how long to stay away
-    last: bool = False  # on a refusal: the wish that no other node be tried
+    no_failover: bool = False  # on a refusal: the wish that no other node be tried
 
 
 class Stage(enum.Enum):
     CLAIMING = "claiming"  # another process of this node may know the work
-    HELD = "held"
+    QUEUED = "queued"
     RUNNING = "running"
     PAUSED = "paused"
-    AT_CALL = "at call"  # its call is not made yet
+    AWAITING_CALL = "awaiting call"  # its call is not made yet
     CALLING = "calling"
     ATTACHED = "attached"  # waits for the result of another try
-    OVER = "over"
+    FINISHED = "finished"
 
 
 class Frontend(Protocol):
@@ -135,9 +135,9 @@
     frontend: Frontend
     response_handle: ResponseHandle
     backend: Backend
-    due: datetime
+    due_at: datetime
     handle: int = 0
-    stage: Stage = Stage.HELD
+    stage: Stage = Stage.QUEUED
     started: bool = False  # a run has begun, or may have
     worked: bool = False  # a run is known to have begun
     halting: bool = False  # told to stop, and not yet known to have stopped
@@ -147,7 +147,7 @@
     call_body: bytes = b""
     called_at: datetime | None = None
     waiting: list[str] = field(default_factory=list)  # repeats attached to this one
-    rules: str = ""  # the versions of the documents that it came under, in a fleet
+    config_versions: str = ""  # the versions of the documents that it came under, in a fleet
     key: tuple[str, str] | None = (
         None  # class and name of the work that has an effect, where the wire names it
     )
@@ -160,7 +160,7 @@
 class EventSink(Protocol):
     """What backends and stores tell the core."""
 
-    def cores_up(self) -> None: ...
+    def backend_ready(self) -> None: ...
 
     def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None: ...
 
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -59,14 +59,14 @@
         id=id,
         request_class=kind.decode("ascii"),
         body=body,
-        arrived=EPOCH + int(at) * MILLISECOND,
+        arrived_at=EPOCH + int(at) * MILLISECOND,
         memory_kb=_number(table, "kb", above=0, below=2000),
         caller=int(_number(table, "from", default=0, below=1e9)),
-        retry=table.get("retry") == "1",
-        cost=_number(table, "cost", below=1e9) * MILLISECOND if "cost" in table else None,
+        is_retry=table.get("retry") == "1",
+        cost_hint=_number(table, "cost", below=1e9) * MILLISECOND if "cost" in table else None,
         rank=_number(table, "rank", default=0, below=1),
         tenant=table.get("tenant"),
-        key=int(key, 16) >> 11 if key else None,
+        entity=int(key, 16) >> 11 if key else None,
         idempotency_key=once,
         digest=body_digest(body) if once else "",
     )
@@ -221,7 +221,7 @@
         if answer.status is ResponseStatus.REJECTED:
             if answer.retry_after:
                 fields["after"] = str(whole_ms(answer.retry_after))
-            if answer.last:
+            if answer.no_failover:
                 fields["last"] = "1"
         self._send_frame(number, STATUS_WORDS[answer.status], fields, answer.body)
         if self.clogged:
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -143,10 +143,10 @@
             id=f"uwsgi-{self._number}",  # of this try; what the client names is the work
             request_class=kind,
             body=packet.raw,
-            arrived=self.timeline.now(),
+            arrived_at=self.timeline.now(),
             memory_kb=max(mapped.kb, len(packet.raw) / 1024),
-            retry=_flag(variables.get(mapped.retry or "", "")),
-            cost=read_cost(variables.get(mapped.cost or "")),
+            is_retry=_flag(variables.get(mapped.retry or "", "")),
+            cost_hint=read_cost(variables.get(mapped.cost or "")),
             tenant=variables.get(mapped.tenant or "") or None,
             pool=self.pool_of(kind),
             idempotency_key=once or None,
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -34,8 +34,8 @@
         self.take_over = hooks.take_over
         self.successor_lost = hooks.successor_lost
         self.successor_draining = hooks.successor_draining
-        self.learn = core.learn
-        self.learned_state = core.learnt
+        self.adopt_measurements = core.adopt_measurements
+        self.measurements = core.measurements
         self.orphan = core.orphan_remote_keys
         self.serve = core.serving_state.mark_ready
 
@@ -56,8 +56,8 @@
             (self._core.serving_state.resume if wanted else self._core.serving_state.quiesce)()
             self._hooks.serving_state_changed()
 
-    def used(self) -> tuple[float, float]:
-        used, need = self._core.used()
+    def memory_and_concurrency_in_use(self) -> tuple[float, float]:
+        used, need = self._core.memory_and_concurrency_in_use()
         connected = self._hooks.connected()
         return max(used, connected), max(need, connected)
 
@@ -75,13 +75,15 @@
         result = None if name.result is None else name.result.encode("latin-1")
         until: datetime | None = instant(name.until_us) if name.until_us else None
         id, digest = decode_label(name.request_id)
-        self._core.adopt(
+        self._core.adopt_remote_key(
             (name.request_class, name.idempotency_key),
             KeyRecord(id, until, result, name.finished, digest=digest),
         )
 
     def forget(self, gone: KeyReleased) -> None:
-        self._core.forget((gone.request_class, gone.idempotency_key), decode_label(gone.request_id)[0])
+        self._core.forget_remote_key(
+            (gone.request_class, gone.idempotency_key), decode_label(gone.request_id)[0]
+        )
 
 
 def key_status(key: IdempotencyKey, known: KeyRecord) -> KeyStatus:
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -57,15 +57,15 @@
 
     def set_wants_traffic(self, wanted: bool) -> None: ...
 
-    def used(self) -> tuple[float, float]:
+    def memory_and_concurrency_in_use(self) -> tuple[float, float]:
         """Of the node's room: what is in use here, and what all that is in hand may come to use."""
 
     def limit_resources(self, share: float) -> None:
         """From now on this process has so much of the node's room."""
 
-    def learned_state(self) -> dict[str, object]: ...
+    def measurements(self) -> dict[str, object]: ...
 
-    def learn(self, learnt: dict[str, object]) -> None: ...
+    def adopt_measurements(self, learnt: dict[str, object]) -> None: ...
 
     def take_over(self) -> None:
         """Take connections from now on."""
@@ -153,7 +153,7 @@
         match message:
             case Hello():
                 self._owner.set_wants_traffic(message.wants_traffic)
-                self._owner.learn(message.learned_state)
+                self._owner.adopt_measurements(message.learned_state)
                 log.info("takes over from process %d, generation %d", message.pid, message.generation)
             case KeyStatus():
                 self._owner.adopt(message)
@@ -199,7 +199,7 @@
         claims, self._claims = list(self._claims.values()), {}
         return claims
 
-    def cores_up(self, now: datetime) -> None:
+    def backend_ready(self, now: datetime) -> None:
         self._cores_up = True
         self._go_on(now)
 
@@ -237,7 +237,7 @@
         taken = self._successor_generation if self._successor is not None else 0
         wanted = self._owner.wants_traffic()
         line.send(
-            Hello(self.generation, self._pid, wanted, taken, {} if taken else self._owner.learned_state())
+            Hello(self.generation, self._pid, wanted, taken, {} if taken else self._owner.measurements())
         )
         if taken:
             return False
@@ -347,7 +347,7 @@
         self.sharing.pass_time(now)
         if (younger := self._successor) is not None:
             self._send_keys(younger)
-            used, need = self._owner.used()
+            used, need = self._owner.memory_and_concurrency_in_use()
             if self._draining:
                 self.sharing.drain(need)
             self._announce_share()
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -231,7 +231,7 @@
     def _booted(self, state: str, age: str) -> None:
         log.info("kernel up, %s at its start %s ms ago", state, age)
         self._retry = MIN_BACKOFF
-        self._sink().cores_up()
+        self._sink().backend_ready()
         if self._link is not None:
             self._link.booted = True
             # The notices that were missed come before the answer to this.
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -142,11 +142,11 @@
             id=one.id,
             request_class=planned.kind,
             body=plan.body(),
-            arrived=self.clock.now(),
+            arrived_at=self.clock.now(),
             memory_kb=HELD_KB,
             caller=number % CALLERS,
-            retry=one.again,
-            cost=span(round(planned.work_us / self.machine.sharing.speed)),
+            is_retry=one.again,
+            cost_hint=span(round(planned.work_us / self.machine.sharing.speed)),
             tenant=planned.tenant,
         )
         self._tries[self._number] = one
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -115,7 +115,9 @@
         if pool is None:  # it went with a new configuration while the request was held
             self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.FULL, ZERO))
             return
-        tries = RetryPolicy(request.class_settings.effect is Effect.SAFE, pool.plan.max_attempts, request.due)
+        tries = RetryPolicy(
+            request.class_settings.effect is Effect.SAFE, pool.plan.max_attempts, request.due_at
+        )
         run = self._runs[request.id] = UpstreamRequest(request, pool, now, tries)
         if not self._try(run, now):
             pool.counts["no room"] += 1
--- a/tests/admission/random_world.py
+++ b/tests/admission/random_world.py
@@ -172,9 +172,9 @@
                 self.actions_seen.add(name)
                 self.digest.update(f"{self.now} {name} {dataclasses.astuple(action)!r}\n".encode())
                 self._obey(action)
-            used = self.controller.used()
+            used = self.controller.memory_and_concurrency_in_use()
             self.digest.update(f"used {used[0]!r} {used[1]!r}\n".encode())
-        learnt = self.controller.learnt()
+        learnt = self.controller.measurements()
         self.digest.update(f"learnt {dataclasses.astuple(learnt)!r}\n".encode())
         return self.digest.hexdigest()
 
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -78,13 +78,13 @@
     gateway.send({"X_CLASS": "setpoint", "X_ID": "b7", "X_RETRY": "1", "X_COST": "12.5", "X_TENANT": "t"})
     [request] = gateway.desk.core._requests
     offer = request.inbound
-    assert (offer.request_class, offer.idempotency_key, offer.retry, offer.tenant) == (
+    assert (offer.request_class, offer.idempotency_key, offer.is_retry, offer.tenant) == (
         "setpoint-cmd",
         "b7",
         True,
         "t",
     )
-    assert offer.cost == 0.0125 * SECOND
+    assert offer.cost_hint == 0.0125 * SECOND
 
 
 @pytest.mark.parametrize(
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -186,7 +186,7 @@
     realms = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
     desk = Desk(cores=1, realms=realms, overShareWorth=0.1)
     admin = Admin(desk.core, desk.clock.timeline, TOKEN, lambda: None)
-    desk.core.cores_up()
+    desk.core.backend_ready()
     for number in range(1, 4):
         desk.submit(number, tenant="riad")
     desk.end(1)
--- a/tests/golden/test_restart_messages.py
+++ b/tests/golden/test_restart_messages.py
@@ -33,7 +33,7 @@
 
 def test_what_a_process_has_learnt_goes_over_under_the_stored_names() -> None:
     core = Elsewhere().core
-    assert list(core.learnt()) == list(LEARNT)
+    assert list(core.measurements()) == list(LEARNT)
     assert Measurements.from_mapping(LEARNT) == Measurements(
         limit=12.5,
         least_run_us=900.0,
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -72,7 +72,7 @@
 
     def _bound(self, share: float) -> None:
         self.bounds.append(share)
-        self.desk.core.take_share(share, 1000)
+        self.desk.core.set_capacity_share(share, 1000)
 
 
 class Pair:
@@ -81,16 +81,16 @@
     def __init__(self) -> None:
         self.clock = HandClock()
         self.elder = Process(self.clock, 1)
-        self.elder.handover.cores_up(self.clock.now())
+        self.elder.handover.backend_ready(self.clock.now())
         self.younger = Process(self.clock, 2)
         self.up, self.down = Pipe(), Pipe()  # to the elder, to the younger
         self.cut = False
         self.number = 0
 
-    def meet(self, cores_up: bool = True) -> None:
+    def meet(self, backend_ready: bool = True) -> None:
         self.younger.handover.meet_predecessor(self.up, self.clock.now())
-        if cores_up:
-            self.younger.handover.cores_up(self.clock.now())
+        if backend_ready:
+            self.younger.handover.backend_ready(self.clock.now())
 
     def deliver(self, up: bool, most: int = 1 << 20) -> None:
         """The next so many bytes of one way, to whoever lives there."""
@@ -165,7 +165,7 @@
 def test_a_lone_process_serves_at_once_with_all_the_room() -> None:
     process = Process(HandClock(), 1)
     assert process.desk.core.serving_state.phase.value == "starting"
-    process.handover.cores_up(START)
+    process.handover.backend_ready(START)
     assert (
         process.opened
         and process.desk.core.serving_state.phase is ServingPhase.SERVING
@@ -177,10 +177,10 @@
 def test_the_younger_says_yes_only_after_the_elder_knows_that_it_takes_connections() -> None:
     # Guards against a SIGTERM, sent at that yes, which the elder would take for the notice to leave.
     pair = Pair()
-    pair.meet(cores_up=False)
+    pair.meet(backend_ready=False)
     pair.settle(40)
     assert not pair.younger.opened  # it has all but its kernel
-    pair.younger.handover.cores_up(pair.clock.now())
+    pair.younger.handover.backend_ready(pair.clock.now())
     assert pair.younger.opened and not pair.younger.desk.core.serving_state.can_serve
     assert not pair.elder.handover.drain(pair.clock.now())
     pair.deliver(True)
@@ -220,24 +220,24 @@
 
 def test_the_module_keeps_to_its_part_of_memory_and_crowd() -> None:
     desk = Desk(cores=2)
-    desk.core.take_share(0.02, 100)  # of a crowd of ten
+    desk.core.set_capacity_share(0.02, 100)  # of a crowd of ten
     for number in range(1, 9):
         desk.submit(number, "temp-history", memory_kb=1.0)
     assert len([id for what, id in desk.backend.told if what == "start"]) == 1
-    desk.core.take_share(0.5, 100)
+    desk.core.set_capacity_share(0.5, 100)
     desk.clock.advance(100)
     assert len([id for what, id in desk.backend.told if what == "start"]) == 2
-    desk.core.take_share(0.02, 100)
+    desk.core.set_capacity_share(0.02, 100)
     desk.submit(9, "temp-history", memory_kb=300.0)
     assert desk.verdicts(9) == [ResponseStatus.REJECTED]
     with pytest.raises(RequestRejectedError, match="this process's part"):
-        desk.core.take_share(0.5, 3)
+        desk.core.set_capacity_share(0.5, 3)
         desk.submit(10)
 
 
 def test_an_elder_with_a_successor_runs_all_that_still_comes_and_stays_healthy() -> None:
     desk = Desk(cores=2)
-    desk.core.cores_up()
+    desk.core.backend_ready()
     desk.core.begin_hand_over(desk.clock.now() + 3700 * MILLISECOND)
     assert not desk.stopped  # what has come by now is read first: else it is closed on unread
     desk.clock.settle()
@@ -328,10 +328,10 @@
 )
 def test_what_another_version_learnt_and_makes_no_sense_is_left_out(learnt: dict[str, Any]) -> None:
     desk = Desk()
-    before = replace(desk.core._controller.learnt())
-    desk.core.learn({**learnt, "odd": [1]})
+    before = replace(desk.core._controller.measurements())
+    desk.core.adopt_measurements({**learnt, "odd": [1]})
     desk.clock.settle()
-    assert desk.core._controller.learnt() == before
+    assert desk.core._controller.measurements() == before
 
 
 @pytest.mark.parametrize(("kind", "effect"), CASES.items())
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -245,7 +245,7 @@
     def __init__(self) -> None:
         self.told: list[tuple[Any, ...]] = []
 
-    def cores_up(self) -> None:
+    def backend_ready(self) -> None:
         pass
 
     def run_ended(self, id: str, outcome: Any, elapsed: timedelta, result: bytes = b"") -> None:
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -55,13 +55,13 @@
 def test_health_is_yes_from_the_moment_the_cores_are_there() -> None:
     gate = Gate()
     assert gate.ask("GET", "/admin/health") == 503
-    gate.desk.core.cores_up()
+    gate.desk.core.backend_ready()
     assert gate.ask("GET", "/admin/health?verbose=1", step=1) == 200
 
 
 def test_a_quiesced_node_says_sick_and_serves_what_still_comes_until_it_is_resumed() -> None:
     gate = Gate()
-    gate.desk.core.cores_up()
+    gate.desk.core.backend_ready()
     for _ in range(2):  # a repeat does no harm
         assert gate.ask("POST", "/admin/quiesce") == 200 and not gate.desk.core.healthy
     assert gate.ask("GET", "/admin/health") == 200  # the process itself is well
@@ -75,7 +75,7 @@
 
 def test_the_notice_to_leave_ends_a_quiesce_and_no_resume_undoes_it() -> None:
     gate = Gate()
-    gate.desk.core.cores_up()
+    gate.desk.core.backend_ready()
     gate.ask("POST", "/admin/quiesce")
     gate.desk.core.drain(gate.desk.clock.now() + 3 * SECOND)
     assert (gate.ask("POST", "/admin/resume"), gate.ask("GET", "/admin/health")) == (409, 503)
@@ -102,7 +102,7 @@
     method: str, path: str, head: str, body: bytes, wanted: int
 ) -> None:
     gate = Gate()
-    gate.desk.core.cores_up()
+    gate.desk.core.backend_ready()
     assert gate.ask(method, path, head, body) == wanted and gate.desk.core.healthy and not gate.told
 
 
@@ -119,7 +119,7 @@
 def test_a_good_call_is_answered_beside_callers_that_hold_their_connections() -> None:
     # Guards against a door that is kept shut by those who connect and say nothing, or half a call.
     gate = Gate()
-    gate.desk.core.cores_up()
+    gate.desk.core.backend_ready()
     held: list[Wire] = []
     for number in range(5 * CONNECTIONS):
         held.append(gate.connect())
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -80,7 +80,7 @@
         desk.submit(number, kind)
         desk.core.apply_settings(settings(swapped))
         desk.clock.settle()
-    dues = [request.due - desk.clock.now() for request in desk.core._requests]
+    dues = [request.due_at - desk.clock.now() for request in desk.core._requests]
     assert dues == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
     entries = desk.core._controller.state.entries.by_id.values()
     assert [entry.deadline - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
@@ -115,7 +115,7 @@
 def test_an_allowance_changed_by_the_administration_stays_until_the_file_says_otherwise() -> None:
     rows = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
     desk = Desk(realms=rows)
-    desk.core.set_allowance("riad", 7.0)
+    desk.core.set_quota("riad", 7.0)
     for per_s, wanted in ((2.0, 7.0), (3.0, 3.0)):
         told = [{**rows[0], "allowancePerS": per_s}, {"name": "souk", "portion": 0.1, "allowancePerS": 1.0}]
         desk.core.apply_settings(read_settings({**SETTINGS, "realms": told}))
