--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -76,7 +76,7 @@
             memory_kb=event.memory_kb,
             caller=event.caller,
             pool=event.pool,
-            is_safe=request_class.effect is Effect.SAFE,
+            is_safe=request_class.effect is Effect.IDEMPOTENT,
             is_keyed=request_class.effect is Effect.KEYED,
         )
 
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -16,21 +16,21 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a run or a call ended."""
+    """How a run or a downstream call ended. The values are stored words and stay as they are."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    REJECTED = "full"  # the other side rejected it unexamined
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
+    RESET = "reset"  # the connection was lost after the request was sent
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"  # the request had ended before the run or call began
 
     @property
     def never_ran(self) -> bool:
         """Whether this ending proves that nothing took effect."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 @dataclass(slots=True)
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -27,11 +27,11 @@
 
 
 class Effect(enum.StrEnum):
-    """Whether a request of a class may run again."""
+    """Whether a request of a class may run again. The values are stored words and stay as they are."""
 
-    SAFE = "safe"  # idempotent
+    IDEMPOTENT = "safe"  # may run any number of times
     KEYED = "keyed"  # idempotent within its window, by an idempotency key
-    UNSAFE = "unsafe"  # at most once
+    AT_MOST_ONCE = "unsafe"
 
 
 class PreemptionMode(enum.StrEnum):
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -165,7 +165,7 @@
             if task_request is not None:
                 log.warning("task request not started: lease too short task=%s", task_request.task.plan.name)
             # In a turn of its own: the core is still starting the request in this one.
-            self._timeline.soon(lambda: self._core.run_ended(request.id, RunOutcome.FULL, ZERO))
+            self._timeline.soon(lambda: self._core.run_ended(request.id, RunOutcome.REJECTED, ZERO))
             return False
         task_request.started = True
         self._steady.cancel(task_request.deadline)
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -286,7 +286,7 @@
         return None
     from marlstep.config.cluster import read_cluster  # not loaded unless it is there
 
-    safe = {kind.name: kind.effect is Effect.SAFE for kind in settings.classes}
+    safe = {kind.name: kind.effect is Effect.IDEMPOTENT for kind in settings.classes}
     return read_cluster(operator, name, safe, uwsgi)
 
 
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -201,11 +201,11 @@
             raise RepeatedWorkError("an id that is in hand already")
         key = (
             (offer.request_class, offer.idempotency_key)
-            if offer.idempotency_key and kind.effect is not Effect.SAFE
+            if offer.idempotency_key and kind.effect is not Effect.IDEMPOTENT
             else None
         )
         prior = self.idempotency_keys.find(key, min(now, offer.arrived_at)) if key else None
-        if prior and kind.effect is Effect.UNSAFE:
+        if prior and kind.effect is Effect.AT_MOST_ONCE:
             raise RepeatedWorkError("a repeat of work that must not run twice")
         if prior and not prior.matches_body(offer.digest):
             raise RepeatedWorkError("a name in use for work with another body")
@@ -271,7 +271,7 @@
                 else prior.request_id
                 if self._standing(request, prior)
                 else ELSEWHERE_PREFIX + prior.request_id,
-                is_write=request.class_settings.effect is not Effect.SAFE,
+                is_write=request.class_settings.effect is not Effect.IDEMPOTENT,
                 pool=offer.pool,
             )
         )
@@ -293,7 +293,8 @@
                 self.idempotency_keys.record(key, request.id, came, request.inbound.digest)
                 self.idempotency_keys.drop(key, request.id, kept_too=False)
         elif prior is not None and (
-            request.class_settings.effect is Effect.UNSAFE or not prior.matches_body(request.inbound.digest)
+            request.class_settings.effect is Effect.AT_MOST_ONCE
+            or not prior.matches_body(request.inbound.digest)
         ):
             self._respond(request, Response(ResponseStatus.FAILED))
         elif prior is not None or told is ClaimResult.GRANTED:
@@ -552,7 +553,7 @@
                     request.halting = True
                     request.backend.pause(request)
             case Reject(_, retry_after_us, give_up):
-                if request.started and request.class_settings.effect is not Effect.SAFE:
+                if request.started and request.class_settings.effect is not Effect.IDEMPOTENT:
                     log.error("the module refused work that has run: failed instead")
                     self._respond(request, Response(ResponseStatus.FAILED))
                 else:
@@ -581,7 +582,7 @@
 
     def _run(self, request: Request) -> None:
         """The one place where work is started. It stands behind the module on the rules that cost a life."""
-        effect = request.class_settings.effect is not Effect.SAFE
+        effect = request.class_settings.effect is not Effect.IDEMPOTENT
         late = self._run_after is not None and request.inbound.arrived_at > self._run_after
         if request.answered or late or (effect and request.started and request.stage is not Stage.PAUSED):
             log.error("the module would run %s against the rules: given up", request.id)
@@ -592,7 +593,7 @@
             request.backend.resume(request)
         elif request.stage is Stage.QUEUED:
             request.stage, request.started = Stage.RUNNING, True
-            if request.class_settings.effect is Effect.UNSAFE:
+            if request.class_settings.effect is Effect.AT_MOST_ONCE:
                 self._keep(
                     request,
                     span(request.class_settings.idempotency_window_us + request.class_settings.deadline_us),
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -26,10 +26,10 @@
 log = logging.getLogger(__name__)
 
 ENDS = {
-    "FULL": Outcome.FULL,
+    "FULL": Outcome.REJECTED,
     "FAIL": Outcome.ERROR,
     "TIMEOUT": Outcome.TIMEOUT,
-    "NONE": Outcome.MOOT,
+    "NONE": Outcome.NOT_STARTED,
 }
 RING_SIZE = 16 * 1024
 LINE_LIMIT = 256
@@ -125,7 +125,9 @@
 
     def call(self, request: Request, until: datetime) -> None:
         self.abandon_call(request)
-        call = _Call(request.id, request.call_body, until, request.class_settings.effect is not Effect.SAFE)
+        call = _Call(
+            request.id, request.call_body, until, request.class_settings.effect is not Effect.IDEMPOTENT
+        )
         late = partial(self._timed_out, call)
         call.deadline = self._timeline.at(until + LATE, lambda: self._timeline.after_reading(late))
         self._calls[call.id] = call
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -29,7 +29,7 @@
     "complete": Outcome.OK,
     "error": Outcome.ERROR,
     "cancelled": Outcome.CANCELLED,
-    "unknown": Outcome.MOOT,
+    "unknown": Outcome.NOT_STARTED,
 }
 RING_SIZE = 256 * 1024
 LINE_LIMIT = 8 * 1024
@@ -263,7 +263,7 @@
         self._read_by_kernel(asked)
         if command == "SCHED":
             self._confirm(id)
-            self._sink().run_ended(id, Outcome.MOOT, ZERO)
+            self._sink().run_ended(id, Outcome.NOT_STARTED, ZERO)
         elif command in ("RESCHED", "IODONE", "NOIO"):
             self._confirm(id)
             self._sink().run_ended(id, Outcome.ERROR, ZERO)
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -41,12 +41,12 @@
 OUTCOMES = {
     "served": Outcome.OK,
     "server_error": Outcome.ERROR,
-    "turned_away": Outcome.FULL,
+    "turned_away": Outcome.REJECTED,
     "no_answer": Outcome.TIMEOUT,
     "no_connection": Outcome.CONNECT_FAILED,
     "connection_lost": Outcome.RESET,
     "called_off": Outcome.CANCELLED,
-    "not_sent": Outcome.MOOT,
+    "not_sent": Outcome.NOT_STARTED,
 }
 GAUGES = {"cpu_busy": "cpu", "runnable": "runq", "mem_used": "memory", "sockets": "conns"}
 
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -94,7 +94,7 @@
         if verdict is ResponseStatus.DONE:
             self.figures.done(work.planned, kind, now_us - work.planned.at_us, poor)
             return None
-        if verdict is not ResponseStatus.REJECTED and kind.effect is not Effect.SAFE:
+        if verdict is not ResponseStatus.REJECTED and kind.effect is not Effect.IDEMPOTENT:
             return None
         at = self._next(work, now_us, after_us)
         if at is None or at - work.planned.at_us >= kind.latency_objective_us:
@@ -133,4 +133,4 @@
     """How many calls a piece of work makes: BRIEF's figures, once for history, 0 to 2 for a setpoint."""
     if not kind.makes_calls:
         return 0
-    return CALLS[number % len(CALLS)] if kind.effect is not Effect.SAFE else 1
+    return CALLS[number % len(CALLS)] if kind.effect is not Effect.IDEMPOTENT else 1
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -206,7 +206,7 @@
         def carry_out() -> None:
             self._advance()
             if not command():
-                self.core.run_ended(request.id, Outcome.MOOT, span(0))
+                self.core.run_ended(request.id, Outcome.NOT_STARTED, span(0))
             self._look()
 
         self.timeline.soon(carry_out)
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -31,7 +31,7 @@
 OUTCOMES = {
     AttemptOutcome.WELL: Outcome.OK,
     AttemptOutcome.NOT_REACHED: Outcome.CONNECT_FAILED,
-    AttemptOutcome.REFUSED: Outcome.FULL,
+    AttemptOutcome.REFUSED: Outcome.REJECTED,
     AttemptOutcome.BROKEN: Outcome.RESET,
     AttemptOutcome.GIVEN_UP: Outcome.CANCELLED,
 }
@@ -113,17 +113,17 @@
         now = self._timeline.now()
         pool = self.pools.get(request.inbound.pool)
         if pool is None:  # it went with a new configuration while the request was held
-            self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.FULL, ZERO))
+            self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.REJECTED, ZERO))
             return
         tries = RetryPolicy(
-            request.class_settings.effect is Effect.SAFE, pool.plan.max_attempts, request.due_at
+            request.class_settings.effect is Effect.IDEMPOTENT, pool.plan.max_attempts, request.due_at
         )
         run = self._runs[request.id] = UpstreamRequest(request, pool, now, tries)
         if not self._try(run, now):
             pool.counts["no room"] += 1
             self._report_capacity(pool, full=True)
             # Told in a turn of its own: the core is in the midst of starting it.
-            self._timeline.soon(lambda: self._over(run, Outcome.FULL, "no server has room"))
+            self._timeline.soon(lambda: self._over(run, Outcome.REJECTED, "no server has room"))
 
     def _try(self, run: UpstreamRequest, now: datetime) -> bool:
         """Send it to a server that it has not been to; False where none has room."""
--- a/tests/admission/random_world.py
+++ b/tests/admission/random_world.py
@@ -95,7 +95,9 @@
     classes = tuple(dataclasses.replace(kind, makes_calls=True) for kind in helpers.CLASSES)
     late = tuple(
         dataclasses.replace(
-            kind, late_response_factor=0.2, skipped_call_factor=0.5 if kind.effect is Effect.SAFE else 0.0
+            kind,
+            late_response_factor=0.2,
+            skipped_call_factor=0.5 if kind.effect is Effect.IDEMPOTENT else 0.0,
         )
         for kind in classes
     )
--- a/tests/admission/test_mechanism.py
+++ b/tests/admission/test_mechanism.py
@@ -303,7 +303,7 @@
     # Guards against replies that never come: each held its run until nothing but a poorer answer was left.
     low, unsafe = (
         a_class("low", makes_calls=True, skipped_call_factor=0.5),
-        a_class("set", effect=Effect.UNSAFE),
+        a_class("set", effect=Effect.AT_MOST_ONCE),
     )
     server = Server(classes=(low, unsafe))
     server.arrive("a")
@@ -316,7 +316,7 @@
 
 
 def test_a_call_that_never_ran_is_made_again_after_ever_longer_waits() -> None:
-    server = Server(classes=(a_class("set", effect=Effect.UNSAFE, makes_calls=True),))
+    server = Server(classes=(a_class("set", effect=Effect.AT_MOST_ONCE, makes_calls=True),))
     server.arrive("a", "set")
     assert server.step(CallNeeded("a")) == [("Call", "a")]
     waits = []
@@ -337,7 +337,7 @@
     pace = server.controller.state.statistics.us_per_run()
     for index in range(50):
         server.arrive(f"odd{index}", caller=7)
-        server.end(f"odd{index}", Outcome.MOOT, after_ms=1)
+        server.end(f"odd{index}", Outcome.NOT_STARTED, after_ms=1)
     assert (
         server.controller.state.statistics.us_per_run() == pace
         and server.controller.parts.advisor.count_callers() == 1
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -122,9 +122,14 @@
             one.state = "call"
             return [CallNeeded(id)]
         if one.state == "calling" and (lot < 8 or self.now + STEP > one.call_until):
-            outcome = [Outcome.OK, Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.RESET, Outcome.ERROR][
-                lot % 6 if lot < 8 else 3
-            ]
+            outcome = [
+                Outcome.OK,
+                Outcome.OK,
+                Outcome.REJECTED,
+                Outcome.TIMEOUT,
+                Outcome.RESET,
+                Outcome.ERROR,
+            ][lot % 6 if lot < 8 else 3]
             one.state = "running" if outcome is Outcome.OK else "call"
             if outcome is Outcome.TIMEOUT:
                 self.lingering.append(self.now + self.told.abandoned_call_us)
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -75,13 +75,13 @@
     # Guards against taking "nothing was started" of a resume for proof that the request never ran.
     desk = Desk(cores=1)
     desk.submit(1, "setpoint-cmd")
-    desk.end(1, Outcome.MOOT)
+    desk.end(1, Outcome.NOT_STARTED)
     assert desk.verdicts(1) == [ResponseStatus.REJECTED]
     desk.submit(2)
     desk.submit(3, "setpoint-cmd")
     desk.end(2, Outcome.CANCELLED)
     desk.end(3)
-    desk.end(2, Outcome.MOOT)
+    desk.end(2, Outcome.NOT_STARTED)
     assert desk.verdicts(2) == [ResponseStatus.FAILED]
 
 
--- a/tests/core/test_core_properties.py
+++ b/tests/core/test_core_properties.py
@@ -117,7 +117,9 @@
     st.tuples(st.just("submit"), IDS, st.sampled_from([0, 0, 5, 3_000, 1e12, -5_000])),
     st.tuples(st.just("gone"), IDS, st.just(0)),
     st.tuples(
-        st.just("end"), IDS, st.sampled_from([Outcome.OK, Outcome.MOOT, Outcome.CANCELLED, Outcome.ERROR])
+        st.just("end"),
+        IDS,
+        st.sampled_from([Outcome.OK, Outcome.NOT_STARTED, Outcome.CANCELLED, Outcome.ERROR]),
     ),
     st.tuples(st.just("need"), IDS, st.just(0)),
     st.tuples(st.just("called"), IDS, st.sampled_from(list(Outcome))),
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -117,7 +117,7 @@
     b"BOOTED hot 1.5\r\nDMESG 1 hello there\r\nREAP 2 a complete 25.3 4\r\n\r\n\r\n\r\n"
     b"IOREQ 3 b 3\r\nask\r\nEINVAL PREEMPT c\r\nREAP 4 b error 0 0\r\n\r\nINFO sync 0.5 1 0.1 3\r\n"
 )
-OUTCOMES = (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT, Outcome.ERROR, Outcome.MOOT)
+OUTCOMES = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.ERROR, Outcome.NOT_STARTED)
 REPLIES = (b"r1 ROWS 4\r\n\r\n\r\n\r\n", b"r1 FULL\r\n", b"r1 TIMEOUT\r\n", b"r1 FAIL\r\n", b"r1 NONE\r\n")
 
 
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -409,7 +409,7 @@
     pair = ready_pair()
     first = pair.submit(pair.elder, "setpoint-cmd", "k")
     pair.settle()
-    pair.elder.desk.end(first, Outcome.MOOT)
+    pair.elder.desk.end(first, Outcome.NOT_STARTED)
     pair.settle()
     pair.submit(pair.younger, "setpoint-cmd", "k")
     pair.settle()
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -47,10 +47,10 @@
     ("reply", "outcome"),
     [
         (b"r1 ROWS 4\r\nrows\r\n", Outcome.OK),
-        (b"r1 FULL\r\n", Outcome.FULL),
+        (b"r1 FULL\r\n", Outcome.REJECTED),
         (b"r1 FAIL\r\n", Outcome.ERROR),
         (b"r1 TIMEOUT\r\n", Outcome.TIMEOUT),
-        (b"r1 NONE\r\n", Outcome.MOOT),
+        (b"r1 NONE\r\n", Outcome.NOT_STARTED),
     ],
 )
 def test_a_reply_ends_its_call_once_and_its_connection_is_used_again(reply: bytes, outcome: Outcome) -> None:
@@ -130,9 +130,9 @@
     assert wire.closed
     again = rig.dial.accept()
     again.feed(b"r1 FULL\r\n")
-    assert rig.ends() == [Outcome.FULL]
+    assert rig.ends() == [Outcome.REJECTED]
     rig.database.abandon_call(request)
-    assert rig.ends() == [Outcome.FULL]
+    assert rig.ends() == [Outcome.REJECTED]
 
 
 def test_a_setpoint_calls_on_a_new_connection_even_if_one_lies_idle() -> None:
--- a/tests/platform/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -76,7 +76,8 @@
 
 
 @pytest.mark.parametrize(
-    ("command", "outcome"), [("SCHED", Outcome.MOOT), ("PREEMPT", None), ("SYSINFO", None), ("RESCHED", None)]
+    ("command", "outcome"),
+    [("SCHED", Outcome.NOT_STARTED), ("PREEMPT", None), ("SYSINFO", None), ("RESCHED", None)],
 )
 def test_a_command_that_was_not_carried_out_ends_the_run_that_hangs_on_it(
     command: str, outcome: Outcome | None
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -52,7 +52,7 @@
     desk.ask(bad, 1, "book", b"theirs", id=2, once="k", at=came)
     match how:
         case "no work of the kernel's":
-            desk.ended(2, b"", Outcome.MOOT)
+            desk.ended(2, b"", Outcome.NOT_STARTED)
         case "turned away":
             assert desk.starts(2) == 0
             desk.clock.advance(400)  # it is due
@@ -165,7 +165,7 @@
     wire = desk.connect()
     for number in range(1, 200):
         desk.ask(wire, number, "book", b"theirs", once=f"k{number}")
-        desk.ended(number, b"", Outcome.MOOT)
+        desk.ended(number, b"", Outcome.NOT_STARTED)
     assert desk.core._controller.state.entries.memory_kb == 0
     desk.ask(wire, 900, "book", once="good")
     assert desk.starts(900) == 1
@@ -227,6 +227,6 @@
     bad, again = desk.connect(), desk.connect()
     desk.ask(bad, 1, "book", b"theirs", id=1, once="other")
     if stage == "over":
-        desk.ended(1, b"", Outcome.MOOT)
+        desk.ended(1, b"", Outcome.NOT_STARTED)
     desk.ask(again, 1, "book", b"mine", id=2, once="k")
     assert desk.starts(2) == 0 and again.take() == answered(1, b"error")
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -21,7 +21,7 @@
 MS = 1000
 
 
-def a_class(name: str, worth: float = 1.0, effect: Effect = Effect.SAFE, **other: Any) -> ClassSettings:
+def a_class(name: str, worth: float = 1.0, effect: Effect = Effect.IDEMPOTENT, **other: Any) -> ClassSettings:
     plain = ClassSettings(
         name=name,
         effect=effect,
@@ -39,7 +39,7 @@
 LOW = a_class("low")
 HIGH = a_class("high", priority_weight=3.0)
 KEYED = a_class("keyed", priority_weight=2.0, effect=Effect.KEYED)
-UNSAFE = a_class("unsafe", priority_weight=2.0, effect=Effect.UNSAFE)
+UNSAFE = a_class("unsafe", priority_weight=2.0, effect=Effect.AT_MOST_ONCE)
 CLASSES = (LOW, HIGH, KEYED, UNSAFE)
 
 
