--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -11,8 +11,8 @@
 from marlstep.admission.timing import NEVER, SECOND
 from marlstep.admission.turn_timer import TurnTimer
 
-BUSY = 0.85  # of the cores: below it the limit does not fall (the design's figure)
-DRAIN_TICKS = 8  # before the process is stopped all is answered: room for ticks and a stall
+CPU_BUSY_THRESHOLD = 0.85  # of the cores: below it the limit does not fall (the design's figure)
+DRAIN_LEAD_TICKS = 8  # before the process is stopped all is answered: room for ticks and a stall
 LOOKED_AT_EACH_TICK = (State.QUEUED, State.STOPPING, State.AWAITING_CALL)
 
 
@@ -54,14 +54,14 @@
 
     def _on_drain(self, event: events.Drain) -> None:
         """Answer all before the process is stopped; without a successor, run no late arrival."""
-        self.state.answer_by = event.stops_at - DRAIN_TICKS * self.state.tick
+        self.state.respond_by = event.stops_at - DRAIN_LEAD_TICKS * self.state.tick_us
         if not event.has_successor:
             noticed_at = event.noticed_at or self.state.now
-            self.state.last_arrival = noticed_at + self.state.settings.drain_grace_us
+            self.state.last_runnable_arrival_at = noticed_at + self.state.settings.drain_grace_us
             self.state.actions.append(Health(stored=True, good=False))
         for entry in self.state.entries.by_id.values():
-            entry.deadline = min(entry.deadline, self.state.answer_by)
-            self.state.wakes.add(entry, entry.deadline - self.state.answer_margin)
+            entry.deadline_at = min(entry.deadline_at, self.state.respond_by)
+            self.state.wakeups.add(entry, entry.deadline_at - self.state.response_lead_us)
 
     def _on_timer(self, event: events.TimerDue) -> None:
         self.timer.fired(event.tag)
@@ -69,7 +69,7 @@
         if self.state.settings.load_signal is LoadSignal.CREDIT:
             self.parts.advisor.advertise_credit()
         if self.state.now - self.parts.concurrency.adjusted_at >= SECOND:
-            is_busy = event.gauges.get("cpu", 1.0) >= BUSY
+            is_busy = event.gauges.get("cpu", 1.0) >= CPU_BUSY_THRESHOLD
             self.parts.concurrency.adjust(is_busy)
             self._adjust_idle_limit(event.gauges.get("conns", 0.0), is_busy)
             self.state.end_second()
@@ -79,23 +79,23 @@
         if not connections or not self.state.idle_us:
             return
         state, in_use = self.state, self.state.entries.count_unfinished()
-        kept = in_use + (in_use + state.settings.cores if is_busy else state.concurrency)
-        fitting_us = max(state.tick, state.idle_us * kept / connections)
+        kept = in_use + (in_use + state.settings.cores if is_busy else state.max_concurrency)
+        fitting_us = max(state.tick_us, state.idle_us * kept / connections)
         state.idle_us = int(min(state.settings.idle_timeout_us, fitting_us))
         state.actions.append(IdleLimit(state.idle_us))
 
     def _wake(self, entry: Entry) -> None:
         """Answer an entry before its deadline; after its objective it is looked at again when that is due."""
-        answer_at = entry.deadline - self.state.answer_margin
-        if entry.answer_owed and answer_at <= self.state.now:
-            self.parts.lifecycle.answer(entry)
-        elif entry.answer_owed:
-            self.state.wakes.add(entry, answer_at)
+        answer_at = entry.deadline_at - self.state.response_lead_us
+        if entry.response_owed and answer_at <= self.state.now:
+            self.parts.lifecycle.reject_or_fail(entry)
+        elif entry.response_owed:
+            self.state.wakeups.add(entry, answer_at)
 
     def _arm_timer(self) -> None:
         """Ask for a timer for what is due next: a tick while something waits, else a second or a wake."""
         now, entries = self.state.now, self.state.entries
         second_ends = self.parts.concurrency.adjusted_at + SECOND if entries.count_unfinished() else NEVER
-        next_look = now + self.state.tick if entries.count(*LOOKED_AT_EACH_TICK) else second_ends
-        due = min(next_look, self.state.wakes.next_due())
+        next_look = now + self.state.tick_us if entries.count(*LOOKED_AT_EACH_TICK) else second_ends
+        due = min(next_look, self.state.wakeups.next_due())
         self.state.actions += self.timer.arm(now, due)
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -10,12 +10,14 @@
 from marlstep.admission.server_state import ServerState
 from marlstep.admission.settings import Downstream
 
-PATIENCE = 5.0  # times what calls take: one that may be made again is given up then, and made again
-BUDGET_SHARE = (
+CALL_TIMEOUT_FACTOR = (
+    5.0  # times what calls take: one that may be made again is given up then, and made again
+)
+CALL_RESERVE_FRACTION = (
     0.5  # of the told mean of calls in flight: a full reserve and its refill together stay under it
 )
-ATTEMPTS = 3  # for one step of a request: more would be a retry storm of our own
-NEVER_RAN_ATTEMPTS = 6  # where the call is needed: each waits twice as long as the last
+MAX_CALL_ATTEMPTS = 3  # for one step of a request: more would be a retry storm of our own
+MAX_REJECTED_CALL_ATTEMPTS = 6  # where the call is needed: each waits twice as long as the last
 
 
 @dataclass(slots=True)
@@ -28,14 +30,16 @@
     def configure(self) -> None:
         """Follow new settings."""
         settings = self.state.settings
-        rate = BUDGET_SHARE * settings.mean_calls_in_flight * (settings.dependency is Downstream.SHARED)
+        rate = (
+            CALL_RESERVE_FRACTION * settings.mean_calls_in_flight * (settings.dependency is Downstream.SHARED)
+        )
         self.state.call_reserve.configure(rate, rate * settings.call_averaging_us)
 
     def dispatch(self) -> None:
         """Make the calls that there is room for, and go on without those that would come too late."""
         calling = self.state.entries.by_state[State.CALLING]
         for entry in sorted(self.state.entries.in_states(State.AWAITING_CALL), key=rank):
-            if not entry.answer_owed:
+            if not entry.response_owed:
                 continue
             if self._is_better_skipped(entry, bool(calling)):
                 self._go_without(entry)
@@ -49,10 +53,12 @@
         if event.outcome is Outcome.OK:
             self.state.move(entry, State.RUNNING)
             return
-        entry.next_call_at = self.state.now + (self.state.tick << max(0, entry.calls_never_ran - 1))
+        entry.next_call_at = self.state.now + (self.state.tick_us << max(0, entry.calls_never_ran - 1))
         self.state.move(entry, State.AWAITING_CALL)
-        attempts = ATTEMPTS if entry.is_safe else 1
-        never_ran_attempts = ATTEMPTS if entry.request_class.skipped_call_factor > 0 else NEVER_RAN_ATTEMPTS
+        attempts = MAX_CALL_ATTEMPTS if entry.is_idempotent else 1
+        never_ran_attempts = (
+            MAX_CALL_ATTEMPTS if entry.request_class.skipped_call_factor > 0 else MAX_REJECTED_CALL_ATTEMPTS
+        )
         if entry.calls_ran >= attempts or entry.calls_never_ran >= never_ran_attempts:
             self._go_without(entry)
 
@@ -61,14 +67,14 @@
         least_us = min(reserve.capacity_us, needed_us + self.state.settings.abandoned_call_us)
         return (
             not reserve.rate or reserve.available_us >= least_us
-        ) and calling + 1 <= self.state.concurrency
+        ) and calling + 1 <= self.state.max_concurrency
 
     def _call(self, entry: Entry) -> None:
         now, latency, reserve = self.state.now, self.state.call_latency, self.state.call_reserve
         until = self._latest_end(entry)
-        if entry.is_safe and entry.calls_ran + 1 < ATTEMPTS:
+        if entry.is_idempotent and entry.calls_ran + 1 < MAX_CALL_ATTEMPTS:
             # A reply that does not come may come to another call; the last one is waited for.
-            patience_us = int(PATIENCE * max(latency.usual_us, latency.mean_us))
+            patience_us = int(CALL_TIMEOUT_FACTOR * max(latency.usual_us, latency.mean_us))
             until = min(until, now + (patience_us << entry.calls_ran))
         if reserve.rate:
             until = min(until, now + max(latency.slow_us, int(reserve.available_us / 2)))
@@ -85,13 +91,13 @@
     def _latest_end(self, entry: Entry) -> int:
         """Give the time after which a reply is of no use; a poorer answer in time is worth more than none."""
         if entry.request_class.skipped_call_factor <= 0:
-            return entry.deadline
+            return entry.deadline_at
         mean_run_us = int(self.state.statistics.mean_run_us[entry.request_class.name])
-        return min(entry.deadline, entry.objective - self.state.answer_margin - mean_run_us)
+        return min(entry.deadline_at, entry.objective_at - self.state.response_lead_us - mean_run_us)
 
     def _go_without(self, entry: Entry) -> None:
         if entry.request_class.skipped_call_factor > 0:
             self.state.actions.append(SkipCall(entry.id))
             self.state.move(entry, State.RUNNING)
         else:
-            self.lifecycle.answer(entry)
+            self.lifecycle.reject_or_fail(entry)
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -35,22 +35,22 @@
 
     id: str
     request_class: ClassSettings
-    weight: float  # priority weight of its class, less where its tenant sends more than its quota
+    priority_weight: float  # priority weight of its class, less where its tenant sends more than its quota
     priority: float  # what its answer is worth at present
     arrived_at: int
-    deadline: int
-    objective: int  # end of its latency objective: a later answer is worth only the late share
+    deadline_at: int
+    objective_at: int  # end of its latency objective: a later answer is worth only the late share
     recognised_until: int  # past its window, so that a repeat read late is still recognised
     memory_kb: float
     caller: int
     pool: str  # of the servers that do its work
-    is_safe: bool  # may run again whatever has happened
+    is_idempotent: bool  # may run again whatever has happened
     is_keyed: bool  # repeats are recognised by its idempotency key
-    number: int = 0  # order of arrival
+    arrival_number: int = 0  # order of arrival
     state: State = State.FINISHED
-    since: int = 0  # when it entered its state
+    entered_state_at: int = 0  # when it entered its state
     run_us: int = 0  # time on the cores so far
-    answer_owed: bool = True
+    response_owed: bool = True
     has_run: bool = False
     was_paused: bool = False
     key_kept_until: int = 0  # 0: no idempotency key is kept
@@ -67,22 +67,22 @@
         return cls(
             id=event.id,
             request_class=request_class,
-            weight=weight,
+            priority_weight=weight,
             priority=weight,
             arrived_at=arrived_at,
-            deadline=event.gives_up_us or max(now, arrived_at + request_class.deadline_us),
-            objective=arrived_at + request_class.latency_objective_us,
+            deadline_at=event.gives_up_us or max(now, arrived_at + request_class.deadline_us),
+            objective_at=arrived_at + request_class.latency_objective_us,
             recognised_until=arrived_at + request_class.idempotency_window_us + request_class.deadline_us,
             memory_kb=event.memory_kb,
             caller=event.caller,
             pool=event.pool,
-            is_safe=request_class.effect is Effect.IDEMPOTENT,
+            is_idempotent=request_class.effect is Effect.IDEMPOTENT,
             is_keyed=request_class.effect is Effect.KEYED,
         )
 
     def was_queued_at(self, now: int) -> bool:
         """Tell whether it entered the queue at this time, which is that of its arrival or its preemption."""
-        return self.since == now and self.state is State.QUEUED
+        return self.entered_state_at == now and self.state is State.QUEUED
 
     @property
     def calls_ran(self) -> int:
--- a/marlstep/admission/entry_index.py
+++ b/marlstep/admission/entry_index.py
@@ -38,7 +38,7 @@
     def add(self, entry: Entry) -> None:
         """Know an entry by its id, as the latest to arrive."""
         self._added += 1
-        entry.number = self._added
+        entry.arrival_number = self._added
         self.by_id[entry.id] = entry
 
     def unfinished(self, request_id: str) -> Entry | None:
@@ -94,7 +94,7 @@
         self.by_state[left].pop(entry.id, None)
         if change := COUNTS_AS_IN_RUN[state] - COUNTS_AS_IN_RUN[left]:
             self.in_run_by_pool[entry.pool] = self.in_run_by_pool.get(entry.pool, 0) + change
-        entry.state, entry.since = state, now
+        entry.state, entry.entered_state_at = state, now
         if state is not State.FINISHED:
             self.by_state[state][entry.id] = entry
 
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -12,7 +12,7 @@
 
 from marlstep.admission.settings import ClassSettings, Settings
 
-LARGEST_ESTIMATE = 1e12  # microseconds or requests; more than that was not measured
+MAX_PLAUSIBLE_ESTIMATE = 1e12  # microseconds or requests; more than that was not measured
 
 
 class Outcome(enum.StrEnum):
@@ -173,7 +173,9 @@
 
 
 def _plausible(value: object) -> float:
-    good = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < LARGEST_ESTIMATE
+    good = (
+        isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < MAX_PLAUSIBLE_ESTIMATE
+    )
     return float(typing.cast(float, value)) if good else 0.0
 
 
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -27,7 +27,7 @@
             self.state.actions.append(Reject(event.id, 0, give_up=True))
             return
         if replaced := self.state.entries.by_id.get(event.id):  # its sender is done with the one before
-            replaced.answer_owed = False
+            replaced.response_owed = False
             self.state.entries.release_key(replaced)
             self.lifecycle.finish(replaced)
         weight = request_class.priority_weight * self._quota_factor(event.tenant)
@@ -48,9 +48,9 @@
         prior = self.state.entries.latest_attempt(prior_id, entry) if prior_id else None
         if prior_id and entry.is_keyed and not (prior and not prior.has_run):
             self._attach(entry)
-        elif entry.arrived_at > self.state.last_arrival or not self._fits_queue(entry, prior):
+        elif entry.arrived_at > self.state.last_runnable_arrival_at or not self._fits_queue(entry, prior):
             entry.superseded_by = prior
-            self.lifecycle.answer(entry)
+            self.lifecycle.reject_or_fail(entry)
         elif entry.is_keyed:
             self._keep_key(entry, prior)
 
@@ -61,7 +61,7 @@
             self.state.actions.append(Attach(entry.id))
             self.state.move(entry, State.ATTACHED)
         else:
-            self.lifecycle.answer(entry)
+            self.lifecycle.reject_or_fail(entry)
 
     def _keep_key(self, entry: Entry, prior: Entry | None) -> None:
         """Keep an entry's key before its run; the attempt that its caller has left gives up its place."""
@@ -69,8 +69,8 @@
             self.state.entries.release_key(prior)
         self.state.keep_key(entry)
         if prior:
-            entry.number, prior.superseded_by = prior.number, entry
-            self.lifecycle.answer(prior)
+            entry.arrival_number, prior.superseded_by = prior.arrival_number, entry
+            self.lifecycle.reject_or_fail(prior)
 
     def _fits_queue(self, entry: Entry, prior: Entry | None) -> bool:
         """Tell whether the queue, this entry and its key fit; what is worth nothing gives way first."""
@@ -80,5 +80,5 @@
             return False
         for other in entries.in_states(State.PAUSED, State.QUEUED):
             if entries.memory_kb > bound and other is not entry and self.queue.value(other) <= 0:
-                self.lifecycle.answer(other)
+                self.lifecycle.reject_or_fail(other)
         return entries.memory_kb <= bound
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -15,9 +15,9 @@
     state: ServerState
     advisor: RetryAdvisor
 
-    def answer(self, entry: Entry) -> None:
+    def reject_or_fail(self, entry: Entry) -> None:
         """Reject a request that never ran, and fail one that may have had an effect."""
-        if not entry.answer_owed:
+        if not entry.response_owed:
             return
         # Retries elsewhere cost every server a read: only the highest class may, and all when we leave.
         is_highest = entry.request_class.priority_weight >= self.state.highest_weight
@@ -30,7 +30,7 @@
 
     def abandon(self, entry: Entry) -> None:
         """Nobody waits for it any more; what runs is stopped or not by what it is still worth."""
-        entry.answer_owed = False
+        entry.response_owed = False
         if entry.state in (State.QUEUED, State.PAUSED, State.ATTACHED):
             self.finish(entry)
 
--- a/marlstep/admission/run_statistics.py
+++ b/marlstep/admission/run_statistics.py
@@ -10,8 +10,8 @@
 from marlstep.admission.entry import Entry
 from marlstep.admission.settings import ClassSettings
 
-NEWEST_WEIGHT = 0.1  # of the newest value in a running mean
-FADE_PER_SECOND = 0.8  # what a second leaves of the measured use of the cores: some seconds back count
+EWMA_WEIGHT = 0.1  # of the newest value in a running mean
+DECAY_PER_SECOND = 0.8  # what a second leaves of the measured use of the cores: some seconds back count
 
 
 class RunStatistics:
@@ -37,14 +37,14 @@
         name, run_us = entry.request_class.name, entry.run_us
         mean = self.mean_run_us[name] or run_us
         if run_us > (0 if is_complete else mean):
-            self.mean_run_us[name] = mean + NEWEST_WEIGHT * (run_us - mean)
+            self.mean_run_us[name] = mean + EWMA_WEIGHT * (run_us - mean)
         if is_complete and run_us and not entry.was_paused:
             self.recent_runs_us.append(run_us)
             self.least_run_us = min(self.least_run_us or run_us, run_us)
 
     def record_read_lag(self, unread_us: int) -> None:
         """Count how long a request lay unread."""
-        self.read_lag_us += NEWEST_WEIGHT * (unread_us - self.read_lag_us)
+        self.read_lag_us += EWMA_WEIGHT * (unread_us - self.read_lag_us)
 
     def us_per_run(self) -> float:
         """Give the time on the cores per run that ended lately, however it ended; 0 while too few have."""
@@ -57,8 +57,8 @@
 
     def end_second(self) -> None:
         """Let the figures fade for a second that is over."""
-        self.runs_ended *= FADE_PER_SECOND
-        self.spent_us = {weight: FADE_PER_SECOND * spent for weight, spent in self.spent_us.items()}
+        self.runs_ended *= DECAY_PER_SECOND
+        self.spent_us = {weight: DECAY_PER_SECOND * spent for weight, spent in self.spent_us.items()}
         self.recent_runs_us = []
 
     def adopt(self, means_us: Mapping[str, float], least_run_us: float) -> None:
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/server_state.py
@@ -20,13 +20,13 @@
 from marlstep.admission.wake_heap import WakeHeap
 
 TICKS_PER_OBJECTIVE = 40  # in the shortest latency objective: deadlines and limits need no finer clock
-SMALLEST_PORTION = 1e-6  # above 0: it divides
+MIN_PORTION = 1e-6  # above 0: it divides
 
 
 class ServerState:
     """What is known of the server; durations are microseconds.
 
-    `memory_kb` and `concurrency` are what this process may use of what the server survives, by the rule's own
+    `memory_kb` and `max_concurrency` are what this process may use of what the server survives, by the rule's own
     formula. A cold server warms up from the first time that passes.
     """
 
@@ -35,22 +35,22 @@
         self.now = 0
         self.actions: list[Action] = []  # of this turn
         self.portion = 1.0  # less while another process serves beside this one
-        self.last_arrival = NEVER  # while it drains: what arrives later is not run
-        self.answer_by = NEVER  # before its process is stopped
+        self.last_runnable_arrival_at = NEVER  # while it drains: what arrives later is not run
+        self.respond_by = NEVER  # before its process is stopped
         self._started_at: int | None = None
-        self.wakes = WakeHeap()
+        self.wakeups = WakeHeap()
         self.buckets = TokenBuckets()  # of tenants
         self.callers = CallerActivity()
         self.statistics = RunStatistics()
         self.call_reserve = CallReserve()
         self.entries = EntryIndex(settings)
         self.configure(settings, ())
-        self.call_latency = CallLatency(self.shortest_objective)
+        self.call_latency = CallLatency(self.shortest_objective_us)
 
     @property
     def is_draining(self) -> bool:
         """Whether the server leaves service, without a successor."""
-        return self.last_arrival < NEVER
+        return self.last_runnable_arrival_at < NEVER
 
     def configure(self, settings: Settings, retired: tuple[ClassSettings, ...]) -> None:
         """Put new settings in force; what was measured stays."""
@@ -59,10 +59,12 @@
         self.classes = {each.name: each for each in (*retired, *settings.classes)}
         self.quotas_per_s = {each.name: each.quota_per_s / settings.server_count for each in settings.tenants}
         self.buckets.keep_only(self.quotas_per_s)
-        self.shortest_objective = min(each.latency_objective_us for each in settings.classes)
+        self.shortest_objective_us = min(each.latency_objective_us for each in settings.classes)
         self.highest_weight = max(each.priority_weight for each in settings.classes)
-        self.tick = settings.tick_us + self.shortest_objective // TICKS_PER_OBJECTIVE
-        self.answer_margin = self.tick + settings.tick_us  # before a deadline: the next tick could be late
+        self.tick_us = settings.tick_us + self.shortest_objective_us // TICKS_PER_OBJECTIVE
+        self.response_lead_us = (
+            self.tick_us + settings.tick_us
+        )  # before a deadline: the next tick could be late
         self.entries.configure(settings)
         in_use = [entry.request_class for entry in self.entries.by_id.values()]
         self.statistics.configure([*self.classes.values(), *in_use])
@@ -81,29 +83,29 @@
 
     def end_second(self) -> None:
         """Let measurements fade, and forget callers that have not been heard for long."""
-        self.callers.forget_silent(self.now, self.settings.load_signal_lifetime_us)
+        self.callers.forget_inactive(self.now, self.settings.load_signal_lifetime_us)
         self.statistics.end_second()
 
     def set_portion(self, portion: float) -> None:
         """Use this part of the server from now on."""
-        self.portion = max(portion, SMALLEST_PORTION)
+        self.portion = max(portion, MIN_PORTION)
         self._update_capacity()
 
     def add(self, entry: Entry, unread_us: int) -> None:
         """Take an arrival in: queued, and looked at again when its objective or its deadline is due."""
-        entry.deadline = min(entry.deadline, self.answer_by)
+        entry.deadline_at = min(entry.deadline_at, self.respond_by)
         self.callers.record(entry.caller, self.now)
         self.statistics.record_read_lag(unread_us)
         self.entries.add(entry)
         self.move(entry, State.QUEUED)
-        self.wakes.add(entry, min(entry.objective + 1, entry.deadline - self.answer_margin))
+        self.wakeups.add(entry, min(entry.objective_at + 1, entry.deadline_at - self.response_lead_us))
 
     def move(self, entry: Entry, state: State) -> None:
         """Put an entry into a state, and count what it used in the one before.
 
         A finished entry with an idempotency key stays known, so that repeats are recognised.
         """
-        elapsed_us = self.now - entry.since
+        elapsed_us = self.now - entry.entered_state_at
         if entry.state is State.RUNNING:
             entry.run_us += elapsed_us
             self.statistics.spent_us[entry.request_class.priority_weight] += elapsed_us
@@ -114,7 +116,7 @@
             self.statistics.runs_ended += entry.run_us > 0
         self.entries.move(entry, state, self.now)
         if state is State.FINISHED and entry.is_keyed:
-            self.wakes.add(entry, entry.recognised_until)
+            self.wakeups.add(entry, entry.recognised_until)
         elif state is State.FINISHED:
             del self.entries.by_id[entry.id]
 
@@ -135,12 +137,12 @@
         window_end = entry.arrived_at + entry.request_class.idempotency_window_us
         until = max(self.now, window_end) + self.settings.tick_us
         self.entries.keep_key(entry, until)
-        self.wakes.add(entry, until)
+        self.wakeups.add(entry, until)
         self.actions.append(KeepKey(entry.id, until - self.now))
 
     def due_entries(self) -> Iterator[Entry]:
         """Give the entries that are due; an expired key is freed before, an expired entry dropped after."""
-        while (entry := self.wakes.pop_due(self.now, self.entries.is_current)) is not None:
+        while (entry := self.wakeups.pop_due(self.now, self.entries.is_current)) is not None:
             if 0 < entry.key_kept_until <= self.now:
                 self.entries.release_key(entry)
             yield entry
@@ -149,7 +151,7 @@
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
         """Give the share of the server's room that is in use, and that all in flight may come to use."""
-        memory_kb, concurrency = self.settings.memory_kb, self.concurrency / self.portion
+        memory_kb, concurrency = self.settings.memory_kb, self.max_concurrency / self.portion
         running_kb = sum(self.entries.size(entry, State.RUNNING) for entry in self.entries.in_states(*ALIVE))
         in_use = max(self.entries.memory_kb / memory_kb, self.entries.count(*IN_RUN) / concurrency)
         return in_use, max(running_kb / memory_kb, self.entries.count_unfinished() / concurrency)
@@ -166,6 +168,6 @@
                 1.0, settings.initial_capacity_share + (1 - settings.initial_capacity_share) * warmed
             )
         self.memory_kb = settings.memory_kb * self.portion
-        self.concurrency = (
+        self.max_concurrency = (
             settings.cores * (1 + (settings.overload_concurrency_factor - 1) * warmth) * self.portion
         )
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -64,8 +64,8 @@
         own = server.controller
         sizes.append(
             len(own.state.entries.by_id)
-            + len(own.state.callers.heard)
-            + len(own.state.wakes)
+            + len(own.state.callers.last_seen)
+            + len(own.state.wakeups)
             + sum(map(len, own.state.entries.by_state.values()))
         )
     assert max(sizes[2_000:]) <= max(sizes[:2_000]) < 1_000
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -83,7 +83,7 @@
     dues = [request.due_at - desk.clock.now() for request in desk.core._requests]
     assert dues == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
     entries = desk.core._controller.state.entries.by_id.values()
-    assert [entry.deadline - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
+    assert [entry.deadline_at - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
 
 
 def test_what_was_learnt_stays_and_bounds_follow_the_settings() -> None:
@@ -96,7 +96,7 @@
     learnt = (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
-        controller.state.callers.heard,
+        controller.state.callers.last_seen,
     )
     assert learnt[0] > 0
     desk.core.apply_settings(settings(lambda told: told["classes"][0].update(worth=2.0)))
@@ -104,7 +104,7 @@
     assert (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
-        controller.state.callers.heard,
+        controller.state.callers.last_seen,
     ) == learnt
     assert controller.parts.concurrency.limit == 9.0
     desk.core.apply_settings(settings(lambda told: told["rules"].update(fallMultiple=2.0)))
