--- a/marlstep/admission/concurrency_limit.py
+++ b/marlstep/admission/concurrency_limit.py
@@ -32,6 +32,10 @@
         allowed_us = MAX_READ_LAG_FRACTION * self.state.shortest_objective_us
         return min(1.0, allowed_us / max(1.0, self.state.statistics.read_lag_us))
 
+    def effective_limit(self) -> float:
+        """Return how many may run at present: the limit, less what reading lags; one at least."""
+        return max(1.0, self.limit * self.lag_factor())
+
     def adjust(self, is_busy: bool) -> None:
         """Adapt the limit to the second that ends now."""
         runs = self.state.statistics.recent_runs_us
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -6,7 +6,7 @@
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.events import CallEnded, Outcome
 from marlstep.admission.lifecycle import RequestLifecycle
-from marlstep.admission.run_queue import rank
+from marlstep.admission.priority import dispatch_order
 from marlstep.admission.server_state import ServerState
 from marlstep.admission.settings import Downstream
 
@@ -38,7 +38,7 @@
     def dispatch(self) -> None:
         """Make the calls that there is room for, and go on without those that would come too late."""
         calling = self.state.entries.by_state[State.CALLING]
-        for entry in sorted(self.state.entries.in_states(State.AWAITING_CALL), key=rank):
+        for entry in sorted(self.state.entries.in_states(State.AWAITING_CALL), key=dispatch_order):
             if not entry.response_owed:
                 continue
             if self._is_better_skipped(entry, bool(calling)):
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -79,6 +79,6 @@
         if not self.memory.could_ever_run(entry):
             return False
         for other in entries.in_states(State.PAUSED, State.QUEUED):
-            if entries.memory_kb > bound and other is not entry and self.queue.value(other) <= 0:
+            if entries.memory_kb > bound and other is not entry and self.queue.current_weight(other) <= 0:
                 self.lifecycle.reject_or_fail(other)
         return entries.memory_kb <= bound
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/server_state.py
@@ -26,8 +26,8 @@
 class ServerState:
     """What is known of the server; durations are microseconds.
 
-    `memory_kb` and `max_concurrency` are what this process may use of what the server survives, by the rule's own
-    formula. A cold server warms up from the first time that passes.
+    `memory_kb` and `max_concurrency` are what this process may use of what the server survives, by the rule's
+    own formula. A cold server warms up from the first time that passes.
     """
 
     def __init__(self, settings: Settings) -> None:
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -1,7 +1,7 @@
 """Settings of one server's admission controller, as the simulator or the platform gives them at its start.
 
-Durations are whole microseconds, sizes are kilobytes. Stored settings have words of their own for most fields: the
-key stands beside the field, and errors name it.
+Durations are whole microseconds, sizes are kilobytes. Stored settings have words of their own for most
+fields: the key stands beside the field, and errors name it.
 """
 
 from __future__ import annotations
@@ -82,8 +82,8 @@
         priority_weight: what a response within the objective earns.
         late_response_factor: share of the priority weight that a response after the objective earns, 0 to 1.
         makes_calls: whether runs of the class make downstream calls.
-        skipped_call_factor: share of the priority weight that is left when a call is skipped, 0 to 1; at 0 the
-            call may not be skipped.
+        skipped_call_factor: share of the priority weight that is left when a call is skipped, 0 to 1; at 0
+            the call may not be skipped.
     """
 
     name: str
--- a/marlstep/simulator/adapter.py
+++ b/marlstep/simulator/adapter.py
@@ -1,7 +1,7 @@
 """The simulator's wire on standard input and output, one controller for each instance.
 
-It translates and decides nothing. Input is batches: a line `mark` with the time, lines of events, a line `eob`; each
-batch is answered by the actions of all instances and a line `done`.
+It translates and decides nothing. Input is batches: a line `mark` with the time, lines of events, a line
+`eob`; each batch is answered by the actions of all instances and a line `done`.
 """
 
 from __future__ import annotations
--- a/marlstep/simulator/configuration.py
+++ b/marlstep/simulator/configuration.py
@@ -19,7 +19,8 @@
     """Translate `conf`.
 
     Raises:
-        InvalidSettingError: a value is missing, of the wrong type or impossible; the text names it by its path.
+        InvalidSettingError: a value is missing, of the wrong type or impossible; the text names it by its
+            path.
     """
     conf = _Table(raw, "conf")
     info, rules, capabilities = conf.table("familyInfo"), conf.table("rules"), conf.table("caps")
