--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -5,13 +5,13 @@
 
 from marlstep.admission import events
 from marlstep.admission.actions import Action, Health, IdleLimit
+from marlstep.admission.concurrency_limit import is_cpu_busy
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.parts import Parts
 from marlstep.admission.settings import LoadSignal, Settings
 from marlstep.admission.timing import NEVER, SECOND
 from marlstep.admission.turn_timer import TurnTimer
 
-CPU_BUSY_THRESHOLD = 0.85  # of the cores: below it the limit does not fall (the design's figure)
 DRAIN_LEAD_TICKS = 8  # before the process is stopped all is answered: room for ticks and a stall
 LOOKED_AT_EACH_TICK = (State.QUEUED, State.STOPPING, State.AWAITING_CALL)
 
@@ -69,7 +69,7 @@
         if self.state.settings.load_signal is LoadSignal.CREDIT:
             self.parts.advisor.advertise_credit()
         if self.state.now - self.parts.concurrency.adjusted_at >= SECOND:
-            is_busy = event.gauges.get("cpu", 1.0) >= CPU_BUSY_THRESHOLD
+            is_busy = is_cpu_busy(event.gauges.get("cpu", 1.0))
             self.parts.concurrency.adjust(is_busy)
             self._adjust_idle_limit(event.gauges.get("conns", 0.0), is_busy)
             self.state.end_second()
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -46,6 +46,7 @@
     pool: str  # of the servers that do its work
     is_idempotent: bool  # may run again whatever has happened
     is_keyed: bool  # repeats are recognised by its idempotency key
+    can_skip_call: bool  # its run may go on without a downstream call
     arrival_number: int = 0  # order of arrival
     state: State = State.FINISHED
     entered_state_at: int = 0  # when it entered its state
@@ -78,6 +79,7 @@
             pool=event.pool,
             is_idempotent=request_class.effect is Effect.IDEMPOTENT,
             is_keyed=request_class.effect is Effect.KEYED,
+            can_skip_call=request_class.skipped_call_factor > 0,
         )
 
     def was_queued_at(self, now: int) -> bool:
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -74,7 +74,7 @@
 
     def _fits_queue(self, entry: Entry, prior: Entry | None) -> bool:
         """Tell whether the queue, this entry and its key fit; what is worth nothing gives way first."""
-        bound = self.memory.queue_bound(entry, prior)
+        bound = self.memory.queue_limit_kb(entry, prior)
         entries = self.state.entries
         if not self.memory.could_ever_run(entry):
             return False
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -25,7 +25,7 @@
         if entry.has_run:
             self.state.actions.append(Fail(entry.id))
         else:
-            self.state.actions.append(Reject(entry.id, self.advisor.retry_after(), give_up))
+            self.state.actions.append(Reject(entry.id, self.advisor.retry_after_us(), give_up))
         self.abandon(entry)
 
     def abandon(self, entry: Entry) -> None:
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -1,34 +1,46 @@
-"""Memory: what may be queued, run and attached, and for how long idempotency keys are kept in it."""
+"""Memory: what may be queued, run and attached beside what is already held."""
+
+from __future__ import annotations
 
 from dataclasses import dataclass
 
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.server_state import ServerState
 
-MAX_QUEUE_MEMORY_FRACTION = 0.8  # of memory, fills the queue; the rest is for runs that start out of it
-MAX_MEMORY_FRACTION = (
-    0.95  # of memory, no start goes past it: sizes are exact, the rest is for repeats that attach
-)
+MAX_QUEUE_MEMORY_FRACTION = 0.8  # of memory, for arrivals that are queued; the rest is for runs that start
+MAX_MEMORY_FRACTION = 0.95  # of memory, for starts; the rest is for repeats that attach
 
 
 @dataclass(slots=True)
 class MemoryLedger:
-    """The bounds on the memory that the entries and their keys take."""
+    """The bounds on the memory that requests and idempotency keys take. Sizes are kilobytes."""
 
     state: ServerState
 
     def fits(self, growth_kb: float) -> bool:
-        """Tell whether a run may start that takes so much more, or a repeat be attached."""
+        """Return whether a run that takes so much more memory may start, or a repeat may attach."""
         return self.state.entries.memory_kb + growth_kb <= MAX_MEMORY_FRACTION * self.state.memory_kb
 
     def could_ever_run(self, entry: Entry) -> bool:
-        """Tell whether an entry would fit alone; else it would fill the queue until its objective is past."""
-        return self.state.entries.size(entry, State.RUNNING) <= MAX_MEMORY_FRACTION * self.state.memory_kb
-
-    def queue_bound(self, entry: Entry, prior: Entry | None) -> float:
-        """Give the bound of the queue, which leaves room for the entry's key where that is new."""
-        is_new_key = entry.is_keyed and not (prior and prior.key_kept_until)
-        return (
-            MAX_QUEUE_MEMORY_FRACTION * self.state.memory_kb
-            - self.state.settings.idempotency_key_kb * is_new_key
-        )
+        """Return whether a request could run if it were alone.
+
+        One that could not would only take memory from others in the queue until its objective is past.
+        """
+        running_kb = self.state.entries.size(entry, State.RUNNING)
+        return running_kb <= MAX_MEMORY_FRACTION * self.state.memory_kb
+
+    def queue_limit_kb(self, entry: Entry, prior: Entry | None) -> float:
+        """Return how much memory may be in use for an arrival to be queued.
+
+        It leaves room for the arrival's idempotency key, unless it takes over the key of the attempt that it
+        repeats.
+
+        Args:
+            entry: the arrival; its own memory is already counted.
+            prior: the attempt that it repeats, if any.
+        """
+        limit_kb = MAX_QUEUE_MEMORY_FRACTION * self.state.memory_kb
+        takes_over_key = prior is not None and prior.key_kept_until > 0
+        if entry.is_keyed and not takes_over_key:
+            limit_kb -= self.state.settings.idempotency_key_kb
+        return limit_kb
--- a/marlstep/admission/parts.py
+++ b/marlstep/admission/parts.py
@@ -52,7 +52,7 @@
         self.state.configure(settings, retired)
         self.concurrency.clamp()
         self.calls.configure()
-        self.advisor.advertised = 0.0
+        self.advisor.advertised_credit = 0.0
 
     def handlers(self) -> dict[type, Callable[[Any], None]]:
         """Give what takes each kind of event, but for those of the controller itself."""
--- a/marlstep/admission/retry_advisor.py
+++ b/marlstep/admission/retry_advisor.py
@@ -1,4 +1,6 @@
-"""What callers are told: when to retry, and how much they may have outstanding here."""
+"""What callers are advised: when to retry, and how many requests they may have outstanding here."""
+
+from __future__ import annotations
 
 from dataclasses import dataclass
 
@@ -9,45 +11,127 @@
 from marlstep.admission.server_state import ServerState
 from marlstep.admission.timing import SECOND
 
-CREDIT_OBJECTIVE_FRACTION = (
-    0.3  # of the shortest objective: as much work as callers may have out here, once there is a line
-)
-MIN_CREDIT_CHANGE_FRACTION = 0.1  # of the advertised value: a smaller change is not advertised
+CREDIT_OBJECTIVE_FRACTION = 0.3  # of the shortest objective; bounds the time that credited work may queue
+MIN_CREDIT_CHANGE_FRACTION = 0.1  # of the advertised value; a smaller change is not advertised
+CALLER_ACTIVITY_US = (
+    2 * SECOND
+)  # beyond the lifetime of an advertised value, for which a caller counts as active
+
+
+def active_callers(seen: int, seen_again: int, expected: int) -> int:
+    """Return among how many callers the credit is shared; one at least.
+
+    Callers that came just once do not share in it beyond the number that the settings expect: they may never
+    come again, and would leave too little to those that keep sending.
+
+    Args:
+        seen: callers with a recent request.
+        seen_again: those of them with more than one request.
+        expected: callers of this tier by the settings.
+    """
+    return max(1, min(seen, max(expected, seen_again)))
+
+
+def retry_after_us(
+    waiting: int, us_per_run: float, concurrency_limit: float, tick_us: int, max_retry_after_us: int
+) -> int:
+    """Return how long a rejected caller should stay away, in microseconds.
+
+    Until what waits here is done if the recent rate of runs goes on: a tick at least, and at most what
+    callers respect.
+
+    Args:
+        waiting: requests that wait for a start.
+        us_per_run: recent time on the cores per run, in microseconds.
+        concurrency_limit: how many run at once.
+        tick_us: the controller's shortest wait, in microseconds.
+        max_retry_after_us: the longest Retry-After that callers respect, in microseconds.
+    """
+    queue_us = waiting * us_per_run / concurrency_limit
+    return int(min(max_retry_after_us, max(tick_us, queue_us)))
+
+
+def credit_per_caller(
+    concurrency_limit: float,
+    queue_us: float,
+    us_per_run: float,
+    at_calls: int,
+    lag_factor: float,
+    callers: int,
+) -> float:
+    """Return how many requests each caller may have outstanding here while requests queue; one at least.
+
+    All callers together get what can run at once, what can start within the time that the queue may take, and
+    what is off the cores at a call; less while reading lags. Early responses bring callers back early, so the
+    queue has to stay short.
+
+    Args:
+        concurrency_limit: how many run at once.
+        queue_us: for which credited requests may queue, in microseconds.
+        us_per_run: recent time on the cores per run, in microseconds; above 0.
+        at_calls: runs that are off the cores at a downstream call.
+        lag_factor: share of the limit that is left while reading lags, 0 to 1.
+        callers: among which the credit is shared.
+    """
+    requests = concurrency_limit * (1 + queue_us / us_per_run) + at_calls
+    return max(1.0, requests * lag_factor / callers)
+
+
+def is_worth_advertising(credit: float, advertised: float) -> bool:
+    """Return whether a credit differs enough from the advertised one to be advertised anew."""
+    return abs(credit - advertised) > MIN_CREDIT_CHANGE_FRACTION * advertised
 
 
 @dataclass(slots=True)
 class RetryAdvisor:
-    """Retry-After and credit, from the pace of the last seconds and the callers heard lately."""
+    """Computes Retry-After and credit from the recent rate of runs and the callers seen lately."""
 
     state: ServerState
     concurrency: ConcurrencyLimit
-    advertised: float = 0.0
+    advertised_credit: float = 0.0
 
     def count_callers(self) -> int:
-        """Count those heard lately; if most came only once, no more than the settings tell."""
+        """Return among how many callers the credit is shared."""
         settings = self.state.settings
-        heard, came_again = self.state.callers.count(
-            self.state.now - settings.load_signal_lifetime_us - 2 * SECOND
-        )
-        return max(1, min(heard, max(settings.caller_count, came_again)))
+        active_since = self.state.now - settings.load_signal_lifetime_us - CALLER_ACTIVITY_US
+        seen, seen_again = self.state.callers.count(active_since)
+        return active_callers(seen, seen_again, settings.caller_count)
 
-    def retry_after(self) -> int:
-        """Give how long to stay away: until what waits here is done, at the pace of the last seconds."""
-        longest = self.state.settings.max_retry_after_us * self.state.settings.sends_retry_after
-        waiting = self.state.entries.count(State.QUEUED, State.PAUSED)
-        line_us = waiting * self.state.statistics.us_per_run() / self.concurrency.limit
-        return longest if self.state.is_draining else int(min(longest, max(self.state.tick_us, line_us)))
+    def retry_after_us(self) -> int:
+        """Return the Retry-After of a rejection given now, in microseconds; 0 where none is sent.
+
+        A server that drains sends callers away for as long as they respect.
+        """
+        settings = self.state.settings
+        max_us = settings.max_retry_after_us if settings.sends_retry_after else 0
+        if self.state.is_draining:
+            return max_us
+        return retry_after_us(
+            waiting=self.state.entries.count(State.QUEUED, State.PAUSED),
+            us_per_run=self.state.statistics.us_per_run(),
+            concurrency_limit=self.concurrency.limit,
+            tick_us=self.state.tick_us,
+            max_retry_after_us=max_us,
+        )
 
     def advertise_credit(self) -> None:
-        """Give each caller credit: once there is a line, for what can be run well inside the objective."""
-        credit = MAX_QUEUE_MEMORY_FRACTION * self.state.settings.memory_kb  # as good as no bound
-        us_per_run, lag_factor = self.state.statistics.us_per_run(), self.concurrency.lag_factor()
-        if us_per_run > 0 and (self.state.entries.by_state[State.QUEUED] or lag_factor < 1):
-            work = self.concurrency.limit * (
-                1 + CREDIT_OBJECTIVE_FRACTION * self.state.shortest_objective_us / us_per_run
-            )
-            work += self.state.entries.count(State.AWAITING_CALL, State.CALLING)
-            credit = max(1.0, work * lag_factor / self.count_callers())
-        if abs(credit - self.advertised) > MIN_CREDIT_CHANGE_FRACTION * self.advertised:
-            self.advertised = credit
+        """Advertise each caller's credit if it has changed: bounded once requests queue or reading lags."""
+        credit = self._credit()
+        if is_worth_advertising(credit, self.advertised_credit):
+            self.advertised_credit = credit
             self.state.actions.append(Advertise(credit))
+
+    def _credit(self) -> float:
+        us_per_run = self.state.statistics.us_per_run()
+        lag_factor = self.concurrency.lag_factor()
+        is_overloaded = bool(self.state.entries.by_state[State.QUEUED]) or lag_factor < 1
+        if us_per_run <= 0 or not is_overloaded:
+            return MAX_QUEUE_MEMORY_FRACTION * self.state.settings.memory_kb  # beyond what any caller sends
+        return credit_per_caller(
+            concurrency_limit=self.concurrency.limit,
+            queue_us=CREDIT_OBJECTIVE_FRACTION * self.state.shortest_objective_us,
+            us_per_run=us_per_run,
+            at_calls=self.state.entries.count(State.AWAITING_CALL, State.CALLING),
+            lag_factor=lag_factor,
+            callers=self.count_callers(),
+        )
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -189,6 +189,7 @@
 DECIDE = (
     "marlstep/admission/actions.py",
     "marlstep/admission/call_latency.py",
+    "marlstep/admission/call_policy.py",
     "marlstep/admission/call_reserve.py",
     "marlstep/admission/caller_activity.py",
     "marlstep/admission/concurrency_limit.py",
