--- a/marlstep/cli/config.py
+++ b/marlstep/cli/config.py
@@ -45,6 +45,6 @@
         "tenants": len(config.settings.tenants),
         "uwsgi": config.uwsgi is not None,
         "admin": config.admin is not None,
-        "fleet": None if config.fleet is None else config.fleet.name,
+        "fleet": None if config.cluster is None else config.cluster.name,
     }
     click.echo(json.dumps(told) if as_json else f"good: {told}")
--- a/marlstep/cli/fleet.py
+++ b/marlstep/cli/fleet.py
@@ -268,7 +268,7 @@
     if config is not None:
         environ["PROXY_CONFIG"] = config
     try:
-        told = load(environ, operator).fleet
+        told = load(environ, operator).cluster
     except ConfigError as fault:
         raise click.UsageError(str(fault)) from fault
     if told is None or told.store is None:
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -14,16 +14,16 @@
 def make(host: ClusterHost) -> ClusterNode:
     """Make the component of a node whose configuration turns it on."""
     config = host.config
-    assert config.fleet is not None
+    assert config.cluster is not None
     component = host.components.get("uwsgi")
     uwsgi = component if isinstance(component, UwsgiComponent) else None
     documents = None
-    if config.fleet.replicated_config is not None:
+    if config.cluster.replicated_config is not None:
         from marlstep.components.config_documents import NodeConfigDocuments  # only where documents are named
 
         documents = NodeConfigDocuments(host.config_reloader, host.core)
     cluster = ClusterNode(
-        config.fleet,
+        config.cluster,
         host.core,
         host.timeline,
         upstream=None if uwsgi is None else uwsgi.upstream,
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from marlstep.config import ConfigError
-from marlstep.config.governed import Governed, part_of
+from marlstep.config.document_overrides import DocumentOverrides, local_content
 from marlstep.leases.messages import RequestCounts
 
 if TYPE_CHECKING:
@@ -25,14 +25,14 @@
     def __init__(self, governed_config: GovernedConfig, core: Core) -> None:
         """Govern the configuration from now on, without any document yet."""
         self._config, self._core = governed_config, core
-        self._governed = governed_config.governed = Governed()
+        self._governed = governed_config.governed = DocumentOverrides()
         self._own = governed_config.config  # as its files have it
         self._versions: dict[str, int] = {}
         self._lowest_allowances: dict[str, float] = {}  # that any version in force here gave, by tenant
 
     def local_content(self, kind: str) -> object:
         """Give what the node's own files say of this kind."""
-        return part_of(self._own, kind)
+        return local_content(self._own, kind)
 
     def check(self, kind: str, content: str) -> str:
         """Give why the node can't act on this content, beside all else in force; empty where it can.
@@ -40,7 +40,7 @@
         A document is checked by the same code as a file.
         """
         try:
-            self._governed.put_on(self._config.config, **{kind: json.loads(content)})
+            self._governed.apply_to(self._config.config, **{kind: json.loads(content)})
         except (ConfigError, ValueError, KeyError, TypeError, AttributeError) as error:
             return str(error) or repr(error)
         return ""
@@ -49,11 +49,11 @@
         """Put a version in force. Raises ValueError."""
         document = json.loads(content)
         try:
-            self._config.apply_config(self._governed.put_on(self._config.config, **{kind: document}))
+            self._config.apply_config(self._governed.apply_to(self._config.config, **{kind: document}))
         except ConfigError as error:
             raise ValueError(str(error)) from error
         self._note_allowances()
-        self._governed.keep(kind, document)
+        self._governed.put(kind, document)
         self._versions[kind] = version
         self._core.config_versions = ",".join(
             f"{name}={number}" for name, number in sorted(self._versions.items())
--- a/marlstep/components/health_endpoint.py
+++ b/marlstep/components/health_endpoint.py
@@ -28,9 +28,9 @@
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
         """Listen, always on an address of this process alone. Raises OSError."""
-        assert config.mgmt is not None
-        await self.service.listen(config.mgmt)
-        log.info("listening: component=health_endpoint address=%s:%d", *config.mgmt)
+        assert config.health_listen is not None
+        await self.service.listen(config.health_listen)
+        log.info("listening: component=health_endpoint address=%s:%d", *config.health_listen)
 
     def stop(self) -> None:
         """Stop listening."""
--- a/marlstep/components/host.py
+++ b/marlstep/components/host.py
@@ -11,7 +11,7 @@
 
 from marlstep.components.base import Component
 from marlstep.config import Config
-from marlstep.config.governed import Governed
+from marlstep.config.document_overrides import DocumentOverrides
 from marlstep.core.engine import Core
 from marlstep.timer_queue import TimerQueue
 
@@ -35,7 +35,7 @@
 class GovernedConfig(Protocol):
     """The configuration in force, as documents of the cluster govern it."""
 
-    governed: Governed | None
+    governed: DocumentOverrides | None
 
     @property
     def config(self) -> Config:
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -35,7 +35,7 @@
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
         """Meet the other processes; the one that serves, if any, is known from then on."""
-        if config.folder is None:
+        if config.runtime_directory is None:
             log.warning("hot restart is off: TMPDIR is not set")
             return
         core, timeline = self._host.core, self._host.timeline
@@ -44,7 +44,9 @@
         def make_handover(generation: int) -> HotRestart:
             return HotRestart(adapter, generation, os.getpid(), *self._lost_process_times())
 
-        channel = self._channel = RestartChannel(config.folder, config.name, timeline, make_handover)
+        channel = self._channel = RestartChannel(
+            config.runtime_directory, config.name, timeline, make_handover
+        )
         core.on_backend_ready = lambda: channel.handover.backend_ready(timeline.now())
         self.has_predecessor_serving = await channel.open()
         adapter.watch(channel.handover)
--- a/marlstep/components/registry.py
+++ b/marlstep/components/registry.py
@@ -55,8 +55,8 @@
 # In the order in which they are made and opened: a component may use those before it.
 REGISTRY: tuple[Registration, ...] = (
     Registration(lambda config: config.uwsgi is not None, _make_uwsgi),
-    Registration(lambda config: config.mgmt is not None, _make_health_endpoint),
+    Registration(lambda config: config.health_listen is not None, _make_health_endpoint),
     Registration(lambda config: config.admin is not None, _make_admin),
-    Registration(lambda config: config.fleet is not None, _make_cluster),
-    Registration(lambda config: config.passed is not None, _make_hot_restart),
+    Registration(lambda config: config.cluster is not None, _make_cluster),
+    Registration(lambda config: config.passed_socket is not None, _make_hot_restart),
 )
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -30,10 +30,10 @@
 
     def __init__(self, host: NodeServices, config: UwsgiConfig, max_connections: int) -> None:
         """Make the frontend; `max_connections` is what the whole node has capacity for."""
-        limit = min(config.connections, max_connections // (MAX_SHARE * DESCRIPTORS_PER_REQUEST))
+        limit = min(config.max_connections, max_connections // (MAX_SHARE * DESCRIPTORS_PER_REQUEST))
         self.descriptors = DESCRIPTORS_PER_REQUEST * limit
         self.upstream = Upstream(
-            config.pools, host.timeline, lambda: host.core, config.response_limit, host.config.seed
+            config.pools, host.timeline, lambda: host.core, config.max_response_bytes, host.config.seed
         )
         self.front = UwsgiFrontend(
             host.core,
@@ -41,8 +41,8 @@
             self.upstream,
             limit,
             config.read_timeout,
-            config.mapped,
-            config.body_limit,
+            config.mapping,
+            config.max_body_bytes,
             partial(pool_of, config.pools),
         )
 
@@ -57,7 +57,7 @@
         if config.uwsgi is not None:
             self.upstream.set_plans(config.uwsgi.pools)
             self.front.pool_of = partial(pool_of, config.uwsgi.pools)
-            self.front.mapped = config.uwsgi.mapped
+            self.front.mapped = config.uwsgi.mapping
 
     def stop(self) -> None:
         """Close the connections to servers."""
--- /dev/null
+++ b/marlstep/config/admin.py
@@ -0,0 +1,33 @@
+"""Reader of `[admin]` of the operator's file: the administration API."""
+
+from __future__ import annotations
+
+import ipaddress
+from pathlib import Path
+
+from marlstep.config.readers import ConfigError, Table, address, known, table, word
+from marlstep.config.schema import AdminConfig
+
+KEYS = ("listen", "token_file")
+MIN_TOKEN_LENGTH = 16  # characters
+
+
+def read_admin(operator: Table) -> AdminConfig:
+    """Read the section. Raises ConfigError; the token is read from its file."""
+    section = table(operator, "admin", "admin")
+    known(section, "admin", KEYS)
+    listen = address(section, "listen", "admin.listen")
+    if not ipaddress.ip_address(listen[0]).is_loopback:
+        raise ConfigError.unmet("admin.listen", "must be a loopback address")
+    return AdminConfig(listen, _read_token(word(section, "token_file", "admin.token_file")))
+
+
+def _read_token(path: str) -> str:
+    try:
+        token = Path(path).read_text("utf-8").strip()
+    except (OSError, UnicodeDecodeError) as error:
+        raise ConfigError.found("admin.token_file", f"{path} can't be read: {error}") from error
+    if len(token) < MIN_TOKEN_LENGTH or not token.isascii() or not token.isprintable():
+        requirement = f"must hold at least {MIN_TOKEN_LENGTH} plain characters"
+        raise ConfigError.found("admin.token_file", f"{path} {requirement}")
+    return token
--- /dev/null
+++ b/marlstep/config/loading.py
@@ -0,0 +1,95 @@
+"""Reads a node's configuration: the platform's JSON file, the environment, and the operator's TOML file."""
+
+from __future__ import annotations
+
+import json
+import os
+import socket
+import stat
+import tomllib
+from collections.abc import Mapping
+from dataclasses import replace
+from pathlib import Path
+
+from marlstep.config.checking import check
+from marlstep.config.readers import ConfigError, Table, read_file
+from marlstep.config.schema import Config
+
+CONFIG_VARIABLE = "PROXY_CONFIG"
+PASSED_SOCKET_VARIABLE = "PROXY_PASSED_SOCKET"
+RUNTIME_DIRECTORY_VARIABLE = "TMPDIR"
+OVERRIDING_VARIABLES = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN", "mgmt": "PROXY_MGMT"}
+LONGEST_SHOWN_VALUE = 32  # characters of a faulty value in a message
+
+
+def load(environ: Mapping[str, str] = os.environ, operator: str | None = None) -> Config:
+    """Read and check the configuration of this process.
+
+    Args:
+        environ: PROXY_CONFIG names the platform's file; PROXY_NAME, PROXY_LISTEN and PROXY_MGMT replace its keys.
+        operator: path of the operator's file, which turns on what the platform does not set.
+
+    Raises:
+        ConfigError: a file can't be read or a value is wrong; the message names file and key.
+    """
+    path = environ.get(CONFIG_VARIABLE)
+    if not path:
+        raise ConfigError.unmet(CONFIG_VARIABLE, "is not set: it names the configuration file")
+    platform_table = _with_overrides(read_file(path, CONFIG_VARIABLE, json.loads), environ)
+    try:
+        config = check(platform_table)
+        passed_socket = _read_passed_socket(environ.get(PASSED_SOCKET_VARIABLE, ""))
+    except ConfigError as error:
+        raise ConfigError.found(path, str(error)) from error
+    if operator:
+        operator_table = read_file(operator, "--operator", tomllib.loads)
+        try:
+            config = check(platform_table, operator_table)
+        except ConfigError as error:
+            raise ConfigError.found(operator, str(error)) from error
+    directory = environ.get(RUNTIME_DIRECTORY_VARIABLE)
+    return replace(
+        config,
+        source=path,
+        passed_socket=passed_socket,
+        runtime_directory=Path(directory) if directory else None,
+    )
+
+
+def _with_overrides(platform_table: Table, environ: Mapping[str, str]) -> Table:
+    overrides = {key: environ[name] for key, name in OVERRIDING_VARIABLES.items() if environ.get(name)}
+    return {**platform_table, **overrides}
+
+
+def _read_passed_socket(text: str) -> int | None:
+    """Read the descriptor of a TCP socket that listens; None where none is passed."""
+    if not text:
+        return None
+    descriptor = _open_socket_descriptor(text)
+    if descriptor is None:
+        shown = text[:LONGEST_SHOWN_VALUE]
+        raise ConfigError.unmet(
+            PASSED_SOCKET_VARIABLE, f"must be the number of an open socket, not {shown!r}"
+        )
+    if not _is_listening_tcp(descriptor):
+        raise ConfigError.found(
+            PASSED_SOCKET_VARIABLE, f"descriptor {descriptor} is no TCP socket that listens"
+        )
+    return descriptor
+
+
+def _open_socket_descriptor(text: str) -> int | None:
+    """Return the number if it is that of an open socket."""
+    try:
+        number = int(text)
+        is_socket = number >= 0 and stat.S_ISSOCK(os.fstat(number).st_mode)
+    except (ValueError, OSError, OverflowError):
+        return None
+    return number if is_socket else None
+
+
+def _is_listening_tcp(descriptor: int) -> bool:
+    with socket.socket(fileno=os.dup(descriptor)) as passed:
+        if passed.family not in (socket.AF_INET, socket.AF_INET6) or passed.type != socket.SOCK_STREAM:
+            return False
+        return bool(passed.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
--- /dev/null
+++ b/marlstep/config/reloading.py
@@ -0,0 +1,101 @@
+"""What a running node takes over of a new configuration, and how two settings differ."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from dataclasses import fields, replace
+
+from marlstep.admission.settings import ClassSettings, Settings, stored_key
+from marlstep.config.readers import ConfigError
+from marlstep.config.schema import Config, UwsgiConfig, config_key
+
+# Keys that the platform may leave out, whatever the configuration in force has.
+OPTIONAL_KEYS = {"aimStretch", "passesDeadline", "fleet"}
+
+
+def merge_reloaded(running: Config, loaded: Config) -> tuple[Config, list[str]]:
+    """Return the configuration to put in force, and the keys whose change needs a restart.
+
+    Addresses of clients, the shutdown timeout, the seed, the settings, the gauges and the pools of servers change
+    while the node runs; whether it warms up and how many servers there are, as told at its start, do not.
+
+    Raises:
+        ConfigError: a key is missing that the running configuration has. Nothing is taken over then.
+    """
+    for path in _missing_keys(running.platform_table, loaded.platform_table, ""):
+        raise ConfigError.found(loaded.source, f"{path} is missing, and the configuration in use has it")
+    settings = replace(
+        loaded.settings,
+        warms_up=running.settings.warms_up,
+        server_count=running.settings.server_count,
+    )
+    merged = replace(
+        running,
+        kernel=loaded.kernel,
+        name_service=loaded.name_service,
+        database=loaded.database,
+        shutdown_timeout=loaded.shutdown_timeout,
+        seed=loaded.seed,
+        settings=settings,
+        gauge_names=loaded.gauge_names,
+        uwsgi=_merge_uwsgi(running.uwsgi, loaded.uwsgi),
+        platform_table=loaded.platform_table,
+        operator_table=loaded.operator_table,
+    )
+    wanted = replace(loaded, settings=settings)
+    restart_keys = [
+        config_key(part)
+        for part in fields(Config)
+        if getattr(merged, part.name) != getattr(wanted, part.name)
+    ]
+    return merged, restart_keys
+
+
+def _merge_uwsgi(running: UwsgiConfig | None, loaded: UwsgiConfig | None) -> UwsgiConfig | None:
+    if running is None or loaded is None:
+        return running
+    return replace(running, pools=loaded.pools, mapping=loaded.mapping)
+
+
+def _missing_keys(running: object, loaded: object, path: str) -> Iterator[str]:
+    """Yield the keys that are gone. Rows of a list must have the keys that all the running rows share."""
+    if isinstance(running, Mapping) and isinstance(loaded, Mapping):
+        for key, value in running.items():
+            inner = f"{path}.{key}".lstrip(".")
+            if loaded.get(key) is not None:
+                yield from _missing_keys(value, loaded[key], inner)
+            elif value is not None and key not in OPTIONAL_KEYS:
+                yield inner
+    elif isinstance(running, list) and isinstance(loaded, list):
+        shared = _shared_keys([row for row in running if isinstance(row, Mapping)])
+        for index, row in enumerate(loaded):
+            if isinstance(row, Mapping):
+                yield from (f"{path}[{index}].{key}" for key in shared if row.get(key) is None)
+
+
+def _shared_keys(rows: list[Mapping[str, object]]) -> list[str]:
+    if not rows:
+        return []
+    return [key for key in rows[0] if all(key in row for row in rows)]
+
+
+def describe_changes(old: Settings, new: Settings) -> list[str]:
+    """Describe what differs between two settings, a line each, for the log; keys are the stored ones."""
+    old_classes = {request_class.name: request_class for request_class in old.classes}
+    new_names = {request_class.name for request_class in new.classes}
+    lines = [f"class {name} is gone" for name in old_classes if name not in new_names]
+    for request_class in new.classes:
+        before = old_classes.get(request_class.name)
+        if before is None:
+            lines.append(f"class {request_class.name} is new")
+        else:
+            differences = _differing_fields(before, request_class)
+            lines += [f"class {request_class.name}: {line}" for line in differences]
+    return lines + [line for line in _differing_fields(old, new) if not line.startswith("classes ")]
+
+
+def _differing_fields(old: Settings | ClassSettings, new: Settings | ClassSettings) -> Iterator[str]:
+    for part in fields(old):
+        before, after = getattr(old, part.name), getattr(new, part.name)
+        if before != after:
+            yield f"{stored_key(part)} {before} is now {after}"
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -72,7 +72,7 @@
         elif state is not None and state.hand_over_to_successor(now):
             self._core.begin_hand_over(now + self.restart_timeout())
         else:
-            self._core.drain(now + self._config().stop, now)
+            self._core.drain(now + self._config().shutdown_timeout, now)
             # A predecessor that serves reports on; one that has handed over reports last when it hears of this.
             self._naming.report_last(last_word=state is None or not state.has_predecessor)
 
--- a/marlstep/frontend_group.py
+++ b/marlstep/frontend_group.py
@@ -34,7 +34,7 @@
 
     async def listen(self, config: Config) -> None:
         """Listen for the platform, then open the components that belong to it. Raises OSError."""
-        await self.resp.listen(config.listen, config.passed)
+        await self.resp.listen(config.listen, config.passed_socket)
         log.info("listening: node=%s address=%s:%d", config.name, *config.listen)
         await self._open_components()
 
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -46,12 +46,12 @@
         self.timeline = timeline
         self.config_reloader = ConfigReloader(config, read_config or (lambda: self.config), self._reconfigure)
         self.ended = asyncio.Event()
-        self.kernel = Kernel(config.kernel, config.gauges, timeline, lambda: self.core)
-        self.database = Database(config.db, timeline, lambda: self.core)
+        self.kernel = Kernel(config.kernel, config.gauge_names, timeline, lambda: self.core)
+        self.database = Database(config.database, timeline, lambda: self.core)
         budget = resource_budget(config, processes=1)
         ports = Ports(self.kernel, self.database)
         self.core = Core(config.settings, config.seed, timeline, ports, budget.requests)
-        self.naming = NameService(config.name, config.naming, timeline)
+        self.naming = NameService(config.name, config.name_service, timeline)
         self.components: dict[str, Component] = {}
         max_connections = self._make_components(config, budget.connections)
         idle_timeout = span(config.settings.idle_timeout_us)
@@ -102,8 +102,8 @@
         log.info(
             "resource limits: cores=%.2f memory_mb=%d descriptors=%d",
             config.cores,
-            config.memory >> 20,
-            config.sockets,
+            config.memory_bytes >> 20,
+            config.max_descriptors,
         )
         await self._open_components(StartPhase.WITH_CLIENTS)
         restart_state = self.drain_controller.restart_state
@@ -117,7 +117,7 @@
 
     async def _open_components(self, phase: StartPhase) -> None:
         # Where the platform passes a socket, two processes of the node have the other addresses side by side.
-        reuse_address = self.config.passed is not None
+        reuse_address = self.config.passed_socket is not None
         for component in self.components.values():
             if component.start_phase is phase:
                 await component.open(self.config, reuse_address)
@@ -141,13 +141,13 @@
         """Give each part its share of the configuration that has come into force."""
         config = self.config
         self.kernel.change_address(config.kernel)
-        self.database.change_address(config.db)
-        self.naming.change_address(config.naming)
+        self.database.change_address(config.database)
+        self.naming.change_address(config.name_service)
         for component in self.components.values():
             component.reconfigure(config)
         if config.settings != replaced.settings:
             log_setting_changes(replaced, config)
-            self.kernel.set_gauge_names(config.gauges)
+            self.kernel.set_gauge_names(config.gauge_names)
             self.core.apply_settings(config.settings)
 
     # What components use of the node: see marlstep/components/host.py.
--- a/marlstep/reload.py
+++ b/marlstep/reload.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from marlstep.config import Config, ConfigError, changes, renewed
+from marlstep.config import Config, ConfigError, describe_changes, merge_reloaded
 
 if TYPE_CHECKING:
-    from marlstep.config.governed import Governed
+    from marlstep.config.document_overrides import DocumentOverrides
 
 log = logging.getLogger("marlstep")
 
@@ -24,7 +24,7 @@
     ) -> None:
         """Call `on_change` with the configuration replaced, once the new one is in force."""
         self.config = config
-        self.governed: Governed | None = None  # documents in force, where the cluster agrees on any
+        self.governed: DocumentOverrides | None = None  # documents in force, where the cluster agrees on any
         self._read_config = read_config
         self._on_change = on_change
 
@@ -45,14 +45,14 @@
         """Put the documents in force in the place of what files say."""
         if self.governed is None:
             return config
-        for difference in self.governed.differing(config):
+        for difference in self.governed.describe_differences(config):
             log.warning("%s", difference)
-        return self.governed.put_on(config)
+        return self.governed.apply_to(config)
 
     def apply_config(self, config: Config) -> None:
         """Put another configuration in force. Raises ConfigError."""
         replaced = self.config
-        self.config, restart_keys = renewed(replaced, config)
+        self.config, restart_keys = merge_reloaded(replaced, config)
         for key in restart_keys:
             log.warning("configuration key needs a restart: key=%s", key)
         self._on_change(replaced)
@@ -60,7 +60,7 @@
 
 def log_setting_changes(replaced: Config, config: Config) -> None:
     """Log each setting that differs, in a line of its own."""
-    for line in changes(replaced.settings, config.settings):
+    for line in describe_changes(replaced.settings, config.settings):
         log.info("settings changed: %s", line)
 
 
--- a/marlstep/resource_budget.py
+++ b/marlstep/resource_budget.py
@@ -28,9 +28,9 @@
 
     Half of the memory left beside the processes themselves is for requests, and half for connections.
     """
-    half = max(MIN_WORKING_MEMORY, config.memory - processes * BASE_MEMORY) // 2
-    reserved = RESERVED_DESCRIPTORS + (HEALTH_ENDPOINT_CONNECTIONS if config.mgmt else 0)
-    descriptors = config.sockets - processes * reserved
+    half = max(MIN_WORKING_MEMORY, config.memory_bytes - processes * BASE_MEMORY) // 2
+    reserved = RESERVED_DESCRIPTORS + (HEALTH_ENDPOINT_CONNECTIONS if config.health_listen else 0)
+    descriptors = config.max_descriptors - processes * reserved
     # With a small limit of descriptors, clients still get their minimum.
     connections = max(min(descriptors, half // CONNECTION_MEMORY), MIN_CONNECTIONS)
     return ResourceBudget(min(MAX_REQUESTS, half // REQUEST_MEMORY), connections)
--- a/marlstep/traces/replay/replaying.py
+++ b/marlstep/traces/replay/replaying.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from marlstep.config.node import check
+from marlstep.config.checking import check
 from marlstep.standins.cores import Machine, ran
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign
@@ -60,7 +60,9 @@
     rows, factor = rows_of(schedule, wanted)
     if wanted.virtual:
         machines = [Machine(config.settings.cores, told.speed) for _ in range(told.nodes)]
-        world = VirtualReplay(config.settings, wanted.seed, campaign, machines, config.gauges, told.call_us)
+        world = VirtualReplay(
+            config.settings, wanted.seed, campaign, machines, config.gauge_names, told.call_us
+        )
         world.run(rows)
         account = ran(machines, told.once)
         cpu_s: float | None = None
--- a/tests/cluster/support.py
+++ b/tests/cluster/support.py
@@ -53,7 +53,7 @@
 
     def __init__(self, folder: Path, run_turn: Callable[[datetime], None] = lambda now: None) -> None:
         self.clock = HandClock()
-        config = check(platform_config("n1"), operator_config(folder)).fleet
+        config = check(platform_config("n1"), operator_config(folder)).cluster
         assert config is not None
         self.config = config
         self.context = NodeContext(config, self.clock.now, SteadyClock(), IgnoreSteps(), seed=1)
--- a/tests/cluster/test_config.py
+++ b/tests/cluster/test_config.py
@@ -39,7 +39,7 @@
 ) -> None:
     (tmp_path / "key").write_text("k" * 32)
     section = {**GOOD, "key_file": str(tmp_path / "key"), "store": str(tmp_path)}
-    assert check(raw_config(settings=SETTINGS), {"fleet": section}).fleet is not None
+    assert check(raw_config(settings=SETTINGS), {"fleet": section}).cluster is not None
     with pytest.raises(ConfigError, match=message.replace("[", r"\[")):
         check(raw_config(settings=SETTINGS), {"fleet": {**section, **changes}})
 
--- a/tests/components/test_registry.py
+++ b/tests/components/test_registry.py
@@ -36,7 +36,9 @@
 
 def test_a_complete_configuration_makes_every_component_in_order(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as listening:
-        config = replace(check(platform_config("n6"), operator_config(tmp_path)), passed=listening.fileno())
+        config = replace(
+            check(platform_config("n6"), operator_config(tmp_path)), passed_socket=listening.fileno()
+        )
         node = made(config)
     assert list(node.components) == ["uwsgi", "door", "admin", "fleet", "handover"]
     assert isinstance(node.drain_controller.restart_state, HotRestartComponent)
--- a/tests/golden/sections.py
+++ b/tests/golden/sections.py
@@ -21,7 +21,7 @@
     operator = operator_config(folder)
     if least:
         operator["fleet"] = least_section(folder)
-    fleet = check(platform_config(), operator).fleet
+    fleet = check(platform_config(), operator).cluster
     assert fleet is not None
     members, rules = fleet.membership, fleet.replicated_config
     return {
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -191,14 +191,14 @@
 def make_world(folder: Any) -> World:
     clock = HandClock()
     config = check(platform_config("n6"), operator_config(folder, voters=["n1"], listen="127.0.0.1:7006"))
-    assert config.fleet is not None
+    assert config.cluster is not None
     node = Node(config, clock.timeline)
     fleet = node.components["fleet"]
     assert isinstance(fleet, ClusterNode)
     fleet.context.steady = clock.timeline
     lines = KeptLines(
-        config.fleet.nodes, wire.stream_framing(KEY.encode()), clock.timeline, lambda body: None
+        config.cluster.nodes, wire.stream_framing(KEY.encode()), clock.timeline, lambda body: None
     )
     lines.kept = []
     fleet.router.transport = lines
-    return World(clock, node, fleet, lone_voter(config.fleet, clock), lines)
+    return World(clock, node, fleet, lone_voter(config.cluster, clock), lines)
--- a/tests/hot_restart/test_passed_socket.py
+++ b/tests/hot_restart/test_passed_socket.py
@@ -39,8 +39,8 @@
             for deaf in (quiet, datagrams):
                 with pytest.raises(ConfigError, match="no TCP socket that listens"):
                     load(environ(tmp_path, deaf.fileno()))
-        assert load(environ(tmp_path, listening.fileno())).passed == listening.fileno()
-        assert load(environ(tmp_path, "")).passed is None
+        assert load(environ(tmp_path, listening.fileno())).passed_socket == listening.fileno()
+        assert load(environ(tmp_path, "")).passed_socket is None
 
 
 def test_a_wrong_descriptor_is_one_clear_line_and_exit_code_2(tmp_path: Path) -> None:
@@ -72,7 +72,7 @@
                 assert b"done" in await over_resp(nodes[stays], "setpoint-cmd", number)
             assert nodes[stays].core.counts["read"] == read + 3
             nodes[leaves].resp.draining = False
-            await nodes[leaves].resp.listen(config.listen, config.passed)
+            await nodes[leaves].resp.listen(config.listen, config.passed_socket)
         for node in nodes:
             node.resp.stop_accepting()
             await node.close()
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -32,7 +32,7 @@
         "key_file": str(tmp_path / "key"),
     }
     section |= {"store": str(tmp_path), "members": {"zone": "north"}}
-    cluster = check(raw_config(settings=SETTINGS), {"fleet": section}).fleet
+    cluster = check(raw_config(settings=SETTINGS), {"fleet": section}).cluster
     assert cluster is not None and cluster.membership is not None and cluster.membership.seeds == ("n1",)
     with pytest.raises(ConfigError, match=message):
         check(raw_config(settings=SETTINGS), {"fleet": {**section, "members": changes}})
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -9,7 +9,7 @@
 
 from marlstep.components.config_documents import NodeConfigDocuments
 from marlstep.config import ConfigError, check
-from marlstep.config.governed import Governed, part_of
+from marlstep.config.document_overrides import DocumentOverrides, local_content
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.units import ZERO
 from tests.support.node import SETTINGS, Desk, raw_config
@@ -29,20 +29,20 @@
 
 def test_a_document_is_validated_like_a_file_and_a_differing_file_is_reported() -> None:
     config = check(raw_config(settings=SETTINGS), {"tenants": {"a": {"share": 0.5, "allowance_per_s": 5.0}}})
-    governed = Governed()
-    assert governed.put_on(config) is config
+    governed = DocumentOverrides()
+    assert governed.apply_to(config) is config
     other = {"tenants": {"a": {"share": 0.5, "allowance_per_s": 9.0}}}
-    assert governed.put_on(config, tenants=other).settings.tenants[0].quota_per_s == 9.0
+    assert governed.apply_to(config, tenants=other).settings.tenants[0].quota_per_s == 9.0
     wrongs: list[Any] = [{"tenants": {"a": {"share": 2}}}, {"more": 1}, []]
     for wrong in wrongs:
         with pytest.raises(ConfigError):
-            governed.put_on(config, tenants=wrong)
+            governed.apply_to(config, tenants=wrong)
     with pytest.raises(ConfigError, match="there is no pool"):
-        governed.put_on(config, servers={"p": []})
-    assert part_of(config, "settings") == SETTINGS
-    governed.keep("tenants", other)
-    assert "the files differ" in next(governed.differing(config)).replace("tenants of ", "")
-    assert governed.put_on(config).settings.tenants[0].quota_per_s == 9.0
+        governed.apply_to(config, servers={"p": []})
+    assert local_content(config, "settings") == SETTINGS
+    governed.put("tenants", other)
+    assert "the files differ" in next(governed.describe_differences(config)).replace("tenants of ", "")
+    assert governed.apply_to(config).settings.tenants[0].quota_per_s == 9.0
 
 
 class GovernedNode(Desk):
@@ -50,7 +50,7 @@
 
     def __init__(self, tenants: dict[str, Any]) -> None:
         self.config = check(raw_config(settings=SETTINGS), tenants)
-        self.governed: Governed | None = None
+        self.governed: DocumentOverrides | None = None
         super().__init__()
         self.core.apply_settings(self.config.settings)
         self.documents = NodeConfigDocuments(self, self.core)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -173,11 +173,11 @@
 
 
 def test_the_address_of_the_door_comes_from_the_file_or_the_environment(tmp_path: Any) -> None:
-    assert check(raw_config()).mgmt is None
+    assert check(raw_config()).health_listen is None
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(mgmt="127.0.0.1:9901")))
     environ = {"PROXY_CONFIG": str(path)}
-    assert load(environ).mgmt == ("127.0.0.1", 9901)
-    assert load({**environ, "PROXY_MGMT": "127.0.0.2:9"}).mgmt == ("127.0.0.2", 9)
+    assert load(environ).health_listen == ("127.0.0.1", 9901)
+    assert load({**environ, "PROXY_MGMT": "127.0.0.2:9"}).health_listen == ("127.0.0.2", 9)
     with pytest.raises(ConfigError, match="mgmt must be a numeric address"):
         load({**environ, "PROXY_MGMT": "nowhere"})
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -158,7 +158,7 @@
     "marlstep.traces": ("marlstep.traces", "marlstep.units"),
     "marlstep.traces.replay": (
         "marlstep.traces",
-        "marlstep.config.node",
+        "marlstep.config.checking",
         "marlstep.core",
         "marlstep.frontends.resp_wire",
         "marlstep.frontends.uwsgi_wire",
@@ -308,7 +308,7 @@
 # What a node that was told nothing more must not load: it lives in 32 MB.
 ABSENT = (
     "apsw", "argparse", "blake3", "click", "csv", "gzip", "hdrh", "marlstep.admin", "marlstep.cli",
-    "marlstep.config.cluster", "marlstep.config.governed", "marlstep.consensus", "marlstep.drill",
+    "marlstep.config.cluster", "marlstep.config.document_overrides", "marlstep.consensus", "marlstep.drill",
     "marlstep.cluster", "marlstep.frontends.uwsgi", "marlstep.hot_restart", "marlstep.gossip",
     "marlstep.leases", "marlstep.membership", "marlstep.components.admin", "marlstep.components.config_documents",
     "marlstep.components.health_endpoint", "marlstep.components.cluster", "marlstep.components.hot_restart",
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 import pytest
 import uvloop
 
-from marlstep.config import check, load, renewed
+from marlstep.config import check, load, merge_reloaded
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.platform.name_service import REPORT_INTERVAL, NameService
@@ -33,9 +33,13 @@
         "listen": "127.0.0.1:77",
     }
     told = check(raw_config(**changed, stop_ms=900))
-    config, left_out = renewed(old, told)
-    assert (config.kernel[1], config.naming, config.db) == (2, ("127.0.0.1", 3), ("127.0.0.1", 6))
-    assert config.stop == 900 * MILLISECOND and config.listen == old.listen and left_out == ["listen"]
+    config, left_out = merge_reloaded(old, told)
+    assert (config.kernel[1], config.name_service, config.database) == (2, ("127.0.0.1", 3), ("127.0.0.1", 6))
+    assert (
+        config.shutdown_timeout == 900 * MILLISECOND
+        and config.listen == old.listen
+        and left_out == ["listen"]
+    )
 
 
 class Reports(asyncio.DatagramProtocol):
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -13,7 +13,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
-from marlstep.config import Config, ConfigError, changes, check, load, renewed
+from marlstep.config import Config, ConfigError, check, describe_changes, load, merge_reloaded
 from marlstep.core.engine import RETIRED_CLASS_GRACE, RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.node import Node
@@ -189,18 +189,18 @@
     [line] = [record.getMessage() for record in caplog.records if record.levelname == "ERROR"]
     assert str(path) in line and "the running one stays in force" in line
     with pytest.raises(ConfigError, match=message):
-        renewed(before, read())
+        merge_reloaded(before, read())
 
 
 def test_what_is_taken_is_named_and_facts_of_the_start_stay(tmp_path: Path) -> None:
     old = check(raw_config())
     told = check(raw_config(settings={**other(swapped), "peersTotal": 7}))
-    config, left_out = renewed(old, told)
+    config, left_out = merge_reloaded(old, told)
     assert left_out == [] and config.settings.server_count == old.settings.server_count
-    lines = changes(old.settings, config.settings)
+    lines = describe_changes(old.settings, config.settings)
     assert lines == ["class setpoint-cmd is gone", "class boiler-cmd is new"]
     slower = other(lambda told: told["classes"][0].update(aimUs=9))
-    lines = changes(old.settings, check(raw_config(settings=slower)).settings)
+    lines = describe_changes(old.settings, check(raw_config(settings=slower)).settings)
     assert lines == ["class temp-history: aim_us 2600000 is now 9"]
 
 
