--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -1,16 +1,15 @@
 """The administration API: JSON over HTTP on a loopback address, behind a bearer token. Off by default.
 
-GET  /v1/health              is it well, does it drain, how much is in hand
-GET  /v1/counters            answers by verdict, runs and calls since the start
-GET  /v1/tenants             each with its share, allowance and counters
+GET  /v1/health              whether health checks pass, whether the node drains, requests in flight
+GET  /v1/counters            responses by status, runs and calls since the start
+GET  /v1/tenants             each with its share, quota and counters
+GET  /v1/tenants/NAME        one of them
 PUT  /v1/tenants/NAME        {"allowance_per_s": 25.0}
-POST /v1/drain               the notice to leave
-GET  /v1/metrics             all figures, in the text format of Prometheus
-GET  /v1/parts               the optional parts of this node, each with its status
-GET  /v1/fleet               this node's place in its fleet; /v1/fleet/leases, /v1/fleet/log
-GET  /v1/fleet/rules         the documents, as this node has them; /v1/fleet/rules/NAME with its versions
-POST /v1/fleet/rules/part    a piece of a new version; put, withdraw, fix and unfix likewise
-GET  /v1/fleet/asked         what became of those
+POST /v1/drain               the same as SIGTERM
+GET  /v1/metrics             all metrics, in the text format of Prometheus
+GET  /v1/parts               the optional components of this node, each with its status
+GET  /v1/NAME                resources of components, such as /v1/fleet, /v1/fleet/leases, /v1/fleet/rules/NAME
+POST /v1/fleet/NAME          orders to components, such as /v1/fleet/rules/put
 """
 
 from __future__ import annotations
@@ -20,9 +19,10 @@
 import logging
 import math
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from urllib.parse import unquote
 
-from marlstep.admin.http import Call, Problem, Surface
+from marlstep.admin.http import HttpError, HttpRequest, HttpResponse, HttpService
 from marlstep.components.base import Component
 from marlstep.core.engine import Core
 from marlstep.timer_queue import TimerQueue
@@ -30,109 +30,200 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS = 16
-TIMEOUT = 10 * SECOND
-MOST_PER_S = 1e6  # an allowance
+API_VERSION = "v1"
+MAX_CONNECTIONS = 16
+REQUEST_TIMEOUT = 10 * SECOND  # for a complete request
+MAX_QUOTA_PER_S = 1e6
+QUOTA_KEY = "allowance_per_s"
+SHOWN_CHARACTERS = 64  # of a name or a path that a client sent, in an error
+VARIABLE = "*"  # a segment of a route's path that is passed to its handler
 
 
-class Admin(Surface):
+class AdminApi(HttpService):
+    """Routes requests to their handlers, and those of components to the component that knows the path."""
+
     def __init__(
         self,
         core: Core,
         timeline: TimerQueue,
         token: str,
         drain: Callable[[], None],
-        parts: Callable[[], Iterable[Component]] = tuple,
+        components: Callable[[], Iterable[Component]] = tuple,
     ) -> None:
-        super().__init__(core, timeline, CONNECTIONS, TIMEOUT)
-        self._parts = parts
-        self.token = token.encode()
+        """Serve clients that know the token; `drain` begins the graceful shutdown."""
+        super().__init__(core, timeline, MAX_CONNECTIONS, REQUEST_TIMEOUT)
+        self._components = components
+        self._token = token.encode()
         self._drain = drain
 
-    def serve(self, call: Call) -> tuple[int, object]:
-        if not hmac.compare_digest(call.token, b"Bearer " + self.token):
-            raise Problem(401, "a bearer token is needed", WWW_Authenticate="Bearer")
-        parts = [unquote(part) for part in call.path.split("/")[1:]]
-        match call.method, parts:
-            case "GET", ["v1", "health"]:
-                return 200, {
-                    "healthy": self.core.healthy,
-                    "draining": self.core.draining,
-                    "unanswered": self.core.unanswered,
-                    "in_hand": self.core.in_flight,
-                }
-            case "GET", ["v1", "counters"]:
-                return 200, dict(sorted(self.core.counts.items()))
-            case "GET", ["v1", "tenants"]:
-                return 200, [self._tenant(name) for name in self.core.tenants]
-            case "GET", ["v1", "tenants", name]:
-                return 200, self._tenant(name)
-            case "PUT", ["v1", "tenants", name]:
-                self._tenant(name)
-                self.core.set_quota(name, self._allowance(call.body))
-                return 200, self._tenant(name)
-            case "POST", ["v1", "drain"]:
-                log.warning("drain asked for by the administration")
-                self._drain()
-                return 202, {"draining": True}
-            case "GET", ["v1", "parts"]:
-                return 200, {part.name: part.status() for part in self._parts()}
-            case "GET", ["v1", "metrics"]:
-                return 200, self._metrics()
-            case "GET", ["v1", *rest] if (told := self._of_parts("/".join(rest))) is not None:
-                return 200, told
-            case "POST", ["v1", "fleet", *rest] if (told := self._order(rest, call.body)) is not None:
-                return 202, told
-            case _, ["v1", "health" | "counters" | "tenants" | "drain"] | ["v1", "tenants", _]:
-                raise Problem(405, f"{call.method} is not for {call.path[:64]}")
-        raise Problem(404, "no such thing")
-
-    def _of_parts(self, name: str) -> dict[str, object] | None:
-        return next((told for part in self._parts() if (told := part.read_resource(name)) is not None), None)
-
-    def _order(self, rest: list[str], body: bytes) -> dict[str, object] | None:
+    def serve(self, request: HttpRequest) -> HttpResponse:
+        """Carry out a request. Raises HttpError."""
+        if not hmac.compare_digest(request.authorization, b"Bearer " + self._token):
+            raise HttpError(401, "a bearer token is needed", WWW_Authenticate="Bearer")
+        path = tuple(unquote(segment) for segment in request.path.split("/")[1:])
+        for route in ROUTES:
+            if route.method == request.method and route.matches(path):
+                return route.handle(self, request, *route.variables(path))
+        response = self._serve_component(request, path)
+        if response is not None:
+            return response
+        if any(route.matches(path) for route in ROUTES if route.names_its_methods):
+            raise HttpError(405, f"{request.method} is not for {request.path[:SHOWN_CHARACTERS]}")
+        raise HttpError(404, "no such thing")
+
+    def _serve_component(self, request: HttpRequest, path: tuple[str, ...]) -> HttpResponse | None:
+        """Return the response of the component that knows the path; None if no component does."""
+        match request.method, path:
+            case "GET", (version, *name) if version == API_VERSION:
+                resource = self._read_resource("/".join(name))
+                return None if resource is None else HttpResponse(200, resource)
+            case "POST", (version, "fleet", *name) if version == API_VERSION:
+                result = self._execute_order("/".join(["fleet", *name]), request.body)
+                return None if result is None else HttpResponse(202, result)
+        return None
+
+    def _read_resource(self, name: str) -> dict[str, object] | None:
+        for component in self._components():
+            resource = component.read_resource(name)
+            if resource is not None:
+                return resource
+        return None
+
+    def _execute_order(self, name: str, body: bytes) -> dict[str, object] | None:
         try:
-            told = json.loads(body or b"{}")
-            if not isinstance(told, dict):
-                raise ValueError("the body must be an object")
-            name = "/".join(["fleet", *rest])
-            return next(
-                (one for part in self._parts() if (one := part.execute_order(name, told)) is not None), None
-            )
-        except (ValueError, KeyError, TypeError) as fault:
-            raise Problem(400, f"no order: {fault}") from fault
-
-    def _metrics(self) -> bytes:
-        from marlstep.admin.metrics import written  # its library is loaded with the first call
-
-        figures = {f"requests_{name}_total": float(count) for name, count in self.core.counts.items()}
-        figures |= {"in_hand": float(self.core.in_flight), "unanswered": float(self.core.unanswered)}
-        for part in self._parts():
-            figures |= part.metrics()
-        return written(figures)
-
-    def _tenant(self, name: str) -> dict[str, object]:
+            arguments = _json_object(body or b"{}")
+            for component in self._components():
+                result = component.execute_order(name, arguments)
+                if result is not None:
+                    return result
+        except (ValueError, KeyError, TypeError) as error:
+            raise HttpError(400, f"no order: {error}") from error
+        return None
+
+    def get_health(self, _request: HttpRequest) -> HttpResponse:
+        """Show whether health checks pass and how much is in flight."""
+        core = self.core
+        return HttpResponse(
+            200,
+            {
+                "healthy": core.healthy,
+                "draining": core.draining,
+                "unanswered": core.unanswered,
+                "in_hand": core.in_flight,
+            },
+        )
+
+    def get_counters(self, _request: HttpRequest) -> HttpResponse:
+        """Show the counters since the start."""
+        return HttpResponse(200, dict(sorted(self.core.counts.items())))
+
+    def get_tenants(self, _request: HttpRequest) -> HttpResponse:
+        """Show all tenants."""
+        return HttpResponse(200, [self._tenant_json(name) for name in self.core.tenants])
+
+    def get_tenant(self, _request: HttpRequest, name: str) -> HttpResponse:
+        """Show one tenant."""
+        return HttpResponse(200, self._tenant_json(name))
+
+    def put_tenant(self, request: HttpRequest, name: str) -> HttpResponse:
+        """Change a tenant's quota."""
+        self._tenant_json(name)  # raises where there is no such tenant
+        self.core.set_quota(name, _read_quota_per_s(request.body))
+        return HttpResponse(200, self._tenant_json(name))
+
+    def post_drain(self, _request: HttpRequest) -> HttpResponse:
+        """Begin the graceful shutdown."""
+        log.warning("drain requested: source=admin_api")
+        self._drain()
+        return HttpResponse(202, {"draining": True})
+
+    def get_components(self, _request: HttpRequest) -> HttpResponse:
+        """Show the status of each component."""
+        return HttpResponse(200, {component.name: component.status() for component in self._components()})
+
+    def get_metrics(self, _request: HttpRequest) -> HttpResponse:
+        """Show all metrics as text."""
+        from marlstep.admin.metrics import render_metrics  # its library is loaded with the first request
+
+        values = {f"requests_{name}_total": float(count) for name, count in self.core.counts.items()}
+        values["in_hand"] = float(self.core.in_flight)
+        values["unanswered"] = float(self.core.unanswered)
+        for component in self._components():
+            values |= component.metrics()
+        return HttpResponse(200, render_metrics(values))
+
+    def _tenant_json(self, name: str) -> dict[str, object]:
         tenant = self.core.tenants.get(name)
         if tenant is None:
-            raise Problem(404, f"no tenant {name[:64]}")
-        counts = self.core.tenant_counts[name]
+            raise HttpError(404, f"no tenant {name[:SHOWN_CHARACTERS]}")
         return {
             "name": name,
             "share": tenant.portion,
-            "allowance_per_s": tenant.quota_per_s,
-            "counters": dict(sorted(counts.items())),
+            QUOTA_KEY: tenant.quota_per_s,
+            "counters": dict(sorted(self.core.tenant_counts[name].items())),
         }
 
-    @staticmethod
-    def _allowance(body: bytes) -> float:
-        try:
-            raw = json.loads(body)
-        except ValueError as fault:
-            raise Problem(400, f"the body is not JSON: {fault}") from fault
-        if not isinstance(raw, dict) or set(raw) != {"allowance_per_s"}:
-            raise Problem(400, "the body must hold allowance_per_s and nothing else")
-        value = raw["allowance_per_s"]
-        good = isinstance(value, int | float) and not isinstance(value, bool)
-        if not good or not math.isfinite(value) or not 0 <= value <= MOST_PER_S:
-            raise Problem(400, f"allowance_per_s must be a number from 0 to {MOST_PER_S:g}")
-        return float(value)
+
+@dataclass(slots=True, frozen=True)
+class Route:
+    """One method on one path.
+
+    Attributes:
+        method: of HTTP.
+        path: segments; `*` stands for one that is passed to the handler.
+        handle: called with the API, the request and the variable segments.
+        names_its_methods: whether other methods on the path get 405; else they are looked up like unknown paths.
+    """
+
+    method: str
+    path: tuple[str, ...]
+    handle: Callable[..., HttpResponse]
+    names_its_methods: bool = True
+
+    def matches(self, path: tuple[str, ...]) -> bool:
+        """Return whether the path is this route's."""
+        if len(path) != len(self.path):
+            return False
+        return all(wanted in (VARIABLE, segment) for wanted, segment in zip(self.path, path, strict=True))
+
+    def variables(self, path: tuple[str, ...]) -> list[str]:
+        """Return the variable segments of a path that matches."""
+        return [segment for wanted, segment in zip(self.path, path, strict=True) if wanted == VARIABLE]
+
+
+ROUTES = (
+    Route("GET", (API_VERSION, "health"), AdminApi.get_health),
+    Route("GET", (API_VERSION, "counters"), AdminApi.get_counters),
+    Route("GET", (API_VERSION, "tenants"), AdminApi.get_tenants),
+    Route("GET", (API_VERSION, "tenants", VARIABLE), AdminApi.get_tenant),
+    Route("PUT", (API_VERSION, "tenants", VARIABLE), AdminApi.put_tenant),
+    Route("POST", (API_VERSION, "drain"), AdminApi.post_drain),
+    Route("GET", (API_VERSION, "parts"), AdminApi.get_components, names_its_methods=False),
+    Route("GET", (API_VERSION, "metrics"), AdminApi.get_metrics, names_its_methods=False),
+)
+
+
+def _json_object(body: bytes) -> dict[str, object]:
+    value = json.loads(body)
+    if not isinstance(value, dict):
+        raise HttpError(400, "no order: the body must be an object")
+    return value
+
+
+def _read_quota_per_s(body: bytes) -> float:
+    try:
+        raw = json.loads(body)
+    except ValueError as error:
+        raise HttpError(400, f"the body is not JSON: {error}") from error
+    if not isinstance(raw, dict) or set(raw) != {QUOTA_KEY}:
+        raise HttpError(400, f"the body must hold {QUOTA_KEY} and nothing else")
+    value = raw[QUOTA_KEY]
+    if not _is_quota(value):
+        raise HttpError(400, f"{QUOTA_KEY} must be a number from 0 to {MAX_QUOTA_PER_S:g}")
+    return float(value)
+
+
+def _is_quota(value: object) -> bool:
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        return False
+    return math.isfinite(value) and 0 <= value <= MAX_QUOTA_PER_S
--- a/marlstep/admin/metrics.py
+++ b/marlstep/admin/metrics.py
@@ -1,4 +1,4 @@
-"""Figures in the text format of Prometheus, by its own library."""
+"""Metrics in the text format of Prometheus, written by its own library."""
 
 from __future__ import annotations
 
@@ -9,32 +9,39 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-NAME = re.compile(r'([a-zA-Z0-9_]+)(?:\{([a-z_]+)="(.*)"\})?')
+PREFIX = "marlstep_"
+COUNTER_SUFFIX = "_total"
+METRIC_NAME = re.compile(r'([a-zA-Z0-9_]+)(?:\{([a-z_]+)="(.*)"\})?')  # one label at most, in braces
 
 
-class Figures(Collector):
-    def __init__(self, figures: Mapping[str, float]) -> None:
-        self._figures = figures
+class MetricsCollector(Collector):
+    """Gives values to the library as families: a name that ends in `_total` is a counter, any other a gauge."""
+
+    def __init__(self, values: Mapping[str, float]) -> None:
+        """Collect these values, by metric name without its prefix."""
+        self._values = values
 
     def collect(self) -> Iterator[Metric]:
-        """A name that ends in `_total` is a counter, any other a gauge. One label may stand in braces."""
+        """Yield the families; a name that is no metric's is left out."""
         families: dict[str, CounterMetricFamily | GaugeMetricFamily] = {}
-        for text, value in self._figures.items():
-            match = NAME.fullmatch(text)
+        for text, value in self._values.items():
+            match = METRIC_NAME.fullmatch(text)
             if match is None:
                 continue
-            name, label, said = match.groups()
-            family = families.get(name)
-            if family is None:
-                kind = CounterMetricFamily if name.endswith("_total") else GaugeMetricFamily
-                labels = [label] if label else []
-                family = families[name] = kind(f"marlstep_{name}", name.replace("_", " "), labels=labels)
-            family.add_metric([said] if label else [], value)
+            name, label, label_value = match.groups()
+            if name not in families:
+                families[name] = _family(name, label)
+            families[name].add_metric([label_value] if label else [], value)
         yield from families.values()
 
 
-def written(figures: Mapping[str, float]) -> bytes:
-    """Names are without the prefix `marlstep_`."""
+def _family(name: str, label: str | None) -> CounterMetricFamily | GaugeMetricFamily:
+    family_type = CounterMetricFamily if name.endswith(COUNTER_SUFFIX) else GaugeMetricFamily
+    return family_type(f"{PREFIX}{name}", name.replace("_", " "), labels=[label] if label else [])
+
+
+def render_metrics(values: Mapping[str, float]) -> bytes:
+    """Write values, by metric name without its prefix, in the text format."""
     registry = CollectorRegistry()
-    registry.register(Figures(figures))
+    registry.register(MetricsCollector(values))
     return generate_latest(registry)
--- a/marlstep/components/admin.py
+++ b/marlstep/components/admin.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING, ClassVar
 
-from marlstep.admin.api import Admin
+from marlstep.admin.api import AdminApi
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import AdminConfig, Config
 
@@ -23,7 +23,7 @@
 
     def __init__(self, host: AdminHost, config: AdminConfig) -> None:
         """Make the service; it shows all components that the host has by the time of a request."""
-        self.service = Admin(
+        self.service = AdminApi(
             host.core, host.timeline, config.token, host.drain, lambda: host.components.values()
         )
 
--- a/marlstep/components/health_endpoint.py
+++ b/marlstep/components/health_endpoint.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING, ClassVar
 
-from marlstep.admin.door import Door
+from marlstep.admin.health_endpoint import HealthEndpoint
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 from marlstep.resource_budget import HEALTH_ENDPOINT_CONNECTIONS
@@ -24,7 +24,9 @@
 
     def __init__(self, host: HealthEndpointHost) -> None:
         """Make the service."""
-        self.service = Door(host.core, host.timeline, host.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS)
+        self.service = HealthEndpoint(
+            host.core, host.timeline, host.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS
+        )
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
         """Listen, always on an address of this process alone. Raises OSError."""
--- a/tests/test_door.py
+++ b/tests/admin/test_health_endpoint.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.admin.door import PATIENCE, Door
-from marlstep.admin.http import BODY_LIMIT, HEAD_LIMIT, HttpConnection
+from marlstep.admin.health_endpoint import REQUEST_TIMEOUT, HealthEndpoint
+from marlstep.admin.http import MAX_BODY_BYTES, MAX_HEAD_BYTES, HttpConnection
 from marlstep.config import ConfigError, check, load
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.core.serving_state import ServingPhase, ServingState
@@ -28,7 +28,7 @@
         self.desk = Desk()
         self.told: list[bool] = []
         core = self.desk.core
-        self.door = Door(
+        self.door = HealthEndpoint(
             core,
             self.desk.clock.timeline,
             lambda: self.told.append(core.serving_state.wants_traffic),
@@ -94,8 +94,8 @@
         ("DELETE", "/admin/resume", "", b"", 405),
         ("no method", "/admin/health", "", b"", 400),
         ("GET", "/admin/health", "Content-Length: x\r\n", b"", 400),
-        ("POST", "/admin/resume", "", b"x" * (BODY_LIMIT + 1), 413),
-        ("GET", "/admin/health", "X: " + "x" * HEAD_LIMIT + "\r\n", b"", 431),
+        ("POST", "/admin/resume", "", b"x" * (MAX_BODY_BYTES + 1), 413),
+        ("GET", "/admin/health", "X: " + "x" * MAX_HEAD_BYTES + "\r\n", b"", 431),
     ],
 )
 def test_calls_that_can_not_be_had_are_refused_by_kind(
@@ -109,7 +109,7 @@
 def test_a_head_without_end_and_a_second_call_behind_the_first_do_nothing() -> None:
     gate = Gate()
     wire = gate.connect()
-    wire.feed(b"GET /admin/health HTTP/1.1\r\n" + b"X: y\r\n" * HEAD_LIMIT)
+    wire.feed(b"GET /admin/health HTTP/1.1\r\n" + b"X: y\r\n" * MAX_HEAD_BYTES)
     assert status(wire) == 431 and wire.closed
     wire = gate.connect()
     wire.feed(b"GET /admin/health HTTP/1.1\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\n\r\n")
@@ -131,7 +131,7 @@
         if number % 50 == 0:
             gate.desk.clock.advance(MIN_UNPROVEN_AGE / MILLISECOND)
     assert len(gate.door.connections) <= CONNECTIONS
-    gate.desk.clock.advance(PATIENCE / MILLISECOND)
+    gate.desk.clock.advance(REQUEST_TIMEOUT / MILLISECOND)
     assert all(wire.closed for wire in held) and len(gate.door.connections) == 0
     late = [status(wire) for wire in held if wire.written]
     assert late and set(late) == {408} and gate.desk.core.healthy
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -11,8 +11,8 @@
 from typing import Any
 from unittest.mock import patch
 
-from marlstep.admin.api import Admin
-from marlstep.admin.http import Call
+from marlstep.admin.api import AdminApi
+from marlstep.admin.http import HttpRequest
 from marlstep.admission.events import Outcome
 from marlstep.cli.main import call
 from marlstep.cluster import wire
@@ -51,7 +51,7 @@
     def serve(self, method: str, path: str, told: Any = None) -> tuple[int, Any]:
         """As the administration would write it and a client would read it."""
         body = b"" if told is None else json.dumps(told).encode()
-        status, found = self.admin.serve(Call(method, path, b"Bearer " + TOKEN.encode(), body))
+        status, found = self.admin.serve(HttpRequest(method, path, b"Bearer " + TOKEN.encode(), body))
         return status, found if isinstance(found, bytes) else json.loads(json.dumps(found))
 
     def live(self) -> None:
@@ -157,7 +157,7 @@
             allowed = {"allowance_per_s": 7.0}
             found["PUT /v1/tenants/riad"] = [shown.serve("PUT", "/v1/tenants/riad", allowed)[1]]
             for method, path in (("GET", "health"), ("POST", "quiesce"), ("POST", "resume")):
-                told = shown.door.serve(Call(method, f"/admin/{path}", b"", b""))[1]
+                told = shown.door.serve(HttpRequest(method, f"/admin/{path}", b"", b""))[1]
                 found[f"{method} /admin/{path}"] = [json.loads(json.dumps(told))]
             for path, told in counted().items():
                 found[path].append(told)
@@ -185,7 +185,7 @@
     """The pages that count requests, after some that came to each end that is cheap to have."""
     realms = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
     desk = Desk(cores=1, realms=realms, overShareWorth=0.1)
-    admin = Admin(desk.core, desk.clock.timeline, TOKEN, lambda: None)
+    admin = AdminApi(desk.core, desk.clock.timeline, TOKEN, lambda: None)
     desk.core.backend_ready()
     for number in range(1, 4):
         desk.submit(number, tenant="riad")
@@ -199,7 +199,8 @@
     desk.clock.advance(60_000)
     paths = ("/v1/counters", "/v1/tenants")
     return {
-        f"GET {path}": admin.serve(Call("GET", path, b"Bearer " + TOKEN.encode(), b""))[1] for path in paths
+        f"GET {path}": admin.serve(HttpRequest("GET", path, b"Bearer " + TOKEN.encode(), b""))[1]
+        for path in paths
     }
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.admin.api import Admin
+from marlstep.admin.api import AdminApi
 from marlstep.admin.http import HttpConnection
 from marlstep.cli.main import call
 from marlstep.config import ConfigError, check
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.desk = Desk(cores=1, realms=TENANTS, overShareWorth=0.1)
         self.drained = 0
-        self.admin = Admin(self.desk.core, self.desk.clock.timeline, TOKEN, self.drain)
+        self.admin = AdminApi(self.desk.core, self.desk.clock.timeline, TOKEN, self.drain)
 
     def drain(self) -> None:
         self.drained += 1
