--- a/marlstep/config/checking.py
+++ b/marlstep/config/checking.py
@@ -96,5 +96,7 @@
         return None
     from marlstep.config.cluster import read_cluster
 
-    is_safe = {request_class.name: request_class.effect is Effect.SAFE for request_class in settings.classes}
-    return read_cluster(operator, name, is_safe, has_uwsgi)
+    is_idempotent = {
+        request_class.name: request_class.effect is Effect.IDEMPOTENT for request_class in settings.classes
+    }
+    return read_cluster(operator, name, is_idempotent, has_uwsgi)
