--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -14,7 +14,8 @@
 from marlstep.admission.events import Outcome as RunOutcome
 from marlstep.cluster.interfaces import Step, StepObserver
 from marlstep.config.cluster import TaskConfig
-from marlstep.core.engine import Core, RequestRejectedError
+from marlstep.core.engine import Core
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import (
     Backend,
     InboundRequest,
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -47,6 +47,7 @@
     TimerDue,
 )
 from marlstep.admission.settings import ClassSettings, Effect, PreemptionMode, Settings
+from marlstep.core.errors import RepeatedWorkError, RequestRejectedError
 from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable, encode_label
 from marlstep.core.interfaces import (
     Backend,
@@ -81,14 +82,6 @@
 )  # front ends hear late that a class or a tenant is gone: until then it is still taken
 
 
-class RequestRejectedError(Exception):
-    """The request was not taken; nothing ran. The text says why."""
-
-
-class RepeatedWorkError(RequestRejectedError):
-    """A repeat of work that ran, or may have: it fails, and must not come again."""
-
-
 @dataclass(slots=True)
 class Ports:
     gauges: GaugeSource
@@ -211,7 +204,14 @@
             raise RepeatedWorkError("a name in use for work with another body")
         due = max(now, offer.arrived_at + span(kind.deadline_us))
         request = Request(
-            offer, kind, front, ticket, backend, due, config_versions=self.config_versions, key=key
+            offer,
+            kind,
+            front,
+            ticket,
+            backend,
+            due,
+            config_versions=self.config_versions,
+            idempotency_key=key,
         )
         if len(self._requests) >= self._most:
             raise RequestRejectedError("too many in hand for this process's part of the node")
@@ -220,7 +220,7 @@
         except TableFullError as fault:
             raise RequestRejectedError(str(fault)) from fault
         self._by_id[offer.id] = request.handle
-        request.deadline = self._timeline.at(due, lambda: self._overdue(request))
+        request.deadline_timer = self._timeline.at(due, lambda: self._overdue(request))
         self._unanswered += 1
         self._count(request, "read")
         if self.accepts_work is not None and not self.accepts_work():
@@ -241,7 +241,7 @@
 
     def _reject(self, request: Request) -> None:
         """There are no rules here to take it under: the module never hears of it."""
-        if not request.answered:
+        if not request.responded:
             self._count(request, "without rules")
             self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
 
@@ -249,9 +249,9 @@
         """The module hears of it."""
         offer = request.inbound
         request.stage = Stage.QUEUED
-        if request.key:
+        if request.idempotency_key:
             self.idempotency_keys.record(
-                request.key, offer.id, self._post_arrival(request), request.inbound.digest
+                request.idempotency_key, offer.id, self._post_arrival(request), request.inbound.digest
             )
         self._post(
             Arrival(
@@ -304,7 +304,7 @@
     def client_disconnected(self, handle: int) -> None:
         """Nobody can take the answer any more."""
         request = self._requests.get(handle)
-        if request is not None and not request.answered:
+        if request is not None and not request.responded:
             self._count(request, "gone")
             self._post(ClientDisconnected(request.id))
             self._settle(request)
@@ -362,9 +362,9 @@
         request = self._find(id)
         if request is None:
             return
-        if outcome is Outcome.CANCELLED and request.halting and not request.answered:
-            request.halting = False
-            request.worked = True
+        if outcome is Outcome.CANCELLED and request.pause_requested and not request.responded:
+            request.pause_requested = False
+            request.known_to_have_run = True
             dropped = self.settings.preemption_mode is PreemptionMode.DROP
             request.stage = Stage.QUEUED if dropped else Stage.PAUSED
         else:
@@ -383,9 +383,9 @@
     def _response_for(self, request: Request, outcome: Outcome, result: bytes) -> Response:
         if outcome is Outcome.OK:
             return Response(ResponseStatus.DONE, result)
-        if outcome.never_ran and not request.worked:
-            if request.key:  # the work may come again
-                self.idempotency_keys.drop(request.key, request.id, kept_too=True)
+        if outcome.never_ran and not request.known_to_have_run:
+            if request.idempotency_key:  # the work may come again
+                self.idempotency_keys.drop(request.idempotency_key, request.id, kept_too=True)
             return Response(ResponseStatus.REJECTED, retry_after=self._retry_after())
         return Response(ResponseStatus.FAILED)
 
@@ -395,8 +395,8 @@
     def call_needed(self, id: str, body: bytes) -> None:
         request = self._find(id)
         if request is not None:
-            request.stage, request.call_body, request.worked = Stage.AWAITING_CALL, body, True
-            request.halting = False  # it came to the call before the halt reached it
+            request.stage, request.call_body, request.known_to_have_run = Stage.AWAITING_CALL, body, True
+            request.pause_requested = False  # it came to the call before the halt reached it
             self._post(CallNeeded(id))
 
     def call_ended(self, id: str, outcome: Outcome, reply: bytes = b"") -> None:
@@ -404,8 +404,8 @@
         if request is None or request.stage is not Stage.CALLING:
             return
         now = self._timeline.now()
-        elapsed = now - (request.called_at or now)
-        request.faulty = outcome is not Outcome.OK
+        elapsed = now - (request.call_started_at or now)
+        request.call_failed = outcome is not Outcome.OK
         if outcome is Outcome.OK:
             request.stage = Stage.RUNNING
             request.backend.supply(request, reply)
@@ -451,9 +451,9 @@
         if self.idempotency_keys.forget(key, id):
             self._abroad_over(key, None)
 
-    def orphan_remote_keys(self, until: datetime) -> None:
+    def mark_remote_outcomes_unknown(self, until: datetime) -> None:
         """Nobody will say any more how the others' tries ended."""
-        for key in self.idempotency_keys.orphan_remote(until, self._timeline.now()):
+        for key in self.idempotency_keys.mark_remote_outcomes_unknown(until, self._timeline.now()):
             self._abroad_over(key, None)
 
     def _abroad_over(self, key: IdempotencyKey, result: bytes | None) -> None:
@@ -549,10 +549,10 @@
                 self._run(request)
             case Preempt():
                 if request.stage is Stage.RUNNING:
-                    request.halting = True
+                    request.pause_requested = True
                     request.backend.pause(request)
             case Reject(_, retry_after_us, give_up):
-                if request.started and request.class_settings.effect is not Effect.SAFE:
+                if request.may_have_run and request.class_settings.effect is not Effect.SAFE:
                     log.error("the module refused work that has run: failed instead")
                     self._respond(request, Response(ResponseStatus.FAILED))
                 else:
@@ -563,19 +563,19 @@
                         ),
                     )
             case Fail():
-                verdict = ResponseStatus.FAILED if request.faulty else ResponseStatus.EXPIRED
+                verdict = ResponseStatus.FAILED if request.call_failed else ResponseStatus.EXPIRED
                 self._respond(request, Response(verdict))
             case KeepKey(_, lifetime_us):
                 self._keep(request, span(lifetime_us))
             case ForgetKey():
-                if request.key:
-                    self.idempotency_keys.drop(request.key, request.id, kept_too=True)
+                if request.idempotency_key:
+                    self.idempotency_keys.drop(request.idempotency_key, request.id, kept_too=True)
             case Attach():
                 self._attach(request)
             case Call(_, until_us):
                 self._call(request, instant(until_us))
             case SkipCall():
-                request.stage, request.faulty = Stage.RUNNING, False
+                request.stage, request.call_failed = Stage.RUNNING, False
                 request.backend.skip(request)
         self._release_if_over(request)
 
@@ -583,7 +583,11 @@
         """The one place where work is started. It stands behind the module on the rules that cost a life."""
         effect = request.class_settings.effect is not Effect.SAFE
         late = self._run_after is not None and request.inbound.arrived_at > self._run_after
-        if request.answered or late or (effect and request.started and request.stage is not Stage.PAUSED):
+        if (
+            request.responded
+            or late
+            or (effect and request.may_have_run and request.stage is not Stage.PAUSED)
+        ):
             log.error("the module would run %s against the rules: given up", request.id)
             self._abandon(request)
             self._post(ClientDisconnected(request.id))
@@ -591,7 +595,7 @@
             request.stage = Stage.RUNNING
             request.backend.resume(request)
         elif request.stage is Stage.QUEUED:
-            request.stage, request.started = Stage.RUNNING, True
+            request.stage, request.may_have_run = Stage.RUNNING, True
             if request.class_settings.effect is Effect.UNSAFE:
                 self._keep(
                     request,
@@ -603,7 +607,7 @@
     def _call(self, request: Request, until: datetime) -> None:
         if request.stage is not Stage.AWAITING_CALL:
             return
-        request.stage, request.called_at = Stage.CALLING, self._timeline.now()
+        request.stage, request.call_started_at = Stage.CALLING, self._timeline.now()
         self._count(request, "calls")
         self._ports.store.call(request, until)
 
@@ -611,40 +615,44 @@
 
     def _keep(self, request: Request, window: timedelta) -> None:
         """Its name stands for so long from now on. A try that lies unread past its deadline is never run."""
-        if request.key:
+        if request.idempotency_key:
             now, unread = self._timeline.now(), span(request.class_settings.deadline_us)
             self.idempotency_keys.retain(
-                request.key, request.id, now + window, now, unread, request.inbound.digest
+                request.idempotency_key, request.id, now + window, now, unread, request.inbound.digest
             )
 
     def _standing(self, repeat: Request, known: KeyRecord) -> Request | None:
         """The try that stands for the work, while it is in hand here. Clients may use an id again for other work."""
-        original = None if known.elsewhere or known.finished else self._find(known.request_id)
-        return original if original is not None and original.key == repeat.key else None
+        original = None if known.is_remote or known.finished else self._find(known.request_id)
+        return (
+            original if original is not None and original.idempotency_key == repeat.idempotency_key else None
+        )
 
     def _attach(self, request: Request) -> None:
-        key = request.key or (request.inbound.request_class, "")
+        key = request.idempotency_key or (request.inbound.request_class, "")
         known = self.idempotency_keys.find(key, self._post_arrival(request))
         original = self._standing(request, known) if known else None
         request.stage = Stage.ATTACHED
         if known and known.result is not None:
             self._share(request, Outcome.OK, known.result)
         elif original is not None and original is not request:
-            original.waiting.append(request.id)
-        elif known is not None and known.elsewhere and not known.finished:
+            original.attached_request_ids.append(request.id)
+        elif known is not None and known.is_remote and not known.finished:
             self._claims_elsewhere.setdefault(key, []).append(request.id)
         else:
             self._share(request, Outcome.ERROR, b"")
 
     def _forward_result(self, request: Request, outcome: Outcome, result: bytes) -> None:
         """The end of a run, to the repeats that wait for it and those still to come."""
-        if request.key and request.class_settings.effect is Effect.KEYED:
-            self.idempotency_keys.finish(request.key, request.id, result if outcome is Outcome.OK else None)
-        for id in request.waiting:
+        if request.idempotency_key and request.class_settings.effect is Effect.KEYED:
+            self.idempotency_keys.finish(
+                request.idempotency_key, request.id, result if outcome is Outcome.OK else None
+            )
+        for id in request.attached_request_ids:
             repeat = self._find(id)
             if repeat is not None and repeat.stage is Stage.ATTACHED:
                 self._share(repeat, outcome if outcome is Outcome.OK else Outcome.ERROR, result)
-        request.waiting.clear()
+        request.attached_request_ids.clear()
 
     def _share(self, repeat: Request, outcome: Outcome, result: bytes) -> None:
         repeat.stage = Stage.FINISHED
@@ -678,15 +686,15 @@
 
     def _overdue(self, request: Request) -> None:
         """Behind the module, which answers earlier: at the due time the answer goes out whatever happens."""
-        if not request.answered:
+        if not request.responded:
             log.warning("%s was still unanswered when due", request.id)
             self._abandon(request)
             self._post(ClientDisconnected(request.id))
 
     def _abandon(self, request: Request) -> None:
-        if request.answered:
+        if request.responded:
             return
-        if request.started:
+        if request.may_have_run:
             self._respond(request, Response(ResponseStatus.EXPIRED))
         else:
             self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
@@ -698,7 +706,7 @@
 
     def _respond(self, request: Request, answer: Response) -> None:
         """The one place where final answers go out."""
-        if request.answered:
+        if request.responded:
             return
         self._count(request, answer.status.value)
         request.frontend.deliver(request.response_handle, answer)
@@ -706,15 +714,15 @@
 
     def _settle(self, request: Request) -> None:
         """No answer is owed any more: what is not running is over, what runs is told."""
-        request.answered = True
+        request.responded = True
         self._unanswered -= 1
-        self._timeline.cancel(request.deadline)
+        self._timeline.cancel(request.deadline_timer)
         if request.stage in (Stage.RUNNING, Stage.AWAITING_CALL, Stage.CALLING):
             request.backend.abandon(request)
         elif request.stage is not Stage.FINISHED:
-            if request.key and request.stage is Stage.QUEUED and not request.started:
+            if request.idempotency_key and request.stage is Stage.QUEUED and not request.may_have_run:
                 self.idempotency_keys.drop(
-                    request.key, request.id, kept_too=True
+                    request.idempotency_key, request.id, kept_too=True
                 )  # it never began: its name is free
             request.stage = Stage.FINISHED
             self._forward_result(request, Outcome.ERROR, b"")
@@ -722,10 +730,10 @@
 
     def _release_if_over(self, request: Request) -> None:
         """The one place where a request's slot is given back: answered, and its run over."""
-        if request.answered and request.stage is Stage.FINISHED and self._requests.free(request.handle):
+        if request.responded and request.stage is Stage.FINISHED and self._requests.free(request.handle):
             del self._by_id[request.id]
-            if request.key:
-                self.idempotency_keys.drop(request.key, request.id, kept_too=False)
+            if request.idempotency_key:
+                self.idempotency_keys.drop(request.idempotency_key, request.id, kept_too=False)
 
     def _find(self, id: str) -> Request | None:
         handle = self._by_id.get(id)
--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -43,9 +43,9 @@
     expires_at: datetime | None = None  # None: as long as that try is in hand
     result: bytes | None = None
     finished: bool = False  # that try has ended
-    elsewhere: bool = False  # it is another process's
+    is_remote: bool = False  # it is another process's
     digest: str = ""  # of what its tries have in common; "": not known
-    dropped_at: datetime | None = None  # later than `until`: what came before that may still be read
+    forget_at: datetime | None = None  # later than `until`: what came before that may still be read
 
     def matches_body(self, digest: str) -> bool:
         """A try with this digest may be one of the same work."""
@@ -91,7 +91,7 @@
     ) -> None:
         """`unread`: for so long a try that arrived before the end may not be read yet."""
         known = self._records.setdefault(key, KeyRecord(id))
-        known.request_id, known.elsewhere, known.finished, known.digest = id, False, False, digest
+        known.request_id, known.is_remote, known.finished, known.digest = id, False, False, digest
         self._expires(key, known, until, now, unread)
         self.on_changed(key, known, False)
 
@@ -101,13 +101,13 @@
         for key, known in kept:
             assert known.expires_at is not None
             self._expires(key, known, known.expires_at + by, now, unread)
-            if not known.elsewhere:
+            if not known.is_remote:
                 self.on_changed(key, known, False)
 
     def finish(self, key: IdempotencyKey, id: str, result: bytes | None) -> None:
         """The try has ended, with a result that repeats may share or without."""
         known = self._records.get(key)
-        if known is not None and known.request_id == id and not known.elsewhere:
+        if known is not None and known.request_id == id and not known.is_remote:
             known.result, known.finished = result, True
             self.on_changed(key, known, False)
 
@@ -116,7 +116,7 @@
         if (
             known is not None
             and known.request_id == id
-            and not known.elsewhere
+            and not known.is_remote
             and (kept_too or known.expires_at is None)
         ):
             del self._records[key]
@@ -127,9 +127,9 @@
     def adopt(self, key: IdempotencyKey, told: KeyRecord, now: datetime, unread: timedelta) -> None:
         """Another process says this of the work. What is known here of an own try counts for more."""
         known = self._records.get(key)
-        if known is not None and not known.elsewhere:
+        if known is not None and not known.is_remote:
             return
-        told.elsewhere = True
+        told.is_remote = True
         self._records[key] = told
         if told.expires_at is not None:
             self._expires(key, told, told.expires_at, now, unread)
@@ -137,14 +137,14 @@
     def forget(self, key: IdempotencyKey, id: str) -> bool:
         """The other's try never ran."""
         known = self._records.get(key)
-        if known is None or not known.elsewhere or known.request_id != id:
+        if known is None or not known.is_remote or known.request_id != id:
             return False
         del self._records[key]
         return True
 
-    def orphan_remote(self, until: datetime, now: datetime) -> list[IdempotencyKey]:
+    def mark_remote_outcomes_unknown(self, until: datetime, now: datetime) -> list[IdempotencyKey]:
         """Nobody will say any more how the others' tries ended: they may have run. Those not over by now."""
-        open_still = [key for key, known in self._records.items() if known.elsewhere and not known.finished]
+        open_still = [key for key, known in self._records.items() if known.is_remote and not known.finished]
         for key in open_still:
             known = self._records[key]
             known.finished = True
@@ -155,11 +155,11 @@
     def _expires(
         self, key: IdempotencyKey, known: KeyRecord, until: datetime, now: datetime, unread: timedelta
     ) -> None:
-        known.expires_at, known.dropped_at = until, until + unread
-        heapq.heappush(self._expiries, (known.dropped_at, key))
+        known.expires_at, known.forget_at = until, until + unread
+        heapq.heappush(self._expiries, (known.forget_at, key))
         while self._expiries and self._expiries[0][0] <= now:
             end, key = heapq.heappop(self._expiries)
             over = self._records.get(key)
             # An entry kept anew has a later end behind it.
-            if over is not None and over.dropped_at is not None and over.dropped_at <= end:
+            if over is not None and over.forget_at is not None and over.forget_at <= end:
                 del self._records[key]
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -135,20 +135,20 @@
     frontend: Frontend
     response_handle: ResponseHandle
     backend: Backend
-    due_at: datetime
+    deadline_at: datetime
     handle: int = 0
     stage: Stage = Stage.QUEUED
-    started: bool = False  # a run has begun, or may have
-    worked: bool = False  # a run is known to have begun
-    halting: bool = False  # told to stop, and not yet known to have stopped
-    faulty: bool = False  # its last attempt or call went wrong
-    answered: bool = False
-    deadline: Timer | None = None  # of the final answer
+    may_have_run: bool = False  # a run has begun, or may have
+    known_to_have_run: bool = False  # a run is known to have begun
+    pause_requested: bool = False  # told to stop, and not yet known to have stopped
+    call_failed: bool = False  # its last attempt or call went wrong
+    responded: bool = False
+    deadline_timer: Timer | None = None  # of the final answer
     call_body: bytes = b""
-    called_at: datetime | None = None
-    waiting: list[str] = field(default_factory=list)  # repeats attached to this one
+    call_started_at: datetime | None = None
+    attached_request_ids: list[str] = field(default_factory=list)  # repeats attached to this one
     config_versions: str = ""  # the versions of the documents that it came under, in a fleet
-    key: tuple[str, str] | None = (
+    idempotency_key: tuple[str, str] | None = (
         None  # class and name of the work that has an effect, where the wire names it
     )
 
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -13,7 +13,8 @@
 import math
 from datetime import timedelta
 
-from marlstep.core.engine import Core, RequestRejectedError
+from marlstep.core.engine import Core
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.idempotency import body_digest
 from marlstep.core.interfaces import Backend, InboundRequest, Response, ResponseStatus
 from marlstep.frontends.base import Connection, Listener
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from marlstep.core.engine import Core, RepeatedWorkError, RequestRejectedError
+from marlstep.core.engine import Core
+from marlstep.core.errors import RepeatedWorkError, RequestRejectedError
 from marlstep.core.interfaces import Backend, InboundRequest, Response, ResponseStatus
 from marlstep.frontends.base import Connection, Listener
 from marlstep.frontends.uwsgi_mapping import UwsgiMapping
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -36,7 +36,7 @@
         self.successor_draining = hooks.successor_draining
         self.adopt_measurements = core.adopt_measurements
         self.measurements = core.measurements
-        self.orphan = core.orphan_remote_keys
+        self.orphan = core.mark_remote_outcomes_unknown
         self.serve = core.serving_state.mark_ready
 
     def watch(self, handover: HotRestart) -> None:
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -11,7 +11,8 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
-from marlstep.core.engine import Core, Ports, RequestRejectedError
+from marlstep.core.engine import Core, Ports
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import InboundRequest, Request, Response, ResponseHandle, ResponseStatus
 from marlstep.standins.cores import Machine, Notice, Plan
 from marlstep.timer_queue import Timer, TimerQueue
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -116,7 +116,7 @@
             self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.FULL, ZERO))
             return
         tries = RetryPolicy(
-            request.class_settings.effect is Effect.SAFE, pool.plan.max_attempts, request.due_at
+            request.class_settings.effect is Effect.SAFE, pool.plan.max_attempts, request.deadline_at
         )
         run = self._runs[request.id] = UpstreamRequest(request, pool, now, tries)
         if not self._try(run, now):
@@ -151,7 +151,7 @@
 
     def pause(self, request: Request) -> None:
         """A server behind a socket can't be paused: the run goes on, unless nobody waits for it."""
-        if request.answered:
+        if request.responded:
             self.abandon(request)
 
     def abandon(self, request: Request) -> None:
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -5,7 +5,7 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import RepeatedWorkError, RequestRejectedError
+from marlstep.core.errors import RepeatedWorkError, RequestRejectedError
 from marlstep.core.interfaces import Request, ResponseStatus
 from marlstep.units import SECOND
 from tests.support.node import SETTINGS, Desk
--- a/tests/core/test_core_properties.py
+++ b/tests/core/test_core_properties.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import RequestRejectedError
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus, Stage
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import FIXED
@@ -43,7 +43,9 @@
     def step(self, what: str, choice: object, more: object) -> None:
         desk, core = self.desk, self.desk.core
         live = [
-            request for request in core._requests if request.started and request.stage is not Stage.PAUSED
+            request
+            for request in core._requests
+            if request.may_have_run and request.stage is not Stage.PAUSED
         ]
         match what, choice:
             case "submit", str(kind):
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import RequestRejectedError
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus, Stage
 from marlstep.core.serving_state import ServingPhase
 from marlstep.hot_restart import messages
@@ -527,10 +527,10 @@
                     self.submit(process, choice, once)
                     self.read.append((process, self.number))
             case "end":
-                live = [one for one in core._requests if one.started and one.stage is not Stage.PAUSED]
+                live = [one for one in core._requests if one.may_have_run and one.stage is not Stage.PAUSED]
                 if live:
                     request = live[number % len(live)]
-                    if choice.never_ran and not request.worked:
+                    if choice.never_ran and not request.known_to_have_run:
                         process.rights.pop(request.id, None)  # it proves that the work may come again
                     core.run_ended(request.id, choice, SECOND, b"result")
             case "tick":
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -14,7 +14,8 @@
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
 from marlstep.config import Config, ConfigError, changes, check, load, renewed
-from marlstep.core.engine import RETIRED_CLASS_GRACE, RequestRejectedError
+from marlstep.core.engine import RETIRED_CLASS_GRACE
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.node import Node
 from marlstep.simulator.configuration import read_settings
@@ -80,7 +81,7 @@
         desk.submit(number, kind)
         desk.core.apply_settings(settings(swapped))
         desk.clock.settle()
-    dues = [request.due_at - desk.clock.now() for request in desk.core._requests]
+    dues = [request.deadline_at - desk.clock.now() for request in desk.core._requests]
     assert dues == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
     entries = desk.core._controller.state.entries.by_id.values()
     assert [entry.deadline - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
