--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -1,740 +1,381 @@
-"""The core: drives the decision module on one clock and carries out what it decides.
+"""`Core` composes the request lifecycle from its parts, around the admission controller.
 
-It owns every request from `submit` until its slot is given back, the keys, the timers, the health, the drain,
-and the final answers, each of which leaves through `_answer` exactly once.
+A request goes from its frontend through the intake to the controller's queue; the controller's actions start, pause,
+call and reject; backends report what became of that; and exactly one response leaves. Each part owns its own state:
+
+- `intake` accepts or rejects, `request_registry` holds what is in flight,
+- `event_queue` brings events to the controller, `dispatcher` carries out its actions,
+- `run_events` takes the reports of backends, `responses` sends responses and ends requests,
+- `idempotency`, `repeats` and `sibling_claims` know which work has been accepted before,
+- `served_settings`, `drain`, `gauge_timers` and `counters` own what their names say.
 """
 
 from __future__ import annotations
 
-import logging
 from collections import Counter
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-from marlstep.admission.actions import (
-    Action,
-    Advertise,
-    Attach,
-    Call,
-    Fail,
-    ForgetKey,
-    Health,
-    IdleLimit,
-    KeepKey,
-    Log,
-    Preempt,
-    Reject,
-    Run,
-    SetTimer,
-    SkipCall,
-)
 from marlstep.admission.controller import Controller
 from marlstep.admission.events import (
-    Arrival,
-    CallEnded,
-    CallNeeded,
     ClientDisconnected,
-    Drain,
     Event,
     Measurements,
     Outcome,
     PoolCapacityChanged,
     PortionChanged,
     QuotaChanged,
-    RunEnded,
     SettingsChanged,
-    TimerDue,
 )
-from marlstep.admission.settings import ClassSettings, Effect, PreemptionMode, Settings
-from marlstep.core.errors import RepeatedWorkError, RequestRejectedError
-from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable, encode_label
+from marlstep.admission.settings import ClassSettings, Settings, TenantSettings
+from marlstep.core.arrivals import ControllerArrivals
+from marlstep.core.counters import DISCONNECTED_COUNT, RequestCounters
+from marlstep.core.dispatcher import ActionDispatcher
+from marlstep.core.drain import GracefulShutdown
+from marlstep.core.event_queue import EventQueue
+from marlstep.core.gauge_timers import GaugeTimers
+from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable
+from marlstep.core.intake import Intake
 from marlstep.core.interfaces import (
     Backend,
     CallClient,
-    ClaimResult,
     Frontend,
     GaugeSource,
     InboundRequest,
-    Request,
-    Response,
     ResponseHandle,
-    ResponseStatus,
     SiblingProcesses,
-    Stage,
 )
+from marlstep.core.repeats import RepeatedWork
+from marlstep.core.request_registry import MAX_REQUESTS, RequestRegistry
+from marlstep.core.responses import ResponseDelivery
+from marlstep.core.run_events import RunEvents
+from marlstep.core.served_settings import ServedSettings
 from marlstep.core.serving_state import ServingState
-from marlstep.slots import SlotTable, TableFullError
-from marlstep.timer_queue import Timer, TimerQueue
-from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO, instant, instant_us, span, span_us
-
-log = logging.getLogger(__name__)
-
-GAUGES_MAX_AGE = 100 * MILLISECOND  # readings this young serve a timer as they are
-GAUGES_TIMEOUT = 20 * MILLISECOND  # a timer waits no longer for new ones
-STOP_MARGIN = 150 * MILLISECOND  # before the process is stopped, all that is left is answered
-MAX_REQUESTS = 8_192  # in hand at once, about 40 MB; far beyond what the module's hold takes
-
-
-ELSEWHERE_PREFIX = "elsewhere/"  # before the id of another process's try, which may be that of one here
-RETIRED_CLASS_GRACE = (
-    3 * SECOND
-)  # front ends hear late that a class or a tenant is gone: until then it is still taken
+from marlstep.core.sibling_claims import SiblingClaims
+from marlstep.timer_queue import TimerQueue
+from marlstep.units import instant_us, span
 
 
 @dataclass(slots=True)
 class Ports:
+    """What the core asks for gauges and for downstream calls."""
+
     gauges: GaugeSource
-    store: CallClient
+    call_client: CallClient
 
 
 class Core:
+    """The request lifecycle of one process, on one clock. It is the `EventSink` of backends and call clients.
+
+    Attributes:
+        serving_state: whether the process starts, serves or leaves.
+        idempotency_keys: the work that this process and its siblings have accepted.
+        on_backend_ready: called when the backend is up; marks the process ready unless something else decides that.
+    """
+
     def __init__(
         self,
         settings: Settings,
         seed: int,
         timeline: TimerQueue,
         ports: Ports,
-        most_requests: int = MAX_REQUESTS,
+        max_requests: int = MAX_REQUESTS,
     ) -> None:
-        self.settings = settings
-        self.classes = {kind.name: kind for kind in settings.classes}
-        self._retired: dict[str, datetime] = {}  # classes that are gone, and until when they are taken
-        self.tenants = {tenant.name: tenant for tenant in settings.tenants}
-        self._former: dict[str, datetime] = {}  # tenants that are gone, likewise
-        self.tenant_counts: dict[str, Counter[str]] = {name: Counter() for name in self.tenants}
-        self.advertised_value: float | None = None  # the free value, carried by every answer
-        self.serving_state = ServingState()
-        self.counts: Counter[str] = Counter()
-        self.stops_at: datetime | None = None
-        self.on_grace_over: Callable[[], None] = lambda: None
-        # Whether new work may be taken at all: in a fleet, not without rules to take it under.
-        self.accepts_work: Callable[[], bool] | None = None
-        self.config_versions = ""  # the versions of the documents that this node acts on, for the record
-        self.on_backend_ready: Callable[[], None] = self.serving_state.mark_ready
-        self._ports = ports
+        """Compose the parts; nothing happens before `start`.
+
+        Args:
+            settings: the first ones in force.
+            seed: of the controller's random choices.
+            timeline: the clock and the timers of everything here.
+            ports: for gauges and downstream calls.
+            max_requests: in flight at once. Raises InvalidTableLimitError for a number that no table can have.
+        """
         self._timeline = timeline
         self._controller = Controller(settings, seed)
-        self._requests: SlotTable[Request] = SlotTable(most_requests)
-        self._by_id: dict[str, int] = {}
-        self.idempotency_keys = KeyTable()
-        self.siblings: SiblingProcesses | None = None  # other processes of this node, while there are any
-        self._claims_elsewhere: dict[
-            IdempotencyKey, list[str]
-        ] = {}  # repeats that wait for what runs in another process
-        self._most = most_requests  # in hand: less while two processes share the node
+        self._events = EventQueue(timeline, self._decide)
+        self._served = ServedSettings(settings)
+        self._counters = RequestCounters(self._served.tenants)
+        self._requests = RequestRegistry(max_requests)
         self._frontends: list[Frontend] = []
-        self._module_well = True  # what the module would have health checks told
-        self._events: list[Event] = []
-        self._turn_due = False
-        self._unanswered = 0
-        self._readings: Mapping[str, float] = {}
-        self._read_at: datetime | None = None
-        self._ticks: list[int] = []  # tags of timers that wait for readings
-        self._tick_wait: Timer | None = None
-        self._run_after: datetime | None = None  # what arrived later is not run: we leave
+        self.serving_state = ServingState()
+        self.idempotency_keys = KeyTable()
+        self.on_backend_ready: Callable[[], None] = self.serving_state.mark_ready
+        requests, keys, events, served = self._requests, self.idempotency_keys, self._events, self._served
+        self._responses = ResponseDelivery(timeline, requests, keys, self._counters, events, served)
+        self._repeats = RepeatedWork(timeline, requests, keys, self._responses, served)
+        arrivals = ControllerArrivals(timeline, requests, keys, events)
+        self._claims = SiblingClaims(timeline, keys, arrivals, self._responses)
+        self._intake = Intake(
+            timeline, served, requests, keys, self._counters, self._responses, arrivals, self._claims
+        )
+        self._run_events = RunEvents(
+            timeline, requests, self._responses, self._repeats, events, served, ports.call_client
+        )
+        self._shutdown = GracefulShutdown(
+            timeline, self.serving_state, requests, self._responses, events, self._frontends
+        )
+        self._gauge_timers = GaugeTimers(timeline, ports.gauges, events.post)
+        self._dispatcher = ActionDispatcher(
+            timeline,
+            requests,
+            self._responses,
+            self._repeats,
+            self._counters,
+            self._gauge_timers,
+            self._shutdown,
+            self._frontends,
+            ports.call_client,
+        )
 
     def start(self) -> None:
+        """Let the controller set its first timers."""
         self._decide([])
 
-    def add_frontend(self, front: Frontend) -> None:
-        self._frontends.append(front)
+    def _decide(self, events: list[Event]) -> None:
+        now_us = instant_us(self._timeline.now())
+        self._dispatcher.execute_all(self._controller.decide(now_us, events))
 
-    @property
-    def healthy(self) -> bool:
-        """What health checks are told."""
-        return (
-            self._module_well
-            and self.serving_state.wants_traffic
-            and (self.accepts_work is None or self.accepts_work())
-        )
+    # From frontends.
 
-    @property
-    def draining(self) -> bool:
-        return self.stops_at is not None
+    def add_frontend(self, frontend: Frontend) -> None:
+        """Tell this frontend about idle limits and the end of accepting from now on."""
+        self._frontends.append(frontend)
 
-    @property
-    def shutdown_requested(self) -> bool:
-        return self._run_after is not None
+    def submit(
+        self, frontend: Frontend, response_handle: ResponseHandle, backend: Backend, inbound: InboundRequest
+    ) -> int:
+        """Accept a request. From here on it is owed one response, which leaves in a later turn of the loop.
 
-    @property
-    def in_grace(self) -> bool:
-        """The notice to leave has come, and arrivals are still run."""
-        return self._run_after is not None and self._timeline.now() < self._run_after
+        Args:
+            frontend: which delivers the response.
+            response_handle: given back with the response.
+            backend: which runs the request.
+            inbound: the request as it was read.
+
+        Returns:
+            The handle by which the frontend reports that the client has disconnected.
+
+        Raises:
+            RequestRejectedError: the request broke a rule of the intake; nothing ran, and no response follows.
+        """
+        return self._intake.submit(frontend, response_handle, backend, inbound)
+
+    def client_disconnected(self, handle: int) -> None:
+        """Owe the client no response any more. A handle of a request that is over is ignored."""
+        request = self._requests.get(handle)
+        if request is not None and not request.responded:
+            self._counters.count(request, DISCONNECTED_COUNT)
+            self._events.post(ClientDisconnected(request.id))
+            self._responses.settle(request)
+
+    # From backends and call clients: see `EventSink`.
+
+    def backend_ready(self) -> None:
+        """Hear that the backend is up."""
+        self.on_backend_ready()
+
+    def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None:
+        """Hear that a run has ended or paused."""
+        self._run_events.run_ended(id, outcome, elapsed, result)
+
+    def call_needed(self, id: str, body: bytes) -> None:
+        """Hear that a run waits for a downstream call."""
+        self._run_events.call_needed(id, body)
+
+    def call_ended(self, id: str, outcome: Outcome, reply: bytes = b"") -> None:
+        """Hear that a downstream call has ended."""
+        self._run_events.call_ended(id, outcome, reply)
+
+    def pool_capacity(self, pool: str, capacity: int) -> None:
+        """Hear how many requests the servers of a pool run at once from now on."""
+        self._events.post(PoolCapacityChanged(pool, capacity))
+
+    def gauges(self, values: Mapping[str, float]) -> None:
+        """Take new readings of the gauges."""
+        self._gauge_timers.record(values)
+
+    # Settings.
 
     @property
-    def unanswered(self) -> int:
-        return self._unanswered
+    def settings(self) -> Settings:
+        """The settings in force, without quotas that were changed at run time."""
+        return self._served.settings
 
     @property
-    def in_flight(self) -> int:
-        return len(self._requests)
+    def classes(self) -> Mapping[str, ClassSettings]:
+        """The accepted classes by name, those included that were removed a short time ago."""
+        return self._served.classes
 
     @property
-    def request_counts(self) -> tuple[int, int, int]:
-        """Requests read so far, of them refused, and failed or late."""
-        failed = self.counts[ResponseStatus.FAILED.value] + self.counts[ResponseStatus.EXPIRED.value]
-        return self.counts["read"], self.counts[ResponseStatus.REJECTED.value], failed
+    def tenants(self) -> Mapping[str, TenantSettings]:
+        """The tenants by name, with the quotas in force."""
+        return self._served.tenants
 
-    # From fronts.
+    def set_quota(self, tenant: str, per_s: float) -> None:
+        """Change a tenant's quota, in requests a second. Raises KeyError for an unknown tenant."""
+        self._served.set_quota(tenant, per_s)
+        self._events.post(QuotaChanged(tenant, per_s))
 
-    def submit(self, front: Frontend, ticket: ResponseHandle, backend: Backend, offer: InboundRequest) -> int:
-        """Take a request that was read. From here on it is owed one answer, unless this raises Refused."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Put other settings in force. Requests in flight keep the class that they came with."""
         now = self._timeline.now()
-        kind = self.classes.get(offer.request_class)
-        if kind is None or self._retired.get(offer.request_class, now) < now:
-            raise RequestRejectedError(f"unknown class {offer.request_class[:64]!r}")
-        tenant = offer.tenant or ""
-        strange = bool(self.tenants and tenant) and tenant not in self.tenants
-        if strange and self._former.get(tenant, EPOCH) < now:
-            raise RequestRejectedError(f"unknown tenant {tenant[:64]!r}")
-        if kind.effect is Effect.KEYED and not offer.idempotency_key:
-            raise RequestRejectedError("work that must not run twice, without the name that its tries share")
-        if offer.id in self._by_id:
-            raise RepeatedWorkError("an id that is in hand already")
-        key = (
-            (offer.request_class, offer.idempotency_key)
-            if offer.idempotency_key and kind.effect is not Effect.SAFE
-            else None
-        )
-        prior = self.idempotency_keys.find(key, min(now, offer.arrived_at)) if key else None
-        if prior and kind.effect is Effect.UNSAFE:
-            raise RepeatedWorkError("a repeat of work that must not run twice")
-        if prior and not prior.matches_body(offer.digest):
-            raise RepeatedWorkError("a name in use for work with another body")
-        due = max(now, offer.arrived_at + span(kind.deadline_us))
-        request = Request(
-            offer,
-            kind,
-            front,
-            ticket,
-            backend,
-            due,
-            config_versions=self.config_versions,
-            idempotency_key=key,
-        )
-        if len(self._requests) >= self._most:
-            raise RequestRejectedError("too many in hand for this process's part of the node")
-        try:
-            request.handle = self._requests.add(request)
-        except TableFullError as fault:
-            raise RequestRejectedError(str(fault)) from fault
-        self._by_id[offer.id] = request.handle
-        request.deadline_timer = self._timeline.at(due, lambda: self._overdue(request))
-        self._unanswered += 1
-        self._count(request, "read")
-        if self.accepts_work is not None and not self.accepts_work():
-            # Told in a turn of its own: the front does not have the handle yet.
-            self._timeline.soon(lambda: self._reject(request))
-            return request.handle
-        if key and prior is None and self.siblings is not None:
-            request.stage = Stage.CLAIMING
-
-            def told(outcome: ClaimResult) -> None:
-                # It may be told before this returns, and no answer leaves before the front has its handle.
-                self._timeline.soon(lambda: self._claim_decided(request, key, outcome))
-
-            if self.siblings.claim(*key, encode_label(offer.id, offer.digest), now, told):
-                return request.handle
-        self._enqueue(request, prior)
-        return request.handle
-
-    def _reject(self, request: Request) -> None:
-        """There are no rules here to take it under: the module never hears of it."""
-        if not request.responded:
-            self._count(request, "without rules")
-            self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
-
-    def _enqueue(self, request: Request, prior: KeyRecord | None) -> None:
-        """The module hears of it."""
-        offer = request.inbound
-        request.stage = Stage.QUEUED
-        if request.idempotency_key:
-            self.idempotency_keys.record(
-                request.idempotency_key, offer.id, self._post_arrival(request), request.inbound.digest
-            )
-        self._post(
-            Arrival(
-                id=offer.id,
-                request_class=offer.request_class,
-                memory_kb=offer.memory_kb,
-                caller=offer.caller,
-                unread_us=max(0, span_us(self._timeline.now() - offer.arrived_at)),
-                tenant=offer.tenant,
-                key=offer.entity,
-                is_retry=offer.is_retry,
-                rank=offer.rank,
-                cost_hint_us=None if offer.cost_hint is None else span_us(offer.cost_hint),
-                # One that is not in hand any more has run, or may have: its id may be another's by now.
-                prior=None
-                if prior is None
-                else prior.request_id
-                if self._standing(request, prior)
-                else ELSEWHERE_PREFIX + prior.request_id,
-                is_write=request.class_settings.effect is not Effect.SAFE,
-                pool=offer.pool,
-            )
-        )
+        change = self._served.change(settings, now)
+        self._counters.set_tenants(self._served.tenants)
+        for extension in change.window_extensions:
+            self.idempotency_keys.extend(extension.request_class, extension.added, now, extension.deadline)
+        if change.load_signal_changed:
+            self._dispatcher.signals.advertised_value = None  # callers would misread it
+        self._events.post(SettingsChanged(change.effective, change.retired))
 
-    def _post_arrival(self, request: Request) -> datetime:
-        """The moment at which it counts as having arrived: a caller's clock may run ahead."""
-        return min(self._timeline.now(), request.inbound.arrived_at)
-
-    def _claim_decided(self, request: Request, key: IdempotencyKey, told: ClaimResult) -> None:
-        """Another process of this node has said whether the work may be held here, or nobody can."""
-        if told is ClaimResult.GRANTED:
-            self.idempotency_keys.forget(
-                key, request.id
-            )  # the other has noted this very try, and may have said so
-        came = self._post_arrival(request)
-        prior = self.idempotency_keys.find(key, came)
-        if request.stage is not Stage.CLAIMING:  # its time is over: what was granted is given back
-            if told is ClaimResult.GRANTED and prior is None:
-                self.idempotency_keys.record(key, request.id, came, request.inbound.digest)
-                self.idempotency_keys.drop(key, request.id, kept_too=False)
-        elif prior is not None and (
-            request.class_settings.effect is Effect.UNSAFE or not prior.matches_body(request.inbound.digest)
-        ):
-            self._respond(request, Response(ResponseStatus.FAILED))
-        elif prior is not None or told is ClaimResult.GRANTED:
-            self._enqueue(request, prior)
-        else:  # it may have run there, and did not run here
-            self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
+    @property
+    def accepts_work(self) -> Callable[[], bool] | None:
+        """Whether there is a configuration to accept work under; None where there always is one."""
+        return self._intake.accepts_work
 
-    def client_disconnected(self, handle: int) -> None:
-        """Nobody can take the answer any more."""
-        request = self._requests.get(handle)
-        if request is not None and not request.responded:
-            self._count(request, "gone")
-            self._post(ClientDisconnected(request.id))
-            self._settle(request)
+    @accepts_work.setter
+    def accepts_work(self, accepts_work: Callable[[], bool]) -> None:
+        self._intake.accepts_work = accepts_work
 
-    def set_quota(self, tenant: str, per_s: float) -> None:
-        """Change a tenant's allowance from now on."""
-        self.tenants[tenant] = replace(self.tenants[tenant], quota_per_s=per_s)
-        self._post(QuotaChanged(tenant, per_s))
+    @property
+    def config_versions(self) -> str:
+        """The versions of the cluster's documents that this node acts on, as requests record them."""
+        return self._intake.config_versions
 
-    def apply_settings(self, settings: Settings) -> None:
-        """Other settings from now on. What is in hand keeps the class that it came with.
+    @config_versions.setter
+    def config_versions(self, versions: str) -> None:
+        self._intake.config_versions = versions
 
-        An allowance that was changed here stays, unless the settings' own figure for it has changed.
-        """
-        now, old = self._timeline.now(), self.settings
-        told = {tenant.name: tenant for tenant in old.tenants}
-        self.tenants = {
-            tenant.name: self.tenants[tenant.name] if told.get(tenant.name) == tenant else tenant
-            for tenant in settings.tenants
-        }
-        self.tenant_counts = {name: self.tenant_counts.get(name, Counter()) for name in self.tenants}
-        self._former = {name: end for name, end in self._former.items() if end >= now}
-        self._former |= dict.fromkeys(told.keys() - self.tenants.keys(), now + RETIRED_CLASS_GRACE)
-        told_kinds = {kind.name: kind for kind in old.classes}
-        names = {kind.name for kind in settings.classes}
-        gone = {kind.name: kind for kind in old.classes if kind.name not in names}
-        until = {name: end for name, end in self._retired.items() if end >= now and name not in names}
-        retired: dict[str, ClassSettings] = {name: self.classes[name] for name in until} | gone
-        self._retired = until | dict.fromkeys(gone, now + RETIRED_CLASS_GRACE)
-        self.classes = retired | {kind.name: kind for kind in settings.classes}
-        for kind in settings.classes:  # what ran under a shorter window must not come again within this one
-            was = told_kinds.get(kind.name)
-            if was is not None and kind.idempotency_window_us > was.idempotency_window_us:
-                self.idempotency_keys.extend(
-                    kind.name,
-                    span(kind.idempotency_window_us - was.idempotency_window_us),
-                    now,
-                    span(kind.deadline_us),
-                )
-        if settings.load_signal is not old.load_signal:
-            self.advertised_value = None  # it was a number of another kind
-        self.settings = settings
-        self._post(
-            SettingsChanged(replace(settings, tenants=tuple(self.tenants.values())), tuple(retired.values()))
-        )
+    # Figures.
 
-    def _count(self, request: Request, what: str) -> None:
-        self.counts[what] += 1
-        if (counts := self.tenant_counts.get(request.inbound.tenant or "")) is not None:
-            counts[what] += 1
+    @property
+    def healthy(self) -> bool:
+        """Whether health checks succeed: the controller, the operator and the configuration all agree."""
+        return (
+            self._dispatcher.signals.is_healthy
+            and self.serving_state.wants_traffic
+            and (self.accepts_work is None or self.accepts_work())
+        )
 
-    # From backends and stores.
+    @property
+    def advertised_value(self) -> float | None:
+        """The load signal that every response carries; None for none."""
+        return self._dispatcher.signals.advertised_value
 
-    def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None:
-        request = self._find(id)
-        if request is None:
-            return
-        if outcome is Outcome.CANCELLED and request.pause_requested and not request.responded:
-            request.pause_requested = False
-            request.known_to_have_run = True
-            dropped = self.settings.preemption_mode is PreemptionMode.DROP
-            request.stage = Stage.QUEUED if dropped else Stage.PAUSED
-        else:
-            if request.stage is Stage.CALLING:
-                self._ports.store.abandon_call(request)
-            request.stage = Stage.FINISHED
-            self._respond(request, self._response_for(request, outcome, result))
-            self._forward_result(request, outcome, result)
-            if outcome is Outcome.CANCELLED:
-                # It was not halted, and is over here: told as cancelled, the module would take it for paused,
-                # and keep it beside a request that comes under its id later.
-                outcome = Outcome.ERROR
-        self._post(RunEnded(id, outcome, span_us(elapsed)))
-        self._release_if_over(request)
-
-    def _response_for(self, request: Request, outcome: Outcome, result: bytes) -> Response:
-        if outcome is Outcome.OK:
-            return Response(ResponseStatus.DONE, result)
-        if outcome.never_ran and not request.known_to_have_run:
-            if request.idempotency_key:  # the work may come again
-                self.idempotency_keys.drop(request.idempotency_key, request.id, kept_too=True)
-            return Response(ResponseStatus.REJECTED, retry_after=self._retry_after())
-        return Response(ResponseStatus.FAILED)
+    @property
+    def counts(self) -> Counter[str]:
+        """Counts of what happened to requests, by the names in `counters`."""
+        return self._counters.totals
 
-    def backend_ready(self) -> None:
-        self.on_backend_ready()
+    @property
+    def tenant_counts(self) -> Mapping[str, Counter[str]]:
+        """The same for each tenant in force."""
+        return self._counters.by_tenant
 
-    def call_needed(self, id: str, body: bytes) -> None:
-        request = self._find(id)
-        if request is not None:
-            request.stage, request.call_body, request.known_to_have_run = Stage.AWAITING_CALL, body, True
-            request.pause_requested = False  # it came to the call before the halt reached it
-            self._post(CallNeeded(id))
+    @property
+    def request_counts(self) -> tuple[int, int, int]:
+        """Requests accepted at intake so far, of them those rejected, and those failed or expired."""
+        return self._counters.accepted_rejected_failed()
 
-    def call_ended(self, id: str, outcome: Outcome, reply: bytes = b"") -> None:
-        request = self._find(id)
-        if request is None or request.stage is not Stage.CALLING:
-            return
-        now = self._timeline.now()
-        elapsed = now - (request.call_started_at or now)
-        request.call_failed = outcome is not Outcome.OK
-        if outcome is Outcome.OK:
-            request.stage = Stage.RUNNING
-            request.backend.supply(request, reply)
-        else:
-            request.stage = Stage.AWAITING_CALL
-        self._post(CallEnded(id, outcome, span_us(elapsed)))
-
-    def pool_capacity(self, pool: str, most: int) -> None:
-        self._post(PoolCapacityChanged(pool, most))
+    @property
+    def unanswered(self) -> int:
+        """Accepted requests that are still owed a response."""
+        return self._responses.unanswered
 
-    def gauges(self, values: Mapping[str, float]) -> None:
-        self._readings, self._read_at = values, self._timeline.now()
-        if self._ticks:
-            self._post_ticks()
+    @property
+    def in_flight(self) -> int:
+        """Accepted requests whose response or run is not over."""
+        return len(self._requests)
 
     # Other processes of this node.
 
-    def set_capacity_share(self, share: float, most_requests: int) -> None:
-        """This process's part of the node's room, from now on."""
-        self._most = min(most_requests, self._requests.limit)
-        self._post(PortionChanged(share))
+    @property
+    def siblings(self) -> SiblingProcesses | None:
+        """The other processes, which are asked about keyed work; None while there are none."""
+        return self._claims.siblings
+
+    @siblings.setter
+    def siblings(self, siblings: SiblingProcesses | None) -> None:
+        self._claims.siblings = siblings
+
+    def set_capacity_share(self, share: float, max_requests: int) -> None:
+        """Bound this process to its part of the node from now on.
+
+        Args:
+            share: of the memory and concurrency that the controller may use, 0 to 1.
+            max_requests: in flight at once.
+        """
+        self._requests.set_capacity(max_requests)
+        self._events.post(PortionChanged(share))
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        """Of the node's room: what is in use here, and what all that is in hand may come to use."""
+        """Return the shares of the node that are in use here, and that all requests in flight may come to use."""
         return self._controller.memory_and_concurrency_in_use()
 
     def measurements(self) -> dict[str, object]:
+        """Return what the controller has measured, for the controller of another process."""
         return self._controller.measurements().to_json()
 
-    def adopt_measurements(self, learnt: Mapping[str, object]) -> None:
-        """What the module of another process of this node has learnt; what makes no sense is left out."""
-        self._post(Measurements.from_mapping(learnt))
+    def adopt_measurements(self, measured: Mapping[str, object]) -> None:
+        """Start from what another process's controller has measured; implausible values are left out."""
+        self._events.post(Measurements.from_mapping(measured))
 
-    def adopt_remote_key(self, key: IdempotencyKey, told: KeyRecord) -> None:
-        """Another process says this of a piece of work."""
-        kind = self.classes.get(key[0])
-        self.idempotency_keys.adopt(key, told, self._timeline.now(), span(kind.deadline_us) if kind else ZERO)
-        if told.finished or told.result is not None:
-            self._abroad_over(key, told.result)
+    def adopt_remote_key(self, key: IdempotencyKey, remote: KeyRecord) -> None:
+        """Enter what another process says of a piece of work."""
+        self._repeats.adopt_remote(key, remote)
 
-    def forget_remote_key(self, key: IdempotencyKey, id: str) -> None:
-        """The other's try never ran."""
-        if self.idempotency_keys.forget(key, id):
-            self._abroad_over(key, None)
+    def forget_remote_key(self, key: IdempotencyKey, request_id: str) -> None:
+        """Hear that another process's request never ran."""
+        self._repeats.forget_remote(key, request_id)
 
-    def mark_remote_outcomes_unknown(self, until: datetime) -> None:
-        """Nobody will say any more how the others' tries ended."""
-        for key in self.idempotency_keys.mark_remote_outcomes_unknown(until, self._timeline.now()):
-            self._abroad_over(key, None)
+    def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
+        """Hear that nobody reports any more how the other processes' requests end.
 
-    def _abroad_over(self, key: IdempotencyKey, result: bytes | None) -> None:
-        for id in self._claims_elsewhere.pop(key, ()):
-            if (repeat := self._find(id)) is not None and repeat.stage is Stage.ATTACHED:
-                self._share(repeat, Outcome.ERROR if result is None else Outcome.OK, result or b"")
+        Their work stays known until `expires_at` at least.
+        """
+        self._repeats.mark_remote_outcomes_unknown(expires_at)
 
-    # The drain.
+    # Leaving.
 
-    def drain(self, stops_at: datetime, noticed: datetime | None = None) -> None:
-        """The notice to leave: arrivals of the grace may run, and all is answered before the end.
+    @property
+    def stops_at(self) -> datetime | None:
+        """When the process is stopped; None while it stays."""
+        return self._shutdown.stops_at
 
-        The grace counts from when the notice came, which may be before this is told.
-        """
-        if not self.serving_state.begin_drain():
-            return
-        noticed = noticed or self._timeline.now()
-        self._run_after = noticed + span(self.settings.drain_grace_us)
-        self._end_at(stops_at)
-        self._post(Drain(instant_us(stops_at), noticed_at=instant_us(noticed)))
-        self._timeline.at(
-            min(self._run_after, stops_at - STOP_MARGIN),
-            lambda: self._timeline.after_reading(self._grace_over),
-        )
+    @property
+    def draining(self) -> bool:
+        """Whether the process leaves, alone or beside a successor."""
+        return self._shutdown.stops_at is not None
 
-    def begin_hand_over(self, stops_at: datetime) -> None:
-        """Another process takes what comes from now on: what is here, and still comes here, is run as ever."""
-        if self.stops_at is None:
-            self.serving_state.begin_hand_over()
-            self._end_at(stops_at)
-            self._post(Drain(instant_us(stops_at), has_successor=True))
-            # What has come to a socket of this process alone is read first: nobody else will.
-            self._timeline.after_reading(self._handed_over)
-
-    def _handed_over(self) -> None:
-        if not self.shutdown_requested:  # else the successor was lost meanwhile: it is a drain by now
-            self._grace_over()
-
-    def _end_at(self, stops_at: datetime) -> None:
-        self.stops_at = min(stops_at, self.stops_at or stops_at)
-        log.info("leaving: %d in hand, %d unanswered", self.in_flight, self.unanswered)
-        self._timeline.at(self.stops_at - STOP_MARGIN, self._answer_remaining)
-
-    def _grace_over(self) -> None:
-        for front in self._frontends:
-            front.stop_accepting()
-        self.on_grace_over()
-
-    def _answer_remaining(self) -> None:
-        """The module answers well before this; it is what stands behind it."""
-        for request in self._requests:
-            self._abandon(request)
-
-    # Turns of the module.
-
-    def _post(self, event: Event) -> None:
-        self._events.append(event)
-        if not self._turn_due:
-            self._turn_due = True
-            self._timeline.soon(self._run_turn)
-
-    def _run_turn(self) -> None:
-        self._turn_due = False
-        events, self._events = self._events, []
-        self._decide(events)
+    @property
+    def shutdown_requested(self) -> bool:
+        """Whether a graceful shutdown has begun; handing over to a successor is none."""
+        return self._shutdown.is_draining
 
-    def _decide(self, events: list[Event]) -> None:
-        for action in self._controller.decide(instant_us(self._timeline.now()), events):
-            try:
-                self._execute(action)
-            except Exception:  # one action that fails must not take the others of its turn along
-                log.exception("%s was not carried out", action)
-
-    def _execute(self, action: Action) -> None:
-        match action:
-            case SetTimer(after_us, tag):
-                self._timeline.at(self._timeline.now() + span(after_us), lambda: self._timer(tag))
-            case Advertise(value):
-                self.advertised_value = value
-            case Health(_, good):
-                self._module_well = good
-            case IdleLimit(after_us):
-                for front in self._frontends:
-                    front.limit_idle_time(span(after_us))
-            case Log(text):
-                log.info("module: %s", text)
-            case _ if (request := self._find(action.id)) is not None:
-                self._execute_on_request(request, action)
-
-    def _execute_on_request(self, request: Request, action: Action) -> None:
-        match action:
-            case Run():
-                self._run(request)
-            case Preempt():
-                if request.stage is Stage.RUNNING:
-                    request.pause_requested = True
-                    request.backend.pause(request)
-            case Reject(_, retry_after_us, give_up):
-                if request.may_have_run and request.class_settings.effect is not Effect.SAFE:
-                    log.error("the module refused work that has run: failed instead")
-                    self._respond(request, Response(ResponseStatus.FAILED))
-                else:
-                    self._respond(
-                        request,
-                        Response(
-                            ResponseStatus.REJECTED, retry_after=span(retry_after_us), no_failover=give_up
-                        ),
-                    )
-            case Fail():
-                verdict = ResponseStatus.FAILED if request.call_failed else ResponseStatus.EXPIRED
-                self._respond(request, Response(verdict))
-            case KeepKey(_, lifetime_us):
-                self._keep(request, span(lifetime_us))
-            case ForgetKey():
-                if request.idempotency_key:
-                    self.idempotency_keys.drop(request.idempotency_key, request.id, kept_too=True)
-            case Attach():
-                self._attach(request)
-            case Call(_, until_us):
-                self._call(request, instant(until_us))
-            case SkipCall():
-                request.stage, request.call_failed = Stage.RUNNING, False
-                request.backend.skip(request)
-        self._release_if_over(request)
-
-    def _run(self, request: Request) -> None:
-        """The one place where work is started. It stands behind the module on the rules that cost a life."""
-        effect = request.class_settings.effect is not Effect.SAFE
-        late = self._run_after is not None and request.inbound.arrived_at > self._run_after
-        if (
-            request.responded
-            or late
-            or (effect and request.may_have_run and request.stage is not Stage.PAUSED)
-        ):
-            log.error("the module would run %s against the rules: given up", request.id)
-            self._abandon(request)
-            self._post(ClientDisconnected(request.id))
-        elif request.stage is Stage.PAUSED:
-            request.stage = Stage.RUNNING
-            request.backend.resume(request)
-        elif request.stage is Stage.QUEUED:
-            request.stage, request.may_have_run = Stage.RUNNING, True
-            if request.class_settings.effect is Effect.UNSAFE:
-                self._keep(
-                    request,
-                    span(request.class_settings.idempotency_window_us + request.class_settings.deadline_us),
-                )
-            self._count(request, "runs")
-            request.backend.start(request)
-
-    def _call(self, request: Request, until: datetime) -> None:
-        if request.stage is not Stage.AWAITING_CALL:
-            return
-        request.stage, request.call_started_at = Stage.CALLING, self._timeline.now()
-        self._count(request, "calls")
-        self._ports.store.call(request, until)
-
-    # Repeats of work that has an effect.
-
-    def _keep(self, request: Request, window: timedelta) -> None:
-        """Its name stands for so long from now on. A try that lies unread past its deadline is never run."""
-        if request.idempotency_key:
-            now, unread = self._timeline.now(), span(request.class_settings.deadline_us)
-            self.idempotency_keys.retain(
-                request.idempotency_key, request.id, now + window, now, unread, request.inbound.digest
-            )
-
-    def _standing(self, repeat: Request, known: KeyRecord) -> Request | None:
-        """The try that stands for the work, while it is in hand here. Clients may use an id again for other work."""
-        original = None if known.is_remote or known.finished else self._find(known.request_id)
-        return (
-            original if original is not None and original.idempotency_key == repeat.idempotency_key else None
-        )
+    @property
+    def in_grace(self) -> bool:
+        """Whether a graceful shutdown has begun and arrivals are still run."""
+        return self._shutdown.in_grace
 
-    def _attach(self, request: Request) -> None:
-        key = request.idempotency_key or (request.inbound.request_class, "")
-        known = self.idempotency_keys.find(key, self._post_arrival(request))
-        original = self._standing(request, known) if known else None
-        request.stage = Stage.ATTACHED
-        if known and known.result is not None:
-            self._share(request, Outcome.OK, known.result)
-        elif original is not None and original is not request:
-            original.attached_request_ids.append(request.id)
-        elif known is not None and known.is_remote and not known.finished:
-            self._claims_elsewhere.setdefault(key, []).append(request.id)
-        else:
-            self._share(request, Outcome.ERROR, b"")
-
-    def _forward_result(self, request: Request, outcome: Outcome, result: bytes) -> None:
-        """The end of a run, to the repeats that wait for it and those still to come."""
-        if request.idempotency_key and request.class_settings.effect is Effect.KEYED:
-            self.idempotency_keys.finish(
-                request.idempotency_key, request.id, result if outcome is Outcome.OK else None
-            )
-        for id in request.attached_request_ids:
-            repeat = self._find(id)
-            if repeat is not None and repeat.stage is Stage.ATTACHED:
-                self._share(repeat, outcome if outcome is Outcome.OK else Outcome.ERROR, result)
-        request.attached_request_ids.clear()
-
-    def _share(self, repeat: Request, outcome: Outcome, result: bytes) -> None:
-        repeat.stage = Stage.FINISHED
-        self._respond(
-            repeat,
-            Response(ResponseStatus.DONE, result)
-            if outcome is Outcome.OK
-            else Response(ResponseStatus.FAILED),
-        )
-        self._post(RunEnded(repeat.id, outcome, 0))
-        self._release_if_over(repeat)
-
-    # Timers.
-
-    def _timer(self, tag: int) -> None:
-        self._ticks.append(tag)
-        if self._read_at is not None and self._timeline.now() - self._read_at <= GAUGES_MAX_AGE:
-            return self._post_ticks()
-        self._ports.gauges.request_gauges()
-        if self._tick_wait is None:
-            self._tick_wait = self._timeline.at(self._timeline.now() + GAUGES_TIMEOUT, self._post_ticks)
-
-    def _post_ticks(self) -> None:
-        self._timeline.cancel(self._tick_wait)
-        self._tick_wait = None
-        for tag in self._ticks:
-            self._post(TimerDue(tag, self._readings))
-        self._ticks.clear()
-
-    # The end of requests.
-
-    def _overdue(self, request: Request) -> None:
-        """Behind the module, which answers earlier: at the due time the answer goes out whatever happens."""
-        if not request.responded:
-            log.warning("%s was still unanswered when due", request.id)
-            self._abandon(request)
-            self._post(ClientDisconnected(request.id))
-
-    def _abandon(self, request: Request) -> None:
-        if request.responded:
-            return
-        if request.may_have_run:
-            self._respond(request, Response(ResponseStatus.EXPIRED))
-        else:
-            self._respond(request, Response(ResponseStatus.REJECTED, retry_after=self._retry_after()))
-        self._release_if_over(request)
-
-    def _retry_after(self) -> timedelta:
-        """How long a caller is asked to stay away where the module was not asked."""
-        return span(self.settings.max_retry_after_us) if self.settings.sends_retry_after else ZERO
-
-    def _respond(self, request: Request, answer: Response) -> None:
-        """The one place where final answers go out."""
-        if request.responded:
-            return
-        self._count(request, answer.status.value)
-        request.frontend.deliver(request.response_handle, answer)
-        self._settle(request)
-
-    def _settle(self, request: Request) -> None:
-        """No answer is owed any more: what is not running is over, what runs is told."""
-        request.responded = True
-        self._unanswered -= 1
-        self._timeline.cancel(request.deadline_timer)
-        if request.stage in (Stage.RUNNING, Stage.AWAITING_CALL, Stage.CALLING):
-            request.backend.abandon(request)
-        elif request.stage is not Stage.FINISHED:
-            if request.idempotency_key and request.stage is Stage.QUEUED and not request.may_have_run:
-                self.idempotency_keys.drop(
-                    request.idempotency_key, request.id, kept_too=True
-                )  # it never began: its name is free
-            request.stage = Stage.FINISHED
-            self._forward_result(request, Outcome.ERROR, b"")
-        self._release_if_over(request)
-
-    def _release_if_over(self, request: Request) -> None:
-        """The one place where a request's slot is given back: answered, and its run over."""
-        if request.responded and request.stage is Stage.FINISHED and self._requests.free(request.handle):
-            del self._by_id[request.id]
-            if request.idempotency_key:
-                self.idempotency_keys.drop(request.idempotency_key, request.id, kept_too=False)
-
-    def _find(self, id: str) -> Request | None:
-        handle = self._by_id.get(id)
-        return None if handle is None else self._requests.get(handle)
+    @property
+    def on_grace_over(self) -> Callable[[], None]:
+        """Called when the frontends have stopped accepting."""
+        return self._shutdown.on_grace_over
+
+    @on_grace_over.setter
+    def on_grace_over(self, callback: Callable[[], None]) -> None:
+        self._shutdown.on_grace_over = callback
+
+    def drain(self, stops_at: datetime, noticed_at: datetime | None = None) -> None:
+        """Begin graceful shutdown: arrivals of the grace run, and all get their response before the stop.
+
+        Args:
+            stops_at: when the process is stopped.
+            noticed_at: when the notice to leave came, if that was before now; the grace counts from then.
+        """
+        grace = span(self.settings.drain_grace_us)
+        self._shutdown.drain(stops_at, noticed_at or self._timeline.now(), grace)
+
+    def begin_hand_over(self, stops_at: datetime) -> None:
+        """Leave to a successor that serves: what is here, and what still arrives here, is run as ever."""
+        self._shutdown.begin_hand_over(stops_at)
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -1,4 +1,8 @@
-"""What the core deals in, and the ports through which it meets the world."""
+"""What the core deals in, requests and responses, and the ports through which it meets the world.
+
+Frontends bring requests and deliver responses, backends do the work, a call client makes downstream calls, and a
+gauge source reads the machine. Each is a protocol here; none of them imports the core's own modules.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +14,33 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import ClassSettings
+from marlstep.core.idempotency import IdempotencyKey
 from marlstep.timer_queue import Timer
+from marlstep.units import ZERO
 
-ResponseHandle = tuple[int, int]  # a front's own way to find where an answer goes
+ResponseHandle = tuple[int, int]  # a frontend's own way to find where a response goes
 
 
 @dataclass(slots=True, frozen=True)
 class InboundRequest:
-    """A request as a front has read it."""
+    """A request as a frontend has read it.
+
+    Attributes:
+        id: unique among the requests in flight.
+        request_class: the name of its class.
+        body: passed on to the backend unchanged.
+        arrived_at: when its first byte came, as far as the frontend knows; may come from the client's clock.
+        memory_kb: that it takes while it is queued.
+        caller: the number of the calling server; 0 where callers have none.
+        is_retry: whether the client marks it as a retry.
+        cost_hint: the client's estimate of its run time.
+        rank: by which the load signal `LEVEL` compares requests.
+        tenant: the name of its tenant; None where it names none.
+        entity: the subject of the request, for classes whose responses may be shared by subject.
+        pool: of the servers that do the work; empty where this node's cores do.
+        idempotency_key: the name of the work of which this is one attempt, where the client gives one.
+        digest: of the body, where the wire promises that all attempts of the work carry the same; else empty.
+    """
 
     id: str
     request_class: str
@@ -29,18 +52,18 @@
     cost_hint: timedelta | None = None
     rank: float = 0.0
     tenant: str | None = None
-    entity: int | None = None  # the subject of the request
-    pool: str = ""  # of servers that do the work, where the cores here do not
-    idempotency_key: str | None = None  # names the work of which this is one try, where the wire tells
-    digest: str = ""  # of what all tries of that work have in common, where the wire promises any of that
+    entity: int | None = None
+    pool: str = ""
+    idempotency_key: str | None = None
+    digest: str = ""
 
 
 class ClaimResult(enum.Enum):
-    """What a claim of named work came to, where another process of this node had to be asked."""
+    """What the node's other processes say when this one claims a piece of keyed work."""
 
-    GRANTED = "granted"  # no process of this node has held it
-    KNOWN = "known"  # it has been; what is known of it was told before
-    UNSURE = "unsure"  # nobody can say
+    GRANTED = "granted"  # none of them has accepted it before
+    KNOWN = "known"  # one of them has, and has reported it to `Core.adopt_remote_key`
+    UNSURE = "unsure"  # nobody can say any more whether it ran
 
 
 ClaimCallback = Callable[[ClaimResult], None]
@@ -49,87 +72,150 @@
 class SiblingProcesses(Protocol):
     """The other processes of this node, while one version takes over from another."""
 
-    def claim(self, kind: str, once: str, id: str, now: datetime, told: ClaimCallback) -> bool:
-        """Ask whether this try may be held. False where nobody has to be asked."""
+    def claim(
+        self, request_class: str, key: str, label: str, now: datetime, on_decided: ClaimCallback, /
+    ) -> bool:
+        """Ask whether this process may run a piece of work.
+
+        Args:
+            request_class: the class of the work.
+            key: the name of the work, which the client chose.
+            label: of the request, see `encode_label`.
+            now: the time of the claim.
+            on_decided: called once with the result, perhaps before this returns.
+
+        Returns:
+            False where nobody has to be asked; `on_decided` is not called then.
+        """
 
 
 class ResponseStatus(enum.Enum):
+    """How a request ended for its client; the values are the names of the counters."""
+
     DONE = "done"
-    REJECTED = "refused"  # never ran
-    FAILED = "failed"
-    EXPIRED = "expired"  # failed, as its time ran out
+    REJECTED = "refused"  # nothing ran: the client may send it elsewhere
+    FAILED = "failed"  # promises nothing about effects
+    EXPIRED = "expired"  # likewise, as its time ran out
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """The final answer to a request."""
+    """The final response to a request.
+
+    Attributes:
+        status: how the request ended.
+        body: the result of the run; empty for any other status than DONE.
+        retry_after: of a rejection: how long the client is asked to stay away; zero where it is not.
+        no_failover: of a rejection: whether the client is asked to try no other node.
+    """
 
     status: ResponseStatus
     body: bytes = b""
-    retry_after: timedelta = timedelta(0)  # on a refusal: how long to stay away
-    no_failover: bool = False  # on a refusal: the wish that no other node be tried
+    retry_after: timedelta = ZERO
+    no_failover: bool = False
 
 
 class Stage(enum.Enum):
-    CLAIMING = "claiming"  # another process of this node may know the work
+    """Where a request stands, and what takes it to the next stage.
+
+    CLAIMING: a sibling's reply makes it QUEUED, or FINISHED by a response.
+    QUEUED: the controller runs it (RUNNING) or attaches it to another attempt (ATTACHED); a response ends it.
+    RUNNING: pauses (PAUSED, or QUEUED again where pausing drops the work), needs a call, or its run ends.
+    PAUSED: the controller resumes it (RUNNING); a response ends it.
+    AWAITING_CALL: the controller makes the call (CALLING) or skips it (RUNNING), or the run ends.
+    CALLING: a reply resumes the run (RUNNING); a failed call leaves it AWAITING_CALL, or the run ends.
+    ATTACHED: the attempt that it repeats ends, or a response does.
+    FINISHED: nothing runs any more; the request is released once its response has left.
+    """
+
+    CLAIMING = "claiming"
     QUEUED = "queued"
     RUNNING = "running"
     PAUSED = "paused"
-    AWAITING_CALL = "awaiting call"  # its call is not made yet
+    AWAITING_CALL = "awaiting call"
     CALLING = "calling"
-    ATTACHED = "attached"  # waits for the result of another try
+    ATTACHED = "attached"
     FINISHED = "finished"
 
 
 class Frontend(Protocol):
-    """Where requests come from and answers go."""
+    """Where requests come from and responses go."""
 
-    def deliver(self, ticket: ResponseHandle, answer: Response) -> None: ...
+    def deliver(self, response_handle: ResponseHandle, response: Response, /) -> None:
+        """Send the final response to the request that was submitted with this handle."""
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Close connections that carry nothing for longer."""
+        """Close connections that have been idle for longer, from now on."""
 
     def stop_accepting(self) -> None:
-        """Take nothing new; what was read is still answered."""
+        """Accept no new connections or requests; what has been read still gets its response."""
 
 
 class Backend(Protocol):
-    """What does the work."""
+    """What does the work. It reports to an `EventSink`."""
 
-    def start(self, request: Request) -> None: ...
+    def start(self, request: Request) -> None:
+        """Run a request from its beginning. `EventSink.run_ended` follows."""
 
     def pause(self, request: Request) -> None:
-        """Stop the run; where that takes effect, it ends as cancelled."""
+        """Preempt a run. Where that takes effect, the run ends as cancelled and may be resumed."""
 
-    def resume(self, request: Request) -> None: ...
+    def resume(self, request: Request) -> None:
+        """Let a paused run go on."""
 
     def supply(self, request: Request, reply: bytes) -> None:
-        """The reply to the call that the run waits for."""
+        """Let a run that waits for its call go on with the reply."""
 
     def skip(self, request: Request) -> None:
-        """Go on without the call."""
+        """Let a run that waits for its call go on without a reply."""
 
     def abandon(self, request: Request) -> None:
-        """The request was answered while its run goes on."""
+        """Hear that nobody waits for the result of a run any more. The run still has to be reported as ended."""
 
 
 class CallClient(Protocol):
-    """What calls go to."""
+    """What makes downstream calls. It reports to `EventSink.call_ended`."""
 
-    def call(self, request: Request, until: datetime) -> None: ...
+    def call(self, request: Request, until: datetime) -> None:
+        """Make the call in `request.call_body`, and give it up at `until`."""
 
-    def abandon_call(self, request: Request) -> None: ...
+    def abandon_call(self, request: Request) -> None:
+        """Give up the request's call, and report nothing of it."""
 
 
 class GaugeSource(Protocol):
-    """Readings of the cores, memory and connections."""
+    """What reads the gauges of processors, memory and connections."""
 
     def request_gauges(self) -> None:
-        """The answer comes to `Core.gauges`."""
+        """Read them; the readings come to `EventSink.gauges`."""
 
 
 @dataclass(slots=True)
 class Request:
+    """A request in flight: from `Core.submit` until its response has left and its run is over.
+
+    Attributes:
+        inbound: as it was read.
+        class_settings: of its class at its arrival; later settings don't change them.
+        frontend: which delivers its response.
+        response_handle: the frontend's own name for where the response goes.
+        backend: which does the work.
+        deadline_at: when a response leaves whatever happens.
+        handle: in the request registry.
+        stage: where it stands.
+        may_have_run: a run has begun, or may have; it never turns false again.
+        known_to_have_run: the backend has reported something that only a run does.
+        pause_requested: the backend was asked to pause the run, and has not reported its end.
+        call_failed: the last call failed, and was not skipped.
+        responded: no response is owed any more: it has left, or the client has disconnected.
+        deadline_timer: that of `deadline_at`.
+        call_body: of the call that the run needs.
+        call_started_at: when its last call was made.
+        attached_request_ids: repeats that wait for the result of this one.
+        config_versions: of the cluster's documents in force at its arrival, as text for records.
+        idempotency_key: names its work; None for safe work, and where the client names none.
+    """
+
     inbound: InboundRequest
     class_settings: ClassSettings
     frontend: Frontend
@@ -138,37 +224,41 @@
     deadline_at: datetime
     handle: int = 0
     stage: Stage = Stage.QUEUED
-    may_have_run: bool = False  # a run has begun, or may have
-    known_to_have_run: bool = False  # a run is known to have begun
-    pause_requested: bool = False  # told to stop, and not yet known to have stopped
-    call_failed: bool = False  # its last attempt or call went wrong
+    may_have_run: bool = False
+    known_to_have_run: bool = False
+    pause_requested: bool = False
+    call_failed: bool = False
     responded: bool = False
-    deadline_timer: Timer | None = None  # of the final answer
+    deadline_timer: Timer | None = None
     call_body: bytes = b""
     call_started_at: datetime | None = None
-    attached_request_ids: list[str] = field(default_factory=list)  # repeats attached to this one
-    config_versions: str = ""  # the versions of the documents that it came under, in a fleet
-    idempotency_key: tuple[str, str] | None = (
-        None  # class and name of the work that has an effect, where the wire names it
-    )
+    attached_request_ids: list[str] = field(default_factory=list)
+    config_versions: str = ""
+    idempotency_key: IdempotencyKey | None = None
 
     @property
     def id(self) -> str:
+        """The id under which it is in flight."""
         return self.inbound.id
 
 
 class EventSink(Protocol):
-    """What backends and stores tell the core."""
+    """What backends, call clients and gauge sources report to; the core is one."""
 
-    def backend_ready(self) -> None: ...
+    def backend_ready(self) -> None:
+        """Report that the backend is up."""
 
-    def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None: ...
+    def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None:
+        """Report the end of a run, or with `Outcome.CANCELLED` that it has paused."""
 
-    def call_needed(self, id: str, body: bytes) -> None: ...
+    def call_needed(self, id: str, body: bytes) -> None:
+        """Report that a run waits for a downstream call with this body."""
 
-    def call_ended(self, id: str, outcome: Outcome, reply: bytes = b"") -> None: ...
+    def call_ended(self, id: str, outcome: Outcome, reply: bytes = b"") -> None:
+        """Report the end of a downstream call."""
 
-    def gauges(self, values: Mapping[str, float]) -> None: ...
+    def gauges(self, values: Mapping[str, float]) -> None:
+        """Report new readings, by gauge."""
 
-    def pool_capacity(self, pool: str, most: int) -> None:
-        """The servers of a pool take so many at once, from now on."""
+    def pool_capacity(self, pool: str, capacity: int, /) -> None:
+        """Report how many requests the servers of a pool run at once from now on."""
--- /dev/null
+++ b/marlstep/core/run_events.py
@@ -0,0 +1,104 @@
+"""What backends and call clients report of runs, turned into stages, responses and events for the controller."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from marlstep.admission.events import CallEnded, CallNeeded, Outcome, RunEnded
+from marlstep.admission.settings import PreemptionMode
+from marlstep.core.event_queue import EventQueue
+from marlstep.core.interfaces import CallClient, Request, Response, ResponseStatus, Stage
+from marlstep.core.repeats import RepeatedWork
+from marlstep.core.request_registry import RequestRegistry
+from marlstep.core.response_rules import status_after_run
+from marlstep.core.responses import ResponseDelivery
+from marlstep.core.served_settings import ServedSettings
+from marlstep.timer_queue import TimerQueue
+from marlstep.units import span_us
+
+
+def has_paused(outcome: Outcome, *, pause_requested: bool, responded: bool) -> bool:
+    """Decide whether the end of a run is a pause, after which it may go on.
+
+    It is where the run was cancelled as the core had asked. Any other end is final: a run that was cancelled
+    unasked, and one whose response has left, which nobody would resume.
+    """
+    return outcome is Outcome.CANCELLED and pause_requested and not responded
+
+
+class RunEvents:
+    """Applies the reports of one run after another. Reports on requests that were released are ignored."""
+
+    def __init__(
+        self,
+        timeline: TimerQueue,
+        requests: RequestRegistry,
+        responses: ResponseDelivery,
+        repeats: RepeatedWork,
+        events: EventQueue,
+        served: ServedSettings,
+        call_client: CallClient,
+    ) -> None:
+        """Work on these collaborators, which the core shares among its parts."""
+        self._timeline, self._requests, self._responses = timeline, requests, responses
+        self._repeats, self._events, self._served = repeats, events, served
+        self._call_client = call_client
+
+    def run_ended(self, request_id: str, outcome: Outcome, elapsed: timedelta, result: bytes) -> None:
+        """Pause the request, or end it with its response."""
+        request = self._requests.find(request_id)
+        if request is None:
+            return
+        if has_paused(outcome, pause_requested=request.pause_requested, responded=request.responded):
+            self._pause(request)
+        else:
+            self._end(request, outcome, result)
+            if outcome is Outcome.CANCELLED:
+                # This end is final, and to the controller a cancelled run is a paused one: it would keep the
+                # request, and confuse it with a later one under the same id.
+                outcome = Outcome.ERROR
+        self._events.post(RunEnded(request_id, outcome, span_us(elapsed)))
+        self._responses.release_if_finished(request)
+
+    def _pause(self, request: Request) -> None:
+        request.pause_requested = False
+        request.known_to_have_run = True
+        drops_work = self._served.settings.preemption_mode is PreemptionMode.DROP
+        request.stage = Stage.QUEUED if drops_work else Stage.PAUSED
+
+    def _end(self, request: Request, outcome: Outcome, result: bytes) -> None:
+        if request.stage is Stage.CALLING:
+            self._call_client.abandon_call(request)
+        request.stage = Stage.FINISHED
+        status = status_after_run(outcome, known_to_have_run=request.known_to_have_run)
+        if status is ResponseStatus.REJECTED:
+            self._repeats.release_key(request)
+            self._responses.reject(request)
+        else:
+            body = result if status is ResponseStatus.DONE else b""
+            self._responses.respond(request, Response(status, body))
+        self._responses.forward_result(request, outcome, result)
+
+    def call_needed(self, request_id: str, body: bytes) -> None:
+        """Let the run wait for the controller's word on its call."""
+        request = self._requests.find(request_id)
+        if request is not None:
+            request.stage, request.call_body = Stage.AWAITING_CALL, body
+            request.known_to_have_run = True
+            request.pause_requested = False  # the run came to its call before the pause reached it
+            self._events.post(CallNeeded(request_id))
+
+    def call_ended(self, request_id: str, outcome: Outcome, reply: bytes) -> None:
+        """Let the run go on with the reply, or wait again for the controller's word."""
+        request = self._requests.find(request_id)
+        if request is None or request.stage is not Stage.CALLING:
+            return
+        now = self._timeline.now()
+        elapsed = now - (request.call_started_at or now)
+        request.call_failed = outcome is not Outcome.OK
+        if request.call_failed:
+            request.stage = Stage.AWAITING_CALL
+        else:
+            request.stage = Stage.RUNNING
+            request.backend.supply(request, reply)
+        self._events.post(CallEnded(request_id, outcome, span_us(elapsed)))
--- a/marlstep/core/serving_state.py
+++ b/marlstep/core/serving_state.py
@@ -1,4 +1,4 @@
-"""What the node is on: starting, serving, quiesced, handing over or leaving. The one place that remembers it."""
+"""The serving state of this process: the one place that remembers whether it starts, serves or leaves."""
 
 from __future__ import annotations
 
@@ -6,19 +6,30 @@
 
 
 class ServingPhase(enum.Enum):
-    STARTING = "starting"  # listens, but the cores have not said yet that they are there
+    """What operators see as the state of the process; the values are those of the status JSON."""
+
+    STARTING = "starting"  # it listens, but its backend has not reported that it is up
     SERVING = "serving"
-    QUIESCED = "quiesced"  # asked by an operator: health checks are bad, and all that comes is served
-    HANDING_OVER = "handing over"  # another process takes what is new; what is here is finished
-    LEAVING = "leaving"  # told to leave: there is no way back
+    QUIESCED = "quiesced"  # by an operator: health checks fail, and what arrives is served all the same
+    HANDING_OVER = "handing over"  # a successor process takes what is new; what is here is finished
+    LEAVING = "leaving"  # graceful shutdown has begun, and there is no way back
 
 
 class ServingState:
+    """Four facts about the process, and the phase that follows from them.
+
+    A later fact hides an earlier one: a process that drains is LEAVING whatever an operator asked for before, and
+    one that hands over is HANDING_OVER even if it is quiesced. Quiescing is remembered while it is hidden, and can
+    be undone until the drain begins.
+    """
+
     def __init__(self) -> None:
+        """Begin as STARTING."""
         self._ready = self._quiesced = self._is_handing_over = self._is_draining = False
 
     @property
     def phase(self) -> ServingPhase:
+        """The state that operators see."""
         if self._is_draining:
             return ServingPhase.LEAVING
         if self._is_handing_over:
@@ -29,24 +40,24 @@
 
     @property
     def can_serve(self) -> bool:
-        """Requests that come now are run."""
+        """Whether requests that arrive now are run: the backend is up, and no drain has begun."""
         return self._ready and not self._is_draining
 
     @property
     def wants_traffic(self) -> bool:
-        """Nobody has asked that the node be emptied: health checks may be good."""
+        """Whether the process wants new requests: it neither drains nor is quiesced. Health checks follow it."""
         return not (self._is_draining or self._quiesced)
 
     def mark_ready(self) -> None:
-        """The cores are there, and connections are taken."""
+        """Note that the backend is up and connections are accepted."""
         self._ready = True
 
     def quiesce(self) -> bool:
-        """Empty the node. False where it leaves anyway."""
+        """Empty the process of traffic. Returns False, and changes nothing, once it drains."""
         return self._set_quiesced(True)
 
     def resume(self) -> bool:
-        """Back to work. False where the node leaves: too late."""
+        """Undo `quiesce`. Returns False, and changes nothing, once the process drains."""
         return self._set_quiesced(False)
 
     def _set_quiesced(self, quiesced: bool) -> bool:
@@ -55,10 +66,10 @@
         return not self._is_draining
 
     def begin_hand_over(self) -> None:
-        """A successor serves: the node goes on, and this process ends."""
+        """Note that a successor serves: the node goes on, and this process ends."""
         self._is_handing_over = True
 
     def begin_drain(self) -> bool:
-        """The notice to leave. False where it came before."""
+        """Note that graceful shutdown has begun. Returns False where it had begun before."""
         first, self._is_draining = not self._is_draining, True
         return first
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -68,21 +68,21 @@
         return (key_status(key, known) for key, known in self._core.idempotency_keys)
 
     def key_status(self, kind: str, once: str) -> KeyStatus | None:
-        known = self._core.idempotency_keys.find((kind, once), self._timeline.now())
-        return None if known is None else key_status((kind, once), known)
+        known = self._core.idempotency_keys.find(IdempotencyKey(kind, once), self._timeline.now())
+        return None if known is None else key_status(IdempotencyKey(kind, once), known)
 
     def adopt(self, name: KeyStatus) -> None:
         result = None if name.result is None else name.result.encode("latin-1")
         until: datetime | None = instant(name.until_us) if name.until_us else None
         id, digest = decode_label(name.request_id)
         self._core.adopt_remote_key(
-            (name.request_class, name.idempotency_key),
+            IdempotencyKey(name.request_class, name.idempotency_key),
             KeyRecord(id, until, result, name.finished, digest=digest),
         )
 
     def forget(self, gone: KeyReleased) -> None:
         self._core.forget_remote_key(
-            (gone.request_class, gone.idempotency_key), decode_label(gone.request_id)[0]
+            IdempotencyKey(gone.request_class, gone.idempotency_key), decode_label(gone.request_id)[0]
         )
 
 
--- a/marlstep/resource_budget.py
+++ b/marlstep/resource_budget.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from marlstep.config import Config
-from marlstep.core.engine import MAX_REQUESTS
+from marlstep.core.request_registry import MAX_REQUESTS
 
 HEALTH_ENDPOINT_CONNECTIONS = 48
 RESERVED_DESCRIPTORS = 64  # descriptors that are no frontend's connection
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -5,7 +5,14 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.idempotency import KeyRecord, KeyTable, body_digest, decode_label, encode_label
+from marlstep.core.idempotency import (
+    IdempotencyKey,
+    KeyRecord,
+    KeyTable,
+    body_digest,
+    decode_label,
+    encode_label,
+)
 from marlstep.frontends.resp import RespConnection
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
@@ -98,12 +105,12 @@
     table = KeyTable()
     for number in range(100):
         now = START + number * SECOND
-        table.retain(("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
+        table.retain(IdempotencyKey("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
     assert len(table) <= 3
     # A later window for the same name outlives the end of the one before.
-    table.retain(("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
-    table.retain(("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
-    assert table.find(("book", "k99"), START + 111 * SECOND) is not None
+    table.retain(IdempotencyKey("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
+    table.retain(IdempotencyKey("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
+    assert table.find(IdempotencyKey("book", "k99"), START + 111 * SECOND) is not None
 
 
 def test_other_processes_hear_the_digest_and_those_that_know_none_still_know_the_try() -> None:
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -255,7 +255,7 @@
 def test_a_deadline_on_the_end_of_the_grace(tmp_path: Path) -> None:
     async def run(place: Place) -> None:
         await place.terminate()
-        end = place.core._run_after
+        end = place.core._shutdown._run_until
         caller = await place.call()
         await place.step(GRACE_MS - 900 - 50)
         early = int((end - place.node.timeline.now()) / MILLISECOND) - 900
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -45,7 +45,8 @@
             platform.end(number)
         known = core._controller.state
         sizes.append(
-            len(core._by_id) + len(core.idempotency_keys) + len(platform.desk.clock.timeline._heap) + core.in_flight
+            len(core._requests._handles) + len(core.idempotency_keys) + len(platform.desk.clock.timeline._heap)
+            + core.in_flight
             + len(known.entries.by_id) + len(known.callers.heard) + len(known.wakes) + len(platform.front._quiet)
             + len(platform.front._new) + len(platform.front.connections)
         )  # fmt: skip
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -14,9 +14,9 @@
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
 from marlstep.config import Config, ConfigError, changes, check, load, renewed
-from marlstep.core.engine import RETIRED_CLASS_GRACE
 from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus
+from marlstep.core.served_settings import RETIRED_CLASS_GRACE
 from marlstep.node import Node
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
--- a/tests/test_resource_budget.py
+++ b/tests/test_resource_budget.py
@@ -8,7 +8,7 @@
 import pytest
 
 from marlstep.config import check
-from marlstep.core.engine import MAX_REQUESTS
+from marlstep.core.request_registry import MAX_REQUESTS
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.resource_budget import ResourceBudget, resource_budget
