--- /dev/null
+++ b/tests/core/test_repeats.py
@@ -0,0 +1,67 @@
+"""Repeats of work that has an effect share its result, and run nothing twice."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from marlstep.admission.events import Outcome
+from marlstep.core.errors import RepeatedWorkError
+from marlstep.core.interfaces import ResponseStatus
+from tests.support.node import SETTINGS, Desk
+
+KEYED: dict[str, Any] = {
+    "classes": [
+        *SETTINGS["classes"][:2],
+        {
+            "name": "keyed",
+            "aimUs": 2_000_000,
+            "hardLimitUs": 4_000_000,
+            "worth": 1.0,
+            "semantics": "deduplicated",
+            "repeatWindowUs": 5_000_000,
+        },
+    ]
+}
+
+
+def test_unsafe_work_runs_again_under_its_key_only_if_it_never_ran() -> None:
+    desk = Desk()
+    desk.submit(1, "setpoint-cmd", idempotency_key="boiler-7")
+    with pytest.raises(RepeatedWorkError):
+        desk.submit(2, "setpoint-cmd", idempotency_key="boiler-7")
+    desk.end(1, Outcome.CONNECT_FAILED)
+    desk.submit(3, "setpoint-cmd", idempotency_key="boiler-7")
+    desk.end(3, Outcome.RESET)
+    with pytest.raises(RepeatedWorkError):
+        desk.submit(4, "setpoint-cmd", idempotency_key="boiler-7")
+    assert [id for what, id in desk.backend.told if what == "start"] == ["r1", "r3"]
+    assert (desk.verdicts(1), desk.verdicts(3)) == ([ResponseStatus.REJECTED], [ResponseStatus.FAILED])
+
+
+def test_a_repeat_of_keyed_work_shares_its_result_until_the_window_ends() -> None:
+    desk = Desk(**KEYED)
+
+    desk.submit(1, "keyed", idempotency_key="k")
+    desk.submit(2, "keyed", idempotency_key="k")
+    assert desk.verdicts(2) == []
+    desk.end(1)
+    desk.submit(3, "keyed", idempotency_key="k")
+    assert [desk.answers[number][0].body for number in (1, 2, 3)] == [b"result"] * 3
+    assert [what for what, _ in desk.backend.told] == ["start"]
+    desk.clock.advance(6000)
+    desk.submit(4, "keyed", idempotency_key="k")
+    assert desk.backend.told[-1] == ("start", "r4")
+
+
+def test_a_repeat_under_the_id_and_key_of_ended_work_shares_its_result() -> None:
+    # Guards against a hang: the module took the new try for the one before it, and followed it in a ring.
+    rows = [dict(row) for row in SETTINGS["classes"]]
+    rows[1].update(semantics="deduplicated")
+    desk = Desk(classes=rows)
+    for _ in range(4):
+        desk.submit(1, "schedule-save", idempotency_key="k")
+        desk.end(1)
+    assert desk.verdicts(1) == [ResponseStatus.DONE] * 4
+    assert desk.backend.told == [("start", "r1")]
