--- a/marlstep/core/errors.py
+++ b/marlstep/core/errors.py
@@ -21,7 +21,6 @@
     WORK_REPEATED = "work_repeated"
     KEY_BODY_MISMATCH = "key_body_mismatch"
     PROCESS_AT_CAPACITY = "process_at_capacity"
-    TABLE_FULL = "table_full"
 
 
 # The uwsgi frontend sends this text as the body of its error response: the wording belongs to the wire.
@@ -35,7 +34,6 @@
     RejectionReason.WORK_REPEATED: "a repeat of work that must not run twice",
     RejectionReason.KEY_BODY_MISMATCH: "a name in use for work with another body",
     RejectionReason.PROCESS_AT_CAPACITY: "too many in hand for this process's part of the node",
-    RejectionReason.TABLE_FULL: "all {limit} slots are taken",
 }
 
 
@@ -71,11 +69,10 @@
         request_class: str = "",
         tenant: str = "",
         request_id: str = "",
-        limit: int = 0,
     ) -> Self:
         """Make the error for a rule of the core, with the text that the rule has on the wire."""
         text = RESPONSE_TEXTS[reason].format(
-            request_class=request_class[:MAX_QUOTED_NAME], tenant=tenant[:MAX_QUOTED_NAME], limit=limit
+            request_class=request_class[:MAX_QUOTED_NAME], tenant=tenant[:MAX_QUOTED_NAME]
         )
         return cls(text, reason, request_class=request_class, tenant=tenant, request_id=request_id)
 
--- a/marlstep/core/request_registry.py
+++ b/marlstep/core/request_registry.py
@@ -6,7 +6,7 @@
 
 from marlstep.core.errors import RejectionReason, RequestRejectedError
 from marlstep.core.interfaces import Request
-from marlstep.slots import SlotTable, TableFullError
+from marlstep.slots import SlotTable
 
 MAX_REQUESTS = 8_192  # requests in flight at once
 
@@ -60,16 +60,7 @@
                 tenant=inbound.tenant or "",
                 request_id=inbound.id,
             )
-        try:
-            request.handle = self._slots.add(request)
-        except TableFullError as error:
-            raise RequestRejectedError.because(
-                RejectionReason.TABLE_FULL,
-                request_class=inbound.request_class,
-                tenant=inbound.tenant or "",
-                request_id=inbound.id,
-                limit=self._slots.limit,
-            ) from error
+        request.handle = self._slots.add(request)  # never full: the capacity is at most its limit
         self._handles[inbound.id] = request.handle
 
     def get(self, handle: int) -> Request | None:
--- /dev/null
+++ b/tests/core/test_arrivals.py
@@ -0,0 +1,12 @@
+"""When a request counts as having arrived."""
+
+from __future__ import annotations
+
+from marlstep.core.arrivals import counted_arrival
+from marlstep.units import SECOND
+from tests.support.node import START
+
+
+def test_a_client_clock_that_runs_ahead_counts_as_now_and_an_early_arrival_as_it_is() -> None:
+    assert counted_arrival(START, START + SECOND) == START
+    assert counted_arrival(START, START - SECOND) == START - SECOND
--- a/tests/core/test_drain.py
+++ b/tests/core/test_drain.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+from marlstep.core.drain import STOP_MARGIN, grace_end
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.units import SECOND
-from tests.support.node import Desk
+from tests.support.node import START, Desk
 
 
 def test_an_arrival_after_the_drain_grace_is_rejected_and_never_run() -> None:
@@ -20,3 +21,8 @@
     desk.clock.advance(600)
     assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
     assert desk.core.unanswered == 0
+
+
+def test_frontends_stop_accepting_after_the_grace_or_before_the_stop_if_that_comes_first() -> None:
+    assert grace_end(START + SECOND, START + 3 * SECOND) == START + SECOND
+    assert grace_end(START + SECOND, START + SECOND) == START + SECOND - STOP_MARGIN
--- /dev/null
+++ b/tests/core/test_idempotency.py
@@ -0,0 +1,70 @@
+"""The expiry of idempotency keys, and whose word on a key counts."""
+
+from __future__ import annotations
+
+from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable
+from marlstep.units import MILLISECOND, SECOND, ZERO
+from tests.support.node import START
+
+KEY = IdempotencyKey("book", "k1")
+
+
+def test_an_entry_covers_arrivals_before_the_end_of_its_window_and_all_without_an_end() -> None:
+    record = KeyRecord("r1", expires_at=START)
+    assert record.covers(START - MILLISECOND) and not record.covers(START)
+    assert KeyRecord("r1").covers(START + 1000 * SECOND)
+
+
+def test_an_entry_is_kept_beyond_its_window_for_requests_that_are_still_unread() -> None:
+    record = KeyRecord("r1")
+    assert record.expire(START, 2 * SECOND) == START + 2 * SECOND == record.forget_at
+    assert record.expires_at == START
+
+
+def test_a_key_in_flight_is_dropped_with_its_request_and_a_retained_one_only_if_the_work_never_ran() -> None:
+    table = KeyTable()
+    table.record(KEY, "r1", START)
+    table.drop(KEY, "r2", even_if_retained=True)  # another request
+    assert table.find(KEY, START) is not None
+    table.drop(KEY, "r1", even_if_retained=False)
+    assert table.find(KEY, START) is None
+    table.retain(KEY, "r1", START + SECOND, START, ZERO)
+    table.drop(KEY, "r1", even_if_retained=False)
+    assert table.find(KEY, START) is not None
+    table.drop(KEY, "r1", even_if_retained=True)
+    assert table.find(KEY, START) is None
+
+
+def test_an_own_entry_counts_for_more_than_what_another_process_says() -> None:
+    table = KeyTable()
+    table.record(KEY, "own", START)
+    table.adopt(KEY, KeyRecord("remote"), START, ZERO)
+    found = table.find(KEY, START)
+    assert found is not None and found.request_id == "own" and not table.drop_remote(KEY, "remote")
+
+
+def test_remote_work_whose_outcome_nobody_reports_stays_known_until_the_given_end() -> None:
+    table = KeyTable()
+    table.adopt(KEY, KeyRecord("remote"), START, ZERO)
+    assert table.mark_remote_outcomes_unknown(START + SECOND, START) == [KEY]
+    found = table.find(KEY, START)
+    assert found is not None and found.finished and found.result is None
+    assert table.find(KEY, START + SECOND) is None
+
+
+def test_a_longer_window_extends_the_entries_of_its_class_that_have_an_end() -> None:
+    table, other = KeyTable(), IdempotencyKey("open", "k1")
+    table.retain(KEY, "r1", START + SECOND, START, ZERO)
+    table.retain(other, "r2", START + SECOND, START, ZERO)
+    table.extend("book", SECOND, START, ZERO)
+    assert table.find(KEY, START + SECOND) is not None and table.find(other, START + SECOND) is None
+
+
+def test_observers_hear_of_changes_to_own_entries_and_of_no_remote_ones() -> None:
+    table, heard = KeyTable(), list[tuple[str, bool]]()
+    table.on_changed = lambda key, record, dropped: heard.append((record.request_id, dropped))
+    table.adopt(IdempotencyKey("book", "k2"), KeyRecord("remote"), START, ZERO)
+    table.record(KEY, "r1", START)
+    table.finish(KEY, "r1", b"result")
+    table.drop(KEY, "r1", even_if_retained=False)
+    assert heard == [("r1", False), ("r1", False), ("r1", True)]
--- /dev/null
+++ b/tests/core/test_intake_checks.py
@@ -0,0 +1,82 @@
+"""The rules of the intake, and the typed errors of requests that break them."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from marlstep.admission.settings import Effect, TenantSettings
+from marlstep.core.errors import RejectionReason, RepeatedWorkError, RequestRejectedError
+from marlstep.core.idempotency import IdempotencyKey, KeyRecord
+from marlstep.core.intake_checks import check_id_free, check_repeat, check_served, key_of
+from marlstep.core.interfaces import InboundRequest
+from marlstep.core.served_settings import ServedSettings
+from marlstep.simulator.configuration import read_settings
+from tests.support.node import SETTINGS, START
+
+SAFE, KEYED, UNSAFE = (
+    replace(one, effect=effect)
+    for one, effect in zip(
+        read_settings(SETTINGS).classes, (Effect.SAFE, Effect.KEYED, Effect.UNSAFE), strict=True
+    )
+)
+SERVED = ServedSettings(
+    replace(
+        read_settings(SETTINGS),
+        classes=(SAFE, KEYED, UNSAFE),
+        tenants=(TenantSettings("north", 1.0, 0.0),),
+    )
+)
+
+
+def inbound(request_class: str = SAFE.name, **fields: Any) -> InboundRequest:
+    return InboundRequest("r1", request_class, b"body", START, 1.0, **fields)
+
+
+def rejection(request: InboundRequest) -> RequestRejectedError:
+    with pytest.raises(RequestRejectedError) as raised:
+        check_served(request, SERVED, START)
+    return raised.value
+
+
+def test_a_request_of_a_served_class_and_tenant_gets_the_settings_of_its_class() -> None:
+    assert check_served(inbound(tenant="north"), SERVED, START) == SAFE
+    assert check_served(inbound(KEYED.name, idempotency_key="k"), SERVED, START) == KEYED
+
+
+def test_a_rejection_has_its_reason_and_fields_beside_the_text_that_frontends_send() -> None:
+    error = rejection(inbound("x" * 100, tenant="north"))
+    assert error.reason is RejectionReason.UNKNOWN_CLASS and str(error) == f"unknown class {'x' * 64!r}"
+    assert (error.request_class, error.tenant, error.request_id) == ("x" * 100, "north", "r1")
+    error = rejection(inbound(tenant="west"))
+    assert error.reason is RejectionReason.UNKNOWN_TENANT and str(error) == "unknown tenant 'west'"
+    error = rejection(inbound(KEYED.name))
+    assert error.reason is RejectionReason.MISSING_IDEMPOTENCY_KEY
+    assert str(error) == "work that must not run twice, without the name that its tries share"
+
+
+def test_an_id_in_flight_is_rejected_as_repeated_work() -> None:
+    check_id_free(inbound(), in_flight=False)
+    with pytest.raises(RepeatedWorkError, match=r"^an id that is in hand already$") as raised:
+        check_id_free(inbound(), in_flight=True)
+    assert raised.value.reason is RejectionReason.ID_IN_FLIGHT
+
+
+def test_work_has_a_key_where_the_client_names_one_and_a_second_run_would_matter() -> None:
+    assert key_of(inbound(KEYED.name, idempotency_key="k"), KEYED) == IdempotencyKey(KEYED.name, "k")
+    assert key_of(inbound(UNSAFE.name), UNSAFE) is None
+    assert key_of(inbound(idempotency_key="k"), SAFE) is None
+
+
+def test_keyed_work_may_repeat_with_the_same_body_and_unsafe_work_never() -> None:
+    prior = KeyRecord("r0", digest="a")
+    check_repeat(inbound(UNSAFE.name), UNSAFE, None)
+    check_repeat(inbound(KEYED.name, digest="a"), KEYED, prior)
+    with pytest.raises(RepeatedWorkError, match=r"^a repeat of work that must not run twice$") as raised:
+        check_repeat(inbound(UNSAFE.name, digest="a"), UNSAFE, prior)
+    assert raised.value.reason is RejectionReason.WORK_REPEATED
+    with pytest.raises(RepeatedWorkError, match=r"^a name in use for work with another body$") as raised:
+        check_repeat(inbound(KEYED.name, digest="b"), KEYED, prior)
+    assert raised.value.reason is RejectionReason.KEY_BODY_MISMATCH
--- /dev/null
+++ b/tests/core/test_sibling_claims.py
@@ -0,0 +1,27 @@
+"""What the reply to a claim means for its request."""
+
+from __future__ import annotations
+
+import pytest
+
+from marlstep.admission.settings import Effect
+from marlstep.core.idempotency import KeyRecord
+from marlstep.core.interfaces import ClaimResult
+from marlstep.core.sibling_claims import ClaimDecision, decide_claim
+
+
+def test_unknown_work_runs_where_it_was_granted_and_is_rejected_otherwise() -> None:
+    for effect in (Effect.KEYED, Effect.UNSAFE):
+        assert decide_claim(ClaimResult.GRANTED, None, effect, "") is ClaimDecision.ENQUEUE
+        assert decide_claim(ClaimResult.KNOWN, None, effect, "") is ClaimDecision.REJECT
+        assert decide_claim(ClaimResult.UNSURE, None, effect, "") is ClaimDecision.REJECT
+
+
+@pytest.mark.parametrize("result", list(ClaimResult))
+def test_work_that_is_known_by_now_is_repeated_if_it_is_keyed_and_has_the_same_body(
+    result: ClaimResult,
+) -> None:
+    prior = KeyRecord("r0", digest="a")
+    assert decide_claim(result, prior, Effect.KEYED, "a") is ClaimDecision.ENQUEUE
+    assert decide_claim(result, prior, Effect.KEYED, "b") is ClaimDecision.FAIL
+    assert decide_claim(result, prior, Effect.UNSAFE, "a") is ClaimDecision.FAIL
