--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -128,10 +128,10 @@
 
     async def open(self) -> bool:
         """Find the process before this one, if there is one, and be found by the one after it."""
-        elder, generation = None, 0
+        elder, unreachable, generation = None, False, 0
         try:
             found = self._found()
-            elder = await self._find_predecessor(found)
+            elder, unreachable = await self._find_predecessor(found)
             generation = max(found, default=0) + 1
             generation = await self._listen(generation)
         except OSError as fault:  # no folder, nothing that may be written, no Unix sockets
@@ -141,6 +141,9 @@
             self._predecessor = elder
             self.handover.meet_predecessor(PeerLink(elder), self._timeline.now())
             elder.received()  # its hello may have come
+        if unreachable:
+            self.handover.predecessor_unreachable(self._timeline.now())
+        if elder is not None or unreachable:
             self._ticking()
         return elder is not None
 
@@ -154,17 +157,24 @@
     def _path_of(self, generation: int) -> Path:
         return self._folder / f"{self._stem}.{generation}.sock"
 
-    async def _find_predecessor(self, found: dict[int, Path]) -> PeerConnection | None:
-        """The newest that answers. Files that refuse are of dead processes, and are removed."""
+    async def _find_predecessor(self, found: dict[int, Path]) -> tuple[PeerConnection | None, bool]:
+        """The newest that answers, and whether a newer one listens that does not.
+
+        Files that refuse are of dead processes, and are removed. One that is gone by now has left in order.
+        """
+        unreachable = False
         for _, path in sorted(found.items(), reverse=True):
             try:
-                return await self._dial(path)
+                return await self._dial(path), unreachable
+            except FileNotFoundError:
+                log.info("%s is gone: its process has left in order", path.name)
             except ConnectionRefusedError:
                 log.info("%s is of a process that is gone", path.name)
                 path.unlink(missing_ok=True)
             except (OSError, TimeoutError) as fault:
-                log.warning("%s does not answer: %s", path.name, fault)
-        return None
+                log.warning("%s does not answer: %r", path.name, fault)
+                unreachable = True
+        return None, unreachable
 
     async def _dial(self, path: Path) -> PeerConnection:
         loop = asyncio.get_running_loop()
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -195,6 +195,19 @@
             told(ClaimResult.UNSURE)
         self._go_on(now)
 
+    def predecessor_unreachable(self, now: datetime) -> None:
+        """Handle a process that listens and did not answer: it may live, and run requests with keys.
+
+        Its keys are not known here, so requests with keys are rejected for as long as a retry of one may come, as after
+        a connection that is lost.
+        """
+        log.warning("predecessor unreachable: keyed_requests_rejected_s=%.1f", self._window.total_seconds())
+        self._unsure_until = now + self._window
+        if self._predecessor is None:
+            self.sharing.predecessor_connected()
+            self.sharing.predecessor_lost(now, self._wait)
+            self._announce_share()
+
     def _all_claims(self) -> list[ClaimCallback]:
         claims, self._claims = list(self._claims.values()), {}
         return claims
@@ -309,10 +322,11 @@
 
     def claim(self, kind: str, once: str, id: str, now: datetime, told: ClaimCallback) -> bool:
         """Ask whether this try may be held. False where nobody has to be asked."""
+        if self.unsure(now):
+            told(ClaimResult.UNSURE)
+            return True
         if self._predecessor is None:
-            if unsure := self.unsure(now):
-                told(ClaimResult.UNSURE)
-            return unsure
+            return False
         self._claim_number += 1
         self._claims[self._claim_number] = told
         self._predecessor.send(ClaimRequest(self._claim_number, kind, once, id))
--- /dev/null
+++ b/tests/hot_restart/test_channel.py
@@ -0,0 +1,86 @@
+"""The restart channel: finding the predecessor's socket, and what holds where nothing answers there."""
+
+from __future__ import annotations
+
+import contextlib
+import socket
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+import uvloop
+
+from marlstep.core.interfaces import ResponseStatus
+from marlstep.hot_restart import channel
+from marlstep.hot_restart.channel import RestartChannel
+from marlstep.units import MILLISECOND
+from tests.hot_restart.test_restart import WAIT, WINDOW, Process
+from tests.support.node import HandClock
+
+
+@contextlib.contextmanager
+def listening_with_full_backlog(path: Path) -> Iterator[None]:
+    """A socket that listens, whose process accepts nothing: the next connection neither stands nor is refused."""
+    with contextlib.ExitStack() as stack:
+        server = stack.enter_context(socket.socket(socket.AF_UNIX))
+        server.bind(str(path))
+        server.listen(0)
+        with contextlib.suppress(BlockingIOError):
+            while True:
+                client = stack.enter_context(socket.socket(socket.AF_UNIX))
+                client.setblocking(False)
+                client.connect(str(path))
+        yield
+
+
+async def open_channel(folder: Path, process: Process) -> RestartChannel:
+    opened = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.handover)
+    assert not await opened.open()
+    process.handover.backend_ready(process.desk.clock.now())
+    return opened
+
+
+@pytest.mark.parametrize("cause", ["the backlog is full", "the dial times out"])
+def test_a_process_whose_predecessor_does_not_answer_runs_no_keyed_request_in_its_window(
+    cause: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Guards against a second run: the predecessor may live, and has told this process none of its keys.
+    async def run() -> None:
+        clock = HandClock()
+        predecessor = RestartChannel(tmp_path, "n1", clock.timeline, lambda _: Process(clock, 1).handover)
+        with contextlib.ExitStack() as stack:
+            if cause == "the dial times out":
+                monkeypatch.setattr(channel, "CONNECT_TIMEOUT_S", 0.0)
+                await predecessor.open()
+                stack.callback(predecessor.close)
+            else:
+                stack.enter_context(listening_with_full_backlog(tmp_path / "marlstep.n1.1.sock"))
+            process = Process(clock, 2)
+            stack.callback((await open_channel(tmp_path, process)).close)
+            process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
+            process.desk.submit(2, "setpoint-cmd")
+            assert process.desk.verdicts(1) == [ResponseStatus.REJECTED]
+            assert process.desk.backend.told == [("start", "r2")]
+            assert process.handover.sharing.limit == 0.5
+            process.desk.end(2)
+            clock.advance(max(WAIT, WINDOW) / MILLISECOND)
+            process.handover.tick(clock.now())
+            process.desk.submit(3, "setpoint-cmd", idempotency_key="k")
+            assert process.desk.backend.told == [("start", "r2"), ("start", "r3")]
+            assert process.handover.sharing.limit == 1.0
+
+    uvloop.run(run())
+
+
+def test_a_socket_that_refuses_is_of_a_dead_process_and_leaves_nothing_unknown(tmp_path: Path) -> None:
+    async def run() -> None:
+        path = tmp_path / "marlstep.n1.1.sock"
+        with socket.socket(socket.AF_UNIX) as dead:
+            dead.bind(str(path))
+        process = Process(HandClock(), 2)
+        opened = await open_channel(tmp_path, process)
+        process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
+        assert process.desk.backend.told == [("start", "r1")] and not path.exists()
+        opened.close()
+
+    uvloop.run(run())
--- a/tests/hot_restart/test_upgrade_races.py
+++ b/tests/hot_restart/test_upgrade_races.py
@@ -10,8 +10,8 @@
 import copy
 import signal
 import socket
-from collections.abc import AsyncIterator, Awaitable, Callable
-from contextlib import asynccontextmanager
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
+from contextlib import ExitStack, asynccontextmanager, contextmanager, suppress
 from pathlib import Path
 
 import pytest
@@ -91,6 +91,18 @@
     return one
 
 
+@contextmanager
+def full_backlog(path: Path) -> Iterator[None]:
+    """Fill the queue of a socket whose process accepts nothing now: a connection neither stands nor is refused."""
+    with ExitStack() as stack:
+        with suppress(BlockingIOError):
+            while True:
+                client = stack.enter_context(socket.socket(socket.AF_UNIX))
+                client.setblocking(False)
+                client.connect(str(path))
+        yield
+
+
 async def served(who: Held, caller: Caller, tag: int, id: int) -> None:
     await who.kernel.read("SCHED", id)
     who.kernel.reap(id)
@@ -139,6 +151,36 @@
     at(tmp_path, run)
 
 
+@pytest.mark.parametrize("after", ["the predecessor goes on", "the predecessor is killed"])
+def test_a_successor_that_gets_no_reply_from_its_predecessor_runs_no_keyed_request(
+    after: str, tmp_path: Path
+) -> None:
+    # Guards against a second run: a successor took silence for there being no predecessor, and knew none of its keys.
+    async def run(site: Site) -> None:
+        elder = await serving(site)
+        first = await taken(site)
+        first.ask(2, "book", b"mine", id=2, once="k")
+        await elder.kernel.read("SCHED", 2)
+        await elder.stopped()
+        with full_backlog(tmp_path / "tmp" / "marlstep.n1.1.sock"):
+            younger = await serving(site)  # nobody answered it
+        if after == "the predecessor is killed":
+            await elder.killed()
+        second = await taken(site)
+        second.ask(3, "book", b"mine", id=4, once="k")
+        second.ask(4, "list", id=5)
+        await served(younger, second, 4, 5)
+        assert younger.kernel.count("SCHED", 4) == 0
+        assert await second.word(3) == "later"
+        if after == "the predecessor goes on":
+            elder.signal(signal.SIGCONT)
+            elder.kernel.reap(2)
+            assert await first.word(2) == "done"
+        assert elder.kernel.count("SCHED", 2) + younger.kernel.count("SCHED", 4) == 1
+
+    at(tmp_path, run)
+
+
 @pytest.mark.parametrize("after", ["goes on", "is killed"])
 def test_a_connection_that_neither_process_takes_is_taken_in_the_end(after: str, tmp_path: Path) -> None:
     async def run(site: Site) -> None:
