--- a/marlstep/hot_restart/messages.py
+++ b/marlstep/hot_restart/messages.py
@@ -1,4 +1,7 @@
-"""What the two processes write to each other, in the frames of `marlstep/net/framing.py` with a CRC 32."""
+"""The messages between two processes of a node, in the frames of `marlstep/net/framing.py` with a CRC-32.
+
+The other process may be of an older version: wire names and bytes stay, and stand beside each field as data.
+"""
 
 from __future__ import annotations
 
@@ -10,41 +13,51 @@
 from marlstep.net.framing import Framing, crc
 from marlstep.net.ring import Ring
 
-MAX_MESSAGE_BYTES = 32 * 1024  # of one message
+MAX_MESSAGE_BYTES = 32 * 1024  # of one message, without its frame
 FRAMING = Framing(b"MSH1", MAX_MESSAGE_BYTES, crc)
 
 
+class HelloMissingError(CorruptError):
+    """Another message came before the first one that must come, the hello."""
+
+    def __init__(self, found: object) -> None:
+        """`found` is what came in its place."""
+        super().__init__(f"no hello: found={type(found).__name__}")
+
+
 @dataclass(slots=True, frozen=True)
 class Hello:
-    """The first message each way."""
+    """The first message each way: who sends it, and from the predecessor what the successor starts from."""
 
     wire_tag: ClassVar[str] = "Hello"
 
     generation: int = field(metadata=wire("generation", INTEGER))
     pid: int = field(metadata=wire("pid", INTEGER))
     wants_traffic: bool = field(metadata=wire("wanted", BOOLEAN), default=True)  # the node is not quiesced
-    # the generation that the elder has as its younger already: go there
+    # the generation that the predecessor has as its successor already: connect to that one; 0: none
     successor_generation: int = field(metadata=wire("taken", INTEGER), default=0)
     learned_state: dict[str, object] = field(metadata=wire("learnt", OBJECT), default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class KeyStatus:
-    """A piece of work with an effect, and the try that stands for it."""
+    """An idempotency key, and what is known of the attempt that it stands for."""
 
     wire_tag: ClassVar[str] = "Name"
 
     request_class: str = field(metadata=wire("kind", TEXT))
     idempotency_key: str = field(metadata=wire("once", TEXT))
     request_id: str = field(metadata=wire("id", TEXT))
-    until_us: int = field(metadata=wire("until_us", INTEGER), default=0)  # 0: as long as that try is in hand
+    until_us: int = field(
+        metadata=wire("until_us", INTEGER), default=0
+    )  # expiry; 0: while that attempt is in flight
     result: str | None = field(metadata=wire("result", OPTIONAL_TEXT), default=None)  # as latin-1
-    finished: bool = field(metadata=wire("over", BOOLEAN), default=False)  # that try has ended
+    finished: bool = field(metadata=wire("over", BOOLEAN), default=False)  # the attempt has ended
 
 
 @dataclass(slots=True, frozen=True)
 class KeyReleased:
-    """That try of the work never ran: it may come again."""
+    """The attempt that the key stood for never ran: the request may come again."""
 
     wire_tag: ClassVar[str] = "Gone"
 
@@ -55,14 +68,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SnapshotComplete:
-    """All names that the elder knows have been told; from here on only changes."""
+    """All keys that the predecessor knew at the beginning have been sent; from here on only changes."""
 
     wire_tag: ClassVar[str] = "Whole"
 
 
 @dataclass(slots=True, frozen=True)
 class ClaimRequest:
-    """May this try be held? The elder answers."""
+    """The successor asks whether a request may run. The predecessor responds."""
 
     wire_tag: ClassVar[str] = "Claim"
 
@@ -74,7 +87,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClaimResponse:
-    """The work is yours; or the name stood before it, and says what is known of it."""
+    """Whether the request may run; if not, the key's status stood before this, where there is one."""
 
     wire_tag: ClassVar[str] = "Claimed"
 
@@ -84,7 +97,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GrantShare:
-    """A share of the node's room, from now on yours."""
+    """A share, 0 to 1, of the node's capacity that is the receiver's from now on."""
 
     wire_tag: ClassVar[str] = "Give"
 
@@ -93,14 +106,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SuccessorReady:
-    """The younger takes connections; the elder acknowledges it."""
+    """The successor accepts connections; the predecessor sends it back to acknowledge."""
 
     wire_tag: ClassVar[str] = "Ready"
 
 
 @dataclass(slots=True, frozen=True)
 class ServingStateChanged:
-    """The node was quiesced, or resumed, at the other's door."""
+    """An operator quiesced or resumed the node at the other process."""
 
     wire_tag: ClassVar[str] = "Duty"
 
@@ -109,17 +122,17 @@
 
 @dataclass(slots=True, frozen=True)
 class SuccessorDraining:
-    """The younger was told to leave as well. An elder that knows no such word drops the line."""
+    """SIGTERM came to the successor. A predecessor that is too old to know the message closes the connection."""
 
     wire_tag: ClassVar[str] = "Leaves"
 
-    # by a process that came after it: the node goes on
+    # a process came after it and serves: the node goes on
     has_successor: bool = field(metadata=wire("succeeded", BOOLEAN))
 
 
 @dataclass(slots=True, frozen=True)
 class PredecessorDone:
-    """The elder has nothing left: all is yours."""
+    """The predecessor has nothing left: all of the node is the receiver's."""
 
     wire_tag: ClassVar[str] = "Done"
 
@@ -155,10 +168,11 @@
 
 
 def write(message: Message) -> bytes:
+    """Return a message in its frame."""
     return FRAMING.write(CODEC.write(message))
 
 
 def read(ring: Ring) -> Message | None:
-    """The next message; None until more is read. Raises CorruptError."""
+    """Take the next message; None until more has come. Raises CorruptError."""
     body = FRAMING.read(ring)
     return None if body is None else cast(Message, CODEC.read(body))
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -1,89 +1,106 @@
-"""The room of one node between its processes: memory, crowd and connections, as shares that add up to 1 at most.
+"""The capacity of one node between its processes: memory, requests and connections, as shares of 1 in all.
 
-A share is given only by who has it, after that process has bounded itself to what it keeps, so at no moment do two
-processes together take more than the node has. Where the line between them is lost, each keeps to a half until the
-other must have ended.
+A share is given only by the process that has it, and after that process has bounded itself to what it keeps. So at no
+moment do two processes together use more than the node has. Where the connection between them is lost, each keeps to a
+half until the other must have ended.
 """
 
 from __future__ import annotations
 
 from datetime import datetime, timedelta
 
-FULL_SHARE, HALF_SHARE = 1.0, 0.5
-MIN_SHARE = 0.2  # an elder that leaves keeps so much until it is done: what still comes there is run too
-MIN_TRANSFER = 0.02  # what is given at a time, at the least
+FULL_SHARE, HALF_SHARE = 1.0, 0.5  # of the node's capacity
+MIN_DRAINING_SHARE = 0.2  # kept by a draining predecessor until it has finished, for requests that still come
+MIN_TRANSFER_SHARE = 0.02  # given at a time, so that a message is worth sending
 
 
 class ResourceSharing:
-    """One process's part. With nobody beside it, it has all."""
+    """One process's part of the node's capacity; all of it while there is no other process."""
 
     def __init__(self) -> None:
-        self._mine = FULL_SHARE
-        self._lent = 0.0  # to the younger
-        self._elder = self._younger = False
-        self._leaves = FULL_SHARE  # what is kept at the most, once this process leaves
-        self._elder_ends: datetime | None = None  # by then a lost one must have ended
-        self._younger_ends: datetime | None = None
+        """Begin as the sole process of the node."""
+        self._owned_share = FULL_SHARE
+        self._given_share = 0.0  # to the successor
+        self._has_predecessor = self._has_successor = False
+        self._draining_limit = FULL_SHARE  # in force once this process drains
+        self._predecessor_ended_by: datetime | None = None  # set where it is lost
+        self._successor_ended_by: datetime | None = None
+
+    @property
+    def owned_share(self) -> float:
+        """The share, 0 to 1, that no other process may use. It can be more than `limit` until it is given away."""
+        return self._owned_share
 
     @property
     def limit(self) -> float:
-        """What this process may use."""
-        half = (self._mine + self._lent) * HALF_SHARE if self._younger else FULL_SHARE
-        return min(self._mine, half, self._leaves)
+        """The share, 0 to 1, that this process may use.
+
+        Rule: all that it owns. Exceptions: with a successor only half of what both have, as the rest is to be given;
+        while it drains no more than its requests in flight may need.
+        """
+        common_share = self._owned_share + self._given_share
+        limit_beside_successor = common_share * HALF_SHARE if self._has_successor else FULL_SHARE
+        return min(self._owned_share, limit_beside_successor, self._draining_limit)
 
     @property
-    def alone(self) -> bool:
-        return not (self._elder or self._younger)
+    def is_sole_process(self) -> bool:
+        """Whether no other process may use a part of the capacity."""
+        return not (self._has_predecessor or self._has_successor)
 
     def predecessor_connected(self) -> None:
-        """There is an elder: all is its, until it gives some."""
-        self._elder, self._mine = True, 0.0
+        """Own nothing until the predecessor gives a share: it has all."""
+        self._has_predecessor, self._owned_share = True, 0.0
 
     def receive(self, share: float) -> None:
-        """The elder gave a share."""
-        if self._elder and 0 < share <= FULL_SHARE:
-            self._mine = min(FULL_SHARE - self._lent, self._mine + share)
+        """Own a share, 0 to 1, that the predecessor gave. One that makes no sense is ignored."""
+        if self._has_predecessor and 0 < share <= FULL_SHARE:
+            self._owned_share = min(FULL_SHARE - self._given_share, self._owned_share + share)
 
     def predecessor_done(self) -> None:
-        """It has left in order, and gave all it had before."""
-        self._elder, self._mine = False, FULL_SHARE - self._lent
+        """Own all that was not given away: the predecessor has ended."""
+        self._has_predecessor, self._owned_share = False, FULL_SHARE - self._given_share
 
-    def predecessor_lost(self, now: datetime, wait: timedelta) -> None:
-        if self._elder and self._elder_ends is None:
-            self._elder_ends = now + wait
-            self._mine = max(self._mine, HALF_SHARE - self._lent)
+    def predecessor_lost(self, now: datetime, termination_timeout: timedelta) -> None:
+        """Keep to a half until the lost predecessor must have ended, `termination_timeout` from now."""
+        if self._has_predecessor and self._predecessor_ended_by is None:
+            self._predecessor_ended_by = now + termination_timeout
+            self._owned_share = max(self._owned_share, HALF_SHARE - self._given_share)
 
     def successor_connected(self) -> None:
-        self._younger, self._younger_ends = True, None
-
-    def successor_lost(self, now: datetime, wait: timedelta) -> None:
-        self._leaves = FULL_SHARE  # nobody is there to leave it to
-        if self._younger:
-            self._younger_ends = now + wait
-
-    def drain(self, need: float) -> None:
-        """This process leaves: `need` is what all that it has in hand may come to use."""
-        self._leaves = min(self.limit, max(MIN_SHARE, need))
-
-    def give(self, use: float, rest: bool = False) -> float:
-        """What to give to the younger now, when so much is in use here; 0 while it is not worth a word."""
-        share = self._mine if rest else self._mine - max(self.limit, use)
-        if (
-            not self._younger
-            or self._younger_ends is not None
-            or share <= 0
-            or (share < MIN_TRANSFER and not rest)
-        ):
+        """Keep to a half from now on: the rest is the successor's as it becomes free."""
+        self._has_successor, self._successor_ended_by = True, None
+
+    def successor_lost(self, now: datetime, termination_timeout: timedelta) -> None:
+        """Reclaim what was given once the lost successor must have ended, `termination_timeout` from now."""
+        self._draining_limit = FULL_SHARE  # there is nobody to hand over to
+        if self._has_successor:
+            self._successor_ended_by = now + termination_timeout
+
+    def drain(self, needed_share: float) -> None:
+        """Keep no more than `needed_share`, 0 to 1: what all requests in flight here may come to use."""
+        self._draining_limit = min(self.limit, max(MIN_DRAINING_SHARE, needed_share))
+
+    def give(self, share_in_use: float, rest: bool = False) -> float:
+        """Give the successor what is free, and return the share to send; 0 where there is nothing to send.
+
+        Args:
+            share_in_use: what this process uses now, 0 to 1.
+            rest: give all that is left: this process ends.
+        """
+        free_share = self._owned_share if rest else self._owned_share - max(self.limit, share_in_use)
+        successor_can_receive = self._has_successor and self._successor_ended_by is None
+        worth_sending = free_share > 0 and (rest or free_share >= MIN_TRANSFER_SHARE)
+        if not (successor_can_receive and worth_sending):
             return 0.0
-        self._mine -= share
-        self._lent += share
-        return share
+        self._owned_share -= free_share
+        self._given_share += free_share
+        return free_share
 
     def pass_time(self, now: datetime) -> None:
-        """What lost processes had comes to this one when they must have ended."""
-        if self._elder_ends is not None and self._elder_ends <= now:
-            self._elder_ends = None
+        """Reclaim what lost processes had, where they must have ended by now."""
+        if self._predecessor_ended_by is not None and self._predecessor_ended_by <= now:
+            self._predecessor_ended_by = None
             self.predecessor_done()
-        if self._younger_ends is not None and self._younger_ends <= now:
-            self._younger, self._younger_ends = False, None
-            self._mine, self._lent = self._mine + self._lent, 0.0
+        if self._successor_ended_by is not None and self._successor_ended_by <= now:
+            self._has_successor, self._successor_ended_by = False, None
+            self._owned_share, self._given_share = self._owned_share + self._given_share, 0.0
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -126,7 +126,7 @@
     @property
     def idle(self) -> bool:
         """There is nobody beside this process, and nothing to wait for."""
-        return self.sharing.alone and self._serves
+        return self.sharing.is_sole_process and self._serves
 
     @property
     def has_predecessor(self) -> bool:
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -18,7 +18,7 @@
 from marlstep.core.serving_state import ServingPhase
 from marlstep.hot_restart import messages
 from marlstep.hot_restart.host_adapter import HostAdapter, HostHooks
-from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_SHARE, ResourceSharing
+from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_DRAINING_SHARE, ResourceSharing
 from marlstep.hot_restart.restart import ACKNOWLEDGE_TIMEOUT, MEETING_TIMEOUT, HotRestart
 from marlstep.net.ring import Ring
 from marlstep.units import MILLISECOND, SECOND
@@ -203,7 +203,7 @@
     pair.elder.connected = 0.9
     pair.meet()
     pair.settle(40)
-    shares = [process.handover.sharing._mine for process in pair.living]
+    shares = [process.handover.sharing.owned_share for process in pair.living]
     assert shares[1] == pytest.approx(0.1) and pair.elder.handover.sharing.limit == HALF_SHARE
     pair.elder.connected = 0.3
     pair.settle(40)
@@ -211,7 +211,7 @@
     assert pair.elder.handover.drain(pair.clock.now())
     pair.elder.connected = 0.0
     pair.settle(40)
-    assert pair.younger.handover.sharing.limit == pytest.approx(FULL_SHARE - MIN_SHARE)
+    assert pair.younger.handover.sharing.limit == pytest.approx(FULL_SHARE - MIN_DRAINING_SHARE)
     pair.elder.handover.done()
     pair.settle()
     assert pair.younger.handover.sharing.limit == FULL_SHARE and pair.younger.handover.idle
@@ -256,7 +256,7 @@
     pair.kill(pair.younger)
     assert pair.elder.lost and not pair.elder.handover.has_successor
     # What the dead one ran may still be on the cores, so its share comes back later.
-    assert pair.elder.handover.sharing.limit == pytest.approx(MIN_SHARE)
+    assert pair.elder.handover.sharing.limit == pytest.approx(MIN_DRAINING_SHARE)
     pair.clock.advance(WAIT / MILLISECOND)
     pair.elder.handover.tick(pair.clock.now())
     assert pair.elder.handover.sharing.limit == FULL_SHARE
@@ -603,7 +603,7 @@
             assert elder.limit + younger.limit <= FULL_SHARE + 1e-9
     if lost:
         younger.pass_time(now + WAIT)
-        assert younger.limit == pytest.approx(FULL_SHARE) and younger.alone
+        assert younger.limit == pytest.approx(FULL_SHARE) and younger.is_sole_process
 
 
 MESSAGES = (
