--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -69,7 +69,7 @@
         self._url, self._token, self._body = b"", b"", b""
         self._answered = False
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         data = self.inbox.take(self.inbox.used)
         if not self._in_body:
             self._head += len(data)
@@ -82,7 +82,7 @@
             self._refuse(Problem(400, "no upgrade here"))
         except httptools.HttpParserError as fault:
             self._refuse(Problem(400, f"malformed request: {fault}"))
-        if self.at_end:
+        if self.at_eof:
             self.finish()
 
     # What httptools calls.
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -30,15 +30,15 @@
         """Keep the smallest buffer: nothing is read."""
         super().__init__(64)
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Close; what the server sends does not matter."""
         self.abort()
 
-    def made(self) -> None:
+    def opened(self) -> None:
         """Close; the dialler is notified of the success."""
         self.abort()
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         """Do nothing: the check is over."""
 
 
--- a/marlstep/cluster/incoming_connection.py
+++ b/marlstep/cluster/incoming_connection.py
@@ -44,7 +44,7 @@
         self._deliver, self._drops = deliver, drops
         self._first_frame_deadline: Timer | None = None
 
-    def made(self) -> None:
+    def opened(self) -> None:
         """Enter the connection in the table, and bound the time to its first frame."""
         if not self._table.accept(self):
             self.abort()
@@ -56,7 +56,7 @@
         self._drops.record("silent", "no whole frame came in time")
         self.abort()
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Deliver all frames that have been read whole."""
         try:
             while (body := self._framing.read(self.inbox)) is not None:
@@ -65,10 +65,10 @@
         except CorruptError as fault:
             self._drops.record("corrupt", str(fault))
             self.abort()
-        if self.at_end:
+        if self.at_eof:
             self.abort()
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         """Take the connection out of the table."""
         self._timeline.cancel(self._first_frame_deadline)
         self._table.remove(self)
--- a/marlstep/cluster/outbound_peer.py
+++ b/marlstep/cluster/outbound_peer.py
@@ -30,14 +30,14 @@
         super().__init__(RING_SIZE)
         self._on_lost = on_lost
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Discard what the peer sends: nothing is expected from it."""
         if self.inbox.used:
             self.inbox.skip(self.inbox.used)
-        if self.at_end:
+        if self.at_eof:
             self.abort()
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         """Tell the owner."""
         self._on_lost(self)
 
@@ -69,7 +69,7 @@
             self._connect(now)
 
     def _send_on(self, connection: OutgoingConnection, frame: bytes, now: datetime) -> None:
-        if not connection.clogged:
+        if not connection.send_blocked:
             self._stalled_since = None
             connection.send(frame)
             return
--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -31,7 +31,7 @@
 
 
 class Connection(RingStream):
-    """A front end's connection. It has a slot in its front's table from `made` to `lost`."""
+    """A front end's connection. It has a slot in its front's table from `opened` to `closed`."""
 
     def __init__(self, listener: Listener, ring_size: int) -> None:
         super().__init__(ring_size)
@@ -42,13 +42,13 @@
         self._watch: Timer | None = None
         self._linger: Timer | None = None
 
-    def made(self) -> None:
+    def opened(self) -> None:
         if self.listener.accept(self):
             self.await_more()
         else:
             self.abort()
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         timeline = self.listener.timeline
         timeline.cancel(self._watch)
         timeline.cancel(self._linger)
@@ -76,7 +76,7 @@
         self._watch = None
         if not self.connected:
             return
-        if self.clogged:  # for all this time the peer took nothing of what it was sent
+        if self.send_blocked:  # for all this time the peer took nothing of what it was sent
             log.warning("connection cut off: its peer takes no answers")
             self.abort()
         else:
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -119,14 +119,14 @@
         self._broken = False  # what the peer sends can't be told apart any more
         self._faults = 0
 
-    def made(self) -> None:
-        super().made()
+    def opened(self) -> None:
+        super().opened()
         if self.frontend.draining:
             self.drain()
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         taken = False
-        while not self._broken and not self.clogged:
+        while not self._broken and not self.send_blocked:
             try:
                 frame = self._frames.next(self.inbox)
             except MalformedFrameError as fault:
@@ -146,7 +146,7 @@
     @property
     def _read_remaining(self) -> bool:
         """The peer sends no more. Where it took no answers, requests of its may lie here unread: they come first."""
-        return self.at_end and not self.clogged
+        return self.at_eof and not self.send_blocked
 
     def _note_progress(self, taken: bool) -> None:
         if taken:
@@ -163,7 +163,7 @@
     @property
     def _waits(self) -> bool:
         """Something has to come, or to be taken, before this connection can go on."""
-        return self.clogged or self.inbox.used > 0 or self._frames.inside or self.frontend.is_new(self)
+        return self.send_blocked or self.inbox.used > 0 or self._frames.inside or self.frontend.is_new(self)
 
     def _take_frame(self, frame: list[bytes]) -> None:
         tag = read_tag(frame[1]) if len(frame) > 1 else None
@@ -224,7 +224,7 @@
             if answer.no_failover:
                 fields["last"] = "1"
         self._send_frame(number, STATUS_WORDS[answer.status], fields, answer.body)
-        if self.clogged:
+        if self.send_blocked:
             self.await_more()
         if not self._open:
             if self._broken or self._read_remaining:
@@ -274,7 +274,7 @@
 
         A frame that is not whole yet is waited for as ever: no longer than the listener's patience.
         """
-        unread = not self._broken and (self.clogged or self.inbox.used > 0 or self._frames.inside)
+        unread = not self._broken and (self.send_blocked or self.inbox.used > 0 or self._frames.inside)
         if self.connected and (self._open or unread):
             self._schedule_abort()
         else:
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -42,7 +42,7 @@
         self._request: int | None = None
         self._taken = False  # its one packet is whole, or can't become so
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         if not self._taken:
             try:
                 packet = self._packet.next(self.inbox)
@@ -51,7 +51,7 @@
                     self.frontend.proven(self)
                     self.request_completed()
                     self._submit(packet)
-                elif self.at_end:
+                elif self.at_eof:
                     self.finish()  # the client left inside its packet: there is no request to answer
             except InvalidPacketError as fault:
                 self._reject(fault.status, str(fault))
--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -46,11 +46,11 @@
         self.prompt = False  # nothing may wait here: what the other does not take now cuts the line
         self.met = False  # its hello has come
 
-    def made(self) -> None:
+    def opened(self) -> None:
         assert self._transport is not None
         self._socket = socket.socket(fileno=os.dup(self._transport.get_extra_info("socket").fileno()))
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self._close_copy()
         self._meeting.lost(self)
 
@@ -59,7 +59,7 @@
             self._socket.close()
             self._socket = None
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         try:
             while (message := read(self.inbox)) is not None:
                 self._meeting.message(self, message)
@@ -68,7 +68,7 @@
             if not self.met:
                 self._meeting.stranger(self)
             self.close()
-        if self.at_end:
+        if self.at_eof:
             self.close()
 
     def send_message(self, message: Message) -> None:
@@ -140,7 +140,7 @@
         if elder is not None:
             self._predecessor = elder
             self.handover.meet_predecessor(PeerLink(elder), self._timeline.now())
-            elder.received()  # its hello may have come
+            elder.data_received()  # its hello may have come
             self._ticking()
         return elder is not None
 
@@ -209,7 +209,7 @@
                 self.handover.predecessor_lost(self._timeline.now())
             else:
                 self.handover.meet_predecessor(PeerLink(self._predecessor), self._timeline.now())
-                self._predecessor.received()
+                self._predecessor.data_received()
 
         if self._predecessor is not None:
             old, self._predecessor = self._predecessor, None
--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -70,14 +70,14 @@
         """Handle a complete message. May raise LineProtocolError."""
         raise NotImplementedError
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Handle all messages that are complete."""
         try:
             while self._read_message():
                 pass
         except (LineProtocolError, LineTooLongError) as fault:
             self._abort_for(fault)
-        if self.at_end:
+        if self.at_eof:
             self.abort()
 
     def _abort_for(self, fault: Exception) -> None:
--- a/marlstep/net/stream.py
+++ b/marlstep/net/stream.py
@@ -19,7 +19,7 @@
 
 
 class RingStream(asyncio.BufferedProtocol):
-    """A connection. Subclasses implement `received` and `lost`, consume `inbox` and call `send`."""
+    """A connection. Subclasses implement `data_received` and `closed`, consume `inbox` and call `send`."""
 
     def __init__(self, ring_size: int) -> None:
         """`ring_size` is the size of the inbox and of the outbox, in bytes each."""
@@ -30,19 +30,19 @@
         self._writable = True
         self._reading = True
         self._finishing = False
-        self.at_end = False  # the peer will send no more
+        self.at_eof = False  # the peer will send no more
 
     # For subclasses to implement.
 
-    def made(self) -> None:
+    def opened(self) -> None:
         """Handle the connection's opening."""
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Consume `inbox`: there is more in it, the peer has ended its stream, or it reads again."""
         raise NotImplementedError
 
-    def lost(self) -> None:
-        """Handle the connection's loss. Called once."""
+    def closed(self) -> None:
+        """Handle the end of the connection, however it ended. Called once."""
         raise NotImplementedError
 
     # For subclasses and owners to call.
@@ -53,7 +53,7 @@
         return self._transport is not None and not self._transport.is_closing()
 
     @property
-    def clogged(self) -> bool:
+    def send_blocked(self) -> bool:
         """Whether the peer does not read what was sent: nothing more is read from it then."""
         return bool(self._overflow)
 
@@ -96,7 +96,7 @@
         """Read only while there is space in the inbox and the peer reads what it is sent."""
         if self._transport is None or self._transport.is_closing():
             return
-        wanted = not self._finishing and not self.clogged and self.inbox.free > 0
+        wanted = not self._finishing and not self.send_blocked and self.inbox.free > 0
         if wanted and not self._reading:
             self._transport.resume_reading()
         elif not wanted and self._reading:
@@ -109,7 +109,7 @@
         """Take the transport that asyncio has connected."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=WRITE_BUFFER_LIMIT, low=0)
-        self.made()
+        self.opened()
 
     def get_buffer(self, _sizehint: int) -> memoryview:
         """Return where asyncio is to read into. Reading is paused while there is no space."""
@@ -118,20 +118,20 @@
     def buffer_updated(self, nbytes: int) -> None:
         """Take in what asyncio has read."""
         self.inbox.wrote(nbytes)
-        self._handle_received()
+        self._handle_data()
 
     def eof_received(self) -> bool:
         """Note the end of the peer's stream."""
-        self.at_end = True
-        self._handle_received()
+        self.at_eof = True
+        self._handle_data()
         return True  # asyncio leaves it open: requests in flight are still answered, and the subclass closes
 
-    def _handle_received(self) -> None:
+    def _handle_data(self) -> None:
         if self._finishing:
             self.inbox.skip(self.inbox.used)
             return
         try:
-            self.received()
+            self.data_received()
         except Exception:
             # A fault in the handling of one connection must end no other.
             log.exception("connection aborted: unhandled error in its handler")
@@ -146,13 +146,13 @@
     def resume_writing(self) -> None:
         """Write out what is queued, and read again."""
         self._writable = True
-        was_clogged = self.clogged
+        was_send_blocked = self.send_blocked
         self._flush()
-        if was_clogged and not self.clogged and not self._finishing:
-            self._handle_received()  # what is in the inbox was held back until now
+        if was_send_blocked and not self.send_blocked and not self._finishing:
+            self._handle_data()  # what is in the inbox was held back until now
 
     def connection_lost(self, _exc: Exception | None) -> None:
         """Drop what is queued, and tell the subclass."""
         self._transport = None
         self._overflow.clear()
-        self.lost()
+        self.closed()
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -64,22 +64,22 @@
         self._database = database
         self._spoilt = False  # more came than belongs to its call: good for this one reply, and no more
 
-    def made(self) -> None:
+    def opened(self) -> None:
         self._database.connection_opened(self)
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self._database.connection_lost(self)
 
     def body_length(self, words: list[str]) -> int | None:
         return parse_length(words[2], BODY_LIMIT) if len(words) == 3 and words[1] == "ROWS" else None
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         served = self.call is not None
-        super().received()
+        super().data_received()
         if self.call is not None:
             return
         # Looked at when all that came together is read: what is there beside its reply belongs to nobody.
-        if served and self.connected and not (self._spoilt or self.partial or self.at_end):
+        if served and self.connected and not (self._spoilt or self.partial or self.at_eof):
             self._database.return_to_pool(self)
         else:
             self.abort()
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -67,10 +67,10 @@
         self.booted = False  # the kernel has answered on it
         self._kernel = kernel
 
-    def made(self) -> None:
+    def opened(self) -> None:
         self._kernel.connection_opened(self)
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self._kernel.connection_lost(self)
 
     def body_length(self, words: list[str]) -> int | None:
--- a/marlstep/standins/servers.py
+++ b/marlstep/standins/servers.py
@@ -140,7 +140,7 @@
     def message(self, words: list[str], body: bytes) -> None:
         self._server.command(self, words, body)
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         if self._server.link is self:
             self._server.link = None
 
@@ -168,7 +168,7 @@
             reply = f"{words[1]} ROWS 4\r\nrows\r\n".encode()
             server.clock.at(server.clock.now_us() + server.latency_us, lambda: self.send(reply))
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         """Closing a connection gives up every call on it."""
 
 
@@ -212,13 +212,13 @@
         self._packets = PacketReader(BODY_LIMIT)
         self.id = ""
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         packet = self._packets.next(self.inbox) if not self.id else None
         if packet is not None:
             plan = packet.variables.get("MARLSTEP_PLAN", "")
             self._server.begin(self, packet.variables.get("HTTP_X_CLASS", ""), plan.encode())
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self._server.gone(self.id)
 
 
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -60,7 +60,7 @@
         kind = one.work.planned.kind.encode()
         self.send(write_frame(b"EXEC", b"%d" % self._tag, kind, fields.encode(), body))
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         while (words := self._frames.next(self.inbox)) is not None:
             tag = int(words[0])
             if tag == 0:
@@ -75,10 +75,10 @@
                 self._on_answer(
                     id, WORDS.get(words[1], ResponseStatus.FAILED), after, body.startswith(b"poor")
                 )
-        if (self.closing and not self.open) or self.at_end:
+        if (self.closing and not self.open) or self.at_eof:
             self.finish()
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self.closing = True
         self._on_close(self)
 
@@ -93,7 +93,7 @@
         self._body = b""
         self._after = 0
 
-    def made(self) -> None:
+    def opened(self) -> None:
         self.send(self._packet)
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -108,14 +108,14 @@
         self._on_answer(self._id, verdict, self._after, self._body.startswith(b"poor"))
         self.finish()
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         data = self.inbox.take(self.inbox.used)
         if data:
             self._parser.feed_data(data)
-        if self.at_end:
+        if self.at_eof:
             self.finish()
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         """A request that is lost shows as one without an answer."""
 
 
@@ -324,7 +324,7 @@
             try:
                 await asyncio.get_running_loop().create_connection(lambda: connection, "127.0.0.1", port)
             except OSError:
-                connection.lost()  # what was to go there is without an answer, and counts as lost
+                connection.closed()  # what was to go there is without an answer, and counts as lost
                 return
             then()
 
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -62,7 +62,7 @@
         """It proves that nothing ran only where the packet had not begun to leave."""
         self._end(AttemptOutcome.BROKEN if self.sent else AttemptOutcome.NOT_REACHED, f"not reached: {why}")
 
-    def made(self) -> None:
+    def opened(self) -> None:
         self._timeline.cancel(self._timeout)
         if self._owner.response_awaited(self):
             self.sent = True
@@ -70,7 +70,7 @@
         else:  # given up while the connection was on its way: it must not run now
             self.abort()
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         data = self.inbox.take(self.inbox.used)
         self.response += data
         try:
@@ -80,10 +80,10 @@
             return self._end(AttemptOutcome.BROKEN, f"no response: {fault!r}")
         if len(self.response) > self._owner.response_limit:
             self._end(AttemptOutcome.BROKEN, f"a response of over {self._owner.response_limit} bytes")
-        elif self._complete or (self.at_end and self._headers_done and not self._cut_short()):
+        elif self._complete or (self.at_eof and self._headers_done and not self._cut_short()):
             status = self._parser.get_status_code()
             self._end(AttemptOutcome.REFUSED if status in self._refuses else AttemptOutcome.WELL, "")
-        elif self.at_end:
+        elif self.at_eof:
             self._end(AttemptOutcome.BROKEN, "the response was cut short")
 
     def _cut_short(self) -> bool:
@@ -94,7 +94,7 @@
         size = int.from_bytes(self._packet[1:3], "little")
         return read_variables(self._packet[HEAD : HEAD + size]).get("REQUEST_METHOD") == "HEAD"
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self._end(AttemptOutcome.BROKEN, "the connection broke")
 
     def _end(self, end: AttemptOutcome, why: str) -> None:
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -198,7 +198,7 @@
         stream.pause_writing()
         for tag in range(1, 4):
             desk.ended(tag, b"x" * 4_096)
-        assert stream.clogged
+        assert stream.send_blocked
         wire.paused = False
         desk.feed(wire, desk.frame(9, "ping", id=9))  # read into the ring, and not taken out of it
         if end == "half-closed":
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -528,7 +528,7 @@
         place.kernel.reap(1, body=b"x" * 60_000)
         await until(lambda: not old._writable)
         place.kernel.reap(2, body=b"y" * 60_000)
-        await until(lambda: old.clogged)
+        await until(lambda: old.send_blocked)
         old.idle()
         old.drain()  # the cut comes 0.2 s after
         if how == "reset":
