--- a/marlstep/admission/actions.py
+++ b/marlstep/admission/actions.py
@@ -28,7 +28,7 @@
 
     id: str
     retry_after_us: int
-    give_up: bool  # the caller should not try another server either
+    no_failover: bool  # the caller should not try another server either
 
 
 @dataclass(slots=True)
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -3,61 +3,150 @@
 Types: marlstep/admission/settings.py, marlstep/admission/events.py, marlstep/admission/actions.py.
 """
 
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
 from marlstep.admission import events
 from marlstep.admission.actions import Action, Health, IdleLimit
-from marlstep.admission.concurrency_limit import is_cpu_busy
+from marlstep.admission.concurrency_limit import ConcurrencyLimit, is_cpu_busy
+from marlstep.admission.deadlines import drain_response_deadline, last_runnable_arrival
+from marlstep.admission.downstream_calls import DownstreamCalls
 from marlstep.admission.entry import Entry, State
-from marlstep.admission.parts import Parts
-from marlstep.admission.settings import LoadSignal, Settings
+from marlstep.admission.idle_timeout import adjusted_idle_timeout_us, connections_to_retain
+from marlstep.admission.intake import Intake
+from marlstep.admission.lifecycle import RequestLifecycle
+from marlstep.admission.memory_ledger import MemoryLedger
+from marlstep.admission.retry_advisor import RetryAdvisor
+from marlstep.admission.run_queue import RunQueue
+from marlstep.admission.server_state import ServerState
+from marlstep.admission.settings import ClassSettings, LoadSignal, Settings
 from marlstep.admission.timing import NEVER, SECOND
 from marlstep.admission.turn_timer import TurnTimer
 
-DRAIN_LEAD_TICKS = 8  # before the process is stopped all is answered: room for ticks and a stall
-LOOKED_AT_EACH_TICK = (State.QUEUED, State.STOPPING, State.AWAITING_CALL)
+STATES_CHECKED_EACH_TICK = (State.QUEUED, State.STOPPING, State.AWAITING_CALL)
+CPU_GAUGE = "cpu"  # share of the cores in use
+CONNECTIONS_GAUGE = "conns"
+CPU_LOAD_IF_UNKNOWN = 1.0  # a server that does not measure its cores takes them for busy
 
 
 class Controller:
-    """The decisions of one server, from its start to its end."""
+    """Decides for one server, from its start to its end, by the components that it composes.
+
+    Each call of `decide` is a turn: the events of the turn are dispatched to the components, then what is due
+    is done, calls are made, and the running set is filled.
+
+    Attributes:
+        state: what the components share: requests, measurements, the settings in force, the clock.
+        concurrency: the limit on runs at once.
+        memory: the bounds on memory.
+        advisor: Retry-After and callers' credit.
+        lifecycle: final responses.
+        queue: the order of runs, starts and preemption.
+        intake: arrivals.
+        calls: downstream calls.
+        timer: the one timer that the controller has set.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Compose the parts. Nothing is random: the seed, which all controllers are given, is not used."""
+        """Compose the components.
+
+        Args:
+            settings: in force until a `SettingsChanged`.
+            seed: not used, since nothing here is random; the simulator gives one to every controller.
+        """
         del seed
-        self.parts = Parts(settings)
-        self.state = self.parts.state
+        self.state = ServerState(settings)
+        self.concurrency = ConcurrencyLimit(self.state)
+        self.memory = MemoryLedger(self.state)
+        self.advisor = RetryAdvisor(self.state, self.concurrency)
+        self.lifecycle = RequestLifecycle(self.state, self.advisor)
+        self.queue = RunQueue(self.state, self.concurrency, self.memory, self.lifecycle)
+        self.intake = Intake(self.state, self.memory, self.lifecycle, self.queue)
+        self.calls = DownstreamCalls(self.state, self.lifecycle)
         self.timer = TurnTimer()
-        self._handlers = self.parts.handlers() | {
+        self._handlers: dict[type, Callable[[Any], None]] = {
+            events.Arrival: self.intake.arrive,
+            events.ClientDisconnected: self._on_client_disconnected,
+            events.CallNeeded: self._on_call_needed,
+            events.CallEnded: self._on_call_ended,
+            events.RunEnded: self._on_run_ended,
             events.TimerDue: self._on_timer,
             events.Drain: self._on_drain,
+            events.Measurements: self._on_measurements,
+            events.SettingsChanged: self._on_settings_changed,
+            events.QuotaChanged: self._on_quota_changed,
+            events.PoolCapacityChanged: self._on_pool_capacity_changed,
+            events.PortionChanged: self._on_portion_changed,
         }
+        self._apply_settings(settings, ())
 
     def decide(self, now_us: int, new_events: list[events.Event]) -> list[Action]:
-        """Take what has happened, and give what is to be done, in this order."""
-        if self.state.begin_turn(now_us):  # the first
-            self.parts.concurrency.adjusted_at = now_us
+        """Take what has happened since the last turn, and return the actions to carry out, in this order.
+
+        Args:
+            now_us: the time in microseconds, never before that of the last turn.
+            new_events: in the order in which they happened.
+        """
+        is_first_turn = self.state.begin_turn(now_us)
+        if is_first_turn:
+            self.concurrency.adjusted_at = now_us
             self.state.actions.append(Health(stored=True, good=True))
         for event in new_events:
             self._handlers[type(event)](event)
         for entry in self.state.due_entries():
-            self._wake(entry)
-        self.parts.calls.dispatch()
-        self.parts.queue.fill()
+            self._respond_if_due(entry)
+        self.calls.dispatch()
+        self.queue.fill()
         self._arm_timer()
         return self.state.actions
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        """Give the share of the server's room that is in use, and that all in flight may come to use."""
+        """Return the share of the server that is in use, and the share that all in flight may need."""
         return self.state.memory_and_concurrency_in_use()
 
     def measurements(self) -> events.Measurements:
-        """Give what was measured, for the controller of another process of this server."""
-        return self.parts.measurements()
+        """Return what was measured, for the controller of another process of this server."""
+        return events.Measurements(
+            limit=self.concurrency.limit,
+            least_run_us=self.state.statistics.least_run_us,
+            usual_call_us=self.state.call_latency.usual_us,
+            mean_call_us=self.state.call_latency.mean_us,
+            mean_run_us=dict(self.state.statistics.mean_run_us),
+        )
+
+    # Events of a request. One that has ended here already is passed over.
+
+    def _on_client_disconnected(self, event: events.ClientDisconnected) -> None:
+        if (entry := self.state.entries.unfinished(event.id)) is not None:
+            self.lifecycle.abandon(entry)
+
+    def _on_call_needed(self, event: events.CallNeeded) -> None:
+        if (entry := self.state.entries.unfinished(event.id)) is not None:
+            self.state.await_call(entry)
+
+    def _on_call_ended(self, event: events.CallEnded) -> None:
+        if (entry := self.state.entries.unfinished(event.id)) is not None:
+            self.calls.end(entry, event)
+
+    def _on_run_ended(self, event: events.RunEnded) -> None:
+        if (entry := self.state.entries.unfinished(event.id)) is not None:
+            self.queue.end(entry, event.outcome)
+
+    # Events of the server.
 
     def _on_drain(self, event: events.Drain) -> None:
-        """Answer all before the process is stopped; without a successor, run no late arrival."""
-        self.state.respond_by = event.stops_at - DRAIN_LEAD_TICKS * self.state.tick_us
+        """Respond to all before the process is stopped; without a successor also leave service.
+
+        A successor takes this process's place, so late arrivals are run as ever and health stays good.
+        """
+        self.state.respond_by = drain_response_deadline(event.stops_at, self.state.tick_us)
         if not event.has_successor:
             noticed_at = event.noticed_at or self.state.now
-            self.state.last_runnable_arrival_at = noticed_at + self.state.settings.drain_grace_us
+            self.state.last_runnable_arrival_at = last_runnable_arrival(
+                noticed_at, self.state.settings.drain_grace_us
+            )
             self.state.actions.append(Health(stored=True, good=False))
         for entry in self.state.entries.by_id.values():
             entry.deadline_at = min(entry.deadline_at, self.state.respond_by)
@@ -65,37 +154,77 @@
 
     def _on_timer(self, event: events.TimerDue) -> None:
         self.timer.fired(event.tag)
-        self.parts.queue.resume_unstopped()
+        self.queue.resume_unstopped()
         if self.state.settings.load_signal is LoadSignal.CREDIT:
-            self.parts.advisor.advertise_credit()
-        if self.state.now - self.parts.concurrency.adjusted_at >= SECOND:
-            is_busy = is_cpu_busy(event.gauges.get("cpu", 1.0))
-            self.parts.concurrency.adjust(is_busy)
-            self._adjust_idle_limit(event.gauges.get("conns", 0.0), is_busy)
-            self.state.end_second()
-
-    def _adjust_idle_limit(self, connections: float, is_busy: bool) -> None:
-        """Keep fewer idle connections the more there are: busy cores keep about as many idle as in use."""
-        if not connections or not self.state.idle_us:
+            self.advisor.advertise_credit()
+        if self.state.now - self.concurrency.adjusted_at >= SECOND:
+            self._end_second(event)
+
+    def _end_second(self, event: events.TimerDue) -> None:
+        """Adapt the limit and the idle timeout to the second that ends, and let measurements decay."""
+        is_busy = is_cpu_busy(event.gauges.get(CPU_GAUGE, CPU_LOAD_IF_UNKNOWN))
+        self.concurrency.adjust(is_busy)
+        self._adjust_idle_timeout(event.gauges.get(CONNECTIONS_GAUGE, 0.0), is_busy)
+        self.state.end_second()
+
+    def _adjust_idle_timeout(self, open_connections: float, is_busy: bool) -> None:
+        """Fit the idle timeout to the number of open connections, where both are known."""
+        state = self.state
+        if not open_connections or not state.idle_timeout_us:
+            return
+        retained = connections_to_retain(
+            state.entries.count_unfinished(), is_busy, state.settings.cores, state.max_concurrency
+        )
+        state.idle_timeout_us = adjusted_idle_timeout_us(
+            state.idle_timeout_us, retained, open_connections, state.tick_us, state.settings.idle_timeout_us
+        )
+        state.actions.append(IdleLimit(state.idle_timeout_us))
+
+    def _on_measurements(self, event: events.Measurements) -> None:
+        self.concurrency.adopt(event.limit)
+        self.state.statistics.adopt(event.mean_run_us, event.least_run_us)
+        self.state.call_latency.adopt(event.usual_call_us, event.mean_call_us)
+
+    def _on_settings_changed(self, event: events.SettingsChanged) -> None:
+        self._apply_settings(event.settings, event.retired)
+        if self.state.idle_timeout_us > 0:
+            self.state.actions.append(IdleLimit(self.state.idle_timeout_us))
+
+    def _apply_settings(self, settings: Settings, retired: tuple[ClassSettings, ...]) -> None:
+        """Put settings in force, at the start and whenever they change; measurements stay."""
+        self.state.configure(settings, retired)
+        self.concurrency.clamp()
+        self.calls.configure()
+        self.advisor.advertised_credit = 0.0
+
+    def _on_quota_changed(self, event: events.QuotaChanged) -> None:
+        self.state.set_quota(event.tenant, event.per_s)
+
+    def _on_pool_capacity_changed(self, event: events.PoolCapacityChanged) -> None:
+        self.state.entries.pool_capacity[event.pool] = event.capacity
+
+    def _on_portion_changed(self, event: events.PortionChanged) -> None:
+        self.state.set_portion(event.portion)
+
+    # The end of a turn.
+
+    def _respond_if_due(self, entry: Entry) -> None:
+        """Give the final response shortly before the deadline; until then only look at the request again."""
+        if not entry.response_owed:
             return
-        state, in_use = self.state, self.state.entries.count_unfinished()
-        kept = in_use + (in_use + state.settings.cores if is_busy else state.max_concurrency)
-        fitting_us = max(state.tick_us, state.idle_us * kept / connections)
-        state.idle_us = int(min(state.settings.idle_timeout_us, fitting_us))
-        state.actions.append(IdleLimit(state.idle_us))
-
-    def _wake(self, entry: Entry) -> None:
-        """Answer an entry before its deadline; after its objective it is looked at again when that is due."""
-        answer_at = entry.deadline_at - self.state.response_lead_us
-        if entry.response_owed and answer_at <= self.state.now:
-            self.parts.lifecycle.reject_or_fail(entry)
-        elif entry.response_owed:
-            self.state.wakeups.add(entry, answer_at)
+        respond_at = entry.deadline_at - self.state.response_lead_us
+        if respond_at <= self.state.now:
+            self.lifecycle.reject_or_fail(entry)
+        else:
+            self.state.wakeups.add(entry, respond_at)
 
     def _arm_timer(self) -> None:
-        """Ask for a timer for what is due next: a tick while something waits, else a second or a wake."""
+        """Set the timer for what comes first: a tick while requests wait, the next second, or a wakeup."""
         now, entries = self.state.now, self.state.entries
-        second_ends = self.parts.concurrency.adjusted_at + SECOND if entries.count_unfinished() else NEVER
-        next_look = now + self.state.tick_us if entries.count(*LOOKED_AT_EACH_TICK) else second_ends
-        due = min(next_look, self.state.wakeups.next_due())
+        next_check = NEVER
+        if entries.count(*STATES_CHECKED_EACH_TICK):
+            next_check = now + self.state.tick_us
+        elif entries.count_unfinished():
+            next_check = self.concurrency.adjusted_at + SECOND
+        due = min(next_check, self.state.wakeups.next_due())
         self.state.actions += self.timer.arm(now, due)
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass
 
 from marlstep.admission.events import Arrival
+from marlstep.admission.key_retention import recognised_until
 from marlstep.admission.settings import ClassSettings, Effect
 
 
@@ -73,7 +74,9 @@
             arrived_at=arrived_at,
             deadline_at=event.gives_up_us or max(now, arrived_at + request_class.deadline_us),
             objective_at=arrived_at + request_class.latency_objective_us,
-            recognised_until=arrived_at + request_class.idempotency_window_us + request_class.deadline_us,
+            recognised_until=recognised_until(
+                arrived_at, request_class.idempotency_window_us, request_class.deadline_us
+            ),
             memory_kb=event.memory_kb,
             caller=event.caller,
             pool=event.pool,
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -1,5 +1,7 @@
 """Arrivals: which are queued, attached to the run that they repeat, or rejected at once."""
 
+from __future__ import annotations
+
 from dataclasses import dataclass
 
 from marlstep.admission.actions import Attach, Reject
@@ -10,6 +12,31 @@
 from marlstep.admission.run_queue import RunQueue
 from marlstep.admission.server_state import ServerState
 
+MIN_QUOTA_BURST = 1.0  # requests; a quota under one a second still lets one through in full
+FULL_WEIGHT = 1.0
+
+
+def quota_burst(quota_per_s: float) -> float:
+    """Return how many requests of a tenant count in full at once: a second's quota, one at least."""
+    return max(MIN_QUOTA_BURST, quota_per_s)
+
+
+def must_share_result(entry: Entry, prior_id: str | None, prior: Entry | None) -> bool:
+    """Return whether an arrival must be attached to the run of another attempt, and never run itself.
+
+    A repeat with an idempotency key never runs, because the attempt that it repeats has run, or may have if
+    it is no longer known. The exception is an attempt that is known not to have run: the repeat takes its
+    place in the queue.
+
+    Args:
+        entry: the arrival.
+        prior_id: the id of the attempt that it repeats, if it repeats one.
+        prior: the latest attempt of that id, if it is still known.
+    """
+    if not entry.is_keyed or not prior_id:
+        return False
+    return prior is None or prior.has_run
+
 
 @dataclass(slots=True)
 class Intake:
@@ -21,41 +48,73 @@
     queue: RunQueue
 
     def arrive(self, event: Arrival) -> None:
-        """Take in a request that has been read."""
+        """Take in a request that has been read; one of an unknown class is rejected and not retried."""
         request_class = self.state.classes.get(event.request_class)
         if request_class is None:
-            self.state.actions.append(Reject(event.id, 0, give_up=True))
+            self.state.actions.append(Reject(event.id, 0, no_failover=True))
             return
-        if replaced := self.state.entries.by_id.get(event.id):  # its sender is done with the one before
-            replaced.response_owed = False
-            self.state.entries.release_key(replaced)
-            self.lifecycle.finish(replaced)
-        weight = request_class.priority_weight * self._quota_factor(event.tenant)
-        entry = Entry.from_arrival(event, request_class, weight, self.state.now)
+        replaced = self.state.entries.by_id.get(event.id)
+        if replaced is not None:
+            self._discard(replaced)
+        priority_weight = request_class.priority_weight * self._quota_factor(event.tenant)
+        entry = Entry.from_arrival(event, request_class, priority_weight, self.state.now)
         self.state.add(entry, event.unread_us)
         self._place(entry, event.prior)
 
+    def _discard(self, replaced: Entry) -> None:
+        """Drop a request whose id has come again: its sender no longer waits for the one before."""
+        replaced.response_owed = False
+        self.state.entries.release_key(replaced)
+        self.lifecycle.finish(replaced)
+
     def _quota_factor(self, tenant: str | None) -> float:
-        """Give less weight to what is beyond its tenant's quota; up to a second's quota may come at once."""
-        quotas, now = self.state.quotas_per_s, self.state.now
-        if not quotas or tenant is None:
-            return 1.0
-        rate = quotas.get(tenant, 0.0)
-        is_within = tenant in quotas and self.state.buckets.take(tenant, rate, max(1.0, rate), now)
-        return 1.0 if is_within else self.state.settings.over_quota_factor
+        """Return the share of its class's priority weight that a request of this tenant has.
+
+        Requests within the tenant's quota count in full, those beyond it and those of unknown tenants for the
+        share that the settings give. Where the settings name no tenants, all count in full.
+        """
+        quotas_per_s = self.state.quotas_per_s
+        if tenant is None or not quotas_per_s:
+            return FULL_WEIGHT
+        if tenant not in quotas_per_s:
+            return self.state.settings.over_quota_factor
+        rate_per_s = quotas_per_s[tenant]
+        if self.state.buckets.take(tenant, rate_per_s, quota_burst(rate_per_s), self.state.now):
+            return FULL_WEIGHT
+        return self.state.settings.over_quota_factor
 
     def _place(self, entry: Entry, prior_id: str | None) -> None:
+        """Attach an arrival to the run that it repeats, leave it in the queue, or reject it."""
         prior = self.state.entries.latest_attempt(prior_id, entry) if prior_id else None
-        if prior_id and entry.is_keyed and not (prior and not prior.has_run):
+        if must_share_result(entry, prior_id, prior):
             self._attach(entry)
-        elif entry.arrived_at > self.state.last_runnable_arrival_at or not self._fits_queue(entry, prior):
+        elif not self._is_accepted(entry, prior):
             entry.superseded_by = prior
             self.lifecycle.reject_or_fail(entry)
         elif entry.is_keyed:
             self._keep_key(entry, prior)
 
+    def _is_accepted(self, entry: Entry, prior: Entry | None) -> bool:
+        """Return whether an arrival may be queued: within the drain's grace, and if memory allows."""
+        if entry.arrived_at > self.state.last_runnable_arrival_at:
+            return False
+        if not self.memory.could_ever_run(entry):
+            return False
+        limit_kb = self.memory.queue_limit_kb(entry, prior)
+        self._evict_down_to(limit_kb, entry)
+        return self.state.entries.memory_kb <= limit_kb
+
+    def _evict_down_to(self, limit_kb: float, arrival: Entry) -> None:
+        """End waiting requests that can earn nothing until the memory is within the limit."""
+        entries = self.state.entries
+        for waiting in entries.in_states(State.PAUSED, State.QUEUED):
+            if entries.memory_kb <= limit_kb:
+                return
+            if waiting is not arrival and self.queue.current_weight(waiting) <= 0:
+                self.lifecycle.reject_or_fail(waiting)
+
     def _attach(self, entry: Entry) -> None:
-        """Let a repeat of what has run, or may have, share that result: it never runs itself."""
+        """Let a repeat share the result of the attempt that ran; where memory lacks, it fails."""
         entry.has_run = True
         if self.memory.fits(0.0):
             self.state.actions.append(Attach(entry.id))
@@ -64,21 +123,12 @@
             self.lifecycle.reject_or_fail(entry)
 
     def _keep_key(self, entry: Entry, prior: Entry | None) -> None:
-        """Keep an entry's key before its run; the attempt that its caller has left gives up its place."""
-        if prior:
-            self.state.entries.release_key(prior)
+        """Keep the key of an arrival before its run, in place of the attempt that it repeats."""
+        if prior is None:
+            self.state.keep_key(entry)
+            return
+        self.state.entries.release_key(prior)
         self.state.keep_key(entry)
-        if prior:
-            entry.arrival_number, prior.superseded_by = prior.arrival_number, entry
-            self.lifecycle.reject_or_fail(prior)
-
-    def _fits_queue(self, entry: Entry, prior: Entry | None) -> bool:
-        """Tell whether the queue, this entry and its key fit; what is worth nothing gives way first."""
-        bound = self.memory.queue_limit_kb(entry, prior)
-        entries = self.state.entries
-        if not self.memory.could_ever_run(entry):
-            return False
-        for other in entries.in_states(State.PAUSED, State.QUEUED):
-            if entries.memory_kb > bound and other is not entry and self.queue.current_weight(other) <= 0:
-                self.lifecycle.reject_or_fail(other)
-        return entries.memory_kb <= bound
+        entry.arrival_number = prior.arrival_number
+        prior.superseded_by = entry
+        self.lifecycle.reject_or_fail(prior)
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -90,7 +90,7 @@
         "m": "overloadReply",
         "id": action.id,
         "retryAfterUs": action.retry_after_us,
-        "giveUp": action.give_up,
+        "giveUp": action.no_failover,
     }
 
 
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -22,7 +22,6 @@
         "entry",
         "entry_index",
         "events",
-        "parts",
         "run_statistics",
         "server_state",
         "settings",
--- a/tests/admission/test_mechanism.py
+++ b/tests/admission/test_mechanism.py
@@ -111,7 +111,7 @@
     for index in range(2):
         server.end(f"r{index}", after_ms=1)
     server.tick(after_ms=1000, cpu=1.0)  # runs took a second against a base of 10 ms
-    assert server.controller.parts.concurrency.limit < 3
+    assert server.controller.concurrency.limit < 3
 
 
 def test_a_halt_that_did_not_take_is_seen() -> None:
@@ -340,7 +340,7 @@
         server.end(f"odd{index}", Outcome.NOT_STARTED, after_ms=1)
     assert (
         server.controller.state.statistics.us_per_run() == pace
-        and server.controller.parts.advisor.count_callers() == 1
+        and server.controller.advisor.count_callers() == 1
     )
 
 
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -308,13 +308,13 @@
     controller = pair.elder.desk.core._controller
     controller.state.statistics.mean_run_us["temp-history"] = 300_000.0
     controller.state.call_latency.usual_us = 9_000.0
-    controller.parts.concurrency.limit = 4.0
+    controller.concurrency.limit = 4.0
     pair.meet()
     pair.settle(40)
     learnt = pair.younger.desk.core._controller
     assert learnt.state.statistics.mean_run_us["temp-history"] == 300_000.0
     assert learnt.state.call_latency.usual_us == 9_000.0
-    assert 1.0 <= learnt.parts.concurrency.limit <= learnt.state.max_concurrency
+    assert 1.0 <= learnt.concurrency.limit <= learnt.state.max_concurrency
     core = pair.younger.desk.core
     assert not core.healthy and core.serving_state.can_serve
     core.serving_state.resume()
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -93,7 +93,7 @@
     desk.submit(1)
     desk.clock.advance(300)
     desk.end(1)
-    controller.parts.concurrency.limit = 9.0
+    controller.concurrency.limit = 9.0
     learnt = (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
@@ -107,10 +107,10 @@
         controller.state.statistics.least_run_us,
         controller.state.callers.last_seen,
     ) == learnt
-    assert controller.parts.concurrency.limit == 9.0
+    assert controller.concurrency.limit == 9.0
     desk.core.apply_settings(settings(lambda told: told["rules"].update(fallMultiple=2.0)))
     desk.clock.settle()
-    assert controller.parts.concurrency.limit == 4.0  # the crowd that it survives now
+    assert controller.concurrency.limit == 4.0  # the crowd that it survives now
 
 
 def test_an_allowance_changed_by_the_administration_stays_until_the_file_says_otherwise() -> None:
