--- a/marlstep/admission/actions.py
+++ b/marlstep/admission/actions.py
@@ -24,23 +24,29 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, never ran."""
+    """Give the final response: rejected, with the promise that the request never ran.
+
+    Attributes:
+        id: of the request.
+        retry_after_us: for which the caller should stay away; 0 for no advice.
+        no_failover: whether the caller should not try another server either.
+    """
 
     id: str
     retry_after_us: int
-    no_failover: bool  # the caller should not try another server either
+    no_failover: bool
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: an error that promises nothing about effects."""
+    """Give the final response: an error that promises nothing about effects."""
 
     id: str
 
 
 @dataclass(slots=True)
 class KeepKey:
-    """Keep the idempotency key of a request for so long."""
+    """Keep the idempotency key of a request for the given time."""
 
     id: str
     lifetime_us: int
@@ -55,14 +61,14 @@
 
 @dataclass(slots=True)
 class Attach:
-    """Answer a queued repeat with the result of the request that it repeats."""
+    """Respond to a queued repeat with the result of the request that it repeats."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Call:
-    """Make the downstream call of a request, and give it up at the given time."""
+    """Make the downstream call of a request, and abandon it at the given time on the controller's clock."""
 
     id: str
     until_us: int
@@ -77,14 +83,19 @@
 
 @dataclass(slots=True)
 class Advertise:
-    """Advertise a value to callers; the settings tell how they read it."""
+    """Advertise a value to callers; how they read it depends on the settings' `load_signal`."""
 
     value: float
 
 
 @dataclass(slots=True)
 class Health:
-    """Report the server's health."""
+    """Set what health checks report.
+
+    Attributes:
+        stored: whether checks are served from this alone, without real work.
+        good: whether the server is healthy.
+    """
 
     stored: bool
     good: bool
@@ -92,14 +103,14 @@
 
 @dataclass(slots=True)
 class IdleLimit:
-    """Close connections that have been idle for so long."""
+    """Close connections that have been idle for the given time."""
 
     after_us: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report a `TimerDue` with this tag after so long."""
+    """Report a `TimerDue` with this tag after the given time."""
 
     after_us: int
     tag: int
@@ -107,11 +118,11 @@
 
 @dataclass(slots=True)
 class Log:
-    """Write a line to the server's log."""
+    """Write a message to the server's log."""
 
     text: str
 
 
-Answer = Reject | Fail
+FinalResponse = Reject | Fail
 Signal = Advertise | Health | IdleLimit | SetTimer | Log
-Action = Run | Preempt | Answer | KeepKey | ForgetKey | Attach | Call | SkipCall | Signal
+Action = Run | Preempt | FinalResponse | KeepKey | ForgetKey | Attach | Call | SkipCall | Signal
--- a/marlstep/admission/caller_activity.py
+++ b/marlstep/admission/caller_activity.py
@@ -1,14 +1,14 @@
-"""When callers were last heard, and how often: counts only."""
+"""When callers were last seen, and how often."""
 
 from __future__ import annotations
 
 from marlstep.admission.timing import SECOND
 
-CALLER_MEMORY_FACTOR = 5  # times as long as a caller heeds what it was told
+RETENTION_FACTOR = 5  # of an advertised value's lifetime plus a second; later a caller is forgotten
 
 
 class CallerActivity:
-    """Callers by number, with the time of their last request and the count of all."""
+    """Callers by number, with the time of their last request in microseconds and the count of all."""
 
     def __init__(self) -> None:
         """Start without a caller."""
@@ -16,18 +16,23 @@
 
     def record(self, caller: int, now: int) -> None:
         """Count a request of a caller."""
-        self.last_seen[caller] = (now, self.last_seen.get(caller, (0, 0))[1] + 1)
+        _, requests = self.last_seen.get(caller, (0, 0))
+        self.last_seen[caller] = (now, requests + 1)
 
     def forget(self, caller: int) -> None:
-        """Drop a caller whose request proved to be none."""
+        """Drop a caller whose request turned out not to exist."""
         self.last_seen.pop(caller, None)
 
-    def forget_inactive(self, now: int, heeded_us: int) -> None:
-        """Drop the callers not heard for long; they heed what they are told for `heeded_us`."""
-        since = now - CALLER_MEMORY_FACTOR * (heeded_us + SECOND)
-        self.last_seen = {caller: heard for caller, heard in self.last_seen.items() if heard[0] > since}
+    def forget_inactive(self, now: int, load_signal_lifetime_us: int) -> None:
+        """Drop the callers that have not been seen for several lifetimes of an advertised value."""
+        since = now - RETENTION_FACTOR * (load_signal_lifetime_us + SECOND)
+        self.last_seen = {
+            caller: (seen_at, requests)
+            for caller, (seen_at, requests) in self.last_seen.items()
+            if seen_at > since
+        }
 
     def count(self, since: int) -> tuple[int, int]:
-        """Count the callers heard after this time, and those among them that came more than once."""
-        times = [times for heard_at, times in self.last_seen.values() if heard_at > since]
-        return len(times), sum(each > 1 for each in times)
+        """Return how many callers were seen after this time, and how many of these more than once."""
+        request_counts = [requests for seen_at, requests in self.last_seen.values() if seen_at > since]
+        return len(request_counts), sum(requests > 1 for requests in request_counts)
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -1,6 +1,6 @@
 """What the admission controller knows of one request, and the states that it passes through.
 
-Plain data: nothing here decides. Times are microseconds on the controller's clock.
+Plain data. Times (`_at`, `_until`) and durations (`_us`) are microseconds on the controller's clock.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class State(enum.IntEnum):
-    """Where a request stands; numbers, since they are looked up all the time."""
+    """Where a request stands. Numbers, since their hash is cheap and they are looked up for every request."""
 
     QUEUED = 1
     RUNNING = 2
-    STOPPING = 3  # told to halt, not yet seen to have stopped
+    STOPPING = 3  # preempted, and not yet known to have stopped
     PAUSED = 4
     AWAITING_CALL = 5  # off the cores, its call not yet made
     CALLING = 6
-    ATTACHED = 7  # a repeat that waits for the run of another attempt
+    ATTACHED = 7  # a repeat that waits for the result of another attempt
     FINISHED = 8
 
 
@@ -32,39 +32,76 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One request, from its arrival until its idempotency key is no longer recognised."""
+    """One request, from its arrival until its idempotency key is no longer recognised.
+
+    Attributes:
+        id: of the request.
+        request_class: its class, as the settings had it at the arrival.
+        priority_weight: of its class, reduced if its tenant exceeds its quota.
+        priority: the priority weight that a response can still earn, as of this turn.
+        arrived_at: when it reached the server, which was before it was read.
+        deadline_at: after which no response counts.
+        objective_at: end of its latency objective; a later response earns only the late share.
+        recognised_until: past its idempotency window, since a repeat may be read late.
+        memory_kb: while it is queued.
+        caller: number of the caller that sent it.
+        pool: of the servers that do its work.
+        is_idempotent: whether it may run again whatever has happened.
+        is_keyed: whether repeats are recognised by its idempotency key.
+        can_skip_call: whether its run may go on without a downstream call.
+        arrival_number: order of arrival.
+        state: where it stands.
+        entered_state_at: when it entered its state.
+        run_us: time on the cores so far.
+        response_owed: whether a caller waits for a final response.
+        has_run: whether it was started, or shares the result of an attempt that was.
+        was_paused: whether it was preempted.
+        key_kept_until: when its idempotency key expires; 0 if none is kept.
+        calls_made: attempts of the call of the present step.
+        calls_never_ran: those of them that provably had no effect.
+        next_call_at: before which the call is not attempted.
+        reserved_call_us: what the call in flight has taken out of the reserve.
+        superseded_by: the attempt that took its place.
+    """
 
     id: str
     request_class: ClassSettings
-    priority_weight: float  # priority weight of its class, less where its tenant sends more than its quota
-    priority: float  # what its answer is worth at present
+    priority_weight: float
+    priority: float
     arrived_at: int
     deadline_at: int
-    objective_at: int  # end of its latency objective: a later answer is worth only the late share
-    recognised_until: int  # past its window, so that a repeat read late is still recognised
+    objective_at: int
+    recognised_until: int
     memory_kb: float
     caller: int
-    pool: str  # of the servers that do its work
-    is_idempotent: bool  # may run again whatever has happened
-    is_keyed: bool  # repeats are recognised by its idempotency key
-    can_skip_call: bool  # its run may go on without a downstream call
-    arrival_number: int = 0  # order of arrival
+    pool: str
+    is_idempotent: bool
+    is_keyed: bool
+    can_skip_call: bool
+    arrival_number: int = 0
     state: State = State.FINISHED
-    entered_state_at: int = 0  # when it entered its state
-    run_us: int = 0  # time on the cores so far
+    entered_state_at: int = 0
+    run_us: int = 0
     response_owed: bool = True
     has_run: bool = False
     was_paused: bool = False
-    key_kept_until: int = 0  # 0: no idempotency key is kept
-    calls_made: int = 0  # for the present step
-    calls_never_ran: int = 0  # of these
+    key_kept_until: int = 0
+    calls_made: int = 0
+    calls_never_ran: int = 0
     next_call_at: int = 0
-    reserved_call_us: int = 0  # of the call budget, by the call in flight
-    superseded_by: Entry | None = None  # the attempt that now stands for this one
+    reserved_call_us: int = 0
+    superseded_by: Entry | None = None
 
     @classmethod
     def from_arrival(cls, event: Arrival, request_class: ClassSettings, weight: float, now: int) -> Entry:
-        """Reckon a request's times from its arrival, which was before it was read."""
+        """Return the entry of an arrival that is read now.
+
+        Args:
+            event: the arrival.
+            request_class: its class.
+            weight: its priority weight.
+            now: the time, in microseconds.
+        """
         arrived_at = now - event.unread_us
         return cls(
             id=event.id,
@@ -72,7 +109,7 @@
             priority_weight=weight,
             priority=weight,
             arrived_at=arrived_at,
-            deadline_at=event.gives_up_us or max(now, arrived_at + request_class.deadline_us),
+            deadline_at=event.caller_deadline_at or max(now, arrived_at + request_class.deadline_us),
             objective_at=arrived_at + request_class.latency_objective_us,
             recognised_until=recognised_until(
                 arrived_at, request_class.idempotency_window_us, request_class.deadline_us
@@ -86,10 +123,10 @@
         )
 
     def was_queued_at(self, now: int) -> bool:
-        """Tell whether it entered the queue at this time, which is that of its arrival or its preemption."""
+        """Return whether it entered the queue at this time, by its arrival or after a preemption."""
         return self.entered_state_at == now and self.state is State.QUEUED
 
     @property
     def calls_ran(self) -> int:
-        """How many of the calls made may have had an effect."""
+        """Attempts of the present call that may have had an effect."""
         return self.calls_made - self.calls_never_ran
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -1,4 +1,4 @@
-"""Events: what has happened to a server, as its admission controller is told.
+"""Events: what has happened to a server, as reported to its admission controller.
 
 Times are microseconds on one clock that only advances, sizes are kilobytes. An `id` is that of a request.
 """
@@ -12,7 +12,7 @@
 
 from marlstep.admission.settings import ClassSettings, Settings
 
-MAX_PLAUSIBLE_ESTIMATE = 1e12  # microseconds or requests; more than that was not measured
+MAX_PLAUSIBLE_ESTIMATE = 1e12  # microseconds or requests; a greater value can't have been measured
 
 
 class Outcome(enum.StrEnum):
@@ -29,40 +29,57 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this ending proves that nothing took effect."""
+        """Whether this outcome proves that nothing took effect."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request has been read; it is queued until it runs or is answered."""
+    """A request has been read; it is queued until it runs or gets its final response.
+
+    Attributes:
+        id: of the request.
+        request_class: the name of its class.
+        memory_kb: that it takes while it is queued.
+        caller: number of the caller that sent it.
+        unread_us: for which it lay unread in the server's buffers.
+        caller_deadline_at: clock time at which the caller stops waiting; None if it is not known.
+        tenant: name of its tenant; None for requests without one.
+        key: number of what the request is about.
+        is_retry: whether it is marked as a retry.
+        rank: of the user within its class, 0 to 1.
+        cost_hint_us: expected time on a core; None if it is not known.
+        prior: id of the request with the same idempotency key that this one repeats.
+        is_write: whether it changes data.
+        pool: of the servers that would do the work; empty for the cores of this server.
+    """
 
     id: str
-    request_class: str  # the name of its request class
-    memory_kb: float  # memory that it takes while it is queued
+    request_class: str
+    memory_kb: float
     caller: int
-    unread_us: int  # how long it lay unread in the server's buffers
-    gives_up_us: int | None = None  # clock time at which the caller stops waiting
+    unread_us: int
+    caller_deadline_at: int | None = None
     tenant: str | None = None
     key: int | None = None
-    is_retry: bool = False  # marked as a retry
+    is_retry: bool = False
     rank: float = 0.0
     cost_hint_us: int | None = None
-    prior: str | None = None  # the request with the same idempotency key that this one repeats
+    prior: str | None = None
     is_write: bool = False
-    pool: str = ""  # of the servers that would do the work; "": the cores of this one
+    pool: str = ""
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client no longer waits; no answer is owed."""
+    """The client no longer waits; no response is owed."""
 
     id: str
 
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run stands off the cores until it is told to call, to go on without, or failed."""
+    """A run has reached a downstream call; it is off the cores until a `Call`, a `SkipCall` or a `Fail`."""
 
     id: str
 
@@ -87,24 +104,35 @@
 
 @dataclass(slots=True)
 class Drain:
-    """This server shuts down gracefully; its process is stopped at the given time."""
+    """This server shuts down gracefully.
+
+    Attributes:
+        stops_at: when its process is stopped.
+        has_successor: whether another process takes its place, so that late arrivals are run as ever.
+        noticed_at: when the notice came, if that was before this event; else 0.
+    """
 
     stops_at: int
-    has_successor: bool = False  # another process takes its place: what still arrives is run as ever
-    noticed_at: int = 0  # when the notice came, where that was before this event; else 0
+    has_successor: bool = False
+    noticed_at: int = 0
 
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer that the controller asked for is due."""
+    """A timer that the controller has set is due.
+
+    Attributes:
+        tag: of the timer.
+        gauges: `cpu`, `runq`, `memory`, `conns`, as far as they are measured.
+    """
 
     tag: int
-    gauges: Mapping[str, float] = field(default_factory=dict)  # cpu, runq, memory, conns; where measured
+    gauges: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class QuotaChanged:
-    """From now on a tenant may send so many requests a second, over all servers of the tier."""
+    """A tenant has a new quota, in requests a second over all servers of the tier."""
 
     tenant: str
     per_s: float
@@ -112,15 +140,20 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """From now on these settings hold. Requests in flight keep the class that they came with."""
+    """New settings are in force. Requests in flight keep the class that they came with.
+
+    Attributes:
+        settings: from now on.
+        retired: classes that are no longer in the settings but may still arrive.
+    """
 
     settings: Settings
-    retired: tuple[ClassSettings, ...] = ()  # no longer among the classes, but may still arrive
+    retired: tuple[ClassSettings, ...] = ()
 
 
 @dataclass(slots=True)
 class PoolCapacityChanged:
-    """From now on the servers of a pool run so many requests at once."""
+    """The servers of a pool run a new number of requests at once."""
 
     pool: str
     capacity: int
@@ -128,14 +161,14 @@
 
 @dataclass(slots=True)
 class PortionChanged:
-    """Another process serves beside this one on the same cores: this one's part of memory and concurrency."""
+    """Another process serves on the same server; this one has a new share of memory and concurrency."""
 
     portion: float
 
 
 @dataclass(slots=True)
 class Measurements:
-    """What the controller of another process of this server has measured; 0: nothing.
+    """What the controller of another process of this server has measured; 0 stands for nothing measured.
 
     It passes between two processes, perhaps of different versions, as JSON under the names of `STORED_NAMES`.
     """
@@ -148,7 +181,7 @@
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, object]) -> Measurements:
-        """Read what another version may have written; a value that makes no sense counts as unknown."""
+        """Read what another version may have written; an implausible value counts as not measured."""
         means = raw.get(MEANS_STORED_NAME)
         rows = means.items() if isinstance(means, Mapping) else ()
         return cls(
@@ -157,7 +190,7 @@
         )
 
     def to_json(self) -> dict[str, object]:
-        """Give the stored form, keys in their fixed order."""
+        """Return the stored form, keys in their fixed order."""
         plain: dict[str, object] = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
         return {**plain, MEANS_STORED_NAME: dict(self.mean_run_us)}
 
@@ -173,10 +206,13 @@
 
 
 def _plausible(value: object) -> float:
-    good = (
-        isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < MAX_PLAUSIBLE_ESTIMATE
-    )
-    return float(typing.cast(float, value)) if good else 0.0
+    """Return a measured value as a float, or 0 if it can't have been measured."""
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number:
+        return 0.0
+    number = typing.cast(float, value)
+    is_in_range = 0 <= number < MAX_PLAUSIBLE_ESTIMATE
+    return float(number) if is_in_range else 0.0
 
 
 Event = (
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -1,4 +1,4 @@
-"""Memory: what may be queued, run and attached beside what is already held."""
+"""Memory: what may be queued, run and attached beside what is already there."""
 
 from __future__ import annotations
 
--- a/marlstep/admission/retry_advisor.py
+++ b/marlstep/admission/retry_advisor.py
@@ -78,7 +78,7 @@
 
 
 def is_worth_advertising(credit: float, advertised: float) -> bool:
-    """Return whether a credit differs enough from the advertised one to be advertised anew."""
+    """Return whether a credit differs enough from the advertised one to be advertised."""
     return abs(credit - advertised) > MIN_CREDIT_CHANGE_FRACTION * advertised
 
 
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -216,8 +216,8 @@
             _require(request_class.late_response_factor <= 1, f"{path}.late_share", "must be at most 1")
 
 
-def _require(good: bool, path: str, problem: str) -> None:
-    if not good:
+def _require(is_valid: bool, path: str, problem: str) -> None:
+    if not is_valid:
         raise InvalidSettingError(path, problem)
 
 
@@ -229,7 +229,7 @@
 
 
 def _read(wanted: object, raw: object, path: str) -> object:
-    """Turn a plain value into the wanted type, or say which path is wrong."""
+    """Convert a plain value to the wanted type, or raise an error that names its path."""
     if isinstance(wanted, type) and dataclasses.is_dataclass(wanted):
         return _read_table(wanted, raw, path)
     if typing.get_origin(wanted) is tuple:
--- a/marlstep/admission/turn_timer.py
+++ b/marlstep/admission/turn_timer.py
@@ -1,4 +1,4 @@
-"""The one timer that the controller has asked for: what is due first, no decisions."""
+"""The one timer that the controller has set."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class TurnTimer:
-    """When the next timer is due; it goes by that time as its tag."""
+    """When the next timer is due, in microseconds; its tag is that time."""
 
     def __init__(self) -> None:
         """Start with no timer."""
         self.armed_at = NEVER
 
     def fired(self, tag: int) -> None:
-        """Take note of a timer that is due, unless an earlier one was asked for since."""
+        """Take note of a timer that is due, unless an earlier one was set after it."""
         if tag == self.armed_at:
             self.armed_at = NEVER
 
     def arm(self, now: int, due: int) -> list[SetTimer]:
-        """Ask for a timer, where none is due as early."""
+        """Set a timer for the given time unless one is due as early."""
         if due >= self.armed_at:
             return []
         self.armed_at = max(due, now + 1)
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -58,7 +58,7 @@
         memory_kb=raw["kb"],
         caller=raw.get("neighbour") or 0,
         unread_us=raw.get("unreadForUs") or 0,
-        gives_up_us=raw.get("dropDeadUs") or None,
+        caller_deadline_at=raw.get("dropDeadUs") or None,
         tenant=raw.get("team") or None,
         key=raw.get("entity"),
         is_retry=bool(raw.get("againByClient")),
--- a/tests/admission/random_world.py
+++ b/tests/admission/random_world.py
@@ -221,7 +221,7 @@
             self.random.choice((5.0, 20.0, 60.0)),
             caller,
             unread,
-            gives_up_us=self.now + self.random.choice((200, 1_500, 4_000)) * MS
+            caller_deadline_at=self.now + self.random.choice((200, 1_500, 4_000)) * MS
             if self.random.random() < 0.7
             else None,
             tenant=self.random.choice((None, "riad", "souk", "dar")) if self.settings.tenants else None,
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -79,7 +79,7 @@
     controller.decide(START, [])
     now, answered = START, {}
     due = {f"r{index}": START + (600 + 170 * index) * MS for index in range(9)}
-    events: list[Any] = [Arrival(id, "low", 5.0, 1, 0, gives_up_us=when) for id, when in due.items()]
+    events: list[Any] = [Arrival(id, "low", 5.0, 1, 0, caller_deadline_at=when) for id, when in due.items()]
     timers: list[tuple[int, int]] = []
     for _ in range(600):
         for action in controller.decide(now, events):
--- a/tests/admission/test_mechanism.py
+++ b/tests/admission/test_mechanism.py
@@ -221,7 +221,7 @@
 
 def test_a_run_with_a_key_goes_on_for_its_callers_next_try() -> None:
     server = Server(cores=1)
-    server.arrive("k", "keyed", gives_up_us=START + 500 * MS)
+    server.arrive("k", "keyed", caller_deadline_at=START + 500 * MS)
     assert server.tick(after_ms=450) == [("Fail", "k")]  # and no halt
     assert server.arrive("again", "keyed", prior="k", after_ms=10) == [("Attach", "again")]
 
@@ -268,9 +268,9 @@
     server = Server(cores=2)
     server.arrive("done")
     server.end("done", after_ms=1_000)
-    assert server.arrive("unlikely", gives_up_us=server.now + 400 * MS) == [("Run", "unlikely")]
+    assert server.arrive("unlikely", caller_deadline_at=server.now + 400 * MS) == [("Run", "unlikely")]
     server.arrive("likely")
-    assert server.arrive("another", gives_up_us=server.now + 400 * MS) == []
+    assert server.arrive("another", caller_deadline_at=server.now + 400 * MS) == []
 
 
 def test_callers_that_ask_once_leave_the_credit_of_those_that_keep_sending() -> None:
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -110,7 +110,7 @@
                 waiting = [i for i, t in self.tries.items() if t.key == key and t.state != "over"]
                 prior = waiting[-1] if waiting else None
         self.tries[id] = one
-        return Arrival(id, kind.name, one.kb, key % 3, unread, gives_up_us=arrived + wait, prior=prior)
+        return Arrival(id, kind.name, one.kb, key % 3, unread, caller_deadline_at=arrived + wait, prior=prior)
 
     def happens(self, id: str, one: Try) -> list[Event]:
         if one.state == "over":
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -103,7 +103,7 @@
 
     def request(self, id: str, kind: str = "low", after_ms: float = 0, **other: Any) -> Arrival:
         plain = Arrival(id=id, request_class=kind, memory_kb=10.0, caller=1, unread_us=0)
-        plain.gives_up_us = self.now + int(after_ms * MS) + 4_000 * MS
+        plain.caller_deadline_at = self.now + int(after_ms * MS) + 4_000 * MS
         return dataclasses.replace(plain, **other)
 
     def tick(self, after_ms: float = 0, cpu: float = 1.0) -> list[tuple[str, str]]:
