--- a/marlstep/load_balancing/estimators.py
+++ b/marlstep/load_balancing/estimators.py
@@ -22,7 +22,6 @@
 
     fall: timedelta = 10 * SECOND
     value: timedelta | None = None  # None: nothing is known
-    weight: float = 0.0  # samples that stand behind it, fading as the value does
     seen: datetime | None = None
 
     def observe(self, now: datetime, sample: timedelta) -> None:
@@ -31,7 +30,6 @@
             self.value = sample
         else:
             self.value = sample + (self.value - sample) * kept
-        self.weight = self.weight * kept + 1.0
         self.seen = now
 
     def kept(self, now: datetime) -> float:
@@ -122,10 +120,6 @@
             self._cut = now
             self._set(self.value * self.settings.back)
 
-    def adopt(self, value: float) -> None:
-        """Start from what another knows."""
-        self._set(value)
-
     def _set(self, value: float) -> None:
         self.value = max(self.settings.least, min(self.settings.most, value))
 
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -48,10 +48,7 @@
     limit: AdaptiveConcurrencyLimit
     handle: int = 0
     in_flight: int = 0
-    refusals: int = 0  # by the server itself: they prove that nothing ran
-    attempts: int = 0
     boot: str | None = None  # the identity that it tells of its present life
-    boot_seen: datetime | None = None
     leaving: bool = False  # no new work; gone once nothing is in flight
     probe_out: bool = False
 
@@ -75,7 +72,6 @@
         self._members: list[Server] = []  # all but those that leave, in the order in which they came
         self._ejected: dict[int, Server] = {}  # those that are ejected or probed
         self.may_probe: Callable[[str, datetime, datetime], bool] = lambda name, until, now: True
-        self.spared = 0  # servers that were not ejected, as too many were out
 
     def __len__(self) -> int:
         return len(self._servers)
@@ -224,7 +220,6 @@
         server = self._servers.get(handle)
         if server is not None:
             server.in_flight += 1
-            server.attempts += 1
             server.probe_out = server.probe_out or server.health.state is ServerState.PROBING
 
     def _attempt_over(self, handle: int) -> Server | None:
@@ -267,7 +262,6 @@
         server = self._attempt_over(handle)
         if server is None:
             return
-        server.refusals += 1
         server.limit.failed(now)
         if server.health.state is ServerState.PROBING:
             self._well(server, now)
@@ -284,7 +278,6 @@
         out = sum(not one.leaving for one in self._ejected.values())
         probed = server.health.state is ServerState.PROBING
         if not probed and out + 1 > self.settings.most_out * len(self._members):
-            self.spared += 1
             server.health.spare(now)
         else:
             server.health.eject(now)
@@ -299,7 +292,7 @@
         if server is None:
             return False
         changed = server.boot is not None and server.boot != boot
-        server.boot, server.boot_seen = boot, now
+        server.boot = boot
         if changed:
             server.latency = PeakEwma(self.settings.fall)
             server.limit = AdaptiveConcurrencyLimit(self.settings.limits)
--- a/tests/load_balancing/test_load_balancing.py
+++ b/tests/load_balancing/test_load_balancing.py
@@ -157,7 +157,8 @@
         take(table, START + second * SECOND, 1)
     now = START + 100 * SECOND
     fail(table, "s0", now)  # of two, none may be out: it stays
-    assert one_of(table, "s0").health.state is ServerState.SUSPECT and table.spared == 1
+    spared = one_of(table, "s0").health
+    assert spared.state is ServerState.SUSPECT and spared.in_a_row == 0 and not table.ejected()
     table = pool(3, limits=ConcurrencyLimitSettings(least=50, start=50))
     server = one_of(table, "s0")
     now = START + 100 * SECOND
@@ -175,7 +176,8 @@
     for index in range(10):
         fail(table, f"s{index}", START, times=20)
     out = [server for server in table if server.health.state is ServerState.EJECTED]
-    assert len(out) == 3 and table.spared >= 7
+    spared = [server for server in table if server.health.state is ServerState.SUSPECT]
+    assert len(out) == 3 and len(spared) == 7 and not any(server.health.in_a_row for server in spared)
     assert take(table, START, 50).total() == 50
 
 
@@ -212,9 +214,10 @@
         held.append(chosen)
     counts = Counter(server.name for server in held)
     assert counts["s0"] > 2 * counts["s1"]
-    before = one_of(table, "s0").limit.value
+    before, in_flight = one_of(table, "s0").limit.value, held[0].in_flight
     table.attempt_refused(held[0].handle, now)
-    assert held[0].refusals == 1 and one_of(table, held[0].name).limit.value < before
+    assert held[0].in_flight == in_flight - 1 and held[0].health.in_a_row == 0
+    assert one_of(table, held[0].name).limit.value < before
 
 
 def test_where_all_are_full_nothing_is_chosen_and_the_work_waits() -> None:
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -176,12 +176,12 @@
     for number, boot in enumerate((b"a", b"a", b"b"), 1):
         yard.send(number)
         wire = yard.dial.accept()
-        yard.desk.clock.advance(30)
+        yard.desk.clock.advance(100 - 30 * number)  # each response is quicker than the one before
         known = yard.server(1).latency.value is not None
         assert known is (number > 1)
         yard.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot + OK[15:])
         yard.settle()
-    assert yard.server(1).boot == "b" and yard.server(1).latency.weight == 1.0
+    assert yard.server(1).boot == "b" and yard.server(1).latency.value == 10 * MILLISECOND
 
 
 def test_a_dead_server_is_put_out_and_comes_back_by_a_probe() -> None:
