--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -61,7 +61,7 @@
 
     def pools(self) -> Iterable[str]:
         """Return the pools whose servers can be ejected."""
-        return [name for name, pool in self._upstream.pools.items() if pool.plan.limited]
+        return [name for name, pool in self._upstream.pools.items() if pool.config.has_limits]
 
     def lease_names(self) -> list[str]:
         """Return the names of these pools' leases."""
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -9,7 +9,7 @@
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config, UwsgiConfig
 from marlstep.frontends.uwsgi import UwsgiFrontend
-from marlstep.load_balancing.pool_plan import pool_of
+from marlstep.load_balancing.pool_config import pool_for
 from marlstep.upstreams.upstream import Upstream
 
 if TYPE_CHECKING:
@@ -43,7 +43,7 @@
             config.read_timeout,
             config.mapped,
             config.body_limit,
-            partial(pool_of, config.pools),
+            partial(pool_for, config.pools),
         )
 
     async def open(self, config: Config, reuse_address: bool, /) -> None:
@@ -55,8 +55,8 @@
     def reconfigure(self, config: Config, /) -> None:
         """Take over the pools in force, and how requests are mapped to classes."""
         if config.uwsgi is not None:
-            self.upstream.set_plans(config.uwsgi.pools)
-            self.front.pool_of = partial(pool_of, config.uwsgi.pools)
+            self.upstream.reconfigure(config.uwsgi.pools)
+            self.front.pool_of = partial(pool_for, config.uwsgi.pools)
             self.front.mapped = config.uwsgi.mapped
 
     def stop(self) -> None:
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from marlstep.config.cluster import ClusterConfig
-    from marlstep.load_balancing.pool_plan import PoolPlan
+    from marlstep.load_balancing.pool_config import PoolConfig
 
 LEAST_MEMORY_MB = 24  # the interpreter and the program alone take 16
 
@@ -79,7 +79,7 @@
     """The second front, from the operator's file."""
 
     listen: Address
-    pools: tuple[PoolPlan, ...]
+    pools: tuple[PoolConfig, ...]
     mapped: UwsgiMapping
     body_limit: int
     response_limit: int
@@ -340,28 +340,28 @@
     return sizes
 
 
-def _pools(raw: Table, kinds: set[str]) -> tuple[PoolPlan, ...]:
+def _pools(raw: Table, kinds: set[str]) -> tuple[PoolConfig, ...]:
     """The pools of servers; `upstream` is a pool of one, without limits."""
-    from marlstep.load_balancing.pool_plan import PoolPlan  # a node without the front does not load it
+    from marlstep.load_balancing.pool_config import PoolConfig  # a node without the front does not load it
 
     if "pool" not in raw:
-        return (PoolPlan("", (address(raw, "upstream", "uwsgi.upstream"),), limited=False),)
+        return (PoolConfig("", (address(raw, "upstream", "uwsgi.upstream"),), has_limits=False),)
     if "upstream" in raw:
         raise ConfigError("uwsgi.upstream and uwsgi.pool can't both be there")
     rows = table(raw, "pool", "uwsgi.pool")
     plans = tuple(_pool(rows, name, kinds) for name in rows)
-    open_to_all = [plan.name for plan in plans if not plan.classes]
+    open_to_all = [plan.name for plan in plans if not plan.request_classes]
     if len(open_to_all) != 1:
         raise ConfigError("uwsgi.pool: exactly one pool must be without classes: it takes the rest")
-    listed = Counter(kind for plan in plans for kind in plan.classes)
+    listed = Counter(kind for plan in plans for kind in plan.request_classes)
     for kind, count in listed.items():
         if count > 1:
             raise ConfigError(f"uwsgi.pool: class {kind} is listed twice")
     return plans
 
 
-def _pool(rows: Table, name: str, kinds: set[str]) -> PoolPlan:
-    from marlstep.load_balancing.pool_plan import PoolPlan
+def _pool(rows: Table, name: str, kinds: set[str]) -> PoolConfig:
+    from marlstep.load_balancing.pool_config import PoolConfig
 
     path = f"uwsgi.pool.{name}"
     row = table(rows, name, path)
@@ -379,12 +379,12 @@
     refuses = take(row, "refuses", f"{path}.refuses", [])
     if not isinstance(refuses, list) or not all(type(one) is int and 400 <= one <= 599 for one in refuses):
         raise ConfigError(f"{path}.refuses must be a list of statuses from 400 to 599")
-    return PoolPlan(
+    return PoolConfig(
         name=name,
         servers=addresses,
-        classes=tuple(classes),
-        refuses=tuple(refuses),
-        boot_header=word(row, "boot_header", f"{path}.boot_header", "x-boot-id").lower(),
+        request_classes=tuple(classes),
+        rejection_statuses=tuple(refuses),
+        boot_id_header=word(row, "boot_header", f"{path}.boot_header", "x-boot-id").lower(),
         connect_timeout=whole(row, "connect_timeout_ms", f"{path}.connect_timeout_ms", 1, 60_000, 1000)
         * MILLISECOND,
         max_attempts=whole(row, "tries", f"{path}.tries", 1, 16, 3),
--- a/marlstep/load_balancing/health_checks.py
+++ b/marlstep/load_balancing/health_checks.py
@@ -10,61 +10,61 @@
 from dataclasses import dataclass
 from datetime import datetime, timedelta
 
-RETRY_INTERVAL = timedelta(seconds=1)  # between two connections to one server
+CHECK_RETRY_INTERVAL = timedelta(seconds=1)  # between two connections to one server
 
 
 @dataclass(slots=True)
 class EjectedServer:
-    out_until: datetime  # of the ejection that this is about
-    back: bool = False  # a connection stood since then
-    tried: datetime | None = None
+    ejected_until: datetime  # of the ejection that this is about
+    recovered: bool = False  # a connection stood since then
+    last_check_at: datetime | None = None
 
 
 class PoolHealthChecks:
-    """Of one pool, on one node. `alone_after` is how long past its time a server waits for the others' word."""
+    """Of one pool, on one node. `fallback_after` is how long past its time a server waits for the others' word."""
 
-    def __init__(self, alone_after: timedelta) -> None:
-        self._alone_after = alone_after
+    def __init__(self, fallback_after: timedelta) -> None:
+        self._fallback_after = fallback_after
         self._known: dict[str, EjectedServer] = {}
         self._token = 0
 
-    def _about(self, server: str, out_until: datetime) -> EjectedServer:
+    def _state_of(self, server: str, ejected_until: datetime) -> EjectedServer:
         known = self._known.get(server)
-        if known is None or known.out_until != out_until:
-            known = self._known[server] = EjectedServer(out_until)
+        if known is None or known.ejected_until != ejected_until:
+            known = self._known[server] = EjectedServer(ejected_until)
         return known
 
-    def may_probe(self, server: str, out_until: datetime, now: datetime) -> bool:
+    def may_probe(self, server: str, ejected_until: datetime, now: datetime) -> bool:
         """Whether this node may give the server its one request."""
-        return self._about(server, out_until).back or now >= out_until + self._alone_after
+        return self._state_of(server, ejected_until).recovered or now >= ejected_until + self._fallback_after
 
-    def servers_to_check(self, out: dict[str, datetime], now: datetime) -> list[str]:
+    def servers_to_check(self, ejected: dict[str, datetime], now: datetime) -> list[str]:
         """For the holder: the servers to which a connection is to be opened now."""
-        for gone in self._known.keys() - out.keys():
+        for gone in self._known.keys() - ejected.keys():
             del self._known[gone]
         found = []
-        for server, until in out.items():
-            known = self._about(server, until)
+        for server, until in ejected.items():
+            known = self._state_of(server, until)
             if (
                 now >= until
-                and not known.back
-                and (known.tried is None or now >= known.tried + RETRY_INTERVAL)
+                and not known.recovered
+                and (known.last_check_at is None or now >= known.last_check_at + CHECK_RETRY_INTERVAL)
             ):
-                known.tried = now
+                known.last_check_at = now
                 found.append(server)
         return found
 
-    def check_finished(self, server: str, stood: bool) -> None:
+    def check_finished(self, server: str, connected: bool) -> None:
         """For the holder: how a connection went."""
         known = self._known.get(server)
         if known is not None:
-            known.back = known.back or stood
+            known.recovered = known.recovered or connected
 
-    def peer_reported_recovery(self, server: str, token: int, out: dict[str, datetime]) -> bool:
+    def peer_reported_recovery(self, server: str, token: int, ejected: dict[str, datetime]) -> bool:
         """The holder under that token says that the server is back. False from a holder that is no more."""
         if token < self._token:
             return False
         self._token = token
-        if server in out:
-            self._about(server, out[server]).back = True
+        if server in ejected:
+            self._state_of(server, ejected[server]).recovered = True
         return True
--- a/marlstep/load_balancing/pool_plan.py
+++ b/marlstep/load_balancing/pool_config.py
@@ -11,18 +11,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PoolPlan:
+class PoolConfig:
     name: str  # "" for the single server of `upstream`, which has no limits
     servers: tuple[Address, ...]
-    classes: tuple[str, ...] = ()  # that go there; the pool without any takes the rest
-    refuses: tuple[int, ...] = ()  # statuses by which a server says that nothing ran
-    boot_header: str = "x-boot-id"  # in which a server tells its present life; in lower case
+    request_classes: tuple[str, ...] = ()  # that go there; the pool without any takes the rest
+    rejection_statuses: tuple[int, ...] = ()  # statuses by which a server says that nothing ran
+    boot_id_header: str = "x-boot-id"  # in which a server tells its present life; in lower case
     connect_timeout: timedelta = 1 * SECOND
     max_attempts: int = 3  # servers for one request, where the first was not reached or refused it
-    limited: bool = True
+    has_limits: bool = True
 
     @property
-    def names(self) -> list[str]:
+    def server_names(self) -> list[str]:
         return [server_name(address) for address in self.servers]
 
 
@@ -30,9 +30,9 @@
     return f"{address[0]}:{address[1]}"
 
 
-def pool_of(plans: tuple[PoolPlan, ...], kind: str) -> str:
+def pool_for(pools: tuple[PoolConfig, ...], request_class: str) -> str:
     """The name of the pool for a class: the one that lists it, else the one that lists none."""
-    for plan in plans:
-        if kind in plan.classes:
-            return plan.name
-    return next(plan.name for plan in plans if not plan.classes)
+    for pool in pools:
+        if request_class in pool.request_classes:
+            return pool.name
+    return next(pool.name for pool in pools if not pool.request_classes)
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -9,7 +9,7 @@
 import httptools
 
 from marlstep.frontends.uwsgi_wire import HEAD, read_variables
-from marlstep.load_balancing.retries import AttemptOutcome
+from marlstep.load_balancing.retry_policy import AttemptOutcome
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
 from marlstep.timer_queue import Timer, TimerQueue
@@ -33,16 +33,16 @@
         id: str,
         packet: bytes,
         since: datetime,
-        refuses: Collection[int],
-        boot_header: str,
+        rejection_statuses: Collection[int],
+        boot_id_header: str,
     ) -> None:
         super().__init__(RING_SIZE)
         self.id, self.since = id, since
         self.sent = False  # the packet has begun to leave
-        self.boot: str | None = None  # what the server said of its present life
+        self.boot_id: str | None = None  # what the server said of its present life
         self.response = bytearray()
         self._owner, self._packet = owner, packet
-        self._refuses, self._boot_header = refuses, boot_header.encode("latin-1")
+        self._rejection_statuses, self._boot_id_header = rejection_statuses, boot_id_header.encode("latin-1")
         self._parser = httptools.HttpResponseParser(self)
         self._headers_done = self._complete = self._sized = False
         self._opening: Cancel | None = None
@@ -60,7 +60,10 @@
 
     def not_opened(self, why: str) -> None:
         """It proves that nothing ran only where the packet had not begun to leave."""
-        self._end(AttemptOutcome.BROKEN if self.sent else AttemptOutcome.NOT_REACHED, f"not reached: {why}")
+        self._end(
+            AttemptOutcome.CONNECTION_LOST if self.sent else AttemptOutcome.CONNECT_FAILED,
+            f"not reached: {why}",
+        )
 
     def made(self) -> None:
         self._timeline.cancel(self._timeout)
@@ -77,14 +80,19 @@
             if data:
                 self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as fault:
-            return self._end(AttemptOutcome.BROKEN, f"no response: {fault!r}")
+            return self._end(AttemptOutcome.CONNECTION_LOST, f"no response: {fault!r}")
         if len(self.response) > self._owner.response_limit:
-            self._end(AttemptOutcome.BROKEN, f"a response of over {self._owner.response_limit} bytes")
+            self._end(
+                AttemptOutcome.CONNECTION_LOST, f"a response of over {self._owner.response_limit} bytes"
+            )
         elif self._complete or (self.at_end and self._headers_done and not self._cut_short()):
             status = self._parser.get_status_code()
-            self._end(AttemptOutcome.REFUSED if status in self._refuses else AttemptOutcome.WELL, "")
+            self._end(
+                AttemptOutcome.REJECTED if status in self._rejection_statuses else AttemptOutcome.SUCCEEDED,
+                "",
+            )
         elif self.at_end:
-            self._end(AttemptOutcome.BROKEN, "the response was cut short")
+            self._end(AttemptOutcome.CONNECTION_LOST, "the response was cut short")
 
     def _cut_short(self) -> bool:
         """Is a body owed that has not come? A response that names no length ends with its connection."""
@@ -95,7 +103,7 @@
         return read_variables(self._packet[HEAD : HEAD + size]).get("REQUEST_METHOD") == "HEAD"
 
     def lost(self) -> None:
-        self._end(AttemptOutcome.BROKEN, "the connection broke")
+        self._end(AttemptOutcome.CONNECTION_LOST, "the connection broke")
 
     def _end(self, end: AttemptOutcome, why: str) -> None:
         if self._owner.response_awaited(self):
@@ -114,8 +122,8 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
         self._sized = self._sized or name in (b"content-length", b"transfer-encoding")
-        if name == self._boot_header:
-            self.boot = value.decode("latin-1")[:64]
+        if name == self._boot_id_header:
+            self.boot_id = value.decode("latin-1")[:64]
 
     def on_headers_complete(self) -> None:
         self._headers_done = self._parser.get_status_code() >= 200
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -17,8 +17,8 @@
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Effect
 from marlstep.core.interfaces import EventSink, Request
-from marlstep.load_balancing.pool_plan import Address, PoolPlan, server_name
-from marlstep.load_balancing.retries import AttemptOutcome, RetryPolicy
+from marlstep.load_balancing.pool_config import Address, PoolConfig, server_name
+from marlstep.load_balancing.retry_policy import AttemptOutcome, RetryPolicy
 from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
 from marlstep.net.eventloop import Dial, dial
 from marlstep.timer_queue import Timer, TimerQueue
@@ -29,34 +29,39 @@
 
 CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # between two looks at the room of a pool
 OUTCOMES = {
-    AttemptOutcome.WELL: Outcome.OK,
-    AttemptOutcome.NOT_REACHED: Outcome.CONNECT_FAILED,
-    AttemptOutcome.REFUSED: Outcome.FULL,
-    AttemptOutcome.BROKEN: Outcome.RESET,
-    AttemptOutcome.GIVEN_UP: Outcome.CANCELLED,
+    AttemptOutcome.SUCCEEDED: Outcome.OK,
+    AttemptOutcome.CONNECT_FAILED: Outcome.CONNECT_FAILED,
+    AttemptOutcome.REJECTED: Outcome.FULL,
+    AttemptOutcome.CONNECTION_LOST: Outcome.RESET,
+    AttemptOutcome.CANCELLED: Outcome.CANCELLED,
 }
 
 
 class ServerPool:
     """One pool: its table, and where its servers are."""
 
-    def __init__(self, plan: PoolPlan, settings: PoolSettings, chance: random.Random, now: datetime) -> None:
-        self.plan = plan
-        self.table = ServerTable(settings, chance)
+    def __init__(
+        self, config: PoolConfig, settings: PoolSettings, random_source: random.Random, now: datetime
+    ) -> None:
+        self.config = config
+        self.table = ServerTable(settings, random_source)
         self.addresses: dict[str, Address] = {}
-        self.told: int | None = None  # the room that the module knows
+        self.reported_capacity: int | None = None  # the room that the module knows
         self.counts = dict.fromkeys(("attempts", "again", "not reached", "refused", "broken", "no room"), 0)
-        self.change(plan, now)
+        self.change(config, now)
 
-    def change(self, plan: PoolPlan, now: datetime) -> None:
+    def change(self, config: PoolConfig, now: datetime) -> None:
         """Other servers from now on; what is on its way to those that go ends there."""
-        came, gone = self.table.set_members(plan.names, now)
-        self.plan = plan
-        self.addresses |= {server_name(address): address for address in plan.servers}
-        self.addresses = {name: at for name, at in self.addresses.items() if self.table.named(name)}
-        if self.told is not None and (came or gone):
+        added, removed = self.table.set_members(config.server_names, now)
+        self.config = config
+        self.addresses |= {server_name(address): address for address in config.servers}
+        self.addresses = {name: at for name, at in self.addresses.items() if self.table.find(name)}
+        if self.reported_capacity is not None and (added or removed):
             log.info(
-                "pool %s: %s came, %s go", plan.name, ", ".join(came) or "none", ", ".join(gone) or "none"
+                "pool %s: %s added, %s go",
+                config.name,
+                ", ".join(added) or "none",
+                ", ".join(removed) or "none",
             )
 
 
@@ -67,7 +72,7 @@
     request: Request
     pool: ServerPool
     since: datetime
-    tries: RetryPolicy
+    retry_policy: RetryPolicy
     attempt: Attempt | None = None
     server: int = 0  # handle
     last: AttemptOutcome | None = None
@@ -77,7 +82,7 @@
 class Upstream:
     def __init__(
         self,
-        plans: tuple[PoolPlan, ...],
+        pools: tuple[PoolConfig, ...],
         timeline: TimerQueue,
         sink: Callable[[], EventSink],
         response_limit: int,
@@ -88,20 +93,20 @@
         self.response_limit = response_limit
         self.pools: dict[str, ServerPool] = {}
         self._timeline, self._sink, self._dial = timeline, sink, dial
-        self._chance, self._settings = random.Random(seed), settings or PoolSettings()
+        self._random, self._settings = random.Random(seed), settings or PoolSettings()
         self._runs: dict[str, UpstreamRequest] = {}
-        self._look: Timer | None = None
-        self.set_plans(plans)
+        self._reconcile_timer: Timer | None = None
+        self.reconfigure(pools)
 
-    def set_plans(self, plans: tuple[PoolPlan, ...]) -> None:
+    def reconfigure(self, pools: tuple[PoolConfig, ...]) -> None:
         """Pools and servers from now on. A pool that is gone gets nothing new."""
         now = self._timeline.now()
-        for plan in plans:
-            if plan.name in self.pools:
-                self.pools[plan.name].change(plan, now)
+        for config in pools:
+            if config.name in self.pools:
+                self.pools[config.name].change(config, now)
             else:
-                self.pools[plan.name] = ServerPool(plan, self._settings, self._chance, now)
-        for name in self.pools.keys() - {plan.name for plan in plans}:
+                self.pools[config.name] = ServerPool(config, self._settings, self._random, now)
+        for name in self.pools.keys() - {config.name for config in pools}:
             self.pools[name].table.set_members([], now)
             if not len(self.pools[name].table):
                 del self.pools[name]
@@ -115,39 +120,43 @@
         if pool is None:  # it went with a new configuration while the request was held
             self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.FULL, ZERO))
             return
-        tries = RetryPolicy(
-            request.class_settings.effect is Effect.SAFE, pool.plan.max_attempts, request.due_at
+        retry_policy = RetryPolicy(
+            request.class_settings.effect is Effect.SAFE, pool.config.max_attempts, request.due_at
         )
-        run = self._runs[request.id] = UpstreamRequest(request, pool, now, tries)
-        if not self._try(run, now):
+        run = self._runs[request.id] = UpstreamRequest(request, pool, now, retry_policy)
+        if not self._start_attempt(run, now):
             pool.counts["no room"] += 1
             self._report_capacity(pool, full=True)
             # Told in a turn of its own: the core is in the midst of starting it.
-            self._timeline.soon(lambda: self._over(run, Outcome.FULL, "no server has room"))
+            self._timeline.soon(lambda: self._finish(run, Outcome.FULL, "no server has room"))
 
-    def _try(self, run: UpstreamRequest, now: datetime) -> bool:
+    def _start_attempt(self, run: UpstreamRequest, now: datetime) -> bool:
         """Send it to a server that it has not been to; False where none has room."""
         pool = run.pool
         server = (
-            pool.table.choose(now, frozenset(run.tries.attempted_servers))
-            if pool.plan.limited
-            else self._only(run)
+            pool.table.choose(now, frozenset(run.retry_policy.attempted_servers))
+            if pool.config.has_limits
+            else self._unlimited_server(run)
         )
         if server is None:
             return False
         pool.table.attempt_started(server.handle)
-        run.tries.attempt_started(server.handle)
+        run.retry_policy.attempt_started(server.handle)
         run.server = server.handle
         pool.counts["attempts"] += 1
-        plan, request = pool.plan, run.request
-        run.attempt = Attempt(self, request.id, request.inbound.body, now, plan.refuses, plan.boot_header)
-        within = run.tries.left(now, plan.connect_timeout)
+        config, request = pool.config, run.request
+        run.attempt = Attempt(
+            self, request.id, request.inbound.body, now, config.rejection_statuses, config.boot_id_header
+        )
+        within = run.retry_policy.connect_timeout(now, config.connect_timeout)
         run.attempt.open(self._dial, pool.addresses[server.name], self._timeline, within)
         return True
 
-    def _only(self, run: UpstreamRequest) -> Server | None:
+    def _unlimited_server(self, run: UpstreamRequest) -> Server | None:
         """The one server of a pool without limits gets all there is."""
-        return next((one for one in run.pool.table if one.handle not in run.tries.attempted_servers), None)
+        return next(
+            (one for one in run.pool.table if one.handle not in run.retry_policy.attempted_servers), None
+        )
 
     def pause(self, request: Request) -> None:
         """A server behind a socket can't be paused: the run goes on, unless nobody waits for it."""
@@ -159,11 +168,11 @@
         if run is not None and run.attempt is not None:
             # Told in a turn of its own: the core is in the midst of answering.
             attempt = run.attempt
-            self._timeline.soon(lambda: self._give_up(attempt))
+            self._timeline.soon(lambda: self._cancel(attempt))
 
-    def _give_up(self, attempt: Attempt) -> None:
+    def _cancel(self, attempt: Attempt) -> None:
         if self.response_awaited(attempt):
-            self.attempt_ended(attempt, AttemptOutcome.GIVEN_UP, "")
+            self.attempt_ended(attempt, AttemptOutcome.CANCELLED, "")
 
     def resume(self, request: Request) -> None:
         """Nothing is ever paused here."""
@@ -186,17 +195,17 @@
         now, took = self._timeline.now(), self._timeline.now() - attempt.since
         table = run.pool.table
         server = table.get(run.server)
-        if attempt.boot is not None and table.booted(run.server, attempt.boot, now):
-            log.info("pool %s: a server lives anew, what was learned of it is dropped", run.pool.plan.name)
+        if attempt.boot_id is not None and table.boot_id_received(run.server, attempt.boot_id, now):
+            log.info("pool %s: a server lives anew, what was learned of it is dropped", run.pool.config.name)
         match end:
-            case AttemptOutcome.WELL:
-                table.succeeded(run.server, now, took)
-            case AttemptOutcome.REFUSED:
-                table.attempt_refused(run.server, now)
-            case AttemptOutcome.GIVEN_UP:
-                table.attempt_abandoned(run.server)
+            case AttemptOutcome.SUCCEEDED:
+                table.attempt_succeeded(run.server, now, took)
+            case AttemptOutcome.REJECTED:
+                table.attempt_rejected(run.server, now)
+            case AttemptOutcome.CANCELLED:
+                table.attempt_cancelled(run.server)
             case _:
-                table.failed(run.server, now, took)
+                table.attempt_failed(run.server, now, took)
         if server is not None and table.get(run.server) is None:  # it had left, and this was its last
             run.pool.addresses.pop(server.name, None)
         run.attempt = None
@@ -206,45 +215,47 @@
         self._schedule_reconcile()
         if why:
             run.history.append(why)
-        if run.tries.should_retry(end, now) and self._try(run, now):
+        if run.retry_policy.should_retry(end, now) and self._start_attempt(run, now):
             run.pool.counts["again"] += 1
             return
-        self._over(run, OUTCOMES[end], "; ".join(run.history), bytes(attempt.response))
+        self._finish(run, OUTCOMES[end], "; ".join(run.history), bytes(attempt.response))
 
-    def _over(self, run: UpstreamRequest, outcome: Outcome, why: str, response: bytes = b"") -> None:
+    def _finish(self, run: UpstreamRequest, outcome: Outcome, why: str, response: bytes = b"") -> None:
         if self._runs.get(run.request.id) is not run:
             return
         del self._runs[run.request.id]
         if why:
             log.warning("upstream: %s: %s", run.request.id, why)
-        if outcome.never_ran and run.tries.resent:
+        if outcome.never_ran and run.retry_policy.may_have_run:
             outcome = Outcome.RESET  # an earlier try may have run
         self._sink().run_ended(run.request.id, outcome, self._timeline.now() - run.since, response)
 
     # The room of the pools.
 
     def _schedule_reconcile(self) -> None:
-        if self._look is None:
-            self._look = self._timeline.at(self._timeline.now() + CAPACITY_REPORT_INTERVAL, self._reconcile)
+        if self._reconcile_timer is None:
+            self._reconcile_timer = self._timeline.at(
+                self._timeline.now() + CAPACITY_REPORT_INTERVAL, self._reconcile
+            )
 
     def _reconcile(self) -> None:
-        self._look = None
+        self._reconcile_timer = None
         for pool in self.pools.values():
             self._report_capacity(pool)
-        if any(pool.table.changes for pool in self.pools.values()):
+        if any(pool.table.capacity_changes_with_time for pool in self.pools.values()):
             self._schedule_reconcile()  # slow starts and times out pass without an attempt that ends
 
     def _report_capacity(self, pool: ServerPool, full: bool = False) -> None:
-        if not pool.plan.limited:
+        if not pool.config.has_limits:
             return
         now = self._timeline.now()
-        room = sum(one.in_flight for one in pool.table) if full else pool.table.capacity(now)
-        if room != pool.told:
-            pool.told = room
-            self._sink().pool_capacity(pool.plan.name, room)
+        capacity = sum(one.in_flight for one in pool.table) if full else pool.table.capacity(now)
+        if capacity != pool.reported_capacity:
+            pool.reported_capacity = capacity
+            self._sink().pool_capacity(pool.config.name, capacity)
 
     def close(self) -> None:
-        self._timeline.cancel(self._look)
+        self._timeline.cancel(self._reconcile_timer)
         for run in list(self._runs.values()):
             if run.attempt is not None:
                 run.attempt.abandon()
--- a/tests/load_balancing/test_load_balancing.py
+++ b/tests/load_balancing/test_load_balancing.py
@@ -16,7 +16,7 @@
     PeakEwma,
     WindowedMinimum,
 )
-from marlstep.load_balancing.outlier_detection import OutlierSettings, ServerState
+from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerState
 from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
 from marlstep.slots import TableFullError
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
@@ -32,7 +32,7 @@
 
 
 def one_of(table: ServerTable, name: str) -> Server:
-    server = table.named(name)
+    server = table.find(name)
     assert server is not None
     return server
 
@@ -41,7 +41,7 @@
     server = one_of(table, name)
     for _ in range(times):
         table.attempt_started(server.handle)
-        table.failed(server.handle, now, 10 * MILLISECOND)
+        table.attempt_failed(server.handle, now, 10 * MILLISECOND)
 
 
 def take(table: ServerTable, now: datetime, number: int, took: timedelta = 10 * MILLISECOND) -> Counter[str]:
@@ -52,7 +52,7 @@
         assert server is not None
         found[server.name] += 1
         table.attempt_started(server.handle)
-        table.succeeded(server.handle, now, took)
+        table.attempt_succeeded(server.handle, now, took)
     return found
 
 
@@ -60,14 +60,14 @@
 
 
 def test_the_estimate_rises_at_once_and_falls_slowly() -> None:
-    mean = PeakEwma(fall=10 * SECOND)
+    mean = PeakEwma(decay_time=10 * SECOND)
     mean.observe(START, 10 * MILLISECOND)
     mean.observe(START, 90 * MILLISECOND)
     assert mean.value == 90 * MILLISECOND
     mean.observe(START + 10 * SECOND, 10 * MILLISECOND)
     assert mean.value is not None and 39 * MILLISECOND < mean.value < 40 * MILLISECOND
-    assert mean.kept(START + 20 * SECOND) == pytest.approx(0.368, abs=0.001)
-    assert mean.kept(START) == 1.0  # a clock that is held back makes nothing older
+    assert mean.retained_share(START + 20 * SECOND) == pytest.approx(0.368, abs=0.001)
+    assert mean.retained_share(START) == 1.0  # a clock that is held back makes nothing older
 
 
 @FIXED
@@ -101,7 +101,7 @@
         in_flight = int(limit.value)
         took = 20 * MILLISECOND * max(1.0, in_flight / capacity)
         for _ in range(min(in_flight, 8)):
-            limit.answered(now, took, in_flight)
+            limit.record_response(now, took, in_flight)
     return now
 
 
@@ -114,18 +114,18 @@
 
 
 def test_a_limit_that_no_load_tests_does_not_grow_and_failures_of_one_step_cut_once() -> None:
-    limit = AdaptiveConcurrencyLimit(ConcurrencyLimitSettings(start=16))
+    limit = AdaptiveConcurrencyLimit(ConcurrencyLimitSettings(initial_limit=16))
     now = START
     for _ in range(200):
         now += 50 * MILLISECOND
-        limit.answered(now, 20 * MILLISECOND, 1)
+        limit.record_response(now, 20 * MILLISECOND, 1)
     assert limit.value == 16
     for _ in range(10):
-        limit.failed(now)
+        limit.record_failure(now)
     assert limit.value == pytest.approx(16 * 0.8)
     for step in range(100):
-        limit.failed(now + step * SECOND)
-    assert limit.value == ConcurrencyLimitSettings().least
+        limit.record_failure(now + step * SECOND)
+    assert limit.value == ConcurrencyLimitSettings().min_limit
 
 
 # Health.
@@ -137,37 +137,37 @@
     fail(table, "s0", now)
     server = one_of(table, "s0")
     for _ in range(7):
-        assert server.health.state is ServerState.EJECTED and server.health.until is not None
-        out.append((server.health.until - now) / SECOND)
-        assert "s0" not in take(table, server.health.until - MILLISECOND, 40)
-        now = server.health.until
+        assert server.health.state is ServerState.EJECTED and server.health.ejected_until is not None
+        out.append((server.health.ejected_until - now) / SECOND)
+        assert "s0" not in take(table, server.health.ejected_until - MILLISECOND, 40)
+        now = server.health.ejected_until
         assert table.choose(now) is server
         table.attempt_started(server.handle)
         assert table.choose(now) is not server  # one probe at a time
-        table.failed(server.handle, now, 10 * MILLISECOND)
+        table.attempt_failed(server.handle, now, 10 * MILLISECOND)
     assert out == [2, 4, 8, 16, 32, 60, 60]
-    assert server.health.until is not None
-    now = server.health.until
+    assert server.health.ejected_until is not None
+    now = server.health.ejected_until
     assert take(table, now, 1) == {"s0": 1} and server.health.state is ServerState.HEALTHY
 
 
 def test_what_comes_back_starts_slowly() -> None:
-    table = pool(2, limits=ConcurrencyLimitSettings(least=50, start=50))
+    table = pool(2, limits=ConcurrencyLimitSettings(min_limit=50, initial_limit=50))
     for second in (0, 10):
         take(table, START + second * SECOND, 1)
     now = START + 100 * SECOND
     fail(table, "s0", now)  # of two, none may be out: it stays
     spared = one_of(table, "s0").health
-    assert spared.state is ServerState.SUSPECT and spared.in_a_row == 0 and not table.ejected()
-    table = pool(3, limits=ConcurrencyLimitSettings(least=50, start=50))
+    assert spared.state is ServerState.SUSPECT and spared.consecutive_failures == 0 and not table.ejected()
+    table = pool(3, limits=ConcurrencyLimitSettings(min_limit=50, initial_limit=50))
     server = one_of(table, "s0")
     now = START + 100 * SECOND
     fail(table, "s0", now)
     now += 2 * SECOND
     assert table.choose(now) is server
     table.attempt_started(server.handle)
-    table.succeeded(server.handle, now, 10 * MILLISECOND)
-    rooms = [table.server_capacity(server, now + second * SECOND) for second in (0, 5, 10)]
+    table.attempt_succeeded(server.handle, now, 10 * MILLISECOND)
+    rooms = [table.available_capacity(server, now + second * SECOND) for second in (0, 5, 10)]
     assert rooms == [5, 27, 50]
 
 
@@ -177,23 +177,27 @@
         fail(table, f"s{index}", START, times=20)
     out = [server for server in table if server.health.state is ServerState.EJECTED]
     spared = [server for server in table if server.health.state is ServerState.SUSPECT]
-    assert len(out) == 3 and len(spared) == 7 and not any(server.health.in_a_row for server in spared)
+    assert (
+        len(out) == 3
+        and len(spared) == 7
+        and not any(server.health.consecutive_failures for server in spared)
+    )
     assert take(table, START, 50).total() == 50
 
 
 def test_another_life_of_a_server_is_known_for_nothing_that_the_last_one_did() -> None:
     table = pool(3)
     server = one_of(table, "s1")
-    assert not table.booted(server.handle, "a", START)
+    assert not table.boot_id_received(server.handle, "a", START)
     fail(table, "s1", START)
-    assert not table.booted(server.handle, "a", START)
+    assert not table.boot_id_received(server.handle, "a", START)
     states = [server.health.state]
-    assert table.booted(server.handle, "b", START)
+    assert table.boot_id_received(server.handle, "b", START)
     assert [*states, server.health.state] == [
         ServerState.EJECTED,
         ServerState.NEW,
     ] and server.latency.value is None
-    assert table.booted(server.handle + (1 << 30), "c", START) is False
+    assert table.boot_id_received(server.handle + (1 << 30), "c", START) is False
 
 
 # Choice.
@@ -205,7 +209,7 @@
     for name, took in (("s0", 10), ("s1", 40)):
         server = one_of(table, name)
         table.attempt_started(server.handle)
-        table.succeeded(server.handle, now, took * MILLISECOND)
+        table.attempt_succeeded(server.handle, now, took * MILLISECOND)
     held: list[Server] = []
     for _ in range(8):
         chosen = table.choose(now)
@@ -215,21 +219,23 @@
     counts = Counter(server.name for server in held)
     assert counts["s0"] > 2 * counts["s1"]
     before, in_flight = one_of(table, "s0").limit.value, held[0].in_flight
-    table.attempt_refused(held[0].handle, now)
-    assert held[0].in_flight == in_flight - 1 and held[0].health.in_a_row == 0
+    table.attempt_rejected(held[0].handle, now)
+    assert held[0].in_flight == in_flight - 1 and held[0].health.consecutive_failures == 0
     assert one_of(table, held[0].name).limit.value < before
 
 
 def test_where_all_are_full_nothing_is_chosen_and_the_work_waits() -> None:
     table = pool(
-        3, limits=ConcurrencyLimitSettings(least=1, start=2), health=OutlierSettings(slow_start=MILLISECOND)
+        3,
+        limits=ConcurrencyLimitSettings(min_limit=1, initial_limit=2),
+        health=OutlierDetectionSettings(slow_start_time=MILLISECOND),
     )
     now, held = START + SECOND, []
     while (server := table.choose(now)) is not None:
         table.attempt_started(server.handle)
         held.append(server.handle)
     assert len(held) == 6
-    table.attempt_abandoned(held[0])
+    table.attempt_cancelled(held[0])
     assert table.choose(now) is not None
     assert table.choose(now, frozenset(server.handle for server in table)) is None
 
@@ -247,11 +253,11 @@
     assert table.set_members(["s1", "s2", "s3", "s3"], START) == (["s3"], ["s0"])
     assert len(table) == 4 and server.leaving and "s0" not in take(table, START, 30)
     assert table.set_members(["s0", "s1", "s2"], START) == (["s0"], ["s3"])
-    assert table.named("s0") is server and table.named("s3") is None
+    assert table.find("s0") is server and table.find("s3") is None
     table.set_members(["s1"], START)
-    table.succeeded(server.handle, START, MILLISECOND)
-    assert table.named("s0") is None and len(table) == 1
-    table.succeeded(server.handle, START, MILLISECOND)  # late, and of nobody
+    table.attempt_succeeded(server.handle, START, MILLISECOND)
+    assert table.find("s0") is None and len(table) == 1
+    table.attempt_succeeded(server.handle, START, MILLISECOND)  # late, and of nobody
     with pytest.raises(TableFullError):
         table.set_members([f"x{index}" for index in range(2_000)], START)
     assert len(table) == 1
@@ -285,24 +291,26 @@
                     table.attempt_started(server.handle)
                     held.append(server.handle)
                 else:
-                    assert all(table.server_capacity(one, now) <= 0 or one.handle in without for one in table)
+                    assert all(
+                        table.available_capacity(one, now) <= 0 or one.handle in without for one in table
+                    )
             case "wait":
                 now += number * MILLISECOND
             case "members":
                 table.set_members([f"s{index}" for index in range(8) if number >> index & 1], now)
             case "boot":
-                if (known := table.named(f"s{number}")) is not None:
-                    table.booted(known.handle, str(number), now)
+                if (known := table.find(f"s{number}")) is not None:
+                    table.boot_id_received(known.handle, str(number), now)
             case _ if held:
                 handle = held.pop(number % len(held))
                 if what == "ok":
-                    table.succeeded(handle, now, number * MILLISECOND)
+                    table.attempt_succeeded(handle, now, number * MILLISECOND)
                 elif what == "fail":
-                    table.failed(handle, now, number * MILLISECOND)
+                    table.attempt_failed(handle, now, number * MILLISECOND)
                 elif what == "refuse":
-                    table.attempt_refused(handle, now)
+                    table.attempt_rejected(handle, now)
                 else:
-                    table.attempt_abandoned(handle)
+                    table.attempt_cancelled(handle)
         assert sum(server.in_flight for server in table) == len(held)
         members = [server for server in table if not server.leaving]
         out = [
@@ -310,8 +318,15 @@
         ]
         assert set(out) <= set(table._ejected.values())
         for server in table:
-            assert ConcurrencyLimitSettings().least <= server.limit.value <= ConcurrencyLimitSettings().most
-            assert 0 < server.health.weight(now) <= 1 and table.cost(server, now) > ZERO
+            assert (
+                ConcurrencyLimitSettings().min_limit
+                <= server.limit.value
+                <= ConcurrencyLimitSettings().max_limit
+            )
+            assert (
+                0 < server.health.slow_start_weight(now) <= 1
+                and table.expected_completion_time(server, now) > ZERO
+            )
     for handle in held:
-        table.attempt_abandoned(handle)
+        table.attempt_cancelled(handle)
     assert sum(server.in_flight for server in table) == 0 and not any(server.leaving for server in table)
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -11,8 +11,8 @@
 
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.load_balancing.estimators import ConcurrencyLimitSettings
-from marlstep.load_balancing.outlier_detection import OutlierSettings, ServerState
-from marlstep.load_balancing.pool_plan import PoolPlan, pool_of
+from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerState
+from marlstep.load_balancing.pool_config import PoolConfig, pool_for
 from marlstep.load_balancing.server_table import PoolSettings, Server
 from marlstep.net.eventloop import Address
 from marlstep.units import MILLISECOND, SECOND
@@ -22,7 +22,7 @@
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 FULL = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
-QUICK = OutlierSettings(slow_start=MILLISECOND)
+QUICK = OutlierDetectionSettings(slow_start_time=MILLISECOND)
 
 
 def servers(*ports: int) -> tuple[Address, ...]:
@@ -35,11 +35,11 @@
     def __init__(self, *ports: int, **plan: Any) -> None:
         self.desk = Desk(cores=8)
         self.dial = HandDial()
-        self.plan = PoolPlan("p", servers(*(ports or (1, 2, 3))), refuses=(503,), **plan)
-        settings = PoolSettings(ConcurrencyLimitSettings(least=1, start=2), QUICK)
+        self.config = PoolConfig("p", servers(*(ports or (1, 2, 3))), rejection_statuses=(503,), **plan)
+        settings = PoolSettings(ConcurrencyLimitSettings(min_limit=1, initial_limit=2), QUICK)
         core = self.desk.core
         self.upstream = Upstream(
-            (self.plan,), self.desk.clock.timeline, lambda: core, 4096, 1, settings, self.dial
+            (self.config,), self.desk.clock.timeline, lambda: core, 4096, 1, settings, self.dial
         )
         self.desk.clock.advance(100)
 
@@ -67,7 +67,7 @@
         self.desk.clock.settle()
 
     def server(self, port: int) -> Server:
-        server = self.upstream.pools["p"].table.named(f"127.0.0.1:{port}")
+        server = self.upstream.pools["p"].table.find(f"127.0.0.1:{port}")
         assert server is not None
         return server
 
@@ -158,7 +158,7 @@
     yard = Yard(1)
     yard.send(1, "setpoint-cmd")
     wire = yard.dial.accept()
-    yard.upstream.set_plans((PoolPlan("p", servers(2)),))
+    yard.upstream.reconfigure((PoolConfig("p", servers(2)),))
     yard.settle()
     yard.send(2, "setpoint-cmd")
     assert yard.port == 2
@@ -166,7 +166,7 @@
     assert yard.desk.verdicts(1) == [ResponseStatus.DONE] and list(yard.upstream.pools["p"].addresses) == [
         "127.0.0.1:2"
     ]
-    yard.upstream.set_plans((PoolPlan("q", servers(4)),))
+    yard.upstream.reconfigure((PoolConfig("q", servers(4)),))
     yard.reply(yard.dial.accept())
     assert yard.desk.verdicts(2) == [ResponseStatus.DONE]
 
@@ -181,7 +181,7 @@
         assert known is (number > 1)
         yard.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot + OK[15:])
         yard.settle()
-    assert yard.server(1).boot == "b" and yard.server(1).latency.value == 10 * MILLISECOND
+    assert yard.server(1).boot_id == "b" and yard.server(1).latency.value == 10 * MILLISECOND
 
 
 def test_a_dead_server_is_put_out_and_comes_back_by_a_probe() -> None:
@@ -248,9 +248,9 @@
     assert all(server.in_flight == 0 for server in yard.upstream.pools["p"].table)
 
 
-def test_the_pool_of_a_class_is_the_one_that_lists_it_or_the_one_that_lists_none() -> None:
-    plans = (PoolPlan("a", servers(1), ("x",)), PoolPlan("b", servers(2)))
-    assert Counter(pool_of(plans, kind) for kind in ("x", "y", "z")) == {"b": 2, "a": 1}
+def test_the_pool_for_a_class_is_the_one_that_lists_it_or_the_one_that_lists_none() -> None:
+    plans = (PoolConfig("a", servers(1), ("x",)), PoolConfig("b", servers(2)))
+    assert Counter(pool_for(plans, kind) for kind in ("x", "y", "z")) == {"b": 2, "a": 1}
 
 
 def test_probes_need_no_request_of_their_own_to_be_due() -> None:
@@ -259,6 +259,6 @@
     server = yard.server(1)
     for _ in range(5):
         table.attempt_started(server.handle)
-        table.failed(server.handle, yard.desk.clock.now(), MILLISECOND)
+        table.attempt_failed(server.handle, yard.desk.clock.now(), MILLISECOND)
     assert table.capacity(yard.desk.clock.now()) == 4
     assert table.capacity(yard.desk.clock.now() + 2 * SECOND) == 5  # the probe
