--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from marlstep.load_balancing.estimators import FailureRate
+from marlstep.load_balancing.failure_rate import FailureRate
 from marlstep.units import SECOND
 
 
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -13,8 +13,10 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from marlstep.load_balancing.estimators import AdaptiveConcurrencyLimit, ConcurrencyLimitSettings, PeakEwma
+from marlstep.load_balancing.concurrency_limit import AdaptiveConcurrencyLimit, ConcurrencyLimitSettings
+from marlstep.load_balancing.latency_estimators import PeakEwma
 from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerHealth, ServerState
+from marlstep.load_balancing.server import Server
 from marlstep.slots import SlotTable, TableFullError
 from marlstep.units import MILLISECOND, ZERO
 
@@ -38,29 +40,6 @@
     latency_decay_time: timedelta = 10_000 * MILLISECOND  # of the latency estimate
 
 
-@dataclass(slots=True, eq=False)
-class Server:
-    """What is known of one server."""
-
-    name: str  # host:port, as configured
-    health: ServerHealth
-    latency: PeakEwma
-    limit: AdaptiveConcurrencyLimit
-    handle: int = 0
-    in_flight: int = 0
-    boot_id: str | None = None  # the identity that it tells of its present life
-    leaving: bool = False  # no new work; gone once nothing is in flight
-    probe_in_flight: bool = False
-
-    @property
-    def is_usable(self) -> bool:
-        return not self.leaving and self.health.state in (
-            ServerState.NEW,
-            ServerState.HEALTHY,
-            ServerState.SUSPECT,
-        )
-
-
 class ServerTable:
     """Numbered slots, as everywhere: a handle that is late finds nothing."""
 
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -19,7 +19,8 @@
 from marlstep.core.interfaces import EventSink, Request
 from marlstep.load_balancing.pool_config import Address, PoolConfig, server_name
 from marlstep.load_balancing.retry_policy import AttemptOutcome, RetryPolicy
-from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
+from marlstep.load_balancing.server import Server
+from marlstep.load_balancing.server_table import PoolSettings, ServerTable
 from marlstep.net.eventloop import Dial, dial
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
--- a/tests/load_balancing/test_load_balancing.py
+++ b/tests/load_balancing/test_load_balancing.py
@@ -10,14 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.load_balancing.estimators import (
-    AdaptiveConcurrencyLimit,
-    ConcurrencyLimitSettings,
-    PeakEwma,
-    WindowedMinimum,
-)
+from marlstep.load_balancing.concurrency_limit import AdaptiveConcurrencyLimit, ConcurrencyLimitSettings
+from marlstep.load_balancing.latency_estimators import PeakEwma, WindowedMinimum
 from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerState
-from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
+from marlstep.load_balancing.server import Server
+from marlstep.load_balancing.server_table import PoolSettings, ServerTable
 from marlstep.slots import TableFullError
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 from tests.frontends.test_parsers import FIXED
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -10,10 +10,11 @@
 from hypothesis import strategies as st
 
 from marlstep.core.interfaces import ResponseStatus
-from marlstep.load_balancing.estimators import ConcurrencyLimitSettings
+from marlstep.load_balancing.concurrency_limit import ConcurrencyLimitSettings
 from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerState
 from marlstep.load_balancing.pool_config import PoolConfig, pool_for
-from marlstep.load_balancing.server_table import PoolSettings, Server
+from marlstep.load_balancing.server import Server
+from marlstep.load_balancing.server_table import PoolSettings
 from marlstep.net.eventloop import Address
 from marlstep.units import MILLISECOND, SECOND
 from marlstep.upstreams.upstream import Upstream
