--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -67,7 +67,7 @@
         """Give the connections and what each pool counted."""
         return {
             "connections": len(self.front.connections),
-            "pools": {name: dict(pool.counts) for name, pool in self.upstream.pools.items()},
+            "pools": {name: pool.statistics.to_json() for name, pool in self.upstream.pools.items()},
         }
 
     def metrics(self) -> dict[str, float]:
--- a/marlstep/load_balancing/__init__.py
+++ b/marlstep/load_balancing/__init__.py
@@ -1,1 +1,4 @@
-"""A pool of servers: what is known of each, and which one is taken next. Decisions only, the clock passed in."""
+"""Load balancing over one pool of servers: estimates, limits, outlier detection, choice and retries.
+
+Every module decides and none does I/O: the time and the source of randomness are passed in.
+"""
--- a/marlstep/load_balancing/concurrency_limit.py
+++ b/marlstep/load_balancing/concurrency_limit.py
@@ -1,4 +1,7 @@
-"""How many requests a server gets at once."""
+"""The adaptive concurrency limit: how many requests a server is given at once.
+
+The limit follows the gradient of latency, as Netflix's concurrency-limits does, and backs off on failures.
+"""
 
 from __future__ import annotations
 
@@ -9,64 +12,103 @@
 from marlstep.load_balancing.latency_estimators import WindowedMinimum
 from marlstep.units import MILLISECOND, ZERO
 
+MIN_GRADIENT = 0.5  # of the limit that one interval's latencies leave at least, before smoothing
+MIN_UTILIZATION = 0.5  # of the limit that was in flight at the peak, for the limit to count as in use
+
 
 @dataclass(slots=True, frozen=True)
 class ConcurrencyLimitSettings:
-    min_limit: float = 2.0  # requests at once; the floor of every limit
+    """How a concurrency limit moves; limits count requests in flight at one server."""
+
+    min_limit: float = 2.0
     max_limit: float = 256.0
     initial_limit: float = 8.0
-    latency_tolerance: float = 1.5  # times the floor that an answer may take before the limit falls
-    smoothing: float = 0.3  # of the way to the new limit in each step
-    backoff_ratio: float = 0.8  # what a failure leaves of the limit
-    interval: timedelta = 250 * MILLISECOND  # between two steps
+    latency_tolerance: float = 1.5  # multiple of the baseline latency up to which the limit does not fall
+    smoothing: float = 0.3  # share of the way to the target that one interval goes
+    backoff_ratio: float = 0.8  # share of the limit that a failure leaves
+    interval: timedelta = 250 * MILLISECOND  # between two adjustments, and between two backoffs
 
+    def clamp(self, limit: float) -> float:
+        """Return the nearest limit within the bounds."""
+        return max(self.min_limit, min(self.max_limit, limit))
 
-@dataclass(slots=True)
-class AdaptiveConcurrencyLimit:
-    """How many requests a server gets at once.
 
-    Answers that take longer than their floor lower it (the gradient), a failure cuts it (multiplicative decrease),
-    and it grows only while it is in use: a limit that no load has tested says nothing.
+def limit_after_interval(
+    settings: ConcurrencyLimitSettings,
+    limit: float,
+    baseline_latency: timedelta,
+    mean_latency: timedelta,
+    max_in_flight: int,
+) -> float:
+    """Return the concurrency limit after one interval.
+
+    Rule: the target is the limit times the gradient, plus its square root as headroom for a queue; the limit goes a
+    part of the way to it. The gradient is the tolerated latency (a multiple of the baseline) over the mean, at most 1.
+    Exception: the limit does not rise unless it was in use, since a limit that no load has tested tells nothing.
+
+    Args:
+        settings: Bounds, tolerance and smoothing.
+        limit: The limit during the interval, in requests in flight.
+        baseline_latency: Latency of the server without load.
+        mean_latency: Mean over the responses of the interval; above zero.
+        max_in_flight: Most requests that were in flight when a response came.
+
     """
+    tolerated = settings.latency_tolerance * (baseline_latency / mean_latency)
+    gradient = max(MIN_GRADIENT, min(1.0, tolerated))
+    target = limit * gradient + math.sqrt(limit)
+    falls = target < limit
+    was_in_use = max_in_flight >= MIN_UTILIZATION * limit
+    if not falls and not was_in_use:
+        return limit
+    return settings.clamp(limit + settings.smoothing * (target - limit))
+
+
+def limit_after_failure(settings: ConcurrencyLimitSettings, limit: float) -> float:
+    """Return the concurrency limit after a failure or rejection: multiplicative decrease, within the bounds."""
+    return settings.clamp(limit * settings.backoff_ratio)
+
+
+@dataclass(slots=True)
+class AdaptiveConcurrencyLimit:
+    """The concurrency limit of one server, adjusted once per interval by the responses that came in it."""
 
     settings: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
-    value: float = 0.0
-    floor: WindowedMinimum = field(default_factory=WindowedMinimum)
+    value: float = 0.0  # requests in flight; 0: start at the initial limit
+    baseline_latency: WindowedMinimum = field(default_factory=WindowedMinimum)
     _interval_start: datetime | None = None
     _last_backoff_at: datetime | None = None
-    _latency_sum: timedelta = ZERO
+    _latency_sum: timedelta = ZERO  # over the interval, as are the next two
     _response_count: int = 0
     _max_in_flight: int = 0
 
     def __post_init__(self) -> None:
+        """Start at the initial limit."""
         self.value = self.value or self.settings.initial_limit
 
     def record_response(self, now: datetime, latency: timedelta, in_flight: int) -> None:
-        """`in_flight` counts the answered one as well."""
-        self.floor.observe(now, latency)
+        """Take in a response; `in_flight` counts its own request as well."""
+        self.baseline_latency.observe(now, latency)
         self._latency_sum += latency
         self._response_count += 1
         self._max_in_flight = max(self._max_in_flight, in_flight)
         if self._interval_start is None:
             self._interval_start = now
         elif now - self._interval_start >= self.settings.interval:
-            self._step(now)
-
-    def _step(self, now: datetime) -> None:
-        settings = self.settings
-        floor, mean = self.floor.value, self._latency_sum / self._response_count
-        if floor is not None and mean > ZERO:
-            gradient = max(0.5, min(1.0, settings.latency_tolerance * (floor / mean)))
-            wanted = self.value * gradient + math.sqrt(self.value)
-            if wanted < self.value or self._max_in_flight * 2 >= self.value:
-                self._set(self.value + settings.smoothing * (wanted - self.value))
-        self._interval_start, self._latency_sum, self._response_count, self._max_in_flight = now, ZERO, 0, 0
+            self._finish_interval(now)
+
+    def _finish_interval(self, now: datetime) -> None:
+        baseline, mean = self.baseline_latency.value, self._latency_sum / self._response_count
+        if baseline is not None and mean > ZERO:
+            self.value = limit_after_interval(self.settings, self.value, baseline, mean, self._max_in_flight)
+        self._interval_start = now
+        self._latency_sum, self._response_count, self._max_in_flight = ZERO, 0, 0
 
     def record_failure(self, now: datetime) -> None:
-        """A failure that speaks of load or trouble. Those of one step are one sign, and cut once."""
+        """Take in a failure or rejection: back off, at most once per interval.
+
+        Failures that come together are one sign of overload, so only the first of them counts.
+        """
         if self._last_backoff_at is None or now - self._last_backoff_at >= self.settings.interval:
             self._last_backoff_at = now
-            self._set(self.value * self.settings.backoff_ratio)
-
-    def _set(self, value: float) -> None:
-        self.value = max(self.settings.min_limit, min(self.settings.max_limit, value))
+            self.value = limit_after_failure(self.settings, self.value)
--- a/marlstep/load_balancing/latency_estimators.py
+++ b/marlstep/load_balancing/latency_estimators.py
@@ -1,4 +1,7 @@
-"""Estimates of a server's latency."""
+"""Estimates of a server's latency from its responses.
+
+No estimator reads a clock: the time of each observation is passed in, and never goes backwards.
+"""
 
 from __future__ import annotations
 
@@ -11,26 +14,26 @@
 
 @dataclass(slots=True)
 class PeakEwma:
-    """A moving mean that rises at once and falls slowly.
+    """An exponentially weighted moving average of latency that rises at once and falls slowly.
 
-    A server that becomes slow must be known as slow by its first slow answer, as those behind it wait already; one
-    that was quick once may have been lucky. `decay_time` is the time in which a difference shrinks to 1/e.
+    A server that becomes slow must count as slow from its first slow response on, since the requests behind that one
+    are already waiting. A single fast response may be luck, so it lowers the estimate only in part.
     """
 
-    decay_time: timedelta = 10 * SECOND
-    value: timedelta | None = None  # None: nothing is known
+    decay_time: timedelta = 10 * SECOND  # in which a difference shrinks to 1/e
+    value: timedelta | None = None  # None: no response was observed yet
     updated_at: datetime | None = None
 
     def observe(self, now: datetime, sample: timedelta) -> None:
-        retained = self.retained_share(now)
+        """Take in the latency of one response."""
         if self.value is None or sample >= self.value:
             self.value = sample
         else:
-            self.value = sample + (self.value - sample) * retained
+            self.value = sample + (self.value - sample) * self.retained_share(now)
         self.updated_at = now
 
     def retained_share(self, now: datetime) -> float:
-        """The share of what was known that counts still, from 1 down to 0."""
+        """Return the weight that the current value still has, from 1 down to 0; 0 before the first observation."""
         if self.updated_at is None:
             return 0.0
         return math.exp(-(max(ZERO, now - self.updated_at) / self.decay_time))
@@ -38,22 +41,24 @@
 
 @dataclass(slots=True)
 class WindowedMinimum:
-    """The least sample of the last one to two windows: what an answer takes where nothing is in its way.
+    """The lowest latency of the last one to two windows: the latency of a server that is not loaded.
 
-    It is forgotten in time, so that a server that was moved to a slower machine is not held to its old figure.
+    Older samples are dropped, so that a server that was moved to a slower machine gets a new baseline.
     """
 
     window: timedelta = 30 * SECOND
     _window_start: datetime | None = None
-    _current: timedelta | None = None
-    _previous: timedelta | None = None
+    _current: timedelta | None = None  # minimum of the window that runs
+    _previous: timedelta | None = None  # minimum of the window before it
 
     def observe(self, now: datetime, sample: timedelta) -> None:
+        """Take in the latency of one response."""
         if self._window_start is None or now - self._window_start >= self.window:
             self._previous, self._current, self._window_start = self._current, None, now
         self._current = sample if self._current is None else min(self._current, sample)
 
     @property
     def value(self) -> timedelta | None:
-        known = [one for one in (self._current, self._previous) if one is not None]
-        return min(known, default=None)
+        """The minimum; None before the first observation."""
+        minimums = [minimum for minimum in (self._current, self._previous) if minimum is not None]
+        return min(minimums, default=None)
--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -1,11 +1,11 @@
-"""Whether a server may have work: the states of one server, and the rule for how too_large_a_share may be out at once.
+"""Outlier detection, as Envoy names it: when a server is ejected from its pool, and how it comes back.
 
-    new ──ok──▶ healthy ◀──ok── suspect ──too too_large_a_share failures──▶ ejected ──time over──▶ probing
+    new ──ok──▶ healthy ◀──ok── suspect ──too many failures──▶ ejected ──time over──▶ probing
                     └──a failure──▶ suspect                       ▲                      │
                                                                   └──── it failed ───────┘  (longer each time)
-    probing ──it went well──▶ healthy, slowly
+    probing ──ok──▶ healthy, in slow start
 
-`new` has slow start as well: what has just begun, or come back, gets its full share only after a while.
+A server that is new, or that recovered, is in slow start: its share of requests rises to the full one over a while.
 """
 
 from __future__ import annotations
@@ -17,107 +17,188 @@
 from marlstep.load_balancing.failure_rate import FailureRate
 from marlstep.units import SECOND
 
+MAX_EJECTION_DOUBLINGS = 16  # bounds the power of two; by then any ejection is at its maximum
+
 
 class ServerState(enum.Enum):
+    """The health of one server."""
+
     NEW = "new"
     HEALTHY = "healthy"
-    SUSPECT = "suspect"
-    EJECTED = "ejected"  # gets nothing
-    PROBING = "probing"  # gets one request, or one connection, to show what it can do
+    SUSPECT = "suspect"  # its last attempt failed, or it was kept in service although it should be ejected
+    EJECTED = "ejected"  # gets no requests
+    PROBING = "probing"  # gets one request, which decides whether it is healthy
+
+
+STATE_AFTER_SUCCESS = {
+    ServerState.NEW: ServerState.HEALTHY,
+    ServerState.HEALTHY: ServerState.HEALTHY,
+    ServerState.SUSPECT: ServerState.HEALTHY,
+    ServerState.PROBING: ServerState.HEALTHY,
+    ServerState.EJECTED: ServerState.EJECTED,  # of an attempt from before the ejection
+}
+STATE_AFTER_FAILURE = {
+    ServerState.NEW: ServerState.SUSPECT,
+    ServerState.HEALTHY: ServerState.SUSPECT,
+    ServerState.SUSPECT: ServerState.SUSPECT,
+    ServerState.PROBING: ServerState.PROBING,
+    ServerState.EJECTED: ServerState.EJECTED,
+}
 
 
 @dataclass(slots=True, frozen=True)
 class OutlierDetectionSettings:
-    consecutive_failures: int = 5  # failures one after another that eject
-    failure_share: float = 0.5  # of failures that ejects, where enough is known
-    min_samples: float = 10.0  # attempts, fading, that a share must stand on
-    base_ejection_time: timedelta = 2 * SECOND  # of an ejection
+    """When a server is ejected, for how long, and how its share of requests rises afterwards."""
+
+    consecutive_failures: int = 5  # that eject a server
+    failure_share: float = 0.5  # of recent attempts that ejects a server
+    min_samples: float = 10.0  # recent attempts, decaying, from which the failure share counts
+    base_ejection_time: timedelta = 2 * SECOND  # of the first ejection; each further one lasts twice as long
     max_ejection_time: timedelta = 60 * SECOND
-    forgive_after: timedelta = (
-        60 * SECOND
-    )  # of good health, after which an ejection counts as the first again
+    forgive_after: timedelta = 60 * SECOND  # of health, after which earlier ejections are forgotten
     slow_start_time: timedelta = 10 * SECOND
-    min_slow_start_weight: float = 0.1  # of its weight, at the begin of slow start
+    min_slow_start_weight: float = 0.1  # share of its requests that a server gets when slow start begins
+
+
+def should_eject(
+    settings: OutlierDetectionSettings, consecutive_failures: int, attempts: float, failure_share: float
+) -> bool:
+    """Decide whether a server in regular service is to be ejected after a failure.
+
+    Rule: it failed too many times in a row, or too large a share of its recent attempts failed. The share counts only
+    from a minimum of attempts on, since the first failure of few would otherwise be a large share.
+
+    Args:
+        settings: The thresholds.
+        consecutive_failures: Failures since the last success, this one included.
+        attempts: Recent attempts, decaying.
+        failure_share: Failed share of them, from 0 to 1.
+
+    """
+    failed_in_a_row = consecutive_failures >= settings.consecutive_failures
+    has_enough_samples = attempts >= settings.min_samples
+    fails_too_often = failure_share >= settings.failure_share
+    return failed_in_a_row or (has_enough_samples and fails_too_often)
+
+
+def ejection_allowed(ejected: int, members: int, max_ejected_share: float) -> bool:
+    """Decide whether a pool may lose one more server to an ejection.
+
+    Rule: no more than the given share of its members is ejected at once. With more in trouble the fault is as likely
+    on this node's side, and the servers that are left would be overloaded.
+
+    Args:
+        ejected: Members that are ejected or probed now.
+        members: All members of the pool.
+        max_ejected_share: Share of the members, from 0 to 1.
+
+    """
+    return ejected + 1 <= max_ejected_share * members
+
+
+def ejection_time(settings: OutlierDetectionSettings, earlier_ejections: int) -> timedelta:
+    """Return how long a server is ejected: twice as long after each earlier ejection, up to the maximum.
+
+    Earlier ejections are forgotten after a while in health (`forgive_after`).
+    """
+    doublings = min(earlier_ejections, MAX_EJECTION_DOUBLINGS)
+    return min(settings.max_ejection_time, settings.base_ejection_time * (1 << doublings))
+
+
+def slow_start_weight(settings: OutlierDetectionSettings, elapsed: timedelta) -> float:
+    """Return the share of its requests that a server gets in slow start; 1 once slow start is over.
+
+    Rule: the share rises linearly from the minimum, so that caches and connections of a server that has just started
+    are not overrun.
+
+    Args:
+        settings: Length of slow start and the minimum.
+        elapsed: Since slow start began.
+
+    """
+    progress = elapsed / settings.slow_start_time
+    if progress >= 1.0:
+        return 1.0
+    return settings.min_slow_start_weight + (1 - settings.min_slow_start_weight) * max(0.0, progress)
 
 
 @dataclass(slots=True)
 class ServerHealth:
-    """One server's. It tells what should be; the table says whether the server may be put out."""
+    """The health of one server. Whether an ejection is carried out is decided by the pool, which sees all servers."""
 
     settings: OutlierDetectionSettings
-    state_since: datetime  # in this state
+    state_since: datetime
     state: ServerState = ServerState.NEW
     failure_rate: FailureRate = field(default_factory=FailureRate)
     consecutive_failures: int = 0
-    ejections: int = 0  # of late: each is twice as long as the one before
-    ejected_until: datetime | None = None  # of the ejection
-    slow_start_since: datetime | None = None  # of slow start
+    ejections: int = 0  # that are not forgotten yet
+    ejected_until: datetime | None = None  # end of the last ejection; None: never ejected
+    slow_start_since: datetime | None = None  # None: not in slow start
 
     def __post_init__(self) -> None:
+        """Begin slow start."""
         self.slow_start_since = self.state_since
 
-    def _enter(self, state: ServerState, now: datetime) -> None:
-        self.state, self.state_since = state, now
-
     def record_success(self, now: datetime) -> None:
+        """Take in a successful attempt."""
         self.failure_rate.add(now, failed=False)
         self.consecutive_failures = 0
         if self.state is ServerState.PROBING:
             self.slow_start_since = now
             self.failure_rate.reset()
-        elif (
-            self.state is ServerState.HEALTHY
-            and self.ejections
-            and now - self.state_since >= self.settings.forgive_after
-        ):
+        elif self._was_healthy_long_enough(now):
             self.ejections = 0
-        if self.state in (ServerState.NEW, ServerState.SUSPECT, ServerState.PROBING):
-            self._enter(ServerState.HEALTHY, now)
+        self._enter_if_changed(STATE_AFTER_SUCCESS[self.state], now)
+
+    def _was_healthy_long_enough(self, now: datetime) -> bool:
+        return self.state is ServerState.HEALTHY and now - self.state_since >= self.settings.forgive_after
 
     def record_failure(self, now: datetime) -> bool:
-        """True where the server should be ejected now."""
+        """Take in a failed attempt, and return whether the server should be ejected now.
+
+        A server that fails its probe should be ejected again; one that is ejected already stays as it is.
+        """
         self.failure_rate.add(now, failed=True)
         self.consecutive_failures += 1
-        if self.state in (ServerState.NEW, ServerState.HEALTHY):
-            self._enter(ServerState.SUSPECT, now)
+        self._enter_if_changed(STATE_AFTER_FAILURE[self.state], now)
         if self.state is ServerState.PROBING:
             return True
         if self.state is ServerState.EJECTED:
             return False
-        settings = self.settings
-        too_large_a_share = (
-            self.failure_rate.attempts >= settings.min_samples
-            and self.failure_rate.failure_share >= settings.failure_share
-        )
-        return self.consecutive_failures >= settings.consecutive_failures or too_large_a_share
+        rate = self.failure_rate
+        return should_eject(self.settings, self.consecutive_failures, rate.attempts, rate.failure_share)
 
     def eject(self, now: datetime) -> None:
-        settings = self.settings
-        self.ejected_until = now + min(
-            settings.max_ejection_time, settings.base_ejection_time * (1 << min(self.ejections, 16))
-        )
+        """Take the server out of service for a time that doubles with each ejection."""
+        self.ejected_until = now + ejection_time(self.settings, self.ejections)
         self.ejections += 1
         self.consecutive_failures = 0
         self._enter(ServerState.EJECTED, now)
 
-    def end_ejection_if_due(self, now: datetime) -> None:
-        """An ejection whose time is over ends in a probe."""
-        if self.state is ServerState.EJECTED and self.ejected_until is not None and now >= self.ejected_until:
-            self._enter(ServerState.PROBING, now)
-
     def keep_in_service(self, now: datetime) -> None:
-        """It should be out, but too many are: it stays, suspect, and counts anew."""
+        """Keep a server that should be ejected, as too many are already; its failures are counted anew."""
         self.consecutive_failures = 0
         self.failure_rate.reset()
         self._enter(ServerState.SUSPECT, now)
 
-    def slow_start_weight(self, now: datetime) -> float:
-        """The share of its full work that it gets: less than 1 in slow start."""
-        settings = self.settings
+    def end_ejection_if_due(self, now: datetime) -> None:
+        """Let the server be probed once its ejection time is over."""
+        if self.state is ServerState.EJECTED and self.ejected_until is not None and now >= self.ejected_until:
+            self._enter(ServerState.PROBING, now)
+
+    def weight(self, now: datetime) -> float:
+        """Return the share of its requests that the server gets, from above 0 to 1; end slow start when it is due."""
         if self.slow_start_since is None:
             return 1.0
-        elapsed_share = (now - self.slow_start_since) / settings.slow_start_time
-        if elapsed_share >= 1.0:
+        elapsed = now - self.slow_start_since
+        if elapsed >= self.settings.slow_start_time:
             self.slow_start_since = None
             return 1.0
-        return settings.min_slow_start_weight + (1 - settings.min_slow_start_weight) * max(0.0, elapsed_share)
+        return slow_start_weight(self.settings, elapsed)
+
+    def _enter_if_changed(self, state: ServerState, now: datetime) -> None:
+        if state is not self.state:
+            self._enter(state, now)
+
+    def _enter(self, state: ServerState, now: datetime) -> None:
+        self.state, self.state_since = state, now
--- a/marlstep/load_balancing/pool_config.py
+++ b/marlstep/load_balancing/pool_config.py
@@ -1,4 +1,4 @@
-"""What an operator says of a pool."""
+"""The configuration of a pool of servers, as the operator's file gives it."""
 
 from __future__ import annotations
 
@@ -12,26 +12,30 @@
 
 @dataclass(slots=True, frozen=True)
 class PoolConfig:
-    name: str  # "" for the single server of `upstream`, which has no limits
+    """One pool of servers."""
+
+    name: str  # "" for the single server of `upstream`
     servers: tuple[Address, ...]
-    request_classes: tuple[str, ...] = ()  # that go there; the pool without any takes the rest
-    rejection_statuses: tuple[int, ...] = ()  # statuses by which a server says that nothing ran
-    boot_id_header: str = "x-boot-id"  # in which a server tells its present life; in lower case
+    request_classes: tuple[str, ...] = ()  # that the pool serves; none: those that no other pool lists
+    rejection_statuses: tuple[int, ...] = ()  # by which a server says that it did not run the request
+    boot_id_header: str = "x-boot-id"  # of responses, in lower case; names the server's incarnation
     connect_timeout: timedelta = 1 * SECOND
-    max_attempts: int = 3  # servers for one request, where the first was not reached or refused it
-    has_limits: bool = True
+    max_attempts: int = 3  # of one request, each at another server
+    has_limits: bool = True  # whether concurrency limits and outlier detection apply
 
     @property
     def server_names(self) -> list[str]:
+        """The names of the servers, in the operator's order."""
         return [server_name(address) for address in self.servers]
 
 
 def server_name(address: Address) -> str:
+    """Return the name of a server: host:port."""
     return f"{address[0]}:{address[1]}"
 
 
 def pool_for(pools: tuple[PoolConfig, ...], request_class: str) -> str:
-    """The name of the pool for a class: the one that lists it, else the one that lists none."""
+    """Return the name of the pool that serves a request class: the one that lists it, else the one that lists none."""
     for pool in pools:
         if request_class in pool.request_classes:
             return pool.name
--- a/marlstep/load_balancing/retry_policy.py
+++ b/marlstep/load_balancing/retry_policy.py
@@ -1,58 +1,95 @@
-"""Whether an attempt that went wrong is made again, on another server.
+"""Whether a request is sent to another server after an attempt that went wrong.
 
-What proves that nothing ran may go on for any class. What may have reached a server is sent again only where its
-class may run twice, and once: a server that dies under a request would else be followed by the next.
+An attempt that proves that nothing ran may be followed by another for every request. One that may have run is followed
+by another only where the request is idempotent, and only once: a request that brings down the server that runs it
+would else bring down one after another.
 """
 
 from __future__ import annotations
 
 import enum
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from datetime import datetime, timedelta
 
 from marlstep.units import MILLISECOND
 
-MIN_REMAINING_TIME = 5 * MILLISECOND  # of time left: with less no server would answer
+MIN_REMAINING_TIME = 5 * MILLISECOND  # to the deadline; with less no server would respond in time
+MIN_CONNECT_TIMEOUT = 1 * MILLISECOND
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt on one server ended."""
+    """How an attempt at one server ended."""
 
-    SUCCEEDED = "well"
-    CONNECT_FAILED = "not reached"  # no connection: nothing ran
-    REJECTED = "refused"  # the server says that nothing ran
-    CONNECTION_LOST = "broken"  # the request had begun to leave: it may have run
-    CANCELLED = "given up"  # nobody waits any more
+    SUCCEEDED = "succeeded"  # there is a response, whatever its status
+    CONNECT_FAILED = "connect_failed"  # there was no connection: nothing ran
+    REJECTED = "rejected"  # the server says that nothing ran
+    CONNECTION_LOST = "connection_lost"  # the request was sent at least in part: it may have run
+    CANCELLED = "cancelled"  # nobody waits for the response any more
 
     @property
     def never_ran(self) -> bool:
+        """Whether this outcome proves that nothing took effect."""
         return self in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.REJECTED)
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, frozen=True)
 class RetryPolicy:
-    """The attempts of one request."""
+    """The retry state of one request: what bounds its attempts, and what the attempts so far came to.
 
-    is_idempotent: bool  # its class may run twice
+    It is immutable; `attempt_started` and `next_attempt` return the policy that holds from then on.
+
+    Attributes:
+        is_idempotent: Whether the request may run twice.
+        max_attempts: Bound on the attempts, each at another server.
+        deadline: After which a response is of no use.
+        attempted_servers: Handles of the servers that had an attempt.
+        may_have_run: Whether an earlier attempt may have taken effect.
+
+    """
+
+    is_idempotent: bool
     max_attempts: int
     deadline: datetime
-    attempted_servers: set[int] = field(default_factory=set)  # handles of servers
+    attempted_servers: frozenset[int] = frozenset()
     may_have_run: bool = False
 
-    def attempt_started(self, handle: int) -> None:
-        self.attempted_servers.add(handle)
+    def attempt_started(self, server: int) -> RetryPolicy:
+        """Return the policy with one more server that had an attempt."""
+        return RetryPolicy(
+            self.is_idempotent,
+            self.max_attempts,
+            self.deadline,
+            self.attempted_servers | {server},
+            self.may_have_run,
+        )
+
+    def next_attempt(self, outcome: AttemptOutcome, now: datetime) -> RetryPolicy | None:
+        """Decide whether the request goes to another server after an attempt ended.
+
+        Rule: it does while there are attempts and time left, if the outcome proves that nothing ran. Exception: if
+        the attempt may have run, it does only where the request is idempotent and no earlier attempt may have run.
+
+        Args:
+            outcome: How the attempt ended.
+            now: The time, which is compared with the deadline.
+
+        Returns:
+            The policy for the next attempt, or None where the request is not sent again.
 
-    def should_retry(self, end: AttemptOutcome, now: datetime) -> bool:
-        """May the request go to a server that it has not been to?"""
-        if len(self.attempted_servers) >= self.max_attempts or self.deadline - now < MIN_REMAINING_TIME:
-            return False
-        if end.never_ran:
-            return True
-        if end is not AttemptOutcome.CONNECTION_LOST or not self.is_idempotent or self.may_have_run:
-            return False
-        self.may_have_run = True
-        return True
+        """
+        attempts_left = len(self.attempted_servers) < self.max_attempts
+        time_left = self.deadline - now >= MIN_REMAINING_TIME
+        if not (attempts_left and time_left):
+            return None
+        if outcome.never_ran:
+            return self
+        is_first_unsure = outcome is AttemptOutcome.CONNECTION_LOST and not self.may_have_run
+        if not (is_first_unsure and self.is_idempotent):
+            return None
+        return RetryPolicy(
+            self.is_idempotent, self.max_attempts, self.deadline, self.attempted_servers, may_have_run=True
+        )
 
     def connect_timeout(self, now: datetime, configured: timedelta) -> timedelta:
-        """For a connection to stand: never past the time that the request has."""
-        return max(MILLISECOND, min(configured, self.deadline - now))
+        """Return how long a connection may take to open: as configured, but not beyond the deadline."""
+        return max(MIN_CONNECT_TIMEOUT, min(configured, self.deadline - now))
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -1,99 +1,131 @@
-"""The servers of one pool, and which of them an attempt goes to.
+"""The servers of one pool: its members, the attempts that they have in flight, and which server is next.
 
-Of two that are drawn by chance the one that would be done sooner is taken: nearly as good as the best of all, at a
-flat cost, and without all nodes running to the same server. Work beyond all limits is not taken here; it waits in
-the decision module's hold, whose business admission is.
+What exceeds the capacity of all servers is not queued here: the admission controller does that, by priority.
 """
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
-from typing import Protocol
 
 from marlstep.load_balancing.concurrency_limit import AdaptiveConcurrencyLimit, ConcurrencyLimitSettings
+from marlstep.load_balancing.errors import PoolFullError
 from marlstep.load_balancing.latency_estimators import PeakEwma
-from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerHealth, ServerState
+from marlstep.load_balancing.outlier_detection import (
+    OutlierDetectionSettings,
+    ServerHealth,
+    ServerState,
+    ejection_allowed,
+)
 from marlstep.load_balancing.server import Server
-from marlstep.slots import SlotTable, TableFullError
-from marlstep.units import MILLISECOND, ZERO
+from marlstep.load_balancing.server_choice import RandomSource, choose_server
+from marlstep.slots import SlotTable
+from marlstep.units import SECOND
 
-MAX_SERVERS = 1_024
-MIN_EXPECTED_LATENCY = 1 * MILLISECOND  # of a server that nothing is known of: it is soon known
-MAX_RANDOM_DRAWS = 6  # by chance, for two that are free, before all are looked at
-SUSPECT_LATENCY_FACTOR = 3.0  # times its expected time, for a server that has just failed
+MAX_SERVERS = 1_024  # of a pool, those that are leaving included
 
+# Whether a server may be probed, by its name, the end of its ejection and the time.
+ProbePermission = Callable[[str, datetime, datetime], bool]
 
-class RandomSource(Protocol):
-    """The seeded source that is passed in."""
 
-    def randrange(self, start: int, /) -> int: ...
+def always_may_probe(_server: str, _ejected_until: datetime, _now: datetime) -> bool:
+    """Let this node probe every server whose ejection is over, as a node without peers does."""
+    return True
 
 
 @dataclass(slots=True, frozen=True)
 class PoolSettings:
+    """Settings of the servers of a pool, and of the pool as a whole."""
+
     limits: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
     health: OutlierDetectionSettings = field(default_factory=OutlierDetectionSettings)
-    max_ejected_share: float = 0.34  # of the servers that may be ejected at once
-    latency_decay_time: timedelta = 10_000 * MILLISECOND  # of the latency estimate
+    max_ejected_share: float = 0.34  # of the members that may be ejected at once
+    latency_decay_time: timedelta = 10 * SECOND  # of the latency estimate
+
+
+@dataclass(slots=True, frozen=True)
+class MembershipChange:
+    """The names of the servers that a change of members added and removed."""
+
+    added: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
+
+    def __bool__(self) -> bool:
+        """Whether anything changed."""
+        return bool(self.added or self.removed)
 
 
 class ServerTable:
-    """Numbered slots, as everywhere: a handle that is late finds nothing."""
+    """The servers of a pool by handle; the handle of a server that was dropped finds nothing."""
 
-    def __init__(self, settings: PoolSettings, chance: RandomSource) -> None:
+    def __init__(self, settings: PoolSettings, random_source: RandomSource) -> None:
+        """Make an empty table; `random_source` is drawn from to choose servers."""
         self.settings = settings
-        self._chance = chance
+        self.may_probe: ProbePermission = (
+            always_may_probe  # replaced where one node of a fleet checks for all
+        )
+        self._random_source = random_source
         self._servers: SlotTable[Server] = SlotTable(MAX_SERVERS)
-        self._by_name: dict[str, int] = {}
-        self._members: list[Server] = []  # all but those that leave, in the order in which they came
-        self._ejected: dict[int, Server] = {}  # those that are ejected or probed
-        self.may_probe: Callable[[str, datetime, datetime], bool] = lambda name, until, now: True
+        self._handles: dict[str, int] = {}  # by name
+        self._members: list[
+            Server
+        ] = []  # all but those that are leaving, in the order in which they were added
+        self._ejected: dict[int, Server] = {}  # by handle: those that are ejected or probed
 
     def __len__(self) -> int:
+        """Count the servers, those that are leaving included."""
         return len(self._servers)
 
     def __iter__(self) -> Iterator[Server]:
+        """Iterate over the servers, those that are leaving included."""
         return iter(self._servers)
 
     def get(self, handle: int) -> Server | None:
+        """Look up a server by its handle; None where it was dropped."""
         return self._servers.get(handle)
 
     def find(self, name: str) -> Server | None:
-        handle = self._by_name.get(name)
+        """Look up a server by its name; None where there is none."""
+        handle = self._handles.get(name)
         return None if handle is None else self._servers.get(handle)
 
-    # Who is in the pool.
+    # Members.
 
-    def set_members(self, names: list[str], now: datetime) -> tuple[list[str], list[str]]:
-        """The pool holds these from now on; gives the names that added and those that go.
+    def set_members(self, names: list[str], now: datetime) -> MembershipChange:
+        """Make these the members of the pool, and return what changed.
+
+        A server that is removed keeps its attempts in flight until they have ended. If it is added again before, it
+        is the same server, with all that is known of it.
+
+        Raises:
+            PoolFullError: There would be too many servers; nothing is changed then.
 
-        A server that goes keeps what it has until that has ended. One that comes back before then is the same.
-        Raises TableFullError where there are too many, and changes nothing then.
         """
-        names_wanted = dict.fromkeys(names)
-        if len(names_wanted) + sum(server.leaving for server in self._servers) > MAX_SERVERS:
-            raise TableFullError(f"a pool holds {MAX_SERVERS} servers at the most")
-        added, removed = [], []
+        members = dict.fromkeys(names)
+        requested = len(members) + sum(server.leaving for server in self._servers)
+        if requested > MAX_SERVERS:
+            raise PoolFullError(MAX_SERVERS, requested)
+        removed = self._remove_all_but(members)
+        added = [name for name in members if self._add(name, now)]
+        self._members = [server for server in self._servers if not server.leaving]
+        return MembershipChange(tuple(added), tuple(removed))
+
+    def _remove_all_but(self, members: dict[str, None]) -> list[str]:
+        removed = []
         for server in self._servers:
-            if server.name not in names_wanted and not server.leaving:
+            if server.name not in members and not server.leaving:
                 server.leaving = True
                 removed.append(server.name)
-                self._remove_if_drained(server)
-        for name in names_wanted:
-            known = self.find(name)
-            if known is None:
-                self._add(name, now)
-                added.append(name)
-            elif known.leaving:
-                known.leaving = False
-                added.append(name)
-        self._members = [server for server in self._servers if not server.leaving]
-        return added, removed
-
-    def _add(self, name: str, now: datetime) -> None:
+                self._drop_if_drained(server)
+        return removed
+
+    def _add(self, name: str, now: datetime) -> bool:
+        """Add a server, unless it is a member."""
+        known = self.find(name)
+        if known is not None:
+            was_leaving, known.leaving = known.leaving, False
+            return was_leaving
         server = Server(
             name,
             ServerHealth(self.settings.health, now),
@@ -101,185 +133,158 @@
             AdaptiveConcurrencyLimit(self.settings.limits),
         )
         server.handle = self._servers.add(server)
-        self._by_name[name] = server.handle
+        self._handles[name] = server.handle
+        return True
 
-    def _remove_if_drained(self, server: Server) -> None:
-        """The one place where a server's slot is given back."""
+    def _drop_if_drained(self, server: Server) -> None:
+        """Free the slot of a server that is leaving and has no attempt in flight."""
         if server.leaving and not server.in_flight and self._servers.free(server.handle):
-            del self._by_name[server.name]
+            del self._handles[server.name]
             self._ejected.pop(server.handle, None)
 
-    # Which one.
-
-    def available_capacity(self, server: Server, now: datetime) -> int:
-        """How many more requests it may have."""
-        if not server.is_usable:
-            return 0
-        return (
-            max(1, math.floor(server.limit.value * server.health.slow_start_weight(now))) - server.in_flight
-        )
+    # Capacity and choice.
 
     def capacity(self, now: datetime) -> int:
-        """How many requests all servers together take at once; a probe is one."""
+        """Return how many attempts the members take at once, those in flight included; a probe counts as one."""
         total = 0
         for server in self._members:
             server.health.end_ejection_if_due(now)
-            if server.is_usable:
-                total += max(0, self.available_capacity(server, now)) + server.in_flight
-            elif server.health.state is ServerState.PROBING and self._may_probe(server, now):
+            if server.in_service:
+                total += max(0, server.available_capacity(now)) + server.in_flight
+            elif server.health.state is ServerState.PROBING and self._is_probe_permitted(server, now):
                 total += 1
         return total
 
     @property
     def capacity_changes_with_time(self) -> bool:
-        """The capacity moves by itself: a server is out, or in slow start."""
-        return bool(self._ejected) or any(one.health.slow_start_since is not None for one in self._members)
-
-    def expected_completion_time(self, server: Server, now: datetime) -> timedelta:
-        """When a request that went there now would be done, about."""
-        latency = max(MIN_EXPECTED_LATENCY, server.latency.value or ZERO)
-        penalty = SUSPECT_LATENCY_FACTOR if server.health.state is ServerState.SUSPECT else 1.0
-        return latency * (server.in_flight + 1) * penalty / server.health.slow_start_weight(now)
+        """Whether the capacity can change without an attempt that ends: a server is ejected, or in slow start."""
+        return bool(self._ejected) or any(
+            server.health.slow_start_since is not None for server in self._members
+        )
 
     def choose(self, now: datetime, excluded: frozenset[int] = frozenset()) -> Server | None:
-        """The server for an attempt, or None where all are full, out, or in `excluded`. Takes nothing yet."""
-        probe = self._server_to_probe(now, excluded)
-        if probe is not None:
-            return probe
-        found = self._draw_two(now, excluded)
-        if not found:  # hardly any is free: look at all of them
-            found = [
-                one
-                for one in self._members
-                if one.handle not in excluded and self.available_capacity(one, now) > 0
-            ]
-        if len(found) > 2:
-            first = found.pop(self._chance.randrange(len(found)))
-            found = [first, found[self._chance.randrange(len(found))]]
-        # Of equals the first drawn: by any fixed order the same few would get all of a light load.
-        return min(found, key=lambda one: self.expected_completion_time(one, now), default=None)
-
-    def _draw_two(self, now: datetime, excluded: frozenset[int]) -> list[Server]:
-        """Two that are free, by a few draws; fewer where it takes more."""
-        found: list[Server] = []
-        members = self._members
-        for _ in range(MAX_RANDOM_DRAWS if len(members) > MAX_RANDOM_DRAWS else 0):
-            one = members[self._chance.randrange(len(members))]
-            if one not in found and one.handle not in excluded and self.available_capacity(one, now) > 0:
-                found.append(one)
-                if len(found) == 2:
-                    break
-        return found
-
-    def _server_to_probe(self, now: datetime, excluded: frozenset[int]) -> Server | None:
-        """A server whose time out is over gets one request, before any other has a second chance to."""
+        """Return the server for an attempt; None where none has capacity. Nothing is reserved yet.
+
+        Rule: a server that is due for a probe comes first, since its recovery is worth more than one request. Else
+        `choose_server` decides. Servers whose handles are in `excluded` are not chosen.
+        """
+        return self._server_due_for_probe(now, excluded) or choose_server(
+            self._members, excluded, now, self._random_source
+        )
+
+    def _server_due_for_probe(self, now: datetime, excluded: frozenset[int]) -> Server | None:
         for server in self._ejected.values():
             server.health.end_ejection_if_due(now)
-            if (
-                server.health.state is ServerState.PROBING
-                and not (server.probe_in_flight or server.leaving or server.handle in excluded)
-                and self._may_probe(server, now)
-            ):
+            is_due = server.health.state is ServerState.PROBING and not server.probe_in_flight
+            is_eligible = not server.leaving and server.handle not in excluded
+            if is_due and is_eligible and self._is_probe_permitted(server, now):
                 return server
         return None
 
-    def _may_probe(self, server: Server, now: datetime) -> bool:
-        """In a fleet one node finds out for all whether a server is back."""
-        return server.health.ejected_until is None or self.may_probe(
-            server.name, server.health.ejected_until, now
-        )
+    def _is_probe_permitted(self, server: Server, now: datetime) -> bool:
+        until = server.health.ejected_until
+        return until is None or self.may_probe(server.name, until, now)
 
     def ejected(self) -> dict[str, datetime]:
-        """The servers that are ejected or to be probed, and until when they were put out."""
+        """Return the members that are ejected or probed, by name, with the end of their ejection."""
         return {
             server.name: server.health.ejected_until
             for server in self._ejected.values()
             if server.health.ejected_until is not None and not server.leaving
         }
 
-    # What became of attempts.
+    # Attempts.
 
     def attempt_started(self, handle: int) -> None:
+        """Count an attempt as in flight at the server."""
         server = self._servers.get(handle)
         if server is not None:
             server.in_flight += 1
             server.probe_in_flight = server.probe_in_flight or server.health.state is ServerState.PROBING
 
-    def _end_attempt(self, handle: int) -> Server | None:
-        server = self._servers.get(handle)
-        if server is None or not server.in_flight:
-            return None
-        server.in_flight -= 1
-        return server
-
     def attempt_succeeded(self, handle: int, now: datetime, latency: timedelta) -> None:
+        """Take in a response, which came `latency` after the attempt was started."""
         server = self._end_attempt(handle)
         if server is None:
             return
         server.latency.observe(now, latency)
         server.limit.record_response(now, latency, server.in_flight + 1)
-        self._record_recovery(server, now)
-        self._remove_if_drained(server)
+        self._record_success(server, now)
+        self._drop_if_drained(server)
 
-    def _record_recovery(self, server: Server, now: datetime) -> None:
-        server.health.record_success(now)
-        server.probe_in_flight = False
-        if server.health.state is not ServerState.EJECTED:
-            self._ejected.pop(server.handle, None)
+    def attempt_failed(self, handle: int, now: datetime, elapsed: timedelta) -> None:
+        """Take in that the server could not be reached, or that the connection or the response failed.
 
-    def attempt_failed(self, handle: int, now: datetime, latency: timedelta) -> None:
-        """It broke, could not be reached, or latency too long. `latency` counts where it is more than was known."""
+        A failure that took longer than the latency estimate raises the estimate; a fast one does not lower it.
+        """
         server = self._end_attempt(handle)
         if server is None:
             return
-        if server.latency.value is not None and latency > server.latency.value:
-            server.latency.observe(now, latency)
+        if server.latency.value is not None and elapsed > server.latency.value:
+            server.latency.observe(now, elapsed)
         server.limit.record_failure(now)
         server.probe_in_flight = False
         if server.health.record_failure(now):
-            self._eject(server, now)
-        self._remove_if_drained(server)
+            self._eject_unless_too_many(server, now)
+        self._drop_if_drained(server)
 
     def attempt_rejected(self, handle: int, now: datetime) -> None:
-        """The server turned it away: it lives, and has too much."""
+        """Take in that the server rejected the request: it is alive, and overloaded.
+
+        This lowers its concurrency limit, and is no failure for outlier detection. A probe passes by it.
+        """
         server = self._end_attempt(handle)
         if server is None:
             return
         server.limit.record_failure(now)
         if server.health.state is ServerState.PROBING:
-            self._record_recovery(server, now)
-        self._remove_if_drained(server)
+            self._record_success(server, now)
+        self._drop_if_drained(server)
 
     def attempt_cancelled(self, handle: int) -> None:
-        """Nobody waits for it any more; it tells nothing of the server."""
+        """Take in that nobody waits for the response any more, which tells nothing about the server."""
         server = self._end_attempt(handle)
         if server is not None:
             server.probe_in_flight = False
-            self._remove_if_drained(server)
+            self._drop_if_drained(server)
 
-    def _eject(self, server: Server, now: datetime) -> None:
-        out = sum(not one.leaving for one in self._ejected.values())
-        probed = server.health.state is ServerState.PROBING
-        if not probed and out + 1 > self.settings.max_ejected_share * len(self._members):
-            server.health.keep_in_service(now)
-        else:
+    def _end_attempt(self, handle: int) -> Server | None:
+        server = self._servers.get(handle)
+        if server is None or not server.in_flight:
+            return None
+        server.in_flight -= 1
+        return server
+
+    def _record_success(self, server: Server, now: datetime) -> None:
+        server.health.record_success(now)
+        server.probe_in_flight = False
+        if server.health.state is not ServerState.EJECTED:
+            self._ejected.pop(server.handle, None)
+
+    def _eject_unless_too_many(self, server: Server, now: datetime) -> None:
+        """Eject a server; one that failed its probe is ejected again however many are."""
+        ejected = sum(not other.leaving for other in self._ejected.values())
+        failed_its_probe = server.health.state is ServerState.PROBING
+        if failed_its_probe or ejection_allowed(ejected, len(self._members), self.settings.max_ejected_share):
             server.health.eject(now)
             self._ejected[server.handle] = server
+        else:
+            server.health.keep_in_service(now)
 
     def boot_id_received(self, handle: int, boot_id: str, now: datetime) -> bool:
-        """The server told who it is in its present life; True where that is another than before.
+        """Take in the identity of the server's incarnation, and return whether the server has restarted.
 
-        What was learned of the life before says nothing of this one.
+        What was learned of the previous incarnation tells nothing about this one, and is discarded.
         """
         server = self._servers.get(handle)
         if server is None:
             return False
-        changed = server.boot_id is not None and server.boot_id != boot_id
+        has_restarted = server.boot_id is not None and server.boot_id != boot_id
         server.boot_id = boot_id
-        if changed:
+        if has_restarted:
             server.latency = PeakEwma(self.settings.latency_decay_time)
             server.limit = AdaptiveConcurrencyLimit(self.settings.limits)
             server.health = ServerHealth(self.settings.health, now)
             server.probe_in_flight = False
             self._ejected.pop(handle, None)
-        return changed
+        return has_restarted
--- a/marlstep/upstreams/__init__.py
+++ b/marlstep/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Servers that fronts of our own send work on to."""
+"""The client of uwsgi servers: a backend that does its work by forwarding requests to pools of servers."""
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -1,9 +1,8 @@
-"""The client of the uwsgi servers behind the uwsgi front: a backend that does its work by sending it on.
+"""The backend of the uwsgi frontend: it forwards each request to a server of its pool.
 
-Servers stand in pools (`marlstep/load_balancing`). Which server a request goes to, and whether it goes to another
-after an attempt that failed, is decided there; what is beyond all limits waits in the admission controller, which is
-told the capacity.
-A run can't be paused here, only given up, when its answer is out already.
+`marlstep.load_balancing` decides which server gets a request, and whether another one does after an attempt that went
+wrong. Requests beyond the capacity of a pool are queued by the admission controller, which is notified of that
+capacity. A run cannot be paused here; it is cancelled only once its request is answered.
 """
 
 from __future__ import annotations
@@ -17,53 +16,22 @@
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Effect
 from marlstep.core.interfaces import EventSink, Request
-from marlstep.load_balancing.pool_config import Address, PoolConfig, server_name
+from marlstep.load_balancing.pool_config import PoolConfig
 from marlstep.load_balancing.retry_policy import AttemptOutcome, RetryPolicy
-from marlstep.load_balancing.server import Server
-from marlstep.load_balancing.server_table import PoolSettings, ServerTable
+from marlstep.load_balancing.server_table import PoolSettings
 from marlstep.net.eventloop import Dial, dial
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 from marlstep.upstreams.attempt import Attempt
+from marlstep.upstreams.errors import AttemptError, NoCapacityError
+from marlstep.upstreams.outcomes import run_outcome
+from marlstep.upstreams.server_pool import ServerPool
 
 log = logging.getLogger(__name__)
 
-CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # between two looks at the room of a pool
-OUTCOMES = {
-    AttemptOutcome.SUCCEEDED: Outcome.OK,
-    AttemptOutcome.CONNECT_FAILED: Outcome.CONNECT_FAILED,
-    AttemptOutcome.REJECTED: Outcome.FULL,
-    AttemptOutcome.CONNECTION_LOST: Outcome.RESET,
-    AttemptOutcome.CANCELLED: Outcome.CANCELLED,
-}
-
-
-class ServerPool:
-    """One pool: its table, and where its servers are."""
-
-    def __init__(
-        self, config: PoolConfig, settings: PoolSettings, random_source: random.Random, now: datetime
-    ) -> None:
-        self.config = config
-        self.table = ServerTable(settings, random_source)
-        self.addresses: dict[str, Address] = {}
-        self.reported_capacity: int | None = None  # the room that the module knows
-        self.counts = dict.fromkeys(("attempts", "again", "not reached", "refused", "broken", "no room"), 0)
-        self.change(config, now)
-
-    def change(self, config: PoolConfig, now: datetime) -> None:
-        """Other servers from now on; what is on its way to those that go ends there."""
-        added, removed = self.table.set_members(config.server_names, now)
-        self.config = config
-        self.addresses |= {server_name(address): address for address in config.servers}
-        self.addresses = {name: at for name, at in self.addresses.items() if self.table.find(name)}
-        if self.reported_capacity is not None and (added or removed):
-            log.info(
-                "pool %s: %s added, %s go",
-                config.name,
-                ", ".join(added) or "none",
-                ", ".join(removed) or "none",
-            )
+CAPACITY_REPORT_INTERVAL = (
+    50 * MILLISECOND
+)  # from a change to the report, and between reports while servers recover
 
 
 @dataclass(slots=True)
@@ -72,15 +40,16 @@
 
     request: Request
     pool: ServerPool
-    since: datetime
+    started_at: datetime
     retry_policy: RetryPolicy
-    attempt: Attempt | None = None
-    server: int = 0  # handle
-    last: AttemptOutcome | None = None
-    history: list[str] = field(default_factory=list)  # what went wrong so far
+    attempt: Attempt | None = None  # in flight
+    server: int = 0  # handle of the server of the last attempt
+    errors: list[AttemptError] = field(default_factory=list)  # of the attempts so far
 
 
 class Upstream:
+    """Forwards requests to the servers of their pools, and reports how the runs ended."""
+
     def __init__(
         self,
         pools: tuple[PoolConfig, ...],
@@ -91,172 +60,163 @@
         settings: PoolSettings | None = None,
         dial: Dial = dial,
     ) -> None:
+        """Make the pools.
+
+        Args:
+            pools: Their configuration.
+            timeline: The clock, and timers on it.
+            sink: Returns what the ends of runs and the capacity of pools are reported to.
+            response_limit: Largest response, in bytes.
+            seed: Of the random choice of servers.
+            settings: Of limits and outlier detection; None: the defaults.
+            dial: Opens connections.
+
+        """
         self.response_limit = response_limit
         self.pools: dict[str, ServerPool] = {}
         self._timeline, self._sink, self._dial = timeline, sink, dial
         self._random, self._settings = random.Random(seed), settings or PoolSettings()
-        self._runs: dict[str, UpstreamRequest] = {}
-        self._reconcile_timer: Timer | None = None
+        self._requests: dict[str, UpstreamRequest] = {}  # by id
+        self._report_timer: Timer | None = None
         self.reconfigure(pools)
 
     def reconfigure(self, pools: tuple[PoolConfig, ...]) -> None:
-        """Pools and servers from now on. A pool that is gone gets nothing new."""
+        """Take over pools and servers from a changed configuration. A pool that was removed gets no new requests."""
         now = self._timeline.now()
         for config in pools:
             if config.name in self.pools:
-                self.pools[config.name].change(config, now)
+                self.pools[config.name].reconfigure(config, now)
             else:
                 self.pools[config.name] = ServerPool(config, self._settings, self._random, now)
         for name in self.pools.keys() - {config.name for config in pools}:
             self.pools[name].table.set_members([], now)
             if not len(self.pools[name].table):
                 del self.pools[name]
-        self._schedule_reconcile()
+        self._schedule_capacity_reports()
 
-    # Requests.
+    # The backend of requests.
 
     def start(self, request: Request) -> None:
+        """Forward a request to a server; it ends as rejected where no server has capacity."""
         now = self._timeline.now()
         pool = self.pools.get(request.inbound.pool)
-        if pool is None:  # it went with a new configuration while the request was held
+        if pool is None:  # it was removed while the request was queued
             self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.FULL, ZERO))
             return
-        retry_policy = RetryPolicy(
-            request.class_settings.effect is Effect.SAFE, pool.config.max_attempts, request.due_at
-        )
-        run = self._runs[request.id] = UpstreamRequest(request, pool, now, retry_policy)
-        if not self._start_attempt(run, now):
-            pool.counts["no room"] += 1
-            self._report_capacity(pool, full=True)
-            # Told in a turn of its own: the core is in the midst of starting it.
-            self._timeline.soon(lambda: self._finish(run, Outcome.FULL, "no server has room"))
-
-    def _start_attempt(self, run: UpstreamRequest, now: datetime) -> bool:
-        """Send it to a server that it has not been to; False where none has room."""
-        pool = run.pool
-        server = (
-            pool.table.choose(now, frozenset(run.retry_policy.attempted_servers))
-            if pool.config.has_limits
-            else self._unlimited_server(run)
-        )
-        if server is None:
-            return False
-        pool.table.attempt_started(server.handle)
-        run.retry_policy.attempt_started(server.handle)
-        run.server = server.handle
-        pool.counts["attempts"] += 1
-        config, request = pool.config, run.request
-        run.attempt = Attempt(
-            self, request.id, request.inbound.body, now, config.rejection_statuses, config.boot_id_header
-        )
-        within = run.retry_policy.connect_timeout(now, config.connect_timeout)
-        run.attempt.open(self._dial, pool.addresses[server.name], self._timeline, within)
-        return True
-
-    def _unlimited_server(self, run: UpstreamRequest) -> Server | None:
-        """The one server of a pool without limits gets all there is."""
-        return next(
-            (one for one in run.pool.table if one.handle not in run.retry_policy.attempted_servers), None
-        )
+        is_idempotent = request.class_settings.effect is Effect.SAFE
+        retry_policy = RetryPolicy(is_idempotent, pool.config.max_attempts, request.due_at)
+        forwarded = UpstreamRequest(request, pool, now, retry_policy)
+        self._requests[request.id] = forwarded
+        if not self._start_attempt(forwarded, now):
+            pool.statistics.no_capacity += 1
+            forwarded.errors.append(NoCapacityError(pool.config.name))
+            self._report_capacity(pool, is_full=True)
+            # Reported in a later turn of the loop: the core is still starting the request.
+            self._timeline.soon(lambda: self._finish(forwarded, Outcome.FULL))
 
     def pause(self, request: Request) -> None:
-        """A server behind a socket can't be paused: the run goes on, unless nobody waits for it."""
+        """Cancel the run if its request is answered; a server behind a socket cannot be paused."""
         if request.answered:
             self.abandon(request)
 
     def abandon(self, request: Request) -> None:
-        run = self._runs.get(request.id)
-        if run is not None and run.attempt is not None:
-            # Told in a turn of its own: the core is in the midst of answering.
-            attempt = run.attempt
-            self._timeline.soon(lambda: self._cancel(attempt))
-
-    def _cancel(self, attempt: Attempt) -> None:
-        if self.response_awaited(attempt):
-            self.attempt_ended(attempt, AttemptOutcome.CANCELLED, "")
+        """Cancel the run: nobody waits for its response."""
+        forwarded = self._requests.get(request.id)
+        if forwarded is not None and forwarded.attempt is not None:
+            # Reported in a later turn of the loop: the core is still answering the request.
+            self._timeline.soon(forwarded.attempt.cancel)
 
     def resume(self, request: Request) -> None:
-        """Nothing is ever paused here."""
+        """Do nothing: no run is ever paused here."""
 
     def supply(self, request: Request, reply: bytes) -> None:
-        """Nothing is ever called for here."""
+        """Do nothing: no run here asks the node for a call."""
 
     def skip(self, request: Request) -> None:
-        """Nothing is ever called for here."""
+        """Do nothing: no run here asks the node for a call."""
 
     # Attempts.
 
-    def response_awaited(self, attempt: Attempt) -> bool:
-        run = self._runs.get(attempt.id)
-        return run is not None and run.attempt is attempt
-
-    def attempt_ended(self, attempt: Attempt, end: AttemptOutcome, why: str) -> None:
-        """The one place where an attempt and its connection are given back."""
-        run = self._runs[attempt.id]
-        now, took = self._timeline.now(), self._timeline.now() - attempt.since
-        table = run.pool.table
-        server = table.get(run.server)
-        if attempt.boot_id is not None and table.boot_id_received(run.server, attempt.boot_id, now):
-            log.info("pool %s: a server lives anew, what was learned of it is dropped", run.pool.config.name)
-        match end:
-            case AttemptOutcome.SUCCEEDED:
-                table.attempt_succeeded(run.server, now, took)
-            case AttemptOutcome.REJECTED:
-                table.attempt_rejected(run.server, now)
-            case AttemptOutcome.CANCELLED:
-                table.attempt_cancelled(run.server)
-            case _:
-                table.attempt_failed(run.server, now, took)
-        if server is not None and table.get(run.server) is None:  # it had left, and this was its last
-            run.pool.addresses.pop(server.name, None)
-        run.attempt = None
-        attempt.abandon()
-        if end.value in run.pool.counts:
-            run.pool.counts[end.value] += 1
-        self._schedule_reconcile()
-        if why:
-            run.history.append(why)
-        if run.retry_policy.should_retry(end, now) and self._start_attempt(run, now):
-            run.pool.counts["again"] += 1
-            return
-        self._finish(run, OUTCOMES[end], "; ".join(run.history), bytes(attempt.response))
+    def _start_attempt(self, forwarded: UpstreamRequest, now: datetime) -> bool:
+        """Send the request to a server that had no attempt of it; return False where none has capacity."""
+        pool, request = forwarded.pool, forwarded.request
+        server = pool.choose(now, forwarded.retry_policy.attempted_servers)
+        if server is None:
+            return False
+        pool.table.attempt_started(server.handle)
+        pool.statistics.attempts += 1
+        forwarded.retry_policy = forwarded.retry_policy.attempt_started(server.handle)
+        forwarded.server = server.handle
+        config = pool.config
+        attempt = Attempt(
+            self, request.id, request.inbound.body, now, config.rejection_statuses, config.boot_id_header
+        )
+        forwarded.attempt = attempt
+        connect_timeout = forwarded.retry_policy.connect_timeout(now, config.connect_timeout)
+        attempt.open(self._dial, pool.addresses[server.name], self._timeline, connect_timeout)
+        return True
 
-    def _finish(self, run: UpstreamRequest, outcome: Outcome, why: str, response: bytes = b"") -> None:
-        if self._runs.get(run.request.id) is not run:
+    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, error: AttemptError | None) -> None:
+        """Release the attempt, and send the request to another server or report its end."""
+        forwarded = self._requests[attempt.request_id]
+        now, pool = self._timeline.now(), forwarded.pool
+        pool.attempt_ended(forwarded.server, outcome, attempt.boot_id, now, now - attempt.started_at)
+        forwarded.attempt = None
+        attempt.release()
+        self._schedule_capacity_reports()
+        if error is not None:
+            forwarded.errors.append(error)
+        if self._retry(forwarded, outcome, now):
+            pool.statistics.retries += 1
+        else:
+            may_have_run = forwarded.retry_policy.may_have_run
+            self._finish(forwarded, run_outcome(outcome, may_have_run), attempt.response)
+
+    def _retry(self, forwarded: UpstreamRequest, outcome: AttemptOutcome, now: datetime) -> bool:
+        """Send the request to another server, where it may go there and one has capacity."""
+        next_policy = forwarded.retry_policy.next_attempt(outcome, now)
+        if next_policy is None:
+            return False
+        forwarded.retry_policy = next_policy
+        return self._start_attempt(forwarded, now)
+
+    def _finish(self, forwarded: UpstreamRequest, outcome: Outcome, response: bytes = b"") -> None:
+        request_id = forwarded.request.id
+        if self._requests.get(request_id) is not forwarded:
             return
-        del self._runs[run.request.id]
-        if why:
-            log.warning("upstream: %s: %s", run.request.id, why)
-        if outcome.never_ran and run.retry_policy.may_have_run:
-            outcome = Outcome.RESET  # an earlier try may have run
-        self._sink().run_ended(run.request.id, outcome, self._timeline.now() - run.since, response)
-
-    # The room of the pools.
-
-    def _schedule_reconcile(self) -> None:
-        if self._reconcile_timer is None:
-            self._reconcile_timer = self._timeline.at(
-                self._timeline.now() + CAPACITY_REPORT_INTERVAL, self._reconcile
-            )
-
-    def _reconcile(self) -> None:
-        self._reconcile_timer = None
+        del self._requests[request_id]
+        if forwarded.errors:
+            errors = "; ".join(str(error) for error in forwarded.errors)
+            log.warning("attempts failed: request=%s outcome=%s errors=%s", request_id, outcome.value, errors)
+        elapsed = self._timeline.now() - forwarded.started_at
+        self._sink().run_ended(request_id, outcome, elapsed, response)
+
+    # Capacity of the pools.
+
+    def _schedule_capacity_reports(self) -> None:
+        if self._report_timer is None:
+            at = self._timeline.now() + CAPACITY_REPORT_INTERVAL
+            self._report_timer = self._timeline.at(at, self._report_capacities)
+
+    def _report_capacities(self) -> None:
+        self._report_timer = None
         for pool in self.pools.values():
             self._report_capacity(pool)
         if any(pool.table.capacity_changes_with_time for pool in self.pools.values()):
-            self._schedule_reconcile()  # slow starts and times out pass without an attempt that ends
+            self._schedule_capacity_reports()
 
-    def _report_capacity(self, pool: ServerPool, full: bool = False) -> None:
+    def _report_capacity(self, pool: ServerPool, is_full: bool = False) -> None:
+        """Notify the core of a pool's capacity, where it has changed and the pool has limits."""
         if not pool.config.has_limits:
             return
-        now = self._timeline.now()
-        capacity = sum(one.in_flight for one in pool.table) if full else pool.table.capacity(now)
+        capacity = pool.capacity(self._timeline.now(), is_full)
         if capacity != pool.reported_capacity:
             pool.reported_capacity = capacity
             self._sink().pool_capacity(pool.config.name, capacity)
 
     def close(self) -> None:
-        self._timeline.cancel(self._reconcile_timer)
-        for run in list(self._runs.values()):
-            if run.attempt is not None:
-                run.attempt.abandon()
+        """Stop the reports, and close the connections to servers."""
+        self._timeline.cancel(self._report_timer)
+        for forwarded in list(self._requests.values()):
+            if forwarded.attempt is not None:
+                forwarded.attempt.release()
--- a/tests/load_balancing/test_load_balancing.py
+++ b/tests/load_balancing/test_load_balancing.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 
 from marlstep.load_balancing.concurrency_limit import AdaptiveConcurrencyLimit, ConcurrencyLimitSettings
+from marlstep.load_balancing.errors import PoolFullError
 from marlstep.load_balancing.latency_estimators import PeakEwma, WindowedMinimum
 from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerState
 from marlstep.load_balancing.server import Server
-from marlstep.load_balancing.server_table import PoolSettings, ServerTable
-from marlstep.slots import TableFullError
+from marlstep.load_balancing.server_table import MembershipChange, PoolSettings, ServerTable
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
 from tests.frontends.test_parsers import FIXED
 
@@ -164,7 +164,7 @@
     assert table.choose(now) is server
     table.attempt_started(server.handle)
     table.attempt_succeeded(server.handle, now, 10 * MILLISECOND)
-    rooms = [table.available_capacity(server, now + second * SECOND) for second in (0, 5, 10)]
+    rooms = [server.available_capacity(now + second * SECOND) for second in (0, 5, 10)]
     assert rooms == [5, 27, 50]
 
 
@@ -247,15 +247,15 @@
     table = pool(3)
     server = one_of(table, "s0")
     table.attempt_started(server.handle)
-    assert table.set_members(["s1", "s2", "s3", "s3"], START) == (["s3"], ["s0"])
+    assert table.set_members(["s1", "s2", "s3", "s3"], START) == MembershipChange(("s3",), ("s0",))
     assert len(table) == 4 and server.leaving and "s0" not in take(table, START, 30)
-    assert table.set_members(["s0", "s1", "s2"], START) == (["s0"], ["s3"])
+    assert table.set_members(["s0", "s1", "s2"], START) == MembershipChange(("s0",), ("s3",))
     assert table.find("s0") is server and table.find("s3") is None
     table.set_members(["s1"], START)
     table.attempt_succeeded(server.handle, START, MILLISECOND)
     assert table.find("s0") is None and len(table) == 1
     table.attempt_succeeded(server.handle, START, MILLISECOND)  # late, and of nobody
-    with pytest.raises(TableFullError):
+    with pytest.raises(PoolFullError):
         table.set_members([f"x{index}" for index in range(2_000)], START)
     assert len(table) == 1
 
@@ -288,9 +288,7 @@
                     table.attempt_started(server.handle)
                     held.append(server.handle)
                 else:
-                    assert all(
-                        table.available_capacity(one, now) <= 0 or one.handle in without for one in table
-                    )
+                    assert all(one.available_capacity(now) <= 0 or one.handle in without for one in table)
             case "wait":
                 now += number * MILLISECOND
             case "members":
@@ -320,10 +318,7 @@
                 <= server.limit.value
                 <= ConcurrencyLimitSettings().max_limit
             )
-            assert (
-                0 < server.health.slow_start_weight(now) <= 1
-                and table.expected_completion_time(server, now) > ZERO
-            )
+            assert 0 < server.health.weight(now) <= 1 and server.expected_completion_time(now) > ZERO
     for handle in held:
         table.attempt_cancelled(handle)
     assert sum(server.in_flight for server in table) == 0 and not any(server.leaving for server in table)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -21,6 +21,7 @@
 from marlstep.node import Node
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import SECOND, ZERO, instant_us
+from marlstep.upstreams.errors import ConnectError
 from tests.support.node import raw_config
 from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, UwsgiStandIn
 
@@ -162,9 +163,9 @@
         waiting = asyncio.ensure_future(site.over_uwsgi("setpoint-cmd", "b7", "/hang"))
         await site.uwsgi.reached.wait()
         assert isinstance(site.node.components["uwsgi"], UwsgiComponent)
-        [run] = site.node.components["uwsgi"].upstream._runs.values()
+        [run] = site.node.components["uwsgi"].upstream._requests.values()
         assert run.attempt is not None
-        run.attempt.not_opened("reset")
+        run.attempt.connect_failed(ConnectError(ConnectionResetError()))
         assert (await waiting).startswith(b"HTTP/1.1 502 ")
         assert (await site.over_uwsgi("setpoint-cmd", "b7")).startswith(b"HTTP/1.1 502 ")
         assert site.uwsgi.runs == {"b7": 1}
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -87,8 +87,9 @@
     ports.append(yard.port)
     yard.reply(yard.dial.accept())
     assert sorted(ports) == [1, 2, 3] and yard.desk.verdicts(1) == [ResponseStatus.DONE]
-    counts = yard.upstream.pools["p"].counts
-    assert (counts["attempts"], counts["again"], counts["not reached"], counts["refused"]) == (3, 2, 1, 1)
+    statistics = yard.upstream.pools["p"].statistics
+    assert (statistics.attempts, statistics.retries) == (3, 2)
+    assert (statistics.connect_failures, statistics.rejections) == (1, 1)
 
 
 def test_where_none_takes_it_the_request_is_refused_as_it_never_ran() -> None:
@@ -146,13 +147,13 @@
     yard.send(6, "setpoint-cmd")
     yard.desk.submit(7)  # of no pool: not in its way
     assert ("start", "r7") in yard.desk.backend.told
-    assert len(yard.dial.waiting) == 4 and yard.upstream.pools["p"].counts["no room"] == 0
+    assert len(yard.dial.waiting) == 4 and yard.upstream.pools["p"].statistics.no_capacity == 0
     wires = [yard.dial.accept() for _ in range(4)]
     yard.reply(wires[0])
     yard.settle()
     assert len(yard.dial.waiting) >= 1
     sent = yard.dial.accept()
-    assert yard.upstream._runs["r6"].attempt is sent.stream and not yard.desk.verdicts(6)
+    assert yard.upstream._requests["r6"].attempt is sent.stream and not yard.desk.verdicts(6)
 
 
 def test_servers_come_and_go_and_attempts_on_their_way_end_where_they_are() -> None:
@@ -245,7 +246,7 @@
     gone = number - len(handles)
     answered = [len(yard.desk.verdicts(one)) for one in range(1, number + 1)]
     assert max(answered, default=0) <= 1 and answered.count(0) <= gone
-    assert yard.desk.core.in_flight == 0 and not yard.upstream._runs
+    assert yard.desk.core.in_flight == 0 and not yard.upstream._requests
     assert all(server.in_flight == 0 for server in yard.upstream.pools["p"].table)
 
 
