--- a/marlstep/config/schema.py
+++ b/marlstep/config/schema.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:  # loaded only by nodes whose configuration has these sections
     from marlstep.config.cluster_settings import ClusterConfig
     from marlstep.frontends.uwsgi_mapping import UwsgiMapping
-    from marlstep.load_balancing.pool_plan import PoolPlan
+    from marlstep.load_balancing.pool_config import PoolConfig
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,7 +33,7 @@
     """The uwsgi frontend, from `[uwsgi]` of the operator's file."""
 
     listen: Address
-    pools: tuple[PoolPlan, ...]
+    pools: tuple[PoolConfig, ...]
     mapping: UwsgiMapping
     max_body_bytes: int
     max_response_bytes: int
