--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -11,7 +11,8 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
-from marlstep.core.engine import Core, Ports, RequestRejectedError
+from marlstep.core.engine import Core, Ports
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import InboundRequest, Request, Response, ResponseHandle, ResponseStatus
 from marlstep.standins.cores import Machine, Notice, Plan
 from marlstep.timer_queue import Timer, TimerQueue
@@ -206,7 +207,7 @@
         def carry_out() -> None:
             self._advance()
             if not command():
-                self.core.run_ended(request.id, Outcome.MOOT, span(0))
+                self.core.run_ended(request.id, Outcome.NOT_STARTED, span(0))
             self._look()
 
         self.timeline.soon(carry_out)
--- a/marlstep/upstreams/outcomes.py
+++ b/marlstep/upstreams/outcomes.py
@@ -10,7 +10,7 @@
 RUN_OUTCOMES = {
     AttemptOutcome.SUCCEEDED: Outcome.OK,
     AttemptOutcome.CONNECT_FAILED: Outcome.CONNECT_FAILED,
-    AttemptOutcome.REJECTED: Outcome.FULL,
+    AttemptOutcome.REJECTED: Outcome.REJECTED,
     AttemptOutcome.CONNECTION_LOST: Outcome.RESET,
     AttemptOutcome.CANCELLED: Outcome.CANCELLED,
 }
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -29,9 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-CAPACITY_REPORT_INTERVAL = (
-    50 * MILLISECOND
-)  # from a change to the report, and between reports while servers recover
+CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # also from a change to its report
 
 
 @dataclass(slots=True)
@@ -101,10 +99,10 @@
         now = self._timeline.now()
         pool = self.pools.get(request.inbound.pool)
         if pool is None:  # it was removed while the request was queued
-            self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.FULL, ZERO))
+            self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.REJECTED, ZERO))
             return
-        is_idempotent = request.class_settings.effect is Effect.SAFE
-        retry_policy = RetryPolicy(is_idempotent, pool.config.max_attempts, request.due_at)
+        is_idempotent = request.class_settings.effect is Effect.IDEMPOTENT
+        retry_policy = RetryPolicy(is_idempotent, pool.config.max_attempts, request.deadline_at)
         forwarded = UpstreamRequest(request, pool, now, retry_policy)
         self._requests[request.id] = forwarded
         if not self._start_attempt(forwarded, now):
@@ -112,11 +110,11 @@
             forwarded.errors.append(NoCapacityError(pool.config.name))
             self._report_capacity(pool, is_full=True)
             # Reported in a later turn of the loop: the core is still starting the request.
-            self._timeline.soon(lambda: self._finish(forwarded, Outcome.FULL))
+            self._timeline.soon(lambda: self._finish(forwarded, Outcome.REJECTED))
 
     def pause(self, request: Request) -> None:
         """Cancel the run if its request is answered; a server behind a socket cannot be paused."""
-        if request.answered:
+        if request.responded:
             self.abandon(request)
 
     def abandon(self, request: Request) -> None:
@@ -187,7 +185,9 @@
         del self._requests[request_id]
         if forwarded.errors:
             errors = "; ".join(str(error) for error in forwarded.errors)
-            log.warning("attempts failed: request=%s outcome=%s errors=%s", request_id, outcome.value, errors)
+            log.warning(
+                "attempts failed: request=%s outcome=%s errors=%s", request_id, outcome.name.lower(), errors
+            )
         elapsed = self._timeline.now() - forwarded.started_at
         self._sink().run_ended(request_id, outcome, elapsed, response)
 
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from marlstep.admission.actions import Advertise
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import MILLISECOND, SECOND
 from tests.support.crossing import Caller, HeldDatabase, HeldKernel, Place, Reports, at, until
@@ -255,7 +256,7 @@
 def test_a_deadline_on_the_end_of_the_grace(tmp_path: Path) -> None:
     async def run(place: Place) -> None:
         await place.terminate()
-        end = place.core._run_after
+        end = place.core._shutdown._run_until
         caller = await place.call()
         await place.step(GRACE_MS - 900 - 50)
         early = int((end - place.node.timeline.now()) / MILLISECOND) - 900
@@ -409,7 +410,8 @@
 def test_a_free_value_does_not_outlive_the_way_in_which_callers_read_it(tmp_path: Path) -> None:
     # Guards against a number of requests that is read as a rank: no caller would come any more.
     async def run(place: Place) -> None:
-        place.core.advertised_value = 12.0  # as the module said while callers counted requests by it
+        place.core._dispatcher.execute_all([Advertise(12.0)])  # while callers count requests by the value
+        assert place.core.advertised_value == 12.0
         await place.hang_up(settings=elsewhere(say="threshold"))
         caller = await place.call()
         caller.send(write_frame(b"ALIVE", b"1"))
