--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -1,4 +1,4 @@
-"""The client of many servers: where a request goes, where it goes next, and that a setpoint is sent once."""
+"""The backend that forwards requests: to which server, to which next, and that a command is sent once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.load_balancing.concurrency_limit import ConcurrencyLimitSettings
 from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerState
-from marlstep.load_balancing.pool_config import PoolConfig, pool_for
+from marlstep.load_balancing.pool_config import PoolConfig
 from marlstep.load_balancing.server import Server
 from marlstep.load_balancing.server_table import PoolSettings
 from marlstep.net.eventloop import Address
@@ -22,48 +22,48 @@
 from tests.support.node import Desk, HandDial, Wire
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-FULL = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
-QUICK = OutlierDetectionSettings(slow_start_time=MILLISECOND)
+REJECTION = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
+NO_SLOW_START = OutlierDetectionSettings(slow_start_time=MILLISECOND)
 
 
 def servers(*ports: int) -> tuple[Address, ...]:
     return tuple(("127.0.0.1", port) for port in ports)
 
 
-class Yard:
-    """A core whose backend is the client of three servers; connections are opened by hand."""
+class UpstreamSite:
+    """A core whose backend forwards to a pool of three servers; connections are opened by hand."""
 
-    def __init__(self, *ports: int, **plan: Any) -> None:
+    def __init__(self, *ports: int, **pool: Any) -> None:
         self.desk = Desk(cores=8)
         self.dial = HandDial()
-        self.config = PoolConfig("p", servers(*(ports or (1, 2, 3))), rejection_statuses=(503,), **plan)
-        settings = PoolSettings(ConcurrencyLimitSettings(min_limit=1, initial_limit=2), QUICK)
+        self.config = PoolConfig("p", servers(*(ports or (1, 2, 3))), rejection_statuses=(503,), **pool)
+        settings = PoolSettings(ConcurrencyLimitSettings(min_limit=1, initial_limit=2), NO_SLOW_START)
         core = self.desk.core
         self.upstream = Upstream(
             (self.config,), self.desk.clock.timeline, lambda: core, 4096, 1, settings, self.dial
         )
         self.desk.clock.advance(100)
 
-    def send(self, number: int, kind: str = "temp-history") -> None:
-        self.submit(number, kind)
+    def send(self, number: int, request_class: str = "temp-history") -> None:
+        self.submit(number, request_class)
 
-    def submit(self, number: int, kind: str) -> int:
-        plain, self.desk.backend = self.desk.backend, self.upstream  # type: ignore[assignment]
+    def submit(self, number: int, request_class: str) -> int:
+        recorder, self.desk.backend = self.desk.backend, self.upstream  # type: ignore[assignment]
         try:
-            return self.desk.submit(number, kind, pool="p")
+            return self.desk.submit(number, request_class, pool="p")
         finally:
-            self.desk.backend = plain
+            self.desk.backend = recorder
 
     @property
     def port(self) -> int:
-        """Of the connection that is on its way."""
+        """The port of the connection that is being opened."""
         return self.dial.waiting[0][1][1]
 
     def reply(self, wire: Wire, data: bytes = OK) -> None:
         wire.feed(data)
         self.desk.clock.settle()
 
-    def refuse(self) -> None:
+    def refuse_connection(self) -> None:
         self.dial.refuse()
         self.desk.clock.settle()
 
@@ -76,191 +76,189 @@
         self.desk.clock.advance(60)
 
 
-@pytest.mark.parametrize("kind", ["temp-history", "setpoint-cmd"])
-def test_what_was_not_reached_or_refused_goes_to_another_server_whatever_its_class(kind: str) -> None:
-    yard = Yard()
-    yard.send(1, kind)
-    ports = [yard.port]
-    yard.refuse()
-    ports.append(yard.port)
-    yard.reply(yard.dial.accept(), FULL)
-    ports.append(yard.port)
-    yard.reply(yard.dial.accept())
-    assert sorted(ports) == [1, 2, 3] and yard.desk.verdicts(1) == [ResponseStatus.DONE]
-    statistics = yard.upstream.pools["p"].statistics
+@pytest.mark.parametrize("request_class", ["temp-history", "setpoint-cmd"])
+def test_a_request_that_never_ran_goes_to_another_server_whatever_its_class(request_class: str) -> None:
+    site = UpstreamSite()
+    site.send(1, request_class)
+    ports = [site.port]
+    site.refuse_connection()
+    ports.append(site.port)
+    site.reply(site.dial.accept(), REJECTION)
+    ports.append(site.port)
+    site.reply(site.dial.accept())
+    assert sorted(ports) == [1, 2, 3] and site.desk.verdicts(1) == [ResponseStatus.DONE]
+    statistics = site.upstream.pools["p"].statistics
     assert (statistics.attempts, statistics.retries) == (3, 2)
     assert (statistics.connect_failures, statistics.rejections) == (1, 1)
 
 
-def test_where_none_takes_it_the_request_is_refused_as_it_never_ran() -> None:
-    yard = Yard()
-    yard.send(1, "setpoint-cmd")
+def test_a_request_that_no_server_accepts_is_rejected() -> None:
+    site = UpstreamSite()
+    site.send(1, "setpoint-cmd")
     for _ in range(3):
-        yard.refuse()
-    assert yard.desk.verdicts(1) == [ResponseStatus.REJECTED] and not yard.dial.waiting
+        site.refuse_connection()
+    assert site.desk.verdicts(1) == [ResponseStatus.REJECTED] and not site.dial.waiting
 
 
-def test_a_setpoint_that_may_have_reached_a_server_is_never_sent_again() -> None:
-    yard = Yard()
-    yard.send(1, "setpoint-cmd")
-    wire = yard.dial.accept()
+def test_a_request_that_is_not_idempotent_is_not_sent_again_once_it_may_have_run() -> None:
+    site = UpstreamSite()
+    site.send(1, "setpoint-cmd")
+    wire = site.dial.accept()
     assert wire.written
     wire.close()
-    yard.settle()
-    assert yard.desk.verdicts(1) == [ResponseStatus.FAILED] and not yard.dial.waiting
-
-
-def test_safe_work_is_sent_again_once_and_then_fails_even_where_the_last_server_refused_it() -> None:
-    for last in ("broken", "refused"):
-        yard = Yard()
-        yard.send(1)
-        yard.dial.accept().close()
-        yard.settle()
-        wire = yard.dial.accept()
-        if last == "broken":
+    site.settle()
+    assert site.desk.verdicts(1) == [ResponseStatus.FAILED] and not site.dial.waiting
+
+
+def test_an_idempotent_request_is_sent_again_once_and_then_fails_even_if_the_last_server_rejects_it() -> None:
+    for last in ("lost", "rejected"):
+        site = UpstreamSite()
+        site.send(1)
+        site.dial.accept().close()
+        site.settle()
+        wire = site.dial.accept()
+        if last == "lost":
             wire.close()
         else:
-            yard.reply(wire, FULL)
-            yard.refuse()
-        yard.settle()
-        assert yard.desk.verdicts(1) == [ResponseStatus.FAILED] and not yard.dial.waiting
-
-
-def test_a_connection_that_does_not_come_is_given_up_in_time_and_one_that_comes_late_carries_nothing() -> (
-    None
-):
-    yard = Yard(connect_timeout=200 * MILLISECOND)
-    yard.send(1, "setpoint-cmd")
-    make, _, _ = yard.dial.waiting[0]
-    yard.desk.clock.advance(210)
+            site.reply(wire, REJECTION)
+            site.refuse_connection()
+        site.settle()
+        assert site.desk.verdicts(1) == [ResponseStatus.FAILED] and not site.dial.waiting
+
+
+def test_a_connection_that_opens_after_its_timeout_carries_nothing() -> None:
+    site = UpstreamSite(connect_timeout=200 * MILLISECOND)
+    site.send(1, "setpoint-cmd")
+    make, _, _ = site.dial.waiting[0]
+    site.desk.clock.advance(210)
     late = Wire(make())  # type: ignore[arg-type]
     assert late.closed and not late.written
-    yard.reply(yard.dial.accept())
-    assert yard.desk.verdicts(1) == [ResponseStatus.DONE]
+    site.reply(site.dial.accept())
+    assert site.desk.verdicts(1) == [ResponseStatus.DONE]
 
 
-def test_work_beyond_the_room_of_the_pool_waits_in_the_module_by_worth() -> None:
-    # Guards against a queue of the client's own, which would not know of worth, and against refusals for lack of room.
-    yard = Yard(1, 2)  # two requests each
+def test_requests_beyond_the_capacity_of_the_pool_are_queued_by_priority() -> None:
+    # Guards against a queue in the backend, which would not know priorities, and rejections for lack of capacity.
+    site = UpstreamSite(1, 2)  # two requests each
     for number in range(1, 6):
-        yard.send(number)
-    yard.send(6, "setpoint-cmd")
-    yard.desk.submit(7)  # of no pool: not in its way
-    assert ("start", "r7") in yard.desk.backend.told
-    assert len(yard.dial.waiting) == 4 and yard.upstream.pools["p"].statistics.no_capacity == 0
-    wires = [yard.dial.accept() for _ in range(4)]
-    yard.reply(wires[0])
-    yard.settle()
-    assert len(yard.dial.waiting) >= 1
-    sent = yard.dial.accept()
-    assert yard.upstream._requests["r6"].attempt is sent.stream and not yard.desk.verdicts(6)
-
-
-def test_servers_come_and_go_and_attempts_on_their_way_end_where_they_are() -> None:
-    yard = Yard(1)
-    yard.send(1, "setpoint-cmd")
-    wire = yard.dial.accept()
-    yard.upstream.reconfigure((PoolConfig("p", servers(2)),))
-    yard.settle()
-    yard.send(2, "setpoint-cmd")
-    assert yard.port == 2
-    yard.reply(wire)
-    assert yard.desk.verdicts(1) == [ResponseStatus.DONE] and list(yard.upstream.pools["p"].addresses) == [
+        site.send(number)
+    site.send(6, "setpoint-cmd")
+    site.desk.submit(7)  # of no pool: not queued behind them
+    assert ("start", "r7") in site.desk.backend.told
+    assert len(site.dial.waiting) == 4 and site.upstream.pools["p"].statistics.no_capacity == 0
+    wires = [site.dial.accept() for _ in range(4)]
+    site.reply(wires[0])
+    site.settle()
+    assert len(site.dial.waiting) >= 1
+    sent = site.dial.accept()
+    assert site.upstream._requests["r6"].attempt is sent.stream and not site.desk.verdicts(6)
+
+
+def test_attempts_in_flight_end_at_servers_and_pools_that_were_removed() -> None:
+    site = UpstreamSite(1)
+    site.send(1, "setpoint-cmd")
+    wire = site.dial.accept()
+    site.upstream.reconfigure((PoolConfig("p", servers(2)),))
+    site.settle()
+    site.send(2, "setpoint-cmd")
+    assert site.port == 2
+    site.reply(wire)
+    assert site.desk.verdicts(1) == [ResponseStatus.DONE] and list(site.upstream.pools["p"].addresses) == [
         "127.0.0.1:2"
     ]
-    yard.upstream.reconfigure((PoolConfig("q", servers(4)),))
-    yard.reply(yard.dial.accept())
-    assert yard.desk.verdicts(2) == [ResponseStatus.DONE]
+    site.upstream.reconfigure((PoolConfig("q", servers(4)),))
+    site.reply(site.dial.accept())
+    assert site.desk.verdicts(2) == [ResponseStatus.DONE]
 
 
-def test_a_server_that_tells_another_life_is_known_for_nothing_of_the_last() -> None:
-    yard = Yard(1)
+def test_nothing_learned_of_a_server_outlives_its_restart() -> None:
+    site = UpstreamSite(1)
     for number, boot in enumerate((b"a", b"a", b"b"), 1):
-        yard.send(number)
-        wire = yard.dial.accept()
-        yard.desk.clock.advance(100 - 30 * number)  # each response is quicker than the one before
-        known = yard.server(1).latency.value is not None
+        site.send(number)
+        wire = site.dial.accept()
+        site.desk.clock.advance(100 - 30 * number)  # each response is quicker than the one before
+        known = site.server(1).latency.value is not None
         assert known is (number > 1)
-        yard.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot + OK[15:])
-        yard.settle()
-    assert yard.server(1).boot_id == "b" and yard.server(1).latency.value == 10 * MILLISECOND
+        site.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot + OK[15:])
+        site.settle()
+    assert site.server(1).boot_id == "b" and site.server(1).latency.value == 10 * MILLISECOND
 
 
-def test_a_dead_server_is_put_out_and_comes_back_by_a_probe() -> None:
-    yard = Yard()
+def test_a_dead_server_is_ejected_and_comes_back_by_a_probe() -> None:
+    site = UpstreamSite()
     busy: list[Wire] = []
     for number in range(1, 12):  # until the others are full, and the dead one has failed five times
-        yard.send(number)
-        while yard.dial.waiting:
-            if yard.port == 2:
-                yard.refuse()
+        site.send(number)
+        while site.dial.waiting:
+            if site.port == 2:
+                site.refuse_connection()
             else:
-                busy.append(yard.dial.accept())
-        yard.settle()
-    assert yard.server(2).health.state is ServerState.EJECTED and len(busy) == 4
+                busy.append(site.dial.accept())
+        site.settle()
+    assert site.server(2).health.state is ServerState.EJECTED and len(busy) == 4
     for wire in busy:
-        yard.reply(wire)
-    answered = [verdict for number in range(1, 12) for verdict in yard.desk.verdicts(number)]
+        site.reply(wire)
+    answered = [verdict for number in range(1, 12) for verdict in site.desk.verdicts(number)]
     assert (
         Counter(answered)[ResponseStatus.DONE] == 4 and Counter(answered)[ResponseStatus.REJECTED] >= 3
     )  # none failed
-    yard.desk.clock.advance(2_000)
-    yard.send(12)
-    assert yard.port == 2  # the probe
-    while yard.dial.waiting:
-        yard.reply(yard.dial.accept())
-    assert yard.server(2).health.state is ServerState.HEALTHY and yard.desk.verdicts(12) == [
+    site.desk.clock.advance(2_000)
+    site.send(12)
+    assert site.port == 2  # the probe
+    while site.dial.waiting:
+        site.reply(site.dial.accept())
+    assert site.server(2).health.state is ServerState.HEALTHY and site.desk.verdicts(12) == [
         ResponseStatus.DONE
     ]
 
 
 @FIXED
-@given(st.lists(st.sampled_from(["send", "set", "refuse", "ok", "full", "cut", "wait", "gone"]), max_size=60))
-def test_whatever_servers_do_each_request_has_one_answer_and_a_setpoint_reaches_one_at_most(
-    words: list[str],
+@given(
+    st.lists(
+        st.sampled_from(["read", "command", "refuse", "ok", "reject", "cut", "wait", "disconnect"]),
+        max_size=60,
+    )
+)
+def test_each_request_has_one_response_whatever_servers_do(
+    events: list[str],
 ) -> None:
-    yard = Yard()
+    site = UpstreamSite()
     open_wires: list[Wire] = []
     handles: list[int] = []
     number = 0
-    for word in words:
-        match word:
-            case "send" | "set":
+    for event in events:
+        match event:
+            case "read" | "command":
                 number += 1
-                kind = "temp-history" if word == "send" else "setpoint-cmd"
-                handles.append(yard.submit(number, kind))
-            case "refuse" if yard.dial.waiting:
-                yard.refuse()
-            case "ok" | "full" | "cut":
-                if yard.dial.waiting:
-                    open_wires.append(yard.dial.accept())
+                request_class = "temp-history" if event == "read" else "setpoint-cmd"
+                handles.append(site.submit(number, request_class))
+            case "refuse" if site.dial.waiting:
+                site.refuse_connection()
+            case "ok" | "reject" | "cut":
+                if site.dial.waiting:
+                    open_wires.append(site.dial.accept())
                 if open_wires:
                     wire = open_wires.pop(0)
-                    wire.close() if word == "cut" else yard.reply(wire, OK if word == "ok" else FULL)
+                    wire.close() if event == "cut" else site.reply(wire, OK if event == "ok" else REJECTION)
             case "wait":
-                yard.desk.clock.advance(700)
-            case "gone" if handles:
-                yard.desk.core.client_disconnected(handles.pop())
-        yard.desk.clock.settle()
-    yard.desk.clock.advance(12_000)
-    gone = number - len(handles)
-    answered = [len(yard.desk.verdicts(one)) for one in range(1, number + 1)]
-    assert max(answered, default=0) <= 1 and answered.count(0) <= gone
-    assert yard.desk.core.in_flight == 0 and not yard.upstream._requests
-    assert all(server.in_flight == 0 for server in yard.upstream.pools["p"].table)
-
-
-def test_the_pool_for_a_class_is_the_one_that_lists_it_or_the_one_that_lists_none() -> None:
-    plans = (PoolConfig("a", servers(1), ("x",)), PoolConfig("b", servers(2)))
-    assert Counter(pool_for(plans, kind) for kind in ("x", "y", "z")) == {"b": 2, "a": 1}
-
-
-def test_probes_need_no_request_of_their_own_to_be_due() -> None:
-    yard = Yard(1, 2, 3)
-    table = yard.upstream.pools["p"].table
-    server = yard.server(1)
+                site.desk.clock.advance(700)
+            case "disconnect" if handles:
+                site.desk.core.client_disconnected(handles.pop())
+        site.desk.clock.settle()
+    site.desk.clock.advance(12_000)
+    disconnected = number - len(handles)
+    answered = [len(site.desk.verdicts(one)) for one in range(1, number + 1)]
+    assert max(answered, default=0) <= 1 and answered.count(0) <= disconnected
+    assert site.desk.core.in_flight == 0 and not site.upstream._requests
+    assert all(server.in_flight == 0 for server in site.upstream.pools["p"].table)
+
+
+def test_a_probe_is_due_by_time_alone() -> None:
+    site = UpstreamSite(1, 2, 3)
+    table = site.upstream.pools["p"].table
+    server = site.server(1)
     for _ in range(5):
         table.attempt_started(server.handle)
-        table.attempt_failed(server.handle, yard.desk.clock.now(), MILLISECOND)
-    assert table.capacity(yard.desk.clock.now()) == 4
-    assert table.capacity(yard.desk.clock.now() + 2 * SECOND) == 5  # the probe
+        table.attempt_failed(server.handle, site.desk.clock.now(), MILLISECOND)
+    assert table.capacity(site.desk.clock.now()) == 4
+    assert table.capacity(site.desk.clock.now() + 2 * SECOND) == 5  # the probe
