--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -82,7 +82,7 @@
         self._url, self._authorization, self._body = b"", b"", b""
         self._responded = False
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Read what has come; reject what is too long or malformed."""
         data = self.inbox.take(self.inbox.used)
         if not self._in_body:
@@ -96,7 +96,7 @@
             self._reject(HttpError(400, "no upgrade here"))
         except httptools.HttpParserError as error:
             self._reject(HttpError(400, f"malformed request: {error}"))
-        if self.at_end:
+        if self.at_eof:
             self.finish()
 
     # What httptools calls.
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -112,7 +112,7 @@
 
     # Called by the stream.
 
-    def made(self) -> None:
+    def opened(self) -> None:
         """Send the request, unless the attempt ended while the connection was being opened: it must not run then."""
         self._timeline.cancel(self._connect_timer)
         if self.state is AttemptState.ENDED:
@@ -121,11 +121,11 @@
             self.state = AttemptState.AWAITING_RESPONSE
             self.send(self._packet)
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Read the response, and end the attempt once it is complete or proves invalid."""
         try:
             self._reader.feed(self.inbox.take(self.inbox.used))
-            if self.at_end:
+            if self.at_eof:
                 self._reader.feed_eof(self._is_head_request)
         except RemoteProtocolError as error:
             self._end(AttemptOutcome.CONNECTION_LOST, error)
@@ -133,7 +133,7 @@
             if self._reader.is_complete:
                 self._end(response_outcome(self._reader.status, self._rejection_statuses))
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         """End the attempt, where the response is not complete."""
         self._end(AttemptOutcome.CONNECTION_LOST, ServerDisconnectedError())
 
--- a/tests/upstreams/test_attempt.py
+++ b/tests/upstreams/test_attempt.py
@@ -118,5 +118,5 @@
     owner = Owner()
     owner.dial.accept().feed(OK)
     owner.attempt.cancel()
-    owner.attempt.lost()
+    owner.attempt.closed()
     assert owner.end == (AttemptOutcome.SUCCEEDED, None)
