--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -29,9 +29,7 @@
 
 log = logging.getLogger(__name__)
 
-CAPACITY_REPORT_INTERVAL = (
-    50 * MILLISECOND
-)  # from a change to the report, and between reports while servers recover
+CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # also from a change to its report
 
 
 @dataclass(slots=True)
@@ -187,7 +185,9 @@
         del self._requests[request_id]
         if forwarded.errors:
             errors = "; ".join(str(error) for error in forwarded.errors)
-            log.warning("attempts failed: request=%s outcome=%s errors=%s", request_id, outcome.value, errors)
+            log.warning(
+                "attempts failed: request=%s outcome=%s errors=%s", request_id, outcome.name.lower(), errors
+            )
         elapsed = self._timeline.now() - forwarded.started_at
         self._sink().run_ended(request_id, outcome, elapsed, response)
 
