--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -74,11 +74,11 @@
 
     def _fits_queue(self, entry: Entry, prior: Entry | None) -> bool:
         """Tell whether the queue, this entry and its key fit; what is worth nothing gives way first."""
-        bound = self.memory.queue_bound(entry, prior)
+        bound = self.memory.queue_limit_kb(entry, prior)
         entries = self.state.entries
         if not self.memory.could_ever_run(entry):
             return False
         for other in entries.in_states(State.PAUSED, State.QUEUED):
-            if entries.memory_kb > bound and other is not entry and self.queue.value(other) <= 0:
+            if entries.memory_kb > bound and other is not entry and self.queue.current_weight(other) <= 0:
                 self.lifecycle.reject_or_fail(other)
         return entries.memory_kb <= bound
