--- a/marlstep/core/arrivals.py
+++ b/marlstep/core/arrivals.py
@@ -63,7 +63,7 @@
                 rank=inbound.rank,
                 cost_hint_us=None if inbound.cost_hint is None else span_us(inbound.cost_hint),
                 prior=None if prior is None else self._prior_id(request, prior),
-                is_write=request.class_settings.effect is not Effect.SAFE,
+                is_write=request.class_settings.effect is not Effect.IDEMPOTENT,
                 pool=inbound.pool,
             )
         )
--- a/marlstep/core/dispatcher.py
+++ b/marlstep/core/dispatcher.py
@@ -138,7 +138,7 @@
             request.stage,
             may_have_run=request.may_have_run,
             responded=request.responded,
-            has_effect=request.class_settings.effect is not Effect.SAFE,
+            has_effect=request.class_settings.effect is not Effect.IDEMPOTENT,
             arrived_too_late=self._shutdown.is_too_late(request.inbound.arrived_at),
         )
         if decision is RunDecision.START:
@@ -153,7 +153,7 @@
     def _start(self, request: Request) -> None:
         request.stage, request.may_have_run = Stage.RUNNING, True
         settings = request.class_settings
-        if settings.effect is Effect.UNSAFE:
+        if settings.effect is Effect.AT_MOST_ONCE:
             self._repeats.retain_key(request, span(settings.idempotency_window_us + settings.deadline_us))
         self._counters.count(request, RUN_COUNT)
         request.backend.start(request)
@@ -164,7 +164,7 @@
             request.backend.pause(request)
 
     def _reject(self, request: Request, action: Reject) -> None:
-        has_effect = request.class_settings.effect is not Effect.SAFE
+        has_effect = request.class_settings.effect is not Effect.IDEMPOTENT
         if may_reject(may_have_run=request.may_have_run, has_effect=has_effect):
             retry_after = span(action.retry_after_us)
             response = Response(ResponseStatus.REJECTED, retry_after=retry_after, no_failover=action.give_up)
--- a/marlstep/core/intake_checks.py
+++ b/marlstep/core/intake_checks.py
@@ -40,7 +40,7 @@
 
 def key_of(inbound: InboundRequest, class_settings: ClassSettings) -> IdempotencyKey | None:
     """Return the key of the work; None for safe work, which may run again, and where the client names none."""
-    if not inbound.idempotency_key or class_settings.effect is Effect.SAFE:
+    if not inbound.idempotency_key or class_settings.effect is Effect.IDEMPOTENT:
         return None
     return IdempotencyKey(inbound.request_class, inbound.idempotency_key)
 
@@ -56,7 +56,7 @@
     """
     if prior is None:
         return
-    if class_settings.effect is Effect.UNSAFE:
+    if class_settings.effect is Effect.AT_MOST_ONCE:
         raise _repeated(RejectionReason.WORK_REPEATED, inbound)
     if not prior.matches_body(inbound.digest):
         raise _repeated(RejectionReason.KEY_BODY_MISMATCH, inbound)
--- a/marlstep/core/sibling_claims.py
+++ b/marlstep/core/sibling_claims.py
@@ -42,7 +42,7 @@
         digest: of the request's body; empty where it is not known.
     """
     if prior is not None:
-        may_repeat = effect is not Effect.UNSAFE and prior.matches_body(digest)
+        may_repeat = effect is not Effect.AT_MOST_ONCE and prior.matches_body(digest)
         return ClaimDecision.ENQUEUE if may_repeat else ClaimDecision.FAIL
     return ClaimDecision.ENQUEUE if result is ClaimResult.GRANTED else ClaimDecision.REJECT
 
--- a/tests/core/test_intake_checks.py
+++ b/tests/core/test_intake_checks.py
@@ -19,7 +19,7 @@
 SAFE, KEYED, UNSAFE = (
     replace(one, effect=effect)
     for one, effect in zip(
-        read_settings(SETTINGS).classes, (Effect.SAFE, Effect.KEYED, Effect.UNSAFE), strict=True
+        read_settings(SETTINGS).classes, (Effect.IDEMPOTENT, Effect.KEYED, Effect.AT_MOST_ONCE), strict=True
     )
 )
 SERVED = ServedSettings(
--- a/tests/core/test_response_rules.py
+++ b/tests/core/test_response_rules.py
@@ -14,7 +14,7 @@
     status_without_outcome,
 )
 
-NEVER_RAN = [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT]
+NEVER_RAN = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED]
 MAY_HAVE_RUN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED]
 
 
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -32,13 +32,13 @@
     # Guards against taking "nothing was started" of a resume for proof that the request never ran.
     desk = Desk(cores=1)
     desk.submit(1, "setpoint-cmd")
-    desk.end(1, Outcome.MOOT)
+    desk.end(1, Outcome.NOT_STARTED)
     assert desk.verdicts(1) == [ResponseStatus.REJECTED]
     desk.submit(2)
     desk.submit(3, "setpoint-cmd")
     desk.end(2, Outcome.CANCELLED)
     desk.end(3)
-    desk.end(2, Outcome.MOOT)
+    desk.end(2, Outcome.NOT_STARTED)
     assert desk.verdicts(2) == [ResponseStatus.FAILED]
 
 
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -13,7 +13,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Settings
-from marlstep.config import Config, ConfigError, changes, check, load, renewed
+from marlstep.config import Config, ConfigError, check, describe_changes, load, merge_reloaded
 from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.core.served_settings import RETIRED_CLASS_GRACE
@@ -84,7 +84,7 @@
     dues = [request.deadline_at - desk.clock.now() for request in desk.core._requests]
     assert dues == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
     entries = desk.core._controller.state.entries.by_id.values()
-    assert [entry.deadline - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
+    assert [entry.deadline_at - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
 
 
 def test_what_was_learnt_stays_and_bounds_follow_the_settings() -> None:
@@ -97,7 +97,7 @@
     learnt = (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
-        controller.state.callers.heard,
+        controller.state.callers.last_seen,
     )
     assert learnt[0] > 0
     desk.core.apply_settings(settings(lambda told: told["classes"][0].update(worth=2.0)))
@@ -105,7 +105,7 @@
     assert (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
-        controller.state.callers.heard,
+        controller.state.callers.last_seen,
     ) == learnt
     assert controller.parts.concurrency.limit == 9.0
     desk.core.apply_settings(settings(lambda told: told["rules"].update(fallMultiple=2.0)))
@@ -190,18 +190,18 @@
     [line] = [record.getMessage() for record in caplog.records if record.levelname == "ERROR"]
     assert str(path) in line and "the running one stays in force" in line
     with pytest.raises(ConfigError, match=message):
-        renewed(before, read())
+        merge_reloaded(before, read())
 
 
 def test_what_is_taken_is_named_and_facts_of_the_start_stay(tmp_path: Path) -> None:
     old = check(raw_config())
     told = check(raw_config(settings={**other(swapped), "peersTotal": 7}))
-    config, left_out = renewed(old, told)
+    config, left_out = merge_reloaded(old, told)
     assert left_out == [] and config.settings.server_count == old.settings.server_count
-    lines = changes(old.settings, config.settings)
+    lines = describe_changes(old.settings, config.settings)
     assert lines == ["class setpoint-cmd is gone", "class boiler-cmd is new"]
     slower = other(lambda told: told["classes"][0].update(aimUs=9))
-    lines = changes(old.settings, check(raw_config(settings=slower)).settings)
+    lines = describe_changes(old.settings, check(raw_config(settings=slower)).settings)
     assert lines == ["class temp-history: aim_us 2600000 is now 9"]
 
 
