--- a/tests/hot_restart/test_upgrade_races.py
+++ b/tests/hot_restart/test_upgrade_races.py
@@ -18,8 +18,8 @@
 
 from marlstep.frontends.resp_wire import write_frame
 from tests.races.test_shutdown_and_reload import BAD
-from tests.support.crossing import Caller, HeldKernel, until
-from tests.support.elsewhere import ELSEWHERE, elsewhere_config
+from tests.support.alternate_settings import ALTERNATE_SETTINGS, alternate_config
+from tests.support.node_on_sockets import RespClient, ScriptedKernel, until
 from tests.support.upgrading import Program, Site, now, on
 
 YES, NO = b"renew n1 yes", b"renew n1 no"
@@ -27,16 +27,16 @@
 
 def at(tmp_path: Path, test: Callable[[Site], Awaitable[None]]) -> None:
     # Here time passes by itself: no deadline may come before what a slow machine takes to start a process.
-    patient = copy.deepcopy(ELSEWHERE)
+    patient = copy.deepcopy(ALTERNATE_SETTINGS)
     for row in patient["classes"]:
         row.update(aimUs=4_000_000, hardLimitUs=20_000_000)
-    on(tmp_path, test, elsewhere_config(settings=patient, stop_ms=6_000))
+    on(tmp_path, test, alternate_config(settings=patient, stop_ms=6_000))
 
 
 class Held:
     """A process and its kernel."""
 
-    def __init__(self, program: Program, kernel: HeldKernel) -> None:
+    def __init__(self, program: Program, kernel: ScriptedKernel) -> None:
         self.program, self.kernel = program, kernel
 
     def signal(self, number: signal.Signals) -> None:
@@ -60,27 +60,27 @@
 
 
 async def serving(site: Site) -> Held:
-    kernel = HeldKernel()
+    kernel = ScriptedKernel()
     return Held(await site.new(kernel), kernel)
 
 
 async def begun(site: Site, up: bool = True) -> Held:
     """Started, and not up before its kernel is."""
-    kernel = HeldKernel()
+    kernel = ScriptedKernel()
     if not up:
         kernel.up.clear()
     return Held(await site.begin(kernel), kernel)
 
 
-async def call(site: Site) -> Caller:
-    return Caller(now, *await asyncio.open_connection("127.0.0.1", site.port))
+async def call(site: Site) -> RespClient:
+    return RespClient(now, *await asyncio.open_connection("127.0.0.1", site.port))
 
 
-async def taken(site: Site) -> Caller:
+async def taken(site: Site) -> RespClient:
     """A connection that the one process that runs now has accepted."""
     caller = await call(site)
     caller.send(write_frame(b"ALIVE", b"1"))
-    await caller.answer(1)
+    await caller.response(1)
     return caller
 
 
@@ -91,10 +91,10 @@
     return one
 
 
-async def served(who: Held, caller: Caller, tag: int, id: int) -> None:
-    await who.kernel.read("SCHED", id)
-    who.kernel.reap(id)
-    assert await caller.word(tag) == "done"
+async def served(who: Held, caller: RespClient, tag: int, id: int) -> None:
+    await who.kernel.command_read("SCHED", id)
+    who.kernel.end_run(id)
+    assert await caller.status_word(tag) == "done"
 
 
 @pytest.mark.parametrize("victim", ["elder", "younger"])
@@ -103,11 +103,11 @@
     async def run(site: Site) -> None:
         elder = await serving(site)
         first = await taken(site)
-        first.ask(2, "book", b"mine", id=2, once="k")
-        await elder.kernel.read("SCHED", 2)
+        first.send_request(2, "book", b"mine", id=2, once="k")
+        await elder.kernel.command_read("SCHED", 2)
         if step == "its kernel is not up":
             younger = await begun(site, up=False)
-            await until(lambda: younger.kernel.links)  # it is open, and has met the elder
+            await until(lambda: younger.kernel.link_count)  # it is open, and has met the elder
         else:
             await elder.stopped()
             younger = await begun(site)
@@ -117,24 +117,24 @@
         second = await call(site)
         if victim == "elder":
             await elder.killed()
-            second.ask(3, "list", id=3)  # waits for whoever takes it
+            second.send_request(3, "list", id=3)  # waits for whoever takes it
             younger.kernel.up.set()
             await served(younger, second, 3, 3)
             again = await call(site)
-            again.ask(4, "book", b"mine", id=4, once="k")  # it may have run there
-            assert await again.word(4) in ("later", "error")
-            again.ask(5, "list", id=5)
+            again.send_request(4, "book", b"mine", id=4, once="k")  # it may have run there
+            assert await again.status_word(4) in ("later", "error")
+            again.send_request(5, "list", id=5)
             await served(younger, again, 5, 5)
         else:
             await younger.killed()
             elder.signal(signal.SIGCONT)
-            second.ask(3, "list", id=3)
+            second.send_request(3, "list", id=3)
             await served(elder, second, 3, 3)
-            elder.kernel.reap(2)
-            assert await first.word(2) == "done"
-            second.ask(4, "book", b"mine", id=4, once="k")
-            assert await second.answer(4) == [b"done", b"done"]
-        assert elder.kernel.count("SCHED", 2) + younger.kernel.count("SCHED", 4) == 1
+            elder.kernel.end_run(2)
+            assert await first.status_word(2) == "done"
+            second.send_request(4, "book", b"mine", id=4, once="k")
+            assert await second.response(4) == [b"done", b"done"]
+        assert elder.kernel.command_count("SCHED", 2) + younger.kernel.command_count("SCHED", 4) == 1
 
     at(tmp_path, run)
 
@@ -144,13 +144,13 @@
     async def run(site: Site) -> None:
         elder = await serving(site)
         first = await taken(site)
-        first.ask(2, "list", id=2)
-        await elder.kernel.read("SCHED", 2)
+        first.send_request(2, "list", id=2)
+        await elder.kernel.command_read("SCHED", 2)
         younger = await serving(site)
         await younger.stopped()
         elder.signal(signal.SIGTERM)
         await elder.program.comes_to("handing over")  # it takes nothing any more
-        one = blind(site, Caller.frame(first, 3, "list", id=3))
+        one = blind(site, RespClient.frame(first, 3, "list", id=3))
         who = younger
         if after == "goes on":
             younger.signal(signal.SIGCONT)
@@ -159,10 +159,10 @@
             await younger.killed()
             await until(lambda: site.reports[-1][1] == NO)  # the list hears of it: the node leaves
         one.setblocking(False)
-        caller = Caller(now, *await asyncio.open_connection(sock=one))
+        caller = RespClient(now, *await asyncio.open_connection(sock=one))
         await served(who, caller, 3, 3)
-        elder.kernel.reap(2)
-        assert await first.word(2) == "done"
+        elder.kernel.end_run(2)
+        assert await first.status_word(2) == "done"
         caller.writer.close()
         first.writer.close()
         assert await elder.program.process.wait() == 0
@@ -180,10 +180,10 @@
         younger = await serving(site)
         async with elder.aside():
             two = await taken(site)
-        one.ask(2, "list", id=2)
-        two.ask(3, "list", id=3)
-        await elder.kernel.read("SCHED", 2)
-        await younger.kernel.read("SCHED", 3)
+        one.send_request(2, "list", id=2)
+        two.send_request(3, "list", id=3)
+        await elder.kernel.command_read("SCHED", 2)
+        await younger.kernel.command_read("SCHED", 3)
         if first == "elder":
             elder.signal(signal.SIGTERM)
             await elder.program.comes_to("handing over")
@@ -196,20 +196,20 @@
             elder.signal(signal.SIGTERM)
             await elder.program.comes_to("leaving")
         await until(lambda: site.reports[-1][1] == NO)
-        two.ask(4, "list", id=4)  # inside the grace
+        two.send_request(4, "list", id=4)  # inside the grace
         await served(younger, two, 4, 4)
-        younger.kernel.reap(3)
-        assert await two.word(3) == "done"
+        younger.kernel.end_run(3)
+        assert await two.status_word(3) == "done"
         two.writer.close()
         assert await younger.program.process.wait() == 0
         if first == "elder":
             await elder.program.state()  # it has seen the younger's end
-            waits = blind(site, Caller.frame(one, 5, "list", id=5))
-        elder.kernel.reap(2)
-        assert await one.word(2) == "done"
+            waits = blind(site, RespClient.frame(one, 5, "list", id=5))
+        elder.kernel.end_run(2)
+        assert await one.status_word(2) == "done"
         one.writer.close()
         assert await elder.program.process.wait() == 0
-        assert elder.kernel.count("SCHED", 5) == 0 and site.reports[-1][1] == NO
+        assert elder.kernel.command_count("SCHED", 5) == 0 and site.reports[-1][1] == NO
         if first == "elder":
             waits.close()
 
@@ -223,17 +223,17 @@
     async def run(site: Site) -> None:
         elder = await serving(site)
         younger = await begun(site, up=False)
-        await until(lambda: younger.kernel.links)
+        await until(lambda: younger.kernel.link_count)
         assert await younger.program.end(signal.SIGTERM) == 0
         caller = await taken(site)
-        caller.ask(2, "open", id=2)
+        caller.send_request(2, "open", id=2)
         await served(elder, caller, 2, 2)
         third = await serving(site)  # the next one may come
         elder.signal(signal.SIGTERM)
         caller.writer.close()
         assert await elder.program.process.wait() == 0
         caller = await taken(site)
-        caller.ask(2, "open", id=3)
+        caller.send_request(2, "open", id=3)
         await served(third, caller, 2, 3)
         assert NO not in [said for _, said in site.reports]
 
@@ -245,8 +245,8 @@
     async def run(site: Site) -> None:
         elder = await serving(site)
         stays = await taken(site)
-        stays.ask(2, "list", id=50)  # the elder has this to finish
-        await elder.kernel.read("SCHED", 50)
+        stays.send_request(2, "list", id=50)  # the elder has this to finish
+        await elder.kernel.command_read("SCHED", 50)
         [path] = (tmp_path / "tmp").iterdir()
         _, stranger = await asyncio.open_unix_connection(str(path))
         stranger.write(b"GET / HTTP/1.1\r\n\r\n")
@@ -260,29 +260,29 @@
                 clients = {bad: await call(site) for bad in BAD}
                 for bad, client in clients.items():
                     client.send(BAD[bad][:3])
-                caller.ask(2, "book", b"mine", id=2, once="k")  # its claim waits for the elder
+                caller.send_request(2, "book", b"mine", id=2, once="k")  # its claim waits for the elder
         else:
             for bad, client in clients.items():
                 client.send(BAD[bad][:3])
-            caller.ask(2, "book", b"mine", id=2, once="k")
-        await who.kernel.read("SCHED", 2)
+            caller.send_request(2, "book", b"mine", id=2, once="k")
+        await who.kernel.command_read("SCHED", 2)
         elder.signal(signal.SIGTERM)
         await elder.program.comes_to("handing over")
-        elder.kernel.reap(50)
-        assert await stays.word(2) == "done"
+        elder.kernel.end_run(50)
+        assert await stays.status_word(2) == "done"
         for bad, client in clients.items():
             client.send(BAD[bad][3:])
         for bad, client in clients.items():
             if bad in ("malformed", "out of range", "unknown class"):
-                assert await client.word(1) == "error"
+                assert await client.status_word(1) == "error"
                 client.writer.close()
             else:
-                await client.rest()  # closed on in its time
-        who.kernel.reap(2)
-        assert await caller.word(2) == "done" and caller.count(2) == 1
+                await client.read_to_end()  # closed on in its time
+        who.kernel.end_run(2)
+        assert await caller.status_word(2) == "done" and caller.response_count(2) == 1
         for one in (caller, stays):
             one.writer.close()
         assert await elder.program.process.wait() == 0
-        assert elder.kernel.count("SCHED", 77) + younger.kernel.count("SCHED", 77) == 0
+        assert elder.kernel.command_count("SCHED", 77) + younger.kernel.command_count("SCHED", 77) == 0
 
     at(tmp_path, run)
--- a/tests/support/elsewhere.py
+++ b/tests/support/alternate_settings.py
@@ -13,7 +13,7 @@
 from marlstep.units import SECOND, instant_us
 from tests.support.node import Desk, Wire, raw_config
 
-ELSEWHERE: dict[str, Any] = {
+ALTERNATE_SETTINGS: dict[str, Any] = {
     "callers": {"marksRetry": False},
     "caps": {"maxRetryAfterUs": 400_000, "retryAfter": True},
     "classes": [
@@ -68,27 +68,27 @@
     "resolutionUs": 3000,
     "rules": {"answerSlackUs": 40_000, "drainGraceUs": 1_100_000, "fallMultiple": 7.0, "fallUs": 2_000_000},
 }
-for _row in ELSEWHERE["classes"]:
+for _row in ALTERNATE_SETTINGS["classes"]:
     _row.update(repeatWindowUs=2_000_000, lateShare=0.25)
 
 
-def elsewhere(**info: Any) -> dict[str, Any]:
+def alternate_settings(**info: Any) -> dict[str, Any]:
     """These settings, with other figures of the node itself."""
-    told = copy.deepcopy(ELSEWHERE)
+    told = copy.deepcopy(ALTERNATE_SETTINGS)
     told["familyInfo"].update(info)
     return told
 
 
-def elsewhere_config(**other: Any) -> dict[str, Any]:
-    return raw_config(**{"settings": ELSEWHERE, "stop_ms": 1700, **other})
+def alternate_config(**other: Any) -> dict[str, Any]:
+    return raw_config(**{"settings": ALTERNATE_SETTINGS, "stop_ms": 1700, **other})
 
 
-class Elsewhere(Desk):
+class RespDesk(Desk):
     """The platform's front and the core under these settings, on a clock that is moved by hand."""
 
     def __init__(self, limit: int = 40, **info: Any) -> None:
         super().__init__()
-        settings = read_settings(elsewhere(**info))
+        settings = read_settings(alternate_settings(**info))
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
         self.front = RespFrontend(self.core, self.clock.timeline, self.backend, limit, 15 * SECOND)
         self.core.add_frontend(self.front)
@@ -103,20 +103,22 @@
         text = ",".join(f"{name}={value}" for name, value in table.items())
         return write_frame(b"EXEC", b"%d" % tag, kind.encode(), text.encode(), body)
 
-    def ask(self, wire: Wire, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any) -> None:
+    def send_request(
+        self, wire: Wire, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any
+    ) -> None:
         self.feed(wire, self.frame(tag, kind, body, id, **fields))
 
     def feed(self, wire: Wire, data: bytes) -> None:
         wire.feed(data)
         self.clock.settle()
 
-    def ended(self, id: int, result: bytes = b"result", outcome: Outcome = Outcome.OK) -> None:
+    def end_run(self, id: int, result: bytes = b"result", outcome: Outcome = Outcome.OK) -> None:
         self.core.run_ended(f"{id:016x}", outcome, SECOND, result)
         self.clock.settle()
 
-    def starts(self, id: int) -> int:
+    def start_count(self, id: int) -> int:
         return self.backend.told.count(("start", f"{id:016x}"))
 
 
-def answered(tag: int, word: bytes, body: bytes = b"", fields: bytes = b"") -> bytes:
+def response_frame(tag: int, word: bytes, body: bytes = b"", fields: bytes = b"") -> bytes:
     return write_frame(b"%d" % tag, word, fields, body)
--- a/tests/support/crossing.py
+++ b/tests/support/node_on_sockets.py
@@ -26,7 +26,7 @@
 from marlstep.node import Node
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, instant_us
-from tests.support.elsewhere import elsewhere_config
+from tests.support.alternate_settings import alternate_config
 from tests.support.stand_ins import StandIn
 from tests.test_loopback import ShiftedWaker
 
@@ -39,7 +39,7 @@
         await asyncio.sleep(0)
 
 
-class HeldKernel(StandIn):
+class ScriptedKernel(StandIn):
     """Reads commands, and says what the test has it say. Notices are kept for the next link, as the kernel's are."""
 
     def __init__(self) -> None:
@@ -50,7 +50,7 @@
         self.up = asyncio.Event()
         self.up.set()
         self.notices: list[bytes] = []
-        self.links = 0
+        self.link_count = 0
         self._link: asyncio.StreamWriter | None = None
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -58,7 +58,7 @@
             words = line.decode().split()
             body = await reader.readexactly(int(words[-1]) + 2) if words[0] in ("SCHED", "IODONE") else b""
             if words[0] == "OPEN":
-                self.links += 1
+                self.link_count += 1
                 await self.up.wait()
                 self._link = writer
                 writer.write(b"BOOTED hot 10\r\n" + b"".join(self.notices[int(words[1]) :]))
@@ -70,31 +70,31 @@
                     self.classes[words[1]] = words[2]
                 self.commands.append((words[0], words[1]))
 
-    def count(self, word: str, id: int) -> int:
+    def command_count(self, word: str, id: int) -> int:
         return self.commands.count((word, f"{id:016x}"))
 
-    async def read(self, word: str, id: int, times: int = 1) -> None:
+    async def command_read(self, word: str, id: int, times: int = 1) -> None:
         """Barrier: this command has been read so often."""
-        await until(lambda: self.count(word, id) >= times)
+        await until(lambda: self.command_count(word, id) >= times)
 
     def _say(self, text: str, body: bytes) -> None:
         self.notices.append(f"{text} {len(body)}\r\n".encode() + body + b"\r\n")
         if self._link is not None:
             self._link.write(self.notices[-1])
 
-    def reap(self, id: int, end: str = "complete", body: bytes = b"done") -> None:
+    def end_run(self, id: int, end: str = "complete", body: bytes = b"done") -> None:
         self._say(f"REAP {len(self.notices) + 1} {id:016x} {end} 1.5", body)
 
-    def needs(self, id: int) -> None:
+    def request_call(self, id: int) -> None:
         self._say(f"IOREQ {len(self.notices) + 1} {id:016x}", b"ask")
 
-    def cut(self) -> None:
+    def drop_link(self) -> None:
         link, self._link = self._link, None
         if link is not None:
             link.transport.abort()
 
 
-class HeldDatabase(StandIn):
+class ScriptedDatabase(StandIn):
     def __init__(self) -> None:
         super().__init__()
         self.calls: list[tuple[int, asyncio.StreamWriter]] = []
@@ -106,18 +106,18 @@
                     await reader.readexactly(int(length) + 2)
                     self.calls.append((int(id, 16), writer))
 
-    def count(self, id: int) -> int:
+    def call_count(self, id: int) -> int:
         return [one for one, _ in self.calls].count(id)
 
-    async def read(self, id: int, times: int = 1) -> asyncio.StreamWriter:
-        await until(lambda: self.count(id) >= times)
+    async def call_read(self, id: int, times: int = 1) -> asyncio.StreamWriter:
+        await until(lambda: self.call_count(id) >= times)
         return [writer for one, writer in self.calls if one == id][times - 1]
 
-    async def rows(self, id: int, times: int = 1) -> None:
-        (await self.read(id, times)).write(f"{id:016x} ROWS 4\r\nrows\r\n".encode())
+    async def reply(self, id: int, times: int = 1) -> None:
+        (await self.call_read(id, times)).write(f"{id:016x} ROWS 4\r\nrows\r\n".encode())
 
 
-class Reports(asyncio.DatagramProtocol):
+class NameServiceRecorder(asyncio.DatagramProtocol):
     """The name service: keeps what is reported."""
 
     def __init__(self) -> None:
@@ -127,15 +127,15 @@
         self.seen.append(data)
 
 
-class Caller:
+class RespClient:
     """A front end's connection. It reads only when it is asked for an answer."""
 
     def __init__(
         self, now: Callable[[], datetime], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._now, self._reader, self.writer = now, reader, writer
-        self._ring, self._frames = Ring(1 << 18), FrameReader()
-        self.said: list[list[bytes]] = []
+        self._ring, self._parser = Ring(1 << 18), FrameReader()
+        self.frames: list[list[bytes]] = []
 
     def frame(self, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
         at = instant_us(self._now()) // 1000
@@ -146,7 +146,7 @@
     def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    def ask(self, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any) -> None:
+    def send_request(self, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any) -> None:
         self.send(self.frame(tag, kind, body, id, **fields))
 
     async def _more(self) -> bool:
@@ -155,18 +155,18 @@
         except ConnectionError:
             return False
         self._ring.put(data)
-        while (frame := self._frames.next(self._ring)) is not None:
-            self.said.append(frame)
+        while (frame := self._parser.next(self._ring)) is not None:
+            self.frames.append(frame)
         return bool(data)
 
-    async def answer(self, tag: int) -> list[bytes]:
+    async def response(self, tag: int) -> list[bytes]:
         """The word and the body that came for this tag; there must be one, and it must be the first."""
-        while not (found := [frame for frame in self.said if frame[0] == b"%d" % tag]):
-            assert await self._more(), f"closed with no answer to {tag}; came: {self.said}"
+        while not (found := [frame for frame in self.frames if frame[0] == b"%d" % tag]):
+            assert await self._more(), f"closed with no answer to {tag}; came: {self.frames}"
         return [found[0][1], found[0][-1]]
 
-    async def word(self, tag: int) -> str:
-        return (await self.answer(tag))[0].decode()
+    async def status_word(self, tag: int) -> str:
+        return (await self.response(tag))[0].decode()
 
     def reset(self) -> None:
         """Not a half-close: the peer's system says that nobody is there any more."""
@@ -174,40 +174,42 @@
         one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
-    async def closing(self) -> None:
-        while [b"0", b"closing"] not in self.said:
+    async def closing_frame(self) -> None:
+        while [b"0", b"closing"] not in self.frames:
             assert await self._more(), "closed without a word"
 
-    async def rest(self) -> list[list[bytes]]:
+    async def read_to_end(self) -> list[list[bytes]]:
         """All that is said until the connection ends."""
         while await self._more():
             pass
-        return self.said
+        return self.frames
 
-    def count(self, tag: int) -> int:
-        return [frame[0] for frame in self.said].count(b"%d" % tag)
+    def response_count(self, tag: int) -> int:
+        return [frame[0] for frame in self.frames].count(b"%d" % tag)
 
 
-class Place:
+class NodeHarness:
     """One node, its peers and its configuration file."""
 
     def __init__(self, folder: Path, raw: dict[str, Any]) -> None:
         self.path = folder / "config.json"
         self._raw = raw
-        self.kernel, self.database = HeldKernel(), HeldDatabase()
+        self.kernel, self.database = ScriptedKernel(), ScriptedDatabase()
 
-    async def __aenter__(self) -> Place:
+    async def __aenter__(self) -> NodeHarness:
         loop = asyncio.get_running_loop()
         await self.kernel.start()
         await self.database.start()
-        self.naming, self.reports = await loop.create_datagram_endpoint(Reports, local_addr=("127.0.0.1", 0))
+        self.naming, self.reports = await loop.create_datagram_endpoint(
+            NameServiceRecorder, local_addr=("127.0.0.1", 0)
+        )
         port = self.naming.get_extra_info("sockname")[1]
         self._raw |= {
             "kernel": self.kernel.address,
             "db": self.database.address,
             "naming": f"127.0.0.1:{port}",
         }
-        self.write()
+        self.write_config()
         self.waker = ShiftedWaker(loop)
         self.timeline = TimerQueue(self.waker)
         self.node = Node(self._read(), self.timeline, self._read)
@@ -227,7 +229,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, signal.SIG_DFL if number == signal.SIGTERM else signal.default_int_handler)
 
-    def write(self, **other: Any) -> None:
+    def write_config(self, **other: Any) -> None:
         """The file that SIGHUP reads."""
         self._raw |= other
         check(self._raw)
@@ -237,31 +239,31 @@
     def core(self) -> Any:
         return self.node.core
 
-    def push(self, by: timedelta) -> None:
+    def advance_unread(self, by: timedelta) -> None:
         """Time passes, and the timers that are due are called before anything more is read."""
         self.waker.shift += by
         self.timeline.run_due()
 
-    async def step(self, ms: float, size: float = 20) -> None:
+    async def advance(self, ms: float, size: float = 20) -> None:
         """Time passes as a loop sees it that is not late: what has come is read between two steps."""
         while ms > 0:
-            self.push(min(size, ms) * MILLISECOND)
+            self.advance_unread(min(size, ms) * MILLISECOND)
             ms -= size
             for _ in range(4):
                 await asyncio.sleep(0)
 
     @property
-    def connection(self) -> RespConnection:
+    def only_connection(self) -> RespConnection:
         """The only one."""
         [connection] = self.node.resp.connections
         assert isinstance(connection, RespConnection)
         return connection
 
-    async def call(self) -> Caller:
+    async def connect(self) -> RespClient:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.node.resp.port)
-        return Caller(self.waker.now, reader, writer)
+        return RespClient(self.waker.now, reader, writer)
 
-    def dial_blind(self, takes: int | None = None) -> socket.socket:
+    def connect_unread(self, takes: int | None = None) -> socket.socket:
         """A connection that stands at once, while the node's loop does not come round. `takes`: bytes unread."""
         one = socket.socket()
         if takes is not None:
@@ -270,39 +272,39 @@
         one.connect(("127.0.0.1", self.node.resp.port))
         return one
 
-    async def taken(self, blind: socket.socket) -> Caller:
+    async def adopt(self, blind: socket.socket) -> RespClient:
         blind.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=blind)
-        return Caller(self.waker.now, reader, writer)
+        return RespClient(self.waker.now, reader, writer)
 
-    async def terminate(self) -> None:
+    async def send_sigterm(self) -> None:
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: self.core.draining)
 
-    async def hang_up(self, **other: Any) -> None:
+    async def reload(self, **other: Any) -> None:
         """SIGHUP, with a new file; done when it was read."""
-        self.write(**other)
+        self.write_config(**other)
         before = self.node.config
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: self.node.config is not before)
 
-    async def read(self, count: int = 1) -> None:
+    async def requests_read(self, count: int = 1) -> None:
         """Barrier: so many requests were read in all."""
         await until(lambda: self.core.counts["read"] >= count)
 
-    async def ended(self) -> None:
+    async def run_to_exit(self) -> None:
         """The node ends by itself: nothing is owed then."""
         while not self.node.ended.is_set():
-            await self.step(20)
+            await self.advance(20)
         assert self.core.unanswered == 0
 
 
-Test = Callable[[Place], Awaitable[Any]]
+Test = Callable[[NodeHarness], Awaitable[Any]]
 
 
-def at(folder: Path, test: Test, **other: Any) -> None:
+def run_with_node(folder: Path, test: Test, **other: Any) -> None:
     async def run() -> None:
-        async with asyncio.timeout(BOUND_S), Place(folder, elsewhere_config(**other)) as place:
-            await test(place)
+        async with asyncio.timeout(BOUND_S), NodeHarness(folder, alternate_config(**other)) as harness:
+            await test(harness)
 
     uvloop.run(run())
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -20,7 +20,7 @@
 from marlstep.node import Node
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
-from tests.support.elsewhere import Elsewhere, elsewhere
+from tests.support.alternate_settings import RespDesk, alternate_settings
 from tests.support.node import SETTINGS, Desk, HandClock, raw_config
 
 
@@ -207,33 +207,33 @@
 
 def test_memory_is_counted_by_the_settings_in_force_and_given_back_by_them() -> None:
     # Guards against a hold that is full for good: what was booked by one factor was given back by another.
-    desk = Elsewhere(cpus=1, keyKb=5.0)
+    desk = RespDesk(cpus=1, keyKb=5.0)
     wire = desk.connect()
     for tag, kind in ((1, "list"), (2, "book"), (3, "list"), (4, "book")):
-        desk.ask(wire, tag, kind, once=f"k{tag}")
+        desk.send_request(wire, tag, kind, once=f"k{tag}")
     module = desk.core._controller
     for factor, key_kb in ((3.0, 50.0), (12.0, 1.0)):
-        desk.core.apply_settings(read_settings(elsewhere(cpus=1, keyKb=key_kb, runMemFactor=factor)))
+        desk.core.apply_settings(read_settings(alternate_settings(cpus=1, keyKb=key_kb, runMemFactor=factor)))
         desk.clock.settle()
-        running = desk.starts(1) + desk.starts(2) + desk.starts(3) + desk.starts(4)
+        running = desk.start_count(1) + desk.start_count(2) + desk.start_count(3) + desk.start_count(4)
         assert module.state.entries.memory_kb == factor * running + (4 - running) + 2 * key_kb
     for _ in range(4):
         for tag in (1, 2, 3, 4):
-            desk.ended(tag)
+            desk.end_run(tag)
     assert module.state.entries.memory_kb == 2.0  # the two names
     desk.clock.advance(6_000)
     assert module.state.entries.memory_kb == 0
 
 
 def test_a_window_that_grows_is_longer_for_what_was_kept_and_one_that_shrinks_is_not_shorter() -> None:
-    told = elsewhere()
+    told = alternate_settings()
     for window_us, wait_ms, runs in ((5_000_000, 4_000, 0), (500_000, 1_000, 0), (2_000_000, 2_500, 1)):
-        desk = Elsewhere()
+        desk = RespDesk()
         wire = desk.connect()
-        desk.ask(wire, 1, "book", once="k")
-        desk.ended(1)
+        desk.send_request(wire, 1, "book", once="k")
+        desk.end_run(1)
         told["classes"][2]["repeatWindowUs"] = window_us
         desk.core.apply_settings(read_settings(told))
         desk.clock.advance(wait_ms)
-        desk.ask(desk.connect(), 1, "book", id=2, once="k")
-        assert desk.starts(2) == runs
+        desk.send_request(desk.connect(), 1, "book", id=2, once="k")
+        assert desk.start_count(2) == runs
