--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from marlstep.admission.actions import Advertise
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import MILLISECOND, SECOND
 from tests.support.alternate_settings import ALTERNATE_SETTINGS, alternate_settings
@@ -426,9 +427,8 @@
 def test_a_free_value_does_not_outlive_the_way_in_which_callers_read_it(tmp_path: Path) -> None:
     # Guards against a number of requests that is read as a rank: no caller would come any more.
     async def run(harness: NodeHarness) -> None:
-        harness.core._dispatcher.signals.advertised_value = (
-            12.0  # as the module said while callers counted requests by it
-        )
+        harness.core._dispatcher.execute_all([Advertise(12.0)])  # while callers count requests by the value
+        assert harness.core.advertised_value == 12.0
         await harness.reload(settings=alternate_settings(say="threshold"))
         caller = await harness.connect()
         caller.send(write_frame(b"ALIVE", b"1"))
@@ -551,7 +551,7 @@
         harness.kernel.end_run(1, body=b"x" * 60_000)
         await until(lambda: not old._writable)
         harness.kernel.end_run(2, body=b"y" * 60_000)
-        await until(lambda: old.clogged)
+        await until(lambda: old.send_blocked)
         old.idle()
         old.drain()  # the cut comes 0.2 s after
         if how == "reset":
