--- a/tests/hot_restart/test_upgrade_races.py
+++ b/tests/hot_restart/test_upgrade_races.py
@@ -17,7 +17,7 @@
 import pytest
 
 from marlstep.frontends.resp_wire import write_frame
-from tests.races.test_shutdown_and_reload import BAD
+from tests.races.test_shutdown_and_reload import BAD_INPUT
 from tests.support.alternate_settings import ALTERNATE_SETTINGS, alternate_config
 from tests.support.node_on_sockets import RespClient, ScriptedKernel, until
 from tests.support.upgrading import Program, Site, now, on
@@ -294,18 +294,18 @@
         stranger.write(b"GET / HTTP/1.1\r\n\r\n")
         who = elder
         caller = await taken(site)
-        clients = {bad: await call(site) for bad in BAD}
+        clients = {bad: await call(site) for bad in BAD_INPUT}
         younger = await serving(site)
         if where == "younger":
             async with elder.aside():
                 caller, who = await taken(site), younger
-                clients = {bad: await call(site) for bad in BAD}
+                clients = {bad: await call(site) for bad in BAD_INPUT}
                 for bad, client in clients.items():
-                    client.send(BAD[bad][:3])
+                    client.send(BAD_INPUT[bad][:3])
                 caller.send_request(2, "book", b"mine", id=2, once="k")  # its claim waits for the elder
         else:
             for bad, client in clients.items():
-                client.send(BAD[bad][:3])
+                client.send(BAD_INPUT[bad][:3])
             caller.send_request(2, "book", b"mine", id=2, once="k")
         await who.kernel.command_read("SCHED", 2)
         elder.signal(signal.SIGTERM)
@@ -313,7 +313,7 @@
         elder.kernel.end_run(50)
         assert await stays.status_word(2) == "done"
         for bad, client in clients.items():
-            client.send(BAD[bad][3:])
+            client.send(BAD_INPUT[bad][3:])
         for bad, client in clients.items():
             if bad in ("malformed", "out of range", "unknown class"):
                 assert await client.status_word(1) == "error"
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Named work whose tries cross: with another body, at the edge of the window, taken back, or read late."""
+"""Attempts of keyed work that meet: with another body, at the edge of the window, cancelled, or read late."""
 
 from __future__ import annotations
 
@@ -22,48 +22,50 @@
 BUSY = response_frame(1, b"error")
 
 
-def first(desk: RespDesk, kind: str = "book") -> Wire:
-    """A try of the work k that runs."""
+def run_first_attempt(desk: RespDesk) -> Wire:
+    """Send an attempt of the work k and let it run; return its connection."""
     wire = desk.connect()
-    desk.send_request(wire, 1, kind, b"mine", once="k")
+    desk.send_request(wire, 1, "book", b"mine", once="k")
     assert desk.start_count(1) == 1
     return wire
 
 
-@pytest.mark.parametrize("over", [False, True])
-def test_a_name_with_another_body_gets_an_error_and_no_result_of_the_other_s_work(over: bool) -> None:
-    # Guards against what a bad client got: the result of a good request whose name it had used.
+@pytest.mark.parametrize("ended", [False, True])
+def test_a_key_with_another_body_gets_an_error_and_no_result_of_other_work(ended: bool) -> None:
+    # Guards against a bad client that gets the result of a good request by using its key.
     desk = RespDesk()
-    good, bad = first(desk), desk.connect()
-    if over:
+    good, bad = run_first_attempt(desk), desk.connect()
+    if ended:
         desk.end_run(1)
     desk.send_request(bad, 1, "book", b"theirs", id=2, once="k")
     assert bad.take() == response_frame(1, b"error") and desk.start_count(2) == 0
-    if not over:
+    if not ended:
         desk.end_run(1)
     assert good.take() == response_frame(1, b"done", b"result")
     again = desk.connect()
-    desk.send_request(again, 1, "book", b"mine", id=3, once="k")  # a repeat shares it, as ever
+    desk.send_request(
+        again, 1, "book", b"mine", id=3, once="k"
+    )  # a repeat with the same body shares the result
     assert again.take() == response_frame(1, b"done", b"result") and desk.start_count(3) == 0
 
 
-@pytest.mark.parametrize("how", ["no work of the kernel's", "turned away", "taken back", "connection lost"])
-def test_a_name_that_a_bad_client_used_first_is_free_once_its_try_is_over(how: str) -> None:
-    # Guards against good requests that fail for a whole window, as somebody else has used their name.
+@pytest.mark.parametrize("how", ["unknown to the kernel", "rejected", "cancelled", "connection lost"])
+def test_a_key_that_a_bad_client_used_first_is_free_once_its_attempt_ends_unrun(how: str) -> None:
+    # Guards against good requests that fail for a whole window, as somebody else has used their key.
     desk = RespDesk(cpus=1)
     bad = desk.connect()
-    if how != "no work of the kernel's":
-        for number in range(50, 58):  # the cores are full: what comes is held
+    if how != "unknown to the kernel":
+        for number in range(50, 58):  # the cores are full: what arrives is queued
             desk.send_request(desk.connect(), 1, "open", id=number)
-    came = int((desk.clock.now() - EPOCH) / MILLISECOND) - 1_500
-    desk.send_request(bad, 1, "book", b"theirs", id=2, once="k", at=came)
+    arrived_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) - 1_500
+    desk.send_request(bad, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
     match how:
-        case "no work of the kernel's":
+        case "unknown to the kernel":
             desk.end_run(2, b"", Outcome.NOT_STARTED)
-        case "turned away":
+        case "rejected":
             assert desk.start_count(2) == 0
-            desk.clock.advance(400)  # it is due
-        case "taken back":
+            desk.clock.advance(400)  # its deadline passes
+        case "cancelled":
             desk.feed(bad, write_frame(b"FORGET", b"1"))
         case "connection lost":
             bad.close()
@@ -76,13 +78,13 @@
     assert good.take() == response_frame(1, b"done", b"result")
 
 
-@pytest.mark.parametrize(("came_ms", "runs"), [(1_999, 0), (2_100, 1)])
-def test_a_try_counts_by_its_arrival_however_late_it_is_read(came_ms: int, runs: int) -> None:
-    # Guards against a second run where a try came inside the window and was read after it.
+@pytest.mark.parametrize(("arrives_after_ms", "runs"), [(1_999, 0), (2_100, 1)])
+def test_an_attempt_counts_by_its_arrival_however_late_it_is_read(arrives_after_ms: int, runs: int) -> None:
+    # Guards against a second run of an attempt that arrived inside the window and was read after it.
     desk = RespDesk()
-    first(desk)
+    run_first_attempt(desk)
     desk.end_run(1)
-    desk.clock.advance(came_ms)
+    desk.clock.advance(arrives_after_ms)
     again = desk.connect()
     late = desk.frame(1, "book", b"mine", id=2, once="k")
     desk.clock.advance(300)
@@ -92,28 +94,28 @@
         assert again.take() == response_frame(1, b"done", b"result")
 
 
-def test_a_caller_s_clock_that_runs_ahead_opens_no_window() -> None:
+def test_a_client_clock_that_runs_ahead_opens_no_window() -> None:
     desk = RespDesk()
-    first(desk)
+    run_first_attempt(desk)
     again = desk.connect()
     fast = int((desk.clock.now() - EPOCH) / MILLISECOND) + 60_000
     desk.send_request(again, 1, "book", b"mine", id=2, once="k", at=fast)
     assert desk.start_count(2) == 0
 
 
-def test_what_is_remembered_of_names_ends_with_the_longest_wait_for_a_read() -> None:
+def test_entries_are_dropped_once_no_unread_attempt_can_need_them() -> None:
     table = KeyTable()
     for number in range(100):
         now = START + number * SECOND
         table.retain(IdempotencyKey("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
     assert len(table) <= 3
-    # A later window for the same name outlives the end of the one before.
+    # A later window for the same key outlives the end of the one before.
     table.retain(IdempotencyKey("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
     table.retain(IdempotencyKey("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
     assert table.find(IdempotencyKey("book", "k99"), START + 111 * SECOND) is not None
 
 
-def test_other_processes_hear_the_digest_and_those_that_know_none_still_know_the_try() -> None:
+def test_a_label_carries_the_digest_and_is_an_id_to_processes_without_digests() -> None:
     one = encode_label("9b1f03aa5c7e2d41", body_digest(b"body"))
     assert decode_label(one) == ("9b1f03aa5c7e2d41", body_digest(b"body"))
     assert decode_label("uwsgi~7") == ("uwsgi~7", "") and encode_label("r1", "") == "r1"
@@ -124,19 +126,19 @@
     )
 
 
-# A request that its caller takes back.
+# Requests that their client cancels.
 
 
-def test_taken_back_while_held_paused_running_or_at_a_call_it_is_owed_no_answer_and_runs_once() -> None:
+def test_a_request_cancelled_at_any_stage_gets_no_response_and_runs_at_most_once() -> None:
     desk = RespDesk(cpus=1, halt="suspend")
     wire = desk.connect()
     desk.send_request(wire, 1, "list")
     desk.core.call_needed(f"{1:016x}", b"ask")
     desk.clock.settle()
     desk.send_request(wire, 2, "ping")
-    desk.send_request(wire, 3, "open")  # the second is paused for it
+    desk.send_request(wire, 3, "open")  # the second request is paused for it
     desk.end_run(2, b"", Outcome.CANCELLED)
-    desk.send_request(wire, 4, "ping")  # held
+    desk.send_request(wire, 4, "ping")  # queued
     wire.take()
     for tag in (4, 2, 3, 1):
         desk.feed(wire, write_frame(b"FORGET", b"%d" % tag))
@@ -145,29 +147,31 @@
     desk.end_run(1, b"", Outcome.CANCELLED)
     assert wire.take() == b"" and desk.core.in_flight == 0 and desk.core.unanswered == 0
     assert [desk.start_count(id) for id in (1, 2, 3, 4)] == [1, 1, 1, 0]
-    wire.close()  # the reset behind it gives nothing back twice
+    wire.close()  # the reset after it releases nothing twice
     desk.clock.settle()
     assert desk.core.in_flight == 0 and len(desk.front.connections) == 0
 
 
-def test_taking_back_what_was_answered_breaks_no_connection_and_asking_for_it_without_end_does() -> None:
-    # Guards against the close that a FORGET brought, and with it the loss of all that was open there.
+def test_a_cancellation_after_the_response_is_ignored_and_repeated_unknown_ones_close_the_connection() -> (
+    None
+):
+    # Guards against a FORGET that closes the connection, and with it all that is open there.
     desk = RespDesk()
     wire = desk.connect()
     desk.send_request(wire, 1, "list")
     desk.send_request(wire, 2, "list")
     desk.end_run(1)
-    desk.feed(wire, write_frame(b"FORGET", b"1"))  # it crosses the answer
+    desk.feed(wire, write_frame(b"FORGET", b"1"))  # it crosses the response
     desk.end_run(2)
     assert wire.take() == response_frame(1, b"done", b"result") + response_frame(2, b"done", b"result")
     for tag in range(100, 108):
         assert not wire.closed
-        desk.feed(wire, write_frame(b"FORGET", b"%d" % tag))  # never came
+        desk.feed(wire, write_frame(b"FORGET", b"%d" % tag))  # unknown
     assert wire.closed
 
 
-def test_names_of_work_that_the_kernel_does_not_know_take_no_memory_of_the_module() -> None:
-    # Guards against a hold that bad clients fill: each of their names took room for a whole window, though none ran.
+def test_keys_of_work_that_never_ran_take_no_memory() -> None:
+    # Guards against memory that bad clients fill: each of their keys took some for a window, though none ran.
     desk = RespDesk(keyKb=100.0)
     wire = desk.connect()
     for number in range(1, 200):
@@ -178,7 +182,7 @@
     assert desk.start_count(900) == 1
 
 
-def test_an_id_that_comes_again_with_new_names_gives_the_older_name_s_memory_back() -> None:
+def test_an_id_used_again_with_new_keys_frees_the_memory_of_the_older_key() -> None:
     desk = RespDesk(keyKb=100.0)
     for number in range(1, 100):
         wire = desk.connect()
@@ -189,13 +193,13 @@
     assert desk.core._controller.state.entries.memory_kb == 100.0
 
 
-# Answers that a peer does not take.
+# Responses that a peer does not read.
 
 
-def test_requests_behind_answers_that_are_not_taken_are_answered_before_the_close() -> None:
-    # Guards against requests that were written and dropped: the peer had ended its side, or was told to close, while
-    # what it had sent waited for it to take its answers.
-    for end in ("half-closed", "told to close"):
+def test_requests_behind_unread_responses_get_theirs_before_the_close() -> None:
+    # Guards against requests that were received and dropped: the peer had half-closed, or was asked to close, while
+    # its requests waited for it to read responses.
+    for end in ("half-closed", "asked to close"):
         desk = RespDesk()
         wire = desk.connect()
         stream = wire.stream
@@ -207,7 +211,7 @@
             desk.end_run(tag, b"x" * 4_096)
         assert stream.send_blocked
         wire.paused = False
-        desk.feed(wire, desk.frame(9, "ping", id=9))  # read into the ring, and not taken out of it
+        desk.feed(wire, desk.frame(9, "ping", id=9))  # received, and not parsed yet
         if end == "half-closed":
             stream.eof_received()
         else:
@@ -217,23 +221,23 @@
         stream.resume_writing()
         desk.clock.settle()
         desk.end_run(9, b"last")
-        said = wire.take()
-        assert response_frame(9, b"done", b"last") in said and said.count(b"done") == 4
+        frames = wire.take()
+        assert response_frame(9, b"done", b"last") in frames and frames.count(b"done") == 4
 
 
-@pytest.mark.parametrize("stage", ["over", "running", "held"])
-def test_the_id_of_a_try_that_ran_used_again_for_other_work_opens_no_second_run(stage: str) -> None:
-    # Guards against a second run, seen on a join day of porto-lock: the module knows tries by their ids, and took the
-    # bad client's, which never ran, for the one that had run under this id before. Nor is a result of it shared.
+@pytest.mark.parametrize("stage", ["ended", "running", "queued"])
+def test_an_id_used_again_for_other_work_allows_no_second_run(stage: str) -> None:
+    # Guards against a second run: the controller knows attempts by their ids, and took a bad client's, which never
+    # ran, for the one that had run under this id before. Nor is a result of it shared.
     desk = RespDesk(cpus=1)
-    first(desk)
+    run_first_attempt(desk)
     desk.end_run(1, b"", Outcome.ERROR)
-    if stage == "held":
+    if stage == "queued":
         for number in range(50, 58):
             desk.send_request(desk.connect(), 1, "open", id=number)
     bad, again = desk.connect(), desk.connect()
     desk.send_request(bad, 1, "book", b"theirs", id=1, once="other")
-    if stage == "over":
+    if stage == "ended":
         desk.end_run(1, b"", Outcome.NOT_STARTED)
     desk.send_request(again, 1, "book", b"mine", id=2, once="k")
     assert desk.start_count(2) == 0 and again.take() == response_frame(1, b"error")
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -1,4 +1,7 @@
-"""What crosses what, on loopback sockets (docs/crossings.md). The settings share nothing with casa-main."""
+"""Events that cross on a whole node on loopback sockets: shutdown, reload, connections, kernel and database.
+
+docs/crossings.md lists what must hold. The settings share nothing with those of the other tests.
+"""
 
 from __future__ import annotations
 
@@ -34,16 +37,16 @@
     return alternate_settings(cpus=1, **info)
 
 
-# The notice to leave.
+# Graceful shutdown.
 
 
 @pytest.mark.parametrize("cut", [1, 3, 30, -1])
-def test_sigterm_between_a_request_s_first_and_last_byte(cut: int, tmp_path: Path) -> None:
-    # Guards against a connection that was closed on 0.4 s after `0 closing`, in the middle of a request.
+def test_a_request_half_read_at_sigterm_is_read_to_its_end_and_runs(cut: int, tmp_path: Path) -> None:
+    # Guards against a connection that is closed 0.4 s after `0 closing`, in the middle of a request.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send(write_frame(b"ALIVE", b"9"))
-        assert await caller.status_word(9) == "healthy"  # it is no newcomer
+        assert await caller.status_word(9) == "healthy"  # the connection has proven itself
         whole = caller.frame(1, "list")
         caller.send(whole[:cut])
         connection = harness.only_connection
@@ -53,7 +56,7 @@
         await caller.closing_frame()
         await harness.advance(700)
         caller.send(whole[cut:])
-        await harness.kernel.command_read("SCHED", 1)  # it came to the machine inside the grace
+        await harness.kernel.command_read("SCHED", 1)  # its first byte came inside the grace
         harness.kernel.end_run(1)
         assert await caller.response(1) == [b"done", b"done"]
         await harness.run_to_exit()
@@ -62,7 +65,7 @@
     run_with_node(tmp_path, run, stop_ms=3_000, settings={**ALTERNATE_SETTINGS, "rules": rules})
 
 
-def test_sigterm_between_accept_and_the_first_read(tmp_path: Path) -> None:
+def test_a_connection_accepted_but_unread_at_sigterm_is_served(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         await until(lambda: len(harness.node.resp.connections) == 1)
@@ -76,16 +79,14 @@
     run_with_node(tmp_path, run)
 
 
-def test_the_end_of_the_grace_before_a_connection_that_stands_is_accepted(tmp_path: Path) -> None:
-    # Guards against requests that lie in the backlog of a socket that a late timer closes: they were reset.
+def test_a_connection_in_the_backlog_at_the_end_of_the_grace_is_served(tmp_path: Path) -> None:
+    # Guards against requests in the backlog of a socket that a late timer closes: they are reset.
     async def run(harness: NodeHarness) -> None:
         await harness.send_sigterm()
         await harness.advance(GRACE_MS - 40)
         blind = harness.connect_unread()
         blind.sendall(RespClient(harness.waker.now, None, None).frame(1, "ping"))  # type: ignore[arg-type]
-        harness.advance_unread(
-            200 * MILLISECOND
-        )  # the loop is late: its timers come before what it would have read
+        harness.advance_unread(200 * MILLISECOND)  # the loop is late: its timers run before it reads
         caller = await harness.adopt(blind)
         await harness.kernel.command_read("SCHED", 1)
         harness.kernel.end_run(1)
@@ -95,16 +96,16 @@
     run_with_node(tmp_path, run)
 
 
-def test_sigterm_between_a_request_s_reading_and_its_admission(tmp_path: Path) -> None:
+def test_a_request_read_but_not_admitted_at_sigterm_runs(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         submit = harness.core.submit
 
-        def crossed(*told: Any) -> int:
-            handle: int = submit(*told)
-            os.kill(os.getpid(), signal.SIGTERM)  # before the module's turn
+        def submit_and_signal(*arguments: Any) -> int:
+            handle: int = submit(*arguments)
+            os.kill(os.getpid(), signal.SIGTERM)  # before the controller's turn
             return handle
 
-        harness.core.submit = crossed
+        harness.core.submit = submit_and_signal
         caller = await harness.connect()
         caller.send_request(1, "book", once="k")
         await harness.kernel.command_read("SCHED", 1)
@@ -116,7 +117,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_sigterm_between_sched_and_reap(tmp_path: Path) -> None:
+def test_a_run_in_progress_at_sigterm_delivers_its_result(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "open")
@@ -132,7 +133,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_sigterm_between_a_call_and_its_reply(tmp_path: Path) -> None:
+def test_a_downstream_call_in_flight_at_sigterm_completes(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "open")
@@ -153,7 +154,9 @@
 
 
 @pytest.mark.parametrize("returns", [True, False])
-def test_sigterm_while_the_kernel_s_link_is_down(returns: bool, tmp_path: Path) -> None:
+def test_requests_at_sigterm_without_a_kernel_link_get_one_response_each(
+    returns: bool, tmp_path: Path
+) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "open")
@@ -165,7 +168,7 @@
         await harness.requests_read(2)
         await harness.send_sigterm()
         if returns:
-            harness.kernel.end_run(1)  # the run went on meanwhile
+            harness.kernel.end_run(1)  # the run has gone on without the link
             harness.kernel.up.set()
             await harness.kernel.command_read("SCHED", 2)
             harness.kernel.end_run(2)
@@ -181,7 +184,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_sigterm_before_booted(tmp_path: Path) -> None:
+def test_a_request_at_sigterm_before_the_kernel_is_up_gets_an_error(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         harness.kernel.up.clear()
         harness.kernel.drop_link()
@@ -196,7 +199,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_sigterm_twice_changes_nothing(tmp_path: Path) -> None:
+def test_a_second_sigterm_changes_nothing(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "list")
@@ -217,21 +220,22 @@
 
 @pytest.mark.parametrize("first", ["SIGTERM", "SIGHUP"])
 @pytest.mark.parametrize("grace_us", [400_000, 2_500_000])
-def test_sigterm_and_sighup_in_either_order(first: str, grace_us: int, tmp_path: Path) -> None:
-    # The grace is the one that the settings named when the notice came.
+def test_the_drain_grace_is_that_of_the_settings_in_force_at_sigterm(
+    first: str, grace_us: int, tmp_path: Path
+) -> None:
     async def run(harness: NodeHarness) -> None:
-        told = copy.deepcopy(ALTERNATE_SETTINGS)
-        told["rules"]["drainGraceUs"] = grace_us
+        changed = copy.deepcopy(ALTERNATE_SETTINGS)
+        changed["rules"]["drainGraceUs"] = grace_us
         caller = await harness.connect()
         caller.send_request(1, "list")
         await harness.kernel.command_read("SCHED", 1)
         if first == "SIGTERM":
             await harness.send_sigterm()
-            await harness.reload(settings=told)
+            await harness.reload(settings=changed)
         else:
-            await harness.reload(settings=told)
+            await harness.reload(settings=changed)
             await harness.send_sigterm()
-        grace_ms = (ALTERNATE_SETTINGS if first == "SIGTERM" else told)["rules"]["drainGraceUs"] / 1000
+        grace_ms = (ALTERNATE_SETTINGS if first == "SIGTERM" else changed)["rules"]["drainGraceUs"] / 1000
         inside = min(grace_ms, 1_500) - 100
         await harness.advance(inside)
         caller.send_request(2, "list")
@@ -249,13 +253,13 @@
     run_with_node(tmp_path, run, stop_ms=2_900)
 
 
-def test_the_grace_counts_from_the_signal_also_where_the_loop_hears_of_it_late(tmp_path: Path) -> None:
-    # Guards against work that is run though it arrived too late: the loop was busy when the notice came.
+def test_the_drain_grace_counts_from_the_signal_although_the_loop_handles_it_late(tmp_path: Path) -> None:
+    # Guards against work that runs although it arrived too late: the loop was busy when the signal came.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         await until(lambda: len(harness.node.resp.connections) == 1)
         os.kill(os.getpid(), signal.SIGTERM)
-        harness.waker.shift += 400 * MILLISECOND  # what the loop is busy with takes so long
+        harness.waker.shift += 400 * MILLISECOND  # for so long the loop is busy
         await until(lambda: harness.core.draining)
         await harness.advance(GRACE_MS - 300)
         caller.send_request(1, "ping")
@@ -266,7 +270,7 @@
     run_with_node(tmp_path, run, stop_ms=3_000)
 
 
-def test_a_deadline_on_the_end_of_the_grace(tmp_path: Path) -> None:
+def test_a_deadline_at_the_end_of_the_grace_gives_one_response(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         await harness.send_sigterm()
         end = harness.core._shutdown._run_until
@@ -274,7 +278,7 @@
         await harness.advance(GRACE_MS - 900 - 50)
         early = int((end - harness.node.timeline.now()) / MILLISECOND) - 900
         at_ms = int(harness.node.timeline.now().timestamp() * 1000) + early
-        caller.send_request(1, "ping", at=at_ms)  # a ping is given up after 0.9 s
+        caller.send_request(1, "ping", at=at_ms)  # the deadline of a ping is 0.9 s
         await harness.kernel.command_read("SCHED", 1)
         await harness.run_to_exit()
         assert await caller.status_word(1) == "error" and caller.response_count(1) == 1
@@ -285,23 +289,23 @@
 # New settings and addresses.
 
 
-def changed() -> dict[str, Any]:
-    """Classes gone, renamed, in another order, of another effect, deadline and worth; more of everything else."""
-    told = alternate_settings(
+def changed_settings() -> dict[str, Any]:
+    """Settings with classes removed, renamed, reordered, and of another effect, deadline and weight."""
+    settings = alternate_settings(
         cpus=2, runMemFactor=3.0, keyKb=1.0, halt="suspend", say="window", ramKb=3_000.0
     )
-    ping, lists, book, opens, tally = told["classes"]
+    ping, lists, book, opens, tally = settings["classes"]
     opens.update(name="unlock")
     lists.update(semantics="at_most_once", worth=9.0)
     book.update(hardLimitUs=300_000, aimUs=200_000)
-    told["classes"] = [tally, opens, book, lists]
-    told["familyInfo"].update(callsByClass=[False, True, True, True], degradedWorth=[0.0] * 4)
+    settings["classes"] = [tally, opens, book, lists]
+    settings["familyInfo"].update(callsByClass=[False, True, True, True], degradedWorth=[0.0] * 4)
     del ping
-    return told
+    return settings
 
 
-@pytest.mark.parametrize("where", ["held", "running", "paused", "at a call", "no link"])
-def test_sighup_with_work_at_each_stage_keeps_its_class(where: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("where", ["queued", "running", "paused", "at a call", "no link"])
+def test_requests_in_flight_at_sighup_keep_their_class(where: str, tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         other = "list" if where == "at a call" else "ping"
@@ -318,7 +322,7 @@
         if where == "at a call":
             harness.kernel.request_call(1)
             await harness.database.call_read(1)
-        if where in ("held", "paused"):
+        if where in ("queued", "paused"):
             caller.send_request(2, "open")
             await harness.kernel.command_read("PREEMPT", 1)
             if where == "paused":
@@ -326,32 +330,32 @@
                 await harness.kernel.command_read("SCHED", 2)
             caller.send_request(3, "ping")
             await harness.requests_read(3)
-        await harness.reload(settings=changed())
+        await harness.reload(settings=changed_settings())
         if where == "no link":
             harness.kernel.up.set()
             await harness.kernel.command_read("SCHED", 1)
         if where == "at a call":
             await harness.database.reply(1)
             await harness.kernel.command_read("IODONE", 1)
-        if where == "held":
+        if where == "queued":
             harness.kernel.end_run(1)
             await harness.kernel.command_read("SCHED", 2)
-        if where in ("held", "paused"):
+        if where in ("queued", "paused"):
             harness.kernel.end_run(2)
             await harness.kernel.command_read("SCHED", 3)
             harness.kernel.end_run(3)
         if where == "paused":
             await harness.kernel.command_read("RESCHED", 1)
-        if where != "held":
+        if where != "queued":
             harness.kernel.end_run(1)
-        tags = (1, 2, 3) if where in ("held", "paused") else (1,)
+        tags = (1, 2, 3) if where in ("queued", "paused") else (1,)
         assert [await caller.status_word(tag) for tag in tags] == ["done"] * len(tags)
         assert harness.kernel.classes[f"{1:016x}"] == other
-        module = harness.core._controller
+        controller = harness.core._controller
         assert (
             harness.core.in_flight == 0
-            and module.state.entries.memory_kb == 0
-            and module.state.entries.count_unfinished() == 0
+            and controller.state.entries.memory_kb == 0
+            and controller.state.entries.count_unfinished() == 0
         )
         caller.send_request(9, "unlock")
         await harness.kernel.command_read("SCHED", 9)
@@ -361,7 +365,7 @@
     run_with_node(tmp_path, run, settings=one_core(halt="suspend"))
 
 
-def test_sighup_moves_the_addresses_and_the_old_ones_close_under_what_they_still_carry(
+def test_calls_in_flight_survive_a_change_of_addresses_and_the_close_of_the_old_ones(
     tmp_path: Path,
 ) -> None:
     async def run(harness: NodeHarness) -> None:
@@ -377,13 +381,13 @@
         await fresh.start()
         await database.start()
         await harness.reload(kernel=fresh.address, db=database.address)
-        fresh.notices = old.notices  # it is one kernel
+        fresh.notices = old.notices  # the same kernel at another address
         await until(lambda: fresh.link_count == 1)
-        await harness.database.reply(1)  # a call on its way ends where it is
+        await harness.database.reply(1)  # a call in flight ends on its connection
         await fresh.command_read("IODONE", 1)
         harness.database.stop()  # the old addresses close
         old.stop()
-        await database.call_read(2)  # safe to repeat: made again, at the new address
+        await database.call_read(2)  # idempotent: retried at the new address
         await database.reply(2)
         await fresh.command_read("IODONE", 2)
         for tag in (1, 2):
@@ -398,7 +402,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_a_second_sighup_before_the_first_is_through(tmp_path: Path) -> None:
+def test_a_second_sighup_before_the_first_takes_effect_skips_its_address(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         silent, last = ScriptedKernel(), ScriptedKernel()
         silent.up.clear()
@@ -408,7 +412,7 @@
         caller.send_request(1, "open")
         await harness.kernel.command_read("SCHED", 1)
         await harness.reload(kernel=silent.address)
-        await until(lambda: silent.link_count == 1)  # it never says that it is up
+        await until(lambda: silent.link_count == 1)  # it never reports that it is up
         last.notices = harness.kernel.notices
         await harness.reload(kernel=last.address)
         await until(lambda: last.link_count == 1)
@@ -424,8 +428,8 @@
     run_with_node(tmp_path, run)
 
 
-def test_a_free_value_does_not_outlive_the_way_in_which_callers_read_it(tmp_path: Path) -> None:
-    # Guards against a number of requests that is read as a rank: no caller would come any more.
+def test_an_advertised_value_is_dropped_when_callers_read_it_in_another_way(tmp_path: Path) -> None:
+    # Guards against a number of requests that callers read as a rank: none would send any more.
     async def run(harness: NodeHarness) -> None:
         harness.core._dispatcher.execute_all([Advertise(12.0)])  # while callers count requests by the value
         assert harness.core.advertised_value == 12.0
@@ -438,16 +442,16 @@
     run_with_node(tmp_path, run, settings=alternate_settings(say="window"))
 
 
-def test_a_window_that_grows_holds_for_what_ran_before(tmp_path: Path) -> None:
+def test_a_longer_idempotency_window_covers_work_that_ran_before_it(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "book", b"mine", once="k")
         await harness.kernel.command_read("SCHED", 1)
         harness.kernel.end_run(1, body=b"booked")
         assert await caller.status_word(1) == "done"
-        told = copy.deepcopy(ALTERNATE_SETTINGS)
-        told["classes"][2]["repeatWindowUs"] = 6_000_000
-        await harness.reload(settings=told)
+        changed = copy.deepcopy(ALTERNATE_SETTINGS)
+        changed["classes"][2]["repeatWindowUs"] = 6_000_000
+        await harness.reload(settings=changed)
         await harness.advance(4_000, size=200)
         again = await harness.connect()
         again.send_request(1, "book", b"mine", id=2, once="k")
@@ -461,7 +465,7 @@
 # Connections.
 
 
-def test_a_connection_reset_with_requests_open_and_its_slot_used_again(tmp_path: Path) -> None:
+def test_a_late_result_for_a_reset_connection_does_not_reach_the_next_one_in_its_slot(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         first = await harness.connect()
         first.send_request(1, "open")
@@ -480,7 +484,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_the_idle_close_crosses_a_request_that_a_late_loop_has_not_read(tmp_path: Path) -> None:
+def test_a_request_that_crosses_the_idle_close_is_served_although_the_loop_is_late(tmp_path: Path) -> None:
     # Guards against a request that lies unread while the timer closes its connection, as timers come first.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
@@ -489,7 +493,7 @@
         harness.only_connection.idle()
         await caller.closing_frame()
         blind = caller.writer.get_extra_info("socket")
-        os.write(blind.fileno(), caller.frame(2, "ping"))  # it had crossed the word, on its way
+        os.write(blind.fileno(), caller.frame(2, "ping"))  # sent before the peer read `0 closing`
         harness.advance_unread(210 * MILLISECOND)
         await harness.kernel.command_read("SCHED", 2)
         harness.kernel.end_run(2)
@@ -499,7 +503,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_the_end_of_patience_crosses_the_rest_of_a_request_that_a_late_loop_has_not_read(
+def test_the_rest_of_a_request_that_crosses_the_read_timeout_is_read_although_the_loop_is_late(
     tmp_path: Path,
 ) -> None:
     async def run(harness: NodeHarness) -> None:
@@ -510,14 +514,12 @@
         await until(lambda: connection._frames.inside)
         os.write(caller.writer.get_extra_info("socket").fileno(), whole[20:])
         harness.advance_unread(1_600 * MILLISECOND)
-        assert (
-            await caller.status_word(1) == "later"
-        )  # its own time was over by then, but it was read and answered
+        assert await caller.status_word(1) == "later"  # past its deadline by then, but read and responded to
 
     run_with_node(tmp_path, run)
 
 
-def test_a_half_closed_connection_gets_all_its_answers(tmp_path: Path) -> None:
+def test_a_half_closed_connection_gets_all_its_responses(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         for tag in (1, 2):
@@ -533,11 +535,11 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "closed"])
-def test_a_connection_that_ends_between_an_answer_s_pieces_leaves_its_slot_and_descriptor_clean(
+def test_a_connection_that_ends_within_a_response_leaves_its_slot_and_descriptor_clean(
     how: str, tmp_path: Path
 ) -> None:
-    # One answer is partly written, one waits in the ring, one is not made yet; then the slot, the tags and the
-    # descriptor are another's, while `0 closing`, the cut behind it and a result still name the first.
+    # One response is partly written, one is buffered, one is not made yet. Then the slot, the tags and the descriptor
+    # are another connection's, while `0 closing`, the timer behind it and a result still name the first.
     async def run(harness: NodeHarness) -> None:
         first = await harness.adopt(harness.connect_unread(takes=4_096))
         first.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -553,7 +555,7 @@
         harness.kernel.end_run(2, body=b"y" * 60_000)
         await until(lambda: old.send_blocked)
         old.idle()
-        old.drain()  # the cut comes 0.2 s after
+        old.drain()  # it is closed 0.2 s later
         if how == "reset":
             first.reset()
         else:
@@ -563,9 +565,9 @@
         second.send_request(3, "list", id=9)
         await harness.kernel.command_read("SCHED", 9)
         new: Any = harness.only_connection._transport
-        assert new.get_extra_info("socket").fileno() == descriptor  # the same number stands for another
+        assert new.get_extra_info("socket").fileno() == descriptor  # reused by the new connection
         harness.kernel.end_run(3, body=b"late")
-        await harness.advance(650)  # the cut has come, and come again
+        await harness.advance(650)  # the timer has run twice
         harness.kernel.end_run(9, body=b"mine")
         assert await second.response(3) == [b"done", b"mine"] and second.response_count(3) == 1
         await until(lambda: harness.core.in_flight == 0)
@@ -576,14 +578,14 @@
 # The kernel and the database.
 
 
-def test_reap_crosses_preempt(tmp_path: Path) -> None:
+def test_a_run_that_ends_before_its_preemption_arrives_is_not_resumed(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "ping")
         await harness.kernel.command_read("SCHED", 1)
         caller.send_request(2, "open")
         await harness.kernel.command_read("PREEMPT", 1)
-        harness.kernel.end_run(1)  # it had ended before it was told to stop
+        harness.kernel.end_run(1)  # it ends before the preemption arrives
         await harness.kernel.command_read("SCHED", 2)
         harness.kernel.end_run(2)
         assert [await caller.status_word(tag) for tag in (1, 2)] == ["done", "done"]
@@ -594,7 +596,7 @@
     run_with_node(tmp_path, run, settings=one_core(halt="suspend"))
 
 
-def test_a_call_crosses_preempt_and_is_not_taken_for_a_pause(tmp_path: Path) -> None:
+def test_a_run_that_needs_a_call_before_its_preemption_arrives_is_not_paused(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "list")
@@ -613,14 +615,14 @@
     run_with_node(tmp_path, run, settings=one_core(halt="suspend"))
 
 
-def test_cancelled_crosses_the_deadline(tmp_path: Path) -> None:
+def test_a_run_cancelled_after_its_deadline_gives_one_response(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "ping")
         await harness.kernel.command_read("SCHED", 1)
         caller.send_request(2, "open")
         await harness.kernel.command_read("PREEMPT", 1)
-        await harness.advance(920)  # a ping is given up after 0.9 s
+        await harness.advance(920)  # the deadline of a ping is 0.9 s
         assert await caller.status_word(1) == "error"
         harness.kernel.end_run(1, "cancelled", b"")
         await harness.kernel.command_read("SCHED", 2)
@@ -631,7 +633,7 @@
     run_with_node(tmp_path, run, settings=one_core(halt="suspend"))
 
 
-def test_notices_twice_and_commands_lost_with_the_link(tmp_path: Path) -> None:
+def test_repeated_kernel_notices_are_applied_once(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "open")
@@ -646,7 +648,7 @@
         await harness.kernel.command_read("SCHED", 5)
         harness.kernel._link.write(harness.kernel.notices[0])  # type: ignore[union-attr]
         harness.kernel.end_run(5)
-        assert await caller.status_word(5) == "done"  # the link was read up to here
+        assert await caller.status_word(5) == "done"  # so the node has read the link up to here
         await harness.advance(20)
         harness.kernel.end_run(1, body=b"opened")
         harness.kernel._link.write(harness.kernel.notices[1])  # type: ignore[union-attr]
@@ -661,14 +663,14 @@
     run_with_node(tmp_path, run)
 
 
-def test_a_reply_for_a_call_that_was_given_up(tmp_path: Path) -> None:
+def test_a_reply_to_an_abandoned_call_is_not_passed_on(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "open")
         await harness.kernel.command_read("SCHED", 1)
         harness.kernel.request_call(1)
         line = await harness.database.call_read(1)
-        await harness.advance(1_220)  # an open is given up after 1.2 s
+        await harness.advance(1_220)  # the deadline of an open is 1.2 s
         assert await caller.status_word(1) == "error"
         harness.kernel.end_run(1, "cancelled", b"")
         await until(lambda: harness.core.in_flight == 0)
@@ -680,8 +682,8 @@
     run_with_node(tmp_path, run)
 
 
-def test_a_reply_that_came_in_time_counts_though_the_loop_is_late(tmp_path: Path) -> None:
-    # Guards against a call that is given up, and made again, with its reply lying unread.
+def test_a_reply_received_in_time_counts_although_the_loop_is_late(tmp_path: Path) -> None:
+    # Guards against a call that is abandoned and retried while its reply lies unread.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "list")
@@ -698,7 +700,7 @@
     run_with_node(tmp_path, run)
 
 
-def test_a_pooled_connection_is_reset_at_the_moment_it_is_used(tmp_path: Path) -> None:
+def test_a_call_on_a_reset_pooled_connection_is_retried_only_if_it_is_idempotent(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         for tag in (1, 2):
@@ -708,7 +710,7 @@
             line = await harness.database.call_read(tag)
             if tag == 2:
                 line.transport.abort()
-                await harness.database.call_read(2, times=2)  # safe to repeat: once more
+                await harness.database.call_read(2, times=2)  # idempotent: retried
             await harness.database.reply(tag, times=tag)
             await harness.kernel.command_read("IODONE", tag)
             harness.kernel.end_run(tag)
@@ -719,16 +721,16 @@
         (await harness.database.call_read(3)).transport.abort()
         assert (
             await caller.status_word(3) == "error" and harness.database.call_count(3) == 1
-        )  # it may have run: never again
+        )  # it may have run: not retried
 
     run_with_node(tmp_path, run)
 
 
-# An upgrade (two processes: tests/hot_restart/test_upgrade_races.py).
+# Hot restart (with two processes: tests/hot_restart/test_upgrade_races.py).
 
 
-def test_the_successor_is_lost_before_the_hand_over_is_through(tmp_path: Path) -> None:
-    # Guards against a hand-over that closes the door behind a notice to leave that has taken its place.
+def test_a_successor_lost_during_the_hot_restart_leaves_the_drain_grace_in_force(tmp_path: Path) -> None:
+    # Guards against a hand-over that stops accepting although a drain with its own grace has replaced it.
     async def run(harness: NodeHarness) -> None:
         harness.core.begin_hand_over(harness.node.timeline.now() + 3_700 * MILLISECOND)
         harness.node.drain_controller.successor_lost()
@@ -745,9 +747,9 @@
     run_with_node(tmp_path, run)
 
 
-# Bad input at each of these moments.
+# Bad input.
 
-BAD = {
+BAD_INPUT = {
     "malformed": b"*5\r\n$4\r\nEXEC\r\n$1\r\n1\r\n$-7\r\n",
     "endless": b"*" * 4_000,
     "cut": b"*5\r\n$4\r\nEXEC\r\n$1\r\n1\r\n$4\r\npi",
@@ -756,30 +758,30 @@
 }
 
 
-@pytest.mark.parametrize("bad", BAD)
+@pytest.mark.parametrize("bad", BAD_INPUT)
 @pytest.mark.parametrize("moment", ["calm", "draining", "reloaded", "link down"])
-def test_bad_input_at_any_moment_disturbs_nobody_else(bad: str, moment: str, tmp_path: Path) -> None:
+def test_bad_input_at_any_moment_affects_no_other_connection(bad: str, moment: str, tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller, client = await harness.connect(), await harness.connect()
         caller.send_request(1, "list")
         await harness.kernel.command_read("SCHED", 1)
-        client.send(BAD[bad][:3])
+        client.send(BAD_INPUT[bad][:3])
         match moment:
             case "draining":
                 await harness.send_sigterm()
             case "reloaded":
-                await harness.reload(settings=changed())
+                await harness.reload(settings=changed_settings())
             case "link down":
                 harness.kernel.up.clear()
                 harness.kernel.drop_link()
                 await until(lambda: harness.kernel.link_count == 2)
-        client.send(BAD[bad][3:])
+        client.send(BAD_INPUT[bad][3:])
         if bad in ("malformed", "out of range", "unknown class"):
             assert await client.status_word(1) == "error"
         else:
             ends = asyncio.ensure_future(client.read_to_end())
             await harness.advance(1_520)
-            await ends  # closed on in its time
+            await ends  # closed by the read timeout
         harness.kernel.up.set()
         harness.kernel.end_run(1)
         assert await caller.status_word(1) == "done" and caller.response_count(1) == 1
@@ -788,13 +790,13 @@
     run_with_node(tmp_path, run, stop_ms=3_000)
 
 
-# The list.
+# Reports to the name service.
 
 
-def test_reports_go_on_through_sighup_and_end_with_the_notice(tmp_path: Path) -> None:
+def test_reports_continue_through_sighup_and_end_with_sigterm(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         await until(lambda: harness.reports.seen)
-        await harness.reload(settings=changed())
+        await harness.reload(settings=changed_settings())
         seen = len(harness.reports.seen)
         await harness.advance(700)
         await until(lambda: len(harness.reports.seen) >= seen + 2)
@@ -813,10 +815,10 @@
     run_with_node(tmp_path, run)
 
 
-def test_a_node_that_finds_no_descriptor_for_its_reports_finds_one_later(
+def test_reports_begin_once_a_descriptor_is_available(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards against a node that is off the list for good, as it once could not open the socket of its reports.
+    # Guards against a node that stays off the endpoint list, as it once could not open its socket for reports.
     async def run(harness: NodeHarness) -> None:
         await until(lambda: harness.reports.seen)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -835,14 +837,15 @@
     run_with_node(tmp_path, run)
 
 
-def silent(harness: NodeHarness) -> int:
-    """The name service goes down: its port refuses. Which one."""
+def stop_name_service(harness: NodeHarness) -> int:
+    """Stop the name service, and return its port, which refuses from now on."""
     port: int = harness.naming.get_extra_info("sockname")[1]
     harness.naming.close()
     return port
 
 
-async def back(harness: NodeHarness, port: int) -> NameServiceRecorder:
+async def start_name_service(harness: NodeHarness, port: int) -> NameServiceRecorder:
+    """Start it again on this port; 0 for any."""
     loop = asyncio.get_running_loop()
     harness.naming, reports = await loop.create_datagram_endpoint(
         NameServiceRecorder, local_addr=("127.0.0.1", port)
@@ -852,31 +855,31 @@
 
 @pytest.mark.parametrize("where", ["same address", "moved"])
 @pytest.mark.parametrize("meanwhile", ["quiesce", "resume", "drain"])
-def test_what_happens_while_the_name_service_is_down_is_what_it_hears_when_it_is_back(
+def test_a_name_service_that_comes_back_hears_the_present_state(
     meanwhile: str, where: str, tmp_path: Path
 ) -> None:
     async def run(harness: NodeHarness) -> None:
-        duty = harness.core.serving_state
+        state = harness.core.serving_state
         if meanwhile == "resume":
-            duty.quiesce()
+            state.quiesce()
             harness.node.serving_state_changed()
             await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
-        port = silent(harness)
-        await harness.advance(700)  # reports that are refused
+        port = stop_name_service(harness)
+        await harness.advance(700)  # reports are sent in vain
         match meanwhile:
             case "quiesce":
-                duty.quiesce()
+                state.quiesce()
             case "resume":
-                duty.resume()
+                state.resume()
         harness.node.serving_state_changed()
         if meanwhile == "drain":
             await harness.send_sigterm()
-        reports = await back(harness, port if where == "same address" else 0)
+        reports = await start_name_service(harness, port if where == "same address" else 0)
         if where == "moved":
             await harness.reload(naming=f"127.0.0.1:{harness.naming.get_extra_info('sockname')[1]}")
         if meanwhile == "drain":
             await harness.run_to_exit()
-            assert reports.seen == []  # its last word was said before; nothing speaks of a node that leaves
+            assert reports.seen == []  # its last report was sent before
             return
         await harness.advance(350)
         await until(lambda: reports.seen)
@@ -887,32 +890,32 @@
     run_with_node(tmp_path, run)
 
 
-def test_a_crowd_that_was_told_of_a_cold_node_waits_until_it_is_up_and_does_not_bring_it_down(
+def test_a_burst_at_a_node_without_a_kernel_starts_only_what_the_warming_node_survives(
     tmp_path: Path,
 ) -> None:
-    # What came before its kernel was up starts only as far as the cold node survives it, and all is answered.
+    # Requests that arrived before the kernel was up start only as far as the node survives it; all get a response.
     cold = alternate_settings(cold=True, ramKb=1e9)
     cold["rules"].update(coldShare=0.25, warmAfterUs=60_000_000)
     cold["classes"][1].update(
         aimUs=14_000_000, hardLimitUs=15_000_000
-    )  # no machine is so slow that it counts here
+    )  # far beyond what a slow machine takes
 
     async def run(harness: NodeHarness) -> None:
         kernel, up = harness.kernel, harness.node.timeline.now()
         kernel.up.clear()
         kernel.drop_link()
         await until(lambda: kernel.link_count == 2)
-        crowd = [await harness.connect() for _ in range(8)]
-        for number, caller in enumerate(crowd):
+        callers = [await harness.connect() for _ in range(8)]
+        for number, caller in enumerate(callers):
             sender: Any = {"from": number}
             for tag in range(1, 21):
                 caller.send_request(tag, "list", id=100 * number + tag, **sender)
         await harness.requests_read(160)
         kernel.up.set()
         await until(lambda: kernel.commands)
-        await harness.advance(5_000)  # none ends, the cores have room, and the running set would grow
+        await harness.advance(5_000)  # no run ends, and the cores have capacity
         warmed = (harness.node.timeline.now() - up) / (60 * SECOND)
-        survives = 3 * (1 + (7 - 1) * (0.25 + 0.75 * warmed))  # cores, multiple and share of the settings
+        survives = 3 * (1 + (7 - 1) * (0.25 + 0.75 * warmed))  # cores, overload factor, initial share
         assert 3 < len(kernel.commands) <= survives
         ended: set[str] = set()
         while harness.core.unanswered:
@@ -920,9 +923,9 @@
                 ended.add(id)
                 kernel.end_run(int(id, 16))
             await harness.advance(20)
-        words = [await caller.status_word(tag) for caller in crowd for tag in range(1, 21)]
+        words = [await caller.status_word(tag) for caller in callers for tag in range(1, 21)]
         assert words.count("done") >= 9 and set(words) <= {"done", "later", "error"}
-        began = [id for word, id in kernel.commands if word == "SCHED"]
-        assert len(began) == len(set(began))
+        started = [id for word, id in kernel.commands if word == "SCHED"]
+        assert len(started) == len(set(started))
 
     run_with_node(tmp_path, run, settings=cold)
