--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -4,13 +4,14 @@
 
 import logging
 import os
-from datetime import datetime, timedelta
+from datetime import datetime
 from typing import TYPE_CHECKING, ClassVar
 
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 from marlstep.hot_restart.channel import RestartChannel
-from marlstep.hot_restart.host_adapter import HostAdapter, HostHooks
+from marlstep.hot_restart.host_adapter import HostAdapter
+from marlstep.hot_restart.interfaces import LostProcessTimeouts
 from marlstep.hot_restart.restart import HotRestart
 from marlstep.units import span
 
@@ -20,10 +21,23 @@
 log = logging.getLogger("marlstep")
 
 
+class HotRestartCallbacks:
+    """Implements `NodeCallbacks` with the node."""
+
+    def __init__(self, host: HotRestartHost) -> None:
+        """`host` is the node."""
+        self.accept_connections = host.take_over
+        self.successor_lost = host.drain_controller.successor_lost
+        self.successor_draining = host.drain_controller.successor_draining
+        self.limit_capacity = host.limit_memory_share
+        self.connection_share = host.connection_share
+        self.serving_state_changed = host.report_serving_state
+
+
 class HotRestartComponent(Component):
-    """Meets the predecessor and the successor process in the folder that they have in common."""
+    """Connects the node with its predecessor and its successor process, in the folder that they have in common."""
 
-    name: ClassVar[str] = "handover"
+    name: ClassVar[str] = "handover"  # as the status has it
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_CLIENTS
 
     def __init__(self, host: HotRestartHost) -> None:
@@ -34,67 +48,61 @@
         self.restart_state = self
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
-        """Meet the other processes; the one that serves, if any, is known from then on."""
+        """Connect to the other processes; the one that serves, if any, is known from then on."""
         if config.folder is None:
-            log.warning("hot restart is off: TMPDIR is not set")
+            log.warning("hot restart disabled: reason=TMPDIR_not_set")
             return
         core, timeline = self._host.core, self._host.timeline
-        adapter = HostAdapter(core, timeline, self._hooks())
+        adapter = HostAdapter(core, timeline, HotRestartCallbacks(self._host))
 
-        def make_handover(generation: int) -> HotRestart:
-            return HotRestart(adapter, generation, os.getpid(), *self._lost_process_times())
+        def make_hot_restart(generation: int) -> HotRestart:
+            return HotRestart(adapter, generation, os.getpid(), self._lost_process_timeouts())
 
-        channel = self._channel = RestartChannel(config.folder, config.name, timeline, make_handover)
-        core.on_backend_ready = lambda: channel.handover.backend_ready(timeline.now())
+        channel = self._channel = RestartChannel(config.folder, config.name, timeline, make_hot_restart)
+        core.on_backend_ready = lambda: channel.hot_restart.backend_ready(timeline.now())
         self.has_predecessor_serving = await channel.open()
-        adapter.watch(channel.handover)
-
-    def _hooks(self) -> HostHooks:
-        host = self._host
-        return HostHooks(
-            take_over=host.take_over,
-            successor_lost=host.drain_controller.successor_lost,
-            successor_draining=host.drain_controller.successor_draining,
-            limit_resources=host.limit_memory_share,
-            connected=host.connection_share,
-            serving_state_changed=host.report_serving_state,
-        )
+        adapter.watch(channel.hot_restart)
+
+    def _lost_process_timeouts(self) -> LostProcessTimeouts:
+        """Return how long the work of a lost process matters, by the settings in force.
 
-    def _lost_process_times(self) -> tuple[timedelta, timedelta]:
-        """Give after which time a lost process has ended with its runs, and how long its requests are repeated."""
+        It ends as late as one that got SIGTERM when it was lost, and its runs by the longest deadline after that. A
+        retry comes within its class's window, of a request that came at its deadline at the latest.
+        """
         classes = self._host.config.settings.classes
-        longest = max(span(request_class.deadline_us) for request_class in classes)
-        repeated = max(
+        longest_deadline = max(span(request_class.deadline_us) for request_class in classes)
+        retry_window = max(
             span(request_class.idempotency_window_us + request_class.deadline_us) for request_class in classes
         )
-        return self._host.drain_controller.restart_timeout() + longest, repeated
+        termination = self._host.drain_controller.restart_timeout() + longest_deadline
+        return LostProcessTimeouts(termination=termination, retry_window=retry_window)
 
     def reconfigure(self, _config: Config, /) -> None:
         """Take over the deadlines in force."""
         if self._channel is not None:
-            self._channel.handover.set_timeouts(*self._lost_process_times())
+            self._channel.hot_restart.set_timeouts(self._lost_process_timeouts())
 
     def serving_state_changed(self, ready: bool, /) -> None:
-        """Tell the others that an operator quiesced or resumed the node at this process."""
+        """Tell the other processes that an operator quiesced or resumed the node at this one."""
         if self._channel is not None:
-            self._channel.handover.serving_state_changed(ready)
+            self._channel.hot_restart.serving_state_changed(ready)
 
     @property
     def has_predecessor(self) -> bool:
-        """Another process of this node is older than this one."""
-        return self._channel is not None and self._channel.handover.has_predecessor
+        """Whether an older process of this node is connected and has not ended."""
+        return self._channel is not None and self._channel.hot_restart.has_predecessor
 
     @property
     def is_standby(self) -> bool:
-        """Another process serves, and this one does not yet."""
-        return self._channel is not None and self._channel.handover.is_standby
+        """Whether a predecessor serves, and this process does not accept connections yet."""
+        return self._channel is not None and self._channel.hot_restart.is_standby
 
     def hand_over_to_successor(self, now: datetime, /) -> bool:
-        """Leave; whether another process serves in this one's place."""
-        return self._channel is not None and self._channel.handover.drain(now)
+        """Begin to leave. True where a successor serves in this process's place."""
+        return self._channel is not None and self._channel.hot_restart.begin_shutdown(now)
 
     def stop(self) -> None:
-        """Leave the meeting."""
+        """Hand over the rest, and close the channel."""
         if self._channel is not None:
             self._channel.close()
 
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -1,10 +1,9 @@
-"""This process as its handover sees it: the core, with names and times as the other process writes them."""
+"""This process as its hot restart sees it: the core, with keys and times as the other process writes them."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass
-from datetime import datetime
+from collections.abc import Iterator
+from typing import Protocol
 
 from marlstep.core.engine import Core
 from marlstep.core.idempotency import IdempotencyKey, KeyRecord, decode_label, encode_label
@@ -13,82 +12,110 @@
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import instant, instant_us
 
-RESULT_LIMIT = 4 * 1024  # bytes, the most on the platform's wire; in JSON each may take six
+MAX_RESULT_BYTES = 4 * 1024  # the longest on the platform's wire; in JSON each byte may take six
 
 
-@dataclass(slots=True)
-class HostHooks:
-    """What the wiring of the node gives."""
+class NodeCallbacks(Protocol):
+    """What a hot restart has the node do, beyond its core."""
 
-    take_over: Callable[[], None]
-    successor_lost: Callable[[], None]
-    successor_draining: Callable[[], None]
-    limit_resources: Callable[[float], None]
-    connected: Callable[[], float]  # share of the node's connections that are in use here
-    serving_state_changed: Callable[[], None]
+    def accept_connections(self) -> None:
+        """Accept connections from now on, in the place of the predecessor if there is one."""
+
+    def successor_lost(self) -> None:
+        """Start the graceful shutdown if SIGTERM has come: it was a hot restart as long as a successor served."""
+
+    def successor_draining(self) -> None:
+        """Report to the name service that the node drains, if SIGTERM has come here too."""
+
+    def limit_capacity(self, share: float, /) -> None:
+        """Bound this process to a share, 0 to 1, of the node's requests and connections."""
+
+    def connection_share(self) -> float:
+        """Return the share, 0 to 1, of the node's connections that is in use here."""
+
+    def serving_state_changed(self) -> None:
+        """Report to the name service that another process was quiesced or resumed, and the node with it."""
 
 
 class HostAdapter:
-    def __init__(self, core: Core, timeline: TimerQueue, hooks: HostHooks) -> None:
-        self._core, self._timeline, self._hooks = core, timeline, hooks
-        self.take_over = hooks.take_over
-        self.successor_lost = hooks.successor_lost
-        self.successor_draining = hooks.successor_draining
+    """Implements the state machines' `Host` with a core."""
+
+    def __init__(self, core: Core, timeline: TimerQueue, callbacks: NodeCallbacks) -> None:
+        """Change nothing yet; `watch` connects the core."""
+        self._core, self._timeline, self._callbacks = core, timeline, callbacks
+        self.accept_connections = callbacks.accept_connections
+        self.successor_lost = callbacks.successor_lost
+        self.successor_draining = callbacks.successor_draining
+        self.limit_capacity = callbacks.limit_capacity
         self.adopt_measurements = core.adopt_measurements
         self.measurements = core.measurements
-        self.orphan = core.orphan_remote_keys
-        self.serve = core.serving_state.mark_ready
-
-    def watch(self, handover: HotRestart) -> None:
-        """From now on the others hear of each change, and are asked for what they know."""
-        self._core.siblings = handover
-        self._core.idempotency_keys.on_changed = lambda key, known, gone: handover.key_changed(
-            KeyReleased(*key, encode_label(known.request_id, known.digest))
-            if gone
-            else key_status(key, known)
-        )
+        self.mark_outcomes_unknown = core.orphan_remote_keys
+        self.mark_ready = core.serving_state.mark_ready
+
+    def watch(self, hot_restart: HotRestart) -> None:
+        """Have the core ask the other processes about keys, and send them each change of one."""
+
+        def key_changed(key: IdempotencyKey, record: KeyRecord, released: bool) -> None:
+            if released:
+                label = encode_label(record.request_id, record.digest)
+                hot_restart.key_changed(KeyReleased(*key, label))
+            else:
+                hot_restart.key_changed(key_status(key, record))
+
+        self._core.siblings = hot_restart
+        self._core.idempotency_keys.on_changed = key_changed
 
     def wants_traffic(self) -> bool:
+        """Return False while an operator has quiesced the node."""
         return self._core.serving_state.wants_traffic
 
-    def set_wants_traffic(self, wanted: bool) -> None:
-        if wanted is not self._core.serving_state.wants_traffic:
-            (self._core.serving_state.resume if wanted else self._core.serving_state.quiesce)()
-            self._hooks.serving_state_changed()
+    def set_wants_traffic(self, wanted: bool, /) -> None:
+        """Take over a quiesce or a resume from another process of the node."""
+        serving_state = self._core.serving_state
+        if wanted is serving_state.wants_traffic:
+            return
+        if wanted:
+            serving_state.resume()
+        else:
+            serving_state.quiesce()
+        self._callbacks.serving_state_changed()
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        used, need = self._core.memory_and_concurrency_in_use()
-        connected = self._hooks.connected()
-        return max(used, connected), max(need, connected)
-
-    def limit_resources(self, share: float) -> None:
-        self._hooks.limit_resources(share)
+        """Return shares of the node's capacity, 0 to 1: what is in use here, and what all in flight may come to use."""
+        in_use, needed = self._core.memory_and_concurrency_in_use()
+        connections = self._callbacks.connection_share()
+        return max(in_use, connections), max(needed, connections)
 
     def key_statuses(self) -> Iterator[KeyStatus]:
-        return (key_status(key, known) for key, known in self._core.idempotency_keys)
-
-    def key_status(self, kind: str, once: str) -> KeyStatus | None:
-        known = self._core.idempotency_keys.find((kind, once), self._timeline.now())
-        return None if known is None else key_status((kind, once), known)
-
-    def adopt(self, name: KeyStatus) -> None:
-        result = None if name.result is None else name.result.encode("latin-1")
-        until: datetime | None = instant(name.until_us) if name.until_us else None
-        id, digest = decode_label(name.request_id)
+        """Iterate over all idempotency keys that are known at the time of the call."""
+        return (key_status(key, record) for key, record in self._core.idempotency_keys)
+
+    def find_key(self, request_class: str, idempotency_key: str, /) -> KeyStatus | None:
+        """Return what is known of a key; None where a request with it may run."""
+        key = (request_class, idempotency_key)
+        record = self._core.idempotency_keys.find(key, self._timeline.now())
+        return None if record is None else key_status(key, record)
+
+    def adopt_key(self, status: KeyStatus, /) -> None:
+        """Record what another process knows of a key."""
+        result = None if status.result is None else status.result.encode("latin-1")
+        expires_at = instant(status.until_us) if status.until_us else None
+        request_id, digest = decode_label(status.request_id)
         self._core.adopt_remote_key(
-            (name.request_class, name.idempotency_key),
-            KeyRecord(id, until, result, name.finished, digest=digest),
+            (status.request_class, status.idempotency_key),
+            KeyRecord(request_id, expires_at, result, status.finished, digest=digest),
         )
 
-    def forget(self, gone: KeyReleased) -> None:
-        self._core.forget_remote_key(
-            (gone.request_class, gone.idempotency_key), decode_label(gone.request_id)[0]
-        )
+    def release_key(self, released: KeyReleased, /) -> None:
+        """Forget the other process's attempt: it never ran."""
+        request_id, _digest = decode_label(released.request_id)
+        self._core.forget_remote_key((released.request_class, released.idempotency_key), request_id)
 
 
-def key_status(key: IdempotencyKey, known: KeyRecord) -> KeyStatus:
-    """A result that no message holds is left out: a repeat then fails there, and does not run."""
-    until = instant_us(known.expires_at) if known.expires_at else 0
-    short = known.result is not None and len(known.result) <= RESULT_LIMIT
-    result = known.result.decode("latin-1") if known.result is not None and short else None
-    return KeyStatus(*key, encode_label(known.request_id, known.digest), until, result, known.finished)
+def key_status(key: IdempotencyKey, record: KeyRecord) -> KeyStatus:
+    """Return a key as a message. A result that is too long is left out: a retry then fails, and does not run."""
+    expires_at_us = instant_us(record.expires_at) if record.expires_at else 0
+    fits = record.result is not None and len(record.result) <= MAX_RESULT_BYTES
+    result = record.result.decode("latin-1") if record.result is not None and fits else None
+    label = encode_label(record.request_id, record.digest)
+    return KeyStatus(*key, label, expires_at_us, result, record.finished)
--- /dev/null
+++ b/marlstep/hot_restart/successor.py
@@ -0,0 +1,334 @@
+"""This process as the successor: from its start until it serves in the place of its predecessor.
+
+Every process of a node starts here; one that finds no predecessor takes the short way. `TRANSITIONS` is the whole
+state machine, and docs/operations.md shows it. There is no I/O and no clock: messages come in, and time is passed in.
+"""
+
+from __future__ import annotations
+
+import enum
+import logging
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from datetime import datetime
+
+from marlstep.core.interfaces import ClaimCallback, ClaimResult
+from marlstep.hot_restart.interfaces import Host, LostProcessTimeouts, Peer
+from marlstep.hot_restart.key_exchange import (
+    KeyAuthority,
+    OpenClaims,
+    PredecessorEnd,
+    key_authority,
+    outcomes_unknown_until,
+    result_of_open_claims,
+)
+from marlstep.hot_restart.messages import (
+    ClaimRequest,
+    ClaimResponse,
+    GrantShare,
+    Hello,
+    KeyReleased,
+    KeyStatus,
+    Message,
+    PredecessorDone,
+    ServingStateChanged,
+    SnapshotComplete,
+    SuccessorReady,
+)
+from marlstep.hot_restart.resource_sharing import ResourceSharing
+from marlstep.units import SECOND
+
+log = logging.getLogger(__name__)
+
+MEETING_TIMEOUT = 1 * SECOND  # from the connection on, for the predecessor's keys and its grant of capacity
+ACKNOWLEDGE_TIMEOUT = 3 * SECOND  # for the predecessor to acknowledge that this process accepts connections
+
+
+class State(enum.Enum):
+    """How far this process has come."""
+
+    STARTING = "starting"  # no predecessor, and the kernel is not up
+    STANDBY = "standby"  # a predecessor serves; this process accepts no connections
+    ACCEPTING = "accepting"  # accepts connections; the predecessor has not acknowledged it
+    SERVING = "serving"  # health checks say that this process can serve
+
+
+class Event(enum.Enum):
+    """What moves this process on."""
+
+    PREDECESSOR_CONNECTED = "predecessor connected"
+    PREDECESSOR_ENDED = "predecessor ended"
+    MAY_ACCEPT = "may accept connections"  # `may_accept_connections` says so
+    READY_ACKNOWLEDGED = "ready acknowledged"
+    ACKNOWLEDGE_TIMED_OUT = "acknowledge timed out"
+
+
+class Effect(enum.Enum):
+    """What a transition has this process do."""
+
+    NONE = "nothing"
+    ACCEPT_AND_ANNOUNCE = "accept connections, send SuccessorReady"
+    ACCEPT_AND_MARK_READY = "accept connections, report ready"
+    MARK_READY = "report ready"
+
+
+@dataclass(slots=True, frozen=True)
+class Transition:
+    """Where an event leads, and what is done on the way."""
+
+    next_state: State
+    effect: Effect = Effect.NONE
+
+
+# An event that is missing at a state changes nothing, such as a late acknowledgement.
+TRANSITIONS: Mapping[State, Mapping[Event, Transition]] = {
+    State.STARTING: {
+        Event.PREDECESSOR_CONNECTED: Transition(State.STANDBY),
+        Event.MAY_ACCEPT: Transition(State.SERVING, Effect.ACCEPT_AND_MARK_READY),
+    },
+    State.STANDBY: {
+        Event.PREDECESSOR_ENDED: Transition(State.STARTING),
+        Event.MAY_ACCEPT: Transition(State.ACCEPTING, Effect.ACCEPT_AND_ANNOUNCE),
+    },
+    State.ACCEPTING: {
+        Event.READY_ACKNOWLEDGED: Transition(State.SERVING, Effect.MARK_READY),
+        Event.ACKNOWLEDGE_TIMED_OUT: Transition(State.SERVING, Effect.MARK_READY),
+        Event.PREDECESSOR_ENDED: Transition(State.SERVING, Effect.MARK_READY),
+    },
+    State.SERVING: {},
+}
+
+
+def may_accept_connections(
+    *,
+    backend_ready: bool,
+    predecessor_connected: bool,
+    snapshot_complete: bool,
+    capacity_share: float,
+    meeting_timed_out: bool,
+) -> bool:
+    """Decide whether a process that does not accept connections yet may begin to.
+
+    Rule: when its kernel is up, and it has all of the predecessor's keys and a share of the node's capacity.
+    Exception: without a predecessor, or once the predecessor has had `MEETING_TIMEOUT` to send both, the kernel alone
+    decides: a predecessor that hangs must not keep the node from serving.
+
+    Args:
+        backend_ready: the kernel's connection is up.
+        predecessor_connected: an older process of this node is connected and has not ended.
+        snapshot_complete: all keys that the predecessor knew at the beginning have come.
+        capacity_share: this process's limit, 0 to 1 of the node's capacity.
+        meeting_timed_out: `MEETING_TIMEOUT` has passed since the predecessor connected.
+    """
+    if not backend_ready:
+        return False
+    waits_for_nobody = not predecessor_connected or meeting_timed_out
+    has_what_it_needs = snapshot_complete and capacity_share > 0
+    return waits_for_nobody or has_what_it_needs
+
+
+def has_passed(deadline: datetime | None, now: datetime) -> bool:
+    """Return whether there is a deadline, and its time has come."""
+    return deadline is not None and deadline <= now
+
+
+class Successor:
+    """This process's way to serving, and its connection to the predecessor if there is one."""
+
+    def __init__(
+        self,
+        host: Host,
+        sharing: ResourceSharing,
+        timeouts: LostProcessTimeouts,
+        apply_capacity_limit: Callable[[], None],
+    ) -> None:
+        """Begin without a predecessor.
+
+        Args:
+            host: this process.
+            sharing: its part of the node's capacity.
+            timeouts: how long the work of a lost predecessor matters.
+            apply_capacity_limit: bounds this process to what `sharing` allows.
+        """
+        self._host, self._sharing, self._apply_capacity_limit = host, sharing, apply_capacity_limit
+        self.timeouts = timeouts
+        self.state = State.STARTING
+        self._predecessor: Peer | None = None
+        self._predecessor_generation = 0  # 0: not known
+        self._backend_ready = self._snapshot_complete = False
+        self._meeting_deadline: datetime | None = None
+        self._acknowledge_deadline: datetime | None = None
+        self._outcomes_unknown_until: datetime | None = None
+        self._claims = OpenClaims()
+
+    @property
+    def has_predecessor(self) -> bool:
+        """Whether an older process of this node is connected and has not ended."""
+        return self._predecessor is not None
+
+    @property
+    def is_standby(self) -> bool:
+        """Whether a predecessor serves, and this process does not accept connections yet."""
+        return self.state is State.STANDBY
+
+    @property
+    def is_serving(self) -> bool:
+        """Whether health checks say that this process can serve."""
+        return self.state is State.SERVING
+
+    def send(self, message: Message) -> None:
+        """Send a message to the predecessor, if there is one."""
+        if self._predecessor is not None:
+            self._predecessor.send_message(message)
+
+    def backend_became_ready(self, now: datetime) -> None:
+        """Note that the kernel's connection is up."""
+        self._backend_ready = True
+        self.advance(now)
+
+    def predecessor_connected(self, peer: Peer, hello: Hello, now: datetime) -> None:
+        """Introduce this process to its predecessor."""
+        self._predecessor, self._meeting_deadline = peer, now + MEETING_TIMEOUT
+        self._sharing.predecessor_connected()
+        peer.send_message(hello)
+        self._apply_capacity_limit()
+        self._apply(Event.PREDECESSOR_CONNECTED, now)
+
+    def predecessor_lost(self, now: datetime) -> None:
+        """Handle a connection that is cut, or on which something came that can't be trusted."""
+        if self._predecessor is None:
+            return
+        log.warning(
+            "predecessor exited: generation=%d reason=%s keyed_requests_rejected_s=%.1f",
+            self._predecessor_generation,
+            PredecessorEnd.CONNECTION_LOST.value,
+            self.timeouts.retry_window.total_seconds(),
+        )
+        self._sharing.predecessor_lost(now, self.timeouts.termination)
+        self._predecessor_ended(PredecessorEnd.CONNECTION_LOST, now)
+        self.advance(now)
+
+    def predecessor_unreachable(self, now: datetime) -> None:
+        """Handle a process that listens and did not answer: it may live, and run requests with keys."""
+        log.warning(
+            "predecessor unreachable: keyed_requests_rejected_s=%.1f",
+            self.timeouts.retry_window.total_seconds(),
+        )
+        self._outcomes_unknown_until = outcomes_unknown_until(
+            PredecessorEnd.UNREACHABLE, now, self.timeouts.retry_window
+        )
+        if not self.has_predecessor:
+            self._sharing.predecessor_connected()
+            self._sharing.predecessor_lost(now, self.timeouts.termination)
+            self._apply_capacity_limit()
+
+    def handle(self, message: Message, now: datetime) -> None:
+        """Act on a message of the predecessor; `advance` is to be called after it."""
+        match message:
+            case Hello():
+                self._predecessor_generation = message.generation
+                self._host.set_wants_traffic(message.wants_traffic)
+                self._host.adopt_measurements(message.learned_state)
+                log.info("predecessor connected: pid=%d generation=%d", message.pid, message.generation)
+            case KeyStatus():
+                self._host.adopt_key(message)
+            case KeyReleased():
+                self._host.release_key(message)
+            case SnapshotComplete():
+                self._snapshot_complete = True
+            case GrantShare(share):
+                self._sharing.receive(share)
+            case ClaimResponse(number, granted):
+                self._claims.decide(number, granted)
+            case SuccessorReady():
+                self._apply(Event.READY_ACKNOWLEDGED, now)
+            case ServingStateChanged(wants_traffic):
+                self._host.set_wants_traffic(wants_traffic)
+            case PredecessorDone():
+                log.info(
+                    "predecessor exited: generation=%d reason=%s",
+                    self._predecessor_generation,
+                    PredecessorEnd.HANDOVER_COMPLETE.value,
+                )
+                self._sharing.predecessor_done()
+                self._predecessor_ended(PredecessorEnd.HANDOVER_COMPLETE, now)
+
+    def _predecessor_ended(self, end: PredecessorEnd, now: datetime) -> None:
+        self._predecessor = None
+        unknown_until = outcomes_unknown_until(end, now, self.timeouts.retry_window)
+        if unknown_until is not None:
+            self._outcomes_unknown_until = unknown_until
+        self._host.mark_outcomes_unknown(unknown_until or now)
+        self._claims.decide_all(result_of_open_claims(end))
+        self._apply_capacity_limit()
+        self._apply(Event.PREDECESSOR_ENDED, now)
+
+    def claim(
+        self,
+        request_class: str,
+        idempotency_key: str,
+        request_id: str,
+        now: datetime,
+        on_decided: ClaimCallback,
+    ) -> bool:
+        """Ask whether a request may run. False where this process decides; `on_decided` is not called then."""
+        match self.key_authority(now):
+            case KeyAuthority.THIS_PROCESS:
+                return False
+            case KeyAuthority.NOBODY:
+                on_decided(ClaimResult.UNSURE)
+            case KeyAuthority.PREDECESSOR:
+                number = self._claims.add(on_decided)
+                self.send(ClaimRequest(number, request_class, idempotency_key, request_id))
+        return True
+
+    def key_authority(self, now: datetime) -> KeyAuthority:
+        """Return who decides now whether a request with an idempotency key may run here."""
+        return key_authority(
+            predecessor_connected=self.has_predecessor,
+            outcomes_unknown_until=self._outcomes_unknown_until,
+            now=now,
+        )
+
+    def advance(self, now: datetime) -> None:
+        """Take the transitions that are due: called after every message, and at every tick."""
+        self._apply_capacity_limit()
+        if may_accept_connections(
+            backend_ready=self._backend_ready,
+            predecessor_connected=self.has_predecessor,
+            snapshot_complete=self._snapshot_complete,
+            capacity_share=self._sharing.limit,
+            meeting_timed_out=has_passed(self._meeting_deadline, now),
+        ):
+            self._apply(Event.MAY_ACCEPT, now)
+        if has_passed(self._acknowledge_deadline, now):
+            self._apply(Event.ACKNOWLEDGE_TIMED_OUT, now)
+
+    def _apply(self, event: Event, now: datetime) -> None:
+        transition = TRANSITIONS[self.state].get(event)
+        if transition is None:
+            return
+        log.debug(
+            "state changed: from=%s to=%s event=%s",
+            self.state.value,
+            transition.next_state.value,
+            event.value,
+        )
+        self.state = transition.next_state
+        match transition.effect:
+            case Effect.ACCEPT_AND_ANNOUNCE:
+                self._host.accept_connections()
+                self._announce_ready(now)
+            case Effect.ACCEPT_AND_MARK_READY:
+                self._host.accept_connections()
+                self._host.mark_ready()
+            case Effect.MARK_READY:
+                self._host.mark_ready()
+            case Effect.NONE:
+                pass
+
+    def _announce_ready(self, now: datetime) -> None:
+        self._acknowledge_deadline = now + ACKNOWLEDGE_TIMEOUT
+        if self._predecessor is not None:
+            self._predecessor.require_prompt_reads()
+            self._predecessor.send_message(SuccessorReady())
--- a/tests/hot_restart/test_channel.py
+++ b/tests/hot_restart/test_channel.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from marlstep.core.interfaces import ResponseStatus
-from marlstep.hot_restart import channel
+from marlstep.hot_restart import discovery
 from marlstep.hot_restart.channel import RestartChannel
 from marlstep.units import MILLISECOND
 from tests.hot_restart.test_restart import WAIT, WINDOW, Process
@@ -34,9 +34,9 @@
 
 
 async def open_channel(folder: Path, process: Process) -> RestartChannel:
-    opened = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.handover)
+    opened = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.hot_restart)
     assert not await opened.open()
-    process.handover.backend_ready(process.desk.clock.now())
+    process.hot_restart.backend_ready(process.desk.clock.now())
     return opened
 
 
@@ -47,10 +47,10 @@
     # Guards against a second run: the predecessor may live, and has told this process none of its keys.
     async def run() -> None:
         clock = HandClock()
-        predecessor = RestartChannel(tmp_path, "n1", clock.timeline, lambda _: Process(clock, 1).handover)
+        predecessor = RestartChannel(tmp_path, "n1", clock.timeline, lambda _: Process(clock, 1).hot_restart)
         with contextlib.ExitStack() as stack:
             if cause == "the dial times out":
-                monkeypatch.setattr(channel, "CONNECT_TIMEOUT_S", 0.0)
+                monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.0)
                 await predecessor.open()
                 stack.callback(predecessor.close)
             else:
@@ -61,13 +61,13 @@
             process.desk.submit(2, "setpoint-cmd")
             assert process.desk.verdicts(1) == [ResponseStatus.REJECTED]
             assert process.desk.backend.told == [("start", "r2")]
-            assert process.handover.sharing.limit == 0.5
+            assert process.hot_restart.sharing.limit == 0.5
             process.desk.end(2)
             clock.advance(max(WAIT, WINDOW) / MILLISECOND)
-            process.handover.tick(clock.now())
+            process.hot_restart.tick(clock.now())
             process.desk.submit(3, "setpoint-cmd", idempotency_key="k")
             assert process.desk.backend.told == [("start", "r2"), ("start", "r3")]
-            assert process.handover.sharing.limit == 1.0
+            assert process.hot_restart.sharing.limit == 1.0
 
     uvloop.run(run())
 
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -17,15 +17,19 @@
 from marlstep.core.interfaces import ResponseStatus, Stage
 from marlstep.core.serving_state import ServingPhase
 from marlstep.hot_restart import messages
-from marlstep.hot_restart.host_adapter import HostAdapter, HostHooks
+from marlstep.hot_restart.host_adapter import HostAdapter
+from marlstep.hot_restart.interfaces import LostProcessTimeouts
+from marlstep.hot_restart.key_exchange import KeyAuthority
 from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_DRAINING_SHARE, ResourceSharing
-from marlstep.hot_restart.restart import ACKNOWLEDGE_TIMEOUT, MEETING_TIMEOUT, HotRestart
+from marlstep.hot_restart.restart import HotRestart
+from marlstep.hot_restart.successor import ACKNOWLEDGE_TIMEOUT, MEETING_TIMEOUT
 from marlstep.net.ring import Ring
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
 from tests.support.node import SETTINGS, START, Desk, HandClock
 
 WAIT, WINDOW = 7 * SECOND, 11 * SECOND
+TIMEOUTS = LostProcessTimeouts(termination=WAIT, retry_window=WINDOW)
 CLASSES = [dict(row) for row in SETTINGS["classes"]]
 CLASSES[1].update(semantics="deduplicated")
 CASES = {"schedule-save": "keyed", "setpoint-cmd": "unsafe"}
@@ -39,11 +43,11 @@
         self.ring = Ring(2 * messages.MAX_MESSAGE_BYTES)
         self.closed = False
 
-    def send(self, message: messages.Message) -> None:
+    def send_message(self, message: messages.Message) -> None:
         if not self.closed:
             self.data += messages.write(message)
 
-    def be_prompt(self) -> None:
+    def require_prompt_reads(self) -> None:
         pass
 
     def close(self) -> None:
@@ -56,24 +60,33 @@
         self.opened = self.lost = self.told = False
         self.connected = 0.0
         self.bounds: list[float] = []
-        hooks = HostHooks(
-            take_over=lambda: setattr(self, "opened", True),
-            successor_lost=lambda: setattr(self, "lost", True),
-            successor_draining=lambda: setattr(self, "told", True),
-            limit_resources=self._bound,
-            connected=lambda: self.connected,
-            serving_state_changed=lambda: None,
-        )
-        beside = HostAdapter(self.desk.core, clock.timeline, hooks)
-        self.handover = HotRestart(beside, generation, generation, WAIT, WINDOW)
-        beside.watch(self.handover)
+        adapter = HostAdapter(self.desk.core, clock.timeline, self)
+        self.hot_restart = HotRestart(adapter, generation, generation, TIMEOUTS)
+        adapter.watch(self.hot_restart)
         self.dead = False
         self.rights = dict[str, tuple[str, str]]()  # id to the work it names
 
-    def _bound(self, share: float) -> None:
+    # As `NodeCallbacks`.
+
+    def accept_connections(self) -> None:
+        self.opened = True
+
+    def successor_lost(self) -> None:
+        self.lost = True
+
+    def successor_draining(self) -> None:
+        self.told = True
+
+    def limit_capacity(self, share: float) -> None:
         self.bounds.append(share)
         self.desk.core.set_capacity_share(share, 1000)
 
+    def connection_share(self) -> float:
+        return self.connected
+
+    def serving_state_changed(self) -> None:
+        pass
+
 
 class Pair:
     """An elder that serves, and a younger that comes."""
@@ -81,16 +94,16 @@
     def __init__(self) -> None:
         self.clock = HandClock()
         self.elder = Process(self.clock, 1)
-        self.elder.handover.backend_ready(self.clock.now())
+        self.elder.hot_restart.backend_ready(self.clock.now())
         self.younger = Process(self.clock, 2)
         self.up, self.down = Pipe(), Pipe()  # to the elder, to the younger
         self.cut = False
         self.number = 0
 
     def meet(self, backend_ready: bool = True) -> None:
-        self.younger.handover.meet_predecessor(self.up, self.clock.now())
+        self.younger.hot_restart.predecessor_connected(self.up, self.clock.now())
         if backend_ready:
-            self.younger.handover.backend_ready(self.clock.now())
+            self.younger.hot_restart.backend_ready(self.clock.now())
 
     def deliver(self, up: bool, most: int = 1 << 20) -> None:
         """The next so many bytes of one way, to whoever lives there."""
@@ -100,18 +113,18 @@
         while not self.cut and (message := messages.read(pipe.ring)) is not None:
             if not up:
                 if not self.younger.dead:
-                    self.younger.handover.handle_predecessor_message(message, now)
+                    self.younger.hot_restart.handle_predecessor_message(message, now)
             elif not self.elder.dead:
                 if isinstance(message, messages.Hello):
-                    self.elder.handover.meet_successor(self.down, message)
+                    self.elder.hot_restart.successor_connected(self.down, message, now)
                 else:
-                    self.elder.handover.handle_successor_message(message, now)
+                    self.elder.hot_restart.handle_successor_message(message, now)
         self.clock.settle()
 
     def settle(self, ms: int = 0) -> None:
         for _ in range(max(1, ms // 20)):
             for process in self.living:
-                process.handover.tick(self.clock.now())
+                process.hot_restart.tick(self.clock.now())
             for _ in range(4):
                 self.deliver(True)
                 self.deliver(False)
@@ -133,9 +146,9 @@
         for pipe in (self.up, self.down):
             pipe.close()
         if not self.elder.dead:
-            self.elder.handover.successor_lost(self.clock.now())
+            self.elder.hot_restart.successor_lost(self.clock.now())
         if not self.younger.dead:
-            self.younger.handover.predecessor_lost(self.clock.now())
+            self.younger.hot_restart.predecessor_lost(self.clock.now())
         self.clock.settle()
 
     def submit(self, process: Process, kind: str, once: str | None) -> int:
@@ -158,20 +171,22 @@
     pair = Pair()
     pair.meet()
     pair.settle(100)
-    assert pair.younger.opened and pair.elder.handover.has_successor
+    assert pair.younger.opened and pair.elder.hot_restart.has_serving_successor
     return pair
 
 
 def test_a_lone_process_serves_at_once_with_all_the_room() -> None:
     process = Process(HandClock(), 1)
     assert process.desk.core.serving_state.phase.value == "starting"
-    process.handover.backend_ready(START)
+    process.hot_restart.backend_ready(START)
     assert (
         process.opened
         and process.desk.core.serving_state.phase is ServingPhase.SERVING
-        and process.handover.idle
+        and process.hot_restart.is_idle
     )
-    assert not process.handover.drain(START) and not process.bounds  # SIGTERM is the notice to leave
+    assert (
+        not process.hot_restart.begin_shutdown(START) and not process.bounds
+    )  # SIGTERM is the notice to leave
 
 
 def test_the_younger_says_yes_only_after_the_elder_knows_that_it_takes_connections() -> None:
@@ -180,12 +195,14 @@
     pair.meet(backend_ready=False)
     pair.settle(40)
     assert not pair.younger.opened  # it has all but its kernel
-    pair.younger.handover.backend_ready(pair.clock.now())
+    pair.younger.hot_restart.backend_ready(pair.clock.now())
     assert pair.younger.opened and not pair.younger.desk.core.serving_state.can_serve
-    assert not pair.elder.handover.drain(pair.clock.now())
+    assert not pair.elder.hot_restart.begin_shutdown(pair.clock.now())
     pair.deliver(True)
     pair.deliver(False)
-    assert pair.younger.desk.core.serving_state.can_serve and pair.elder.handover.drain(pair.clock.now())
+    assert pair.younger.desk.core.serving_state.can_serve and pair.elder.hot_restart.begin_shutdown(
+        pair.clock.now()
+    )
 
 
 def test_an_elder_that_hangs_delays_its_successor_for_four_seconds_at_most() -> None:
@@ -194,7 +211,7 @@
     for span in (MEETING_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
         assert not pair.younger.desk.core.serving_state.can_serve
         pair.clock.advance(span / MILLISECOND)
-        pair.younger.handover.tick(pair.clock.now())
+        pair.younger.hot_restart.tick(pair.clock.now())
     assert pair.younger.opened and pair.younger.desk.core.serving_state.can_serve
 
 
@@ -203,18 +220,18 @@
     pair.elder.connected = 0.9
     pair.meet()
     pair.settle(40)
-    shares = [process.handover.sharing.owned_share for process in pair.living]
-    assert shares[1] == pytest.approx(0.1) and pair.elder.handover.sharing.limit == HALF_SHARE
+    shares = [process.hot_restart.sharing.owned_share for process in pair.living]
+    assert shares[1] == pytest.approx(0.1) and pair.elder.hot_restart.sharing.limit == HALF_SHARE
     pair.elder.connected = 0.3
     pair.settle(40)
-    assert pair.younger.handover.sharing.limit == pytest.approx(HALF_SHARE)
-    assert pair.elder.handover.drain(pair.clock.now())
+    assert pair.younger.hot_restart.sharing.limit == pytest.approx(HALF_SHARE)
+    assert pair.elder.hot_restart.begin_shutdown(pair.clock.now())
     pair.elder.connected = 0.0
     pair.settle(40)
-    assert pair.younger.handover.sharing.limit == pytest.approx(FULL_SHARE - MIN_DRAINING_SHARE)
-    pair.elder.handover.done()
+    assert pair.younger.hot_restart.sharing.limit == pytest.approx(FULL_SHARE - MIN_DRAINING_SHARE)
+    pair.elder.hot_restart.finish()
     pair.settle()
-    assert pair.younger.handover.sharing.limit == FULL_SHARE and pair.younger.handover.idle
+    assert pair.younger.hot_restart.sharing.limit == FULL_SHARE and pair.younger.hot_restart.is_idle
     assert pair.younger.desk.core._controller.state.portion == FULL_SHARE
 
 
@@ -252,28 +269,28 @@
 
 def test_if_the_successor_dies_the_notice_to_leave_counts_from_then() -> None:
     pair = ready_pair()
-    assert pair.elder.handover.drain(pair.clock.now())
+    assert pair.elder.hot_restart.begin_shutdown(pair.clock.now())
     pair.kill(pair.younger)
-    assert pair.elder.lost and not pair.elder.handover.has_successor
+    assert pair.elder.lost and not pair.elder.hot_restart.has_serving_successor
     # What the dead one ran may still be on the cores, so its share comes back later.
-    assert pair.elder.handover.sharing.limit == pytest.approx(MIN_DRAINING_SHARE)
+    assert pair.elder.hot_restart.sharing.limit == pytest.approx(MIN_DRAINING_SHARE)
     pair.clock.advance(WAIT / MILLISECOND)
-    pair.elder.handover.tick(pair.clock.now())
-    assert pair.elder.handover.sharing.limit == FULL_SHARE
+    pair.elder.hot_restart.tick(pair.clock.now())
+    assert pair.elder.hot_restart.sharing.limit == FULL_SHARE
 
 
 @pytest.mark.parametrize("first", ["elder", "younger"])
 def test_an_elder_whose_successor_leaves_as_well_takes_nothing_up_again(first: str) -> None:
     # Guards against an elder that accepts anew, and for a whole grace, when a successor that was told to leave ends.
     pair = ready_pair()
-    younger, elder = pair.younger.handover, pair.elder.handover
+    younger, elder = pair.younger.hot_restart, pair.elder.hot_restart
     if first == "elder":
-        assert elder.drain(pair.clock.now())
-    assert not younger.drain(pair.clock.now())
+        assert elder.begin_shutdown(pair.clock.now())
+    assert not younger.begin_shutdown(pair.clock.now())
     pair.settle()
-    assert pair.elder.told and not elder.has_successor
+    assert pair.elder.told and not elder.has_serving_successor
     if first == "younger":
-        assert not elder.drain(pair.clock.now())  # the notice to the node, as nobody comes after
+        assert not elder.begin_shutdown(pair.clock.now())  # the notice to the node, as nobody comes after
     pair.kill(pair.younger)
     assert not pair.elder.lost
 
@@ -281,22 +298,22 @@
 def test_after_new_settings_a_lost_process_is_waited_for_as_long_as_the_longest_of_both_say() -> None:
     # Guards against named work that is run twice: the window in which it may come again was that of the start.
     pair = ready_pair()
-    pair.younger.handover.set_timeouts(WAIT / 2, 3 * WINDOW)
+    pair.younger.hot_restart.set_timeouts(LostProcessTimeouts(WAIT / 2, 3 * WINDOW))
     pair.kill(pair.elder)
     pair.clock.advance(WAIT / MILLISECOND - 100)
-    pair.younger.handover.tick(pair.clock.now())
-    assert pair.younger.handover.sharing.limit == HALF_SHARE
+    pair.younger.hot_restart.tick(pair.clock.now())
+    assert pair.younger.hot_restart.sharing.limit == HALF_SHARE
     pair.clock.advance(2 * WINDOW / MILLISECOND)
-    assert pair.younger.handover.unsure(pair.clock.now())
-    pair.younger.handover.set_timeouts(WAIT, WINDOW)
+    assert pair.younger.hot_restart.key_authority(pair.clock.now()) is KeyAuthority.NOBODY
+    pair.younger.hot_restart.set_timeouts(TIMEOUTS)
     pair.clock.advance(WINDOW / MILLISECOND)
-    assert not pair.younger.handover.unsure(pair.clock.now())
+    assert pair.younger.hot_restart.key_authority(pair.clock.now()) is KeyAuthority.THIS_PROCESS
 
 
 def test_a_third_start_is_sent_on_to_the_second() -> None:
     pair = ready_pair()
     pipe = Pipe()
-    assert not pair.elder.handover.meet_successor(pipe, messages.Hello(3, 3))
+    assert not pair.elder.hot_restart.successor_connected(pipe, messages.Hello(3, 3), pair.clock.now())
     pipe.ring.put(bytes(pipe.data))
     hello = messages.read(pipe.ring)
     assert isinstance(hello, messages.Hello) and hello.successor_generation == 2 and not hello.learned_state
@@ -318,7 +335,7 @@
     core = pair.younger.desk.core
     assert not core.healthy and core.serving_state.can_serve
     core.serving_state.resume()
-    pair.younger.handover.serving_state_changed(True)
+    pair.younger.hot_restart.serving_state_changed(True)
     pair.settle()
     assert pair.elder.desk.core.healthy
 
@@ -448,7 +465,7 @@
     pair.elder.desk.end(ran)
     waiting = pair.submit(pair.younger, "setpoint-cmd", "m")
     pair.up.data.clear()
-    pair.elder.handover.done()
+    pair.elder.hot_restart.finish()
     pair.settle()
     pair.kill(pair.elder)
     assert ("start", f"r{waiting}") in pair.younger.desk.backend.told
@@ -462,19 +479,19 @@
         whole.submit(whole.elder, "setpoint-cmd", f"k{number}")
     whole.meet()
     whole.deliver(True)
-    whole.elder.handover.tick(whole.clock.now())
+    whole.elder.hot_restart.tick(whole.clock.now())
     for at in range(len(whole.down.data) + 1):
         pair = Pair()
         for number in range(3):
             pair.submit(pair.elder, "setpoint-cmd", f"k{number}")
         pair.meet()
         pair.deliver(True)
-        pair.elder.handover.tick(pair.clock.now())
+        pair.elder.hot_restart.tick(pair.clock.now())
         pair.down.data = pair.down.data[:at]
         pair.kill(pair.elder)
-        pair.younger.handover.tick(pair.clock.now())
+        pair.younger.hot_restart.tick(pair.clock.now())
         assert pair.younger.desk.core.serving_state.can_serve and pair.younger.opened
-        assert 0 < pair.younger.handover.sharing.limit <= HALF_SHARE
+        assert 0 < pair.younger.hot_restart.sharing.limit <= HALF_SHARE
         for number in range(3):
             with contextlib.suppress(RequestRejectedError):
                 pair.submit(pair.younger, "setpoint-cmd", f"k{number}")
@@ -534,12 +551,12 @@
                         process.rights.pop(request.id, None)  # it proves that the work may come again
                     core.run_ended(request.id, choice, SECOND, b"result")
             case "tick":
-                process.handover.tick(self.clock.now())
+                process.hot_restart.tick(self.clock.now())
             case "connected" if process is self.elder or process.opened:
                 # A process opens none beyond its bound; what is open already may stay above it.
-                most = process.handover.sharing.limit
+                most = process.hot_restart.sharing.limit
                 process.connected = min(number / 10, max(most, process.connected))
-            case "leave" if process.handover.drain(self.clock.now()):
+            case "leave" if process.hot_restart.begin_shutdown(self.clock.now()):
                 core.begin_hand_over(self.clock.now() + 3700 * MILLISECOND)
         self.clock.settle()
         self.check()
@@ -547,7 +564,7 @@
     def check(self) -> None:
         if self.met and len(self.living) == 2:
             in_use = 0 if self.cut else 1  # after a cut each can do no more than bound itself
-            used = [max(one.handover.sharing.limit, in_use * one.connected) for one in self.living]
+            used = [max(one.hot_restart.sharing.limit, in_use * one.connected) for one in self.living]
             assert sum(used) <= FULL_SHARE + 1e-6
         starts = self.starts()
         assert all(count <= 1 for count in starts.values()), starts
@@ -667,7 +684,7 @@
     with pytest.raises(messages.CorruptError, match="no frame of this version"):
         messages.read(ring)
     pair = Pair()
-    pair.elder.handover.unknown_process_connected(pair.clock.now())
-    pair.younger.handover.sharing.predecessor_connected()
-    pair.younger.handover.sharing.predecessor_lost(pair.clock.now(), WAIT)
-    assert pair.elder.handover.sharing.limit + pair.younger.handover.sharing.limit == FULL_SHARE
+    pair.elder.hot_restart.unknown_process_connected(pair.clock.now())
+    pair.younger.hot_restart.sharing.predecessor_connected()
+    pair.younger.hot_restart.sharing.predecessor_lost(pair.clock.now(), WAIT)
+    assert pair.elder.hot_restart.sharing.limit + pair.younger.hot_restart.sharing.limit == FULL_SHARE
