--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -49,7 +49,7 @@
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
         """Connect to the other processes; the one that serves, if any, is known from then on."""
-        if config.folder is None:
+        if config.runtime_directory is None:
             log.warning("hot restart disabled: reason=TMPDIR_not_set")
             return
         core, timeline = self._host.core, self._host.timeline
@@ -58,7 +58,9 @@
         def make_hot_restart(generation: int) -> HotRestart:
             return HotRestart(adapter, generation, os.getpid(), self._lost_process_timeouts())
 
-        channel = self._channel = RestartChannel(config.folder, config.name, timeline, make_hot_restart)
+        channel = self._channel = RestartChannel(
+            config.runtime_directory, config.name, timeline, make_hot_restart
+        )
         core.on_backend_ready = lambda: channel.hot_restart.backend_ready(timeline.now())
         self.has_predecessor_serving = await channel.open()
         adapter.watch(channel.hot_restart)
--- a/marlstep/hot_restart/connection.py
+++ b/marlstep/hot_restart/connection.py
@@ -53,17 +53,17 @@
         self._requires_prompt_reads = False
         self.hello_received = False
 
-    def made(self) -> None:
+    def opened(self) -> None:
         """Duplicate the socket, for writing."""
         assert self._transport is not None
         self._socket = socket.socket(fileno=os.dup(self._transport.get_extra_info("socket").fileno()))
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         """Give back the duplicate."""
         self._close_duplicate()
         self._handler.connection_lost(self)
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         """Handle all messages that are complete; close at the end of the stream, and where it is corrupt."""
         try:
             while (message := read(self.inbox)) is not None:
@@ -75,7 +75,7 @@
             if not self.hello_received:
                 self._handler.unknown_process_connected(self)
             self.close()
-        if self.at_end:
+        if self.at_eof:
             self.close()
 
     def send_message(self, message: Message) -> None:
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -49,7 +49,7 @@
         self.limit_capacity = callbacks.limit_capacity
         self.adopt_measurements = core.adopt_measurements
         self.measurements = core.measurements
-        self.mark_outcomes_unknown = core.orphan_remote_keys
+        self.mark_outcomes_unknown = core.mark_remote_outcomes_unknown
         self.mark_ready = core.serving_state.mark_ready
 
     def watch(self, hot_restart: HotRestart) -> None:
@@ -92,7 +92,7 @@
 
     def find_key(self, request_class: str, idempotency_key: str, /) -> KeyStatus | None:
         """Return what is known of a key; None where a request with it may run."""
-        key = (request_class, idempotency_key)
+        key = IdempotencyKey(request_class, idempotency_key)
         record = self._core.idempotency_keys.find(key, self._timeline.now())
         return None if record is None else key_status(key, record)
 
@@ -102,14 +102,15 @@
         expires_at = instant(status.until_us) if status.until_us else None
         request_id, digest = decode_label(status.request_id)
         self._core.adopt_remote_key(
-            (status.request_class, status.idempotency_key),
+            IdempotencyKey(status.request_class, status.idempotency_key),
             KeyRecord(request_id, expires_at, result, status.finished, digest=digest),
         )
 
     def release_key(self, released: KeyReleased, /) -> None:
         """Forget the other process's attempt: it never ran."""
         request_id, _digest = decode_label(released.request_id)
-        self._core.forget_remote_key((released.request_class, released.idempotency_key), request_id)
+        key = IdempotencyKey(released.request_class, released.idempotency_key)
+        self._core.forget_remote_key(key, request_id)
 
 
 def key_status(key: IdempotencyKey, record: KeyRecord) -> KeyStatus:
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -26,10 +26,10 @@
 log = logging.getLogger(__name__)
 
 ENDS = {
-    "FULL": Outcome.FULL,
+    "FULL": Outcome.REJECTED,
     "FAIL": Outcome.ERROR,
     "TIMEOUT": Outcome.TIMEOUT,
-    "NONE": Outcome.MOOT,
+    "NONE": Outcome.NOT_STARTED,
 }
 RING_SIZE = 16 * 1024
 LINE_LIMIT = 256
@@ -64,22 +64,22 @@
         self._database = database
         self._spoilt = False  # more came than belongs to its call: good for this one reply, and no more
 
-    def made(self) -> None:
+    def opened(self) -> None:
         self._database.connection_opened(self)
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self._database.connection_lost(self)
 
     def body_length(self, words: list[str]) -> int | None:
         return parse_length(words[2], BODY_LIMIT) if len(words) == 3 and words[1] == "ROWS" else None
 
-    def received(self) -> None:
+    def data_received(self) -> None:
         served = self.call is not None
-        super().received()
+        super().data_received()
         if self.call is not None:
             return
         # Looked at when all that came together is read: what is there beside its reply belongs to nobody.
-        if served and self.connected and not (self._spoilt or self.partial or self.at_end):
+        if served and self.connected and not (self._spoilt or self.partial or self.at_eof):
             self._database.return_to_pool(self)
         else:
             self.abort()
@@ -125,7 +125,9 @@
 
     def call(self, request: Request, until: datetime) -> None:
         self.abandon_call(request)
-        call = _Call(request.id, request.call_body, until, request.class_settings.effect is not Effect.SAFE)
+        call = _Call(
+            request.id, request.call_body, until, request.class_settings.effect is not Effect.IDEMPOTENT
+        )
         late = partial(self._timed_out, call)
         call.deadline = self._timeline.at(until + LATE, lambda: self._timeline.after_reading(late))
         self._calls[call.id] = call
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -29,7 +29,7 @@
     "complete": Outcome.OK,
     "error": Outcome.ERROR,
     "cancelled": Outcome.CANCELLED,
-    "unknown": Outcome.MOOT,
+    "unknown": Outcome.NOT_STARTED,
 }
 RING_SIZE = 256 * 1024
 LINE_LIMIT = 8 * 1024
@@ -67,10 +67,10 @@
         self.booted = False  # the kernel has answered on it
         self._kernel = kernel
 
-    def made(self) -> None:
+    def opened(self) -> None:
         self._kernel.connection_opened(self)
 
-    def lost(self) -> None:
+    def closed(self) -> None:
         self._kernel.connection_lost(self)
 
     def body_length(self, words: list[str]) -> int | None:
@@ -263,7 +263,7 @@
         self._read_by_kernel(asked)
         if command == "SCHED":
             self._confirm(id)
-            self._sink().run_ended(id, Outcome.MOOT, ZERO)
+            self._sink().run_ended(id, Outcome.NOT_STARTED, ZERO)
         elif command in ("RESCHED", "IODONE", "NOIO"):
             self._confirm(id)
             self._sink().run_ended(id, Outcome.ERROR, ZERO)
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import RequestRejectedError
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus, Stage
 from marlstep.core.serving_state import ServingPhase
 from marlstep.hot_restart import messages
@@ -331,7 +331,7 @@
     learnt = pair.younger.desk.core._controller
     assert learnt.state.statistics.mean_run_us["temp-history"] == 300_000.0
     assert learnt.state.call_latency.usual_us == 9_000.0
-    assert 1.0 <= learnt.parts.concurrency.limit <= learnt.state.concurrency
+    assert 1.0 <= learnt.parts.concurrency.limit <= learnt.state.max_concurrency
     core = pair.younger.desk.core
     assert not core.healthy and core.serving_state.can_serve
     core.serving_state.resume()
@@ -426,7 +426,7 @@
     pair = ready_pair()
     first = pair.submit(pair.elder, "setpoint-cmd", "k")
     pair.settle()
-    pair.elder.desk.end(first, Outcome.MOOT)
+    pair.elder.desk.end(first, Outcome.NOT_STARTED)
     pair.settle()
     pair.submit(pair.younger, "setpoint-cmd", "k")
     pair.settle()
@@ -544,10 +544,10 @@
                     self.submit(process, choice, once)
                     self.read.append((process, self.number))
             case "end":
-                live = [one for one in core._requests if one.started and one.stage is not Stage.PAUSED]
+                live = [one for one in core._requests if one.may_have_run and one.stage is not Stage.PAUSED]
                 if live:
                     request = live[number % len(live)]
-                    if choice.never_ran and not request.worked:
+                    if choice.never_ran and not request.known_to_have_run:
                         process.rights.pop(request.id, None)  # it proves that the work may come again
                     core.run_ended(request.id, choice, SECOND, b"result")
             case "tick":
