--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -105,7 +105,7 @@
     def on_message_complete(self) -> None:
         if self._answered:
             return  # refused already, or a second call behind the first: one to a connection
-        self._surface.proven(self)
+        self._surface.connections.mark_proven(self)
         method = self._parser.get_method().decode("latin-1")
         path = self._url.decode("latin-1").split("?", 1)[0]
         try:
@@ -136,13 +136,13 @@
 
     # What the listener asks for.
 
-    def send_response(self, number: int, answer: Response) -> None:
+    def send_response(self, number: int, response: Response) -> None:
         """No request of the core comes from here."""
 
-    def peer_closed(self) -> None:
+    def cancel_requests(self) -> None:
         """Nothing is open here for long."""
 
-    def read_timed_out(self) -> None:
+    def timed_out(self) -> None:
         self._refuse(Problem(408, "no whole call came in time"))
         self.finish()
 
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -30,7 +30,7 @@
         pool_of=(lambda _: "")
         if uwsgi is None
         else (lambda request_class: uwsgi.front.pool_of(request_class)),
-        class_variable="" if uwsgi is None else uwsgi.front.mapped.kind,
+        class_variable="" if uwsgi is None else uwsgi.front.mapping.class_variable,
         seed=config.seed,
         documents=documents,
     )
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -57,7 +57,7 @@
         if config.uwsgi is not None:
             self.upstream.set_plans(config.uwsgi.pools)
             self.front.pool_of = partial(pool_of, config.uwsgi.pools)
-            self.front.mapped = config.uwsgi.mapped
+            self.front.mapping = config.uwsgi.mapped
 
     def stop(self) -> None:
         """Close the connections to servers."""
--- a/marlstep/config/node.py
+++ b/marlstep/config/node.py
@@ -316,16 +316,16 @@
         listen=address(raw, "listen", "uwsgi.listen"),
         pools=_pools(raw, kinds),
         mapped=UwsgiMapping(
-            kind=word(names, "class", "uwsgi.vars.class"),
-            classes={said: kind(classes, said, f"uwsgi.classes.{said}") for said in classes},
+            class_variable=word(names, "class", "uwsgi.vars.class"),
+            class_names={said: kind(classes, said, f"uwsgi.classes.{said}") for said in classes},
             default_class=kind(raw, "default_class", "uwsgi.default_class")
             if "default_class" in raw
             else None,
-            id=named("id"),
-            retry=named("retry"),
-            cost=named("cost"),
-            tenant=named("tenant"),
-            kb=number(raw, "held_kb", "uwsgi.held_kb", 0.1, 2000, 16.0),
+            idempotency_key_variable=named("id"),
+            retry_variable=named("retry"),
+            cost_variable=named("cost"),
+            tenant_variable=named("tenant"),
+            memory_kb=number(raw, "held_kb", "uwsgi.held_kb", 0.1, 2000, 16.0),
         ),
         body_limit=whole(raw, "max_body", "uwsgi.max_body", 0, 1 << 20, 64 * 1024),
         response_limit=whole(raw, "max_response", "uwsgi.max_response", 256, 1 << 22, 256 * 1024),
--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -1,8 +1,8 @@
-"""What every front has: a listening socket, a table of connections, and rules for when they end.
+"""What all frontends share: a listening socket, its connections, and the timers that bound how long each may stay.
 
-A connection that has brought nothing whole yet, or is inside a message, or does not take its answers, is
-given `patience`. One on which nothing is open and nothing comes is quiet: it is closed after the idle time,
-or sooner where the table fills, the one that has been quiet for longest first.
+`connection_policy.py` has the rules, `connection_table.py` the connections; here they meet the sockets. The life of a
+connection is `opened`, `data_received` any number of times, `closed`; in between its timers may call `timed_out` or
+`close_idle`, and the frontend `drain`.
 """
 
 from __future__ import annotations
@@ -14,232 +14,290 @@
 from datetime import timedelta
 
 from marlstep.core.engine import Core
-from marlstep.core.interfaces import Response, ResponseHandle
+from marlstep.core.interfaces import Backend, InboundRequest, Response, ResponseHandle
+from marlstep.frontends import connection_policy
+from marlstep.frontends.connection_table import ConnectionTable
 from marlstep.net.stream import RingStream
-from marlstep.slots import SlotTable, TableFullError
+from marlstep.slots import TableFullError
 from marlstep.timer_queue import Timer, TimerQueue
-from marlstep.units import MILLISECOND, SECOND
 
 log = logging.getLogger(__name__)
 
-LINGER_TIME = 2 * SECOND  # for the last of what was sent to be taken
-CROWDED_SHARE = 0.75  # of the table; from there on quiet connections make room
-UNPROVEN_SHARE = 0.25  # of the table, for connections that have brought nothing whole yet
-MIN_UNPROVEN_AGE = 100 * MILLISECOND  # such a one stays for so long, if there is any room at all
-PASSED_BACKLOG = 4096  # others listen on that socket too: it must not shrink what they asked for
-MIN_SWEEP_INTERVAL = 50 * MILLISECOND  # between two looks for connections that are idle
+LISTEN_BACKLOG = 512  # connections that the system queues before they are accepted
+PASSED_BACKLOG = 4096  # other processes listen on a passed socket too: theirs must not shrink
+REJECTIONS_PER_LOG_LINE = 100  # rejected connections; the first of each hundred is logged
 
 
 class Connection(RingStream):
-    """A front end's connection. It has a slot in its front's table from `opened` to `closed`."""
+    """A connection of a frontend. It has a slot in the frontend's table from `opened` to `closed`."""
 
     def __init__(self, listener: Listener, ring_size: int) -> None:
+        """`ring_size` is the size of the inbox and of the outbox, in bytes each."""
         super().__init__(ring_size)
         self.listener = listener
         self.handle = 0
-        now = listener.timeline.now()
-        self.since = self.last_received = now
-        self._watch: Timer | None = None
-        self._linger: Timer | None = None
+        self.opened_at = self.idle_since = listener.timeline.now()
+        self._progress_timer: Timer | None = None
+        self._close_timer: Timer | None = None
 
     def opened(self) -> None:
+        """Take a slot in the table, or abort."""
         if self.listener.accept(self):
-            self.await_more()
+            self.start_progress_timer()
         else:
             self.abort()
 
     def closed(self) -> None:
+        """Give the slot back, and cancel what is open: nobody can take the responses."""
         timeline = self.listener.timeline
-        timeline.cancel(self._watch)
-        timeline.cancel(self._linger)
-        if self.listener.release(self):
-            self.peer_closed()
-
-    def await_more(self) -> None:
-        """Something has to come, or to be taken, before the listener's patience is over."""
-        if self._watch is None and self.listener.read_timeout:
+        timeline.cancel(self._progress_timer)
+        timeline.cancel(self._close_timer)
+        if self.listener.connections.remove(self):
+            self.cancel_requests()
+
+    def start_progress_timer(self) -> None:
+        """Give the peer the read timeout to send, or to read, what the connection waits for."""
+        if self._progress_timer is None and self.listener.read_timeout:
             timeline = self.listener.timeline
             due = timeline.now() + self.listener.read_timeout
-            watch = self._watch = timeline.at(
-                due, lambda: timeline.after_reading(lambda: self._timed_out(watch))
+            timer = self._progress_timer = timeline.at(
+                due, lambda: timeline.after_reading(lambda: self._progress_timed_out(timer))
             )
 
-    def request_completed(self) -> None:
-        """What was waited for has come."""
-        if self._watch is not None:
-            self.listener.timeline.cancel(self._watch)
-            self._watch = None
+    def stop_progress_timer(self) -> None:
+        """Note that the peer did what the connection waited for."""
+        if self._progress_timer is not None:
+            self.listener.timeline.cancel(self._progress_timer)
+            self._progress_timer = None
 
-    def _timed_out(self, watch: Timer) -> None:
-        if self._watch is not watch:
-            return  # what it waited for has come just now
-        self._watch = None
+    def _progress_timed_out(self, timer: Timer) -> None:
+        if self._progress_timer is not timer:
+            return  # what the connection waited for has come in the same turn
+        self._progress_timer = None
         if not self.connected:
             return
-        if self.send_blocked:  # for all this time the peer took nothing of what it was sent
-            log.warning("connection cut off: its peer takes no answers")
+        if self.send_blocked:
+            log.warning("connection aborted: reason=peer_does_not_read")
             self.abort()
         else:
-            self.read_timed_out()
+            self.timed_out()
 
     def finish(self) -> None:
-        """As for any stream, but a peer that does not take what is left is cut off in the end."""
-        if self._linger is None and self.connected:
+        """Read no more and close once all is sent; abort where the peer does not take it within CLOSE_TIMEOUT."""
+        if self._close_timer is None and self.connected:
             timeline = self.listener.timeline
-            self._linger = timeline.at(timeline.now() + LINGER_TIME, self.abort)
+            due = timeline.now() + connection_policy.CLOSE_TIMEOUT
+            self._close_timer = timeline.at(due, self.abort)
         super().finish()
 
-    # What a front gives.
+    # For subclasses to implement.
 
-    def send_response(self, number: int, answer: Response) -> None:
+    def send_response(self, number: int, response: Response) -> None:
+        """Send the response to the request that the connection submitted under this number."""
         raise NotImplementedError
 
-    def peer_closed(self) -> None:
-        """The connection is lost: nobody can take the answers to what is open there."""
+    def cancel_requests(self) -> None:
+        """Cancel all requests that are open: the connection has closed."""
         raise NotImplementedError
 
-    def read_timed_out(self) -> None:
-        """Nothing whole came in time."""
+    def timed_out(self) -> None:
+        """Handle a read timeout: no complete message came in time."""
         raise NotImplementedError
 
-    def idle(self) -> None:
-        """It was quiet for the front's idle time, or has to make room."""
+    def close_idle(self) -> None:
+        """Close a connection that was idle for too long, or has to make room for another."""
 
     def drain(self) -> None:
-        """The front takes nothing new."""
+        """Accept nothing new on this connection: the frontend is closing."""
         raise NotImplementedError
 
 
+class RequestConnection(Connection):
+    """A connection that submits requests to the core, each under a number of the connection's own."""
+
+    def __init__(self, frontend: RequestListener, ring_size: int) -> None:
+        """`ring_size` is the size of the inbox and of the outbox, in bytes each."""
+        super().__init__(frontend, ring_size)
+        self._core, self._backend = frontend.core, frontend.backend
+        self._request_handles: dict[int, int] = {}  # of the open requests, by number
+
+    def submit(self, number: int, inbound: InboundRequest) -> None:
+        """Submit a request. Raises RequestRejectedError."""
+        self._request_handles[number] = self._core.submit(
+            self.listener, (self.handle, number), self._backend, inbound
+        )
+
+    def cancel_request(self, number: int) -> bool:
+        """Cancel one request, to which no response is owed any more; False where it is not open."""
+        handle = self._request_handles.pop(number, None)
+        if handle is not None:
+            self._core.client_disconnected(handle)
+        return handle is not None
+
+    def cancel_requests(self) -> None:
+        """Cancel all open requests."""
+        for handle in self._request_handles.values():
+            self._core.client_disconnected(handle)
+        self._request_handles.clear()
+
+
 class Listener:
+    """A frontend's listening socket, and the connections that it accepted."""
+
     def __init__(
         self,
         core: Core,
         timeline: TimerQueue,
         limit: int,
-        patience: timedelta,
-        idle_after: timedelta = timedelta(0),
+        read_timeout: timedelta,
+        idle_timeout: timedelta = timedelta(0),
     ) -> None:
+        """Make a frontend that does not listen yet.
+
+        Args:
+            core: takes the requests.
+            timeline: the timers of all connections.
+            limit: of the connections at a time.
+            read_timeout: for the peer to send a complete message or to read its responses; 0 for no limit.
+            idle_timeout: after which an idle connection is closed; 0 for no limit.
+        """
         self.core = core
         self.timeline = timeline
-        self.connections: SlotTable[Connection] = SlotTable(limit)
-        self.capacity = limit  # of the table, what may be used: less while two processes share the node
-        self.read_timeout = patience
-        self.idle_after = idle_after
+        self.connections: ConnectionTable[Connection] = ConnectionTable(limit)
+        self.read_timeout = read_timeout
+        self.idle_timeout = idle_timeout
         self.draining = False
-        self.port = 0  # where 0 was asked for, the one the system gave
-        self._new: dict[int, Connection] = {}  # have brought nothing whole yet, the first come first
-        self._quiet: dict[int, Connection] = {}  # the one that was heard longest ago first
-        self._sweep: Timer | None = None
+        self.port = 0  # once it listens, the one that the system chose where 0 was configured
+        self._idle_sweep: Timer | None = None
         self._rejected_connections = 0
         self._server: asyncio.Server | None = None
 
     def make(self) -> Connection:
+        """Make a connection for a peer that has connected."""
         raise NotImplementedError
 
     @property
     def listening(self) -> bool:
+        """Whether new connections are accepted."""
         return self._server is not None and self._server.is_serving()
 
     async def listen(self, address: tuple[str, int], passed: int | None = None, shared: bool = False) -> None:
-        """Take connections at the address, or at the listening socket that was passed to this process.
+        """Accept connections. Raises OSError.
 
-        A shared address may have a listener in each of two processes.
+        Args:
+            address: host and port.
+            passed: the descriptor of a listening socket that this process was started with, to use in its place.
+            shared: whether another process may listen on the address at the same time.
         """
         host, port = address
         loop = asyncio.get_running_loop()
         if passed is None:
             self._server = await loop.create_server(
-                self.make, host, port, backlog=512, reuse_address=True, reuse_port=shared
+                self.make, host, port, backlog=LISTEN_BACKLOG, reuse_address=True, reuse_port=shared
             )
         else:
-            # A copy: closing it ends the listening here alone, and it can be taken up again.
-            copy = socket.socket(fileno=os.dup(passed))
-            self._server = await loop.create_server(self.make, sock=copy, backlog=PASSED_BACKLOG)
+            # A duplicate: closing it ends the listening here alone, and this process can listen again.
+            duplicate = socket.socket(fileno=os.dup(passed))
+            self._server = await loop.create_server(self.make, sock=duplicate, backlog=PASSED_BACKLOG)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
-    # The table.
+    # The connections.
 
     def accept(self, connection: Connection) -> bool:
-        table = self.connections
-        if len(table) >= CROWDED_SHARE * self.capacity and self._quiet:
-            next(iter(self._quiet.values())).idle()
-        if len(self._new) >= UNPROVEN_SHARE * self.capacity:
-            oldest = next(iter(self._new.values()))
-            if len(table) >= self.capacity - 1 or oldest.since + MIN_UNPROVEN_AGE <= self.timeline.now():
-                oldest.abort()
+        """Enter a new connection in the table, closing another where the policy says so; False if there is no slot."""
+        self._make_room()
         try:
-            if len(table) >= self.capacity:
-                raise TableFullError("the part of the table that is this process's")
-            connection.handle = table.add(connection)
+            self.connections.add(connection)
         except TableFullError:
-            if self._rejected_connections % 100 == 0:
+            if self._rejected_connections % REJECTIONS_PER_LOG_LINE == 0:
                 log.warning(
-                    "connections turned away: the table is full (%d so far)", self._rejected_connections + 1
+                    "connections rejected: reason=table_full capacity=%d rejected=%d",
+                    self.connections.capacity,
+                    self._rejected_connections + 1,
                 )
             self._rejected_connections += 1
             return False
-        self._new[connection.handle] = connection
         return True
 
-    def release(self, connection: Connection) -> bool:
-        """The one place where a connection's slot is given back; False where it had none."""
-        if self.connections.get(connection.handle) is not connection:
-            return False
-        self._new.pop(connection.handle, None)
-        self._quiet.pop(connection.handle, None)
-        return self.connections.free(connection.handle)
-
-    def is_new(self, connection: Connection) -> bool:
-        return connection.handle in self._new
-
-    def proven(self, connection: Connection) -> None:
-        """It has brought something whole."""
-        self._new.pop(connection.handle, None)
-
-    def busy(self, connection: Connection) -> None:
-        self._quiet.pop(connection.handle, None)
-
-    def quiet(self, connection: Connection) -> None:
-        """Nothing is open there any more."""
-        self._quiet.pop(connection.handle, None)
-        self._quiet[connection.handle] = connection
-        connection.last_received = self.timeline.now()
-        if self._sweep is None:
-            self._sweep_later()
-
-    def _sweep_later(self) -> None:
-        self.timeline.cancel(self._sweep)
-        self._sweep = None
-        if self._quiet and self.idle_after:
-            first = next(iter(self._quiet.values())).last_received + self.idle_after
-            least = self.timeline.now() + MIN_SWEEP_INTERVAL
-            self._sweep = self.timeline.at(max(first, least), self._sweep_idle)
-
-    def _sweep_idle(self) -> None:
+    def _make_room(self) -> None:
+        connections = self.connections
+        idle = connections.longest_idle()
+        if idle is not None and connection_policy.evicts_idle_connection(
+            len(connections), connections.capacity
+        ):
+            idle.close_idle()
+        oldest = connections.oldest_unproven()
+        if oldest is not None and connection_policy.evicts_unproven_connection(
+            len(connections),
+            connections.unproven_count,
+            self.timeline.now() - oldest.opened_at,
+            connections.capacity,
+        ):
+            oldest.abort()
+
+    def mark_idle(self, connection: Connection) -> None:
+        """Note that nothing is open on a connection from now on."""
+        self.connections.mark_idle(connection, self.timeline.now())
+        if self._idle_sweep is None:
+            self._schedule_idle_sweep()
+
+    def _schedule_idle_sweep(self) -> None:
+        self.timeline.cancel(self._idle_sweep)
+        self._idle_sweep = None
+        longest_idle = self.connections.longest_idle()
+        if longest_idle is not None and self.idle_timeout:
+            due = connection_policy.next_idle_sweep_at(
+                longest_idle.idle_since, self.idle_timeout, self.timeline.now()
+            )
+            self._idle_sweep = self.timeline.at(due, self._close_idle_connections)
+
+    def _close_idle_connections(self) -> None:
         now = self.timeline.now()
-        for connection in list(self._quiet.values()):
-            if connection.last_received + self.idle_after > now:
+        for connection in self.connections.idle_connections():
+            if not connection_policy.is_idle_too_long(connection.idle_since, self.idle_timeout, now):
                 break
-            connection.idle()
-        self._sweep_later()
-
-    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
-        handle, number = ticket
-        connection = self.connections.get(handle)
-        if connection is not None:
-            connection.send_response(number, answer)
+            connection.close_idle()
+        self._schedule_idle_sweep()
 
     def limit_idle_time(self, after: timedelta) -> None:
-        self.idle_after = after
-        self._sweep_later()
+        """Close connections that are idle for longer; 0 for no limit."""
+        self.idle_timeout = after
+        self._schedule_idle_sweep()
 
-    def accept_again(self) -> None:
-        """Who was to take what is new is gone. `listen` follows."""
-        self.draining = False
+    # The core's side.
+
+    def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
+        """Send a response, unless its connection has closed."""
+        handle, number = response_handle
+        connection = self.connections.get(handle)
+        if connection is not None:
+            connection.send_response(number, response)
 
     def stop_accepting(self) -> None:
+        """Close the listening socket, and drain all connections."""
         self.draining = True
         if self._server is not None:
             self._server.close()
         for connection in self.connections:
             connection.drain()
+
+    def accept_again(self) -> None:
+        """Undo `stop_accepting`; `listen` follows."""
+        self.draining = False
+
+
+class RequestListener(Listener):
+    """A frontend whose connections submit requests to the core."""
+
+    def __init__(
+        self,
+        core: Core,
+        timeline: TimerQueue,
+        backend: Backend,
+        limit: int,
+        read_timeout: timedelta,
+        idle_timeout: timedelta = timedelta(0),
+    ) -> None:
+        """As a Listener; `backend` runs the requests."""
+        super().__init__(core, timeline, limit, read_timeout, idle_timeout)
+        self.backend = backend
--- /dev/null
+++ b/marlstep/frontends/rejection_log.py
@@ -0,0 +1,36 @@
+"""Log lines about what clients sent wrong, limited in number: clients that misbehave come by the hundred."""
+
+from __future__ import annotations
+
+import logging
+from datetime import datetime
+
+from marlstep.units import SECOND
+
+log = logging.getLogger(__name__)
+
+MAX_LINES_PER_SECOND = 5
+PERIOD = SECOND
+
+
+class RejectionLog:
+    """Writes the first lines of each second, and the number of those that it left out."""
+
+    def __init__(self, now: datetime) -> None:
+        """Begin the first period now."""
+        self._period_start = now
+        self._in_period = 0
+
+    def write(self, event: str, reason: str, now: datetime) -> None:
+        """Log a rejection, unless too many were logged in this second."""
+        if now - self._period_start >= PERIOD:
+            self._begin_period(now)
+        self._in_period += 1
+        if self._in_period <= MAX_LINES_PER_SECOND:
+            log.warning("%s: reason=%s", event, reason)
+
+    def _begin_period(self, now: datetime) -> None:
+        left_out = self._in_period - MAX_LINES_PER_SECOND
+        if left_out > 0:
+            log.warning("rejections not logged: count=%d", left_out)
+        self._in_period, self._period_start = 0, now
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -1,305 +1,231 @@
-"""The front for the platform: frames to requests, answers to frames.
+"""The platform's frontend: commands to requests, responses to frames, on connections that carry many at a time.
 
-What is bad gets a stated answer. A frame that can be read but asks for what can't be had (an unknown class,
-a field that is wrong, over 32 open) is answered `error`, and the connection goes on. Where the frames can't
-be told apart any more, or a tag comes again, what is open there is answered, and the connection is closed; a
-tag that was whole by then is answered `error` as well. So it goes with who keeps asking for what can't be
-had, and with a frame that does not come whole in time.
+`resp_wire.py` and `resp_commands.py` read the bytes, `resp_fields.py` the fields, and `resp_policy.py` states when a
+connection is read no further and closed. This module has the connections and what they keep.
 """
 
 from __future__ import annotations
 
-import logging
-import math
+from collections.abc import Mapping
 from datetime import timedelta
 
 from marlstep.core.engine import Core, RequestRejectedError
-from marlstep.core.idempotency import body_digest
-from marlstep.core.interfaces import Backend, InboundRequest, Response, ResponseStatus
-from marlstep.frontends.base import Connection, Listener
-from marlstep.frontends.resp_wire import (
-    FrameReader,
-    MalformedFrameError,
-    read_fields,
-    read_tag,
-    write_fields,
-    write_frame,
+from marlstep.core.interfaces import Backend, Response, ResponseStatus
+from marlstep.errors import RemoteProtocolError
+from marlstep.frontends import resp_policy
+from marlstep.frontends.base import RequestConnection, RequestListener
+from marlstep.frontends.errors import FrameFault, MalformedFrameError
+from marlstep.frontends.rejection_log import RejectionLog
+from marlstep.frontends.resp_commands import (
+    AliveCommand,
+    Command,
+    ExecCommand,
+    ForgetCommand,
+    UnknownCommand,
+    parse_command,
 )
+from marlstep.frontends.resp_fields import advertised_fields, read_request, response_fields
+from marlstep.frontends.resp_tags import TagTracker
+from marlstep.frontends.resp_wire import FrameReader, write_fields, write_frame
 from marlstep.timer_queue import TimerQueue
-from marlstep.units import EPOCH, MILLISECOND, SECOND, whole_ms
-
-log = logging.getLogger(__name__)
-
-RING_SIZE = 4 * 1024  # a frame is read word by word, and the longest word holds 2 KiB
-READ_TIMEOUT = 1.5 * SECOND  # for a frame to come whole, the first one from the connect
-MAX_COMPLAINTS_PER_SECOND = 5  # in the log a second
-MAX_FAULTS = 8  # frames that ask for what can't be had, before the connection is closed on
-MAX_OPEN_REQUESTS = 32  # requests on one connection
-MAX_TAGS_AHEAD = 1024  # tags remembered out of order; one who jumps about more breaks the protocol
-CLOSE_DELAY = 200 * MILLISECOND  # a peer that was told of the close has crossed it by then, or is cut off
-STATUS_WORDS = {
-    ResponseStatus.DONE: b"done",
-    ResponseStatus.REJECTED: b"later",
-    ResponseStatus.FAILED: b"error",
-    ResponseStatus.EXPIRED: b"error",
-}
-
-
-def read_request(kind: bytes, fields: bytes, body: bytes) -> InboundRequest:
-    """A request out of its words; raises ValueError that names what is wrong."""
-    table = read_fields(fields)
-    id = table.get("id", "")
-    if len(id) != 16 or not all(digit in "0123456789abcdef" for digit in id):
-        raise ValueError("id is not 16 hex digits")
-    at = table.get("at", "")
-    if not at.isdigit() or len(at) > 14:
-        raise ValueError("at is no time in milliseconds")
-    key, once = table.get("key"), table.get("once")
-    return InboundRequest(
-        id=id,
-        request_class=kind.decode("ascii"),
-        body=body,
-        arrived_at=EPOCH + int(at) * MILLISECOND,
-        memory_kb=_number(table, "kb", above=0, below=2000),
-        caller=int(_number(table, "from", default=0, below=1e9)),
-        is_retry=table.get("retry") == "1",
-        cost_hint=_number(table, "cost", below=1e9) * MILLISECOND if "cost" in table else None,
-        rank=_number(table, "rank", default=0, below=1),
-        tenant=table.get("tenant"),
-        entity=int(key, 16) >> 11 if key else None,
-        idempotency_key=once,
-        digest=body_digest(body) if once else "",
-    )
-
-
-def _number(
-    table: dict[str, str], name: str, default: float | None = None, above: float = -1, below: float = math.inf
-) -> float:
-    text = table.get(name)
-    if text is None and default is not None:
-        return default
-    try:
-        value = float(text or "")
-    except ValueError:
-        raise ValueError(f"{name} is no number") from None
-    if not above < value < below or value < 0:
-        raise ValueError(f"{name} is out of range")
-    return value
-
-
-class TagTracker:
-    """Which tags a connection has used: all up to one, and a few beyond."""
-
-    def __init__(self) -> None:
-        self._upto = 0
-        self._beyond: set[int] = set()
-
-    def take(self, tag: int) -> bool:
-        """False where the tag was used before, or where too many lie out of order."""
-        if tag <= self._upto or tag in self._beyond or len(self._beyond) >= MAX_TAGS_AHEAD:
-            return False
-        self._beyond.add(tag)
-        while self._upto + 1 in self._beyond:
-            self._upto += 1
-            self._beyond.remove(self._upto)
-        return True
-
-    def taken(self, tag: int) -> bool:
-        return tag <= self._upto or tag in self._beyond
-
-
-class RespConnection(Connection):
-    def __init__(self, front: RespFrontend) -> None:
-        super().__init__(front, RING_SIZE)
-        self.frontend = front
+
+RING_SIZE = 4 * 1024  # bytes; a frame is read word by word, and the longest word has 2 KiB
+ERROR_WORD = resp_policy.STATUS_WORDS[ResponseStatus.FAILED]
+HEALTHY_WORD, UNHEALTHY_WORD = b"healthy", b"sick"
+CLOSING_FRAME = write_frame(b"0", b"closing")  # the peer is to send nothing more on this connection
+
+
+class RespConnection(RequestConnection):
+    """A connection of the platform. The number of a request is its tag."""
+
+    def __init__(self, frontend: RespFrontend) -> None:
+        """Start before the first frame."""
+        super().__init__(frontend, RING_SIZE)
+        self.frontend = frontend
         self._frames = FrameReader()
         self._tags = TagTracker()
-        self._open: dict[int, int] = {}  # tag to request
-        self._draining = False  # the peer was told to send nothing new here
-        self._broken = False  # what the peer sends can't be told apart any more
-        self._faults = 0
+        self._closing_announced = False  # the peer was asked to send nothing more here
+        self._malformed = False  # the stream can't be divided into frames any more
+        self._invalid_requests = 0
 
     def opened(self) -> None:
+        """Take a slot in the table; announce the closing at once where the frontend accepts nothing new."""
         super().opened()
         if self.frontend.draining:
             self.drain()
 
     def data_received(self) -> None:
-        taken = False
-        while not self._broken and not self.send_blocked:
+        """Serve all frames that are complete."""
+        has_read_frame = False
+        while not self._malformed and not self.send_blocked:
             try:
-                frame = self._frames.next(self.inbox)
-            except MalformedFrameError as fault:
-                self._malformed(fault)
-                return
-            if frame is None:
-                break
-            taken = True
-            self._take_frame(frame)
-        if self._broken:
+                words = self._frames.next(self.inbox)
+                if words is None:
+                    break
+                has_read_frame = True
+                self._handle(parse_command(words))
+            except MalformedFrameError as error:
+                self._reject_stream(error)
+        if self._malformed:
             self.inbox.skip(self.inbox.used)
         else:
-            self._note_progress(taken)
-        if not self._open and self._read_remaining:
+            self._update_progress(has_read_frame)
+        if not self._request_handles and self._has_read_everything:
             self.finish()
 
     @property
-    def _read_remaining(self) -> bool:
-        """The peer sends no more. Where it took no answers, requests of its may lie here unread: they come first."""
-        return self.at_eof and not self.send_blocked
-
-    def _note_progress(self, taken: bool) -> None:
-        if taken:
-            self.frontend.proven(self)
-        if taken or not self._waits:
-            self.request_completed()
-        if self._waits:
-            self.await_more()
-        if self._open:
-            self.frontend.busy(self)
-        elif taken:
-            self.frontend.quiet(self)
+    def _has_read_everything(self) -> bool:
+        return resp_policy.has_read_everything(self.at_eof, self.send_blocked)
 
     @property
-    def _waits(self) -> bool:
-        """Something has to come, or to be taken, before this connection can go on."""
-        return self.send_blocked or self.inbox.used > 0 or self._frames.inside or self.frontend.is_new(self)
-
-    def _take_frame(self, frame: list[bytes]) -> None:
-        tag = read_tag(frame[1]) if len(frame) > 1 else None
-        if frame[0] == b"FORGET" and tag is not None and len(frame) == 2:
-            self._handle_forget(tag)
-        elif tag is None or not self._tags.take(tag):
-            self._malformed(MalformedFrameError("no tag, or one that came before", None))
-        elif frame[0] == b"ALIVE" and len(frame) <= 3:
-            self._send_frame(tag, b"healthy" if self.frontend.core.healthy else b"sick", {}, b"")
-        elif frame[0] == b"EXEC" and 4 <= len(frame) <= 5:
-            self._handle_exec(tag, frame[2], frame[3], frame[4] if len(frame) == 5 else b"")
-        else:
-            self._fail(tag, "unknown command")
-
-    def _handle_exec(self, tag: int, kind: bytes, fields: bytes, body: bytes) -> None:
-        if len(self._open) >= MAX_OPEN_REQUESTS:
-            self._fail(tag, f"over {MAX_OPEN_REQUESTS} open")
+    def _waits_for_peer(self) -> bool:
+        return resp_policy.waits_for_peer(
+            self.send_blocked,
+            self.inbox.used,
+            self._frames.inside,
+            self.frontend.connections.is_unproven(self),
+        )
+
+    def _update_progress(self, has_read_frame: bool) -> None:
+        """Restart the progress timer where a frame has come, and note whether the connection is idle."""
+        if has_read_frame:
+            self.frontend.connections.mark_proven(self)
+        waits_for_peer = self._waits_for_peer
+        if has_read_frame or not waits_for_peer:
+            self.stop_progress_timer()
+        if waits_for_peer:
+            self.start_progress_timer()
+        if self._request_handles:
+            self.frontend.connections.mark_busy(self)
+        elif has_read_frame:
+            self.frontend.mark_idle(self)
+
+    # Commands.
+
+    def _handle(self, command: Command) -> None:
+        """Carry out a command. Raises MalformedFrameError where its tag was used before."""
+        if isinstance(command, ForgetCommand):
+            self._forget(command)
+            return
+        if not self._tags.take(command.tag):
+            raise MalformedFrameError(FrameFault.REPEATED_TAG, str(command.tag))
+        match command:
+            case ExecCommand():
+                self._exec(command)
+            case AliveCommand(tag):
+                word = HEALTHY_WORD if self.frontend.core.healthy else UNHEALTHY_WORD
+                self._send_frame(tag, word, advertised_fields(self.frontend.core.advertised_value), b"")
+            case UnknownCommand(tag):
+                self._reject_request(tag, "unknown command")
+
+    def _exec(self, command: ExecCommand) -> None:
+        if not resp_policy.accepts_another_request(len(self._request_handles)):
+            self._reject_request(command.tag, f"over {resp_policy.MAX_OPEN_REQUESTS} open requests")
             return
         try:
-            offer = read_request(kind, fields, body)
-            self._open[tag] = self.frontend.core.submit(
-                self.frontend, (self.handle, tag), self.frontend.backend, offer
-            )
-        except (ValueError, OverflowError, RequestRejectedError) as fault:
-            self._fail(tag, str(fault))
-
-    def _handle_forget(self, tag: int) -> None:
-        """The peer stopped waiting: no answer is owed. It may have crossed the answer."""
-        if (handle := self._open.pop(tag, None)) is not None:
-            self.frontend.core.client_disconnected(handle)
-        elif not self._tags.taken(tag):
-            self._fault("taken back before it came")
-
-    def _fail(self, tag: int, why: str) -> None:
-        self._send_frame(tag, STATUS_WORDS[ResponseStatus.FAILED], {}, b"")
-        self._fault(why)
-
-    def _fault(self, why: str) -> None:
-        self.frontend.log_rejected("request refused unread", why)
-        self._faults += 1
-        if self._faults == MAX_FAULTS and not self._broken:
-            self._malformed(MalformedFrameError(f"{MAX_FAULTS} requests that can't be taken", None))
-
-    def _malformed(self, fault: MalformedFrameError) -> None:
-        self.frontend.log_rejected("malformed", str(fault))
-        if fault.tag is not None and self._tags.take(fault.tag):
-            self._fail(fault.tag, str(fault))
-        self._broken = True
+            self.submit(command.tag, read_request(command.request_class, command.fields, command.body))
+        except (RemoteProtocolError, RequestRejectedError) as error:
+            self._reject_request(command.tag, str(error))
+
+    def _forget(self, command: ForgetCommand) -> None:
+        """Cancel a request whose client stopped waiting. The command may have crossed the response."""
+        was_open = self.cancel_request(command.tag)
+        if not was_open and not self._tags.is_used(command.tag):
+            self._count_invalid_request("FORGET of a tag that was never used")
+
+    def _reject_request(self, tag: int, reason: str) -> None:
+        self._send_frame(tag, ERROR_WORD, advertised_fields(self.frontend.core.advertised_value), b"")
+        self._count_invalid_request(reason)
+
+    def _count_invalid_request(self, reason: str) -> None:
+        self.frontend.log_rejection("request rejected", reason)
+        self._invalid_requests += 1
+        if resp_policy.is_misused(self._invalid_requests) and not self._malformed:
+            self._reject_stream(MalformedFrameError(FrameFault.INVALID_REQUESTS, str(self._invalid_requests)))
+
+    def _reject_stream(self, error: MalformedFrameError) -> None:
+        """Read no more here; close once all that is open is responded to."""
+        self.frontend.log_rejection("malformed frame", str(error))
+        if error.tag is not None and self._tags.take(error.tag):
+            self._reject_request(error.tag, str(error))
+        self._malformed = True
         self.inbox.skip(self.inbox.used)
         self.drain()
 
-    def send_response(self, number: int, answer: Response) -> None:
-        self._open.pop(number, None)
-        fields: dict[str, str] = {}
-        if answer.status is ResponseStatus.REJECTED:
-            if answer.retry_after:
-                fields["after"] = str(whole_ms(answer.retry_after))
-            if answer.no_failover:
-                fields["last"] = "1"
-        self._send_frame(number, STATUS_WORDS[answer.status], fields, answer.body)
+    # Responses.
+
+    def send_response(self, number: int, response: Response) -> None:
+        """Send the response on its tag; close after the last one where nothing more can be read."""
+        self._request_handles.pop(number, None)
+        fields = response_fields(response, self.frontend.core.advertised_value)
+        self._send_frame(number, resp_policy.STATUS_WORDS[response.status], fields, response.body)
         if self.send_blocked:
-            self.await_more()
-        if not self._open:
-            if self._broken or self._read_remaining:
+            self.start_progress_timer()
+        if not self._request_handles:
+            if resp_policy.closes_after_last_response(self._malformed, self._has_read_everything):
                 self.finish()
             else:
-                self.frontend.quiet(self)
+                self.frontend.mark_idle(self)
 
-    def _send_frame(self, tag: int, word: bytes, fields: dict[str, str], body: bytes) -> None:
-        if self.frontend.core.advertised_value is not None:
-            fields = {"say": f"{self.frontend.core.advertised_value:.4f}", **fields}
+    def _send_frame(self, tag: int, word: bytes, fields: Mapping[str, str], body: bytes) -> None:
         self.send(write_frame(b"%d" % tag, word, write_fields(fields), body))
 
-    def peer_closed(self) -> None:
-        for handle in self._open.values():
-            self.frontend.core.client_disconnected(handle)
-        self._open.clear()
+    # How a connection ends.
 
-    def read_timed_out(self) -> None:
-        if self._waits:
-            self._malformed(MalformedFrameError("no whole frame in time", None))
+    def timed_out(self) -> None:
+        """Treat a frame that is not complete in time as a malformed one."""
+        if self._waits_for_peer:
+            self._reject_stream(MalformedFrameError(FrameFault.TIMEOUT, None))
 
-    def idle(self) -> None:
-        self.frontend.busy(self)  # told once
-        if not self._open:
+    def close_idle(self) -> None:
+        """Announce the closing, unless a request has come. It is done once for each time that it is idle."""
+        self.frontend.connections.mark_busy(self)
+        if not self._request_handles:
             self.drain()
 
     def drain(self) -> None:
-        """Tell the peer to send nothing more here. It closes when all is answered, or is closed on later."""
-        if self._broken and not self._open:
-            self._send_closing()
+        """Ask the peer to send nothing more here; close when all is responded to."""
+        if not self._closing_announced:
+            self.send(CLOSING_FRAME)
+        if self._malformed and not self._request_handles:
             self.finish()
-        elif not self._draining:
-            self._send_closing()
-            self._schedule_abort()
-        self._draining = True
-
-    def _send_closing(self) -> None:
-        if not self._draining:
-            self.send(write_frame(b"0", b"closing"))
+        elif not self._closing_announced:
+            self._schedule_close()
+        self._closing_announced = True
 
-    def _schedule_abort(self) -> None:
+    def _schedule_close(self) -> None:
         timeline = self.frontend.timeline
-        timeline.at(timeline.now() + CLOSE_DELAY, lambda: timeline.after_reading(self._abort_after_close))
-
-    def _abort_after_close(self) -> None:
-        """The peer should have closed. What crossed our word is still read and answered.
-
-        A frame that is not whole yet is waited for as ever: no longer than the listener's patience.
-        """
-        unread = not self._broken and (self.send_blocked or self.inbox.used > 0 or self._frames.inside)
-        if self.connected and (self._open or unread):
-            self._schedule_abort()
+        due = timeline.now() + resp_policy.CLOSE_DELAY
+        timeline.at(due, lambda: timeline.after_reading(self._close_unless_postponed))
+
+    def _close_unless_postponed(self) -> None:
+        """Close; by now the peer should have done so."""
+        if resp_policy.postpones_close(
+            self.connected,
+            len(self._request_handles),
+            self._malformed,
+            self.send_blocked,
+            incomplete_input=self.inbox.used > 0 or self._frames.inside,
+        ):
+            self._schedule_close()
         else:
             self.finish()
 
 
-class RespFrontend(Listener):
+class RespFrontend(RequestListener):
+    """The frontend for the platform."""
+
     def __init__(
-        self, core: Core, timeline: TimerQueue, backend: Backend, limit: int, idle_after: timedelta
+        self, core: Core, timeline: TimerQueue, backend: Backend, limit: int, idle_timeout: timedelta
     ) -> None:
-        super().__init__(core, timeline, limit, READ_TIMEOUT, idle_after)
-        self.backend = backend
-        self._complaints = 0
-        self._complaints_since = timeline.now()
+        """Make a frontend that does not listen yet; `limit` bounds its connections."""
+        super().__init__(core, timeline, backend, limit, resp_policy.READ_TIMEOUT, idle_timeout)
+        self._rejection_log = RejectionLog(timeline.now())
 
     def make(self) -> RespConnection:
+        """Make a connection for a peer that has connected."""
         return RespConnection(self)
 
-    def log_rejected(self, what: str, why: str) -> None:
-        """Into the log, but only the first few of a second: bad clients come by the hundred."""
-        now = self.timeline.now()
-        if now - self._complaints_since >= SECOND:
-            if self._complaints > MAX_COMPLAINTS_PER_SECOND:
-                log.warning("and %d more bad requests", self._complaints - MAX_COMPLAINTS_PER_SECOND)
-            self._complaints, self._complaints_since = 0, now
-        self._complaints += 1
-        if self._complaints <= MAX_COMPLAINTS_PER_SECOND:
-            log.warning("%s: %s", what, why)
+    def log_rejection(self, event: str, reason: str) -> None:
+        """Log what a client sent wrong; only the first few lines of a second are written."""
+        self._rejection_log.write(event, reason, self.timeline.now())
--- /dev/null
+++ b/marlstep/frontends/resp_fields.py
@@ -0,0 +1,159 @@
+"""The fields of frames on the platform's wire, each mapped once: wire name, field in this program, reader, bounds.
+
+The names on the wire stay on the wire. Behind `read_request` and `response_fields` there are only the names of
+`InboundRequest` and `Response`.
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from datetime import datetime, timedelta
+from typing import Any
+
+from marlstep.core.idempotency import body_digest
+from marlstep.core.interfaces import InboundRequest, Response, ResponseStatus
+from marlstep.frontends.errors import InvalidFieldError
+from marlstep.frontends.resp_wire import read_fields
+from marlstep.units import EPOCH, MILLISECOND, whole_ms
+
+MAX_TIME_DIGITS = 14  # of a time in milliseconds since the Unix epoch
+MAX_MEMORY_KB = 2000.0  # exclusive
+MAX_COST_MS = 1e9  # exclusive
+MAX_CALLER = 1e9  # exclusive
+MAX_RANK = 1.0  # exclusive
+ENTITY_SHIFT_BITS = 11  # the lower bits of a key number the parts of one entity
+REQUEST_ID = re.compile("[0-9a-f]{16}")
+
+FieldReader = Callable[[str, str], object]  # wire name and text to value; raises InvalidFieldError
+
+
+def _read_id(name: str, text: str) -> str:
+    if REQUEST_ID.fullmatch(text) is None:
+        raise InvalidFieldError(name, "16 hexadecimal digits", text)
+    return text
+
+
+def _read_time(name: str, text: str) -> datetime:
+    if not text.isdigit() or len(text) > MAX_TIME_DIGITS:
+        raise InvalidFieldError(name, "a time in milliseconds", text)
+    return EPOCH + int(text) * MILLISECOND
+
+
+def _number(below: float, above: float = -1.0) -> Callable[[str, str], float]:
+    """Make a reader of numbers that are at least 0, over `above` and under `below`."""
+    expected = f"a number from {max(above, 0.0):g} to {below:g}"
+
+    def read(name: str, text: str) -> float:
+        try:
+            value = float(text)
+        except ValueError:
+            raise InvalidFieldError(name, "a number", text) from None
+        if above < value < below and value >= 0:  # NaN is in no range
+            return value
+        raise InvalidFieldError(name, expected, text)
+
+    return read
+
+
+_read_caller_number = _number(below=MAX_CALLER)
+_read_cost_ms = _number(below=MAX_COST_MS)
+
+
+def _read_caller(name: str, text: str) -> int:
+    return int(_read_caller_number(name, text))
+
+
+def _read_cost(name: str, text: str) -> timedelta:
+    return _read_cost_ms(name, text) * MILLISECOND
+
+
+def _read_flag(_name: str, text: str) -> bool:
+    return text == "1"
+
+
+def _read_text(_name: str, text: str) -> str:
+    return text
+
+
+def _read_entity(name: str, text: str) -> int | None:
+    """Read the entity that a hexadecimal key belongs to; an empty key belongs to none."""
+    try:
+        return int(text, 16) >> ENTITY_SHIFT_BITS if text else None
+    except ValueError:
+        raise InvalidFieldError(name, "a hexadecimal number", text) from None
+
+
+@dataclass(slots=True, frozen=True)
+class RequestField:
+    """One field of a request on the wire."""
+
+    wire_name: str
+    field: str  # of InboundRequest
+    read: FieldReader
+    required: bool = False
+
+
+REQUEST_FIELDS = (
+    RequestField("id", "id", _read_id, required=True),
+    RequestField("at", "arrived_at", _read_time, required=True),
+    RequestField("kb", "memory_kb", _number(below=MAX_MEMORY_KB, above=0.0), required=True),
+    RequestField("from", "caller", _read_caller),
+    RequestField("retry", "is_retry", _read_flag),
+    RequestField("cost", "cost_hint", _read_cost),
+    RequestField("rank", "rank", _number(below=MAX_RANK)),
+    RequestField("tenant", "tenant", _read_text),
+    RequestField("key", "entity", _read_entity),
+    RequestField("once", "idempotency_key", _read_text),
+)
+READERS = {row.wire_name: (row.field, row.read) for row in REQUEST_FIELDS}
+REQUIRED_FIELDS = frozenset(row.field for row in REQUEST_FIELDS if row.required)
+
+RETRY_AFTER_FIELD = "after"  # Response.retry_after in whole milliseconds, rounded up
+NO_FAILOVER_FIELD = "last"  # Response.no_failover
+ADVERTISED_VALUE_FIELD = "say"  # Core.advertised_value, on every response
+FLAG_SET = "1"
+
+
+def read_request(request_class: bytes, fields: bytes, body: bytes) -> InboundRequest:
+    """Return the request of an EXEC command; fields that are not in the table are ignored.
+
+    Raises:
+        InvalidFieldError: the class or a field is malformed or out of its bounds, or a required field is missing.
+    """
+    values: dict[str, Any] = {}  # by field of InboundRequest
+    for name, text in read_fields(fields).items():
+        row = READERS.get(name)
+        if row is not None:
+            field, read = row
+            values[field] = read(name, text)
+    if not values.keys() >= REQUIRED_FIELDS:
+        raise _missing_field(values)
+    try:
+        class_name = request_class.decode("ascii")
+    except UnicodeDecodeError:
+        raise InvalidFieldError("class", "a name in ASCII", request_class) from None
+    digest = body_digest(body) if values.get("idempotency_key") else ""
+    return InboundRequest(request_class=class_name, body=body, digest=digest, **values)
+
+
+def _missing_field(values: Mapping[str, object]) -> InvalidFieldError:
+    missing = next(row.wire_name for row in REQUEST_FIELDS if row.required and row.field not in values)
+    return InvalidFieldError(missing, "a value", None)
+
+
+def response_fields(response: Response, advertised_value: float | None) -> Mapping[str, str]:
+    """Return the fields of a response frame; those of a rejection come only with one."""
+    fields = advertised_fields(advertised_value)
+    if response.status is ResponseStatus.REJECTED:
+        if response.retry_after:
+            fields[RETRY_AFTER_FIELD] = str(whole_ms(response.retry_after))
+        if response.no_failover:
+            fields[NO_FAILOVER_FIELD] = FLAG_SET
+    return fields
+
+
+def advertised_fields(advertised_value: float | None) -> dict[str, str]:
+    """Return the field that every response carries while the node advertises a value of its load."""
+    return {} if advertised_value is None else {ADVERTISED_VALUE_FIELD: f"{advertised_value:.4f}"}
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -1,130 +1,155 @@
-"""The platform's frames: RESP arrays of bulk strings, cut out of a ring and put together."""
+"""The frames of the platform's wire: RESP arrays of bulk strings, read from a ring and written as bytes.
+
+Pure: no connection is known here. A frame's words are the verb, the tag and, for a request, its class, fields and
+body (`resp_commands.py` gives them their types).
+"""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Mapping
 
+from marlstep.frontends.errors import FrameFault, InvalidFieldError, MalformedFrameError
 from marlstep.net.ring import LineTooLongError, Ring
 
-HEAD_LIMIT = 16  # of the lines that hold a count or a length
-LIMITS = (16, 20, 128, 1024, 2048)  # of the words: verb, tag, class, fields, body
-VERBS = (b"EXEC", b"ALIVE")
-# A request as front ends send it, up to its body. What does not match is read word by word.
-REQUEST = re.compile(
+MAX_HEAD_BYTES = 16  # of a line that holds a count or a length
+MAX_WORD_BYTES = (16, 20, 128, 1024, 2048)  # of each word: verb, tag, class, fields, body
+TAG_WORD = 1  # the tag's place among the words
+MAX_TAG_BYTES = MAX_WORD_BYTES[TAG_WORD]
+VERBS_WITH_RESPONSE = (b"EXEC", b"ALIVE")  # a malformed frame of these can get `error` on its tag
+UNKNOWN = -1
+WORD_END = b"\r\n"
+# A request as clients usually send it, up to its body. What does not match is read word by word.
+WHOLE_REQUEST = re.compile(
     rb"\*5\r\n\$4\r\nEXEC\r\n\$(\d{1,2})\r\n(\d{1,20})\r\n"
     rb"\$(\d{1,3})\r\n([^\r]{0,128})\r\n\$(\d{1,4})\r\n([^\r]{0,1024})\r\n\$(\d{1,4})\r\n"
 )
 
 
-class MalformedFrameError(ValueError):
-    """The stream is no frame from here on. `tag` is that of the frame, where it was whole already."""
-
-    def __init__(self, why: str, tag: int | None) -> None:
-        super().__init__(why)
-        self.tag = tag
-
-
 def read_tag(word: bytes) -> int | None:
-    """A decimal number from 1 up, in its one plain form."""
-    good = word.isdigit() and len(word) <= LIMITS[1] and not word.startswith(b"0")
-    return int(word) if good else None
+    """Return the tag, a decimal number from 1 up without leading zeros; None where the word is none."""
+    is_tag = word.isdigit() and len(word) <= MAX_TAG_BYTES and not word.startswith(b"0")
+    return int(word) if is_tag else None
 
 
 class FrameReader:
-    """Keeps its place in a frame from one read to the next."""
+    """Divides a stream into frames; keeps its place in a frame from one read to the next."""
 
     def __init__(self) -> None:
+        """Start between two frames."""
         self._words: list[bytes] = []
-        self._count = self._length = -1
+        self._count = UNKNOWN  # of the words of the frame that is being read
+        self._length = UNKNOWN  # of the word that is being read, in bytes
 
     @property
     def inside(self) -> bool:
-        """Part of a frame has been read."""
+        """Whether a part of a frame has been read."""
         return self._count >= 0
 
     def next(self, ring: Ring) -> list[bytes] | None:
-        """The next whole frame, or None until more is read."""
-        if self._count < 0 and ring.used and (words := _whole_request(ring)) is not None:
-            return words
-        try:
-            return self._next(ring)
-        except (ValueError, LineTooLongError) as fault:
-            known = len(self._words) >= 2 and self._words[0] in VERBS
-            raise MalformedFrameError(str(fault), read_tag(self._words[1]) if known else None) from None
+        """Return the words of the next frame; None until it is complete.
 
-    def _next(self, ring: Ring) -> list[bytes] | None:
+        Raises:
+            MalformedFrameError: what came is no frame. Nothing after it can be read.
+        """
+        if self._count < 0 and ring.used and (words := _read_whole_request(ring)) is not None:
+            return words
         if self._count < 0:
-            head = self._head(ring, b"*")
-            if head is None:
+            count = self._read_head(ring, b"*")
+            if count is None:
                 return None
-            if not 1 <= head <= len(LIMITS):
-                raise ValueError(f"an array of {head}")
-            self._words, self._count = [], head
+            if not 1 <= count <= len(MAX_WORD_BYTES):
+                raise self._malformed(FrameFault.WORD_COUNT, str(count))
+            self._words, self._count = [], count
         while len(self._words) < self._count:
-            if self._length < 0:
-                head = self._head(ring, b"$")
-                if head is None:
-                    return None
-                if head > LIMITS[len(self._words)]:
-                    raise ValueError(f"word {len(self._words)} of {head} bytes")
-                self._length = head
-            if ring.used < self._length + 2:
+            word = self._read_word(ring)
+            if word is None:
                 return None
-            word = ring.take(self._length)
-            self._length = -1
-            if ring.take(2) != b"\r\n":
-                raise ValueError("a word longer than its length")
             self._words.append(word)
-        # Nothing of a whole frame stays: a fault in what follows must not be laid to its tag.
-        words, self._words, self._count = self._words, [], -1
+        # Nothing of a complete frame stays: a fault in what follows must not be attributed to its tag.
+        words, self._words, self._count = self._words, [], UNKNOWN
         return words
 
-    @staticmethod
-    def _head(ring: Ring, mark: bytes) -> int | None:
-        line = ring.line(HEAD_LIMIT)
+    def _read_word(self, ring: Ring) -> bytes | None:
+        """Return the next word of the frame; None until it is complete."""
+        if self._length < 0:
+            length = self._read_head(ring, b"$")
+            if length is None:
+                return None
+            if length > MAX_WORD_BYTES[len(self._words)]:
+                raise self._malformed(FrameFault.WORD_LENGTH, str(length))
+            self._length = length
+        if ring.used < self._length + len(WORD_END):
+            return None
+        word = ring.take(self._length)
+        self._length = UNKNOWN
+        end = ring.take(len(WORD_END))
+        if end != WORD_END:
+            raise self._malformed(FrameFault.WORD_END, end)
+        return word
+
+    def _read_head(self, ring: Ring, mark: bytes) -> int | None:
+        """Return the number on a line that begins with `mark`; None until the line is complete."""
+        try:
+            line = ring.line(MAX_HEAD_BYTES)
+        except LineTooLongError:
+            raise self._malformed(FrameFault.HEAD, ring.peek(MAX_HEAD_BYTES)) from None
         if line is None:
             return None
         if line[:1] != mark or not line[1:].isdigit():
-            raise ValueError(f"no length: {line!r}")
+            raise self._malformed(FrameFault.HEAD, line)
         return int(line[1:])
 
+    def _malformed(self, fault: FrameFault, found: str | bytes | None) -> MalformedFrameError:
+        """Make the error, with the frame's tag if that has been read and can be responded to."""
+        has_tag = len(self._words) > TAG_WORD and self._words[0] in VERBS_WITH_RESPONSE
+        return MalformedFrameError(fault, found, read_tag(self._words[TAG_WORD]) if has_tag else None)
+
 
-def _whole_request(ring: Ring) -> list[bytes] | None:
-    """The short way for nearly all that comes: a request that lies whole in the ring."""
+def _read_whole_request(ring: Ring) -> list[bytes] | None:
+    """Read a request that lies whole in the ring, as nearly all do; None where what comes has to be read by words."""
     data = ring.peek(ring.used)
-    found = REQUEST.match(data)
-    if found is None:
+    match = WHOLE_REQUEST.match(data)
+    if match is None:
         return None
-    tag_size, tag, kind_size, kind, fields_size, fields, size = found.groups()
-    start = found.end()
-    end = start + int(size)
-    if (
-        (int(tag_size), int(kind_size), int(fields_size)) != (len(tag), len(kind), len(fields))
-        or int(size) > LIMITS[-1]
-        or data[end : end + 2] != b"\r\n"
-    ):
+    tag_size, tag, class_size, request_class, fields_size, fields, body_size = match.groups()
+    start = match.end()
+    end = start + int(body_size)
+    sizes_agree = (int(tag_size), int(class_size), int(fields_size)) == (
+        len(tag),
+        len(request_class),
+        len(fields),
+    )
+    if not sizes_agree or int(body_size) > MAX_WORD_BYTES[-1] or data[end : end + 2] != WORD_END:
         return None
     ring.skip(end + 2)
-    return [VERBS[0], tag, kind, fields, data[start:end]]
+    return [b"EXEC", tag, request_class, fields, data[start:end]]
 
 
 def write_frame(*words: bytes) -> bytes:
+    """Return the frame of these words."""
     parts = [b"*%d\r\n" % len(words)]
     parts += [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
     return b"".join(parts)
 
 
 def read_fields(word: bytes) -> dict[str, str]:
-    """`name=value,...`; raises ValueError where it is anything else."""
+    """Read `name=value,...`, each name once. Raises InvalidFieldError."""
+    try:
+        text = word.decode("ascii")
+    except UnicodeDecodeError:
+        raise InvalidFieldError("", "fields in ASCII", word) from None
     fields: dict[str, str] = {}
-    for part in word.decode("ascii").split(",") if word else []:
+    for part in text.split(",") if text else ():
         name, equals, value = part.partition("=")
-        if not name or not equals or name in fields:
-            raise ValueError(f"malformed field {part[:32]!r}")
+        if not name or not equals:
+            raise InvalidFieldError(name, "name=value", part)
+        if name in fields:
+            raise InvalidFieldError(name, "the field once", part)
         fields[name] = value
     return fields
 
 
 def write_fields(fields: Mapping[str, str]) -> bytes:
+    """Return `name=value,...`."""
     return ",".join(f"{name}={value}" for name, value in fields.items()).encode("ascii")
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -1,7 +1,7 @@
-"""The front for the uwsgi protocol: one packet a connection, one HTTP-style response, then the close.
+"""The frontend for the uwsgi protocol: one packet to a connection, one HTTP response, then the close.
 
-Done is the upstream's own response, unchanged. Refused is 503 with Retry-After, failed 502, out of time 504.
-A packet that can't be read, or names no class there is, is answered 400; one whose body is too large 413.
+A response is the upstream's own, unchanged. A rejection is 503 with Retry-After, a failure 502, an expired deadline
+504. A packet that can't be read, or names no class that there is, gets 400; one whose body is too large 413.
 """
 
 from __future__ import annotations
@@ -11,152 +11,146 @@
 from datetime import timedelta
 
 from marlstep.core.engine import Core, RepeatedWorkError, RequestRejectedError
-from marlstep.core.interfaces import Backend, InboundRequest, Response, ResponseStatus
-from marlstep.frontends.base import Connection, Listener
+from marlstep.core.interfaces import Backend, InboundRequest, Response
+from marlstep.frontends.base import RequestConnection, RequestListener
+from marlstep.frontends.errors import InvalidPacketError
 from marlstep.frontends.uwsgi_mapping import UwsgiMapping
-from marlstep.frontends.uwsgi_wire import InvalidPacketError, Packet, PacketReader, write_response
+from marlstep.frontends.uwsgi_requests import http_response, read_request
+from marlstep.frontends.uwsgi_wire import Packet, PacketReader, write_response
 from marlstep.timer_queue import TimerQueue
-from marlstep.units import MILLISECOND, SECOND
+from marlstep.units import span
 
 log = logging.getLogger(__name__)
 
-RING_SIZE = 16 * 1024
-NAME_LIMIT = 256  # characters of the name of some work: it is kept, and told to other processes
-LONGEST_COST = 3_600_000.0  # ms
+RING_SIZE = 16 * 1024  # bytes
+ONLY_REQUEST = 1  # the number of the one request of a connection
 
 
-def read_cost(text: str | None) -> timedelta | None:
-    """A hint: one that is no number of milliseconds is as good as none."""
-    try:
-        value = float(text or "")
-    except ValueError:
-        return None
-    return value * MILLISECOND if 0 <= value <= LONGEST_COST else None
+class UwsgiConnection(RequestConnection):
+    """A connection of a gateway, which carries one request."""
 
-
-class UwsgiConnection(Connection):
-    def __init__(self, front: UwsgiFrontend) -> None:
-        super().__init__(front, RING_SIZE)
-        self.frontend = front
-        self._packet = PacketReader(front.body_limit)
-        self._request: int | None = None
-        self._taken = False  # its one packet is whole, or can't become so
+    def __init__(self, frontend: UwsgiFrontend) -> None:
+        """Start before the packet."""
+        super().__init__(frontend, RING_SIZE)
+        self.frontend = frontend
+        self._packets = PacketReader(frontend.body_limit)
+        self._packet_done = False  # the packet is complete, or rejected
 
     def data_received(self) -> None:
-        if not self._taken:
+        """Submit the request once its packet is complete; ignore what follows it."""
+        if not self._packet_done:
             try:
-                packet = self._packet.next(self.inbox)
-                if packet is not None:
-                    self._taken = True
-                    self.frontend.proven(self)
-                    self.request_completed()
-                    self._submit(packet)
-                elif self.at_eof:
-                    self.finish()  # the client left inside its packet: there is no request to answer
-            except InvalidPacketError as fault:
-                self._reject(fault.status, str(fault))
-        if self._taken:
-            self.inbox.skip(self.inbox.used)  # a connection carries one request
+                packet = self._packets.next(self.inbox)
+            except InvalidPacketError as error:
+                self._reject(error.status, str(error))
+            else:
+                self._handle(packet)
+        if self._packet_done:
+            self.inbox.skip(self.inbox.used)
+
+    def _handle(self, packet: Packet | None) -> None:
+        if packet is not None:
+            self._packet_done = True
+            self.frontend.connections.mark_proven(self)
+            self.stop_progress_timer()
+            self._submit(packet)
+        elif self.at_eof:
+            self.finish()  # the client left inside its packet: there is no request to respond to
 
     def _submit(self, packet: Packet) -> None:
-        front = self.frontend
         try:
-            offer = front.read_request(packet)
-            self._request = front.core.submit(front, (self.handle, 1), front.backend, offer)
-        except RepeatedWorkError as fault:
-            self._reject(502, str(fault))
-        except RequestRejectedError as fault:
-            self._reject(400, str(fault))
-
-    def _reject(self, status: int, why: str) -> None:
-        log.warning("uwsgi request answered %d: %s", status, why)
-        self._taken = True
-        self._respond(write_response(status, {}, why))
+            self.submit(ONLY_REQUEST, self.frontend.read_request(packet))
+        except RepeatedWorkError as error:
+            self._reject(502, str(error))
+        except RequestRejectedError as error:
+            self._reject(400, str(error))
+        except InvalidPacketError as error:
+            self._reject(error.status, str(error))
+
+    def _reject(self, status: int, reason: str) -> None:
+        log.warning("request rejected: frontend=uwsgi status=%d reason=%s", status, reason)
+        self._packet_done = True
+        self._respond(write_response(status, {}, reason))
 
     def _respond(self, response: bytes) -> None:
         self.send(response)
         self.finish()
 
-    def send_response(self, number: int, answer: Response) -> None:
-        self._request = None
-        match answer.status:
-            case ResponseStatus.DONE:
-                self._respond(answer.body)
-            case ResponseStatus.REJECTED:
-                wait = str(self.frontend.whole_seconds(answer.retry_after))
-                self._respond(write_response(503, {"Retry-After": wait}, "refused, it never ran"))
-            case ResponseStatus.EXPIRED:
-                self._respond(write_response(504, {}, "out of time"))
-            case ResponseStatus.FAILED:
-                self._respond(write_response(502, {}, "failed"))
-
-    def peer_closed(self) -> None:
-        if self._request is not None:
-            self.frontend.core.client_disconnected(self._request)
-            self._request = None
-
-    def read_timed_out(self) -> None:
-        if self._request is None:
+    def send_response(self, number: int, response: Response) -> None:
+        """Send the response, then close."""
+        self._request_handles.pop(number, None)
+        self._respond(http_response(response, self.frontend.max_retry_after))
+
+    def timed_out(self) -> None:
+        """Close without a response: the packet was not complete in time."""
+        if not self._request_handles:
             self.finish()
 
     def drain(self) -> None:
-        """What was begun may still be sent whole, and is then answered."""
-        if self._request is None and not self._packet.inside:
+        """Close, unless a request is open or its packet has begun; that is read to its end and responded to."""
+        if not self._request_handles and not self._packets.inside:
             self.finish()
 
 
-class UwsgiFrontend(Listener):
+def no_pool(_request_class: str) -> str:
+    """Assign no request to a pool."""
+    return ""
+
+
+class UwsgiFrontend(RequestListener):
+    """The frontend for gateways that speak uwsgi."""
+
     def __init__(
         self,
         core: Core,
         timeline: TimerQueue,
         backend: Backend,
         limit: int,
-        patience: timedelta,
-        mapped: UwsgiMapping,
+        read_timeout: timedelta,
+        mapping: UwsgiMapping,
         body_limit: int,
-        pool_of: Callable[[str], str] = lambda kind: "",
+        pool_of: Callable[[str], str] = no_pool,
     ) -> None:
-        super().__init__(core, timeline, limit, patience)
+        """Make a frontend that does not listen yet.
+
+        Args:
+            core: takes the requests.
+            timeline: the timers of all connections.
+            backend: runs the requests.
+            limit: of the connections at a time.
+            read_timeout: for a packet to be complete.
+            mapping: which variables carry which field.
+            body_limit: in bytes; a packet with a larger body gets 413.
+            pool_of: the name of the pool of servers for a class.
+        """
+        super().__init__(core, timeline, backend, limit, read_timeout)
         self.pool_of = pool_of
-        self.backend = backend
-        self.mapped = mapped
+        self.mapping = mapping
         self.body_limit = body_limit
-        self._number = 0
+        self._request_count = 0
 
     def make(self) -> UwsgiConnection:
+        """Make a connection for a peer that has connected."""
         return UwsgiConnection(self)
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Clients here open a connection for each request: the operator's own limit stays."""
+        """Ignore the limit: gateways open a connection for each request, and the read timeout bounds it."""
+
+    @property
+    def max_retry_after(self) -> timedelta:
+        """The longest Retry-After that callers respect."""
+        return span(self.core.settings.max_retry_after_us)
 
     def read_request(self, packet: Packet) -> InboundRequest:
-        mapped, variables = self.mapped, packet.variables
-        said = variables.get(mapped.kind, "")
-        if len(once := variables.get(mapped.id or "") or "") > NAME_LIMIT:
-            raise RequestRejectedError(f"{mapped.id} is over {NAME_LIMIT} characters")
-        kind = mapped.classes.get(said, said) or mapped.default_class or ""
-        if kind not in self.core.classes and mapped.default_class:
-            kind = mapped.default_class
-        self._number += 1
-        return InboundRequest(
-            id=f"uwsgi-{self._number}",  # of this try; what the client names is the work
-            request_class=kind,
-            body=packet.raw,
+        """Return the request of a packet. Raises InvalidPacketError."""
+        number = self._request_count + 1
+        inbound = read_request(
+            packet,
+            self.mapping,
+            self.core.classes,
+            self.pool_of,
+            id=f"uwsgi-{number}",
             arrived_at=self.timeline.now(),
-            memory_kb=max(mapped.kb, len(packet.raw) / 1024),
-            is_retry=_flag(variables.get(mapped.retry or "", "")),
-            cost_hint=read_cost(variables.get(mapped.cost or "")),
-            tenant=variables.get(mapped.tenant or "") or None,
-            pool=self.pool_of(kind),
-            idempotency_key=once or None,
         )
-
-    def whole_seconds(self, after: timedelta) -> int:
-        """Retry-After counts whole seconds: rounded up, within the longest that is allowed."""
-        most = timedelta(microseconds=self.core.settings.max_retry_after_us)
-        return min(-(-after // SECOND), most // SECOND)
-
-
-def _flag(text: str) -> bool:
-    return text.lower() not in ("", "0", "no", "false", "off")
+        self._request_count = number
+        return inbound
--- a/marlstep/frontends/uwsgi_mapping.py
+++ b/marlstep/frontends/uwsgi_mapping.py
@@ -1,4 +1,4 @@
-"""What an operator's file says of the variables of uwsgi requests."""
+"""Which variables of a uwsgi request carry the fields of a request, as the operator's file says."""
 
 from __future__ import annotations
 
@@ -8,13 +8,18 @@
 
 @dataclass(slots=True, frozen=True)
 class UwsgiMapping:
-    """Which variables say what, as the operator's file has it."""
+    """The names of variables, by the field that they carry; None where no variable does.
 
-    kind: str
-    classes: Mapping[str, str] = field(default_factory=dict)  # values of that variable to names of classes
+    `class_names` maps values of the class variable to names of classes; a value that is not in it is the name itself.
+    `default_class` is taken where the variable names no class that there is. `memory_kb` is reserved for each queued
+    request at the least.
+    """
+
+    class_variable: str
+    class_names: Mapping[str, str] = field(default_factory=dict)
     default_class: str | None = None
-    id: str | None = None
-    retry: str | None = None
-    cost: str | None = None
-    tenant: str | None = None
-    kb: float = 16.0  # of memory that is booked for a held request
+    idempotency_key_variable: str | None = None
+    retry_variable: str | None = None
+    cost_variable: str | None = None
+    tenant_variable: str | None = None
+    memory_kb: float = 16.0
--- /dev/null
+++ b/marlstep/frontends/uwsgi_requests.py
@@ -0,0 +1,113 @@
+"""Requests out of uwsgi packets, and HTTP responses to them. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Collection, Mapping
+from datetime import datetime, timedelta
+
+from marlstep.core.interfaces import InboundRequest, Response, ResponseStatus
+from marlstep.frontends.errors import IdempotencyKeyTooLongError
+from marlstep.frontends.uwsgi_mapping import UwsgiMapping
+from marlstep.frontends.uwsgi_wire import Packet, write_response
+from marlstep.units import MILLISECOND, SECOND
+
+MAX_IDEMPOTENCY_KEY_CHARACTERS = 256  # a key is stored, and sent to other processes
+MAX_COST_MS = 3_600_000.0
+FALSE_TEXTS = ("", "0", "no", "false", "off")
+BYTES_PER_KB = 1024
+
+
+def read_request(
+    packet: Packet,
+    mapping: UwsgiMapping,
+    class_names: Collection[str],
+    pool_of: Callable[[str], str],
+    id: str,
+    arrived_at: datetime,
+) -> InboundRequest:
+    """Return the request of a packet.
+
+    Args:
+        packet: its bytes go to the upstream unchanged.
+        mapping: which variables carry which field.
+        class_names: the classes that there are.
+        pool_of: the name of the pool of servers for a class.
+        id: of this attempt; what the client names is the work.
+        arrived_at: when the packet was complete.
+
+    Raises:
+        IdempotencyKeyTooLongError: the idempotency key is too long.
+    """
+    variables = packet.variables
+    request_class = _class_of(variables, mapping, class_names)
+    return InboundRequest(
+        id=id,
+        request_class=request_class,
+        body=packet.raw,
+        arrived_at=arrived_at,
+        memory_kb=max(mapping.memory_kb, len(packet.raw) / BYTES_PER_KB),
+        is_retry=_read_flag(_variable(variables, mapping.retry_variable)),
+        cost_hint=read_cost(_variable(variables, mapping.cost_variable)),
+        tenant=_variable(variables, mapping.tenant_variable) or None,
+        pool=pool_of(request_class),
+        idempotency_key=_read_idempotency_key(variables, mapping) or None,
+    )
+
+
+def _class_of(variables: Mapping[str, str], mapping: UwsgiMapping, class_names: Collection[str]) -> str:
+    """Return the class that the client names; where there is none of that name, the default if there is one."""
+    value = variables.get(mapping.class_variable, "")
+    named = mapping.class_names.get(value, value)
+    if mapping.default_class and named not in class_names:
+        return mapping.default_class
+    return named
+
+
+def _variable(variables: Mapping[str, str], name: str | None) -> str:
+    return variables.get(name or "", "")
+
+
+def _read_idempotency_key(variables: Mapping[str, str], mapping: UwsgiMapping) -> str:
+    key = _variable(variables, mapping.idempotency_key_variable)
+    if len(key) > MAX_IDEMPOTENCY_KEY_CHARACTERS:
+        name = str(mapping.idempotency_key_variable)
+        raise IdempotencyKeyTooLongError(name, MAX_IDEMPOTENCY_KEY_CHARACTERS)
+    return key
+
+
+def _read_flag(text: str) -> bool:
+    return text.lower() not in FALSE_TEXTS
+
+
+def read_cost(text: str) -> timedelta | None:
+    """Return the run time that the client expects; None where the text is no number of milliseconds.
+
+    The cost is a hint: one that can't be used is as good as none, and no reason to reject the request.
+    """
+    try:
+        value = float(text)
+    except ValueError:
+        return None
+    return value * MILLISECOND if 0 <= value <= MAX_COST_MS else None  # NaN is in no range
+
+
+def retry_after_seconds(retry_after: timedelta, max_retry_after: timedelta) -> int:
+    """Return the Retry-After of a rejection in whole seconds.
+
+    Rounded up, since the client must not come back too soon, but never over the longest that callers respect.
+    """
+    return min(-(-retry_after // SECOND), max_retry_after // SECOND)
+
+
+def http_response(response: Response, max_retry_after: timedelta) -> bytes:
+    """Return the bytes of a response: the upstream's own where the work was done, and a short text otherwise."""
+    match response.status:
+        case ResponseStatus.DONE:
+            return response.body
+        case ResponseStatus.REJECTED:
+            seconds = str(retry_after_seconds(response.retry_after, max_retry_after))
+            return write_response(503, {"Retry-After": seconds}, "refused, it never ran")
+        case ResponseStatus.EXPIRED:
+            return write_response(504, {}, "out of time")
+        case ResponseStatus.FAILED:
+            return write_response(502, {}, "failed")
--- a/marlstep/frontends/uwsgi_wire.py
+++ b/marlstep/frontends/uwsgi_wire.py
@@ -1,7 +1,7 @@
-"""The uwsgi protocol: packets of variables with a body behind them, cut out of a ring.
+"""The uwsgi protocol: packets read from a ring, and packets and HTTP responses written as bytes. Pure.
 
-A packet is 4 bytes (modifier1, the size of the variables as 16 bits little endian, modifier2), the variables
-(each a size of 16 bits and that many bytes, name and value in turn), and CONTENT_LENGTH bytes of body.
+A packet is 4 bytes (modifier1, the size of the variables as 16 bits little-endian, modifier2), the variables (each a
+size of 16 bits and that many bytes, name and value in turn), and CONTENT_LENGTH bytes of body.
 """
 
 from __future__ import annotations
@@ -9,61 +9,77 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from marlstep.frontends.errors import (
+    BodyTooLargeError,
+    InvalidContentLengthError,
+    InvalidModifierError,
+    NoVariablesError,
+    UnpairedVariableError,
+    VariableSizeError,
+)
 from marlstep.net.ring import Ring
 
-HEAD = 4
-
-
-class InvalidPacketError(ValueError):
-    """What came is no packet this front takes; `status` is what the client is told."""
-
-    def __init__(self, why: str, status: int = 400) -> None:
-        super().__init__(why)
-        self.status = status
+HEAD = 4  # bytes before the variables
+SIZE_BYTES = 2  # of the size of a variable's name or value
+MAX_CONTENT_LENGTH_DIGITS = 15
 
 
 @dataclass(slots=True, frozen=True)
 class Packet:
-    raw: bytes  # all of it, to be sent on unchanged
+    """A complete packet."""
+
+    raw: bytes  # all of it, to be forwarded unchanged
     variables: Mapping[str, str]
 
 
 def read_variables(block: bytes) -> dict[str, str]:
-    """Raises BadPacket where the sizes inside do not add up. Of a name that comes twice the last counts."""
+    """Read the variables of a packet; of a name that comes twice the last value counts.
+
+    Raises:
+        InvalidPacketError: the sizes inside do not add up.
+    """
     words: list[str] = []
-    at = 0
-    while at < len(block):
-        end = at + 2 + int.from_bytes(block[at : at + 2], "little")
-        if at + 2 > len(block) or end > len(block):
-            raise InvalidPacketError("a variable reaches past its block")
-        words.append(block[at + 2 : end].decode("latin-1"))
-        at = end
+    position = 0
+    while position < len(block):
+        start = position + SIZE_BYTES
+        end = start + int.from_bytes(block[position:start], "little")
+        if start > len(block) or end > len(block):
+            raise VariableSizeError(end, len(block))
+        words.append(block[start:end].decode("latin-1"))
+        position = end
     if len(words) % 2:
-        raise InvalidPacketError("a name without a value")
+        raise UnpairedVariableError
     return dict(zip(words[::2], words[1::2], strict=True))
 
 
 def write_packet(variables: Mapping[str, str], body: bytes = b"") -> bytes:
+    """Return the bytes of a request's packet."""
     words = [word.encode("latin-1") for pair in variables.items() for word in pair]
     block = b"".join(len(word).to_bytes(2, "little") + word for word in words)
     return b"\0" + len(block).to_bytes(2, "little") + b"\0" + block + body
 
 
 class PacketReader:
-    """Gathers one packet, however it is cut."""
+    """Reads packets one after the other, however the stream is divided."""
 
     def __init__(self, body_limit: int) -> None:
+        """`body_limit` is in bytes."""
         self._body_limit = body_limit
         self._raw = bytearray()
         self._variables: dict[str, str] | None = None
-        self._size = HEAD  # of what is known to come
+        self._size = HEAD  # of the packet in bytes, as far as it is known
 
     @property
     def inside(self) -> bool:
+        """Whether a part of a packet has been read."""
         return bool(self._raw)
 
     def next(self, ring: Ring) -> Packet | None:
-        """The packet, or None until more is read; raises BadPacket."""
+        """Return the next packet; None until it is complete.
+
+        Raises:
+            InvalidPacketError: what came is no packet that is accepted here.
+        """
         while True:
             self._raw += ring.take(self._size - len(self._raw))
             if len(self._raw) < self._size:
@@ -80,18 +96,18 @@
 
     def _read_head(self) -> None:
         if self._raw[0] != 0:
-            raise InvalidPacketError(f"modifier1 is {self._raw[0]}; requests have 0")
+            raise InvalidModifierError(self._raw[0])
         size = int.from_bytes(self._raw[1:3], "little")
         if not size:
-            raise InvalidPacketError("a packet without variables")
+            raise NoVariablesError
         self._size += size
 
     def _body_length(self, variables: Mapping[str, str]) -> int:
         text = variables.get("CONTENT_LENGTH", "") or "0"
-        if not (text.isascii() and text.isdigit()) or len(text) > 15:
-            raise InvalidPacketError("CONTENT_LENGTH is no length")
+        if not (text.isascii() and text.isdigit()) or len(text) > MAX_CONTENT_LENGTH_DIGITS:
+            raise InvalidContentLengthError(text)
         if int(text) > self._body_limit:
-            raise InvalidPacketError(f"a body of {text} bytes", 413)
+            raise BodyTooLargeError(text, self._body_limit)
         return int(text)
 
 
@@ -106,6 +122,7 @@
 
 
 def write_response(status: int, headers: Mapping[str, str], text: str) -> bytes:
+    """Return the bytes of an HTTP response with a plain text, after which the connection closes."""
     body = text.encode() + b"\n"
     lines = [f"HTTP/1.1 {status} {REASONS[status]}", "Content-Type: text/plain; charset=utf-8"]
     lines += [f"Content-Length: {len(body)}", "Connection: close"]
--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from marlstep.errors import MarlstepError
+from marlstep.errors import RemoteProtocolError
 from marlstep.net.ring import LineTooLongError
 from marlstep.net.stream import RingStream
 
@@ -16,16 +16,17 @@
 BODY_END_BYTES = len(BODY_END)
 
 
-class LineProtocolError(MarlstepError, ValueError):
+class LineProtocolError(RemoteProtocolError):
     """The peer broke the protocol, so that it is not known where its next message begins."""
 
 
 class InvalidLengthError(LineProtocolError):
     """A word that gives a body's length is no number, or is over the limit."""
 
-    def __init__(self, word: str) -> None:
-        """`word` is what was found."""
-        super().__init__(f"not a length: {word[:MAX_SHOWN_CHARACTERS]!r}")
+    def __init__(self, word: str, limit: int) -> None:
+        """`word` is what was found, `limit` the longest body in bytes."""
+        super().__init__(f"expected a length of 0 to {limit}, got {word[:MAX_SHOWN_CHARACTERS]!r}")
+        self.word, self.limit = word, limit
 
 
 class UnterminatedBodyError(LineProtocolError):
@@ -34,13 +35,14 @@
     def __init__(self, found: bytes) -> None:
         """`found` are the bytes in its place."""
         super().__init__(f"expected {BODY_END!r} after a body, found {found!r}")
+        self.found = found
 
 
 def parse_length(word: str, limit: int) -> int:
     """Return a body's length in bytes. Raises InvalidLengthError."""
     is_number = word.isascii() and word.isdigit() and len(word) <= MAX_LENGTH_DIGITS
     if not is_number or int(word) > limit:
-        raise InvalidLengthError(word)
+        raise InvalidLengthError(word, limit)
     return int(word)
 
 
--- a/marlstep/net/ring.py
+++ b/marlstep/net/ring.py
@@ -5,23 +5,25 @@
 
 from __future__ import annotations
 
-from marlstep.errors import MarlstepError
+from marlstep.errors import LocalProtocolError, RemoteProtocolError
 
 
-class LineTooLongError(MarlstepError, ValueError):
-    """There is no line end within the bytes that a line may take."""
+class LineTooLongError(RemoteProtocolError):
+    """A peer sent no line end within the bytes that a line may take."""
 
     def __init__(self, limit: int) -> None:
         """`limit` is in bytes, without the line end."""
         super().__init__(f"no line end within {limit} bytes")
+        self.limit = limit
 
 
-class RingRangeError(MarlstepError, ValueError):
+class RingRangeError(LocalProtocolError):
     """More bytes were to be written or skipped than there is space for, or than there are."""
 
     def __init__(self, count: int, limit: int) -> None:
         """`count` is not between 0 and `limit`."""
         super().__init__(f"expected 0 to {limit} bytes, got {count}")
+        self.count, self.limit = count, limit
 
 
 class Ring:
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -175,7 +175,7 @@
         """Bound this process to its share, 0 to 1, of the node's requests and connections."""
         budget = resource_budget(self.config, processes=1 if share >= 1 else 2)
         self.core.set_capacity_share(share, max(1, int(share * budget.requests)))
-        self.resp.capacity = max(1, int(share * budget.connections))
+        self.resp.connections.capacity = max(1, int(share * budget.connections))
 
     def connection_share(self) -> float:
         """Tell which share of the connections that two processes have together is in use in this one."""
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -11,16 +11,18 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.frontends.resp import TagTracker, read_request
+from marlstep.errors import RemoteProtocolError
+from marlstep.frontends.errors import MalformedFrameError
+from marlstep.frontends.resp_fields import read_request
+from marlstep.frontends.resp_tags import TagTracker
 from marlstep.frontends.resp_wire import (
     FrameReader,
-    MalformedFrameError,
     read_fields,
     write_fields,
     write_frame,
 )
-from marlstep.frontends.uwsgi import read_cost
-from marlstep.frontends.uwsgi_wire import InvalidPacketError, PacketReader, read_variables, write_packet
+from marlstep.frontends.uwsgi_requests import read_cost
+from marlstep.frontends.uwsgi_wire import PacketReader, read_variables, write_packet
 from marlstep.net.ring import LineTooLongError, Ring
 from marlstep.platform import kernel
 from tests.frontends.test_resp import Platform, exec_frame
@@ -178,7 +180,7 @@
 @given(st.binary(max_size=200), st.text(max_size=20))
 def test_the_readers_of_parts_raise_what_their_callers_catch(data: bytes, text: str) -> None:
     for read in (read_variables, read_fields, lambda word: read_request(b"x", word, b"")):
-        with contextlib.suppress(InvalidPacketError, ValueError, OverflowError):
+        with contextlib.suppress(RemoteProtocolError):
             read(data)
     read_cost(text)
     try:
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -10,12 +10,12 @@
 from tests.support.node import Desk, Wire
 
 MAPPED = UwsgiMapping(
-    kind="X_CLASS",
-    classes={"setpoint": "setpoint-cmd"},
-    id="X_ID",
-    retry="X_RETRY",
-    cost="X_COST",
-    tenant="X_TENANT",
+    class_variable="X_CLASS",
+    class_names={"setpoint": "setpoint-cmd"},
+    idempotency_key_variable="X_ID",
+    retry_variable="X_RETRY",
+    cost_variable="X_COST",
+    tenant_variable="X_TENANT",
 )
 READ = {"REQUEST_METHOD": "GET", "X_CLASS": "temp-history"}
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -204,7 +204,7 @@
         if end == "half-closed":
             stream.eof_received()
         else:
-            stream.idle()
+            stream.close_idle()
             desk.clock.advance(500)
         assert not wire.closed
         stream.resume_writing()
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -465,7 +465,7 @@
         caller = await place.call()
         caller.send(write_frame(b"ALIVE", b"1"))
         await caller.answer(1)
-        place.connection.idle()
+        place.connection.close_idle()
         await caller.closing()
         blind = caller.writer.get_extra_info("socket")
         os.write(blind.fileno(), caller.frame(2, "ping"))  # it had crossed the word, on its way
@@ -529,7 +529,7 @@
         await until(lambda: not old._writable)
         place.kernel.reap(2, body=b"y" * 60_000)
         await until(lambda: old.send_blocked)
-        old.idle()
+        old.close_idle()
         old.drain()  # the cut comes 0.2 s after
         if how == "reset":
             first.reset()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -21,7 +21,7 @@
 def test_the_files_that_are_shipped_are_good() -> None:
     config = load({"PROXY_CONFIG": str(DEPLOY / "node.json"), "PROXY_NAME": "n9"}, str(DEPLOY / "uwsgi.toml"))
     assert (config.name, config.listen, config.stop) == ("n9", ("127.0.0.1", 9090), 3200 * MILLISECOND)
-    assert config.uwsgi is not None and config.uwsgi.mapped.classes["setpoint"] == "setpoint-cmd"
+    assert config.uwsgi is not None and config.uwsgi.mapped.class_names["setpoint"] == "setpoint-cmd"
 
 
 def test_without_an_operators_file_the_second_front_is_off() -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -46,8 +46,9 @@
         known = core._controller.state
         sizes.append(
             len(core._by_id) + len(core.idempotency_keys) + len(platform.desk.clock.timeline._heap) + core.in_flight
-            + len(known.entries.by_id) + len(known.callers.heard) + len(known.wakes) + len(platform.front._quiet)
-            + len(platform.front._new) + len(platform.front.connections)
+            + len(known.entries.by_id) + len(known.callers.heard) + len(known.wakes)
+            + platform.front.connections.idle_count + platform.front.connections.unproven_count
+            + len(platform.front.connections)
         )  # fmt: skip
     assert max(sizes[900:]) <= max(sizes[:900]) * 1.1 and max(sizes) < 2_000
     assert core.counts["read"] == 1_200 and core.in_flight == 0
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -15,7 +15,7 @@
 from marlstep.config import ConfigError, check, load
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.core.serving_state import ServingPhase, ServingState
-from marlstep.frontends.base import MIN_UNPROVEN_AGE
+from marlstep.frontends.connection_policy import MIN_UNPROVEN_AGE
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
 from tests.support.node import Desk, Wire, raw_config
