--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -12,25 +12,25 @@
 
 from marlstep.admission.settings import ClassSettings, Settings
 
-LARGEST_ESTIMATE = 1e12  # microseconds or requests; more than that was not measured
+MAX_PLAUSIBLE_ESTIMATE = 1e12  # microseconds or requests; more than that was not measured
 
 
 class Outcome(enum.StrEnum):
-    """How a run or a call ended."""
+    """How a run or a downstream call ended. The values are stored words and stay as they are."""
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
+    REJECTED = "full"  # the other side rejected it unexamined
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
+    RESET = "reset"  # the connection was lost after the request was sent
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_STARTED = "moot"  # the request had ended before the run or call began
 
     @property
     def never_ran(self) -> bool:
         """Whether this ending proves that nothing took effect."""
-        return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 @dataclass(slots=True)
@@ -173,7 +173,9 @@
 
 
 def _plausible(value: object) -> float:
-    good = isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < LARGEST_ESTIMATE
+    good = (
+        isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < MAX_PLAUSIBLE_ESTIMATE
+    )
     return float(typing.cast(float, value)) if good else 0.0
 
 
--- a/marlstep/components/health_endpoint.py
+++ b/marlstep/components/health_endpoint.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING, ClassVar
 
-from marlstep.admin.door import Door
+from marlstep.admin.health_endpoint import HealthEndpoint
 from marlstep.components.base import Component, StartPhase
 from marlstep.config import Config
 from marlstep.resource_budget import HEALTH_ENDPOINT_CONNECTIONS
@@ -24,13 +24,15 @@
 
     def __init__(self, host: HealthEndpointHost) -> None:
         """Make the service."""
-        self.service = Door(host.core, host.timeline, host.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS)
+        self.service = HealthEndpoint(
+            host.core, host.timeline, host.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS
+        )
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
         """Listen, always on an address of this process alone. Raises OSError."""
-        assert config.mgmt is not None
-        await self.service.listen(config.mgmt)
-        log.info("listening: component=health_endpoint address=%s:%d", *config.mgmt)
+        assert config.health_listen is not None
+        await self.service.listen(config.health_listen)
+        log.info("listening: component=health_endpoint address=%s:%d", *config.health_listen)
 
     def stop(self) -> None:
         """Stop listening."""
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -9,7 +9,8 @@
 from collections.abc import Mapping
 from datetime import timedelta
 
-from marlstep.core.engine import Core, RequestRejectedError
+from marlstep.core.engine import Core
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import Backend, Response, ResponseStatus
 from marlstep.errors import RemoteProtocolError
 from marlstep.frontends import resp_policy
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -13,12 +13,12 @@
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
-from marlstep.core.engine import RequestRejectedError
+from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import ResponseStatus, Stage
 from marlstep.core.serving_state import ServingPhase
 from marlstep.hot_restart import messages
 from marlstep.hot_restart.host_adapter import HostAdapter, HostHooks
-from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_SHARE, ResourceSharing
+from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_DRAINING_SHARE, ResourceSharing
 from marlstep.hot_restart.restart import ACKNOWLEDGE_TIMEOUT, MEETING_TIMEOUT, HotRestart
 from marlstep.net.ring import Ring
 from marlstep.units import MILLISECOND, SECOND
@@ -203,7 +203,7 @@
     pair.elder.connected = 0.9
     pair.meet()
     pair.settle(40)
-    shares = [process.handover.sharing._mine for process in pair.living]
+    shares = [process.handover.sharing.owned_share for process in pair.living]
     assert shares[1] == pytest.approx(0.1) and pair.elder.handover.sharing.limit == HALF_SHARE
     pair.elder.connected = 0.3
     pair.settle(40)
@@ -211,7 +211,7 @@
     assert pair.elder.handover.drain(pair.clock.now())
     pair.elder.connected = 0.0
     pair.settle(40)
-    assert pair.younger.handover.sharing.limit == pytest.approx(FULL_SHARE - MIN_SHARE)
+    assert pair.younger.handover.sharing.limit == pytest.approx(FULL_SHARE - MIN_DRAINING_SHARE)
     pair.elder.handover.done()
     pair.settle()
     assert pair.younger.handover.sharing.limit == FULL_SHARE and pair.younger.handover.idle
@@ -256,7 +256,7 @@
     pair.kill(pair.younger)
     assert pair.elder.lost and not pair.elder.handover.has_successor
     # What the dead one ran may still be on the cores, so its share comes back later.
-    assert pair.elder.handover.sharing.limit == pytest.approx(MIN_SHARE)
+    assert pair.elder.handover.sharing.limit == pytest.approx(MIN_DRAINING_SHARE)
     pair.clock.advance(WAIT / MILLISECOND)
     pair.elder.handover.tick(pair.clock.now())
     assert pair.elder.handover.sharing.limit == FULL_SHARE
@@ -314,7 +314,7 @@
     learnt = pair.younger.desk.core._controller
     assert learnt.state.statistics.mean_run_us["temp-history"] == 300_000.0
     assert learnt.state.call_latency.usual_us == 9_000.0
-    assert 1.0 <= learnt.parts.concurrency.limit <= learnt.state.concurrency
+    assert 1.0 <= learnt.parts.concurrency.limit <= learnt.state.max_concurrency
     core = pair.younger.desk.core
     assert not core.healthy and core.serving_state.can_serve
     core.serving_state.resume()
@@ -409,7 +409,7 @@
     pair = ready_pair()
     first = pair.submit(pair.elder, "setpoint-cmd", "k")
     pair.settle()
-    pair.elder.desk.end(first, Outcome.MOOT)
+    pair.elder.desk.end(first, Outcome.NOT_STARTED)
     pair.settle()
     pair.submit(pair.younger, "setpoint-cmd", "k")
     pair.settle()
@@ -527,10 +527,10 @@
                     self.submit(process, choice, once)
                     self.read.append((process, self.number))
             case "end":
-                live = [one for one in core._requests if one.started and one.stage is not Stage.PAUSED]
+                live = [one for one in core._requests if one.may_have_run and one.stage is not Stage.PAUSED]
                 if live:
                     request = live[number % len(live)]
-                    if choice.never_ran and not request.worked:
+                    if choice.never_ran and not request.known_to_have_run:
                         process.rights.pop(request.id, None)  # it proves that the work may come again
                     core.run_ended(request.id, choice, SECOND, b"result")
             case "tick":
@@ -603,7 +603,7 @@
             assert elder.limit + younger.limit <= FULL_SHARE + 1e-9
     if lost:
         younger.pass_time(now + WAIT)
-        assert younger.limit == pytest.approx(FULL_SHARE) and younger.alone
+        assert younger.limit == pytest.approx(FULL_SHARE) and younger.is_sole_process
 
 
 MESSAGES = (
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -5,7 +5,14 @@
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.core.idempotency import KeyRecord, KeyTable, body_digest, decode_label, encode_label
+from marlstep.core.idempotency import (
+    IdempotencyKey,
+    KeyRecord,
+    KeyTable,
+    body_digest,
+    decode_label,
+    encode_label,
+)
 from marlstep.frontends.resp import RespConnection
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
@@ -52,7 +59,7 @@
     desk.ask(bad, 1, "book", b"theirs", id=2, once="k", at=came)
     match how:
         case "no work of the kernel's":
-            desk.ended(2, b"", Outcome.MOOT)
+            desk.ended(2, b"", Outcome.NOT_STARTED)
         case "turned away":
             assert desk.starts(2) == 0
             desk.clock.advance(400)  # it is due
@@ -98,12 +105,12 @@
     table = KeyTable()
     for number in range(100):
         now = START + number * SECOND
-        table.retain(("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
+        table.retain(IdempotencyKey("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
     assert len(table) <= 3
     # A later window for the same name outlives the end of the one before.
-    table.retain(("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
-    table.retain(("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
-    assert table.find(("book", "k99"), START + 111 * SECOND) is not None
+    table.retain(IdempotencyKey("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
+    table.retain(IdempotencyKey("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
+    assert table.find(IdempotencyKey("book", "k99"), START + 111 * SECOND) is not None
 
 
 def test_other_processes_hear_the_digest_and_those_that_know_none_still_know_the_try() -> None:
@@ -165,7 +172,7 @@
     wire = desk.connect()
     for number in range(1, 200):
         desk.ask(wire, number, "book", b"theirs", once=f"k{number}")
-        desk.ended(number, b"", Outcome.MOOT)
+        desk.ended(number, b"", Outcome.NOT_STARTED)
     assert desk.core._controller.state.entries.memory_kb == 0
     desk.ask(wire, 900, "book", once="good")
     assert desk.starts(900) == 1
@@ -227,6 +234,6 @@
     bad, again = desk.connect(), desk.connect()
     desk.ask(bad, 1, "book", b"theirs", id=1, once="other")
     if stage == "over":
-        desk.ended(1, b"", Outcome.MOOT)
+        desk.ended(1, b"", Outcome.NOT_STARTED)
     desk.ask(again, 1, "book", b"mine", id=2, once="k")
     assert desk.starts(2) == 0 and again.take() == answered(1, b"error")
