--- a/marlstep/cluster/outbound_peer.py
+++ b/marlstep/cluster/outbound_peer.py
@@ -10,6 +10,7 @@
 from datetime import datetime
 
 from marlstep.cluster.drop_recorder import DropRecorder
+from marlstep.net.backoff import Backoff
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
 from marlstep.timer_queue import Timer, TimerQueue
@@ -52,7 +53,7 @@
         self._cancel_dialing: Cancel | None = None  # while an attempt to connect is under way
         self._connect_deadline: Timer | None = None
         self._redial_at: datetime | None = None
-        self._backoff = MIN_BACKOFF
+        self._backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
         self._queued: deque[bytes] = deque(maxlen=MAX_QUEUED_FRAMES)
         self._stalled_since: datetime | None = None
 
@@ -101,7 +102,8 @@
                 connection.abort()
             self._back_off(now)
             return
-        self._connection, self._backoff = connection, MIN_BACKOFF
+        self._connection = connection
+        self._backoff.reset()
         self._redial_at, self._stalled_since = None, None
         while self._queued:
             connection.send(self._queued.popleft())
@@ -109,8 +111,7 @@
     def _back_off(self, now: datetime) -> None:
         """Put off the next attempt. What is queued would be out of date by then, and is dropped."""
         self._queued.clear()
-        self._redial_at = now + self._backoff
-        self._backoff = min(MAX_BACKOFF, 2 * self._backoff)
+        self._redial_at = now + self._backoff.next_delay()
 
     def _on_lost(self, connection: OutgoingConnection) -> None:
         if connection is self._connection:
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -1,92 +1,84 @@
-"""The link to the kernel, which owns the cores: commands out, notices in.
+"""The client of the kernel, which owns the cores: commands out, notices in, over one connection that is kept up.
 
-The link is made again whenever it breaks. Each notice is applied once, by its number. A command stays in the
-ledger until the kernel is known to have read it: a notice speaks of its request, or gauges come that were asked for
-after it. After a break what the kernel may not have read is sent again, once the notices it kept have been applied.
-
-What was read long ago must not be sent again: between the last of those notices and the command on its way the run
-may end, or come to its next call, and would be started a second time or get the reply to the call before.
+A broken connection is opened again. Each notice is applied once (`notice_sequence.py`), and after a break the commands
+that the kernel may not have read are sent again (`command_log.py`), as soon as the notices that it repeats have been
+applied. `kernel_wire.py` has the words.
 """
 
 from __future__ import annotations
 
 import logging
-from collections import deque
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
-from datetime import timedelta
 
-from marlstep.admission.events import Outcome
 from marlstep.core.interfaces import EventSink, Request
+from marlstep.net.backoff import Backoff
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
-from marlstep.net.lines import LineProtocolError, LineStream, parse_length
+from marlstep.net.lines import LineStream
+from marlstep.platform import kernel_wire
+from marlstep.platform.command_log import Command, CommandLog, run_outcome_of_rejected
+from marlstep.platform.kernel_wire import (
+    CallNeeded,
+    CommandRejected,
+    GaugeReadings,
+    KernelMessage,
+    KernelStarted,
+    MissingNoticesError,
+    RunEnded,
+    UnknownNotice,
+)
+from marlstep.platform.notice_sequence import NoticeDecision, NoticeSequence
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 
 log = logging.getLogger(__name__)
 
-ENDS = {
-    "complete": Outcome.OK,
-    "error": Outcome.ERROR,
-    "cancelled": Outcome.CANCELLED,
-    "unknown": Outcome.NOT_STARTED,
-}
-RING_SIZE = 256 * 1024
-LINE_LIMIT = 8 * 1024
-BODY_LIMIT = 64 * 1024  # the protocol names 4 KiB for results
-WITH_BODY = {"REAP": 6, "IOREQ": 4}  # the number of words of lines that a body follows
-MIN_BACKOFF, MAX_BACKOFF = 20 * MILLISECOND, 1000 * MILLISECOND  # between tries, after a first one at once
-SYNC_TAG = "sync"
-
+RING_SIZE = 256 * 1024  # bytes
+LINE_LIMIT = 8 * 1024  # bytes
+MIN_BACKOFF = 20 * MILLISECOND  # between attempts to connect, after a first one at once
+MAX_BACKOFF = 1000 * MILLISECOND
+SYNC_TAG = "sync"  # of the gauges that are asked for behind the opening of a connection
+MAX_LOGGED_CHARACTERS = 200  # of a message of the kernel
+MAX_LOGGED_NOTICE = 64  # characters of a notice that is unknown
 
-def _milliseconds(word: str) -> timedelta:
-    """Figures that only inform may be odd: a notice must not be lost for them."""
-    try:
-        return max(ZERO, min(float(word), 1e9) * MILLISECOND)
-    except (ValueError, OverflowError):
-        log.warning("not a time: %r", word[:32])
-        return ZERO
 
+def reconnects_at_once(was_started: bool) -> bool:
+    """Whether a connection that broke is opened again without a delay.
 
-@dataclass(slots=True, eq=False)  # two that read alike are two: a run may be paused and resumed many times
-class _Command:
-    id: str
-    data: bytes
-
-    @property
-    def word(self) -> str:
-        return self.data.split(b" ", 1)[0].decode()
+    It is if the kernel had responded on it: runs wait for their ends, and cores stand idle, for as long as the break
+    lasts. A connection that broke before that is tried again with backoff, since the kernel may be down.
+    """
+    return was_started
 
 
 class KernelConnection(LineStream):
     """One connection to the kernel."""
 
     def __init__(self, kernel: Kernel, address: Address) -> None:
+        """Carry lines between the kernel at this address and its client."""
         super().__init__(RING_SIZE, LINE_LIMIT)
         self.address = address
-        self.booted = False  # the kernel has answered on it
+        self.started = False  # the kernel has responded on it
         self._kernel = kernel
 
     def opened(self) -> None:
+        """Hand the connection to the client."""
         self._kernel.connection_opened(self)
 
     def closed(self) -> None:
-        self._kernel.connection_lost(self)
+        """Tell the client."""
+        self._kernel.connection_closed(self)
 
     def body_length(self, words: list[str]) -> int | None:
-        parts = WITH_BODY.get(words[0])
-        if parts is None:
-            return None
-        if len(words) != parts:
-            raise LineProtocolError(f"malformed {words[0]}")
-        return parse_length(words[-1], BODY_LIMIT)
+        """Return the length of a notice's body. Raises LineProtocolError."""
+        return kernel_wire.notice_body_length(words)
 
     def message(self, words: list[str], body: bytes) -> None:
-        self._kernel.notice(self, words, body)
+        """Hand a notice to the client."""
+        self._kernel.notice_received(self, words, body)
 
 
 class Kernel:
-    """The one client of the kernel; a backend and the gauges of the core."""
+    """The one client of the kernel: a backend of the core, and its source of gauges."""
 
     def __init__(
         self,
@@ -96,231 +88,243 @@
         sink: Callable[[], EventSink],
         dial: Dial = dial,
     ) -> None:
+        """Make a client that connects with `open`.
+
+        Args:
+            address: of the kernel.
+            gauge_names: in the order in which the kernel sends the readings.
+            timeline: the timer of the backoff.
+            sink: returns the receiver of what the kernel reports.
+            dial: opens connections.
+        """
         self._address = address
         self._dial = dial
         self._gauge_names = gauge_names
         self._timeline = timeline
         self._sink = sink
-        self._link: KernelConnection | None = None
-        self._synced = False
-        self._last = 0  # the number of the last notice that was read
-        self._asked_again = -1  # the one after which some were missing
-        self._unconfirmed: dict[str, list[_Command]] = {}
-        self._call_numbers: dict[str, int] = {}  # the notice by which a run asked for its call
-        self._retry = MIN_BACKOFF
+        self._connection: KernelConnection | None = None
+        self._synced = False  # the notices that the connection repeats have been applied
+        self._notices = NoticeSequence()
+        self._commands = CommandLog()
+        self._call_numbers: dict[
+            str, int
+        ] = {}  # by request, of the notice by which its run asked for its call
+        self._gauge_requests = 0
+        self._backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
+        self._cancel_dialing: Cancel | None = None  # while an attempt to connect is under way
+        self._redial_timer: Timer | None = None
         self._closing = False
-        self._asked = 0
-        self._written: deque[_Command] = deque()  # on this link, in order, and not known to be read
-        self._probe: tuple[str, int] | None = (
-            None  # the tag of gauges asked for, and how many were written before
-        )
-        self._opening: Cancel | None = None
-        self._later: Timer | None = None
 
     def open(self) -> None:
+        """Begin to connect."""
         self._connect()
 
     def close(self) -> None:
+        """Close the connection, for good."""
         self._closing = True
-        self._stop_opening()
-        if self._link is not None:
-            self._link.abort()
+        self._stop_connecting()
+        if self._connection is not None:
+            self._connection.abort()
 
     def change_address(self, address: Address) -> None:
-        """The kernel is reached elsewhere from now on. The old link serves until the new one stands."""
+        """Connect to another address. The old connection serves until the new one is open."""
         if address != self._address:
-            self._address, self._retry = address, MIN_BACKOFF
-            self._stop_opening()
+            self._address = address
+            self._backoff.reset()
+            self._stop_connecting()
             self._connect()
 
     def set_gauge_names(self, gauge_names: Sequence[str]) -> None:
-        """The order of the gauges has changed."""
+        """Take another order of the gauges."""
         self._gauge_names = gauge_names
 
-    def _stop_opening(self) -> None:
-        self._timeline.cancel(self._later)
-        self._later = None
-        if self._opening is not None:
-            self._opening()
-            self._opening = None
+    # Connecting.
+
+    def _stop_connecting(self) -> None:
+        self._timeline.cancel(self._redial_timer)
+        self._redial_timer = None
+        if self._cancel_dialing is not None:
+            self._cancel_dialing()
+            self._cancel_dialing = None
 
     def _connect(self) -> None:
-        self._later = None
-        if not self._closing and self._opening is None:
+        self._redial_timer = None
+        if not self._closing and self._cancel_dialing is None:
             address = self._address
-            self._opening = self._dial(lambda: KernelConnection(self, address), address, self._opened)
-
-    def _opened(self, fault: OSError | None) -> None:
-        self._opening = None
-        if fault is not None:
-            log.warning("kernel not reached: %s", fault)
-        if self._link is None or self._link.address != self._address:  # also where it was lost at once
+            self._cancel_dialing = self._dial(
+                lambda: KernelConnection(self, address), address, self._on_dialed
+            )
+
+    def _on_dialed(self, error: OSError | None) -> None:
+        self._cancel_dialing = None
+        if error is not None:
+            log.warning("kernel connect failed: address=%s:%d reason=%s", *self._address, error)
+        if self._connection is None or self._connection.address != self._address:  # also if it closed at once
             self._connect_later()
 
     def _connect_later(self) -> None:
-        if not self._closing and self._opening is None and self._later is None:
-            self._later = self._timeline.at(self._timeline.now() + self._retry, self._connect)
-            self._retry = min(MAX_BACKOFF, self._retry * 2)
+        if not self._closing and self._cancel_dialing is None and self._redial_timer is None:
+            due = self._timeline.now() + self._backoff.next_delay()
+            self._redial_timer = self._timeline.at(due, self._connect)
 
-    # The link.
+    # The connection's life.
 
-    def connection_opened(self, link: KernelConnection) -> None:
-        if link.address != self._address:  # it moved while the connection was on its way
-            link.abort()
+    def connection_opened(self, connection: KernelConnection) -> None:
+        """Use a new connection in place of the one before; ask for the notices that were missed."""
+        if connection.address != self._address:  # the address changed while it was being opened
+            connection.abort()
             return
-        before, self._link, self._synced = self._link, link, False
-        self._written.clear()
-        self._probe = None
-        link.send(b"OPEN %d\r\n" % self._last)
-        if before is not None:
-            before.abort()
-
-    def connection_lost(self, link: KernelConnection) -> None:
-        if self._link is not link:
+        previous, self._connection, self._synced = self._connection, connection, False
+        self._commands.connection_opened()
+        connection.send(kernel_wire.encode_open(self._notices.last))
+        if previous is not None:
+            previous.abort()
+
+    def connection_closed(self, connection: KernelConnection) -> None:
+        """Connect again, unless a newer connection is in use."""
+        if self._connection is not connection:
             return
-        self._link, self._synced = None, False
+        self._connection, self._synced = None, False
         if self._closing:
             return
-        log.warning("kernel link lost after notice %d", self._last)
-        if link.booted:
+        log.warning("kernel connection lost: last_notice=%d", self._notices.last)
+        if reconnects_at_once(connection.started):
             self._connect()
         else:
             self._connect_later()
 
-    def notice(self, link: KernelConnection, words: list[str], body: bytes) -> None:
-        if link is not self._link:
-            return  # a newer link has taken its place, and repeats what was not read here
-        match words:
-            case ["BOOTED", state, ms]:
-                self._booted(state, ms)
-            case ["INFO", tag, *values]:
-                self._info(tag, values)
-            case ["EINVAL", command, id]:
-                self._invalid(command, id)
-            case ["REAP", number, id, end, ms, _]:
-                if self._is_new(number):
-                    self._confirm(id)
-                    self._sink().run_ended(id, ENDS.get(end, Outcome.ERROR), _milliseconds(ms), body)
-            case ["IOREQ", number, id, _]:
-                if self._is_new(number):
-                    self._confirm(id)
-                    self._call_numbers[id] = int(number)
-                    self._sink().call_needed(id, body)
-            case ["DMESG", number, *text]:
-                if self._is_new(number):
-                    log.info("kernel: %s", " ".join(text)[:200])
-            case _:
-                # It has no body, so what follows can still be read: no reason to give up the link.
-                log.warning("unknown notice %r", " ".join(words)[:64])
-
-    def _is_new(self, word: str) -> bool:
-        """Each notice counts once, however often a new link repeats it."""
-        if not (word.isascii() and word.isdigit()):
-            raise LineProtocolError(f"not the number of a notice: {word[:32]!r}")
-        number = int(word)
-        if number <= self._last:
-            return False
-        if number > self._last + 1:
-            if self._asked_again != self._last:  # a new link repeats it, if the kernel has it still
-                self._asked_again = self._last
-                raise LineProtocolError(f"notice {number} after {self._last}")
-            log.error("kernel notices %d to %d were never read", self._last + 1, number - 1)
-        self._last = number
-        return True
-
-    def _booted(self, state: str, age: str) -> None:
-        log.info("kernel up, %s at its start %s ms ago", state, age)
-        self._retry = MIN_BACKOFF
+    # Notices.
+
+    def notice_received(self, connection: KernelConnection, words: list[str], body: bytes) -> None:
+        """Apply a notice. Raises LineProtocolError where it can't be read, or notices before it are missing."""
+        if connection is not self._connection:
+            return  # a newer connection is in use, on which the kernel repeats what was not read here
+        match kernel_wire.parse_notice(words):
+            case RunEnded() as notice:
+                if self._is_to_be_applied(notice.number):
+                    self._end_run(notice, body)
+            case CallNeeded(number, request_id):
+                if self._is_to_be_applied(number):
+                    self._confirm(request_id)
+                    self._call_numbers[request_id] = number
+                    self._sink().call_needed(request_id, body)
+            case GaugeReadings(tag, readings):
+                self._gauges_received(tag, readings)
+            case CommandRejected(word, request_id):
+                self._command_rejected(word, request_id)
+            case KernelStarted() as notice:
+                self._kernel_started(notice)
+            case KernelMessage(number, text):
+                if self._is_to_be_applied(number):
+                    log.info("kernel message: text=%s", text[:MAX_LOGGED_CHARACTERS])
+            case UnknownNotice():
+                # It has no body, so that what follows can still be read: no reason to close the connection.
+                log.warning("kernel notice ignored: words=%r", " ".join(words)[:MAX_LOGGED_NOTICE])
+
+    def _is_to_be_applied(self, number: int) -> bool:
+        """Whether a numbered notice is applied, by the rule of NoticeSequence. Raises MissingNoticesError."""
+        last = self._notices.last
+        match self._notices.next(number):
+            case NoticeDecision.APPLY:
+                return True
+            case NoticeDecision.IGNORE:
+                return False
+            case NoticeDecision.RECONNECT:
+                raise MissingNoticesError(last, number)
+            case NoticeDecision.APPLY_AFTER_LOSS:
+                log.error("kernel notices lost: first=%d last=%d", last + 1, number - 1)
+                return True
+
+    def _end_run(self, notice: RunEnded, body: bytes) -> None:
+        elapsed = kernel_wire.read_elapsed(notice.elapsed_text)
+        if elapsed is None:
+            shown = notice.elapsed_text[: kernel_wire.MAX_SHOWN_CHARACTERS]
+            log.warning("kernel run time unreadable: request=%s elapsed_ms=%r", notice.request_id, shown)
+            elapsed = ZERO
+        self._confirm(notice.request_id)
+        self._sink().run_ended(notice.request_id, notice.outcome, elapsed, body)
+
+    def _kernel_started(self, notice: KernelStarted) -> None:
+        log.info("kernel up: state=%s age_ms=%s", notice.state, notice.age_ms)
+        self._backoff.reset()
         self._sink().backend_ready()
-        if self._link is not None:
-            self._link.booted = True
-            # The notices that were missed come before the answer to this.
-            self._link.send(f"SYSINFO {SYNC_TAG}\r\n".encode())
+        if self._connection is not None:
+            self._connection.started = True
+            # The notices that were missed come before the response to this.
+            self._connection.send(kernel_wire.encode_gauges_request(SYNC_TAG))
 
-    def _info(self, tag: str, values: list[str]) -> None:
+    def _gauges_received(self, tag: str, readings: list[str]) -> None:
         if tag == SYNC_TAG and not self._synced:
             self._synced = True
-            for commands in list(self._unconfirmed.values()):
-                for command in commands:
-                    self._send(command)
-        elif self._probe is not None and tag == self._probe[0]:
-            for _ in range(self._probe[1]):
-                self._read_by_kernel(self._written.popleft())
-            self._probe = None
+            for command in self._commands.commands_to_resend():
+                self._send(command)
+        else:
+            self._commands.gauges_received(tag)
         try:
-            numbers = [float(value) for value in values]
-        except ValueError as fault:
-            log.warning("malformed gauges: %s", fault)
+            values = [float(reading) for reading in readings]
+        except ValueError as error:
+            log.warning("kernel gauges ignored: reason=%s", error)
             return
-        self._sink().gauges(dict(zip(self._gauge_names, numbers, strict=False)))
+        self._sink().gauges(dict(zip(self._gauge_names, values, strict=False)))
 
-    def _invalid(self, command: str, id: str) -> None:
-        """A command was not carried out. Where a run hangs on it, that run is over."""
-        log.warning("kernel: EINVAL %s %s", command, id)
-        asked = next((one for one in self._unconfirmed.get(id, []) if one.word == command), None)
-        if asked is None:
+    def _command_rejected(self, word: str, request_id: str) -> None:
+        """End the run that depends on a command which was not carried out."""
+        log.warning("kernel rejected a command: command=%s request=%s", word, request_id)
+        if not self._commands.take_rejected(word, request_id):
             return
-        self._read_by_kernel(asked)
-        if command == "SCHED":
-            self._confirm(id)
-            self._sink().run_ended(id, Outcome.NOT_STARTED, ZERO)
-        elif command in ("RESCHED", "IODONE", "NOIO"):
-            self._confirm(id)
-            self._sink().run_ended(id, Outcome.ERROR, ZERO)
+        outcome = run_outcome_of_rejected(word)
+        if outcome is not None:
+            self._confirm(request_id)
+            self._sink().run_ended(request_id, outcome, ZERO)
+
+    def _confirm(self, request_id: str) -> None:
+        """Note that a notice speaks of a request: what was sent for it has been read."""
+        self._commands.confirm_request(request_id)
+        self._call_numbers.pop(request_id, None)
 
     # Commands.
 
     def start(self, request: Request) -> None:
-        offer = request.inbound
-        head = f"SCHED {offer.id} {offer.request_class} {len(offer.body)}\r\n".encode()
-        self._command(offer.id, head + offer.body + b"\r\n")
+        """Start a run."""
+        inbound = request.inbound
+        self._command(inbound.id, kernel_wire.encode_start(inbound.id, inbound.request_class, inbound.body))
 
     def pause(self, request: Request) -> None:
-        self._command(request.id, f"PREEMPT {request.id}\r\n".encode())
+        """Pause a run; where that takes effect, it ends as cancelled."""
+        self._command(request.id, kernel_wire.encode_pause(request.id))
 
     def resume(self, request: Request) -> None:
-        self._command(request.id, f"RESCHED {request.id}\r\n".encode())
+        """Resume a paused run."""
+        self._command(request.id, kernel_wire.encode_resume(request.id))
 
     def supply(self, request: Request, reply: bytes) -> None:
-        self._command(request.id, f"IODONE {request.id} {len(reply)}\r\n".encode() + reply + b"\r\n")
+        """Give a run the reply to its call."""
+        self._command(request.id, kernel_wire.encode_reply(request.id, reply))
 
     def skip(self, request: Request) -> None:
-        number = self._call_numbers.get(request.id, 0)
-        self._command(request.id, f"NOIO {request.id} {number}\r\n".encode())
+        """Let a run go on without its call."""
+        call_number = self._call_numbers.get(request.id, 0)
+        self._command(request.id, kernel_wire.encode_skip(request.id, call_number))
 
     def abandon(self, request: Request) -> None:
-        """The kernel ends the run of a request that is over at its next call, or runs it out."""
+        """Do nothing: the kernel ends the run of a request that is over at its next call, or runs it out."""
 
     def request_gauges(self) -> None:
-        if self._synced:
-            self._asked += 1
-            if self._probe is None:
-                self._probe = (f"g{self._asked}", len(self._written))
-            self._write(b"SYSINFO g%d\r\n" % self._asked)
-
-    def _command(self, id: str, data: bytes) -> None:
-        command = _Command(id, data)
-        self._unconfirmed.setdefault(id, []).append(command)
+        """Ask for the gauges; the readings go to the sink."""
+        if self._synced and self._connection is not None:
+            self._gauge_requests += 1
+            tag = f"g{self._gauge_requests}"
+            self._commands.gauges_requested(tag)
+            self._connection.send(kernel_wire.encode_gauges_request(tag))
+
+    def _command(self, request_id: str, data: bytes) -> None:
+        """Send a command now, or once the connection is in step with the notices."""
+        command = Command(request_id, data)
+        self._commands.add(command)
         if self._synced:
             self._send(command)
 
-    def _send(self, command: _Command) -> None:
-        self._written.append(command)
-        self._write(command.data)
-
-    def _read_by_kernel(self, command: _Command) -> None:
-        """It is never sent again. A notice may have told so before."""
-        left = self._unconfirmed.get(command.id, [])
-        if command in left:
-            left.remove(command)
-            if not left:
-                del self._unconfirmed[command.id]
-
-    def _write(self, data: bytes) -> None:
-        if self._link is not None:
-            self._link.send(data)
-
-    def _confirm(self, id: str) -> None:
-        """A notice spoke of the request: the kernel has read what was sent for it."""
-        self._unconfirmed.pop(id, None)
-        self._call_numbers.pop(id, None)
+    def _send(self, command: Command) -> None:
+        self._commands.mark_written(command)
+        if self._connection is not None:
+            self._connection.send(command.data)
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -297,7 +297,7 @@
         caller.ask(1, other)
         await place.read(1)
         if where == "no link":
-            await until(lambda: f"{1:016x}" in place.node.kernel._unconfirmed)
+            await until(lambda: f"{1:016x}" in place.node.kernel._commands.unconfirmed_requests())
         else:
             await place.kernel.read("SCHED", 1)
         if where == "at a call":
