--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -124,7 +124,7 @@
         """Serve the request, unless it was rejected or another was served before it."""
         if self._responded:
             return  # rejected, or a second request behind the first: there is one to a connection
-        self._service.proven(self)
+        self._service.connections.mark_proven(self)
         method = self._parser.get_method().decode("latin-1")
         path = self._url.decode("latin-1").split("?", 1)[0]
         try:
@@ -149,13 +149,13 @@
 
     # What the listener asks for.
 
-    def send_response(self, number: int, answer: Response) -> None:
+    def send_response(self, number: int, response: Response) -> None:
         """Do nothing: no request of the core comes from here."""
 
-    def peer_closed(self) -> None:
+    def cancel_requests(self) -> None:
         """Do nothing: a response is sent as soon as its request is complete."""
 
-    def read_timed_out(self) -> None:
+    def timed_out(self) -> None:
         """Respond to a request that was not completed in time."""
         self._reject(HttpError(408, "no whole call came in time"))
         self.finish()
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -215,7 +215,7 @@
         if end == "half-closed":
             stream.eof_received()
         else:
-            stream.idle()
+            stream.close_idle()
             desk.clock.advance(500)
         assert not wire.closed
         stream.resume_writing()
