--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -19,11 +19,18 @@
 
 
 class InvalidSettingError(MarlstepError, ValueError):
-    """A setting is missing, of the wrong type or impossible; the message starts with its path."""
+    """A setting is missing, of the wrong type or impossible; the message starts with its path.
+
+    Attributes:
+        path: of the setting, by its keys as they were written, such as `classes[0].deadline_us`.
+        problem: what is wrong with it, to follow the path in a sentence.
+    """
 
     def __init__(self, path: str, problem: str) -> None:
-        """Name the setting by its path, such as `classes[0].deadline_us`."""
+        """Name the setting by its path, and say what is wrong with it."""
         super().__init__(f"{path} {problem}")
+        self.path = path
+        self.problem = problem
 
 
 class Effect(enum.StrEnum):
--- a/marlstep/simulator/adapter.py
+++ b/marlstep/simulator/adapter.py
@@ -1,7 +1,7 @@
 """The simulator's wire on standard input and output, one controller for each instance.
 
-It translates and decides nothing. Input is batches: a line `mark` with the time, lines of events, a line
-`eob`; each batch is answered by the actions of all instances and a line `done`.
+It only translates. Input comes in batches: a line `mark` with the time, lines of events, a line `eob`. The
+reply to each batch is the actions of all instances and a line `done`.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 DONE = b'{"m":"done"}'
 
-NumberedMessage = tuple[int, RawMessage]  # a line's number, and what it holds
+NumberedMessage = tuple[int, RawMessage]  # the number of the input line, and its message
 
 
 class WireError(MarlstepError):
-    """The input can't be understood; the text is one plain line that names the line of input."""
+    """The input is malformed; the text is one line that names the line of input."""
 
     def __init__(self, line: int | None, problem: str) -> None:
-        """Say in which line of the input, counted from 1, and what is wrong; None: at its end."""
+        """Name the line of the input, counted from 1, or None for its end, and say what is wrong."""
         super().__init__(problem if line is None else f"line {line}: {problem}")
 
 
 class InvalidMessageError(MarlstepError):
-    """A field of a message has a value that no message may have there."""
+    """A field of a message has a value of the wrong type."""
 
     def __init__(self, field: str, expected: str) -> None:
         """Name the field, and say what was expected."""
@@ -40,30 +40,30 @@
 
 
 class UnknownNameError(MarlstepError):
-    """A message names an event or an instance that there is not."""
+    """A message names an event or an instance that does not exist."""
 
     def __init__(self, subject: str, number: int | None = None) -> None:
-        """Say what is not known, and its number if it goes by one."""
+        """Name what is not known, with its number if it has one."""
         super().__init__(f"unknown {subject}" if number is None else f"unknown {subject} {number}")
 
 
-class Link:
-    """The instances of one simulation, by their numbers."""
+class SimulatedServers:
+    """The servers of one simulation, each with its controller, by their numbers."""
 
     def __init__(self) -> None:
-        """Start without an instance."""
+        """Start without a server."""
         self.instances: dict[int, Controller] = {}
 
-    def batch(self, clock: int, messages: list[NumberedMessage]) -> list[bytes]:
-        """Give the lines that answer the events of one instant.
+    def process_batch(self, clock: int, messages: list[NumberedMessage]) -> list[bytes]:
+        """Return the lines of the reply to the events of one instant.
 
         Raises:
-            WireError: a message can't be understood.
+            WireError: a message is malformed.
         """
         events_by_server: dict[int, list[Event]] = {}
         for line, raw in messages:
             try:
-                self._take(raw, events_by_server)
+                self._dispatch(raw, events_by_server)
             except KeyError as error:
                 raise WireError(line, f"{raw.get('m')}: missing or unknown {error}") from error
             except (MarlstepError, ValueError, TypeError, AttributeError) as error:
@@ -73,7 +73,7 @@
             reply.extend(self._decide(clock, server, events))
         return reply
 
-    def _take(self, raw: RawMessage, events_by_server: dict[int, list[Event]]) -> None:
+    def _dispatch(self, raw: RawMessage, events_by_server: dict[int, list[Event]]) -> None:
         event, server = raw["m"], raw["serverId"]
         if not isinstance(server, int):
             raise InvalidMessageError("serverId", "a whole number")
@@ -93,17 +93,17 @@
     def _decide(self, clock: int, server: int, events: list[Event]) -> list[bytes]:
         try:
             return [write_action(server, action) for action in self.instances[server].decide(clock, events)]
-        except Exception as error:  # noqa: BLE001 - a fault of one instance is that instance's death alone
+        except Exception as error:  # noqa: BLE001 - an exception in one instance must not end the others
             return [write_crash(server, error)]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batch by batch until the end of input.
+    """Reply to batch after batch until the end of input.
 
     Raises:
-        WireError: at the first line that can't be understood.
+        WireError: at the first malformed line.
     """
-    link = Link()
+    servers = SimulatedServers()
     clock: int | None = None
     messages: list[NumberedMessage] = []
     for line, raw in _read_lines(source):
@@ -113,7 +113,7 @@
         elif clock is None:
             raise WireError(line, f"{event}: stands outside a batch")
         elif event == "eob":
-            sink.write(b"\n".join([*link.batch(clock, messages), DONE, b""]))
+            sink.write(b"\n".join([*servers.process_batch(clock, messages), DONE, b""]))
             sink.flush()
             clock = None
         else:
@@ -141,7 +141,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; give the exit code."""
+    """Serve standard input and output, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/marlstep/simulator/configuration.py
+++ b/marlstep/simulator/configuration.py
@@ -1,137 +1,284 @@
 """The settings of a server as the simulator's wire and the platform's configuration write them (`conf`).
 
-Only names are translated here; the values are checked by `marlstep.admission.settings`.
+Each setting's key stands beside the field that it fills, in one table for each table of `conf`. Only names
+are translated here; the values are checked by `marlstep.admission.settings`, and its errors get the path that
+was written.
 """
 
 from __future__ import annotations
 
-import typing
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, fields
 
-from marlstep.admission.settings import InvalidSettingError, Settings
+from marlstep.admission.settings import (
+    ClassSettings,
+    Downstream,
+    Effect,
+    InvalidSettingError,
+    LoadSignal,
+    PreemptionMode,
+    Settings,
+    TenantSettings,
+    stored_key,
+)
 
-EFFECTS = {"idempotent": "safe", "deduplicated": "keyed", "at_most_once": "unsafe"}
-HALTS = {"none": "none", "abort": "drop", "suspend": "pause"}
-SAYINGS = {"none": "none", "threshold": "level", "window": "credit", "share_of": "weight"}
+EFFECTS: Mapping[str, str] = {
+    "idempotent": Effect.IDEMPOTENT,
+    "deduplicated": Effect.KEYED,
+    "at_most_once": Effect.AT_MOST_ONCE,
+}
+PREEMPTION_MODES: Mapping[str, str] = {
+    "none": PreemptionMode.NONE,
+    "abort": PreemptionMode.DROP,
+    "suspend": PreemptionMode.PAUSE,
+}
+LOAD_SIGNALS: Mapping[str, str] = {
+    "none": LoadSignal.NONE,
+    "threshold": LoadSignal.LEVEL,
+    "window": LoadSignal.CREDIT,
+    "share_of": LoadSignal.WEIGHT,
+}
+ROOT_PATH = "conf"
+CLASSES_PATH = "conf.classes"
+TENANTS_PATH = "conf.realms"
+
+STORED_KEYS: dict[type, dict[str, str]] = {
+    owner: {part.name: stored_key(part) for part in fields(owner)}
+    for owner in (Settings, ClassSettings, TenantSettings)
+}
+
+
+def _as_written(value: object) -> object:
+    return value
+
+
+def _whole_number(value: object) -> object:
+    """Read a whole number that may be written with a decimal point."""
+    return int(value) if isinstance(value, float) and value.is_integer() else value
+
+
+def _at_least_one(value: object) -> object:
+    """Count this server itself where the endpoint list is empty."""
+    return max(1, value) if isinstance(value, int | float) else value
+
+
+@dataclass(slots=True, frozen=True)
+class WireKey:
+    """Where `conf` holds one setting.
+
+    Attributes:
+        field: the field of `Settings`, `ClassSettings` or `TenantSettings` that it fills.
+        key: in its table.
+        default: the value if the key is absent or null; None if the key is required.
+        words: the values by the wire's words for them, where these differ.
+        convert: applied to what is written.
+    """
+
+    field: str
+    key: str
+    default: object = None
+    words: Mapping[str, str] | None = None
+    convert: Callable[[object], object] = _as_written
+
+
+# By the path of the table that holds them.
+SERVER_KEYS: dict[str, tuple[WireKey, ...]] = {
+    ROOT_PATH: (
+        WireKey("over_quota_factor", "overShareWorth", default=1.0),
+        WireKey("server_count", "peersTotal", default=1, convert=_at_least_one),
+        WireKey("tick_us", "resolutionUs"),
+    ),
+    "conf.familyInfo": (
+        WireKey("cores", "cpus"),
+        WireKey("memory_kb", "ramKb"),
+        WireKey("running_memory_factor", "runMemFactor"),
+        WireKey("idempotency_key_kb", "keyKb", default=0.0),
+        WireKey("cacheable_us", "freshUs", default=0),
+        WireKey("caller_count", "upstreams", default=0),
+        WireKey("warms_up", "cold", default=False),
+        WireKey("preemption_mode", "halt", default=PreemptionMode.NONE, words=PREEMPTION_MODES),
+        WireKey("load_signal", "say", default=LoadSignal.NONE, words=LOAD_SIGNALS),
+        WireKey("load_signal_lifetime_us", "heededUs", default=0),
+        WireKey("dependency", "below", default=Downstream.NONE),
+        WireKey("mean_calls_in_flight", "callsOut", default=0.0),
+        WireKey("call_averaging_us", "callsOverUs", default=0),
+        WireKey("abandoned_call_us", "lingersUs", default=0),
+        WireKey("idle_timeout_us", "keepaliveMaxUs", default=0),
+        WireKey("endpoint_list_follows_health", "listFollows", default=False),
+        WireKey("deep_health_checks", "deepChecks", default=False),
+    ),
+    "conf.rules": (
+        WireKey("initial_capacity_share", "coldShare", default=1.0),
+        WireKey("warm_up_us", "warmAfterUs", default=0),
+        WireKey("overload_concurrency_factor", "fallMultiple"),
+        WireKey("overload_duration_us", "fallUs"),
+        WireKey("drain_grace_us", "drainGraceUs"),
+        WireKey("response_margin_us", "answerSlackUs"),
+    ),
+    "conf.caps": (
+        WireKey("sends_retry_after", "retryAfter", default=False),
+        WireKey("max_retry_after_us", "maxRetryAfterUs", default=0),
+    ),
+}
+CALLER_KEYS = (WireKey("marks_retries", "marksRetry", default=False),)  # of a table that may be absent
+CLASS_KEYS = (
+    WireKey("name", "name"),
+    WireKey("effect", "semantics", words=EFFECTS),
+    WireKey("latency_objective_us", "aimUs", convert=_whole_number),
+    WireKey("deadline_us", "hardLimitUs", convert=_whole_number),
+    WireKey("idempotency_window_us", "repeatWindowUs", default=0),
+    WireKey("priority_weight", "worth"),
+    WireKey("late_response_factor", "lateShare", default=0.0),
+)
+# Lists of one value for each class, which stand in `conf.familyInfo`.
+PER_CLASS_KEYS = (
+    WireKey("makes_calls", "callsByClass", default=False),
+    WireKey("skipped_call_factor", "degradedWorth", default=0.0),
+)
+TENANT_KEYS = (
+    WireKey("name", "name"),
+    WireKey("portion", "portion"),
+    WireKey("quota_per_s", "allowancePerS"),
+)
 
 
 def read_settings(raw: object) -> Settings:
     """Translate `conf`.
 
     Raises:
-        InvalidSettingError: a value is missing, of the wrong type or impossible; the text names it by its
-            path.
+        InvalidSettingError: a value is missing, of the wrong type or impossible; it names the key as written.
     """
-    conf = _Table(raw, "conf")
-    info, rules, capabilities = conf.table("familyInfo"), conf.table("rules"), conf.table("caps")
-    return Settings.from_mapping(
-        {
-            "classes": _read_classes(conf.rows("classes"), info),
-            "tenants": [_read_tenant(row) for row in conf.rows("realms", [])],
-            "over_share_worth": conf.optional("overShareWorth", 1.0),
-            "cores": info.required("cpus"),
-            "memory_kb": info.required("ramKb"),
-            "run_factor": info.required("runMemFactor"),
-            "key_kb": info.optional("keyKb", 0.0),
-            "fresh_us": info.optional("freshUs", 0),
-            "peers": max(1, typing.cast(int, conf.optional("peersTotal", 1))),
-            "callers": info.optional("upstreams", 0),
-            "cold": info.optional("cold", False),
-            "cold_share": rules.optional("coldShare", 1.0),
-            "warm_after_us": rules.optional("warmAfterUs", 0),
-            "fall_multiple": rules.required("fallMultiple"),
-            "fall_us": rules.required("fallUs"),
-            "drain_grace_us": rules.required("drainGraceUs"),
-            "answer_slack_us": rules.required("answerSlackUs"),
-            "tick_us": conf.required("resolutionUs"),
-            "halt": info.word("halt", HALTS) if "halt" in info.raw else "none",
-            "say": info.word("say", SAYINGS) if "say" in info.raw else "none",
-            "heeded_us": info.optional("heededUs", 0),
-            "below": info.optional("below", "none"),
-            "calls_out": info.optional("callsOut", 0.0),
-            "calls_over_us": info.optional("callsOverUs", 0),
-            "linger_us": info.optional("lingersUs", 0),
-            "idle_us": info.optional("keepaliveMaxUs", 0),
-            "list_follows_health": info.optional("listFollows", False),
-            "deep_checks": info.optional("deepChecks", False),
-            "retry_after": capabilities.optional("retryAfter", False),
-            "max_retry_after_us": capabilities.optional("maxRetryAfterUs", 0),
-            "marks_retry": _marks_retry(conf),
-        }
-    )
+    reader = _Reader(_Table(raw, ROOT_PATH))
+    return reader.read()
 
 
 class _Table:
-    """A table of settings that knows its path for error messages."""
+    """A table of `conf`, with its path for error messages."""
 
     def __init__(self, raw: object, path: str) -> None:
         if not isinstance(raw, Mapping):
             raise InvalidSettingError(path, "must be a table of settings")
-        self.raw, self.path = raw, path
+        self._raw: Mapping[str, object] = raw
+        self.path = path
+
+    def __contains__(self, key: str) -> bool:
+        return key in self._raw
+
+    def path_of(self, key: str) -> str:
+        return f"{self.path}.{key}"
 
     def required(self, key: str) -> object:
-        if self.raw.get(key) is None:
-            raise InvalidSettingError(f"{self.path}.{key}", "is missing")
-        value: object = self.raw[key]
+        value = self._raw.get(key)
+        if value is None:
+            raise InvalidSettingError(self.path_of(key), "is missing")
         return value
 
-    def duration_us(self, key: str) -> object:
-        """Read microseconds; a whole number may be written with a point."""
-        value = self.required(key)
-        return int(value) if isinstance(value, float) and value.is_integer() else value
+    def value(self, wire: WireKey) -> object:
+        """Read one setting.
 
-    def optional(self, key: str, default: object) -> object:
-        value = self.raw.get(key)
-        return default if value is None else value
+        Raises:
+            InvalidSettingError: it is required and missing, or it is none of the words that it may be.
+        """
+        if wire.words is not None:
+            return self._word(wire, wire.words)
+        if wire.default is None:
+            return wire.convert(self.required(wire.key))
+        written = self._raw.get(wire.key)
+        return wire.default if written is None else wire.convert(written)
+
+    def _word(self, wire: WireKey, words: Mapping[str, str]) -> object:
+        if wire.default is not None and wire.key not in self._raw:
+            return wire.default
+        written = self.required(wire.key)
+        if not isinstance(written, str) or written not in words:
+            raise InvalidSettingError(self.path_of(wire.key), f"must be one of {', '.join(words)}")
+        return words[written]
 
     def table(self, key: str) -> _Table:
-        return _Table(self.required(key), f"{self.path}.{key}")
+        return _Table(self.required(key), self.path_of(key))
 
-    def rows(self, key: str, default: object = None) -> list[_Table]:
-        items = self.required(key) if default is None else self.optional(key, default)
+    def rows(self, key: str) -> list[_Table]:
+        items = self.required(key)
         if not isinstance(items, list):
-            raise InvalidSettingError(f"{self.path}.{key}", "must be a list")
-        return [_Table(item, f"{self.path}.{key}[{index}]") for index, item in enumerate(items)]
+            raise InvalidSettingError(self.path_of(key), "must be a list")
+        return [_Table(item, f"{self.path_of(key)}[{index}]") for index, item in enumerate(items)]
+
+    def optional_rows(self, key: str) -> list[_Table]:
+        return [] if self._raw.get(key) is None else self.rows(key)
 
-    def per_class(self, key: str, count: int, default: object) -> list[object]:
-        values = self.optional(key, [default] * count)
-        if not isinstance(values, list) or len(values) != count:
-            raise InvalidSettingError(f"{self.path}.{key}", "must have one value for each class")
+    def per_class(self, wire: WireKey, class_count: int) -> list[object]:
+        """Read a list of one value for each class.
+
+        Raises:
+            InvalidSettingError: it is no list, or of another length.
+        """
+        values = self._raw.get(wire.key)
+        if values is None:
+            return [wire.default] * class_count
+        if not isinstance(values, list) or len(values) != class_count:
+            raise InvalidSettingError(self.path_of(wire.key), "must have one value for each class")
         return values
 
-    def word(self, key: str, words: Mapping[str, str]) -> str:
-        value = self.required(key)
-        if value not in words:
-            raise InvalidSettingError(f"{self.path}.{key}", f"must be one of {', '.join(words)}")
-        return words[typing.cast(str, value)]
-
-
-def _read_classes(rows: list[_Table], info: _Table) -> list[dict[str, object]]:
-    calls = info.per_class("callsByClass", len(rows), False)
-    skips = info.per_class("degradedWorth", len(rows), 0.0)
-    return [
-        {
-            "name": row.required("name"),
-            "effect": row.word("semantics", EFFECTS),
-            "aim_us": row.duration_us("aimUs"),
-            "deadline_us": row.duration_us("hardLimitUs"),
-            "window_us": row.optional("repeatWindowUs", 0),
-            "worth": row.required("worth"),
-            "late_share": row.optional("lateShare", 0.0),
-            "calls": calls[index],
-            "skip_worth": skips[index],
-        }
-        for index, row in enumerate(rows)
-    ]
-
-
-def _read_tenant(row: _Table) -> dict[str, object]:
-    return {
-        "name": row.required("name"),
-        "portion": row.required("portion"),
-        "allowance_per_s": row.required("allowancePerS"),
-    }
-
-
-def _marks_retry(conf: _Table) -> object:
-    return conf.table("callers").optional("marksRetry", False) if "callers" in conf.raw else False
+
+class _Reader:
+    """Collects the values of `conf` by stored key, and the path at which each was written."""
+
+    def __init__(self, conf: _Table) -> None:
+        self._conf = conf
+        self._written_paths: dict[str, str] = {}
+
+    def read(self) -> Settings:
+        tables = {path: self._find_table(path) for path in SERVER_KEYS}
+        values: dict[str, object] = {}
+        for path, keys in SERVER_KEYS.items():
+            values |= self._read_row(Settings, tables[path], keys, "")
+        values |= self._read_caller_behaviour()
+        values["classes"] = self._read_classes(tables["conf.familyInfo"])
+        values["tenants"] = self._read_tenants()
+        try:
+            return Settings.from_mapping(values)
+        except InvalidSettingError as error:
+            raise InvalidSettingError(self._written_paths[error.path], error.problem) from error
+
+    def _find_table(self, path: str) -> _Table:
+        if path == ROOT_PATH:
+            return self._conf
+        return self._conf.table(path.removeprefix(f"{ROOT_PATH}."))
+
+    def _read_caller_behaviour(self) -> dict[str, object]:
+        if "callers" in self._conf:
+            return self._read_row(Settings, self._conf.table("callers"), CALLER_KEYS, "")
+        return {STORED_KEYS[Settings][wire.field]: wire.default for wire in CALLER_KEYS}
+
+    def _read_classes(self, family_info: _Table) -> list[dict[str, object]]:
+        rows = self._conf.rows("classes")
+        self._written_paths["classes"] = CLASSES_PATH
+        classes = []
+        for index, row in enumerate(rows):
+            classes.append(self._read_row(ClassSettings, row, CLASS_KEYS, f"classes[{index}]."))
+        for wire in PER_CLASS_KEYS:
+            stored = STORED_KEYS[ClassSettings][wire.field]
+            for index, value in enumerate(family_info.per_class(wire, len(rows))):
+                classes[index][stored] = value
+                self._written_paths[f"classes[{index}].{stored}"] = (
+                    f"{family_info.path_of(wire.key)}[{index}]"
+                )
+        return classes
+
+    def _read_tenants(self) -> list[dict[str, object]]:
+        self._written_paths["tenants"] = TENANTS_PATH
+        rows = self._conf.optional_rows("realms")
+        return [
+            self._read_row(TenantSettings, row, TENANT_KEYS, f"tenants[{index}].")
+            for index, row in enumerate(rows)
+        ]
+
+    def _read_row(
+        self, owner: type, table: _Table, keys: tuple[WireKey, ...], stored_prefix: str
+    ) -> dict[str, object]:
+        values: dict[str, object] = {}
+        for wire in keys:
+            stored = STORED_KEYS[owner][wire.field]
+            self._written_paths[stored_prefix + stored] = table.path_of(wire.key)
+            values[stored] = table.value(wire)
+        return values
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -1,4 +1,7 @@
-"""The simulator's messages: events as it writes them, actions as it reads them."""
+"""The simulator's messages: events as it writes them, actions as it reads them.
+
+Each wire key stands beside the field that it fills; readers and writers are tables by message and by action.
+"""
 
 from __future__ import annotations
 
@@ -38,6 +41,7 @@
 
 RawMessage = dict[str, Any]
 
+# Names of outcomes and gauges on the wire, and those of the controller.
 OUTCOMES = {
     "served": Outcome.OK,
     "server_error": Outcome.ERROR,
@@ -113,11 +117,11 @@
 
 
 def write_action(server: int, action: Action) -> bytes:
-    """Write an action of one instance as a line, without its end."""
+    """Return an action of one instance as a line, without the line break."""
     return orjson.dumps(WRITERS[type(action)](action) | {"serverId": server})
 
 
 def write_crash(server: int, error: Exception) -> bytes:
-    """Report that the controller of one instance has failed."""
+    """Return the message that the controller of one instance has failed."""
     text = f"{type(error).__name__}: {error}"
     return orjson.dumps({"m": "die", "serverId": server, "msg": text})
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -47,10 +47,10 @@
         ({"limits": []}, "limits must be a table"),
         ({"settings": None}, "settings is missing"),
         ({"settings": {**SETTINGS, "resolutionUs": None}}, "settings: resolutionUs is missing"),
-        ({"settings": {**SETTINGS, "resolutionUs": "x"}}, "tick_us must be of type int"),
+        ({"settings": {**SETTINGS, "resolutionUs": "x"}}, "settings: resolutionUs must be of type int"),
         (
             {"settings": {**SETTINGS, "familyInfo": {**SETTINGS["familyInfo"], "cpus": 0}}},
-            "cores must be at least 1",
+            "settings: familyInfo.cpus must be at least 1",
         ),
     ],
 )
--- a/tests/test_renew.py
+++ b/tests/test_renew.py
@@ -166,7 +166,7 @@
     (broken("settings.classes", "none"), "classes"),
     (broken("settings.classes", [7]), "settings"),
     (broken("settings.classes.1.name", "temp-history"), "names one twice"),
-    (broken("settings.familyInfo.ramKb", -1.0), "memory_kb"),
+    (broken("settings.familyInfo.ramKb", -1.0), "settings: familyInfo.ramKb must be above 0"),
 ]  # fmt: skip
 
 
