--- a/tests/admission/random_world.py
+++ b/tests/admission/random_server.py
@@ -1,6 +1,6 @@
-"""A seeded world round an admission controller: random events in, actions out, a digest of all that was said.
+"""A seeded server round an admission controller: random events in, actions out, a digest of all actions.
 
-The world draws from `random.Random(seed)` alone, and obeys the actions only as far as the next events need it, so a
+It draws from `random.Random(seed)` alone, and carries out the actions only as far as the next events need it, so a
 sequence is the same wherever it is played as long as the controller's actions are.
 """
 
@@ -79,27 +79,27 @@
 
 @dataclass(slots=True)
 class KnownRequest:
-    """What the world remembers of one request."""
+    """What the server knows of one request."""
 
     number: int
     request_class: str
     key: int
-    keyed: bool
+    is_keyed: bool
     caller: int
-    state: str = "held"  # held, running, at call, calling, paused, attached, over
-    kept: bool = False
+    state: str = "queued"  # queued, running, awaiting call, calling, paused, attached, finished
+    is_key_kept: bool = False
 
 
 def variants() -> dict[str, Settings]:
-    """Settings that between them reach every branch: halts, dependencies, sayings, tenants, cold starts."""
-    classes = tuple(dataclasses.replace(kind, makes_calls=True) for kind in helpers.CLASSES)
+    """Settings that between them reach every branch: preemption, dependencies, signals, tenants, warm-up."""
+    classes = tuple(dataclasses.replace(each, makes_calls=True) for each in helpers.CLASSES)
     late = tuple(
         dataclasses.replace(
-            kind,
+            each,
             late_response_factor=0.2,
-            skipped_call_factor=0.5 if kind.effect is Effect.IDEMPOTENT else 0.0,
+            skipped_call_factor=0.5 if each.effect is Effect.IDEMPOTENT else 0.0,
         )
-        for kind in classes
+        for each in classes
     )
     tenants = (
         TenantSettings("riad", 0.2, 12.0),
@@ -148,8 +148,8 @@
     }
 
 
-class RandomWorld:
-    """One controller, its clock, and all that happens to it."""
+class RandomServer:
+    """A controller, its clock, and all that happens to it."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -165,7 +165,7 @@
         self.digest = hashlib.blake2b(digest_size=16)
 
     def play(self, turns: int = TURNS) -> str:
-        """The digest of all actions of so many turns."""
+        """Return the digest of all actions of so many turns."""
         for _ in range(turns):
             self.now += int(self.random.choice((1, 7, 20, 60, 180)) * MS * (0.5 + self.random.random()))
             actions = self.controller.decide(self.now, list(self._events()))
@@ -173,11 +173,11 @@
                 name = STORED_NAMES[type(action)]
                 self.actions_seen.add(name)
                 self.digest.update(f"{self.now} {name} {dataclasses.astuple(action)!r}\n".encode())
-                self._obey(action)
+                self._carry_out(action)
             used = self.controller.memory_and_concurrency_in_use()
             self.digest.update(f"used {used[0]!r} {used[1]!r}\n".encode())
-        learnt = self.controller.measurements()
-        self.digest.update(f"learnt {dataclasses.astuple(learnt)!r}\n".encode())
+        measured = self.controller.measurements()
+        self.digest.update(f"learnt {dataclasses.astuple(measured)!r}\n".encode())
         return self.digest.hexdigest()
 
     def _events(self) -> Iterator[Event]:
@@ -200,24 +200,28 @@
             yield self._rare_event()
 
     def _arrival(self) -> Arrival:
-        kind = self.random.choice(self.settings.classes)
+        request_class = self.random.choice(self.settings.classes)
         key = self.random.randrange(8)
         number = len(self.requests)
         name = (
             f"r{number}" if self.random.random() < 0.98 or not number else f"r{self.random.randrange(number)}"
         )
         prior = None
-        if kind.effect is Effect.KEYED:
+        if request_class.effect is Effect.KEYED:
             same = [
-                one for one, known in self.requests.items() if known.key == key and known.keyed and known.kept
+                id
+                for id, known in self.requests.items()
+                if known.key == key and known.is_keyed and known.is_key_kept
             ]
             prior = same[-1] if same else None
         caller = self.random.randrange(12)
-        self.requests[name] = KnownRequest(number, kind.name, key, kind.effect is Effect.KEYED, caller)
+        self.requests[name] = KnownRequest(
+            number, request_class.name, key, request_class.effect is Effect.KEYED, caller
+        )
         unread = self.random.choice((0, 0, 0, 3, 40, 900)) * MS
         return Arrival(
             name,
-            kind.name if self.random.random() < 0.99 else "unknown",
+            request_class.name if self.random.random() < 0.99 else "unknown",
             self.random.choice((5.0, 20.0, 60.0)),
             caller,
             unread,
@@ -232,19 +236,19 @@
         )
 
     def _progress(self, name: str, known: KnownRequest) -> Event | None:
-        if known.state == "over":
+        if known.state == "finished":
             return None
         chance = self.random.random()
         if chance < 0.01:
             return ClientDisconnected(name)
         if known.state == "running" and chance < 0.25:
-            known.state = "over"
+            known.state = "finished"
             return RunEnded(name, self.random.choice(OUTCOMES), self.random.randrange(300) * MS)
         if known.state == "running" and chance < 0.40:
-            known.state = "at call"
+            known.state = "awaiting call"
             return CallNeeded(name)
         if known.state == "calling" and chance < 0.45:
-            known.state = "at call"
+            known.state = "awaiting call"
             outcome = self.random.choice(OUTCOMES)
             if outcome is Outcome.OK:
                 known.state = "running"
@@ -257,19 +261,19 @@
             lambda: PoolCapacityChanged("west", self.random.randrange(0, 4)),
             lambda: QuotaChanged("riad", self.random.choice((0.0, 3.0, 60.0))),
             lambda: Measurements(3.0, 20_000.0, 30_000.0, 40_000.0, {"low": 50_000.0, "high": 10_000.0}),
-            self._changed,
+            self._settings_changed,
         ]
         if not self.draining and self.random.random() < 0.2:
             self.draining = True
             return Drain(self.now + 3_000 * MS, self.random.random() < 0.3, self.now - 5 * MS)
         return self.random.choice(makers)()
 
-    def _changed(self) -> SettingsChanged:
-        kept = self.settings.classes[1:]
-        fewer = dataclasses.replace(self.settings, classes=kept, memory_kb=self.settings.memory_kb * 0.8)
+    def _settings_changed(self) -> SettingsChanged:
+        remaining = self.settings.classes[1:]
+        fewer = dataclasses.replace(self.settings, classes=remaining, memory_kb=self.settings.memory_kb * 0.8)
         return SettingsChanged(fewer, self.settings.classes[:1])
 
-    def _obey(self, action: Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
             case SetTimer():
                 self.timers.append((self.now + action.after_us, action.tag))
@@ -281,15 +285,15 @@
                     self.pending.append(RunEnded(name, Outcome.CANCELLED, 0))
             case Reject(id=name) | Fail(id=name):
                 if self.requests[name].state != "running":
-                    self.requests[name].state = "over"
+                    self.requests[name].state = "finished"
             case Call(id=name):
                 self.requests[name].state = "calling"
             case SkipCall(id=name):
                 self.requests[name].state = "running"
             case KeepKey(id=name):
-                self.requests[name].kept = True
+                self.requests[name].is_key_kept = True
             case ForgetKey(id=name):
-                self.requests[name].kept = False
+                self.requests[name].is_key_kept = False
             case Attach(id=name):
                 self.requests[name].state = "attached"
             case _:
--- a/tests/admission/record.py
+++ b/tests/admission/record.py
@@ -1,11 +1,11 @@
-"""Writes the digests of the controller's actions anew: `python -m tests.admission.record`; no test does."""
+"""Writes the digests of the controller's actions again: `python -m tests.admission.record`; no test does."""
 
 from __future__ import annotations
 
 import json
 from pathlib import Path
 
-from tests.admission.random_world import RandomWorld, variants
+from tests.admission.random_server import RandomServer, variants
 
 DIGESTS = Path(__file__).parent / "action_digests.json"
 SEEDS_PER_VARIANT = 500
@@ -13,11 +13,11 @@
 
 
 def digests_of(variant: str) -> list[str]:
-    """One digest for each run of `SEEDS_PER_DIGEST` sequences."""
+    """Return one digest for each run of `SEEDS_PER_DIGEST` sequences."""
     settings = variants()[variant]
     found = []
     for first in range(0, SEEDS_PER_VARIANT, SEEDS_PER_DIGEST):
-        played = [RandomWorld(settings, seed).play() for seed in range(first, first + SEEDS_PER_DIGEST)]
+        played = [RandomServer(settings, seed).play() for seed in range(first, first + SEEDS_PER_DIGEST)]
         found.append("".join(digest[:6] for digest in played))
     return found
 
--- a/tests/admission/test_action_digests.py
+++ b/tests/admission/test_action_digests.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.admission.random_world import STORED_NAMES, RandomWorld, variants
+from tests.admission.random_server import STORED_NAMES, RandomServer, variants
 from tests.admission.record import DIGESTS, SEEDS_PER_DIGEST, SEEDS_PER_VARIANT, digests_of
 
 STORED: dict[str, list[str]] = json.loads(DIGESTS.read_text())
@@ -28,7 +28,7 @@
     played = set()
     for settings in variants().values():
         for seed in range(SEEDS_PER_DIGEST):
-            world = RandomWorld(settings, seed)
-            world.play()
-            played |= world.actions_seen
+            server = RandomServer(settings, seed)
+            server.play()
+            played |= server.actions_seen
     assert played == set(STORED_NAMES.values()) - {"log"}  # the controller writes no log
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and a driver for tests of the module, without the bench."""
+"""Settings and a driver for tests of the admission controller."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 )
 
 START = 5_000_000
-MS = 1000
+MS = 1000  # microseconds
 
 
-def a_class(name: str, worth: float = 1.0, effect: Effect = Effect.IDEMPOTENT, **other: Any) -> ClassSettings:
+def request_class(name: str, effect: Effect = Effect.IDEMPOTENT, **other: Any) -> ClassSettings:
+    """A class with a latency objective of 2 s, a deadline of 4 s and a window of 8 s, but for what is given."""
     plain = ClassSettings(
         name=name,
         effect=effect,
         latency_objective_us=2_000 * MS,
         deadline_us=4_000 * MS,
         idempotency_window_us=8_000 * MS,
-        priority_weight=worth,
+        priority_weight=1.0,
         late_response_factor=0.0,
         makes_calls=False,
         skipped_call_factor=0.0,
@@ -36,11 +37,11 @@
     return dataclasses.replace(plain, **other)
 
 
-LOW = a_class("low")
-HIGH = a_class("high", priority_weight=3.0)
-KEYED = a_class("keyed", priority_weight=2.0, effect=Effect.KEYED)
-UNSAFE = a_class("unsafe", priority_weight=2.0, effect=Effect.AT_MOST_ONCE)
-CLASSES = (LOW, HIGH, KEYED, UNSAFE)
+LOW = request_class("low")
+HIGH = request_class("high", priority_weight=3.0)
+KEYED = request_class("keyed", priority_weight=2.0, effect=Effect.KEYED)
+AT_MOST_ONCE = request_class("unsafe", priority_weight=2.0, effect=Effect.AT_MOST_ONCE)
+CLASSES = (LOW, HIGH, KEYED, AT_MOST_ONCE)
 
 
 def settings(**other: Any) -> Settings:
@@ -80,29 +81,34 @@
     return dataclasses.replace(plain, **other)
 
 
-class Server:
-    """One controller and a clock; steps return what was done in terms of short words."""
+class ControllerDriver:
+    """A controller and a clock that is moved by hand.
+
+    Each step gives events to the controller, and returns the actions on requests as pairs of action name and id.
+    """
 
     def __init__(self, **other: Any) -> None:
         self.settings = settings(**other)
         self.controller = Controller(self.settings, 1)
         self.now = START
-        self.done: list[tuple[str, str]] = []
+        self.done: list[tuple[str, str]] = []  # of all steps
         self.step()
 
     def step(self, *events: Event, after_ms: float = 0) -> list[tuple[str, str]]:
-        """Give the events and list (action, id) for actions on requests."""
+        """Let time pass, then give the events to the controller."""
         self.now += int(after_ms * MS)
         self.last = self.controller.decide(self.now, list(events))
         done = [(type(action).__name__, action.id) for action in self.last if hasattr(action, "id")]
         self.done += done
         return done
 
-    def arrive(self, id: str, kind: str = "low", after_ms: float = 0, **other: Any) -> list[tuple[str, str]]:
-        return self.step(self.request(id, kind, after_ms=after_ms, **other), after_ms=after_ms)
+    def arrive(
+        self, id: str, class_name: str = "low", after_ms: float = 0, **other: Any
+    ) -> list[tuple[str, str]]:
+        return self.step(self.request(id, class_name, after_ms=after_ms, **other), after_ms=after_ms)
 
-    def request(self, id: str, kind: str = "low", after_ms: float = 0, **other: Any) -> Arrival:
-        plain = Arrival(id=id, request_class=kind, memory_kb=10.0, caller=1, unread_us=0)
+    def request(self, id: str, class_name: str = "low", after_ms: float = 0, **other: Any) -> Arrival:
+        plain = Arrival(id=id, request_class=class_name, memory_kb=10.0, caller=1, unread_us=0)
         plain.caller_deadline_at = self.now + int(after_ms * MS) + 4_000 * MS
         return dataclasses.replace(plain, **other)
 
@@ -114,5 +120,6 @@
     ) -> list[tuple[str, str]]:
         return self.step(RunEnded(id, outcome, 0), *more, after_ms=after_ms)
 
-    def find(self, kind: type[Action]) -> list[Any]:
-        return [action for action in self.last if isinstance(action, kind)]
+    def actions_of(self, action_type: type[Action]) -> list[Any]:
+        """List the actions of this type in the last step."""
+        return [action for action in self.last if isinstance(action, action_type)]
