--- a/tests/admission/test_events.py
+++ b/tests/admission/test_events.py
@@ -1,4 +1,4 @@
-"""What passes between two processes of a node keeps its stored form, whatever the fields are called."""
+"""Measurements keep their stored form between two processes, whatever the fields are called."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 )
 
 
-def test_what_was_learnt_is_written_under_its_stored_names_in_their_order() -> None:
-    learnt = Measurements(2.5, 300.0, 40.0, 50.0, {"low": 7.0, "high": 0.0})
-    assert json.dumps(learnt.to_json()) == STORED
-    assert Measurements.from_mapping(json.loads(STORED)) == learnt
+def test_measurements_are_written_under_their_stored_names_in_their_order() -> None:
+    measured = Measurements(2.5, 300.0, 40.0, 50.0, {"low": 7.0, "high": 0.0})
+    assert json.dumps(measured.to_json()) == STORED
+    assert Measurements.from_mapping(json.loads(STORED)) == measured
 
 
-def test_what_is_absent_or_makes_no_sense_reads_as_unknown() -> None:
+def test_absent_and_implausible_values_read_as_not_measured() -> None:
     raw = {"limit": True, "base_us": -1, "call_usual_us": 1e13, "means_us": {"low": "x", 3: 4}, "more": 1}
     assert Measurements.from_mapping(raw) == Measurements(mean_run_us={"low": 0.0, "3": 4.0})
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -1,4 +1,4 @@
-"""What the readers of the admission controller were promised about its form and its place."""
+"""The form of the admission controller's modules, and the list of those that decide."""
 
 import ast
 import tomllib
@@ -10,7 +10,7 @@
 PACKAGE = "marlstep/admission"
 CONTROLLER = f"{PACKAGE}/controller.py"
 DECIDING: list[str] = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-# Types, and what counts, keeps and wires without deciding anything; docs/design.md says why of each.
+# Types, counters and holders of state, which decide nothing; docs/design.md gives the reason for each.
 DECIDES_NOTHING = {
     f"{PACKAGE}/{name}.py"
     for name in (
@@ -67,7 +67,7 @@
     assert "exclude" not in ruff and "extend-exclude" not in ruff
 
 
-def test_every_file_of_the_package_is_listed_as_one_that_decides_or_said_to_decide_nothing() -> None:
+def test_every_file_of_the_package_is_listed_as_one_that_decides_or_as_one_that_does_not() -> None:
     found = {path.relative_to(ROOT).as_posix() for path in (ROOT / PACKAGE).rglob("*.py")}
     assert found == {*DECIDING, *DECIDES_NOTHING}
     assert CONTROLLER in DECIDING and len(DECIDING) == len(set(DECIDING))
@@ -75,8 +75,11 @@
 
 def test_the_design_names_every_file_that_decides_nothing_but_the_types() -> None:
     design = (ROOT / "docs" / "design.md").read_text()
-    said = {f"{PACKAGE}/__init__.py", *(name for name in DECIDES_NOTHING if f"`{Path(name).name}`" in design)}
-    assert said == DECIDES_NOTHING
+    described = {
+        f"{PACKAGE}/__init__.py",
+        *(name for name in DECIDES_NOTHING if f"`{Path(name).name}`" in design),
+    }
+    assert described == DECIDES_NOTHING
 
 
 def test_the_controller_names_its_interface_at_the_top() -> None:
--- a/tests/admission/test_settings.py
+++ b/tests/admission/test_settings.py
@@ -1,4 +1,4 @@
-"""Stored settings keep their words; the fields have the field's terms."""
+"""Settings keep their stored keys, and errors name these."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def stored(item: Settings | ClassSettings | TenantSettings) -> dict[str, object]:
-    """Give the stored form of settings."""
+    """Return the stored form of settings."""
     plain: dict[str, object] = {}
     for part in dataclasses.fields(item):
         value = getattr(item, part.name)
