--- a/tests/admission/test_concurrency_limit.py
+++ b/tests/admission/test_concurrency_limit.py
@@ -2,6 +2,16 @@
 
 from __future__ import annotations
 
+import pytest
+
+from marlstep.admission.concurrency_limit import (
+    CPU_BUSY_THRESHOLD,
+    LIMIT_INCREASE_PER_SECOND,
+    MAX_READ_LAG_FRACTION,
+    adapted_limit,
+    is_cpu_busy,
+    read_lag_factor,
+)
 from tests.support.helpers import MS, ControllerDriver
 
 
@@ -32,3 +42,25 @@
     for index in range(20):
         server.arrive(f"r{index}", unread_us=1_500 * MS)
     assert len([1 for action, _ in server.done if action == "Run"]) < 8
+
+
+@pytest.mark.parametrize(("cpu_load", "is_busy"), [(0.84, False), (CPU_BUSY_THRESHOLD, True), (1.0, True)])
+def test_the_cores_are_busy_from_the_threshold_on(cpu_load: float, is_busy: bool) -> None:
+    assert is_cpu_busy(cpu_load) is is_busy
+
+
+def test_the_limit_stays_while_the_cores_have_time_and_it_was_not_reached() -> None:
+    assert adapted_limit(4.0, False, False, 100, [900]) == 4.0
+    assert adapted_limit(4.0, False, True, 100, [900]) == 4.0 + LIMIT_INCREASE_PER_SECOND
+
+
+def test_on_busy_cores_the_limit_follows_the_gradient_of_latency() -> None:
+    assert adapted_limit(8.0, True, True, 100, [200, 200]) == 8.0 / 2 + LIMIT_INCREASE_PER_SECOND
+    assert adapted_limit(8.0, True, False, 100, []) == 8.0
+
+
+def test_reading_that_lags_beyond_its_allowance_takes_its_share_of_the_limit() -> None:
+    allowed_us = MAX_READ_LAG_FRACTION * 2_000
+    assert read_lag_factor(allowed_us, shortest_objective_us=2_000) == 1.0
+    assert read_lag_factor(2 * allowed_us, shortest_objective_us=2_000) == 0.5
+    assert read_lag_factor(0.0, shortest_objective_us=2_000) == 1.0
--- /dev/null
+++ b/tests/admission/test_deadlines.py
@@ -0,0 +1,28 @@
+"""How early before a deadline a final response is given."""
+
+from __future__ import annotations
+
+from marlstep.admission.deadlines import (
+    DRAIN_LEAD_TICKS,
+    TICKS_PER_OBJECTIVE,
+    drain_response_deadline,
+    last_runnable_arrival,
+    response_lead_us,
+    tick_us,
+)
+
+
+def test_the_tick_is_a_part_of_the_shortest_objective_and_the_precision_of_the_timers() -> None:
+    assert tick_us(5_000, shortest_objective_us=2_000_000) == 5_000 + 2_000_000 // TICKS_PER_OBJECTIVE
+
+
+def test_a_response_is_given_a_tick_and_a_timer_step_before_the_deadline() -> None:
+    assert response_lead_us(55_000, timer_precision_us=5_000) == 60_000
+
+
+def test_a_draining_server_has_responded_to_all_some_ticks_before_its_process_stops() -> None:
+    assert drain_response_deadline(9_000_000, tick_us=55_000) == 9_000_000 - DRAIN_LEAD_TICKS * 55_000
+
+
+def test_the_grace_of_a_drain_counts_from_its_notice() -> None:
+    assert last_runnable_arrival(1_000, drain_grace_us=500) == 1_500
--- /dev/null
+++ b/tests/admission/test_start_rules.py
@@ -0,0 +1,48 @@
+"""What a request needs before it is started or resumed."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from marlstep.admission.entry import State
+from marlstep.admission.settings import ClassSettings
+from marlstep.admission.start_rules import MAX_CONCURRENCY_FRACTION, is_eligible, max_unfinished_runs
+from marlstep.admission.timing import NEVER
+from tests.admission.entries import queued_entry
+from tests.support.helpers import AT_MOST_ONCE, KEYED, LOW, START
+
+
+def test_runs_stop_short_of_the_concurrency_that_the_server_survives() -> None:
+    assert max_unfinished_runs(20.0) == MAX_CONCURRENCY_FRACTION * 20.0
+
+
+def test_one_run_is_allowed_however_small_the_share_of_the_server() -> None:
+    assert max_unfinished_runs(0.001) == 1.0
+
+
+@pytest.mark.parametrize(
+    ("request_class", "changes", "eligible"),
+    [
+        (LOW, {}, True),
+        (LOW, {"has_run": True}, True),
+        (AT_MOST_ONCE, {}, True),
+        (AT_MOST_ONCE, {"has_run": True}, False),
+        (AT_MOST_ONCE, {"has_run": True, "state": State.PAUSED}, True),
+        (KEYED, {}, False),
+        (KEYED, {"key_kept_until": START + 1}, True),
+        (KEYED, {"key_kept_until": START + 1, "has_run": True}, False),
+        (KEYED, {"has_run": True, "state": State.PAUSED}, True),
+    ],
+)
+def test_a_request_runs_if_its_key_is_kept_and_no_effect_is_repeated(
+    request_class: ClassSettings, changes: dict[str, Any], eligible: bool
+) -> None:
+    assert is_eligible(queued_entry(request_class, **changes), NEVER) is eligible
+
+
+@pytest.mark.parametrize("state", [State.QUEUED, State.PAUSED])
+def test_nothing_runs_that_arrived_after_the_grace_of_a_drain(state: State) -> None:
+    assert is_eligible(queued_entry(state=state), START)
+    assert not is_eligible(queued_entry(state=state), START - 1)
