--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -51,7 +51,7 @@
     name: ClassVar[str]
     start_phase: ClassVar[StartPhase]
     descriptors = 0  # that it may take from the node's budget for connections
-    front: Frontend | None = None  # the frontend that the core has to know of
+    frontend: Frontend | None = None  # the frontend that the core has to know of
     restart_state: RestartState | None = None  # of the one component that knows the node's other processes
 
     async def open(self, config: Config, reuse_address: bool, /) -> None:
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -29,8 +29,8 @@
         upstream=None if uwsgi is None else uwsgi.upstream,
         pool_of=(lambda _: "")
         if uwsgi is None
-        else (lambda request_class: uwsgi.front.pool_of(request_class)),
-        class_variable="" if uwsgi is None else uwsgi.front.mapped.kind,
+        else (lambda request_class: uwsgi.frontend.pool_of(request_class)),
+        class_variable="" if uwsgi is None else uwsgi.frontend.mapped.kind,
         seed=config.seed,
         documents=documents,
     )
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -17,25 +17,39 @@
 
 log = logging.getLogger("marlstep")
 
-DESCRIPTORS_PER_REQUEST = 2  # the client's connection and the one to a server
-MAX_SHARE = 2  # of the node's connections at most one in so many goes to this frontend
+DESCRIPTORS_PER_REQUEST = 2  # file descriptors: the client's connection and the one to a server
+NODE_SHARE_DIVISOR = 2  # of the node's connections at most one in so many is for this frontend
+
+
+def connection_limit(configured: int, node_connections: int) -> int:
+    """Return how many clients may be connected over uwsgi at once.
+
+    Rule: as configured, but with their connections to servers no more than the frontend's share of the node's, so
+    that the other frontends keep theirs.
+
+    Args:
+        configured: `max_connections` of the operator's file.
+        node_connections: How many connections the whole node has file descriptors for.
+
+    """
+    return min(configured, node_connections // (NODE_SHARE_DIVISOR * DESCRIPTORS_PER_REQUEST))
 
 
 class UwsgiComponent(Component):
-    """Takes requests over uwsgi and balances them over servers."""
+    """Takes requests over uwsgi and forwards them to pools of servers."""
 
     name: ClassVar[str] = "uwsgi"
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_FRONTENDS
-    front: UwsgiFrontend
+    frontend: UwsgiFrontend
 
     def __init__(self, host: NodeServices, config: UwsgiConfig, max_connections: int) -> None:
         """Make the frontend; `max_connections` is what the whole node has capacity for."""
-        limit = min(config.max_connections, max_connections // (MAX_SHARE * DESCRIPTORS_PER_REQUEST))
+        limit = connection_limit(config.max_connections, max_connections)
         self.descriptors = DESCRIPTORS_PER_REQUEST * limit
         self.upstream = Upstream(
             config.pools, host.timeline, lambda: host.core, config.max_response_bytes, host.config.seed
         )
-        self.front = UwsgiFrontend(
+        self.frontend = UwsgiFrontend(
             host.core,
             host.timeline,
             self.upstream,
@@ -49,30 +63,30 @@
     async def open(self, config: Config, reuse_address: bool, /) -> None:
         """Listen. Raises OSError."""
         assert config.uwsgi is not None
-        await self.front.listen(config.uwsgi.listen, shared=reuse_address)
+        await self.frontend.listen(config.uwsgi.listen, shared=reuse_address)
         log.info("listening: component=uwsgi address=%s:%d", *config.uwsgi.listen)
 
     def reconfigure(self, config: Config, /) -> None:
-        """Take over the pools in force, and how requests are mapped to classes."""
+        """Take over changed pools, and how requests are mapped to request classes."""
         if config.uwsgi is not None:
             self.upstream.reconfigure(config.uwsgi.pools)
-            self.front.pool_of = partial(pool_for, config.uwsgi.pools)
-            self.front.mapped = config.uwsgi.mapping
+            self.frontend.pool_of = partial(pool_for, config.uwsgi.pools)
+            self.frontend.mapped = config.uwsgi.mapping
 
     def stop(self) -> None:
         """Close the connections to servers."""
         self.upstream.close()
 
     def status(self) -> dict[str, Any]:
-        """Give the connections and what each pool counted."""
+        """Return the number of connections and the counters of each pool."""
         return {
-            "connections": len(self.front.connections),
+            "connections": len(self.frontend.connections),
             "pools": {name: pool.statistics.to_json() for name, pool in self.upstream.pools.items()},
         }
 
     def metrics(self) -> dict[str, float]:
-        """Give the connections."""
-        return {"uwsgi_connections": len(self.front.connections)}
+        """Return the number of connections."""
+        return {"uwsgi_connections": len(self.frontend.connections)}
 
 
 def make(host: NodeServices, max_connections: int) -> UwsgiComponent:
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -78,8 +78,8 @@
         return max_connections
 
     def _make_frontends(self) -> FrontendGroup:
-        fronts = (component.front for component in self.components.values())
-        others = [front for front in fronts if front is not None]
+        of_components = (component.frontend for component in self.components.values())
+        others = [frontend for frontend in of_components if frontend is not None]
         frontends = FrontendGroup(
             self.resp, others, partial(self._open_components, StartPhase.WITH_FRONTENDS), self.ended.set
         )
--- a/tests/components/test_registry.py
+++ b/tests/components/test_registry.py
@@ -59,6 +59,6 @@
     config = check(platform_config("n6"), {"uwsgi": operator["uwsgi"]})
     node = made(config)
     uwsgi = node.components["uwsgi"]
-    assert isinstance(uwsgi, UwsgiComponent) and uwsgi.descriptors == 2 * uwsgi.front.connections.limit
+    assert isinstance(uwsgi, UwsgiComponent) and uwsgi.descriptors == 2 * uwsgi.frontend.connections.limit
     whole = resource_budget(config, processes=1).connections
     assert node.resp.connections.limit == whole - uwsgi.descriptors >= whole // 2
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -56,7 +56,7 @@
     async def __aexit__(self, *_: object) -> None:
         self.node.resp.stop_accepting()
         assert isinstance(self.node.components["uwsgi"], UwsgiComponent)
-        self.node.components["uwsgi"].front.stop_accepting()
+        self.node.components["uwsgi"].frontend.stop_accepting()
         await self.node.close()
         for stand_in in (self.kernel, self.database, self.uwsgi):
             stand_in.stop()
@@ -67,7 +67,9 @@
 
     async def over_uwsgi(self, kind: str, id: str, path: str = "/") -> bytes:
         assert isinstance(self.node.components["uwsgi"], UwsgiComponent)
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.node.components["uwsgi"].front.port)
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", self.node.components["uwsgi"].frontend.port
+        )
         writer.write(write_packet({"X_CLASS": kind, "X_ID": id, "PATH_INFO": path}))
         answer = await reader.read()
         writer.close()
