--- a/tests/golden/named.py
+++ b/tests/golden/named.py
@@ -40,6 +40,18 @@
     return found
 
 
+def counted_attributes() -> set[str]:
+    """The names of all attributes that the program's text adds to."""
+    return {
+        node.target.attr
+        for path in PACKAGE.rglob("*.py")
+        for node in ast.walk(ast.parse(path.read_text("utf-8")))
+        if isinstance(node, ast.AugAssign)
+        and isinstance(node.op, ast.Add)
+        and isinstance(node.target, ast.Attribute)
+    }
+
+
 def all_words() -> set[str]:
     """All texts that stand in the program."""
     found = set()
