--- a/tests/hot_restart/test_channel.py
+++ b/tests/hot_restart/test_channel.py
@@ -14,8 +14,8 @@
 from marlstep.hot_restart import discovery
 from marlstep.hot_restart.channel import RestartChannel
 from marlstep.units import MILLISECOND
-from tests.hot_restart.test_restart import WAIT, WINDOW, Process
 from tests.support.node import HandClock
+from tests.support.restart_pair import RETRY_WINDOW, TERMINATION_TIMEOUT, SimulatedProcess
 
 
 @contextlib.contextmanager
@@ -33,7 +33,7 @@
         yield
 
 
-async def open_channel(folder: Path, process: Process) -> RestartChannel:
+async def open_channel(folder: Path, process: SimulatedProcess) -> RestartChannel:
     opened = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.hot_restart)
     assert not await opened.open()
     process.hot_restart.backend_ready(process.desk.clock.now())
@@ -44,10 +44,12 @@
 def test_a_process_whose_predecessor_does_not_answer_runs_no_keyed_request_in_its_window(
     cause: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a second run: the predecessor may live, and has told this process none of its keys.
+    # Guards against a second run: the predecessor may live, and has sent this process none of its keys.
     async def run() -> None:
         clock = HandClock()
-        predecessor = RestartChannel(tmp_path, "n1", clock.timeline, lambda _: Process(clock, 1).hot_restart)
+        predecessor = RestartChannel(
+            tmp_path, "n1", clock.timeline, lambda _: SimulatedProcess(clock, 1).hot_restart
+        )
         with contextlib.ExitStack() as stack:
             if cause == "the dial times out":
                 monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.0)
@@ -55,7 +57,7 @@
                 stack.callback(predecessor.close)
             else:
                 stack.enter_context(listening_with_full_backlog(tmp_path / "marlstep.n1.1.sock"))
-            process = Process(clock, 2)
+            process = SimulatedProcess(clock, 2)
             stack.callback((await open_channel(tmp_path, process)).close)
             process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
             process.desk.submit(2, "setpoint-cmd")
@@ -63,7 +65,7 @@
             assert process.desk.backend.told == [("start", "r2")]
             assert process.hot_restart.sharing.limit == 0.5
             process.desk.end(2)
-            clock.advance(max(WAIT, WINDOW) / MILLISECOND)
+            clock.advance(max(TERMINATION_TIMEOUT, RETRY_WINDOW) / MILLISECOND)
             process.hot_restart.tick(clock.now())
             process.desk.submit(3, "setpoint-cmd", idempotency_key="k")
             assert process.desk.backend.told == [("start", "r2"), ("start", "r3")]
@@ -77,7 +79,7 @@
         path = tmp_path / "marlstep.n1.1.sock"
         with socket.socket(socket.AF_UNIX) as dead:
             dead.bind(str(path))
-        process = Process(HandClock(), 2)
+        process = SimulatedProcess(HandClock(), 2)
         opened = await open_channel(tmp_path, process)
         process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
         assert process.desk.backend.told == [("start", "r1")] and not path.exists()
--- /dev/null
+++ b/tests/hot_restart/test_host_adapter.py
@@ -0,0 +1,75 @@
+"""What a hot restart does to the core, and takes from it."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from typing import Any
+
+import pytest
+
+from marlstep.core.errors import RequestRejectedError
+from marlstep.core.interfaces import ResponseStatus
+from marlstep.core.serving_state import ServingPhase
+from marlstep.units import MILLISECOND
+from tests.support.node import Desk
+from tests.support.restart_pair import serving_pair
+
+
+def run_count(desk: Desk) -> int:
+    return [command for command, _ in desk.backend.told].count("start")
+
+
+def test_the_core_keeps_to_its_share_of_memory_and_requests() -> None:
+    desk = Desk(cores=2)
+    desk.core.set_capacity_share(0.02, 100)  # of room for 10 requests
+    for number in range(1, 9):
+        desk.submit(number, "temp-history", memory_kb=1.0)
+    assert run_count(desk) == 1
+    desk.core.set_capacity_share(0.5, 100)
+    desk.clock.advance(100)
+    assert run_count(desk) == 2
+    desk.core.set_capacity_share(0.02, 100)
+    desk.submit(9, "temp-history", memory_kb=300.0)
+    assert desk.verdicts(9) == [ResponseStatus.REJECTED]
+    with pytest.raises(RequestRejectedError, match="this process's part"):
+        desk.core.set_capacity_share(0.5, 3)
+        desk.submit(10)
+
+
+def test_a_predecessor_with_a_successor_runs_all_that_still_comes_and_stays_healthy() -> None:
+    desk = Desk(cores=2)
+    desk.core.backend_ready()
+    desk.core.begin_hand_over(desk.clock.now() + 3700 * MILLISECOND)
+    assert not desk.stopped  # what has come by now is read first: else its connection is closed unread
+    desk.clock.settle()
+    assert desk.stopped and desk.core.healthy and desk.core.serving_state.phase is ServingPhase.HANDING_OVER
+    desk.clock.advance(2_600)
+    desk.submit(1)  # over 2.5 s later: a drain would reject it
+    desk.end(1)
+    desk.submit(2)
+    desk.clock.advance(950)
+    assert (desk.verdicts(1), desk.verdicts(2)) == ([ResponseStatus.DONE], [ResponseStatus.EXPIRED])
+
+
+@pytest.mark.parametrize(
+    "learned", [{}, {"limit": "x", "means_us": 3}, {"base_us": float("nan")}, {"limit": -1}]
+)
+def test_measurements_of_another_version_that_make_no_sense_are_ignored(learned: dict[str, Any]) -> None:
+    desk = Desk()
+    before = replace(desk.core._controller.measurements())
+    desk.core.adopt_measurements({**learned, "odd": [1]})
+    desk.clock.settle()
+    assert desk.core._controller.measurements() == before
+
+
+@pytest.mark.parametrize("result", [b"\x00" * 4096, b"\xff" * 4096, b"x" * 40_000])
+def test_the_longest_results_reach_the_successor_and_longer_ones_fail_a_retry(result: bytes) -> None:
+    # Guards against a message that the other process can't read: the connection is closed on it, and all keys lost.
+    pair = serving_pair()
+    pair.predecessor.desk.end(pair.submit(pair.predecessor, "schedule-save", "w" * 256), result=result)
+    pair.exchange()
+    retry = pair.submit(pair.successor, "schedule-save", "w" * 256)
+    pair.exchange()
+    [response] = pair.successor.desk.answers[retry]
+    shared = (ResponseStatus.DONE, result) if len(result) <= 4096 else (ResponseStatus.FAILED, b"")
+    assert (response.status, response.body) == shared and sum(pair.run_counts().values()) == 1
--- /dev/null
+++ b/tests/hot_restart/test_resource_sharing.py
@@ -0,0 +1,66 @@
+"""The shares of two processes in the capacity of their node."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_DRAINING_SHARE, ResourceSharing
+from tests.frontends.test_parsers import FIXED
+from tests.support.node import START
+from tests.support.restart_pair import TERMINATION_TIMEOUT, ProcessPair
+
+STEPS = st.lists(
+    st.tuples(st.sampled_from(["give", "rest", "drain", "wait", "lost"]), st.floats(0, 1)), max_size=12
+)
+
+
+@FIXED
+@given(STEPS)
+def test_shares_never_add_up_to_more_than_the_whole_capacity(steps: list[tuple[str, float]]) -> None:
+    predecessor, successor, now = ResourceSharing(), ResourceSharing(), START
+    successor.predecessor_connected()
+    predecessor.successor_connected()
+    lost = False
+    for step, figure in steps:
+        match step:
+            case "give" | "rest" if not lost:
+                successor.receive(predecessor.give(figure, rest=step == "rest"))
+            case "drain" if not lost:
+                predecessor.drain(figure)
+            case "lost" if not lost:
+                lost = True
+                predecessor.successor_lost(now, TERMINATION_TIMEOUT)
+                successor.predecessor_lost(now, TERMINATION_TIMEOUT)
+            case "wait":
+                now += timedelta(seconds=figure)
+                predecessor.pass_time(now)
+                successor.pass_time(now)
+        if now < START + TERMINATION_TIMEOUT:
+            assert predecessor.limit + successor.limit <= FULL_SHARE + 1e-9
+    if lost:
+        successor.pass_time(now + TERMINATION_TIMEOUT)
+        assert successor.limit == pytest.approx(FULL_SHARE) and successor.is_sole_process
+
+
+def test_capacity_moves_to_the_successor_as_the_predecessor_frees_it_until_it_has_all() -> None:
+    pair = ProcessPair()
+    pair.predecessor.connections_in_use = 0.9
+    pair.connect()
+    pair.run_for(40)
+    shares = [process.hot_restart.sharing.owned_share for process in pair.living]
+    assert shares[1] == pytest.approx(0.1) and pair.predecessor.hot_restart.sharing.limit == HALF_SHARE
+    pair.predecessor.connections_in_use = 0.3
+    pair.run_for(40)
+    assert pair.successor.hot_restart.sharing.limit == pytest.approx(HALF_SHARE)
+    assert pair.predecessor.hot_restart.begin_shutdown(pair.clock.now())
+    pair.predecessor.connections_in_use = 0.0
+    pair.run_for(40)
+    assert pair.successor.hot_restart.sharing.limit == pytest.approx(FULL_SHARE - MIN_DRAINING_SHARE)
+    pair.predecessor.hot_restart.finish()
+    pair.exchange()
+    assert pair.successor.hot_restart.sharing.limit == FULL_SHARE and pair.successor.hot_restart.is_idle
+    assert pair.successor.desk.core._controller.state.portion == FULL_SHARE
--- /dev/null
+++ b/tests/hot_restart/test_successor.py
@@ -0,0 +1,128 @@
+"""This process as the successor: when it accepts connections, and when it reports that it can serve."""
+
+from __future__ import annotations
+
+import pytest
+
+from marlstep.core.serving_state import ServingPhase
+from marlstep.hot_restart.successor import (
+    ACKNOWLEDGE_TIMEOUT,
+    MEETING_TIMEOUT,
+    TRANSITIONS,
+    Effect,
+    Event,
+    State,
+    may_accept_connections,
+)
+from marlstep.units import MILLISECOND
+from tests.support.node import START, HandClock
+from tests.support.restart_pair import ProcessPair, SimulatedProcess
+
+
+def test_a_process_without_predecessor_serves_at_once_with_all_capacity() -> None:
+    process = SimulatedProcess(HandClock(), 1)
+    assert process.desk.core.serving_state.phase.value == "starting"
+    process.hot_restart.backend_ready(START)
+    assert (
+        process.accepts_connections
+        and process.desk.core.serving_state.phase is ServingPhase.SERVING
+        and process.hot_restart.is_idle
+    )
+    assert not process.hot_restart.begin_shutdown(START)  # SIGTERM drains the node
+    assert not process.applied_limits
+
+
+def test_a_successor_reports_ready_only_after_the_predecessor_knows_that_it_accepts_connections() -> None:
+    # Guards against a SIGTERM, sent once this process is ready, by which the predecessor would drain the node.
+    pair = ProcessPair()
+    pair.connect(backend_ready=False)
+    pair.run_for(40)
+    assert not pair.successor.accepts_connections  # it has all but its kernel
+    pair.successor.hot_restart.backend_ready(pair.clock.now())
+    assert pair.successor.accepts_connections and not pair.successor.desk.core.serving_state.can_serve
+    assert not pair.predecessor.hot_restart.begin_shutdown(pair.clock.now())
+    pair.deliver_to_predecessor()
+    pair.deliver_to_successor()
+    assert pair.successor.desk.core.serving_state.can_serve
+    assert pair.predecessor.hot_restart.begin_shutdown(pair.clock.now())
+
+
+def test_a_predecessor_that_hangs_delays_its_successor_for_four_seconds_at_most() -> None:
+    pair = ProcessPair()
+    pair.connect()
+    for span in (MEETING_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
+        assert not pair.successor.desk.core.serving_state.can_serve
+        pair.clock.advance(span / MILLISECOND)
+        pair.successor.hot_restart.tick(pair.clock.now())
+    assert pair.successor.accepts_connections and pair.successor.desk.core.serving_state.can_serve
+
+
+def test_measurements_and_a_quiesce_reach_the_successor_and_a_resume_comes_back() -> None:
+    pair = ProcessPair()
+    pair.predecessor.desk.core.serving_state.quiesce()
+    controller = pair.predecessor.desk.core._controller
+    controller.state.statistics.mean_run_us["temp-history"] = 300_000.0
+    controller.state.call_latency.usual_us = 9_000.0
+    controller.parts.concurrency.limit = 4.0
+    pair.connect()
+    pair.run_for(40)
+    learned = pair.successor.desk.core._controller
+    assert learned.state.statistics.mean_run_us["temp-history"] == 300_000.0
+    assert learned.state.call_latency.usual_us == 9_000.0
+    assert 1.0 <= learned.parts.concurrency.limit <= learned.state.max_concurrency
+    core = pair.successor.desk.core
+    assert not core.healthy and core.serving_state.can_serve
+    core.serving_state.resume()
+    pair.successor.hot_restart.serving_state_changed(True)
+    pair.exchange()
+    assert pair.predecessor.desk.core.healthy
+
+
+@pytest.mark.parametrize(
+    ("backend_ready", "predecessor_connected", "snapshot_complete", "capacity_share", "timed_out", "accepts"),
+    [
+        (False, False, False, 1.0, False, False),
+        (False, True, True, 0.5, True, False),
+        (True, False, False, 1.0, False, True),
+        (True, True, False, 0.5, False, False),
+        (True, True, True, 0.0, False, False),
+        (True, True, True, 0.02, False, True),
+        (True, True, False, 0.0, True, True),
+    ],
+)
+def test_connections_are_accepted_with_the_kernel_and_all_that_the_predecessor_gives_or_after_its_timeout(
+    backend_ready: bool,
+    predecessor_connected: bool,
+    snapshot_complete: bool,
+    capacity_share: float,
+    timed_out: bool,
+    accepts: bool,
+) -> None:
+    assert accepts is may_accept_connections(
+        backend_ready=backend_ready,
+        predecessor_connected=predecessor_connected,
+        snapshot_complete=snapshot_complete,
+        capacity_share=capacity_share,
+        meeting_timed_out=timed_out,
+    )
+
+
+def test_every_state_leads_to_serving_and_serving_is_never_left() -> None:
+    assert set(TRANSITIONS) == set(State) and TRANSITIONS[State.SERVING] == {}
+    for state in set(State) - {State.SERVING}:
+        reached = {state}
+        for _ in State:
+            reached |= {step.next_state for known in reached for step in TRANSITIONS[known].values()}
+        assert State.SERVING in reached
+
+
+def test_a_process_reports_ready_exactly_where_it_comes_to_serve() -> None:
+    reports_ready = {Effect.MARK_READY, Effect.ACCEPT_AND_MARK_READY}
+    for row in TRANSITIONS.values():
+        for step in row.values():
+            assert (step.effect in reports_ready) is (step.next_state is State.SERVING)
+
+
+def test_a_successor_beside_a_predecessor_serves_only_by_way_of_the_announcement() -> None:
+    step = TRANSITIONS[State.STANDBY][Event.MAY_ACCEPT]
+    assert (step.next_state, step.effect) == (State.ACCEPTING, Effect.ACCEPT_AND_ANNOUNCE)
--- a/tests/hot_restart/test_upgrade_processes.py
+++ b/tests/hot_restart/test_upgrade_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marlstep.units import MILLISECOND, SECOND
-from tests.support.upgrading import SENDERS, Site, now, on
+from tests.support.restart_processes import SENDERS, Site, now, on
 
 
 def test_a_new_version_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
--- a/tests/hot_restart/test_upgrade_races.py
+++ b/tests/hot_restart/test_upgrade_races.py
@@ -20,7 +20,7 @@
 from tests.races.test_shutdown_and_reload import BAD
 from tests.support.crossing import Caller, HeldKernel, until
 from tests.support.elsewhere import ELSEWHERE, elsewhere_config
-from tests.support.upgrading import Program, Site, now, on
+from tests.support.restart_processes import Program, Site, now, on
 
 YES, NO = b"renew n1 yes", b"renew n1 no"
 
