--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -699,7 +699,7 @@
     at(tmp_path, run)
 
 
-# An upgrade (two processes: tests/hot_restart/test_upgrade_races.py).
+# An upgrade (two processes: tests/hot_restart/test_process_races.py).
 
 
 def test_the_successor_is_lost_before_the_hand_over_is_through(tmp_path: Path) -> None:
