--- a/tests/hot_restart/test_process_races.py
+++ b/tests/hot_restart/test_process_races.py
@@ -1,7 +1,7 @@
-"""What crosses an upgrade (docs/crossings.md): two real processes on one passed socket, with kernels that hold back.
+"""Races of a hot restart (docs/crossings.md): two real processes on one passed socket, with kernels that hold back.
 
-Which of them takes a connection is made sure by stopping the other. Order comes from what a stand-in has read, an
-answer, what a process says of itself at its door, or its end. The settings share nothing with casa-main.
+Which of them accepts a connection is made sure by stopping the other. Order comes from what an emulator has read, a
+response, the state that a process gives at its health endpoint, or its end. The settings share nothing with casa-main.
 """
 
 from __future__ import annotations
@@ -20,75 +20,75 @@
 from tests.races.test_shutdown_and_reload import BAD
 from tests.support.crossing import Caller, HeldKernel, until
 from tests.support.elsewhere import ELSEWHERE, elsewhere_config
-from tests.support.restart_processes import Program, Site, now, on
+from tests.support.restart_processes import NodeProcess, Platform, now, run_on_platform
 
-YES, NO = b"renew n1 yes", b"renew n1 no"
+READY_REPORT, DRAINING_REPORT = b"renew n1 yes", b"renew n1 no"
 
 
-def at(tmp_path: Path, test: Callable[[Site], Awaitable[None]]) -> None:
+def run_with_long_deadlines(tmp_path: Path, test: Callable[[Platform], Awaitable[None]]) -> None:
     # Here time passes by itself: no deadline may come before what a slow machine takes to start a process.
-    patient = copy.deepcopy(ELSEWHERE)
-    for row in patient["classes"]:
+    settings = copy.deepcopy(ELSEWHERE)
+    for row in settings["classes"]:
         row.update(aimUs=4_000_000, hardLimitUs=20_000_000)
-    on(tmp_path, test, elsewhere_config(settings=patient, stop_ms=6_000))
+    run_on_platform(tmp_path, test, elsewhere_config(settings=settings, stop_ms=6_000))
 
 
-class Held:
+class HeldProcess:
     """A process and its kernel."""
 
-    def __init__(self, program: Program, kernel: HeldKernel) -> None:
-        self.program, self.kernel = program, kernel
+    def __init__(self, process: NodeProcess, kernel: HeldKernel) -> None:
+        self.process, self.kernel = process, kernel
 
     def signal(self, number: signal.Signals) -> None:
-        self.program.process.send_signal(number)
+        self.process.subprocess.send_signal(number)
 
-    async def killed(self) -> None:
-        await self.program.end(signal.SIGKILL)
+    async def kill(self) -> None:
+        await self.process.signal_and_wait(signal.SIGKILL)
 
-    async def stopped(self) -> None:
-        """Barrier: the system has stopped it."""
+    async def stop(self) -> None:
+        """Return once the operating system has stopped it."""
         self.signal(signal.SIGSTOP)
-        path = Path(f"/proc/{self.program.process.pid}/stat")
+        path = Path(f"/proc/{self.process.subprocess.pid}/stat")
         await until(lambda: path.read_text().rpartition(")")[2].split()[0] == "T")
 
     @asynccontextmanager
-    async def aside(self) -> AsyncIterator[None]:
-        """Stopped meanwhile: the other takes what comes."""
-        await self.stopped()
+    async def stopped_meanwhile(self) -> AsyncIterator[None]:
+        """The other process accepts what comes meanwhile."""
+        await self.stop()
         yield
         self.signal(signal.SIGCONT)
 
 
-async def serving(site: Site) -> Held:
+async def start_serving(platform: Platform) -> HeldProcess:
     kernel = HeldKernel()
-    return Held(await site.new(kernel), kernel)
+    return HeldProcess(await platform.start_process(kernel), kernel)
 
 
-async def begun(site: Site, up: bool = True) -> Held:
-    """Started, and not up before its kernel is."""
+async def launch(platform: Platform, up: bool = True) -> HeldProcess:
+    """Start a process and do not wait; with `up` false its kernel answers only once `kernel.up` is set."""
     kernel = HeldKernel()
     if not up:
         kernel.up.clear()
-    return Held(await site.begin(kernel), kernel)
+    return HeldProcess(await platform.launch_process(kernel), kernel)
 
 
-async def call(site: Site) -> Caller:
-    return Caller(now, *await asyncio.open_connection("127.0.0.1", site.port))
+async def connect(platform: Platform) -> Caller:
+    return Caller(now, *await asyncio.open_connection("127.0.0.1", platform.port))
 
 
-async def taken(site: Site) -> Caller:
-    """A connection that the one process that runs now has accepted."""
-    caller = await call(site)
+async def accepted_connection(platform: Platform) -> Caller:
+    """A connection that the only process that runs now has accepted."""
+    caller = await connect(platform)
     caller.send(write_frame(b"ALIVE", b"1"))
     await caller.answer(1)
     return caller
 
 
-def blind(site: Site, frame: bytes) -> socket.socket:
-    """A connection that stands at the passed socket with a request in it, taken by nobody yet."""
-    one = socket.create_connection(("127.0.0.1", site.port), timeout=10)
-    one.sendall(frame)
-    return one
+def queued_connection(platform: Platform, frame: bytes) -> socket.socket:
+    """A connection at the passed socket with a request in it, which no process has accepted yet."""
+    client = socket.create_connection(("127.0.0.1", platform.port), timeout=10)
+    client.sendall(frame)
+    return client
 
 
 @contextmanager
@@ -103,52 +103,57 @@
         yield
 
 
-async def served(who: Held, caller: Caller, tag: int, id: int) -> None:
-    await who.kernel.read("SCHED", id)
-    who.kernel.reap(id)
+async def serve(process: HeldProcess, caller: Caller, tag: int, id: int) -> None:
+    """Have the process run the request, and its client get the response."""
+    await process.kernel.read("SCHED", id)
+    process.kernel.reap(id)
     assert await caller.word(tag) == "done"
 
 
-@pytest.mark.parametrize("victim", ["elder", "younger"])
-@pytest.mark.parametrize("step", ["the elder is stopped as it comes", "its kernel is not up"])
-def test_either_process_is_killed_while_the_younger_starts(step: str, victim: str, tmp_path: Path) -> None:
-    async def run(site: Site) -> None:
-        elder = await serving(site)
-        first = await taken(site)
+@pytest.mark.parametrize("victim", ["predecessor", "successor"])
+@pytest.mark.parametrize("step", ["the predecessor is stopped", "its kernel is not up"])
+def test_either_process_is_killed_while_the_successor_starts(step: str, victim: str, tmp_path: Path) -> None:
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        first = await accepted_connection(platform)
         first.ask(2, "book", b"mine", id=2, once="k")
-        await elder.kernel.read("SCHED", 2)
+        await predecessor.kernel.read("SCHED", 2)
         if step == "its kernel is not up":
-            younger = await begun(site, up=False)
-            await until(lambda: younger.kernel.links)  # it is open, and has met the elder
+            successor = await launch(platform, up=False)
+            await until(
+                lambda: successor.kernel.links
+            )  # it has connected to the predecessor, or found that it can't
         else:
-            await elder.stopped()
-            younger = await begun(site)
-            await until((tmp_path / "tmp" / "marlstep.n1.2.sock").exists)  # it has dialled the elder
-        if victim == "elder":
-            await elder.stopped()  # it takes no connection before its end
-        second = await call(site)
-        if victim == "elder":
-            await elder.killed()
-            second.ask(3, "list", id=3)  # waits for whoever takes it
-            younger.kernel.up.set()
-            await served(younger, second, 3, 3)
-            again = await call(site)
-            again.ask(4, "book", b"mine", id=4, once="k")  # it may have run there
-            assert await again.word(4) in ("later", "error")
-            again.ask(5, "list", id=5)
-            await served(younger, again, 5, 5)
+            await predecessor.stop()
+            successor = await launch(platform)
+            await until(
+                (tmp_path / "tmp" / "marlstep.n1.2.sock").exists
+            )  # it has connected to the predecessor, or found that it can't
+        if victim == "predecessor":
+            await predecessor.stop()  # it accepts no connection before its end
+        second = await connect(platform)
+        if victim == "predecessor":
+            await predecessor.kill()
+            second.ask(3, "list", id=3)  # waits until a process accepts it
+            successor.kernel.up.set()
+            await serve(successor, second, 3, 3)
+            retry = await connect(platform)
+            retry.ask(4, "book", b"mine", id=4, once="k")  # it may have run there
+            assert await retry.word(4) in ("later", "error")
+            retry.ask(5, "list", id=5)
+            await serve(successor, retry, 5, 5)
         else:
-            await younger.killed()
-            elder.signal(signal.SIGCONT)
+            await successor.kill()
+            predecessor.signal(signal.SIGCONT)
             second.ask(3, "list", id=3)
-            await served(elder, second, 3, 3)
-            elder.kernel.reap(2)
+            await serve(predecessor, second, 3, 3)
+            predecessor.kernel.reap(2)
             assert await first.word(2) == "done"
             second.ask(4, "book", b"mine", id=4, once="k")
             assert await second.answer(4) == [b"done", b"done"]
-        assert elder.kernel.count("SCHED", 2) + younger.kernel.count("SCHED", 4) == 1
+        assert predecessor.kernel.count("SCHED", 2) + successor.kernel.count("SCHED", 4) == 1
 
-    at(tmp_path, run)
+    run_with_long_deadlines(tmp_path, run)
 
 
 @pytest.mark.parametrize("after", ["the predecessor goes on", "the predecessor is killed"])
@@ -156,162 +161,167 @@
     after: str, tmp_path: Path
 ) -> None:
     # Guards against a second run: a successor took silence for there being no predecessor, and knew none of its keys.
-    async def run(site: Site) -> None:
-        elder = await serving(site)
-        first = await taken(site)
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        first = await accepted_connection(platform)
         first.ask(2, "book", b"mine", id=2, once="k")
-        await elder.kernel.read("SCHED", 2)
-        await elder.stopped()
+        await predecessor.kernel.read("SCHED", 2)
+        await predecessor.stop()
         with full_backlog(tmp_path / "tmp" / "marlstep.n1.1.sock"):
-            younger = await serving(site)  # nobody answered it
+            successor = await start_serving(platform)  # nobody answered it
         if after == "the predecessor is killed":
-            await elder.killed()
-        second = await taken(site)
+            await predecessor.kill()
+        second = await accepted_connection(platform)
         second.ask(3, "book", b"mine", id=4, once="k")
         second.ask(4, "list", id=5)
-        await served(younger, second, 4, 5)
-        assert younger.kernel.count("SCHED", 4) == 0
+        await serve(successor, second, 4, 5)
+        assert successor.kernel.count("SCHED", 4) == 0
         assert await second.word(3) == "later"
         if after == "the predecessor goes on":
-            elder.signal(signal.SIGCONT)
-            elder.kernel.reap(2)
+            predecessor.signal(signal.SIGCONT)
+            predecessor.kernel.reap(2)
             assert await first.word(2) == "done"
-        assert elder.kernel.count("SCHED", 2) + younger.kernel.count("SCHED", 4) == 1
+        assert predecessor.kernel.count("SCHED", 2) + successor.kernel.count("SCHED", 4) == 1
 
-    at(tmp_path, run)
+    run_with_long_deadlines(tmp_path, run)
 
 
 @pytest.mark.parametrize("after", ["goes on", "is killed"])
-def test_a_connection_that_neither_process_takes_is_taken_in_the_end(after: str, tmp_path: Path) -> None:
-    async def run(site: Site) -> None:
-        elder = await serving(site)
-        first = await taken(site)
+def test_a_connection_that_neither_process_accepts_is_accepted_once_one_can(
+    after: str, tmp_path: Path
+) -> None:
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        first = await accepted_connection(platform)
         first.ask(2, "list", id=2)
-        await elder.kernel.read("SCHED", 2)
-        younger = await serving(site)
-        await younger.stopped()
-        elder.signal(signal.SIGTERM)
-        await elder.program.comes_to("handing over")  # it takes nothing any more
-        one = blind(site, Caller.frame(first, 3, "list", id=3))
-        who = younger
+        await predecessor.kernel.read("SCHED", 2)
+        successor = await start_serving(platform)
+        await successor.stop()
+        predecessor.signal(signal.SIGTERM)
+        await predecessor.process.wait_for_state("handing over")  # it accepts nothing any more
+        queued = queued_connection(platform, Caller.frame(first, 3, "list", id=3))
+        serving = successor
         if after == "goes on":
-            younger.signal(signal.SIGCONT)
+            successor.signal(signal.SIGCONT)
         else:
-            who = elder
-            await younger.killed()
-            await until(lambda: site.reports[-1][1] == NO)  # the list hears of it: the node leaves
-        one.setblocking(False)
-        caller = Caller(now, *await asyncio.open_connection(sock=one))
-        await served(who, caller, 3, 3)
-        elder.kernel.reap(2)
+            serving = predecessor
+            await successor.kill()
+            await until(
+                lambda: platform.reports[-1][1] == DRAINING_REPORT
+            )  # the name service hears that the node drains
+        queued.setblocking(False)
+        caller = Caller(now, *await asyncio.open_connection(sock=queued))
+        await serve(serving, caller, 3, 3)
+        predecessor.kernel.reap(2)
         assert await first.word(2) == "done"
         caller.writer.close()
         first.writer.close()
-        assert await elder.program.process.wait() == 0
-        assert (site.reports[-1][1] == YES) is (who is younger)
-
-    at(tmp_path, run)
-
-
-@pytest.mark.parametrize("first", ["elder", "younger"])
-def test_both_processes_are_told_to_leave(first: str, tmp_path: Path) -> None:
-    # Guards against an elder that takes connections again, for a whole grace, when its successor ends as it was told.
-    async def run(site: Site) -> None:
-        elder = await serving(site)
-        one = await taken(site)
-        younger = await serving(site)
-        async with elder.aside():
-            two = await taken(site)
-        one.ask(2, "list", id=2)
-        two.ask(3, "list", id=3)
-        await elder.kernel.read("SCHED", 2)
-        await younger.kernel.read("SCHED", 3)
-        if first == "elder":
-            elder.signal(signal.SIGTERM)
-            await elder.program.comes_to("handing over")
-            younger.signal(signal.SIGTERM)
-            await younger.program.comes_to("leaving")
+        assert await predecessor.process.subprocess.wait() == 0
+        assert (platform.reports[-1][1] == READY_REPORT) is (serving is successor)
+
+    run_with_long_deadlines(tmp_path, run)
+
+
+@pytest.mark.parametrize("first", ["predecessor", "successor"])
+def test_both_processes_get_sigterm_and_neither_accepts_again(first: str, tmp_path: Path) -> None:
+    # Guards against a predecessor that accepts connections again, for a whole grace, when a draining successor ends.
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        at_predecessor = await accepted_connection(platform)
+        successor = await start_serving(platform)
+        async with predecessor.stopped_meanwhile():
+            at_successor = await accepted_connection(platform)
+        at_predecessor.ask(2, "list", id=2)
+        at_successor.ask(3, "list", id=3)
+        await predecessor.kernel.read("SCHED", 2)
+        await successor.kernel.read("SCHED", 3)
+        if first == "predecessor":
+            predecessor.signal(signal.SIGTERM)
+            await predecessor.process.wait_for_state("handing over")
+            successor.signal(signal.SIGTERM)
+            await successor.process.wait_for_state("leaving")
         else:
-            younger.signal(signal.SIGTERM)
-            await younger.program.comes_to("leaving")
-            assert await elder.program.state() == "serving" and NO not in [said for _, said in site.reports]
-            elder.signal(signal.SIGTERM)
-            await elder.program.comes_to("leaving")
-        await until(lambda: site.reports[-1][1] == NO)
-        two.ask(4, "list", id=4)  # inside the grace
-        await served(younger, two, 4, 4)
-        younger.kernel.reap(3)
-        assert await two.word(3) == "done"
-        two.writer.close()
-        assert await younger.program.process.wait() == 0
-        if first == "elder":
-            await elder.program.state()  # it has seen the younger's end
-            waits = blind(site, Caller.frame(one, 5, "list", id=5))
-        elder.kernel.reap(2)
-        assert await one.word(2) == "done"
-        one.writer.close()
-        assert await elder.program.process.wait() == 0
-        assert elder.kernel.count("SCHED", 5) == 0 and site.reports[-1][1] == NO
-        if first == "elder":
-            waits.close()
-
-    at(tmp_path, run)
-
-
-def test_a_younger_process_that_is_told_to_leave_before_it_takes_anything_leaves_the_node_to_the_elder(
+            successor.signal(signal.SIGTERM)
+            await successor.process.wait_for_state("leaving")
+            assert await predecessor.process.state() == "serving"
+            assert DRAINING_REPORT not in [report for _, report in platform.reports]
+            predecessor.signal(signal.SIGTERM)
+            await predecessor.process.wait_for_state("leaving")
+        await until(lambda: platform.reports[-1][1] == DRAINING_REPORT)
+        at_successor.ask(4, "list", id=4)  # inside the grace
+        await serve(successor, at_successor, 4, 4)
+        successor.kernel.reap(3)
+        assert await at_successor.word(3) == "done"
+        at_successor.writer.close()
+        assert await successor.process.subprocess.wait() == 0
+        if first == "predecessor":
+            await predecessor.process.state()  # it has seen the successor's end
+            unaccepted = queued_connection(platform, Caller.frame(at_predecessor, 5, "list", id=5))
+        predecessor.kernel.reap(2)
+        assert await at_predecessor.word(2) == "done"
+        at_predecessor.writer.close()
+        assert await predecessor.process.subprocess.wait() == 0
+        assert predecessor.kernel.count("SCHED", 5) == 0 and platform.reports[-1][1] == DRAINING_REPORT
+        if first == "predecessor":
+            unaccepted.close()
+
+    run_with_long_deadlines(tmp_path, run)
+
+
+def test_a_successor_that_gets_sigterm_before_it_accepts_anything_leaves_the_node_to_the_predecessor(
     tmp_path: Path,
 ) -> None:
-    # Guards against a node that is reported as leaving, and a process that takes connections only to turn them away.
-    async def run(site: Site) -> None:
-        elder = await serving(site)
-        younger = await begun(site, up=False)
-        await until(lambda: younger.kernel.links)
-        assert await younger.program.end(signal.SIGTERM) == 0
-        caller = await taken(site)
+    # Guards against a node that is reported as draining, and a process that accepts connections only to reject them.
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        successor = await launch(platform, up=False)
+        await until(lambda: successor.kernel.links)
+        assert await successor.process.signal_and_wait(signal.SIGTERM) == 0
+        caller = await accepted_connection(platform)
         caller.ask(2, "open", id=2)
-        await served(elder, caller, 2, 2)
-        third = await serving(site)  # the next one may come
-        elder.signal(signal.SIGTERM)
+        await serve(predecessor, caller, 2, 2)
+        third = await start_serving(platform)  # the next one may start
+        predecessor.signal(signal.SIGTERM)
         caller.writer.close()
-        assert await elder.program.process.wait() == 0
-        caller = await taken(site)
+        assert await predecessor.process.subprocess.wait() == 0
+        caller = await accepted_connection(platform)
         caller.ask(2, "open", id=3)
-        await served(third, caller, 2, 3)
-        assert NO not in [said for _, said in site.reports]
+        await serve(third, caller, 2, 3)
+        assert DRAINING_REPORT not in [report for _, report in platform.reports]
 
-    at(tmp_path, run)
+    run_with_long_deadlines(tmp_path, run)
 
 
-@pytest.mark.parametrize("where", ["elder", "younger"])
-def test_bad_input_inside_a_hand_over_disturbs_nobody_else(where: str, tmp_path: Path) -> None:
-    async def run(site: Site) -> None:
-        elder = await serving(site)
-        stays = await taken(site)
-        stays.ask(2, "list", id=50)  # the elder has this to finish
-        await elder.kernel.read("SCHED", 50)
+@pytest.mark.parametrize("where", ["predecessor", "successor"])
+def test_bad_input_during_a_hot_restart_disturbs_no_other_connection(where: str, tmp_path: Path) -> None:
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        in_flight = await accepted_connection(platform)
+        in_flight.ask(2, "list", id=50)  # the predecessor has this to finish
+        await predecessor.kernel.read("SCHED", 50)
         [path] = (tmp_path / "tmp").iterdir()
         _, stranger = await asyncio.open_unix_connection(str(path))
         stranger.write(b"GET / HTTP/1.1\r\n\r\n")
-        who = elder
-        caller = await taken(site)
-        clients = {bad: await call(site) for bad in BAD}
-        younger = await serving(site)
-        if where == "younger":
-            async with elder.aside():
-                caller, who = await taken(site), younger
-                clients = {bad: await call(site) for bad in BAD}
+        serving = predecessor
+        caller = await accepted_connection(platform)
+        clients = {bad: await connect(platform) for bad in BAD}
+        successor = await start_serving(platform)
+        if where == "successor":
+            async with predecessor.stopped_meanwhile():
+                caller, serving = await accepted_connection(platform), successor
+                clients = {bad: await connect(platform) for bad in BAD}
                 for bad, client in clients.items():
                     client.send(BAD[bad][:3])
-                caller.ask(2, "book", b"mine", id=2, once="k")  # its claim waits for the elder
+                caller.ask(2, "book", b"mine", id=2, once="k")  # its claim waits for the predecessor
         else:
             for bad, client in clients.items():
                 client.send(BAD[bad][:3])
             caller.ask(2, "book", b"mine", id=2, once="k")
-        await who.kernel.read("SCHED", 2)
-        elder.signal(signal.SIGTERM)
-        await elder.program.comes_to("handing over")
-        elder.kernel.reap(50)
-        assert await stays.word(2) == "done"
+        await serving.kernel.read("SCHED", 2)
+        predecessor.signal(signal.SIGTERM)
+        await predecessor.process.wait_for_state("handing over")
+        predecessor.kernel.reap(50)
+        assert await in_flight.word(2) == "done"
         for bad, client in clients.items():
             client.send(BAD[bad][3:])
         for bad, client in clients.items():
@@ -319,12 +329,12 @@
                 assert await client.word(1) == "error"
                 client.writer.close()
             else:
-                await client.rest()  # closed on in its time
-        who.kernel.reap(2)
+                await client.rest()  # closed in its time
+        serving.kernel.reap(2)
         assert await caller.word(2) == "done" and caller.count(2) == 1
-        for one in (caller, stays):
-            one.writer.close()
-        assert await elder.program.process.wait() == 0
-        assert elder.kernel.count("SCHED", 77) + younger.kernel.count("SCHED", 77) == 0
+        for connection in (caller, in_flight):
+            connection.writer.close()
+        assert await predecessor.process.subprocess.wait() == 0
+        assert predecessor.kernel.count("SCHED", 77) + successor.kernel.count("SCHED", 77) == 0
 
-    at(tmp_path, run)
+    run_with_long_deadlines(tmp_path, run)
--- a/tests/hot_restart/test_processes_under_load.py
+++ b/tests/hot_restart/test_processes_under_load.py
@@ -1,4 +1,4 @@
-"""Two real processes of the program on one passed socket under load: one takes over, or is killed."""
+"""Two real processes of a node on one passed socket under load: one takes over, or is killed."""
 
 from __future__ import annotations
 
@@ -9,119 +9,125 @@
 import pytest
 
 from marlstep.units import MILLISECOND, SECOND
-from tests.support.restart_processes import SENDERS, Site, now, on
+from tests.support.restart_processes import SENDER_COUNT, Platform, now, run_on_platform
 
 
 def test_a_new_version_takes_over_and_no_request_is_lost(tmp_path: Path) -> None:
-    async def run(site: Site) -> None:
-        old = await site.new()
+    async def run(platform: Platform) -> None:
+        first = await platform.start_process()
 
-        async def upgrade() -> None:
+        async def restart_twice() -> None:
             for _ in range(2):
-                one = site.programs[-1]
-                new = await site.new()
-                await site.more(30)  # both serve
-                assert await one.call("POST", "/admin/quiesce") == 200
-                await new.comes_to("quiesced")
-                assert await one.call("POST", "/admin/resume") == 200
-                await new.comes_to("serving")
-                await site.more(SENDERS)  # what was reported until here has been read
-                seen, began = len(site.reports), now()
-                assert await one.end(signal.SIGTERM) == 0
-                assert now() - began < 3700 * MILLISECOND
-                await site.more(SENDERS)
-                assert b"renew n1 no" not in [data for _, data in site.reports[seen:]]  # nor at its end
-
-        await site.under_load(upgrade)
-        came = site.check()
-        # error: a name that another had sent before; later: refused at once, as a busy machine does to some
-        assert set(came) <= {"done", "error", "later"} and came["later"] <= sum(came.values()) / 50, came
-        assert old.process.returncode == 0
-        gaps = [later[0] - sooner[0] for sooner, later in pairwise(site.reports)]
-        assert max(gaps) < 3 * SECOND and site.reports[-1][1] == b"renew n1 yes"
-        assert len(list((tmp_path / "tmp").iterdir())) == 1  # the name of the one that lives
-
-    on(tmp_path, run)
+                predecessor = platform.processes[-1]
+                successor = await platform.start_process()
+                await platform.wait_for_responses(30)  # both serve
+                assert await predecessor.call("POST", "/admin/quiesce") == 200
+                await successor.wait_for_state("quiesced")
+                assert await predecessor.call("POST", "/admin/resume") == 200
+                await successor.wait_for_state("serving")
+                await platform.wait_for_responses(SENDER_COUNT)  # what was reported until here has been read
+                reports_before, started_at = len(platform.reports), now()
+                assert await predecessor.signal_and_wait(signal.SIGTERM) == 0
+                assert now() - started_at < 3700 * MILLISECOND
+                await platform.wait_for_responses(SENDER_COUNT)
+                assert b"renew n1 no" not in [data for _, data in platform.reports[reports_before:]]
+
+        await platform.under_load(restart_twice)
+        statuses = platform.check_single_runs()
+        # error: a key that another request had before; later: rejected, as a busy machine does to some
+        assert (
+            set(statuses) <= {"done", "error", "later"} and statuses["later"] <= sum(statuses.values()) / 50
+        ), statuses
+        assert first.subprocess.returncode == 0
+        gaps = [after[0] - before[0] for before, after in pairwise(platform.reports)]
+        assert max(gaps) < 3 * SECOND and platform.reports[-1][1] == b"renew n1 yes"
+        assert len(list((tmp_path / "tmp").iterdir())) == 1  # the socket of the one that runs
+
+    run_on_platform(tmp_path, run)
 
 
 @pytest.mark.parametrize("victim", [0, 1])
-def test_whichever_process_is_killed_the_other_goes_on_and_nothing_runs_twice(
+def test_when_either_process_is_killed_the_other_serves_on_and_no_key_runs_twice(
     tmp_path: Path, victim: int
 ) -> None:
-    async def run(site: Site) -> None:
-        await site.new()
+    async def run(platform: Platform) -> None:
+        await platform.start_process()
 
-        async def killed() -> None:
-            await site.new()
-            await site.more(30)
-            await site.programs[victim].end(signal.SIGKILL)
-            await site.more(60)
+        async def kill_one() -> None:
+            await platform.start_process()
+            await platform.wait_for_responses(30)
+            await platform.processes[victim].signal_and_wait(signal.SIGKILL)
+            await platform.wait_for_responses(60)
 
-        await site.under_load(killed)
-        assert site.check()["done"] > 60
-        stays = site.programs[1 - victim]
-        assert await stays.call("GET", "/admin/health") == 200
-        began = now()
-        assert await stays.end(signal.SIGTERM) == 0
-        assert now() - began > 2.4 * SECOND  # there is no successor: it is the notice to leave
+        await platform.under_load(kill_one)
+        assert platform.check_single_runs()["done"] > 60
+        survivor = platform.processes[1 - victim]
+        assert await survivor.call("GET", "/admin/health") == 200
+        started_at = now()
+        assert await survivor.signal_and_wait(signal.SIGTERM) == 0
+        assert now() - started_at > 2.4 * SECOND  # there is no successor: it drains, for a whole grace
 
-    on(tmp_path, run)
+    run_on_platform(tmp_path, run)
 
 
-def test_a_process_whose_elder_was_killed_is_followed_by_a_third_and_leaves_at_once(tmp_path: Path) -> None:
-    async def run(site: Site) -> None:
-        await site.new()
+def test_a_process_whose_predecessor_was_killed_hands_over_to_a_third_and_exits(tmp_path: Path) -> None:
+    async def run(platform: Platform) -> None:
+        await platform.start_process()
 
-        async def act() -> None:
-            second = await site.new()
-            await site.more(30)
-            await site.programs[0].end(signal.SIGKILL)
-            await site.more(30)  # of these named work is refused: it may have run
-            await site.new()
-            await site.more(30)
-            assert await second.end(signal.SIGTERM) == 0
+        async def scenario() -> None:
+            second = await platform.start_process()
+            await platform.wait_for_responses(30)
+            await platform.processes[0].signal_and_wait(signal.SIGKILL)
+            await platform.wait_for_responses(30)  # keyed requests are rejected: they may have run
+            await platform.start_process()
+            await platform.wait_for_responses(30)
+            assert await second.signal_and_wait(signal.SIGTERM) == 0
 
-        await site.under_load(act)
-        came = site.check()
-        assert came["done"] > 60 and came["later"] > 0
-        assert set(came) <= {"done", "error", "later", "closed", "reset"}
+        await platform.under_load(scenario)
+        statuses = platform.check_single_runs()
+        assert statuses["done"] > 60 and statuses["later"] > 0
+        assert set(statuses) <= {"done", "error", "later", "closed", "reset"}
 
-    on(tmp_path, run)
+    run_on_platform(tmp_path, run)
 
 
-def test_a_file_of_a_killed_process_is_recognised_and_a_folder_that_can_not_be_written_stops_nothing(
+def test_a_stale_socket_is_removed_and_a_folder_that_can_not_be_written_does_not_keep_a_process_from_serving(
     tmp_path: Path,
 ) -> None:
-    async def run(site: Site) -> None:
-        first = await site.new()
-        await first.end(signal.SIGKILL)
+    async def run(platform: Platform) -> None:
+        first = await platform.start_process()
+        await first.signal_and_wait(signal.SIGKILL)
         assert [path.name for path in (tmp_path / "tmp").iterdir()] == ["marlstep.n1.1.sock"]
-        await site.new()
+        await platform.start_process()
         assert [path.name for path in (tmp_path / "tmp").iterdir()] == ["marlstep.n1.2.sock"]
         for path in (tmp_path / "tmp").iterdir():
             path.unlink()
         (tmp_path / "tmp").rmdir()
-        await site.new()
+        await platform.start_process()
 
-    on(tmp_path, run)
+    run_on_platform(tmp_path, run)
 
 
 @pytest.mark.parametrize("victim", [0, 1])
-def test_a_process_that_stops_for_a_while_as_both_serve_costs_no_request(victim: int, tmp_path: Path) -> None:
-    async def run(site: Site) -> None:
-        await site.new()
-
-        async def act() -> None:
-            await site.new()
-            await site.more(30)
-            site.programs[victim].process.send_signal(signal.SIGSTOP)
-            await site.served()  # the other one goes on; what the stopped one has taken waits for it
-            site.programs[victim].process.send_signal(signal.SIGCONT)
-            await site.more(40)
-            assert await site.programs[0].end(signal.SIGTERM) == 0
-
-        await site.under_load(act)
-        came = site.check()
-        assert set(came) <= {"done", "error", "later"} and came["done"] > 40, came
-
-    on(tmp_path, run)
+def test_no_request_is_lost_while_either_of_two_serving_processes_is_stopped(
+    victim: int, tmp_path: Path
+) -> None:
+    async def run(platform: Platform) -> None:
+        await platform.start_process()
+
+        async def scenario() -> None:
+            await platform.start_process()
+            await platform.wait_for_responses(30)
+            platform.processes[victim].subprocess.send_signal(signal.SIGSTOP)
+            await (
+                platform.request_on_new_connection()
+            )  # by the other; what the stopped one accepted waits for it
+            platform.processes[victim].subprocess.send_signal(signal.SIGCONT)
+            await platform.wait_for_responses(40)
+            assert await platform.processes[0].signal_and_wait(signal.SIGTERM) == 0
+
+        await platform.under_load(scenario)
+        statuses = platform.check_single_runs()
+        assert set(statuses) <= {"done", "error", "later"} and statuses["done"] > 40, statuses
+
+    run_on_platform(tmp_path, run)
--- a/tests/support/restart_processes.py
+++ b/tests/support/restart_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of the program on one passed socket, and what the platform has beside them."""
+"""Real processes of one node on one passed socket, and what the platform has beside them: clients, name service."""
 
 from __future__ import annotations
 
@@ -21,37 +21,41 @@
 from tests.support.node import raw_config
 from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, StandIn
 
-SENDERS = 8
+SENDER_COUNT = 8
+TEST_TIMEOUT_S = 30
 now = SystemClock().now
 
 
-class Program:
-    """One process of the node, with a kernel address and a door of its own."""
+class NodeProcess:
+    """One process of the node, with a kernel and a health endpoint of its own."""
 
-    def __init__(self, site: Site, kernel: StandIn) -> None:
-        self.site = site
+    def __init__(self, platform: Platform, kernel: StandIn) -> None:
+        self.platform = platform
         self.kernel = kernel
-        self.host, self.door = "", 0
+        self.host, self.health_port = "", 0
 
     async def start(self) -> None:
         await self.kernel.start()
-        number = len(self.site.programs)
-        # An address of its own: between this look and the program's bind no other process gets the port there.
+        number = len(self.platform.processes)
+        # An address of its own: until the process binds the port, no other process gets it there.
         self.host = f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.{1 + number}"
-        with socket.socket() as one:
-            one.bind((self.host, 0))
-            self.door = int(one.getsockname()[1])
-        self.site.programs.append(self)
-        path = self.site.folder / f"config{number}.json"
-        listen = f"127.0.0.1:{self.site.port}"
-        places = {"kernel": self.kernel.address, "db": self.site.database.address, "listen": listen}
-        places |= {"mgmt": f"{self.host}:{self.door}", "naming": self.site.naming}
-        path.write_text(json.dumps({**self.site.raw, **places}))
-        names = {"PROXY_CONFIG": str(path), "PROXY_PASSED_SOCKET": str(self.site.listening.fileno())}
-        self.process = await asyncio.create_subprocess_exec(
+        with socket.socket() as probe:
+            probe.bind((self.host, 0))
+            self.health_port = int(probe.getsockname()[1])
+        self.platform.processes.append(self)
+        path = self.platform.folder / f"config{number}.json"
+        listen = f"127.0.0.1:{self.platform.port}"
+        addresses = {"kernel": self.kernel.address, "db": self.platform.database.address, "listen": listen}
+        addresses |= {"mgmt": f"{self.host}:{self.health_port}", "naming": self.platform.name_service}
+        path.write_text(json.dumps({**self.platform.raw_config, **addresses}))
+        variables = {
+            "PROXY_CONFIG": str(path),
+            "PROXY_PASSED_SOCKET": str(self.platform.passed_socket.fileno()),
+        }
+        self.subprocess = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "marlstep"),
-            env={**os.environ, **names, "TMPDIR": str(self.site.folder / "tmp")},
-            pass_fds=[self.site.listening.fileno()],
+            env={**os.environ, **variables, "TMPDIR": str(self.platform.folder / "tmp")},
+            pass_fds=[self.platform.passed_socket.fileno()],
             stderr=asyncio.subprocess.DEVNULL if not os.environ.get("MARLSTEP_TEST_LOG") else None,
         )
 
@@ -59,165 +63,169 @@
         return (await self._call(method, path))[0]
 
     async def _call(self, method: str, path: str) -> tuple[int, bytes]:
-        reader, writer = await asyncio.open_connection(self.host, self.door)
+        reader, writer = await asyncio.open_connection(self.host, self.health_port)
         writer.write(f"{method} {path} HTTP/1.1\r\n\r\n".encode())
         head, _, body = (await reader.read()).partition(b"\r\n\r\n")
         writer.close()
         return int(head.split()[1]), body
 
     async def state(self) -> str:
-        """What it is on, by its own account."""
+        """The serving state that its health endpoint gives."""
         return str(json.loads((await self._call("GET", "/admin/health"))[1])["state"])
 
-    async def comes_to(self, state: str) -> None:
+    async def wait_for_state(self, state: str) -> None:
         while await self.state() != state:
             await asyncio.sleep(0)
-        await self.state()  # its loop has come round since, and what follows from that state is done
+        await self.state()  # one pass of its loop later all that follows from that state is done
 
-    async def ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         while True:
             try:
                 if await self.call("GET", "/admin/health") == 200:
                     return
             except (OSError, IndexError):
-                assert self.process.returncode is None
+                assert self.subprocess.returncode is None
             await asyncio.sleep(0.01)
 
-    async def end(self, number: signal.Signals) -> int:
-        self.process.send_signal(number)
-        return await self.process.wait()
+    async def signal_and_wait(self, number: signal.Signals) -> int:
+        self.subprocess.send_signal(number)
+        return await self.subprocess.wait()
 
 
-class Site(asyncio.DatagramProtocol):
-    """Also the name service, which keeps the reports that it gets."""
+class Platform(asyncio.DatagramProtocol):
+    """Passes the socket, sends requests, and is the name service, which keeps the reports that it gets."""
 
     def __init__(self, folder: Path, raw: dict[str, Any] | None = None) -> None:
-        self.folder, self.raw = folder, raw or raw_config()
+        self.folder, self.raw_config = folder, raw or raw_config()
         (folder / "tmp").mkdir()
-        self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.port = int(self.listening.getsockname()[1])
+        self.passed_socket = socket.create_server(("127.0.0.1", 0), backlog=512)
+        self.port = int(self.passed_socket.getsockname()[1])
         self.database = DatabaseStandIn()
-        self.programs: list[Program] = []
-        self.answers: list[tuple[int, str | None, str]] = []  # number, name of the work, what came
+        self.processes: list[NodeProcess] = []
+        self.responses: list[tuple[int, str | None, str]] = []  # number, idempotency key, status
         self.closing: dict[asyncio.StreamWriter, bool] = {}  # connections on which nothing new may be sent
         self.reports: list[tuple[datetime, bytes]] = []
-        self.naming = ""
-        self.number = 0
+        self.name_service = ""
+        self.last_number = 0
         self._stop = False
 
-    async def new(self, kernel: StandIn | None = None) -> Program:
-        program = await self.begin(kernel or KernelStandIn())
-        await program.ready()
-        return program
+    async def start_process(self, kernel: StandIn | None = None) -> NodeProcess:
+        process = await self.launch_process(kernel or KernelStandIn())
+        await process.wait_until_ready()
+        return process
 
-    async def begin(self, kernel: StandIn) -> Program:
-        """One that is started, and may not serve yet."""
-        program = Program(self, kernel)
-        await program.start()
-        return program
+    async def launch_process(self, kernel: StandIn) -> NodeProcess:
+        """Start a process, and do not wait until it serves."""
+        process = NodeProcess(self, kernel)
+        await process.start()
+        return process
 
     async def send(self, sender: int) -> None:
-        """One connection after another, a few requests on each; every second names work that others send too."""
+        """One connection after another, a few requests on each; every second has a key that others send too."""
         while not self._stop:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             except OSError:
-                self.answers.append((0, None, "no connection"))
+                self.responses.append((0, None, "no connection"))
                 continue
             for tag in range(1, 6):
-                self.number += 1
-                number = self.number
-                once = f"w{number // 3}" if number % 2 else None
+                self.last_number += 1
+                number = self.last_number
+                key = f"w{number // 3}" if number % 2 else None
                 fields = f"id={number:016x},at={instant_us(now()) // 1000},kb=1,from={sender}"
-                fields += f",once={once}" if once else ""
-                kind = (b"setpoint-cmd", b"temp-history")[number % 5 == 0]
+                fields += f",once={key}" if key else ""
+                request_class = (b"setpoint-cmd", b"temp-history")[number % 5 == 0]
                 body = (b"call", b"body")[number % 3 == 0]
-                came = await self.ask(
-                    reader, writer, write_frame(b"EXEC", b"%d" % tag, kind, fields.encode(), body)
+                status = await self.send_and_receive(
+                    reader, writer, write_frame(b"EXEC", b"%d" % tag, request_class, fields.encode(), body)
                 )
-                self.answers.append((number, once if kind == b"setpoint-cmd" else None, came))
-                if came not in ("done", "later", "error"):
+                self.responses.append((number, key if request_class == b"setpoint-cmd" else None, status))
+                if status not in ("done", "later", "error"):
                     break
                 if self.closing.pop(writer, False):
                     break
             writer.close()
 
-    async def served(self) -> None:
-        """A new connection: whoever is not stopped takes it, and answers."""
+    async def request_on_new_connection(self) -> None:
+        """Send one request on a connection of its own: a process that is not stopped accepts it, and responds."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        self.number += 1
-        fields = f"id={self.number:016x},at={instant_us(now()) // 1000},kb=1"
+        self.last_number += 1
+        fields = f"id={self.last_number:016x},at={instant_us(now()) // 1000},kb=1"
         frame = write_frame(b"EXEC", b"1", b"temp-history", fields.encode(), b"body")
-        assert await self.ask(reader, writer, frame) in ("done", "later")
+        assert await self.send_and_receive(reader, writer, frame) in ("done", "later")
         writer.close()
 
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, frame: bytes) -> str:
-        """The word of the answer, or what came in its place."""
+    async def send_and_receive(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, frame: bytes
+    ) -> str:
+        """The status of the response, or `closed` or `reset` where there is none."""
         try:
             writer.write(frame)
             while True:
-                words = []
+                parts = []
                 head = await reader.readline()
                 if not head:
                     return "closed"
                 for _ in range(int(head[1:])):
                     size = int((await reader.readline())[1:])
-                    words.append((await reader.readexactly(size + 2))[:-2])
-                if words[1] != b"closing":
-                    return words[1].decode()
+                    parts.append((await reader.readexactly(size + 2))[:-2])
+                if parts[1] != b"closing":
+                    return parts[1].decode()
                 self.closing[writer] = True
         except (ConnectionError, asyncio.IncompleteReadError, ValueError):
             return "reset"
 
-    async def under_load(self, act: Callable[[], Awaitable[Any]]) -> Any:
-        senders = [asyncio.create_task(self.send(number)) for number in range(SENDERS)]
-        await self.more(50)
+    async def under_load(self, scenario: Callable[[], Awaitable[Any]]) -> Any:
+        senders = [asyncio.create_task(self.send(number)) for number in range(SENDER_COUNT)]
+        await self.wait_for_responses(50)
         try:
-            result = await act()
-            await self.more(50)
+            result = await scenario()
+            await self.wait_for_responses(50)
         finally:
             self._stop = True
             await asyncio.gather(*senders)
         return result
 
-    async def more(self, count: int) -> None:
-        wanted = len(self.answers) + count
-        while len(self.answers) < wanted:
+    async def wait_for_responses(self, count: int) -> None:
+        expected = len(self.responses) + count
+        while len(self.responses) < expected:
             await asyncio.sleep(0.005)
 
-    def check(self) -> Counter[str]:
-        """No work ran twice in any of the processes; how each request fared."""
+    def check_single_runs(self) -> Counter[str]:
+        """Check that no request and no key ran twice in all processes; return the count of each status."""
         runs = Counter[str]()
-        for program in self.programs:
-            runs.update(program.kernel.runs)
+        for process in self.processes:
+            runs.update(process.kernel.runs)
         assert max(runs.values()) == 1
-        work = Counter(once for number, once, _ in self.answers if once and runs[f"{number:016x}"])
-        assert work and max(work.values()) == 1
-        return Counter(came for _, _, came in self.answers)
+        key_runs = Counter(key for number, key, _ in self.responses if key and runs[f"{number:016x}"])
+        assert key_runs and max(key_runs.values()) == 1
+        return Counter(status for _, _, status in self.responses)
 
     def datagram_received(self, data: bytes, address: Any) -> None:
         self.reports.append((now(), data))
 
     async def close(self) -> None:
-        for program in self.programs:
-            if program.process.returncode is None:
-                await program.end(signal.SIGKILL)
-            program.kernel.stop()
+        for process in self.processes:
+            if process.subprocess.returncode is None:
+                await process.signal_and_wait(signal.SIGKILL)
+            process.kernel.stop()
         self.database.stop()
-        self.listening.close()
+        self.passed_socket.close()
 
 
-def on(tmp_path: Path, test: Callable[[Site], Awaitable[None]], raw: dict[str, Any] | None = None) -> None:
+def run_on_platform(
+    tmp_path: Path, test: Callable[[Platform], Awaitable[None]], raw: dict[str, Any] | None = None
+) -> None:
     async def run() -> None:
-        site = Site(tmp_path, raw)
-        await site.database.start()
+        platform = Platform(tmp_path, raw)
+        await platform.database.start()
         loop = asyncio.get_running_loop()
-        transport, _ = await loop.create_datagram_endpoint(lambda: site, local_addr=("127.0.0.1", 0))
-        site.naming = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
+        transport, _ = await loop.create_datagram_endpoint(lambda: platform, local_addr=("127.0.0.1", 0))
+        platform.name_service = f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
         try:
-            async with asyncio.timeout(30):
-                await test(site)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await test(platform)
         finally:
-            await site.close()
+            await platform.close()
 
     uvloop.run(run())
