--- a/marlstep/config/uwsgi.py
+++ b/marlstep/config/uwsgi.py
@@ -18,7 +18,7 @@
 )
 from marlstep.config.schema import UwsgiConfig
 from marlstep.frontends.uwsgi_mapping import UwsgiMapping
-from marlstep.load_balancing.pool_plan import PoolPlan
+from marlstep.load_balancing.pool_config import PoolConfig
 from marlstep.units import MILLISECOND
 
 MAX_SERVERS = 1_000
@@ -107,30 +107,30 @@
     return name
 
 
-def _read_pools(section: Table, class_names: set[str]) -> tuple[PoolPlan, ...]:
+def _read_pools(section: Table, class_names: set[str]) -> tuple[PoolConfig, ...]:
     """Read the pools of servers; `upstream` is a pool of one server, without limits."""
     if "pool" not in section:
-        return (PoolPlan("", (address(section, "upstream", "uwsgi.upstream"),), limited=False),)
+        return (PoolConfig("", (address(section, "upstream", "uwsgi.upstream"),), has_limits=False),)
     if "upstream" in section:
         raise ConfigError.unmet("uwsgi.upstream", "and uwsgi.pool can't both be there")
     rows = table(section, "pool", "uwsgi.pool")
-    plans = tuple(_read_pool(rows, name, class_names) for name in rows)
-    _check_classes(plans)
-    return plans
+    pools = tuple(_read_pool(rows, name, class_names) for name in rows)
+    _check_classes(pools)
+    return pools
 
 
-def _check_classes(plans: tuple[PoolPlan, ...]) -> None:
+def _check_classes(pools: tuple[PoolConfig, ...]) -> None:
     """Check that each request class has exactly one pool: the one that lists it, else the one that lists none."""
-    defaults = [plan.name for plan in plans if not plan.classes]
+    defaults = [pool.name for pool in pools if not pool.request_classes]
     if len(defaults) != 1:
         raise ConfigError.found("uwsgi.pool", "exactly one pool must be without classes: it takes the rest")
-    listed = Counter(name for plan in plans for name in plan.classes)
+    listed = Counter(name for pool in pools for name in pool.request_classes)
     for name, count in listed.items():
         if count > 1:
             raise ConfigError.found("uwsgi.pool", f"class {name} is listed twice")
 
 
-def _read_pool(rows: Table, name: str, class_names: set[str]) -> PoolPlan:
+def _read_pool(rows: Table, name: str, class_names: set[str]) -> PoolConfig:
     path = f"uwsgi.pool.{name}"
     row = table(rows, name, path)
     known(row, path, POOL_KEYS)
@@ -146,12 +146,12 @@
             choices = ", ".join(sorted(class_names))
             raise ConfigError.found(f"{path}.classes", f"{request_class} must be one of {choices}")
     connect_timeout_ms = whole(row, "connect_timeout_ms", f"{path}.connect_timeout_ms", 1, 60_000, 1000)
-    return PoolPlan(
+    return PoolConfig(
         name=name,
         servers=addresses,
-        classes=tuple(classes),
-        refuses=_read_rejecting_statuses(row, f"{path}.refuses"),
-        boot_header=word(row, "boot_header", f"{path}.boot_header", "x-boot-id").lower(),
+        request_classes=tuple(classes),
+        rejection_statuses=_read_rejecting_statuses(row, f"{path}.refuses"),
+        boot_id_header=word(row, "boot_header", f"{path}.boot_header", "x-boot-id").lower(),
         connect_timeout=connect_timeout_ms * MILLISECOND,
         max_attempts=whole(row, "tries", f"{path}.tries", 1, MAX_ATTEMPTS, 3),
     )
