--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -57,7 +57,7 @@
         if config.uwsgi is not None:
             self.upstream.reconfigure(config.uwsgi.pools)
             self.front.pool_of = partial(pool_for, config.uwsgi.pools)
-            self.front.mapped = config.uwsgi.mapping
+            self.front.mapping = config.uwsgi.mapping
 
     def stop(self) -> None:
         """Close the connections to servers."""
