--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -99,7 +99,7 @@
     def adopt_key(self, status: KeyStatus, /) -> None:
         """Record what another process knows of a key."""
         result = None if status.result is None else status.result.encode("latin-1")
-        expires_at = instant(status.until_us) if status.until_us else None
+        expires_at = instant(status.expires_at_us) if status.expires_at_us else None
         request_id, digest = decode_label(status.request_id)
         self._core.adopt_remote_key(
             IdempotencyKey(status.request_class, status.idempotency_key),
--- a/marlstep/hot_restart/messages.py
+++ b/marlstep/hot_restart/messages.py
@@ -36,7 +36,7 @@
     wants_traffic: bool = field(metadata=wire("wanted", BOOLEAN), default=True)  # the node is not quiesced
     # the generation that the predecessor has as its successor already: connect to that one; 0: none
     successor_generation: int = field(metadata=wire("taken", INTEGER), default=0)
-    learned_state: dict[str, object] = field(metadata=wire("learnt", OBJECT), default_factory=dict)
+    measurements: dict[str, object] = field(metadata=wire("learnt", OBJECT), default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
@@ -48,9 +48,8 @@
     request_class: str = field(metadata=wire("kind", TEXT))
     idempotency_key: str = field(metadata=wire("once", TEXT))
     request_id: str = field(metadata=wire("id", TEXT))
-    until_us: int = field(
-        metadata=wire("until_us", INTEGER), default=0
-    )  # expiry; 0: while that attempt is in flight
+    # 0: the attempt is in flight
+    expires_at_us: int = field(metadata=wire("until_us", INTEGER), default=0)
     result: str | None = field(metadata=wire("result", OPTIONAL_TEXT), default=None)  # as latin-1
     finished: bool = field(metadata=wire("over", BOOLEAN), default=False)  # the attempt has ended
 
@@ -96,7 +95,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GrantShare:
+class CapacityGrant:
     """A share, 0 to 1, of the node's capacity that is the receiver's from now on."""
 
     wire_tag: ClassVar[str] = "Give"
@@ -144,7 +143,7 @@
     | SnapshotComplete
     | ClaimRequest
     | ClaimResponse
-    | GrantShare
+    | CapacityGrant
     | SuccessorReady
     | ServingStateChanged
     | SuccessorDraining
@@ -158,7 +157,7 @@
         SnapshotComplete,
         ClaimRequest,
         ClaimResponse,
-        GrantShare,
+        CapacityGrant,
         SuccessorReady,
         ServingStateChanged,
         SuccessorDraining,
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -15,7 +15,7 @@
 from marlstep.hot_restart.interfaces import Host, LostProcessTimeouts, Peer
 from marlstep.hot_restart.key_exchange import KeySnapshot
 from marlstep.hot_restart.messages import (
-    GrantShare,
+    CapacityGrant,
     Hello,
     KeyReleased,
     KeyStatus,
@@ -237,7 +237,7 @@
 
     def _give_capacity(self, share: float) -> None:
         if share:
-            self.send(GrantShare(share))
+            self.send(CapacityGrant(share))
 
     def _apply(self, event: Event, now: datetime) -> None:
         transition = TRANSITIONS[self.state].get(event)
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -23,9 +23,9 @@
     result_of_open_claims,
 )
 from marlstep.hot_restart.messages import (
+    CapacityGrant,
     ClaimRequest,
     ClaimResponse,
-    GrantShare,
     Hello,
     KeyReleased,
     KeyStatus,
@@ -228,7 +228,7 @@
             case Hello():
                 self._predecessor_generation = message.generation
                 self._host.set_wants_traffic(message.wants_traffic)
-                self._host.adopt_measurements(message.learned_state)
+                self._host.adopt_measurements(message.measurements)
                 log.info("predecessor connected: pid=%d generation=%d", message.pid, message.generation)
             case KeyStatus():
                 self._host.adopt_key(message)
@@ -236,7 +236,7 @@
                 self._host.release_key(message)
             case SnapshotComplete():
                 self._snapshot_complete = True
-            case GrantShare(share):
+            case CapacityGrant(share):
                 self._sharing.receive(share)
             case ClaimResponse(number, granted):
                 self._claims.decide(number, granted)
--- a/tests/golden/restart_messages.py
+++ b/tests/golden/restart_messages.py
@@ -16,14 +16,14 @@
 }
 MESSAGES: Mapping[str, messages.Message] = {
     "Hello/full": messages.Hello(
-        generation=3, pid=4321, wants_traffic=False, successor_generation=2, learned_state=LEARNT
+        generation=3, pid=4321, wants_traffic=False, successor_generation=2, measurements=LEARNT
     ),
     "Hello/defaults": messages.Hello(generation=3, pid=4321),
     "Name/full": messages.KeyStatus(
         request_class="book",
         idempotency_key="k-1",
         request_id="id-1",
-        until_us=1_800_000_000_000_123,
+        expires_at_us=1_800_000_000_000_123,
         result="done\x00\xff",
         finished=True,
     ),
@@ -34,7 +34,7 @@
         number=5, request_class="book", idempotency_key="k-1", request_id="id-1"
     ),
     "Claimed/full": messages.ClaimResponse(number=5, granted=True),
-    "Give/full": messages.GrantShare(share=0.375),
+    "Give/full": messages.CapacityGrant(share=0.375),
     "Ready/full": messages.SuccessorReady(),
     "Duty/full": messages.ServingStateChanged(wants_traffic=True),
     "Leaves/full": messages.SuccessorDraining(has_successor=True),
--- a/tests/hot_restart/test_messages.py
+++ b/tests/hot_restart/test_messages.py
@@ -21,7 +21,7 @@
     messages.SnapshotComplete(),
     messages.ClaimRequest(3, "a", "b", "c"),
     messages.ClaimResponse(3, True),
-    messages.GrantShare(0.25),
+    messages.CapacityGrant(0.25),
     messages.SuccessorReady(),
     messages.ServingStateChanged(False),
     messages.SuccessorDraining(True),
--- a/tests/hot_restart/test_predecessor.py
+++ b/tests/hot_restart/test_predecessor.py
@@ -47,7 +47,7 @@
     assert not pair.predecessor.hot_restart.successor_connected(pipe, messages.Hello(3, 3), pair.clock.now())
     pipe.ring.put(bytes(pipe.data))
     hello = messages.read(pipe.ring)
-    assert isinstance(hello, messages.Hello) and hello.successor_generation == 2 and not hello.learned_state
+    assert isinstance(hello, messages.Hello) and hello.successor_generation == 2 and not hello.measurements
 
 
 @pytest.mark.parametrize("state", State)
