--- a/tests/hot_restart/test_passed_socket.py
+++ b/tests/hot_restart/test_passed_socket.py
@@ -28,32 +28,35 @@
     return {"PROXY_CONFIG": str(path), "PROXY_PASSED_SOCKET": str(passed)}
 
 
-def test_only_the_descriptor_of_a_tcp_socket_that_listens_is_taken(tmp_path: Path) -> None:
-    with socket.socket() as quiet, socket.create_server(("127.0.0.1", 0)) as listening:
+def test_only_the_descriptor_of_a_listening_tcp_socket_is_accepted(tmp_path: Path) -> None:
+    with socket.socket() as unconnected, socket.create_server(("127.0.0.1", 0)) as listening:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams, open(os.devnull) as file:
             for wrong in ("x", "-1", "1.5", "99999", "9" * 30, file.fileno()):
                 with pytest.raises(
                     ConfigError, match="PROXY_PASSED_SOCKET must be the number of an open socket"
                 ):
                     load(environ(tmp_path, wrong))
-            for deaf in (quiet, datagrams):
+            for not_listening in (unconnected, datagrams):
                 with pytest.raises(ConfigError, match="no TCP socket that listens"):
-                    load(environ(tmp_path, deaf.fileno()))
+                    load(environ(tmp_path, not_listening.fileno()))
         assert load(environ(tmp_path, listening.fileno())).passed_socket == listening.fileno()
         assert load(environ(tmp_path, "")).passed_socket is None
 
 
 def test_a_wrong_descriptor_is_one_clear_line_and_exit_code_2(tmp_path: Path) -> None:
-    told = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "marlstep"],
         env={**os.environ, **environ(tmp_path, 77)},
         capture_output=True,
         text=True,
     )
-    assert told.returncode == 2 and told.stderr.count("\n") == 1 and "PROXY_PASSED_SOCKET" in told.stderr
+    assert completed.returncode == 2 and completed.stderr.count("\n") == 1
+    assert "PROXY_PASSED_SOCKET" in completed.stderr
 
 
-def test_two_nodes_take_connections_at_one_socket_and_one_may_leave_and_come_back(tmp_path: Path) -> None:
+def test_two_nodes_accept_connections_at_one_socket_and_either_may_stop_and_start_again(
+    tmp_path: Path,
+) -> None:
     # Guards against a second process that can't start, and against a close that ends the other's listening.
     async def run() -> None:
         kernel = KernelStandIn()
