--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -726,7 +726,7 @@
     run_with_node(tmp_path, run)
 
 
-# Hot restart (with two processes: tests/hot_restart/test_upgrade_races.py).
+# Hot restart (with two processes: tests/hot_restart/test_process_races.py).
 
 
 def test_a_successor_lost_during_the_hot_restart_leaves_the_drain_grace_in_force(tmp_path: Path) -> None:
