--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -541,7 +541,7 @@
     # One response is partly written, one is buffered, one is not made yet. Then the slot, the tags and the descriptor
     # are another connection's, while `0 closing`, the timer behind it and a result still name the first.
     async def run(harness: NodeHarness) -> None:
-        first = await harness.adopt(harness.connect_unread(takes=4_096))
+        first = await harness.adopt(harness.connect_unread(receive_buffer=4_096))
         first.writer.transport.pause_reading()  # type: ignore[attr-defined]
         for tag in (1, 2, 3):
             first.send_request(tag, "list")
--- a/tests/support/alternate_settings.py
+++ b/tests/support/alternate_settings.py
@@ -1,4 +1,7 @@
-"""Settings that share no name, count, effect or limit with the deployment that the other tests use."""
+"""Settings that share no name, count, effect or limit with those of the other tests.
+
+A test that passes under both shows that nothing in the node is fitted to one deployment.
+"""
 
 from __future__ import annotations
 
@@ -73,18 +76,19 @@
 
 
 def alternate_settings(**info: Any) -> dict[str, Any]:
-    """These settings, with other figures of the node itself."""
-    told = copy.deepcopy(ALTERNATE_SETTINGS)
-    told["familyInfo"].update(info)
-    return told
+    """Return these settings with other figures of the node itself, by their stored keys."""
+    settings = copy.deepcopy(ALTERNATE_SETTINGS)
+    settings["familyInfo"].update(info)
+    return settings
 
 
 def alternate_config(**other: Any) -> dict[str, Any]:
+    """Return the configuration of a node with these settings."""
     return raw_config(**{"settings": ALTERNATE_SETTINGS, "stop_ms": 1700, **other})
 
 
 class RespDesk(Desk):
-    """The platform's front and the core under these settings, on a clock that is moved by hand."""
+    """The platform's frontend and the core under these settings, on a clock that is advanced by hand."""
 
     def __init__(self, limit: int = 40, **info: Any) -> None:
         super().__init__()
@@ -96,29 +100,36 @@
         self.clock.settle()
 
     def connect(self) -> Wire:
+        """Open a connection to the frontend."""
         return Wire(RespConnection(self.front))
 
-    def frame(self, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
+    def frame(self, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
+        """Return the frame of a request, as if sent now. `fields` has the fields of the wire by their words."""
         table = {"id": f"{id or tag:016x}", "at": instant_us(self.clock.now()) // 1000, "kb": 1, **fields}
         text = ",".join(f"{name}={value}" for name, value in table.items())
-        return write_frame(b"EXEC", b"%d" % tag, kind.encode(), text.encode(), body)
+        return write_frame(b"EXEC", b"%d" % tag, request_class.encode(), text.encode(), body)
 
     def send_request(
-        self, wire: Wire, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any
+        self, wire: Wire, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any
     ) -> None:
-        self.feed(wire, self.frame(tag, kind, body, id, **fields))
+        """Let a request arrive on a connection. Its id is its tag unless another is given."""
+        self.feed(wire, self.frame(tag, request_class, body, id, **fields))
 
     def feed(self, wire: Wire, data: bytes) -> None:
+        """Let bytes arrive on a connection, and run the turns of the loop that follow."""
         wire.feed(data)
         self.clock.settle()
 
     def end_run(self, id: int, result: bytes = b"result", outcome: Outcome = Outcome.OK) -> None:
+        """Report the end of a run."""
         self.core.run_ended(f"{id:016x}", outcome, SECOND, result)
         self.clock.settle()
 
     def start_count(self, id: int) -> int:
+        """Count how often a request was started."""
         return self.backend.told.count(("start", f"{id:016x}"))
 
 
 def response_frame(tag: int, word: bytes, body: bytes = b"", fields: bytes = b"") -> bytes:
+    """Return the frame of a response with this status word."""
     return write_frame(b"%d" % tag, word, fields, body)
--- a/tests/support/node_on_sockets.py
+++ b/tests/support/node_on_sockets.py
@@ -1,7 +1,7 @@
-"""A whole node on loopback sockets whose peers hold back what they would say until a test has seen the other event.
+"""A whole node on loopback sockets, whose peers do nothing but what the test has them do.
 
-Order comes from barriers: a command that a stand-in has read, an answer, a state of the node. Time is pushed on by
-hand, and nothing here sleeps.
+A test forces the order of two events by barriers: a command that a peer has read, a response, a state of the node.
+Time is advanced by hand, and nothing here sleeps.
 """
 
 from __future__ import annotations
@@ -30,17 +30,20 @@
 from tests.support.stand_ins import StandIn
 from tests.test_loopback import ShiftedWaker
 
-BOUND_S = 20
+TEST_TIMEOUT_S = 20
 
 
-async def until(true: Callable[[], object]) -> None:
-    """The barrier for what only the node's own state shows. Bounded by the test's own time."""
-    while not true():
+async def until(condition: Callable[[], object]) -> None:
+    """Wait for what only the state of the node shows. The test's own timeout bounds it."""
+    while not condition():
         await asyncio.sleep(0)
 
 
 class ScriptedKernel(StandIn):
-    """Reads commands, and says what the test has it say. Notices are kept for the next link, as the kernel's are."""
+    """A kernel that reads commands and sends a notice when the test says so.
+
+    Notices are kept, and sent again on the next link, as the kernel does.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -71,30 +74,36 @@
                 self.commands.append((words[0], words[1]))
 
     def command_count(self, word: str, id: int) -> int:
+        """Count how often a command came for a request."""
         return self.commands.count((word, f"{id:016x}"))
 
     async def command_read(self, word: str, id: int, times: int = 1) -> None:
-        """Barrier: this command has been read so often."""
+        """Wait until a command has come for a request so many times."""
         await until(lambda: self.command_count(word, id) >= times)
 
-    def _say(self, text: str, body: bytes) -> None:
+    def _notify(self, text: str, body: bytes) -> None:
         self.notices.append(f"{text} {len(body)}\r\n".encode() + body + b"\r\n")
         if self._link is not None:
             self._link.write(self.notices[-1])
 
     def end_run(self, id: int, end: str = "complete", body: bytes = b"done") -> None:
-        self._say(f"REAP {len(self.notices) + 1} {id:016x} {end} 1.5", body)
+        """Report the end of a run."""
+        self._notify(f"REAP {len(self.notices) + 1} {id:016x} {end} 1.5", body)
 
     def request_call(self, id: int) -> None:
-        self._say(f"IOREQ {len(self.notices) + 1} {id:016x}", b"ask")
+        """Report that a run needs a downstream call."""
+        self._notify(f"IOREQ {len(self.notices) + 1} {id:016x}", b"ask")
 
     def drop_link(self) -> None:
+        """Break the connection to the node."""
         link, self._link = self._link, None
         if link is not None:
             link.transport.abort()
 
 
 class ScriptedDatabase(StandIn):
+    """A database that reads calls and replies when the test says so."""
+
     def __init__(self) -> None:
         super().__init__()
         self.calls: list[tuple[int, asyncio.StreamWriter]] = []
@@ -107,18 +116,21 @@
                     self.calls.append((int(id, 16), writer))
 
     def call_count(self, id: int) -> int:
+        """Count the calls of a request."""
         return [one for one, _ in self.calls].count(id)
 
     async def call_read(self, id: int, times: int = 1) -> asyncio.StreamWriter:
+        """Wait until a request has called so many times; return the connection of the last of these calls."""
         await until(lambda: self.call_count(id) >= times)
         return [writer for one, writer in self.calls if one == id][times - 1]
 
     async def reply(self, id: int, times: int = 1) -> None:
+        """Reply to a request's call once it has been read."""
         (await self.call_read(id, times)).write(f"{id:016x} ROWS 4\r\nrows\r\n".encode())
 
 
 class NameServiceRecorder(asyncio.DatagramProtocol):
-    """The name service: keeps what is reported."""
+    """A name service that records the reports."""
 
     def __init__(self) -> None:
         self.seen: list[bytes] = []
@@ -128,7 +140,7 @@
 
 
 class RespClient:
-    """A front end's connection. It reads only when it is asked for an answer."""
+    """The connection of a client. It reads only while a test waits for a frame."""
 
     def __init__(
         self, now: Callable[[], datetime], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -137,17 +149,22 @@
         self._ring, self._parser = Ring(1 << 18), FrameReader()
         self.frames: list[list[bytes]] = []
 
-    def frame(self, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
+    def frame(self, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
+        """Return the frame of a request, as if sent now. `fields` has the fields of the wire by their words."""
         at = instant_us(self._now()) // 1000
         table = {"id": f"{id or tag:016x}", "at": at, "kb": 1, **fields}
         text = ",".join(f"{name}={value}" for name, value in table.items())
-        return write_frame(b"EXEC", b"%d" % tag, kind.encode(), text.encode(), body)
+        return write_frame(b"EXEC", b"%d" % tag, request_class.encode(), text.encode(), body)
 
     def send(self, data: bytes) -> None:
+        """Send bytes as they are."""
         self.writer.write(data)
 
-    def send_request(self, tag: int, kind: str, body: bytes = b"body", id: int = 0, **fields: Any) -> None:
-        self.send(self.frame(tag, kind, body, id, **fields))
+    def send_request(
+        self, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any
+    ) -> None:
+        """Send a request. Its id is its tag unless another is given."""
+        self.send(self.frame(tag, request_class, body, id, **fields))
 
     async def _more(self) -> bool:
         try:
@@ -160,36 +177,39 @@
         return bool(data)
 
     async def response(self, tag: int) -> list[bytes]:
-        """The word and the body that came for this tag; there must be one, and it must be the first."""
+        """Wait for the response with this tag, and return its status word and its body."""
         while not (found := [frame for frame in self.frames if frame[0] == b"%d" % tag]):
-            assert await self._more(), f"closed with no answer to {tag}; came: {self.frames}"
+            assert await self._more(), f"closed without a response to {tag}; received: {self.frames}"
         return [found[0][1], found[0][-1]]
 
     async def status_word(self, tag: int) -> str:
+        """Wait for the response with this tag, and return its status word."""
         return (await self.response(tag))[0].decode()
 
     def reset(self) -> None:
-        """Not a half-close: the peer's system says that nobody is there any more."""
+        """Reset the connection, as the system of a peer that is gone does."""
         one = self.writer.get_extra_info("socket")
         one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
     async def closing_frame(self) -> None:
+        """Wait for the node to ask for the close of the connection."""
         while [b"0", b"closing"] not in self.frames:
-            assert await self._more(), "closed without a word"
+            assert await self._more(), "closed without a closing frame"
 
     async def read_to_end(self) -> list[list[bytes]]:
-        """All that is said until the connection ends."""
+        """Read until the connection ends, and return all frames since its start."""
         while await self._more():
             pass
         return self.frames
 
     def response_count(self, tag: int) -> int:
+        """Count the frames with this tag that have been read."""
         return [frame[0] for frame in self.frames].count(b"%d" % tag)
 
 
 class NodeHarness:
-    """One node, its peers and its configuration file."""
+    """One node with its scripted peers and its configuration file, on a clock that a test advances."""
 
     def __init__(self, folder: Path, raw: dict[str, Any]) -> None:
         self.path = folder / "config.json"
@@ -230,22 +250,23 @@
             signal.signal(number, signal.SIG_DFL if number == signal.SIGTERM else signal.default_int_handler)
 
     def write_config(self, **other: Any) -> None:
-        """The file that SIGHUP reads."""
+        """Write the configuration file, which SIGHUP makes the node read."""
         self._raw |= other
         check(self._raw)
         self.path.write_text(json.dumps(self._raw))
 
     @property
     def core(self) -> Any:
+        """The core of the node, untyped, so that tests may look inside."""
         return self.node.core
 
     def advance_unread(self, by: timedelta) -> None:
-        """Time passes, and the timers that are due are called before anything more is read."""
+        """Advance the clock and run the timers that are due before anything is read, as a late loop does."""
         self.waker.shift += by
         self.timeline.run_due()
 
     async def advance(self, ms: float, size: float = 20) -> None:
-        """Time passes as a loop sees it that is not late: what has come is read between two steps."""
+        """Advance the clock in steps, and read what has arrived between them, as a loop does that is not late."""
         while ms > 0:
             self.advance_unread(min(size, ms) * MILLISECOND)
             ms -= size
@@ -254,46 +275,52 @@
 
     @property
     def only_connection(self) -> RespConnection:
-        """The only one."""
+        """The one connection that the node has."""
         [connection] = self.node.resp.connections
         assert isinstance(connection, RespConnection)
         return connection
 
     async def connect(self) -> RespClient:
+        """Open a connection to the node's frontend."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.node.resp.port)
         return RespClient(self.waker.now, reader, writer)
 
-    def connect_unread(self, takes: int | None = None) -> socket.socket:
-        """A connection that stands at once, while the node's loop does not come round. `takes`: bytes unread."""
-        one = socket.socket()
-        if takes is not None:
-            one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, takes)
-        one.settimeout(BOUND_S)
-        one.connect(("127.0.0.1", self.node.resp.port))
-        return one
-
-    async def adopt(self, blind: socket.socket) -> RespClient:
-        blind.setblocking(False)
-        reader, writer = await asyncio.open_connection(sock=blind)
+    def connect_unread(self, receive_buffer: int | None = None) -> socket.socket:
+        """Open a connection while the node's loop stands still: it waits in the backlog.
+
+        `receive_buffer` bounds the bytes that it receives unread.
+        """
+        connection = socket.socket()
+        if receive_buffer is not None:
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
+        connection.settimeout(TEST_TIMEOUT_S)
+        connection.connect(("127.0.0.1", self.node.resp.port))
+        return connection
+
+    async def adopt(self, connection: socket.socket) -> RespClient:
+        """Make a client of a connection that `connect_unread` opened."""
+        connection.setblocking(False)
+        reader, writer = await asyncio.open_connection(sock=connection)
         return RespClient(self.waker.now, reader, writer)
 
     async def send_sigterm(self) -> None:
+        """Send SIGTERM, and wait until the node drains."""
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: self.core.draining)
 
     async def reload(self, **other: Any) -> None:
-        """SIGHUP, with a new file; done when it was read."""
+        """Change the configuration file, send SIGHUP, and wait until the node has read it."""
         self.write_config(**other)
         before = self.node.config
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: self.node.config is not before)
 
     async def requests_read(self, count: int = 1) -> None:
-        """Barrier: so many requests were read in all."""
+        """Wait until the node has accepted so many requests in all."""
         await until(lambda: self.core.counts["read"] >= count)
 
     async def run_to_exit(self) -> None:
-        """The node ends by itself: nothing is owed then."""
+        """Advance the clock until the node ends by itself; every request has its response then."""
         while not self.node.ended.is_set():
             await self.advance(20)
         assert self.core.unanswered == 0
@@ -303,8 +330,10 @@
 
 
 def run_with_node(folder: Path, test: Test, **other: Any) -> None:
+    """Run a test with a node of its own, configured by the alternate settings and `other`."""
+
     async def run() -> None:
-        async with asyncio.timeout(BOUND_S), NodeHarness(folder, alternate_config(**other)) as harness:
+        async with asyncio.timeout(TEST_TIMEOUT_S), NodeHarness(folder, alternate_config(**other)) as harness:
             await test(harness)
 
     uvloop.run(run())
