--- a/tests/core/test_engine_properties.py
+++ b/tests/core/test_engine_properties.py
@@ -95,7 +95,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.lists(STEPS, max_size=40))
-def test_each_request_has_one_answer_and_work_with_effect_runs_once(
+def test_each_request_has_one_response_and_work_with_effect_runs_once(
     steps: list[tuple[str, object, object]],
 ) -> None:
     play = Play()
--- /dev/null
+++ b/tests/races/test_crossings_page.py
@@ -0,0 +1,30 @@
+"""docs/crossings.md names tests that exist, and every test of this package."""
+
+from __future__ import annotations
+
+import re
+from pathlib import Path
+
+ROOT = Path(__file__).parents[2]
+PAGE = (ROOT / "docs" / "crossings.md").read_text("utf-8")
+NAMED = set(re.findall(r"`(test_\w+)`", PAGE))
+OWN_FILE = Path(__file__).name
+
+
+def names_in(package: str) -> set[str]:
+    """List the test functions of a package of tests."""
+    paths = [path for path in (ROOT / "tests" / package).glob("test_*.py") if path.name != OWN_FILE]
+    return {name for path in paths for name in re.findall(r"^def (test_\w+)", path.read_text(), re.MULTILINE)}
+
+
+def test_each_test_that_the_page_names_exists() -> None:
+    assert NAMED - names_in("races") - names_in("core") == set()
+
+
+def test_each_race_test_stands_on_the_page() -> None:
+    assert names_in("races") - NAMED == set()
+
+
+def test_each_file_that_the_page_names_exists() -> None:
+    files = set(re.findall(r"`(tests/[\w/]+\.py)`", PAGE))
+    assert files and not [name for name in files if not (ROOT / name).exists()]
