--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -1,9 +1,8 @@
-"""The client of the uwsgi servers behind the uwsgi front: a backend that does its work by sending it on.
+"""The backend of the uwsgi frontend: it forwards each request to a server of its pool.
 
-Servers stand in pools (`marlstep/load_balancing`). Which server a request goes to, and whether it goes to another
-after an attempt that failed, is decided there; what is beyond all limits waits in the admission controller, which is
-told the capacity.
-A run can't be paused here, only given up, when its answer is out already.
+`marlstep.load_balancing` decides which server gets a request, and whether another one does after an attempt that went
+wrong. Requests beyond the capacity of a pool are queued by the admission controller, which is notified of that
+capacity. A run cannot be paused here; it is cancelled only once its request is answered.
 """
 
 from __future__ import annotations
@@ -17,47 +16,20 @@
 from marlstep.admission.events import Outcome
 from marlstep.admission.settings import Effect
 from marlstep.core.interfaces import EventSink, Request
-from marlstep.load_balancing.pool_plan import Address, PoolPlan, server_name
-from marlstep.load_balancing.retries import AttemptOutcome, RetryPolicy
-from marlstep.load_balancing.server_table import PoolSettings, Server, ServerTable
+from marlstep.load_balancing.pool_config import PoolConfig
+from marlstep.load_balancing.retry_policy import AttemptOutcome, RetryPolicy
+from marlstep.load_balancing.server_table import PoolSettings
 from marlstep.net.eventloop import Dial, dial
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, ZERO
 from marlstep.upstreams.attempt import Attempt
+from marlstep.upstreams.errors import AttemptError, NoCapacityError
+from marlstep.upstreams.outcomes import run_outcome
+from marlstep.upstreams.server_pool import ServerPool
 
 log = logging.getLogger(__name__)
 
-CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # between two looks at the room of a pool
-OUTCOMES = {
-    AttemptOutcome.WELL: Outcome.OK,
-    AttemptOutcome.NOT_REACHED: Outcome.CONNECT_FAILED,
-    AttemptOutcome.REFUSED: Outcome.REJECTED,
-    AttemptOutcome.BROKEN: Outcome.RESET,
-    AttemptOutcome.GIVEN_UP: Outcome.CANCELLED,
-}
-
-
-class ServerPool:
-    """One pool: its table, and where its servers are."""
-
-    def __init__(self, plan: PoolPlan, settings: PoolSettings, chance: random.Random, now: datetime) -> None:
-        self.plan = plan
-        self.table = ServerTable(settings, chance)
-        self.addresses: dict[str, Address] = {}
-        self.told: int | None = None  # the room that the module knows
-        self.counts = dict.fromkeys(("attempts", "again", "not reached", "refused", "broken", "no room"), 0)
-        self.change(plan, now)
-
-    def change(self, plan: PoolPlan, now: datetime) -> None:
-        """Other servers from now on; what is on its way to those that go ends there."""
-        came, gone = self.table.set_members(plan.names, now)
-        self.plan = plan
-        self.addresses |= {server_name(address): address for address in plan.servers}
-        self.addresses = {name: at for name, at in self.addresses.items() if self.table.named(name)}
-        if self.told is not None and (came or gone):
-            log.info(
-                "pool %s: %s came, %s go", plan.name, ", ".join(came) or "none", ", ".join(gone) or "none"
-            )
+CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # also from a change to its report
 
 
 @dataclass(slots=True)
@@ -66,18 +38,19 @@
 
     request: Request
     pool: ServerPool
-    since: datetime
-    tries: RetryPolicy
-    attempt: Attempt | None = None
-    server: int = 0  # handle
-    last: AttemptOutcome | None = None
-    history: list[str] = field(default_factory=list)  # what went wrong so far
+    started_at: datetime
+    retry_policy: RetryPolicy
+    attempt: Attempt | None = None  # in flight
+    server: int = 0  # handle of the server of the last attempt
+    errors: list[AttemptError] = field(default_factory=list)  # of the attempts so far
 
 
 class Upstream:
+    """Forwards requests to the servers of their pools, and reports how the runs ended."""
+
     def __init__(
         self,
-        plans: tuple[PoolPlan, ...],
+        pools: tuple[PoolConfig, ...],
         timeline: TimerQueue,
         sink: Callable[[], EventSink],
         response_limit: int,
@@ -85,166 +58,165 @@
         settings: PoolSettings | None = None,
         dial: Dial = dial,
     ) -> None:
+        """Make the pools.
+
+        Args:
+            pools: Their configuration.
+            timeline: The clock, and timers on it.
+            sink: Returns what the ends of runs and the capacity of pools are reported to.
+            response_limit: Largest response, in bytes.
+            seed: Of the random choice of servers.
+            settings: Of limits and outlier detection; None: the defaults.
+            dial: Opens connections.
+
+        """
         self.response_limit = response_limit
         self.pools: dict[str, ServerPool] = {}
         self._timeline, self._sink, self._dial = timeline, sink, dial
-        self._chance, self._settings = random.Random(seed), settings or PoolSettings()
-        self._runs: dict[str, UpstreamRequest] = {}
-        self._look: Timer | None = None
-        self.set_plans(plans)
+        self._random, self._settings = random.Random(seed), settings or PoolSettings()
+        self._requests: dict[str, UpstreamRequest] = {}  # by id
+        self._report_timer: Timer | None = None
+        self.reconfigure(pools)
 
-    def set_plans(self, plans: tuple[PoolPlan, ...]) -> None:
-        """Pools and servers from now on. A pool that is gone gets nothing new."""
+    def reconfigure(self, pools: tuple[PoolConfig, ...]) -> None:
+        """Take over pools and servers from a changed configuration. A pool that was removed gets no new requests."""
         now = self._timeline.now()
-        for plan in plans:
-            if plan.name in self.pools:
-                self.pools[plan.name].change(plan, now)
+        for config in pools:
+            if config.name in self.pools:
+                self.pools[config.name].reconfigure(config, now)
             else:
-                self.pools[plan.name] = ServerPool(plan, self._settings, self._chance, now)
-        for name in self.pools.keys() - {plan.name for plan in plans}:
+                self.pools[config.name] = ServerPool(config, self._settings, self._random, now)
+        for name in self.pools.keys() - {config.name for config in pools}:
             self.pools[name].table.set_members([], now)
             if not len(self.pools[name].table):
                 del self.pools[name]
-        self._schedule_reconcile()
+        self._schedule_capacity_reports()
 
-    # Requests.
+    # The backend of requests.
 
     def start(self, request: Request) -> None:
+        """Forward a request to a server; it ends as rejected where no server has capacity."""
         now = self._timeline.now()
         pool = self.pools.get(request.inbound.pool)
-        if pool is None:  # it went with a new configuration while the request was held
+        if pool is None:  # it was removed while the request was queued
             self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.REJECTED, ZERO))
             return
-        tries = RetryPolicy(
-            request.class_settings.effect is Effect.IDEMPOTENT, pool.plan.max_attempts, request.deadline_at
-        )
-        run = self._runs[request.id] = UpstreamRequest(request, pool, now, tries)
-        if not self._try(run, now):
-            pool.counts["no room"] += 1
-            self._report_capacity(pool, full=True)
-            # Told in a turn of its own: the core is in the midst of starting it.
-            self._timeline.soon(lambda: self._over(run, Outcome.REJECTED, "no server has room"))
-
-    def _try(self, run: UpstreamRequest, now: datetime) -> bool:
-        """Send it to a server that it has not been to; False where none has room."""
-        pool = run.pool
-        server = (
-            pool.table.choose(now, frozenset(run.tries.attempted_servers))
-            if pool.plan.limited
-            else self._only(run)
-        )
-        if server is None:
-            return False
-        pool.table.attempt_started(server.handle)
-        run.tries.attempt_started(server.handle)
-        run.server = server.handle
-        pool.counts["attempts"] += 1
-        plan, request = pool.plan, run.request
-        run.attempt = Attempt(self, request.id, request.inbound.body, now, plan.refuses, plan.boot_header)
-        within = run.tries.left(now, plan.connect_timeout)
-        run.attempt.open(self._dial, pool.addresses[server.name], self._timeline, within)
-        return True
-
-    def _only(self, run: UpstreamRequest) -> Server | None:
-        """The one server of a pool without limits gets all there is."""
-        return next((one for one in run.pool.table if one.handle not in run.tries.attempted_servers), None)
+        is_idempotent = request.class_settings.effect is Effect.IDEMPOTENT
+        retry_policy = RetryPolicy(is_idempotent, pool.config.max_attempts, request.deadline_at)
+        forwarded = UpstreamRequest(request, pool, now, retry_policy)
+        self._requests[request.id] = forwarded
+        if not self._start_attempt(forwarded, now):
+            pool.statistics.no_capacity += 1
+            forwarded.errors.append(NoCapacityError(pool.config.name))
+            self._report_capacity(pool, is_full=True)
+            # Reported in a later turn of the loop: the core is still starting the request.
+            self._timeline.soon(lambda: self._finish(forwarded, Outcome.REJECTED))
 
     def pause(self, request: Request) -> None:
-        """A server behind a socket can't be paused: the run goes on, unless nobody waits for it."""
+        """Cancel the run if its request is answered; a server behind a socket cannot be paused."""
         if request.responded:
             self.abandon(request)
 
     def abandon(self, request: Request) -> None:
-        run = self._runs.get(request.id)
-        if run is not None and run.attempt is not None:
-            # Told in a turn of its own: the core is in the midst of answering.
-            attempt = run.attempt
-            self._timeline.soon(lambda: self._give_up(attempt))
-
-    def _give_up(self, attempt: Attempt) -> None:
-        if self.response_awaited(attempt):
-            self.attempt_ended(attempt, AttemptOutcome.GIVEN_UP, "")
+        """Cancel the run: nobody waits for its response."""
+        forwarded = self._requests.get(request.id)
+        if forwarded is not None and forwarded.attempt is not None:
+            # Reported in a later turn of the loop: the core is still answering the request.
+            self._timeline.soon(forwarded.attempt.cancel)
 
     def resume(self, request: Request) -> None:
-        """Nothing is ever paused here."""
+        """Do nothing: no run is ever paused here."""
 
     def supply(self, request: Request, reply: bytes) -> None:
-        """Nothing is ever called for here."""
+        """Do nothing: no run here asks the node for a call."""
 
     def skip(self, request: Request) -> None:
-        """Nothing is ever called for here."""
+        """Do nothing: no run here asks the node for a call."""
 
     # Attempts.
 
-    def response_awaited(self, attempt: Attempt) -> bool:
-        run = self._runs.get(attempt.id)
-        return run is not None and run.attempt is attempt
-
-    def attempt_ended(self, attempt: Attempt, end: AttemptOutcome, why: str) -> None:
-        """The one place where an attempt and its connection are given back."""
-        run = self._runs[attempt.id]
-        now, took = self._timeline.now(), self._timeline.now() - attempt.since
-        table = run.pool.table
-        server = table.get(run.server)
-        if attempt.boot is not None and table.booted(run.server, attempt.boot, now):
-            log.info("pool %s: a server lives anew, what was learned of it is dropped", run.pool.plan.name)
-        match end:
-            case AttemptOutcome.WELL:
-                table.succeeded(run.server, now, took)
-            case AttemptOutcome.REFUSED:
-                table.attempt_refused(run.server, now)
-            case AttemptOutcome.GIVEN_UP:
-                table.attempt_abandoned(run.server)
-            case _:
-                table.failed(run.server, now, took)
-        if server is not None and table.get(run.server) is None:  # it had left, and this was its last
-            run.pool.addresses.pop(server.name, None)
-        run.attempt = None
-        attempt.abandon()
-        if end.value in run.pool.counts:
-            run.pool.counts[end.value] += 1
-        self._schedule_reconcile()
-        if why:
-            run.history.append(why)
-        if run.tries.should_retry(end, now) and self._try(run, now):
-            run.pool.counts["again"] += 1
-            return
-        self._over(run, OUTCOMES[end], "; ".join(run.history), bytes(attempt.response))
+    def _start_attempt(self, forwarded: UpstreamRequest, now: datetime) -> bool:
+        """Send the request to a server that had no attempt of it; return False where none has capacity."""
+        pool, request = forwarded.pool, forwarded.request
+        server = pool.choose(now, forwarded.retry_policy.attempted_servers)
+        if server is None:
+            return False
+        pool.table.attempt_started(server.handle)
+        pool.statistics.attempts += 1
+        forwarded.retry_policy = forwarded.retry_policy.attempt_started(server.handle)
+        forwarded.server = server.handle
+        config = pool.config
+        attempt = Attempt(
+            self, request.id, request.inbound.body, now, config.rejection_statuses, config.boot_id_header
+        )
+        forwarded.attempt = attempt
+        connect_timeout = forwarded.retry_policy.connect_timeout(now, config.connect_timeout)
+        attempt.open(self._dial, pool.addresses[server.name], self._timeline, connect_timeout)
+        return True
+
+    def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, error: AttemptError | None) -> None:
+        """Release the attempt, and send the request to another server or report its end."""
+        forwarded = self._requests[attempt.request_id]
+        now, pool = self._timeline.now(), forwarded.pool
+        pool.attempt_ended(forwarded.server, outcome, attempt.boot_id, now, now - attempt.started_at)
+        forwarded.attempt = None
+        attempt.release()
+        self._schedule_capacity_reports()
+        if error is not None:
+            forwarded.errors.append(error)
+        if self._retry(forwarded, outcome, now):
+            pool.statistics.retries += 1
+        else:
+            may_have_run = forwarded.retry_policy.may_have_run
+            self._finish(forwarded, run_outcome(outcome, may_have_run), attempt.response)
+
+    def _retry(self, forwarded: UpstreamRequest, outcome: AttemptOutcome, now: datetime) -> bool:
+        """Send the request to another server, where it may go there and one has capacity."""
+        next_policy = forwarded.retry_policy.next_attempt(outcome, now)
+        if next_policy is None:
+            return False
+        forwarded.retry_policy = next_policy
+        return self._start_attempt(forwarded, now)
 
-    def _over(self, run: UpstreamRequest, outcome: Outcome, why: str, response: bytes = b"") -> None:
-        if self._runs.get(run.request.id) is not run:
+    def _finish(self, forwarded: UpstreamRequest, outcome: Outcome, response: bytes = b"") -> None:
+        request_id = forwarded.request.id
+        if self._requests.get(request_id) is not forwarded:
             return
-        del self._runs[run.request.id]
-        if why:
-            log.warning("upstream: %s: %s", run.request.id, why)
-        if outcome.never_ran and run.tries.resent:
-            outcome = Outcome.RESET  # an earlier try may have run
-        self._sink().run_ended(run.request.id, outcome, self._timeline.now() - run.since, response)
+        del self._requests[request_id]
+        if forwarded.errors:
+            errors = "; ".join(str(error) for error in forwarded.errors)
+            log.warning(
+                "attempts failed: request=%s outcome=%s errors=%s", request_id, outcome.name.lower(), errors
+            )
+        elapsed = self._timeline.now() - forwarded.started_at
+        self._sink().run_ended(request_id, outcome, elapsed, response)
 
-    # The room of the pools.
+    # Capacity of the pools.
 
-    def _schedule_reconcile(self) -> None:
-        if self._look is None:
-            self._look = self._timeline.at(self._timeline.now() + CAPACITY_REPORT_INTERVAL, self._reconcile)
+    def _schedule_capacity_reports(self) -> None:
+        if self._report_timer is None:
+            at = self._timeline.now() + CAPACITY_REPORT_INTERVAL
+            self._report_timer = self._timeline.at(at, self._report_capacities)
 
-    def _reconcile(self) -> None:
-        self._look = None
+    def _report_capacities(self) -> None:
+        self._report_timer = None
         for pool in self.pools.values():
             self._report_capacity(pool)
-        if any(pool.table.changes for pool in self.pools.values()):
-            self._schedule_reconcile()  # slow starts and times out pass without an attempt that ends
+        if any(pool.table.capacity_changes_with_time for pool in self.pools.values()):
+            self._schedule_capacity_reports()
 
-    def _report_capacity(self, pool: ServerPool, full: bool = False) -> None:
-        if not pool.plan.limited:
+    def _report_capacity(self, pool: ServerPool, is_full: bool = False) -> None:
+        """Notify the core of a pool's capacity, where it has changed and the pool has limits."""
+        if not pool.config.has_limits:
             return
-        now = self._timeline.now()
-        room = sum(one.in_flight for one in pool.table) if full else pool.table.capacity(now)
-        if room != pool.told:
-            pool.told = room
-            self._sink().pool_capacity(pool.plan.name, room)
+        capacity = pool.capacity(self._timeline.now(), is_full)
+        if capacity != pool.reported_capacity:
+            pool.reported_capacity = capacity
+            self._sink().pool_capacity(pool.config.name, capacity)
 
     def close(self) -> None:
-        self._timeline.cancel(self._look)
-        for run in list(self._runs.values()):
-            if run.attempt is not None:
-                run.attempt.abandon()
+        """Stop the reports, and close the connections to servers."""
+        self._timeline.cancel(self._report_timer)
+        for forwarded in list(self._requests.values()):
+            if forwarded.attempt is not None:
+                forwarded.attempt.release()
