--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -29,7 +29,7 @@
     """What names a piece of work: attempts with the same key are attempts of the same work."""
 
     request_class: str
-    name: str  # chosen by the client
+    name: str  # given by the client
 
 
 def body_digest(body: bytes) -> str:
--- a/tests/core/test_repeats.py
+++ b/tests/core/test_repeats.py
@@ -36,7 +36,7 @@
     desk.end(3, Outcome.RESET)
     with pytest.raises(RepeatedWorkError):
         desk.submit(4, "setpoint-cmd", idempotency_key="boiler-7")
-    assert [id for what, id in desk.backend.told if what == "start"] == ["r1", "r3"]
+    assert [id for command, id in desk.backend.told if command == "start"] == ["r1", "r3"]
     assert (desk.verdicts(1), desk.verdicts(3)) == ([ResponseStatus.REJECTED], [ResponseStatus.FAILED])
 
 
@@ -49,14 +49,14 @@
     desk.end(1)
     desk.submit(3, "keyed", idempotency_key="k")
     assert [desk.answers[number][0].body for number in (1, 2, 3)] == [b"result"] * 3
-    assert [what for what, _ in desk.backend.told] == ["start"]
+    assert [command for command, _ in desk.backend.told] == ["start"]
     desk.clock.advance(6000)
     desk.submit(4, "keyed", idempotency_key="k")
     assert desk.backend.told[-1] == ("start", "r4")
 
 
 def test_a_repeat_under_the_id_and_key_of_ended_work_shares_its_result() -> None:
-    # Guards against a hang: the module took the new try for the one before it, and followed it in a ring.
+    # Guards against a hang: the controller took the new attempt for the one before it, and followed it in a circle.
     rows = [dict(row) for row in SETTINGS["classes"]]
     rows[1].update(semantics="deduplicated")
     desk = Desk(classes=rows)
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -25,11 +25,11 @@
     desk.core.call_ended("r1", Outcome.RESET)
     desk.clock.advance(500)
     assert desk.verdicts(1) == [ResponseStatus.FAILED]
-    assert [what for what, _ in desk.backend.told].count("call ask") == 1
+    assert [command for command, _ in desk.backend.told].count("call ask") == 1
 
 
 def test_a_moot_run_is_rejected_if_it_never_began_and_failed_if_it_had() -> None:
-    # Guards against taking "nothing was started" of a resume for proof that the request never ran.
+    # Guards against taking a resume that started nothing for proof that the request never ran.
     desk = Desk(cores=1)
     desk.submit(1, "setpoint-cmd")
     desk.end(1, Outcome.NOT_STARTED)
@@ -56,7 +56,7 @@
 
 
 def test_a_run_that_reaches_its_call_before_the_pause_is_not_paused_by_it() -> None:
-    # Guards against an end at the call being taken for the pause that was asked for before: it is final.
+    # Guards against taking an end at the call, which is final, for the pause that was requested before.
     desk = Desk(cores=1)
     desk.submit(1)
     desk.submit(2, "setpoint-cmd")
@@ -66,9 +66,8 @@
 
 
 def test_a_run_cancelled_unasked_is_over_for_the_controller_too() -> None:
-    # Guards against a hang of the whole node, seen on the bench twice: a run that was cancelled without a halt was
-    # answered here, while the module kept it as paused. When its id came again, the module lost the older entry from
-    # its ledger and went round for ever to look for its time.
+    # Guards against a hang of the whole node: a run that was cancelled unasked got its response, while the controller
+    # kept it as paused. When its id came again, the controller lost the older entry and looped for ever.
     desk = Desk(cores=1)
     desk.submit(1)
     desk.end(1, Outcome.CANCELLED)
