--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -8,6 +8,8 @@
 - `run_events` takes the reports of backends, `responses` sends responses and ends requests,
 - `idempotency`, `repeats` and `sibling_claims` know which work has been accepted before,
 - `served_settings`, `drain`, `gauge_timers` and `counters` own what their names say.
+
+The module is longer than the others of the package, as the whole interface that the rest of the node uses stands here.
 """
 
 from __future__ import annotations
--- a/marlstep/slots.py
+++ b/marlstep/slots.py
@@ -1,4 +1,8 @@
-"""Tables of numbered slots. A handle names a slot and its generation, so that a late use finds nothing."""
+"""Tables of numbered slots.
+
+A handle names a slot and its generation: a use after the slot has been freed finds nothing, even if the slot holds
+another value by then.
+"""
 
 from __future__ import annotations
 
@@ -8,16 +12,16 @@
 from marlstep.errors import MarlstepError
 
 T = TypeVar("T")
-INDEX_BITS = 20
+INDEX_BITS = 20  # of a handle, for the slot; the bits above are its generation
 INDEX_MASK = (1 << INDEX_BITS) - 1
 
 
 class TableFullError(MarlstepError):
-    """All slots are taken: the caller has to wait until one is freed, or to reject."""
+    """All slots are in use: the caller has to wait until one is freed, or to reject."""
 
     @classmethod
     def at_limit(cls, limit: int) -> TableFullError:
-        """Say that the whole table is in use."""
+        """Make the error of a table that holds `limit` values."""
         return cls(f"all {limit} slots are taken")
 
 
@@ -25,15 +29,20 @@
     """A limit that handles can't number."""
 
     def __init__(self, limit: int) -> None:
-        """Name the limit that was asked for."""
+        """Reject a limit, which is kept as a field."""
+        self.limit = limit
         super().__init__(f"a table holds from 1 to 2^{INDEX_BITS} - 1 slots, not {limit}")
 
 
 class SlotTable(Generic[T]):
-    """Values by handle, at most `limit` at once. Memory is taken only as slots are used."""
+    """Values by handle, at most `limit` at once. Memory is taken only as slots are used.
+
+    Attributes:
+        limit: the most values that the table holds.
+    """
 
     def __init__(self, limit: int) -> None:
-        """Make an empty table. Raises InvalidTableLimitError."""
+        """Make an empty table. Raises InvalidTableLimitError for a limit that handles can't number."""
         if not 0 < limit <= INDEX_MASK:
             raise InvalidTableLimitError(limit)
         self.limit = limit
@@ -42,7 +51,7 @@
         self._free: list[int] = []
 
     def __len__(self) -> int:
-        """Count the slots that are taken."""
+        """Count the values."""
         return len(self._values) - len(self._free)
 
     def __iter__(self) -> Iterator[T]:
@@ -50,7 +59,7 @@
         return iter([value for value in self._values if value is not None])
 
     def add(self, value: T) -> int:
-        """Take a slot, and return its handle, which is good until `free`. Raises TableFullError."""
+        """Store a value, and return its handle, which is valid until `free`. Raises TableFullError."""
         if self._free:
             index = self._free.pop()
             self._values[index] = value
@@ -63,14 +72,14 @@
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, handle: int) -> T | None:
-        """Look up a value; None where its slot has been freed."""
+        """Look up a value; None once its slot has been freed."""
         index = handle & INDEX_MASK
         if index >= len(self._values) or self._generations[index] != handle >> INDEX_BITS:
             return None
         return self._values[index]
 
     def free(self, handle: int) -> bool:
-        """Free the slot; False where that has been done before."""
+        """Free a slot. Returns False where that has been done before."""
         if self.get(handle) is None:
             return False
         index = handle & INDEX_MASK
--- a/marlstep/timer_queue.py
+++ b/marlstep/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timer queue: all deadlines of the program in one heap, with one alarm of the event loop behind it."""
+"""Timer queue: all timers of the program in one heap, with one alarm of the event loop behind it."""
 
 from __future__ import annotations
 
@@ -9,87 +9,98 @@
 from typing import Protocol
 
 log = logging.getLogger(__name__)
-COMPACT_AT = 64  # cancelled entries that may stay before the heap is rebuilt
+MAX_CANCELLED_TIMERS = 64  # in a small heap, before it is rebuilt without them; in a large one, half of it
 
 
 class Waker(Protocol):
-    """The clock that deadlines are counted by, and its one alarm."""
+    """The clock that timers are counted by, and its one alarm."""
 
     def now(self) -> datetime:
-        """Give the time."""
+        """Return the time."""
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
-        """Set the alarm; it replaces the one before."""
+        """Set the alarm, in place of the one before."""
 
     def soon(self, callback: Callable[[], None]) -> None:
-        """Call back in the next turn of the loop."""
+        """Call back in the next turn of the event loop."""
 
 
 class Timer:
-    """One entry of the queue, ordered by time and then by number; without a callback once it is over."""
+    """One timer, ordered by its time and then by its number.
+
+    Attributes:
+        when: it is due.
+        number: of its setting; timers of the same time run in the order in which they were set.
+        callback: None once it has run or was cancelled.
+    """
 
     __slots__ = ("callback", "number", "when")
 
     def __init__(self, when: datetime, number: int, callback: Callable[[], None]) -> None:
-        """Make an entry that is due at `when`."""
+        """Make a timer that is due at `when`."""
         self.when, self.number = when, number
         self.callback: Callable[[], None] | None = callback
 
     def __lt__(self, other: Timer) -> bool:
-        """Order entries for the heap."""
+        """Order timers for the heap."""
         return (self.when, self.number) < (other.when, other.number)
 
 
 class TimerQueue:
-    """Calls back at given times, in their order; those of the same time in the order in which they were set."""
+    """Calls back at given times, in their order.
+
+    Attributes:
+        now: returns the time, as the waker does.
+        soon: calls back in the next turn of the event loop, as the waker does.
+    """
 
     def __init__(self, waker: Waker) -> None:
-        """Count by the clock of this waker. Its alarm belongs to the queue alone."""
+        """Count by the clock of this waker, whose alarm belongs to the queue alone."""
         self._waker = waker
         self._heap: list[Timer] = []
         self._number = 0
-        self._cancelled = 0  # entries that are still in the heap
+        self._cancelled = 0  # timers that are still in the heap
         self._alarm: datetime | None = None
         self.now = waker.now
         self.soon = waker.soon
 
     def __len__(self) -> int:
-        """Count the deadlines that are set."""
+        """Count the timers that are set."""
         return len(self._heap) - self._cancelled
 
     def at(self, when: datetime, callback: Callable[[], None]) -> Timer:
-        """Call back at that time. The entry is good for `cancel`."""
+        """Call back at that time, or in the next turn if it has passed. Returns the timer, for `cancel`."""
         self._number += 1
-        deadline = Timer(when, self._number, callback)
-        heapq.heappush(self._heap, deadline)
+        timer = Timer(when, self._number, callback)
+        heapq.heappush(self._heap, timer)
         self._set_alarm()
-        return deadline
+        return timer
 
     def after_reading(self, callback: Callable[[], None]) -> None:
         """Call back once all that has arrived by now has been read.
 
-        A loop calls its timers before it reads: what a late timer would abandon may have arrived before it was due.
+        An event loop runs its timers before it reads: what a late timer would give up may have arrived in time.
         """
         self.soon(lambda: self.soon(callback))
 
-    def cancel(self, deadline: Timer | None) -> None:
-        """Never call back; without effect where the deadline is over, or is none."""
-        if deadline is None or deadline.callback is None:
+    def cancel(self, timer: Timer | None) -> None:
+        """Cancel a timer. Does nothing for one that has run or was cancelled before, and for None."""
+        if timer is None or timer.callback is None:
             return
-        deadline.callback = None
+        timer.callback = None
         self._cancelled += 1
-        if self._cancelled > max(COMPACT_AT, len(self._heap) // 2):
-            self._heap = [entry for entry in self._heap if entry.callback is not None]
+        if self._cancelled > max(MAX_CANCELLED_TIMERS, len(self._heap) // 2):
+            self._heap = [timer for timer in self._heap if timer.callback is not None]
             heapq.heapify(self._heap)
             self._cancelled = 0
 
     def run_due(self) -> None:
-        """Call what is due. A callback that fails is logged, and the others are still called."""
+        """Run the timers that are due. A callback that raises is logged, and the others still run."""
         self._alarm = None
         now = self._waker.now()
         while self._heap and self._heap[0].when <= now:
-            deadline = heapq.heappop(self._heap)
-            callback, deadline.callback = deadline.callback, None
+            timer = heapq.heappop(self._heap)
+            callback, timer.callback = timer.callback, None
             if callback is None:
                 self._cancelled -= 1
                 continue
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -7,7 +7,7 @@
 from marlstep.slots import INDEX_MASK, InvalidTableLimitError, SlotTable, TableFullError
 
 
-def test_a_handle_is_good_until_its_slot_is_given_back() -> None:
+def test_a_handle_is_valid_until_its_slot_is_freed() -> None:
     table = SlotTable[str](2)
     first = table.add("a")
     assert table.free(first) and not table.free(first)
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""The timer queue: deadlines fall due in order, and one that fails or is cancelled takes no other along."""
+"""The timer queue: timers run in order, and one that raises or is cancelled stops no other."""
 
 import functools
 
@@ -6,21 +6,21 @@
 from tests.support.node import START, HandClock
 
 
-def test_deadlines_fall_due_in_order_and_cancelled_ones_never() -> None:
+def test_timers_run_in_order_and_cancelled_ones_never() -> None:
     clock, seen = HandClock(), list[int]()
-    deadlines = [
+    timers = [
         clock.timeline.at(START + ms * MILLISECOND, functools.partial(seen.append, ms)) for ms in (3, 1, 2)
     ]
-    clock.timeline.cancel(deadlines[2])
-    clock.timeline.cancel(deadlines[2])
+    clock.timeline.cancel(timers[2])
+    clock.timeline.cancel(timers[2])
     clock.advance(5)
     assert seen == [1, 3] and len(clock.timeline) == 0
-    clock.timeline.cancel(deadlines[0])  # when over, a cancel does nothing
+    clock.timeline.cancel(timers[0])  # after the run, a cancel does nothing
     assert len(clock.timeline) == 0
 
 
-def test_a_deadline_that_fails_takes_no_other_along() -> None:
-    # Guards against one fault in a callback leaving the alarm unset, and with it every later answer.
+def test_a_timer_that_raises_stops_no_other() -> None:
+    # Guards against a fault in one callback that leaves the alarm unset, and with it every later response.
     clock, seen = HandClock(), list[int]()
     clock.timeline.at(START, lambda: seen.append(1 // 0))
     clock.timeline.at(START, lambda: seen.append(2))
@@ -29,7 +29,7 @@
     assert seen == [2, 3]
 
 
-def test_many_cancelled_deadlines_do_not_pile_up() -> None:
+def test_many_cancelled_timers_do_not_accumulate() -> None:
     clock = HandClock()
     for _ in range(1000):
         clock.timeline.cancel(clock.timeline.at(START + SECOND, lambda: None))
