--- a/marlstep/config/uwsgi.py
+++ b/marlstep/config/uwsgi.py
@@ -85,18 +85,18 @@
 
     has_default = "default_class" in section
     return UwsgiMapping(
-        kind=word(variables, "class", "uwsgi.vars.class"),
-        classes={
+        class_variable=word(variables, "class", "uwsgi.vars.class"),
+        class_names={
             value: _read_class(values, value, f"uwsgi.classes.{value}", class_names) for value in values
         },
         default_class=_read_class(section, "default_class", "uwsgi.default_class", class_names)
         if has_default
         else None,
-        id=optional_variable("id"),
-        retry=optional_variable("retry"),
-        cost=optional_variable("cost"),
-        tenant=optional_variable("tenant"),
-        kb=number(section, "held_kb", "uwsgi.held_kb", 0.1, 2000, 16.0),
+        idempotency_key_variable=optional_variable("id"),
+        retry_variable=optional_variable("retry"),
+        cost_variable=optional_variable("cost"),
+        tenant_variable=optional_variable("tenant"),
+        memory_kb=number(section, "held_kb", "uwsgi.held_kb", 0.1, 2000, 16.0),
     )
 
 
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -316,7 +316,7 @@
         caller.send_request(1, other)
         await harness.requests_read(1)
         if where == "no link":
-            await until(lambda: f"{1:016x}" in harness.node.kernel._unconfirmed)
+            await until(lambda: f"{1:016x}" in harness.node.kernel._commands.unconfirmed_requests())
         else:
             await harness.kernel.command_read("SCHED", 1)
         if where == "at a call":
@@ -490,7 +490,7 @@
         caller = await harness.connect()
         caller.send(write_frame(b"ALIVE", b"1"))
         await caller.response(1)
-        harness.only_connection.idle()
+        harness.only_connection.close_idle()
         await caller.closing_frame()
         blind = caller.writer.get_extra_info("socket")
         os.write(blind.fileno(), caller.frame(2, "ping"))  # sent before the peer read `0 closing`
@@ -554,7 +554,7 @@
         await until(lambda: not old._writable)
         harness.kernel.end_run(2, body=b"y" * 60_000)
         await until(lambda: old.send_blocked)
-        old.idle()
+        old.close_idle()
         old.drain()  # it is closed 0.2 s later
         if how == "reset":
             first.reset()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -25,7 +25,7 @@
         ("127.0.0.1", 9090),
         3200 * MILLISECOND,
     )
-    assert config.uwsgi is not None and config.uwsgi.mapping.classes["setpoint"] == "setpoint-cmd"
+    assert config.uwsgi is not None and config.uwsgi.mapping.class_names["setpoint"] == "setpoint-cmd"
 
 
 def test_without_an_operators_file_the_second_front_is_off() -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -47,8 +47,9 @@
         sizes.append(
             len(core._requests._handles) + len(core.idempotency_keys) + len(platform.desk.clock.timeline._heap)
             + core.in_flight
-            + len(known.entries.by_id) + len(known.callers.last_seen) + len(known.wakeups) + len(platform.front._quiet)
-            + len(platform.front._new) + len(platform.front.connections)
+            + len(known.entries.by_id) + len(known.callers.last_seen) + len(known.wakeups)
+            + platform.front.connections.idle_count + platform.front.connections.unproven_count
+            + len(platform.front.connections)
         )  # fmt: skip
     assert max(sizes[900:]) <= max(sizes[:900]) * 1.1 and max(sizes) < 2_000
     assert core.counts["read"] == 1_200 and core.in_flight == 0
