--- a/marlstep/core/errors.py
+++ b/marlstep/core/errors.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import enum
-from typing import Self
 
+from marlstep.core.interfaces import InboundRequest
 from marlstep.errors import MarlstepError
 
 MAX_QUOTED_NAME = 64  # characters of a name that a client chose, in a message
@@ -13,7 +13,6 @@
 class RejectionReason(enum.Enum):
     """The intake rule that a request broke."""
 
-    UNREADABLE_FIELD = "unreadable_field"  # a frontend could not read it
     UNKNOWN_CLASS = "unknown_class"
     UNKNOWN_TENANT = "unknown_tenant"
     MISSING_IDEMPOTENCY_KEY = "missing_idempotency_key"
@@ -42,39 +41,20 @@
 
     Attributes:
         reason: the rule that the request broke.
-        request_class: the class that it named; empty where it was not read.
+        request_class: the class that it named.
         tenant: the tenant that it named; empty for none.
-        request_id: its id; empty where it was not read.
+        request_id: its id.
     """
 
-    def __init__(
-        self,
-        text: str,
-        reason: RejectionReason = RejectionReason.UNREADABLE_FIELD,
-        *,
-        request_class: str = "",
-        tenant: str = "",
-        request_id: str = "",
-    ) -> None:
-        """Reject with this text, which frontends may send to the client."""
-        super().__init__(text)
+    def __init__(self, reason: RejectionReason, inbound: InboundRequest) -> None:
+        """Reject a request, with the text that frontends may send to its client."""
         self.reason = reason
-        self.request_class, self.tenant, self.request_id = request_class, tenant, request_id
-
-    @classmethod
-    def because(
-        cls,
-        reason: RejectionReason,
-        *,
-        request_class: str = "",
-        tenant: str = "",
-        request_id: str = "",
-    ) -> Self:
-        """Make the error for a rule of the core, with the text that the rule has on the wire."""
+        self.request_class, self.tenant = inbound.request_class, inbound.tenant or ""
+        self.request_id = inbound.id
         text = RESPONSE_TEXTS[reason].format(
-            request_class=request_class[:MAX_QUOTED_NAME], tenant=tenant[:MAX_QUOTED_NAME]
+            request_class=self.request_class[:MAX_QUOTED_NAME], tenant=self.tenant[:MAX_QUOTED_NAME]
         )
-        return cls(text, reason, request_class=request_class, tenant=tenant, request_id=request_id)
+        super().__init__(text)
 
 
 class RepeatedWorkError(RequestRejectedError):
--- a/marlstep/core/intake_checks.py
+++ b/marlstep/core/intake_checks.py
@@ -24,22 +24,22 @@
     """
     class_settings = served.accepted_class(inbound.request_class, now)
     if class_settings is None:
-        raise _rejected(RejectionReason.UNKNOWN_CLASS, inbound)
+        raise RequestRejectedError(RejectionReason.UNKNOWN_CLASS, inbound)
     if not served.accepts_tenant(inbound.tenant or "", now):
-        raise _rejected(RejectionReason.UNKNOWN_TENANT, inbound)
+        raise RequestRejectedError(RejectionReason.UNKNOWN_TENANT, inbound)
     if class_settings.effect is Effect.KEYED and not inbound.idempotency_key:
-        raise _rejected(RejectionReason.MISSING_IDEMPOTENCY_KEY, inbound)
+        raise RequestRejectedError(RejectionReason.MISSING_IDEMPOTENCY_KEY, inbound)
     return class_settings
 
 
 def check_id_free(inbound: InboundRequest, in_flight: bool) -> None:
     """Check that no request with this id is in flight: the id is how backends name it. Raises RepeatedWorkError."""
     if in_flight:
-        raise _repeated(RejectionReason.ID_IN_FLIGHT, inbound)
+        raise RepeatedWorkError(RejectionReason.ID_IN_FLIGHT, inbound)
 
 
 def key_of(inbound: InboundRequest, class_settings: ClassSettings) -> IdempotencyKey | None:
-    """Return the key of the work; None for safe work, which may run again, and where the client names none."""
+    """Return the key of the work; None for idempotent work, which may run again, and where the client names none."""
     if not inbound.idempotency_key or class_settings.effect is Effect.IDEMPOTENT:
         return None
     return IdempotencyKey(inbound.request_class, inbound.idempotency_key)
@@ -57,18 +57,6 @@
     if prior is None:
         return
     if class_settings.effect is Effect.AT_MOST_ONCE:
-        raise _repeated(RejectionReason.WORK_REPEATED, inbound)
+        raise RepeatedWorkError(RejectionReason.WORK_REPEATED, inbound)
     if not prior.matches_body(inbound.digest):
-        raise _repeated(RejectionReason.KEY_BODY_MISMATCH, inbound)
-
-
-def _rejected(reason: RejectionReason, inbound: InboundRequest) -> RequestRejectedError:
-    return RequestRejectedError.because(
-        reason, request_class=inbound.request_class, tenant=inbound.tenant or "", request_id=inbound.id
-    )
-
-
-def _repeated(reason: RejectionReason, inbound: InboundRequest) -> RepeatedWorkError:
-    return RepeatedWorkError.because(
-        reason, request_class=inbound.request_class, tenant=inbound.tenant or "", request_id=inbound.id
-    )
+        raise RepeatedWorkError(RejectionReason.KEY_BODY_MISMATCH, inbound)
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -213,7 +213,7 @@
         call_started_at: when its last call was made.
         attached_request_ids: repeats that wait for the result of this one.
         config_versions: of the cluster's documents in force at its arrival, as text for records.
-        idempotency_key: names its work; None for safe work, and where the client names none.
+        idempotency_key: names its work; None for idempotent work, and where the client names none.
     """
 
     inbound: InboundRequest
--- a/marlstep/core/request_registry.py
+++ b/marlstep/core/request_registry.py
@@ -54,12 +54,7 @@
         """
         inbound = request.inbound
         if len(self._slots) >= self.capacity:
-            raise RequestRejectedError.because(
-                RejectionReason.PROCESS_AT_CAPACITY,
-                request_class=inbound.request_class,
-                tenant=inbound.tenant or "",
-                request_id=inbound.id,
-            )
+            raise RequestRejectedError(RejectionReason.PROCESS_AT_CAPACITY, inbound)
         request.handle = self._slots.add(request)  # never full: the capacity is at most its limit
         self._handles[inbound.id] = request.handle
 
--- a/marlstep/core/run_rules.py
+++ b/marlstep/core/run_rules.py
@@ -29,7 +29,7 @@
         stage: where the request stands.
         may_have_run: whether a run of it has begun, or may have.
         responded: whether its final response has left.
-        has_effect: whether its class is anything but safe to run again.
+        has_effect: whether its class is not idempotent.
         arrived_too_late: whether it arrived after the end of the drain's grace.
     """
     runs_again = has_effect and may_have_run and stage is not Stage.PAUSED
--- a/tests/core/test_intake_checks.py
+++ b/tests/core/test_intake_checks.py
@@ -16,7 +16,7 @@
 from marlstep.simulator.configuration import read_settings
 from tests.support.node import SETTINGS, START
 
-SAFE, KEYED, UNSAFE = (
+IDEMPOTENT, KEYED, AT_MOST_ONCE = (
     replace(one, effect=effect)
     for one, effect in zip(
         read_settings(SETTINGS).classes, (Effect.IDEMPOTENT, Effect.KEYED, Effect.AT_MOST_ONCE), strict=True
@@ -25,13 +25,13 @@
 SERVED = ServedSettings(
     replace(
         read_settings(SETTINGS),
-        classes=(SAFE, KEYED, UNSAFE),
+        classes=(IDEMPOTENT, KEYED, AT_MOST_ONCE),
         tenants=(TenantSettings("north", 1.0, 0.0),),
     )
 )
 
 
-def inbound(request_class: str = SAFE.name, **fields: Any) -> InboundRequest:
+def inbound(request_class: str = IDEMPOTENT.name, **fields: Any) -> InboundRequest:
     return InboundRequest("r1", request_class, b"body", START, 1.0, **fields)
 
 
@@ -42,7 +42,7 @@
 
 
 def test_a_request_of_a_served_class_and_tenant_gets_the_settings_of_its_class() -> None:
-    assert check_served(inbound(tenant="north"), SERVED, START) == SAFE
+    assert check_served(inbound(tenant="north"), SERVED, START) == IDEMPOTENT
     assert check_served(inbound(KEYED.name, idempotency_key="k"), SERVED, START) == KEYED
 
 
@@ -66,16 +66,16 @@
 
 def test_work_has_a_key_where_the_client_names_one_and_a_second_run_would_matter() -> None:
     assert key_of(inbound(KEYED.name, idempotency_key="k"), KEYED) == IdempotencyKey(KEYED.name, "k")
-    assert key_of(inbound(UNSAFE.name), UNSAFE) is None
-    assert key_of(inbound(idempotency_key="k"), SAFE) is None
+    assert key_of(inbound(AT_MOST_ONCE.name), AT_MOST_ONCE) is None
+    assert key_of(inbound(idempotency_key="k"), IDEMPOTENT) is None
 
 
-def test_keyed_work_may_repeat_with_the_same_body_and_unsafe_work_never() -> None:
+def test_keyed_work_may_repeat_with_the_same_body_and_at_most_once_work_never() -> None:
     prior = KeyRecord("r0", digest="a")
-    check_repeat(inbound(UNSAFE.name), UNSAFE, None)
+    check_repeat(inbound(AT_MOST_ONCE.name), AT_MOST_ONCE, None)
     check_repeat(inbound(KEYED.name, digest="a"), KEYED, prior)
     with pytest.raises(RepeatedWorkError, match=r"^a repeat of work that must not run twice$") as raised:
-        check_repeat(inbound(UNSAFE.name, digest="a"), UNSAFE, prior)
+        check_repeat(inbound(AT_MOST_ONCE.name, digest="a"), AT_MOST_ONCE, prior)
     assert raised.value.reason is RejectionReason.WORK_REPEATED
     with pytest.raises(RepeatedWorkError, match=r"^a name in use for work with another body$") as raised:
         check_repeat(inbound(KEYED.name, digest="b"), KEYED, prior)
--- a/tests/core/test_repeats.py
+++ b/tests/core/test_repeats.py
@@ -26,7 +26,7 @@
 }
 
 
-def test_unsafe_work_runs_again_under_its_key_only_if_it_never_ran() -> None:
+def test_at_most_once_work_runs_again_under_its_key_only_if_it_never_ran() -> None:
     desk = Desk()
     desk.submit(1, "setpoint-cmd", idempotency_key="boiler-7")
     with pytest.raises(RepeatedWorkError):
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -17,7 +17,7 @@
     assert desk.backend.told == [("start", "r1"), ("call ask", "r1"), ("supply told", "r1")]
 
 
-def test_a_call_with_an_unknown_outcome_fails_unsafe_work_and_is_not_retried() -> None:
+def test_a_call_with_an_unknown_outcome_fails_at_most_once_work_and_is_not_retried() -> None:
     desk = Desk()
     desk.submit(1, "setpoint-cmd")
     desk.core.call_needed("r1", b"ask")
--- a/tests/core/test_run_rules.py
+++ b/tests/core/test_run_rules.py
@@ -24,7 +24,7 @@
     assert decide(stage, **{fact: True}) is RunDecision.FORBIDDEN
 
 
-def test_work_with_an_effect_that_may_have_run_is_not_started_again_and_safe_work_is() -> None:
+def test_work_with_an_effect_that_may_have_run_is_not_started_again_and_idempotent_work_is() -> None:
     assert decide(Stage.QUEUED, may_have_run=True) is RunDecision.FORBIDDEN
     assert decide(Stage.QUEUED, may_have_run=True, has_effect=False) is RunDecision.START
 
