--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -19,11 +19,18 @@
 
 
 class InvalidSettingError(MarlstepError, ValueError):
-    """A setting is missing, of the wrong type or impossible; the message starts with its path."""
+    """A setting is missing, of the wrong type or impossible; the message starts with its path.
+
+    Attributes:
+        path: of the setting, by its keys as they were written, such as `classes[0].deadline_us`.
+        problem: what is wrong with it, to follow the path in a sentence.
+    """
 
     def __init__(self, path: str, problem: str) -> None:
-        """Name the setting by its path, such as `classes[0].deadline_us`."""
+        """Name the setting by its path, and say what is wrong with it."""
         super().__init__(f"{path} {problem}")
+        self.path = path
+        self.problem = problem
 
 
 class Effect(enum.StrEnum):
@@ -216,8 +223,8 @@
             _require(request_class.late_response_factor <= 1, f"{path}.late_share", "must be at most 1")
 
 
-def _require(good: bool, path: str, problem: str) -> None:
-    if not good:
+def _require(is_valid: bool, path: str, problem: str) -> None:
+    if not is_valid:
         raise InvalidSettingError(path, problem)
 
 
@@ -229,7 +236,7 @@
 
 
 def _read(wanted: object, raw: object, path: str) -> object:
-    """Turn a plain value into the wanted type, or say which path is wrong."""
+    """Convert a plain value to the wanted type, or raise an error that names its path."""
     if isinstance(wanted, type) and dataclasses.is_dataclass(wanted):
         return _read_table(wanted, raw, path)
     if typing.get_origin(wanted) is tuple:
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -63,13 +63,13 @@
     controller = pair.predecessor.desk.core._controller
     controller.state.statistics.mean_run_us["temp-history"] = 300_000.0
     controller.state.call_latency.usual_us = 9_000.0
-    controller.parts.concurrency.limit = 4.0
+    controller.concurrency.limit = 4.0
     pair.connect()
     pair.run_for(40)
     learned = pair.successor.desk.core._controller
     assert learned.state.statistics.mean_run_us["temp-history"] == 300_000.0
     assert learned.state.call_latency.usual_us == 9_000.0
-    assert 1.0 <= learned.parts.concurrency.limit <= learned.state.max_concurrency
+    assert 1.0 <= learned.concurrency.limit <= learned.state.max_concurrency
     core = pair.successor.desk.core
     assert not core.healthy and core.serving_state.can_serve
     core.serving_state.resume()
