--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -27,7 +27,7 @@
 )
 from marlstep.frontends.resp_fields import advertised_fields, read_request, response_fields
 from marlstep.frontends.resp_tags import TagTracker
-from marlstep.frontends.resp_wire import FrameReader, write_fields, write_frame
+from marlstep.frontends.resp_wire import FrameReader, write_fields, write_frame, write_response_frame
 from marlstep.timer_queue import TimerQueue
 
 RING_SIZE = 4 * 1024  # bytes; a frame is read word by word, and the longest word has 2 KiB
@@ -169,7 +169,7 @@
                 self.frontend.mark_idle(self)
 
     def _send_frame(self, tag: int, word: bytes, fields: Mapping[str, str], body: bytes) -> None:
-        self.send(write_frame(b"%d" % tag, word, write_fields(fields), body))
+        self.send(write_response_frame(tag, word, write_fields(fields), body))
 
     # How a connection ends.
 
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -19,6 +19,7 @@
 VERBS_WITH_RESPONSE = (b"EXEC", b"ALIVE")  # a malformed frame of these can get `error` on its tag
 UNKNOWN = -1
 WORD_END = b"\r\n"
+RESPONSE_FRAME = b"*4\r\n" + 4 * b"$%d\r\n%b\r\n"  # tag, status, fields, body
 # A request as clients usually send it, up to its body. What does not match is read word by word.
 WHOLE_REQUEST = re.compile(
     rb"\*5\r\n\$4\r\nEXEC\r\n\$(\d{1,2})\r\n(\d{1,20})\r\n"
@@ -133,20 +134,25 @@
     return b"".join(parts)
 
 
+def write_response_frame(tag: int, word: bytes, fields: bytes, body: bytes) -> bytes:
+    """Return the frame of a response: the same bytes as `write_frame` of its four words, in one step."""
+    tag_word = b"%d" % tag
+    return RESPONSE_FRAME % (len(tag_word), tag_word, len(word), word, len(fields), fields, len(body), body)
+
+
 def read_fields(word: bytes) -> dict[str, str]:
     """Read `name=value,...`, each name once. Raises InvalidFieldError."""
     try:
         text = word.decode("ascii")
     except UnicodeDecodeError:
         raise InvalidFieldError("", "fields in ASCII", word) from None
-    fields: dict[str, str] = {}
-    for part in text.split(",") if text else ():
-        name, equals, value = part.partition("=")
-        if not name or not equals:
-            raise InvalidFieldError(name, "name=value", part)
-        if name in fields:
-            raise InvalidFieldError(name, "the field once", part)
-        fields[name] = value
+    parts = text.split(",") if text else []
+    try:
+        fields = dict([part.split("=", 1) for part in parts])
+    except ValueError:
+        raise InvalidFieldError("", "name=value in each part", text) from None
+    if len(fields) != len(parts) or "" in fields:
+        raise InvalidFieldError("", "each name once", text)
     return fields
 
 
--- a/marlstep/platform/command_log.py
+++ b/marlstep/platform/command_log.py
@@ -14,13 +14,13 @@
 from dataclasses import dataclass
 
 from marlstep.admission.events import Outcome
-from marlstep.platform.kernel_wire import CommandVerb
+from marlstep.platform.kernel_wire import RESUME_RUN, SKIP_CALL, START_RUN, SUPPLY_REPLY
 
 RUN_OUTCOMES_OF_REJECTED = {
-    CommandVerb.START.value: Outcome.NOT_STARTED,
-    CommandVerb.RESUME.value: Outcome.ERROR,
-    CommandVerb.SUPPLY_REPLY.value: Outcome.ERROR,
-    CommandVerb.SKIP_CALL.value: Outcome.ERROR,
+    START_RUN: Outcome.NOT_STARTED,
+    RESUME_RUN: Outcome.ERROR,
+    SUPPLY_REPLY: Outcome.ERROR,
+    SKIP_CALL: Outcome.ERROR,
 }
 
 
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -224,16 +224,12 @@
     def _is_to_be_applied(self, number: int) -> bool:
         """Whether a numbered notice is applied, by the rule of NoticeSequence. Raises MissingNoticesError."""
         last = self._notices.last
-        match self._notices.next(number):
-            case NoticeDecision.APPLY:
-                return True
-            case NoticeDecision.IGNORE:
-                return False
-            case NoticeDecision.RECONNECT:
-                raise MissingNoticesError(last, number)
-            case NoticeDecision.APPLY_AFTER_LOSS:
-                log.error("kernel notices lost: first=%d last=%d", last + 1, number - 1)
-                return True
+        decision = self._notices.next(number)
+        if decision is NoticeDecision.RECONNECT:
+            raise MissingNoticesError(last, number)
+        if decision is NoticeDecision.APPLY_AFTER_LOSS:
+            log.error("kernel notices lost: first=%d last=%d", last + 1, number - 1)
+        return decision is not NoticeDecision.IGNORE
 
     def _end_run(self, notice: RunEnded, body: bytes) -> None:
         elapsed = kernel_wire.read_elapsed(notice.elapsed_text)
--- a/marlstep/platform/kernel_wire.py
+++ b/marlstep/platform/kernel_wire.py
@@ -1,12 +1,11 @@
 """The words of the kernel's wire, mapped once: commands as bytes, notices as types. Pure.
 
 The kernel owns the cores. The words on its wire are those of its protocol; behind this module there are only
-`CommandVerb` and the types of notices.
+the functions that encode commands and the types of notices.
 """
 
 from __future__ import annotations
 
-import enum
 from dataclasses import dataclass
 from datetime import timedelta
 
@@ -20,15 +19,14 @@
 WORDS_BEFORE_BODY = {"REAP": 6, "IOREQ": 4}  # how many words such a line has; the last is its body's length
 
 
-class CommandVerb(enum.Enum):
-    """What a command asks the kernel for; the value is its word on the wire."""
-
-    START = "SCHED"
-    PAUSE = "PREEMPT"
-    RESUME = "RESCHED"
-    SUPPLY_REPLY = "IODONE"  # the reply to the call that a run waits for
-    SKIP_CALL = "NOIO"  # the run goes on without its call
-
+# The words of commands on the wire, by what they ask for.
+START_RUN = "SCHED"
+PAUSE_RUN = "PREEMPT"
+RESUME_RUN = "RESCHED"
+SUPPLY_REPLY = "IODONE"  # the reply to the call that a run waits for
+SKIP_CALL = "NOIO"  # the run goes on without its call
+REQUEST_GAUGES = "SYSINFO"
+OPEN_CONNECTION = "OPEN"
 
 RUN_OUTCOMES = {
     "complete": Outcome.OK,
@@ -179,35 +177,35 @@
 
 def encode_open(last_notice: int) -> bytes:
     """Return the first command on a connection: the kernel repeats the notices after this one."""
-    return b"OPEN %d\r\n" % last_notice
+    return f"{OPEN_CONNECTION} {last_notice}\r\n".encode()
 
 
 def encode_gauges_request(tag: str) -> bytes:
     """Return the command that asks for the gauges."""
-    return f"SYSINFO {tag}\r\n".encode()
+    return f"{REQUEST_GAUGES} {tag}\r\n".encode()
 
 
 def encode_start(request_id: str, request_class: str, body: bytes) -> bytes:
     """Return the command that starts a run."""
-    head = f"{CommandVerb.START.value} {request_id} {request_class} {len(body)}\r\n".encode()
+    head = f"{START_RUN} {request_id} {request_class} {len(body)}\r\n".encode()
     return head + body + b"\r\n"
 
 
 def encode_pause(request_id: str) -> bytes:
     """Return the command that pauses a run."""
-    return f"{CommandVerb.PAUSE.value} {request_id}\r\n".encode()
+    return f"{PAUSE_RUN} {request_id}\r\n".encode()
 
 
 def encode_resume(request_id: str) -> bytes:
     """Return the command that resumes a paused run."""
-    return f"{CommandVerb.RESUME.value} {request_id}\r\n".encode()
+    return f"{RESUME_RUN} {request_id}\r\n".encode()
 
 
 def encode_reply(request_id: str, reply: bytes) -> bytes:
     """Return the command that gives a run the reply to its call."""
-    return f"{CommandVerb.SUPPLY_REPLY.value} {request_id} {len(reply)}\r\n".encode() + reply + b"\r\n"
+    return f"{SUPPLY_REPLY} {request_id} {len(reply)}\r\n".encode() + reply + b"\r\n"
 
 
 def encode_skip(request_id: str, call_number: int) -> bytes:
     """Return the command that makes a run go on without the call that it asked for by the notice of this number."""
-    return f"{CommandVerb.SKIP_CALL.value} {request_id} {call_number}\r\n".encode()
+    return f"{SKIP_CALL} {request_id} {call_number}\r\n".encode()
--- a/marlstep/platform/notice_sequence.py
+++ b/marlstep/platform/notice_sequence.py
@@ -29,13 +29,13 @@
         new connection is asked for them, but once only: if the kernel no longer has them, waiting would not help,
         and what came is applied.
         """
+        if number == self.last + 1:
+            self.last = number
+            return NoticeDecision.APPLY
         if number <= self.last:
             return NoticeDecision.IGNORE
-        decision = NoticeDecision.APPLY
-        if number > self.last + 1:
-            if self._reconnected_after != self.last:
-                self._reconnected_after = self.last
-                return NoticeDecision.RECONNECT
-            decision = NoticeDecision.APPLY_AFTER_LOSS
+        if self._reconnected_after != self.last:
+            self._reconnected_after = self.last
+            return NoticeDecision.RECONNECT
         self.last = number
-        return decision
+        return NoticeDecision.APPLY_AFTER_LOSS
