--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -71,13 +71,9 @@
             self.inbox.skip(self.inbox.used)
         else:
             self._update_progress(has_read_frame)
-        if not self._request_handles and self._has_read_everything:
+        if not self._request_handles and resp_policy.has_read_everything(self.at_eof, self.send_blocked):
             self.finish()
 
-    @property
-    def _has_read_everything(self) -> bool:
-        return resp_policy.has_read_everything(self.at_eof, self.send_blocked)
-
     @property
     def _waits_for_peer(self) -> bool:
         return resp_policy.waits_for_peer(
@@ -163,7 +159,7 @@
         if self.send_blocked:
             self.start_progress_timer()
         if not self._request_handles:
-            if resp_policy.closes_after_last_response(self._malformed, self._has_read_everything):
+            if resp_policy.closes_after_last_response(self._malformed, self.at_eof, self.send_blocked):
                 self.finish()
             else:
                 self.frontend.mark_idle(self)
--- a/marlstep/frontends/resp_commands.py
+++ b/marlstep/frontends/resp_commands.py
@@ -48,10 +48,12 @@
     Raises:
         MalformedFrameError: the frame has no tag, so that nothing can be responded to it.
     """
-    tag = read_tag(words[TAG_WORD]) if len(words) > TAG_WORD else None
+    count = len(words)
+    tag_word = words[TAG_WORD] if count > TAG_WORD else None
+    tag = None if tag_word is None else read_tag(tag_word)
     if tag is None:
-        raise MalformedFrameError(FrameFault.TAG, words[TAG_WORD] if len(words) > TAG_WORD else None)
-    verb, count = words[0], len(words)
+        raise MalformedFrameError(FrameFault.TAG, tag_word)
+    verb = words[0]
     if verb == b"EXEC" and count in (4, 5):  # the hot path comes first
         return ExecCommand(tag, words[2], words[3], words[4] if count == 5 else b"")
     if verb == b"ALIVE" and count in (2, 3):
--- a/marlstep/frontends/resp_fields.py
+++ b/marlstep/frontends/resp_fields.py
@@ -108,7 +108,7 @@
     RequestField("once", "idempotency_key", _read_text),
 )
 READERS = {row.wire_name: (row.field, row.read) for row in REQUEST_FIELDS}
-REQUIRED_FIELDS = frozenset(row.field for row in REQUEST_FIELDS if row.required)
+REQUIRED_FIELDS = tuple((row.field, row.wire_name) for row in REQUEST_FIELDS if row.required)
 
 RETRY_AFTER_FIELD = "after"  # Response.retry_after in whole milliseconds, rounded up
 NO_FAILOVER_FIELD = "last"  # Response.no_failover
@@ -128,8 +128,9 @@
         if row is not None:
             field, read = row
             values[field] = read(name, text)
-    if not values.keys() >= REQUIRED_FIELDS:
-        raise _missing_field(values)
+    for field, wire_name in REQUIRED_FIELDS:
+        if field not in values:
+            raise InvalidFieldError(wire_name, "a value", None)
     try:
         class_name = request_class.decode("ascii")
     except UnicodeDecodeError:
@@ -138,11 +139,6 @@
     return InboundRequest(request_class=class_name, body=body, digest=digest, **values)
 
 
-def _missing_field(values: Mapping[str, object]) -> InvalidFieldError:
-    missing = next(row.wire_name for row in REQUEST_FIELDS if row.required and row.field not in values)
-    return InvalidFieldError(missing, "a value", None)
-
-
 def response_fields(response: Response, advertised_value: float | None) -> Mapping[str, str]:
     """Return the fields of a response frame; those of a rejection come only with one."""
     fields = advertised_fields(advertised_value)
--- a/marlstep/frontends/resp_policy.py
+++ b/marlstep/frontends/resp_policy.py
@@ -52,12 +52,12 @@
     return send_blocked or unparsed_bytes > 0 or inside_frame or is_unproven
 
 
-def closes_after_last_response(is_malformed: bool, read_everything: bool) -> bool:
+def closes_after_last_response(is_malformed: bool, at_eof: bool, send_blocked: bool) -> bool:
     """Whether a connection closes once its last open request is responded to.
 
     It does where nothing more can be read from it: the stream is malformed, or the peer ended it.
     """
-    return is_malformed or read_everything
+    return is_malformed or has_read_everything(at_eof, send_blocked)
 
 
 def postpones_close(
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -158,4 +158,4 @@
 
 def write_fields(fields: Mapping[str, str]) -> bytes:
     """Return `name=value,...`."""
-    return ",".join(f"{name}={value}" for name, value in fields.items()).encode("ascii")
+    return ",".join([f"{name}={value}" for name, value in fields.items()]).encode("ascii")
--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -100,10 +100,9 @@
             self._words, self._length = words, size
         if self.inbox.used < self._length + BODY_END_BYTES:
             return False
-        body = self.inbox.take(self._length)
-        end = self.inbox.take(BODY_END_BYTES)
-        if end != BODY_END:
-            raise UnterminatedBodyError(end)
+        body_with_end = self.inbox.take(self._length + BODY_END_BYTES)
+        if not body_with_end.endswith(BODY_END):
+            raise UnterminatedBodyError(body_with_end[self._length :])
         words, self._words = self._words, None
-        self.message(words, body)
+        self.message(words, body_with_end[: self._length])
         return True
