--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -74,7 +74,7 @@
         else:
             self._core.drain(now + self._config().shutdown_timeout, now)
             # A predecessor that serves reports on; one that has handed over reports last when it hears of this.
-            self._naming.report_last(last_word=state is None or not state.has_predecessor)
+            self._naming.report_last(sends_last_report=state is None or not state.has_predecessor)
 
     def restart_timeout(self) -> timedelta:
         """Time from SIGTERM to the end where a successor serves."""
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -1,9 +1,7 @@
-"""The client of the database: the calls that runs make to the tier below.
+"""The client of the database: the downstream calls that runs make.
 
-Each connection carries one call at a time, so that a reply that can't be read, does not end or never comes
-takes no other call along. A connection is used again only after a reply that was whole and alone; whatever
-else came on it, it is dropped. For calls that must not be made twice a new one is opened, since one that lay
-idle may have been forgotten by the other side, and its break would leave open whether the call ran.
+`call_policy.py` has the rules for time and connections, `database_wire.py` the words. This module keeps the calls in
+flight, those in the queue, and the connections.
 """
 
 from __future__ import annotations
@@ -19,246 +17,270 @@
 from marlstep.admission.settings import Effect
 from marlstep.core.interfaces import EventSink, Request
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
-from marlstep.net.lines import LineProtocolError, LineStream, parse_length
+from marlstep.net.lines import LineStream
+from marlstep.platform import call_policy, database_wire
+from marlstep.platform.call_policy import ConnectionChoice
 from marlstep.timer_queue import Timer, TimerQueue
-from marlstep.units import MILLISECOND, SECOND, whole_ms
 
 log = logging.getLogger(__name__)
 
-ENDS = {
-    "FULL": Outcome.REJECTED,
-    "FAIL": Outcome.ERROR,
-    "TIMEOUT": Outcome.TIMEOUT,
-    "NONE": Outcome.NOT_STARTED,
-}
-RING_SIZE = 16 * 1024
-LINE_LIMIT = 256
-BODY_LIMIT = RING_SIZE - LINE_LIMIT  # results hold 4 KiB at the most
-IDLE_CONNECTION_TIMEOUT = (
-    2 * SECOND
-)  # a connection that lies idle for longer is closed; the other side does after 10 s
-LATE = 50 * MILLISECOND  # past its time a reply may still be on its way for so long
-MAX_IDLE_CONNECTIONS = 16  # each setpoint's call leaves one more
-MAX_CONNECTIONS = 40  # far over the calls that the module has in hand at once
-
-
-@dataclass(slots=True)
+
+@dataclass(slots=True, eq=False)
 class _Call:
-    id: str
+    """One call, from `Database.call` until its outcome is reported."""
+
+    id: str  # of its request
     body: bytes
     until: datetime
-    once: bool  # must not be made twice
-    deadline: Timer | None = None
-    link: DatabaseConnection | None = None
+    is_idempotent: bool
+    timeout: Timer | None = None
+    connection: DatabaseConnection | None = None
 
 
 class DatabaseConnection(LineStream):
-    """One connection to the database."""
+    """One connection to the database, which carries one call at a time."""
 
     def __init__(self, database: Database, address: Address) -> None:
-        super().__init__(RING_SIZE, LINE_LIMIT)
+        """Carry calls of the client to the database at this address."""
+        super().__init__(database_wire.RING_SIZE, database_wire.LINE_LIMIT)
         self.address = address
-        self.call: _Call | None = None
-        self.served = ""  # the request of its last call
-        self.idle: Timer | None = None
+        self.call: _Call | None = None  # in flight
+        self.last_request_id = ""  # of its last call
+        self.idle_timer: Timer | None = None
         self._database = database
-        self._spoilt = False  # more came than belongs to its call: good for this one reply, and no more
+        self._has_foreign_reply = False  # a reply came that belongs to no call of this connection
 
     def opened(self) -> None:
+        """Hand the connection to the client."""
         self._database.connection_opened(self)
 
     def closed(self) -> None:
-        self._database.connection_lost(self)
+        """Tell the client."""
+        self._database.connection_closed(self)
 
     def body_length(self, words: list[str]) -> int | None:
-        return parse_length(words[2], BODY_LIMIT) if len(words) == 3 and words[1] == "ROWS" else None
+        """Return the length of a reply's result. Raises LineProtocolError."""
+        return database_wire.reply_body_length(words)
 
     def data_received(self) -> None:
-        served = self.call is not None
+        """Handle replies; once the call has ended, give the connection back or drop it."""
+        carried_call = self.call is not None
         super().data_received()
         if self.call is not None:
             return
-        # Looked at when all that came together is read: what is there beside its reply belongs to nobody.
-        if served and self.connected and not (self._spoilt or self.partial or self.at_eof):
+        # Decided when all that came together has been read: what came with the reply belongs to no call.
+        if call_policy.is_reusable(
+            carried_call,
+            self.connected,
+            self._has_foreign_reply,
+            has_unread_input=self.partial or self.at_eof,
+        ):
             self._database.return_to_pool(self)
         else:
             self.abort()
 
     def message(self, words: list[str], body: bytes) -> None:
-        match words:
-            case [id, "ROWS", _]:
-                outcome = Outcome.OK
-            case [id, end] if end in ENDS:
-                outcome = ENDS[end]
-            case _:
-                raise LineProtocolError(f"unknown reply {' '.join(words)[:64]!r}")
-        if self.call is not None and self.call.id == id:
-            self._database.call_ended(self.call, outcome, body)
+        """Handle a reply. Raises UnknownReplyError."""
+        reply = database_wire.parse_reply(words)
+        if self.call is not None and self.call.id == reply.call_id:
+            self._database.call_ended(self.call, reply.outcome, body)
         else:
-            log.warning("database: a reply to no call of this connection, which is dropped")
-            self._spoilt = True
+            log.warning("database connection to be dropped: reason=reply_to_no_call call=%s", reply.call_id)
+            self._has_foreign_reply = True
 
 
 class Database:
+    """Makes calls, each of which ends exactly once at the sink, and keeps idle connections for later ones."""
+
     def __init__(
         self, address: Address | None, timeline: TimerQueue, sink: Callable[[], EventSink], dial: Dial = dial
     ) -> None:
+        """Make a client without connections.
+
+        Args:
+            address: of the database; without one every call fails as one that never ran.
+            timeline: the timers of calls and idle connections.
+            sink: returns the receiver of outcomes.
+            dial: opens connections.
+        """
         self._address = address
         self._dial = dial
         self._timeline = timeline
         self._sink = sink
-        self._calls: dict[str, _Call] = {}  # in hand, by the request they are made for
-        self._queue: deque[_Call] = deque()  # have no connection yet
-        self._links: set[DatabaseConnection] = set()  # all that stand
-        self._resting: list[DatabaseConnection] = []  # those free for a call, the last used at the end
-        self._opening: dict[int, Cancel] = {}  # those on their way
-        self._number = 0
+        self._calls: dict[str, _Call] = {}  # in flight or in the queue, by request
+        self._queue: deque[_Call] = deque()  # without a connection
+        self._connections: set[DatabaseConnection] = set()  # all that are open
+        self._idle: list[DatabaseConnection] = []  # free for a call, the last used at the end
+        self._dialing: dict[int, Cancel] = {}  # being opened
+        self._dial_count = 0
 
     def change_address(self, address: Address | None) -> None:
-        """From now on calls go to this address; those on their way may end where they are."""
+        """Make new calls at another address; those in flight may end where they are."""
         if address == self._address:
             return
         self._address = address
-        for link in list(self._resting):
-            self._retire(link)
-        self._serve()
+        for connection in list(self._idle):
+            self._drop_connection(connection)
+        self._serve_queue()
 
     def call(self, request: Request, until: datetime) -> None:
+        """Make the call of a request, in place of an earlier one that is still in flight."""
         self.abandon_call(request)
-        call = _Call(
-            request.id, request.call_body, until, request.class_settings.effect is not Effect.IDEMPOTENT
+        is_idempotent = request.class_settings.effect is Effect.IDEMPOTENT
+        call = _Call(request.id, request.call_body, until, is_idempotent)
+        on_timeout = partial(self._timed_out, call)
+        call.timeout = self._timeline.at(
+            call_policy.times_out_at(until), lambda: self._timeline.after_reading(on_timeout)
         )
-        late = partial(self._timed_out, call)
-        call.deadline = self._timeline.at(until + LATE, lambda: self._timeline.after_reading(late))
         self._calls[call.id] = call
-        if (link := self._take_idle(call)) is not None:
-            self._send(call, link)
+        if self._may_use_idle(call):
+            self._send(call, self._take_idle())
         else:
             self._queue.append(call)
-            self._serve()
+            self._serve_queue()
 
     def abandon_call(self, request: Request) -> None:
+        """Forget the call of a request, if there is one; its outcome is not reported."""
         if (call := self._calls.get(request.id)) is not None:
-            self._drop(call)
+            self._forget_call(call)
 
     def close(self) -> None:
-        for cancel in self._opening.values():
+        """Close all connections."""
+        for cancel in self._dialing.values():
             cancel()
-        for link in list(self._links):
-            link.abort()
-
-    def _serve(self) -> None:
-        """As many connections on their way as there are calls that wait for one."""
-        while len(self._opening) < len(self._queue):
-            if self._address is None:
-                return self._fail_queued()
-            if (link := self._take_idle(self._queue[0])) is not None:
-                self._send(self._queue.popleft(), link)
-            elif len(self._links) + len(self._opening) < MAX_CONNECTIONS:
-                self._open(self._address)
-            else:
-                if self._resting:  # when it is gone, this is looked at again
-                    self._retire(self._resting[0])
-                return
-
-    def _open(self, address: Address) -> None:
-        self._number += 1
-        number = self._number
-        self._opening[number] = self._dial(
+        for connection in list(self._connections):
+            connection.abort()
+
+    # The queue.
+
+    def _serve_queue(self) -> None:
+        """Open as many connections as there are calls in the queue, or find them another."""
+        while len(self._dialing) < len(self._queue):
+            choice = call_policy.choose_connection(
+                self._address is not None,
+                self._may_use_idle(self._queue[0]),
+                len(self._connections) + len(self._dialing),
+                len(self._idle),
+            )
+            match choice:
+                case ConnectionChoice.USE_IDLE:
+                    connection = self._take_idle()
+                    self._send(self._queue.popleft(), connection)
+                case ConnectionChoice.OPEN:
+                    self._open_connection()
+                case ConnectionChoice.FAIL:
+                    self._fail_queue()
+                    return
+                case ConnectionChoice.REPLACE_IDLE:
+                    self._drop_connection(self._idle[0])  # once it has closed, the queue is served again
+                    return
+                case ConnectionChoice.WAIT:
+                    return
+
+    def _fail_queue(self) -> None:
+        """End all calls in the queue: without a connection, none of them ran."""
+        for call in list(self._queue):
+            self.call_ended(call, Outcome.CONNECT_FAILED)
+
+    def _open_connection(self) -> None:
+        address = self._address
+        assert address is not None
+        self._dial_count += 1
+        number = self._dial_count
+        self._dialing[number] = self._dial(
             lambda: DatabaseConnection(self, address),
             address,
-            lambda fault: self._opened(number, address, fault),
+            lambda error: self._on_dialed(number, address, error),
         )
 
-    def _opened(self, number: int, address: Address, fault: OSError | None) -> None:
-        del self._opening[number]
-        if fault is None or address != self._address:
-            return self._serve()
-        log.warning("database not reached: %s", fault)
-        if self._queue:  # the others have connections of their own on their way
-            self.call_ended(self._queue[0], Outcome.CONNECT_FAILED)
-        self._serve()
-
-    def _fail_queued(self) -> None:
-        """No connection: it proves that what waited for one never ran."""
-        for call in list(self._queue):
-            self.call_ended(call, Outcome.CONNECT_FAILED)
-
-    def connection_opened(self, link: DatabaseConnection) -> None:
-        self._links.add(link)
-        if link.address != self._address:
-            self._retire(link)
+    def _on_dialed(self, number: int, address: Address, error: OSError | None) -> None:
+        del self._dialing[number]
+        if error is not None and address == self._address:
+            log.warning("database connect failed: address=%s:%d reason=%s", *address, error)
+            if self._queue:  # the other calls have connections of their own being opened
+                self.call_ended(self._queue[0], Outcome.CONNECT_FAILED)
+        self._serve_queue()
+
+    # Connections.
+
+    def connection_opened(self, connection: DatabaseConnection) -> None:
+        """Send the first call in the queue on a new connection."""
+        self._connections.add(connection)
+        if connection.address != self._address:
+            self._drop_connection(connection)
         elif self._queue:
-            self._send(self._queue.popleft(), link)
+            self._send(self._queue.popleft(), connection)
         else:
-            self.return_to_pool(link)
-
-    def connection_lost(self, link: DatabaseConnection) -> None:
-        """The one place where a connection is given back."""
-        self._links.discard(link)
-        self._timeline.cancel(link.idle)
-        if link in self._resting:
-            self._resting.remove(link)
-        if link.call is not None:
-            self.call_ended(link.call, Outcome.RESET)  # one that breaks under a call proves nothing
-        self._serve()
-
-    def return_to_pool(self, link: DatabaseConnection) -> None:
-        """The connection is free: for the next call that waits, or to lie idle for a while."""
-        if link.address != self._address:
-            self._retire(link)
+            self.return_to_pool(connection)
+
+    def connection_closed(self, connection: DatabaseConnection) -> None:
+        """Forget a connection, and end its call as one that may have run. All connections end here."""
+        self._connections.discard(connection)
+        self._timeline.cancel(connection.idle_timer)
+        if connection in self._idle:
+            self._idle.remove(connection)
+        if connection.call is not None:
+            self.call_ended(connection.call, Outcome.RESET)
+        self._serve_queue()
+
+    def return_to_pool(self, connection: DatabaseConnection) -> None:
+        """Keep a free connection for the next call, for a while."""
+        if connection.address != self._address:
+            self._drop_connection(connection)
             return
-        if len(self._resting) >= MAX_IDLE_CONNECTIONS:
-            self._retire(self._resting[0])
-        self._resting.append(link)
-        link.idle = self._timeline.at(
-            self._timeline.now() + IDLE_CONNECTION_TIMEOUT, lambda: self._retire(link)
-        )
+        if call_policy.evicts_idle_connection(len(self._idle)):
+            self._drop_connection(self._idle[0])
+        self._idle.append(connection)
+        due = self._timeline.now() + call_policy.IDLE_CONNECTION_TIMEOUT
+        connection.idle_timer = self._timeline.at(due, lambda: self._drop_connection(connection))
         if self._queue:
-            self._serve()
+            self._serve_queue()
+
+    def _may_use_idle(self, call: _Call) -> bool:
+        """Whether the connection that was used last is free, and this call may go out on it."""
+        return bool(self._idle) and call_policy.may_use_idle_connection(
+            call.is_idempotent, call.id, self._idle[-1].last_request_id
+        )
 
-    def _take_idle(self, call: _Call) -> DatabaseConnection | None:
-        """The connection that lay idle for the shortest time, where this call may use one that did.
+    def _take_idle(self) -> DatabaseConnection:
+        connection = self._idle.pop()
+        self._timeline.cancel(connection.idle_timer)
+        return connection
 
-        The second copy of a reply may come late: not to be taken for one to its next call.
-        """
-        if call.once or not self._resting or self._resting[-1].served == call.id:
-            return None
-        link = self._resting.pop()
-        self._timeline.cancel(link.idle)
-        return link
-
-    def _retire(self, link: DatabaseConnection) -> None:
-        if link in self._resting:
-            self._resting.remove(link)
-        self._timeline.cancel(link.idle)
-        link.abort()
-
-    def _send(self, call: _Call, link: DatabaseConnection) -> None:
-        call.link, link.call, link.served = link, call, call.id
-        left = max(1, whole_ms(call.until - self._timeline.now()))
-        link.send(f"Q {call.id} {left} {len(call.body)}\r\n".encode() + call.body + b"\r\n")
+    def _drop_connection(self, connection: DatabaseConnection) -> None:
+        if connection in self._idle:
+            self._idle.remove(connection)
+        self._timeline.cancel(connection.idle_timer)
+        connection.abort()
+
+    # Calls.
+
+    def _send(self, call: _Call, connection: DatabaseConnection) -> None:
+        call.connection, connection.call, connection.last_request_id = connection, call, call.id
+        time_left = call.until - self._timeline.now()
+        connection.send(database_wire.encode_call(call.id, call.body, time_left))
 
     def call_ended(self, call: _Call, outcome: Outcome, body: bytes = b"") -> None:
+        """Report the outcome of a call, unless it has ended before."""
         if self._calls.get(call.id) is call:
-            link, call.link = call.link, None
-            if link is not None:
-                link.call = None  # it is looked at again by whoever reads it
-            self._drop(call)
+            connection, call.connection = call.connection, None
+            if connection is not None:
+                connection.call = None  # the connection itself is given back by whoever reads from it
+            self._forget_call(call)
             self._sink().call_ended(call.id, outcome, body)
 
     def _timed_out(self, call: _Call) -> None:
-        if self._calls.get(call.id) is call:  # else its reply has come just now
-            self._drop(call)
+        if self._calls.get(call.id) is call:  # otherwise its reply has come in the same turn
+            self._forget_call(call)
             self._sink().call_ended(call.id, Outcome.TIMEOUT)
 
-    def _drop(self, call: _Call) -> None:
-        """The one place where a call leaves our hands. Where no reply came its connection goes too."""
+    def _forget_call(self, call: _Call) -> None:
+        """Remove a call, and drop its connection if the reply is still to come on it. All calls end here."""
         del self._calls[call.id]
-        self._timeline.cancel(call.deadline)
+        self._timeline.cancel(call.timeout)
         if call in self._queue:
             self._queue.remove(call)
-        if call.link is not None:
-            link, call.link = call.link, None
-            link.call = None
-            link.abort()
+        if call.connection is not None:
+            connection, call.connection = call.connection, None
+            connection.call = None
+            connection.abort()
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -200,27 +200,30 @@
         if connection is not self._connection:
             return  # a newer connection is in use, on which the kernel repeats what was not read here
         match kernel_wire.parse_notice(words):
-            case RunEnded() as notice:
+            case RunEnded() | CallNeeded() | KernelMessage() as notice:
                 if self._is_to_be_applied(notice.number):
-                    self._end_run(notice, body)
-            case CallNeeded(number, request_id):
-                if self._is_to_be_applied(number):
-                    self._confirm(request_id)
-                    self._call_numbers[request_id] = number
-                    self._sink().call_needed(request_id, body)
+                    self._apply(notice, body)
             case GaugeReadings(tag, readings):
                 self._gauges_received(tag, readings)
             case CommandRejected(word, request_id):
                 self._command_rejected(word, request_id)
             case KernelStarted() as notice:
                 self._kernel_started(notice)
-            case KernelMessage(number, text):
-                if self._is_to_be_applied(number):
-                    log.info("kernel message: text=%s", text[:MAX_LOGGED_CHARACTERS])
             case UnknownNotice():
                 # It has no body, so that what follows can still be read: no reason to close the connection.
                 log.warning("kernel notice ignored: words=%r", " ".join(words)[:MAX_LOGGED_NOTICE])
 
+    def _apply(self, notice: RunEnded | CallNeeded | KernelMessage, body: bytes) -> None:
+        match notice:
+            case RunEnded():
+                self._end_run(notice, body)
+            case CallNeeded(number, request_id):
+                self._confirm(request_id)
+                self._call_numbers[request_id] = number
+                self._sink().call_needed(request_id, body)
+            case KernelMessage():
+                log.info("kernel message: text=%s", notice.text[:MAX_LOGGED_CHARACTERS])
+
     def _is_to_be_applied(self, number: int) -> bool:
         """Whether a numbered notice is applied, by the rule of NoticeSequence. Raises MissingNoticesError."""
         last = self._notices.last
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -8,7 +8,8 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.interfaces import Request
-from marlstep.platform.database import MAX_CONNECTIONS, MAX_IDLE_CONNECTIONS, Database
+from marlstep.platform.call_policy import MAX_CONNECTIONS, MAX_IDLE_CONNECTIONS
+from marlstep.platform.database import Database
 from marlstep.units import SECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
--- a/tests/races/test_idempotency_across_events.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -196,7 +196,7 @@
                 for number, line in calls[refused:]:
                     line.write(f"{number:016x} FULL\r\n".encode())
                 refused = len(calls)
-            told_now = {id(call) for call in place.node.database._calls.values() if call.link}
+            told_now = {id(call) for call in place.node.database._calls.values() if call.connection}
             gone += [now_ms + linger_ms for one in made if one not in told_now and below == "silent"]
             made = told_now
             seen.append(len(made) + sum(end > now_ms for end in gone))
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -799,7 +799,7 @@
         try:
             place.node.naming._stop()
             place.node.naming.open()
-            await until(lambda: "no reports to the name service" in caplog.text)
+            await until(lambda: "name service reports failed" in caplog.text)
             await place.step(350)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
