--- a/marlstep/frontends/uwsgi_mapping.py
+++ b/marlstep/frontends/uwsgi_mapping.py
@@ -11,7 +11,7 @@
     """The names of variables, by the field that they carry; None where no variable does.
 
     `class_names` maps values of the class variable to names of classes; a value that is not in it is the name itself.
-    `default_class` is taken where the variable names no class that there is. `memory_kb` is reserved for each queued
+    `default_class` applies where the variable names no class that there is. `memory_kb` is reserved for each queued
     request at the least.
     """
 
--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -77,13 +77,15 @@
         try:
             while self._read_message():
                 pass
-        except (LineProtocolError, LineTooLongError) as fault:
-            self._abort_for(fault)
+        except (LineProtocolError, LineTooLongError) as error:
+            self._abort_for(error)
         if self.at_eof:
             self.abort()
 
-    def _abort_for(self, fault: Exception) -> None:
-        log.error("connection aborted: protocol error connection=%s reason=%s", type(self).__name__, fault)
+    def _abort_for(self, error: RemoteProtocolError) -> None:
+        log.error(
+            "connection aborted: reason=protocol_error connection=%s error=%s", type(self).__name__, error
+        )
         self.abort()
 
     def _read_message(self) -> bool:
--- a/marlstep/net/stream.py
+++ b/marlstep/net/stream.py
@@ -19,7 +19,10 @@
 
 
 class RingStream(asyncio.BufferedProtocol):
-    """A connection. Subclasses implement `data_received` and `closed`, consume `inbox` and call `send`."""
+    """A connection. Its life is `opened`, `data_received` any number of times, `closed`.
+
+    Subclasses implement `data_received` and `closed`, consume `inbox` and call `send`.
+    """
 
     def __init__(self, ring_size: int) -> None:
         """`ring_size` is the size of the inbox and of the outbox, in bytes each."""
@@ -124,7 +127,7 @@
         """Note the end of the peer's stream."""
         self.at_eof = True
         self._handle_data()
-        return True  # asyncio leaves it open: requests in flight are still answered, and the subclass closes
+        return True  # asyncio leaves it open: responses are still owed, and the subclass closes
 
     def _handle_data(self) -> None:
         if self._finishing:
@@ -134,7 +137,7 @@
             self.data_received()
         except Exception:
             # A fault in the handling of one connection must end no other.
-            log.exception("connection aborted: unhandled error in its handler")
+            log.exception("connection aborted: reason=unhandled_error connection=%s", type(self).__name__)
             self.abort()
             return
         self._update_reading()
--- a/marlstep/platform/call_policy.py
+++ b/marlstep/platform/call_policy.py
@@ -39,7 +39,7 @@
 
     An idempotent call may. A call that must not run twice opens a new connection, since the database may have dropped
     an idle one, and the reset would leave open whether the call ran. The exception: after a call for the same request,
-    a duplicate of its reply may still come, and would be taken for the reply to this one.
+    a duplicate of its reply may still come, and would be mistaken for the reply to this one.
     """
     return is_idempotent and request_id != last_request_id
 
