--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -108,7 +108,7 @@
 
 
 def _read_whole_request(ring: Ring) -> list[bytes] | None:
-    """Read a request that lies complete in the ring, as nearly all do; None where what comes has to be read by words."""
+    """Read a request that lies complete in the ring, as nearly all do; None where it has to be read by words."""
     data = ring.peek(ring.used)
     match = WHOLE_REQUEST.match(data)
     if match is None:
--- /dev/null
+++ b/tests/frontends/support.py
@@ -0,0 +1,84 @@
+"""Frontends on a clock that is moved by hand, with connections that need no socket."""
+
+from __future__ import annotations
+
+from marlstep.admission.events import Outcome
+from marlstep.frontends.resp import RespConnection, RespFrontend
+from marlstep.frontends.resp_wire import write_frame
+from marlstep.frontends.uwsgi import UwsgiConnection, UwsgiFrontend
+from marlstep.frontends.uwsgi_mapping import UwsgiMapping
+from marlstep.frontends.uwsgi_wire import write_packet
+from marlstep.units import SECOND, instant_us
+from tests.support.node import START, Desk, Wire
+
+AT = instant_us(START) // 1000
+FIELDS = b"at=%d,from=4,kb=24.5,rank=0.6250,cost=12.50" % AT
+
+
+def exec_frame(
+    tag: int, request_class: bytes = b"temp-history", body: bytes = b"body", fields: bytes = FIELDS
+) -> bytes:
+    return write_frame(b"EXEC", b"%d" % tag, request_class, b"id=%016x," % tag + fields, body)
+
+
+class RespHarness:
+    """The platform's frontend and its clients."""
+
+    def __init__(self, cores: int = 2, limit: int = 8) -> None:
+        self.desk = Desk(cores)
+        clock = self.desk.clock
+        self.frontend = RespFrontend(self.desk.core, clock.timeline, self.desk.backend, limit, 15 * SECOND)
+        self.desk.core.add_frontend(self.frontend)
+        self.desk.core._dispatcher.signals.advertised_value = None
+
+    def connect(self) -> Wire:
+        return Wire(RespConnection(self.frontend))
+
+    def feed(self, wire: Wire, data: bytes) -> None:
+        wire.feed(data)
+        self.desk.clock.settle()
+
+    def end(self, tag: int, result: bytes = b"result") -> None:
+        self.desk.core.run_ended(f"{tag:016x}", Outcome.OK, SECOND, result)
+        self.desk.clock.settle()
+
+
+def instant_ms(harness: RespHarness) -> int:
+    return instant_us(harness.desk.clock.now()) // 1000
+
+
+MAPPING = UwsgiMapping(
+    class_variable="X_CLASS",
+    class_names={"setpoint": "setpoint-cmd"},
+    idempotency_key_variable="X_ID",
+    retry_variable="X_RETRY",
+    cost_variable="X_COST",
+    tenant_variable="X_TENANT",
+)
+READ = {"REQUEST_METHOD": "GET", "X_CLASS": "temp-history"}
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+
+
+class UwsgiHarness:
+    """The uwsgi frontend and its clients."""
+
+    def __init__(self, cores: int = 2) -> None:
+        self.desk = Desk(cores)
+        self.frontend = UwsgiFrontend(
+            self.desk.core, self.desk.clock.timeline, self.desk.backend, 8, 2 * SECOND, MAPPING, 100
+        )
+        self.desk.core.add_frontend(self.frontend)
+        self.number = 0
+
+    def connect(self) -> Wire:
+        return Wire(UwsgiConnection(self.frontend))
+
+    def send(self, variables: dict[str, str], body: bytes = b"", step: int = 1 << 16) -> Wire:
+        wire = self.connect()
+        wire.feed(write_packet(variables, body), step)
+        self.desk.clock.settle()
+        return wire
+
+    def end(self, outcome: Outcome = Outcome.OK, result: bytes = RESPONSE, number: int = 1) -> None:
+        self.desk.core.run_ended(f"uwsgi-{number}", outcome, SECOND, result)
+        self.desk.clock.settle()
--- /dev/null
+++ b/tests/frontends/test_resp_wire.py
@@ -0,0 +1,79 @@
+"""Frames read from streams that are divided anywhere, and their fields."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from hypothesis import example, given
+from hypothesis import strategies as st
+
+from marlstep.frontends.errors import MalformedFrameError
+from marlstep.frontends.resp_wire import (
+    FrameReader,
+    read_fields,
+    write_fields,
+    write_frame,
+    write_response_frame,
+)
+from marlstep.net.ring import Ring
+from tests.support.streams import CUTS, FIXED, pieces, read_all
+
+WORDS = st.tuples(
+    st.sampled_from([b"EXEC", b"ALIVE"]),
+    st.integers(1, 10**9).map(lambda tag: b"%d" % tag),
+    st.binary(max_size=20),
+    st.binary(max_size=100),
+    st.binary(max_size=300),
+)
+
+
+@FIXED
+@given(st.lists(WORDS, max_size=6), CUTS)
+def test_frames_are_complete_however_the_stream_is_divided(
+    frames: list[tuple[bytes, ...]], cuts: list[int]
+) -> None:
+    stream = b"".join(write_frame(*words) for words in frames)
+    assert read_all(FrameReader().next, pieces(stream, cuts)) == [list(words) for words in frames]
+
+
+@FIXED
+@given(WORDS, st.integers(0, 200), st.binary(min_size=1, max_size=2), st.integers(0, 40))
+@example((b"EXEC", b"1", b"", b"", b""), 39, b"\r\n", 0)  # a fault behind a frame was attributed to its tag
+def test_a_request_in_one_piece_is_read_as_one_in_many(
+    words: tuple[bytes, ...], at: int, noise: bytes, before: int
+) -> None:
+    # Guards against a request that is read otherwise when it comes in one piece than when it comes in many.
+    frame = write_frame(b"EXEC", *words[1:])
+    damaged = frame[:at] + noise + frame[at + len(noise) :]
+    for stream in (frame, damaged):
+        results = []
+        for parts in ([stream], pieces(stream, [1])):
+            ring, reader, found = Ring(700), FrameReader(), list[Any]()
+            ring.put(b"x" * before)
+            ring.skip(before - 1 if before else 0)
+            for number, part in enumerate(parts):
+                ring.put(part)
+                if number == 0 and before:
+                    ring.skip(1)
+                try:
+                    while (one := reader.next(ring)) is not None:
+                        found.append(one)
+                except MalformedFrameError as fault:
+                    found.append((str(fault), fault.tag))
+                    break
+            results.append(found)
+        assert results[0] == results[1]
+
+
+@FIXED
+@given(st.dictionaries(st.text("abc", min_size=1), st.text("xyz.09")))
+def test_fields_are_read_as_they_were_written(fields: dict[str, str]) -> None:
+    assert read_fields(write_fields(fields)) == fields
+
+
+@FIXED
+@given(st.integers(1, 10**9), st.binary(max_size=9), st.binary(max_size=40), st.binary(max_size=40))
+def test_a_response_frame_has_the_bytes_of_any_other(
+    tag: int, word: bytes, fields: bytes, body: bytes
+) -> None:
+    assert write_response_frame(tag, word, fields, body) == write_frame(b"%d" % tag, word, fields, body)
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -1,49 +1,12 @@
-"""The uwsgi front: packets cut anywhere, answers mapped, and the hard cases."""
+"""The uwsgi frontend: divided packets, responses by outcome, and when connections close."""
 
 import pytest
 
 from marlstep.admission.events import Outcome
-from marlstep.frontends.uwsgi import UwsgiConnection, UwsgiFrontend
-from marlstep.frontends.uwsgi_mapping import UwsgiMapping
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.units import SECOND
-from tests.support.node import Desk, Wire
-
-MAPPED = UwsgiMapping(
-    class_variable="X_CLASS",
-    class_names={"setpoint": "setpoint-cmd"},
-    idempotency_key_variable="X_ID",
-    retry_variable="X_RETRY",
-    cost_variable="X_COST",
-    tenant_variable="X_TENANT",
-)
-READ = {"REQUEST_METHOD": "GET", "X_CLASS": "temp-history"}
-RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-
-
-class Gateway:
-    """Clients before the front, on a clock that is moved by hand."""
-
-    def __init__(self, cores: int = 2) -> None:
-        self.desk = Desk(cores)
-        self.front = UwsgiFrontend(
-            self.desk.core, self.desk.clock.timeline, self.desk.backend, 8, 2 * SECOND, MAPPED, 100
-        )
-        self.desk.core.add_frontend(self.front)
-        self.number = 0
-
-    def connect(self) -> Wire:
-        return Wire(UwsgiConnection(self.front))
-
-    def send(self, variables: dict[str, str], body: bytes = b"", step: int = 1 << 16) -> Wire:
-        wire = self.connect()
-        wire.feed(write_packet(variables, body), step)
-        self.desk.clock.settle()
-        return wire
-
-    def end(self, outcome: Outcome = Outcome.OK, result: bytes = RESPONSE, number: int = 1) -> None:
-        self.desk.core.run_ended(f"uwsgi-{number}", outcome, SECOND, result)
-        self.desk.clock.settle()
+from tests.frontends.support import READ, RESPONSE, UwsgiHarness
+from tests.support.node import Wire
 
 
 def status(wire: Wire) -> int:
@@ -52,39 +15,39 @@
     return int(head.split()[1])
 
 
-def test_a_packet_may_be_cut_at_every_byte() -> None:
+def test_a_packet_may_be_divided_at_every_byte() -> None:
     packet = write_packet(READ | {"CONTENT_LENGTH": "5"}, b"hello")
     for cut in range(1, len(packet)):
-        gateway = Gateway()
-        wire = gateway.connect()
+        harness = UwsgiHarness()
+        wire = harness.connect()
         wire.feed(packet[:cut])
-        assert gateway.desk.core.in_flight == 0
+        assert harness.desk.core.in_flight == 0
         wire.feed(packet[cut:])
-        gateway.desk.clock.settle()
-        assert gateway.desk.backend.told == [("start", "uwsgi-1")]
-        gateway.end()
+        harness.desk.clock.settle()
+        assert harness.desk.backend.told == [("start", "uwsgi-1")]
+        harness.end()
         assert wire.take() == RESPONSE and wire.closed
 
 
-def test_the_packet_goes_on_as_it_came() -> None:
-    gateway = Gateway()
-    gateway.send(READ | {"CONTENT_LENGTH": "5"}, b"hello", step=1)
-    [request] = gateway.desk.core._requests
+def test_a_packet_is_forwarded_unchanged() -> None:
+    harness = UwsgiHarness()
+    harness.send(READ | {"CONTENT_LENGTH": "5"}, b"hello", step=1)
+    [request] = harness.desk.core._requests
     assert request.inbound.body == write_packet(READ | {"CONTENT_LENGTH": "5"}, b"hello")
 
 
-def test_variables_are_mapped_as_the_operator_says() -> None:
-    gateway = Gateway()
-    gateway.send({"X_CLASS": "setpoint", "X_ID": "b7", "X_RETRY": "1", "X_COST": "12.5", "X_TENANT": "t"})
-    [request] = gateway.desk.core._requests
-    offer = request.inbound
-    assert (offer.request_class, offer.idempotency_key, offer.is_retry, offer.tenant) == (
+def test_variables_are_mapped_as_configured() -> None:
+    harness = UwsgiHarness()
+    harness.send({"X_CLASS": "setpoint", "X_ID": "b7", "X_RETRY": "1", "X_COST": "12.5", "X_TENANT": "t"})
+    [request] = harness.desk.core._requests
+    inbound = request.inbound
+    assert (inbound.request_class, inbound.idempotency_key, inbound.is_retry, inbound.tenant) == (
         "setpoint-cmd",
         "b7",
         True,
         "t",
     )
-    assert offer.cost_hint == 0.0125 * SECOND
+    assert inbound.cost_hint == 0.0125 * SECOND
 
 
 @pytest.mark.parametrize(
@@ -101,97 +64,97 @@
         b"GET / HTTP/1.1\r\n\r\n" + b" " * 0x5445,
     ],
 )
-def test_what_is_malformed_is_answered_400_and_closed(packet: bytes) -> None:
-    gateway = Gateway()
-    wire = gateway.connect()
+def test_a_malformed_packet_gets_400_and_is_closed(packet: bytes) -> None:
+    harness = UwsgiHarness()
+    wire = harness.connect()
     wire.feed(packet)
-    assert status(wire) == 400 and gateway.desk.core.in_flight == 0
+    assert status(wire) == 400 and harness.desk.core.in_flight == 0
 
 
-def test_a_body_that_is_too_large_is_answered_413_unread() -> None:
-    assert status(Gateway().send(READ | {"CONTENT_LENGTH": "101"})) == 413
+def test_a_body_that_is_too_large_gets_413_unread() -> None:
+    assert status(UwsgiHarness().send(READ | {"CONTENT_LENGTH": "101"})) == 413
 
 
-def test_a_malformed_length_mid_drain_harms_no_request_that_was_read() -> None:
-    gateway = Gateway()
-    good = gateway.send(READ)
-    begun = gateway.connect()
+def test_a_malformed_length_during_a_drain_harms_no_request_that_was_read() -> None:
+    harness = UwsgiHarness()
+    good = harness.send(READ)
+    begun = harness.connect()
     begun.feed(write_packet(READ)[:9])
-    gateway.desk.core.drain(gateway.desk.clock.now() + 3.2 * SECOND)
-    gateway.desk.clock.advance(100)
-    bad = gateway.connect()
+    harness.desk.core.drain(harness.desk.clock.now() + 3.2 * SECOND)
+    harness.desk.clock.advance(100)
+    bad = harness.connect()
     bad.feed(b"\0\x04\0\0\xff\xff\xff\xff")
     assert status(bad) == 400
     begun.feed(write_packet(READ)[9:])
-    gateway.desk.clock.settle()
-    gateway.end(number=1)
-    gateway.end(number=2)
+    harness.desk.clock.settle()
+    harness.end(number=1)
+    harness.end(number=2)
     assert status(good) == status(begun) == 200
 
 
-def test_what_came_over_two_and_a_half_seconds_after_the_notice_is_not_run() -> None:
-    gateway = Gateway()
-    gateway.desk.core.drain(gateway.desk.clock.now() + 3.2 * SECOND)
-    gateway.desk.clock.advance(2000)
-    begun = gateway.connect()
+def test_a_request_over_two_and_a_half_seconds_after_the_drain_began_is_not_run() -> None:
+    harness = UwsgiHarness()
+    harness.desk.core.drain(harness.desk.clock.now() + 3.2 * SECOND)
+    harness.desk.clock.advance(2000)
+    begun = harness.connect()
     begun.feed(write_packet(READ)[:9])
-    gateway.desk.clock.advance(510)
+    harness.desk.clock.advance(510)
     begun.feed(write_packet(READ)[9:])
-    gateway.desk.clock.settle()
+    harness.desk.clock.settle()
     assert status(begun) == 503 and b"Retry-After: 1\r\n" in begun.written
-    assert gateway.desk.backend.told == []
+    assert harness.desk.backend.told == []
 
 
-@pytest.mark.parametrize(("outcome", "told"), [(Outcome.CONNECT_FAILED, 503), (Outcome.RESET, 502)])
-def test_only_a_connection_that_never_stood_proves_that_nothing_ran(outcome: Outcome, told: int) -> None:
-    gateway = Gateway()
-    wire = gateway.send({"X_CLASS": "setpoint", "X_ID": "b7"})
-    gateway.end(outcome, b"")
-    assert status(wire) == told
-    again = gateway.send({"X_CLASS": "setpoint", "X_ID": "b7"})
-    assert [what for what, _ in gateway.desk.backend.told].count("start") == (2 if told == 503 else 1)
-    assert again.closed == (told == 502)
+@pytest.mark.parametrize(("outcome", "expected"), [(Outcome.CONNECT_FAILED, 503), (Outcome.RESET, 502)])
+def test_only_a_failed_connect_proves_that_nothing_ran(outcome: Outcome, expected: int) -> None:
+    harness = UwsgiHarness()
+    wire = harness.send({"X_CLASS": "setpoint", "X_ID": "b7"})
+    harness.end(outcome, b"")
+    assert status(wire) == expected
+    again = harness.send({"X_CLASS": "setpoint", "X_ID": "b7"})
+    assert [event for event, _ in harness.desk.backend.told].count("start") == (2 if expected == 503 else 1)
+    assert again.closed == (expected == 502)
 
 
-def test_a_run_past_its_time_is_answered_504_and_given_up() -> None:
-    gateway = Gateway()
-    wire = gateway.send({"X_CLASS": "setpoint"})
-    gateway.desk.clock.advance(1800)
+def test_a_run_past_its_deadline_gets_504_and_is_abandoned() -> None:
+    harness = UwsgiHarness()
+    wire = harness.send({"X_CLASS": "setpoint"})
+    harness.desk.clock.advance(1800)
     assert status(wire) == 504
-    assert ("abandon", "uwsgi-1") in gateway.desk.backend.told
-    gateway.end()
+    assert ("abandon", "uwsgi-1") in harness.desk.backend.told
+    harness.end()
     assert bytes(wire.written).count(b"HTTP/1.1") == 1
 
 
-def test_a_client_that_is_gone_takes_its_run_along() -> None:
-    gateway = Gateway()
-    gateway.send(READ).close()
-    gateway.desk.clock.settle()
-    assert ("abandon", "uwsgi-1") in gateway.desk.backend.told
-    gateway.end(Outcome.CANCELLED, b"")
-    assert gateway.desk.core.in_flight == 0 and len(gateway.front.connections) == 0
+def test_a_disconnected_client_has_its_run_abandoned() -> None:
+    harness = UwsgiHarness()
+    harness.send(READ).close()
+    harness.desk.clock.settle()
+    assert ("abandon", "uwsgi-1") in harness.desk.backend.told
+    harness.end(Outcome.CANCELLED, b"")
+    assert harness.desk.core.in_flight == 0 and len(harness.frontend.connections) == 0
 
 
 @pytest.mark.parametrize("part", [b"", write_packet(READ)[:9], write_packet(READ | {"CONTENT_LENGTH": "9"})])
-def test_a_packet_that_stays_unfinished_is_closed_on(part: bytes) -> None:
-    gateway = Gateway()
-    wire, whole = gateway.connect(), gateway.send(READ)
+def test_a_connection_without_a_complete_packet_is_closed_after_the_read_timeout(part: bytes) -> None:
+    harness = UwsgiHarness()
+    wire, whole = harness.connect(), harness.send(READ)
     wire.feed(part)
-    gateway.desk.clock.advance(2_001)
-    assert wire.closed and len(gateway.front.connections) == 1 and not whole.closed
+    harness.desk.clock.advance(2_001)
+    assert wire.closed and len(harness.frontend.connections) == 1 and not whole.closed
 
 
-def test_a_full_table_turns_connections_away() -> None:
-    gateway = Gateway()
-    wires = [gateway.send(READ) for _ in range(9)]
+def test_a_full_table_rejects_connections() -> None:
+    harness = UwsgiHarness()
+    wires = [harness.send(READ) for _ in range(9)]
     assert [wire.closed for wire in wires] == [False] * 8 + [True]
-    assert gateway.desk.core.unanswered == 8
+    assert harness.desk.core.unanswered == 8
 
 
-def test_packets_that_are_not_whole_leave_room_for_others() -> None:
-    gateway = Gateway()
+def test_incomplete_packets_leave_slots_for_others() -> None:
+    harness = UwsgiHarness()
     for _ in range(50):
-        gateway.connect().feed(write_packet(READ)[:9])
-        gateway.desk.clock.advance(150)
-    gateway.send(READ)
-    assert gateway.desk.core.unanswered == 1
+        harness.connect().feed(write_packet(READ)[:9])
+        harness.desk.clock.advance(150)
+    harness.send(READ)
+    assert harness.desk.core.unanswered == 1
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,7 +7,7 @@
 from marlstep.config import ConfigError, check
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SECOND
-from tests.frontends.test_resp import Platform, exec_frame, instant_ms
+from tests.frontends.support import RespHarness, exec_frame, instant_ms
 from tests.support.node import raw_config
 
 KINDS = (b"temp-history", b"schedule-save", b"setpoint-cmd")
@@ -30,12 +30,12 @@
 
 def test_nothing_grows_with_ids_front_ends_and_connections_that_were_seen() -> None:
     # Guards against tables, deadlines or ledgers that keep something of every request on a long day.
-    platform = Platform(limit=40)
+    platform = RespHarness(limit=40)
     core, sizes = platform.desk.core, []
     for number in range(1, 1_201):
         wire = platform.connect()
         fields = b"at=%d,from=%d,kb=1" % (instant_ms(platform), number)
-        platform.feed(wire, exec_frame(number, kind=KINDS[number % 3], fields=fields))
+        platform.feed(wire, exec_frame(number, request_class=KINDS[number % 3], fields=fields))
         platform.desk.clock.advance(20)
         if number % 5:
             platform.end(number)
@@ -48,20 +48,20 @@
             len(core._requests._handles) + len(core.idempotency_keys) + len(platform.desk.clock.timeline._heap)
             + core.in_flight
             + len(known.entries.by_id) + len(known.callers.last_seen) + len(known.wakeups)
-            + platform.front.connections.idle_count + platform.front.connections.unproven_count
-            + len(platform.front.connections)
+            + platform.frontend.connections.idle_count + platform.frontend.connections.unproven_count
+            + len(platform.frontend.connections)
         )  # fmt: skip
     assert max(sizes[900:]) <= max(sizes[:900]) * 1.1 and max(sizes) < 2_000
     assert core.counts["read"] == 1_200 and core.in_flight == 0
 
 
 def test_a_release_while_much_is_held_answers_each_once_and_runs_nothing_that_came_too_late() -> None:
-    platform = Platform(cores=2, limit=40)
+    platform = RespHarness(cores=2, limit=40)
     wires = [platform.connect() for _ in range(10)]
 
     def send(tag: int) -> None:
         fields = b"at=%d,from=4,kb=1" % instant_ms(platform)
-        platform.feed(wires[tag % 10], exec_frame(tag, kind=KINDS[tag % 3], fields=fields))
+        platform.feed(wires[tag % 10], exec_frame(tag, request_class=KINDS[tag % 3], fields=fields))
 
     for tag in range(1, 101):
         send(tag)
