--- /dev/null
+++ b/tests/frontends/test_resp_policy.py
@@ -0,0 +1,68 @@
+"""When a RESP connection is read no further, and when it closes."""
+
+from __future__ import annotations
+
+import pytest
+
+from marlstep.frontends import resp_policy
+
+
+def test_requests_are_accepted_up_to_the_limit_of_open_ones() -> None:
+    assert resp_policy.accepts_another_request(resp_policy.MAX_OPEN_REQUESTS - 1)
+    assert not resp_policy.accepts_another_request(resp_policy.MAX_OPEN_REQUESTS)
+
+
+def test_a_connection_is_misused_at_the_last_allowed_invalid_request() -> None:
+    assert not resp_policy.is_misused(resp_policy.MAX_INVALID_REQUESTS - 1)
+    assert resp_policy.is_misused(resp_policy.MAX_INVALID_REQUESTS)
+
+
+@pytest.mark.parametrize(
+    ("at_eof", "send_blocked", "expected"),
+    [(False, False, False), (True, True, False), (True, False, True)],
+)
+def test_a_half_closed_connection_is_read_to_its_end_before_it_closes(
+    at_eof: bool, send_blocked: bool, expected: bool
+) -> None:
+    assert resp_policy.has_read_everything(at_eof, send_blocked) is expected
+    assert resp_policy.closes_after_last_response(False, at_eof, send_blocked) is expected
+    assert resp_policy.closes_after_last_response(True, at_eof, send_blocked)
+
+
+@pytest.mark.parametrize(
+    ("send_blocked", "unparsed_bytes", "inside_frame", "is_unproven"),
+    [(True, 0, False, False), (False, 1, False, False), (False, 0, True, False), (False, 0, False, True)],
+)
+def test_the_peer_has_to_act_where_anything_is_incomplete(
+    send_blocked: bool, unparsed_bytes: int, inside_frame: bool, is_unproven: bool
+) -> None:
+    assert resp_policy.waits_for_peer(send_blocked, unparsed_bytes, inside_frame, is_unproven)
+
+
+def test_the_peer_need_not_act_while_nothing_is_incomplete() -> None:
+    assert not resp_policy.waits_for_peer(False, 0, False, False)
+
+
+@pytest.mark.parametrize(
+    ("connected", "open_requests", "is_malformed", "send_blocked", "incomplete_input", "expected"),
+    [
+        (True, 1, True, False, False, True),
+        (True, 0, False, True, False, True),
+        (True, 0, False, False, True, True),
+        (True, 0, False, False, False, False),
+        (True, 0, True, True, True, False),  # of a malformed stream nothing more is read
+        (False, 1, False, True, True, False),
+    ],
+)
+def test_an_announced_close_waits_for_open_requests_and_for_what_is_still_to_be_read(
+    connected: bool,
+    open_requests: int,
+    is_malformed: bool,
+    send_blocked: bool,
+    incomplete_input: bool,
+    expected: bool,
+) -> None:
+    decided = resp_policy.postpones_close(
+        connected, open_requests, is_malformed, send_blocked, incomplete_input
+    )
+    assert decided is expected
--- /dev/null
+++ b/tests/net/test_lines.py
@@ -0,0 +1,55 @@
+"""Messages of lines, with and without a body."""
+
+from __future__ import annotations
+
+import pytest
+
+from marlstep.net.lines import InvalidLengthError, LineStream, parse_length
+from tests.support.node import Wire
+
+
+class Recorder(LineStream):
+    """Lines that begin with `body` have one, whose length is their second word."""
+
+    def __init__(self) -> None:
+        super().__init__(64, 16)
+        self.messages: list[tuple[list[str], bytes]] = []
+
+    def closed(self) -> None:
+        pass
+
+    def body_length(self, words: list[str]) -> int | None:
+        return parse_length(words[1], 8) if words[0] == "body" else None
+
+    def message(self, words: list[str], body: bytes) -> None:
+        self.messages.append((words, body))
+
+
+@pytest.mark.parametrize("step", [1, 2, 64])
+def test_messages_are_complete_however_the_stream_is_divided(step: int) -> None:
+    stream = Recorder()
+    wire = Wire(stream)
+    wire.feed(b"one two\r\nbody 4\r\n\r\n\r\n\r\nthree\r\n", step)
+    assert stream.messages == [(["one", "two"], b""), (["body", "4"], b"\r\n\r\n"), (["three"], b"")]
+    assert not wire.closed and not stream.partial
+
+
+@pytest.mark.parametrize("bad", [b"body 9\r\n", b"body x\r\n", b"body -1\r\n", b"body 1\r\nabc", b"x" * 18])
+def test_a_malformed_message_closes_the_connection(bad: bytes) -> None:
+    stream = Recorder()
+    wire = Wire(stream)
+    wire.feed(b"one\r\n" + bad)
+    assert wire.closed and stream.messages == [(["one"], b"")]
+
+
+def test_the_end_of_the_stream_closes_the_connection() -> None:
+    stream = Recorder()
+    wire = Wire(stream)
+    stream.eof_received()
+    assert wire.closed
+
+
+def test_an_invalid_length_names_what_came_and_the_limit() -> None:
+    with pytest.raises(InvalidLengthError) as raised:
+        parse_length("9", 8)
+    assert (raised.value.word, raised.value.limit) == ("9", 8)
--- /dev/null
+++ b/tests/platform/test_database_wire.py
@@ -0,0 +1,45 @@
+"""The words of the database's wire."""
+
+from __future__ import annotations
+
+import pytest
+
+from marlstep.admission.events import Outcome
+from marlstep.platform.database_wire import (
+    Reply,
+    UnknownReplyError,
+    encode_call,
+    parse_reply,
+    reply_body_length,
+)
+from marlstep.units import MILLISECOND, ZERO
+
+
+@pytest.mark.parametrize(
+    ("line", "outcome"),
+    [
+        ("a ROWS 4", Outcome.OK),
+        ("a FULL", Outcome.REJECTED),
+        ("a FAIL", Outcome.ERROR),
+        ("a TIMEOUT", Outcome.TIMEOUT),
+        ("a NONE", Outcome.NOT_STARTED),
+    ],
+)
+def test_a_reply_has_an_outcome_by_its_word(line: str, outcome: Outcome) -> None:
+    assert parse_reply(line.split(" ")) == Reply("a", outcome)
+
+
+@pytest.mark.parametrize("line", ["a", "a WHAT", "a FULL 4", "a ROWS", "a ROWS 4 4"])
+def test_any_other_reply_breaks_the_protocol(line: str) -> None:
+    with pytest.raises(UnknownReplyError):
+        parse_reply(line.split(" "))
+
+
+def test_only_rows_have_a_body() -> None:
+    assert reply_body_length(["a", "ROWS", "4"]) == 4
+    assert reply_body_length(["a", "FULL"]) is None
+
+
+def test_a_call_carries_the_time_that_is_left_and_never_none() -> None:
+    assert encode_call("a", b"ask", 1.2 * MILLISECOND) == b"Q a 2 3\r\nask\r\n"
+    assert encode_call("a", b"ask", ZERO) == b"Q a 1 3\r\nask\r\n"
