--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -826,7 +826,7 @@
         try:
             harness.node.naming._stop()
             harness.node.naming.open()
-            await until(lambda: "no reports to the name service" in caplog.text)
+            await until(lambda: "name service reports failed" in caplog.text)
             await harness.advance(350)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
