--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -26,8 +26,10 @@
     FINISHED = 8
 
 
-IN_RUN = (State.RUNNING, State.STOPPING, State.AWAITING_CALL, State.CALLING)
-ALIVE = (*IN_RUN, State.PAUSED, State.QUEUED)
+# A run that has begun and is neither paused nor ended, whether on the cores or at a call.
+ACTIVE_STATES = (State.RUNNING, State.STOPPING, State.AWAITING_CALL, State.CALLING)
+# Requests with work of their own to do; a repeat that is attached has none.
+UNFINISHED_STATES = (*ACTIVE_STATES, State.PAUSED, State.QUEUED)
 
 
 @dataclass(slots=True)
--- a/marlstep/admission/entry_index.py
+++ b/marlstep/admission/entry_index.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from marlstep.admission.entry import IN_RUN, Entry, State
+from marlstep.admission.entry import ACTIVE_STATES, Entry, State
 from marlstep.admission.settings import Settings
 
 UNBOUNDED = float("inf")
-RUNS_IN_STATE = {state: int(state in IN_RUN) for state in State}  # 1 where a run counts against its pool
+ACTIVE_RUNS_IN_STATE = {state: int(state in ACTIVE_STATES) for state in State}  # 1: it counts for its pool
 
 
 class EntryIndex:
@@ -18,7 +18,7 @@
     Attributes:
         by_id: all entries, those of finished requests with a remembered key included.
         by_state: the entries of each state but `FINISHED`, by id, in the order in which they entered it.
-        in_run_by_pool: unfinished runs, by pool.
+        active_by_pool: unfinished runs, by pool.
         pool_capacity: how many the servers of a pool run at once; pools that are not named have no bound.
         memory_kb: of all entries and kept keys, in kilobytes.
         key_kb: of one kept key, in kilobytes.
@@ -28,7 +28,7 @@
         """Start empty."""
         self.by_id: dict[str, Entry] = {}
         self.by_state: dict[State, dict[str, Entry]] = {state: {} for state in State}
-        self.in_run_by_pool: dict[str, int] = {}
+        self.active_by_pool: dict[str, int] = {}
         self.pool_capacity: dict[str, int] = {}
         self.memory_kb = 0.0
         self._added = 0
@@ -95,7 +95,7 @@
 
     def is_pool_full(self, pool: str) -> bool:
         """Return whether the servers of a pool run as many as they can."""
-        return self.in_run_by_pool.get(pool, 0) >= self.pool_capacity.get(pool, UNBOUNDED)
+        return self.active_by_pool.get(pool, 0) >= self.pool_capacity.get(pool, UNBOUNDED)
 
     def growth_at_start(self, entry: Entry) -> float:
         """Return the memory that a start adds, in kilobytes; a paused run has it already."""
@@ -112,9 +112,9 @@
         previous, factors = entry.state, self._factors
         self.memory_kb += entry.memory_kb * factors[state] - entry.memory_kb * factors[previous]
         self.by_state[previous].pop(entry.id, None)
-        run_change = RUNS_IN_STATE[state] - RUNS_IN_STATE[previous]
+        run_change = ACTIVE_RUNS_IN_STATE[state] - ACTIVE_RUNS_IN_STATE[previous]
         if run_change:
-            self.in_run_by_pool[entry.pool] = self.in_run_by_pool.get(entry.pool, 0) + run_change
+            self.active_by_pool[entry.pool] = self.active_by_pool.get(entry.pool, 0) + run_change
         entry.state = state
         entry.entered_state_at = now
         if state is not State.FINISHED:
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -49,7 +49,7 @@
             no_failover = forbids_failover(
                 entry.request_class.priority_weight, self.state.highest_weight, self.state.is_draining
             )
-            self.state.actions.append(Reject(entry.id, self.advisor.retry_after_us(), no_failover))
+            self.state.actions.append(Reject(entry.id, self.advisor.current_retry_after_us(), no_failover))
         self.abandon(entry)
 
     def abandon(self, entry: Entry) -> None:
--- a/marlstep/admission/retry_advisor.py
+++ b/marlstep/admission/retry_advisor.py
@@ -13,9 +13,7 @@
 
 CREDIT_OBJECTIVE_FRACTION = 0.3  # of the shortest objective; bounds the time that credited work may queue
 MIN_CREDIT_CHANGE_FRACTION = 0.1  # of the advertised value; a smaller change is not advertised
-CALLER_ACTIVITY_US = (
-    2 * SECOND
-)  # beyond the lifetime of an advertised value, for which a caller counts as active
+CALLER_ACTIVITY_US = 2 * SECOND  # past the lifetime of an advertised value a caller is inactive
 
 
 def active_callers(seen: int, seen_again: int, expected: int) -> int:
@@ -97,7 +95,7 @@
         seen, seen_again = self.state.callers.count(active_since)
         return active_callers(seen, seen_again, settings.caller_count)
 
-    def retry_after_us(self) -> int:
+    def current_retry_after_us(self) -> int:
         """Return the Retry-After of a rejection given now, in microseconds; 0 where none is sent.
 
         A server that drains sends callers away for as long as they respect.
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -6,7 +6,7 @@
 
 from marlstep.admission.actions import Preempt, Run
 from marlstep.admission.concurrency_limit import ConcurrencyLimit
-from marlstep.admission.entry import ALIVE, IN_RUN, Entry, State
+from marlstep.admission.entry import ACTIVE_STATES, UNFINISHED_STATES, Entry, State
 from marlstep.admission.events import Outcome
 from marlstep.admission.lifecycle import RequestLifecycle
 from marlstep.admission.memory_ledger import MemoryLedger
@@ -19,9 +19,11 @@
 )
 from marlstep.admission.queue_wait import expected_wait_us, latest_acceptable_response_at
 from marlstep.admission.server_state import ServerState
-from marlstep.admission.start_rules import is_eligible, max_unfinished_runs
+from marlstep.admission.start_rules import has_idle_core, is_eligible, max_unfinished_runs
 
 ANY_PRIORITY = float("inf")
+# A run that did not stop in time counts as running again; if it stops later, it was still preempted.
+MAY_HAVE_BEEN_PREEMPTED = (State.STOPPING, State.RUNNING)
 
 
 @dataclass(slots=True)
@@ -44,8 +46,8 @@
         requests_ahead = 0
         has_place = True
         for entry in waiting:
-            if entry.priority <= 0 and len(running) >= self.state.settings.cores:
-                continue  # unlikely to be in time: it starts only on a core that would stand idle
+            if entry.priority <= 0 and not has_idle_core(len(running), self.state.settings.cores):
+                continue
             if has_place and len(running) + 1 > limit:
                 has_place = self._make_place(entry)
             if has_place and not self.state.entries.is_pool_full(entry.pool):
@@ -57,9 +59,8 @@
 
     def end(self, entry: Entry, outcome: Outcome) -> None:
         """Take note of a run that has ended, or has stopped after it was preempted."""
-        # A run taken for lost is counted as running again; its late stop still counts as a preemption.
-        may_have_been_preempted = entry.state in (State.STOPPING, State.RUNNING)
-        if outcome is Outcome.CANCELLED and entry.response_owed and may_have_been_preempted:
+        was_preempted = outcome is Outcome.CANCELLED and entry.state in MAY_HAVE_BEEN_PREEMPTED
+        if was_preempted and entry.response_owed:
             entry.was_paused = True
             self.state.move(entry, state_after_preemption(self.state.settings.preemption_mode))
             return
@@ -93,7 +94,7 @@
             name: earliest_response_at(now, mean_us)
             for name, mean_us in self.state.statistics.mean_run_us.items()
         }
-        for entry in self.state.entries.in_states(*ALIVE):
+        for entry in self.state.entries.in_states(*UNFINISHED_STATES):
             response_at = now if entry.has_run else response_at_if_started[entry.request_class.name]
             entry.priority = priority = attainable_weight(entry, response_at)
             if priority <= 0 and not can_be_on_time(entry, response_at):
@@ -140,7 +141,7 @@
             return
         if not self.memory.fits(entries.growth_at_start(entry)):
             return
-        if entries.count(*IN_RUN) + 1 > max_unfinished_runs(self.state.max_concurrency):
+        if entries.count(*ACTIVE_STATES) + 1 > max_unfinished_runs(self.state.max_concurrency):
             return
         entry.has_run = True
         self.state.actions.append(Run(entry.id))
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/server_state.py
@@ -13,7 +13,7 @@
 from marlstep.admission.call_reserve import CallReserve
 from marlstep.admission.caller_activity import CallerActivity
 from marlstep.admission.capacity import survivable_concurrency, warm_up_share
-from marlstep.admission.entry import ALIVE, IN_RUN, Entry, State
+from marlstep.admission.entry import ACTIVE_STATES, UNFINISHED_STATES, Entry, State
 from marlstep.admission.entry_index import EntryIndex
 from marlstep.admission.key_retention import key_expires_at
 from marlstep.admission.run_statistics import RunStatistics
@@ -22,6 +22,7 @@
 from marlstep.admission.token_buckets import TokenBuckets
 from marlstep.admission.wake_heap import WakeHeap
 
+FULLY_WARM = 1.0  # of its capacity
 MIN_PORTION = 1e-6  # of the server; shares are divided by the portion, so it is never 0
 
 
@@ -39,6 +40,15 @@
         tick_us: interval at which waiting requests are looked at.
         response_lead_us: before its deadline, at which a request gets its final response.
         idle_timeout_us: of connections, at present.
+        classes: the request classes by name, retired ones included.
+        quotas_per_s: this server's part of each tenant's quota, in requests a second.
+        wakeups: when to look at which request again.
+        buckets: of tenants, for their quotas.
+        callers: when each was last seen.
+        statistics: what runs have taken.
+        call_latency: what downstream calls take.
+        call_reserve: what downstream calls may still take.
+        entries: the requests.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -50,7 +60,7 @@
         self.respond_by = NEVER
         self._started_at: int | None = None
         self.wakeups = WakeHeap()
-        self.buckets = TokenBuckets()  # of tenants
+        self.buckets = TokenBuckets()
         self.callers = CallerActivity()
         self.statistics = RunStatistics()
         self.call_reserve = CallReserve()
@@ -90,7 +100,8 @@
         if is_first:
             self._started_at = now
         self.call_reserve.refill(now - self.now)
-        self.now, self.actions = now, []
+        self.now = now
+        self.actions = []
         if self.settings.warms_up:
             self._update_capacity()
         return is_first
@@ -186,22 +197,32 @@
 
         Both are shares of the whole server, of its memory or of its concurrency, whichever is larger.
         """
-        memory_kb, concurrency = self.settings.memory_kb, self.max_concurrency / self.portion
-        running_kb = sum(self.entries.size(entry, State.RUNNING) for entry in self.entries.in_states(*ALIVE))
-        in_use = max(self.entries.memory_kb / memory_kb, self.entries.count(*IN_RUN) / concurrency)
-        return in_use, max(running_kb / memory_kb, self.entries.count_unfinished() / concurrency)
+        memory_kb = self.settings.memory_kb
+        concurrency = self.max_concurrency / self.portion
+        entries = self.entries
+        unfinished = entries.in_states(*UNFINISHED_STATES)
+        running_kb = sum(entries.size(entry, State.RUNNING) for entry in unfinished)
+        in_use = max(entries.memory_kb / memory_kb, entries.count(*ACTIVE_STATES) / concurrency)
+        needed = max(running_kb / memory_kb, entries.count_unfinished() / concurrency)
+        return in_use, needed
 
     def set_quota(self, tenant: str, per_s: float) -> None:
         """Change a tenant's quota, which all servers of the tier share."""
         self.quotas_per_s[tenant] = per_s / self.settings.server_count
 
     def _update_capacity(self) -> None:
-        settings, warm_share = self.settings, 1.0
-        is_warming_up = settings.warms_up and self._started_at is not None and settings.warm_up_us > 0
-        if is_warming_up and self._started_at is not None:
-            elapsed_us = self.now - self._started_at
-            warm_share = warm_up_share(elapsed_us, settings.warm_up_us, settings.initial_capacity_share)
+        settings = self.settings
         self.memory_kb = settings.memory_kb * self.portion
         self.max_concurrency = survivable_concurrency(
-            settings.cores, settings.overload_concurrency_factor, warm_share, self.portion
+            settings.cores, settings.overload_concurrency_factor, self._warm_share(), self.portion
         )
+
+    def _warm_share(self) -> float:
+        """Return the share of its capacity that the server has at present, 0 to 1."""
+        settings = self.settings
+        if not settings.warms_up or settings.warm_up_us <= 0:
+            return FULLY_WARM
+        if self._started_at is None:
+            return FULLY_WARM
+        elapsed_us = self.now - self._started_at
+        return warm_up_share(elapsed_us, settings.warm_up_us, settings.initial_capacity_share)
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -240,21 +240,29 @@
     if isinstance(wanted, type) and dataclasses.is_dataclass(wanted):
         return _read_table(wanted, raw, path)
     if typing.get_origin(wanted) is tuple:
-        _require(isinstance(raw, list | tuple), path, "must be a list")
-        rows = typing.cast(list[object], raw)
-        return tuple(
-            _read(typing.get_args(wanted)[0], row, f"{path}[{index}]") for index, row in enumerate(rows)
-        )
+        return _read_rows(typing.get_args(wanted)[0], raw, path)
     if isinstance(wanted, type) and issubclass(wanted, enum.StrEnum):
         _require(raw in list(wanted), path, f"must be one of {', '.join(wanted)}")
         return wanted(typing.cast(str, raw))
     plain = typing.cast(type, wanted)
-    accepted: type | types.UnionType = (int | float) if plain is float else plain
-    good = isinstance(raw, accepted) and (plain is bool or not isinstance(raw, bool))
-    _require(good, path, f"must be of type {plain.__name__}")
+    _require(_is_of_type(raw, plain), path, f"must be of type {plain.__name__}")
     return raw
 
 
+def _is_of_type(raw: object, plain: type) -> bool:
+    """Return whether a value is of a plain type; a whole number is also a float, but a bool is no number."""
+    if isinstance(raw, bool):
+        return plain is bool
+    accepted: type | types.UnionType = (int | float) if plain is float else plain
+    return isinstance(raw, accepted)
+
+
+def _read_rows(wanted: object, raw: object, path: str) -> tuple[object, ...]:
+    _require(isinstance(raw, list | tuple), path, "must be a list")
+    rows = typing.cast(list[object], raw)
+    return tuple(_read(wanted, row, f"{path}[{index}]") for index, row in enumerate(rows))
+
+
 def _read_table(wanted: type, raw: object, path: str) -> object:
     _require(isinstance(raw, Mapping), path or "settings", "must be a table of settings")
     table = typing.cast(Mapping[str, object], raw)
@@ -262,7 +270,7 @@
     values: dict[str, object] = {}
     for part in dataclasses.fields(wanted):
         key = stored_key(part)
-        inner = f"{path}.{key}" if path else key
-        _require(key in table, inner, "is missing")
-        values[part.name] = _read(hints[part.name], table[key], inner)
+        key_path = f"{path}.{key}" if path else key
+        _require(key in table, key_path, "is missing")
+        values[part.name] = _read(hints[part.name], table[key], key_path)
     return wanted(**values)
--- a/marlstep/admission/start_rules.py
+++ b/marlstep/admission/start_rules.py
@@ -19,6 +19,19 @@
     return max(MAX_CONCURRENCY_FRACTION * max_concurrency, 1.0)
 
 
+def has_idle_core(running: int, cores: int) -> bool:
+    """Return whether fewer requests run than the server has cores.
+
+    A request that is unlikely to be in time starts only then: it takes nothing from the others, and may yet
+    end in time.
+
+    Args:
+        running: requests on the cores.
+        cores: of the server.
+    """
+    return running < cores
+
+
 def is_eligible(entry: Entry, last_runnable_arrival_at: int) -> bool:
     """Return whether the rules on draining, idempotency keys and effects let a request run.
 
