--- a/tests/admin/test_health_endpoint.py
+++ b/tests/admin/test_health_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door, and the state that it changes."""
+"""The health endpoint, and the serving state that it changes."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 CONNECTIONS = 48
 
 
-class Gate:
+class EndpointHarness:
     def __init__(self) -> None:
         self.desk = Desk()
-        self.told: list[bool] = []
+        self.reported_states: list[bool] = []
         core = self.desk.core
-        self.door = HealthEndpoint(
+        self.endpoint = HealthEndpoint(
             core,
             self.desk.clock.timeline,
-            lambda: self.told.append(core.serving_state.wants_traffic),
+            lambda: self.reported_states.append(core.serving_state.wants_traffic),
             CONNECTIONS,
         )
 
     def connect(self) -> Wire:
-        return Wire(HttpConnection(self.door))
+        return Wire(HttpConnection(self.endpoint))
 
-    def ask(self, method: str, path: str, head: str = "", body: bytes = b"", step: int = 999) -> int:
+    def request(self, method: str, path: str, head: str = "", body: bytes = b"", step: int = 999) -> int:
         wire = self.connect()
         sized = f"Content-Length: {len(body)}\r\n" if body else ""
         wire.feed(f"{method} {path} HTTP/1.1\r\nHost: n\r\n{sized}{head}\r\n".encode() + body, step)
@@ -52,40 +52,40 @@
     return int(head.split()[1])
 
 
-def test_health_is_yes_from_the_moment_the_cores_are_there() -> None:
-    gate = Gate()
-    assert gate.ask("GET", "/admin/health") == 503
-    gate.desk.core.backend_ready()
-    assert gate.ask("GET", "/admin/health?verbose=1", step=1) == 200
+def test_health_is_good_once_the_backend_is_ready() -> None:
+    harness = EndpointHarness()
+    assert harness.request("GET", "/admin/health") == 503
+    harness.desk.core.backend_ready()
+    assert harness.request("GET", "/admin/health?verbose=1", step=1) == 200
 
 
-def test_a_quiesced_node_says_sick_and_serves_what_still_comes_until_it_is_resumed() -> None:
-    gate = Gate()
-    gate.desk.core.backend_ready()
-    for _ in range(2):  # a repeat does no harm
-        assert gate.ask("POST", "/admin/quiesce") == 200 and not gate.desk.core.healthy
-    assert gate.ask("GET", "/admin/health") == 200  # the process itself is well
-    gate.desk.submit(1)
-    gate.desk.end(1)
-    assert gate.desk.verdicts(1) == [ResponseStatus.DONE]
+def test_a_quiesced_node_fails_health_checks_and_serves_until_it_is_resumed() -> None:
+    harness = EndpointHarness()
+    harness.desk.core.backend_ready()
+    for _ in range(2):  # a repeat changes nothing
+        assert harness.request("POST", "/admin/quiesce") == 200 and not harness.desk.core.healthy
+    assert harness.request("GET", "/admin/health") == 200  # the process itself is ready
+    harness.desk.submit(1)
+    harness.desk.end(1)
+    assert harness.desk.verdicts(1) == [ResponseStatus.DONE]
     for _ in range(2):
-        assert gate.ask("POST", "/admin/resume") == 200 and gate.desk.core.healthy
-    assert gate.told == [False, False, True, True]
+        assert harness.request("POST", "/admin/resume") == 200 and harness.desk.core.healthy
+    assert harness.reported_states == [False, False, True, True]
 
 
-def test_the_notice_to_leave_ends_a_quiesce_and_no_resume_undoes_it() -> None:
-    gate = Gate()
-    gate.desk.core.backend_ready()
-    gate.ask("POST", "/admin/quiesce")
-    gate.desk.core.drain(gate.desk.clock.now() + 3 * SECOND)
-    assert (gate.ask("POST", "/admin/resume"), gate.ask("GET", "/admin/health")) == (409, 503)
-    assert gate.ask("POST", "/admin/quiesce") == 409 and not gate.desk.core.healthy
-    gate.desk.clock.advance(2_600)
-    assert gate.desk.stopped
+def test_a_drain_ends_a_quiesce_and_no_resume_undoes_it() -> None:
+    harness = EndpointHarness()
+    harness.desk.core.backend_ready()
+    harness.request("POST", "/admin/quiesce")
+    harness.desk.core.drain(harness.desk.clock.now() + 3 * SECOND)
+    assert (harness.request("POST", "/admin/resume"), harness.request("GET", "/admin/health")) == (409, 503)
+    assert harness.request("POST", "/admin/quiesce") == 409 and not harness.desk.core.healthy
+    harness.desk.clock.advance(2_600)
+    assert harness.desk.stopped
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "head", "body", "wanted"),
+    ("method", "path", "head", "body", "expected"),
     [
         ("GET", "/", "", b"", 404),
         ("GET", "/admin", "", b"", 404),
@@ -98,81 +98,89 @@
         ("GET", "/admin/health", "X: " + "x" * MAX_HEAD_BYTES + "\r\n", b"", 431),
     ],
 )
-def test_calls_that_can_not_be_had_are_refused_by_kind(
-    method: str, path: str, head: str, body: bytes, wanted: int
+def test_an_invalid_request_is_rejected_with_its_status(
+    method: str, path: str, head: str, body: bytes, expected: int
 ) -> None:
-    gate = Gate()
-    gate.desk.core.backend_ready()
-    assert gate.ask(method, path, head, body) == wanted and gate.desk.core.healthy and not gate.told
-
-
-def test_a_head_without_end_and_a_second_call_behind_the_first_do_nothing() -> None:
-    gate = Gate()
-    wire = gate.connect()
+    harness = EndpointHarness()
+    harness.desk.core.backend_ready()
+    assert (
+        harness.request(method, path, head, body) == expected
+        and harness.desk.core.healthy
+        and not harness.reported_states
+    )
+
+
+def test_an_endless_head_and_a_second_request_on_the_connection_do_nothing() -> None:
+    harness = EndpointHarness()
+    wire = harness.connect()
     wire.feed(b"GET /admin/health HTTP/1.1\r\n" + b"X: y\r\n" * MAX_HEAD_BYTES)
     assert status(wire) == 431 and wire.closed
-    wire = gate.connect()
+    wire = harness.connect()
     wire.feed(b"GET /admin/health HTTP/1.1\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\n\r\n")
-    assert status(wire) == 503 and gate.desk.core.healthy
+    assert status(wire) == 503 and harness.desk.core.healthy
 
 
-def test_a_good_call_is_answered_beside_callers_that_hold_their_connections() -> None:
-    # Guards against a door that is kept shut by those who connect and say nothing, or half a call.
-    gate = Gate()
-    gate.desk.core.backend_ready()
-    held: list[Wire] = []
+def test_a_complete_request_is_served_beside_clients_that_send_none() -> None:
+    # Guards against an endpoint blocked by clients that connect and send nothing, or half a request.
+    harness = EndpointHarness()
+    harness.desk.core.backend_ready()
+    incomplete: list[Wire] = []
     for number in range(5 * CONNECTIONS):
-        held.append(gate.connect())
-        held[-1].feed(
+        incomplete.append(harness.connect())
+        incomplete[-1].feed(
             [b"", b"GET /admin/he", b"POST /admin/quiesce HTTP/1.1\r\nContent-Length: 9\r\n\r\n"][number % 3]
         )
         if number % 7 == 0:
-            assert gate.ask("GET", "/admin/health") == 200
+            assert harness.request("GET", "/admin/health") == 200
         if number % 50 == 0:
-            gate.desk.clock.advance(MIN_UNPROVEN_AGE / MILLISECOND)
-    assert len(gate.door.connections) <= CONNECTIONS
-    gate.desk.clock.advance(REQUEST_TIMEOUT / MILLISECOND)
-    assert all(wire.closed for wire in held) and len(gate.door.connections) == 0
-    late = [status(wire) for wire in held if wire.written]
-    assert late and set(late) == {408} and gate.desk.core.healthy
+            harness.desk.clock.advance(MIN_UNPROVEN_AGE / MILLISECOND)
+    assert len(harness.endpoint.connections) <= CONNECTIONS
+    harness.desk.clock.advance(REQUEST_TIMEOUT / MILLISECOND)
+    assert all(wire.closed for wire in incomplete) and len(harness.endpoint.connections) == 0
+    timed_out = [status(wire) for wire in incomplete if wire.written]
+    assert timed_out and set(timed_out) == {408} and harness.desk.core.healthy
 
 
 @FIXED
 @given(GARBAGE, CUTS)
-def test_garbage_at_the_door_changes_nothing(garbage: bytes, cuts: list[int]) -> None:
-    gate = Gate()
-    wire = gate.connect()
+def test_malformed_input_changes_nothing(garbage: bytes, cuts: list[int]) -> None:
+    harness = EndpointHarness()
+    wire = harness.connect()
     for part in pieces(garbage, cuts):
         wire.feed(part)
     assert not wire.written or status(wire) in (400, 404, 405, 413, 431)
-    gate.desk.clock.advance(2_000)
-    assert len(gate.door.connections) == 0 and gate.desk.core.healthy
+    harness.desk.clock.advance(2_000)
+    assert len(harness.endpoint.connections) == 0 and harness.desk.core.healthy
 
 
-ASKED: dict[str, Callable[[ServingState], Any]] = {
+ORDERS: dict[str, Callable[[ServingState], Any]] = {
     "ready": ServingState.mark_ready,
     "quiesce": ServingState.quiesce,
     "resume": ServingState.resume,
-    "leave": ServingState.begin_drain,
+    "drain": ServingState.begin_drain,
 }
 
 
 @FIXED
-@given(st.lists(st.sampled_from(sorted(ASKED)), max_size=8))
-def test_the_state_follows_what_was_asked_last_and_leaving_is_for_good(words: list[str]) -> None:
-    duty, ready, quiesced, left = ServingState(), False, False, False
+@given(st.lists(st.sampled_from(sorted(ORDERS)), max_size=8))
+def test_the_state_follows_the_last_order_and_a_drain_is_final(words: list[str]) -> None:
+    state, ready, quiesced, draining = ServingState(), False, False, False
     for word in words:
-        told = ASKED[word](duty)
+        accepted = ORDERS[word](state)
         if word in ("quiesce", "resume"):
-            assert told is not left
-            quiesced = quiesced if left else word == "quiesce"
-        ready, left = ready or word == "ready", left or word == "leave"
-        assert duty.wants_traffic is (not left and not quiesced) and duty.can_serve is (ready and not left)
-        wanted = ServingPhase.LEAVING if left else ServingPhase.QUIESCED if quiesced else ServingPhase.SERVING
-        assert duty.phase is (wanted if ready or left else ServingPhase.STARTING)
+            assert accepted is not draining
+            quiesced = quiesced if draining else word == "quiesce"
+        ready, draining = ready or word == "ready", draining or word == "drain"
+        assert state.wants_traffic is (not draining and not quiesced) and state.can_serve is (
+            ready and not draining
+        )
+        expected = (
+            ServingPhase.LEAVING if draining else ServingPhase.QUIESCED if quiesced else ServingPhase.SERVING
+        )
+        assert state.phase is (expected if ready or draining else ServingPhase.STARTING)
 
 
-def test_the_address_of_the_door_comes_from_the_file_or_the_environment(tmp_path: Any) -> None:
+def test_the_address_comes_from_the_file_or_the_environment(tmp_path: Any) -> None:
     assert check(raw_config()).health_listen is None
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(mgmt="127.0.0.1:9901")))
--- a/tests/test_config.py
+++ b/tests/config/test_checking.py
@@ -1,4 +1,4 @@
-"""Configuration: what is wrong is named by its key, and the program says so and exits with 2."""
+"""Checks of the platform's and the operator's files: what is wrong is named by its key."""
 
 from __future__ import annotations
 
@@ -14,11 +14,28 @@
 from marlstep.units import MILLISECOND
 from tests.support.node import SETTINGS, raw_config
 
-DEPLOY = Path(__file__).parent.parent / "deploy"
-FRONT: dict[str, Any] = {"listen": "127.0.0.1:3031", "upstream": "127.0.0.1:3032", "vars": {"class": "C"}}
 
+@pytest.mark.parametrize("limits", [{"memory_mb": 1}, {"cores": 0}, {"cores": "half"}])
+def test_impossible_limits_are_named(limits: dict[str, object]) -> None:
+    with pytest.raises(ConfigError, match=r"limits\.(memory_mb|cores) must be"):
+        check(raw_config(limits=limits))
 
-def test_the_files_that_are_shipped_are_good() -> None:
+
+def test_buffers_of_uwsgi_connections_must_fit_half_of_the_memory() -> None:
+    # Guards against bodies and responses that are allowed more memory than a platform_table machine has.
+    uwsgi = {"listen": "127.0.0.1:0", "upstream": "127.0.0.1:1", "vars": {"class": "C"}}
+    platform_table = raw_config(limits={"memory_mb": 64})
+    with pytest.raises(ConfigError, match=r"uwsgi\.max_connections .* 32 MiB, half of limits\.memory_mb"):
+        check(platform_table, {"uwsgi": uwsgi})
+    assert check(platform_table, {"uwsgi": {**uwsgi, "max_connections": 64}}).uwsgi is not None
+
+
+DEPLOY = Path(__file__).parents[2] / "deploy"
+
+UWSGI: dict[str, Any] = {"listen": "127.0.0.1:3031", "upstream": "127.0.0.1:3032", "vars": {"class": "C"}}
+
+
+def test_the_shipped_files_are_valid() -> None:
     config = load({"PROXY_CONFIG": str(DEPLOY / "node.json"), "PROXY_NAME": "n9"}, str(DEPLOY / "uwsgi.toml"))
     assert (config.name, config.listen, config.shutdown_timeout) == (
         "n9",
@@ -28,7 +45,7 @@
     assert config.uwsgi is not None and config.uwsgi.mapping.class_names["setpoint"] == "setpoint-cmd"
 
 
-def test_without_an_operators_file_the_second_front_is_off() -> None:
+def test_without_an_operators_file_uwsgi_is_off() -> None:
     assert check(raw_config()).uwsgi is None
 
 
@@ -54,7 +71,7 @@
         ),
     ],
 )
-def test_what_is_wrong_is_named_by_its_key(change: dict[str, Any], key: str) -> None:
+def test_an_error_in_the_platforms_file_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
         check(raw_config(**change))
 
@@ -73,12 +90,12 @@
         ({"max_bodies": 1}, "uwsgi.max_bodies is not known"),
     ],
 )
-def test_what_is_wrong_in_the_operators_file_is_named_by_its_key(change: dict[str, Any], key: str) -> None:
+def test_an_error_in_the_uwsgi_section_names_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
-        check(raw_config(), {"uwsgi": FRONT | change})
+        check(raw_config(), {"uwsgi": UWSGI | change})
 
 
-ONE = {"servers": ["127.0.0.1:1"]}
+ONE_SERVER = {"servers": ["127.0.0.1:1"]}
 
 
 @pytest.mark.parametrize(
@@ -88,29 +105,29 @@
         ({"a": {"servers": ["127.0.0.1:1"] * 2}}, "uwsgi.pool.a.servers must name 1 to"),
         ({"a": {"servers": ["host:1"]}}, r"uwsgi.pool.a.servers\[0\] must be a numeric address"),
         ({"a": {"servers": "127.0.0.1:1"}}, "uwsgi.pool.a.servers must be a list"),
-        ({"a": ONE | {"colour": 1}}, "uwsgi.pool.a.colour is not known"),
-        ({"a": ONE | {"classes": ["no-such"]}}, "uwsgi.pool.a.classes: no-such must be one of"),
-        ({"a": ONE | {"refuses": [200]}}, "uwsgi.pool.a.refuses must be a list of statuses"),
-        ({"a": ONE | {"refuses": 503}}, "uwsgi.pool.a.refuses must be a list of statuses"),
-        ({"a": ONE | {"tries": 0}}, "uwsgi.pool.a.tries must be a whole number"),
-        ({"a": ONE | {"classes": ["temp-history"]}}, "exactly one pool must be without classes"),
-        ({"a": ONE, "b": ONE}, "exactly one pool must be without classes"),
+        ({"a": ONE_SERVER | {"colour": 1}}, "uwsgi.pool.a.colour is not known"),
+        ({"a": ONE_SERVER | {"classes": ["no-such"]}}, "uwsgi.pool.a.classes: no-such must be one of"),
+        ({"a": ONE_SERVER | {"refuses": [200]}}, "uwsgi.pool.a.refuses must be a list of statuses"),
+        ({"a": ONE_SERVER | {"refuses": 503}}, "uwsgi.pool.a.refuses must be a list of statuses"),
+        ({"a": ONE_SERVER | {"tries": 0}}, "uwsgi.pool.a.tries must be a whole number"),
+        ({"a": ONE_SERVER | {"classes": ["temp-history"]}}, "exactly one pool must be without classes"),
+        ({"a": ONE_SERVER, "b": ONE_SERVER}, "exactly one pool must be without classes"),
         (
-            {"a": ONE, **{name: ONE | {"classes": ["temp-history"]} for name in "bc"}},
+            {"a": ONE_SERVER, **{name: ONE_SERVER | {"classes": ["temp-history"]} for name in "bc"}},
             "class temp-history is listed twice",
         ),
     ],
 )
-def test_what_is_wrong_with_a_pool_is_named_by_its_key(pools: dict[str, Any], key: str) -> None:
-    front = {name: value for name, value in FRONT.items() if name != "upstream"}
+def test_an_error_in_a_pool_names_its_key(pools: dict[str, Any], key: str) -> None:
+    without_upstream = {name: value for name, value in UWSGI.items() if name != "upstream"}
     with pytest.raises(ConfigError, match=key):
-        check(raw_config(), {"uwsgi": front | {"pool": pools}})
+        check(raw_config(), {"uwsgi": without_upstream | {"pool": pools}})
     with pytest.raises(ConfigError, match="can't both be there"):
-        check(raw_config(), {"uwsgi": FRONT | {"pool": pools}})
+        check(raw_config(), {"uwsgi": UWSGI | {"pool": pools}})
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", json.dumps(raw_config(kernel="x"))])
-def test_the_program_says_what_is_wrong_in_a_line_and_exits_with_2(
+def test_the_program_prints_one_line_and_exits_with_2_on_an_invalid_configuration(
     text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
@@ -128,6 +145,6 @@
         assert (DEPLOY.parent / path).exists()
 
 
-def test_the_services_example_is_good() -> None:
+def test_the_shipped_service_example_is_valid() -> None:
     config = load({"PROXY_CONFIG": str(DEPLOY / "node.json")}, str(DEPLOY / "service.toml"))
     assert [tenant.portion for tenant in config.settings.tenants] == [0.5, 0.3, 0.2]
--- /dev/null
+++ b/tests/config/test_reloading.py
@@ -0,0 +1,133 @@
+"""A reload puts a configuration in force whole or not at all, and names what needs a restart."""
+
+from __future__ import annotations
+
+import copy
+import json
+import math
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from marlstep.config import Config, ConfigError, check, describe_changes, load, merge_reloaded
+from marlstep.node import Node
+from marlstep.units import MILLISECOND
+from tests.support.node import SETTINGS, HandClock, raw_config
+
+
+def changed_settings(change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
+    settings = copy.deepcopy(SETTINGS)
+    change(settings)
+    return settings
+
+
+def replace_setpoint_class(settings: dict[str, Any]) -> None:
+    """Replace setpoint-cmd by boiler-cmd, with half the deadline."""
+    settings["classes"][2].update(name="boiler-cmd", aimUs=400_000, hardLimitUs=2_000_000.0, worth=5.0)
+
+
+def with_value(path: str, value: Any) -> Callable[[dict[str, Any]], str]:
+    """Return what writes a file with this value at a path, or without the path."""
+
+    def change(raw: dict[str, Any]) -> str:
+        *parents, last = path.split(".")
+        table: Any = raw
+        for part in parents:
+            table = table[int(part) if part.isdigit() else part]
+        if value is MISSING:
+            del table[last]
+        else:
+            table[last] = value
+        return json.dumps(raw)
+
+    return change
+
+
+MISSING = object()
+
+COMPLETE = json.dumps(raw_config(kernel="127.0.0.1:9"))
+
+VALUES: list[Any] = [0, -5, -0.0, math.nan, math.inf, "8600000", True, [], {}]
+
+INVALID_FILES: list[tuple[Callable[[dict[str, Any]], str], str]] = [
+    (lambda raw: "", "can't be read"),
+    (lambda raw: COMPLETE[: len(COMPLETE) // 2], "can't be read"),
+    (lambda raw: COMPLETE[:-1], "can't be read"),
+    (lambda raw: "[]", "does not hold a table"),
+    (lambda raw: "\x00" * 40, "can't be read"),
+    *((with_value(key, MISSING), f"{key} is missing") for key in ("settings", "kernel", "db", "stop_ms", "seed")),
+    (with_value("settings.classes", MISSING), "settings"),
+    (with_value("settings.rules.fallUs", MISSING), "rules.fallUs is missing"),
+    (with_value("settings.familyInfo.heededUs", MISSING), "settings.familyInfo.heededUs is missing"),
+    (with_value("settings.classes.1.repeatWindowUs", MISSING), r"settings.classes\[1\].repeatWindowUs is missing"),
+    (with_value("settings.classes.0.hardLimitUs", MISSING), r"classes\[0\].hardLimitUs is missing"),
+    *(
+        (with_value("settings.classes.0.hardLimitUs", value), r"settings.classes\[0\].hardLimitUs must be a number")
+        for value in VALUES
+    ),
+    (with_value("settings.classes.2.aimUs", math.nan), r"settings.classes\[2\].aimUs must be a number above 0"),
+    (with_value("settings.classes.0.hardLimitUs", 0.5), "settings: classes"),
+    (with_value("settings.classes", []), "one value for each class"),
+    (with_value("settings.classes", "none"), "classes"),
+    (with_value("settings.classes", [7]), "settings"),
+    (with_value("settings.classes.1.name", "temp-history"), "names one twice"),
+    (with_value("settings.familyInfo.ramKb", -1.0), "settings: familyInfo.ramKb must be above 0"),
+]  # fmt: skip
+
+
+@pytest.mark.parametrize(("write_file", "message"), INVALID_FILES)
+def test_an_invalid_file_is_rejected_whole(
+    write_file: Callable[[dict[str, Any]], str],
+    message: str,
+    tmp_path: Path,
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    # Guards against half a file in force: each names another kernel as well, which must not be connected to.
+    path = tmp_path / "config.json"
+    path.write_text(json.dumps(raw_config(db="127.0.0.1:5")))
+
+    def read() -> Config:
+        return load({"PROXY_CONFIG": str(path)})
+
+    node = Node(read(), HandClock().timeline, read)
+    before, controller = node.config, node.core._controller
+    path.write_text(write_file(copy.deepcopy(raw_config(db="127.0.0.1:5", kernel="127.0.0.1:9"))))
+    node.config_reloader.reload()
+    assert node.config is before and node.core.settings is before.settings
+    assert controller.state.settings is before.settings and node.kernel._address == before.kernel
+    [line] = [record.getMessage() for record in caplog.records if record.levelname == "ERROR"]
+    assert str(path) in line and "the running one stays in force" in line
+    with pytest.raises(ConfigError, match=message):
+        merge_reloaded(before, read())
+
+
+def test_changed_settings_are_described_and_what_holds_from_the_start_stays(tmp_path: Path) -> None:
+    running = check(raw_config())
+    settings = check(raw_config(settings={**changed_settings(replace_setpoint_class), "peersTotal": 7}))
+    config, restart_keys = merge_reloaded(running, settings)
+    assert restart_keys == [] and config.settings.server_count == running.settings.server_count
+    lines = describe_changes(running.settings, config.settings)
+    assert lines == ["class setpoint-cmd is gone", "class boiler-cmd is new"]
+    slower = changed_settings(lambda settings: settings["classes"][0].update(aimUs=9))
+    lines = describe_changes(running.settings, check(raw_config(settings=slower)).settings)
+    assert lines == ["class temp-history: aim_us 2600000 is now 9"]
+
+
+def test_client_addresses_are_taken_over_and_a_changed_listen_address_needs_a_restart() -> None:
+    running = check(raw_config(db="127.0.0.1:5"))
+    changed = {
+        "kernel": "127.0.0.1:2",
+        "naming": "127.0.0.1:3",
+        "db": "127.0.0.1:6",
+        "listen": "127.0.0.1:77",
+    }
+    settings = check(raw_config(**changed, stop_ms=900))
+    config, restart_keys = merge_reloaded(running, settings)
+    assert (config.kernel[1], config.name_service, config.database) == (2, ("127.0.0.1", 3), ("127.0.0.1", 6))
+    assert (
+        config.shutdown_timeout == 900 * MILLISECOND
+        and config.listen == running.listen
+        and restart_keys == ["listen"]
+    )
--- /dev/null
+++ b/tests/core/test_quotas.py
@@ -0,0 +1,18 @@
+"""Requests beyond a tenant's quota."""
+
+from __future__ import annotations
+
+from tests.support.node import Desk
+
+TENANTS = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
+
+
+def test_requests_beyond_a_tenants_quota_run_after_the_others() -> None:
+    desk = Desk(cores=1, realms=TENANTS, overShareWorth=0.1)
+    for number in (1, 2, 3):  # the third is over
+        desk.submit(number, tenant="riad")
+    desk.submit(4)
+    desk.end(1)
+    desk.end(2)
+    desk.end(4)
+    assert [id for what, id in desk.backend.told if what == "start"] == ["r1", "r2", "r4", "r3"]
--- a/tests/test_days.py
+++ b/tests/frontends/test_resp_over_time.py
@@ -1,34 +1,15 @@
-"""What the days in service ask for: small machines, long days, and releases while much is held."""
+"""The RESP frontend over a long time: memory stays bounded, and a shutdown under load responds once each."""
 
 from __future__ import annotations
 
-import pytest
-
-from marlstep.config import ConfigError, check
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SECOND
 from tests.frontends.support import RespHarness, exec_frame, instant_ms
-from tests.support.node import raw_config
 
 KINDS = (b"temp-history", b"schedule-save", b"setpoint-cmd")
 
 
-@pytest.mark.parametrize("limits", [{"memory_mb": 1}, {"cores": 0}, {"cores": "half"}])
-def test_limits_that_cannot_be_are_named(limits: dict[str, object]) -> None:
-    with pytest.raises(ConfigError, match=r"limits\.(memory_mb|cores) must be"):
-        check(raw_config(limits=limits))
-
-
-def test_what_uwsgi_may_hold_fits_the_machine_too() -> None:
-    # Guards against bodies and responses that are allowed more memory than a small machine has.
-    second = {"listen": "127.0.0.1:0", "upstream": "127.0.0.1:1", "vars": {"class": "C"}}
-    small = raw_config(limits={"memory_mb": 64})
-    with pytest.raises(ConfigError, match=r"uwsgi\.max_connections .* 32 MiB, half of limits\.memory_mb"):
-        check(small, {"uwsgi": second})
-    assert check(small, {"uwsgi": {**second, "max_connections": 64}}).uwsgi is not None
-
-
-def test_nothing_grows_with_ids_front_ends_and_connections_that_were_seen() -> None:
+def test_no_table_grows_with_request_ids_callers_and_connections_seen() -> None:
     # Guards against tables, deadlines or ledgers that keep something of every request on a long day.
     platform = RespHarness(limit=40)
     core, sizes = platform.desk.core, []
@@ -55,7 +36,7 @@
     assert core.counts["read"] == 1_200 and core.in_flight == 0
 
 
-def test_a_release_while_much_is_held_answers_each_once_and_runs_nothing_that_came_too_late() -> None:
+def test_a_shutdown_under_load_responds_once_each_and_runs_no_late_arrival() -> None:
     platform = RespHarness(cores=2, limit=40)
     wires = [platform.connect() for _ in range(10)]
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,7 +13,7 @@
 import pytest
 import uvloop
 
-from marlstep.config import check, load, merge_reloaded
+from marlstep.config import load
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.platform.name_service import REPORT_INTERVAL, NameService
@@ -24,24 +24,6 @@
 from tests.test_loopback import over_resp
 
 
-def test_a_running_node_takes_over_addresses_and_names_what_takes_a_new_start() -> None:
-    old = check(raw_config(db="127.0.0.1:5"))
-    changed = {
-        "kernel": "127.0.0.1:2",
-        "naming": "127.0.0.1:3",
-        "db": "127.0.0.1:6",
-        "listen": "127.0.0.1:77",
-    }
-    told = check(raw_config(**changed, stop_ms=900))
-    config, left_out = merge_reloaded(old, told)
-    assert (config.kernel[1], config.name_service, config.database) == (2, ("127.0.0.1", 3), ("127.0.0.1", 6))
-    assert (
-        config.shutdown_timeout == 900 * MILLISECOND
-        and config.listen == old.listen
-        and left_out == ["listen"]
-    )
-
-
 class Reports(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.seen: list[bytes] = []
--- /dev/null
+++ b/tests/traces/test_tenants.py
@@ -0,0 +1,71 @@
+"""Tenants and priority weights out of a public trace."""
+
+from __future__ import annotations
+
+import tomllib
+from pathlib import Path
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from marlstep.cli.main import call
+from marlstep.config import check
+from marlstep.traces import tenants
+from marlstep.traces.reading import Account
+from marlstep.traces.rows import Arrival
+from tests.frontends.test_parsers import FIXED
+from tests.support.node import raw_config
+
+TRACE = 'time,user,queue\n0,a,1\n1,"b ""q""",0\nx,a,1\n2,,0\n3,a\n4,a,0\n'
+
+
+def test_a_trace_gives_an_operators_file_and_its_invalid_lines_are_named(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    path = tmp_path / "trace.csv"
+    path.write_text(TRACE)
+    words = ["--tenant", "user", "--kind", "queue", "--time", "time", "--most", "1", "--headroom", "2"]
+    names = ["--as", "0=schedule-save", "--as", "1=setpoint-cmd"]
+    assert call(["trace", "tenants", *words, *names, str(path)]) == 0
+    told = capsys.readouterr()
+    assert [f"trace.csv:{line}" in told.err for line in range(2, 8)] == [
+        False,
+        False,
+        True,
+        True,
+        True,
+        False,
+    ]
+    operator = tomllib.loads(told.out)
+    assert operator["tenants"]["a"] == {"share": 0.666667, "allowance_per_s": 1.0}
+    settings = check(raw_config(), operator).settings
+    assert {tenant.name for tenant in settings.tenants} == {"a", "others"}
+    assert [kind.priority_weight for kind in settings.classes] == [1.0, 1.0, 2.0]
+
+
+def tallied(*rows: tuple[str, str]) -> Account:
+    account = Account()
+    account.add([Arrival(0, "", "", tenant, kind, 0.0, 1) for tenant, kind in rows])
+    return account
+
+
+def test_classes_keep_the_rank_of_the_trace_under_other_names() -> None:
+    # Guards against ranking by the new names, and against a table that comes twice when two share a name.
+    account = tallied(*(("a", kind) for kind in ("0", "2", "10", "1")))
+    names = {"0": "z", "10": "a", "1": "m", "2": "m"}
+    operator = tomllib.loads("\n".join(tenants.settings(account, 5, 1.0, names)))
+    assert operator["classes"] == {"z": {"worth": 1.0}, "m": {"worth": 3.0}, "a": {"worth": 4.0}}
+
+
+def test_a_tenant_called_others_is_listed_once() -> None:
+    account = tallied(*((tenant, "0") for tenant in ("others", "a", "a", "b")))
+    for most in (1, 2, 3):
+        found = tomllib.loads("\n".join(tenants.settings(account, most, 1.0, {})))["tenants"]
+        assert sum(tenant["share"] for tenant in found.values()) == 1.0
+
+
+@FIXED
+@given(st.lists(st.tuples(st.text(max_size=20), st.text(max_size=20)), min_size=1, max_size=20))
+def test_any_tenant_names_make_a_valid_file(rows: list[tuple[str, str]]) -> None:
+    tomllib.loads("\n".join(tenants.settings(tallied(*rows), 5, 1.0, {})))
