--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -4,7 +4,8 @@
 call and reject; backends report what became of that; and exactly one response leaves. Each part owns its own state:
 
 - `intake` accepts or rejects, `request_registry` holds what is in flight,
-- `event_queue` brings events to the controller, `dispatcher` carries out its actions,
+- `event_queue` brings events to the controller; `dispatcher` hands its actions to `request_actions` and
+  `node_actions`,
 - `run_events` takes the reports of backends, `responses` sends responses and ends requests,
 - `idempotency`, `repeats` and `sibling_claims` know which work has been accepted before,
 - `served_settings`, `drain`, `gauge_timers` and `counters` own what their names say.
@@ -48,7 +49,9 @@
     ResponseHandle,
     SiblingProcesses,
 )
+from marlstep.core.node_actions import NodeActions
 from marlstep.core.repeats import RepeatedWork
+from marlstep.core.request_actions import RequestActions
 from marlstep.core.request_registry import MAX_REQUESTS, RequestRegistry
 from marlstep.core.responses import ResponseDelivery
 from marlstep.core.run_events import RunEvents
@@ -103,7 +106,11 @@
         self.serving_state = ServingState()
         self.idempotency_keys = KeyTable()
         self.on_backend_ready: Callable[[], None] = self.serving_state.mark_ready
-        requests, keys, events, served = self._requests, self.idempotency_keys, self._events, self._served
+        self._compose(ports)
+
+    def _compose(self, ports: Ports) -> None:
+        timeline, requests, keys = self._timeline, self._requests, self.idempotency_keys
+        events, served = self._events, self._served
         self._responses = ResponseDelivery(timeline, requests, keys, self._counters, events, served)
         self._repeats = RepeatedWork(timeline, requests, keys, self._responses, served)
         arrivals = ControllerArrivals(timeline, requests, keys, events)
@@ -118,17 +125,12 @@
             timeline, self.serving_state, requests, self._responses, events, self._frontends
         )
         self._gauge_timers = GaugeTimers(timeline, ports.gauges, events.post)
-        self._dispatcher = ActionDispatcher(
-            timeline,
-            requests,
-            self._responses,
-            self._repeats,
-            self._counters,
-            self._gauge_timers,
-            self._shutdown,
-            self._frontends,
-            ports.call_client,
+        node_actions = NodeActions(self._gauge_timers, self._frontends)
+        self._signals = node_actions.signals
+        request_actions = RequestActions(
+            timeline, self._responses, self._repeats, self._counters, self._shutdown, ports.call_client
         )
+        self._dispatcher = ActionDispatcher(requests, self._responses, node_actions, request_actions)
 
     def start(self) -> None:
         """Let the controller set its first timers."""
@@ -227,7 +229,7 @@
         for extension in change.window_extensions:
             self.idempotency_keys.extend(extension.request_class, extension.added, now, extension.deadline)
         if change.load_signal_changed:
-            self._dispatcher.signals.advertised_value = None  # callers would misread it
+            self._signals.advertised_value = None  # callers would misread it
         self._events.post(SettingsChanged(change.effective, change.retired))
 
     @property
@@ -254,7 +256,7 @@
     def healthy(self) -> bool:
         """Whether health checks succeed: the controller, the operator and the configuration all agree."""
         return (
-            self._dispatcher.signals.is_healthy
+            self._signals.is_healthy
             and self.serving_state.wants_traffic
             and (self.accepts_work is None or self.accepts_work())
         )
@@ -262,7 +264,7 @@
     @property
     def advertised_value(self) -> float | None:
         """The load signal that every response carries; None for none."""
-        return self._dispatcher.signals.advertised_value
+        return self._signals.advertised_value
 
     @property
     def counts(self) -> Counter[str]:
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
+from typing import get_args
+
 import pytest
 
+from marlstep.admission.actions import Action, Fail, Run, SkipCall
 from marlstep.core.interfaces import Request, ResponseStatus
 from tests.support.node import Desk
 
@@ -23,3 +26,17 @@
     assert desk.backend.told == [("start", "r2")]
     desk.clock.advance(2700)
     assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
+
+
+def test_every_type_of_action_has_one_handler() -> None:
+    dispatcher = Desk().core._dispatcher
+    node, request = dispatcher._node_handlers.keys(), dispatcher._request_handlers.keys()
+    assert node | request == set(get_args(Action)) and not node & request
+
+
+def test_an_action_about_a_released_request_is_ignored() -> None:
+    desk = Desk()
+    desk.submit(1)
+    desk.end(1)
+    desk.core._dispatcher.execute_all([Run("r1"), Fail("r1"), SkipCall("r1")])
+    assert desk.backend.told == [("start", "r1")] and len(desk.answers[1]) == 1
--- a/tests/frontends/test_resp.py
+++ b/tests/frontends/test_resp.py
@@ -27,7 +27,7 @@
         clock = self.desk.clock
         self.front = RespFrontend(self.desk.core, clock.timeline, self.desk.backend, limit, 15 * SECOND)
         self.desk.core.add_frontend(self.front)
-        self.desk.core._dispatcher.signals.advertised_value = None
+        self.desk.core._signals.advertised_value = None
 
     def connect(self) -> Wire:
         return Wire(RespConnection(self.front))
@@ -72,7 +72,7 @@
 def test_health_checks_are_answered_and_every_answer_carries_the_free_value() -> None:
     platform = Platform()
     wire = platform.connect()
-    platform.desk.core._dispatcher.signals.advertised_value = 2.5
+    platform.desk.core._signals.advertised_value = 2.5
     platform.feed(wire, write_frame(b"ALIVE", b"8", b""))
     platform.desk.core.serving_state.quiesce()
     platform.feed(wire, write_frame(b"ALIVE", b"9"))
