--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -27,7 +27,7 @@
 )
 from marlstep.frontends.resp_fields import advertised_fields, read_request, response_fields
 from marlstep.frontends.resp_tags import TagTracker
-from marlstep.frontends.resp_wire import FrameReader, write_fields, write_frame
+from marlstep.frontends.resp_wire import FrameReader, write_fields, write_frame, write_response_frame
 from marlstep.timer_queue import TimerQueue
 
 RING_SIZE = 4 * 1024  # bytes; a frame is read word by word, and the longest word has 2 KiB
@@ -71,13 +71,9 @@
             self.inbox.skip(self.inbox.used)
         else:
             self._update_progress(has_read_frame)
-        if not self._request_handles and self._has_read_everything:
+        if not self._request_handles and resp_policy.has_read_everything(self.at_eof, self.send_blocked):
             self.finish()
 
-    @property
-    def _has_read_everything(self) -> bool:
-        return resp_policy.has_read_everything(self.at_eof, self.send_blocked)
-
     @property
     def _waits_for_peer(self) -> bool:
         return resp_policy.waits_for_peer(
@@ -163,13 +159,13 @@
         if self.send_blocked:
             self.start_progress_timer()
         if not self._request_handles:
-            if resp_policy.closes_after_last_response(self._malformed, self._has_read_everything):
+            if resp_policy.closes_after_last_response(self._malformed, self.at_eof, self.send_blocked):
                 self.finish()
             else:
                 self.frontend.mark_idle(self)
 
     def _send_frame(self, tag: int, word: bytes, fields: Mapping[str, str], body: bytes) -> None:
-        self.send(write_frame(b"%d" % tag, word, write_fields(fields), body))
+        self.send(write_response_frame(tag, word, write_fields(fields), body))
 
     # How a connection ends.
 
--- /dev/null
+++ b/tests/hot_restart/test_process_races.py
@@ -0,0 +1,344 @@
+"""Races of a hot restart (docs/crossings.md): two real processes on one passed socket, with kernels that hold back.
+
+Which of them accepts a connection is made sure by stopping the other. Order comes from what an emulator has read, a
+response, the state that a process gives at its health endpoint, or its end. The settings share nothing with casa-main.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import copy
+import signal
+import socket
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
+from contextlib import ExitStack, asynccontextmanager, contextmanager, suppress
+from pathlib import Path
+
+import pytest
+
+from marlstep.frontends.resp_wire import write_frame
+from tests.races.test_shutdown_and_reload import BAD_INPUT
+from tests.support.alternate_settings import ALTERNATE_SETTINGS, alternate_config
+from tests.support.node_on_sockets import RespClient, ScriptedKernel, until
+from tests.support.restart_processes import NodeProcess, Platform, now, run_on_platform
+
+READY_REPORT, DRAINING_REPORT = b"renew n1 yes", b"renew n1 no"
+
+
+def run_with_long_deadlines(tmp_path: Path, test: Callable[[Platform], Awaitable[None]]) -> None:
+    # Here time passes by itself: no deadline may come before what a slow machine takes to start a process.
+    settings = copy.deepcopy(ALTERNATE_SETTINGS)
+    for row in settings["classes"]:
+        row.update(aimUs=4_000_000, hardLimitUs=20_000_000)
+    run_on_platform(tmp_path, test, alternate_config(settings=settings, stop_ms=6_000))
+
+
+class HeldProcess:
+    """A process and its kernel."""
+
+    def __init__(self, process: NodeProcess, kernel: ScriptedKernel) -> None:
+        self.process, self.kernel = process, kernel
+
+    def signal(self, number: signal.Signals) -> None:
+        self.process.subprocess.send_signal(number)
+
+    async def kill(self) -> None:
+        await self.process.signal_and_wait(signal.SIGKILL)
+
+    async def stop(self) -> None:
+        """Return once the operating system has stopped it."""
+        self.signal(signal.SIGSTOP)
+        path = Path(f"/proc/{self.process.subprocess.pid}/stat")
+        await until(lambda: path.read_text().rpartition(")")[2].split()[0] == "T")
+
+    @asynccontextmanager
+    async def stopped_meanwhile(self) -> AsyncIterator[None]:
+        """The other process accepts what comes meanwhile."""
+        await self.stop()
+        yield
+        self.signal(signal.SIGCONT)
+
+
+async def start_serving(platform: Platform) -> HeldProcess:
+    kernel = ScriptedKernel()
+    return HeldProcess(await platform.start_process(kernel), kernel)
+
+
+async def launch(platform: Platform, up: bool = True) -> HeldProcess:
+    """Start a process and do not wait; with `up` false its kernel answers only once `kernel.up` is set."""
+    kernel = ScriptedKernel()
+    if not up:
+        kernel.up.clear()
+    return HeldProcess(await platform.launch_process(kernel), kernel)
+
+
+async def connect(platform: Platform) -> RespClient:
+    return RespClient(now, *await asyncio.open_connection("127.0.0.1", platform.port))
+
+
+async def accepted_connection(platform: Platform) -> RespClient:
+    """A connection that the only process that runs now has accepted."""
+    caller = await connect(platform)
+    caller.send(write_frame(b"ALIVE", b"1"))
+    await caller.response(1)
+    return caller
+
+
+def queued_connection(platform: Platform, frame: bytes) -> socket.socket:
+    """A connection at the passed socket with a request in it, which no process has accepted yet."""
+    client = socket.create_connection(("127.0.0.1", platform.port), timeout=10)
+    client.sendall(frame)
+    return client
+
+
+@contextmanager
+def full_backlog(path: Path) -> Iterator[None]:
+    """Fill the queue of a socket whose process accepts nothing now: a connection neither stands nor is refused."""
+    with ExitStack() as stack:
+        with suppress(BlockingIOError):
+            while True:
+                client = stack.enter_context(socket.socket(socket.AF_UNIX))
+                client.setblocking(False)
+                client.connect(str(path))
+        yield
+
+
+async def serve(process: HeldProcess, caller: RespClient, tag: int, id: int) -> None:
+    """Have the process run the request, and its client get the response."""
+    await process.kernel.command_read("SCHED", id)
+    process.kernel.end_run(id)
+    assert await caller.status_word(tag) == "done"
+
+
+@pytest.mark.parametrize("victim", ["predecessor", "successor"])
+@pytest.mark.parametrize("step", ["the predecessor is stopped", "its kernel is not up"])
+def test_either_process_is_killed_while_the_successor_starts(step: str, victim: str, tmp_path: Path) -> None:
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        first = await accepted_connection(platform)
+        first.send_request(2, "book", b"mine", id=2, once="k")
+        await predecessor.kernel.command_read("SCHED", 2)
+        if step == "its kernel is not up":
+            successor = await launch(platform, up=False)
+            await until(
+                lambda: successor.kernel.link_count
+            )  # it has connected to the predecessor, or found that it can't
+        else:
+            await predecessor.stop()
+            successor = await launch(platform)
+            await until(
+                (tmp_path / "tmp" / "marlstep.n1.2.sock").exists
+            )  # it has connected to the predecessor, or found that it can't
+        if victim == "predecessor":
+            await predecessor.stop()  # it accepts no connection before its end
+        second = await connect(platform)
+        if victim == "predecessor":
+            await predecessor.kill()
+            second.send_request(3, "list", id=3)  # waits until a process accepts it
+            successor.kernel.up.set()
+            await serve(successor, second, 3, 3)
+            retry = await connect(platform)
+            retry.send_request(4, "book", b"mine", id=4, once="k")  # it may have run there
+            assert await retry.status_word(4) in ("later", "error")
+            retry.send_request(5, "list", id=5)
+            await serve(successor, retry, 5, 5)
+        else:
+            await successor.kill()
+            predecessor.signal(signal.SIGCONT)
+            second.send_request(3, "list", id=3)
+            await serve(predecessor, second, 3, 3)
+            predecessor.kernel.end_run(2)
+            assert await first.status_word(2) == "done"
+            second.send_request(4, "book", b"mine", id=4, once="k")
+            assert await second.response(4) == [b"done", b"done"]
+        assert predecessor.kernel.command_count("SCHED", 2) + successor.kernel.command_count("SCHED", 4) == 1
+
+    run_with_long_deadlines(tmp_path, run)
+
+
+@pytest.mark.parametrize("after", ["the predecessor goes on", "the predecessor is killed"])
+def test_a_successor_that_gets_no_reply_from_its_predecessor_runs_no_keyed_request(
+    after: str, tmp_path: Path
+) -> None:
+    # Guards against a second run: a successor took silence for there being no predecessor, and knew none of its keys.
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        first = await accepted_connection(platform)
+        first.send_request(2, "book", b"mine", id=2, once="k")
+        await predecessor.kernel.command_read("SCHED", 2)
+        await predecessor.stop()
+        with full_backlog(tmp_path / "tmp" / "marlstep.n1.1.sock"):
+            successor = await start_serving(platform)  # nobody answered it
+        if after == "the predecessor is killed":
+            await predecessor.kill()
+        second = await accepted_connection(platform)
+        second.send_request(3, "book", b"mine", id=4, once="k")
+        second.send_request(4, "list", id=5)
+        await serve(successor, second, 4, 5)
+        assert successor.kernel.command_count("SCHED", 4) == 0
+        assert await second.status_word(3) == "later"
+        if after == "the predecessor goes on":
+            predecessor.signal(signal.SIGCONT)
+            predecessor.kernel.end_run(2)
+            assert await first.status_word(2) == "done"
+        assert predecessor.kernel.command_count("SCHED", 2) + successor.kernel.command_count("SCHED", 4) == 1
+
+    run_with_long_deadlines(tmp_path, run)
+
+
+@pytest.mark.parametrize("after", ["goes on", "is killed"])
+def test_a_connection_that_neither_process_accepts_is_accepted_once_one_can(
+    after: str, tmp_path: Path
+) -> None:
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        first = await accepted_connection(platform)
+        first.send_request(2, "list", id=2)
+        await predecessor.kernel.command_read("SCHED", 2)
+        successor = await start_serving(platform)
+        await successor.stop()
+        predecessor.signal(signal.SIGTERM)
+        await predecessor.process.wait_for_state("handing over")  # it accepts nothing any more
+        queued = queued_connection(platform, RespClient.frame(first, 3, "list", id=3))
+        serving = successor
+        if after == "goes on":
+            successor.signal(signal.SIGCONT)
+        else:
+            serving = predecessor
+            await successor.kill()
+            await until(
+                lambda: platform.reports[-1][1] == DRAINING_REPORT
+            )  # the name service hears that the node drains
+        queued.setblocking(False)
+        caller = RespClient(now, *await asyncio.open_connection(sock=queued))
+        await serve(serving, caller, 3, 3)
+        predecessor.kernel.end_run(2)
+        assert await first.status_word(2) == "done"
+        caller.writer.close()
+        first.writer.close()
+        assert await predecessor.process.subprocess.wait() == 0
+        assert (platform.reports[-1][1] == READY_REPORT) is (serving is successor)
+
+    run_with_long_deadlines(tmp_path, run)
+
+
+@pytest.mark.parametrize("first", ["predecessor", "successor"])
+def test_both_processes_get_sigterm_and_neither_accepts_again(first: str, tmp_path: Path) -> None:
+    # Guards against a predecessor that accepts connections again, for a whole grace, when a draining successor ends.
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        at_predecessor = await accepted_connection(platform)
+        successor = await start_serving(platform)
+        async with predecessor.stopped_meanwhile():
+            at_successor = await accepted_connection(platform)
+        at_predecessor.send_request(2, "list", id=2)
+        at_successor.send_request(3, "list", id=3)
+        await predecessor.kernel.command_read("SCHED", 2)
+        await successor.kernel.command_read("SCHED", 3)
+        if first == "predecessor":
+            predecessor.signal(signal.SIGTERM)
+            await predecessor.process.wait_for_state("handing over")
+            successor.signal(signal.SIGTERM)
+            await successor.process.wait_for_state("leaving")
+        else:
+            successor.signal(signal.SIGTERM)
+            await successor.process.wait_for_state("leaving")
+            assert await predecessor.process.state() == "serving"
+            assert DRAINING_REPORT not in [report for _, report in platform.reports]
+            predecessor.signal(signal.SIGTERM)
+            await predecessor.process.wait_for_state("leaving")
+        await until(lambda: platform.reports[-1][1] == DRAINING_REPORT)
+        at_successor.send_request(4, "list", id=4)  # inside the grace
+        await serve(successor, at_successor, 4, 4)
+        successor.kernel.end_run(3)
+        assert await at_successor.status_word(3) == "done"
+        at_successor.writer.close()
+        assert await successor.process.subprocess.wait() == 0
+        if first == "predecessor":
+            await predecessor.process.state()  # it has seen the successor's end
+            unaccepted = queued_connection(platform, RespClient.frame(at_predecessor, 5, "list", id=5))
+        predecessor.kernel.end_run(2)
+        assert await at_predecessor.status_word(2) == "done"
+        at_predecessor.writer.close()
+        assert await predecessor.process.subprocess.wait() == 0
+        assert (
+            predecessor.kernel.command_count("SCHED", 5) == 0 and platform.reports[-1][1] == DRAINING_REPORT
+        )
+        if first == "predecessor":
+            unaccepted.close()
+
+    run_with_long_deadlines(tmp_path, run)
+
+
+def test_a_successor_that_gets_sigterm_before_it_accepts_anything_leaves_the_node_to_the_predecessor(
+    tmp_path: Path,
+) -> None:
+    # Guards against a node that is reported as draining, and a process that accepts connections only to reject them.
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        successor = await launch(platform, up=False)
+        await until(lambda: successor.kernel.link_count)
+        assert await successor.process.signal_and_wait(signal.SIGTERM) == 0
+        caller = await accepted_connection(platform)
+        caller.send_request(2, "open", id=2)
+        await serve(predecessor, caller, 2, 2)
+        third = await start_serving(platform)  # the next one may start
+        predecessor.signal(signal.SIGTERM)
+        caller.writer.close()
+        assert await predecessor.process.subprocess.wait() == 0
+        caller = await accepted_connection(platform)
+        caller.send_request(2, "open", id=3)
+        await serve(third, caller, 2, 3)
+        assert DRAINING_REPORT not in [report for _, report in platform.reports]
+
+    run_with_long_deadlines(tmp_path, run)
+
+
+@pytest.mark.parametrize("where", ["predecessor", "successor"])
+def test_bad_input_during_a_hot_restart_disturbs_no_other_connection(where: str, tmp_path: Path) -> None:
+    async def run(platform: Platform) -> None:
+        predecessor = await start_serving(platform)
+        in_flight = await accepted_connection(platform)
+        in_flight.send_request(2, "list", id=50)  # the predecessor has this to finish
+        await predecessor.kernel.command_read("SCHED", 50)
+        [path] = (tmp_path / "tmp").iterdir()
+        _, stranger = await asyncio.open_unix_connection(str(path))
+        stranger.write(b"GET / HTTP/1.1\r\n\r\n")
+        serving = predecessor
+        caller = await accepted_connection(platform)
+        clients = {bad: await connect(platform) for bad in BAD_INPUT}
+        successor = await start_serving(platform)
+        if where == "successor":
+            async with predecessor.stopped_meanwhile():
+                caller, serving = await accepted_connection(platform), successor
+                clients = {bad: await connect(platform) for bad in BAD_INPUT}
+                for bad, client in clients.items():
+                    client.send(BAD_INPUT[bad][:3])
+                caller.send_request(2, "book", b"mine", id=2, once="k")  # its claim waits for the predecessor
+        else:
+            for bad, client in clients.items():
+                client.send(BAD_INPUT[bad][:3])
+            caller.send_request(2, "book", b"mine", id=2, once="k")
+        await serving.kernel.command_read("SCHED", 2)
+        predecessor.signal(signal.SIGTERM)
+        await predecessor.process.wait_for_state("handing over")
+        predecessor.kernel.end_run(50)
+        assert await in_flight.status_word(2) == "done"
+        for bad, client in clients.items():
+            client.send(BAD_INPUT[bad][3:])
+        for bad, client in clients.items():
+            if bad in ("malformed", "out of range", "unknown class"):
+                assert await client.status_word(1) == "error"
+                client.writer.close()
+            else:
+                await client.read_to_end()  # closed in its time
+        serving.kernel.end_run(2)
+        assert await caller.status_word(2) == "done" and caller.response_count(2) == 1
+        for connection in (caller, in_flight):
+            connection.writer.close()
+        assert await predecessor.process.subprocess.wait() == 0
+        assert (
+            predecessor.kernel.command_count("SCHED", 77) + successor.kernel.command_count("SCHED", 77) == 0
+        )
+
+    run_with_long_deadlines(tmp_path, run)
--- a/tests/races/test_crossings_page.py
+++ b/tests/races/test_crossings_page.py
@@ -18,7 +18,7 @@
 
 
 def test_each_test_that_the_page_names_exists() -> None:
-    assert NAMED - names_in("races") - names_in("core") == set()
+    assert NAMED - names_in("races") - names_in("core") - names_in("hot_restart") == set()
 
 
 def test_each_race_test_stands_on_the_page() -> None:
