--- a/marlstep/core/request_actions.py
+++ b/marlstep/core/request_actions.py
@@ -72,7 +72,9 @@
         has_effect = request.class_settings.effect is not Effect.IDEMPOTENT
         if may_reject(may_have_run=request.may_have_run, has_effect=has_effect):
             retry_after = span(action.retry_after_us)
-            response = Response(ResponseStatus.REJECTED, retry_after=retry_after, no_failover=action.no_failover)
+            response = Response(
+                ResponseStatus.REJECTED, retry_after=retry_after, no_failover=action.no_failover
+            )
             self._responses.respond(request, response)
         else:
             log.error("rejection of work that may have run: request=%s sent_as=failed", action.id)
--- a/tests/core/test_engine_properties.py
+++ b/tests/core/test_engine_properties.py
@@ -4,15 +4,17 @@
 
 import contextlib
 from collections import Counter
+from collections.abc import Iterator
 from dataclasses import replace
 from typing import Any
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from marlstep.admission.events import Outcome
 from marlstep.core.errors import RequestRejectedError
-from marlstep.core.interfaces import ResponseStatus, Stage
+from marlstep.core.interfaces import Request, ResponseStatus, Stage
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import FIXED
 from tests.support.node import Desk
@@ -118,6 +120,56 @@
     assert core.unanswered == core.in_flight == 0
 
 
+# The stages that may follow each, as the documentation of Stage says.
+NEXT_STAGES = {
+    Stage.CLAIMING: {Stage.QUEUED, Stage.FINISHED},
+    Stage.QUEUED: {Stage.RUNNING, Stage.ATTACHED, Stage.FINISHED},
+    Stage.RUNNING: {Stage.PAUSED, Stage.QUEUED, Stage.AWAITING_CALL, Stage.FINISHED},
+    Stage.PAUSED: {Stage.RUNNING, Stage.FINISHED},
+    Stage.AWAITING_CALL: {Stage.CALLING, Stage.RUNNING, Stage.FINISHED},
+    Stage.CALLING: {Stage.RUNNING, Stage.AWAITING_CALL, Stage.FINISHED},
+    Stage.ATTACHED: {Stage.FINISHED},
+    Stage.FINISHED: set[Stage](),
+}
+
+
+@contextlib.contextmanager
+def recorded_stage_changes() -> Iterator[set[tuple[Stage, Stage]]]:
+    """Record each change of the stage of any request."""
+    changes = set[tuple[Stage, Stage]]()
+
+    def record(request: Request, name: str, value: object) -> None:
+        before = getattr(request, name, None)
+        if isinstance(before, Stage) and isinstance(value, Stage) and before is not value:
+            changes.add((before, value))
+        object.__setattr__(request, name, value)
+
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(Request, "__setattr__", record, raising=False)
+        yield changes
+
+
+@settings(derandomize=True, max_examples=300, deadline=None, database=None)
+@given(st.lists(STEPS, max_size=40))
+def test_a_request_goes_only_through_the_documented_changes_of_its_stage(
+    steps: list[tuple[str, object, object]],
+) -> None:
+    with recorded_stage_changes() as changes:
+        run = RandomRun()
+        for step in steps:
+            run.step(*step)
+        run.finish()
+    assert not {(before, after) for before, after in changes if after not in NEXT_STAGES[before]}
+
+
+def test_random_runs_record_changes_of_the_stage() -> None:
+    with recorded_stage_changes() as changes:
+        desk = Desk()
+        desk.submit(1)
+        desk.end(1)
+    assert changes == {(Stage.QUEUED, Stage.RUNNING), (Stage.RUNNING, Stage.FINISHED)}
+
+
 IDS = st.integers(1, 6)
 TURNS = st.one_of(
     st.tuples(st.just("submit"), IDS, st.sampled_from([0, 0, 5, 3_000, 1e12, -5_000])),
