--- a/tests/frontends/support.py
+++ b/tests/frontends/support.py
@@ -29,7 +29,7 @@
         clock = self.desk.clock
         self.frontend = RespFrontend(self.desk.core, clock.timeline, self.desk.backend, limit, 15 * SECOND)
         self.desk.core.add_frontend(self.frontend)
-        self.desk.core._dispatcher.signals.advertised_value = None
+        self.desk.core._signals.advertised_value = None
 
     def connect(self) -> Wire:
         return Wire(RespConnection(self.frontend))
--- a/tests/frontends/test_resp.py
+++ b/tests/frontends/test_resp.py
@@ -41,7 +41,7 @@
 def test_health_checks_get_responses_and_each_carries_the_advertised_value() -> None:
     harness = RespHarness()
     wire = harness.connect()
-    harness.desk.core._dispatcher.signals.advertised_value = 2.5
+    harness.desk.core._signals.advertised_value = 2.5
     harness.feed(wire, write_frame(b"ALIVE", b"8", b""))
     harness.desk.core.serving_state.quiesce()
     harness.feed(wire, write_frame(b"ALIVE", b"9"))
