--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -73,7 +73,7 @@
 
 
 # An event that is missing at a state changes nothing. A second process is redirected to the successor that there is; it
-# gets here, and replaces that one, only where that one has no socket to be redirected to.
+# gets here, and replaces that one, only where that one gave no generation to be redirected to.
 TRANSITIONS: Mapping[State, Mapping[Event, Transition]] = {
     State.NO_SUCCESSOR: {
         Event.SUCCESSOR_CONNECTED: Transition(State.SUCCESSOR_STARTING, Effect.SEND_SNAPSHOT),
@@ -160,7 +160,7 @@
 
     @property
     def successor_generation(self) -> int:
-        """The generation of the connected successor; 0 where there is none, or it has no socket."""
+        """The generation of the connected successor; 0 where there is none, or it gave none."""
         return 0 if self._successor is None else self._successor_generation
 
     def send(self, message: Message) -> None:
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -38,7 +38,7 @@
 
         Args:
             host: this process.
-            generation: its number among the node's processes, from 1; 0 where it has no socket of its own.
+            generation: its number among the node's processes, from 1; 0 where their folder can't be read.
             pid: its process id, for the logs of the others.
             timeouts: how long the work of a lost process matters.
         """
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -4,7 +4,9 @@
 
 import pytest
 
+from marlstep.core.interfaces import ResponseStatus
 from marlstep.core.serving_state import ServingPhase
+from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE
 from marlstep.hot_restart.successor import (
     ACKNOWLEDGE_TIMEOUT,
     MEETING_TIMEOUT,
@@ -16,7 +18,13 @@
 )
 from marlstep.units import MILLISECOND
 from tests.support.node import START, HandClock
-from tests.support.restart_pair import ProcessPair, SimulatedProcess
+from tests.support.restart_pair import (
+    RETRY_WINDOW,
+    TERMINATION_TIMEOUT,
+    ProcessPair,
+    SimulatedProcess,
+    serving_pair,
+)
 
 
 def test_a_process_without_predecessor_serves_at_once_with_all_capacity() -> None:
@@ -126,3 +134,27 @@
 def test_a_successor_beside_a_predecessor_serves_only_by_way_of_the_announcement() -> None:
     step = TRANSITIONS[State.STANDBY][Event.MAY_ACCEPT]
     assert (step.next_state, step.effect) == (State.ACCEPTING, Effect.ACCEPT_AND_ANNOUNCE)
+
+
+def test_an_unreachable_process_beside_a_connected_predecessor_only_makes_outcomes_unknown() -> None:
+    pair = serving_pair()
+    limit = pair.successor.hot_restart.sharing.limit
+    pair.successor.hot_restart.predecessor_unreachable(pair.clock.now())
+    rejected = pair.submit(pair.successor, "setpoint-cmd", "k")
+    pair.exchange()
+    assert pair.successor.desk.verdicts(rejected) == [ResponseStatus.REJECTED]
+    assert pair.successor.hot_restart.sharing.limit == limit and pair.successor.hot_restart.has_predecessor
+    pair.clock.advance(RETRY_WINDOW / MILLISECOND)
+    granted = pair.submit(pair.successor, "setpoint-cmd", "k")
+    pair.exchange()
+    assert ("start", f"r{granted}") in pair.successor.desk.backend.told
+
+
+def test_an_unreachable_process_leaves_a_lone_one_half_of_the_capacity_until_it_must_have_ended() -> None:
+    process = SimulatedProcess(HandClock(), 2)
+    process.hot_restart.predecessor_unreachable(START)
+    process.hot_restart.backend_ready(START)
+    assert process.accepts_connections and process.desk.core.serving_state.can_serve
+    assert process.applied_limits == [HALF_SHARE] and not process.hot_restart.is_idle
+    process.hot_restart.tick(START + TERMINATION_TIMEOUT)
+    assert process.applied_limits == [HALF_SHARE, FULL_SHARE] and process.hot_restart.is_idle
