--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -77,13 +77,15 @@
         try:
             while self._read_message():
                 pass
-        except (LineProtocolError, LineTooLongError) as fault:
-            self._abort_for(fault)
+        except (LineProtocolError, LineTooLongError) as error:
+            self._abort_for(error)
         if self.at_eof:
             self.abort()
 
-    def _abort_for(self, fault: Exception) -> None:
-        log.error("connection aborted: protocol error connection=%s reason=%s", type(self).__name__, fault)
+    def _abort_for(self, error: RemoteProtocolError) -> None:
+        log.error(
+            "connection aborted: reason=protocol_error connection=%s error=%s", type(self).__name__, error
+        )
         self.abort()
 
     def _read_message(self) -> bool:
@@ -100,10 +102,9 @@
             self._words, self._length = words, size
         if self.inbox.used < self._length + BODY_END_BYTES:
             return False
-        body = self.inbox.take(self._length)
-        end = self.inbox.take(BODY_END_BYTES)
-        if end != BODY_END:
-            raise UnterminatedBodyError(end)
+        body_with_end = self.inbox.take(self._length + BODY_END_BYTES)
+        if not body_with_end.endswith(BODY_END):
+            raise UnterminatedBodyError(body_with_end[self._length :])
         words, self._words = self._words, None
-        self.message(words, body)
+        self.message(words, body_with_end[: self._length])
         return True
--- a/tests/races/test_idempotency_across_events.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -208,7 +208,7 @@
                 for number, line in calls[rejected_count:]:
                     line.write(f"{number:016x} FULL\r\n".encode())
                 rejected_count = len(calls)
-            in_flight_now = {id(call) for call in harness.node.database._calls.values() if call.link}
+            in_flight_now = {id(call) for call in harness.node.database._calls.values() if call.connection}
             leave_at_ms += [
                 now_ms + abandoned_ms
                 for one in in_flight
