--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -90,8 +90,9 @@
 
     def _read_message(self) -> bool:
         """Read and handle the next message; False until it is complete."""
+        inbox = self.inbox
         if self._words is None:
-            line = self.inbox.line(self._line_limit)
+            line = inbox.line(self._line_limit)
             if line is None:
                 return False
             words = line.decode("ascii", "replace").split(" ")
@@ -100,9 +101,10 @@
                 self.message(words, b"")
                 return True
             self._words, self._length = words, size
-        if self.inbox.used < self._length + BODY_END_BYTES:
+        size_with_end = self._length + BODY_END_BYTES
+        if inbox.used < size_with_end:
             return False
-        body_with_end = self.inbox.take(self._length + BODY_END_BYTES)
+        body_with_end = inbox.take(size_with_end)
         if not body_with_end.endswith(BODY_END):
             raise UnterminatedBodyError(body_with_end[self._length :])
         words, self._words = self._words, None
--- a/marlstep/net/stream.py
+++ b/marlstep/net/stream.py
@@ -62,10 +62,11 @@
 
     def send(self, data: bytes) -> None:
         """Send data, or queue it where the peer does not read; ignored where there is no connection."""
-        if not self.connected:
+        transport = self._transport
+        if transport is None or transport.is_closing():
             return
-        if self._writable and not self._outbox.used and self._transport is not None:
-            self._transport.write(data)  # nothing is queued before it, and the peer reads
+        if self._writable and not self._outbox.used:
+            transport.write(data)  # nothing is queued before it, and the peer reads
             return
         queued = 0 if self._overflow else self._outbox.put(data)
         if queued < len(data):
@@ -97,13 +98,15 @@
 
     def _update_reading(self) -> None:
         """Read only while there is space in the inbox and the peer reads what it is sent."""
-        if self._transport is None or self._transport.is_closing():
+        transport = self._transport
+        if transport is None or transport.is_closing():
             return
-        wanted = not self._finishing and not self.send_blocked and self.inbox.free > 0
+        has_space = self.inbox.used < self.inbox.size
+        wanted = has_space and not self._finishing and not self._overflow
         if wanted and not self._reading:
-            self._transport.resume_reading()
+            transport.resume_reading()
         elif not wanted and self._reading:
-            self._transport.pause_reading()
+            transport.pause_reading()
         self._reading = wanted
 
     # For asyncio to call.
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -200,41 +200,39 @@
         if connection is not self._connection:
             return  # a newer connection is in use, on which the kernel repeats what was not read here
         match kernel_wire.parse_notice(words):
-            case RunEnded() | CallNeeded() | KernelMessage() as notice:
-                if self._is_to_be_applied(notice.number):
-                    self._apply(notice, body)
+            case RunEnded() as notice:
+                self._run_ended(notice, body)
+            case CallNeeded() as notice:
+                self._call_needed(notice, body)
             case GaugeReadings(tag, readings):
                 self._gauges_received(tag, readings)
             case CommandRejected(word, request_id):
                 self._command_rejected(word, request_id)
             case KernelStarted() as notice:
                 self._kernel_started(notice)
+            case KernelMessage() as notice:
+                if self._is_to_be_applied(notice.number):
+                    log.info("kernel message: text=%s", notice.text[:MAX_LOGGED_CHARACTERS])
             case UnknownNotice():
                 # It has no body, so that what follows can still be read: no reason to close the connection.
                 log.warning("kernel notice ignored: words=%r", " ".join(words)[:MAX_LOGGED_NOTICE])
 
-    def _apply(self, notice: RunEnded | CallNeeded | KernelMessage, body: bytes) -> None:
-        match notice:
-            case RunEnded():
-                self._end_run(notice, body)
-            case CallNeeded(number, request_id):
-                self._confirm(request_id)
-                self._call_numbers[request_id] = number
-                self._sink().call_needed(request_id, body)
-            case KernelMessage():
-                log.info("kernel message: text=%s", notice.text[:MAX_LOGGED_CHARACTERS])
-
     def _is_to_be_applied(self, number: int) -> bool:
         """Whether a numbered notice is applied, by the rule of NoticeSequence. Raises MissingNoticesError."""
         last = self._notices.last
         decision = self._notices.next(number)
+        if decision is NoticeDecision.APPLY:
+            return True
         if decision is NoticeDecision.RECONNECT:
             raise MissingNoticesError(last, number)
         if decision is NoticeDecision.APPLY_AFTER_LOSS:
             log.error("kernel notices lost: first=%d last=%d", last + 1, number - 1)
-        return decision is not NoticeDecision.IGNORE
+            return True
+        return False
 
-    def _end_run(self, notice: RunEnded, body: bytes) -> None:
+    def _run_ended(self, notice: RunEnded, body: bytes) -> None:
+        if not self._is_to_be_applied(notice.number):
+            return
         elapsed = kernel_wire.read_elapsed(notice.elapsed_text)
         if elapsed is None:
             shown = notice.elapsed_text[: kernel_wire.MAX_SHOWN_CHARACTERS]
@@ -243,6 +241,12 @@
         self._confirm(notice.request_id)
         self._sink().run_ended(notice.request_id, notice.outcome, elapsed, body)
 
+    def _call_needed(self, notice: CallNeeded, body: bytes) -> None:
+        if self._is_to_be_applied(notice.number):
+            self._confirm(notice.request_id)
+            self._call_numbers[notice.request_id] = notice.number
+            self._sink().call_needed(notice.request_id, body)
+
     def _kernel_started(self, notice: KernelStarted) -> None:
         log.info("kernel up: state=%s age_ms=%s", notice.state, notice.age_ms)
         self._backoff.reset()
