--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -541,7 +541,7 @@
     # One response is partly written, one is buffered, one is not made yet. Then the slot, the tags and the descriptor
     # are another connection's, while `0 closing`, the timer behind it and a result still name the first.
     async def run(harness: NodeHarness) -> None:
-        first = await harness.adopt(harness.connect_unread(takes=4_096))
+        first = await harness.adopt(harness.connect_unread(receive_buffer=4_096))
         first.writer.transport.pause_reading()  # type: ignore[attr-defined]
         for tag in (1, 2, 3):
             first.send_request(tag, "list")
@@ -726,7 +726,7 @@
     run_with_node(tmp_path, run)
 
 
-# Hot restart (with two processes: tests/hot_restart/test_upgrade_races.py).
+# Hot restart (with two processes: tests/hot_restart/test_process_races.py).
 
 
 def test_a_successor_lost_during_the_hot_restart_leaves_the_drain_grace_in_force(tmp_path: Path) -> None:
