--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -12,7 +12,7 @@
 from marlstep.config import Config
 from marlstep.core.engine import Core
 from marlstep.frontend_group import FrontendGroup
-from marlstep.platform.name_service import NameService
+from marlstep.platform.name_service import NameServiceClient
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND, span
 
@@ -32,7 +32,7 @@
         config: Callable[[], Config],
         core: Core,
         timeline: TimerQueue,
-        naming: NameService,
+        naming: NameServiceClient,
         frontends: FrontendGroup,
         components: Mapping[str, Component],
         on_drained: Callable[[], None],
--- a/marlstep/net/framing.py
+++ b/marlstep/net/framing.py
@@ -12,14 +12,14 @@
 import zlib
 from collections.abc import Callable
 
-from marlstep.errors import MarlstepError
+from marlstep.errors import LocalProtocolError, RemoteProtocolError
 from marlstep.net.ring import Ring
 
 LENGTH_BYTES = 4
 KEYED_BYTES = 16  # of a keyed checksum
 
 
-class CorruptError(MarlstepError, ValueError):
+class CorruptError(RemoteProtocolError, ValueError):
     """What another process wrote can't be read. On a stream, nothing after it can be read either."""
 
 
@@ -29,6 +29,7 @@
     def __init__(self, found: bytes) -> None:
         """`found` stands where the magic should."""
         super().__init__(f"no frame of this version: {found!r}")
+        self.found = found
 
 
 class FrameLengthError(CorruptError):
@@ -37,6 +38,7 @@
     def __init__(self, size: int, limit: int) -> None:
         """Sizes are in bytes."""
         super().__init__(f"a message of {size} bytes, {limit} at the most")
+        self.size, self.limit = size, limit
 
 
 class ChecksumError(CorruptError):
@@ -45,14 +47,16 @@
     def __init__(self, expected: bytes, found: bytes) -> None:
         """`expected` stands in the header, `found` is that of the body."""
         super().__init__(f"the checksum is wrong: expected {expected.hex()}, found {found.hex()}")
+        self.expected, self.found = expected, found
 
 
-class FrameTooLargeError(MarlstepError, ValueError):
+class FrameTooLargeError(LocalProtocolError, ValueError):
     """A body is larger than the protocol allows; the other side would refuse it."""
 
     def __init__(self, size: int, limit: int) -> None:
         """Sizes are in bytes."""
         super().__init__(f"a message of {size} bytes, {limit} at the most")
+        self.size, self.limit = size, limit
 
 
 def crc(body: bytes) -> bytes:
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -20,9 +20,9 @@
 from marlstep.frontend_group import FrontendGroup
 from marlstep.frontends.resp import RespFrontend
 from marlstep.net.eventloop import LoopWaker
-from marlstep.platform.database import Database
-from marlstep.platform.kernel import Kernel
-from marlstep.platform.name_service import NameService
+from marlstep.platform.database import DatabaseClient
+from marlstep.platform.kernel import KernelClient
+from marlstep.platform.name_service import NameServiceClient
 from marlstep.reload import ConfigReloader, log_setting_changes
 from marlstep.resource_budget import resource_budget
 from marlstep.status_log import StatusLog, format_counters
@@ -46,12 +46,12 @@
         self.timeline = timeline
         self.config_reloader = ConfigReloader(config, read_config or (lambda: self.config), self._reconfigure)
         self.ended = asyncio.Event()
-        self.kernel = Kernel(config.kernel, config.gauge_names, timeline, lambda: self.core)
-        self.database = Database(config.database, timeline, lambda: self.core)
+        self.kernel = KernelClient(config.kernel, config.gauge_names, timeline, lambda: self.core)
+        self.database = DatabaseClient(config.database, timeline, lambda: self.core)
         budget = resource_budget(config, processes=1)
         ports = Ports(self.kernel, self.database)
         self.core = Core(config.settings, config.seed, timeline, ports, budget.requests)
-        self.naming = NameService(config.name, config.name_service, timeline)
+        self.naming = NameServiceClient(config.name, config.name_service, timeline)
         self.components: dict[str, Component] = {}
         max_connections = self._make_components(config, budget.connections)
         idle_timeout = span(config.settings.idle_timeout_us)
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """One call, from `Database.call` until its outcome is reported."""
+    """One call, from `DatabaseClient.call` until its outcome is reported."""
 
     id: str  # of its request
     body: bytes
@@ -40,23 +40,23 @@
 class DatabaseConnection(LineStream):
     """One connection to the database, which carries one call at a time."""
 
-    def __init__(self, database: Database, address: Address) -> None:
+    def __init__(self, client: DatabaseClient, address: Address) -> None:
         """Carry calls of the client to the database at this address."""
         super().__init__(database_wire.RING_SIZE, database_wire.LINE_LIMIT)
         self.address = address
         self.call: _Call | None = None  # in flight
         self.last_request_id = ""  # of its last call
         self.idle_timer: Timer | None = None
-        self._database = database
+        self._client = client
         self._has_foreign_reply = False  # a reply came that belongs to no call of this connection
 
     def opened(self) -> None:
         """Hand the connection to the client."""
-        self._database.connection_opened(self)
+        self._client.connection_opened(self)
 
     def closed(self) -> None:
         """Tell the client."""
-        self._database.connection_closed(self)
+        self._client.connection_closed(self)
 
     def body_length(self, words: list[str]) -> int | None:
         """Return the length of a reply's result. Raises LineProtocolError."""
@@ -75,7 +75,7 @@
             self._has_foreign_reply,
             has_unread_input=self.partial or self.at_eof,
         ):
-            self._database.return_to_pool(self)
+            self._client.return_to_pool(self)
         else:
             self.abort()
 
@@ -83,13 +83,13 @@
         """Handle a reply. Raises UnknownReplyError."""
         reply = database_wire.parse_reply(words)
         if self.call is not None and self.call.id == reply.call_id:
-            self._database.call_ended(self.call, reply.outcome, body)
+            self._client.call_ended(self.call, reply.outcome, body)
         else:
             log.warning("database connection to be dropped: reason=reply_to_no_call call=%s", reply.call_id)
             self._has_foreign_reply = True
 
 
-class Database:
+class DatabaseClient:
     """Makes calls, each of which ends exactly once at the sink, and keeps idle connections for later ones."""
 
     def __init__(
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -53,20 +53,20 @@
 class KernelConnection(LineStream):
     """One connection to the kernel."""
 
-    def __init__(self, kernel: Kernel, address: Address) -> None:
+    def __init__(self, client: KernelClient, address: Address) -> None:
         """Carry lines between the kernel at this address and its client."""
         super().__init__(RING_SIZE, LINE_LIMIT)
         self.address = address
         self.started = False  # the kernel has responded on it
-        self._kernel = kernel
+        self._client = client
 
     def opened(self) -> None:
         """Hand the connection to the client."""
-        self._kernel.connection_opened(self)
+        self._client.connection_opened(self)
 
     def closed(self) -> None:
         """Tell the client."""
-        self._kernel.connection_closed(self)
+        self._client.connection_closed(self)
 
     def body_length(self, words: list[str]) -> int | None:
         """Return the length of a notice's body. Raises LineProtocolError."""
@@ -74,10 +74,10 @@
 
     def message(self, words: list[str], body: bytes) -> None:
         """Hand a notice to the client."""
-        self._kernel.notice_received(self, words, body)
+        self._client.notice_received(self, words, body)
 
 
-class Kernel:
+class KernelClient:
     """The one client of the kernel: a backend of the core, and its source of gauges."""
 
     def __init__(
--- a/marlstep/platform/name_service.py
+++ b/marlstep/platform/name_service.py
@@ -23,7 +23,7 @@
 class ReportSocket(asyncio.DatagramProtocol):
     """The socket for one address."""
 
-    def __init__(self, client: NameService, address: Address) -> None:
+    def __init__(self, client: NameServiceClient, address: Address) -> None:
         """Send to this address for the client."""
         self._client, self._address = client, address
 
@@ -35,7 +35,7 @@
         """Ignore that the name service is down: no entry lapses meanwhile, and the next report is due soon."""
 
 
-class NameService:
+class NameServiceClient:
     """Reports regularly whether requests are wanted at this node."""
 
     def __init__(self, name: str, address: Address | None, timeline: TimerQueue) -> None:
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -35,7 +35,7 @@
 def kernel_connection() -> tuple[Wire, Notes]:
     clock, notes = HandClock(), Notes()
     dial = HandDial()
-    kernel.Kernel(("127.0.0.1", 1), ("cpu",), clock.timeline, lambda: notes, dial).open()
+    kernel.KernelClient(("127.0.0.1", 1), ("cpu",), clock.timeline, lambda: notes, dial).open()
     return dial.accept(), notes
 
 
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -9,7 +9,7 @@
 from marlstep.admission.events import Outcome
 from marlstep.core.interfaces import Request
 from marlstep.platform.call_policy import MAX_CONNECTIONS, MAX_IDLE_CONNECTIONS
-from marlstep.platform.database import Database
+from marlstep.platform.database import DatabaseClient
 from marlstep.units import SECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
@@ -20,7 +20,7 @@
 class Harness:
     def __init__(self) -> None:
         self.clock, self.notes, self.dial = HandClock(), Notes(), HandDial()
-        self.database = Database(OLD, self.clock.timeline, lambda: self.notes, self.dial)
+        self.database = DatabaseClient(OLD, self.clock.timeline, lambda: self.notes, self.dial)
         self.desk = Desk()
 
     def call(self, number: int = 1, request_class: str = "temp-history") -> Request:
--- a/tests/platform/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -6,7 +6,7 @@
 
 from marlstep.admission.events import Outcome
 from marlstep.core.interfaces import Request
-from marlstep.platform.kernel import Kernel
+from marlstep.platform.kernel import KernelClient
 from marlstep.units import MILLISECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
@@ -16,7 +16,7 @@
 class Harness:
     def __init__(self) -> None:
         self.clock, self.notes, self.dial = HandClock(), Notes(), HandDial()
-        self.kernel = Kernel(OLD, ("cpu", "runq"), self.clock.timeline, lambda: self.notes, self.dial)
+        self.kernel = KernelClient(OLD, ("cpu", "runq"), self.clock.timeline, lambda: self.notes, self.dial)
         self.kernel.open()
 
     def connect(self) -> Wire:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from marlstep.config import check, load, merge_reloaded
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
-from marlstep.platform.name_service import REPORT_INTERVAL, NameService
+from marlstep.platform.name_service import REPORT_INTERVAL, NameServiceClient
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
 from tests.support.node import HandClock, raw_config
@@ -83,7 +83,7 @@
 def test_a_socket_that_comes_after_the_address_has_changed_is_closed_and_one_reports() -> None:
     # Guards against reports to an old address, and against two sockets that report side by side.
     clock, here, there = HandClock(), ("127.0.0.1", 1), ("127.0.0.1", 2)
-    naming = NameService("n1", here, clock.timeline)
+    naming = NameServiceClient("n1", here, clock.timeline)
     late, first, second = Socket(), Socket(), Socket()
     for address, socket in ((there, late), (here, first), (here, second)):
         naming.opened(address, cast(asyncio.DatagramTransport, socket))
