--- a/marlstep/frontends/connection_policy.py
+++ b/marlstep/frontends/connection_policy.py
@@ -11,9 +11,7 @@
 from marlstep.units import MILLISECOND, SECOND
 
 CLOSE_TIMEOUT = 2 * SECOND  # from `finish` until a peer that does not read the rest is disconnected
-IDLE_EVICTION_SHARE = (
-    0.75  # of the table; once it is so full, each new connection closes the longest idle one
-)
+IDLE_EVICTION_SHARE = 0.75  # of the table; once it is so full, a new connection closes an idle one
 UNPROVEN_SHARE = 0.25  # of the table; once unproven connections fill it, a new one closes the oldest of them
 MIN_UNPROVEN_AGE = 100 * MILLISECOND  # an unproven connection stays for so long while there are free slots
 MIN_SWEEP_INTERVAL = 50 * MILLISECOND  # between two searches for connections that have been idle for too long
--- a/marlstep/frontends/resp_tags.py
+++ b/marlstep/frontends/resp_tags.py
@@ -2,9 +2,7 @@
 
 from __future__ import annotations
 
-MAX_TAGS_AHEAD = (
-    1024  # tags remembered out of order on one connection; a peer that skips more breaks the protocol
-)
+MAX_TAGS_AHEAD = 1024  # tags out of order on one connection; a peer that skips more breaks the protocol
 
 
 class TagTracker:
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -116,11 +116,8 @@
     tag_size, tag, class_size, request_class, fields_size, fields, body_size = match.groups()
     start = match.end()
     end = start + int(body_size)
-    sizes_agree = (int(tag_size), int(class_size), int(fields_size)) == (
-        len(tag),
-        len(request_class),
-        len(fields),
-    )
+    expected_sizes = (int(tag_size), int(class_size), int(fields_size))
+    sizes_agree = expected_sizes == (len(tag), len(request_class), len(fields))
     if not sizes_agree or int(body_size) > MAX_WORD_BYTES[-1] or data[end : end + 2] != WORD_END:
         return None
     ring.skip(end + 2)
--- a/marlstep/platform/call_policy.py
+++ b/marlstep/platform/call_policy.py
@@ -12,9 +12,7 @@
 from marlstep.units import MILLISECOND, SECOND
 
 LATE_REPLY_GRACE = 50 * MILLISECOND  # after a call's time, in which its reply may still arrive
-IDLE_CONNECTION_TIMEOUT = (
-    2 * SECOND
-)  # after which an idle connection is closed; the database closes it after 10 s
+IDLE_CONNECTION_TIMEOUT = 2 * SECOND  # an idle connection is closed then; the database does so after 10 s
 MAX_IDLE_CONNECTIONS = 16
 MAX_CONNECTIONS = 40  # open or being opened
 
--- a/tests/frontends/test_resp.py
+++ b/tests/frontends/test_resp.py
@@ -1,4 +1,4 @@
-"""The harness's front: answers on their tags, and a stated policy for all that is bad."""
+"""The platform's frontend: responses on their tags, invalid requests, and when connections close."""
 
 from datetime import datetime
 
@@ -18,11 +18,13 @@
     assert wire.take() == write_frame(b"7", b"done", b"", b"a\r\n\0b")
 
 
-class Unsure:
+class UnsureSibling:
     """Another process that may have run the work, and can't say."""
 
-    def claim(self, kind: str, once: str, id: str, now: datetime, told: ClaimCallback) -> bool:
-        told(ClaimResult.UNSURE)
+    def claim(
+        self, request_class: str, key: str, label: str, now: datetime, on_decided: ClaimCallback, /
+    ) -> bool:
+        on_decided(ClaimResult.UNSURE)
         return True
 
 
@@ -30,7 +32,7 @@
     # Guards against a response that is sent before the frontend has noted its request: the connection never closed.
     harness = RespHarness()
     wire = harness.connect()
-    harness.desk.core.siblings = Unsure()
+    harness.desk.core.siblings = UnsureSibling()
     harness.feed(wire, exec_frame(1, b"setpoint-cmd", fields=FIELDS + b",once=k"))
     assert wire.take() == write_frame(b"1", b"later", b"after=1000", b"")
     harness.frontend.stop_accepting()
--- a/tests/platform/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -33,7 +33,7 @@
     assert not wire.closed
 
 
-def one(id: str) -> Request:
+def request_with_id(id: str) -> Request:
     desk = Desk()
     desk.submit(1)
     [request] = desk.core._requests
@@ -41,13 +41,13 @@
     return request
 
 
-def sched(harness: Harness, id: str) -> None:
-    harness.kernel.start(one(id))
+def start_run(harness: Harness, id: str) -> None:
+    harness.kernel.start(request_with_id(id))
 
 
 def test_commands_without_a_connection_are_sent_once_the_next_has_repeated_its_notices() -> None:
     harness = Harness()
-    sched(harness, "a")
+    start_run(harness, "a")
     wire = harness.connect()
     assert wire.take() == b"OPEN 0\r\n"
     wire.feed(b"BOOTED hot 1\r\n")
@@ -61,8 +61,8 @@
     harness = Harness()
     first = harness.connect()
     first.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
-    sched(harness, "a")
-    sched(harness, "b")
+    start_run(harness, "a")
+    start_run(harness, "b")
     first.close()
     harness.clock.advance(10)
     second = harness.connect()
@@ -70,7 +70,7 @@
     second.feed(b"BOOTED hot 1\r\nREAP 1 a complete 1 0\r\n\r\nINFO sync 0 0\r\n")
     assert b"SCHED a" not in second.written and b"SCHED b" in second.written
     second.feed(b"REAP 1 a complete 1 0\r\n\r\n")
-    assert [one for one in harness.notes.told if one[0] == "ended"] == [
+    assert [note for note in harness.notes.told if note[0] == "ended"] == [
         ("ended", "a", Outcome.OK, MILLISECOND, b""),
     ]
 
@@ -83,9 +83,9 @@
     harness = Harness()
     wire = harness.connect()
     wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
-    sched(harness, "a")
+    start_run(harness, "a")
     wire.feed(f"EINVAL {command} a\r\n".encode())
-    ends = [one[2] for one in harness.notes.told if one[0] == "ended"]
+    ends = [note[2] for note in harness.notes.told if note[0] == "ended"]
     assert ends == ([outcome] if outcome else []) and not wire.closed
 
 
@@ -118,7 +118,7 @@
     again = harness.connect()
     assert again.take() == b"OPEN 1\r\n"
     again.feed(b"BOOTED hot 1\r\nREAP 2 b complete 1 4\r\nrest\r\nINFO sync 0 0\r\n")
-    assert [one[1:] for one in harness.notes.told if one[0] == "ended"] == [
+    assert [note[1:] for note in harness.notes.told if note[0] == "ended"] == [
         ("a", Outcome.OK, MILLISECOND, b""),
         ("b", Outcome.OK, MILLISECOND, b"rest"),
     ]
@@ -129,7 +129,7 @@
     old = harness.connect()
     old.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\nREAP 1 z complete 1 0\r\n\r\n")
     harness.kernel.change_address(NEW)
-    sched(harness, "a")
+    start_run(harness, "a")
     assert b"SCHED a" in old.written and not old.closed  # it serves until the new one is open
     harness.kernel.change_address(OLD)
     harness.kernel.change_address(NEW)
@@ -149,7 +149,7 @@
     again = harness.connect()
     assert again.take() == b"OPEN 1\r\n"
     again.feed(b"BOOTED hot 1\r\nREAP 3 c complete 1 0\r\n\r\n")
-    assert not again.closed and [one[1] for one in harness.notes.told] == ["a", "c"]
+    assert not again.closed and [note[1] for note in harness.notes.told] == ["a", "c"]
 
 
 # What is sent again after a break.
@@ -176,17 +176,17 @@
     # mistaken for the reply to the next: both lie between the last notice of a new connection and the
     # command on its way.
     harness, wire = synced()
-    harness.kernel.start(one("a"))
-    harness.kernel.supply(one("b"), b"rows")
+    harness.kernel.start(request_with_id("a"))
+    harness.kernel.supply(request_with_id("b"), b"rows")
     harness.kernel.request_gauges()
-    harness.kernel.start(one("c"))  # behind the question: it may not have been read
+    harness.kernel.start(request_with_id("c"))  # behind the question: it may not have been read
     wire.feed(b"INFO g1 0 0\r\n")
     assert resent(harness, wire) == b"SCHED c temp-history 4\r\nbody\r\n"
 
 
 def test_gauges_requested_on_a_broken_connection_confirm_nothing_on_the_next() -> None:
     harness, wire = synced()
-    harness.kernel.start(one("a"))
+    harness.kernel.start(request_with_id("a"))
     harness.kernel.request_gauges()
     wire.close()
     wire = harness.connect()
@@ -197,7 +197,7 @@
 def test_of_two_equal_commands_the_one_that_was_read_is_confirmed() -> None:
     # Guards against a run that stays paused: the older RESCHED was read, the newer one lost with the connection.
     harness, wire = synced()
-    request = one("a")
+    request = request_with_id("a")
     harness.kernel.resume(request)
     harness.kernel.request_gauges()
     wire.feed(b"REAP 1 a cancelled 1 0\r\n\r\n")  # paused once more
@@ -211,7 +211,7 @@
 
 def test_while_gauges_are_pending_later_requests_do_not_postpone_the_confirmation() -> None:
     harness, wire = synced()
-    harness.kernel.start(one("a"))
+    harness.kernel.start(request_with_id("a"))
     for _ in range(100):
         harness.kernel.request_gauges()
     wire.feed(b"INFO g1 0 0\r\n")
