--- a/marlstep/admission/deadlines.py
+++ b/marlstep/admission/deadlines.py
@@ -1,4 +1,4 @@
-"""How early before a deadline a final response is given, and what a drain changes of that."""
+"""When a request is due, how early before that it gets its final response, and what a drain changes."""
 
 from __future__ import annotations
 
@@ -6,6 +6,23 @@
 DRAIN_LEAD_TICKS = 8  # before the process is stopped, by which all responses are given
 
 
+def request_deadline(caller_deadline_at: int | None, arrived_at: int, deadline_us: int, now: int) -> int:
+    """Return the time after which no response to a request counts, in microseconds.
+
+    It is the caller's own deadline if that is known. Otherwise the class's deadline counts from the arrival,
+    but a request that was read after it is due at once and not in the past.
+
+    Args:
+        caller_deadline_at: when the caller stops waiting, in microseconds; None if it is not known.
+        arrived_at: when the request reached the server, in microseconds.
+        deadline_us: of its class, from the arrival, in microseconds.
+        now: the time, in microseconds.
+    """
+    if caller_deadline_at:
+        return caller_deadline_at
+    return max(now, arrived_at + deadline_us)
+
+
 def tick_us(timer_precision_us: int, shortest_objective_us: int) -> int:
     """Return the interval at which waiting requests are looked at, in microseconds.
 
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -8,6 +8,7 @@
 import enum
 from dataclasses import dataclass
 
+from marlstep.admission.deadlines import request_deadline
 from marlstep.admission.events import Arrival
 from marlstep.admission.key_retention import recognised_until
 from marlstep.admission.settings import ClassSettings, Effect
@@ -111,7 +112,9 @@
             priority_weight=weight,
             priority=weight,
             arrived_at=arrived_at,
-            deadline_at=event.caller_deadline_at or max(now, arrived_at + request_class.deadline_us),
+            deadline_at=request_deadline(
+                event.caller_deadline_at, arrived_at, request_class.deadline_us, now
+            ),
             objective_at=arrived_at + request_class.latency_objective_us,
             recognised_until=recognised_until(
                 arrived_at, request_class.idempotency_window_us, request_class.deadline_us
--- a/marlstep/simulator/adapter.py
+++ b/marlstep/simulator/adapter.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import sys
+import typing
 from collections.abc import Iterator
 from typing import BinaryIO
 
@@ -16,37 +17,22 @@
 from marlstep.admission.events import Event
 from marlstep.errors import MarlstepError
 from marlstep.simulator.configuration import read_settings
-from marlstep.simulator.messages import READERS, RawMessage, write_action, write_crash
+from marlstep.simulator.errors import FieldTypeError, UnknownInstanceError, WireError
+from marlstep.simulator.messages import (
+    RawMessage,
+    check_event_name,
+    read_event,
+    required_field,
+    write_action,
+    write_crash,
+)
 
 DONE = b'{"m":"done"}'
+MARK, END_OF_BATCH = "mark", "eob"  # messages that enclose a batch
 
 NumberedMessage = tuple[int, RawMessage]  # the number of the input line, and its message
 
 
-class WireError(MarlstepError):
-    """The input is malformed; the text is one line that names the line of input."""
-
-    def __init__(self, line: int | None, problem: str) -> None:
-        """Name the line of the input, counted from 1, or None for its end, and say what is wrong."""
-        super().__init__(problem if line is None else f"line {line}: {problem}")
-
-
-class InvalidMessageError(MarlstepError):
-    """A field of a message has a value of the wrong type."""
-
-    def __init__(self, field: str, expected: str) -> None:
-        """Name the field, and say what was expected."""
-        super().__init__(f"{field} must be {expected}")
-
-
-class UnknownNameError(MarlstepError):
-    """A message names an event or an instance that does not exist."""
-
-    def __init__(self, subject: str, number: int | None = None) -> None:
-        """Name what is not known, with its number if it has one."""
-        super().__init__(f"unknown {subject}" if number is None else f"unknown {subject} {number}")
-
-
 class SimulatedServers:
     """The servers of one simulation, each with its controller, by their numbers."""
 
@@ -64,31 +50,36 @@
         for line, raw in messages:
             try:
                 self._dispatch(raw, events_by_server)
-            except KeyError as error:
-                raise WireError(line, f"{raw.get('m')}: missing or unknown {error}") from error
             except (MarlstepError, ValueError, TypeError, AttributeError) as error:
-                raise WireError(line, f"{raw.get('m')}: {error}") from error
+                raise WireError(line, f"{raw['m']}: {error}") from error
         reply: list[bytes] = []
         for server, events in events_by_server.items():
             reply.extend(self._decide(clock, server, events))
         return reply
 
     def _dispatch(self, raw: RawMessage, events_by_server: dict[int, list[Event]]) -> None:
-        event, server = raw["m"], raw["serverId"]
+        """Create or remove an instance, or add an event to those of its instance."""
+        server = required_field(raw, "serverId")
         if not isinstance(server, int):
-            raise InvalidMessageError("serverId", "a whole number")
-        if event == "create":
-            self.instances[server] = Controller(read_settings(raw["conf"]), raw["rngSeed"])
-            events_by_server[server] = []
-        elif event not in READERS and event != "down":
-            raise UnknownNameError("event")
-        elif server not in self.instances:
-            raise UnknownNameError("instance", server)
-        elif event == "down":
-            del self.instances[server]
-            events_by_server.pop(server, None)
-        else:
-            events_by_server.setdefault(server, []).append(READERS[event](raw))
+            raise FieldTypeError("serverId", "a whole number")
+        match raw["m"]:
+            case "create":
+                settings = read_settings(required_field(raw, "conf"))
+                seed = typing.cast(int, required_field(raw, "rngSeed"))
+                self.instances[server] = Controller(settings, seed)
+                events_by_server[server] = []
+            case "down":
+                self._require_instance(server)
+                del self.instances[server]
+                events_by_server.pop(server, None)
+            case event_name:
+                check_event_name(event_name)
+                self._require_instance(server)
+                events_by_server.setdefault(server, []).append(read_event(raw))
+
+    def _require_instance(self, server: int) -> None:
+        if server not in self.instances:
+            raise UnknownInstanceError(server)
 
     def _decide(self, clock: int, server: int, events: list[Event]) -> list[bytes]:
         try:
@@ -108,11 +99,11 @@
     messages: list[NumberedMessage] = []
     for line, raw in _read_lines(source):
         event = raw["m"]
-        if event == "mark":
+        if event == MARK:
             clock, messages = _read_clock(line, raw), []
         elif clock is None:
             raise WireError(line, f"{event}: stands outside a batch")
-        elif event == "eob":
+        elif event == END_OF_BATCH:
             sink.write(b"\n".join([*servers.process_batch(clock, messages), DONE, b""]))
             sink.flush()
             clock = None
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -38,6 +38,7 @@
     RunEnded,
     TimerDue,
 )
+from marlstep.simulator.errors import MissingFieldError, UnknownEventError
 
 RawMessage = dict[str, Any]
 
@@ -77,7 +78,7 @@
     return {GAUGES[name]: value for name, value in raw.items() if name in GAUGES}
 
 
-# By the message's `m`. A reader raises KeyError for a field that is missing or has an unknown value.
+# By the message's `m`. A reader raises KeyError for a key that is missing or a word that is not known.
 READERS: dict[str, Callable[[RawMessage], Event]] = {
     "request": _read_arrival,
     "timedOutClient": lambda raw: ClientDisconnected(raw["id"]),
@@ -89,6 +90,39 @@
 }
 
 
+def required_field(raw: RawMessage, key: str) -> object:
+    """Return the value of a field.
+
+    Raises:
+        MissingFieldError: the message has no such field.
+    """
+    if key not in raw:
+        raise MissingFieldError(key)
+    return raw[key]
+
+
+def check_event_name(name: str) -> None:
+    """Accept the name of an event of the wire.
+
+    Raises:
+        UnknownEventError: the wire has no such event.
+    """
+    if name not in READERS:
+        raise UnknownEventError
+
+
+def read_event(raw: RawMessage) -> Event:
+    """Read an event of one instance, whose name is known.
+
+    Raises:
+        MissingFieldError: a field is missing, or has an unknown word.
+    """
+    try:
+        return READERS[raw["m"]](raw)
+    except KeyError as error:
+        raise MissingFieldError(error.args[0]) from error
+
+
 def _write_rejection(action: Reject) -> RawMessage:
     return {
         "m": "overloadReply",
--- a/tests/admission/test_deadlines.py
+++ b/tests/admission/test_deadlines.py
@@ -7,6 +7,7 @@
     TICKS_PER_OBJECTIVE,
     drain_response_deadline,
     last_runnable_arrival,
+    request_deadline,
     response_lead_us,
     tick_us,
 )
@@ -26,3 +27,15 @@
 
 def test_the_grace_of_a_drain_counts_from_its_notice() -> None:
     assert last_runnable_arrival(1_000, drain_grace_us=500) == 1_500
+
+
+def test_a_request_is_due_when_its_caller_stops_waiting() -> None:
+    assert request_deadline(3_000, arrived_at=1_000, deadline_us=4_000, now=2_000) == 3_000
+
+
+def test_without_a_callers_deadline_that_of_the_class_counts_from_the_arrival() -> None:
+    assert request_deadline(None, arrived_at=1_000, deadline_us=4_000, now=2_000) == 5_000
+
+
+def test_a_request_read_after_its_deadline_is_due_at_once() -> None:
+    assert request_deadline(None, arrived_at=1_000, deadline_us=4_000, now=9_000) == 9_000
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from marlstep.simulator.adapter import SimulatedServers, WireError, serve
+from marlstep.simulator.adapter import SimulatedServers, serve
+from marlstep.simulator.errors import WireError
 from tests.support.simulator_wire import CONF
 
 CREATE = {"m": "create", "serverId": 3, "rngSeed": 7, "conf": CONF}
