--- /dev/null
+++ b/tests/admission/test_call_reserve.py
@@ -0,0 +1,33 @@
+"""The reserve of calls in flight."""
+
+from __future__ import annotations
+
+from marlstep.admission.call_reserve import CallReserve
+
+
+def test_the_reserve_fills_up_to_its_capacity() -> None:
+    reserve = CallReserve()
+    reserve.configure(rate=0.5, capacity_us=1_000.0)
+    reserve.take(800)
+    reserve.refill(100)
+    assert reserve.available_us == 250.0
+    reserve.refill(1_000_000)
+    assert reserve.available_us == 1_000.0
+
+
+def test_a_call_gives_back_what_it_did_not_use_and_no_more() -> None:
+    reserve = CallReserve()
+    reserve.configure(rate=0.5, capacity_us=1_000.0)
+    reserve.take(800)
+    reserve.give_back(800, used_us=300)
+    assert reserve.available_us == 700.0
+    reserve.give_back(100, used_us=400)
+    assert reserve.available_us == 700.0
+
+
+def test_what_calls_have_reserved_stays_reserved_when_the_capacity_changes() -> None:
+    reserve = CallReserve()
+    reserve.configure(rate=0.5, capacity_us=1_000.0)
+    reserve.take(800)
+    reserve.configure(rate=0.5, capacity_us=500.0)
+    assert reserve.available_us == -300.0
--- /dev/null
+++ b/tests/admission/test_caller_activity.py
@@ -0,0 +1,33 @@
+"""When callers were last seen."""
+
+from __future__ import annotations
+
+from marlstep.admission.caller_activity import RETENTION_FACTOR, CallerActivity
+from marlstep.admission.timing import SECOND
+
+
+def test_callers_are_counted_since_a_time_with_those_seen_again() -> None:
+    callers = CallerActivity()
+    callers.record(1, now=100)
+    callers.record(2, now=200)
+    callers.record(2, now=300)
+    assert callers.count(since=0) == (2, 1)
+    assert callers.count(since=100) == (1, 1)
+
+
+def test_a_caller_that_is_forgotten_starts_again() -> None:
+    callers = CallerActivity()
+    callers.record(1, now=100)
+    callers.forget(1)
+    callers.record(1, now=200)
+    assert callers.count(since=0) == (1, 0)
+
+
+def test_inactive_callers_are_forgotten_after_some_lifetimes_of_an_advertised_value() -> None:
+    callers = CallerActivity()
+    callers.record(1, now=0)
+    retention_us = RETENTION_FACTOR * (SECOND + SECOND)
+    callers.forget_inactive(retention_us - 1, load_signal_lifetime_us=SECOND)
+    assert 1 in callers.last_seen
+    callers.forget_inactive(retention_us, load_signal_lifetime_us=SECOND)
+    assert 1 not in callers.last_seen
