--- a/marlstep/config/loading.py
+++ b/marlstep/config/loading.py
@@ -6,15 +6,17 @@
 import os
 import socket
 import stat
-import tomllib
 from collections.abc import Mapping
 from dataclasses import replace
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 from marlstep.config.checking import check
 from marlstep.config.readers import ConfigError, Table, read_file
 from marlstep.config.schema import Config
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 CONFIG_VARIABLE = "PROXY_CONFIG"
 PASSED_SOCKET_VARIABLE = "PROXY_PASSED_SOCKET"
 RUNTIME_DIRECTORY_VARIABLE = "TMPDIR"
@@ -42,20 +44,31 @@
     except ConfigError as error:
         raise ConfigError.found(path, str(error)) from error
     if operator:
-        operator_table = read_file(operator, "--operator", tomllib.loads)
-        try:
-            config = check(platform_table, operator_table)
-        except ConfigError as error:
-            raise ConfigError.found(operator, str(error)) from error
-    directory = environ.get(RUNTIME_DIRECTORY_VARIABLE)
+        config = _check_with_operator(platform_table, operator)
     return replace(
-        config,
-        source=path,
-        passed_socket=passed_socket,
-        runtime_directory=Path(directory) if directory else None,
+        config, source=path, passed_socket=passed_socket, runtime_directory=_runtime_directory(environ)
     )
 
 
+def _check_with_operator(platform_table: Table, operator: str) -> Config:
+    import tomllib  # not loaded by a node without an operator's file, for the memory that it takes
+
+    operator_table = read_file(operator, "--operator", tomllib.loads)
+    try:
+        return check(platform_table, operator_table)
+    except ConfigError as error:
+        raise ConfigError.found(operator, str(error)) from error
+
+
+def _runtime_directory(environ: Mapping[str, str]) -> Path | None:
+    directory = environ.get(RUNTIME_DIRECTORY_VARIABLE)
+    if not directory:
+        return None
+    from pathlib import Path  # likewise
+
+    return Path(directory)
+
+
 def _with_overrides(platform_table: Table, environ: Mapping[str, str]) -> Table:
     overrides = {key: environ[name] for key, name in OVERRIDING_VARIABLES.items() if environ.get(name)}
     return {**platform_table, **overrides}
--- a/marlstep/config/readers.py
+++ b/marlstep/config/readers.py
@@ -4,7 +4,6 @@
 
 import ipaddress
 from collections.abc import Callable, Mapping
-from pathlib import Path
 
 from marlstep.errors import MarlstepError
 
@@ -31,7 +30,8 @@
 def read_file(path: str, named_by: str, parse: Callable[[str], object]) -> Table:
     """Read and parse a file that holds a table. Raises ConfigError, which tells what named the file."""
     try:
-        raw = parse(Path(path).read_text("utf-8"))
+        with open(path, encoding="utf-8") as file:
+            raw = parse(file.read())
     except OSError as error:
         raise ConfigError.found(named_by, f"{path}: {error.strerror}") from error
     except ValueError as error:
--- a/marlstep/config/schema.py
+++ b/marlstep/config/schema.py
@@ -8,13 +8,14 @@
 
 from dataclasses import Field, dataclass, field
 from datetime import timedelta
-from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from marlstep.admission.settings import Settings, stored_as, stored_key
 from marlstep.config.readers import Address, Table
 
-if TYPE_CHECKING:  # loaded only by nodes whose configuration has these sections
+if TYPE_CHECKING:  # loaded only by nodes whose configuration has need of them
+    from pathlib import Path
+
     from marlstep.config.cluster_settings import ClusterConfig
     from marlstep.frontends.uwsgi_mapping import UwsgiMapping
     from marlstep.load_balancing.pool_config import PoolConfig
