--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -11,8 +11,8 @@
 from marlstep.config import Config
 from marlstep.hot_restart.channel import RestartChannel
 from marlstep.hot_restart.host_adapter import HostAdapter
-from marlstep.hot_restart.interfaces import LostProcessTimeouts
 from marlstep.hot_restart.restart import HotRestart
+from marlstep.hot_restart.timeouts import LostProcessTimeouts
 from marlstep.units import span
 
 if TYPE_CHECKING:
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -3,38 +3,19 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from marlstep.core.engine import Core
 from marlstep.core.idempotency import IdempotencyKey, KeyRecord, decode_label, encode_label
 from marlstep.hot_restart.messages import KeyReleased, KeyStatus
-from marlstep.hot_restart.restart import HotRestart
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import instant, instant_us
 
-MAX_RESULT_BYTES = 4 * 1024  # the longest on the platform's wire; in JSON each byte may take six
-
-
-class NodeCallbacks(Protocol):
-    """What a hot restart has the node do, beyond its core."""
-
-    def accept_connections(self) -> None:
-        """Accept connections from now on, in the place of the predecessor if there is one."""
-
-    def successor_lost(self) -> None:
-        """Start the graceful shutdown if SIGTERM has come: it was a hot restart as long as a successor served."""
+if TYPE_CHECKING:
+    from marlstep.hot_restart.interfaces import NodeCallbacks
+    from marlstep.hot_restart.restart import HotRestart
 
-    def successor_draining(self) -> None:
-        """Report to the name service that the node drains, if SIGTERM has come here too."""
-
-    def limit_capacity(self, share: float, /) -> None:
-        """Bound this process to a share, 0 to 1, of the node's requests and connections."""
-
-    def connection_share(self) -> float:
-        """Return the share, 0 to 1, of the node's connections that is in use here."""
-
-    def serving_state_changed(self) -> None:
-        """Report to the name service that another process was quiesced or resumed, and the node with it."""
+MAX_RESULT_BYTES = 4 * 1024  # the longest on the platform's wire; in JSON each byte may take six
 
 
 class HostAdapter:
--- a/marlstep/hot_restart/interfaces.py
+++ b/marlstep/hot_restart/interfaces.py
@@ -1,10 +1,12 @@
-"""What the state machines of a hot restart use: the other process, and the process that they belong to."""
+"""What the state machines of a hot restart use: the other process, their own process, and the node that it runs.
+
+The module is imported for types alone, so that a process at work does not load it.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from dataclasses import dataclass
-from datetime import datetime, timedelta
+from datetime import datetime
 from typing import Protocol
 
 from marlstep.hot_restart.messages import KeyReleased, KeyStatus, Message
@@ -69,15 +71,23 @@
         """Count the other process's attempts that have not ended as ones that may have run, until that time."""
 
 
-@dataclass(slots=True, frozen=True)
-class LostProcessTimeouts:
-    """How long the work of a lost process still matters."""
+class NodeCallbacks(Protocol):
+    """What a hot restart has the node do, beyond its core."""
+
+    def accept_connections(self) -> None:
+        """Accept connections from now on, in the place of the predecessor if there is one."""
+
+    def successor_lost(self) -> None:
+        """Start the graceful shutdown if SIGTERM has come: it was a hot restart as long as a successor served."""
+
+    def successor_draining(self) -> None:
+        """Report to the name service that the node drains, if SIGTERM has come here too."""
+
+    def limit_capacity(self, share: float, /) -> None:
+        """Bound this process to a share, 0 to 1, of the node's requests and connections."""
 
-    termination: timedelta  # after which that process and its runs must have ended
-    retry_window: timedelta  # in which a client may send again what that process ran
+    def connection_share(self) -> float:
+        """Return the share, 0 to 1, of the node's connections that is in use here."""
 
-    def extended_by(self, other: LostProcessTimeouts) -> LostProcessTimeouts:
-        """Return the longer of each: what ran under longer settings is not covered by shorter ones."""
-        return LostProcessTimeouts(
-            max(self.termination, other.termination), max(self.retry_window, other.retry_window)
-        )
+    def serving_state_changed(self) -> None:
+        """Report to the name service that another process was quiesced or resumed, and the node with it."""
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from datetime import datetime
+from typing import TYPE_CHECKING
 
-from marlstep.hot_restart.interfaces import Host, LostProcessTimeouts, Peer
 from marlstep.hot_restart.key_exchange import KeySnapshot
 from marlstep.hot_restart.messages import (
     CapacityGrant,
@@ -27,6 +27,10 @@
 )
 from marlstep.hot_restart.resource_sharing import ResourceSharing
 
+if TYPE_CHECKING:
+    from marlstep.hot_restart.interfaces import Host, Peer
+    from marlstep.hot_restart.timeouts import LostProcessTimeouts
+
 log = logging.getLogger(__name__)
 
 
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -9,9 +9,9 @@
 
 from datetime import datetime
 from functools import partial
+from typing import TYPE_CHECKING
 
 from marlstep.core.interfaces import ClaimCallback, ClaimResult
-from marlstep.hot_restart.interfaces import Host, LostProcessTimeouts, Peer
 from marlstep.hot_restart.key_exchange import KeyAuthority, is_claim_granted
 from marlstep.hot_restart.messages import (
     ClaimRequest,
@@ -27,6 +27,10 @@
 from marlstep.hot_restart.resource_sharing import ResourceSharing
 from marlstep.hot_restart.successor import Successor
 
+if TYPE_CHECKING:
+    from marlstep.hot_restart.interfaces import Host, Peer
+    from marlstep.hot_restart.timeouts import LostProcessTimeouts
+
 RELAYED_MESSAGES = (KeyStatus, KeyReleased, ServingStateChanged)  # true of the node: passed along the chain
 
 
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from datetime import datetime
+from typing import TYPE_CHECKING
 
 from marlstep.core.interfaces import ClaimCallback, ClaimResult
-from marlstep.hot_restart.interfaces import Host, LostProcessTimeouts, Peer
 from marlstep.hot_restart.key_exchange import (
     KeyAuthority,
     OpenClaims,
@@ -38,6 +38,10 @@
 from marlstep.hot_restart.resource_sharing import ResourceSharing
 from marlstep.units import SECOND
 
+if TYPE_CHECKING:
+    from marlstep.hot_restart.interfaces import Host, Peer
+    from marlstep.hot_restart.timeouts import LostProcessTimeouts
+
 log = logging.getLogger(__name__)
 
 MEETING_TIMEOUT = 1 * SECOND  # from the connection on, for the predecessor's keys and its grant of capacity
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -11,9 +11,9 @@
 from marlstep.admission.events import Outcome
 from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import Stage
-from marlstep.hot_restart.interfaces import LostProcessTimeouts
 from marlstep.hot_restart.key_exchange import KeyAuthority
 from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE
+from marlstep.hot_restart.timeouts import LostProcessTimeouts
 from marlstep.units import MILLISECOND, SECOND
 from tests.support.node import START
 from tests.support.restart_pair import (
--- a/tests/support/restart_pair.py
+++ b/tests/support/restart_pair.py
@@ -6,8 +6,8 @@
 
 from marlstep.hot_restart import messages
 from marlstep.hot_restart.host_adapter import HostAdapter
-from marlstep.hot_restart.interfaces import LostProcessTimeouts
 from marlstep.hot_restart.restart import HotRestart
+from marlstep.hot_restart.timeouts import LostProcessTimeouts
 from marlstep.net.ring import Ring
 from marlstep.units import SECOND
 from tests.support.node import SETTINGS, Desk, HandClock
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -249,6 +249,7 @@
     "marlstep/hot_restart/resource_sharing.py",
     "marlstep/hot_restart/restart.py",
     "marlstep/hot_restart/successor.py",
+    "marlstep/hot_restart/timeouts.py",
     "marlstep/leases/clock_drift.py",
     "marlstep/leases/holder.py",
     "marlstep/leases/manager.py",
