--- a/marlstep/admission/priority.py
+++ b/marlstep/admission/priority.py
@@ -1,7 +1,7 @@
 """The priority weight that a response can still earn, and the order of requests that follows from it.
 
-The rule of the node's priority stands here alone: it decides what starts first, what may preempt what, and
-which requests get their final response because no run can help them any more.
+These rules decide what starts first, what may preempt what, and which requests get their final response
+because no run can help them any more. No other module restates them.
 """
 
 from __future__ import annotations
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/server_state.py
@@ -27,7 +27,7 @@
 
 
 class ServerState:
-    """What is known of the server. Times and durations are microseconds, sizes are kilobytes.
+    """The state of one server. Times and durations are microseconds, sizes are kilobytes.
 
     Attributes:
         now: the time of this turn.
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -1,6 +1,6 @@
 """Settings of one server's admission controller, as the simulator or the platform gives them at its start.
 
-Durations are whole microseconds, sizes are kilobytes. Stored settings have words of their own for most
+Durations are whole microseconds, sizes are kilobytes. Stored settings have keys of their own for most
 fields: the key stands beside the field, and errors name it.
 """
 
@@ -54,7 +54,7 @@
 
     NONE = "none"
     LEVEL = "level"  # requests ranked below it stay away
-    CREDIT = "credit"  # at most so many outstanding for each caller
+    CREDIT = "credit"  # the most requests that each caller may have outstanding
     WEIGHT = "weight"  # the chance that a caller does not skip this server
 
 
@@ -139,7 +139,7 @@
         warm_up_us: after which a server that warms up has its full capacity.
         overload_concurrency_factor: requests on the cores, for each core, that a warm server survives.
         overload_duration_us: over which those requests are averaged.
-        drain_grace_us: from the notice to leave; what arrives later must not be run.
+        drain_grace_us: after the notice of a drain, for which arrivals may still be run.
         response_margin_us: after its due time, for which a response still counts.
         tick_us: precision of the server's timers.
         preemption_mode: what becomes of a run that is preempted.
@@ -151,7 +151,7 @@
         abandoned_call_us: for which an abandoned call stays in the dependency, at most.
         idle_timeout_us: after which an idle connection is closed; 0 for never.
         endpoint_list_follows_health: whether an unhealthy server leaves the callers' endpoint list.
-        deep_health_checks: whether a health check does real work unless it is answered from stored health.
+        deep_health_checks: whether a health check does real work unless it is served from stored health.
         sends_retry_after: whether a rejection may carry a Retry-After.
         max_retry_after_us: the longest Retry-After that callers respect.
         marks_retries: whether callers mark a retry as one.
--- a/marlstep/simulator/errors.py
+++ b/marlstep/simulator/errors.py
@@ -10,11 +10,11 @@
 
     Attributes:
         line: of the input, counted from 1; None for its end.
-        problem: what is wrong with it.
+        problem: the fault.
     """
 
     def __init__(self, line: int | None, problem: str) -> None:
-        """Name the line of the input, and say what is wrong with it."""
+        """Name the line of the input and the fault."""
         super().__init__(problem if line is None else f"line {line}: {problem}")
         self.line = line
         self.problem = problem
@@ -53,11 +53,16 @@
 
 
 class UnknownEventError(InvalidMessageError):
-    """A message reports an event that the wire does not have."""
+    """A message reports an event that the wire does not have.
 
-    def __init__(self) -> None:
-        """Leave the event to the message that names the line: it starts with it."""
+    Attributes:
+        event: its name.
+    """
+
+    def __init__(self, event: str) -> None:
+        """Keep the name out of the text, which follows the name in the report of the input line."""
         super().__init__("unknown event")
+        self.event = event
 
 
 class UnknownInstanceError(InvalidMessageError):
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -108,7 +108,7 @@
         UnknownEventError: the wire has no such event.
     """
     if name not in READERS:
-        raise UnknownEventError
+        raise UnknownEventError(name)
 
 
 def read_event(raw: RawMessage) -> Event:
