--- a/marlstep/core/drain.py
+++ b/marlstep/core/drain.py
@@ -102,7 +102,9 @@
 
     def _stop_at(self, stops_at: datetime) -> None:
         self.stops_at = min(stops_at, self.stops_at or stops_at)
-        log.info("leaving: in_flight=%d unanswered=%d", len(self._requests), self._responses.unanswered)
+        log.info(
+            "shutdown started: in_flight=%d unanswered=%d", len(self._requests), self._responses.unanswered
+        )
         self._timeline.at(self.stops_at - STOP_MARGIN, self._respond_to_all)
 
     def _stop_accepting(self) -> None:
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -84,7 +84,7 @@
     def successor_lost(self) -> None:
         """Drain now if SIGTERM has come: it was none as long as a successor served."""
         if self._core.stops_at is not None and not self._core.shutdown_requested:
-            log.warning("successor lost while leaving: this process drains now")
+            log.warning("successor lost during shutdown: action=drain")
             self._frontends.accept_again()
             self._naming.report_last()
             self._frontends.resume(self._config())
