--- a/marlstep/frontends/__init__.py
+++ b/marlstep/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: thin translations between a wire and the core."""
+"""Frontends: what clients speak, translated to requests of the core and back."""
--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -36,7 +36,7 @@
         super().__init__(ring_size)
         self.listener = listener
         self.handle = 0
-        self.opened_at = self.idle_since = listener.timeline.now()
+        self.opened_at = listener.timeline.now()
         self._progress_timer: Timer | None = None
         self._close_timer: Timer | None = None
 
@@ -244,17 +244,15 @@
     def _schedule_idle_sweep(self) -> None:
         self.timeline.cancel(self._idle_sweep)
         self._idle_sweep = None
-        longest_idle = self.connections.longest_idle()
-        if longest_idle is not None and self.idle_timeout:
-            due = connection_policy.next_idle_sweep_at(
-                longest_idle.idle_since, self.idle_timeout, self.timeline.now()
-            )
+        idle_since = self.connections.longest_idle_since()
+        if idle_since is not None and self.idle_timeout:
+            due = connection_policy.next_idle_sweep_at(idle_since, self.idle_timeout, self.timeline.now())
             self._idle_sweep = self.timeline.at(due, self._close_idle_connections)
 
     def _close_idle_connections(self) -> None:
         now = self.timeline.now()
-        for connection in self.connections.idle_connections():
-            if not connection_policy.is_idle_too_long(connection.idle_since, self.idle_timeout, now):
+        for connection, idle_since in self.connections.idle_connections():
+            if not connection_policy.is_idle_too_long(idle_since, self.idle_timeout, now):
                 break
             connection.close_idle()
         self._schedule_idle_sweep()
--- a/marlstep/frontends/connection_table.py
+++ b/marlstep/frontends/connection_table.py
@@ -14,7 +14,6 @@
     """What the table keeps on a connection."""
 
     handle: int  # of its slot
-    idle_since: datetime
 
 
 Entry = TypeVar("Entry", bound=TableEntry)
@@ -28,7 +27,7 @@
         self._slots: SlotTable[Entry] = SlotTable(limit)
         self.capacity = limit  # less while two processes share the node
         self._unproven: dict[int, Entry] = {}  # by handle, the oldest first
-        self._idle: dict[int, Entry] = {}  # by handle, the longest idle first
+        self._idle: dict[int, tuple[Entry, datetime]] = {}  # by handle, since when; the longest idle first
 
     def __len__(self) -> int:
         """Count the open connections."""
@@ -95,13 +94,16 @@
     def mark_idle(self, connection: Entry, now: datetime) -> None:
         """Note that nothing is open on a connection from now on."""
         self._idle.pop(connection.handle, None)
-        self._idle[connection.handle] = connection
-        connection.idle_since = now
+        self._idle[connection.handle] = (connection, now)
 
     def longest_idle(self) -> Entry | None:
         """Return the connection that has been idle for longest."""
-        return next(iter(self._idle.values()), None)
+        return next((connection for connection, _ in self._idle.values()), None)
 
-    def idle_connections(self) -> list[Entry]:
-        """Return the idle connections as they are now, the longest idle first."""
+    def longest_idle_since(self) -> datetime | None:
+        """Return since when the connection that has been idle for longest is."""
+        return next((since for _, since in self._idle.values()), None)
+
+    def idle_connections(self) -> list[tuple[Entry, datetime]]:
+        """Return the idle connections as they are now, each with the time since when; the longest idle first."""
         return list(self._idle.values())
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -184,7 +184,7 @@
         """Ask the peer to send nothing more here; close when all is responded to."""
         if not self._closing_announced:
             self.send(CLOSING_FRAME)
-        if self._malformed and not self._request_handles:
+        if resp_policy.drains_at_once(self._malformed, len(self._request_handles)):
             self.finish()
         elif not self._closing_announced:
             self._schedule_close()
--- a/marlstep/frontends/resp_policy.py
+++ b/marlstep/frontends/resp_policy.py
@@ -60,6 +60,14 @@
     return is_malformed or has_read_everything(at_eof, send_blocked)
 
 
+def drains_at_once(is_malformed: bool, open_requests: int) -> bool:
+    """Whether a connection that is to drain closes now; otherwise it announces the closing and waits for a while.
+
+    It closes now if nothing can cross the announcement: the stream is malformed, and no response is owed.
+    """
+    return is_malformed and open_requests == 0
+
+
 def postpones_close(
     connected: bool, open_requests: int, is_malformed: bool, send_blocked: bool, incomplete_input: bool
 ) -> bool:
--- a/marlstep/platform/__init__.py
+++ b/marlstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's other parties: kernel, database, name service."""
+"""Clients of the platform's services: kernel, database, name service."""
--- a/tests/frontends/test_connection_table.py
+++ b/tests/frontends/test_connection_table.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from datetime import datetime
 
 import pytest
 
@@ -17,7 +16,6 @@
 class Entry:
     name: str
     handle: int = 0
-    idle_since: datetime = START
 
 
 def entries(table: ConnectionTable[Entry], *names: str) -> list[Entry]:
@@ -40,9 +38,13 @@
     first, second, third = entries(table, "first", "second", "third")
     for second_number, entry in enumerate((first, second, third, first)):
         table.mark_idle(entry, START + second_number * SECOND)
-    assert table.idle_connections() == [second, third, first] and first.idle_since == START + 3 * SECOND
+    assert table.idle_connections() == [
+        (second, START + SECOND),
+        (third, START + 2 * SECOND),
+        (first, START + 3 * SECOND),
+    ]
     table.mark_busy(second)
-    assert table.longest_idle() is third
+    assert table.longest_idle() is third and table.longest_idle_since() == START + 2 * SECOND
 
 
 def test_a_removed_connection_is_nowhere_and_is_removed_once() -> None:
--- a/tests/frontends/test_resp_policy.py
+++ b/tests/frontends/test_resp_policy.py
@@ -39,6 +39,15 @@
     assert resp_policy.waits_for_peer(send_blocked, unparsed_bytes, inside_frame, is_unproven)
 
 
+@pytest.mark.parametrize(
+    ("is_malformed", "open_requests", "expected"), [(True, 0, True), (True, 1, False), (False, 0, False)]
+)
+def test_a_drain_closes_at_once_only_a_malformed_stream_without_open_requests(
+    is_malformed: bool, open_requests: int, expected: bool
+) -> None:
+    assert resp_policy.drains_at_once(is_malformed, open_requests) is expected
+
+
 def test_the_peer_need_not_act_while_nothing_is_incomplete() -> None:
     assert not resp_policy.waits_for_peer(False, 0, False, False)
 
