--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -25,14 +25,20 @@
     UnknownCommand,
     parse_command,
 )
-from marlstep.frontends.resp_fields import advertised_fields, read_request, response_fields
+from marlstep.frontends.resp_fields import (
+    HEALTHY_WORD,
+    STATUS_WORDS,
+    UNHEALTHY_WORD,
+    advertised_fields,
+    read_request,
+    response_fields,
+)
 from marlstep.frontends.resp_tags import TagTracker
 from marlstep.frontends.resp_wire import FrameReader, write_fields, write_frame, write_response_frame
 from marlstep.timer_queue import TimerQueue
 
 RING_SIZE = 4 * 1024  # bytes; a frame is read word by word, and the longest word has 2 KiB
-ERROR_WORD = resp_policy.STATUS_WORDS[ResponseStatus.FAILED]
-HEALTHY_WORD, UNHEALTHY_WORD = b"healthy", b"sick"
+ERROR_WORD = STATUS_WORDS[ResponseStatus.FAILED]
 CLOSING_FRAME = write_frame(b"0", b"closing")  # the peer is to send nothing more on this connection
 
 
@@ -155,7 +161,7 @@
         """Send the response on its tag; close after the last one where nothing more can be read."""
         self._request_handles.pop(number, None)
         fields = response_fields(response, self.frontend.core.advertised_value)
-        self._send_frame(number, resp_policy.STATUS_WORDS[response.status], fields, response.body)
+        self._send_frame(number, STATUS_WORDS[response.status], fields, response.body)
         if self.send_blocked:
             self.start_progress_timer()
         if not self._request_handles:
--- a/marlstep/frontends/resp_fields.py
+++ b/marlstep/frontends/resp_fields.py
@@ -110,10 +110,37 @@
 READERS = {row.wire_name: (row.field, row.read) for row in REQUEST_FIELDS}
 REQUIRED_FIELDS = tuple((row.field, row.wire_name) for row in REQUEST_FIELDS if row.required)
 
-RETRY_AFTER_FIELD = "after"  # Response.retry_after in whole milliseconds, rounded up
-NO_FAILOVER_FIELD = "last"  # Response.no_failover
+
+def _write_milliseconds(delay: timedelta) -> str:
+    return str(whole_ms(delay))  # rounded up: a client must not come back too soon
+
+
+def _write_flag(_flag: bool) -> str:
+    return "1"
+
+
+@dataclass(slots=True, frozen=True)
+class ResponseField:
+    """One field of a response on the wire. It is left out where the value is zero or false."""
+
+    wire_name: str
+    field: str  # of Response
+    write: Callable[[Any], str]
+
+
+REJECTION_FIELDS = (
+    ResponseField("after", "retry_after", _write_milliseconds),
+    ResponseField("last", "no_failover", _write_flag),
+)
 ADVERTISED_VALUE_FIELD = "say"  # Core.advertised_value, on every response
-FLAG_SET = "1"
+
+STATUS_WORDS = {
+    ResponseStatus.DONE: b"done",
+    ResponseStatus.REJECTED: b"later",
+    ResponseStatus.FAILED: b"error",
+    ResponseStatus.EXPIRED: b"error",
+}
+HEALTHY_WORD, UNHEALTHY_WORD = b"healthy", b"sick"
 
 
 def read_request(request_class: bytes, fields: bytes, body: bytes) -> InboundRequest:
@@ -143,10 +170,10 @@
     """Return the fields of a response frame; those of a rejection come only with one."""
     fields = advertised_fields(advertised_value)
     if response.status is ResponseStatus.REJECTED:
-        if response.retry_after:
-            fields[RETRY_AFTER_FIELD] = str(whole_ms(response.retry_after))
-        if response.no_failover:
-            fields[NO_FAILOVER_FIELD] = FLAG_SET
+        for row in REJECTION_FIELDS:
+            value = getattr(response, row.field)
+            if value:
+                fields[row.wire_name] = row.write(value)
     return fields
 
 
--- a/marlstep/frontends/resp_policy.py
+++ b/marlstep/frontends/resp_policy.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from marlstep.core.interfaces import ResponseStatus
 from marlstep.units import MILLISECOND, SECOND
 
 READ_TIMEOUT = 1.5 * SECOND  # for a frame to be complete, the first one from the connection's opening
@@ -14,13 +13,6 @@
 MAX_OPEN_REQUESTS = 32  # on one connection
 CLOSE_DELAY = 200 * MILLISECOND  # from `0 closing` until a connection without open requests is closed
 
-STATUS_WORDS = {
-    ResponseStatus.DONE: b"done",
-    ResponseStatus.REJECTED: b"later",
-    ResponseStatus.FAILED: b"error",
-    ResponseStatus.EXPIRED: b"error",
-}
-
 
 def accepts_another_request(open_requests: int) -> bool:
     """Whether a connection may open one more request; beyond the limit a request gets `error` at once.
--- a/tests/frontends/test_resp_fields.py
+++ b/tests/frontends/test_resp_fields.py
@@ -8,7 +8,13 @@
 
 from marlstep.core.interfaces import InboundRequest, Response, ResponseStatus
 from marlstep.frontends.errors import InvalidFieldError
-from marlstep.frontends.resp_fields import REQUEST_FIELDS, read_request, response_fields
+from marlstep.frontends.resp_fields import (
+    REJECTION_FIELDS,
+    REQUEST_FIELDS,
+    STATUS_WORDS,
+    read_request,
+    response_fields,
+)
 from marlstep.units import EPOCH, MILLISECOND, SECOND
 
 REQUIRED = b"id=0123456789abcdef,at=5,kb=1.5"
@@ -19,6 +25,12 @@
     assert {row.field for row in REQUEST_FIELDS} <= fields
 
 
+def test_each_written_field_is_one_of_the_response_and_each_status_has_a_word() -> None:
+    fields = {field.name for field in dataclasses.fields(Response)}
+    assert {row.field for row in REJECTION_FIELDS} <= fields
+    assert set(STATUS_WORDS) == set(ResponseStatus)
+
+
 def test_required_fields_alone_leave_the_others_at_their_defaults() -> None:
     assert read_request(b"class", REQUIRED, b"body") == InboundRequest(
         id="0123456789abcdef",
