--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,9 +26,9 @@
 from marlstep.consensus.raft import RaftTiming, Ready
 from marlstep.consensus.replica import Replica, ReplicaSettings
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse
-from marlstep.drill.plan import Plan
-from marlstep.drill.rig import NodeProcess, Rig, Settings
-from marlstep.drill.witness import clock_us
+from marlstep.fault_injection.plan import Plan
+from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
+from marlstep.fault_injection.witness import clock_us
 from marlstep.leases.manager import LeaseManager
 from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from marlstep.cluster import wire
-from marlstep.drill.plan import Fault, Plan
-from marlstep.drill.virtual_members import run_members
+from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.virtual_members import run_members
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.messages import Ack, MembershipMessage, Ping
--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -14,8 +14,8 @@
 from benchmarks.mixed.server_process import Launch, LogFindings, ServerProcess, read_log
 from benchmarks.mixed.upgrade_site import PLATFORM_CONFIG
 from benchmarks.mixed.versions import Version
-from marlstep.drill.links import Ports
-from marlstep.drill.witness import Witness
+from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.witness import Witness
 from marlstep.standins.servers import StandIns
 
 NAMES = ("n1", "n2", "n3")
--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -34,7 +34,7 @@
 from benchmarks.mixed.server_process import wait_until
 from benchmarks.mixed.task_record import count_crossings, judge_acts, latest
 from benchmarks.mixed.versions import Version
-from marlstep.drill.witness import clock_us
+from marlstep.fault_injection.witness import clock_us
 
 SCENARIO_TIMEOUT_S = 100.0
 FORMS_WITHIN_S = 15.0
--- a/benchmarks/mixed/task_record.py
+++ b/benchmarks/mixed/task_record.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 
-from marlstep.drill.acts import Act, late_accepted, overlaps, run_twice, shared_tokens
+from marlstep.fault_injection.acts import Act, late_accepted, overlaps, run_twice, shared_tokens
 
 
 def accepted(acts: Iterable[Act]) -> list[Act]:
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -22,13 +22,13 @@
 from benchmarks.errors import VersionRejectedError
 from benchmarks.fleet import load_config, plan, quantiles, usage
 from marlstep.consensus.state_machine import StoredCommand
-from marlstep.drill.links import Ports
-from marlstep.drill.plan import Plan
-from marlstep.drill.rig import NodeProcess, Rig, Settings
-from marlstep.drill.rules import ListServers, Load
-from marlstep.drill.virtual import VirtualNode
-from marlstep.drill.virtual_rules import DOCUMENTS, RulesWorld
-from marlstep.drill.witness import clock_us
+from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.plan import Plan
+from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
+from marlstep.fault_injection.rules import ListServers, Load
+from marlstep.fault_injection.virtual import VirtualNode
+from marlstep.fault_injection.virtual_rules import DOCUMENTS, RulesWorld
+from marlstep.fault_injection.witness import clock_us
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import content_digest
 from marlstep.replicated_config.followed_document import FollowerState
--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -17,11 +17,11 @@
 import click
 
 from marlstep.cli.spans import SPAN_TYPE
-from marlstep.drill.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
-from marlstep.drill.plan import HOOKS, RULES_HOOKS, BadPlan, Plan, Shape, draw, read_plan
+from marlstep.fault_injection.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
+from marlstep.fault_injection.plan import HOOKS, RULES_HOOKS, BadPlan, Plan, Shape, draw, read_plan
 
 if TYPE_CHECKING:
-    from marlstep.drill.rig import Settings
+    from marlstep.fault_injection.rig import Settings
 
 HELD, BROKEN, WRONG = 0, 1, 2
 MOST_JOBS = 16
@@ -191,7 +191,7 @@
       marlstep drill members --nodes 12 --seed 7 --for 30s --json
       marlstep drill members --virtual --nodes 40 --seeds 100 --loss 0.05
     """
-    from marlstep.drill.virtual_members import KINDS as MEMBERS_KINDS
+    from marlstep.fault_injection.virtual_members import KINDS as MEMBERS_KINDS
 
     def shape(nodes: int, voters: int, ms: int) -> Shape:
         return Shape(nodes, voters, ms, kinds=MEMBERS_KINDS, every_ms=2_500)
@@ -209,7 +209,7 @@
 def virtual_members_one(work: tuple[Plan, str, float, float, bool]) -> dict[str, Any]:
     from dataclasses import asdict
 
-    from marlstep.drill.virtual_members import run_members
+    from marlstep.fault_injection.virtual_members import run_members
     from marlstep.membership.detector_settings import DetectorSettings
 
     plan, name, loss, slow, doubts = work
@@ -256,8 +256,8 @@
 
 
 def members_one(work: Work) -> dict[str, Any]:
-    from marlstep.drill.members import run
-    from marlstep.drill.rig import RigError
+    from marlstep.fault_injection.members import run
+    from marlstep.fault_injection.rig import RigError
 
     plan, settings = prepared(work)
     try:
@@ -292,8 +292,8 @@
 
 
 def virtual_rules_one(work: tuple[Plan, str]) -> dict[str, Any]:
-    from marlstep.drill.linear import Came
-    from marlstep.drill.virtual_rules import run_rules
+    from marlstep.fault_injection.linear import Came
+    from marlstep.fault_injection.virtual_rules import run_rules
 
     plan, name = work
     world, why = run_rules(plan, RULES_BREAKAGES[name] if name else Breakage())
@@ -358,8 +358,8 @@
 
 
 def rules_one(work: tuple[Work, bool]) -> dict[str, Any]:
-    from marlstep.drill.rig import RigError
-    from marlstep.drill.rules import run
+    from marlstep.fault_injection.rig import RigError
+    from marlstep.fault_injection.rules import run
 
     plan, settings = prepared(work[0])
     strict = work[1]
@@ -373,7 +373,7 @@
 
 
 def virtual_one(work: tuple[Plan, str]) -> dict[str, Any]:
-    from marlstep.drill.virtual import run
+    from marlstep.fault_injection.virtual import run
 
     plan, name = work
     world, why = run(plan, BREAKAGES[name] if name else Breakage())
@@ -391,7 +391,7 @@
 
 
 def on_virtual(plans: list[Plan], broken: str, jobs: int) -> dict[str, Any]:
-    from marlstep.drill.virtual import shrink
+    from marlstep.fault_injection.virtual import shrink
 
     began = time.monotonic()
     rows: list[dict[str, Any]] = []
@@ -434,7 +434,7 @@
 
 
 def on_processes(work: list[Work], jobs: int) -> dict[str, Any]:
-    from marlstep.drill.rig import RigError
+    from marlstep.fault_injection.rig import RigError
 
     began = time.monotonic()
     try:
@@ -471,7 +471,7 @@
 
 
 def prepared(work: Work) -> tuple[Plan, Settings]:
-    from marlstep.drill.rig import Settings
+    from marlstep.fault_injection.rig import Settings
 
     plan, config, logs, broken = work
     quiet()
@@ -480,8 +480,8 @@
 
 
 def process_one(work: Work) -> dict[str, Any]:
-    from marlstep.drill.leases import run
-    from marlstep.drill.rig import RigError
+    from marlstep.fault_injection.leases import run
+    from marlstep.fault_injection.rig import RigError
 
     plan, settings = prepared(work)
     try:
@@ -587,7 +587,7 @@
 def _walk_rules_one(work: tuple[str, str, int | None, float]) -> dict[str, Any]:
     from dataclasses import asdict, replace
 
-    from marlstep.drill.explore_rules import STARTS, walk_rules
+    from marlstep.fault_injection.explore_rules import STARTS, walk_rules
 
     start, broken, wakes, seconds = work
     usual = STARTS[start][-1]
@@ -598,7 +598,7 @@
 def _walk_one(work: tuple[str, str, float]) -> dict[str, Any]:
     from dataclasses import asdict
 
-    from marlstep.drill.explore import walk
+    from marlstep.fault_injection.explore import walk
 
     start, broken, seconds = work
     return asdict(walk(start, BREAKAGES[broken] if broken else Breakage(), seconds=seconds))
--- a/marlstep/drill/broken.py
+++ b/marlstep/fault_injection/broken.py
@@ -11,7 +11,7 @@
 from marlstep.consensus.replica import Replica
 from marlstep.consensus.replication import MAX_ENTRIES_PER_MESSAGE
 from marlstep.consensus.state_machine import CommandJson, ResultJson
-from marlstep.drill.plan import KINDS, RULES_HOOKS, Shape
+from marlstep.fault_injection.plan import KINDS, RULES_HOOKS, Shape
 from marlstep.leases.commands import GrantLease, LeaseGranted, LeaseResult
 from marlstep.leases.holder import LeaseEvent, LeaseHolder
 from marlstep.leases.manager import LeaseManager, no_quota_shares
--- a/marlstep/drill/explore.py
+++ b/marlstep/fault_injection/explore.py
@@ -20,7 +20,7 @@
 from marlstep.consensus.raft import RaftTiming
 from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
 from marlstep.consensus.state_machine import StateMachine
-from marlstep.drill.broken import Breakage
+from marlstep.fault_injection.broken import Breakage
 from marlstep.leases.client import GroupClient
 from marlstep.leases.messages import HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
--- a/marlstep/drill/explore_rules.py
+++ b/marlstep/fault_injection/explore_rules.py
@@ -15,8 +15,8 @@
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.replica import Replica, node_of
 from marlstep.consensus.state_machine import StateMachine, StoredCommand
-from marlstep.drill.broken import Breakage
-from marlstep.drill.explore import (
+from marlstep.fault_injection.broken import Breakage
+from marlstep.fault_injection.explore import (
     START,
     TIMING,
     VOTERS,
--- a/marlstep/drill/leases.py
+++ b/marlstep/fault_injection/leases.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.drill.acts import Act, late_accepted, overlaps, run_twice, shared_tokens
-from marlstep.drill.plan import Plan
-from marlstep.drill.rig import Rig, Settings
-from marlstep.drill.witness import clock_us
+from marlstep.fault_injection.acts import Act, late_accepted, overlaps, run_twice, shared_tokens
+from marlstep.fault_injection.plan import Plan
+from marlstep.fault_injection.rig import Rig, Settings
+from marlstep.fault_injection.witness import clock_us
 
 WELL_AGAIN_S = 5.0  # before the end of a plan somebody must have acted, or else
 PATIENCE_S = 40.0  # after it: how fast a busy machine heals is measured, and whether it heals is judged
--- a/marlstep/drill/members.py
+++ b/marlstep/fault_injection/members.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.drill.plan import Plan
-from marlstep.drill.rig import Rig, Settings
-from marlstep.drill.witness import clock_us
+from marlstep.fault_injection.plan import Plan
+from marlstep.fault_injection.rig import Rig, Settings
+from marlstep.fault_injection.witness import clock_us
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 
 AGREE_S = 30.0  # after the plan: how soon is measured, and whether is judged
--- a/marlstep/drill/process.py
+++ b/marlstep/fault_injection/process.py
@@ -1,6 +1,6 @@
 """The rig's own way of starting a node: the product as it is, with a clock that errs and a disk that can be slowed.
 
-    python -m marlstep.drill.process --operator FILE --rate 1.01
+    python -m marlstep.fault_injection.process --operator FILE --rate 1.01
 
 Orders come as JSON lines on standard input: `{"hook": "begun"}` kills this process at that step (with
 `"stop": true` it is only stopped), `{"disk_ms": 300}`
@@ -30,7 +30,7 @@
 from marlstep.cluster.replica_driver import ReplicaDriver
 from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError
 from marlstep.consensus.raft import Ready
-from marlstep.drill.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
+from marlstep.fault_injection.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 from marlstep.units import EPOCH, MILLISECOND, SteadyClock
 
--- a/marlstep/drill/rig.py
+++ b/marlstep/fault_injection/rig.py
@@ -20,9 +20,9 @@
 
 from marlstep.cluster.recovery import create_group
 from marlstep.cluster.store import FILE_NAME
-from marlstep.drill.links import Link, Ports
-from marlstep.drill.plan import Fault, Plan
-from marlstep.drill.witness import Witness, clock_us
+from marlstep.fault_injection.links import Link, Ports
+from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.witness import Witness, clock_us
 from marlstep.standins.servers import StandIns
 
 READY_S = 20.0
@@ -170,7 +170,7 @@
         if self.rig.settings.logs is not None:
             logs = (self.rig.settings.logs / f"{self.name}.log").open("ab")
         self.process = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-m", "marlstep.drill.process"),
+            *(sys.executable, "-m", "marlstep.fault_injection.process"),
             *("--operator", str(self.folder / "operator.toml"), "--rate", str(self.rate)),
             *(("--broken", self.rig.settings.broken) if self.rig.settings.broken else ()),
             stdin=asyncio.subprocess.PIPE,
--- a/marlstep/drill/rules.py
+++ b/marlstep/fault_injection/rules.py
@@ -18,11 +18,11 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.drill.linear import Call, Came, unordered
-from marlstep.drill.links import Ports
-from marlstep.drill.plan import Plan
-from marlstep.drill.rig import NodeProcess, Rig, Settings
-from marlstep.drill.witness import clock_us
+from marlstep.fault_injection.linear import Call, Came, unordered
+from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.plan import Plan
+from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
+from marlstep.fault_injection.witness import clock_us
 from marlstep.frontends.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
 from marlstep.replicated_config.documents import content_digest
--- a/marlstep/drill/virtual.py
+++ b/marlstep/fault_injection/virtual.py
@@ -20,9 +20,9 @@
 from marlstep.consensus.raft import RaftTiming, Ready
 from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
-from marlstep.drill.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
-from marlstep.drill.broken import Breakage
-from marlstep.drill.plan import HEAL_MS, Fault, Plan
+from marlstep.fault_injection.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
+from marlstep.fault_injection.broken import Breakage
+from marlstep.fault_injection.plan import HEAL_MS, Fault, Plan
 from marlstep.leases.client import GroupClient
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
--- a/marlstep/drill/virtual_members.py
+++ b/marlstep/fault_injection/virtual_members.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass, field
 from datetime import datetime, timedelta
 
-from marlstep.drill.broken import Breakage
-from marlstep.drill.plan import Fault, Plan
-from marlstep.drill.virtual import START, Broken
+from marlstep.fault_injection.broken import Breakage
+from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.virtual import START, Broken
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.messages import OutboundMessage
--- a/marlstep/drill/virtual_rules.py
+++ b/marlstep/fault_injection/virtual_rules.py
@@ -15,10 +15,10 @@
 
 from marlstep.consensus.replica import ReplicaSettings
 from marlstep.consensus.state_machine import StoredCommand
-from marlstep.drill.broken import Breakage
-from marlstep.drill.linear import Call, Came, unordered
-from marlstep.drill.plan import Plan
-from marlstep.drill.virtual import Broken, VirtualNode, World, broken_by
+from marlstep.fault_injection.broken import Breakage
+from marlstep.fault_injection.linear import Call, Came, unordered
+from marlstep.fault_injection.plan import Plan
+from marlstep.fault_injection.virtual import Broken, VirtualNode, World, broken_by
 from marlstep.leases.holder import HeartbeatReport
 from marlstep.leases.messages import RequestCounts, TenantDemand
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
--- a/marlstep/drill/witness.py
+++ b/marlstep/fault_injection/witness.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import asdict
 
-from marlstep.drill.acts import Act, Receiver
+from marlstep.fault_injection.acts import Act, Receiver
 from marlstep.frontends.uwsgi_wire import PacketReader, write_response
 from marlstep.net.ring import Ring
 
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -13,7 +13,7 @@
 from marlstep.cli.main import call
 from marlstep.cluster import wire
 from marlstep.consensus.messages import RequestVote
-from marlstep.drill.rig import Rig, Settings
+from marlstep.fault_injection.rig import Rig, Settings
 from marlstep.net.framing import Framing, keyed
 from tests.cluster.support import CONFIG, make_plan
 
--- a/tests/cluster/test_health_checks.py
+++ b/tests/cluster/test_health_checks.py
@@ -8,8 +8,8 @@
 from collections import Counter
 from pathlib import Path
 
-from marlstep.drill.links import Ports
-from marlstep.drill.rig import NodeProcess, Rig, Settings
+from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
 from marlstep.frontends.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
 from tests.cluster.support import CONFIG, NODES, make_plan
--- a/tests/cluster/test_process_drills.py
+++ b/tests/cluster/test_process_drills.py
@@ -13,8 +13,8 @@
 import pytest
 
 from marlstep.cli.drill import process_one
-from marlstep.drill.plan import Shape, draw
-from marlstep.drill.rig import Rig, Settings
+from marlstep.fault_injection.plan import Shape, draw
+from marlstep.fault_injection.rig import Rig, Settings
 from tests.cluster.support import CONFIG, NODES, make_plan
 
 # Each the cause of one of the hard cases; times in ms from the start, and how long.
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -14,10 +14,10 @@
 
 from marlstep.cli.drill import members_one
 from marlstep.cli.main import call
-from marlstep.drill.links import Ports
-from marlstep.drill.plan import Fault, Plan
-from marlstep.drill.rig import Rig, Settings
-from marlstep.drill.rules import ListServers
+from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.rig import Rig, Settings
+from marlstep.fault_injection.rules import ListServers
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.membership.quota_table import FULL_QUOTA
 from tests.membership.support import NODES
--- a/tests/membership/test_virtual_network.py
+++ b/tests/membership/test_virtual_network.py
@@ -7,11 +7,11 @@
 import pytest
 
 from marlstep.cli.main import call
-from marlstep.drill.acts import Act
-from marlstep.drill.broken import MEMBERS_BREAKAGES, Breakage
-from marlstep.drill.members import Line, forbidden_acts, wrongly_removed
-from marlstep.drill.plan import Fault, Plan, Shape, draw
-from marlstep.drill.virtual_members import KINDS, run_members
+from marlstep.fault_injection.acts import Act
+from marlstep.fault_injection.broken import MEMBERS_BREAKAGES, Breakage
+from marlstep.fault_injection.members import Line, forbidden_acts, wrongly_removed
+from marlstep.fault_injection.plan import Fault, Plan, Shape, draw
+from marlstep.fault_injection.virtual_members import KINDS, run_members
 from marlstep.membership.partition_state import (
     PartitionState,
 )
--- a/tests/replicated_config/test_linearizability.py
+++ b/tests/replicated_config/test_linearizability.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.drill.linear import Call, Came, unordered
+from marlstep.fault_injection.linear import Call, Came, unordered
 
 
 def told(client: str, begun: int, ended: int, version: int) -> Call:
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -12,10 +12,10 @@
 
 from marlstep.cli.drill import rules_one
 from marlstep.cli.main import call
-from marlstep.drill.links import Ports
-from marlstep.drill.plan import Fault, Plan
-from marlstep.drill.rig import Rig, Settings
-from marlstep.drill.rules import CLIENTS, SERVERS, Arrival, ListServers, Load, Operators, judge
+from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.rig import Rig, Settings
+from marlstep.fault_injection.rules import CLIENTS, SERVERS, Arrival, ListServers, Load, Operators, judge
 
 ROOT = Path(__file__).parent.parent.parent
 CONFIG = ROOT / "deploy" / "node.json"
--- a/tests/replicated_config/test_virtual_drill.py
+++ b/tests/replicated_config/test_virtual_drill.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from marlstep.drill.broken import RULES_BREAKAGES, Breakage
-from marlstep.drill.explore_rules import STARTS, walk_rules
-from marlstep.drill.plan import Shape, draw
-from marlstep.drill.virtual_rules import run_rules
+from marlstep.fault_injection.broken import RULES_BREAKAGES, Breakage
+from marlstep.fault_injection.explore_rules import STARTS, walk_rules
+from marlstep.fault_injection.plan import Shape, draw
+from marlstep.fault_injection.virtual_rules import run_rules
 
 
 @pytest.mark.parametrize("seed", range(50, 54))
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -16,13 +16,13 @@
 
 from marlstep.cli.drill import explore
 from marlstep.cli.main import call
-from marlstep.drill.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
-from marlstep.drill.broken import BREAKAGES, Breakage
-from marlstep.drill.explore import STARTS, walk
-from marlstep.drill.leases import judge
-from marlstep.drill.links import Link
-from marlstep.drill.plan import BadPlan, Fault, Plan, Shape, draw, read_plan
-from marlstep.drill.virtual import run, shrink
+from marlstep.fault_injection.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
+from marlstep.fault_injection.broken import BREAKAGES, Breakage
+from marlstep.fault_injection.explore import STARTS, walk
+from marlstep.fault_injection.leases import judge
+from marlstep.fault_injection.links import Link
+from marlstep.fault_injection.plan import BadPlan, Fault, Plan, Shape, draw, read_plan
+from marlstep.fault_injection.virtual import run, shrink
 
 
 def act(node: str, token: int, began: int, ended: int, **other: object) -> Act:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -335,8 +335,8 @@
 # What a node that was told nothing more must not load: it lives in 32 MB.
 ABSENT = (
     "apsw", "argparse", "blake3", "click", "csv", "gzip", "hdrh", "marlstep.admin", "marlstep.cli",
-    "marlstep.config.cluster", "marlstep.config.document_overrides", "marlstep.consensus", "marlstep.drill",
-    "marlstep.cluster", "marlstep.frontends.uwsgi", "marlstep.hot_restart",
+    "marlstep.config.cluster", "marlstep.config.document_overrides", "marlstep.consensus",
+    "marlstep.fault_injection", "marlstep.cluster", "marlstep.frontends.uwsgi", "marlstep.hot_restart",
     "marlstep.leases", "marlstep.membership", "marlstep.components.admin", "marlstep.components.config_documents",
     "marlstep.components.health_endpoint", "marlstep.components.cluster", "marlstep.components.hot_restart",
     "marlstep.components.uwsgi", "marlstep.event_loop_watchdog", "marlstep.peers", "marlstep.load_balancing",
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -17,7 +17,7 @@
 from benchmarks.mixed.task_record import count_crossings, judge_acts
 from marlstep.__main__ import PLAIN
 from marlstep.cluster.store_errors import StoreRefusedError
-from marlstep.drill.acts import Act
+from marlstep.fault_injection.acts import Act
 
 ROOT = Path(__file__).parent.parent
 KILLED_AT = 100.0
