--- /dev/null
+++ b/tests/cli/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the command line."""
--- /dev/null
+++ b/tests/cli/test_printed_reports.py
@@ -0,0 +1,14 @@
+"""What commands print and return stays as recorded: reports, messages of wrong calls and exit codes."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from tests.cli.surface import REPORTS, read_golden
+
+
+@pytest.mark.parametrize("name", REPORTS)
+def test_commands_print_what_is_recorded_and_return_its_exit_code(name: str, tmp_path: Path) -> None:
+    assert REPORTS[name](tmp_path) == read_golden(f"{name}.json")
