--- a/marlstep/traces/compiling.py
+++ b/marlstep/traces/compiling.py
@@ -130,7 +130,7 @@
         "format": reading.format.name,
         "seed": seed,
         "sources": hashes,
-        "settings": _settings_hash(settings),
+        "settings": settings_digest(settings),
     }
     by_class: dict[str, int] = {}
 
@@ -170,7 +170,7 @@
     return max(1e-6, sum(max(0, min(one.end_us, end) - one.start_us) for one in sections) / 1e6)
 
 
-def _settings_hash(settings: MappingSettings) -> str:
+def settings_digest(settings: MappingSettings) -> str:
     def plain(value: Any) -> Any:
         return sorted(value) if isinstance(value, frozenset) else str(value)
 
--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -16,6 +16,10 @@
 import click
 
 from marlstep.cli.main import call, marlstep
+from marlstep.config.traces import check_trace
+from marlstep.traces.compiling import settings_digest
+from marlstep.traces.mapping import DEFAULTS
+from tests.cli.trace_sections import COMPLETE, errors_of_unknown_keys, errors_of_wrong_values
 from tests.golden.everything import counted_names
 from tests.golden.shown import PLATFORM, Connection, Shown, lines
 
@@ -200,10 +204,21 @@
     return hashlib.sha256(text).hexdigest()
 
 
+def trace_settings() -> dict[str, Any]:
+    """How `[trace]` is read: the errors of wrong sections, and the digests that schedules store of settings."""
+    settings = {**DEFAULTS, "complete": check_trace(COMPLETE, "generic")[0]}
+    return {
+        "digests": {name: settings_digest(value) for name, value in settings.items()},
+        "unknown": errors_of_unknown_keys(),
+        "wrong": errors_of_wrong_values(),
+    }
+
+
 def record() -> None:
     """Write the golden files anew, from the program as it stands. No test runs it."""
     GOLDEN.mkdir(parents=True, exist_ok=True)
     told: dict[str, Any] = {"help.json": help_texts(), "parameters.json": parameters()}
+    told["trace_settings.json"] = trace_settings()
     for name, make in REPORTS.items():
         with tempfile.TemporaryDirectory() as folder:
             told[f"{name}.json"] = make(Path(folder))
