--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -46,7 +46,7 @@
 
 
 class Component:
-    """What a node may have beside its core. A subclass overrides what it has need of."""
+    """An optional part of a node. A subclass overrides what it needs."""
 
     name: ClassVar[str]
     start_phase: ClassVar[StartPhase]
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -16,26 +16,26 @@
 
 log = logging.getLogger("marlstep")
 
-MIN_ALLOWANCE_CHANGE = 1 / 10_000  # of the whole allowance: a lesser change is not worth a turn of the core
+MIN_QUOTA_CHANGE = 1 / 10_000  # of the quota of all servers: a smaller change is left out
 
 
 class NodeConfigDocuments:
     """Checks documents against the node's configuration, and puts them in force."""
 
     def __init__(self, governed_config: GovernedConfig, core: Core) -> None:
-        """Govern the configuration from now on, without any document yet."""
+        """Apply documents to the configuration from now on; there is none yet."""
         self._config, self._core = governed_config, core
         self._governed = governed_config.governed = DocumentOverrides()
-        self._own = governed_config.config  # as its files have it
+        self._own = governed_config.config  # as the files have it
         self._versions: dict[str, int] = {}
-        self._lowest_allowances: dict[str, float] = {}  # that any version in force here gave, by tenant
+        self._lowest_quotas_per_s: dict[str, float] = {}  # that any version in force here gave, by tenant
 
     def local_content(self, kind: str) -> object:
-        """Give what the node's own files say of this kind."""
+        """Return what the node's own files say for a kind of document."""
         return local_content(self._own, kind)
 
     def check(self, kind: str, content: str) -> str:
-        """Give why the node can't act on this content, beside all else in force; empty where it can.
+        """Return why the node can't act on this content together with all else in force; empty if it can.
 
         A document is checked by the same code as a file.
         """
@@ -46,56 +46,56 @@
         return ""
 
     def activate(self, kind: str, version: int, content: str) -> None:
-        """Put a version in force. Raises ValueError."""
+        """Put a version in force. Raises ValueError where it is no valid configuration."""
         document = json.loads(content)
         try:
             self._config.apply_config(self._governed.apply_to(self._config.config, **{kind: document}))
         except ConfigError as error:
             raise ValueError(str(error)) from error
-        self._note_allowances()
+        self._record_lowest_quotas()
         self._governed.put(kind, document)
         self._versions[kind] = version
         self._core.config_versions = ",".join(
             f"{name}={number}" for name, number in sorted(self._versions.items())
         )
 
-    def _note_allowances(self) -> None:
-        allowances = {name: tenant.quota_per_s for name, tenant in self._core.tenants.items()}
+    def _record_lowest_quotas(self) -> None:
+        quotas_per_s = {name: tenant.quota_per_s for name, tenant in self._core.tenants.items()}
         lowest = {
-            name: min(allowance, allowances.get(name, allowance))
-            for name, allowance in self._lowest_allowances.items()
+            name: min(quota_per_s, quotas_per_s.get(name, quota_per_s))
+            for name, quota_per_s in self._lowest_quotas_per_s.items()
         }
-        self._lowest_allowances = {**allowances, **lowest}
+        self._lowest_quotas_per_s = {**quotas_per_s, **lowest}
 
     def request_counts(self) -> RequestCounts:
         """Count the requests that were read, of them rejected, and failed or late."""
         return RequestCounts(*self._core.request_counts)
 
     def tenant_counts(self) -> dict[str, int]:
-        """Count the requests that were read of each tenant that has an allowance."""
+        """Count the requests that were read of each tenant that has a quota."""
         core = self._core
-        limited = [tenant.name for tenant in core.settings.tenants if tenant.quota_per_s]
-        return {name: core.tenant_counts[name]["read"] for name in limited}
+        with_quota = [tenant.name for tenant in core.settings.tenants if tenant.quota_per_s]
+        return {name: core.accepted_count(name) for name in with_quota}
 
     def set_quota_share(self, tenant: str, share: float) -> None:
-        """Set a tenant's allowance here to a share of the whole.
+        """Set a tenant's quota on this node to a share, 0 to 1, of the quota of all servers.
 
-        The decision module takes an allowance for that of all peers, and its own share for an equal one.
+        The admission controller reads a quota as that of all servers, and takes an equal part of it.
         """
         core = self._core
-        allowances = {settings.name: settings.quota_per_s for settings in core.settings.tenants}
-        whole = allowances.get(tenant, 0.0)
-        per_s = whole * share * core.settings.server_count
+        quotas_per_s = {settings.name: settings.quota_per_s for settings in core.settings.tenants}
+        total_per_s = quotas_per_s.get(tenant, 0.0)
+        per_s = total_per_s * share * core.settings.server_count
         if tenant not in core.tenants:
             return
-        if abs(core.tenants[tenant].quota_per_s - per_s) > whole * MIN_ALLOWANCE_CHANGE:
+        if abs(core.tenants[tenant].quota_per_s - per_s) > total_per_s * MIN_QUOTA_CHANGE:
             core.set_quota(tenant, per_s)
 
     def restrict(self) -> None:
-        """Narrow the allowance of each tenant that is still there to the lowest that any version gave."""
+        """Narrow the quota of each tenant that is still there to the lowest that any version gave."""
         core = self._core
-        for name, lowest in self._lowest_allowances.items():
+        for name, lowest in self._lowest_quotas_per_s.items():
             tenant = core.tenants.get(name)
             if tenant is not None and lowest < tenant.quota_per_s:
-                log.warning("allowance narrowed: tenant=%s allowance_per_s=%g", name, lowest)
+                log.warning("quota narrowed: tenant=%s quota_per_s=%g", name, lowest)
                 core.set_quota(name, lowest)
--- a/marlstep/components/host.py
+++ b/marlstep/components/host.py
@@ -52,10 +52,10 @@
         """Time from SIGTERM to the end where a successor serves."""
 
     def successor_lost(self) -> None:
-        """Hear that nobody serves in this process's place any more."""
+        """Handle the loss of the successor: no other process serves in the place of this one."""
 
     def successor_draining(self) -> None:
-        """Hear that the successor has been told to leave as well."""
+        """Handle the graceful shutdown of the successor."""
 
 
 class AdminHost(NodeServices, Protocol):
@@ -85,7 +85,7 @@
     """What the health endpoint needs."""
 
     def serving_state_changed(self) -> None:
-        """Hear that an operator quiesced or resumed the node here."""
+        """Handle an operator's quiesce or resume at this process."""
 
 
 class HotRestartHost(NodeServices, Protocol):
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -43,7 +43,7 @@
     frontend: UwsgiFrontend
 
     def __init__(self, host: NodeServices, config: UwsgiConfig, max_connections: int) -> None:
-        """Make the frontend; `max_connections` is what the whole node has capacity for."""
+        """Make the frontend; `max_connections` is the capacity of the node for all its connections."""
         limit = connection_limit(config.max_connections, max_connections)
         self.descriptors = DESCRIPTORS_PER_REQUEST * limit
         self.upstream = Upstream(
--- a/marlstep/config/document_overrides.py
+++ b/marlstep/config/document_overrides.py
@@ -25,7 +25,7 @@
 
 
 def local_content(config: Config, kind: str) -> JsonContent:
-    """Return what the configuration has for a kind of document, in the form that a document would have."""
+    """Return the part of the configuration that a document of this kind replaces, in the form of a document."""
     if kind == DocumentKind.SETTINGS:
         return config.platform_table.get("settings")
     if kind == DocumentKind.TENANTS:
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -33,7 +33,7 @@
 )
 from marlstep.admission.settings import ClassSettings, Settings, TenantSettings
 from marlstep.core.arrivals import ControllerArrivals
-from marlstep.core.counters import DISCONNECTED_COUNT, RequestCounters
+from marlstep.core.counters import ACCEPTED_COUNT, DISCONNECTED_COUNT, RequestCounters
 from marlstep.core.dispatcher import ActionDispatcher
 from marlstep.core.drain import GracefulShutdown
 from marlstep.core.event_queue import EventQueue
@@ -281,6 +281,10 @@
         """Requests accepted at intake so far, of them those rejected, and those failed or expired."""
         return self._counters.accepted_rejected_failed()
 
+    def accepted_count(self, tenant: str) -> int:
+        """Return how many requests of a tenant were accepted at intake so far."""
+        return self.tenant_counts[tenant][ACCEPTED_COUNT]
+
     @property
     def unanswered(self) -> int:
         """Accepted requests that are still owed a response."""
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: from SIGTERM until all is answered, alone or beside a successor process."""
+"""Graceful shutdown: from SIGTERM until all requests have responses, with or without a successor process."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 log = logging.getLogger("marlstep")
 
-MAX_RESTART_DEADLINE = 3 * SECOND  # of the longest deadline, for a process that has a successor
+MAX_RESTART_DEADLINE = 3 * SECOND  # bound on the deadline that a process with a successor waits for
 RESTART_DEADLINE_MARGIN = 700 * MILLISECOND
 DRAIN_POLL_INTERVAL = 20 * MILLISECOND  # between checks whether the drain is done
 EXIT_MARGIN = 100 * MILLISECOND  # before the platform stops the process, it ends by itself
 
 
 class DrainController:
-    """Decides how a process leaves, and when it has left."""
+    """Decides how a process shuts down, and when it has ended."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         components: Mapping[str, Component],
         on_drained: Callable[[], None],
     ) -> None:
-        """Call `on_drained` where the process may end."""
+        """Call `on_drained` once the process may end."""
         self._config, self._core, self._timeline = config, core, timeline
         self._naming, self._frontends, self._components = naming, frontends, components
         self._on_drained = on_drained
@@ -62,27 +62,37 @@
             signal.signal(number, notify)
 
     def drain(self, noticed: datetime | None = None) -> None:
-        """Leave. With a successor that serves, this process only finishes what it has."""
+        """Begin the graceful shutdown, as SIGTERM asks for.
+
+        A process in standby ends at once: the predecessor serves on. With a successor that serves, this process only
+        finishes its requests. Otherwise the node drains: it runs what arrives within the grace, and rejects the rest.
+
+        Args:
+            noticed: when the signal came, from which the grace counts; now by default.
+        """
         now = noticed or self._timeline.now()
         for component in self._components.values():
             component.drain()
         state = self.restart_state
         if state is not None and state.is_standby:
-            self._on_drained()  # the predecessor goes on, and with it its reports
+            self._on_drained()  # the predecessor goes on, and its reports to the name service with it
         elif state is not None and state.hand_over_to_successor(now):
             self._core.begin_hand_over(now + self.restart_timeout())
         else:
             self._core.drain(now + self._config().shutdown_timeout, now)
-            # A predecessor that serves reports on; one that has handed over reports last when it hears of this.
+            # A predecessor that serves goes on reporting; one that handed over sends its last report now.
             self._naming.report_last(sends_last_report=state is None or not state.has_predecessor)
 
     def restart_timeout(self) -> timedelta:
-        """Time from SIGTERM to the end where a successor serves."""
+        """Return the time from SIGTERM to the end of a process whose successor serves.
+
+        The longest deadline of the classes, up to a bound, and a margin: what this process accepted has ended by then.
+        """
         longest = max(span(request_class.deadline_us) for request_class in self._config().settings.classes)
         return min(longest, MAX_RESTART_DEADLINE) + RESTART_DEADLINE_MARGIN
 
     def successor_lost(self) -> None:
-        """Drain now if SIGTERM has come: it was none as long as a successor served."""
+        """Drain if SIGTERM has come: until now the successor served in the place of this process."""
         if self._core.stops_at is not None and not self._core.shutdown_requested:
             log.warning("successor lost during shutdown: action=drain")
             self._frontends.accept_again()
@@ -91,12 +101,12 @@
             self._core.drain(self._core.stops_at)
 
     def successor_draining(self) -> None:
-        """Report no more: the successor has said its last to the name service, and no request is to come here."""
+        """Send the last report: the successor has sent its own to the name service, and no request is to come here."""
         if self._core.stops_at is not None:
             self._naming.report_last()
 
     def _poll(self) -> None:
-        """End once all is answered and the peers have closed, or when time is up."""
+        """End once all requests have responses and all peers have closed, or when time is up."""
         core, now = self._core, self._timeline.now()
         out_of_time = core.stops_at is not None and now >= core.stops_at - EXIT_MARGIN
         if out_of_time or not self._is_busy():
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -229,6 +229,6 @@
 
 
 def _cannot_serve(error: OSError) -> int:
-    # Without a traceback: the message names the address, and that is what an operator can mend.
+    # Without a traceback: the message names the address, which is what an operator has to correct.
     log.error("cannot serve: %s", error)
     return EXIT_ADDRESS
--- a/marlstep/reload.py
+++ b/marlstep/reload.py
@@ -17,7 +17,7 @@
 
 
 class ConfigReloader:
-    """Owner of the configuration in force. A new one is taken whole or not at all."""
+    """Owner of the configuration in force. A new one comes into force completely or not at all."""
 
     def __init__(
         self, config: Config, read_config: Callable[[], Config], on_change: Callable[[Config], None]
@@ -33,7 +33,7 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Read the configuration again. What is wrong with it is logged by its key, and the old one stays."""
+        """Read the configuration again. An error is logged with its key, and the old one stays in force."""
         try:
             self.apply_config(self._with_documents(self._read_config()))
         except ConfigError as error:
@@ -65,5 +65,5 @@
 
 
 def _log_rejected(error: ConfigError) -> None:
-    # Without a traceback: the message names the key, and that is what who wrote the file can mend.
+    # Without a traceback: the message names the key, which is what the author of the file has to correct.
     log.error("configuration rejected, the running one stays in force: %s", error)
