--- a/marlstep/net/stream.py
+++ b/marlstep/net/stream.py
@@ -57,7 +57,10 @@
 
     @property
     def send_blocked(self) -> bool:
-        """Whether the peer does not read what was sent: nothing more is read from it then."""
+        """Whether the peer does not read what was sent, so that nothing more is read from it.
+
+        That bounds the memory of a connection: a request that is not read needs no queued response.
+        """
         return bool(self._overflow)
 
     def send(self, data: bytes) -> None:
