--- a/marlstep/fault_injection/plan.py
+++ b/marlstep/fault_injection/plan.py
@@ -7,11 +7,9 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-KINDS = (
-    "kill", "wipe", "old store", "stop", "cut", "one way", "isolate", "slow", "trickle", "reset", "repeat",
-    "slow disk", "drain", "restart all", "crash at", "deaf", "mute", "split",
-)  # fmt: skip
-DIRECTED = ("stop at", "upgrade", "full disk", "jump", "reload")  # in plans that are written, not drawn
+from marlstep.fault_injection.faults import FAULT_TYPES, Fault, Kill
+
+KINDS = tuple(name for name, fault_type in FAULT_TYPES.items() if fault_type.is_drawn)
 ROLES = ("@holder", "@leader")  # whoever holds the first task, or leads, when the fault comes
 # Steps between which a process may be killed, or stopped.
 HOOKS = ("voted", "stored", "granted", "begun", "acted", "ended", "left")
@@ -19,18 +17,6 @@
 RULES_HOOKS = ("uploading", "put", "said", "following")
 
 
-@dataclass(slots=True, frozen=True)
-class Fault:
-    """At `at_ms` from the start, for `for_ms`: what, to which node or from which to which."""
-
-    at_ms: int
-    for_ms: int
-    kind: str
-    node: str
-    other: str = ""
-    hook: str = ""
-
-
 @dataclass(slots=True, frozen=True)
 class Plan:
     seed: int
@@ -66,9 +52,9 @@
         raise BadPlan(f"no plan: {wrong!r}") from wrong
     for fault in faults:
         names = (*plan.nodes, *ROLES)
-        if fault.kind not in KINDS + DIRECTED or fault.node not in names or fault.other not in ("", *names):
+        if fault.kind not in FAULT_TYPES or fault.node not in names or fault.other not in ("", *names):
             raise BadPlan(f"no fault that this rig knows: {asdict(fault)}")
-        if fault.kind in ("crash at", "stop at") and fault.hook not in HOOKS + RULES_HOOKS:
+        if FAULT_TYPES[fault.kind].takes_step and fault.hook not in HOOKS + RULES_HOOKS:
             raise BadPlan(f"no hook {fault.hook!r}: {', '.join(HOOKS + RULES_HOOKS)}")
     if len(plan.rates) != len(plan.nodes) or not set(plan.voters) <= set(plan.nodes):
         raise BadPlan("a plan has a rate for each node, and its voters are among the nodes")
@@ -108,22 +94,13 @@
     while (at := at + chance.expovariate(1 / shape.every_ms)) < last:
         kind = chance.choice(tuple(shape.kinds))
         node = chance.choice(nodes if chance.random() < 0.4 else voters)
-        other = chance.choice([one for one in nodes if one != node]) if kind in WITH_OTHER else ""
-        if kind in ("wipe", "old store") and node not in voters:
-            kind = "kill"
-        most = min(LONGEST.get(kind, shape.most_ms), last - at + HEAL_MS // 3)
+        fault_type = FAULT_TYPES[kind]
+        other = chance.choice([one for one in nodes if one != node]) if fault_type.affects_link else ""
+        if fault_type.affects_store and node not in voters:
+            fault_type = FAULT_TYPES[Kill.name]
+        max_duration_ms = fault_type.max_duration_ms or shape.most_ms
+        most = min(max_duration_ms, last - at + HEAL_MS // 3)
         span = max(20, int(most * chance.random()))
-        hook = chance.choice(tuple(shape.hooks)) if kind == "crash at" else ""
-        faults.append(Fault(int(at), span, kind, node, other, hook))
+        hook = chance.choice(tuple(shape.hooks)) if fault_type.takes_step else ""
+        faults.append(Fault(int(at), span, fault_type.name, node, other, hook))
     return Plan(seed, nodes, voters, shape.length_ms, tuple(rates), tuple(faults), shape.drift)
-
-
-WITH_OTHER = ("cut", "one way", "slow", "trickle", "reset", "repeat", "split")
-LONGEST = {
-    "stop": 6_000,
-    "kill": 2_500,
-    "wipe": 2_500,
-    "old store": 2_500,
-    "slow disk": 2_000,
-    "drain": 1_500,
-}
--- a/marlstep/fault_injection/rig.py
+++ b/marlstep/fault_injection/rig.py
@@ -13,21 +13,28 @@
 import socket
 import sys
 from collections import Counter
-from collections.abc import Mapping, Sequence
+from collections.abc import Collection, Mapping, Sequence
 from dataclasses import dataclass, field, replace
 from pathlib import Path
 from typing import Any
 
 from marlstep.cluster.recovery import create_group
 from marlstep.cluster.store import FILE_NAME
+from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
 from marlstep.fault_injection.links import Link, Ports
-from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.plan import Plan
 from marlstep.fault_injection.witness import Witness, clock_us
 from marlstep.standins.servers import StandIns
 
 READY_S = 20.0
 LEAVE_S = 8.0
 NEVER = 1 << 62
+SECOND_US = 1_000_000
+RESTART_DELAY_S = (0.01, 0.8)  # bounds of the time that a node stays down when all are restarted
+MIN_DISK_DELAY_MS, DISK_DELAY_RANGE_MS = (
+    150,
+    400,
+)  # of each write to a slow disk; a fault's duration picks one
 
 
 class RigError(Exception):
@@ -233,7 +240,7 @@
         return json.loads(body)
 
 
-class Rig:
+class Rig(FaultTarget):
     """All of one drill. Use as a context: nothing that it started outlives it."""
 
     def __init__(self, plan: Plan, settings: Settings, folder: Path) -> None:
@@ -338,8 +345,7 @@
             await asyncio.sleep(max(0.0, start + fault.at_ms / 1000 - loop.time()))
             self.struck.append((clock_us(), fault))
             self.counts[fault.kind] += 1
-            meant = await self._meant(fault)
-            self._strike(meant, loop.time())
+            self._inject(await self._meant(fault))
         await asyncio.sleep(max(0.0, start + self.plan.length_ms / 1000 - loop.time()))
 
     async def _meant(self, fault: Fault) -> Fault:
@@ -364,58 +370,84 @@
                 best, found = voter["term"], name
         return found
 
-    def _strike(self, fault: Fault, now: float) -> None:
-        node, span = self.nodes[fault.node], fault.for_ms / 1000
-        until = now + span
-        there, back = self.links.get((fault.node, fault.other)), self.links.get((fault.other, fault.node))
-        match fault.kind:
-            case "kill":
-                self._down(node, span, "keep")
-            case "wipe" | "old store":
-                self._spawn(self._amnesia(node, span, fault.kind))
-            case "stop":
-                self._spawn(self._stopped(node, span))
-            case "cut" if there is not None and back is not None:
-                there.cut_until = back.cut_until = until
-            case "one way" if there is not None:
-                there.cut_until = until
-            case "isolate" | "deaf" | "mute" | "split":
-                here = {fault.node, fault.other or fault.node}
-                for (one, other), link in self.links.items():
-                    out, back_in = one in here and other not in here, other in here and one not in here
-                    if (out and fault.kind != "deaf") or (back_in and fault.kind != "mute"):
-                        link.cut_until = until
-            case "slow" if there is not None:
-                there.slow_until = until
-            case "trickle" if there is not None:
-                there.trickle_until = until
-            case "repeat" if there is not None:
-                there.repeat_until = until
-            case "reset" if there is not None:
-                there.reset_next = True
-            case "slow disk":
-                node.order(disk_ms=150 + fault.for_ms % 400)
-                asyncio.get_running_loop().call_later(span, lambda: node.order(disk_ms=0))
-            case "drain":
-                self._spawn(self._drained(node, span))
-            case "restart all":
-                for every in self.nodes.values():
-                    self._down(every, self.chance.uniform(0.01, 0.8), "keep")
-            case "crash at":
-                node.order(hook=fault.hook)
-                self._spawn(self._hooked(node))
-            case "stop at":
-                node.order(hook=fault.hook, stop=True)
-                self._spawn(self._stopped_at(node, span))
-            case "upgrade":
-                self._spawn(self._upgraded(node))
-            case "full disk":
-                node.order(disk_full=True)
-                asyncio.get_running_loop().call_later(span, lambda: node.order(disk_full=False))
-            case "reload":
-                node.signal(signal.SIGHUP)
-            case "jump":
-                node.order(jump_ms=fault.for_ms)
+    def _inject(self, fault: Fault) -> None:
+        FAULT_TYPES[fault.kind].inject(fault, self)
+
+    def node_names(self) -> Collection[str]:
+        return self.nodes.keys()
+
+    def draw_restart_delay_us(self) -> int:
+        return int(self.chance.uniform(*RESTART_DELAY_S) * SECOND_US)
+
+    def kill(self, node: str, duration_us: int) -> None:
+        self._down(self.nodes[node], duration_us / SECOND_US, "keep")
+
+    def wipe_store(self, node: str, duration_us: int) -> None:
+        self._spawn(self._amnesia(self.nodes[node], duration_us / SECOND_US, "wipe"))
+
+    def restore_old_store(self, node: str, duration_us: int) -> None:
+        self._spawn(self._amnesia(self.nodes[node], duration_us / SECOND_US, "old store"))
+
+    def pause(self, node: str, duration_us: int) -> None:
+        self._spawn(self._stopped(self.nodes[node], duration_us / SECOND_US))
+
+    def drain(self, node: str, duration_us: int) -> None:
+        self._spawn(self._drained(self.nodes[node], duration_us / SECOND_US))
+
+    def slow_disk(self, node: str, duration_us: int) -> None:
+        delay_ms = MIN_DISK_DELAY_MS + duration_us // 1_000 % DISK_DELAY_RANGE_MS
+        self._order_for(self.nodes[node], duration_us, {"disk_ms": delay_ms}, {"disk_ms": 0})
+
+    def fill_disk(self, node: str, duration_us: int) -> None:
+        self._order_for(self.nodes[node], duration_us, {"disk_full": True}, {"disk_full": False})
+
+    def _order_for(
+        self, node: NodeProcess, duration_us: int, order: Mapping[str, Any], undo: Mapping[str, Any]
+    ) -> None:
+        node.order(**order)
+        asyncio.get_running_loop().call_later(duration_us / SECOND_US, lambda: node.order(**undo))
+
+    def kill_at_step(self, node: str, step: str) -> None:
+        self.nodes[node].order(hook=step)
+        self._spawn(self._hooked(self.nodes[node]))
+
+    def pause_at_step(self, node: str, step: str, duration_us: int) -> None:
+        self.nodes[node].order(hook=step, stop=True)
+        self._spawn(self._stopped_at(self.nodes[node], duration_us / SECOND_US))
+
+    def upgrade(self, node: str) -> None:
+        self._spawn(self._upgraded(self.nodes[node]))
+
+    def reload_configuration(self, node: str) -> None:
+        self.nodes[node].signal(signal.SIGHUP)
+
+    def jump_clock(self, node: str, duration_us: int) -> None:
+        self.nodes[node].order(jump_ms=duration_us // 1_000)
+
+    def drop_messages(self, origin: str, target: str, duration_us: int) -> None:
+        if (link := self.links.get((origin, target))) is not None:
+            link.cut_until = self._loop_time_after(duration_us)
+
+    def delay_messages(self, origin: str, target: str, duration_us: int) -> None:
+        if (link := self.links.get((origin, target))) is not None:
+            link.slow_until = self._loop_time_after(duration_us)
+
+    def trickle_messages(self, origin: str, target: str, duration_us: int) -> None:
+        if (link := self.links.get((origin, target))) is not None:
+            link.trickle_until = self._loop_time_after(duration_us)
+
+    def duplicate_messages(self, origin: str, target: str, duration_us: int) -> None:
+        if (link := self.links.get((origin, target))) is not None:
+            link.repeat_until = self._loop_time_after(duration_us)
+
+    def reset_connection(self, origin: str, target: str) -> None:
+        if (link := self.links.get((origin, target))) is not None:
+            link.reset_next = True
+
+    @staticmethod
+    def _loop_time_after(duration_us: int) -> float:
+        """Return the time of the event loop, in seconds, at which a fault that begins now is over."""
+        return asyncio.get_running_loop().time() + duration_us / SECOND_US
 
     def _down(self, node: NodeProcess, span: float, store: str) -> None:
         if node.restarting is None or node.restarting.done():
--- a/marlstep/fault_injection/virtual.py
+++ b/marlstep/fault_injection/virtual.py
@@ -10,8 +10,8 @@
 import heapq
 import random
 from collections import Counter
-from collections.abc import Callable
-from dataclasses import dataclass
+from collections.abc import Callable, Collection
+from dataclasses import dataclass, replace
 from datetime import datetime, timedelta
 from typing import Any
 
@@ -22,7 +22,8 @@
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
 from marlstep.fault_injection.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
 from marlstep.fault_injection.broken import Breakage
-from marlstep.fault_injection.plan import HEAL_MS, Fault, Plan
+from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
+from marlstep.fault_injection.plan import HEAL_MS, Plan
 from marlstep.leases.client import GroupClient
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
@@ -43,6 +44,10 @@
 TERM = 1_500 * MILLISECOND  # half of the default: more changes of holder in the same time
 MOST_WORK_US = 150_000  # of a server, for one act
 OLD_STORE_EVERY_US = 1_500_000
+RESTART_DELAY_US = (10_000, 800_000)  # bounds of the time that a node stays down when all are restarted
+DRAIN_US = 300_000  # from the notice to leave to the end of the process, beside the duration of the fault
+DRAINED_RESTART_US = 100_000  # that a drained node stays down
+RECONNECT_US = 20_000  # that messages are lost when a connection is reset
 MOST_EVENTS = 400_000  # of one world: more is a storm, and a fault of its own
 
 
@@ -403,7 +408,7 @@
             world.applied(self, index, command, result)
 
 
-class World:
+class World(FaultTarget):
     """All nodes, the network between them, the server of the tasks, and the eye that sees all."""
 
     def __init__(self, plan: Plan, breakage: Breakage | None = None) -> None:
@@ -482,7 +487,7 @@
                 node.disk = Disk(f"{node.name}#first", PersistentState(snapshot=snapshot))
             node.start()
         for fault in self.plan.faults:
-            self.after(fault.at_ms * 1_000, lambda fault=fault: self._strike(fault))  # type: ignore[misc]
+            self.after(fault.at_ms * 1_000, lambda fault=fault: self._inject(fault))  # type: ignore[misc]
         self.after(OLD_STORE_EVERY_US, self._back_up)
         end = self.plan.length_ms * 1_000
         events = 0
@@ -526,57 +531,66 @@
 
     # Faults.
 
-    def _strike(self, fault: Fault) -> None:
-        node, us = self.nodes[self._meant(fault.node)], fault.for_ms * 1_000
-        until = self.true_us + us
+    def _inject(self, fault: Fault) -> None:
         self.faults += 1
         self.counts[fault.kind] += 1
-        match fault.kind:
-            case "kill":
-                self._kill(node, us)
-            case "wipe":
-                if self._spare(node):
-                    node.disk = None
-                    self._kill(node, us)
-            case "old store":
-                if node.olds and self._spare(node):
-                    node.disk = node.olds[0].copy()
-                    node.disk.copied = True
-                    self._kill(node, us)
-            case "stop":
-                if node.up:
-                    node.stopped_until = until
-                    self.after(us, node.go_on)
-            case "cut":
-                self.link(fault.node, fault.other).cut_until = until
-                self.link(fault.other, fault.node).cut_until = until
-            case "one way":
-                self.link(fault.node, fault.other).cut_until = until
-            case "isolate" | "deaf" | "mute" | "split":
-                here = {node.name, self._meant(fault.other or node.name)}
-                for inside in sorted(here):
-                    for outside in sorted(self.nodes.keys() - here):
-                        if fault.kind != "deaf":
-                            self.link(inside, outside).cut_until = until
-                        if fault.kind != "mute":
-                            self.link(outside, inside).cut_until = until
-            case "slow" | "trickle":
-                self.link(fault.node, fault.other).slow_until = until
-            case "repeat":
-                self.link(fault.node, fault.other).repeat_until = until
-            case "reset":
-                self.link(fault.node, fault.other).cut_until = self.true_us + 20_000
-            case "slow disk":
-                node.slow_disk_until = until
-            case "drain":
-                if node.up:
-                    node.at(0, node.leave)
-                    self.after(us + 300_000, lambda: self._kill(node, 100_000))
-            case "restart all":
-                for one in self.nodes.values():
-                    self._kill(one, self.chance.randrange(10_000, 800_000))
-            case "crash at":
-                node.hook = fault.hook
+        resolved = replace(fault, node=self._meant(fault.node), other=self._meant(fault.other))
+        FAULT_TYPES[fault.kind].inject(resolved, self)
+
+    def node_names(self) -> Collection[str]:
+        return self.nodes.keys()
+
+    def draw_restart_delay_us(self) -> int:
+        return self.chance.randrange(*RESTART_DELAY_US)
+
+    def kill(self, node: str, duration_us: int) -> None:
+        self._kill(self.nodes[node], duration_us)
+
+    def wipe_store(self, node: str, duration_us: int) -> None:
+        voter = self.nodes[node]
+        if self._spare(voter):
+            voter.disk = None
+            self._kill(voter, duration_us)
+
+    def restore_old_store(self, node: str, duration_us: int) -> None:
+        voter = self.nodes[node]
+        if voter.olds and self._spare(voter):
+            voter.disk = voter.olds[0].copy()
+            voter.disk.copied = True
+            self._kill(voter, duration_us)
+
+    def pause(self, node: str, duration_us: int) -> None:
+        paused = self.nodes[node]
+        if paused.up:
+            paused.stopped_until = self.true_us + duration_us
+            self.after(duration_us, paused.go_on)
+
+    def drain(self, node: str, duration_us: int) -> None:
+        draining = self.nodes[node]
+        if draining.up:
+            draining.at(0, draining.leave)
+            self.after(duration_us + DRAIN_US, lambda: self._kill(draining, DRAINED_RESTART_US))
+
+    def slow_disk(self, node: str, duration_us: int) -> None:
+        self.nodes[node].slow_disk_until = self.true_us + duration_us
+
+    def kill_at_step(self, node: str, step: str) -> None:
+        self.nodes[node].hook = step
+
+    def drop_messages(self, origin: str, target: str, duration_us: int) -> None:
+        self.link(origin, target).cut_until = self.true_us + duration_us
+
+    def delay_messages(self, origin: str, target: str, duration_us: int) -> None:
+        self.link(origin, target).slow_until = self.true_us + duration_us
+
+    def trickle_messages(self, origin: str, target: str, duration_us: int) -> None:
+        self.delay_messages(origin, target, duration_us)  # a message arrives whole: it can only be late
+
+    def duplicate_messages(self, origin: str, target: str, duration_us: int) -> None:
+        self.link(origin, target).repeat_until = self.true_us + duration_us
+
+    def reset_connection(self, origin: str, target: str) -> None:
+        self.drop_messages(origin, target, RECONNECT_US)  # there are no connections: messages get lost
 
     def _meant(self, name: str) -> str:
         """Which node a plan means by a role."""
--- a/marlstep/fault_injection/virtual_members.py
+++ b/marlstep/fault_injection/virtual_members.py
@@ -10,13 +10,14 @@
 import math
 import random
 from collections import Counter
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Collection
+from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 
 from marlstep.fault_injection.broken import Breakage
-from marlstep.fault_injection.plan import Fault, Plan
-from marlstep.fault_injection.virtual import START, Broken
+from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
+from marlstep.fault_injection.plan import Plan
+from marlstep.fault_injection.virtual import RESTART_DELAY_US, START, Broken
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.messages import OutboundMessage
@@ -27,6 +28,7 @@
 HEAD = 110  # bytes of a datagram beside its records: frame, key's checksum, sender, kind
 REPLAYED = 0.002  # share of datagrams that come once more, seconds later
 ZONES = 3
+DRAIN_US = 50_000  # from the notice to leave to the end of the process
 REFUTED_US = 3_000_000  # at the most, until a wrong word of a live node is put right
 
 
@@ -136,7 +138,7 @@
                 self.world.noted(self, change.node, change.event, change.reported_by == self.name)
 
 
-class MembersWorld:
+class MembersWorld(FaultTarget):
     def __init__(
         self, plan: Plan, breakage: Breakage | None = None, settings: DetectorSettings | None = None,
         loss: float = 0.01, slow: float = 0.0,
@@ -178,7 +180,7 @@
         for node in self.nodes.values():
             self.after(self.chance.randrange(400_000), node.start)
         for fault in self.plan.faults:
-            self.after(fault.at_ms * 1_000, lambda fault=fault: self._strike(fault))  # type: ignore[misc]
+            self.after(fault.at_ms * 1_000, lambda fault=fault: self._inject(fault))  # type: ignore[misc]
         self.after(1_000_000, self._compare)
         end = self.plan.length_ms * 1_000
         while self._heap and self._heap[0][0] <= end:
@@ -224,55 +226,58 @@
 
     # Faults.
 
-    def _strike(self, fault: Fault) -> None:
-        name = fault.node if fault.node in self.nodes else self.plan.nodes[0]
-        node, us = self.nodes[name], fault.for_ms * 1_000
-        until = self.true_us + us
+    def _inject(self, fault: Fault) -> None:
+        resolved = replace(fault, node=self._resolved(fault.node), other=self._resolved(fault.other))
+        fault_type = FAULT_TYPES[fault.kind]
+        until = self.true_us + fault.duration_us
         self.counts[fault.kind] += 1
         self.last_fault_us = max(self.last_fault_us, until)
-        everybody = self.nodes.keys()
-        match fault.kind:
-            case "kill":
-                self.kill(node, us)
-            case "restart all":
-                for one in self.nodes.values():
-                    self.kill(one, self.chance.randrange(10_000, 800_000))
-                self.last_fault_us = max(self.last_fault_us, self.true_us + 800_000)
-            case "stop":
-                node.troubled_until = max(node.troubled_until, until)
-                node.stopped_until = max(node.stopped_until, until)
-                self.after(us, node.go_on)
-            case "drain":
-                if node.up:
-                    node.leaving = True
-                    self.send_all(node, node.detector.leave())
-                    self.after(50_000, lambda: self.kill(node, us))
-                    self.last_fault_us = max(self.last_fault_us, until + 50_000)
-            case "cut" | "one way" | "slow":
-                ways = [(fault.node, fault.other), (fault.other, fault.node)]
-                for way in ways[: 2 if fault.kind == "cut" else 1]:
-                    if fault.kind == "slow":
-                        self.path(*way).slow_until = until
-                    else:
-                        self.path(*way).cut_until = until
-            case "isolate" | "deaf" | "mute" | "split":
-                here = {name, fault.other or name}
-                if fault.kind == "split":  # a whole zone, and who the plan says
-                    here |= {one.name for one in self.nodes.values() if one.zone == node.zone}
-                for inside in sorted(here):
-                    self.nodes[inside].troubled_until = max(self.nodes[inside].troubled_until, until)
-                    for outside in sorted(everybody - here):
-                        if fault.kind != "deaf":
-                            self.path(inside, outside).cut_until = until
-                        if fault.kind != "mute":
-                            self.path(outside, inside).cut_until = until
-
-    def kill(self, node: Node, for_us: int) -> None:
-        if node.up:
-            node.up = False
-            if not node.leaving:
-                self._died[node.name, f"b{node.life}"] = self.true_us
-        self.after(for_us, lambda: None if node.up else node.start())
+        for name in fault_type.disturbed_nodes(resolved, self):
+            node = self.nodes[name]
+            node.troubled_until = max(node.troubled_until, until)
+        fault_type.inject(resolved, self)
+
+    def _resolved(self, name: str) -> str:
+        """Return the node that a role stands for: there are no leases and no leader here, so it is the first."""
+        return name if name in self.nodes or not name else self.plan.nodes[0]
+
+    def node_names(self) -> Collection[str]:
+        return self.nodes.keys()
+
+    def nodes_split_along(self, node: str) -> set[str]:
+        zone = self.nodes[node].zone
+        return {other.name for other in self.nodes.values() if other.zone == zone}
+
+    def draw_restart_delay_us(self) -> int:
+        self.last_fault_us = max(self.last_fault_us, self.true_us + RESTART_DELAY_US[1])
+        return self.chance.randrange(*RESTART_DELAY_US)
+
+    def kill(self, node: str, duration_us: int) -> None:
+        killed = self.nodes[node]
+        if killed.up:
+            killed.up = False
+            if not killed.leaving:
+                self._died[node, f"b{killed.life}"] = self.true_us
+        self.after(duration_us, lambda: None if killed.up else killed.start())
+
+    def pause(self, node: str, duration_us: int) -> None:
+        paused = self.nodes[node]
+        paused.stopped_until = max(paused.stopped_until, self.true_us + duration_us)
+        self.after(duration_us, paused.go_on)
+
+    def drain(self, node: str, duration_us: int) -> None:
+        draining = self.nodes[node]
+        if draining.up:
+            draining.leaving = True
+            self.send_all(draining, draining.detector.leave())
+            self.after(DRAIN_US, lambda: self.kill(node, duration_us))
+            self.last_fault_us = max(self.last_fault_us, self.true_us + duration_us + DRAIN_US)
+
+    def drop_messages(self, origin: str, target: str, duration_us: int) -> None:
+        self.path(origin, target).cut_until = self.true_us + duration_us
+
+    def delay_messages(self, origin: str, target: str, duration_us: int) -> None:
+        self.path(origin, target).slow_until = self.true_us + duration_us
 
     # The eye.
 
--- a/tests/cluster/support.py
+++ b/tests/cluster/support.py
@@ -16,7 +16,8 @@
 from marlstep.cluster.turns import TurnScheduler
 from marlstep.config import check
 from marlstep.consensus.replica_messages import Message
-from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.faults import Fault
+from marlstep.fault_injection.plan import Plan
 from marlstep.net.eventloop import Address
 from marlstep.units import SteadyClock
 from tests.golden.everything import operator_config, platform_config
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -14,8 +14,9 @@
 
 from marlstep.cli.drill import members_one
 from marlstep.cli.main import call
+from marlstep.fault_injection.faults import Fault
 from marlstep.fault_injection.links import Ports
-from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.plan import Plan
 from marlstep.fault_injection.rig import Rig, Settings
 from marlstep.fault_injection.rules import ListServers
 from marlstep.frontends.uwsgi_wire import write_packet
--- a/tests/membership/test_virtual_network.py
+++ b/tests/membership/test_virtual_network.py
@@ -9,8 +9,9 @@
 from marlstep.cli.main import call
 from marlstep.fault_injection.acts import Act
 from marlstep.fault_injection.broken import MEMBERS_BREAKAGES, Breakage
+from marlstep.fault_injection.faults import Fault
 from marlstep.fault_injection.members import Line, forbidden_acts, wrongly_removed
-from marlstep.fault_injection.plan import Fault, Plan, Shape, draw
+from marlstep.fault_injection.plan import Plan, Shape, draw
 from marlstep.fault_injection.virtual_members import KINDS, run_members
 from marlstep.membership.partition_state import (
     PartitionState,
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -12,8 +12,9 @@
 
 from marlstep.cli.drill import rules_one
 from marlstep.cli.main import call
+from marlstep.fault_injection.faults import Fault
 from marlstep.fault_injection.links import Ports
-from marlstep.fault_injection.plan import Fault, Plan
+from marlstep.fault_injection.plan import Plan
 from marlstep.fault_injection.rig import Rig, Settings
 from marlstep.fault_injection.rules import CLIENTS, SERVERS, Arrival, ListServers, Load, Operators, judge
 
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -19,9 +19,10 @@
 from marlstep.fault_injection.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
 from marlstep.fault_injection.broken import BREAKAGES, Breakage
 from marlstep.fault_injection.explore import STARTS, walk
+from marlstep.fault_injection.faults import Fault
 from marlstep.fault_injection.leases import judge
 from marlstep.fault_injection.links import Link
-from marlstep.fault_injection.plan import BadPlan, Fault, Plan, Shape, draw, read_plan
+from marlstep.fault_injection.plan import BadPlan, Plan, Shape, draw, read_plan
 from marlstep.fault_injection.virtual import run, shrink
 
 
