--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -12,7 +12,7 @@
 from marlstep.config import Config
 from marlstep.core.engine import Core
 from marlstep.frontend_group import FrontendGroup
-from marlstep.platform.name_service import NameService
+from marlstep.platform.name_service import NameServiceClient
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, SECOND, span
 
@@ -32,7 +32,7 @@
         config: Callable[[], Config],
         core: Core,
         timeline: TimerQueue,
-        naming: NameService,
+        naming: NameServiceClient,
         frontends: FrontendGroup,
         components: Mapping[str, Component],
         on_drained: Callable[[], None],
@@ -84,7 +84,7 @@
     def successor_lost(self) -> None:
         """Drain now if SIGTERM has come: it was none as long as a successor served."""
         if self._core.stops_at is not None and not self._core.shutdown_requested:
-            log.warning("successor lost while leaving: this process drains now")
+            log.warning("successor lost during shutdown: action=drain")
             self._frontends.accept_again()
             self._naming.report_last()
             self._frontends.resume(self._config())
