--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -16,7 +16,7 @@
 from benchmarks.mixed.versions import Version
 from marlstep.drill.links import Ports
 from marlstep.drill.witness import Witness
-from marlstep.standins.servers import StandIns
+from marlstep.emulators.servers import StandIns
 
 NAMES = ("n1", "n2", "n3")
 LEASE_TERM_MS = 1_500
--- a/benchmarks/mixed/upgrade_site.py
+++ b/benchmarks/mixed/upgrade_site.py
@@ -13,7 +13,7 @@
 from benchmarks.mixed.http_client import HttpAddress, JsonObject
 from benchmarks.mixed.server_process import Launch, LogFindings, ServerProcess, read_log
 from benchmarks.mixed.versions import Version
-from marlstep.standins.servers import StandIns
+from marlstep.emulators.servers import StandIns
 
 PLATFORM_CONFIG = Path("deploy/node.json")
 CORES = 6.0
--- a/marlstep/drill/rig.py
+++ b/marlstep/drill/rig.py
@@ -23,7 +23,7 @@
 from marlstep.drill.links import Link, Ports
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.witness import Witness, clock_us
-from marlstep.standins.servers import StandIns
+from marlstep.emulators.servers import StandIns
 
 READY_S = 20.0
 LEAVE_S = 8.0
--- a/marlstep/standins/servers.py
+++ b/marlstep/emulators/servers.py
@@ -9,10 +9,10 @@
 import asyncio
 from collections.abc import Callable
 
+from marlstep.emulators.cores import Machine, Notice, ran
 from marlstep.frontends.uwsgi_wire import PacketReader, write_response
 from marlstep.net.lines import LineProtocolError, LineStream, parse_length
 from marlstep.net.stream import RingStream
-from marlstep.standins.cores import Machine, Notice, ran
 
 RING_SIZE = 256 * 1024
 LINE_LIMIT = 8 * 1024
--- a/marlstep/standins/__init__.py
+++ b/marlstep/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Servers of our own that stand in for the platform and for uwsgi servers, on loopback."""
+"""The former name of `marlstep.emulators`, kept for the command `python -m marlstep.standins`."""
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -21,10 +21,10 @@
 import httptools
 
 from marlstep.core.interfaces import ResponseStatus
+from marlstep.emulators.cores import Plan
 from marlstep.frontends.resp_wire import FrameReader, read_fields, write_frame
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.stream import RingStream
-from marlstep.standins.cores import Plan
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
 from marlstep.units import SystemClock
@@ -181,7 +181,7 @@
         told = self.settings
         cores = str(told.config["settings"]["familyInfo"]["cpus"])
         words = [
-            "marlstep.standins",
+            "marlstep.emulators",
             "--nodes",
             str(told.nodes),
             "--cores",
--- a/marlstep/traces/replay/replaying.py
+++ b/marlstep/traces/replay/replaying.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from marlstep.config.checking import check
-from marlstep.standins.cores import Machine, ran
+from marlstep.emulators.cores import Machine, ran
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign
 from marlstep.traces.replay.figures import Figures
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -14,7 +14,7 @@
 from marlstep.core.engine import Core, Ports
 from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import InboundRequest, Request, Response, ResponseHandle, ResponseStatus
-from marlstep.standins.cores import Machine, Notice, Plan
+from marlstep.emulators.cores import Machine, Notice, Plan
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -24,8 +24,8 @@
 from marlstep.config.readers import ConfigError
 from marlstep.config.traces import check_trace
 from marlstep.core.interfaces import ResponseStatus
-from marlstep.standins.cores import Machine, Plan, Sharing, ran, read_plan
-from marlstep.standins.servers import StandIns, account
+from marlstep.emulators.cores import Machine, Plan, Sharing, ran, read_plan
+from marlstep.emulators.servers import StandIns, account
 from marlstep.traces.formats import named
 from marlstep.traces.mapping import DEFAULTS, Hashing, Mapper, Planned, Tenants
 from marlstep.traces.replay.campaign import Campaign, Try
