--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -14,9 +14,9 @@
 from benchmarks.mixed.server_process import Launch, LogFindings, ServerProcess, read_log
 from benchmarks.mixed.upgrade_site import PLATFORM_CONFIG
 from benchmarks.mixed.versions import Version
+from marlstep.emulators.servers import StandIns
 from marlstep.fault_injection.links import Ports
 from marlstep.fault_injection.witness import Witness
-from marlstep.standins.servers import StandIns
 
 NAMES = ("n1", "n2", "n3")
 LEASE_TERM_MS = 1_500
--- a/marlstep/fault_injection/rig.py
+++ b/marlstep/fault_injection/rig.py
@@ -20,11 +20,11 @@
 
 from marlstep.cluster.recovery import create_group
 from marlstep.cluster.store import FILE_NAME
+from marlstep.emulators.servers import StandIns
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
 from marlstep.fault_injection.links import Link, Ports
 from marlstep.fault_injection.plan import Plan
 from marlstep.fault_injection.witness import Witness, clock_us
-from marlstep.standins.servers import StandIns
 
 READY_S = 20.0
 LEAVE_S = 8.0
