--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -16,7 +16,7 @@
 from benchmarks.mixed.versions import Version
 from marlstep.drill.links import Ports
 from marlstep.drill.witness import Witness
-from marlstep.emulators.servers import StandIns
+from marlstep.emulators.site import EmulatedSite
 
 NAMES = ("n1", "n2", "n3")
 LEASE_TERM_MS = 1_500
@@ -122,7 +122,7 @@
         Raises CheckFailedError.
         """
         number = len(self.processes) + 1
-        emulators = StandIns(CORES, 1.0, CALL_US)
+        emulators = EmulatedSite(CORES, 1.0, CALL_US)
         await emulators.open()
         self.cluster.emulators.append(emulators)
         health_endpoint = HttpAddress("127.0.0.1", self.cluster.ports.take())
@@ -185,7 +185,7 @@
         self.config["naming"] = None
         self.ports = Ports()
         self.witness = Witness(seed)
-        self.emulators: list[StandIns] = []
+        self.emulators: list[EmulatedSite] = []
         self.nodes: dict[str, FleetNode] = {}
         self.successors: list[ServerProcess] = []  # that took over from a process that served
 
--- a/benchmarks/mixed/upgrade_site.py
+++ b/benchmarks/mixed/upgrade_site.py
@@ -13,7 +13,7 @@
 from benchmarks.mixed.http_client import HttpAddress, JsonObject
 from benchmarks.mixed.server_process import Launch, LogFindings, ServerProcess, read_log
 from benchmarks.mixed.versions import Version
-from marlstep.emulators.servers import StandIns
+from marlstep.emulators.site import EmulatedSite
 
 PLATFORM_CONFIG = Path("deploy/node.json")
 CORES = 6.0
@@ -118,7 +118,7 @@
         self.reports = Reports()
         self.processes: list[ServerProcess] = []
         self._config = config
-        self._emulators: list[StandIns] = []
+        self._emulators: list[EmulatedSite] = []
         self._gates: list[GatedKernel] = []
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.load = Load(int(self.listening.getsockname()[1]), seed)
@@ -166,8 +166,8 @@
         await asyncio.wait_for(gate.connected.wait(), CONNECTS_WITHIN_S)
         return process, gate
 
-    async def _open_emulators(self) -> StandIns:
-        emulators = StandIns(CORES, 1.0, CALL_US)
+    async def _open_emulators(self) -> EmulatedSite:
+        emulators = EmulatedSite(CORES, 1.0, CALL_US)
         await emulators.open()
         self._emulators.append(emulators)
         return emulators
@@ -207,7 +207,7 @@
         """Count how often each piece of work was started, by class and number, over all processes."""
         started = Counter[tuple[str, int]]()
         for emulators in self._emulators:
-            started.update(emulators.kernel.machine.started)
+            started.update(emulators.kernel.machine.start_counts)
         return started
 
     def logs(self) -> dict[str, LogFindings]:
--- a/marlstep/drill/rig.py
+++ b/marlstep/drill/rig.py
@@ -23,7 +23,7 @@
 from marlstep.drill.links import Link, Ports
 from marlstep.drill.plan import Fault, Plan
 from marlstep.drill.witness import Witness, clock_us
-from marlstep.emulators.servers import StandIns
+from marlstep.emulators.site import EmulatedSite
 
 READY_S = 20.0
 LEAVE_S = 8.0
@@ -247,7 +247,7 @@
         self.counts: Counter[str] = Counter()
         self.struck: list[tuple[int, Fault]] = []  # microseconds of the witness's clock
         self.unexpected: list[str] = []  # processes that ended by themselves
-        self._sites: list[StandIns] = []
+        self._sites: list[EmulatedSite] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._amnesia_until = 0.0
         self.upgrades: list[float] = []  # seconds from SIGTERM to the end of each elder
@@ -281,7 +281,7 @@
                     await link.open(0)
                     self.links[one, other] = link
         for node in self.nodes.values():
-            site = StandIns(cores=2, speed=1.0, call_us=10_000)
+            site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
             await site.open()
             self._sites.append(site)
             node.write(site.addresses)
@@ -481,7 +481,7 @@
         elder = node.process
         if elder is None or elder.returncode is not None:
             return
-        site = StandIns(cores=2, speed=1.0, call_us=10_000)
+        site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
         await site.open()
         self._sites.append(site)
         node.write(site.addresses)
--- a/marlstep/emulators/__init__.py
+++ b/marlstep/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Servers of our own that stand in for the platform and for uwsgi servers, on loopback."""
+"""Emulators of the kernel, a database and uwsgi servers on loopback, for replays, drills and trials of a node."""
--- a/marlstep/emulators/__main__.py
+++ b/marlstep/emulators/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m marlstep.emulators`: the stand-ins as a process of their own, for a replay.
+"""`python -m marlstep.emulators`: the emulators as a process of their own, for replays and trials.
 
-Prints one JSON line with the addresses, serves until standard input ends, and prints one with what was run. Each
-line of standard input holds the number of a node and the id of a request there that has its answer.
+Prints one JSON line with the addresses, serves until standard input ends, and prints one with what was run. Each line
+of standard input holds the number of a node and the id of a request there whose response has been delivered.
 """
 
 from __future__ import annotations
@@ -13,28 +13,35 @@
 
 import uvloop
 
-from marlstep.emulators.servers import StandIns, account
+from marlstep.emulators.site import PORTS_PER_SITE, EmulatedSite, report_sites
 
-PORTS = 3  # of one node: kernel, database, uwsgi server
 
-
-async def serve(nodes: int, cores: float, speed: float, call_us: int, kind: str, port: int) -> None:
-    sites = [StandIns(cores, speed, call_us) for _ in range(nodes)]
+async def serve(
+    node_count: int, cores: float, speed: float, call_us: int, at_most_once_class: str, first_port: int
+) -> None:
+    """Serve one site for each node until standard input ends; `first_port` 0 lets the system choose the ports."""
+    sites = [EmulatedSite(cores, speed, call_us) for _ in range(node_count)]
     for number, site in enumerate(sites):
-        await site.open(port + PORTS * number if port else 0)
+        await site.open(first_port + PORTS_PER_SITE * number if first_port else 0)
     print(json.dumps([site.addresses for site in sites]), flush=True)
+    await read_delivered_responses(sites)
+    for site in sites:
+        site.close()
+    print(json.dumps(report_sites(sites, at_most_once_class)), flush=True)
+
+
+async def read_delivered_responses(sites: list[EmulatedSite]) -> None:
+    """Tell the emulated kernels which responses were delivered, until standard input ends."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        node, _, id = line.decode().strip().partition(" ")
-        sites[int(node)].kernel.over(id)
-    for site in sites:
-        site.close()
-    print(json.dumps(account(sites, kind)), flush=True)
+        node, _, run_id = line.decode().strip().partition(" ")
+        sites[int(node)].kernel.response_delivered(run_id)
 
 
 def main() -> None:
+    """Read the options of the command, and serve."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--nodes", type=int, default=1)
     parser.add_argument("--cores", type=float, default=6.0)
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -21,7 +21,7 @@
 import httptools
 
 from marlstep.core.interfaces import ResponseStatus
-from marlstep.emulators.cores import Plan
+from marlstep.emulators.work_plan import WorkPlan
 from marlstep.frontends.resp_wire import FrameReader, read_fields, write_frame
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.stream import RingStream
@@ -282,13 +282,13 @@
         self.campaign.sent(one, self.now_us())
         self._where[one.id] = one.node
         planned, number = one.work.planned, one.work.number
-        plan = Plan(number, planned.work_us, calls_of(self.campaign.classes[planned.kind], number))
+        plan = WorkPlan(number, planned.work_us, calls_of(self.campaign.classes[planned.kind], number))
         if self.settings.front == "uwsgi":
             self._send_uwsgi(one, plan)
         else:
             self._send_resp(one, plan)
 
-    def _send_resp(self, one: Try, plan: Plan) -> None:
+    def _send_resp(self, one: Try, plan: WorkPlan) -> None:
         sender = one.work.number % self.settings.senders
         cost = plan.work_us / self.settings.speed / 1000
         at = round(SystemClock().now().timestamp() * 1000)
@@ -298,13 +298,13 @@
         spare = self._spare[one.node * self.settings.senders + sender]
         for connection in spare:
             if not connection.closing and len(connection.open) < OPEN_LIMIT and connection.connected:
-                connection.exec(one, fields, plan.body())
+                connection.exec(one, fields, plan.to_body())
                 return
         connection = RespSender(self._answered, lambda one: spare.remove(one) if one in spare else None)
         spare.append(connection)
-        self._dial(connection, self._resp[one.node], lambda: connection.exec(one, fields, plan.body()))
+        self._dial(connection, self._resp[one.node], lambda: connection.exec(one, fields, plan.to_body()))
 
-    def _send_uwsgi(self, one: Try, plan: Plan) -> None:
+    def _send_uwsgi(self, one: Try, plan: WorkPlan) -> None:
         planned = one.work.planned
         variables = {
             "REQUEST_METHOD": "POST",
@@ -314,7 +314,7 @@
             "HTTP_X_RETRY": "1" if one.again else "",
             "HTTP_X_COST_MS": f"{plan.work_us / self.settings.speed / 1000:.2f}",
             "HTTP_X_TENANT": planned.tenant,
-            "MARLSTEP_PLAN": plan.body().decode(),
+            "MARLSTEP_PLAN": plan.to_body().decode(),
         }
         connection = UwsgiSender(one.id, write_packet(variables), self._answered)
         self._dial(connection, self._uwsgi[one.node], lambda: None)
--- a/marlstep/traces/replay/replaying.py
+++ b/marlstep/traces/replay/replaying.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from marlstep.config.checking import check
-from marlstep.emulators.cores import Machine, ran
+from marlstep.emulators.machine import Machine, count_runs
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign
 from marlstep.traces.replay.figures import Figures
@@ -64,7 +64,7 @@
             config.settings, wanted.seed, campaign, machines, config.gauge_names, told.call_us
         )
         world.run(rows)
-        account = ran(machines, told.once)
+        account = count_runs(machines, told.once).to_json()
         cpu_s: float | None = None
     else:
         run = Loopback(told, campaign)
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -14,7 +14,8 @@
 from marlstep.core.engine import Core, Ports
 from marlstep.core.errors import RequestRejectedError
 from marlstep.core.interfaces import InboundRequest, Request, Response, ResponseHandle, ResponseStatus
-from marlstep.emulators.cores import Machine, Notice, Plan
+from marlstep.emulators.machine import Machine, Notice, NoticeType
+from marlstep.emulators.work_plan import WorkPlan
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.traces.mapping import Planned
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
@@ -23,7 +24,7 @@
 START = EPOCH + 1_800_000_000 * SECOND
 HELD_KB = 20.0
 CALLERS = 4
-ENDS = {"complete": Outcome.OK, "cancelled": Outcome.CANCELLED}
+ENDS = {NoticeType.COMPLETE: Outcome.OK, NoticeType.CANCELLED: Outcome.CANCELLED}
 
 
 class Clock:
@@ -137,12 +138,12 @@
     def take(self, one: Try) -> None:
         """A request arrives."""
         planned, number = one.work.planned, one.work.number
-        plan = Plan(number, planned.work_us, calls_of(self.world.campaign.classes[planned.kind], number))
+        plan = WorkPlan(number, planned.work_us, calls_of(self.world.campaign.classes[planned.kind], number))
         self._number += 1
         offer = InboundRequest(
             id=one.id,
             request_class=planned.kind,
-            body=plan.body(),
+            body=plan.to_body(),
             arrived_at=self.clock.now(),
             memory_kb=HELD_KB,
             caller=number % CALLERS,
@@ -168,7 +169,7 @@
     def _delivered(self, one: Try, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
         self.world.answered(one, verdict, after_us, poor)
         self._advance()
-        if (notice := self.machine.over(one.id)) is not None:
+        if (notice := self.machine.response_delivered(one.id)) is not None:
             self._notice(notice)
         self._look()
 
@@ -185,15 +186,15 @@
             self._notice(notice)
 
     def _notice(self, notice: Notice) -> None:
-        if notice.what == "call":
-            self.core.call_needed(notice.id, notice.body)
+        if notice.type is NoticeType.CALL:
+            self.core.call_needed(notice.run_id, notice.body)
         else:
             elapsed = span(notice.elapsed_us)
-            self.core.run_ended(notice.id, ENDS[notice.what], elapsed, notice.body)
+            self.core.run_ended(notice.run_id, ENDS[notice.type], elapsed, notice.body)
 
     def _look(self) -> None:
         self.timeline.cancel(self._alarm)
-        at = self.machine.next_us()
+        at = self.machine.next_event_us()
         self._alarm = None if at is None else self.timeline.at(START + span(at), self._due)
 
     def _due(self) -> None:
@@ -228,17 +229,17 @@
         self._told(request, lambda: self.machine.resume(request.id))
 
     def supply(self, request: Request, reply: bytes) -> None:
-        self._told(request, lambda: self.machine.answer_call(request.id, left_out=False))
+        self._told(request, lambda: self.machine.end_call(request.id, skipped=False))
 
     def skip(self, request: Request) -> None:
-        self._told(request, lambda: self.machine.answer_call(request.id, left_out=True))
+        self._told(request, lambda: self.machine.end_call(request.id, skipped=True))
 
     def abandon(self, request: Request) -> None:
         """The machine hears of it by the answer."""
 
     def request_gauges(self) -> None:
         self._advance()
-        values = dict(zip(self._gauge_names, self.machine.gauges(), strict=False))
+        values = dict(zip(self._gauge_names, self.machine.read_gauges(), strict=False))
         self.timeline.soon(lambda: self.core.gauges(values))
 
     # As the database.
--- /dev/null
+++ b/tests/emulators/test_machine.py
@@ -0,0 +1,51 @@
+"""An emulated machine: the states of a run, and the count of runs that started more than once."""
+
+from __future__ import annotations
+
+from marlstep.emulators.machine import Machine, NoticeType, count_runs
+from marlstep.emulators.work_plan import WorkPlan
+
+AT_MOST_ONCE = "setpoint-cmd"
+BODY = WorkPlan(7, 1_000, 1).to_body()
+
+
+def test_run_is_paused_resumed_and_degraded_by_a_skipped_call() -> None:
+    machine = Machine(1)
+    assert machine.start("a", AT_MOST_ONCE, BODY) and machine.start("a", AT_MOST_ONCE, BODY)
+    assert machine.advance(300) == []
+    paused = machine.pause("a")
+    assert paused is not None and paused.type is NoticeType.CANCELLED and machine.pause("a") is None
+    assert machine.advance(5_000) == [] and machine.resume("a") and not machine.resume("a")
+    assert [notice.type for notice in machine.advance(5_200)] == [NoticeType.CALL]
+    assert machine.end_call("a", skipped=True) and not machine.end_call("a", skipped=True)
+    [end] = machine.advance(5_700)
+    assert (end.type, end.body, end.elapsed_us) == (NoticeType.COMPLETE, b"poor 7", 5_700)
+    assert count_runs([machine], AT_MOST_ONCE).ran_twice == 0
+
+
+def test_second_start_of_the_same_work_counts_as_run_twice() -> None:
+    machine = Machine(1)
+    machine.start("a", AT_MOST_ONCE, BODY)
+    machine.start("b", AT_MOST_ONCE, BODY)  # another attempt
+    assert count_runs([machine], AT_MOST_ONCE).to_json() == {"runs": 2, "ran_twice": 1}
+    assert count_runs([machine], "another-class").ran_twice == 0
+
+
+def test_run_whose_response_was_delivered_ends_at_its_next_call() -> None:
+    machine = Machine(1)
+    machine.start("b", AT_MOST_ONCE, BODY)
+    assert machine.response_delivered("b") is None
+    assert [notice.type for notice in machine.advance(1_300)] == [NoticeType.CANCELLED]
+
+
+def test_run_that_waits_for_a_call_ends_when_its_response_was_delivered() -> None:
+    machine = Machine(1)
+    machine.start("b", AT_MOST_ONCE, BODY)
+    machine.advance(500)
+    ended = machine.response_delivered("b")
+    assert ended is not None and ended.type is NoticeType.CANCELLED
+    assert machine.response_delivered("b") is None
+
+
+def test_start_without_a_plan_is_rejected() -> None:
+    assert not Machine(1).start("c", AT_MOST_ONCE, b"what is this")
--- /dev/null
+++ b/tests/emulators/test_processor_sharing.py
@@ -0,0 +1,49 @@
+"""How runs share emulated cores: each gets its work, whenever time is advanced."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from marlstep.emulators.processor_sharing import ProcessorSharing
+from tests.support.streams import FIXED
+
+MAX_ROUNDING_US = 2  # by which completions may differ, as times are whole microseconds
+
+
+def completion_times(jobs: list[tuple[int, int]], extra_advances: set[int]) -> dict[str, int]:
+    """Run jobs, each of a start and its work, on two cores, and return when each ended, by its index.
+
+    Time is advanced to each start and completion, and to `extra_advances` in between.
+    """
+    sharing, ended, now = ProcessorSharing(2, knee=100), [], 0
+    waiting = sorted((start, number, work) for number, (start, work) in enumerate(jobs))
+    while waiting or len(sharing):
+        next_start = waiting[0][0] if waiting else None
+        due = [when for when in (sharing.next_completion_us(), next_start) if when is not None]
+        now = max(now, min([*due, *(when for when in extra_advances if when > now)]))
+        ended += [(run_id, now) for run_id in sharing.advance(now)]
+        while waiting and waiting[0][0] <= now:
+            _, number, work = waiting.pop(0)
+            sharing.add(str(number), work)
+    assert abs(sharing.busy_us - sum(work for _, work in jobs)) < 1e-3 * len(jobs) + 1
+    assert len(ended) == len(dict(ended))
+    return dict(ended)
+
+
+@FIXED
+@given(
+    st.lists(st.tuples(st.integers(0, 5_000), st.integers(1, 4_000)), min_size=1, max_size=12),
+    st.lists(st.integers(1, 3_000), max_size=15),
+)
+def test_runs_end_at_the_same_time_with_their_whole_work_however_often_time_is_advanced(
+    jobs: list[tuple[int, int]], gaps: list[int]
+) -> None:
+    total, extra_advances = 0, set()
+    for gap in gaps:
+        total += gap
+        extra_advances.add(total)
+    plain, advanced_more = completion_times(jobs, set()), completion_times(jobs, extra_advances)
+    assert plain.keys() == advanced_more.keys() == {str(number) for number in range(len(jobs))}
+    assert all(abs(plain[run_id] - advanced_more[run_id]) <= MAX_ROUNDING_US for run_id in plain)
+    assert all(plain[str(number)] >= start + work for number, (start, work) in enumerate(jobs))
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,8 +1,7 @@
-"""Compiled schedules, cutting, the stand-ins' cores, and replays that agree with themselves."""
+"""Compiled schedules, cutting, and replays that agree with themselves."""
 
 from __future__ import annotations
 
-import asyncio
 import itertools
 import json
 import math
@@ -24,8 +23,7 @@
 from marlstep.config.readers import ConfigError
 from marlstep.config.traces import check_trace
 from marlstep.core.interfaces import ResponseStatus
-from marlstep.emulators.cores import Machine, Plan, Sharing, ran, read_plan
-from marlstep.emulators.servers import StandIns, account
+from marlstep.emulators.machine import Machine, count_runs
 from marlstep.traces.formats import named
 from marlstep.traces.mapping import DEFAULTS, Hashing, Mapper, Planned, Tenants
 from marlstep.traces.replay.campaign import Campaign, Try
@@ -229,87 +227,6 @@
         check_trace({"columns": {"time": "t"}}, "generic")
 
 
-# The cores of the stand-ins.
-
-
-@FIXED
-@given(
-    st.lists(st.tuples(st.integers(0, 5_000), st.integers(1, 4_000)), min_size=1, max_size=12),
-    st.lists(st.integers(1, 3_000), max_size=15),
-)
-def test_cores_do_the_work_they_are_given_and_no_more(jobs: list[tuple[int, int]], looks: list[int]) -> None:
-    """However often it is looked at, what has ended when is the same, and no core does more than its time."""
-
-    def play(extra: set[int]) -> list[tuple[str, int]]:
-        sharing, ended, at = Sharing(2, knee=100), [], 0
-        waiting = sorted((start, number, work) for number, (start, work) in enumerate(jobs))
-        while waiting or len(sharing):
-            due = [
-                when for when in (sharing.next_us(), waiting[0][0] if waiting else None) if when is not None
-            ]
-            at = max(at, min([*due, *(look for look in extra if look > at)]))
-            ended += [(id, at) for id in sharing.advance(at)]
-            while waiting and waiting[0][0] <= at:
-                _, number, work = waiting.pop(0)
-                sharing.add(str(number), work)
-        assert abs(sharing.busy_us - sum(work for _, work in jobs)) < 1e-3 * len(jobs) + 1
-        return ended
-
-    total, seen = 0, set()
-    for look in looks:
-        total += look
-        seen.add(total)
-    plain, watched = dict(play(set())), dict(play(seen))
-    assert plain.keys() == watched.keys() == {str(number) for number in range(len(jobs))}
-    assert all(abs(plain[id] - watched[id]) <= 2 for id in plain)
-    assert all(plain[str(number)] >= start + work for number, (start, work) in enumerate(jobs))
-
-
-def test_a_run_is_paused_resumed_called_for_and_left_out_as_the_kernel_does() -> None:
-    machine = Machine(1)
-    body = Plan(7, 1_000, 1).body()
-    assert read_plan(body) == Plan(7, 1_000, 1) and read_plan(b"x") is None
-    assert machine.start("a", "setpoint-cmd", body) and machine.start("a", "setpoint-cmd", body)
-    assert machine.advance(300) == []
-    paused = machine.pause("a")
-    assert paused is not None and paused.what == "cancelled" and machine.pause("a") is None
-    assert machine.advance(5_000) == [] and machine.resume("a") and not machine.resume("a")
-    assert [notice.what for notice in machine.advance(5_200)] == ["call"]
-    assert machine.answer_call("a", left_out=True) and not machine.answer_call("a", left_out=True)
-    [done] = machine.advance(5_700)
-    assert (done.what, done.body, done.elapsed_us) == ("complete", b"poor 7", 5_700)
-    assert ran([machine], "setpoint-cmd")["ran_twice"] == 0
-    machine.start("b", "setpoint-cmd", body)  # another try of the same work
-    assert ran([machine], "setpoint-cmd")["ran_twice"] == 1
-    machine.over("b")
-    assert [notice.what for notice in machine.advance(7_000)] == ["cancelled"]  # at its call
-    assert not machine.start("c", "setpoint-cmd", b"what is this")
-
-
-def test_the_stand_ins_kernel_keeps_its_notices_for_the_next_link() -> None:
-    async def run() -> None:
-        stand_ins = StandIns(1, 0.05, 1_000)  # the run takes 20 ms
-        await stand_ins.open()
-        host, port = stand_ins.addresses["kernel"].split(":")
-        body = Plan(1, 1_000).body()
-        reader, writer = await asyncio.open_connection(host, int(port))
-        writer.write(b"OPEN 0\r\nSCHED a setpoint-cmd %d\r\n%b\r\nSCHED b x 2\r\nno\r\n" % (len(body), body))
-        assert (await reader.readline()).startswith(b"BOOTED hot ")
-        assert await reader.readline() == b"EINVAL SCHED b\r\n"
-        assert (await reader.readline()).startswith(b"REAP 1 a complete ")
-        again, writer = await asyncio.open_connection(host, int(port))
-        writer.write(b"OPEN 0\r\nSYSINFO t\r\nwhat\r\n")
-        assert (await again.readline()).startswith(b"BOOTED hot ")
-        assert (await again.readline()).startswith(b"REAP 1 a complete ")
-        assert await again.readline() == b"full 1\r\n"
-        assert (await again.readline()).startswith(b"INFO t ")
-        assert await again.read() == b""  # what is no command closes the link
-        assert account([stand_ins], "setpoint-cmd")["runs"] == 1
-        stand_ins.close()
-
-    asyncio.run(asyncio.wait_for(run(), 10))
-
-
 # Campaigns and replays.
 
 SETTINGS = check(raw_config()).settings
@@ -400,7 +317,7 @@
         )
         assert one.counts["answered"] == one.counts["sent"] >= 240
         assert sum(node.core.unanswered for node in world.nodes) == 0
-        assert ran((node.machine for node in world.nodes), "setpoint-cmd")["ran_twice"] == 0
+        assert count_runs((node.machine for node in world.nodes), "setpoint-cmd").ran_twice == 0
         reports.append(one.figures.report())
     assert reports[0] == reports[1] and 0.3 < reports[0]["service"] < 0.95
 
