--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -8,6 +8,7 @@
 import enum
 from dataclasses import dataclass
 
+from marlstep.admission.deadlines import request_deadline
 from marlstep.admission.events import Arrival
 from marlstep.admission.key_retention import recognised_until
 from marlstep.admission.settings import ClassSettings, Effect
@@ -26,8 +27,10 @@
     FINISHED = 8
 
 
-IN_RUN = (State.RUNNING, State.STOPPING, State.AWAITING_CALL, State.CALLING)
-ALIVE = (*IN_RUN, State.PAUSED, State.QUEUED)
+# A run that has begun and is neither paused nor ended, whether on the cores or at a call.
+ACTIVE_STATES = (State.RUNNING, State.STOPPING, State.AWAITING_CALL, State.CALLING)
+# Requests with work of their own to do; a repeat that is attached has none.
+UNFINISHED_STATES = (*ACTIVE_STATES, State.PAUSED, State.QUEUED)
 
 
 @dataclass(slots=True)
@@ -109,7 +112,9 @@
             priority_weight=weight,
             priority=weight,
             arrived_at=arrived_at,
-            deadline_at=event.caller_deadline_at or max(now, arrived_at + request_class.deadline_us),
+            deadline_at=request_deadline(
+                event.caller_deadline_at, arrived_at, request_class.deadline_us, now
+            ),
             objective_at=arrived_at + request_class.latency_objective_us,
             recognised_until=recognised_until(
                 arrived_at, request_class.idempotency_window_us, request_class.deadline_us
