--- a/marlstep/fault_injection/rig.py
+++ b/marlstep/fault_injection/rig.py
@@ -20,7 +20,7 @@
 
 from marlstep.cluster.recovery import create_group
 from marlstep.cluster.store import FILE_NAME
-from marlstep.emulators.servers import StandIns
+from marlstep.emulators.site import EmulatedSite
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
 from marlstep.fault_injection.links import Link, Ports
 from marlstep.fault_injection.plan import Plan
@@ -254,7 +254,7 @@
         self.counts: Counter[str] = Counter()
         self.struck: list[tuple[int, Fault]] = []  # microseconds of the witness's clock
         self.unexpected: list[str] = []  # processes that ended by themselves
-        self._sites: list[StandIns] = []
+        self._sites: list[EmulatedSite] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._amnesia_until = 0.0
         self.upgrades: list[float] = []  # seconds from SIGTERM to the end of each elder
@@ -288,7 +288,7 @@
                     await link.open(0)
                     self.links[one, other] = link
         for node in self.nodes.values():
-            site = StandIns(cores=2, speed=1.0, call_us=10_000)
+            site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
             await site.open()
             self._sites.append(site)
             node.write(site.addresses)
@@ -513,7 +513,7 @@
         elder = node.process
         if elder is None or elder.returncode is not None:
             return
-        site = StandIns(cores=2, speed=1.0, call_us=10_000)
+        site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
         await site.open()
         self._sites.append(site)
         node.write(site.addresses)
