--- a/tests/hot_restart/test_passed_socket.py
+++ b/tests/hot_restart/test_passed_socket.py
@@ -17,8 +17,8 @@
 from marlstep.net.eventloop import LoopWaker
 from marlstep.node import Node
 from marlstep.timer_queue import TimerQueue
+from tests.support.fake_servers import FakeKernel
 from tests.support.node import raw_config
-from tests.support.stand_ins import KernelStandIn
 from tests.test_loopback import over_resp
 
 
@@ -59,7 +59,7 @@
 ) -> None:
     # Guards against a second process that can't start, and against a close that ends the other's listening.
     async def run() -> None:
-        kernel = KernelStandIn()
+        kernel = FakeKernel()
         await kernel.start()
         config = load(environ(tmp_path, listening.fileno(), kernel=kernel.address))
         nodes = [Node(config, TimerQueue(LoopWaker(asyncio.get_running_loop()))) for _ in range(2)]
--- a/tests/support/stand_ins.py
+++ b/tests/support/fake_servers.py
@@ -9,7 +9,7 @@
 from marlstep.net.ring import Ring
 
 
-class StandIn:
+class FakeServer:
     """A server on a port of the system's choice. `writers` are its open connections."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
             writer.transport.abort()
 
 
-class KernelStandIn(StandIn):
+class FakeKernel(FakeServer):
     """Runs to the end what it is told to; asks for a call first where the body says so.
 
     At the runs whose numbers `cut_at` names it cuts the link in place of the notice, and keeps that.
@@ -79,7 +79,7 @@
             writer.write(self.notices[-1])
 
 
-class DatabaseStandIn(StandIn):
+class FakeDatabase(FakeServer):
     """Answers each call at once with rows that name it."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -91,7 +91,7 @@
                     writer.write(f"{id} ROWS 4\r\nrows\r\n".encode())
 
 
-class UwsgiStandIn(StandIn):
+class FakeUwsgiServer(FakeServer):
     """Answers a packet with a response made for it; PATH_INFO names what goes wrong, if anything."""
 
     def __init__(self) -> None:
--- a/tests/support/node_on_sockets.py
+++ b/tests/support/node_on_sockets.py
@@ -27,7 +27,7 @@
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND, instant_us
 from tests.support.alternate_settings import alternate_config
-from tests.support.stand_ins import StandIn
+from tests.support.fake_servers import FakeServer
 from tests.test_loopback import ShiftedWaker
 
 TEST_TIMEOUT_S = 20
@@ -39,7 +39,7 @@
         await asyncio.sleep(0)
 
 
-class ScriptedKernel(StandIn):
+class ScriptedKernel(FakeServer):
     """A kernel that reads commands and sends a notice when the test says so.
 
     Notices are kept, and sent again on the next link, as the kernel does.
@@ -101,7 +101,7 @@
             link.transport.abort()
 
 
-class ScriptedDatabase(StandIn):
+class ScriptedDatabase(FakeServer):
     """A database that reads calls and replies when the test says so."""
 
     def __init__(self) -> None:
--- a/tests/support/restart_processes.py
+++ b/tests/support/restart_processes.py
@@ -18,8 +18,8 @@
 
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SystemClock, instant_us
+from tests.support.fake_servers import FakeDatabase, FakeKernel, FakeServer
 from tests.support.node import raw_config
-from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, StandIn
 
 SENDER_COUNT = 8
 TEST_TIMEOUT_S = 30
@@ -29,7 +29,7 @@
 class NodeProcess:
     """One process of the node, with a kernel and a health endpoint of its own."""
 
-    def __init__(self, platform: Platform, kernel: StandIn) -> None:
+    def __init__(self, platform: Platform, kernel: FakeServer) -> None:
         self.platform = platform
         self.kernel = kernel
         self.host, self.health_port = "", 0
@@ -100,7 +100,7 @@
         (folder / "tmp").mkdir()
         self.passed_socket = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.port = int(self.passed_socket.getsockname()[1])
-        self.database = DatabaseStandIn()
+        self.database = FakeDatabase()
         self.processes: list[NodeProcess] = []
         self.responses: list[tuple[int, str | None, str]] = []  # number, idempotency key, status
         self.closing: dict[asyncio.StreamWriter, bool] = {}  # connections on which nothing new may be sent
@@ -109,12 +109,12 @@
         self.last_number = 0
         self._stop = False
 
-    async def start_process(self, kernel: StandIn | None = None) -> NodeProcess:
-        process = await self.launch_process(kernel or KernelStandIn())
+    async def start_process(self, kernel: FakeServer | None = None) -> NodeProcess:
+        process = await self.launch_process(kernel or FakeKernel())
         await process.wait_until_ready()
         return process
 
-    async def launch_process(self, kernel: StandIn) -> NodeProcess:
+    async def launch_process(self, kernel: FakeServer) -> NodeProcess:
         """Start a process, and do not wait until it serves."""
         process = NodeProcess(self, kernel)
         await process.start()
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -22,8 +22,8 @@
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import SECOND, ZERO, instant_us
 from marlstep.upstreams.errors import ConnectError
+from tests.support.fake_servers import FakeDatabase, FakeKernel, FakeUwsgiServer
 from tests.support.node import raw_config
-from tests.support.stand_ins import DatabaseStandIn, KernelStandIn, UwsgiStandIn
 
 VARS = {"class": "X_CLASS", "id": "X_ID"}
 
@@ -40,11 +40,11 @@
 class Site:
     def __init__(self, cut_at: tuple[int, ...] = (), **operator: Any) -> None:
         self.operator = operator
-        self.kernel, self.database, self.uwsgi = KernelStandIn(cut_at), DatabaseStandIn(), UwsgiStandIn()
+        self.kernel, self.database, self.uwsgi = FakeKernel(cut_at), FakeDatabase(), FakeUwsgiServer()
 
     async def __aenter__(self) -> Site:
-        for stand_in in (self.kernel, self.database, self.uwsgi):
-            await stand_in.start()
+        for server in (self.kernel, self.database, self.uwsgi):
+            await server.start()
         raw = raw_config(kernel=self.kernel.address, db=self.database.address)
         second = {"listen": "127.0.0.1:0", "upstream": self.uwsgi.address, "vars": VARS, "max_response": 4096}
         self.waker = ShiftedWaker(asyncio.get_running_loop())
@@ -58,8 +58,8 @@
         assert isinstance(self.node.components["uwsgi"], UwsgiComponent)
         self.node.components["uwsgi"].frontend.stop_accepting()
         await self.node.close()
-        for stand_in in (self.kernel, self.database, self.uwsgi):
-            stand_in.stop()
+        for server in (self.kernel, self.database, self.uwsgi):
+            server.stop()
 
     def push(self, by: timedelta) -> None:
         self.waker.shift += by
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -19,8 +19,8 @@
 from marlstep.platform.name_service import REPORT_INTERVAL, NameServiceClient
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
+from tests.support.fake_servers import FakeDatabase, FakeKernel
 from tests.support.node import HandClock, raw_config
-from tests.support.stand_ins import DatabaseStandIn, KernelStandIn
 from tests.test_loopback import over_resp
 
 
@@ -84,10 +84,10 @@
     path = tmp_path / "config.json"
 
     async def run() -> None:
-        kernels = KernelStandIn(), KernelStandIn()
-        databases = DatabaseStandIn(), DatabaseStandIn()
-        for stand_in in (*kernels, *databases):
-            await stand_in.start()
+        kernels = FakeKernel(), FakeKernel()
+        databases = FakeDatabase(), FakeDatabase()
+        for server in (*kernels, *databases):
+            await server.start()
         names = [await listen_for_reports() for _ in range(2)]
 
         def write(one: int, **other: Any) -> None:
@@ -121,8 +121,8 @@
         assert kernels[1].opened[0] == 4
         node.resp.stop_accepting()
         await node.close()
-        for stand_in in (*kernels, *databases):
-            stand_in.stop()
+        for server in (*kernels, *databases):
+            server.stop()
 
     uvloop.run(asyncio.wait_for(run(), 20))
     assert "kernel must be a numeric address" in caplog.text
