--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -36,11 +36,16 @@
 def help_texts() -> dict[str, str]:
     """The help text of every command, by its words."""
     found = {}
-    for context in _walk(click.Context(marlstep, info_name="marlstep", **_width())):
+    for context in _walk(_root_context()):
         found[context.command_path] = context.get_help()
     return found
 
 
+def _root_context() -> click.Context:
+    """Make the context of the program itself, with its names of the help option: click keeps the first that it sees."""
+    return click.Context(marlstep, info_name="marlstep", **marlstep.context_settings, **_width())
+
+
 def _walk(context: click.Context) -> Iterator[click.Context]:
     yield context
     command = context.command
@@ -59,7 +64,7 @@
     """Names, types and defaults of every command's options and arguments, in order."""
     return {
         context.command_path: [_described(parameter) for parameter in context.command.get_params(context)]
-        for context in _walk(click.Context(marlstep, info_name="marlstep", **_width()))
+        for context in _walk(_root_context())
     }
 
 
