--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -26,9 +26,9 @@
 from marlstep.consensus.raft import RaftTiming, Ready
 from marlstep.consensus.replica import Replica, ReplicaSettings
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse
+from marlstep.fault_injection.effect_recorder import clock_us
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
-from marlstep.fault_injection.witness import clock_us
+from marlstep.fault_injection.process_cluster import NodeProcess, ProcessCluster, Settings
 from marlstep.leases.manager import LeaseManager
 from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
@@ -184,7 +184,7 @@
     """Measure the busiest node where nothing but heartbeats goes on: share of one core, and memory."""
     with tempfile.TemporaryDirectory() as folder:
         without_tasks = replace(settings, tasks={})
-        async with Rig(plan(3, 3), without_tasks, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 3), without_tasks, Path(folder)) as rig:
             if not fleet:
                 for node in rig.nodes.values():
                     await node.kill()
@@ -208,7 +208,7 @@
         tasks={"one": {"every_ms": 100, "class": "schedule-save", "longest_ms": 250}},
     )
     with tempfile.TemporaryDirectory() as folder:
-        async with Rig(plan(voters, max(3, voters)), settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(voters, max(3, voters)), settings, Path(folder)) as rig:
             await asyncio.sleep(1.5 + count * 0.1)
             durations_ms: list[float] = []
             for node in rig.nodes.values():
@@ -223,7 +223,7 @@
     settings = Settings(load_config(), term_ms=term_ms, patience_ms=500, beat_ms=100, tasks=tasks)
     durations_s: dict[str, list[float]] = {"kill": [], "drain": []}
     with tempfile.TemporaryDirectory() as folder:
-        async with Rig(plan(3, 5), settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), settings, Path(folder)) as rig:
             await asyncio.sleep(3.0)
             for event, count in (("kill", kills), ("drain", drains)):
                 for _ in range(count):
@@ -231,7 +231,7 @@
     return {event: quantiles(durations) for event, durations in durations_s.items() if durations}
 
 
-async def one_hand_over(rig: Rig, event: str) -> float:
+async def one_hand_over(rig: ProcessCluster, event: str) -> float:
     """Measure one failover, in seconds, and start the node again. Raises NoNewHolderError."""
     holder = rig._holder()
     node = rig.nodes[holder]
@@ -239,7 +239,11 @@
     node.signal(signal.SIGKILL if event == "kill" else signal.SIGTERM)
     while True:
         await asyncio.sleep(0.01)
-        later = [act for act in rig.witness.acts if act.accepted and not act.fence and act.began_us > began]
+        later = [
+            act
+            for act in rig.effect_recorder.effects
+            if act.accepted and not act.fence and act.began_us > began
+        ]
         next_act = next((act for act in later if act.node.partition("/")[0] != holder), None)
         if next_act is not None:
             break
@@ -255,15 +259,15 @@
     """Count changes of holder without any fault."""
     settings = Settings(load_config(), term_ms=3_000, patience_ms=500, beat_ms=100)
     with tempfile.TemporaryDirectory() as folder:
-        async with Rig(plan(3, 5), settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), settings, Path(folder)) as rig:
             await asyncio.sleep(seconds)
             tokens: dict[str, set[int]] = {}
-            for act in rig.witness.acts:
+            for act in rig.effect_recorder.effects:
                 tokens.setdefault(act.task, set()).add(act.token)
             statuses = await rig.statuses(rig.plan.voters)
     return {
         "seconds": seconds,
-        "acts": sum(act.accepted for act in rig.witness.acts),
+        "acts": sum(act.accepted for act in rig.effect_recorder.effects),
         "changes_of_holder": sum(len(seen) - 1 for seen in tokens.values()),
         "term_of_the_log": max(status["voter"]["term"] for status in statuses.values()),
     }
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -21,7 +21,7 @@
 from marlstep.cluster import wire
 from marlstep.fault_injection.faults import Fault
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.virtual_members import run_members
+from marlstep.fault_injection.simulated_detectors import run_members
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.messages import Ack, MembershipMessage, Ping
--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -14,8 +14,8 @@
 from benchmarks.mixed.server_process import Launch, LogFindings, ServerProcess, read_log
 from benchmarks.mixed.upgrade_site import PLATFORM_CONFIG
 from benchmarks.mixed.versions import Version
-from marlstep.fault_injection.links import Ports
-from marlstep.fault_injection.witness import Witness
+from marlstep.fault_injection.effect_recorder import EffectRecorder
+from marlstep.fault_injection.network_links import Ports
 from marlstep.standins.servers import StandIns
 
 NAMES = ("n1", "n2", "n3")
@@ -184,7 +184,7 @@
         self.config["settings"]["rules"]["drainGraceUs"] = DRAIN_GRACE_US
         self.config["naming"] = None
         self.ports = Ports()
-        self.witness = Witness(seed)
+        self.witness = EffectRecorder(seed)
         self.emulators: list[StandIns] = []
         self.nodes: dict[str, FleetNode] = {}
         self.successors: list[ServerProcess] = []  # that took over from a process that served
--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -34,7 +34,7 @@
 from benchmarks.mixed.server_process import wait_until
 from benchmarks.mixed.task_record import count_crossings, judge_acts, latest
 from benchmarks.mixed.versions import Version
-from marlstep.fault_injection.witness import clock_us
+from marlstep.fault_injection.effect_recorder import clock_us
 
 SCENARIO_TIMEOUT_S = 100.0
 FORMS_WITHIN_S = 15.0
@@ -109,7 +109,7 @@
         since, names = clock_us(), {node.name for node in allowed}
 
         async def moved() -> bool:
-            acts = latest(self.cluster.witness.acts)
+            acts = latest(self.cluster.witness.effects)
             return set(acts) == set(TASKS) and all(
                 act.began_us > since and act.node.partition("/")[0] in names for act in acts.values()
             )
@@ -317,7 +317,7 @@
 
 def judge_run(run: Run) -> None:
     """Judge the whole record at the end."""
-    acts = list(run.cluster.witness.acts)
+    acts = list(run.cluster.witness.effects)
     run.result.failures += judge_acts(acts, UNSAFE)
     crossings = count_crossings(acts, run.version_of)
     for task in TASKS:
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -22,13 +22,13 @@
 from benchmarks.errors import VersionRejectedError
 from benchmarks.fleet import load_config, plan, quantiles, usage
 from marlstep.consensus.state_machine import StoredCommand
-from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.document_drill import ListServers, Load
+from marlstep.fault_injection.effect_recorder import clock_us
+from marlstep.fault_injection.network_links import Ports
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
-from marlstep.fault_injection.rules import ListServers, Load
-from marlstep.fault_injection.virtual import VirtualNode
-from marlstep.fault_injection.virtual_rules import DOCUMENTS, RulesWorld
-from marlstep.fault_injection.witness import clock_us
+from marlstep.fault_injection.process_cluster import NodeProcess, ProcessCluster, Settings
+from marlstep.fault_injection.simulated_cluster import SimulatedNode
+from marlstep.fault_injection.simulated_documents import DOCUMENTS, SimulatedDocumentCluster
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import content_digest
 from marlstep.replicated_config.followed_document import FollowerState
@@ -65,9 +65,9 @@
         await asyncio.sleep(0.005)
 
 
-async def put_servers(rig: Rig, node: NodeProcess, servers: list[str], expect: int) -> int:
+async def put_servers(rig: ProcessCluster, node: NodeProcess, servers: list[str], expect: int) -> int:
     """Change the list of servers; return its new version."""
-    content = json.dumps({"main": [f"127.0.0.1:{rig.witness.port}"], "more": servers})
+    content = json.dumps({"main": [f"127.0.0.1:{rig.effect_recorder.port}"], "more": servers})
     return await put_content(node, "servers", content, expect)
 
 
@@ -115,7 +115,7 @@
     port = ports.take()
     rig_settings = settings(strict=strict, pool=(f"127.0.0.1:{port}",))
     with tempfile.TemporaryDirectory() as folder:
-        async with Rig(plan(3, nodes), rig_settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, nodes), rig_settings, Path(folder)) as rig:
             await asyncio.sleep(4.0)
             node = rig.nodes["n2"]
             await wait_in_force(node, 1)
@@ -149,7 +149,7 @@
         {"tenants": {name: {"share": 1 / tenants, "allowance_per_s": 2.5} for name in names}}
     )
     with tempfile.TemporaryDirectory() as folder:
-        async with Rig(plan(3, 5), rig_settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), rig_settings, Path(folder)) as rig:
             await asyncio.sleep(3.0)
             node = rig.nodes["n2"]
             await wait_in_force(node, 1, "tenants")
@@ -174,7 +174,7 @@
     await servers.open(ports)
     with tempfile.TemporaryDirectory() as folder:
         rig_settings = settings(strict=strict, pool=(f"127.0.0.1:{servers.ports[0]}",))
-        async with Rig(plan(3, 5), rig_settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), rig_settings, Path(folder)) as rig:
             load = Load(rig, every_s=0.01)
             running = asyncio.create_task(load.run())
             await asyncio.sleep(4.0)
@@ -201,7 +201,7 @@
     }
 
 
-async def sent_messages(rig: Rig) -> dict[str, int]:
+async def sent_messages(rig: ProcessCluster) -> dict[str, int]:
     """Return how many messages each node has sent."""
     return {name: status["lines"].get("sent", 0) for name, status in (await rig.statuses()).items()}
 
@@ -212,7 +212,7 @@
     port = ports.take()
     with tempfile.TemporaryDirectory() as folder:
         rig_settings = settings(strict=False, pool=(f"127.0.0.1:{port}",), rules=rules)
-        async with Rig(plan(3, 5), rig_settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), rig_settings, Path(folder)) as rig:
             await asyncio.sleep(4.0)
             before = {name: usage(node)[0] for name, node in rig.nodes.items()}
             sent = await sent_messages(rig)
@@ -232,7 +232,7 @@
     }
 
 
-class TimedRulesWorld(RulesWorld):
+class TimedRulesWorld(SimulatedDocumentCluster):
     """A cluster without faults and clients that notes when each node begins to act on each version."""
 
     def __init__(self, plan: Plan) -> None:
@@ -242,7 +242,7 @@
         self.clients = []
         self.loss, self._heal_us = 0.0, 1 << 62
 
-    def _carry_out(self, node: VirtualNode, done: list[Any]) -> None:
+    def _carry_out(self, node: SimulatedNode, done: list[Any]) -> None:
         super()._carry_out(node, done)
         for name, document in self.followers[node.name].documents.items():
             if document.state is FollowerState.ACTIVE:
--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -17,11 +17,16 @@
 import click
 
 from marlstep.cli.spans import SPAN_TYPE
-from marlstep.fault_injection.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
-from marlstep.fault_injection.plan import HOOKS, RULES_HOOKS, BadPlan, Plan, Shape, draw, read_plan
+from marlstep.fault_injection.mutations import (
+    DOCUMENT_MUTATIONS,
+    LEASE_MUTATIONS,
+    MEMBERSHIP_MUTATIONS,
+    Mutation,
+)
+from marlstep.fault_injection.plan import HOOKS, RULES_HOOKS, InvalidPlanError, Plan, Shape, draw, read_plan
 
 if TYPE_CHECKING:
-    from marlstep.fault_injection.rig import Settings
+    from marlstep.fault_injection.process_cluster import Settings
 
 HELD, BROKEN, WRONG = 0, 1, 2
 MOST_JOBS = 16
@@ -32,7 +37,7 @@
     try:
         told = json.loads(Path(path).read_text("utf-8"))
         return read_plan(told.get("plan", told) if isinstance(told, dict) else told)
-    except (OSError, ValueError, BadPlan) as fault:
+    except (OSError, ValueError, InvalidPlanError) as fault:
         raise click.BadParameter(f"{path}: {fault}") from fault
 
 
@@ -54,12 +59,12 @@
     as_json: bool
 
     def plans(
-        self, breakage: Breakage | None, least_ms: int, shape: Callable[[int, int, int], Shape]
+        self, breakage: Mutation | None, least_ms: int, shape: Callable[[int, int, int], Shape]
     ) -> list[Plan]:
         """`shape` is given nodes, voters and milliseconds. Raises click.UsageError for what does not go together."""
-        if breakage is not None and not self.virtual and not breakage.on_processes:
+        if breakage is not None and not self.virtual and not breakage.runs_on_processes:
             raise click.UsageError(f"--broken {breakage.name} needs --virtual")
-        if breakage is not None and self.virtual and breakage.careless:
+        if breakage is not None and self.virtual and breakage.ignores_capabilities:
             raise click.UsageError(f"--broken {breakage.name} is of processes, not of the virtual network")
         if int(self.voters) > self.nodes:
             raise click.UsageError("--voters can't be more than --nodes")
@@ -132,7 +137,7 @@
 @group.command()
 @drawn
 @click.option("--beyond", is_flag=True, help="One clock errs by 20%, beyond what is guarded against.")
-@click.option("--broken", type=click.Choice(sorted(BREAKAGES)), help="A deliberate breakage.")
+@click.option("--broken", type=click.Choice(sorted(LEASE_MUTATIONS)), help="A deliberate breakage.")
 def leases(told: Drawn, beyond: bool, broken: str | None) -> None:
     """Two holders never act at once: processes that are killed, stopped, cut off and slowed.
 
@@ -144,7 +149,9 @@
       marlstep drill leases --virtual --broken vote-not-synced --seeds 300
     """
     plans = told.plans(
-        BREAKAGES.get(broken or ""), 4_000, lambda nodes, voters, ms: Shape(nodes, voters, ms, beyond=beyond)
+        LEASE_MUTATIONS.get(broken or ""),
+        4_000,
+        lambda nodes, voters, ms: Shape(nodes, voters, ms, beyond=beyond),
     )
     if told.virtual:
         told.end(on_virtual(plans, broken or "", told.cores))
@@ -154,7 +161,7 @@
 @group.command()
 @drawn
 @click.option("--strict/--plain", default=None, help="The kind of document; by turns where neither is said.")
-@click.option("--broken", type=click.Choice(sorted(RULES_BREAKAGES)), help="A deliberate breakage.")
+@click.option("--broken", type=click.Choice(sorted(DOCUMENT_MUTATIONS)), help="A deliberate breakage.")
 def rules(told: Drawn, strict: bool | None, broken: str | None) -> None:
     """No two nodes act on contradicting versions for longer than is stated; on strict ones never.
 
@@ -165,7 +172,7 @@
       marlstep drill rules --virtual --seeds 200
     """
     hooks = HOOKS[:2] + RULES_HOOKS
-    breakage = RULES_BREAKAGES.get(broken or "")
+    breakage = DOCUMENT_MUTATIONS.get(broken or "")
     plans = told.plans(breakage, 8_000, lambda nodes, voters, ms: Shape(nodes, voters, ms, hooks=hooks))
     if told.virtual:
         told.end(rules_on_virtual(plans, broken or "", told.cores))
@@ -181,7 +188,7 @@
 @click.option(
     "--trusting", is_flag=True, help="Without self-doubt, to measure what it is worth; needs --virtual."
 )
-@click.option("--broken", type=click.Choice(sorted(MEMBERS_BREAKAGES)), help="A deliberate breakage.")
+@click.option("--broken", type=click.Choice(sorted(MEMBERSHIP_MUTATIONS)), help="A deliberate breakage.")
 def who_is_there(told: Drawn, loss: float, slow: float, trusting: bool, broken: str | None) -> None:
     """All live nodes come to hear of all live ones; nobody who is there is taken out; nobody acts where it must not.
 
@@ -191,12 +198,12 @@
       marlstep drill members --nodes 12 --seed 7 --for 30s --json
       marlstep drill members --virtual --nodes 40 --seeds 100 --loss 0.05
     """
-    from marlstep.fault_injection.virtual_members import KINDS as MEMBERS_KINDS
+    from marlstep.fault_injection.simulated_detectors import KINDS as MEMBERS_KINDS
 
     def shape(nodes: int, voters: int, ms: int) -> Shape:
         return Shape(nodes, voters, ms, kinds=MEMBERS_KINDS, every_ms=2_500)
 
-    breakage = MEMBERS_BREAKAGES.get(broken or "")
+    breakage = MEMBERSHIP_MUTATIONS.get(broken or "")
     if breakage is not None:
         breakage = replace(breakage, shape=shape(told.nodes, int(told.voters), told.length_us // 1000))
     plans = told.plans(breakage, 8_000, shape)
@@ -209,11 +216,11 @@
 def virtual_members_one(work: tuple[Plan, str, float, float, bool]) -> dict[str, Any]:
     from dataclasses import asdict
 
-    from marlstep.fault_injection.virtual_members import run_members
+    from marlstep.fault_injection.simulated_detectors import run_members
     from marlstep.membership.detector_settings import DetectorSettings
 
     plan, name, loss, slow, doubts = work
-    breakage = MEMBERS_BREAKAGES[name] if name else Breakage()
+    breakage = MEMBERSHIP_MUTATIONS[name] if name else Mutation()
     world, why = run_members(plan, breakage, DetectorSettings(local_health_enabled=doubts), loss, slow)
     return {"seed": plan.seed, "why": why, **asdict(world.measured)}
 
@@ -256,13 +263,13 @@
 
 
 def members_one(work: Work) -> dict[str, Any]:
-    from marlstep.fault_injection.members import run
-    from marlstep.fault_injection.rig import RigError
+    from marlstep.fault_injection.membership_drill import run
+    from marlstep.fault_injection.process_cluster import ProcessClusterError
 
     plan, settings = prepared(work)
     try:
         return asyncio.run(run(plan, replace(settings, members=True)))
-    except (RigError, OSError) as fault:
+    except (ProcessClusterError, OSError) as fault:
         return {"seed": plan.seed, "plan": plan.write(), "verdict": "not run", "fault": str(fault)}
 
 
@@ -292,14 +299,14 @@
 
 
 def virtual_rules_one(work: tuple[Plan, str]) -> dict[str, Any]:
-    from marlstep.fault_injection.linear import Came
-    from marlstep.fault_injection.virtual_rules import run_rules
+    from marlstep.fault_injection.linearizability import CallOutcome
+    from marlstep.fault_injection.simulated_documents import run_rules
 
     plan, name = work
-    world, why = run_rules(plan, RULES_BREAKAGES[name] if name else Breakage())
+    world, why = run_rules(plan, DOCUMENT_MUTATIONS[name] if name else Mutation())
     longest = {one: seen.longest_us for one, seen in world.seen.items()}
     acted = sum(len(seen.acted) for seen in world.seen.values())
-    calls = sum(world.counts[one.value] for one in Came)
+    calls = sum(world.counts[one.value] for one in CallOutcome)
     counts = {"changes": acted, "stages": world.counts["stages"], "calls": calls}
     return {"seed": plan.seed, "why": why, "faults": world.faults, "longest_us": longest, **counts}
 
@@ -358,14 +365,14 @@
 
 
 def rules_one(work: tuple[Work, bool]) -> dict[str, Any]:
-    from marlstep.fault_injection.rig import RigError
-    from marlstep.fault_injection.rules import run
+    from marlstep.fault_injection.document_drill import run
+    from marlstep.fault_injection.process_cluster import ProcessClusterError
 
     plan, settings = prepared(work[0])
     strict = work[1]
     try:
         return asyncio.run(run(plan, settings, strict))
-    except (RigError, OSError) as fault:
+    except (ProcessClusterError, OSError) as fault:
         return {"seed": plan.seed, "plan": plan.write(), "verdict": "not run", "fault": str(fault)}
 
 
@@ -373,12 +380,12 @@
 
 
 def virtual_one(work: tuple[Plan, str]) -> dict[str, Any]:
-    from marlstep.fault_injection.virtual import run
+    from marlstep.fault_injection.simulated_cluster import run
 
     plan, name = work
-    world, why = run(plan, BREAKAGES[name] if name else Breakage())
-    acts = sum(act.accepted and not act.fence for act in world.acts)
-    late = sum(not act.accepted for act in world.acts)
+    world, why = run(plan, LEASE_MUTATIONS[name] if name else Mutation())
+    acts = sum(act.accepted and not act.fence for act in world.effects)
+    late = sum(not act.accepted for act in world.effects)
     return {
         "seed": plan.seed,
         "why": why,
@@ -391,7 +398,7 @@
 
 
 def on_virtual(plans: list[Plan], broken: str, jobs: int) -> dict[str, Any]:
-    from marlstep.fault_injection.virtual import shrink
+    from marlstep.fault_injection.simulated_cluster import shrink
 
     began = time.monotonic()
     rows: list[dict[str, Any]] = []
@@ -423,7 +430,7 @@
     }
     if bad:
         plan = next(one for one in plans if one.seed == bad[0]["seed"])
-        shortest = shrink(plan, BREAKAGES[broken] if broken else Breakage())
+        shortest = shrink(plan, LEASE_MUTATIONS[broken] if broken else Mutation())
         report |= {"seed": plan.seed, "plan": shortest.write()}
     elif len(plans) == 1:
         report |= {"seed": plans[0].seed, "plan": plans[0].write()}
@@ -434,7 +441,7 @@
 
 
 def on_processes(work: list[Work], jobs: int) -> dict[str, Any]:
-    from marlstep.fault_injection.rig import RigError
+    from marlstep.fault_injection.process_cluster import ProcessClusterError
 
     began = time.monotonic()
     try:
@@ -442,7 +449,7 @@
             return process_one(work[0])
         with ProcessPoolExecutor(min(jobs, len(work))) as pool:
             reports = list(pool.map(process_one, work))
-    except (RigError, OSError) as fault:
+    except (ProcessClusterError, OSError) as fault:
         return {"kind": "processes", "verdict": "not run", "fault": str(fault)}
     held = all(one["verdict"] == "held" for one in reports)
     return {
@@ -471,7 +478,7 @@
 
 
 def prepared(work: Work) -> tuple[Plan, Settings]:
-    from marlstep.fault_injection.rig import Settings
+    from marlstep.fault_injection.process_cluster import Settings
 
     plan, config, logs, broken = work
     quiet()
@@ -480,13 +487,13 @@
 
 
 def process_one(work: Work) -> dict[str, Any]:
-    from marlstep.fault_injection.leases import run
-    from marlstep.fault_injection.rig import RigError
+    from marlstep.fault_injection.lease_drill import run
+    from marlstep.fault_injection.process_cluster import ProcessClusterError
 
     plan, settings = prepared(work)
     try:
         return asyncio.run(run(plan, settings))
-    except RigError as fault:
+    except ProcessClusterError as fault:
         empty: dict[str, Any] = {"overlaps": [], "late_accepted": [], "run_twice": []}
         counts = dict.fromkeys(("acts", "refused_late", "fences", "changes_of_holder"), 0)
         why = {"verdict": "not run", "fault": str(fault)}
@@ -516,7 +523,7 @@
 
 @explore.command("leases")
 @click.option("--start", "starts", multiple=True, type=click.Choice(["fresh", "held", "divergent"]))
-@click.option("--broken", type=click.Choice(sorted(BREAKAGES)), help="With a deliberate breakage.")
+@click.option("--broken", type=click.Choice(sorted(LEASE_MUTATIONS)), help="With a deliberate breakage.")
 @click.option("--seconds", type=float, default=240.0, show_default=True, help="Give up after so long.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 @click.pass_context
@@ -538,7 +545,7 @@
 
 @explore.command("rules")
 @click.option("--start", "starts", multiple=True, type=click.Choice(RULES_STARTS))
-@click.option("--broken", type=click.Choice(sorted(RULES_BREAKAGES)), help="With a deliberate breakage.")
+@click.option("--broken", type=click.Choice(sorted(DOCUMENT_MUTATIONS)), help="With a deliberate breakage.")
 @click.option("--wakes", type=click.IntRange(0, 4), help="Steps of a walk in which time goes on.")
 @click.option("--seconds", type=float, default=240.0, show_default=True, help="Give up after so long.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
@@ -587,18 +594,20 @@
 def _walk_rules_one(work: tuple[str, str, int | None, float]) -> dict[str, Any]:
     from dataclasses import asdict, replace
 
-    from marlstep.fault_injection.explore_rules import STARTS, walk_rules
+    from marlstep.fault_injection.document_model import STARTS, search_document_states
 
     start, broken, wakes, seconds = work
     usual = STARTS[start][-1]
     bounds = usual if wakes is None else replace(usual, wakes=wakes)
-    return asdict(walk_rules(start, RULES_BREAKAGES[broken] if broken else Breakage(), bounds, seconds))
+    return asdict(
+        search_document_states(start, DOCUMENT_MUTATIONS[broken] if broken else Mutation(), bounds, seconds)
+    )
 
 
 def _walk_one(work: tuple[str, str, float]) -> dict[str, Any]:
     from dataclasses import asdict
 
-    from marlstep.fault_injection.explore import walk
+    from marlstep.fault_injection.lease_model import walk
 
     start, broken, seconds = work
-    return asdict(walk(start, BREAKAGES[broken] if broken else Breakage(), seconds=seconds))
+    return asdict(walk(start, LEASE_MUTATIONS[broken] if broken else Mutation(), seconds=seconds))
--- a/marlstep/fault_injection/rules.py
+++ b/marlstep/fault_injection/document_drill.py
@@ -18,11 +18,11 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.fault_injection.linear import Call, Came, unordered
-from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.effect_recorder import clock_us
+from marlstep.fault_injection.linearizability import Call, CallOutcome, linearizability_violation
+from marlstep.fault_injection.network_links import Ports
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
-from marlstep.fault_injection.witness import clock_us
+from marlstep.fault_injection.process_cluster import NodeProcess, ProcessCluster, Settings
 from marlstep.frontends.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
 from marlstep.replicated_config.documents import content_digest
@@ -99,15 +99,15 @@
 class Load:
     """Clients of every node, each request with one answer or none."""
 
-    def __init__(self, rig: Rig, every_s: float = SEND_EVERY_S) -> None:
-        self.rig, self.every_s = rig, every_s
+    def __init__(self, cluster: ProcessCluster, every_s: float = SEND_EVERY_S) -> None:
+        self.cluster, self.every_s = cluster, every_s
         self.answers: Counter[str] = Counter()
         self.lost: list[dict[str, Any]] = []
         self.twice = 0
         self.stop = False
 
     async def run(self) -> None:
-        await asyncio.gather(*(self._client(node) for node in self.rig.nodes.values()))
+        await asyncio.gather(*(self._client(node) for node in self.cluster.nodes.values()))
 
     async def _client(self, node: NodeProcess) -> None:
         open_still: set[asyncio.Task[None]] = set()
@@ -158,8 +158,8 @@
 class Operators:
     """Eight clients that read and change the list, each at some node, with the version that it saw last."""
 
-    def __init__(self, rig: Rig, servers: ListServers, seed: int) -> None:
-        self.rig, self.servers = rig, servers
+    def __init__(self, cluster: ProcessCluster, servers: ListServers, seed: int) -> None:
+        self.cluster, self.servers = cluster, servers
         self.puts: dict[int, Put] = {}  # by version
         self.calls: list[Call] = []
         self.refused: Counter[str] = Counter()
@@ -178,19 +178,19 @@
         saw = 0
         while not self.stop:
             await asyncio.sleep(self._chance.uniform(*THINKS_S))
-            node = self.rig.nodes[self._chance.choice(self.rig.plan.nodes)]
+            node = self.cluster.nodes[self._chance.choice(self.cluster.plan.nodes)]
             call = Call(name, clock_us(), expect=saw)
             work = self._put(node, call) if saw and self._chance.random() < 0.25 else self._get(node, call)
             try:
                 saw = await asyncio.wait_for(work, OUT_OF_PATIENCE_S) or saw
             except (OSError, ValueError, TimeoutError, KeyError, TypeError):
                 self.refused["no answer"] += 1
-            if call.came is not Came.UNKNOWN or call.version:
+            if call.came is not CallOutcome.UNKNOWN or call.version:
                 self.calls.append(call)
 
     async def _get(self, node: NodeProcess, call: Call) -> int:
         told = await self._asked(node, "get", {"doc": DOCUMENT})
-        call.ended_us, call.came, call.version = clock_us(), Came.TOLD, int(told["version"])
+        call.ended_us, call.came, call.version = clock_us(), CallOutcome.TOLD, int(told["version"])
         return call.version
 
     async def _put(self, node: NodeProcess, call: Call) -> int:
@@ -210,7 +210,9 @@
         return [one for one in range(SERVERS) if one not in taken and not self._trying[one]]
 
     async def _change(self, node: NodeProcess, call: Call, number: int) -> int:
-        content = json.dumps({"main": [f"127.0.0.1:{self.rig.witness.port}"], "more": self.list_of(number)})
+        content = json.dumps(
+            {"main": [f"127.0.0.1:{self.cluster.effect_recorder.port}"], "more": self.list_of(number)}
+        )
         upload = f"o{self._chance.randrange(1 << 40):x}"
         put = {"doc": DOCUMENT, "upload": upload, "digest": content_digest(content), "expect": call.expect}
         put |= {"author": call.client, "force": True}
@@ -221,7 +223,7 @@
         if "prepares" not in told:
             self.refused[str(told.get("refused", told))[:24]] += 1
             if "version" in told and "waits_for" not in told:
-                call.ended_us, call.came, call.version = clock_us(), Came.STALE, int(told["version"])
+                call.ended_us, call.came, call.version = clock_us(), CallOutcome.STALE, int(told["version"])
             return call.version
         version = call.version = int(told["prepares"])
         self._placed.append(number)
@@ -229,13 +231,13 @@
         while True:
             await asyncio.sleep(0.05)
             now = await self._asked(
-                self.rig.nodes[self._chance.choice(self.rig.plan.nodes)], "get", {"doc": DOCUMENT}
+                self.cluster.nodes[self._chance.choice(self.cluster.plan.nodes)], "get", {"doc": DOCUMENT}
             )
             if any(row["version"] == version for row in now["turned_down"]):
                 call.version = 0
                 return 0
             if now["version"] >= version:
-                call.ended_us, call.came = clock_us(), Came.DONE
+                call.ended_us, call.came = clock_us(), CallOutcome.DONE
                 return version
 
     def list_of(self, number: int) -> list[str]:
@@ -287,15 +289,15 @@
     told = replace(settings, tasks={}, pool=(f"127.0.0.1:{servers.ports[0]}",), rules=rules)
     try:
         with tempfile.TemporaryDirectory(prefix="drill-") as folder:
-            async with Rig(plan, told, Path(folder)) as rig:
-                load, operator = Load(rig), Operators(rig, servers, plan.seed)
+            async with ProcessCluster(plan, told, Path(folder)) as cluster:
+                load, operator = Load(cluster), Operators(cluster, servers, plan.seed)
                 tasks = [asyncio.create_task(load.run()), asyncio.create_task(operator.run())]
-                await rig.run()
+                await cluster.run()
                 operator.stop = load.stop = True
                 await asyncio.gather(*tasks)
-                document = await versions(rig)
-                unexpected = list(rig.unexpected)
-                struck = dict(rig.counts)
+                document = await versions(cluster)
+                unexpected = list(cluster.unexpected)
+                struck = dict(cluster.counts)
     finally:
         servers.close()
         free.close()
@@ -305,7 +307,7 @@
     longest, found = judge_in_turn(servers.arrivals, lists, operator.puts)
     # The first version is a node's own file; a call that may have had any effect has version -1.
     calls = [replace(one, version=max(0, one.version)) for one in operator.calls]
-    disorder = unordered([*calls, Call("a node", 0)])
+    disorder = linearizability_violation([*calls, Call("a node", 0)])
     within = settings.rules_ms + 1_000
     happened = len(document["versions"]) >= 3 and load.answers["200"] > 50
     held = happened and not load.lost and not load.twice and longest <= within * 1000
@@ -354,12 +356,12 @@
     return longest, found
 
 
-async def versions(rig: Rig) -> dict[str, Any]:
+async def versions(cluster: ProcessCluster) -> dict[str, Any]:
     """All versions, from whichever voter knows the most."""
     best: dict[str, Any] = {"versions": []}
-    for name in rig.plan.voters:
+    for name in cluster.plan.voters:
         with contextlib.suppress(OSError, ValueError):
-            told = await rig.nodes[name].call(f"/v1/fleet/rules/{DOCUMENT}")
+            told = await cluster.nodes[name].call(f"/v1/fleet/rules/{DOCUMENT}")
             if "in_force" in told and len(told["versions"]) > len(best["versions"]):
                 best = told
     return best
--- a/marlstep/fault_injection/explore_rules.py
+++ b/marlstep/fault_injection/document_model.py
@@ -15,20 +15,20 @@
 from marlstep.consensus.log import Configuration, PersistentState, Snapshot
 from marlstep.consensus.replica import Replica, node_of
 from marlstep.consensus.state_machine import StateMachine, StoredCommand
-from marlstep.fault_injection.broken import Breakage
-from marlstep.fault_injection.explore import (
+from marlstep.fault_injection.lease_model import (
     START,
     TIMING,
     VOTERS,
     Bounds,
-    Even,
+    ConstantRandom,
+    InvariantViolationError,
+    SearchResult,
     State,
-    Violation,
-    Walked,
     holder_key,
     make_voter,
-    walk_from,
+    search_from,
 )
+from marlstep.fault_injection.mutations import Mutation
 from marlstep.leases.client import GroupClient
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
@@ -56,13 +56,13 @@
     return {"rules": ConfigStore(table)}
 
 
-class RulesNode:
+class DocumentNode:
     """A process that acts on the document, as the product drives one."""
 
     def __init__(
         self, node: str, boot: str, voters: tuple[str, ...], settings: LeaseSettings, strict: bool
     ) -> None:
-        self.participant = GroupClient(node, boot, voters, settings, Even(0.0))
+        self.participant = GroupClient(node, boot, voters, settings, ConstantRandom(0.0))
         self.holder = self.participant.holder
         self.lease = CONFIG_LEASE_PREFIX + self.holder.name
         self.holder.set_wanted([self.lease])
@@ -143,7 +143,7 @@
 
 
 @dataclass(slots=True)
-class RulesState(State):
+class DocumentState(State):
     strict: bool = True
     acting: dict[str, tuple[int, datetime]] = field(default_factory=dict)
     in_force: dict[int, datetime] = field(default_factory=dict)  # versions, and since when
@@ -152,9 +152,9 @@
     def machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
         return _book
 
-    def copy(self) -> RulesState:
+    def copy(self) -> DocumentState:
         after = State.copy(self)
-        assert isinstance(after, RulesState)
+        assert isinstance(after, DocumentState)
         after.acting = dict(self.acting)
         return after
 
@@ -163,11 +163,11 @@
         flying = frozenset(self.flying)
         return hash((self.now, self.crashes, self.wakes, flying, tuple(self.keys.values()), since))
 
-    def node(self, name: str) -> RulesNode:
+    def node(self, name: str) -> DocumentNode:
         return State.holder(self, name)  # type: ignore[return-value]
 
     def put(self, name: str, part: Any) -> None:
-        if isinstance(part, RulesNode):
+        if isinstance(part, DocumentNode):
             State.put(self, name, part.participant)
             self.parts[name] = _pickled(part)
             self.keys[name] = hash((self.keys[name], node_key(part)))
@@ -188,7 +188,7 @@
         """It comes back as another process, which acts on nothing yet."""
         old = self.node(name)
         node, boot = name.split("/")
-        fresh = RulesNode(node, str(int(boot) + 1), self.voters, old.holder.settings, self.strict)
+        fresh = DocumentNode(node, str(int(boot) + 1), self.voters, old.holder.settings, self.strict)
         fresh.holder.__class__, fresh.follower.__class__ = old.holder.__class__, old.follower.__class__
         self.crashes += 1
         self.acting.pop(name, None)
@@ -231,7 +231,7 @@
             self.in_force = new
             self.look()
 
-    def see(self, name: str, one: RulesNode) -> None:
+    def see(self, name: str, one: DocumentNode) -> None:
         self.put(name, one)
         self.acting.pop(name, None)
         if (acting := one.acting(self.now)) is not None:
@@ -242,14 +242,16 @@
         acting = {name: version for name, (version, until) in self.acting.items() if until > self.now}
         for name, version in acting.items():
             if version not in self.in_force:
-                raise Violation(f"{name} acts on version {version}, which was never in force")
+                raise InvariantViolationError(f"{name} acts on version {version}, which was never in force")
         if self.strict and len(set(acting.values())) > 1:
-            raise Violation(f"two act on different versions at {self.now - START}: {acting}")
+            raise InvariantViolationError(f"two act on different versions at {self.now - START}: {acting}")
         newest = max(self.in_force, default=0)
         for name, version in acting.items():
             if version < newest and self.now > self.in_force[newest] + SETTINGS.config_term:
                 late = self.now - self.in_force[newest]
-                raise Violation(f"{name} acts on version {version} {late} after {newest} came into force")
+                raise InvariantViolationError(
+                    f"{name} acts on version {version} {late} after {newest} came into force"
+                )
 
 
 def _pickled(part: object) -> bytes:
@@ -258,7 +260,7 @@
     return pickle.dumps(part, -1)
 
 
-def node_key(one: RulesNode) -> tuple[Any, ...]:
+def node_key(one: DocumentNode) -> tuple[Any, ...]:
     at = one.follower.documents[DOCUMENT]
     held, checks = tuple((at.prepared_contents or {}).items()), tuple(at.check_results.items())
     mine = (
@@ -280,9 +282,9 @@
     return tuple(voter._pending_requests), tuple(sorted(voter.duties.proposed_decisions))
 
 
-def lapsed(breakage: Breakage, strict: bool, voters: tuple[str, ...]) -> RulesState:
+def lapsed(mutation: Mutation, strict: bool, voters: tuple[str, ...]) -> DocumentState:
     """As `change`, but no word came through until both leases were over, and then a late beat."""
-    state = change(breakage, strict, voters)
+    state = change(mutation, strict, voters)
     state.flying = state.flying[:0]
     late = state.holders[1]
     state.now = state.node(late).next_due(state.now)
@@ -299,23 +301,23 @@
     return state
 
 
-def change(breakage: Breakage, strict: bool, voters: tuple[str, ...]) -> RulesState:
+def change(mutation: Mutation, strict: bool, voters: tuple[str, ...]) -> DocumentState:
     """Both nodes act on version 1, and version 2 is prepared: they are to be told. Raises Violation."""
     group = Configuration(tuple(f"{name}#1" for name in voters))
     disks = {name: PersistentState(snapshot=Snapshot(configuration=group)) for name in voters}
-    settings = breakage.settings(SETTINGS)
+    settings = mutation.settings(SETTINGS)
     names = tuple(f"{name}/1" for name in NODES)
-    state = RulesState(START, {}, {}, voters, names, disks, strict=strict)
+    state = DocumentState(START, {}, {}, voters, names, disks, strict=strict)
     for name in voters:
         voter = make_voter(name, disks[name], START, TIMING, settings, _book)
-        breakage.put_on_voter(voter)
+        mutation.apply_to_replica(voter)
         if voter.config_store is not None:
-            breakage.put_on(voter.config_store)
+            mutation.apply_to(voter.config_store)
         state.put(name, voter)
     for name in names:
-        one = RulesNode(name.partition("/")[0], "1", voters, settings, strict)
-        breakage.put_on(one.holder)
-        breakage.put_on(one.follower)
+        one = DocumentNode(name.partition("/")[0], "1", voters, settings, strict)
+        mutation.apply_to(one.holder)
+        mutation.apply_to(one.follower)
         state.put(name, one)
     _until(state, lambda: len(state.acting) == len(NODES))
     first = state.node(names[0])
@@ -343,7 +345,7 @@
 WIDE = Bounds(99, 9, 1 << 30, flying=64)
 
 
-def _until(state: RulesState, there: Callable[[], bool]) -> None:
+def _until(state: DocumentState, there: Callable[[], bool]) -> None:
     """All messages in order, and whoever is due first wakes."""
     for _ in range(4_000):
         if there():
@@ -377,13 +379,13 @@
 }
 
 
-def walk_rules(
-    start: str, breakage: Breakage, bounds: Bounds | None = None, seconds: float = 240.0
-) -> Walked:
+def search_document_states(
+    start: str, mutation: Mutation, bounds: Bounds | None = None, seconds: float = 240.0
+) -> SearchResult:
     """Breadth first, from a change that was asked for. Ends at the bounds, or when time is over."""
     make, strict, voters, usual = STARTS[start]
     try:
-        first = make(breakage, strict, voters)
-    except Violation as fault:
-        return Walked(start, broken=str(fault), trace=("all messages in order",))
-    return walk_from(start, first, bounds or usual, seconds)
+        first = make(mutation, strict, voters)
+    except InvariantViolationError as fault:
+        return SearchResult(start, broken=str(fault), trace=("all messages in order",))
+    return search_from(start, first, bounds or usual, seconds)
--- a/marlstep/fault_injection/witness.py
+++ b/marlstep/fault_injection/effect_recorder.py
@@ -15,7 +15,7 @@
 from collections.abc import Mapping
 from dataclasses import asdict
 
-from marlstep.fault_injection.acts import Act, Receiver
+from marlstep.fault_injection.effects import Effect, FencingServer
 from marlstep.frontends.uwsgi_wire import PacketReader, write_response
 from marlstep.net.ring import Ring
 
@@ -26,12 +26,12 @@
     return time.monotonic_ns() // 1000
 
 
-class Witness:
+class EffectRecorder:
     def __init__(self, seed: int) -> None:
-        self.acts: list[Act] = []
+        self.effects: list[Effect] = []
         self.hang_tasks: set[str] = set()  # whose acts never end
         self.port = 0
-        self._receiver = Receiver()
+        self._receiver = FencingServer()
         self._chance = random.Random(seed)
         self._server: asyncio.Server | None = None
         self._open: set[asyncio.Task[None]] = set()
@@ -64,18 +64,18 @@
         run, fence = int(told["HTTP_X_TASK_RUN"]), told["HTTP_X_TASK_FENCE"] == "1"
         node = told["HTTP_X_TASK_HOLDER"]
         began = clock_us()
-        taken = self._receiver.takes(task, token)
-        number = len(self.acts)
+        taken = self._receiver.accepts(task, token)
+        number = len(self.effects)
         work = 0.0 if fence or not taken else self._chance.uniform(*WORK_S)
         # Written down before it is worked on: of an act whose connection breaks the end is known as well.
-        self.acts.append(Act(task, node, token, run, began, began + int(work * 1e6), taken, fence))
+        self.effects.append(Effect(task, node, token, run, began, began + int(work * 1e6), taken, fence))
         if not taken:
             return b"HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\n\r\nlate\n"
         if task in self.hang_tasks and not fence:
             await asyncio.sleep(3600)
         if work:
             await asyncio.sleep(work)
-            self.acts[number] = Act(task, node, token, run, began, clock_us(), taken, fence)
+            self.effects[number] = Effect(task, node, token, run, began, clock_us(), taken, fence)
         return write_response(200, {}, "done")
 
     async def close(self) -> None:
@@ -88,15 +88,15 @@
 
 async def serve(port: int) -> None:
     """Until it is ended, with a line of JSON for each act."""
-    witness = Witness(1)
-    await witness.open(port)
+    effect_recorder = EffectRecorder(1)
+    await effect_recorder.open(port)
     print(json.dumps({"listens": port}), flush=True)
     told = 0
     while True:
         await asyncio.sleep(0.1)
-        for act in witness.acts[told:]:
-            print(json.dumps(asdict(act)), flush=True)
-        told = len(witness.acts)
+        for effect in effect_recorder.effects[told:]:
+            print(json.dumps(asdict(effect)), flush=True)
+        told = len(effect_recorder.effects)
 
 
 def main() -> None:
--- a/marlstep/fault_injection/process.py
+++ b/marlstep/fault_injection/faulty_process.py
@@ -1,6 +1,6 @@
 """The rig's own way of starting a node: the product as it is, with a clock that errs and a disk that can be slowed.
 
-    python -m marlstep.fault_injection.process --operator FILE --rate 1.01
+    python -m marlstep.fault_injection.faulty_process --operator FILE --rate 1.01
 
 Orders come as JSON lines on standard input: `{"hook": "begun"}` kills this process at that step (with
 `"stop": true` it is only stopped), `{"disk_ms": 300}`
@@ -30,11 +30,16 @@
 from marlstep.cluster.replica_driver import ReplicaDriver
 from marlstep.cluster.store import OpenedStore, ReplicaStore, StoreError
 from marlstep.consensus.raft import Ready
-from marlstep.fault_injection.broken import BREAKAGES, MEMBERS_BREAKAGES, RULES_BREAKAGES, Breakage
+from marlstep.fault_injection.mutations import (
+    DOCUMENT_MUTATIONS,
+    LEASE_MUTATIONS,
+    MEMBERSHIP_MUTATIONS,
+    Mutation,
+)
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 from marlstep.units import EPOCH, MILLISECOND, SteadyClock
 
-BROKEN = {**BREAKAGES, **RULES_BREAKAGES, **MEMBERS_BREAKAGES}
+BROKEN = {**LEASE_MUTATIONS, **DOCUMENT_MUTATIONS, **MEMBERSHIP_MUTATIONS}
 HOOK_STEPS = {  # by the words of plans
     "voted": Step.STORE_SAVING,
     "stored": Step.STORE_SAVED,
@@ -50,7 +55,7 @@
 }
 
 
-class Orders:
+class FaultOrders:
     """What the rig has told this process; observes its steps."""
 
     def __init__(self) -> None:
@@ -80,7 +85,7 @@
     """Goes fast or slow from the start of this process on."""
 
     rate = 1.0
-    orders = Orders()
+    orders = FaultOrders()
 
     def __init__(self) -> None:
         self._start = super().now()
@@ -90,7 +95,7 @@
         return EPOCH + passed * self.rate + self.orders.jump_ms * MILLISECOND
 
 
-def alter(orders: Orders, rate: float, breakage: Breakage) -> None:
+def alter(orders: FaultOrders, rate: float, mutation: Mutation) -> None:
     """Put clock, disk and hooks in their places, and a rule out of the code where one is to be missed."""
     ErringClock.rate, ErringClock.orders = rate, orders
     save, begin, vote = ReplicaStore.save, ClusterNode.__init__, ReplicaDriver.start_replica
@@ -105,24 +110,24 @@
     def hooked(self: ClusterNode, *words: Any, **named: Any) -> None:
         named |= {"observer": orders, "clock": ErringClock()}
         begin(self, *words, **named)
-        breakage.put_on(self.context.client.holder)
+        mutation.apply_to(self.context.client.holder)
         for runner in self.task_driver.runners.values():
-            breakage.put_on(runner)
+            mutation.apply_to(runner)
         if self.config_driver is not None:
-            breakage.put_on(self.config_driver.follower)
+            mutation.apply_to(self.config_driver.follower)
         if self.membership is not None:
-            breakage.put_on(self.membership.detector.state)
+            mutation.apply_to(self.membership.detector.state)
 
     def voting(self: ReplicaDriver, opened: OpenedStore) -> None:
         vote(self, opened)
         if self.replica is not None:
-            breakage.put_on_voter(self.replica)
+            mutation.apply_to_replica(self.replica)
             for part in (self.replica.config_store, self.replica.quotas):
                 if part is not None:
-                    breakage.put_on(part)
+                    mutation.apply_to(part)
 
     ReplicaDriver.start_replica = voting  # type: ignore[method-assign]
-    if breakage.careless:
+    if mutation.ignores_capabilities:
         NodeContext.capabilities = property(lambda self: CAPABILITIES[PartitionState.HEALTHY])  # type: ignore[method-assign,assignment]
     ReplicaStore.save = slow_save  # type: ignore[method-assign]
     ClusterNode.__init__ = hooked  # type: ignore[method-assign]
@@ -134,8 +139,8 @@
     parser.add_argument("--rate", type=float, default=1.0)
     parser.add_argument("--broken", choices=sorted(BROKEN))
     options = parser.parse_args()
-    orders = Orders()
-    alter(orders, options.rate, BROKEN[options.broken] if options.broken else Breakage())
+    orders = FaultOrders()
+    alter(orders, options.rate, BROKEN[options.broken] if options.broken else Mutation())
     threading.Thread(target=orders.listen, daemon=True).start()
     logging.basicConfig(level=logging.INFO, format=PLAIN)
     from marlstep.node import run
--- a/marlstep/fault_injection/leases.py
+++ b/marlstep/fault_injection/lease_drill.py
@@ -8,10 +8,16 @@
 from pathlib import Path
 from typing import Any
 
-from marlstep.fault_injection.acts import Act, late_accepted, overlaps, run_twice, shared_tokens
+from marlstep.fault_injection.effect_recorder import clock_us
+from marlstep.fault_injection.effects import (
+    Effect,
+    overlapping_effects,
+    repeated_runs,
+    shared_tokens,
+    stale_tokens_accepted,
+)
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.rig import Rig, Settings
-from marlstep.fault_injection.witness import clock_us
+from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 
 WELL_AGAIN_S = 5.0  # before the end of a plan somebody must have acted, or else
 PATIENCE_S = 40.0  # after it: how fast a busy machine heals is measured, and whether it heals is judged
@@ -20,33 +26,40 @@
 async def run(plan: Plan, settings: Settings) -> dict[str, Any]:
     """One plan on processes; the report, whose `verdict` is `held` or `broken`. Raises RigError, OSError."""
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
-        async with Rig(plan, settings, Path(folder)) as rig:
+        async with ProcessCluster(plan, settings, Path(folder)) as cluster:
             began = clock_us()
-            await rig.run()
+            await cluster.run()
             planned = clock_us()
-            ended = await well_again(rig, planned)
-            statuses = await rig.statuses()
+            ended = await well_again(cluster, planned)
+            statuses = await cluster.statuses()
             unsafe = frozenset(
                 name for name, task in settings.tasks.items() if task["class"] == "setpoint-cmd"
             )
-            report = judge(plan, list(rig.witness.acts), unsafe, ended)
-            report["struck"] = dict(rig.counts)
+            report = judge(plan, list(cluster.effect_recorder.effects), unsafe, ended)
+            report["struck"] = dict(cluster.counts)
             report["seconds"] = round((planned - began) / 1e6, 2)
             report["well_again_s"] = round(max(0, ended - planned) / 1e6, 2)
-            report["unexpected"] = rig.unexpected
-            report["elders_gone_s"] = [round(one, 2) for one in rig.upgrades]
-            report["changes_of_holder"] = _changes(rig.witness.acts)
+            report["unexpected"] = cluster.unexpected
+            report["elders_gone_s"] = [round(one, 2) for one in cluster.upgrade_durations_s]
+            report["changes_of_holder"] = _changes(cluster.effect_recorder.effects)
             report["nodes"] = {name: _short(told) for name, told in statuses.items()}
     if report["unexpected"]:
         report["verdict"] = "broken"
     return report
 
 
-async def well_again(rig: Rig, planned_us: int) -> int:
+async def well_again(cluster: ProcessCluster, planned_us: int) -> int:
     """Wait until somebody acts, where nobody did towards the end; gives the moment, or the end of all patience."""
     while True:
         now = clock_us()
-        last = max((act.began_us for act in rig.witness.acts if act.accepted and not act.fence), default=0)
+        last = max(
+            (
+                effect.began_us
+                for effect in cluster.effect_recorder.effects
+                if effect.accepted and not effect.fence
+            ),
+            default=0,
+        )
         if last > planned_us - WELL_AGAIN_S * 1e6:
             return max(planned_us, last)
         if now > planned_us + PATIENCE_S * 1e6:
@@ -54,14 +67,14 @@
         await asyncio.sleep(0.1)
 
 
-def judge(plan: Plan, acts: list[Act], unsafe: frozenset[str], ended_us: int) -> dict[str, Any]:
+def judge(plan: Plan, effects: list[Effect], unsafe: frozenset[str], ended_us: int) -> dict[str, Any]:
     """What the record of the witnesses proves."""
-    over = [[asdict(one), asdict(other)] for one, other in overlaps(acts)]
-    late = [[asdict(one), asdict(other)] for one, other in late_accepted(acts)]
-    shared = [[asdict(one), asdict(other)] for one, other in shared_tokens(acts)]
-    twice = [[asdict(one), asdict(other)] for one, other in run_twice(acts, unsafe)]
-    accepted = [act for act in acts if act.accepted and not act.fence]
-    last = max((act.began_us for act in accepted), default=0)
+    over = [[asdict(one), asdict(other)] for one, other in overlapping_effects(effects)]
+    late = [[asdict(one), asdict(other)] for one, other in stale_tokens_accepted(effects)]
+    shared = [[asdict(one), asdict(other)] for one, other in shared_tokens(effects)]
+    twice = [[asdict(one), asdict(other)] for one, other in repeated_runs(effects, unsafe)]
+    accepted = [effect for effect in effects if effect.accepted and not effect.fence]
+    last = max((effect.began_us for effect in accepted), default=0)
     quiet = last < ended_us - WELL_AGAIN_S * 1e6
     happened = bool(accepted) and (bool(plan.faults) or plan.length_ms > 0)
     held = happened and not (over or late or shared or twice or quiet)
@@ -70,8 +83,8 @@
         "plan": plan.write(),
         "faults": len(plan.faults),
         "acts": len(accepted),
-        "refused_late": sum(not act.accepted for act in acts),
-        "fences": sum(act.fence for act in acts),
+        "refused_late": sum(not effect.accepted for effect in effects),
+        "fences": sum(effect.fence for effect in effects),
         "overlaps": over,
         "late_accepted": late,
         "shared_tokens": shared,
@@ -81,13 +94,13 @@
     }
 
 
-def _changes(acts: list[Act]) -> int:
+def _changes(effects: list[Effect]) -> int:
     holder: dict[str, int] = {}
     changes = 0
-    for act in acts:
-        if act.accepted and not act.fence:
-            changes += holder.get(act.task, act.token) != act.token
-            holder[act.task] = act.token
+    for effect in effects:
+        if effect.accepted and not effect.fence:
+            changes += holder.get(effect.task, effect.token) != effect.token
+            holder[effect.task] = effect.token
     return changes
 
 
--- a/marlstep/fault_injection/explore.py
+++ b/marlstep/fault_injection/lease_model.py
@@ -20,7 +20,7 @@
 from marlstep.consensus.raft import RaftTiming
 from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
 from marlstep.consensus.state_machine import StateMachine
-from marlstep.fault_injection.broken import Breakage
+from marlstep.fault_injection.mutations import Mutation
 from marlstep.leases.client import GroupClient
 from marlstep.leases.messages import HeartbeatResponse
 from marlstep.leases.settings import LeaseSettings
@@ -34,11 +34,11 @@
 SETTINGS = LeaseSettings(1_500 * MILLISECOND)
 
 
-class Violation(Exception):
+class InvariantViolationError(Exception):
     """A property does not hold in a state that can be reached."""
 
 
-class Even:
+class ConstantRandom:
     """Chance that is none: each voter has its own patience."""
 
     def __init__(self, value: float) -> None:
@@ -169,7 +169,7 @@
         self.until[name] = self.now + one.holder.time_left(LEASE, self.now)
         holding = [name for name, until in self.until.items() if until > self.now]
         if len(holding) > 1:
-            raise Violation(f"two hold the lease at {self.now - START}: {', '.join(holding)}")
+            raise InvariantViolationError(f"two hold the lease at {self.now - START}: {', '.join(holding)}")
 
     def wake(self, name: str, bounds: Bounds) -> None:
         one = self.holder(name)
@@ -238,7 +238,7 @@
         raft = voter.raft
         if raft.is_leader:
             if self.leaders.get(raft.term, voter.identity) != voter.identity:
-                raise Violation(
+                raise InvariantViolationError(
                     f"two lead in term {raft.term}: {self.leaders[raft.term]} and {voter.identity}"
                 )
             new = raft.term not in self.leaders
@@ -246,7 +246,7 @@
             # At the moment of its election: one that leads on in an old term knows nothing of later ones.
             for index, entry in self.committed.items():
                 if new and (index > raft.log.last_index or raft.log[index] != entry):
-                    raise Violation(
+                    raise InvariantViolationError(
                         f"{voter.identity} leads in term {raft.term} without committed entry {index}"
                     )
         for index in range(1, raft.last_applied + 1):
@@ -254,14 +254,18 @@
                 self.committed = {**self.committed, index: raft.log[index]}
             elif self.committed[index] != raft.log[index]:
                 known = self.committed[index]
-                raise Violation(f"committed entry {index} differs: {known} and {raft.log[index]}")
+                raise InvariantViolationError(
+                    f"committed entry {index} differs: {known} and {raft.log[index]}"
+                )
         for index, command, result in voter.applied:
             if "granted" in result and index not in self.tokens:
                 token = int(result["token"])
                 if any(token <= other for at, other in self.tokens.items() if at < index):
-                    raise Violation(f"token {token} at entry {index} is not above all before it")
+                    raise InvariantViolationError(
+                        f"token {token} at entry {index} is not above all before it"
+                    )
                 if not self.asked_for(str(result["granted"]), str(command["name"])):
-                    raise Violation(f"granted what was not asked: {command}")
+                    raise InvariantViolationError(f"granted what was not asked: {command}")
                 self.tokens = {**self.tokens, index: token}
 
 
@@ -333,7 +337,7 @@
 ) -> Replica:
     saved = pickle.loads(pickle.dumps(disk))
     settings = ReplicaSettings(timing, leases, VOTERS)
-    return Replica(f"{name}#1", saved, settings, machines, Even(VOTERS.index(name) / 4), now)
+    return Replica(f"{name}#1", saved, settings, machines, ConstantRandom(VOTERS.index(name) / 4), now)
 
 
 def _none(table: object) -> dict[str, Any]:
@@ -343,15 +347,15 @@
 GROUP = Configuration(tuple(f"{name}#1" for name in VOTERS))
 
 
-def fresh(breakage: Breakage) -> State:
+def fresh(mutation: Mutation) -> State:
     """Nobody leads, nobody holds."""
     disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
-    return _state(breakage, disks)
+    return _state(mutation, disks)
 
 
-def held(breakage: Breakage) -> State:
+def held(mutation: Mutation) -> State:
     """One leads, and the first of the two that want the lease has it."""
-    state = fresh(breakage)
+    state = fresh(mutation)
     bounds = Bounds(99, 9, 99)
 
     def wake(name: str) -> None:
@@ -377,7 +381,7 @@
     raise AssertionError("the walk's start is not what it should be")
 
 
-def divergent(breakage: Breakage) -> State:
+def divergent(mutation: Mutation) -> State:
     """Two have led, each has an entry that no other has, and the first leads again: after (b) of figure 8."""
     disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
     disks["v1"].term, disks["v1"].voted_for = 3, ""  # it has heard of term 3, and has what it wrote in term 2
@@ -385,7 +389,7 @@
     disks["v2"].term, disks["v2"].voted_for = 3, "v2#1"
     disks["v2"].entries = [LogEntry(1, 3, EntryType.NOOP, "")]
     disks["v3"].term, disks["v3"].voted_for = 3, "v2#1"
-    state = _state(breakage, disks, holders=())
+    state = _state(mutation, disks, holders=())
     bounds = Bounds(99, 9, 99)
     first = state.voter("v1")
     state.now = first.raft.next_due()
@@ -411,19 +415,19 @@
 
 
 def _state(
-    breakage: Breakage, disks: dict[str, PersistentState], holders: tuple[str, ...] = ("a", "b")
+    mutation: Mutation, disks: dict[str, PersistentState], holders: tuple[str, ...] = ("a", "b")
 ) -> State:
-    settings = breakage.settings(SETTINGS)
+    settings = mutation.settings(SETTINGS)
     names = tuple(f"{name}/1" for name in holders)
     state = State(START, {}, {}, tuple(disks), names, disks)
     for name, disk in disks.items():
         voter = make_voter(name, disk, START, TIMING, settings, _none)
-        breakage.put_on_voter(voter)
-        voter.raft.replication.max_entries_per_message = breakage.most_entries
+        mutation.apply_to_replica(voter)
+        voter.raft.replication.max_entries_per_message = mutation.max_entries_per_message
         state.put(name, voter)
     for number, name in enumerate(holders):
-        one = GroupClient(name, "1", VOTERS, settings, Even(0.0))
-        breakage.put_on(one.holder)
+        one = GroupClient(name, "1", VOTERS, settings, ConstantRandom(0.0))
+        mutation.apply_to(one.holder)
         one.holder.set_wanted([LEASE])
         one._next_heartbeat = START + number * MILLISECOND
         state.put(one.holder.name, one)
@@ -431,7 +435,7 @@
 
 
 @dataclass(slots=True)
-class Walked:
+class SearchResult:
     start: str
     states: int = 0
     depth: int = 0
@@ -441,15 +445,17 @@
     trace: tuple[str, ...] = ()
 
 
-def walk(start: str, breakage: Breakage, bounds: Bounds | None = None, seconds: float = 240.0) -> Walked:
+def walk(
+    start: str, mutation: Mutation, bounds: Bounds | None = None, seconds: float = 240.0
+) -> SearchResult:
     """Breadth first, so that what is found has the fewest steps. Ends at the bounds, or when time is over."""
     make, usual = STARTS[start]
-    return walk_from(start, make(breakage), bounds or usual, seconds)
+    return search_from(start, make(mutation), bounds or usual, seconds)
 
 
-def walk_from(start: str, first: State, bounds: Bounds, seconds: float) -> Walked:
+def search_from(start: str, first: State, bounds: Bounds, seconds: float) -> SearchResult:
     began = time.monotonic()
-    found = Walked(start)
+    found = SearchResult(start)
     seen = {first.key()}
     queue: deque[tuple[State, int, tuple[Any, ...]]] = deque([(first, 0, ())])
     while queue:
@@ -465,7 +471,7 @@
         while True:
             try:
                 step = next(steps, None)
-            except (Violation, AssertionError) as fault:
+            except (InvariantViolationError, AssertionError) as fault:
                 found.broken = str(fault) or repr(fault)
                 found.trace = unrolled((trace, state.doing))
                 return found
--- a/marlstep/fault_injection/linear.py
+++ b/marlstep/fault_injection/linearizability.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 
-class Came(enum.Enum):
+class CallOutcome(enum.Enum):
     """What a call came to, as its client saw it."""
 
     TOLD = "told"  # a get: the version
@@ -30,23 +30,25 @@
     begun_us: int
     ended_us: int | None = None
     expect: int = 0
-    came: Came = Came.UNKNOWN
+    came: CallOutcome = CallOutcome.UNKNOWN
     version: int = 0
 
 
 NEVER = 1 << 62
 
 
-def unordered(calls: Sequence[Call], first: int = 0) -> str:
+def linearizability_violation(calls: Sequence[Call], first: int = 0) -> str:
     """Why no order of the calls explains them; empty where one does. `first` is the version before all of them."""
     rows = sorted(calls, key=lambda one: one.begun_us)
-    ends = [NEVER if one.came is Came.UNKNOWN or one.ended_us is None else one.ended_us for one in rows]
+    ends = [
+        NEVER if one.came is CallOutcome.UNKNOWN or one.ended_us is None else one.ended_us for one in rows
+    ]
     wanted = sum(1 << at for at, end in enumerate(ends) if end != NEVER)
-    claimed = {one.version for one in rows if one.came is Came.DONE}
-    claimed |= {one.version for one in rows if one.came is Came.UNKNOWN and one.version}
+    claimed = {one.version for one in rows if one.came is CallOutcome.DONE}
+    claimed |= {one.version for one in rows if one.came is CallOutcome.UNKNOWN and one.version}
     # What a put without any answer may have made: versions that were seen and that nobody else made.
     open_versions = sorted(
-        {one.version for one in rows if one.came in (Came.TOLD, Came.STALE)} - claimed - {first}
+        {one.version for one in rows if one.came in (CallOutcome.TOLD, CallOutcome.STALE)} - claimed - {first}
     )
     seen = {(0, first)}
     stack = [(0, first)]
@@ -75,9 +77,9 @@
 def _next(one: Call, version: int, open_versions: Sequence[int]) -> list[int]:
     """The versions that the register may have after that call, where it may come now at all."""
     match one.came:
-        case Came.TOLD | Came.STALE:
+        case CallOutcome.TOLD | CallOutcome.STALE:
             return [version] if one.version == version else []
-        case Came.DONE:
+        case CallOutcome.DONE:
             return [one.version] if one.expect == version else []
     if one.expect != version:
         return []
--- a/marlstep/fault_injection/members.py
+++ b/marlstep/fault_injection/membership_drill.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
+from marlstep.fault_injection.effect_recorder import clock_us
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.rig import Rig, Settings
-from marlstep.fault_injection.witness import clock_us
+from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 
 AGREE_S = 30.0  # after the plan: how soon is measured, and whether is judged
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
+class LogRecord:
     """One line of a node's own record."""
 
     at_us: int  # of the rig's clock
@@ -37,12 +37,12 @@
     what: str
 
 
-class Records:
+class LogCollector:
     """The nodes' own records, gathered while they live."""
 
-    def __init__(self, rig: Rig) -> None:
-        self.rig = rig
-        self.lines: set[Line] = set()
+    def __init__(self, cluster: ProcessCluster) -> None:
+        self.cluster = cluster
+        self.lines: set[LogRecord] = set()
         self.stop = False
         self._offset = clock_us() - time.time_ns() // 1000
 
@@ -52,22 +52,24 @@
             await asyncio.sleep(1.0)
 
     async def gather(self) -> None:
-        for name, node in self.rig.nodes.items():
+        for name, node in self.cluster.nodes.items():
             with contextlib.suppress(OSError, ValueError, TimeoutError, KeyError):
                 told = await asyncio.wait_for(node.call("/v1/fleet/log"), 1.0)
                 for row in told["changes"]:
                     at = int(datetime.fromisoformat(row["at"]).timestamp() * 1e6) + self._offset
-                    self.lines.add(Line(at, name, row["what"]))
+                    self.lines.add(LogRecord(at, name, row["what"]))
 
 
-async def views(rig: Rig) -> tuple[dict[str, str], dict[str, dict[str, str]], dict[str, set[str]]]:
+async def views(
+    cluster: ProcessCluster,
+) -> tuple[dict[str, str], dict[str, dict[str, str]], dict[str, set[str]]]:
     """Who is live, as which process; whom each hears of as there; and who belongs, where it knows."""
     live: dict[str, str] = {}
     heard: dict[str, dict[str, str]] = {}
     agreed: dict[str, set[str]] = {}
 
     async def ask(name: str) -> None:
-        node = rig.nodes[name]
+        node = cluster.nodes[name]
         if not node.up:
             return
         with contextlib.suppress(OSError, ValueError, TimeoutError, KeyError):
@@ -79,34 +81,34 @@
             if rows[name]["agreed"] is not None:
                 agreed[name] = {one for one, row in rows.items() if row["agreed"]}
 
-    await asyncio.gather(*(ask(name) for name in rig.nodes))
+    await asyncio.gather(*(ask(name) for name in cluster.nodes))
     return live, heard, agreed
 
 
 async def run(plan: Plan, settings: Settings) -> dict[str, Any]:
     """One plan on processes; the report, whose `verdict` is `held` or `broken`. Raises RigError, OSError."""
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
-        async with Rig(plan, settings, Path(folder)) as rig:
-            records = Records(rig)
+        async with ProcessCluster(plan, settings, Path(folder)) as cluster:
+            records = LogCollector(cluster)
             gathering = asyncio.create_task(records.run())
             began = clock_us()
             last = began + 1000 * max((one.at_ms + one.for_ms for one in plan.faults), default=0)
-            agreeing = asyncio.create_task(agree(rig, last))
-            await rig.run()
+            agreeing = asyncio.create_task(agree(cluster, last))
+            await cluster.run()
             agree_at, unlike = await agreeing
             if not unlike:  # and still
-                _, unlike = await agree(rig, clock_us())
-            settled = await all_belong(rig)
+                _, unlike = await agree(cluster, clock_us())
+            settled = await all_belong(cluster)
             records.stop = True
             await gathering
             await records.gather()
-            acts = list(rig.witness.acts)
-            troubled = troubles(rig)
-            unexpected = list(rig.unexpected)
-            struck = dict(rig.counts)
+            effects = list(cluster.effect_recorder.effects)
+            troubled = troubles(cluster)
+            unexpected = list(cluster.unexpected)
+            struck = dict(cluster.counts)
     removed = wrongly_removed(records.lines, troubled)
-    forbidden = forbidden_acts(records.lines, acts)
-    held = not unlike and not removed and not forbidden and not unexpected and settled and bool(acts)
+    forbidden = forbidden_acts(records.lines, effects)
+    held = not unlike and not removed and not forbidden and not unexpected and settled and bool(effects)
     return {
         "seed": plan.seed,
         "plan": plan.write(),
@@ -117,7 +119,7 @@
         "removals": sum(one.what.startswith("remove ") for one in records.lines),
         "wrongly_removed": removed,
         "situations": sum(one.what.startswith("situation is") for one in records.lines),
-        "acts": len(acts),
+        "acts": len(effects),
         "forbidden_acts": forbidden,
         "struck": struck,
         "unexpected": unexpected,
@@ -125,42 +127,42 @@
     }
 
 
-async def agree(rig: Rig, since_us: int) -> tuple[int | None, str]:
+async def agree(cluster: ProcessCluster, since_us: int) -> tuple[int | None, str]:
     """When after that all live nodes heard of each other alone; and who does not, where they never come to it."""
     await asyncio.sleep(max(0, since_us - clock_us()) / 1e6)
     end = clock_us() + int(AGREE_S * 1e6)
     why = "nobody was asked"
     while clock_us() < end:
         at = clock_us()
-        live, heard, _ = await views(rig)
+        live, heard, _ = await views(cluster)
         why = next(
             (f"{name} hears {view}, live are {live}" for name, view in heard.items() if view != live), ""
         )
-        if not why and len(live) == len(rig.nodes):
+        if not why and len(live) == len(cluster.nodes):
             return at, ""
         await asyncio.sleep(EVERY_S)
     return None, why or "a node is missing"
 
 
-async def all_belong(rig: Rig) -> bool:
+async def all_belong(cluster: ProcessCluster) -> bool:
     """Whoever was taken out comes in again, in the end: a probation may have doubled a few times."""
     end = clock_us() + int(2 * AGREE_S * 1e6)
     while clock_us() < end:
-        _, _, agreed = await views(rig)
-        if agreed and all(one == set(rig.nodes) for one in agreed.values()):
+        _, _, agreed = await views(cluster)
+        if agreed and all(one == set(cluster.nodes) for one in agreed.values()):
             return True
         await asyncio.sleep(EVERY_S)
     return False
 
 
-def troubles(rig: Rig) -> dict[str, list[tuple[int, int]]]:
+def troubles(cluster: ProcessCluster) -> dict[str, list[tuple[int, int]]]:
     """When a fault of the plan struck each node, and until when it may show."""
-    found: dict[str, list[tuple[int, int]]] = {name: [] for name in rig.nodes}
-    for at, fault in rig.struck:
+    found: dict[str, list[tuple[int, int]]] = {name: [] for name in cluster.nodes}
+    for at, fault in cluster.injected_faults:
         if fault.kind not in TROUBLED:
             continue
         names = (
-            rig.nodes
+            cluster.nodes
             if fault.kind == "restart all" or fault.node.startswith("@")
             else (fault.node, fault.other)
         )
@@ -170,7 +172,7 @@
     return found
 
 
-def wrongly_removed(lines: set[Line], troubled: dict[str, list[tuple[int, int]]]) -> list[str]:
+def wrongly_removed(lines: set[LogRecord], troubled: dict[str, list[tuple[int, int]]]) -> list[str]:
     """Nodes that were taken out of the list though no fault had struck them."""
     found = []
     for one in sorted(lines, key=lambda one: one.at_us):
@@ -181,18 +183,21 @@
     return found
 
 
-def forbidden_acts(lines: set[Line], acts: list[Any]) -> list[str]:
+def forbidden_acts(lines: set[LogRecord], effects: list[Any]) -> list[str]:
     """Acts that a node began while it was in a situation that forbids them."""
     found = []
-    turns: dict[str, list[Line]] = {}
+    turns: dict[str, list[LogRecord]] = {}
     for line in sorted(lines, key=lambda line: line.at_us):
         if line.what.startswith("situation is "):
             turns.setdefault(line.node, []).append(line)
-    for act in acts:
-        before = [one for one in turns.get(act.node.partition("/")[0], ()) if one.at_us <= act.began_us]
-        if not before or act.fence:
+    for effect in effects:
+        before = [one for one in turns.get(effect.node.partition("/")[0], ()) if one.at_us <= effect.began_us]
+        if not before or effect.fence:
             continue
         now = before[-1]
-        if now.what.removeprefix("situation is ") in FORBIDDEN and act.began_us > now.at_us + ON_ITS_WAY_US:
-            found.append(f"{act.node} in {now.what.removeprefix('situation is ')}: {act}")
+        if (
+            now.what.removeprefix("situation is ") in FORBIDDEN
+            and effect.began_us > now.at_us + ON_ITS_WAY_US
+        ):
+            found.append(f"{effect.node} in {now.what.removeprefix('situation is ')}: {effect}")
     return found
--- a/marlstep/fault_injection/broken.py
+++ b/marlstep/fault_injection/mutations.py
@@ -246,102 +246,102 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Breakage:
+class Mutation:
     """By name; `classes` take the place of the product's, and the rest is of the world around."""
 
     name: str = ""
     classes: tuple[type, ...] = ()
     settings: Callable[[LeaseSettings], LeaseSettings] = same
-    speaks_unsynced: bool = False
-    trusts_copies: bool = False
-    careless: bool = False  # a process does what its situation forbids
+    sends_before_sync: bool = False
+    trusts_restored_stores: bool = False
+    ignores_capabilities: bool = False  # a process does what its situation forbids
     loss: float = 0.01  # of messages: some breakages show only on a bad network
     delay_us: int = 12_000  # of a message, at the most
     stuck: float = 0.02  # share of acts that stick in a line on their way
-    most_entries: int = MAX_ENTRIES_PER_MESSAGE  # of one message
+    max_entries_per_message: int = MAX_ENTRIES_PER_MESSAGE  # of one message
     shape: Shape = field(default_factory=lambda: Shape(kinds=KINDS, every_ms=700))
     within: int = 300  # seeds
 
     @property
-    def on_processes(self) -> bool:
+    def runs_on_processes(self) -> bool:
         """It is all in classes of the product: nothing of it is in the virtual network or in what a node is told."""
-        told = self.settings is same and not self.speaks_unsynced and not self.trusts_copies
-        return told and bool(self.classes or self.careless)
+        told = self.settings is same and not self.sends_before_sync and not self.trusts_restored_stores
+        return told and bool(self.classes or self.ignores_capabilities)
 
-    def put_on(self, part: object) -> None:
+    def apply_to(self, part: object) -> None:
         """Make one object of the product a broken one, where its class is among those that are broken."""
         for broken in self.classes:
             if type(part) is broken.__base__:
                 part.__class__ = broken
 
-    def put_on_voter(self, voter: Replica) -> None:
+    def apply_to_replica(self, voter: Replica) -> None:
         for part in (voter.raft, voter.leases, voter.lease_manager, voter.rollout):
-            self.put_on(part)
+            self.apply_to(part)
 
 
 _ALL = (
-    Breakage(
+    Mutation(
         "no-drift-margin",
         settings=no_margin,
         shape=Shape(drift=0.1, kinds=("isolate", "kill", "one way", "stop")),
     ),
-    Breakage(
+    Mutation(
         "vote-not-synced",
-        speaks_unsynced=True,
+        sends_before_sync=True,
         shape=Shape(kinds=("crash at", "isolate", "kill", "restart all", "slow disk"), every_ms=500),
     ),
-    Breakage("counted-from-answer", (CountsFromAnswer,)),
-    Breakage(
+    Mutation("counted-from-answer", (CountsFromAnswer,)),
+    Mutation(
         "old-term-commit",
         (CommitsOldTerms,),
         loss=0.05,
-        most_entries=1,
+        max_entries_per_message=1,
         delay_us=150_000,
         shape=Shape(nodes=3, kinds=("isolate", "kill", "one way"), every_ms=350, most_ms=1_500),
     ),
-    Breakage("token-reused", (ReusesTokens,)),
-    Breakage(
+    Mutation("token-reused", (ReusesTokens,)),
+    Mutation(
         "store-copy-trusted",
-        trusts_copies=True,
+        trusts_restored_stores=True,
         shape=Shape(kinds=("old store", "isolate", "kill"), every_ms=600),
     ),
-    Breakage(
+    Mutation(
         "renewal-unconfirmed",
         (Unconfirmed, NeverStepsDown),
         shape=Shape(kinds=("isolate", "cut", "kill"), every_ms=1_500),
     ),
-    Breakage("no-wait-at-election", (ShortAfterElection,)),
-    Breakage(
+    Mutation("no-wait-at-election", (ShortAfterElection,)),
+    Mutation(
         "no-fence",
         (NeverDoubts,),
         stuck=0.3,
         shape=Shape(kinds=("stop", "isolate", "kill"), every_ms=700),
         within=600,
     ),
-    Breakage("any-vote", (TrustsAnyVote,), shape=Shape(kinds=("isolate", "kill", "cut"), every_ms=400)),
+    Mutation("any-vote", (TrustsAnyVote,), shape=Shape(kinds=("isolate", "kill", "cut"), every_ms=400)),
 )
-BREAKAGES = {one.name: one for one in _ALL}
+LEASE_MUTATIONS = {one.name: one for one in _ALL}
 _RULES = (
-    Breakage("acts-before-all-said-so", (CommitsAtOnce,)),
-    Breakage(
+    Mutation("acts-before-all-said-so", (CommitsAtOnce,)),
+    Mutation(
         "rules-counted-from-answer",
         (CountsFromAnswer,),
         shape=Shape(kinds=("isolate", "slow", "cut", "kill")),
     ),
-    Breakage("version-from-disk", (TrustsItsDisk,), shape=Shape(kinds=("kill", "restart all"), every_ms=600)),
-    Breakage("any-version", (AnyVersion,)),
-    Breakage(
+    Mutation("version-from-disk", (TrustsItsDisk,), shape=Shape(kinds=("kill", "restart all"), every_ms=600)),
+    Mutation("any-version", (AnyVersion,)),
+    Mutation(
         "earlier-lives-count", (CountsEarlierLives,), shape=Shape(kinds=("kill",), every_ms=400, most_ms=300)
     ),
-    Breakage("says-before-it-stops", (SaysBeforeItStops,)),
-    Breakage("acts-while-behind", (ActsWhileBehind,)),  # the walk finds it
-    Breakage("part-given-at-once", (GivesAtOnce,)),
-    Breakage("stage-not-looked-at", (NeverLooks,), shape=Shape(kinds=("crash at", "cut"), hooks=RULES_HOOKS)),
+    Mutation("says-before-it-stops", (SaysBeforeItStops,)),
+    Mutation("acts-while-behind", (ActsWhileBehind,)),  # the walk finds it
+    Mutation("part-given-at-once", (GivesAtOnce,)),
+    Mutation("stage-not-looked-at", (NeverLooks,), shape=Shape(kinds=("crash at", "cut"), hooks=RULES_HOOKS)),
 )
 _MEMBERS = (
-    Breakage("incarnation-not-raised", (NeverRaises,)),
-    Breakage("old-boot-taken", (TakesAnyLife,)),
-    Breakage("acts-in-any-situation", (NeverLapses, BeginsAlone), careless=True),  # on processes
+    Mutation("incarnation-not-raised", (NeverRaises,)),
+    Mutation("old-boot-taken", (TakesAnyLife,)),
+    Mutation("acts-in-any-situation", (NeverLapses, BeginsAlone), ignores_capabilities=True),  # on processes
 )
-MEMBERS_BREAKAGES = {one.name: one for one in _MEMBERS}
-RULES_BREAKAGES = {one.name: one for one in _RULES}
+MEMBERSHIP_MUTATIONS = {one.name: one for one in _MEMBERS}
+DOCUMENT_MUTATIONS = {one.name: one for one in _RULES}
--- a/marlstep/fault_injection/links.py
+++ b/marlstep/fault_injection/network_links.py
@@ -16,7 +16,7 @@
 TRIES = 20  # ports of the system's choice, of which both halves have to be free
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramForwarder(asyncio.DatagramProtocol):
     """What comes here goes on to the target, or is lost."""
 
     def __init__(self, link: Link) -> None:
@@ -42,7 +42,7 @@
         self.cut_until = self.slow_until = self.trickle_until = self.repeat_until = 0.0
         self.reset_next = False
         self.loss = 0.0  # of datagrams
-        self._datagrams: Datagrams | None = None
+        self._datagrams: DatagramForwarder | None = None
 
     async def open(self, port: int) -> None:
         """At that port, or at one of the system's choice: it listens for as long as the rig lives."""
@@ -53,7 +53,7 @@
             address = ("127.0.0.1", self.port)
             try:
                 _, self._datagrams = await loop.create_datagram_endpoint(
-                    lambda: Datagrams(self), local_addr=address
+                    lambda: DatagramForwarder(self), local_addr=address
                 )
                 return
             except OSError:  # one that was free for connections is another program's for datagrams
--- a/marlstep/fault_injection/plan.py
+++ b/marlstep/fault_injection/plan.py
@@ -31,7 +31,7 @@
         return asdict(self)
 
 
-class BadPlan(ValueError):
+class InvalidPlanError(ValueError):
     """What was read is no plan; the text says why."""
 
 
@@ -49,15 +49,15 @@
             float(told.get("drift", 0.01)),
         )
     except (KeyError, TypeError, ValueError) as wrong:
-        raise BadPlan(f"no plan: {wrong!r}") from wrong
+        raise InvalidPlanError(f"no plan: {wrong!r}") from wrong
     for fault in faults:
         names = (*plan.nodes, *ROLES)
         if fault.kind not in FAULT_TYPES or fault.node not in names or fault.other not in ("", *names):
-            raise BadPlan(f"no fault that this rig knows: {asdict(fault)}")
+            raise InvalidPlanError(f"no fault that this rig knows: {asdict(fault)}")
         if FAULT_TYPES[fault.kind].takes_step and fault.hook not in HOOKS + RULES_HOOKS:
-            raise BadPlan(f"no hook {fault.hook!r}: {', '.join(HOOKS + RULES_HOOKS)}")
+            raise InvalidPlanError(f"no hook {fault.hook!r}: {', '.join(HOOKS + RULES_HOOKS)}")
     if len(plan.rates) != len(plan.nodes) or not set(plan.voters) <= set(plan.nodes):
-        raise BadPlan("a plan has a rate for each node, and its voters are among the nodes")
+        raise InvalidPlanError("a plan has a rate for each node, and its voters are among the nodes")
     return plan
 
 
--- a/marlstep/fault_injection/rig.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -20,10 +20,10 @@
 
 from marlstep.cluster.recovery import create_group
 from marlstep.cluster.store import FILE_NAME
+from marlstep.fault_injection.effect_recorder import EffectRecorder, clock_us
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
-from marlstep.fault_injection.links import Link, Ports
+from marlstep.fault_injection.network_links import Link, Ports
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.witness import Witness, clock_us
 from marlstep.standins.servers import StandIns
 
 READY_S = 20.0
@@ -37,7 +37,7 @@
 )  # of each write to a slow disk; a fault's duration picks one
 
 
-class RigError(Exception):
+class ProcessClusterError(Exception):
     """The drill could not be run; the text says why. It says nothing of the product."""
 
 
@@ -74,12 +74,12 @@
 class NodeProcess:
     """One node of the fleet, over its lives."""
 
-    def __init__(self, rig: Rig, name: str, rate: float) -> None:
-        self.rig, self.name, self.rate = rig, name, rate
-        self.folder = rig.folder / name
+    def __init__(self, cluster: ProcessCluster, name: str, rate: float) -> None:
+        self.cluster, self.name, self.rate = cluster, name, rate
+        self.folder = cluster.folder / name
         self.store = self.folder / "store"
         self.process: asyncio.subprocess.Process | None = None
-        self.uwsgi, self.fleet, self.admin = (rig.ports.take() for _ in range(3))
+        self.uwsgi, self.fleet, self.admin = (cluster.ports.take() for _ in range(3))
         self.door = 0  # of the process that was started last
         self.listening = socket.create_server(("127.0.0.1", 0))  # what the platform holds for all versions
         self.starts = 0
@@ -93,11 +93,11 @@
         return self.process is not None and self.process.returncode is None
 
     def write(self, addresses: Mapping[str, str]) -> None:
-        rig = self.rig
+        cluster = self.cluster
         (self.folder / "tmp").mkdir(parents=True, exist_ok=True)
-        self.door = self.rig.ports.take()
+        self.door = self.cluster.ports.take()
         port = self.listening.getsockname()[1]
-        config = {**rig.settings.config, "name": self.name, "listen": f"127.0.0.1:{port}"}
+        config = {**cluster.settings.config, "name": self.name, "listen": f"127.0.0.1:{port}"}
         config |= {
             "naming": None,
             "mgmt": f"127.0.0.1:{self.door}",
@@ -108,11 +108,11 @@
         (self.folder / "operator.toml").write_text(self.operator())
 
     def operator(self) -> str:
-        rig, told = self.rig, self.rig.settings
+        cluster, told = self.cluster, self.cluster.settings
         lines = [
             "[admin]",
             f'listen = "127.0.0.1:{self.admin}"',
-            f'token_file = "{rig.folder}/token"',
+            f'token_file = "{cluster.folder}/token"',
             "[uwsgi]",
             f'listen = "127.0.0.1:{self.uwsgi}"',
             *self._servers(),
@@ -125,8 +125,8 @@
             'tenant = "HTTP_X_TENANT"',
             "[fleet]",
             'name = "drill"',
-            f"voters = {json.dumps(list(rig.plan.voters))}",
-            f'key_file = "{rig.folder}/key"',
+            f"voters = {json.dumps(list(cluster.plan.voters))}",
+            f'key_file = "{cluster.folder}/key"',
             f'store = "{self.store}"',
             f'listen = "127.0.0.1:{self.fleet}"',
             f"term_ms = {told.term_ms}",
@@ -136,8 +136,8 @@
             f"probes = {json.dumps(bool(told.pool) and not told.rules)}",
             "[fleet.nodes]",
         ]
-        for name, node in rig.nodes.items():
-            port = node.fleet if name == self.name else rig.links[self.name, name].port
+        for name, node in cluster.nodes.items():
+            port = node.fleet if name == self.name else cluster.links[self.name, name].port
             lines.append(f'{name} = "127.0.0.1:{port}"')
         if told.rules:
             lines += [
@@ -151,7 +151,7 @@
             lines.append(f"[fleet.rules.documents.{name}]")
             lines += [f"{key} = {json.dumps(value)}" for key, value in document.items()]
         if told.members:
-            number = list(rig.nodes).index(self.name)
+            number = list(cluster.nodes).index(self.name)
             lines += ["[fleet.members]", "period_ms = 500", f'zone = "z{number % 3}"']
         for name, task in told.tasks.items():
             lines.append(f"[fleet.tasks.{name}]")
@@ -161,11 +161,11 @@
         return "\n".join(lines) + "\n"
 
     def _servers(self) -> list[str]:
-        witness, pool = f"127.0.0.1:{self.rig.witness.port}", self.rig.settings.pool
+        effect_recorder, pool = f"127.0.0.1:{self.cluster.effect_recorder.port}", self.cluster.settings.pool
         if not pool:
-            return [f'upstream = "{witness}"']
+            return [f'upstream = "{effect_recorder}"']
         return [
-            f'pool.main.servers = ["{witness}"]',
+            f'pool.main.servers = ["{effect_recorder}"]',
             f"pool.more.servers = {json.dumps(list(pool))}",
             'pool.more.classes = ["temp-history"]',
         ]
@@ -174,12 +174,12 @@
         self.starts += 1
         self.quiet_since = clock_us()
         logs: Any = asyncio.subprocess.DEVNULL
-        if self.rig.settings.logs is not None:
-            logs = (self.rig.settings.logs / f"{self.name}.log").open("ab")
+        if self.cluster.settings.logs is not None:
+            logs = (self.cluster.settings.logs / f"{self.name}.log").open("ab")
         self.process = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-m", "marlstep.fault_injection.process"),
+            *(sys.executable, "-m", "marlstep.fault_injection.faulty_process"),
             *("--operator", str(self.folder / "operator.toml"), "--rate", str(self.rate)),
-            *(("--broken", self.rig.settings.broken) if self.rig.settings.broken else ()),
+            *(("--broken", self.cluster.settings.broken) if self.cluster.settings.broken else ()),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=logs,
@@ -228,7 +228,7 @@
         """One call to the administration: GET, or POST with what is told. Raises OSError."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
         body = b"" if told is None else json.dumps(told).encode()
-        line = f"{'GET' if told is None else 'POST'} {path} HTTP/1.1\r\nAuthorization: Bearer {self.rig.token}\r\n"
+        line = f"{'GET' if told is None else 'POST'} {path} HTTP/1.1\r\nAuthorization: Bearer {self.cluster.token}\r\n"
         try:
             writer.write(f"{line}Content-Length: {len(body)}\r\n\r\n".encode() + body)
             response = await reader.read(-1)
@@ -240,7 +240,7 @@
         return json.loads(body)
 
 
-class Rig(FaultTarget):
+class ProcessCluster(FaultTarget):
     """All of one drill. Use as a context: nothing that it started outlives it."""
 
     def __init__(self, plan: Plan, settings: Settings, folder: Path) -> None:
@@ -248,19 +248,19 @@
         self.chance = random.Random(plan.seed)
         self.token = secrets.token_hex(16)
         self.ports = Ports()
-        self.witness = Witness(plan.seed)
+        self.effect_recorder = EffectRecorder(plan.seed)
         self.links: dict[tuple[str, str], Link] = {}
         self.nodes: dict[str, NodeProcess] = {}
         self.counts: Counter[str] = Counter()
-        self.struck: list[tuple[int, Fault]] = []  # microseconds of the witness's clock
+        self.injected_faults: list[tuple[int, Fault]] = []  # microseconds of the witness's clock
         self.unexpected: list[str] = []  # processes that ended by themselves
         self._sites: list[StandIns] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._amnesia_until = 0.0
-        self.upgrades: list[float] = []  # seconds from SIGTERM to the end of each elder
+        self.upgrade_durations_s: list[float] = []  # seconds from SIGTERM to the end of each elder
         self._closing = False
 
-    async def __aenter__(self) -> Rig:
+    async def __aenter__(self) -> ProcessCluster:
         try:
             await self._open()
         except BaseException:
@@ -279,8 +279,8 @@
             self.settings.logs.mkdir(parents=True, exist_ok=True)
         for name, rate in zip(plan.nodes, plan.rates, strict=True):
             self.nodes[name] = NodeProcess(self, name, rate)
-        await self.witness.open(self.ports.take())
-        self.witness.hang_tasks |= set(self.settings.hang)
+        await self.effect_recorder.open(self.ports.take())
+        self.effect_recorder.hang_tasks |= set(self.settings.hang)
         for one in plan.nodes:
             for other in plan.nodes:
                 if one != other:
@@ -307,7 +307,7 @@
         while asyncio.get_running_loop().time() < deadline:
             for name, node in self.nodes.items():
                 if not node.up:
-                    raise RigError(f"{name} ended before the drill began")
+                    raise ProcessClusterError(f"{name} ended before the drill began")
             voters = set()
             for name in self.plan.voters:
                 with contextlib.suppress(OSError, ValueError, TypeError, KeyError):
@@ -316,7 +316,7 @@
             if voters == set(self.plan.voters):
                 return
             await asyncio.sleep(0.1)
-        raise RigError(f"the group did not form in {READY_S:.0f} s")
+        raise ProcessClusterError(f"the group did not form in {READY_S:.0f} s")
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -343,7 +343,7 @@
         start = loop.time()
         for fault in self.plan.faults:
             await asyncio.sleep(max(0.0, start + fault.at_ms / 1000 - loop.time()))
-            self.struck.append((clock_us(), fault))
+            self.injected_faults.append((clock_us(), fault))
             self.counts[fault.kind] += 1
             self._inject(await self._meant(fault))
         await asyncio.sleep(max(0.0, start + self.plan.length_ms / 1000 - loop.time()))
@@ -359,8 +359,10 @@
 
     def _holder(self) -> str:
         task = next(iter(self.settings.tasks))
-        acts = [act for act in self.witness.acts if act.task == task and act.accepted]
-        return acts[-1].node.partition("/")[0] if acts else self.plan.nodes[0]
+        effects = [
+            effect for effect in self.effect_recorder.effects if effect.task == task and effect.accepted
+        ]
+        return effects[-1].node.partition("/")[0] if effects else self.plan.nodes[0]
 
     async def _leader(self) -> str:
         best, found = -1, self.plan.voters[0]
@@ -533,7 +535,7 @@
             self.unexpected.append(f"the elder of {node.name} did not end {LEAVE_S:.0f} s after SIGTERM")
             elder.kill()
         self.counts["upgraded"] += 1
-        self.upgrades.append(asyncio.get_running_loop().time() - asked)
+        self.upgrade_durations_s.append(asyncio.get_running_loop().time() - asked)
 
     async def _drained(self, node: NodeProcess, span: float) -> None:
         if not node.up or (node.restarting is not None and not node.restarting.done()):
@@ -570,7 +572,7 @@
             node.signal(signal.SIGCONT)
             await node.kill()
         await asyncio.gather(*(link.close() for link in self.links.values()))
-        await self.witness.close()
+        await self.effect_recorder.close()
         for node in self.nodes.values():
             node.listening.close()
         self.ports.close()
--- a/marlstep/fault_injection/virtual.py
+++ b/marlstep/fault_injection/simulated_cluster.py
@@ -20,9 +20,16 @@
 from marlstep.consensus.raft import RaftTiming, Ready
 from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
-from marlstep.fault_injection.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
-from marlstep.fault_injection.broken import Breakage
+from marlstep.fault_injection.effects import (
+    Effect,
+    FencingServer,
+    overlapping_effects,
+    repeated_runs,
+    shared_tokens,
+    stale_tokens_accepted,
+)
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
+from marlstep.fault_injection.mutations import Mutation
 from marlstep.fault_injection.plan import HEAL_MS, Plan
 from marlstep.leases.client import GroupClient
 from marlstep.leases.messages import Heartbeat, HeartbeatResponse
@@ -51,7 +58,7 @@
 MOST_EVENTS = 400_000  # of one world: more is a storm, and a fault of its own
 
 
-class Broken(Exception):
+class InvariantViolationError(Exception):
     """A property does not hold. The text says which, when, and for whom."""
 
 
@@ -101,19 +108,19 @@
 
 
 @dataclass(slots=True)
-class Link:
+class SimulatedLink:
     cut_until: int = 0
     slow_until: int = 0
     repeat_until: int = 0
 
 
-class VirtualNode:
+class SimulatedNode:
     """One process, over its lives."""
 
-    def __init__(self, world: World, name: str, rate: float) -> None:
-        self.world, self.name = world, name
-        self.clock = Clock(rate, world.chance.randrange(1_000_000_000))
-        self.life = 0
+    def __init__(self, cluster: SimulatedCluster, name: str, rate: float) -> None:
+        self.cluster, self.name = cluster, name
+        self.clock = Clock(rate, cluster.chance.randrange(1_000_000_000))
+        self.generation = 0
         self.up = False
         self.disk: Disk | None = None
         self.olds: list[Disk] = []
@@ -124,7 +131,7 @@
         self.slow_disk_until = 0
         self.hook = ""
         self.leaving = False
-        self._kept: list[Callable[[], None]] = []  # what waits for a stopped process
+        self._deferred: list[Callable[[], None]] = []  # what waits for a stopped process
         self._storing = False
         self._ticks_at: int | None = None
         self._asked: dict[int, tuple[str, RunnerAction]] = {}
@@ -133,82 +140,82 @@
 
     @property
     def now(self) -> datetime:
-        return self.clock.local(self.world.true_us)
+        return self.clock.local(self.cluster.true_us)
 
     @property
     def wall(self) -> datetime:
-        return START + span(self.world.true_us)
+        return START + span(self.cluster.true_us)
 
     # Its lives.
 
     def start(self) -> None:
-        world = self.world
-        self.life += 1
+        cluster = self.cluster
+        self.generation += 1
         self.up, self.leaving, self._storing, self._ticks_at, self.hook = True, False, False, None, ""
-        self._asked, self._kept, self.stopped_until = {}, [], 0
-        boot = f"b{self.life}"
+        self._asked, self._deferred, self.stopped_until = {}, [], 0
+        boot = f"b{self.generation}"
         self.participant = GroupClient(
-            self.name, boot, world.plan.voters, world.settings, random.Random(world.chance.random())
+            self.name, boot, cluster.plan.voters, cluster.settings, random.Random(cluster.chance.random())
         )
-        world.breakage.put_on(self.participant.holder)
+        cluster.mutation.apply_to(self.participant.holder)
         self.participant.holder.set_wanted(
-            [*(TASK_LEASE_PREFIX + task for task in TASKS), *world.wants(self)]
+            [*(TASK_LEASE_PREFIX + task for task in TASKS), *cluster.wants(self)]
         )
-        self.runners = {task: TaskRunner(world.tasks[task]) for task in TASKS}
+        self.runners = {task: TaskRunner(cluster.tasks[task]) for task in TASKS}
         self.voter = None
-        if self.name in world.plan.voters:
-            if self.disk is None or (self.disk.copied and not world.breakage.trusts_copies):
-                self.disk = Disk(f"{self.name}#{world.fresh()}", PersistentState())
+        if self.name in cluster.plan.voters:
+            if self.disk is None or (self.disk.copied and not cluster.mutation.trusts_restored_stores):
+                self.disk = Disk(f"{self.name}#{cluster.fresh()}", PersistentState())
             self.disk.copied = False
             self.voter = self._voter(self.disk)
             self._checked = self.voter.raft.last_applied
-            world.breakage.put_on_voter(self.voter)
+            cluster.mutation.apply_to_replica(self.voter)
         for runner in self.runners.values():
-            world.breakage.put_on(runner)
-        world.started(self)
+            cluster.mutation.apply_to(runner)
+        cluster.started(self)
         self.drive()
 
     def _voter(self, disk: Disk) -> Replica:
-        world = self.world
-        settings = world.voter_settings()
+        cluster = self.cluster
+        settings = cluster.voter_settings()
         saved = disk.copy().saved
-        chance = random.Random(world.chance.random())
-        voter = Replica(disk.identity, saved, settings, world.machines, chance, self.now)
-        voter.raft.replication.max_entries_per_message = world.breakage.most_entries
+        chance = random.Random(cluster.chance.random())
+        voter = Replica(disk.identity, saved, settings, cluster.machines, chance, self.now)
+        voter.raft.replication.max_entries_per_message = cluster.mutation.max_entries_per_message
         return voter
 
     def kill(self) -> None:
         self.up = False
         self.voter = None
-        self.world.counts["kills"] += 1
+        self.cluster.counts["kills"] += 1
 
     def at(self, after_us: int, action: Callable[[], None]) -> None:
         """In this life, after so much true time; what comes while it is stopped waits until it goes on."""
-        life = self.life
+        generation = self.generation
 
-        def act() -> None:
-            if not self.up or self.life != life:
+        def run_in_generation() -> None:
+            if not self.up or self.generation != generation:
                 return
-            if self.world.true_us < self.stopped_until:
-                self._kept.append(act)
+            if self.cluster.true_us < self.stopped_until:
+                self._deferred.append(run_in_generation)
             else:
                 action()
                 self.drive()
 
-        self.world.after(after_us, act)
+        self.cluster.after(after_us, run_in_generation)
 
-    def go_on(self) -> None:
-        kept, self._kept = self._kept, []
-        for act in kept:
-            act()
+    def resume(self) -> None:
+        kept, self._deferred = self._deferred, []
+        for deferred in kept:
+            deferred()
 
     def reached(self, hook: str) -> bool:
         """The process dies at a step where it was told to."""
         if self.hook == hook and self.up:
             self.hook = ""
             self.kill()
-            self.world.after(self.world.chance.randrange(50_000, 2_000_000), self.restart)
-            self.world.counts["hooks"] += 1
+            self.cluster.after(self.cluster.chance.randrange(50_000, 2_000_000), self.restart)
+            self.cluster.counts["hooks"] += 1
         return not self.up
 
     def restart(self) -> None:
@@ -222,11 +229,11 @@
         if to == self.participant.holder.name and isinstance(message, HeartbeatResponse | CommandResponse):
             changes = self.participant.handle_response(self.now, sender, message)
             for change in changes:
-                self.world.changed(change.event)
-            self.world.check_holders()
-            self.world.heard(self)
+                self.cluster.changed(change.event)
+            self.cluster.check_holders()
+            self.cluster.heard(self)
         elif to == self.participant.holder.name:
-            self.world.got(self, message)
+            self.cluster.got(self, message)
         elif voter is not None and (
             to == voter.identity
             or (
@@ -237,7 +244,7 @@
 
     def drive(self) -> None:
         """After anything that happened: time, what is to be sent and stored, and what the tasks do."""
-        if not self.up or self.world.true_us < self.stopped_until:
+        if not self.up or self.cluster.true_us < self.stopped_until:
             return
         now, voter = self.now, self.voter
         if voter is not None:
@@ -250,19 +257,22 @@
             if not self.up:
                 return
             self._check(voter)
-            if voter.identity not in voter.raft.configuration.voters and self.world.true_us >= self._join_at:
-                self._join_at = self.world.true_us + 500_000
-                for one in self.world.plan.voters:
+            if (
+                voter.identity not in voter.raft.configuration.voters
+                and self.cluster.true_us >= self._join_at
+            ):
+                self._join_at = self.cluster.true_us + 500_000
+                for one in self.cluster.plan.voters:
                     if one != self.name:
-                        self.world.send(self, voter.identity, one, JoinRequest(self.name, voter.identity))
+                        self.cluster.send(self, voter.identity, one, JoinRequest(self.name, voter.identity))
         sends, changes = self.participant.tick(now)
         for change in changes:
-            self.world.changed(change.event)
+            self.cluster.changed(change.event)
         for target, message in sends:
-            self.world.send(self, self.participant.holder.name, target, message)
+            self.cluster.send(self, self.participant.holder.name, target, message)
         self._work(now)
         if self.up:
-            self.world.drove(self)
+            self.cluster.drove(self)
             self._set_tick(now)
 
     def _send_all(self, messages: list[tuple[str, Any]]) -> None:
@@ -275,7 +285,7 @@
                 sender = (
                     self.name if isinstance(message, CommandResponse | HeartbeatResponse) else voter.identity
                 )
-                self.world.send(self, sender, to, message)
+                self.cluster.send(self, sender, to, message)
 
     def _to_self(self, message: Any) -> None:
         if self.voter is not None:
@@ -287,21 +297,21 @@
         ready = voter.take_ready()
         if ready is None:
             return
-        world = self.world
+        cluster = self.cluster
         if any(
             isinstance(message, RequestVoteResponse) and message.granted for _, message in ready.messages
         ) and self.reached("voted"):
             return
-        if world.breakage.speaks_unsynced:
+        if cluster.mutation.sends_before_sync:
             self._send_all(ready.messages)
         if not ready.needs_sync:
             self._stored(voter, ready)
             self._store(voter)
             return
         self._storing = True
-        wait = world.chance.randrange(300, 4_000)
-        if world.true_us < self.slow_disk_until:
-            wait += world.chance.randrange(100_000, 900_000)
+        wait = cluster.chance.randrange(300, 4_000)
+        if cluster.true_us < self.slow_disk_until:
+            wait += cluster.chance.randrange(100_000, 900_000)
 
         def done() -> None:
             assert self.disk is not None
@@ -314,7 +324,7 @@
 
     def _stored(self, voter: Replica, ready: Ready) -> None:
         voter.acknowledge_durable(self.now, ready)
-        if not self.world.breakage.speaks_unsynced:
+        if not self.cluster.mutation.sends_before_sync:
             self._send_all(ready.messages)
 
     def _set_tick(self, now: datetime) -> None:
@@ -324,22 +334,22 @@
         for runner in self.runners.values():
             at = runner.next_due(now, self.wall)
             due = due if at is None else min(due, at)
-        world = self.world
-        true = max(self.clock.true_at(due), world.true_us + 200)
-        if self._ticks_at is not None and world.true_us < self._ticks_at <= true:
+        cluster = self.cluster
+        true = max(self.clock.true_at(due), cluster.true_us + 200)
+        if self._ticks_at is not None and cluster.true_us < self._ticks_at <= true:
             return  # one that comes early enough is set
         self._ticks_at = true
-        life = self.life
+        generation = self.generation
 
         def tick() -> None:
-            if self.up and self.life == life and self._ticks_at == true:
+            if self.up and self.generation == generation and self._ticks_at == true:
                 self._ticks_at = None
-                if world.true_us < self.stopped_until:
-                    self._kept.append(self.drive)
+                if cluster.true_us < self.stopped_until:
+                    self._deferred.append(self.drive)
                 else:
                     self.drive()
 
-        world.after(true - world.true_us, tick)
+        cluster.after(true - cluster.true_us, tick)
 
     # Tasks.
 
@@ -374,7 +384,7 @@
         if do.is_request:
             if do.kind is ActionKind.EXECUTE and self.reached("acted"):
                 return
-            self.world.act(self, task, do)
+            self.cluster.send_effect(self, task, do)
             return
         if do.kind is ActionKind.END and self.reached("ended"):
             return
@@ -397,28 +407,28 @@
     # What is checked of it.
 
     def _check(self, voter: Replica) -> None:
-        raft, world = voter.raft, self.world
+        raft, cluster = voter.raft, self.cluster
         if raft.is_leader:
-            world.leads(voter)
+            cluster.leads(voter)
         first = max(self._checked + 1, raft.log.first_index)
         for index in range(first, raft.last_applied + 1):
-            world.committed(self, raft.log[index])
+            cluster.committed(self, raft.log[index])
         self._checked = raft.last_applied
         for index, command, result in list(voter.applied)[-8:]:
-            world.applied(self, index, command, result)
+            cluster.applied(self, index, command, result)
 
 
-class World(FaultTarget):
+class SimulatedCluster(FaultTarget):
     """All nodes, the network between them, the server of the tasks, and the eye that sees all."""
 
-    def __init__(self, plan: Plan, breakage: Breakage | None = None) -> None:
-        self.plan, self.breakage = plan, breakage or Breakage()
+    def __init__(self, plan: Plan, mutation: Mutation | None = None) -> None:
+        self.plan, self.mutation = plan, mutation or Mutation()
         self.chance = random.Random(plan.seed * 7919 + 17)
-        self.loss = self.breakage.loss
+        self.loss = self.mutation.loss
         self._heal_us = max(plan.length_ms - HEAL_MS, plan.length_ms // 2) * 1_000
         self.true_us = 0
-        self.settings = self.breakage.settings(LeaseSettings(TERM, plan.drift))
-        self.acts: list[Act] = []
+        self.settings = self.mutation.settings(LeaseSettings(TERM, plan.drift))
+        self.effects: list[Effect] = []
         self.counts: Counter[str] = Counter()
         self.faults = 0
         self.grants = 0
@@ -429,19 +439,19 @@
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._number = 0
         self._fresh = 0
-        self._links: dict[tuple[str, str], Link] = {}
+        self._links: dict[tuple[str, str], SimulatedLink] = {}
         self._committed: dict[int, LogEntry] = {}
         self._leaders: dict[int, str] = {}
         self._tokens: dict[int, int] = {}  # of grants, by index
         self._wanted: set[tuple[str, str]] = set()  # by whom, what: ever
-        self._receiver = Receiver()
+        self._receiver = FencingServer()
         self._beyond = {
             node
             for node, rate in zip(plan.nodes, plan.rates, strict=True)
             if abs(rate - 1) > plan.drift * 1.001
         }
         self.nodes = {
-            name: VirtualNode(self, name, rate) for name, rate in zip(plan.nodes, plan.rates, strict=True)
+            name: SimulatedNode(self, name, rate) for name, rate in zip(plan.nodes, plan.rates, strict=True)
         }
 
     def fresh(self) -> str:
@@ -456,20 +466,20 @@
     def voter_settings(self) -> ReplicaSettings:
         return ReplicaSettings(RaftTiming(), self.settings, self.plan.voters)
 
-    def wants(self, node: VirtualNode) -> list[str]:
+    def wants(self, node: SimulatedNode) -> list[str]:
         """Leases beside those of the tasks."""
         return []
 
-    def started(self, node: VirtualNode) -> None:
+    def started(self, node: SimulatedNode) -> None:
         """A life of a node begins."""
 
-    def heard(self, node: VirtualNode) -> None:
+    def heard(self, node: SimulatedNode) -> None:
         """It took an answer in."""
 
-    def got(self, node: VirtualNode, message: Any) -> None:
+    def got(self, node: SimulatedNode, message: Any) -> None:
         """A message came for its process that is no answer."""
 
-    def drove(self, node: VirtualNode) -> None:
+    def drove(self, node: SimulatedNode) -> None:
         """Something happened there, or time passed."""
 
     # Time.
@@ -494,17 +504,17 @@
         while self._heap and self._heap[0][0] <= end:
             events += 1
             if events > MOST_EVENTS:
-                raise Broken(f"a storm: {events} events by {self.true_us} us")
+                raise InvariantViolationError(f"a storm: {events} events by {self.true_us} us")
             self.true_us, _, action = heapq.heappop(self._heap)
             action()
         self._judge()
 
     # The network.
 
-    def link(self, one: str, other: str) -> Link:
-        return self._links.setdefault((one, other), Link())
+    def link(self, one: str, other: str) -> SimulatedLink:
+        return self._links.setdefault((one, other), SimulatedLink())
 
-    def send(self, node: VirtualNode, sender: str, to: str, message: Any) -> None:
+    def send(self, node: SimulatedNode, sender: str, to: str, message: Any) -> None:
         if isinstance(message, Heartbeat):
             self._wanted |= {(sender, name) for name in message.wanted_leases}
         target = self.nodes[node_of(to)]
@@ -514,7 +524,7 @@
         link = self.link(node.name, target.name)
         copies = 1 + (self.true_us < link.repeat_until and self.chance.random() < 0.5)
         for _ in range(copies):
-            delay = self.chance.randrange(200, self.breakage.delay_us)
+            delay = self.chance.randrange(200, self.mutation.delay_us)
             if self.true_us < link.slow_until:
                 delay += self.chance.randrange(0, 700_000)
             loss = self.loss if self.true_us < self._heal_us else 0.005
@@ -524,7 +534,7 @@
             self.counts["messages"] += 1
             self.after(delay, lambda: self._arrive(node.name, target, sender, to, message))
 
-    def _arrive(self, origin: str, target: VirtualNode, sender: str, to: str, message: Any) -> None:
+    def _arrive(self, origin: str, target: SimulatedNode, sender: str, to: str, message: Any) -> None:
         if self.true_us < self.link(origin, target.name).cut_until:
             return
         target.at(0, lambda: target.receive(sender, to, message))
@@ -563,7 +573,7 @@
         paused = self.nodes[node]
         if paused.up:
             paused.stopped_until = self.true_us + duration_us
-            self.after(duration_us, paused.go_on)
+            self.after(duration_us, paused.resume)
 
     def drain(self, node: str, duration_us: int) -> None:
         draining = self.nodes[node]
@@ -595,7 +605,7 @@
     def _meant(self, name: str) -> str:
         """Which node a plan means by a role."""
         if name == "@holder":
-            mine = [act for act in self.acts if act.task == TASKS[0] and act.accepted]
+            mine = [effect for effect in self.effects if effect.task == TASKS[0] and effect.accepted]
             return mine[-1].node if mine else self.plan.nodes[0]
         if name == "@leader":
             leads = [one for one in self.nodes.values() if one.up and one.voter and one.voter.raft.is_leader]
@@ -603,7 +613,7 @@
             return terms[max(terms)] if terms else self.plan.voters[0]
         return name
 
-    def _spare(self, node: VirtualNode) -> bool:
+    def _spare(self, node: SimulatedNode) -> bool:
         """A second voter may lose its store only once the first is replaced: else the majority itself is gone."""
         leaders = [
             one.voter
@@ -623,7 +633,7 @@
 
     _amnesia_until = 0
 
-    def _kill(self, node: VirtualNode, for_us: int) -> None:
+    def _kill(self, node: SimulatedNode, for_us: int) -> None:
         if node.up:
             node.kill()
         self.after(for_us, node.restart)
@@ -636,26 +646,26 @@
 
     # The server of the tasks: a witness.
 
-    def act(self, node: VirtualNode, task: str, do: RunnerAction) -> None:
+    def send_effect(self, node: SimulatedNode, task: str, do: RunnerAction) -> None:
         delay = self.chance.randrange(200, 5_000)
         if self.chance.random() < 0.02:
             delay += self.chance.randrange(600_000)
-        elif self.chance.random() < self.breakage.stuck:
+        elif self.chance.random() < self.mutation.stuck:
             delay += self.chance.randrange(4_000_000)  # stuck in a line on the way, for longer than a term
         work = 0 if do.kind is ActionKind.FENCE else self.chance.randrange(5_000, MOST_WORK_US)
-        life = node.life
+        generation = node.generation
         open_still = [True]
 
         def answer(outcome: Outcome) -> None:
-            if open_still and node.life == life:
+            if open_still and node.generation == generation:
                 open_still.clear()
                 node.answered(task, do, outcome)
 
         def arrive() -> None:
-            taken = self._receiver.takes(task, do.token)
+            taken = self._receiver.accepts(task, do.token)
             began = self.true_us
             fence = do.kind is ActionKind.FENCE
-            self.acts.append(Act(task, node.name, do.token, do.run, began, began + work, taken, fence))
+            self.effects.append(Effect(task, node.name, do.token, do.run, began, began + work, taken, fence))
             outcome = Outcome.DONE if taken else Outcome.FENCED_OFF
             if self.chance.random() >= 0.02:  # else the answer is lost
                 node.at(work + self.chance.randrange(200, 5_000), lambda: answer(outcome))
@@ -680,67 +690,67 @@
                 and node.participant.holder.time_left(name, node.now)
             ]
             if len(holders) > 1:
-                raise Broken(f"two hold {name} at {self.true_us} us: {', '.join(holders)}")
+                raise InvariantViolationError(f"two hold {name} at {self.true_us} us: {', '.join(holders)}")
 
-    def committed(self, node: VirtualNode, entry: LogEntry) -> None:
+    def committed(self, node: SimulatedNode, entry: LogEntry) -> None:
         known = self._committed.setdefault(entry.index, entry)
         if known != entry:
-            raise Broken(
+            raise InvariantViolationError(
                 f"committed entry {entry.index} differs at {self.true_us} us on {node.name}: "
                 f"{known} there, {entry} here"
             )
 
-    def applied(self, node: VirtualNode, index: int, command: Any, result: Any) -> None:
+    def applied(self, node: SimulatedNode, index: int, command: Any, result: Any) -> None:
         if index in self._tokens or "granted" not in result:
             return
         token = int(result["token"])
         if any(token <= other for at, other in self._tokens.items() if at < index):
-            raise Broken(f"token {token} at entry {index} is not above all before it")
+            raise InvariantViolationError(f"token {token} at entry {index} is not above all before it")
         self._tokens[index] = token
         self.grants += 1
         holder = str(result["granted"])
         if (holder, command["name"]) not in self._wanted:
-            raise Broken(f"granted what was not asked: {command}")
+            raise InvariantViolationError(f"granted what was not asked: {command}")
 
     def leads(self, voter: Replica) -> None:
         known = self._leaders.setdefault(voter.raft.term, voter.identity)
         if known != voter.identity:
-            raise Broken(f"two lead in term {voter.raft.term}: {known} and {voter.identity}")
+            raise InvariantViolationError(f"two lead in term {voter.raft.term}: {known} and {voter.identity}")
 
     def _judge(self) -> None:
-        self.counts["runs"] = sum(act.accepted and not act.fence for act in self.acts)
-        self.counts["refused late"] = sum(not act.accepted for act in self.acts)
-        for one, other in overlaps(self.acts):
-            raise Broken(f"acts overlap: {one} and {other}")
-        for one, other in late_accepted(self.acts):
-            raise Broken(f"accepted with a falling token: {other} after {one}")
-        for one, other in shared_tokens(self.acts):
-            raise Broken(f"one token, two nodes: {one} and {other}")
-        for one, other in run_twice(self.acts, UNSAFE):
-            raise Broken(f"run twice: {one} and {other}")
-        last = max((act.ended_us for act in self.acts if act.accepted), default=0)
+        self.counts["runs"] = sum(effect.accepted and not effect.fence for effect in self.effects)
+        self.counts["refused late"] = sum(not effect.accepted for effect in self.effects)
+        for one, other in overlapping_effects(self.effects):
+            raise InvariantViolationError(f"acts overlap: {one} and {other}")
+        for one, other in stale_tokens_accepted(self.effects):
+            raise InvariantViolationError(f"accepted with a falling token: {other} after {one}")
+        for one, other in shared_tokens(self.effects):
+            raise InvariantViolationError(f"one token, two nodes: {one} and {other}")
+        for one, other in repeated_runs(self.effects, UNSAFE):
+            raise InvariantViolationError(f"run twice: {one} and {other}")
+        last = max((effect.ended_us for effect in self.effects if effect.accepted), default=0)
         if last < (self.plan.length_ms - 2_500) * 1_000:
-            raise Broken(f"nobody acts any more after {last} us, though all faults are over")
+            raise InvariantViolationError(f"nobody acts any more after {last} us, though all faults are over")
 
 
-def broken_by(world: World) -> str:
+def broken_by(cluster: SimulatedCluster) -> str:
     """Run it to its end; what broke, or an empty text."""
     try:
-        world.run()
-    except Broken as fault:
+        cluster.run()
+    except InvariantViolationError as fault:
         return str(fault)
     except AssertionError as fault:
         return f"an assertion of the product: {fault}"
     return ""
 
 
-def run(plan: Plan, breakage: Breakage | None = None) -> tuple[World, str]:
+def run(plan: Plan, mutation: Mutation | None = None) -> tuple[SimulatedCluster, str]:
     """One world; gives it and what broke, or an empty text."""
-    world = World(plan, breakage)
-    return world, broken_by(world)
+    cluster = SimulatedCluster(plan, mutation)
+    return cluster, broken_by(cluster)
 
 
-def shrink(plan: Plan, breakage: Breakage | None = None, tries: int = 200) -> Plan:
+def shrink(plan: Plan, mutation: Mutation | None = None, tries: int = 200) -> Plan:
     """The plan with as few of its faults as still break something."""
     faults = list(plan.faults)
     size = max(1, len(faults) // 2)
@@ -752,7 +762,7 @@
             trial = Plan(
                 plan.seed, plan.nodes, plan.voters, plan.length_ms, plan.rates, tuple(fewer), plan.drift
             )
-            if run(trial, breakage)[1]:
+            if run(trial, mutation)[1]:
                 faults = fewer
             else:
                 at += size
--- a/marlstep/fault_injection/virtual_members.py
+++ b/marlstep/fault_injection/simulated_detectors.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field, replace
 from datetime import datetime, timedelta
 
-from marlstep.fault_injection.broken import Breakage
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
+from marlstep.fault_injection.mutations import Mutation
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.virtual import RESTART_DELAY_US, START, Broken
+from marlstep.fault_injection.simulated_cluster import RESTART_DELAY_US, START, InvariantViolationError
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.failure_detector import FailureDetector
 from marlstep.membership.messages import OutboundMessage
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Measured:
+class DetectorMeasurements:
     detected_us: list[int] = field(default_factory=list)  # from a death to each view of it
     views_agree_us: int = 0  # after the last fault
     false_suspicions: int = 0  # of a node that was up, and could be reached by most
@@ -44,23 +44,23 @@
 
 
 @dataclass(slots=True)
-class Path:
+class SimulatedPath:
     cut_until: int = 0
     slow_until: int = 0
 
 
-class Node:
+class SimulatedDetector:
     """One process, over its lives."""
 
-    def __init__(self, world: MembersWorld, name: str, number: int) -> None:
-        self.world, self.name, self.number = world, name, number
+    def __init__(self, cluster: SimulatedDetectorCluster, name: str, number: int) -> None:
+        self.cluster, self.name, self.number = cluster, name, number
         self.zone = f"z{number % ZONES}"
-        self.life, self.up, self.leaving = 0, False, False
+        self.generation, self.up, self.leaving = 0, False, False
         self.detector: FailureDetector
         self.stopped_until = 0
         self.troubled_until = 0  # by a fault of the plan
         self.slow = 0  # microseconds that its loop is late, now and then
-        self._kept: list[Callable[[], None]] = []
+        self._deferred: list[Callable[[], None]] = []
         self._tick_at: int | None = None
         self._seen = 0  # changes that were looked at
 
@@ -69,63 +69,71 @@
         return self.name
 
     def start(self) -> None:
-        world = self.world
-        self.life, self.up, self.leaving, self._kept, self._seen = self.life + 1, True, False, [], 0
+        cluster = self.cluster
+        self.generation, self.up, self.leaving, self._deferred, self._seen = (
+            self.generation + 1,
+            True,
+            False,
+            [],
+            0,
+        )
         self.stopped_until, self._tick_at = 0, None
         # An old clock: this life may seem older than the one before.
-        born = world.true_us // 1000 + world.chance.randrange(-20_000, 20_000) + 100_000
-        me = MemberRecord(self.name, f"b{self.life}", born, 0, MemberState.ALIVE, self.address, self.zone)
-        chance = random.Random(world.chance.random())
-        self.detector = FailureDetector(me, world.settings, chance, world.now)
-        world.breakage.put_on(self.detector.state)
-        seeds = [one for one in world.seeds if one != self.name]
-        world.send_all(self, self.detector.join(seeds))
+        born = cluster.true_us // 1000 + cluster.chance.randrange(-20_000, 20_000) + 100_000
+        me = MemberRecord(
+            self.name, f"b{self.generation}", born, 0, MemberState.ALIVE, self.address, self.zone
+        )
+        chance = random.Random(cluster.chance.random())
+        self.detector = FailureDetector(me, cluster.settings, chance, cluster.now)
+        cluster.mutation.apply_to(self.detector.state)
+        seeds = [one for one in cluster.seeds if one != self.name]
+        cluster.send_all(self, self.detector.join(seeds))
         self.drive()
 
     def at(self, after_us: int, action: Callable[[], None]) -> None:
-        life = self.life
+        generation = self.generation
 
-        def act() -> None:
-            if self.up and self.life == life:
-                if self.world.true_us < self.stopped_until:
-                    self._kept.append(act)
+        def run_in_generation() -> None:
+            if self.up and self.generation == generation:
+                if self.cluster.true_us < self.stopped_until:
+                    self._deferred.append(run_in_generation)
                 else:
                     action()
 
-        self.world.after(after_us, act)
+        self.cluster.after(after_us, run_in_generation)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Timers first, as a loop does, and then what waits in the sockets."""
-        if self.up and self.world.true_us >= self.stopped_until:
+        if self.up and self.cluster.true_us >= self.stopped_until:
             self.drive()
-            kept, self._kept = self._kept, []
-            for act in kept:
-                act()
+            kept, self._deferred = self._deferred, []
+            for deferred in kept:
+                deferred()
 
     def receive(self, sender: MemberRecord, send: OutboundMessage) -> None:
-        self.world.send_all(self, self.detector.receive(self.world.now, sender, send.message))
+        self.cluster.send_all(self, self.detector.receive(self.cluster.now, sender, send.message))
         self.drive()
 
     def drive(self) -> None:
-        world = self.world
-        if not self.up or world.true_us < self.stopped_until:
+        cluster = self.cluster
+        if not self.up or cluster.true_us < self.stopped_until:
             return
-        if self.detector.next_due() <= world.now:
-            world.send_all(self, self.detector.tick(world.now))
+        if self.detector.next_due() <= cluster.now:
+            cluster.send_all(self, self.detector.tick(cluster.now))
         self._look()
-        true = max(world.true_at(self.detector.next_due()), world.true_us + 100)
-        if self.slow and world.chance.random() < 0.2:
-            true += world.chance.randrange(self.slow)
-        if self._tick_at is not None and world.true_us < self._tick_at <= true:
+        true = max(cluster.true_at(self.detector.next_due()), cluster.true_us + 100)
+        if self.slow and cluster.chance.random() < 0.2:
+            true += cluster.chance.randrange(self.slow)
+        if self._tick_at is not None and cluster.true_us < self._tick_at <= true:
             return
-        self._tick_at, life = true, self.life
+        self._tick_at, generation = true, self.generation
 
         def tick() -> None:
-            if self.up and self.life == life and self._tick_at == true:
+            if self.up and self.generation == generation and self._tick_at == true:
                 self._tick_at = None
-                self.drive() if world.true_us >= self.stopped_until else None
+                self.drive() if cluster.true_us >= self.stopped_until else None
 
-        world.after(true - world.true_us, tick)
+        cluster.after(true - cluster.true_us, tick)
 
     def _look(self) -> None:
         detector = self.detector
@@ -134,31 +142,31 @@
             return
         self._seen = fresh
         for change in list(detector.events)[-8:]:
-            if change.at == self.world.now:
-                self.world.noted(self, change.node, change.event, change.reported_by == self.name)
+            if change.at == self.cluster.now:
+                self.cluster.noted(self, change.node, change.event, change.reported_by == self.name)
 
 
-class MembersWorld(FaultTarget):
+class SimulatedDetectorCluster(FaultTarget):
     def __init__(
-        self, plan: Plan, breakage: Breakage | None = None, settings: DetectorSettings | None = None,
+        self, plan: Plan, mutation: Mutation | None = None, settings: DetectorSettings | None = None,
         loss: float = 0.01, slow: float = 0.0,
     ) -> None:  # fmt: skip
         """`loss` of datagrams; `slow` is the share of nodes whose loop is late by up to a second."""
-        self.plan, self.breakage = plan, breakage or Breakage()
+        self.plan, self.mutation = plan, mutation or Mutation()
         self.settings = settings or DetectorSettings()
         self.chance = random.Random(plan.seed * 6_151 + 5)
         self.loss = loss
         self.true_us = 0
-        self.measured = Measured()
+        self.measured = DetectorMeasurements()
         self.counts: Counter[str] = Counter()
         self.last_fault_us = 0
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._number = 0
-        self._paths: dict[tuple[str, str], Path] = {}
+        self._paths: dict[tuple[str, str], SimulatedPath] = {}
         self._died: dict[tuple[str, str], int] = {}
         self._agreed_since: int | None = None
         self._agreed_at: int | None = None
-        self.nodes = {name: Node(self, name, number) for number, name in enumerate(plan.nodes)}
+        self.nodes = {name: SimulatedDetector(self, name, number) for number, name in enumerate(plan.nodes)}
         self.seeds = plan.nodes[:3]
         for node in list(self.nodes.values())[: math.ceil(slow * len(self.nodes))]:
             node.slow = 1_000_000
@@ -188,19 +196,19 @@
             action()
         # What is replayed from a life that nobody remembers counts until its node has heard of it.
         if (why := self.disagree()) and (self._agreed_at is None or self._agreed_at < end - REFUTED_US):
-            raise Broken(f"at the end {why}")
+            raise InvariantViolationError(f"at the end {why}")
         self.measured.views_agree_us = max(0, (self._agreed_since or end) - self.last_fault_us)
 
     # The network.
 
-    def path(self, one: str, other: str) -> Path:
-        return self._paths.setdefault((one, other), Path())
+    def path(self, one: str, other: str) -> SimulatedPath:
+        return self._paths.setdefault((one, other), SimulatedPath())
 
-    def send_all(self, node: Node, sends: list[OutboundMessage]) -> None:
+    def send_all(self, node: SimulatedDetector, sends: list[OutboundMessage]) -> None:
         for send in sends:
             self._send(node, node.detector.local, send)
 
-    def _send(self, node: Node, sender: MemberRecord, send: OutboundMessage) -> None:
+    def _send(self, node: SimulatedDetector, sender: MemberRecord, send: OutboundMessage) -> None:
         target = self.nodes.get(send.address)
         if target is None or target is node:
             return
@@ -257,13 +265,13 @@
         if killed.up:
             killed.up = False
             if not killed.leaving:
-                self._died[node, f"b{killed.life}"] = self.true_us
+                self._died[node, f"b{killed.generation}"] = self.true_us
         self.after(duration_us, lambda: None if killed.up else killed.start())
 
     def pause(self, node: str, duration_us: int) -> None:
         paused = self.nodes[node]
         paused.stopped_until = max(paused.stopped_until, self.true_us + duration_us)
-        self.after(duration_us, paused.go_on)
+        self.after(duration_us, paused.resume)
 
     def drain(self, node: str, duration_us: int) -> None:
         draining = self.nodes[node]
@@ -281,7 +289,7 @@
 
     # The eye.
 
-    def noted(self, node: Node, about: str, what: str, itself: bool) -> None:
+    def noted(self, node: SimulatedDetector, about: str, what: str, itself: bool) -> None:
         """One node takes another for suspect or failed, by `itself` or as it was told."""
         state, _, boot = what.partition(", process ")
         died = self._died.get((about, boot))
@@ -289,14 +297,14 @@
             self.measured.detected_us.append(self.true_us - died)
         other = self.nodes.get(about)
         troubled = max(node.troubled_until, other.troubled_until if other else 0) + 2_000_000 >= self.true_us
-        if other is not None and other.up and f"b{other.life}" == boot and not troubled:
+        if other is not None and other.up and f"b{other.generation}" == boot and not troubled:
             self.measured.false_suspicions += itself and state == MemberState.SUSPECT
             self.measured.false_failures += state == MemberState.FAILED
 
     def disagree(self) -> str:
         """Whose view is another than what is; empty where all live nodes hear of all live ones alone."""
         truth = {
-            name: (f"b{node.life}", MemberState.ALIVE.value)
+            name: (f"b{node.generation}", MemberState.ALIVE.value)
             for name, node in self.nodes.items()
             if node.up and not node.leaving and self.true_us >= node.stopped_until
         }
@@ -319,13 +327,13 @@
 
 
 def run_members(
-    plan: Plan, breakage: Breakage | None = None, settings: DetectorSettings | None = None,
+    plan: Plan, mutation: Mutation | None = None, settings: DetectorSettings | None = None,
     loss: float = 0.01, slow: float = 0.0,
-) -> tuple[MembersWorld, str]:  # fmt: skip
+) -> tuple[SimulatedDetectorCluster, str]:  # fmt: skip
     """One world; gives it and what broke, or an empty text."""
-    world = MembersWorld(plan, breakage, settings, loss, slow)
+    cluster = SimulatedDetectorCluster(plan, mutation, settings, loss, slow)
     try:
-        world.run()
-    except Broken as fault:
-        return world, str(fault)
-    return world, ""
+        cluster.run()
+    except InvariantViolationError as fault:
+        return cluster, str(fault)
+    return cluster, ""
--- a/marlstep/fault_injection/virtual_rules.py
+++ b/marlstep/fault_injection/simulated_documents.py
@@ -15,10 +15,15 @@
 
 from marlstep.consensus.replica import ReplicaSettings
 from marlstep.consensus.state_machine import StoredCommand
-from marlstep.fault_injection.broken import Breakage
-from marlstep.fault_injection.linear import Call, Came, unordered
+from marlstep.fault_injection.linearizability import Call, CallOutcome, linearizability_violation
+from marlstep.fault_injection.mutations import Mutation
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.virtual import Broken, VirtualNode, World, broken_by
+from marlstep.fault_injection.simulated_cluster import (
+    InvariantViolationError,
+    SimulatedCluster,
+    SimulatedNode,
+    broken_by,
+)
 from marlstep.leases.holder import HeartbeatReport
 from marlstep.leases.messages import RequestCounts, TenantDemand
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
@@ -54,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class DocumentObservation:
     """What the eye sees of one document."""
 
     differ_since: int | None = None
@@ -62,17 +67,17 @@
     acted: dict[int, str] = field(default_factory=dict)  # digest by version
 
 
-class RulesWorld(World):
-    def __init__(self, plan: Plan, breakage: Breakage | None = None) -> None:
-        super().__init__(plan, breakage)
+class SimulatedDocumentCluster(SimulatedCluster):
+    def __init__(self, plan: Plan, mutation: Mutation | None = None) -> None:
+        super().__init__(plan, mutation)
         self.settings = type(self.settings)(
             self.settings.term,
             self.settings.drift,
             0,
-            self.breakage.settings(self.settings).config_term or TERM,
+            self.mutation.settings(self.settings).config_term or TERM,
         )
         self.followers: dict[str, ConfigFollower] = {}
-        self.seen = {one.name: Seen() for one in DOCUMENTS}
+        self.seen = {one.name: DocumentObservation() for one in DOCUMENTS}
         self.clients = [Client(self, number) for number in range(CLIENTS)]
         self.using: dict[str, QuotaLease] = {}
         self._given: dict[tuple[str, int, int], str] = {}
@@ -90,31 +95,31 @@
         return replace(super().voter_settings(), quotas=True)
 
     @staticmethod
-    def lease(node: VirtualNode) -> str:
+    def lease(node: SimulatedNode) -> str:
         return CONFIG_LEASE_PREFIX + node.participant.holder.name
 
-    def wants(self, node: VirtualNode) -> list[str]:
+    def wants(self, node: SimulatedNode) -> list[str]:
         return [self.lease(node)]
 
-    def started(self, node: VirtualNode) -> None:
+    def started(self, node: SimulatedNode) -> None:
         follower = ConfigFollower(DOCUMENTS, node.name)
-        self.breakage.put_on(follower)
+        self.mutation.apply_to(follower)
         node.participant.holder.report = lambda now: self._report(node, follower, now)
         self.using[node.name] = QuotaLease()
         if node.voter is not None and node.voter.config_store is not None:
-            self.breakage.put_on(node.voter.config_store)
+            self.mutation.apply_to(node.voter.config_store)
         if node.voter is not None and node.voter.quotas is not None:
-            self.breakage.put_on(node.voter.quotas)
+            self.mutation.apply_to(node.voter.quotas)
         before = self.followers.get(node.name)
         self.followers[node.name] = follower
-        if self.breakage.name == "version-from-disk" and before is not None:
+        if self.mutation.name == "version-from-disk" and before is not None:
             for name, one in before.documents.items():  # acts on what it had, without asking
                 if one.version:
                     kept = follower.documents[name]
                     kept.version, kept.content, kept.state = one.version, one.content, FollowerState.ACTIVE
         follower.start()
 
-    def _report(self, node: VirtualNode, follower: ConfigFollower, now: Any) -> HeartbeatReport:
+    def _report(self, node: SimulatedNode, follower: ConfigFollower, now: Any) -> HeartbeatReport:
         """A beat's figures: so many requests since the last, most of them refused under a sick content."""
         figures = self._figures.setdefault(node.participant.holder.name, [0, 0, 0])
         figures[0] += 20
@@ -129,7 +134,7 @@
 
     # What nodes do.
 
-    def heard(self, node: VirtualNode) -> None:
+    def heard(self, node: SimulatedNode) -> None:
         news, node.participant.holder.documents = node.participant.holder.documents, None
         using, now = self.using[node.name], node.now
         for tenant, to in using.update(node.participant.holder.quota_shares):
@@ -140,25 +145,25 @@
             if number is None:
                 using.report_lost(tenant)
             else:
-                self._given[node.name, node.life, number] = tenant
+                self._given[node.name, node.generation, number] = tenant
         if news is not None:
             left = node.participant.holder.time_left(self.lease(node), node.now)
             self._carry_out(node, self.followers[node.name].handle_statuses(node.now, news, left))
 
-    def got(self, node: VirtualNode, message: Any) -> None:
+    def got(self, node: SimulatedNode, message: Any) -> None:
         if isinstance(message, DocumentChunk):
             left = node.participant.holder.time_left(self.lease(node), node.now)
             self._carry_out(node, self.followers[node.name].handle_chunk(node.now, message, left))
 
-    def drove(self, node: VirtualNode) -> None:
+    def drove(self, node: SimulatedNode) -> None:
         follower, participant = self.followers[node.name], node.participant
-        for key in [key for key in self._acks if key[:2] == (node.name, node.life)]:
+        for key in [key for key in self._acks if key[:2] == (node.name, node.generation)]:
             result = participant.take_result(key[2])
             if result is not None:
                 name, version = self._acks.pop(key)
                 if "refused" in result:
                     follower.acknowledgement_lost(name, version)
-        for key in [key for key in self._given if key[:2] == (node.name, node.life)]:
+        for key in [key for key in self._given if key[:2] == (node.name, node.generation)]:
             result = participant.take_result(key[2])
             if result is not None:
                 tenant = self._given.pop(key)
@@ -170,7 +175,7 @@
         self._carry_out(node, follower.tick(node.now, left))
         self.watch()
 
-    def _carry_out(self, node: VirtualNode, done: list[Any]) -> None:
+    def _carry_out(self, node: SimulatedNode, done: list[Any]) -> None:
         follower, now = self.followers[node.name], node.now
         left = node.participant.holder.time_left(self.lease(node), now)
         while done:
@@ -193,7 +198,7 @@
                     if number is None:
                         follower.acknowledgement_lost(do.name, do.version)
                     else:
-                        self._acks[node.name, node.life, number] = (do.name, do.version)
+                        self._acks[node.name, node.generation, number] = (do.name, do.version)
                         if node.reached("said"):
                             return
                 case FetchChunk():
@@ -201,7 +206,7 @@
                 case ActivateVersion():
                     known = self.seen[do.name].acted.setdefault(do.version, content_digest(do.content))
                     if known != content_digest(do.content):
-                        raise Broken(f"version {do.version} of {do.name} is two contents")
+                        raise InvariantViolationError(f"version {do.version} of {do.name} is two contents")
                     self.counts["acts on a version"] += 1
                     if node.reached("following"):
                         return
@@ -213,7 +218,7 @@
 
     def _put(
         self,
-        node: VirtualNode,
+        node: SimulatedNode,
         name: str,
         expect: int,
         content: str,
@@ -263,7 +268,9 @@
         }
         self.most_used = max(self.most_used, sum(used.values()))
         if self.most_used > FULL_QUOTA:
-            raise Broken(f"{self.most_used / FULL_QUOTA:.1%} of an allowance at {self.true_us} us: {used}")
+            raise InvariantViolationError(
+                f"{self.most_used / FULL_QUOTA:.1%} of an allowance at {self.true_us} us: {used}"
+            )
 
     def watch(self) -> None:
         """Which version each would act on now, by its own clock."""
@@ -278,7 +285,7 @@
                     continue
                 one = follower.documents[named.name]
                 held = node.participant.holder.time_left(self.lease(node), node.now)
-                if self.breakage.name == "version-from-disk" and one.target is None:
+                if self.mutation.name == "version-from-disk" and one.target is None:
                     held = TERM  # it does not ask
                 number, on = self._staged.get(named.name, (0, []))
                 if one.version == number and node.name in on:
@@ -287,12 +294,14 @@
                     versions[one.version] = node.name
             if len(versions) > 1:
                 if named.strict:
-                    raise Broken(f"two act on {named.name} at {self.true_us} us: {versions}")
+                    raise InvariantViolationError(f"two act on {named.name} at {self.true_us} us: {versions}")
                 if seen.differ_since is None:
                     seen.differ_since = self.true_us
                 seen.longest_us = max(seen.longest_us, self.true_us - seen.differ_since)
                 if seen.longest_us > span_us(self.settings.config_term):
-                    raise Broken(f"{named.name}: versions {versions} side by side for {seen.longest_us} us")
+                    raise InvariantViolationError(
+                        f"{named.name}: versions {versions} side by side for {seen.longest_us} us"
+                    )
             else:
                 seen.differ_since = None
 
@@ -300,13 +309,15 @@
         super()._judge()
         for named in DOCUMENTS:
             calls = [one for client in self.clients for one in client.calls[named.name]]
-            by_version = {one.version: one for one in calls if one.came in (Came.DONE, Came.UNKNOWN)}
-            given = [one.version for one in calls if one.came is Came.DONE]
+            by_version = {
+                one.version: one for one in calls if one.came in (CallOutcome.DONE, CallOutcome.UNKNOWN)
+            }
+            given = [one.version for one in calls if one.came is CallOutcome.DONE]
             if len(set(given)) < len(given):
-                raise Broken(f"a version of {named.name} was given twice")
+                raise InvariantViolationError(f"a version of {named.name} was given twice")
             # The first version came from a node's own files: a put that nobody of the clients made.
-            if why := unordered([*calls, Call("a node", 0)]):
-                raise Broken(f"{named.name}: {why}")
+            if why := linearizability_violation([*calls, Call("a node", 0)]):
+                raise InvariantViolationError(f"{named.name}: {why}")
             in_force = max(
                 (
                     [one.number for one in node.voter.config_store.documents[named.name].versions]
@@ -321,7 +332,9 @@
             for before, version in pairwise([0, *in_force]):
                 made = by_version.get(version)
                 if made is not None and before and made.expect != before:
-                    raise Broken(f"{named.name}: {version} took the place of {before}, not of {made.expect}")
+                    raise InvariantViolationError(
+                        f"{named.name}: {version} took the place of {before}, not of {made.expect}"
+                    )
             sick = [
                 one.number
                 for node in self.nodes.values()
@@ -330,34 +343,36 @@
                 if SICK in one.content
             ]
             if sick:
-                raise Broken(f"{named.name}: version {sick[0]} went on from its stage, though it did worse")
+                raise InvariantViolationError(
+                    f"{named.name}: version {sick[0]} went on from its stage, though it did worse"
+                )
             if not self.seen[named.name].acted:
-                raise Broken(f"nobody ever acted on {named.name}")
+                raise InvariantViolationError(f"nobody ever acted on {named.name}")
 
 
 class Client:
     """Reads and changes, one call after another, at whichever node is up."""
 
-    def __init__(self, world: RulesWorld, number: int) -> None:
-        self.world, self.name = world, f"c{number}"
+    def __init__(self, cluster: SimulatedDocumentCluster, number: int) -> None:
+        self.cluster, self.name = cluster, f"c{number}"
         self.calls: dict[str, list[Call]] = {one.name: [] for one in DOCUMENTS}
-        self._chance = random.Random(world.plan.seed * 31 + number)
+        self._chance = random.Random(cluster.plan.seed * 31 + number)
         self._saw = {one.name: 0 for one in DOCUMENTS}
         self._call: tuple[str, Call] | None = None
-        self._waits: tuple[VirtualNode, int, int] | None = None  # node, its life, number of what was asked
+        self._waits: tuple[SimulatedNode, int, int] | None = None  # node, its life, number of what was asked
         self._looks_after = 0  # the version whose end a put waits for
-        world.after(2_000_000 + self._chance.randrange(500_000), self._next)
+        cluster.after(2_000_000 + self._chance.randrange(500_000), self._next)
 
     def _next(self) -> None:
-        world, chance = self.world, self._chance
-        up = [one for one in world.nodes.values() if one.up and world.true_us >= one.stopped_until]
-        world.after(int(THINKS_US * (0.3 + chance.random())), self._next)
-        if self._call is not None and world.true_us >= self._call[1].begun_us + PATIENCE_US:
-            self._over(Came.UNKNOWN, self._call[1].version)
+        cluster, chance = self.cluster, self._chance
+        up = [one for one in cluster.nodes.values() if one.up and cluster.true_us >= one.stopped_until]
+        cluster.after(int(THINKS_US * (0.3 + chance.random())), self._next)
+        if self._call is not None and cluster.true_us >= self._call[1].begun_us + PATIENCE_US:
+            self._over(CallOutcome.UNKNOWN, self._call[1].version)
         if self._call is not None or not up:
             return
         node, name = chance.choice(up), chance.choice(DOCUMENTS).name
-        call = Call(self.name, world.true_us, expect=self._saw[name])
+        call = Call(self.name, cluster.true_us, expect=self._saw[name])
         self._call, self._looks_after = (name, call), 0
         if not call.expect or chance.random() < 0.5:
             call.expect = -1  # a get
@@ -371,34 +386,34 @@
         tenants = {TENANT: {"share": 0.5, "allowance_per_s": ALLOWANCE}}
         content = json.dumps({"n": chance.randrange(1 << 30), "text": text, "tenants": tenants})
         hold_out = CANT in text and chance.random() < 0.5
-        number = world._put(node, name, call.expect, content, stage, hold_out)
+        number = cluster._put(node, name, call.expect, content, stage, hold_out)
         if number is not None:
-            self._waits = (node, node.life, number)
+            self._waits = (node, node.generation, number)
 
-    def _ask(self, node: VirtualNode, name: str) -> None:
+    def _ask(self, node: SimulatedNode, name: str) -> None:
         number = node.participant.propose(node.now, StoredCommand({"m": "rules", "do": "get", "doc": name}))
         if number is not None:
-            self._waits = (node, node.life, number)
+            self._waits = (node, node.generation, number)
             node.drive()
 
-    def _over(self, came: Came, version: int = 0) -> None:
+    def _over(self, came: CallOutcome, version: int = 0) -> None:
         assert self._call is not None
         name, call = self._call
         self._call = self._waits = None
-        call.ended_us, call.came, call.version = self.world.true_us, came, version
-        if came is Came.UNKNOWN and call.expect < 0:
+        call.ended_us, call.came, call.version = self.cluster.true_us, came, version
+        if came is CallOutcome.UNKNOWN and call.expect < 0:
             return  # a get without an answer says nothing
-        if came in (Came.TOLD, Came.DONE, Came.STALE):
+        if came in (CallOutcome.TOLD, CallOutcome.DONE, CallOutcome.STALE):
             self._saw[name] = version
         self.calls[name].append(call)
-        self.world.counts[came.value] += 1
+        self.cluster.counts[came.value] += 1
 
-    def look(self, node: VirtualNode) -> None:
+    def look(self, node: SimulatedNode) -> None:
         """An answer may have come there."""
         if self._waits is None or self._call is None:
             return
-        at, life, number = self._waits
-        if at is not node or life != node.life or not node.up:
+        at, generation, number = self._waits
+        if at is not node or generation != node.generation or not node.up:
             return
         result = node.participant.take_result(number)
         if result is None:
@@ -407,30 +422,32 @@
         call = self._call[1]
         if "refused" in result or "error" in result:
             if call.expect >= 0 and "version" in result and "waits_for" not in result:
-                self._over(Came.STALE, int(result["version"]))
+                self._over(CallOutcome.STALE, int(result["version"]))
             else:
                 self._call = None  # it had no effect, and says nothing of the version
         elif "prepares" in result:
             call.version = self._looks_after = int(result["prepares"])
-            self.world.after(60_000, lambda: self._again(call))
+            self.cluster.after(60_000, lambda: self._again(call))
         elif call.expect < 0:
-            self._over(Came.TOLD, int(result["version"]))
+            self._over(CallOutcome.TOLD, int(result["version"]))
         elif any(row["version"] == self._looks_after for row in result["turned_down"]):
             self._call = None
-            self.world.counts["turned down"] += 1
+            self.cluster.counts["turned down"] += 1
         elif result["version"] >= self._looks_after:
-            self._over(Came.DONE, self._looks_after)
+            self._over(CallOutcome.DONE, self._looks_after)
         else:
-            self.world.after(60_000, lambda: self._again(call))
+            self.cluster.after(60_000, lambda: self._again(call))
 
     def _again(self, call: Call) -> None:
         """Has its put come into force?"""
-        up = [one for one in self.world.nodes.values() if one.up and self.world.true_us >= one.stopped_until]
+        up = [
+            one for one in self.cluster.nodes.values() if one.up and self.cluster.true_us >= one.stopped_until
+        ]
         if self._call is not None and self._call[1] is call and up:
             self._ask(self._chance.choice(up), self._call[0])
 
 
-def run_rules(plan: Plan, breakage: Breakage | None = None) -> tuple[RulesWorld, str]:
+def run_rules(plan: Plan, mutation: Mutation | None = None) -> tuple[SimulatedDocumentCluster, str]:
     """One world; gives it and what broke, or an empty text."""
-    world = RulesWorld(plan, breakage)
-    return world, broken_by(world)
+    cluster = SimulatedDocumentCluster(plan, mutation)
+    return cluster, broken_by(cluster)
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -13,7 +13,7 @@
 from marlstep.cli.main import call
 from marlstep.cluster import wire
 from marlstep.consensus.messages import RequestVote
-from marlstep.fault_injection.rig import Rig, Settings
+from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from marlstep.net.framing import Framing, keyed
 from tests.cluster.support import CONFIG, make_plan
 
@@ -25,7 +25,7 @@
     settings = Settings(json.loads(CONFIG.read_text()))
 
     async def drill() -> None:
-        async with Rig(make_plan(21, 2_000), settings, tmp_path) as rig:
+        async with ProcessCluster(make_plan(21, 2_000), settings, tmp_path) as rig:
             await rig.run()
             port = rig.nodes["n1"].fleet
             before = await rig.nodes["n1"].call("/v1/fleet")
--- a/tests/cluster/test_health_checks.py
+++ b/tests/cluster/test_health_checks.py
@@ -8,8 +8,8 @@
 from collections import Counter
 from pathlib import Path
 
-from marlstep.fault_injection.links import Ports
-from marlstep.fault_injection.rig import NodeProcess, Rig, Settings
+from marlstep.fault_injection.network_links import Ports
+from marlstep.fault_injection.process_cluster import NodeProcess, ProcessCluster, Settings
 from marlstep.frontends.uwsgi_wire import PacketReader, write_packet, write_response
 from marlstep.net.ring import Ring
 from tests.cluster.support import CONFIG, NODES, make_plan
@@ -43,7 +43,7 @@
         writer.close()
 
 
-async def send(rig: Rig, seconds: float) -> None:
+async def send(rig: ProcessCluster, seconds: float) -> None:
     """Requests to every node, from clients that take whatever comes."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
@@ -62,7 +62,7 @@
     await asyncio.gather(*(client(node) for node in rig.nodes.values() for _ in range(6)))
 
 
-async def is_ejected_everywhere(rig: Rig) -> bool:
+async def is_ejected_everywhere(rig: ProcessCluster) -> bool:
     """Return whether each node has failed to reach a server often enough to eject it."""
     failed: list[int] = [
         (await node.call("/v1/parts"))["uwsgi"]["pools"]["more"]["not reached"] for node in rig.nodes.values()
@@ -79,7 +79,7 @@
     async def drill() -> list[int]:
         await steady.open()
         await other.open()
-        async with Rig(make_plan(22, 0), settings, tmp_path) as rig:
+        async with ProcessCluster(make_plan(22, 0), settings, tmp_path) as rig:
             for _ in range(10):  # the third server is not there: each node ejects it
                 await send(rig, 2.0)
                 if await is_ejected_everywhere(rig):
--- a/tests/cluster/test_process_drills.py
+++ b/tests/cluster/test_process_drills.py
@@ -14,7 +14,7 @@
 
 from marlstep.cli.drill import process_one
 from marlstep.fault_injection.plan import Shape, draw
-from marlstep.fault_injection.rig import Rig, Settings
+from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from tests.cluster.support import CONFIG, NODES, make_plan
 
 # Each the cause of one of the hard cases; times in ms from the start, and how long.
@@ -117,19 +117,21 @@
     settings = Settings(json.loads(CONFIG.read_text()), tasks=tasks, hang=("stuck",))
 
     async def drill() -> Counts:
-        async with Rig(make_plan(20, 5_000), settings, tmp_path) as rig:
+        async with ProcessCluster(make_plan(20, 5_000), settings, tmp_path) as rig:
             await rig.run()
             return Counts(rig)
 
     report = asyncio.run(drill())
-    assert report.acts["well"] > 5 and report.acts["stuck"] > 2  # each is given up after its longest time
+    assert (
+        report.effects["well"] > 5 and report.effects["stuck"] > 2
+    )  # each is given up after its longest time
     assert report.outcomes["stuck"].get("may have run", 0) > 2
 
 
 class Counts:
-    def __init__(self, rig: Rig) -> None:
-        acts = [act for act in rig.witness.acts if act.accepted]
-        self.acts = {name: sum(act.task == name for act in acts) for name in rig.settings.tasks}
+    def __init__(self, rig: ProcessCluster) -> None:
+        acts = [act for act in rig.effect_recorder.effects if act.accepted]
+        self.effects = {name: sum(act.task == name for act in acts) for name in rig.settings.tasks}
         self.outcomes: dict[str, dict[str, int]] = {name: {} for name in rig.settings.tasks}
         for node in rig.nodes.values():
             with contextlib.suppress(OSError, ValueError):
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -9,7 +9,7 @@
 
 from marlstep.cluster import wire
 from marlstep.cluster.transport import ClusterTransport
-from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.network_links import Ports
 from marlstep.net.eventloop import LoopWaker
 from marlstep.timer_queue import TimerQueue
 
--- a/tests/consensus/support.py
+++ b/tests/consensus/support.py
@@ -9,7 +9,7 @@
 from marlstep.consensus.raft import Raft, RaftTiming, Ready
 from marlstep.consensus.replica import Replica, ReplicaSettings
 from marlstep.consensus.replica_messages import JoinRequest
-from marlstep.fault_injection.virtual import Disk
+from marlstep.fault_injection.simulated_cluster import Disk
 from marlstep.leases.settings import LeaseSettings
 from marlstep.units import EPOCH, MILLISECOND
 
--- a/tests/fault_injection/test_faults.py
+++ b/tests/fault_injection/test_faults.py
@@ -8,8 +8,8 @@
 
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
 from marlstep.fault_injection.plan import Plan, Shape, draw
-from marlstep.fault_injection.virtual import World, run
-from marlstep.fault_injection.virtual_members import MembersWorld
+from marlstep.fault_injection.simulated_cluster import SimulatedCluster, run
+from marlstep.fault_injection.simulated_detectors import SimulatedDetectorCluster
 
 NODES = ("n1", "n2", "n3", "n4")
 SECOND_US = 1_000_000
@@ -123,7 +123,7 @@
 
 
 def test_every_type_in_a_random_plan_has_an_effect_on_a_simulated_cluster() -> None:
-    overridden = vars(World).keys()
+    overridden = vars(SimulatedCluster).keys()
     for name, fault_type in FAULT_TYPES.items():
         if fault_type.is_drawn:
             assert {operation[0] for operation in inject(name, other="n2", step="voted")} <= overridden
@@ -141,7 +141,7 @@
 def test_a_simulated_detector_drops_both_directions_of_a_cut() -> None:
     faults = (Fault(1_000, 500, "cut", "n1", "n2"),)
     plan = Plan(3, NODES, NODES[:3], 8_000, (1.0,) * 4, faults)
-    cluster = MembersWorld(plan)
+    cluster = SimulatedDetectorCluster(plan)
     cluster.run()
     assert {pair for pair, path in cluster._paths.items() if path.cut_until == 1_500_000} == {
         ("n1", "n2"), ("n2", "n1"),
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -14,11 +14,11 @@
 
 from marlstep.cli.drill import members_one
 from marlstep.cli.main import call
+from marlstep.fault_injection.document_drill import ListServers
 from marlstep.fault_injection.faults import Fault
-from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.network_links import Ports
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.rig import Rig, Settings
-from marlstep.fault_injection.rules import ListServers
+from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.membership.quota_table import FULL_QUOTA
 from tests.membership.support import NODES
@@ -39,7 +39,9 @@
         pool = (f"127.0.0.1:{servers.ports[0]}",)
         config = json.loads(CONFIG.read_text())
         settings = Settings(config, tasks={}, pool=pool, rules=rules, tenants={"riad": 40.0})
-        async with Rig(Plan(63, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as cluster:
+        async with ProcessCluster(
+            Plan(63, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path
+        ) as cluster:
 
             async def send_request(name: str) -> None:
                 with contextlib.suppress(OSError):
@@ -112,7 +114,9 @@
     settings = Settings(json.loads(CONFIG.read_text()), members=True)
 
     async def drill() -> None:
-        async with Rig(Plan(62, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as cluster:
+        async with ProcessCluster(
+            Plan(62, NODES[:5], NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path
+        ) as cluster:
             operator = str(cluster.nodes["n1"].folder / "operator.toml")
 
             async def run_command(*arguments: str) -> int:
--- a/tests/membership/test_virtual_network.py
+++ b/tests/membership/test_virtual_network.py
@@ -7,12 +7,12 @@
 import pytest
 
 from marlstep.cli.main import call
-from marlstep.fault_injection.acts import Act
-from marlstep.fault_injection.broken import MEMBERS_BREAKAGES, Breakage
+from marlstep.fault_injection.effects import Effect
 from marlstep.fault_injection.faults import Fault
-from marlstep.fault_injection.members import Line, forbidden_acts, wrongly_removed
+from marlstep.fault_injection.membership_drill import LogRecord, forbidden_acts, wrongly_removed
+from marlstep.fault_injection.mutations import MEMBERSHIP_MUTATIONS, Mutation
 from marlstep.fault_injection.plan import Plan, Shape, draw
-from marlstep.fault_injection.virtual_members import KINDS, run_members
+from marlstep.fault_injection.simulated_detectors import KINDS, run_members
 from marlstep.membership.partition_state import (
     PartitionState,
 )
@@ -84,7 +84,7 @@
 @pytest.mark.parametrize(("name", "seed"), [("incarnation-not-raised", 3), ("old-boot-taken", 0)])
 def test_the_simulation_detects_a_mutation_of_the_detector(name: str, seed: int) -> None:
     plan = draw(seed, Shape(nodes=12, length_ms=40_000, kinds=KINDS, every_ms=2_500))
-    assert run_members(plan, MEMBERS_BREAKAGES[name])[1] and not run_members(plan, Breakage())[1]
+    assert run_members(plan, MEMBERSHIP_MUTATIONS[name])[1] and not run_members(plan, Mutation())[1]
 
 
 def test_without_faults_nobody_is_suspected_and_load_per_node_is_constant() -> None:
@@ -99,12 +99,12 @@
 
 def test_the_checkers_find_a_wrong_removal_and_a_forbidden_effect() -> None:
     lines = {
-        Line(10, "n1", "remove n2"),
-        Line(10, "n1", "remove n3"),
-        Line(5, "n4", f"situation is {PartitionState.ISOLATED.value}"),
+        LogRecord(10, "n1", "remove n2"),
+        LogRecord(10, "n1", "remove n3"),
+        LogRecord(5, "n4", f"situation is {PartitionState.ISOLATED.value}"),
     }
     assert wrongly_removed(lines, {"n2": [(5, 20)], "n3": [(11, 20)]}) == ["n3 at 10 by n1"]
-    late = Act("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
+    late = Effect("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
     assert len(forbidden_acts(lines, [late])) == 1
     assert not forbidden_acts(lines, [replace(late, began_us=400_000), replace(late, node="n5/x")])
 
--- a/tests/replicated_config/test_linearizability.py
+++ b/tests/replicated_config/test_linearizability.py
@@ -7,33 +7,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.fault_injection.linear import Call, Came, unordered
+from marlstep.fault_injection.linearizability import Call, CallOutcome, linearizability_violation
 
 
 def told(client: str, begun: int, ended: int, version: int) -> Call:
-    return Call(client, begun, ended, -1, Came.TOLD, version)
+    return Call(client, begun, ended, -1, CallOutcome.TOLD, version)
 
 
 def done(client: str, begun: int, ended: int, expect: int, version: int) -> Call:
-    return Call(client, begun, ended, expect, Came.DONE, version)
+    return Call(client, begun, ended, expect, CallOutcome.DONE, version)
 
 
 def test_histories_that_are_not_linearizable_are_detected() -> None:
     good = [done("a", 0, 5, 1, 2), told("b", 1, 3, 1), told("c", 2, 4, 2), told("b", 6, 7, 2)]
-    assert not unordered(good, first=1)
+    assert not linearizability_violation(good, first=1)
     wrong = {
         "a stale read": [done("a", 0, 5, 1, 2), told("b", 6, 7, 1)],
         "back and forth": [done("a", 0, 9, 1, 2), told("b", 1, 3, 2), told("c", 4, 5, 1)],
         "two on one": [done("a", 0, 5, 1, 2), done("b", 1, 4, 1, 3)],
         "out of nothing": [told("a", 0, 1, 7)],
-        "a refusal by what was not": [Call("a", 0, 1, 1, Came.STALE, 4)],
+        "a refusal by what was not": [Call("a", 0, 1, 1, CallOutcome.STALE, 4)],
     }
     for name, calls in wrong.items():
-        assert unordered(calls, first=1), name
+        assert linearizability_violation(calls, first=1), name
     # One without an answer may have an effect at any later time, or none; but not before it began.
-    lost = Call("a", 4, None, 1, Came.UNKNOWN, 2)
-    assert not unordered([lost, told("b", 5, 6, 1), told("b", 90, 91, 2)], first=1)
-    assert unordered([lost, told("b", 1, 3, 2)], first=1)
+    lost = Call("a", 4, None, 1, CallOutcome.UNKNOWN, 2)
+    assert not linearizability_violation([lost, told("b", 5, 6, 1), told("b", 90, 91, 2)], first=1)
+    assert linearizability_violation([lost, told("b", 1, 3, 2)], first=1)
 
 
 @given(
@@ -50,7 +50,7 @@
             version += 1
         else:
             calls.append(told(f"c{client}", now - before, now + after, version))
-    assert not unordered(calls, first=1)
-    if calls and calls[-1].came is Came.TOLD and version > 1:
+    assert not linearizability_violation(calls, first=1)
+    if calls and calls[-1].came is CallOutcome.TOLD and version > 1:
         later = replace(calls[-1], begun_us=now + 100, ended_us=now + 101, version=version - 1)
-        assert unordered([*calls, later], first=1)
+        assert linearizability_violation([*calls, later], first=1)
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -12,11 +12,19 @@
 
 from marlstep.cli.drill import rules_one
 from marlstep.cli.main import call
+from marlstep.fault_injection.document_drill import (
+    CLIENTS,
+    SERVERS,
+    Arrival,
+    ListServers,
+    Load,
+    Operators,
+    judge,
+)
 from marlstep.fault_injection.faults import Fault
-from marlstep.fault_injection.links import Ports
+from marlstep.fault_injection.network_links import Ports
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.rig import Rig, Settings
-from marlstep.fault_injection.rules import CLIENTS, SERVERS, Arrival, ListServers, Load, Operators, judge
+from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 
 ROOT = Path(__file__).parent.parent.parent
 CONFIG = ROOT / "deploy" / "node.json"
@@ -122,7 +130,7 @@
         rules: dict[str, dict[str, Any]] = {"servers": {"kind": "servers", "cut_off": "keep"}}
         pool = (f"127.0.0.1:{servers.ports[0]}",)
         settings = Settings(json.loads(CONFIG.read_text()), tasks={}, pool=pool, rules=rules)
-        async with Rig(Plan(40, NODES, NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as rig:
+        async with ProcessCluster(Plan(40, NODES, NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as rig:
             load = Load(rig)
             running = asyncio.create_task(load.run())
             await asyncio.sleep(2.0)
@@ -133,7 +141,7 @@
 
             def write_list(port: int) -> str:
                 path = tmp_path / f"{port}.json"
-                main = [f"127.0.0.1:{rig.witness.port}"]
+                main = [f"127.0.0.1:{rig.effect_recorder.port}"]
                 path.write_text(json.dumps({"main": main, "more": [f"127.0.0.1:{port}"]}))
                 return str(path)
 
--- a/tests/replicated_config/test_virtual_drill.py
+++ b/tests/replicated_config/test_virtual_drill.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from marlstep.fault_injection.broken import RULES_BREAKAGES, Breakage
-from marlstep.fault_injection.explore_rules import STARTS, walk_rules
+from marlstep.fault_injection.document_model import STARTS, search_document_states
+from marlstep.fault_injection.mutations import DOCUMENT_MUTATIONS, Mutation
 from marlstep.fault_injection.plan import Shape, draw
-from marlstep.fault_injection.virtual_rules import run_rules
+from marlstep.fault_injection.simulated_documents import run_rules
 
 
 @pytest.mark.parametrize("seed", range(50, 54))
@@ -27,14 +27,14 @@
 
 @pytest.mark.parametrize("name", sorted(FOUND))
 def test_the_simulated_drill_detects_each_mutation(name: str) -> None:
-    broken = RULES_BREAKAGES[name]
+    broken = DOCUMENT_MUTATIONS[name]
     plan = draw(FOUND[name], broken.shape)
     assert run_rules(plan, broken)[1] and not run_rules(plan)[1]
 
 
 @pytest.mark.parametrize("start", sorted(set(STARTS) - {"three"}))
 def test_the_walk_finds_no_violation_in_any_order_of_messages(start: str) -> None:
-    found = walk_rules(start, Breakage(), replace(STARTS[start][-1], depth=9), seconds=60)
+    found = search_document_states(start, Mutation(), replace(STARTS[start][-1], depth=9), seconds=60)
     assert found.complete and not found.broken and found.states > 300
 
 
@@ -48,5 +48,5 @@
 )
 def test_the_walk_detects_each_mutation(start: str, name: str, crashes: int) -> None:
     bounds = replace(STARTS[start][-1], crashes=crashes)
-    found = walk_rules(start, RULES_BREAKAGES[name], bounds, seconds=60)
+    found = search_document_states(start, DOCUMENT_MUTATIONS[name], bounds, seconds=60)
     assert "two act on different versions" in found.broken and found.trace
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -16,47 +16,54 @@
 
 from marlstep.cli.drill import explore
 from marlstep.cli.main import call
-from marlstep.fault_injection.acts import Act, Receiver, late_accepted, overlaps, run_twice, shared_tokens
-from marlstep.fault_injection.broken import BREAKAGES, Breakage
-from marlstep.fault_injection.explore import STARTS, walk
+from marlstep.fault_injection.effects import (
+    Effect,
+    FencingServer,
+    overlapping_effects,
+    repeated_runs,
+    shared_tokens,
+    stale_tokens_accepted,
+)
 from marlstep.fault_injection.faults import Fault
-from marlstep.fault_injection.leases import judge
-from marlstep.fault_injection.links import Link
-from marlstep.fault_injection.plan import BadPlan, Plan, Shape, draw, read_plan
-from marlstep.fault_injection.virtual import run, shrink
+from marlstep.fault_injection.lease_drill import judge
+from marlstep.fault_injection.lease_model import STARTS, walk
+from marlstep.fault_injection.mutations import LEASE_MUTATIONS, Mutation
+from marlstep.fault_injection.network_links import Link
+from marlstep.fault_injection.plan import InvalidPlanError, Plan, Shape, draw, read_plan
+from marlstep.fault_injection.simulated_cluster import run, shrink
 
 
-def act(node: str, token: int, began: int, ended: int, **other: object) -> Act:
+def act(node: str, token: int, began: int, ended: int, **other: object) -> Effect:
     told = {"task": "t", "run": token, "accepted": True, **other}
-    return Act(node=node, token=token, began_us=began, ended_us=ended, **told)  # type: ignore[arg-type]
+    return Effect(node=node, token=token, began_us=began, ended_us=ended, **told)  # type: ignore[arg-type]
 
 
 def test_the_checkers_find_what_is_wrong_and_nothing_else() -> None:
     good = [act("a", 1, 0, 10), act("a", 1, 5, 20), act("b", 2, 20, 30)]
-    assert not list(overlaps(good)) and not list(late_accepted(good))
+    assert not list(overlapping_effects(good)) and not list(stale_tokens_accepted(good))
     bad = [*good, act("a", 1, 29, 40)]
-    assert [(one.node, other.node) for one, other in overlaps(bad)] == [("b", "a")]
-    assert [other.began_us for _, other in late_accepted(bad)] == [29]
-    assert list(overlaps([act("a", 1, 0, 10), act("b", 1, 5, 20)]))  # one token, two nodes
+    assert [(one.node, other.node) for one, other in overlapping_effects(bad)] == [("b", "a")]
+    assert [other.began_us for _, other in stale_tokens_accepted(bad)] == [29]
+    assert list(overlapping_effects([act("a", 1, 0, 10), act("b", 1, 5, 20)]))  # one token, two nodes
     assert list(shared_tokens([act("a", 1, 0, 1), act("b", 1, 9, 12)])) and not list(shared_tokens(good))
     refused = [*good, act("a", 1, 29, 40, accepted=False)]
-    assert not list(overlaps(refused)) and not list(late_accepted(refused))
-    assert list(run_twice([act("a", 1, 0, 1, run=5), act("b", 2, 2, 3, run=5)], frozenset("t")))
-    assert not list(run_twice([act("a", 1, 0, 1, run=5), act("b", 2, 2, 3, run=5)], frozenset()))
+    assert not list(overlapping_effects(refused)) and not list(stale_tokens_accepted(refused))
+    assert list(repeated_runs([act("a", 1, 0, 1, run=5), act("b", 2, 2, 3, run=5)], frozenset("t")))
+    assert not list(repeated_runs([act("a", 1, 0, 1, run=5), act("b", 2, 2, 3, run=5)], frozenset()))
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 50), st.integers(1, 20)), max_size=12))
 def test_overlaps_are_those_that_a_look_at_all_pairs_finds(rows: list[tuple[str, int, int]]) -> None:
-    acts = [act(node, ord(node), began, began + length) for node, began, length in rows]
+    effects = [act(node, ord(node), began, began + length) for node, began, length in rows]
     slow = {
         frozenset((id(one), id(other)))
-        for one in acts
-        for other in acts
+        for one in effects
+        for other in effects
         if (one.token, one.node) != (other.token, other.node)
         and one.began_us < other.ended_us
         and other.began_us < one.ended_us
     }
-    assert {frozenset((id(one), id(other))) for one, other in overlaps(acts)} == slow
+    assert {frozenset((id(one), id(other))) for one, other in overlapping_effects(effects)} == slow
 
 
 def test_a_drill_in_which_nothing_happened_does_not_pass() -> None:
@@ -68,9 +75,9 @@
 
 
 def test_a_receiver_turns_down_what_is_below_the_highest_it_has_seen() -> None:
-    one = Receiver()
-    assert [one.takes("t", token) for token in (1, 3, 2, 3, 4)] == [True, True, False, True, True]
-    assert one.takes("u", 1)
+    one = FencingServer()
+    assert [one.accepts("t", token) for token in (1, 3, 2, 3, 4)] == [True, True, False, True, True]
+    assert one.accepts("u", 1)
 
 
 # Plans.
@@ -89,7 +96,7 @@
 )
 def test_a_plan_that_cant_be_read_is_named(spoilt: object) -> None:
     whole = draw(1, Shape()).write()
-    with pytest.raises(BadPlan):
+    with pytest.raises(InvalidPlanError):
         read_plan({**whole, **spoilt} if isinstance(spoilt, dict) and "faults" in spoilt else spoilt)
 
 
@@ -105,7 +112,7 @@
 def test_a_world_is_the_same_for_its_plan() -> None:
     plan = draw(7, Shape(length_ms=12_000))
     first, second = run(plan)[0], run(plan)[0]
-    assert first.acts == second.acts and first.counts == second.counts
+    assert first.effects == second.effects and first.counts == second.counts
 
 
 # Of each breakage a seed that finds it, from `make drill-breakages`.
@@ -117,15 +124,15 @@
 
 @pytest.mark.parametrize("name", sorted(FOUND))
 def test_a_deliberate_breakage_is_found_and_the_whole_code_holds_on_the_same_plan(name: str) -> None:
-    broken = BREAKAGES[name]
+    broken = LEASE_MUTATIONS[name]
     plan = draw(FOUND[name], broken.shape)
     assert run(plan, broken)[1]
-    whole = replace(Breakage(), loss=broken.loss, delay_us=broken.delay_us, stuck=broken.stuck)
+    whole = replace(Mutation(), loss=broken.loss, delay_us=broken.delay_us, stuck=broken.stuck)
     assert not run(plan, whole)[1]
 
 
 def test_a_plan_is_cut_down_to_what_still_breaks() -> None:
-    broken = BREAKAGES["no-drift-margin"]
+    broken = LEASE_MUTATIONS["no-drift-margin"]
     plan = draw(FOUND["no-drift-margin"], broken.shape)
     short = shrink(plan, broken, tries=25)
     assert len(short.faults) < len(plan.faults) and run(short, broken)[1]
@@ -137,7 +144,7 @@
 @pytest.mark.parametrize("start", sorted(STARTS))
 def test_every_order_of_the_first_steps_holds(start: str) -> None:
     usual = STARTS[start][1]
-    found = walk(start, Breakage(), replace(usual, depth=4 if start != "divergent" else 9), seconds=60)
+    found = walk(start, Mutation(), replace(usual, depth=4 if start != "divergent" else 9), seconds=60)
     assert found.complete and not found.broken and found.states > 50
 
 
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -17,7 +17,7 @@
 from benchmarks.mixed.task_record import count_crossings, judge_acts
 from marlstep.__main__ import PLAIN
 from marlstep.cluster.store_errors import StoreRefusedError
-from marlstep.fault_injection.acts import Act
+from marlstep.fault_injection.effects import Effect
 
 ROOT = Path(__file__).parent.parent
 KILLED_AT = 100.0
@@ -113,8 +113,8 @@
     assert judge(record, Counter(), KILLED_AT).failures == []
 
 
-def act(node: str, token: int, run: int, began: int, task: str = "report") -> Act:
-    return Act(task, node, token, run, began, began + 10, True)
+def act(node: str, token: int, run: int, began: int, task: str = "report") -> Effect:
+    return Effect(task, node, token, run, began, began + 10, True)
 
 
 def test_acts_that_cross_the_versions_are_counted_and_held_where_tokens_grow() -> None:
@@ -133,7 +133,7 @@
         act("n1/a", 1, 1, 20),  # once more under the same grant
     ],
 )
-def test_acts_that_must_not_be_are_found(second: Act) -> None:
+def test_acts_that_must_not_be_are_found(second: Effect) -> None:
     assert judge_acts([act("n1/a", 1, 1, 0), second], frozenset({"report"}))
 
 
