--- a/marlstep/__main__.py
+++ b/marlstep/__main__.py
@@ -9,34 +9,44 @@
 import os
 import sys
 
-PLAIN = "%(asctime)s %(levelname)s %(name)s: %(message)s"
+LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
+COMPLETION_VARIABLE = "_MARLSTEP_COMPLETE"  # set by a shell that asks which words may follow
+MISSING_PACKAGE = 2  # exit code
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Run the node, or a command, and return the exit code.
+
+    Args:
+        arguments: the words of the call; those of the process where there are none.
+    """
     words = sys.argv[1:] if arguments is None else arguments
     match words:
-        case _ if "_MARLSTEP_COMPLETE" in os.environ:  # the shell asks what could follow
-            return _command(words)
+        case _ if COMPLETION_VARIABLE in os.environ:
+            return _run_command(words)
         case [] | ["node"]:
-            operator = None
+            return _run_node(None)
         case ["--operator", operator] | ["node", "--operator", operator]:
-            pass
+            return _run_node(operator)
         case _:
-            return _command(words)
+            return _run_command(words)
+
+
+def _run_node(operator: str | None) -> int:
     from marlstep.node import run
 
-    logging.basicConfig(level=logging.INFO, format=PLAIN)
+    logging.basicConfig(level=logging.INFO, format=LOG_FORMAT)
     return run(operator)
 
 
-def _command(words: list[str]) -> int:
+def _run_command(words: list[str]) -> int:
     try:
         from marlstep.cli.main import call
-    except ModuleNotFoundError as fault:
-        if str(fault.name).startswith("marlstep"):
+    except ModuleNotFoundError as error:
+        if str(error.name).startswith("marlstep"):
             raise
-        print(f"marlstep: commands need {fault.name}: install requirements-ops.txt", file=sys.stderr)
-        return 2
+        print(f"marlstep: commands need {error.name}: install requirements-ops.txt", file=sys.stderr)
+        return MISSING_PACKAGE
     return call(words)
 
 
--- /dev/null
+++ b/marlstep/cli/admin_client.py
@@ -0,0 +1,155 @@
+"""A client of a running node's administration API, and the options that name the node."""
+
+from __future__ import annotations
+
+import http.client
+import json
+import time
+import tomllib
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import wraps
+from http import HTTPStatus
+from pathlib import Path
+from typing import Any
+
+import click
+
+from marlstep.cli.errors import (
+    MissingEndpointError,
+    NodeRequestError,
+    OptionError,
+    OrderRejectedError,
+    OrderTimeoutError,
+)
+from marlstep.cli.output import JsonObject
+
+ORDER_TIMEOUT_S = 10.0  # for the group to report the outcome of one order
+ORDER_POLL_INTERVAL_S = 0.02
+REQUEST_TIMEOUT_S = 3.0
+NODE_NOT_NAMED = "which node: --operator FILE with [admin], or --admin and --token-file"
+
+
+@dataclass(slots=True, frozen=True)
+class AdminClient:
+    """Requests to the administration API of one node.
+
+    Attributes:
+        operator: path of the node's operator file, whose section `[admin]` gives what the others leave out.
+        address: the administration listener, as `127.0.0.1:9099`.
+        token_file: path of the file that holds the bearer token.
+    """
+
+    operator: str | None
+    address: str | None
+    token_file: str | None
+
+    def get(self, path: str) -> JsonObject:
+        """GET a page. Raises OptionError where no node is named, NodeRequestError where it gives no page."""
+        return self._request("GET", path, None)
+
+    def post(self, path: str, body: JsonObject) -> JsonObject:
+        """POST an order. Raises OptionError where no node is named, NodeRequestError where it takes none."""
+        return self._request("POST", path, json.dumps(body))
+
+    def order(self, path: str, body: JsonObject) -> JsonObject:
+        """Submit an order to the group, and return its outcome.
+
+        Raises:
+            NodeRequestError: the node could not be reached, or did not take the order.
+            OrderTimeoutError: the group did not report an outcome in time.
+        """
+        number = str(self.post(f"/v1/fleet/{path}", body)["asked"])
+        deadline = time.monotonic() + ORDER_TIMEOUT_S
+        while time.monotonic() < deadline:
+            outcomes = self.get("/v1/fleet/asked")
+            if number in outcomes:
+                outcome: JsonObject = outcomes[number]
+                return outcome
+            time.sleep(ORDER_POLL_INTERVAL_S)
+        raise OrderTimeoutError(ORDER_TIMEOUT_S)
+
+    def _request(self, method: str, path: str, body: str | None) -> JsonObject:
+        address, token_file = self._endpoint()
+        host, _, port = address.rpartition(":")
+        try:
+            token = Path(token_file).read_text("utf-8").strip()
+            connection = http.client.HTTPConnection(host, int(port), timeout=REQUEST_TIMEOUT_S)
+            connection.request(method, path, body, {"Authorization": f"Bearer {token}"})
+            response = connection.getresponse()
+            payload = response.read()
+        except (OSError, ValueError, http.client.HTTPException) as error:
+            raise NodeRequestError(address, error) from error
+        if response.status == HTTPStatus.NOT_FOUND:
+            raise MissingEndpointError(address, path)
+        if response.status not in (HTTPStatus.OK, HTTPStatus.ACCEPTED):
+            reason = payload.decode("utf-8", "replace").strip()
+            raise NodeRequestError(address, f"{response.status} {reason}")
+        page: JsonObject = json.loads(payload)
+        return page
+
+    def _endpoint(self) -> tuple[str, str]:
+        """Return the listener's address and the token's file; options come before the operator's file."""
+        section = self._operator_section()
+        address = self.address or section.get("listen")
+        token_file = self.token_file or section.get("token_file")
+        if not address or not token_file:
+            raise OptionError(NODE_NOT_NAMED)
+        return address, token_file
+
+    def _operator_section(self) -> dict[str, Any]:
+        if self.operator is None:
+            return {}
+        try:
+            document = tomllib.loads(Path(self.operator).read_text("utf-8"))
+        except (OSError, ValueError) as error:
+            raise OptionError.found("--operator", f"{self.operator}: {error}") from error
+        section: dict[str, Any] = document.get("admin", {})
+        return section
+
+
+def check_accepted(outcome: JsonObject) -> None:
+    """Check the outcome of an order. Raises OrderRejectedError with the group's reason."""
+    if "refused" in outcome or "error" in outcome:
+        raise OrderRejectedError(str(outcome.get("refused", outcome.get("error"))))
+
+
+def node_options(function: Callable[..., None]) -> Callable[..., None]:
+    """Add the options that name a running node; the command gets an `AdminClient`, and `as_json`."""
+
+    @wraps(function)
+    def command(
+        operator: str | None, admin: str | None, token_file: str | None, as_json: bool, **others: object
+    ) -> None:
+        function(AdminClient(operator, admin, token_file), as_json=as_json, **others)
+
+    return _add_node_options(command)
+
+
+def node_order_options(function: Callable[..., None]) -> Callable[..., None]:
+    """Add the same options to a command that prints JSON whether `--json` is there or not."""
+
+    @wraps(function)
+    def command(
+        operator: str | None,
+        admin: str | None,
+        token_file: str | None,
+        as_json: bool,  # noqa: ARG001  (taken, as of every command that asks a node, and without effect)
+        **others: object,
+    ) -> None:
+        function(AdminClient(operator, admin, token_file), **others)
+
+    return _add_node_options(command)
+
+
+def _add_node_options(command: Callable[..., None]) -> Callable[..., None]:
+    for option in (
+        click.option("--json", "as_json", is_flag=True, help="Print the node's answer as JSON."),
+        click.option(
+            "--token-file", type=click.Path(), help="Its bearer token; else from the operator's file."
+        ),
+        click.option("--admin", help="Its administration listener, as 127.0.0.1:9099."),
+        click.option("--operator", type=click.Path(), help="The operator's file of that node."),
+    ):
+        command = option(command)
+    return command
--- a/marlstep/cli/logs.py
+++ b/marlstep/cli/logs.py
@@ -7,38 +7,54 @@
 
 import structlog
 
+JSON_FORMAT = "json"
+FIRST_KEYS = ("timestamp", "level", "logger", "event")  # of a line of text, in this order
 
-def set_up(format: str, level: int) -> None:
-    """One handler on standard error: standard output is for what a command prints."""
+
+class CommandLogHandler(logging.StreamHandler):  # type: ignore[type-arg]
+    """Writes to standard error, as standard output is for what a command prints."""
+
+    def __init__(self, formatter: logging.Formatter) -> None:
+        """Bind the handler to the standard error of this moment."""
+        super().__init__(sys.stderr)
+        self.setFormatter(formatter)
+
+
+def configure_logging(log_format: str, level: int) -> None:
+    """Make one handler of the root logger, in place of that of an earlier call in this process.
+
+    Args:
+        log_format: `json` for one object a line, `text` for `key=value` pairs.
+        level: the lowest level that is written, as of `logging`.
+    """
     shared: list[structlog.typing.Processor] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
-    renderer: structlog.typing.Processor = (
-        structlog.processors.JSONRenderer()
-        if format == "json"
-        else structlog.processors.KeyValueRenderer(
-            key_order=["timestamp", "level", "logger", "event"], sort_keys=False
-        )
-    )
     structlog.configure(
         processors=[*shared, structlog.stdlib.ProcessorFormatter.wrap_for_formatter],
         logger_factory=structlog.stdlib.LoggerFactory(),
         wrapper_class=structlog.stdlib.BoundLogger,
         cache_logger_on_first_use=False,
     )
-    handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(
-        structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=[*shared, structlog.stdlib.PositionalArgumentsFormatter()],
-            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, renderer],
-        )
+    formatter = structlog.stdlib.ProcessorFormatter(
+        foreign_pre_chain=[*shared, structlog.stdlib.PositionalArgumentsFormatter()],
+        processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, _renderer(log_format)],
     )
+    _replace_handler(CommandLogHandler(formatter), level)
+
+
+def _renderer(log_format: str) -> structlog.typing.Processor:
+    if log_format == JSON_FORMAT:
+        return structlog.processors.JSONRenderer()
+    return structlog.processors.KeyValueRenderer(key_order=FIRST_KEYS, sort_keys=False)
+
+
+def _replace_handler(handler: CommandLogHandler, level: int) -> None:
     root = logging.getLogger()
-    for old in list(root.handlers):
-        if getattr(old, "marlstep", False):
-            root.removeHandler(old)
-    handler.marlstep = True  # type: ignore[attr-defined]
+    for present in list(root.handlers):
+        if isinstance(present, CommandLogHandler):
+            root.removeHandler(present)
     root.addHandler(handler)
     root.setLevel(level)
--- /dev/null
+++ b/marlstep/cli/rules/__init__.py
@@ -0,0 +1,1 @@
+"""`marlstep rules`: documents on which the nodes of a fleet agree."""
--- /dev/null
+++ b/marlstep/cli/rules/documents.py
@@ -0,0 +1,42 @@
+"""Documents as a node serves them, and contents as an operator's JSON files hold them."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+from marlstep.cli.admin_client import AdminClient
+from marlstep.cli.errors import NoVersionError, OptionError, VersionNotFoundError
+from marlstep.cli.output import JsonObject
+
+
+def fetch_document(client: AdminClient, name: str) -> JsonObject:
+    """Return the node's page of a document: the versions that it keeps, and the change in preparation."""
+    return client.get(f"/v1/fleet/rules/{name}")
+
+
+def find_version(document: JsonObject, number: int | None) -> JsonObject:
+    """Return a version of a document; the newest where no number is given.
+
+    Raises:
+        NoVersionError: there is no version yet.
+        VersionNotFoundError: that version is not kept.
+    """
+    versions: list[JsonObject] = document["versions"]
+    if not versions:
+        raise NoVersionError(document["name"])
+    if number is None:
+        return versions[-1]
+    by_number = {version["version"]: version for version in versions}
+    if number not in by_number:
+        raise VersionNotFoundError(number, list(by_number))
+    return by_number[number]
+
+
+def read_content(path: str) -> object:
+    """Read a document's content from a JSON file. Raises OptionError."""
+    try:
+        content: object = json.loads(Path(path).read_text("utf-8"))
+    except (OSError, ValueError) as error:
+        raise OptionError.found(path, error) from error
+    return content
--- /dev/null
+++ b/marlstep/cli/rules/orders.py
@@ -0,0 +1,148 @@
+"""Orders that change a document: how a new version is uploaded, proposed and followed to its end."""
+
+from __future__ import annotations
+
+import getpass
+import secrets
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import wraps
+
+import click
+
+from marlstep.cli.admin_client import AdminClient, check_accepted
+from marlstep.cli.errors import ChangeBlockedError, ChangeTimeoutError, OrderRejectedError
+from marlstep.cli.output import JsonObject, print_json
+from marlstep.replicated_config.documents import canonical_json, content_digest
+
+MAX_PART_LENGTH = 1_200  # characters; the administration API takes bodies of 4 KiB
+UPLOAD_ID_BYTES = 8
+POLL_INTERVAL_S = 0.1
+MAX_WAIT_S = 3600
+
+
+@dataclass(slots=True, frozen=True)
+class Proposal:
+    """What an operator states with every new version.
+
+    Attributes:
+        expected_version: the version that must be in force for the change to be taken.
+        note: the reason, for the history.
+        is_forced: also take a content that empties a list, or drops over half of it.
+        wait_s: how long to follow the change, in seconds; 0 to return once it is in preparation.
+    """
+
+    expected_version: int
+    note: str
+    is_forced: bool
+    wait_s: float
+
+    def body(self, note: str | None = None) -> JsonObject:
+        """Return the keys of the order."""
+        return {
+            "expect": self.expected_version,
+            "note": self.note if note is None else note,
+            "force": self.is_forced,
+        }
+
+
+def proposal_options(function: Callable[..., None]) -> Callable[..., None]:
+    """Add the options of every new version, given to the command as one `Proposal`."""
+
+    @wraps(function)
+    def command(expect: int, note: str, force: bool, wait: float, **others: object) -> None:
+        function(proposal=Proposal(expect, note, force, wait), **others)
+
+    decorated: Callable[..., None] = command
+    for option in (
+        click.option(
+            "--wait", type=click.FloatRange(0, MAX_WAIT_S), default=0.0, help="Seconds, until it is over."
+        ),
+        click.option("--force", is_flag=True, help="Also where a list empties, or loses over half."),
+        click.option("--note", default="", help="Why, for the history."),
+        click.option("--expect", type=int, required=True, help="The version that is in force now."),
+    ):
+        decorated = option(decorated)
+    return decorated
+
+
+def order(client: AdminClient, name: str, body: JsonObject) -> JsonObject:
+    """Submit an order about a document. Raises click.ClickException where it has no outcome."""
+    return client.order(f"rules/{name}", body)
+
+
+def propose(
+    client: AdminClient, name: str, content: object, body: JsonObject, wait_s: float, as_json: bool
+) -> None:
+    """Propose a version; where there is time to wait, follow it until it is in force or rejected.
+
+    Raises:
+        OrderRejectedError: the group rejected the version.
+        ChangeTimeoutError: the version is neither in force nor rejected after `wait_s` seconds.
+    """
+    outcome = _upload_and_put(client, name, content, body)
+    if "prepares" not in outcome or not wait_s:
+        report_outcome(outcome, as_json)
+        return
+    _follow(client, name, outcome["prepares"], wait_s, as_json)
+
+
+def _upload_and_put(client: AdminClient, name: str, content: object, body: JsonObject) -> JsonObject:
+    """Upload the content in parts, then put it under its digest."""
+    text = canonical_json(content)
+    upload = secrets.token_hex(UPLOAD_ID_BYTES)
+    for offset in range(0, len(text), MAX_PART_LENGTH):
+        part = {"upload": upload, "offset": offset, "data": text[offset : offset + MAX_PART_LENGTH]}
+        outcome = order(client, "part", part)
+        if "taken" not in outcome:
+            raise OrderRejectedError(str(outcome.get("refused", outcome)))
+    put = {"doc": name, "upload": upload, "digest": content_digest(text), "author": getpass.getuser()}
+    return order(client, "put", {**put, **body})
+
+
+def _follow(client: AdminClient, name: str, version: int, wait_s: float, as_json: bool) -> None:
+    deadline = time.monotonic() + wait_s
+    while time.monotonic() < deadline:
+        document = order(client, "get", {"doc": name})
+        rejections = [row for row in document["turned_down"] if row["version"] == version]
+        if rejections:
+            reason = f"version {version} was turned down: {rejections[0]['why']}"
+            report_outcome({"refused": reason}, as_json)
+        if document["version"] >= version:
+            _report_in_force(document, version, as_json)
+            return
+        time.sleep(POLL_INTERVAL_S)
+    raise ChangeTimeoutError(name, version, wait_s)
+
+
+def _report_in_force(document: JsonObject, version: int, as_json: bool) -> None:
+    if as_json:
+        print_json(document)
+    else:
+        click.echo(f"version {version} is in force")
+
+
+def report_outcome(outcome: JsonObject, as_json: bool) -> None:
+    """Print what became of a change.
+
+    Raises:
+        OrderRejectedError: the group rejected it.
+        ChangeBlockedError: it could not be taken yet, as another one has not come to its end.
+    """
+    if as_json:
+        print_json(outcome)
+    check_accepted(outcome)
+    if as_json:
+        return
+    if "in_force" in outcome:
+        click.echo(f"version {outcome['in_force']} is in force")
+    if "staged" in outcome:
+        click.echo(f"version {outcome['staged']} is acted on first by {', '.join(outcome['first_on'])}")
+    if "withdrawn" in outcome:
+        click.echo(f"version {outcome['withdrawn']} is withdrawn")
+    if "prepares" in outcome:
+        waits_for = ", ".join(outcome["waits_for"]) or "nobody"
+        click.echo(f"version {outcome['prepares']} is being prepared, and waits for {waits_for}")
+    elif "waits_for" in outcome:
+        raise ChangeBlockedError(outcome["waits_for"])
--- a/marlstep/cli/spans.py
+++ b/marlstep/cli/spans.py
@@ -1,9 +1,8 @@
-"""Times and rates on the command line: `20s`, `1.5h`, `250ms`."""
+"""Durations on the command line: `20s`, `1.5h`, `250ms`."""
 
 from __future__ import annotations
 
 import re
-from typing import Any
 
 import click
 
@@ -11,12 +10,13 @@
 SPAN = re.compile(r"([0-9]+(?:\.[0-9]+)?)(us|ms|s|m|h|d)")
 
 
-class Span(click.ParamType):  # type: ignore[type-arg]
-    """A span in microseconds. The unit must be there."""
+class Span(click.ParamType[int]):
+    """A duration with its unit, read as microseconds."""
 
     name = "span"
 
-    def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> int:
+    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
+        """Return microseconds; a default that is a number already stays as it is."""
         if isinstance(value, int):
             return value
         found = SPAN.fullmatch(str(value))
--- a/marlstep/drill/process.py
+++ b/marlstep/drill/process.py
@@ -23,7 +23,7 @@
 
 import apsw
 
-from marlstep.__main__ import PLAIN
+from marlstep.__main__ import LOG_FORMAT
 from marlstep.cluster.context import NodeContext
 from marlstep.cluster.interfaces import Step
 from marlstep.cluster.node import ClusterNode
@@ -137,7 +137,7 @@
     orders = Orders()
     alter(orders, options.rate, BROKEN[options.broken] if options.broken else Breakage())
     threading.Thread(target=orders.listen, daemon=True).start()
-    logging.basicConfig(level=logging.INFO, format=PLAIN)
+    logging.basicConfig(level=logging.INFO, format=LOG_FORMAT)
     from marlstep.node import run
 
     return run(options.operator)
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -15,7 +15,7 @@
 from benchmarks.mixed.scenario import Result
 from benchmarks.mixed.server_process import read_log
 from benchmarks.mixed.task_record import count_crossings, judge_acts
-from marlstep.__main__ import PLAIN
+from marlstep.__main__ import LOG_FORMAT
 from marlstep.cluster.store_errors import StoreRefusedError
 from marlstep.drill.acts import Act
 
@@ -182,7 +182,7 @@
     error = StoreRefusedError(Path("/s/voter.sqlite"), "is in use by another process")
     arguments = ("marlstep.cluster", logging.ERROR, __file__, 1, "store not opened error=%s", (error,), None)
     path = tmp_path / "node.log"
-    path.write_text(logging.Formatter(PLAIN).format(logging.LogRecord(*arguments)) + "\n")
+    path.write_text(logging.Formatter(LOG_FORMAT).format(logging.LogRecord(*arguments)) + "\n")
     found = read_log(path, STORE_IN_USE)
     assert found.errors == [] and found.warnings.total() == 1
 
