--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -1,6 +1,6 @@
 """Settings of one server's admission controller, as the simulator or the platform gives them at its start.
 
-Durations are whole microseconds, sizes are kilobytes. Stored settings have words of their own for most
+Durations are whole microseconds, sizes are kilobytes. Stored settings have keys of their own for most
 fields: the key stands beside the field, and errors name it.
 """
 
@@ -54,7 +54,7 @@
 
     NONE = "none"
     LEVEL = "level"  # requests ranked below it stay away
-    CREDIT = "credit"  # at most so many outstanding for each caller
+    CREDIT = "credit"  # the most requests that each caller may have outstanding
     WEIGHT = "weight"  # the chance that a caller does not skip this server
 
 
@@ -139,7 +139,7 @@
         warm_up_us: after which a server that warms up has its full capacity.
         overload_concurrency_factor: requests on the cores, for each core, that a warm server survives.
         overload_duration_us: over which those requests are averaged.
-        drain_grace_us: from the notice to leave; what arrives later must not be run.
+        drain_grace_us: after the notice of a drain, for which arrivals may still be run.
         response_margin_us: after its due time, for which a response still counts.
         tick_us: precision of the server's timers.
         preemption_mode: what becomes of a run that is preempted.
@@ -151,7 +151,7 @@
         abandoned_call_us: for which an abandoned call stays in the dependency, at most.
         idle_timeout_us: after which an idle connection is closed; 0 for never.
         endpoint_list_follows_health: whether an unhealthy server leaves the callers' endpoint list.
-        deep_health_checks: whether a health check does real work unless it is answered from stored health.
+        deep_health_checks: whether a health check does real work unless it is served from stored health.
         sends_retry_after: whether a rejection may carry a Retry-After.
         max_retry_after_us: the longest Retry-After that callers respect.
         marks_retries: whether callers mark a retry as one.
@@ -240,21 +240,29 @@
     if isinstance(wanted, type) and dataclasses.is_dataclass(wanted):
         return _read_table(wanted, raw, path)
     if typing.get_origin(wanted) is tuple:
-        _require(isinstance(raw, list | tuple), path, "must be a list")
-        rows = typing.cast(list[object], raw)
-        return tuple(
-            _read(typing.get_args(wanted)[0], row, f"{path}[{index}]") for index, row in enumerate(rows)
-        )
+        return _read_rows(typing.get_args(wanted)[0], raw, path)
     if isinstance(wanted, type) and issubclass(wanted, enum.StrEnum):
         _require(raw in list(wanted), path, f"must be one of {', '.join(wanted)}")
         return wanted(typing.cast(str, raw))
     plain = typing.cast(type, wanted)
-    accepted: type | types.UnionType = (int | float) if plain is float else plain
-    good = isinstance(raw, accepted) and (plain is bool or not isinstance(raw, bool))
-    _require(good, path, f"must be of type {plain.__name__}")
+    _require(_is_of_type(raw, plain), path, f"must be of type {plain.__name__}")
     return raw
 
 
+def _is_of_type(raw: object, plain: type) -> bool:
+    """Return whether a value is of a plain type; a whole number is also a float, but a bool is no number."""
+    if isinstance(raw, bool):
+        return plain is bool
+    accepted: type | types.UnionType = (int | float) if plain is float else plain
+    return isinstance(raw, accepted)
+
+
+def _read_rows(wanted: object, raw: object, path: str) -> tuple[object, ...]:
+    _require(isinstance(raw, list | tuple), path, "must be a list")
+    rows = typing.cast(list[object], raw)
+    return tuple(_read(wanted, row, f"{path}[{index}]") for index, row in enumerate(rows))
+
+
 def _read_table(wanted: type, raw: object, path: str) -> object:
     _require(isinstance(raw, Mapping), path or "settings", "must be a table of settings")
     table = typing.cast(Mapping[str, object], raw)
@@ -262,7 +270,7 @@
     values: dict[str, object] = {}
     for part in dataclasses.fields(wanted):
         key = stored_key(part)
-        inner = f"{path}.{key}" if path else key
-        _require(key in table, inner, "is missing")
-        values[part.name] = _read(hints[part.name], table[key], inner)
+        key_path = f"{path}.{key}" if path else key
+        _require(key in table, key_path, "is missing")
+        values[part.name] = _read(hints[part.name], table[key], key_path)
     return wanted(**values)
