--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -80,7 +80,6 @@
     def _meet_predecessor(self, connection: PeerConnection) -> None:
         self._predecessor = connection
         self.hot_restart.predecessor_connected(connection, self._timeline.now())
-        connection.data_received()  # its hello may have come
 
     def _redirect(self, generation: int) -> None:
         """Connect to the predecessor's successor in place of the predecessor: that one is to be taken over from."""
--- a/marlstep/hot_restart/discovery.py
+++ b/marlstep/hot_restart/discovery.py
@@ -70,6 +70,8 @@
             try:
                 return PredecessorSearch(await connect(path, make_connection), unreachable)
             except ConnectionRefusedError:
+                # Its process is dead. No outcome counts as unknown here, though no other process may have its keys:
+                # keys do not outlive the last process of a node (see `key_exchange`).
                 log.info("stale restart socket removed: generation=%d path=%s", generation, path)
                 path.unlink(missing_ok=True)
             except FileNotFoundError:
--- a/marlstep/hot_restart/key_exchange.py
+++ b/marlstep/hot_restart/key_exchange.py
@@ -1,8 +1,14 @@
 """Idempotency keys between two processes of a node: which are sent, claimed, granted, and of unknown outcome.
 
-An effect runs at most once because each key has one process that decides on it. While a predecessor is connected its
-table counts, and the successor claims a key there before it enqueues a request. Each process sends every change of a
-key before the run concerned begins. All decisions here are pure.
+Among the processes of a node that overlap, an effect runs at most once, because each key has one process that decides
+on it. While a predecessor is connected its table counts, and the successor claims a key there before it enqueues a
+request. Each process sends every change of a key before the run concerned begins. After a predecessor was lost,
+requests with keys are rejected for as long as a retry of what it ran may come.
+
+Keys do not outlive the last process of a node: they are stored nowhere else. After a crash of the sole process the next
+one starts with an empty table and rejects nothing, so a request that ran before the crash may run again.
+
+All decisions here are pure.
 """
 
 from __future__ import annotations
