--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -81,7 +81,7 @@
         """Record what another process knows of a key."""
         result = None if status.result is None else status.result.encode("latin-1")
         expires_at = instant(status.expires_at_us) if status.expires_at_us else None
-        request_id, digest = decode_label(status.request_id)
+        request_id, digest = decode_label(status.request_label)
         self._core.adopt_remote_key(
             IdempotencyKey(status.request_class, status.idempotency_key),
             KeyRecord(request_id, expires_at, result, status.finished, digest=digest),
@@ -89,7 +89,7 @@
 
     def release_key(self, released: KeyReleased, /) -> None:
         """Forget the other process's attempt: it never ran."""
-        request_id, _digest = decode_label(released.request_id)
+        request_id, _digest = decode_label(released.request_label)
         key = IdempotencyKey(released.request_class, released.idempotency_key)
         self._core.forget_remote_key(key, request_id)
 
--- a/marlstep/hot_restart/key_exchange.py
+++ b/marlstep/hot_restart/key_exchange.py
@@ -41,21 +41,21 @@
 
 
 def key_authority(
-    *, predecessor_connected: bool, outcomes_unknown_until: datetime | None, now: datetime
+    *, predecessor_connected: bool, unknown_until: datetime | None, now: datetime
 ) -> KeyAuthority:
     """Decide who may let a request with an idempotency key run.
 
     Rule: the predecessor while one is connected, otherwise this process. Exception: after a predecessor that was lost
-    or did not answer nobody decides until `outcomes_unknown_until`, since that process may have run the request and
+    or did not answer nobody decides until `unknown_until`, since that process may have run the request and
     sent no word of it, and its client may send it again until then.
 
     Args:
         predecessor_connected: an older process of this node is connected and has not ended.
-        outcomes_unknown_until: end of the time in which a retry of what a lost process ran may come; None where no
+        unknown_until: end of the time in which a retry of what a lost process ran may come; None where no
             process was lost.
         now: the time of the decision.
     """
-    may_have_run_elsewhere = outcomes_unknown_until is not None and now < outcomes_unknown_until
+    may_have_run_elsewhere = unknown_until is not None and now < unknown_until
     if may_have_run_elsewhere:
         return KeyAuthority.NOBODY
     return KeyAuthority.PREDECESSOR if predecessor_connected else KeyAuthority.THIS_PROCESS
--- a/marlstep/hot_restart/messages.py
+++ b/marlstep/hot_restart/messages.py
@@ -41,13 +41,16 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyStatus:
-    """An idempotency key, and what is known of the attempt that it stands for."""
+    """An idempotency key, and what is known of the attempt that it stands for.
+
+    Its `request_label`, as in the messages below, is the request's id and the digest of its body: see `encode_label`.
+    """
 
     wire_tag: ClassVar[str] = "Name"
 
     request_class: str = field(metadata=wire("kind", TEXT))
     idempotency_key: str = field(metadata=wire("once", TEXT))
-    request_id: str = field(metadata=wire("id", TEXT))
+    request_label: str = field(metadata=wire("id", TEXT))
     # 0: the attempt is in flight
     expires_at_us: int = field(metadata=wire("until_us", INTEGER), default=0)
     result: str | None = field(metadata=wire("result", OPTIONAL_TEXT), default=None)  # as latin-1
@@ -62,7 +65,7 @@
 
     request_class: str = field(metadata=wire("kind", TEXT))
     idempotency_key: str = field(metadata=wire("once", TEXT))
-    request_id: str = field(metadata=wire("id", TEXT))
+    request_label: str = field(metadata=wire("id", TEXT))
 
 
 @dataclass(slots=True, frozen=True)
@@ -81,7 +84,7 @@
     number: int = field(metadata=wire("number", INTEGER))
     request_class: str = field(metadata=wire("kind", TEXT))
     idempotency_key: str = field(metadata=wire("once", TEXT))
-    request_id: str = field(metadata=wire("id", TEXT))
+    request_label: str = field(metadata=wire("id", TEXT))
 
 
 @dataclass(slots=True, frozen=True)
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -65,7 +65,7 @@
     HAND_OVER = "stop accepting, finish what is in flight"
     DRAIN = "start the graceful shutdown"
     RECLAIM_CAPACITY = "reclaim capacity after a wait"
-    RECLAIM_CAPACITY_AND_SERVE = "reclaim capacity after a wait; graceful shutdown if SIGTERM has come"
+    RECLAIM_CAPACITY_AND_REPORT_LOSS = "reclaim capacity after a wait; graceful shutdown if SIGTERM has come"
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,7 +88,7 @@
         Event.SUCCESSOR_READY: Transition(State.SUCCESSOR_ACCEPTING, Effect.ACKNOWLEDGE),
         Event.SUCCESSOR_REPLACED: Transition(State.SUCCESSOR_DRAINING),
         Event.SUCCESSOR_DRAINING: Transition(State.SUCCESSOR_DRAINING, Effect.REPORT_SUCCESSOR_DRAINING),
-        Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY_AND_SERVE),
+        Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY_AND_REPORT_LOSS),
         Event.SHUTDOWN_REQUESTED: Transition(State.SUCCESSOR_STARTING, Effect.DRAIN),
     },
     State.SUCCESSOR_ACCEPTING: {
@@ -96,7 +96,7 @@
         Event.SUCCESSOR_READY: Transition(State.SUCCESSOR_ACCEPTING, Effect.ACKNOWLEDGE),
         Event.SUCCESSOR_REPLACED: Transition(State.SUCCESSOR_REPLACED),
         Event.SUCCESSOR_DRAINING: Transition(State.SUCCESSOR_DRAINING, Effect.REPORT_SUCCESSOR_DRAINING),
-        Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY_AND_SERVE),
+        Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY_AND_REPORT_LOSS),
         Event.SHUTDOWN_REQUESTED: Transition(State.SUCCESSOR_ACCEPTING, Effect.HAND_OVER),
     },
     State.SUCCESSOR_REPLACED: {
@@ -265,9 +265,9 @@
                 log.info("successor draining: generation=%d", self._successor_generation)
                 self._host.successor_draining()
             case Effect.RECLAIM_CAPACITY:
-                self._reclaim_capacity(now, reason="drained")
-            case Effect.RECLAIM_CAPACITY_AND_SERVE:
-                self._reclaim_capacity(now, reason="connection_lost")
+                self._successor_ended(now, reason="drained")
+            case Effect.RECLAIM_CAPACITY_AND_REPORT_LOSS:
+                self._successor_ended(now, reason="connection_lost")
                 self._host.successor_lost()
             case Effect.HAND_OVER | Effect.DRAIN | Effect.NONE:
                 pass  # the caller of `begin_shutdown` carries these out
@@ -278,7 +278,7 @@
             self._successor.require_prompt_reads()
             self._successor.send_message(SuccessorReady())
 
-    def _reclaim_capacity(self, now: datetime, reason: str) -> None:
+    def _successor_ended(self, now: datetime, reason: str) -> None:
         log.warning("successor exited: generation=%d reason=%s", self._successor_generation, reason)
         self._successor = self._snapshot = None
         self._handing_over = False
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -1,8 +1,9 @@
 """The hot restart of one process: its way to serving, and what it hands over, side by side.
 
 Each process may have a predecessor, whose place it takes, and a successor, which takes its place. `Successor` and
-`Predecessor` are the two state machines; what comes from one side and concerns the other is passed on here. There is
-no I/O and no clock: messages come in, and time is passed in.
+`Predecessor` are the two state machines, each named for what this process is on that side. All other names, such as
+`PeerRole` and `predecessor_lost`, say what the process at the other end is. What comes from one side and concerns the
+other is passed on here. There is no I/O and no clock: messages come in, and time is passed in.
 """
 
 from __future__ import annotations
@@ -50,96 +51,96 @@
         self._host, self._pid = host, pid
         self.sharing = ResourceSharing()
         self._applied_limit = self.sharing.limit
-        self._successor_role = Successor(host, self.sharing, timeouts, self._apply_capacity_limit)
-        self._predecessor_role = Predecessor(host, self.sharing, timeouts, self._apply_capacity_limit)
+        self._toward_predecessor = Successor(host, self.sharing, timeouts, self._apply_capacity_limit)
+        self._toward_successor = Predecessor(host, self.sharing, timeouts, self._apply_capacity_limit)
 
     @property
     def has_serving_successor(self) -> bool:
         """Whether a successor accepts connections: SIGTERM is then no drain of the node."""
-        return self._predecessor_role.has_serving_successor
+        return self._toward_successor.has_serving_successor
 
     @property
     def is_idle(self) -> bool:
         """Whether there is no other process, and nothing to wait for."""
-        return self.sharing.is_sole_process and self._successor_role.is_serving
+        return self.sharing.is_sole_process and self._toward_predecessor.is_serving
 
     @property
     def has_predecessor(self) -> bool:
         """Whether an older process of this node is connected and has not ended."""
-        return self._successor_role.has_predecessor
+        return self._toward_predecessor.has_predecessor
 
     @property
     def is_standby(self) -> bool:
         """Whether a predecessor serves, and this process does not accept connections yet."""
-        return self._successor_role.is_standby
+        return self._toward_predecessor.is_standby
 
     def set_timeouts(self, timeouts: LostProcessTimeouts) -> None:
         """Take over new settings. What ran under longer timeouts keeps them."""
-        extended = self._successor_role.timeouts.extended_by(timeouts)
-        self._successor_role.timeouts = self._predecessor_role.timeouts = extended
+        extended = self._toward_predecessor.timeouts.extended_by(timeouts)
+        self._toward_predecessor.timeouts = self._toward_successor.timeouts = extended
 
     # The predecessor of this process.
 
     def predecessor_connected(self, peer: Peer, now: datetime) -> None:
         """Begin to take over from the process at the other end."""
-        self._successor_role.predecessor_connected(peer, Hello(self.generation, self._pid), now)
+        self._toward_predecessor.predecessor_connected(peer, Hello(self.generation, self._pid), now)
 
     def handle_predecessor_message(self, message: Message, now: datetime) -> None:
         """Act on a message of the predecessor, and pass on what concerns the successor."""
-        self._successor_role.handle(message, now)
+        self._toward_predecessor.handle(message, now)
         if isinstance(message, RELAYED_MESSAGES):
-            self._predecessor_role.send(message)
-        self._successor_role.advance(now)
+            self._toward_successor.send(message)
+        self._toward_predecessor.advance(now)
 
     def predecessor_lost(self, now: datetime) -> None:
         """Handle a connection to the predecessor that is cut or corrupt."""
-        self._successor_role.predecessor_lost(now)
+        self._toward_predecessor.predecessor_lost(now)
 
     def predecessor_unreachable(self, now: datetime) -> None:
         """Handle a process that listens and did not answer."""
-        self._successor_role.predecessor_unreachable(now)
+        self._toward_predecessor.predecessor_unreachable(now)
 
     def backend_ready(self, now: datetime) -> None:
         """Note that the kernel's connection is up."""
-        self._successor_role.backend_became_ready(now)
+        self._toward_predecessor.backend_became_ready(now)
 
     # The successor of this process.
 
     def unknown_process_connected(self, now: datetime) -> None:
         """Handle a process that can't be understood; it may be of another version."""
-        self._predecessor_role.unknown_process_connected(now)
+        self._toward_successor.unknown_process_connected(now)
 
     def successor_connected(self, peer: Peer, hello: Hello, now: datetime) -> bool:
         """Answer a process that came to take over. False where it is redirected to the successor that there is."""
-        taken = self._predecessor_role.successor_generation
+        taken = self._toward_successor.successor_generation
         measurements = {} if taken else self._host.measurements()
         wants_traffic = self._host.wants_traffic()
         peer.send_message(Hello(self.generation, self._pid, wants_traffic, taken, measurements))
         if taken:
             return False
-        self._predecessor_role.successor_connected(peer, hello, now)
+        self._toward_successor.successor_connected(peer, hello, now)
         return True
 
     def handle_successor_message(self, message: Message, now: datetime) -> None:
         """Act on a message of the successor, and pass on what concerns the predecessor."""
-        if not self._predecessor_role.has_successor:
+        if not self._toward_successor.has_successor:
             return
         if isinstance(message, ClaimRequest):
             self._handle_claim(message, now)
             return
-        self._predecessor_role.handle(message, now)
+        self._toward_successor.handle(message, now)
         if isinstance(message, RELAYED_MESSAGES):
-            self._successor_role.send(message)
+            self._toward_predecessor.send(message)
 
     def successor_lost(self, now: datetime) -> None:
         """Handle the end of the connection to the successor, in order or not."""
-        self._predecessor_role.successor_lost(now)
+        self._toward_successor.successor_lost(now)
 
     def _handle_claim(self, claim: ClaimRequest, now: datetime) -> None:
         respond = partial(self._respond_to_claim, claim)
         already_known = self._host.find_key(claim.request_class, claim.idempotency_key) is not None
         if already_known or not self.claim(
-            claim.request_class, claim.idempotency_key, claim.request_id, now, respond
+            claim.request_class, claim.idempotency_key, claim.request_label, now, respond
         ):
             respond(ClaimResult.GRANTED)  # nobody else has to be asked
 
@@ -147,27 +148,27 @@
         known = self._host.find_key(claim.request_class, claim.idempotency_key)
         granted = is_claim_granted(known, decided_upstream)
         if known is not None:
-            self._predecessor_role.send(known)  # it may not have come to the successor yet
+            self._toward_successor.send(known)  # it may not have come to the successor yet
         elif granted:
-            self._host.adopt_key(KeyStatus(claim.request_class, claim.idempotency_key, claim.request_id))
-        self._predecessor_role.send(ClaimResponse(claim.number, granted))
+            self._host.adopt_key(KeyStatus(claim.request_class, claim.idempotency_key, claim.request_label))
+        self._toward_successor.send(ClaimResponse(claim.number, granted))
 
     # Both.
 
     def key_authority(self, now: datetime) -> KeyAuthority:
         """Return who decides now whether a request with an idempotency key may run here."""
-        return self._successor_role.key_authority(now)
+        return self._toward_predecessor.key_authority(now)
 
     def claim(
         self,
         request_class: str,
         idempotency_key: str,
-        request_id: str,
+        request_label: str,
         now: datetime,
         on_decided: ClaimCallback,
     ) -> bool:
         """Ask whether a request may run. False where nobody has to be asked."""
-        return self._successor_role.claim(request_class, idempotency_key, request_id, now, on_decided)
+        return self._toward_predecessor.claim(request_class, idempotency_key, request_label, now, on_decided)
 
     def key_changed(self, message: KeyStatus | KeyReleased) -> None:
         """Send what has changed of a key here: the others know it before the run concerned begins."""
@@ -178,25 +179,25 @@
         self._broadcast(ServingStateChanged(wants_traffic))
 
     def _broadcast(self, message: Message) -> None:
-        self._successor_role.send(message)
-        self._predecessor_role.send(message)
+        self._toward_predecessor.send(message)
+        self._toward_successor.send(message)
 
     def begin_shutdown(self, now: datetime) -> bool:
         """Handle SIGTERM. True where the successor serves on, and this process finishes what it has."""
-        hands_over = self._predecessor_role.begin_shutdown(now)
-        self._successor_role.send(SuccessorDraining(hands_over))
+        hands_over = self._toward_successor.begin_shutdown(now)
+        self._toward_predecessor.send(SuccessorDraining(hands_over))
         self.tick(now)
         return hands_over
 
     def tick(self, now: datetime) -> None:
         """Do what is due. Called every `TICK_INTERVAL` while there is another process."""
         self.sharing.pass_time(now)
-        self._predecessor_role.tick()
-        self._successor_role.advance(now)
+        self._toward_successor.tick()
+        self._toward_predecessor.advance(now)
 
     def finish(self) -> None:
         """Hand over all that is left: this process ends."""
-        self._predecessor_role.finish()
+        self._toward_successor.finish()
 
     def _apply_capacity_limit(self) -> None:
         if self.sharing.limit != self._applied_limit:
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -271,7 +271,7 @@
         self,
         request_class: str,
         idempotency_key: str,
-        request_id: str,
+        request_label: str,
         now: datetime,
         on_decided: ClaimCallback,
     ) -> bool:
@@ -283,14 +283,14 @@
                 on_decided(ClaimResult.UNSURE)
             case KeyAuthority.PREDECESSOR:
                 number = self._claims.add(on_decided)
-                self.send(ClaimRequest(number, request_class, idempotency_key, request_id))
+                self.send(ClaimRequest(number, request_class, idempotency_key, request_label))
         return True
 
     def key_authority(self, now: datetime) -> KeyAuthority:
         """Return who decides now whether a request with an idempotency key may run here."""
         return key_authority(
             predecessor_connected=self.has_predecessor,
-            outcomes_unknown_until=self._outcomes_unknown_until,
+            unknown_until=self._outcomes_unknown_until,
             now=now,
         )
 
--- a/tests/golden/restart_messages.py
+++ b/tests/golden/restart_messages.py
@@ -22,16 +22,16 @@
     "Name/full": messages.KeyStatus(
         request_class="book",
         idempotency_key="k-1",
-        request_id="id-1",
+        request_label="id-1",
         expires_at_us=1_800_000_000_000_123,
         result="done\x00\xff",
         finished=True,
     ),
-    "Name/defaults": messages.KeyStatus(request_class="book", idempotency_key="k-1", request_id="id-1"),
-    "Gone/full": messages.KeyReleased(request_class="book", idempotency_key="k-1", request_id="id-1"),
+    "Name/defaults": messages.KeyStatus(request_class="book", idempotency_key="k-1", request_label="id-1"),
+    "Gone/full": messages.KeyReleased(request_class="book", idempotency_key="k-1", request_label="id-1"),
     "Whole/full": messages.SnapshotComplete(),
     "Claim/full": messages.ClaimRequest(
-        number=5, request_class="book", idempotency_key="k-1", request_id="id-1"
+        number=5, request_class="book", idempotency_key="k-1", request_label="id-1"
     ),
     "Claimed/full": messages.ClaimResponse(number=5, granted=True),
     "Give/full": messages.CapacityGrant(share=0.375),
--- a/tests/hot_restart/test_key_exchange.py
+++ b/tests/hot_restart/test_key_exchange.py
@@ -156,7 +156,7 @@
 ) -> None:
     until: datetime | None = None if unknown_for is None else START + unknown_for
     assert authority is key_authority(
-        predecessor_connected=predecessor_connected, outcomes_unknown_until=until, now=START
+        predecessor_connected=predecessor_connected, unknown_until=until, now=START
     )
 
 
--- a/tests/hot_restart/test_predecessor.py
+++ b/tests/hot_restart/test_predecessor.py
@@ -69,7 +69,9 @@
     step = TRANSITIONS[state][Event.SUCCESSOR_LOST]
     was_draining = state in (State.SUCCESSOR_REPLACED, State.SUCCESSOR_DRAINING)
     assert step.next_state is State.NO_SUCCESSOR
-    assert step.effect is (Effect.RECLAIM_CAPACITY if was_draining else Effect.RECLAIM_CAPACITY_AND_SERVE)
+    assert step.effect is (
+        Effect.RECLAIM_CAPACITY if was_draining else Effect.RECLAIM_CAPACITY_AND_REPORT_LOSS
+    )
 
 
 @pytest.mark.parametrize("state", [state for state in State if state is not State.NO_SUCCESSOR])
