--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -63,7 +63,7 @@
         self.hot_restart = self._make_hot_restart(generation)
         predecessor = search.connection
         if predecessor is not None:
-            self._meet_predecessor(predecessor)
+            self._begin_initial_sync(predecessor)
         if search.unreachable:
             self.hot_restart.predecessor_unreachable(self._timeline.now())
         if predecessor is not None or search.unreachable:
@@ -77,7 +77,7 @@
         self._server = await loop.create_unix_server(self._accept_successor, sock=listening)
         return generation
 
-    def _meet_predecessor(self, connection: PeerConnection) -> None:
+    def _begin_initial_sync(self, connection: PeerConnection) -> None:
         self._predecessor = connection
         self.hot_restart.predecessor_connected(connection, self._timeline.now())
 
@@ -97,7 +97,7 @@
             log.warning("predecessor did not answer: generation=%d error=%r", generation, error)
             self.hot_restart.predecessor_lost(self._timeline.now())
         else:
-            self._meet_predecessor(connection)
+            self._begin_initial_sync(connection)
 
     # What happens on the connections.
 
@@ -133,7 +133,7 @@
             self._schedule_tick()
 
     def connection_lost(self, connection: PeerConnection) -> None:
-        """Handle the end of a connection; nothing where it was redirected, or never met."""
+        """Handle the end of a connection; nothing where it was redirected, or never used."""
         now = self._timeline.now()
         if connection is self._predecessor:
             self._predecessor = None
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -1,7 +1,9 @@
 """This process as the predecessor: from the successor's connection until nothing is left to hand over.
 
-`TRANSITIONS` is the whole state machine, and docs/operations.md shows it. There is no I/O and no clock: messages come
-in, and time is passed in.
+The state is what this process knows of its successor: whether there is one, whether it accepts connections, and whether
+it drains. From it follows what SIGTERM means here and what the loss of the successor does. `TRANSITIONS` is the whole
+state machine. docs/operations.md shows it for operators. There is no I/O and no clock: messages come in, and time is
+passed in.
 """
 
 from __future__ import annotations
@@ -41,7 +43,7 @@
     SUCCESSOR_STARTING = "successor starting"  # connected, and accepts no connections yet
     SUCCESSOR_ACCEPTING = "successor accepting"  # it serves beside this process
     SUCCESSOR_REPLACED = "successor replaced"  # it drains, and its own successor serves
-    SUCCESSOR_DRAINING = "successor draining"  # it drains, and nobody serves in its place
+    SUCCESSOR_DRAINING = "successor draining"  # it drains, and no process is known here to serve in its place
 
 
 class Event(enum.Enum):
@@ -62,6 +64,7 @@
     SEND_SNAPSHOT = "send keys, give capacity"
     ACKNOWLEDGE = "send SuccessorReady"
     REPORT_SUCCESSOR_DRAINING = "report that the node drains, if SIGTERM has come"
+    # These two are carried out by `marlstep.drain.DrainController.drain`, by the result of `begin_shutdown`.
     HAND_OVER = "stop accepting, finish what is in flight"
     DRAIN = "start the graceful shutdown"
     RECLAIM_CAPACITY = "reclaim capacity after a wait"
@@ -86,6 +89,8 @@
     State.SUCCESSOR_STARTING: {
         Event.SUCCESSOR_CONNECTED: Transition(State.SUCCESSOR_STARTING, Effect.SEND_SNAPSHOT),
         Event.SUCCESSOR_READY: Transition(State.SUCCESSOR_ACCEPTING, Effect.ACKNOWLEDGE),
+        # From a successor that accepted connections before it was redirected here: it announced that to the process
+        # that redirected it. Without its SuccessorReady this process counts on neither, and drains at SIGTERM.
         Event.SUCCESSOR_REPLACED: Transition(State.SUCCESSOR_DRAINING),
         Event.SUCCESSOR_DRAINING: Transition(State.SUCCESSOR_DRAINING, Effect.REPORT_SUCCESSOR_DRAINING),
         Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY_AND_REPORT_LOSS),
@@ -108,6 +113,8 @@
     },
     State.SUCCESSOR_DRAINING: {
         Event.SUCCESSOR_CONNECTED: Transition(State.SUCCESSOR_STARTING, Effect.SEND_SNAPSHOT),
+        # Not sent by this version: SuccessorReady is sent on leaving standby, and a process in standby ends at SIGTERM
+        # without SuccessorDraining. A process that says so all the same accepts connections, and is acknowledged.
         Event.SUCCESSOR_READY: Transition(State.SUCCESSOR_REPLACED, Effect.ACKNOWLEDGE),
         Event.SUCCESSOR_DRAINING: Transition(State.SUCCESSOR_DRAINING, Effect.REPORT_SUCCESSOR_DRAINING),
         Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY),
@@ -181,8 +188,7 @@
     def unknown_process_connected(self, now: datetime) -> None:
         """Keep to half of the capacity for a while: a process that can't be understood may serve as well."""
         if self._successor is None:
-            self._sharing.successor_connected()
-            self._sharing.successor_lost(now, self.timeouts.termination)
+            self._sharing.unknown_process_connected(now, self.timeouts.termination)
             self._apply_capacity_limit()
 
     def handle(self, message: Message, now: datetime) -> None:
@@ -270,7 +276,7 @@
                 self._successor_ended(now, reason="connection_lost")
                 self._host.successor_lost()
             case Effect.HAND_OVER | Effect.DRAIN | Effect.NONE:
-                pass  # the caller of `begin_shutdown` carries these out
+                pass
 
     def _acknowledge_ready(self) -> None:
         log.info("successor accepts connections: generation=%d", self._successor_generation)
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -66,6 +66,21 @@
             self._predecessor_ended_by = now + termination_timeout
             self._owned_share = max(self._owned_share, HALF_SHARE - self._given_share)
 
+    def predecessor_unreachable(self, now: datetime, termination_timeout: timedelta) -> None:
+        """Own a half until a process that did not answer must have ended, `termination_timeout` from now.
+
+        Called at the start alone, where no predecessor is connected: the process that did not answer may have all.
+        """
+        self._has_predecessor, self._predecessor_ended_by = True, now + termination_timeout
+        self._owned_share = HALF_SHARE
+
+    def unknown_process_connected(self, now: datetime, termination_timeout: timedelta) -> None:
+        """Keep to a half until a process that can't be understood must have ended, `termination_timeout` from now.
+
+        Called where no successor is connected: the unknown process may serve beside this one.
+        """
+        self._has_successor, self._successor_ended_by = True, now + termination_timeout
+
     def successor_connected(self) -> None:
         """Keep to a half from now on: the rest is the successor's as it becomes free."""
         self._has_successor, self._successor_ended_by = True, None
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -101,7 +101,7 @@
         self._toward_predecessor.predecessor_unreachable(now)
 
     def backend_ready(self, now: datetime) -> None:
-        """Note that the kernel's connection is up."""
+        """Note that the backend's connection is up."""
         self._toward_predecessor.backend_became_ready(now)
 
     # The successor of this process.
@@ -142,7 +142,8 @@
         if already_known or not self.claim(
             claim.request_class, claim.idempotency_key, claim.request_label, now, respond
         ):
-            respond(ClaimResult.GRANTED)  # nobody else has to be asked
+            # No predecessor has to be asked, so none is against it. `_respond_to_claim` still rejects a known key.
+            respond(ClaimResult.GRANTED)
 
     def _respond_to_claim(self, claim: ClaimRequest, decided_upstream: ClaimResult) -> None:
         known = self._host.find_key(claim.request_class, claim.idempotency_key)
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -1,7 +1,9 @@
 """This process as the successor: from its start until it serves in the place of its predecessor.
 
-Every process of a node starts here; one that finds no predecessor takes the short way. `TRANSITIONS` is the whole
-state machine, and docs/operations.md shows it. There is no I/O and no clock: messages come in, and time is passed in.
+Every process of a node starts here. Without a predecessor it serves as soon as its backend is ready. With one it stands
+by until it has the predecessor's keys and a share of the capacity, then accepts connections beside it, and reports that
+it can serve once the predecessor has acknowledged that. `TRANSITIONS` is the whole state machine; docs/operations.md
+shows it for operators. There is no I/O and no clock: messages come in, and time is passed in.
 """
 
 from __future__ import annotations
@@ -44,14 +46,16 @@
 
 log = logging.getLogger(__name__)
 
-MEETING_TIMEOUT = 1 * SECOND  # from the connection on, for the predecessor's keys and its grant of capacity
+INITIAL_SYNC_TIMEOUT = (
+    1 * SECOND
+)  # from the connection on, for the predecessor's keys and its grant of capacity
 ACKNOWLEDGE_TIMEOUT = 3 * SECOND  # for the predecessor to acknowledge that this process accepts connections
 
 
 class State(enum.Enum):
     """How far this process has come."""
 
-    STARTING = "starting"  # no predecessor, and the kernel is not up
+    STARTING = "starting"  # no predecessor, and the backend is not ready
     STANDBY = "standby"  # a predecessor serves; this process accepts no connections
     ACCEPTING = "accepting"  # accepts connections; the predecessor has not acknowledged it
     SERVING = "serving"  # health checks say that this process can serve
@@ -109,24 +113,24 @@
     predecessor_connected: bool,
     snapshot_complete: bool,
     capacity_share: float,
-    meeting_timed_out: bool,
+    initial_sync_timed_out: bool,
 ) -> bool:
     """Decide whether a process that does not accept connections yet may begin to.
 
-    Rule: when its kernel is up, and it has all of the predecessor's keys and a share of the node's capacity.
-    Exception: without a predecessor, or once the predecessor has had `MEETING_TIMEOUT` to send both, the kernel alone
-    decides: a predecessor that hangs must not keep the node from serving.
+    Rule: when its backend is ready, and it has all of the predecessor's keys and a share of the node's capacity.
+    Exception: without a predecessor, or once the predecessor has had `INITIAL_SYNC_TIMEOUT` to send both, the backend
+    alone decides: a predecessor that hangs must not keep the node from serving.
 
     Args:
-        backend_ready: the kernel's connection is up.
+        backend_ready: this process can start runs: its backend's connection is up.
         predecessor_connected: an older process of this node is connected and has not ended.
         snapshot_complete: all keys that the predecessor knew at the beginning have come.
         capacity_share: this process's limit, 0 to 1 of the node's capacity.
-        meeting_timed_out: `MEETING_TIMEOUT` has passed since the predecessor connected.
+        initial_sync_timed_out: `INITIAL_SYNC_TIMEOUT` has passed since the predecessor connected.
     """
     if not backend_ready:
         return False
-    waits_for_nobody = not predecessor_connected or meeting_timed_out
+    waits_for_nobody = not predecessor_connected or initial_sync_timed_out
     has_what_it_needs = snapshot_complete and capacity_share > 0
     return waits_for_nobody or has_what_it_needs
 
@@ -160,7 +164,7 @@
         self._predecessor: Peer | None = None
         self._predecessor_generation = 0  # 0: not known
         self._backend_ready = self._snapshot_complete = False
-        self._meeting_deadline: datetime | None = None
+        self._initial_sync_deadline: datetime | None = None
         self._acknowledge_deadline: datetime | None = None
         self._outcomes_unknown_until: datetime | None = None
         self._claims = OpenClaims()
@@ -186,13 +190,13 @@
             self._predecessor.send_message(message)
 
     def backend_became_ready(self, now: datetime) -> None:
-        """Note that the kernel's connection is up."""
+        """Note that the backend's connection is up."""
         self._backend_ready = True
         self.advance(now)
 
     def predecessor_connected(self, peer: Peer, hello: Hello, now: datetime) -> None:
         """Introduce this process to its predecessor."""
-        self._predecessor, self._meeting_deadline = peer, now + MEETING_TIMEOUT
+        self._predecessor, self._initial_sync_deadline = peer, now + INITIAL_SYNC_TIMEOUT
         self._sharing.predecessor_connected()
         peer.send_message(hello)
         self._apply_capacity_limit()
@@ -222,8 +226,7 @@
             PredecessorEnd.UNREACHABLE, now, self.timeouts.retry_window
         )
         if not self.has_predecessor:
-            self._sharing.predecessor_connected()
-            self._sharing.predecessor_lost(now, self.timeouts.termination)
+            self._sharing.predecessor_unreachable(now, self.timeouts.termination)
             self._apply_capacity_limit()
 
     def handle(self, message: Message, now: datetime) -> None:
@@ -262,6 +265,7 @@
         unknown_until = outcomes_unknown_until(end, now, self.timeouts.retry_window)
         if unknown_until is not None:
             self._outcomes_unknown_until = unknown_until
+        # After a complete hot restart this ends the entries that the predecessor left open; nothing stays unknown.
         self._host.mark_outcomes_unknown(unknown_until or now)
         self._claims.decide_all(result_of_open_claims(end))
         self._apply_capacity_limit()
@@ -302,7 +306,7 @@
             predecessor_connected=self.has_predecessor,
             snapshot_complete=self._snapshot_complete,
             capacity_share=self._sharing.limit,
-            meeting_timed_out=has_passed(self._meeting_deadline, now),
+            initial_sync_timed_out=has_passed(self._initial_sync_deadline, now),
         ):
             self._apply(Event.MAY_ACCEPT, now)
         if has_passed(self._acknowledge_deadline, now):
--- a/tests/hot_restart/test_resource_sharing.py
+++ b/tests/hot_restart/test_resource_sharing.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 
 from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE, MIN_DRAINING_SHARE, ResourceSharing
+from marlstep.units import MILLISECOND
 from tests.frontends.test_parsers import FIXED
 from tests.support.node import START
 from tests.support.restart_pair import TERMINATION_TIMEOUT, ProcessPair
@@ -46,6 +47,21 @@
         assert successor.limit == pytest.approx(FULL_SHARE) and successor.is_sole_process
 
 
+def test_beside_an_unreachable_predecessor_or_an_unknown_process_a_half_is_kept_until_it_must_have_ended() -> (
+    None
+):
+    unreachable, unknown = ResourceSharing(), ResourceSharing()
+    unreachable.predecessor_unreachable(START, TERMINATION_TIMEOUT)
+    unknown.unknown_process_connected(START, TERMINATION_TIMEOUT)
+    ended_by = START + TERMINATION_TIMEOUT
+    for sharing in (unreachable, unknown):
+        sharing.pass_time(ended_by - MILLISECOND)
+        assert sharing.limit == HALF_SHARE and not sharing.is_sole_process
+        assert sharing.give(0.0) == 0.0  # nobody can receive it
+        sharing.pass_time(ended_by)
+        assert sharing.limit == FULL_SHARE and sharing.is_sole_process
+
+
 def test_capacity_moves_to_the_successor_as_the_predecessor_frees_it_until_it_has_all() -> None:
     pair = ProcessPair()
     pair.predecessor.connections_in_use = 0.9
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -9,7 +9,7 @@
 from marlstep.hot_restart.resource_sharing import FULL_SHARE, HALF_SHARE
 from marlstep.hot_restart.successor import (
     ACKNOWLEDGE_TIMEOUT,
-    MEETING_TIMEOUT,
+    INITIAL_SYNC_TIMEOUT,
     TRANSITIONS,
     Effect,
     Event,
@@ -58,7 +58,7 @@
 def test_a_predecessor_that_hangs_delays_its_successor_for_four_seconds_at_most() -> None:
     pair = ProcessPair()
     pair.connect()
-    for span in (MEETING_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
+    for span in (INITIAL_SYNC_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
         assert not pair.successor.desk.core.serving_state.can_serve
         pair.clock.advance(span / MILLISECOND)
         pair.successor.hot_restart.tick(pair.clock.now())
@@ -111,7 +111,7 @@
         predecessor_connected=predecessor_connected,
         snapshot_complete=snapshot_complete,
         capacity_share=capacity_share,
-        meeting_timed_out=timed_out,
+        initial_sync_timed_out=timed_out,
     )
 
 
