--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -23,6 +23,15 @@
     WITH_FRONTENDS = "with frontends"  # with the platform's frontend
 
 
+class ShutdownMode(enum.Enum):
+    """What a SIGTERM means for this process; `marlstep.drain.DrainController.drain` acts on it."""
+
+    DRAIN = "drain"  # no other process serves in this one's place: the node drains
+    HAND_OVER = (
+        "hand over"  # a successor serves: this process accepts no more, and finishes what is in flight
+    )
+
+
 class RestartState(Protocol):
     """What a node has to know of its predecessor and its successor process."""
 
@@ -38,8 +47,8 @@
     def is_standby(self) -> bool:
         """Another process serves, and this one does not yet."""
 
-    def hand_over_to_successor(self, now: datetime, /) -> bool:
-        """Leave; whether another process serves in this one's place."""
+    def begin_shutdown(self, now: datetime, /) -> ShutdownMode:
+        """Tell the other processes that this one shuts down. Return how: with or without a successor that serves."""
 
     def serving_state_changed(self, ready: bool, /) -> None:
         """Tell the others that an operator quiesced or resumed the node at this process."""
--- a/marlstep/components/host.py
+++ b/marlstep/components/host.py
@@ -95,11 +95,11 @@
     def drain_controller(self) -> RestartDrain:
         """The node's drain."""
 
-    def take_over(self) -> None:
-        """Serve in the place of the predecessor process."""
+    def accept_connections(self) -> None:
+        """Accept connections from now on, in the place of the predecessor if there is one."""
 
-    def limit_memory_share(self, share: float, /) -> None:
-        """Bound this process to its share, 0 to 1, of the node's requests and connections."""
+    def limit_capacity(self, capacity_share: float, /) -> None:
+        """Bound this process to its share, 0 to 1, of the node's memory, requests and connections."""
 
     def connection_share(self) -> float:
         """Tell which share of the connections that two processes have together is in use in this one."""
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -7,7 +7,7 @@
 from datetime import datetime
 from typing import TYPE_CHECKING, ClassVar
 
-from marlstep.components.base import Component, StartPhase
+from marlstep.components.base import Component, ShutdownMode, StartPhase
 from marlstep.config import Config
 from marlstep.hot_restart.channel import RestartChannel
 from marlstep.hot_restart.host_adapter import HostAdapter
@@ -26,10 +26,10 @@
 
     def __init__(self, host: HotRestartHost) -> None:
         """`host` is the node."""
-        self.accept_connections = host.take_over
+        self.accept_connections = host.accept_connections
         self.successor_lost = host.drain_controller.successor_lost
         self.successor_draining = host.drain_controller.successor_draining
-        self.limit_capacity = host.limit_memory_share
+        self.limit_capacity = host.limit_capacity
         self.connection_share = host.connection_share
         self.serving_state_changed = host.report_serving_state
 
@@ -99,9 +99,10 @@
         """Whether a predecessor serves, and this process does not accept connections yet."""
         return self._channel is not None and self._channel.hot_restart.is_standby
 
-    def hand_over_to_successor(self, now: datetime, /) -> bool:
-        """Begin to leave. True where a successor serves in this process's place."""
-        return self._channel is not None and self._channel.hot_restart.begin_shutdown(now)
+    def begin_shutdown(self, now: datetime, /) -> ShutdownMode:
+        """Tell the other processes that this one shuts down. Return how: with or without a successor that serves."""
+        hands_over = self._channel is not None and self._channel.hot_restart.begin_shutdown(now)
+        return ShutdownMode.HAND_OVER if hands_over else ShutdownMode.DRAIN
 
     def stop(self) -> None:
         """Hand over the rest, and close the channel."""
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from datetime import datetime, timedelta
 
-from marlstep.components.base import Component, RestartState
+from marlstep.components.base import Component, RestartState, ShutdownMode
 from marlstep.config import Config
 from marlstep.core.engine import Core
 from marlstep.frontend_group import FrontendGroup
@@ -76,7 +76,7 @@
         state = self.restart_state
         if state is not None and state.is_standby:
             self._on_drained()  # the predecessor goes on, and its reports to the name service with it
-        elif state is not None and state.hand_over_to_successor(now):
+        elif state is not None and state.begin_shutdown(now) is ShutdownMode.HAND_OVER:
             self._core.begin_hand_over(now + self.restart_timeout())
         else:
             self._core.drain(now + self._config().shutdown_timeout, now)
--- a/marlstep/frontend_group.py
+++ b/marlstep/frontend_group.py
@@ -24,7 +24,7 @@
         open_components: Callable[[], Awaitable[None]],
         on_failure: Callable[[], None],
     ) -> None:
-        """Call `on_failure` where an address can't be had after `take_over`; `failure` tells why."""
+        """Call `on_failure` where an address can't be had after `accept_connections`; `failure` tells why."""
         self.resp = resp
         self.all: list[Frontend] = [resp, *others]
         self.failure: OSError | None = None
@@ -38,8 +38,8 @@
         log.info("listening: node=%s address=%s:%d", config.name, *config.listen)
         await self._open_components()
 
-    def take_over(self, config: Config) -> None:
-        """Begin to listen in the place of another process, unless that has begun before."""
+    def accept_connections(self, config: Config) -> None:
+        """Begin to listen, in the place of another process if there is one, unless that has begun before."""
         if self._listen_task is None:
             self.resume(config)
 
--- a/marlstep/hot_restart/interfaces.py
+++ b/marlstep/hot_restart/interfaces.py
@@ -34,7 +34,7 @@
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
         """Return shares of the node's capacity, 0 to 1: what is in use here, and what all in flight may come to use."""
 
-    def limit_capacity(self, share: float, /) -> None:
+    def limit_capacity(self, capacity_share: float, /) -> None:
         """Bound this process to a share, 0 to 1, of the node's capacity."""
 
     def measurements(self) -> dict[str, object]:
@@ -83,8 +83,8 @@
     def successor_draining(self) -> None:
         """Report to the name service that the node drains, if SIGTERM has come here too."""
 
-    def limit_capacity(self, share: float, /) -> None:
-        """Bound this process to a share, 0 to 1, of the node's requests and connections."""
+    def limit_capacity(self, capacity_share: float, /) -> None:
+        """Bound this process to a share, 0 to 1, of the node's memory, requests and connections."""
 
     def connection_share(self) -> float:
         """Return the share, 0 to 1, of the node's connections that is in use here."""
--- a/marlstep/hot_restart/messages.py
+++ b/marlstep/hot_restart/messages.py
@@ -99,11 +99,11 @@
 
 @dataclass(slots=True, frozen=True)
 class CapacityGrant:
-    """A share, 0 to 1, of the node's capacity that is the receiver's from now on."""
+    """A capacity share, 0 to 1 of the node's capacity, that is the receiver's from now on."""
 
     wire_tag: ClassVar[str] = "Give"
 
-    share: float = field(metadata=wire("share", NUMBER))
+    capacity_share: float = field(metadata=wire("share", NUMBER))
 
 
 @dataclass(slots=True, frozen=True)
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -212,7 +212,7 @@
             self._apply(Event.SUCCESSOR_LOST, now)
 
     def begin_shutdown(self, now: datetime) -> bool:
-        """Handle SIGTERM. True where the successor serves on, and this process finishes what it has."""
+        """Handle SIGTERM. Return whether this process hands over: a successor serves on; see `shutdown_hands_over`."""
         self._handing_over = self.has_serving_successor
         self._apply(Event.SHUTDOWN_REQUESTED, now)
         return self._handing_over
@@ -245,9 +245,9 @@
         if self._snapshot.complete:
             self._snapshot = None
 
-    def _give_capacity(self, share: float) -> None:
-        if share:
-            self.send(CapacityGrant(share))
+    def _give_capacity(self, capacity_share: float) -> None:
+        if capacity_share:
+            self.send(CapacityGrant(capacity_share))
 
     def _apply(self, event: Event, now: datetime) -> None:
         transition = TRANSITIONS[self.state].get(event)
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -1,8 +1,8 @@
-"""The capacity of one node between its processes: memory, requests and connections, as shares of 1 in all.
+"""The capacity of one node between its processes: memory, requests and connections, as capacity shares of 1 in all.
 
-A share is given only by the process that has it, and after that process has bounded itself to what it keeps. So at no
-moment do two processes together use more than the node has. Where the connection between them is lost, each keeps to a
-half until the other must have ended.
+"Share" means a capacity share throughout. It is given only by the process that has it, and after that process has
+bounded itself to what it keeps. So at no moment do two processes together use more than the node has. Where the
+connection between them is lost, each keeps to a half until the other must have ended.
 """
 
 from __future__ import annotations
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -184,7 +184,7 @@
         self._toward_successor.send(message)
 
     def begin_shutdown(self, now: datetime) -> bool:
-        """Handle SIGTERM. True where the successor serves on, and this process finishes what it has."""
+        """Handle SIGTERM. Return whether this process hands over: a successor serves on; see `shutdown_hands_over`."""
         hands_over = self._toward_successor.begin_shutdown(now)
         self._toward_predecessor.send(SuccessorDraining(hands_over))
         self.tick(now)
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -243,8 +243,8 @@
                 self._host.release_key(message)
             case SnapshotComplete():
                 self._snapshot_complete = True
-            case CapacityGrant(share):
-                self._sharing.receive(share)
+            case CapacityGrant(capacity_share):
+                self._sharing.receive(capacity_share)
             case ClaimResponse(number, granted):
                 self._claims.decide(number, granted)
             case SuccessorReady():
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -156,9 +156,9 @@
         """Leave, as at SIGTERM."""
         self.drain_controller.drain()
 
-    def take_over(self) -> None:
-        """Serve in the place of the predecessor process."""
-        self.frontends.take_over(self.config)
+    def accept_connections(self) -> None:
+        """Accept connections from now on, in the place of the predecessor if there is one."""
+        self.frontends.accept_connections(self.config)
 
     def serving_state_changed(self) -> None:
         """Tell the name service and the node's other processes that an operator quiesced or resumed this one."""
@@ -171,11 +171,11 @@
         """Tell the name service whether requests are wanted here."""
         self.naming.report_state(self.core.serving_state.wants_traffic)
 
-    def limit_memory_share(self, share: float) -> None:
-        """Bound this process to its share, 0 to 1, of the node's requests and connections."""
-        budget = resource_budget(self.config, processes=1 if share >= 1 else 2)
-        self.core.set_capacity_share(share, max(1, int(share * budget.requests)))
-        self.resp.connections.capacity = max(1, int(share * budget.connections))
+    def limit_capacity(self, capacity_share: float) -> None:
+        """Bound this process to its share, 0 to 1, of the node's memory, requests and connections."""
+        budget = resource_budget(self.config, processes=1 if capacity_share >= 1 else 2)
+        self.core.set_capacity_share(capacity_share, max(1, int(capacity_share * budget.requests)))
+        self.resp.connections.capacity = max(1, int(capacity_share * budget.connections))
 
     def connection_share(self) -> float:
         """Tell which share of the connections that two processes have together is in use in this one."""
--- a/tests/golden/restart_messages.py
+++ b/tests/golden/restart_messages.py
@@ -34,7 +34,7 @@
         number=5, request_class="book", idempotency_key="k-1", request_label="id-1"
     ),
     "Claimed/full": messages.ClaimResponse(number=5, granted=True),
-    "Give/full": messages.CapacityGrant(share=0.375),
+    "Give/full": messages.CapacityGrant(capacity_share=0.375),
     "Ready/full": messages.SuccessorReady(),
     "Duty/full": messages.ServingStateChanged(wants_traffic=True),
     "Leaves/full": messages.SuccessorDraining(has_successor=True),
--- a/tests/golden/test_restart_messages.py
+++ b/tests/golden/test_restart_messages.py
@@ -28,7 +28,7 @@
 
 
 def test_a_whole_number_is_taken_for_a_share() -> None:
-    assert checks.read_json(CONVERSATION, ["Give", {"share": 1}]) == messages.CapacityGrant(share=1)
+    assert checks.read_json(CONVERSATION, ["Give", {"share": 1}]) == messages.CapacityGrant(capacity_share=1)
 
 
 def test_what_a_process_has_learnt_goes_over_under_the_stored_names() -> None:
