--- a/marlstep/admission/actions.py
+++ b/marlstep/admission/actions.py
@@ -93,7 +93,7 @@
     """Set what health checks report.
 
     Attributes:
-        stored: whether checks are served from this alone, without real work.
+        stored: whether checks are served from this alone, without real work; only the simulator reads it.
         good: whether the server is healthy.
     """
 
--- a/marlstep/admission/call_policy.py
+++ b/marlstep/admission/call_policy.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 
 CALL_TIMEOUT_FACTOR = 5.0  # of the time that calls take; an attempt that may be repeated is abandoned then
-CALL_RESERVE_FRACTION = 0.5  # of the allowed mean of calls in flight; the reserve and its refill add up
+CALL_RESERVE_FRACTION = 0.5  # of the allowed mean of calls in flight, each for the stock and for its refill
 MAX_CALL_ATTEMPTS = 3  # for one step of a request
-MAX_REJECTED_CALL_ATTEMPTS = 6  # for one step, where no attempt ran and the run needs the call
+MAX_CALL_ATTEMPTS_NEVER_RAN = 6  # for one step whose run needs the call
 
 
 @dataclass(slots=True, frozen=True)
@@ -23,40 +23,48 @@
 
     Attributes:
         max_attempts: that may have taken effect.
-        max_rejected_attempts: that never ran.
+        max_attempts_never_ran: that never ran.
     """
 
     max_attempts: int
-    max_rejected_attempts: int
+    max_attempts_never_ran: int
 
     @classmethod
     def of_request(cls, is_idempotent: bool, can_skip_call: bool) -> CallRetryPolicy:
         """Return the policy for a request, by whether it may run twice and may go on without the call."""
         return cls(
             max_attempts=MAX_CALL_ATTEMPTS if is_idempotent else 1,
-            max_rejected_attempts=MAX_CALL_ATTEMPTS if can_skip_call else MAX_REJECTED_CALL_ATTEMPTS,
+            max_attempts_never_ran=MAX_CALL_ATTEMPTS if can_skip_call else MAX_CALL_ATTEMPTS_NEVER_RAN,
         )
 
-    def is_exhausted(self, attempts: int, rejected_attempts: int) -> bool:
+    def allows_another_after(self, attempts: int) -> bool:
+        """Return whether one more attempt that may take effect could follow the one that is made now.
+
+        Args:
+            attempts: made so far that may have taken effect, without the one that is made now.
+        """
+        return attempts + 1 < self.max_attempts
+
+    def is_exhausted(self, attempts: int, attempts_never_ran: int) -> bool:
         """Return whether no further attempt may be made.
 
         Args:
             attempts: made so far that may have taken effect.
-            rejected_attempts: made so far that never ran.
+            attempts_never_ran: made so far that never ran.
         """
-        return attempts >= self.max_attempts or rejected_attempts >= self.max_rejected_attempts
+        return attempts >= self.max_attempts or attempts_never_ran >= self.max_attempts_never_ran
 
 
-def backoff_us(rejected_attempts: int, tick_us: int) -> int:
+def backoff_us(attempts_never_ran: int, tick_us: int) -> int:
     """Return how long to wait before the next attempt, in microseconds.
 
-    A tick, doubled for each rejected attempt after the first: what rejects a call needs time to recover.
+    A tick, doubled for each attempt that never ran after the first: what rejects a call needs time to recover.
 
     Args:
-        rejected_attempts: of this step that never ran.
+        attempts_never_ran: of this step that never ran.
         tick_us: the controller's shortest wait, in microseconds.
     """
-    return tick_us << max(0, rejected_attempts - 1)
+    return tick_us << max(0, attempts_never_ran - 1)
 
 
 def latest_useful_reply_at(
--- a/marlstep/admission/caller_activity.py
+++ b/marlstep/admission/caller_activity.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from marlstep.admission.timing import SECOND
+from marlstep.admission.timing import SECOND_US
 
 RETENTION_FACTOR = 5  # of an advertised value's lifetime plus a second; later a caller is forgotten
 
@@ -25,7 +25,7 @@
 
     def forget_inactive(self, now: int, load_signal_lifetime_us: int) -> None:
         """Drop the callers that have not been seen for several lifetimes of an advertised value."""
-        since = now - RETENTION_FACTOR * (load_signal_lifetime_us + SECOND)
+        since = now - RETENTION_FACTOR * (load_signal_lifetime_us + SECOND_US)
         self.last_seen = {
             caller: (seen_at, requests)
             for caller, (seen_at, requests) in self.last_seen.items()
--- a/marlstep/admission/capacity.py
+++ b/marlstep/admission/capacity.py
@@ -6,7 +6,7 @@
 def warm_up_share(elapsed_us: int, warm_up_us: int, initial_share: float) -> float:
     """Return the share of its capacity that a server has while it warms up, 0 to 1.
 
-    It grows by even steps from the initial share at the start to all of it after the warm-up.
+    It grows linearly from the initial share at the start to all of it after the warm-up.
 
     Args:
         elapsed_us: since the start of the server, in microseconds.
--- a/marlstep/admission/concurrency_limit.py
+++ b/marlstep/admission/concurrency_limit.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from marlstep.admission.server_state import ServerState
+from marlstep.admission.controller_state import ControllerState
 
 CPU_BUSY_THRESHOLD = 0.85  # of the cores; below it the limit does not fall
 LIMIT_INCREASE_PER_SECOND = 2.0  # runs
@@ -63,7 +63,7 @@
 class ConcurrencyLimit:
     """How many requests run at once: never fewer than the cores, never more than the server survives."""
 
-    state: ServerState
+    state: ControllerState
     limit: float = 0.0
     adjusted_at: int = 0
     was_full: bool = False  # at any time since the last adjustment
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -11,6 +11,7 @@
 from marlstep.admission import events
 from marlstep.admission.actions import Action, Health, IdleLimit
 from marlstep.admission.concurrency_limit import ConcurrencyLimit, is_cpu_busy
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.deadlines import drain_response_deadline, last_runnable_arrival
 from marlstep.admission.downstream_calls import DownstreamCalls
 from marlstep.admission.entry import Entry, State
@@ -20,11 +21,11 @@
 from marlstep.admission.memory_ledger import MemoryLedger
 from marlstep.admission.retry_advisor import RetryAdvisor
 from marlstep.admission.run_queue import RunQueue
-from marlstep.admission.server_state import ServerState
 from marlstep.admission.settings import ClassSettings, LoadSignal, Settings
-from marlstep.admission.timing import NEVER, SECOND
+from marlstep.admission.timing import NEVER, SECOND_US
 from marlstep.admission.turn_timer import TurnTimer
 
+# A paused run needs no tick: it goes on with the event that ends another run, or when its objective is due.
 STATES_CHECKED_EACH_TICK = (State.QUEUED, State.STOPPING, State.AWAITING_CALL)
 CPU_GAUGE = "cpu"  # share of the cores in use
 CONNECTIONS_GAUGE = "conns"
@@ -57,7 +58,7 @@
             seed: not used, since nothing here is random; the simulator gives one to every controller.
         """
         del seed
-        self.state = ServerState(settings)
+        self.state = ControllerState(settings)
         self.concurrency = ConcurrencyLimit(self.state)
         self.memory = MemoryLedger(self.state)
         self.advisor = RetryAdvisor(self.state, self.concurrency)
@@ -157,7 +158,7 @@
         self.queue.resume_unstopped()
         if self.state.settings.load_signal is LoadSignal.CREDIT:
             self.advisor.advertise_credit()
-        if self.state.now - self.concurrency.adjusted_at >= SECOND:
+        if self.state.now - self.concurrency.adjusted_at >= SECOND_US:
             self._end_second(event)
 
     def _end_second(self, event: events.TimerDue) -> None:
@@ -173,7 +174,7 @@
         if not open_connections or not state.idle_timeout_us:
             return
         retained = connections_to_retain(
-            state.entries.count_unfinished(), is_busy, state.settings.cores, state.max_concurrency
+            state.entries.count_in_flight(), is_busy, state.settings.cores, state.max_concurrency
         )
         state.idle_timeout_us = adjusted_idle_timeout_us(
             state.idle_timeout_us, retained, open_connections, state.tick_us, state.settings.idle_timeout_us
@@ -224,7 +225,7 @@
         next_check = NEVER
         if entries.count(*STATES_CHECKED_EACH_TICK):
             next_check = now + self.state.tick_us
-        elif entries.count_unfinished():
-            next_check = self.concurrency.adjusted_at + SECOND
+        elif entries.count_in_flight():
+            next_check = self.concurrency.adjusted_at + SECOND_US
         due = min(next_check, self.state.wakeups.next_due())
         self.state.actions += self.timer.arm(now, due)
--- a/marlstep/admission/server_state.py
+++ b/marlstep/admission/controller_state.py
@@ -26,8 +26,8 @@
 MIN_PORTION = 1e-6  # of the server; shares are divided by the portion, so it is never 0
 
 
-class ServerState:
-    """The state of one server. Times and durations are microseconds, sizes are kilobytes.
+class ControllerState:
+    """The controller's view of its server: this node. Times and durations are microseconds, sizes are kilobytes.
 
     Attributes:
         now: the time of this turn.
@@ -36,7 +36,11 @@
         memory_kb: that this process may use.
         max_concurrency: requests on the cores that this process's portion of the server survives.
         last_runnable_arrival_at: what arrives later is not run; `NEVER` unless the server drains.
-        respond_by: when all responses must be given, before the process is stopped; `NEVER` unless it drains.
+        respond_by: when all responses must be given; `NEVER` until the process is to be stopped, with or without a
+            successor.
+        settings: in force.
+        shortest_objective_us: the shortest latency objective of all classes.
+        highest_weight: the highest priority weight of all classes.
         tick_us: interval at which waiting requests are looked at.
         response_lead_us: before its deadline, at which a request gets its final response.
         idle_timeout_us: of connections, at present.
@@ -187,7 +191,7 @@
         """Yield the requests that are due; free expired keys before, drop requests to forget after."""
         while (entry := self.wakeups.pop_due(self.now, self.entries.is_current)) is not None:
             if 0 < entry.key_kept_until <= self.now:
-                self.entries.release_key(entry)
+                self.entries.release_key_memory(entry)
             yield entry
             if entry.state is State.FINISHED and entry.recognised_until <= self.now:
                 self.entries.by_id.pop(entry.id, None)
@@ -200,10 +204,10 @@
         memory_kb = self.settings.memory_kb
         concurrency = self.max_concurrency / self.portion
         entries = self.entries
-        unfinished = entries.in_states(*UNFINISHED_STATES)
-        running_kb = sum(entries.size(entry, State.RUNNING) for entry in unfinished)
+        own_work = entries.in_states(*UNFINISHED_STATES)
+        running_kb = sum(entries.size(entry, State.RUNNING) for entry in own_work)
         in_use = max(entries.memory_kb / memory_kb, entries.count(*ACTIVE_STATES) / concurrency)
-        needed = max(running_kb / memory_kb, entries.count_unfinished() / concurrency)
+        needed = max(running_kb / memory_kb, entries.count_in_flight() / concurrency)
         return in_use, needed
 
     def set_quota(self, tenant: str, per_s: float) -> None:
--- a/marlstep/admission/deadlines.py
+++ b/marlstep/admission/deadlines.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 TICKS_PER_OBJECTIVE = 40  # in the shortest latency objective; deadlines and limits need no finer clock
-DRAIN_LEAD_TICKS = 8  # before the process is stopped, by which all responses are given
+# Before the process is stopped, by which the controller gives all responses. The core gives what is left by its own,
+# smaller margin (marlstep/core/drain.py), and the process ends by the smallest (marlstep/drain.py).
+DRAIN_LEAD_TICKS = 8
 
 
 def request_deadline(caller_deadline_at: int | None, arrived_at: int, deadline_us: int, now: int) -> int:
@@ -13,7 +15,7 @@
     but a request that was read after it is due at once and not in the past.
 
     Args:
-        caller_deadline_at: when the caller stops waiting, in microseconds; None if it is not known.
+        caller_deadline_at: when the caller stops waiting, in microseconds; None or 0 if it is not known.
         arrived_at: when the request reached the server, in microseconds.
         deadline_us: of its class, from the arrival, in microseconds.
         now: the time, in microseconds.
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -7,7 +7,6 @@
 from marlstep.admission.actions import Call, SkipCall
 from marlstep.admission.call_policy import (
     CALL_RESERVE_FRACTION,
-    MAX_CALL_ATTEMPTS,
     CallRetryPolicy,
     attempt_timeout_us,
     backoff_us,
@@ -15,11 +14,11 @@
     min_reserve_us,
     reserve_timeout_us,
 )
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.events import CallEnded, Outcome
 from marlstep.admission.lifecycle import RequestLifecycle
 from marlstep.admission.priority import dispatch_order
-from marlstep.admission.server_state import ServerState
 from marlstep.admission.settings import Downstream
 
 
@@ -27,7 +26,7 @@
 class DownstreamCalls:
     """Makes calls as far as this server's share of the dependency reaches."""
 
-    state: ServerState
+    state: ControllerState
     lifecycle: RequestLifecycle
 
     def configure(self) -> None:
@@ -47,7 +46,7 @@
         calling = self.state.entries.by_state[State.CALLING]
         for entry in awaiting_call:
             if not entry.response_owed:
-                continue
+                continue  # the backend ends the run: it is told that nobody waits for a response
             if self._is_better_skipped(entry, is_calling=bool(calling)):
                 self._skip_or_fail(entry)
             elif entry.next_call_at <= self.state.now and self._has_capacity(len(calling)):
@@ -83,8 +82,10 @@
         """Make the call of a request, and set the time at which it is abandoned."""
         now, latency, reserve = self.state.now, self.state.call_latency, self.state.call_reserve
         until = self._latest_useful_reply_at(entry)
-        can_be_repeated = entry.is_idempotent and entry.calls_ran + 1 < MAX_CALL_ATTEMPTS
-        if can_be_repeated:  # the last attempt is waited for as long as its reply is of use
+        policy = CallRetryPolicy.of_request(entry.is_idempotent, entry.can_skip_call)
+        if policy.allows_another_after(
+            entry.calls_ran
+        ):  # the last one is waited for while its reply is of use
             call_us = max(latency.usual_us, latency.mean_us)
             until = min(until, now + attempt_timeout_us(call_us, entry.calls_ran))
         if reserve.rate:
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -29,7 +29,7 @@
 
 # A run that has begun and is neither paused nor ended, whether on the cores or at a call.
 ACTIVE_STATES = (State.RUNNING, State.STOPPING, State.AWAITING_CALL, State.CALLING)
-# Requests with work of their own to do; a repeat that is attached has none.
+# Active, paused or queued: requests with work of their own to do. A repeat that is attached has none.
 UNFINISHED_STATES = (*ACTIVE_STATES, State.PAUSED, State.QUEUED)
 
 
@@ -53,9 +53,9 @@
         is_keyed: whether repeats are recognised by its idempotency key.
         can_skip_call: whether its run may go on without a downstream call.
         arrival_number: order of arrival.
-        state: where it stands.
+        state: where it stands; `FINISHED`, which takes no memory, until it is added and queued.
         entered_state_at: when it entered its state.
-        run_us: time on the cores so far.
+        run_us: time on the cores so far, without the time from a preemption to its effect (`STOPPING`).
         response_owed: whether a caller waits for a final response.
         has_run: whether it was started, or shares the result of an attempt that was.
         was_paused: whether it was preempted.
--- a/marlstep/admission/entry_index.py
+++ b/marlstep/admission/entry_index.py
@@ -13,12 +13,12 @@
 
 
 class EntryIndex:
-    """All entries by id; those that are not finished also by state, unfinished runs counted by pool.
+    """All entries by id; those that are not finished also by state, active runs counted by pool.
 
     Attributes:
         by_id: all entries, those of finished requests with a remembered key included.
         by_state: the entries of each state but `FINISHED`, by id, in the order in which they entered it.
-        active_by_pool: unfinished runs, by pool.
+        active_by_pool: active runs, by pool: on the cores or at a call.
         pool_capacity: how many the servers of a pool run at once; pools that are not named have no bound.
         memory_kb: of all entries and kept keys, in kilobytes.
         key_kb: of one kept key, in kilobytes.
@@ -89,8 +89,8 @@
             total += len(self.by_state[state])
         return total
 
-    def count_unfinished(self) -> int:
-        """Return how many entries are not finished."""
+    def count_in_flight(self) -> int:
+        """Return how many requests are in flight: all that are not finished, attached repeats included."""
         return sum(map(len, self.by_state.values()))
 
     def is_pool_full(self, pool: str) -> bool:
@@ -125,8 +125,11 @@
         entry.key_kept_until = expires_at
         self.memory_kb += self.key_kb
 
-    def release_key(self, entry: Entry) -> bool:
-        """Free the memory of an entry's key, and return whether one was kept."""
+    def release_key_memory(self, entry: Entry) -> bool:
+        """Free the memory of an entry's key, kept or expired, and return whether it was counted.
+
+        Whether the key is forgotten is decided by the caller.
+        """
         was_kept = entry.key_kept_until > 0
         if was_kept:
             entry.key_kept_until = 0
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -45,12 +45,12 @@
         unread_us: for which it lay unread in the server's buffers.
         caller_deadline_at: clock time at which the caller stops waiting; None if it is not known.
         tenant: name of its tenant; None for requests without one.
-        key: number of what the request is about.
-        is_retry: whether it is marked as a retry.
-        rank: of the user within its class, 0 to 1.
-        cost_hint_us: expected time on a core; None if it is not known.
+        key: number of what the request is about; not used by this controller.
+        is_retry: whether it is marked as a retry; not used.
+        rank: of the user within its class, 0 to 1; not used.
+        cost_hint_us: expected time on a core; None if it is not known; not used.
         prior: id of the request with the same idempotency key that this one repeats.
-        is_write: whether it changes data.
+        is_write: whether it changes data; not used.
         pool: of the servers that would do the work; empty for the cores of this server.
     """
 
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run has ended, or has been preempted (cancelled)."""
+    """A run has ended, or has been preempted (cancelled). The controller keeps its own time of runs."""
 
     id: str
     outcome: Outcome
@@ -123,7 +123,7 @@
 
     Attributes:
         tag: of the timer.
-        gauges: `cpu`, `runq`, `memory`, `conns`, as far as they are measured.
+        gauges: `cpu`, `runq`, `memory`, `conns`, as far as they are measured; only `cpu` and `conns` are used.
     """
 
     tag: int
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 
 from marlstep.admission.actions import Attach, Reject
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.events import Arrival
 from marlstep.admission.lifecycle import RequestLifecycle
 from marlstep.admission.memory_ledger import MemoryLedger
 from marlstep.admission.run_queue import RunQueue
-from marlstep.admission.server_state import ServerState
 
 MIN_QUOTA_BURST = 1.0  # requests; a quota under one a second still lets one through in full
 FULL_WEIGHT = 1.0
@@ -42,7 +42,7 @@
 class Intake:
     """Takes arrivals in."""
 
-    state: ServerState
+    state: ControllerState
     memory: MemoryLedger
     lifecycle: RequestLifecycle
     queue: RunQueue
@@ -64,7 +64,7 @@
     def _discard(self, replaced: Entry) -> None:
         """Drop a request whose id has come again: its sender no longer waits for the one before."""
         replaced.response_owed = False
-        self.state.entries.release_key(replaced)
+        self.state.entries.release_key_memory(replaced)
         self.lifecycle.finish(replaced)
 
     def _quota_factor(self, tenant: str | None) -> float:
@@ -88,18 +88,22 @@
         prior = self.state.entries.latest_attempt(prior_id, entry) if prior_id else None
         if must_share_result(entry, prior_id, prior):
             self._attach(entry)
-        elif not self._is_accepted(entry, prior):
+        elif not (self._may_queue(entry) and self._make_room_for(entry, prior)):
             entry.superseded_by = prior
             self.lifecycle.reject_or_fail(entry)
         elif entry.is_keyed:
-            self._keep_key(entry, prior)
-
-    def _is_accepted(self, entry: Entry, prior: Entry | None) -> bool:
-        """Return whether an arrival may be queued: within the drain's grace, and if memory allows."""
-        if entry.arrived_at > self.state.last_runnable_arrival_at:
-            return False
-        if not self.memory.could_ever_run(entry):
-            return False
+            if prior is None:
+                self.state.keep_key(entry)
+            else:
+                self._supersede(prior, entry)
+
+    def _may_queue(self, entry: Entry) -> bool:
+        """Return whether an arrival came within the drain's grace and could run if it were alone."""
+        is_in_time = entry.arrived_at <= self.state.last_runnable_arrival_at
+        return is_in_time and self.memory.could_ever_run(entry)
+
+    def _make_room_for(self, entry: Entry, prior: Entry | None) -> bool:
+        """End waiting requests that can earn nothing as far as memory lacks, and return whether there is enough."""
         limit_kb = self.memory.queue_limit_kb(entry, prior)
         self._evict_down_to(limit_kb, entry)
         return self.state.entries.memory_kb <= limit_kb
@@ -122,12 +126,9 @@
         else:
             self.lifecycle.reject_or_fail(entry)
 
-    def _keep_key(self, entry: Entry, prior: Entry | None) -> None:
-        """Keep the key of an arrival before its run, in place of the attempt that it repeats."""
-        if prior is None:
-            self.state.keep_key(entry)
-            return
-        self.state.entries.release_key(prior)
+    def _supersede(self, prior: Entry, entry: Entry) -> None:
+        """Let an arrival take the place of the attempt that it repeats: its key and its turn. That one is rejected."""
+        self.state.entries.release_key_memory(prior)
         self.state.keep_key(entry)
         entry.arrival_number = prior.arrival_number
         prior.superseded_by = entry
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -1,13 +1,16 @@
-"""Ends of requests: the one place that gives final responses other than the result of a run."""
+"""Ends of requests: the one place that gives final responses to known requests, other than the result of a run.
+
+An arrival of an unknown class is rejected by the intake, as there is no entry of it.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from marlstep.admission.actions import Fail, ForgetKey, Reject
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.retry_advisor import RetryAdvisor
-from marlstep.admission.server_state import ServerState
 
 WAITING_WITHOUT_CORE = (State.QUEUED, State.PAUSED, State.ATTACHED)
 
@@ -32,7 +35,7 @@
 class RequestLifecycle:
     """Gives final responses and finishes requests."""
 
-    state: ServerState
+    state: ControllerState
     advisor: RetryAdvisor
 
     def reject_or_fail(self, entry: Entry) -> None:
@@ -65,5 +68,5 @@
         """End a request, and drop its idempotency key if it never ran, so that a retry may run."""
         self.state.move(entry, State.FINISHED)
         is_key_unused = entry.is_keyed and not entry.has_run
-        if is_key_unused and self.state.entries.release_key(entry):
+        if is_key_unused and self.state.entries.release_key_memory(entry):
             self.state.actions.append(ForgetKey(entry.id))
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import Entry, State
-from marlstep.admission.server_state import ServerState
 
 MAX_QUEUE_MEMORY_FRACTION = 0.8  # of memory, for arrivals that are queued; the rest is for runs that start
 MAX_MEMORY_FRACTION = 0.95  # of memory, for starts; the rest is for repeats that attach
@@ -15,7 +15,7 @@
 class MemoryLedger:
     """The bounds on the memory that requests and idempotency keys take. Sizes are kilobytes."""
 
-    state: ServerState
+    state: ControllerState
 
     def fits(self, growth_kb: float) -> bool:
         """Return whether a run that takes so much more memory may start, or a repeat may attach."""
--- a/marlstep/admission/priority.py
+++ b/marlstep/admission/priority.py
@@ -1,7 +1,7 @@
 """The priority weight that a response can still earn, and the order of requests that follows from it.
 
 These rules decide what starts first, what may preempt what, and which requests get their final response
-because no run can help them any more. No other module restates them.
+because no run can help them any more.
 """
 
 from __future__ import annotations
@@ -26,6 +26,17 @@
     return now + MIN_REMAINING_RUN_FRACTION * mean_run_us
 
 
+def expected_response_at(entry: Entry, now: int, mean_run_us: float) -> float:
+    """Return the earliest time at which a request is likely to have a response if it runs from now on.
+
+    Args:
+        entry: the request; one that has run may end at any time.
+        now: the time, in microseconds.
+        mean_run_us: mean time on the cores of runs of its class, in microseconds.
+    """
+    return now if entry.has_run else earliest_response_at(now, mean_run_us)
+
+
 def attainable_weight(entry: Entry, response_at: float) -> float:
     """Return the priority weight that a response would earn if it were delivered at the given time.
 
--- a/marlstep/admission/retry_advisor.py
+++ b/marlstep/admission/retry_advisor.py
@@ -6,14 +6,15 @@
 
 from marlstep.admission.actions import Advertise
 from marlstep.admission.concurrency_limit import ConcurrencyLimit
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import State
-from marlstep.admission.memory_ledger import MAX_QUEUE_MEMORY_FRACTION
-from marlstep.admission.server_state import ServerState
-from marlstep.admission.timing import SECOND
+from marlstep.admission.timing import SECOND_US
 
 CREDIT_OBJECTIVE_FRACTION = 0.3  # of the shortest objective; bounds the time that credited work may queue
 MIN_CREDIT_CHANGE_FRACTION = 0.1  # of the advertised value; a smaller change is not advertised
-CALLER_ACTIVITY_US = 2 * SECOND  # past the lifetime of an advertised value a caller is inactive
+# Credit while there is no overload, as requests for each kilobyte of memory: more than any caller sends.
+IDLE_CREDIT_PER_KB = 0.8
+CALLER_ACTIVITY_US = 2 * SECOND_US  # past the lifetime of an advertised value a caller is inactive
 
 
 def active_callers(seen: int, seen_again: int, expected: int) -> int:
@@ -84,7 +85,7 @@
 class RetryAdvisor:
     """Computes Retry-After and credit from the recent rate of runs and the callers seen lately."""
 
-    state: ServerState
+    state: ControllerState
     concurrency: ConcurrencyLimit
     advertised_credit: float = 0.0
 
@@ -124,7 +125,7 @@
         lag_factor = self.concurrency.lag_factor()
         is_overloaded = bool(self.state.entries.by_state[State.QUEUED]) or lag_factor < 1
         if us_per_run <= 0 or not is_overloaded:
-            return MAX_QUEUE_MEMORY_FRACTION * self.state.settings.memory_kb  # beyond what any caller sends
+            return IDLE_CREDIT_PER_KB * self.state.settings.memory_kb
         return credit_per_caller(
             concurrency_limit=self.concurrency.limit,
             queue_us=CREDIT_OBJECTIVE_FRACTION * self.state.shortest_objective_us,
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -6,6 +6,7 @@
 
 from marlstep.admission.actions import Preempt, Run
 from marlstep.admission.concurrency_limit import ConcurrencyLimit
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import ACTIVE_STATES, UNFINISHED_STATES, Entry, State
 from marlstep.admission.events import Outcome
 from marlstep.admission.lifecycle import RequestLifecycle
@@ -16,10 +17,10 @@
     can_be_on_time,
     dispatch_order,
     earliest_response_at,
+    expected_response_at,
 )
 from marlstep.admission.queue_wait import expected_wait_us, latest_acceptable_response_at
-from marlstep.admission.server_state import ServerState
-from marlstep.admission.start_rules import has_idle_core, is_eligible, max_unfinished_runs
+from marlstep.admission.start_rules import has_idle_core, is_eligible, max_active_runs
 
 ANY_PRIORITY = float("inf")
 # A run that did not stop in time counts as running again; if it stops later, it was still preempted.
@@ -28,16 +29,20 @@
 
 @dataclass(slots=True)
 class RunQueue:
-    """Starts, resumes and preempts runs, within the concurrency limit and the memory."""
+    """Starts, resumes and preempts runs, within the concurrency limit and the memory.
 
-    state: ServerState
+    The limit counts all runs, those at servers of a pool as well: the node spends its own cores on them too.
+    A run that is being preempted (`STOPPING`) is not counted, so that its place is filled at once.
+    """
+
+    state: ControllerState
     concurrency: ConcurrencyLimit
     memory: MemoryLedger
     lifecycle: RequestLifecycle
 
     def fill(self) -> None:
         """Preempt, start and resume runs by priority, and reject arrivals that would wait too long."""
-        self._update_priorities()
+        self._update_priorities_and_end_hopeless()
         limit = self.concurrency.effective_limit()
         self._preempt_down_to(limit)
         running = self.state.entries.by_state[State.RUNNING]
@@ -49,6 +54,7 @@
             if entry.priority <= 0 and not has_idle_core(len(running), self.state.settings.cores):
                 continue
             if has_place and len(running) + 1 > limit:
+                # Before memory and the pool are checked: where these refuse, the place goes to the next in order.
                 has_place = self._make_place(entry)
             if has_place and not self.state.entries.is_pool_full(entry.pool):
                 self._start_if_allowed(entry)
@@ -66,8 +72,8 @@
             return
         entry.response_owed = False
         if outcome.never_ran and entry.run_us == 0:
-            self._discount_run(entry)
-        self.lifecycle.finish(entry)
+            self._undo_start(entry)
+        self.lifecycle.finish(entry)  # first: it adds the last time on the cores, which is recorded next
         self.state.statistics.record(entry, is_complete=outcome is Outcome.OK)
 
     def resume_unstopped(self) -> None:
@@ -81,14 +87,14 @@
 
     def current_weight(self, entry: Entry) -> float:
         """Return the priority weight that a response would earn if the request went on now."""
-        response_at: float = self.state.now
-        if not entry.has_run:
-            mean_run_us = self.state.statistics.mean_run_us[entry.request_class.name]
-            response_at = earliest_response_at(self.state.now, mean_run_us)
-        return attainable_weight(entry, response_at)
-
-    def _update_priorities(self) -> None:
-        """Set the priority of each request, and end or preempt those that no run can help any more."""
+        mean_run_us = self.state.statistics.mean_run_us[entry.request_class.name]
+        return attainable_weight(entry, expected_response_at(entry, self.state.now, mean_run_us))
+
+    def _update_priorities_and_end_hopeless(self) -> None:
+        """Set the priority of each request, and end or preempt those that no run can help any more.
+
+        The times are reckoned once for each class, as this runs for all requests at each turn.
+        """
         now = self.state.now
         response_at_if_started = {
             name: earliest_response_at(now, mean_us)
@@ -141,7 +147,7 @@
             return
         if not self.memory.fits(entries.growth_at_start(entry)):
             return
-        if entries.count(*ACTIVE_STATES) + 1 > max_unfinished_runs(self.state.max_concurrency):
+        if entries.count(*ACTIVE_STATES) + 1 > max_active_runs(self.state.max_concurrency):
             return
         entry.has_run = True
         self.state.actions.append(Run(entry.id))
@@ -165,8 +171,8 @@
             entry.arrived_at, request_class.latency_objective_us, entry.deadline_at, settings.marks_retries
         )
 
-    def _discount_run(self, entry: Entry) -> None:
-        """Leave a run that never began out of what is measured: it shows no run time and no live caller."""
+    def _undo_start(self, entry: Entry) -> None:
+        """Take back a start after which nothing ran: it is not measured, and its key is freed for a retry."""
         entry.entered_state_at = self.state.now
         entry.has_run = False
         self.state.callers.forget(entry.caller)
--- a/marlstep/admission/start_rules.py
+++ b/marlstep/admission/start_rules.py
@@ -4,11 +4,11 @@
 
 from marlstep.admission.entry import Entry, State
 
-MAX_CONCURRENCY_FRACTION = 0.9  # of the concurrency that the server survives; runs return from calls unasked
+MAX_CONCURRENCY_FRACTION = 0.9  # of the concurrency that the server survives
 
 
-def max_unfinished_runs(max_concurrency: float) -> float:
-    """Return how many runs may be unfinished at once, those off the cores at a call included.
+def max_active_runs(max_concurrency: float) -> float:
+    """Return how many runs may be active at once, those off the cores at a call included.
 
     Runs come back to the cores from their calls whenever these end, so starts stop short of the concurrency
     that the server survives. One run is always allowed, however small this process's part of the server.
@@ -35,7 +35,8 @@
 def is_eligible(entry: Entry, last_runnable_arrival_at: int) -> bool:
     """Return whether the rules on draining, idempotency keys and effects let a request run.
 
-    Nothing runs that arrived after the drain's grace period. A paused run may otherwise resume. A queued
+    Nothing runs that arrived after the drain's grace period: intake rejects such arrivals, and this holds for those
+    queued before the drain was known. A paused run may otherwise resume. A queued
     request with an idempotency key needs its key kept first, so that retries find it; one that has run
     before, and was dropped, may run again only if it is idempotent.
 
--- a/marlstep/admission/timing.py
+++ b/marlstep/admission/timing.py
@@ -2,5 +2,5 @@
 
 from __future__ import annotations
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 NEVER = 1 << 62  # later than any time on the clock
--- a/marlstep/admission/token_buckets.py
+++ b/marlstep/admission/token_buckets.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from marlstep.admission.timing import SECOND
+from marlstep.admission.timing import SECOND_US
 
 
 class TokenBuckets:
@@ -27,7 +27,7 @@
             Whether a token was taken.
         """
         tokens, counted_at = self._tokens.get(name, (burst, now))
-        tokens = min(burst, tokens + rate_per_s * (now - counted_at) / SECOND)
+        tokens = min(burst, tokens + rate_per_s * (now - counted_at) / SECOND_US)
         is_taken = rate_per_s > 0 and tokens >= 1
         if is_taken:
             tokens -= 1
--- a/marlstep/admission/turn_timer.py
+++ b/marlstep/admission/turn_timer.py
@@ -7,20 +7,20 @@
 
 
 class TurnTimer:
-    """When the next timer is due, in microseconds; its tag is that time."""
+    """The time at which the next timer is due, in microseconds; the timer's tag is that time."""
 
     def __init__(self) -> None:
         """Start with no timer."""
-        self.armed_at = NEVER
+        self.due_at = NEVER
 
     def fired(self, tag: int) -> None:
         """Take note of a timer that is due, unless an earlier one was set after it."""
-        if tag == self.armed_at:
-            self.armed_at = NEVER
+        if tag == self.due_at:
+            self.due_at = NEVER
 
     def arm(self, now: int, due: int) -> list[SetTimer]:
         """Set a timer for the given time unless one is due as early."""
-        if due >= self.armed_at:
+        if due >= self.due_at:
             return []
-        self.armed_at = max(due, now + 1)
-        return [SetTimer(self.armed_at - now, self.armed_at)]
+        self.due_at = max(due, now + 1)
+        return [SetTimer(self.due_at - now, self.due_at)]
--- a/tests/admission/test_call_policy.py
+++ b/tests/admission/test_call_policy.py
@@ -7,7 +7,7 @@
 from marlstep.admission.call_policy import (
     CALL_TIMEOUT_FACTOR,
     MAX_CALL_ATTEMPTS,
-    MAX_REJECTED_CALL_ATTEMPTS,
+    MAX_CALL_ATTEMPTS_NEVER_RAN,
     CallRetryPolicy,
     attempt_timeout_us,
     backoff_us,
@@ -23,18 +23,19 @@
 
 
 def test_a_call_that_is_needed_is_attempted_more_often_while_it_never_ran() -> None:
-    assert CallRetryPolicy.of_request(False, False).max_rejected_attempts == MAX_REJECTED_CALL_ATTEMPTS
-    assert CallRetryPolicy.of_request(False, True).max_rejected_attempts == MAX_CALL_ATTEMPTS
+    assert CallRetryPolicy.of_request(False, False).max_attempts_never_ran == MAX_CALL_ATTEMPTS_NEVER_RAN
+    assert CallRetryPolicy.of_request(False, True).max_attempts_never_ran == MAX_CALL_ATTEMPTS
 
 
 @pytest.mark.parametrize(
-    ("attempts", "rejected_attempts", "exhausted"), [(0, 0, False), (1, 2, False), (2, 0, True), (0, 3, True)]
+    ("attempts", "attempts_never_ran", "exhausted"),
+    [(0, 0, False), (1, 2, False), (2, 0, True), (0, 3, True)],
 )
 def test_attempts_are_exhausted_by_either_count(
-    attempts: int, rejected_attempts: int, exhausted: bool
+    attempts: int, attempts_never_ran: int, exhausted: bool
 ) -> None:
-    policy = CallRetryPolicy(max_attempts=2, max_rejected_attempts=3)
-    assert policy.is_exhausted(attempts, rejected_attempts) is exhausted
+    policy = CallRetryPolicy(max_attempts=2, max_attempts_never_ran=3)
+    assert policy.is_exhausted(attempts, attempts_never_ran) is exhausted
 
 
 def test_the_backoff_doubles_with_each_rejected_attempt() -> None:
--- a/tests/admission/test_caller_activity.py
+++ b/tests/admission/test_caller_activity.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from marlstep.admission.caller_activity import RETENTION_FACTOR, CallerActivity
-from marlstep.admission.timing import SECOND
+from marlstep.admission.timing import SECOND_US
 
 
 def test_callers_are_counted_since_a_time_with_those_seen_again() -> None:
@@ -26,8 +26,8 @@
 def test_inactive_callers_are_forgotten_after_some_lifetimes_of_an_advertised_value() -> None:
     callers = CallerActivity()
     callers.record(1, now=0)
-    retention_us = RETENTION_FACTOR * (SECOND + SECOND)
-    callers.forget_inactive(retention_us - 1, load_signal_lifetime_us=SECOND)
+    retention_us = RETENTION_FACTOR * (SECOND_US + SECOND_US)
+    callers.forget_inactive(retention_us - 1, load_signal_lifetime_us=SECOND_US)
     assert 1 in callers.last_seen
-    callers.forget_inactive(retention_us, load_signal_lifetime_us=SECOND)
+    callers.forget_inactive(retention_us, load_signal_lifetime_us=SECOND_US)
     assert 1 not in callers.last_seen
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -22,7 +22,7 @@
         asked += len(server.actions_of(SetTimer))
     for _ in range(200):
         server.now += 5 * MS
-        if server.controller.timer.armed_at <= server.now:
+        if server.controller.timer.due_at <= server.now:
             server.tick()
             asked += len(server.actions_of(SetTimer))
     return asked
@@ -61,7 +61,7 @@
     controller.decide(START, twice)
     controller.decide(START + MS, [Arrival("a", "high", memory_kb=10.0, caller=1, unread_us=0)])
     assert (
-        controller.state.entries.count_unfinished() == 2
+        controller.state.entries.count_in_flight() == 2
         and controller.state.entries.by_id["a"].request_class.name == "high"
     )
     for step in range(1, 10):
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -64,7 +64,7 @@
         if turn % 7 == 0:
             server.step(ClientDisconnected(id))
         server.end(id, after_ms=50)
-        server.step(TimerDue(server.controller.timer.armed_at, {"cpu": 0.5, "conns": 50.0}))
+        server.step(TimerDue(server.controller.timer.due_at, {"cpu": 0.5, "conns": 50.0}))
         controller = server.controller
         sizes.append(
             len(controller.state.entries.by_id)
@@ -105,7 +105,7 @@
     server = ControllerDriver(cores=1)
     for index in range(4):
         server.arrive(f"r{index}")
-    server.step(TimerDue(server.controller.timer.armed_at, {}), after_ms=9_000)
+    server.step(TimerDue(server.controller.timer.due_at, {}), after_ms=9_000)
     assert {id for action, id in server.done if action in ("Fail", "Reject")} == {"r0", "r1", "r2", "r3"}
 
 
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -23,7 +23,7 @@
         "entry_index",
         "events",
         "run_statistics",
-        "server_state",
+        "controller_state",
         "settings",
         "timing",
         "token_buckets",
--- a/tests/admission/test_memory_ledger.py
+++ b/tests/admission/test_memory_ledger.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.memory_ledger import MAX_MEMORY_FRACTION, MAX_QUEUE_MEMORY_FRACTION, MemoryLedger
-from marlstep.admission.server_state import ServerState
 from tests.admission.entries import queued_entry
 from tests.support import helpers
 from tests.support.helpers import KEYED, START
@@ -13,7 +13,7 @@
 
 
 def ledger() -> MemoryLedger:
-    return MemoryLedger(ServerState(helpers.settings(memory_kb=MEMORY_KB, idempotency_key_kb=KEY_KB)))
+    return MemoryLedger(ControllerState(helpers.settings(memory_kb=MEMORY_KB, idempotency_key_kb=KEY_KB)))
 
 
 def test_a_start_fits_up_to_a_fraction_of_the_memory() -> None:
--- a/tests/admission/test_start_rules.py
+++ b/tests/admission/test_start_rules.py
@@ -12,7 +12,7 @@
     MAX_CONCURRENCY_FRACTION,
     has_idle_core,
     is_eligible,
-    max_unfinished_runs,
+    max_active_runs,
 )
 from marlstep.admission.timing import NEVER
 from tests.admission.entries import queued_entry
@@ -20,7 +20,7 @@
 
 
 def test_runs_stop_short_of_the_concurrency_that_the_server_survives() -> None:
-    assert max_unfinished_runs(20.0) == MAX_CONCURRENCY_FRACTION * 20.0
+    assert max_active_runs(20.0) == MAX_CONCURRENCY_FRACTION * 20.0
 
 
 def test_a_core_is_idle_while_fewer_run_than_there_are_cores() -> None:
@@ -29,7 +29,7 @@
 
 
 def test_one_run_is_allowed_however_small_the_share_of_the_server() -> None:
-    assert max_unfinished_runs(0.001) == 1.0
+    assert max_active_runs(0.001) == 1.0
 
 
 @pytest.mark.parametrize(
--- a/tests/admission/test_turn_timer.py
+++ b/tests/admission/test_turn_timer.py
@@ -26,9 +26,9 @@
     timer.arm(100, due=300)
     timer.arm(100, due=250)
     timer.fired(300)
-    assert timer.armed_at == 250
+    assert timer.due_at == 250
     timer.fired(250)
-    assert timer.armed_at == NEVER
+    assert timer.due_at == NEVER
 
 
 def test_entries_wake_in_the_order_in_which_they_are_due_and_then_were_added() -> None:
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -73,7 +73,7 @@
     desk.end(1, Outcome.CANCELLED)
     assert (
         desk.verdicts(1) == [ResponseStatus.FAILED]
-        and desk.core._controller.state.entries.count_unfinished() == 0
+        and desk.core._controller.state.entries.count_in_flight() == 0
     )
     desk.submit(1, "schedule-save")
     desk.end(1)
--- a/tests/core/test_settings_change.py
+++ b/tests/core/test_settings_change.py
@@ -54,7 +54,7 @@
     for number in (4, 1, 5, 6, 2, 3):
         desk.end(number)
     assert all(desk.verdicts(number) == [ResponseStatus.DONE] for number in range(1, 7))
-    assert desk.core.in_flight == 0 and desk.core._controller.state.entries.count_unfinished() == 0
+    assert desk.core.in_flight == 0 and desk.core._controller.state.entries.count_in_flight() == 0
 
 
 def test_a_removed_class_is_accepted_for_a_grace_then_rejected_and_accepted_when_it_returns() -> None:
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -113,7 +113,7 @@
         return dataclasses.replace(plain, **other)
 
     def tick(self, after_ms: float = 0, cpu: float = 1.0) -> list[tuple[str, str]]:
-        return self.step(TimerDue(self.controller.timer.armed_at, {"cpu": cpu}), after_ms=after_ms)
+        return self.step(TimerDue(self.controller.timer.due_at, {"cpu": cpu}), after_ms=after_ms)
 
     def end(
         self, id: str, outcome: Outcome = Outcome.OK, after_ms: float = 0, *more: Event
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -212,7 +212,7 @@
     "marlstep/admission/retry_advisor.py",
     "marlstep/admission/run_queue.py",
     "marlstep/admission/run_statistics.py",
-    "marlstep/admission/server_state.py",
+    "marlstep/admission/controller_state.py",
     "marlstep/admission/settings.py",
     "marlstep/admission/start_rules.py",
     "marlstep/admission/timing.py",
