--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -107,7 +107,7 @@
             200,
             {
                 "healthy": core.healthy,
-                "draining": core.draining,
+                "draining": core.is_shutting_down,
                 "unanswered": core.unanswered,
                 "in_hand": core.in_flight,
             },
--- a/marlstep/core/drain.py
+++ b/marlstep/core/drain.py
@@ -33,7 +33,7 @@
 
     Attributes:
         stops_at: when the process is stopped; None while it stays.
-        on_grace_over: called when frontends have stopped accepting.
+        on_accepting_stopped: called when frontends have stopped accepting, after the grace or for a successor.
     """
 
     def __init__(
@@ -50,14 +50,14 @@
         self._requests, self._responses = requests, responses
         self._events, self._frontends = events, frontends
         self.stops_at: datetime | None = None
-        self.on_grace_over: Callable[[], None] = lambda: None
+        self.on_accepting_stopped: Callable[[], None] = lambda: None
         self._run_until: datetime | None = (
             None  # what arrives later is not run; None while no drain has begun
         )
 
     @property
     def is_draining(self) -> bool:
-        """Whether a drain has begun; a process that only hands over doesn't drain."""
+        """Whether a drain has begun: a shutdown without a successor."""
         return self._run_until is not None
 
     @property
@@ -110,7 +110,7 @@
     def _stop_accepting(self) -> None:
         for frontend in self._frontends:
             frontend.stop_accepting()
-        self.on_grace_over()
+        self.on_accepting_stopped()
 
     def _respond_to_all(self) -> None:
         """Respond to what is open. The controller has done so well before; this stands behind it."""
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -39,7 +39,7 @@
 from marlstep.core.event_queue import EventQueue
 from marlstep.core.gauge_timers import GaugeTimers
 from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable
-from marlstep.core.intake import Intake
+from marlstep.core.intake import RequestIntake
 from marlstep.core.interfaces import (
     Backend,
     CallClient,
@@ -115,7 +115,7 @@
         self._repeats = RepeatedWork(timeline, requests, keys, self._responses, served)
         arrivals = ControllerArrivals(timeline, requests, keys, events)
         self._claims = SiblingClaims(timeline, keys, arrivals, self._responses)
-        self._intake = Intake(
+        self._intake = RequestIntake(
             timeline, served, requests, keys, self._counters, self._responses, arrivals, self._claims
         )
         self._run_events = RunEvents(
@@ -168,7 +168,7 @@
     def client_disconnected(self, handle: int) -> None:
         """Owe the client no response any more. A handle of a request that is over is ignored."""
         request = self._requests.get(handle)
-        if request is not None and not request.responded:
+        if request is not None and not request.is_settled:
             self._counters.count(request, DISCONNECTED_COUNT)
             self._events.post(ClientDisconnected(request.id))
             self._responses.settle(request)
@@ -332,9 +332,9 @@
         """Enter what another process says of a piece of work."""
         self._repeats.adopt_remote(key, remote)
 
-    def forget_remote_key(self, key: IdempotencyKey, request_id: str) -> None:
+    def drop_remote_key(self, key: IdempotencyKey, request_id: str) -> None:
         """Hear that another process's request never ran."""
-        self._repeats.forget_remote(key, request_id)
+        self._repeats.drop_remote(key, request_id)
 
     def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
         """Hear that nobody reports any more how the other processes' requests end.
@@ -351,13 +351,13 @@
         return self._shutdown.stops_at
 
     @property
-    def draining(self) -> bool:
-        """Whether the process leaves, alone or beside a successor."""
+    def is_shutting_down(self) -> bool:
+        """Whether SIGTERM has come: the process drains, or leaves beside a successor that serves."""
         return self._shutdown.stops_at is not None
 
     @property
-    def shutdown_requested(self) -> bool:
-        """Whether a graceful shutdown has begun; handing over to a successor is none."""
+    def is_draining(self) -> bool:
+        """Whether the process shuts down without a successor: it rejects what arrives after the grace."""
         return self._shutdown.is_draining
 
     @property
@@ -366,13 +366,13 @@
         return self._shutdown.in_grace
 
     @property
-    def on_grace_over(self) -> Callable[[], None]:
-        """Called when the frontends have stopped accepting."""
-        return self._shutdown.on_grace_over
+    def on_accepting_stopped(self) -> Callable[[], None]:
+        """Called once frontends have stopped accepting: after the grace of a drain, or for a successor."""
+        return self._shutdown.on_accepting_stopped
 
-    @on_grace_over.setter
-    def on_grace_over(self, callback: Callable[[], None]) -> None:
-        self._shutdown.on_grace_over = callback
+    @on_accepting_stopped.setter
+    def on_accepting_stopped(self, callback: Callable[[], None]) -> None:
+        self._shutdown.on_accepting_stopped = callback
 
     def drain(self, stops_at: datetime, noticed_at: datetime | None = None) -> None:
         """Begin graceful shutdown: arrivals of the grace run, and all get their response before the stop.
--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -62,7 +62,7 @@
         finished: whether that request has ended.
         is_remote: whether it is a request of another process of the node.
         digest: of the body; empty where it is not known.
-        forget_at: when the entry may be dropped. It is later than `expires_at`, as requests that arrived before
+        droppable_at: when the entry may be dropped. It is later than `expires_at`, as requests that arrived before
             that may still be unread.
     """
 
@@ -72,7 +72,7 @@
     finished: bool = False
     is_remote: bool = False
     digest: str = ""
-    forget_at: datetime | None = None
+    droppable_at: datetime | None = None
 
     def matches_body(self, digest: str) -> bool:
         """Check whether a request with this body digest may be an attempt of the same work."""
@@ -86,14 +86,14 @@
         return self.expires_at is None or arrived_at < self.expires_at
 
     def expire(self, expires_at: datetime, max_unread: timedelta) -> datetime:
-        """Set the end of the window, and return when the entry may be forgotten.
+        """Set the end of the window, and return when the entry may be dropped.
 
         Args:
             expires_at: the end of the window.
             max_unread: for how long a request that arrived before the end may lie unread and still be run.
         """
-        self.expires_at, self.forget_at = expires_at, expires_at + max_unread
-        return self.forget_at
+        self.expires_at, self.droppable_at = expires_at, expires_at + max_unread
+        return self.droppable_at
 
 
 KeyChangeCallback = Callable[
@@ -115,7 +115,7 @@
     def __init__(self) -> None:
         """Make an empty table, whose changes nobody observes."""
         self._records: dict[IdempotencyKey, KeyRecord] = {}
-        self._expiries: list[tuple[datetime, IdempotencyKey]] = []  # heap: when entries may be forgotten
+        self._expiries: list[tuple[datetime, IdempotencyKey]] = []  # heap: when entries may be dropped
         self.on_changed: KeyChangeCallback = _ignore_change
 
     def __len__(self) -> int:
@@ -155,7 +155,7 @@
             key: the work.
             request_id: the request that stands for it from now on.
             expires_at: the end of the window.
-            now: entries that may be forgotten by now are dropped.
+            now: entries that may be dropped by now are dropped.
             max_unread: for how long a request that arrived before the end may lie unread and still be run.
             digest: of the body; empty where it is not known.
         """
@@ -247,11 +247,11 @@
         now: datetime,
         max_unread: timedelta,
     ) -> None:
-        """Set the end of an entry, and drop those that may be forgotten by now."""
+        """Set the end of an entry, and drop those that may be dropped by now."""
         heapq.heappush(self._expiries, (record.expire(expires_at, max_unread), key))
         while self._expiries and self._expiries[0][0] <= now:
-            forget_at, due_key = heapq.heappop(self._expiries)
+            droppable_at, due_key = heapq.heappop(self._expiries)
             due = self._records.get(due_key)
             # An entry that was given a later end has a later row in the heap.
-            if due is not None and due.forget_at is not None and due.forget_at <= forget_at:
+            if due is not None and due.droppable_at is not None and due.droppable_at <= droppable_at:
                 del self._records[due_key]
--- a/marlstep/core/intake.py
+++ b/marlstep/core/intake.py
@@ -17,7 +17,7 @@
 from marlstep.units import span
 
 
-class Intake:
+class RequestIntake:
     """Accepts requests or rejects them.
 
     Attributes:
@@ -77,6 +77,6 @@
 
     def _reject_without_config(self, request: Request) -> None:
         """Reject a request that there is no configuration for; the controller never hears of it."""
-        if not request.responded:
+        if not request.is_settled:
             self._counters.count(request, NO_CONFIG_COUNT)
             self._responses.reject(request)
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -207,7 +207,7 @@
         known_to_have_run: the backend has reported something that only a run does.
         pause_requested: the backend was asked to pause the run, and has not reported its end.
         call_failed: the last call failed, and was not skipped.
-        responded: no response is owed any more: it has left, or the client has disconnected.
+        is_settled: no response is owed any more: it has left, or the client has disconnected.
         deadline_timer: that of `deadline_at`.
         call_body: of the call that the run needs.
         call_started_at: when its last call was made.
@@ -228,7 +228,7 @@
     known_to_have_run: bool = False
     pause_requested: bool = False
     call_failed: bool = False
-    responded: bool = False
+    is_settled: bool = False
     deadline_timer: Timer | None = None
     call_body: bytes = b""
     call_started_at: datetime | None = None
--- a/marlstep/core/repeats.py
+++ b/marlstep/core/repeats.py
@@ -43,8 +43,8 @@
                 request.idempotency_key, request.id, now + window, now, max_unread, request.inbound.digest
             )
 
-    def release_key(self, request: Request) -> None:
-        """Free the key of a request that never ran: the next request with it is new work."""
+    def drop_key(self, request: Request) -> None:
+        """Drop the key of a request that never ran: the next request with it is new work."""
         if request.idempotency_key:
             self._keys.drop(request.idempotency_key, request.id, even_if_retained=True)
 
@@ -77,7 +77,7 @@
         if remote.finished or remote.result is not None:
             self._remote_ended(key, remote.result)
 
-    def forget_remote(self, key: IdempotencyKey, request_id: str) -> None:
+    def drop_remote(self, key: IdempotencyKey, request_id: str) -> None:
         """Drop the entry of another process's request that never ran; the repeats here fail."""
         if self._keys.drop_remote(key, request_id):
             self._remote_ended(key, None)
--- a/marlstep/core/request_actions.py
+++ b/marlstep/core/request_actions.py
@@ -40,7 +40,7 @@
         decision = decide_run(
             request.stage,
             may_have_run=request.may_have_run,
-            responded=request.responded,
+            is_settled=request.is_settled,
             has_effect=request.class_settings.effect is not Effect.IDEMPOTENT,
             arrived_too_late=self._shutdown.is_too_late(request.inbound.arrived_at),
         )
@@ -89,8 +89,8 @@
         self._repeats.retain_key(request, span(action.lifetime_us))
 
     def forget_key(self, request: Request, _action: ForgetKey) -> None:
-        """Free the key of a request that never ran."""
-        self._repeats.release_key(request)
+        """Drop the key of a request that never ran; named after the controller's action."""
+        self._repeats.drop_key(request)
 
     def attach(self, request: Request, _action: Attach) -> None:
         """Give a repeat the result of the request that it repeats."""
--- a/marlstep/core/responses.py
+++ b/marlstep/core/responses.py
@@ -1,7 +1,7 @@
 """Delivery of responses: the one place where a final response leaves, and where a request ends.
 
 Each accepted request is owed one response. Once it has left, or the client has disconnected, the request is settled:
-its run is abandoned or its key is freed, its repeats get its result, and when nothing runs any more it is released.
+its run is abandoned or its key is dropped, its repeats get its result, and when nothing runs any more it is released.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
     def respond(self, request: Request, response: Response) -> None:
         """Send the final response, unless none is owed any more. All final responses leave here."""
-        if request.responded:
+        if request.is_settled:
             return
         self._counters.count(request, response.status.value)
         request.frontend.deliver(request.response_handle, response)
@@ -66,7 +66,7 @@
 
     def respond_without_outcome(self, request: Request) -> None:
         """Respond although no outcome is known: expired if the request may have run, else rejected."""
-        if request.responded:
+        if request.is_settled:
             return
         status = status_without_outcome(may_have_run=request.may_have_run)
         if status is ResponseStatus.REJECTED:
@@ -87,7 +87,7 @@
 
     def _on_deadline(self, request: Request) -> None:
         """Respond at the deadline whatever happens. The controller responds earlier; this stands behind it."""
-        if not request.responded:
+        if not request.is_settled:
             log.warning(
                 "request unanswered at its deadline: request=%s stage=%s", request.id, request.stage.value
             )
@@ -96,10 +96,10 @@
     def settle(self, request: Request) -> None:
         """Note that no response is owed any more, and end what doesn't run.
 
-        A run that goes on is abandoned, and its backend reports the end. Work that never began frees its key; the
-        repeats of anything that is over by this get a failure.
+        A run that goes on is abandoned, and its backend reports the end. The key of work that never began is
+        dropped; the repeats of anything that is over by this get a failure.
         """
-        request.responded = True
+        request.is_settled = True
         self.unanswered -= 1
         self._timeline.cancel(request.deadline_timer)
         if request.stage in RUN_STAGES:
@@ -132,6 +132,6 @@
 
     def release_if_finished(self, request: Request) -> None:
         """Release a request that has its response and whose run is over. All requests are released here."""
-        finished = request.responded and request.stage is Stage.FINISHED
+        finished = request.is_settled and request.stage is Stage.FINISHED
         if finished and self._requests.release(request) and request.idempotency_key:
             self._keys.drop(request.idempotency_key, request.id, even_if_retained=False)
--- a/marlstep/core/run_events.py
+++ b/marlstep/core/run_events.py
@@ -17,13 +17,13 @@
 from marlstep.units import span_us
 
 
-def has_paused(outcome: Outcome, *, pause_requested: bool, responded: bool) -> bool:
+def has_paused(outcome: Outcome, *, pause_requested: bool, is_settled: bool) -> bool:
     """Decide whether the end of a run is a pause, after which it may go on.
 
     It is where the run was cancelled as the core had asked. Any other end is final: a run that was cancelled
     unasked, and one whose response has left, which nobody would resume.
     """
-    return outcome is Outcome.CANCELLED and pause_requested and not responded
+    return outcome is Outcome.CANCELLED and pause_requested and not is_settled
 
 
 class RunEvents:
@@ -49,7 +49,7 @@
         request = self._requests.find(request_id)
         if request is None:
             return
-        if has_paused(outcome, pause_requested=request.pause_requested, responded=request.responded):
+        if has_paused(outcome, pause_requested=request.pause_requested, is_settled=request.is_settled):
             self._pause(request)
         else:
             self._end(request, outcome, result)
@@ -72,7 +72,7 @@
         request.stage = Stage.FINISHED
         status = status_after_run(outcome, known_to_have_run=request.known_to_have_run)
         if status is ResponseStatus.REJECTED:
-            self._repeats.release_key(request)
+            self._repeats.drop_key(request)
             self._responses.reject(request)
         else:
             body = result if status is ResponseStatus.DONE else b""
--- a/marlstep/core/run_rules.py
+++ b/marlstep/core/run_rules.py
@@ -17,7 +17,7 @@
 
 
 def decide_run(
-    stage: Stage, *, may_have_run: bool, responded: bool, has_effect: bool, arrived_too_late: bool
+    stage: Stage, *, may_have_run: bool, is_settled: bool, has_effect: bool, arrived_too_late: bool
 ) -> RunDecision:
     """Decide what to do with a request that the controller wants to run.
 
@@ -28,12 +28,12 @@
     Args:
         stage: where the request stands.
         may_have_run: whether a run of it has begun, or may have.
-        responded: whether its final response has left.
+        is_settled: whether no response is owed any more: it has left, or the client has disconnected.
         has_effect: whether its class is not idempotent.
         arrived_too_late: whether it arrived after the end of the drain's grace.
     """
     runs_again = has_effect and may_have_run and stage is not Stage.PAUSED
-    if responded or arrived_too_late or runs_again:
+    if is_settled or arrived_too_late or runs_again:
         return RunDecision.FORBIDDEN
     if stage is Stage.PAUSED:
         return RunDecision.RESUME
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -41,7 +41,7 @@
         self._config, self._core, self._timeline = config, core, timeline
         self._naming, self._frontends, self._components = naming, frontends, components
         self._on_drained = on_drained
-        core.on_grace_over = self._poll
+        core.on_accepting_stopped = self._poll
 
     @property
     def restart_state(self) -> RestartState | None:
@@ -93,7 +93,7 @@
 
     def successor_lost(self) -> None:
         """Drain if SIGTERM has come: until now the successor served in the place of this process."""
-        if self._core.stops_at is not None and not self._core.shutdown_requested:
+        if self._core.stops_at is not None and not self._core.is_draining:
             log.warning("successor lost during shutdown: action=drain")
             self._frontends.accept_again()
             self._naming.report_last()
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -91,7 +91,7 @@
         """Forget the other process's attempt: it never ran."""
         request_id, _digest = decode_label(released.request_id)
         key = IdempotencyKey(released.request_class, released.idempotency_key)
-        self._core.forget_remote_key(key, request_id)
+        self._core.drop_remote_key(key, request_id)
 
 
 def key_status(key: IdempotencyKey, record: KeyRecord) -> KeyStatus:
--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -20,7 +20,7 @@
 MAX_EJECTION_DOUBLINGS = 16  # bounds the power of two; by then any ejection is at its maximum
 
 
-class ServerState(enum.Enum):
+class ServerHealthState(enum.Enum):
     """The health of one server."""
 
     NEW = "new"
@@ -31,18 +31,18 @@
 
 
 STATE_AFTER_SUCCESS = {
-    ServerState.NEW: ServerState.HEALTHY,
-    ServerState.HEALTHY: ServerState.HEALTHY,
-    ServerState.SUSPECT: ServerState.HEALTHY,
-    ServerState.PROBING: ServerState.HEALTHY,
-    ServerState.EJECTED: ServerState.EJECTED,  # of an attempt from before the ejection
+    ServerHealthState.NEW: ServerHealthState.HEALTHY,
+    ServerHealthState.HEALTHY: ServerHealthState.HEALTHY,
+    ServerHealthState.SUSPECT: ServerHealthState.HEALTHY,
+    ServerHealthState.PROBING: ServerHealthState.HEALTHY,
+    ServerHealthState.EJECTED: ServerHealthState.EJECTED,  # of an attempt from before the ejection
 }
 STATE_AFTER_FAILURE = {
-    ServerState.NEW: ServerState.SUSPECT,
-    ServerState.HEALTHY: ServerState.SUSPECT,
-    ServerState.SUSPECT: ServerState.SUSPECT,
-    ServerState.PROBING: ServerState.PROBING,
-    ServerState.EJECTED: ServerState.EJECTED,
+    ServerHealthState.NEW: ServerHealthState.SUSPECT,
+    ServerHealthState.HEALTHY: ServerHealthState.SUSPECT,
+    ServerHealthState.SUSPECT: ServerHealthState.SUSPECT,
+    ServerHealthState.PROBING: ServerHealthState.PROBING,
+    ServerHealthState.EJECTED: ServerHealthState.EJECTED,
 }
 
 
@@ -128,7 +128,7 @@
 
     settings: OutlierDetectionSettings
     state_since: datetime
-    state: ServerState = ServerState.NEW
+    state: ServerHealthState = ServerHealthState.NEW
     failure_rate: FailureRate = field(default_factory=FailureRate)
     consecutive_failures: int = 0
     ejections: int = 0  # that are not forgotten yet
@@ -143,7 +143,7 @@
         """Take in a successful attempt."""
         self.failure_rate.add(now, failed=False)
         self.consecutive_failures = 0
-        if self.state is ServerState.PROBING:
+        if self.state is ServerHealthState.PROBING:
             self.slow_start_since = now
             self.failure_rate.reset()
         elif self._was_healthy_long_enough(now):
@@ -151,7 +151,9 @@
         self._enter_if_changed(STATE_AFTER_SUCCESS[self.state], now)
 
     def _was_healthy_long_enough(self, now: datetime) -> bool:
-        return self.state is ServerState.HEALTHY and now - self.state_since >= self.settings.forgive_after
+        return (
+            self.state is ServerHealthState.HEALTHY and now - self.state_since >= self.settings.forgive_after
+        )
 
     def record_failure(self, now: datetime) -> bool:
         """Take in a failed attempt, and return whether the server should be ejected now.
@@ -161,9 +163,9 @@
         self.failure_rate.add(now, failed=True)
         self.consecutive_failures += 1
         self._enter_if_changed(STATE_AFTER_FAILURE[self.state], now)
-        if self.state is ServerState.PROBING:
+        if self.state is ServerHealthState.PROBING:
             return True
-        if self.state is ServerState.EJECTED:
+        if self.state is ServerHealthState.EJECTED:
             return False
         rate = self.failure_rate
         return should_eject(self.settings, self.consecutive_failures, rate.attempts, rate.failure_share)
@@ -173,18 +175,22 @@
         self.ejected_until = now + ejection_time(self.settings, self.ejections)
         self.ejections += 1
         self.consecutive_failures = 0
-        self._enter(ServerState.EJECTED, now)
+        self._enter(ServerHealthState.EJECTED, now)
 
     def keep_in_service(self, now: datetime) -> None:
         """Keep a server that should be ejected, as too many are already; its failures are counted anew."""
         self.consecutive_failures = 0
         self.failure_rate.reset()
-        self._enter(ServerState.SUSPECT, now)
+        self._enter(ServerHealthState.SUSPECT, now)
 
     def end_ejection_if_due(self, now: datetime) -> None:
         """Let the server be probed once its ejection time is over."""
-        if self.state is ServerState.EJECTED and self.ejected_until is not None and now >= self.ejected_until:
-            self._enter(ServerState.PROBING, now)
+        if (
+            self.state is ServerHealthState.EJECTED
+            and self.ejected_until is not None
+            and now >= self.ejected_until
+        ):
+            self._enter(ServerHealthState.PROBING, now)
 
     def weight(self, now: datetime) -> float:
         """Return the share of its requests that the server gets, from above 0 to 1; end slow start when it is due."""
@@ -196,9 +202,9 @@
             return 1.0
         return slow_start_weight(self.settings, elapsed)
 
-    def _enter_if_changed(self, state: ServerState, now: datetime) -> None:
+    def _enter_if_changed(self, state: ServerHealthState, now: datetime) -> None:
         if state is not self.state:
             self._enter(state, now)
 
-    def _enter(self, state: ServerState, now: datetime) -> None:
+    def _enter(self, state: ServerHealthState, now: datetime) -> None:
         self.state, self.state_since = state, now
--- a/marlstep/load_balancing/server.py
+++ b/marlstep/load_balancing/server.py
@@ -8,12 +8,12 @@
 
 from marlstep.load_balancing.concurrency_limit import AdaptiveConcurrencyLimit
 from marlstep.load_balancing.latency_estimators import PeakEwma
-from marlstep.load_balancing.outlier_detection import ServerHealth, ServerState
+from marlstep.load_balancing.outlier_detection import ServerHealth, ServerHealthState
 from marlstep.units import MILLISECOND, ZERO
 
 MIN_EXPECTED_LATENCY = 1 * MILLISECOND  # also of a server without responses yet, which is thus tried soon
 SUSPECT_LATENCY_FACTOR = 3.0  # multiple of its latency at which a suspect server is rated
-IN_SERVICE = frozenset({ServerState.NEW, ServerState.HEALTHY, ServerState.SUSPECT})
+IN_SERVICE = frozenset({ServerHealthState.NEW, ServerHealthState.HEALTHY, ServerHealthState.SUSPECT})
 
 
 @dataclass(slots=True, eq=False)
@@ -53,5 +53,5 @@
         weight. A suspect server is rated several times slower: it has just failed, and should get few requests.
         """
         latency = max(MIN_EXPECTED_LATENCY, self.latency.value or ZERO)
-        penalty = SUSPECT_LATENCY_FACTOR if self.health.state is ServerState.SUSPECT else 1.0
+        penalty = SUSPECT_LATENCY_FACTOR if self.health.state is ServerHealthState.SUSPECT else 1.0
         return latency * (self.in_flight + 1) * penalty / self.health.weight(now)
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -15,7 +15,7 @@
 from marlstep.load_balancing.outlier_detection import (
     OutlierDetectionSettings,
     ServerHealth,
-    ServerState,
+    ServerHealthState,
     ejection_allowed,
 )
 from marlstep.load_balancing.server import Server
@@ -151,7 +151,7 @@
             server.health.end_ejection_if_due(now)
             if server.in_service:
                 total += max(0, server.available_capacity(now)) + server.in_flight
-            elif server.health.state is ServerState.PROBING and self._is_probe_permitted(server, now):
+            elif server.health.state is ServerHealthState.PROBING and self._is_probe_permitted(server, now):
                 total += 1
         return total
 
@@ -175,7 +175,7 @@
     def _server_due_for_probe(self, now: datetime, excluded: frozenset[int]) -> Server | None:
         for server in self._ejected.values():
             server.health.end_ejection_if_due(now)
-            is_due = server.health.state is ServerState.PROBING and not server.probe_in_flight
+            is_due = server.health.state is ServerHealthState.PROBING and not server.probe_in_flight
             is_eligible = not server.leaving and server.handle not in excluded
             if is_due and is_eligible and self._is_probe_permitted(server, now):
                 return server
@@ -200,7 +200,9 @@
         server = self._servers.get(handle)
         if server is not None:
             server.in_flight += 1
-            server.probe_in_flight = server.probe_in_flight or server.health.state is ServerState.PROBING
+            server.probe_in_flight = (
+                server.probe_in_flight or server.health.state is ServerHealthState.PROBING
+            )
 
     def attempt_succeeded(self, handle: int, now: datetime, latency: timedelta) -> None:
         """Take in a response, which came `latency` after the attempt was started."""
@@ -237,7 +239,7 @@
         if server is None:
             return
         server.limit.record_failure(now)
-        if server.health.state is ServerState.PROBING:
+        if server.health.state is ServerHealthState.PROBING:
             self._record_success(server, now)
         self._drop_if_drained(server)
 
@@ -258,13 +260,13 @@
     def _record_success(self, server: Server, now: datetime) -> None:
         server.health.record_success(now)
         server.probe_in_flight = False
-        if server.health.state is not ServerState.EJECTED:
+        if server.health.state is not ServerHealthState.EJECTED:
             self._ejected.pop(server.handle, None)
 
     def _eject_unless_too_many(self, server: Server, now: datetime) -> None:
         """Eject a server; one that failed its probe is ejected again however many are."""
         ejected = sum(not other.leaving for other in self._ejected.values())
-        failed_its_probe = server.health.state is ServerState.PROBING
+        failed_its_probe = server.health.state is ServerHealthState.PROBING
         if failed_its_probe or ejection_allowed(ejected, len(self._members), self.settings.max_ejected_share):
             server.health.eject(now)
             self._ejected[server.handle] = server
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -107,7 +107,7 @@
         )
         await self._open_components(StartPhase.WITH_CLIENTS)
         restart_state = self.drain_controller.restart_state
-        if self.core.shutdown_requested and restart_state is not None and restart_state.is_standby:
+        if self.core.is_draining and restart_state is not None and restart_state.is_standby:
             self.ended.set()
         if restart_state is None or not restart_state.has_predecessor_serving:
             await self.frontends.listen(self.config)
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -114,7 +114,7 @@
 
     def pause(self, request: Request) -> None:
         """Cancel the run if its request is answered; a server behind a socket cannot be paused."""
-        if request.responded:
+        if request.is_settled:
             self.abandon(request)
 
     def abandon(self, request: Request) -> None:
--- a/tests/core/test_engine_properties.py
+++ b/tests/core/test_engine_properties.py
@@ -81,11 +81,11 @@
             case "quiesce", bool(on):
                 assert (
                     core.serving_state.quiesce() if on else core.serving_state.resume()
-                ) is not core.draining
+                ) is not core.is_shutting_down
             case "change settings", tuple(names):
                 classes = tuple(one for one in self.settings.classes if one.name in names)
                 core.apply_settings(replace(self.settings, classes=classes))
-            case "drain", _ if not core.draining:
+            case "drain", _ if not core.is_shutting_down:
                 core.drain(desk.clock.now() + 3.2 * SECOND)
                 self.grace_over_at = desk.clock.now() + 2.5 * SECOND
         desk.clock.settle()
--- a/tests/load_balancing/test_outlier_detection.py
+++ b/tests/load_balancing/test_outlier_detection.py
@@ -10,7 +10,7 @@
     STATE_AFTER_SUCCESS,
     OutlierDetectionSettings,
     ServerHealth,
-    ServerState,
+    ServerHealthState,
     ejection_allowed,
     ejection_time,
     should_eject,
@@ -62,7 +62,7 @@
 
 
 def test_the_tables_of_states_cover_every_state() -> None:
-    assert set(STATE_AFTER_SUCCESS) == set(STATE_AFTER_FAILURE) == set(ServerState)
+    assert set(STATE_AFTER_SUCCESS) == set(STATE_AFTER_FAILURE) == set(ServerHealthState)
 
 
 def test_a_minute_of_health_forgives_earlier_ejections() -> None:
@@ -78,9 +78,9 @@
     health = ServerHealth(SETTINGS, START)
     health.eject(START)
     health.record_success(START)
-    assert health.state is ServerState.EJECTED
+    assert health.state is ServerHealthState.EJECTED
     assert not any(health.record_failure(START) for _ in range(20))
-    assert health.state is ServerState.EJECTED
+    assert health.state is ServerHealthState.EJECTED
 
 
 def test_failures_eject_and_the_ejection_time_doubles_until_a_probe_succeeds() -> None:
@@ -89,7 +89,7 @@
     fail_attempts(table, "s0", now)
     server = server_named(table, "s0")
     for _ in range(7):
-        assert server.health.state is ServerState.EJECTED and server.health.ejected_until is not None
+        assert server.health.state is ServerHealthState.EJECTED and server.health.ejected_until is not None
         ejection_times.append((server.health.ejected_until - now) / SECOND)
         assert "s0" not in choose_and_complete(table, server.health.ejected_until - MILLISECOND, 40)
         now = server.health.ejected_until
@@ -100,7 +100,9 @@
     assert ejection_times == [2, 4, 8, 16, 32, 60, 60]
     assert server.health.ejected_until is not None
     now = server.health.ejected_until
-    assert choose_and_complete(table, now, 1) == {"s0": 1} and server.health.state is ServerState.HEALTHY
+    assert (
+        choose_and_complete(table, now, 1) == {"s0": 1} and server.health.state is ServerHealthState.HEALTHY
+    )
 
 
 def test_a_server_of_a_pool_of_two_is_kept_in_service_as_suspect() -> None:
@@ -109,7 +111,9 @@
         choose_and_complete(table, START + second * SECOND, 1)
     fail_attempts(table, "s0", START + 100 * SECOND)
     health = server_named(table, "s0").health
-    assert health.state is ServerState.SUSPECT and health.consecutive_failures == 0 and not table.ejected()
+    assert (
+        health.state is ServerHealthState.SUSPECT and health.consecutive_failures == 0 and not table.ejected()
+    )
 
 
 def test_a_server_that_recovered_is_in_slow_start() -> None:
@@ -128,8 +132,8 @@
     table = make_table(10)
     for index in range(10):
         fail_attempts(table, f"s{index}", START, count=20)
-    ejected = [server for server in table if server.health.state is ServerState.EJECTED]
-    suspect = [server for server in table if server.health.state is ServerState.SUSPECT]
+    ejected = [server for server in table if server.health.state is ServerHealthState.EJECTED]
+    suspect = [server for server in table if server.health.state is ServerHealthState.SUSPECT]
     assert len(ejected) == 3 and len(suspect) == 7
     assert not any(server.health.consecutive_failures for server in suspect)
     assert choose_and_complete(table, START, 50).total() == 50
--- a/tests/load_balancing/test_server.py
+++ b/tests/load_balancing/test_server.py
@@ -6,7 +6,11 @@
 
 from marlstep.load_balancing.concurrency_limit import AdaptiveConcurrencyLimit, ConcurrencyLimitSettings
 from marlstep.load_balancing.latency_estimators import PeakEwma
-from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerHealth, ServerState
+from marlstep.load_balancing.outlier_detection import (
+    OutlierDetectionSettings,
+    ServerHealth,
+    ServerHealthState,
+)
 from marlstep.load_balancing.server import MIN_EXPECTED_LATENCY, SUSPECT_LATENCY_FACTOR, Server
 from marlstep.units import MILLISECOND, SECOND
 from tests.support.pools import START
@@ -34,8 +38,8 @@
     assert make_server(2.0).available_capacity(START) == 1
 
 
-@pytest.mark.parametrize("state", [ServerState.EJECTED, ServerState.PROBING])
-def test_a_server_out_of_service_has_no_capacity(state: ServerState) -> None:
+@pytest.mark.parametrize("state", [ServerHealthState.EJECTED, ServerHealthState.PROBING])
+def test_a_server_out_of_service_has_no_capacity(state: ServerHealthState) -> None:
     server = make_server()
     server.health.state = state
     assert not server.in_service and server.available_capacity(LATER) == 0
@@ -53,7 +57,7 @@
     assert server.expected_completion_time(LATER) == 20 * MILLISECOND
     server.in_flight = 2
     assert server.expected_completion_time(LATER) == 60 * MILLISECOND
-    server.health.state = ServerState.SUSPECT
+    server.health.state = ServerHealthState.SUSPECT
     assert server.expected_completion_time(LATER) == 60 * MILLISECOND * SUSPECT_LATENCY_FACTOR
 
 
--- a/tests/load_balancing/test_server_table.py
+++ b/tests/load_balancing/test_server_table.py
@@ -8,7 +8,7 @@
 
 from marlstep.load_balancing.concurrency_limit import ConcurrencyLimitSettings
 from marlstep.load_balancing.errors import PoolFullError
-from marlstep.load_balancing.outlier_detection import ServerState
+from marlstep.load_balancing.outlier_detection import ServerHealthState
 from marlstep.load_balancing.server_table import MAX_SERVERS, MembershipChange
 from marlstep.units import MILLISECOND, SECOND, ZERO
 from tests.frontends.test_parsers import FIXED
@@ -23,7 +23,7 @@
     assert not table.boot_id_received(server.handle, "a", START)
     state_before = server.health.state
     assert table.boot_id_received(server.handle, "b", START)
-    assert (state_before, server.health.state) == (ServerState.EJECTED, ServerState.NEW)
+    assert (state_before, server.health.state) == (ServerHealthState.EJECTED, ServerHealthState.NEW)
     assert server.latency.value is None
     assert table.boot_id_received(server.handle + (1 << 30), "c", START) is False
 
@@ -74,7 +74,7 @@
     assert server is server_named(table, "s0")
     table.attempt_started(server.handle)
     table.attempt_rejected(server.handle, until)
-    assert server.health.state is ServerState.HEALTHY and not table.ejected()
+    assert server.health.state is ServerHealthState.HEALTHY and not table.ejected()
 
 
 def test_capacity_changes_with_time_in_slow_start_and_while_a_server_is_ejected() -> None:
@@ -110,7 +110,7 @@
                 server = table.choose(now, excluded)
                 if server is not None:
                     assert server.handle not in excluded and not server.leaving
-                    assert server.health.state is not ServerState.EJECTED
+                    assert server.health.state is not ServerHealthState.EJECTED
                     assert server.in_flight < max(1, server.limit.value)
                     table.attempt_started(server.handle)
                     in_flight.append(server.handle)
@@ -137,7 +137,8 @@
         out_of_service = [
             server
             for server in table
-            if not server.leaving and server.health.state in (ServerState.EJECTED, ServerState.PROBING)
+            if not server.leaving
+            and server.health.state in (ServerHealthState.EJECTED, ServerHealthState.PROBING)
         ]
         assert set(out_of_service) <= set(table._ejected.values())
         for server in table:
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -109,7 +109,7 @@
         caller = await harness.connect()
         caller.send_request(1, "book", once="k")
         await harness.kernel.command_read("SCHED", 1)
-        assert harness.core.draining
+        assert harness.core.is_shutting_down
         harness.kernel.end_run(1)
         assert await caller.status_word(1) == "done"
         await harness.run_to_exit()
@@ -260,7 +260,7 @@
         await until(lambda: len(harness.node.resp.connections) == 1)
         os.kill(os.getpid(), signal.SIGTERM)
         harness.waker.shift += 400 * MILLISECOND  # for so long the loop is busy
-        await until(lambda: harness.core.draining)
+        await until(lambda: harness.core.is_shutting_down)
         await harness.advance(GRACE_MS - 300)
         caller.send_request(1, "ping")
         assert await caller.status_word(1) == "later"
--- a/tests/support/node_on_sockets.py
+++ b/tests/support/node_on_sockets.py
@@ -306,7 +306,7 @@
     async def send_sigterm(self) -> None:
         """Send SIGTERM, and wait until the node drains."""
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: self.core.draining)
+        await until(lambda: self.core.is_shutting_down)
 
     async def reload(self, **other: Any) -> None:
         """Change the configuration file, send SIGHUP, and wait until the node has read it."""
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -11,7 +11,7 @@
 
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.load_balancing.concurrency_limit import ConcurrencyLimitSettings
-from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerState
+from marlstep.load_balancing.outlier_detection import OutlierDetectionSettings, ServerHealthState
 from marlstep.load_balancing.pool_config import PoolConfig
 from marlstep.load_balancing.server import Server
 from marlstep.load_balancing.server_table import PoolSettings
@@ -195,7 +195,7 @@
             else:
                 busy.append(site.dial.accept())
         site.settle()
-    assert site.server(2).health.state is ServerState.EJECTED and len(busy) == 4
+    assert site.server(2).health.state is ServerHealthState.EJECTED and len(busy) == 4
     for wire in busy:
         site.reply(wire)
     answered = [verdict for number in range(1, 12) for verdict in site.desk.verdicts(number)]
@@ -207,7 +207,7 @@
     assert site.port == 2  # the probe
     while site.dial.waiting:
         site.reply(site.dial.accept())
-    assert site.server(2).health.state is ServerState.HEALTHY and site.desk.verdicts(12) == [
+    assert site.server(2).health.state is ServerHealthState.HEALTHY and site.desk.verdicts(12) == [
         ResponseStatus.DONE
     ]
 
