--- a/marlstep/admission/call_latency.py
+++ b/marlstep/admission/call_latency.py
@@ -32,7 +32,7 @@
         return int(SLOW_CALL_FACTOR * self.usual_us)
 
     def record(self, elapsed_us: int) -> None:
-        """Take a call that has ended into the means, whatever its outcome: it took its time in the dependency."""
+        """Take a call that has ended into the means, whatever its outcome: it took time all the same."""
         are_calls_slow = self.mean_us > SLOW_CALL_FACTOR * self.usual_us
         if not are_calls_slow:
             self.usual_us += USUAL_EWMA_WEIGHT * (elapsed_us - self.usual_us)
@@ -41,7 +41,7 @@
     def adopt(self, usual_us: float, mean_us: float) -> None:
         """Take over the means of another process of this server; 0 stands for nothing measured there.
 
-        The usual time is theirs, as they have measured it for longer; the present one stays if it is measured.
+        The usual time is theirs, which was measured for longer; the present one stays if it is measured.
         """
         self.usual_us = usual_us or self.usual_us
         self.mean_us = self.mean_us or mean_us
--- a/marlstep/admission/call_policy.py
+++ b/marlstep/admission/call_policy.py
@@ -58,7 +58,8 @@
 def backoff_us(attempts_never_ran: int, tick_us: int) -> int:
     """Return how long to wait before the next attempt, in microseconds.
 
-    A tick, doubled for each attempt that never ran after the first: what rejects a call needs time to recover.
+    A tick, doubled for each attempt that never ran after the first: what rejects calls needs time to
+    recover.
 
     Args:
         attempts_never_ran: of this step that never ran.
--- a/marlstep/admission/controller_state.py
+++ b/marlstep/admission/controller_state.py
@@ -27,7 +27,7 @@
 
 
 class ControllerState:
-    """The controller's view of its server: this node. Times and durations are microseconds, sizes are kilobytes.
+    """The controller's view of its server, this node. Times and durations are microseconds, sizes kilobytes.
 
     Attributes:
         now: the time of this turn.
@@ -36,8 +36,8 @@
         memory_kb: that this process may use.
         max_concurrency: requests on the cores that this process's portion of the server survives.
         last_runnable_arrival_at: what arrives later is not run; `NEVER` unless the server drains.
-        respond_by: when all responses must be given; `NEVER` until the process is to be stopped, with or without a
-            successor.
+        respond_by: when all responses must be given; `NEVER` until the process is to be stopped, with or
+            without a successor.
         settings: in force.
         shortest_objective_us: the shortest latency objective of all classes.
         highest_weight: the highest priority weight of all classes.
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -123,7 +123,7 @@
 
     Attributes:
         tag: of the timer.
-        gauges: `cpu`, `runq`, `memory`, `conns`, as far as they are measured; only `cpu` and `conns` are used.
+        gauges: `cpu`, `runq`, `memory`, `conns`, where measured; only `cpu` and `conns` are used.
     """
 
     tag: int
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -103,7 +103,7 @@
         return is_in_time and self.memory.could_ever_run(entry)
 
     def _make_room_for(self, entry: Entry, prior: Entry | None) -> bool:
-        """End waiting requests that can earn nothing as far as memory lacks, and return whether there is enough."""
+        """End waiting requests that can earn nothing while memory lacks, and return whether there is enough."""
         limit_kb = self.memory.queue_limit_kb(entry, prior)
         self._evict_down_to(limit_kb, entry)
         return self.state.entries.memory_kb <= limit_kb
@@ -127,7 +127,7 @@
             self.lifecycle.reject_or_fail(entry)
 
     def _supersede(self, prior: Entry, entry: Entry) -> None:
-        """Let an arrival take the place of the attempt that it repeats: its key and its turn. That one is rejected."""
+        """Let an arrival take key and turn of the attempt that it repeats; that one is rejected."""
         self.state.entries.release_key_memory(prior)
         self.state.keep_key(entry)
         entry.arrival_number = prior.arrival_number
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -1,4 +1,4 @@
-"""Ends of requests: the one place that gives final responses to known requests, other than the result of a run.
+"""Ends of requests: the one place that gives known requests a final response other than the result of a run.
 
 An arrival of an unknown class is rejected by the intake, as there is no entry of it.
 """
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -54,7 +54,7 @@
             if entry.priority <= 0 and not has_idle_core(len(running), self.state.settings.cores):
                 continue
             if has_place and len(running) + 1 > limit:
-                # Before memory and the pool are checked: where these refuse, the place goes to the next in order.
+                # Before memory and the pool are checked: where these refuse, the place goes to the next.
                 has_place = self._make_place(entry)
             if has_place and not self.state.entries.is_pool_full(entry.pool):
                 self._start_if_allowed(entry)
--- a/marlstep/admission/start_rules.py
+++ b/marlstep/admission/start_rules.py
@@ -35,8 +35,8 @@
 def is_eligible(entry: Entry, last_runnable_arrival_at: int) -> bool:
     """Return whether the rules on draining, idempotency keys and effects let a request run.
 
-    Nothing runs that arrived after the drain's grace period: intake rejects such arrivals, and this holds for those
-    queued before the drain was known. A paused run may otherwise resume. A queued
+    Nothing runs that arrived after the drain's grace period: intake rejects such arrivals, and this holds for
+    those queued before the drain was known. A paused run may otherwise resume. A queued
     request with an idempotency key needs its key kept first, so that retries find it; one that has run
     before, and was dropped, may run again only if it is idempotent.
 
