--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -103,7 +103,7 @@
         return is_in_time and self.memory.could_ever_run(entry)
 
     def _make_room_for(self, entry: Entry, prior: Entry | None) -> bool:
-        """End waiting requests that can earn nothing while memory lacks, and return whether there is enough."""
+        """End waiting requests that can earn nothing while memory lacks; return whether there is enough."""
         limit_kb = self.memory.queue_limit_kb(entry, prior)
         self._evict_down_to(limit_kb, entry)
         return self.state.entries.memory_kb <= limit_kb
