--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -355,7 +355,7 @@
         assert (
             harness.core.in_flight == 0
             and controller.state.entries.memory_kb == 0
-            and controller.state.entries.count_unfinished() == 0
+            and controller.state.entries.count_in_flight() == 0
         )
         caller.send_request(9, "unlock")
         await harness.kernel.command_read("SCHED", 9)
