--- a/marlstep/core/drain.py
+++ b/marlstep/core/drain.py
@@ -17,7 +17,10 @@
 
 log = logging.getLogger(__name__)
 
-STOP_MARGIN = 150 * MILLISECOND  # before the process is stopped, all open requests get their response
+# Before the process is stopped, all open requests get their response. Second of three margins, each a line of defence
+# for the one before: the controller responds first (`admission.deadlines.drain_response_deadline`), then the core, then
+# the process ends by itself (`marlstep.drain.EXIT_MARGIN`).
+STOP_MARGIN = 150 * MILLISECOND
 
 
 def grace_end(run_until: datetime, stops_at: datetime) -> datetime:
@@ -66,7 +69,12 @@
         return self._run_until is not None and self._timeline.now() < self._run_until
 
     def is_too_late(self, arrived_at: datetime) -> bool:
-        """Decide whether a request that arrived then must not run: it came after the grace of a drain."""
+        """Decide whether a request that arrived then must not run: it came after the grace of a drain.
+
+        The controller has decided by the same rule before (`admission.deadlines.last_runnable_arrival`); this is the
+        second line of defence, which `run_rules.decide_run` applies to each start. The arrival counts as stated, so
+        that a client's clock that runs ahead may bring a request here that the controller took for one of the grace.
+        """
         return self._run_until is not None and arrived_at > self._run_until
 
     def drain(self, stops_at: datetime, noticed_at: datetime, grace: timedelta) -> None:
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -10,7 +10,9 @@
 - `idempotency`, `repeats` and `sibling_claims` know which work has been accepted before,
 - `served_settings`, `drain`, `gauge_timers` and `counters` own what their names say.
 
-The module is longer than the others of the package, as the whole interface that the rest of the node uses stands here.
+To follow a request, start at `Core.submit`, then read `Core._decide`, which lets the controller decide about the
+events so far, then `ActionDispatcher`, which carries out what it decided. The rest of `Core` passes calls on to the
+parts: the whole interface that other packages use stands here.
 """
 
 from __future__ import annotations
@@ -91,7 +93,7 @@
 
         Args:
             settings: the first ones in force.
-            seed: of the controller's random choices.
+            seed: passed on to the controller, which ignores it.
             timeline: the clock and the timers of everything here.
             ports: for gauges and downstream calls.
             max_requests: in flight at once. Raises InvalidTableLimitError for a number that no table can have.
@@ -161,7 +163,8 @@
             The handle by which the frontend reports that the client has disconnected.
 
         Raises:
-            RequestRejectedError: the request broke a rule of the intake; nothing ran, and no response follows.
+            RequestRejectedError: the request broke a rule of the intake. The core owes it no response: the frontend
+                responds itself.
         """
         return self._intake.submit(frontend, response_handle, backend, inbound)
 
@@ -343,7 +346,8 @@
         """
         self._repeats.mark_remote_outcomes_unknown(expires_at)
 
-    # Leaving.
+    # Leaving. A process *shuts down* from SIGTERM on. It *drains* if it has no successor: after a grace it rejects what
+    # arrives. With a successor it finishes what it has, and does not drain unless the successor is lost.
 
     @property
     def stops_at(self) -> datetime | None:
--- a/marlstep/core/errors.py
+++ b/marlstep/core/errors.py
@@ -1,4 +1,8 @@
-"""Why a request is rejected at intake: one base error with a typed reason and the request's fields beside the text."""
+"""Why a request is rejected at intake: one base error with a typed reason and the request's fields beside the text.
+
+The core owes such a request no response; its frontend responds by a policy of its own (`RespConnection._exec`,
+`UwsgiConnection._submit`).
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,11 @@
 
 
 class RejectionReason(enum.Enum):
-    """The intake rule that a request broke."""
+    """The intake rule that a request broke.
+
+    All but PROCESS_AT_CAPACITY are faults of the request. That one says that this process has as many requests in
+    flight as it may hold; frontends treat it like the others all the same.
+    """
 
     UNKNOWN_CLASS = "unknown_class"
     UNKNOWN_TENANT = "unknown_tenant"
@@ -37,7 +45,9 @@
 
 
 class RequestRejectedError(MarlstepError):
-    """A request was rejected at intake: nothing ran, and no response follows.
+    """A request was rejected before the core owed it a response; the frontend responds itself.
+
+    This attempt was not run. Whether the work ran is known only from the subclass: see `RepeatedWorkError`.
 
     Attributes:
         reason: the rule that the request broke.
@@ -58,4 +68,4 @@
 
 
 class RepeatedWorkError(RequestRejectedError):
-    """A request repeats work that ran or may have run: it has failed, and the client must not retry it."""
+    """A request repeats work that an earlier attempt ran or may have run: it failed, and must not be retried."""
--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -1,6 +1,7 @@
 """Idempotency keys known to this node: repeats of keyed work, and effects that must not happen twice.
 
-Three rules hold for every entry.
+Entries are *dropped*: when the work never ran, when a request that keeps no key ends, or once they are past their
+time. Three rules hold for every entry.
 
 - Whether a key is known is asked for the moment at which a request arrived, not for that at which it is read. An
   entry is therefore kept beyond its window for as long as a request may lie unread and still be run.
@@ -205,7 +206,9 @@
     def adopt(self, key: IdempotencyKey, remote: KeyRecord, now: datetime, max_unread: timedelta) -> None:
         """Enter what another process says of a piece of work.
 
-        An entry for an own request stays as it is; one that another process gave earlier is replaced.
+        An entry for an own request stays as it is; one that another process gave earlier is replaced. An own entry
+        counts here for as long as it is kept, also past the end of its window, when `find` has new work in its place:
+        what another process says of that new work is then not entered.
         """
         record = self._records.get(key)
         if record is not None and not record.is_remote:
--- a/marlstep/core/intake.py
+++ b/marlstep/core/intake.py
@@ -1,4 +1,4 @@
-"""Intake: the way of a request from its frontend to the controller's queue."""
+"""The intake of the core: the way of a request from its frontend to the controller, which has an intake of its own."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RequestIntake:
-    """Accepts requests or rejects them.
+    """Accepts requests into the core or rejects them; whether the controller queues them is another decision.
 
     Attributes:
         accepts_work: whether there is a configuration to accept work under; None where there always is one.
@@ -59,6 +59,9 @@
             frontend,
             response_handle,
             backend,
+            # From the arrival as stated: where a client's clock runs ahead the deadline is later by as much. Keys
+            # don't trust that clock (`counted_arrival`), nor does the controller, which responds at its own deadline;
+            # this one only stands behind it.
             max(now, inbound.arrived_at + span(class_settings.deadline_us)),
             config_versions=self.config_versions,
             idempotency_key=key,
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -29,7 +29,8 @@
         id: unique among the requests in flight.
         request_class: the name of its class.
         body: passed on to the backend unchanged.
-        arrived_at: when its first byte came, as far as the frontend knows; may come from the client's clock.
+        arrived_at: when its first byte came, as far as the frontend knows. It may come from the client's clock and
+            lie after now; see `counted_arrival`.
         memory_kb: that it takes while it is queued.
         caller: the number of the calling server; 0 where callers have none.
         is_retry: whether the client marks it as a retry.
@@ -93,7 +94,7 @@
     """How a request ended for its client; the values are the names of the counters."""
 
     DONE = "done"
-    REJECTED = "refused"  # nothing ran: the client may send it elsewhere
+    REJECTED = "refused"  # this attempt did not run: the client may send it elsewhere
     FAILED = "failed"  # promises nothing about effects
     EXPIRED = "expired"  # likewise, as its time ran out
 
--- a/marlstep/core/repeats.py
+++ b/marlstep/core/repeats.py
@@ -53,6 +53,8 @@
 
         It fails where no result is known and none will come: the work may have run.
         """
+        # The controller attaches keyed work alone, and the intake accepts none without a key. Were there one, its empty
+        # name would find no record, and the repeat would fail as one without a known result.
         key = repeat.idempotency_key or IdempotencyKey(repeat.inbound.request_class, "")
         arrived_at = counted_arrival(self._timeline.now(), repeat.inbound.arrived_at)
         record = self._keys.find(key, arrived_at)
--- a/marlstep/core/request_actions.py
+++ b/marlstep/core/request_actions.py
@@ -3,9 +3,10 @@
 from __future__ import annotations
 
 import logging
+from datetime import timedelta
 
 from marlstep.admission.actions import Attach, Call, Fail, ForgetKey, KeepKey, Preempt, Reject, Run, SkipCall
-from marlstep.admission.settings import Effect
+from marlstep.admission.settings import ClassSettings, Effect
 from marlstep.core.counters import CALL_COUNT, RUN_COUNT, RequestCounters
 from marlstep.core.drain import GracefulShutdown
 from marlstep.core.interfaces import CallClient, Request, Response, ResponseStatus, Stage
@@ -19,6 +20,16 @@
 log = logging.getLogger(__name__)
 
 
+def max_retry_span(settings: ClassSettings) -> timedelta:
+    """Return how long after the start of a run the last repeat of at-most-once work may arrive.
+
+    The first attempt may be open until its deadline, and the class's window follows. Keyed work needs no such bound:
+    the controller counts its window from the arrival, and says with `KeepKey` how long the key is to be kept. In
+    both cases `RepeatedWork.retain_key` adds the time for which a repeat may lie unread.
+    """
+    return span(settings.idempotency_window_us + settings.deadline_us)
+
+
 class RequestActions:
     """Carries out the actions about a request, each by its own method."""
 
@@ -57,7 +68,7 @@
         request.stage, request.may_have_run = Stage.RUNNING, True
         settings = request.class_settings
         if settings.effect is Effect.AT_MOST_ONCE:
-            self._repeats.retain_key(request, span(settings.idempotency_window_us + settings.deadline_us))
+            self._repeats.retain_key(request, max_retry_span(settings))
         self._counters.count(request, RUN_COUNT)
         request.backend.start(request)
 
--- a/marlstep/core/request_registry.py
+++ b/marlstep/core/request_registry.py
@@ -8,7 +8,7 @@
 from marlstep.core.interfaces import Request
 from marlstep.slots import SlotTable
 
-MAX_REQUESTS = 8_192  # requests in flight at once
+MAX_REQUESTS = 8_192  # requests in flight at once; bounds their memory, see `resource_budget.REQUEST_MEMORY`
 
 
 class RequestRegistry:
--- a/marlstep/core/response_rules.py
+++ b/marlstep/core/response_rules.py
@@ -1,7 +1,8 @@
 """Which final response an outcome gives. The rules are pure; `responses` delivers what they decide.
 
 A client may send a rejected request elsewhere, and must not do so with a failed or expired one that has an effect:
-REJECTED is a promise that nothing ran.
+REJECTED is a promise that this attempt did not run. It says nothing of earlier attempts of the same work: see the
+exception in `sibling_claims.decide_claim`.
 """
 
 from __future__ import annotations
--- a/marlstep/core/responses.py
+++ b/marlstep/core/responses.py
@@ -23,7 +23,10 @@
 
 log = logging.getLogger(__name__)
 
-RUN_STAGES = frozenset({Stage.RUNNING, Stage.AWAITING_CALL, Stage.CALLING})  # the backend has a run to end
+# The backend has a run to end, whose end it reports. A paused run is none: nothing of it executes, and no backend has
+# anything to do for it. The kernel drops it when it sees the response, without a report (see `KernelClient.abandon` and
+# the emulated kernel's `response_delivered`), and upstreams pause no run. So the request is over once it is settled.
+RUN_STAGES = frozenset({Stage.RUNNING, Stage.AWAITING_CALL, Stage.CALLING})
 
 
 class ResponseDelivery:
@@ -61,7 +64,7 @@
         self.settle(request)
 
     def reject(self, request: Request) -> None:
-        """Respond that nothing ran, with the pause that clients are asked for."""
+        """Respond that this attempt did not run, with the longest Retry-After."""
         self.respond(request, Response(ResponseStatus.REJECTED, retry_after=self.retry_after()))
 
     def respond_without_outcome(self, request: Request) -> None:
@@ -81,7 +84,7 @@
         self._events.post(ClientDisconnected(request.id))
 
     def retry_after(self) -> timedelta:
-        """Return how long a client is asked to stay away where the controller didn't say: the longest allowed."""
+        """Return the longest Retry-After that is allowed, for where the controller gave none; zero if none is sent."""
         settings = self._served.settings
         return span(settings.max_retry_after_us) if settings.sends_retry_after else ZERO
 
@@ -107,6 +110,7 @@
         elif request.stage is not Stage.FINISHED:
             never_began = request.stage is Stage.QUEUED and not request.may_have_run
             if request.idempotency_key and never_began:
+                # Inside its window as well: work that never ran may be begun by the next attempt.
                 self._keys.drop(request.idempotency_key, request.id, even_if_retained=True)
             request.stage = Stage.FINISHED
             self.forward_result(request, Outcome.ERROR, b"")
@@ -131,7 +135,11 @@
         self.release_if_finished(repeat)
 
     def release_if_finished(self, request: Request) -> None:
-        """Release a request that has its response and whose run is over. All requests are released here."""
+        """Release a request that is settled and whose run is over. All requests are released here.
+
+        Its key is dropped with it, unless the key is retained for a window: the work may have run, so that
+        `even_if_retained` would let a repeat run it again.
+        """
         finished = request.is_settled and request.stage is Stage.FINISHED
         if finished and self._requests.release(request) and request.idempotency_key:
             self._keys.drop(request.idempotency_key, request.id, even_if_retained=False)
--- a/marlstep/core/run_rules.py
+++ b/marlstep/core/run_rules.py
@@ -21,7 +21,7 @@
 ) -> RunDecision:
     """Decide what to do with a request that the controller wants to run.
 
-    Nothing runs for a request that has its response, nor for one that arrived after the drain's grace. Work with
+    Nothing runs for a request that is settled, nor for one that arrived too late for a drain. Work with
     an effect that may have run is not started again; resuming a paused run of it is no new start. These rules hold
     whatever the controller asks for, as breaking one may run a client's work twice.
 
@@ -30,7 +30,7 @@
         may_have_run: whether a run of it has begun, or may have.
         is_settled: whether no response is owed any more: it has left, or the client has disconnected.
         has_effect: whether its class is not idempotent.
-        arrived_too_late: whether it arrived after the end of the drain's grace.
+        arrived_too_late: see `GracefulShutdown.is_too_late`, the second line of defence of the controller's rule.
     """
     runs_again = has_effect and may_have_run and stage is not Stage.PAUSED
     if is_settled or arrived_too_late or runs_again:
--- a/marlstep/core/sibling_claims.py
+++ b/marlstep/core/sibling_claims.py
@@ -32,8 +32,13 @@
     """Decide what a claim's result means for its request.
 
     Work that is known by now is repeated, unless it runs at most once or had another body: then the request fails,
-    as the work may have run. Unknown work runs where the claim was granted. Otherwise another process may have run
-    it, and this one has not: the request is rejected here.
+    as the work may have run. Unknown work runs where the claim was granted. Otherwise an earlier attempt may have run
+    in another process, and the request is rejected here.
+
+    That rejection is an exception to what `response_rules` says of REJECTED: it promises that this attempt did not
+    run, and no more. It keeps the work from running twice on this node, whose key is decided on again when the
+    other process's retry window is over. A client that took it as leave to run the work on another node would run it
+    there although the earlier attempt may have run here.
 
     Args:
         result: what the other processes said.
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -21,7 +21,9 @@
 MAX_RESTART_DEADLINE = 3 * SECOND  # bound on the deadline that a process with a successor waits for
 RESTART_DEADLINE_MARGIN = 700 * MILLISECOND
 DRAIN_POLL_INTERVAL = 20 * MILLISECOND  # between checks whether the drain is done
-EXIT_MARGIN = 100 * MILLISECOND  # before the platform stops the process, it ends by itself
+# Before the platform stops the process, it ends by itself. Last of three margins: by then the controller has responded
+# to all requests (`admission.deadlines.DRAIN_LEAD_TICKS`), and after it the core (`core.drain.STOP_MARGIN`).
+EXIT_MARGIN = 100 * MILLISECOND
 
 
 class DrainController:
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -122,6 +122,11 @@
                 self._reject_request(tag, "unknown command")
 
     def _exec(self, command: ExecCommand) -> None:
+        """Submit a request; one that the intake rejects gets `error` at once, and counts as invalid.
+
+        That holds for PROCESS_AT_CAPACITY too, which is the node's own state and no fault of the peer: the connection
+        closes after MAX_INVALID_REQUESTS of them as well.
+        """
         if not resp_policy.accepts_another_request(len(self._request_handles)):
             self._reject_request(command.tag, f"over {resp_policy.MAX_OPEN_REQUESTS} open requests")
             return
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -59,6 +59,11 @@
             self.finish()  # the client left inside its packet: there is no request to respond to
 
     def _submit(self, packet: Packet) -> None:
+        """Submit the request, or respond with the status of its rejection.
+
+        A repeat of work that ran or may have run gets 502, as a failure does. All other rejections of the intake get
+        400, also PROCESS_AT_CAPACITY, which is the node's own state and no fault of the request.
+        """
         try:
             self.submit(ONLY_REQUEST, self.frontend.read_request(packet))
         except RepeatedWorkError as error:
