--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -66,9 +66,9 @@
         if self._may_start(request):
             self._backend.start(request)
 
-    def pause(self, request: Request) -> None:
+    def preempt(self, request: Request) -> None:
         """Pass on to the pool's backend."""
-        self._backend.pause(request)
+        self._backend.preempt(request)
 
     def resume(self, request: Request) -> None:
         """Pass on to the pool's backend."""
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -158,8 +158,12 @@
     def start(self, request: Request) -> None:
         """Run a request from its beginning. `EventSink.run_ended` follows."""
 
-    def pause(self, request: Request) -> None:
-        """Preempt a run. Where that takes effect, the run ends as cancelled and may be resumed."""
+    def preempt(self, request: Request) -> None:
+        """Preempt a run where the backend can. It then ends as cancelled; the settings say whether its work is kept.
+
+        With `PreemptionMode.PAUSE` the run may be resumed, with `DROP` it begins again. A backend that can't preempt
+        lets the run go on.
+        """
 
     def resume(self, request: Request) -> None:
         """Let a paused run go on."""
@@ -171,7 +175,7 @@
         """Let a run that waits for its call go on without a reply."""
 
     def abandon(self, request: Request) -> None:
-        """Hear that nobody waits for the result of a run any more. The run still has to be reported as ended."""
+        """Stop the run where the backend can, as nobody waits for its result; report its end either way."""
 
 
 class CallClient(Protocol):
@@ -206,7 +210,7 @@
         stage: where it stands.
         may_have_run: a run has begun, or may have; it never turns false again.
         known_to_have_run: the backend has reported something that only a run does.
-        pause_requested: the backend was asked to pause the run, and has not reported its end.
+        preempt_requested: the backend was asked to preempt the run, and has not reported its end.
         call_failed: the last call failed, and was not skipped.
         is_settled: no response is owed any more: it has left, or the client has disconnected.
         deadline_timer: that of `deadline_at`.
@@ -227,7 +231,7 @@
     stage: Stage = Stage.QUEUED
     may_have_run: bool = False
     known_to_have_run: bool = False
-    pause_requested: bool = False
+    preempt_requested: bool = False
     call_failed: bool = False
     is_settled: bool = False
     deadline_timer: Timer | None = None
@@ -250,7 +254,7 @@
         """Report that the backend is up."""
 
     def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None:
-        """Report the end of a run, or with `Outcome.CANCELLED` that it has paused."""
+        """Report the end of a run, or with `Outcome.CANCELLED` that it was preempted."""
 
     def call_needed(self, id: str, body: bytes) -> None:
         """Report that a run waits for a downstream call with this body."""
--- a/marlstep/core/request_actions.py
+++ b/marlstep/core/request_actions.py
@@ -73,10 +73,10 @@
         request.backend.start(request)
 
     def preempt(self, request: Request, _action: Preempt) -> None:
-        """Ask the backend to pause a run."""
+        """Ask the backend to preempt a run."""
         if request.stage is Stage.RUNNING:
-            request.pause_requested = True
-            request.backend.pause(request)
+            request.preempt_requested = True
+            request.backend.preempt(request)
 
     def reject(self, request: Request, action: Reject) -> None:
         """Respond that nothing ran, or with a failure where that can't be promised."""
--- a/marlstep/core/run_events.py
+++ b/marlstep/core/run_events.py
@@ -17,13 +17,13 @@
 from marlstep.units import span_us
 
 
-def has_paused(outcome: Outcome, *, pause_requested: bool, is_settled: bool) -> bool:
-    """Decide whether the end of a run is a pause, after which it may go on.
+def was_preempted(outcome: Outcome, *, preempt_requested: bool, is_settled: bool) -> bool:
+    """Decide whether a run ended by a preemption, after which it may go on or begin again.
 
-    It is where the run was cancelled as the core had asked. Any other end is final: a run that was cancelled
+    It did where the run was cancelled as the core had asked. Any other end is final: a run that was cancelled
     unasked, and one whose response has left, which nobody would resume.
     """
-    return outcome is Outcome.CANCELLED and pause_requested and not is_settled
+    return outcome is Outcome.CANCELLED and preempt_requested and not is_settled
 
 
 class RunEvents:
@@ -45,12 +45,12 @@
         self._call_client = call_client
 
     def run_ended(self, request_id: str, outcome: Outcome, elapsed: timedelta, result: bytes) -> None:
-        """Pause the request, or end it with its response."""
+        """Note that the run was preempted, or end the request with its response."""
         request = self._requests.find(request_id)
         if request is None:
             return
-        if has_paused(outcome, pause_requested=request.pause_requested, is_settled=request.is_settled):
-            self._pause(request)
+        if was_preempted(outcome, preempt_requested=request.preempt_requested, is_settled=request.is_settled):
+            self._preempted(request)
         else:
             self._end(request, outcome, result)
             if outcome is Outcome.CANCELLED:
@@ -60,8 +60,8 @@
         self._events.post(RunEnded(request_id, outcome, span_us(elapsed)))
         self._responses.release_if_finished(request)
 
-    def _pause(self, request: Request) -> None:
-        request.pause_requested = False
+    def _preempted(self, request: Request) -> None:
+        request.preempt_requested = False
         request.known_to_have_run = True
         drops_work = self._served.settings.preemption_mode is PreemptionMode.DROP
         request.stage = Stage.QUEUED if drops_work else Stage.PAUSED
@@ -85,7 +85,7 @@
         if request is not None:
             request.stage, request.call_body = Stage.AWAITING_CALL, body
             request.known_to_have_run = True
-            request.pause_requested = False  # the run came to its call before the pause reached it
+            request.preempt_requested = False  # the run came to its call before the preemption
             self._events.post(CallNeeded(request_id))
 
     def call_ended(self, request_id: str, outcome: Outcome, reply: bytes) -> None:
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -292,8 +292,8 @@
         inbound = request.inbound
         self._command(inbound.id, kernel_wire.encode_start(inbound.id, inbound.request_class, inbound.body))
 
-    def pause(self, request: Request) -> None:
-        """Pause a run; where that takes effect, it ends as cancelled."""
+    def preempt(self, request: Request) -> None:
+        """Preempt a run; where that takes effect, it ends as cancelled."""
         self._command(request.id, kernel_wire.encode_pause(request.id))
 
     def resume(self, request: Request) -> None:
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -217,7 +217,7 @@
         offer = request.inbound
         self._told(request, lambda: self.machine.start(offer.id, offer.request_class, offer.body))
 
-    def pause(self, request: Request) -> None:
+    def preempt(self, request: Request) -> None:
         def halt() -> bool:
             if (notice := self.machine.pause(request.id)) is not None:
                 self._notice(notice)
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -2,7 +2,7 @@
 
 `marlstep.load_balancing` decides which server gets a request, and whether another one does after an attempt that went
 wrong. Requests beyond the capacity of a pool are queued by the admission controller, which is notified of that
-capacity. A run cannot be paused here; it is cancelled only once its request is answered.
+capacity. A run cannot be preempted here; it is cancelled only once its request is settled.
 """
 
 from __future__ import annotations
@@ -112,8 +112,8 @@
             # Reported in a later turn of the loop: the core is still starting the request.
             self._timeline.soon(lambda: self._finish(forwarded, Outcome.REJECTED))
 
-    def pause(self, request: Request) -> None:
-        """Cancel the run if its request is answered; a server behind a socket cannot be paused."""
+    def preempt(self, request: Request) -> None:
+        """Cancel the run if its request is settled; otherwise a server behind a socket cannot be preempted."""
         if request.is_settled:
             self.abandon(request)
 
@@ -121,7 +121,7 @@
         """Cancel the run: nobody waits for its response."""
         forwarded = self._requests.get(request.id)
         if forwarded is not None and forwarded.attempt is not None:
-            # Reported in a later turn of the loop: the core is still answering the request.
+            # Reported in a later turn of the loop: the core is still sending the response.
             self._timeline.soon(forwarded.attempt.cancel)
 
     def resume(self, request: Request) -> None:
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -20,7 +20,7 @@
     desk = Desk(cores=1)
     desk.submit(1)
     desk.submit(2, "setpoint-cmd")
-    assert desk.backend.told == [("start", "r1"), ("pause", "r1"), ("start", "r2")]
+    assert desk.backend.told == [("start", "r1"), ("preempt", "r1"), ("start", "r2")]
     desk.end(1, Outcome.CANCELLED)
     desk.end(2)
     assert desk.backend.told[3:] == [("resume", "r1")]
--- a/tests/core/test_responses.py
+++ b/tests/core/test_responses.py
@@ -36,7 +36,7 @@
     handle = desk.submit(1)
     desk.core.client_disconnected(handle)
     desk.clock.settle()
-    assert desk.backend.told == [("start", "r1"), ("abandon", "r1"), ("pause", "r1")]
+    assert desk.backend.told == [("start", "r1"), ("abandon", "r1"), ("preempt", "r1")]
     desk.end(1, Outcome.CANCELLED)
     assert not desk.answers and desk.core.in_flight == 0
 
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -52,7 +52,7 @@
         desk.clock.settle()
     assert desk.backend.told[-1] == ("skip", "r1")
     desk.submit(2, "setpoint-cmd")
-    assert ("pause", "r1") in desk.backend.told
+    assert ("preempt", "r1") in desk.backend.told
 
 
 def test_a_run_that_reaches_its_call_before_the_pause_is_not_paused_by_it() -> None:
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -69,8 +69,8 @@
     def start(self, request: Request) -> None:
         self.told.append(("start", request.id))
 
-    def pause(self, request: Request) -> None:
-        self.told.append(("pause", request.id))
+    def preempt(self, request: Request) -> None:
+        self.told.append(("preempt", request.id))
 
     def resume(self, request: Request) -> None:
         self.told.append(("resume", request.id))
