--- a/marlstep/config/reloading.py
+++ b/marlstep/config/reloading.py
@@ -9,15 +9,18 @@
 from marlstep.config.readers import ConfigError
 from marlstep.config.schema import Config, UwsgiConfig, config_key
 
-# Keys that the platform may leave out, whatever the configuration in force has.
+# Keys of the platform's file that a reloaded one may lack, whatever the configuration in force has. The node reads none
+# of them: `aimStretch`, `passesDeadline` and `prices.fleet`. They are matched by name, in any table.
 OPTIONAL_KEYS = {"aimStretch", "passesDeadline", "fleet"}
 
 
 def merge_reloaded(running: Config, loaded: Config) -> tuple[Config, list[str]]:
     """Return the configuration to put in force, and the keys whose change needs a restart.
 
-    Addresses of clients, the shutdown timeout, the seed, the settings, the gauges and the pools of servers change
-    while the node runs; whether it warms up and how many servers there are, as told at its start, do not.
+    Addresses of clients, the shutdown timeout, the settings, the gauges and the pools of servers change while the node
+    runs. Two settings do not, and a change of them is not reported: whether the node warms up, which describes its
+    start, and the number of servers, as it was at the start. Nor does a changed seed have an effect or a report: it is
+    taken over, but its users read it once, when they are made.
 
     Raises:
         ConfigError: a key is missing that the running configuration has. Nothing is taken over then.
--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -27,7 +27,9 @@
     HEALTHY = "healthy"
     SUSPECT = "suspect"  # its last attempt failed, or it was kept in service although it should be ejected
     EJECTED = "ejected"  # gets no requests
-    PROBING = "probing"  # gets one request, which decides whether it is healthy
+    PROBING = (
+        "probing"  # gets one request; the next attempt that ends decides, also one from before the ejection
+    )
 
 
 STATE_AFTER_SUCCESS = {
@@ -85,7 +87,8 @@
     """Decide whether a pool may lose one more server to an ejection.
 
     Rule: no more than the given share of its members is ejected at once. With more in trouble the fault is as likely
-    on this node's side, and the servers that are left would be overloaded.
+    on this node's side, and the servers that are left would be overloaded. The share is not rounded up: by the default
+    of `PoolSettings`, a pool of one or two servers ejects none.
 
     Args:
         ejected: Members that are ejected or probed now.
@@ -193,7 +196,10 @@
             self._enter(ServerHealthState.PROBING, now)
 
     def weight(self, now: datetime) -> float:
-        """Return the share of its requests that the server gets, from above 0 to 1; end slow start when it is due."""
+        """Return the share of its requests that the server gets, from above 0 to 1.
+
+        The first call after the slow-start time ends slow start, which `slow_start_since` shows from then on.
+        """
         if self.slow_start_since is None:
             return 1.0
         elapsed = now - self.slow_start_since
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -40,7 +40,7 @@
 
     limits: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
     health: OutlierDetectionSettings = field(default_factory=OutlierDetectionSettings)
-    max_ejected_share: float = 0.34  # of the members that may be ejected at once
+    max_ejected_share: float = 0.34  # of the members that may be ejected at once; see `ejection_allowed`
     latency_decay_time: timedelta = 10 * SECOND  # of the latency estimate
 
 
@@ -99,7 +99,11 @@
         is the same server, with all that is known of it.
 
         Raises:
-            PoolFullError: There would be too many servers; nothing is changed then.
+            PoolFullError: There would be too many servers; nothing is changed then. Servers that this call removes
+                are not counted.
+            TableFullError: Servers that this call removed have attempts in flight, and leave no slot for some of the
+                new ones. No new server is used then, although some have been added, and the removed ones get no
+                attempts any more.
 
         """
         members = dict.fromkeys(names)
@@ -145,7 +149,10 @@
     # Capacity and choice.
 
     def capacity(self, now: datetime) -> int:
-        """Return how many attempts the members take at once, those in flight included; a probe counts as one."""
+        """Return how many attempts the members take at once, those in flight included; a probe counts as one.
+
+        Ejections and slow starts whose time is over end with this call.
+        """
         total = 0
         for server in self._members:
             server.health.end_ejection_if_due(now)
@@ -196,7 +203,10 @@
     # Attempts.
 
     def attempt_started(self, handle: int) -> None:
-        """Count an attempt as in flight at the server."""
+        """Count an attempt as in flight at the server.
+
+        Attempts are counted, not told apart: while a server is probed, an older attempt that ends counts as the probe.
+        """
         server = self._servers.get(handle)
         if server is not None:
             server.in_flight += 1
--- a/marlstep/reload.py
+++ b/marlstep/reload.py
@@ -17,7 +17,12 @@
 
 
 class ConfigReloader:
-    """Owner of the configuration in force. A new one comes into force completely or not at all."""
+    """Owner of the configuration in force.
+
+    A new one that can't be read, or that breaks a rule, is rejected before anything is changed. One that passes is in
+    force from then on, and `on_change` gives each part of the node its share. An error that `on_change` raises is not
+    handled: the parts before it have the new configuration and the others the old one, until the next reload.
+    """
 
     def __init__(
         self, config: Config, read_config: Callable[[], Config], on_change: Callable[[Config], None]
@@ -50,7 +55,13 @@
         return self.governed.apply_to(config)
 
     def apply_config(self, config: Config) -> None:
-        """Put another configuration in force. Raises ConfigError."""
+        """Put another configuration in force.
+
+        Raises:
+            ConfigError: it breaks a rule; the old one stays in force.
+            TableFullError: a pool got more servers than its table holds beside those that still finish requests. The
+                configuration is in force by then, but not at all parts of the node.
+        """
         replaced = self.config
         self.config, restart_keys = merge_reloaded(replaced, config)
         for key in restart_keys:
--- a/marlstep/upstreams/server_pool.py
+++ b/marlstep/upstreams/server_pool.py
@@ -83,7 +83,8 @@
     def choose(self, now: datetime, attempted_servers: frozenset[int]) -> Server | None:
         """Return the server for an attempt; None where none has capacity.
 
-        A pool without limits takes the first server that had no attempt of the request.
+        A pool without limits takes the first server that had no attempt of the request. That may be a server that was
+        removed and still has attempts in flight: neither its health nor its membership is looked at.
         """
         if self.config.has_limits:
             return self.table.choose(now, attempted_servers)
