--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -2,7 +2,19 @@
 
 `connection_policy.py` has the rules, `connection_table.py` the connections; here they meet the sockets. The life of a
 connection is `opened`, `data_received` any number of times, `closed`; in between its timers may call `timed_out` or
-`close_idle`, and the frontend `drain`.
+`close_idle`, and the frontend `drain`. Which method ends a connection, and when to use it:
+
+| method | use it | what is open, and what is queued to be sent |
+| --- | --- | --- |
+| `abort` | for a peer that does not read, or that gets no slot | cancelled, lost |
+| `finish` | when nothing is owed any more: no request is open | sent within CLOSE_TIMEOUT, or else lost |
+| `drain` | when the peer is to send nothing new here | gets its responses, then the connection closes |
+| `close_idle` | for an idle connection; RESP drains it, uwsgi has none to close | nothing is open |
+| `timed_out` | from the read timer alone: RESP rejects the stream, uwsgi finishes | RESP: gets its responses |
+| `RespConnection._reject_stream` | where the bytes can't be divided into frames any more | drained |
+
+How long a connection may be idle is up to the admission controller: its action `IdleLimit` comes through the core to
+`Listener.limit_idle_time`.
 """
 
 from __future__ import annotations
@@ -159,7 +171,8 @@
             timeline: the timers of all connections.
             limit: of the connections at a time.
             read_timeout: for the peer to send a complete message or to read its responses; 0 for no limit.
-            idle_timeout: after which an idle connection is closed; 0 for no limit.
+            idle_timeout: after which an idle connection is closed, until the controller sets another limit by
+                `limit_idle_time`; 0 for no limit.
         """
         self.core = core
         self.timeline = timeline
@@ -258,7 +271,7 @@
         self._schedule_idle_sweep()
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Close connections that are idle for longer; 0 for no limit."""
+        """Close connections that are idle for longer, as the controller's `IdleLimit` asks; 0 for no limit."""
         self.idle_timeout = after
         self._schedule_idle_sweep()
 
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -152,7 +152,7 @@
             self._reject_stream(MalformedFrameError(FrameFault.INVALID_REQUESTS, str(self._invalid_requests)))
 
     def _reject_stream(self, error: MalformedFrameError) -> None:
-        """Read no more here; close once all that is open is responded to."""
+        """Read no more here, and drain: close at once where no request is open, else after the last response."""
         self.frontend.log_rejection("malformed frame", str(error))
         if error.tag is not None and self._tags.take(error.tag):
             self._reject_request(error.tag, str(error))
@@ -181,7 +181,11 @@
     # How a connection ends.
 
     def timed_out(self) -> None:
-        """Treat a frame that is not complete in time as a malformed one."""
+        """Treat a frame that is not complete in time as a malformed one.
+
+        The connection closes by `drain`, which `_reject_stream` calls: at once where no request is open, else after
+        the last response.
+        """
         if self._waits_for_peer:
             self._reject_stream(MalformedFrameError(FrameFault.TIMEOUT, None))
 
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -13,6 +13,7 @@
 from marlstep.core.engine import Core
 from marlstep.core.errors import RepeatedWorkError, RequestRejectedError
 from marlstep.core.interfaces import Backend, InboundRequest, Response
+from marlstep.frontends import uwsgi_policy
 from marlstep.frontends.base import RequestConnection, RequestListener
 from marlstep.frontends.errors import InvalidPacketError
 from marlstep.frontends.uwsgi_mapping import UwsgiMapping
@@ -89,12 +90,12 @@
 
     def timed_out(self) -> None:
         """Close without a response: the packet was not complete in time."""
-        if not self._request_handles:
+        if uwsgi_policy.closes_at_timeout(len(self._request_handles)):
             self.finish()
 
     def drain(self) -> None:
         """Close, unless a request is open or its packet has begun; that is read to its end and responded to."""
-        if not self._request_handles and not self._packets.inside:
+        if uwsgi_policy.closes_at_drain(len(self._request_handles), self._packets.inside):
             self.finish()
 
 
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -41,15 +41,6 @@
 MAX_LOGGED_NOTICE = 64  # characters of a notice that is unknown
 
 
-def reconnects_at_once(was_started: bool) -> bool:
-    """Whether a connection that broke is opened again without a delay.
-
-    It is if the kernel had responded on it: runs wait for their ends, and cores stand idle, for as long as the break
-    lasts. A connection that broke before that is tried again with backoff, since the kernel may be down.
-    """
-    return was_started
-
-
 class KernelConnection(LineStream):
     """One connection to the kernel."""
 
@@ -181,14 +172,18 @@
             previous.abort()
 
     def connection_closed(self, connection: KernelConnection) -> None:
-        """Connect again, unless a newer connection is in use."""
+        """Connect again, unless a newer connection is in use.
+
+        That is done at once if the kernel had responded on the connection: runs wait for their ends, and cores stand
+        idle, for as long as the break lasts. Otherwise it is done with backoff, since the kernel may be down.
+        """
         if self._connection is not connection:
             return
         self._connection, self._synced = None, False
         if self._closing:
             return
         log.warning("kernel connection lost: last_notice=%d", self._notices.last)
-        if reconnects_at_once(connection.started):
+        if connection.started:
             self._connect()
         else:
             self._connect_later()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -247,6 +247,7 @@
     "marlstep/frontends/resp_commands.py",
     "marlstep/frontends/resp_fields.py",
     "marlstep/frontends/resp_policy.py",
+    "marlstep/frontends/uwsgi_policy.py",
     "marlstep/frontends/resp_tags.py",
     "marlstep/frontends/resp_wire.py",
     "marlstep/frontends/uwsgi_requests.py",
