--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -13,6 +13,7 @@
 from marlstep.core.engine import Core
 from marlstep.core.errors import RepeatedWorkError, RequestRejectedError
 from marlstep.core.interfaces import Backend, InboundRequest, Response
+from marlstep.frontends import uwsgi_policy
 from marlstep.frontends.base import RequestConnection, RequestListener
 from marlstep.frontends.errors import InvalidPacketError
 from marlstep.frontends.uwsgi_mapping import UwsgiMapping
@@ -59,6 +60,11 @@
             self.finish()  # the client left inside its packet: there is no request to respond to
 
     def _submit(self, packet: Packet) -> None:
+        """Submit the request, or respond with the status of its rejection.
+
+        A repeat of work that ran or may have run gets 502, as a failure does. All other rejections of the intake get
+        400, also PROCESS_AT_CAPACITY, which is the node's own state and no fault of the request.
+        """
         try:
             self.submit(ONLY_REQUEST, self.frontend.read_request(packet))
         except RepeatedWorkError as error:
@@ -84,12 +90,12 @@
 
     def timed_out(self) -> None:
         """Close without a response: the packet was not complete in time."""
-        if not self._request_handles:
+        if uwsgi_policy.closes_at_timeout(len(self._request_handles)):
             self.finish()
 
     def drain(self) -> None:
         """Close, unless a request is open or its packet has begun; that is read to its end and responded to."""
-        if not self._request_handles and not self._packets.inside:
+        if uwsgi_policy.closes_at_drain(len(self._request_handles), self._packets.inside):
             self.finish()
 
 
