--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -27,8 +27,8 @@
 from marlstep.fault_injection.network_links import Ports
 from marlstep.fault_injection.plan import Plan
 from marlstep.fault_injection.process_cluster import NodeProcess, ProcessCluster, Settings
-from marlstep.fault_injection.simulated_cluster import SimulatedNode
 from marlstep.fault_injection.simulated_documents import DOCUMENTS, SimulatedDocumentCluster
+from marlstep.fault_injection.simulated_node import SimulatedNode
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import content_digest
 from marlstep.replicated_config.followed_document import FollowerState
--- a/marlstep/fault_injection/simulated_cluster.py
+++ b/marlstep/fault_injection/simulated_cluster.py
@@ -1,679 +1,357 @@
-"""The cores on a virtual network: voters, holders, tasks and stores as the product has them, no sockets, no clock.
+"""A cluster on a simulated network: voters, lease holders, task runners and stores, without sockets and processes.
 
-True time is a number of microseconds; each node has a clock of its own that goes fast or slow. Messages are delayed,
-lost, doubled and overtake each other; a store loses what was not synced when its node dies. What must hold is checked
-from outside, with the sight of all nodes at one true moment.
+Each node has a clock of its own that runs fast or slow. Messages are delayed, lost, duplicated and reordered; a store
+loses what was not synced when its node dies. Invariants are checked from outside, with sight of all nodes at one time.
 """
 
 from __future__ import annotations
 
-import random
-from collections.abc import Callable, Collection
-from datetime import datetime
+from collections.abc import Collection
+from dataclasses import replace
 from typing import Any
 
-from marlstep.consensus.log import Configuration, LogEntry, PersistentState, Snapshot
-from marlstep.consensus.messages import RequestVoteResponse
-from marlstep.consensus.raft import RaftTiming, Ready
+from marlstep.consensus.log import Configuration, PersistentState, Snapshot
+from marlstep.consensus.raft import RaftTiming
 from marlstep.consensus.replica import Replica, ReplicaSettings, node_of
-from marlstep.consensus.replica_messages import CommandRequest, CommandResponse, JoinRequest
-from marlstep.fault_injection.effects import (
-    Effect,
-    FencingServer,
-    overlapping_effects,
-    repeated_runs,
-    shared_tokens,
-    stale_tokens_accepted,
-)
+from marlstep.consensus.replica_messages import Message
 from marlstep.fault_injection.errors import InvariantViolationError
 from marlstep.fault_injection.faults import Fault
+from marlstep.fault_injection.lease_invariants import (
+    LeaseInvariants,
+    NoProgressError,
+    TwoHoldersError,
+    check_effects,
+)
 from marlstep.fault_injection.mutations import Mutation
 from marlstep.fault_injection.plan import HEAL_MS, Plan
-from marlstep.fault_injection.simulated_machine import START, SimulatedClock, SimulatedDisk
+from marlstep.fault_injection.simulated_machine import SimulatedDisk
+from marlstep.fault_injection.simulated_node import SimulatedNode
+from marlstep.fault_injection.simulated_task_server import SimulatedTaskServer
 from marlstep.fault_injection.simulation import Simulation
-from marlstep.leases.client import GroupClient
-from marlstep.leases.messages import Heartbeat, HeartbeatResponse
+from marlstep.leases.messages import Heartbeat
 from marlstep.leases.settings import LeaseSettings
-from marlstep.replicated_config.messages import FetchChunk
-from marlstep.scheduled_tasks.actions import ActionKind, RunnerAction
-from marlstep.scheduled_tasks.outcomes import Outcome
+from marlstep.scheduled_tasks.actions import RunnerAction
 from marlstep.scheduled_tasks.run_log import TASK_LEASE_PREFIX, RunLog
-from marlstep.scheduled_tasks.runner import TaskPlan as TaskPlan
-from marlstep.scheduled_tasks.runner import TaskRunner
+from marlstep.scheduled_tasks.runner import TaskPlan
 from marlstep.scheduled_tasks.schedule import Schedule
-from marlstep.units import MILLISECOND, span, span_us
+from marlstep.units import MILLISECOND
 
 TASKS = ("sweep", "report", "rotate")
-UNSAFE = frozenset(("report",))  # a run of it must not be repeated
-EVERY = 700 * MILLISECOND
-LONGEST = 300 * MILLISECOND
-TERM = 1_500 * MILLISECOND  # half of the default: more changes of holder in the same time
-MOST_WORK_US = 150_000  # of a server, for one act
-OLD_STORE_EVERY_US = 1_500_000
+NON_REPEATABLE_TASKS = frozenset(("report",))
+TASK_INTERVAL = 700 * MILLISECOND
+TASK_TIMEOUT = 300 * MILLISECOND
+LEASE_TERM = 1_500 * MILLISECOND  # half of the default: leases change hands more often in the same time
+STORE_COPY_INTERVAL_US = 1_500_000
 DRAIN_US = 300_000  # from the notice to leave to the end of the process, beside the duration of the fault
 DRAINED_RESTART_US = 100_000  # that a drained node stays down
 RECONNECT_US = 20_000  # that messages are lost when a connection is reset
-MOST_EVENTS = 400_000  # of one world: more is a storm, and a fault of its own
-
-
-class SimulatedNode:
-    """One process, over its lives."""
-
-    def __init__(self, cluster: SimulatedCluster, name: str, rate: float) -> None:
-        self.cluster, self.name = cluster, name
-        self.clock = SimulatedClock(rate, cluster.chance.randrange(1_000_000_000))
-        self.generation = 0
-        self.up = False
-        self.disk: SimulatedDisk | None = None
-        self.olds: list[SimulatedDisk] = []
-        self.voter: Replica | None = None
-        self.participant: GroupClient
-        self.runners: dict[str, TaskRunner] = {}
-        self.stopped_until = 0
-        self.slow_disk_until = 0
-        self.hook = ""
-        self.leaving = False
-        self._deferred: list[Callable[[], None]] = []  # what waits for a stopped process
-        self._storing = False
-        self._ticks_at: int | None = None
-        self._asked: dict[int, tuple[str, RunnerAction]] = {}
-        self._checked = 0
-        self._join_at = 0
-
-    @property
-    def now(self) -> datetime:
-        return self.clock.local(self.cluster.true_us)
-
-    @property
-    def wall(self) -> datetime:
-        return START + span(self.cluster.true_us)
-
-    # Its lives.
-
-    def start(self) -> None:
-        cluster = self.cluster
-        self.generation += 1
-        self.up, self.leaving, self._storing, self._ticks_at, self.hook = True, False, False, None, ""
-        self._asked, self._deferred, self.stopped_until = {}, [], 0
-        boot = f"b{self.generation}"
-        self.participant = GroupClient(
-            self.name, boot, cluster.plan.voters, cluster.settings, random.Random(cluster.chance.random())
-        )
-        cluster.mutation.apply_to(self.participant.holder)
-        self.participant.holder.set_wanted(
-            [*(TASK_LEASE_PREFIX + task for task in TASKS), *cluster.wants(self)]
-        )
-        self.runners = {task: TaskRunner(cluster.tasks[task]) for task in TASKS}
-        self.voter = None
-        if self.name in cluster.plan.voters:
-            if self.disk is None or (self.disk.copied and not cluster.mutation.trusts_restored_stores):
-                self.disk = SimulatedDisk(f"{self.name}#{cluster.fresh()}", PersistentState())
-            self.disk.copied = False
-            self.voter = self._voter(self.disk)
-            self._checked = self.voter.raft.last_applied
-            cluster.mutation.apply_to_replica(self.voter)
-        for runner in self.runners.values():
-            cluster.mutation.apply_to(runner)
-        cluster.started(self)
-        self.drive()
-
-    def _voter(self, disk: SimulatedDisk) -> Replica:
-        cluster = self.cluster
-        settings = cluster.voter_settings()
-        saved = disk.copy().saved
-        chance = random.Random(cluster.chance.random())
-        voter = Replica(disk.identity, saved, settings, cluster.machines, chance, self.now)
-        voter.raft.replication.max_entries_per_message = cluster.mutation.max_entries_per_message
-        return voter
-
-    def kill(self) -> None:
-        self.up = False
-        self.voter = None
-        self.cluster.counts["kills"] += 1
-
-    def at(self, after_us: int, action: Callable[[], None]) -> None:
-        """In this life, after so much true time; what comes while it is stopped waits until it goes on."""
-        generation = self.generation
-
-        def run_in_generation() -> None:
-            if not self.up or self.generation != generation:
-                return
-            if self.cluster.true_us < self.stopped_until:
-                self._deferred.append(run_in_generation)
-            else:
-                action()
-                self.drive()
-
-        self.cluster.after(after_us, run_in_generation)
-
-    def resume(self) -> None:
-        kept, self._deferred = self._deferred, []
-        for deferred in kept:
-            deferred()
-
-    def reached(self, hook: str) -> bool:
-        """The process dies at a step where it was told to."""
-        if self.hook == hook and self.up:
-            self.hook = ""
-            self.kill()
-            self.cluster.after(self.cluster.chance.randrange(50_000, 2_000_000), self.restart)
-            self.cluster.counts["hooks"] += 1
-        return not self.up
-
-    def restart(self) -> None:
-        if not self.up:
-            self.start()
-
-    # Messages.
-
-    def receive(self, sender: str, to: str, message: Any) -> None:
-        voter = self.voter
-        if to == self.participant.holder.name and isinstance(message, HeartbeatResponse | CommandResponse):
-            changes = self.participant.handle_response(self.now, sender, message)
-            for change in changes:
-                self.cluster.changed(change.event)
-            self.cluster.check_holders()
-            self.cluster.heard(self)
-        elif to == self.participant.holder.name:
-            self.cluster.got(self, message)
-        elif voter is not None and (
-            to == voter.identity
-            or (
-                to == self.name and isinstance(message, Heartbeat | CommandRequest | JoinRequest | FetchChunk)
-            )
-        ):
-            voter.step(self.now, sender, message)
-
-    def drive(self) -> None:
-        """After anything that happened: time, what is to be sent and stored, and what the tasks do."""
-        if not self.up or self.cluster.true_us < self.stopped_until:
-            return
-        now, voter = self.now, self.voter
-        if voter is not None:
-            if voter.next_due() <= now:
-                voter.tick(now)
-            self._send_all(voter.take_immediate_messages(now))
-            if not self.up:
-                return
-            self._store(voter)
-            if not self.up:
-                return
-            self._check(voter)
-            if (
-                voter.identity not in voter.raft.configuration.voters
-                and self.cluster.true_us >= self._join_at
-            ):
-                self._join_at = self.cluster.true_us + 500_000
-                for one in self.cluster.plan.voters:
-                    if one != self.name:
-                        self.cluster.send(self, voter.identity, one, JoinRequest(self.name, voter.identity))
-        sends, changes = self.participant.tick(now)
-        for change in changes:
-            self.cluster.changed(change.event)
-        for target, message in sends:
-            self.cluster.send(self, self.participant.holder.name, target, message)
-        self._work(now)
-        if self.up:
-            self.cluster.drove(self)
-            self._set_tick(now)
-
-    def _send_all(self, messages: list[tuple[str, Any]]) -> None:
-        voter = self.voter
-        assert voter is not None
-        for to, message in messages:
-            if to == voter.identity:
-                self.at(0, lambda message=message: self._to_self(message))  # type: ignore[misc]
-            else:
-                sender = (
-                    self.name if isinstance(message, CommandResponse | HeartbeatResponse) else voter.identity
-                )
-                self.cluster.send(self, sender, to, message)
-
-    def _to_self(self, message: Any) -> None:
-        if self.voter is not None:
-            self.voter.step(self.now, self.voter.identity, message)
-
-    def _store(self, voter: Replica) -> None:
-        if self._storing:
-            return
-        ready = voter.take_ready()
-        if ready is None:
-            return
-        cluster = self.cluster
-        if any(
-            isinstance(message, RequestVoteResponse) and message.granted for _, message in ready.messages
-        ) and self.reached("voted"):
-            return
-        if cluster.mutation.sends_before_sync:
-            self._send_all(ready.messages)
-        if not ready.needs_sync:
-            self._stored(voter, ready)
-            self._store(voter)
-            return
-        self._storing = True
-        wait = cluster.chance.randrange(300, 4_000)
-        if cluster.true_us < self.slow_disk_until:
-            wait += cluster.chance.randrange(100_000, 900_000)
-
-        def done() -> None:
-            assert self.disk is not None
-            self._storing = False
-            self.disk.write(ready)
-            if not self.reached("stored"):
-                self._stored(voter, ready)
-
-        self.at(wait, done)
-
-    def _stored(self, voter: Replica, ready: Ready) -> None:
-        voter.acknowledge_durable(self.now, ready)
-        if not self.cluster.mutation.sends_before_sync:
-            self._send_all(ready.messages)
-
-    def _set_tick(self, now: datetime) -> None:
-        due = self.participant.next_due(now)
-        if self.voter is not None:
-            due = min(due, self.voter.next_due())
-        for runner in self.runners.values():
-            at = runner.next_due(now, self.wall)
-            due = due if at is None else min(due, at)
-        cluster = self.cluster
-        true = max(self.clock.true_at(due), cluster.true_us + 200)
-        if self._ticks_at is not None and cluster.true_us < self._ticks_at <= true:
-            return  # one that comes early enough is set
-        self._ticks_at = true
-        generation = self.generation
-
-        def tick() -> None:
-            if self.up and self.generation == generation and self._ticks_at == true:
-                self._ticks_at = None
-                if cluster.true_us < self.stopped_until:
-                    self._deferred.append(self.drive)
-                else:
-                    self.drive()
-
-        cluster.after(true - cluster.true_us, tick)
-
-    # Tasks.
-
-    def _work(self, now: datetime) -> None:
-        participant = self.participant
-        for number in list(self._asked):
-            result = participant.take_result(number)
-            if result is not None:
-                if number not in self._asked:
-                    continue
-                task, do = self._asked.pop(number)
-                if do.kind is ActionKind.BEGIN and "begun" in result and self.reached("begun"):
-                    return
-                self.runners[task].handle_result(now, do, result)
-        for task, runner in self.runners.items():
-            name = TASK_LEASE_PREFIX + task
-            token = participant.holder.token(name)
-            if token != runner.token:
-                if token:
-                    runner.lease_gained(token)
-                else:
-                    runner.lease_lost()
-            if self.leaving and token and not runner.busy:
-                continue
-            wanted = runner.next_action(now, self.wall, participant.holder.time_left(name, now))
-            if wanted is not None:
-                self._do(task, wanted, now)
-                if not self.up:
-                    return
-
-    def _do(self, task: str, do: RunnerAction, now: datetime) -> None:
-        if do.is_request:
-            if do.kind is ActionKind.EXECUTE and self.reached("acted"):
-                return
-            self.cluster.send_effect(self, task, do)
-            return
-        if do.kind is ActionKind.END and self.reached("ended"):
-            return
-        number = self.participant.propose(now, do.command(task))
-        if number is None:
-            self.runners[task].handle_result(now, do, None)
-        else:
-            self._asked[number] = (task, do)
-
-    def answered(self, task: str, do: RunnerAction, outcome: Outcome) -> None:
-        self.runners[task].handle_result(self.now, do, outcome)
-
-    def leave(self) -> None:
-        """The notice to leave: leases are given back, leadership is handed over."""
-        self.leaving = True
-        self.participant.release_leases(self.now)
-        if self.voter is not None:
-            self.voter.transfer_leadership()
-
-    # What is checked of it.
-
-    def _check(self, voter: Replica) -> None:
-        raft, cluster = voter.raft, self.cluster
-        if raft.is_leader:
-            cluster.leads(voter)
-        first = max(self._checked + 1, raft.log.first_index)
-        for index in range(first, raft.last_applied + 1):
-            cluster.committed(self, raft.log[index])
-        self._checked = raft.last_applied
-        for index, command, result in list(voter.applied)[-8:]:
-            cluster.applied(self, index, command, result)
+STORE_LOSS_INTERVAL_US = 4_000_000  # between two faults that cost a voter its store
+MAX_EVENTS = 400_000  # of one run: more are a storm of messages, which is a violation of its own
+LOCAL_TRANSIT_US = 10  # of a message to another part of the same node
+MIN_TRANSIT_US = 200  # of a message between nodes; the most is the mutation's
+MAX_SLOW_LINK_US = 700_000  # that a message takes longer on a slow link
+DUPLICATED_SHARE = 0.5  # of messages, on a link that duplicates
+HEALED_LOSS = 0.005  # share of messages that are lost when the faults are over
+DRIFT_TOLERANCE = 1.001  # by which a clock within the allowed drift may seem to exceed it after rounding
+MAX_QUIET_END_MS = 2_500  # in which no task has an effect, before the end of a plan
 
 
 class SimulatedCluster(Simulation):
-    """All nodes, the network between them, the server of the tasks, and the eye that sees all."""
+    """All nodes, the network between them, the server of the tasks, and the invariants.
+
+    Attributes:
+        settings: Those of the leases.
+        loss: The share of messages that are lost while there are faults.
+        faults: How many faults were injected.
+        tasks: What the nodes run, by name.
+        nodes: All nodes, by name.
+        effects: What the server of the tasks recorded.
+        invariants: What is checked of elections, the log and grants.
+    """
 
     def __init__(self, plan: Plan, mutation: Mutation | None = None) -> None:
+        """Create the nodes of a plan, which start when the plan is run."""
         super().__init__(plan, mutation, plan.seed * 7919 + 17)
         self.loss = self.mutation.loss
-        self._heal_us = max(plan.length_ms - HEAL_MS, plan.length_ms // 2) * 1_000
-        self.settings = self.mutation.settings(LeaseSettings(TERM, plan.drift))
-        self.effects: list[Effect] = []
+        self.settings = self.mutation.settings(LeaseSettings(LEASE_TERM, plan.drift))
         self.faults = 0
-        self.grants = 0
         self.tasks = {
-            task: TaskPlan(task, Schedule(EVERY), "schedule-save", task not in UNSAFE, LONGEST)
+            task: TaskPlan(
+                task, Schedule(TASK_INTERVAL), "schedule-save", task not in NON_REPEATABLE_TASKS, TASK_TIMEOUT
+            )
             for task in TASKS
         }
-        self._fresh = 0
-        self._committed: dict[int, LogEntry] = {}
-        self._leaders: dict[int, str] = {}
-        self._tokens: dict[int, int] = {}  # of grants, by index
-        self._wanted: set[tuple[str, str]] = set()  # by whom, what: ever
-        self._receiver = FencingServer()
-        self._beyond = {
-            node
-            for node, rate in zip(plan.nodes, plan.rates, strict=True)
-            if abs(rate - 1) > plan.drift * 1.001
-        }
-        self.nodes = {
-            name: SimulatedNode(self, name, rate) for name, rate in zip(plan.nodes, plan.rates, strict=True)
-        }
+        self.invariants = LeaseInvariants()
+        self._task_server = SimulatedTaskServer(self, TASK_TIMEOUT)
+        self.effects = self._task_server.effects
+        self._heal_us = max(plan.length_ms - HEAL_MS, plan.length_ms // 2) * 1_000
+        self._voter_count = 0
+        self._next_store_loss_us = 0
+        clocks = list(zip(plan.nodes, plan.rates, strict=True))
+        # Leases guard against clocks within the drift; no more than that is required of other nodes' leases.
+        self._beyond_drift = {name for name, rate in clocks if abs(rate - 1) > plan.drift * DRIFT_TOLERANCE}
+        self.nodes = {name: SimulatedNode(self, name, rate) for name, rate in clocks}
 
-    def fresh(self) -> str:
-        self._fresh += 1
-        return f"s{self._fresh}"
+    @property
+    def grants(self) -> int:
+        """The number of leases that were granted."""
+        return self.invariants.grant_count
 
-    # What a world with more in it gives.
+    def run(self) -> None:
+        """Run the plan to its end.
 
-    def machines(self, table: Any) -> dict[str, Any]:
+        Raises:
+            InvariantViolationError: Something that must hold does not.
+        """
+        group = Configuration(tuple(f"{name}#first" for name in self.plan.voters))
+        for node in self.nodes.values():
+            if node.name in self.plan.voters:
+                snapshot = Snapshot(configuration=group)
+                node.disk = SimulatedDisk(f"{node.name}#first", PersistentState(snapshot=snapshot))
+            node.start()
+        self.schedule_faults()
+        self.after(STORE_COPY_INTERVAL_US, self._copy_stores)
+        self.run_events(MAX_EVENTS)
+        self._check_end()
+
+    # What a cluster with more in it replaces.
+
+    def machines(self, table: Any) -> dict[str, Any]:  # noqa: ANN401 (table and machines of any kind, as Replica)
+        """Return the state machines of a voter, by name, on top of its table of leases."""
         return {"tasks": RunLog(table)}
 
     def voter_settings(self) -> ReplicaSettings:
+        """Return the settings of every voter."""
         return ReplicaSettings(RaftTiming(), self.settings, self.plan.voters)
 
-    def wants(self, node: SimulatedNode) -> list[str]:
-        """Leases beside those of the tasks."""
+    def extra_leases(self, node: SimulatedNode) -> list[str]:
+        """Return the leases that a node wants beside those of the tasks."""
+        del node
         return []
 
-    def started(self, node: SimulatedNode) -> None:
-        """A life of a node begins."""
+    def node_started(self, node: SimulatedNode) -> None:
+        """Note that a new generation of the node starts."""
 
-    def heard(self, node: SimulatedNode) -> None:
-        """It took an answer in."""
+    def response_received(self, node: SimulatedNode) -> None:
+        """Note that the node handled a response of the group."""
 
-    def got(self, node: SimulatedNode, message: Any) -> None:
-        """A message came for its process that is no answer."""
+    def message_received(self, node: SimulatedNode, message: Message) -> None:
+        """Handle a message to the node's process that is no response of the group."""
 
-    def drove(self, node: SimulatedNode) -> None:
-        """Something happened there, or time passed."""
+    def node_driven(self, node: SimulatedNode) -> None:
+        """Note that something happened at the node, or that time passed there."""
 
-    # Time.
+    # What nodes ask of the cluster.
 
-    def run(self) -> None:
-        """To the end of the plan. Raises Broken."""
-        group = Configuration(tuple(f"{name}#first" for name in self.plan.voters))
-        for node in self.nodes.values():
-            if node.name in self.plan.voters:
-                snapshot = Snapshot(configuration=group)
-                node.disk = SimulatedDisk(f"{node.name}#first", PersistentState(snapshot=snapshot))
-            node.start()
-        self.schedule_faults()
-        self.after(OLD_STORE_EVERY_US, self._back_up)
-        self.run_events(MOST_EVENTS)
-        self._judge()
+    def new_voter_suffix(self) -> str:
+        """Return the part of a voter's identity that no store had before."""
+        self._voter_count += 1
+        return f"s{self._voter_count}"
 
-    # The network.
+    def send_effect(self, node: SimulatedNode, task: str, action: RunnerAction) -> None:
+        """Send a task's request to the server of the tasks."""
+        self._task_server.request(node, task, action)
 
-    def send(self, node: SimulatedNode, sender: str, to: str, message: Any) -> None:
+    def send(self, node: SimulatedNode, sender: str, to: str, message: Message) -> None:
+        """Send a message from a node over the network: delayed, and perhaps lost or duplicated."""
         if isinstance(message, Heartbeat):
-            self._wanted |= {(sender, name) for name in message.wanted_leases}
+            self.invariants.lease_requested(sender, message.wanted_leases)
         target = self.nodes[node_of(to)]
         if target is node:
-            node.at(10, lambda: node.receive(sender, to, message))
+            node.at(LOCAL_TRANSIT_US, lambda: node.receive(sender, to, message))
             return
         link = self.link(node.name, target.name)
-        copies = 1 + (self.true_us < link.repeat_until and self.chance.random() < 0.5)
-        for _ in range(copies):
-            delay = self.chance.randrange(200, self.mutation.delay_us)
+        is_duplicated = self.true_us < link.repeat_until and self.chance.random() < DUPLICATED_SHARE
+        for _ in range(2 if is_duplicated else 1):
+            transit_us = self.chance.randrange(MIN_TRANSIT_US, self.mutation.delay_us)
             if self.true_us < link.slow_until:
-                delay += self.chance.randrange(0, 700_000)
-            loss = self.loss if self.true_us < self._heal_us else 0.005
+                transit_us += self.chance.randrange(0, MAX_SLOW_LINK_US)
+            loss = self.loss if self.true_us < self._heal_us else HEALED_LOSS
             if self.chance.random() < loss or self.true_us < link.cut_until:
                 self.counts["lost"] += 1
                 continue
             self.counts["messages"] += 1
-            self.after(delay, lambda: self._arrive(node.name, target, sender, to, message))
+            self.after(transit_us, lambda: self._arrive(node.name, target, sender, to, message))
 
-    def _arrive(self, origin: str, target: SimulatedNode, sender: str, to: str, message: Any) -> None:
-        if self.true_us < self.link(origin, target.name).cut_until:
-            return
-        target.at(0, lambda: target.receive(sender, to, message))
+    def _arrive(self, origin: str, target: SimulatedNode, sender: str, to: str, message: Message) -> None:
+        """Deliver a message unless its link was cut while it was on its way."""
+        if self.true_us >= self.link(origin, target.name).cut_until:
+            target.at(0, lambda: target.receive(sender, to, message))
 
     # Faults.
 
     def prepare_fault(self, fault: Fault) -> None:
+        """Count the fault."""
+        del fault
         self.faults += 1
 
+    def resolve_role(self, name: str) -> str:
+        """Return the node that holds the first task, or that leads in the highest term, for a role of a plan."""
+        if name == "@holder":
+            accepted = [effect for effect in self.effects if effect.task == TASKS[0] and effect.accepted]
+            return accepted[-1].node if accepted else self.plan.nodes[0]
+        if name == "@leader":
+            leaders = {voter.raft.term: node for node, voter in self._voters() if voter.raft.is_leader}
+            return leaders[max(leaders)] if leaders else self.plan.voters[0]
+        return name
+
     def node_names(self) -> Collection[str]:
+        """Return the names of all nodes, running or not."""
         return self.nodes.keys()
 
     def kill(self, node: str, duration_us: int) -> None:
-        self._kill(self.nodes[node], duration_us)
+        """Kill the node's process, and start it again with its store after that time."""
+        killed = self.nodes[node]
+        if killed.up:
+            killed.kill()
+        self.after(duration_us, killed.restart)
 
     def wipe_store(self, node: str, duration_us: int) -> None:
-        voter = self.nodes[node]
-        if self._spare(voter):
-            voter.disk = None
-            self._kill(voter, duration_us)
+        """Kill a voter and remove its store, unless the group could lose its majority by it."""
+        if self._may_lose_store(self.nodes[node]):
+            self.nodes[node].disk = None
+            self.kill(node, duration_us)
 
     def restore_old_store(self, node: str, duration_us: int) -> None:
+        """Kill a voter and put an old copy in place of its store, unless the group could lose its majority by it."""
         voter = self.nodes[node]
-        if voter.olds and self._spare(voter):
-            voter.disk = voter.olds[0].copy()
+        if voter.store_copies and self._may_lose_store(voter):
+            voter.disk = voter.store_copies[0].copy()
             voter.disk.copied = True
-            self._kill(voter, duration_us)
+            self.kill(node, duration_us)
+
+    def _may_lose_store(self, node: SimulatedNode) -> bool:
+        """Return whether the group surely survives that this voter forgets what it stored.
+
+        A second voter may lose its store only once the first is replaced: else a majority of those that stored an
+        entry could be gone. So an established leader must know a full group whose stores all exist.
+        """
+        leaders = [voter for _, voter in self._voters() if voter.raft.is_established_leader]
+        is_too_early = self.true_us < self._next_store_loss_us
+        if not leaders or node.disk is None or is_too_early:
+            self.counts["spared"] += 1
+            return False
+        group = max(leaders, key=lambda voter: voter.raft.term).raft.configuration
+        identities = {other.disk.identity for other in self.nodes.values() if other.disk is not None}
+        if not set(group.voters) <= identities or len(group.voters) < len(self.plan.voters):
+            self.counts["spared"] += 1
+            return False
+        self._next_store_loss_us = self.true_us + STORE_LOSS_INTERVAL_US
+        return True
+
+    def _voters(self) -> list[tuple[str, Replica]]:
+        """Return the running voters, by node."""
+        nodes = self.nodes.values()
+        return [(node.name, node.voter) for node in nodes if node.up and node.voter is not None]
+
+    def _copy_stores(self) -> None:
+        """Copy all stores, to be restored by a fault; two copies of each are kept."""
+        for node in self.nodes.values():
+            if node.disk is not None:
+                node.store_copies = [*node.store_copies[-1:], node.disk.copy()]
+        self.after(STORE_COPY_INTERVAL_US, self._copy_stores)
 
     def pause(self, node: str, duration_us: int) -> None:
+        """Stop the node's process without ending it, and continue it after that time."""
         paused = self.nodes[node]
         if paused.up:
             paused.stopped_until = self.true_us + duration_us
             self.after(duration_us, paused.resume)
 
     def drain(self, node: str, duration_us: int) -> None:
+        """Shut the node down gracefully, and start it again."""
         draining = self.nodes[node]
         if draining.up:
             draining.at(0, draining.leave)
-            self.after(duration_us + DRAIN_US, lambda: self._kill(draining, DRAINED_RESTART_US))
+            self.after(duration_us + DRAIN_US, lambda: self.kill(node, DRAINED_RESTART_US))
 
     def slow_disk(self, node: str, duration_us: int) -> None:
+        """Delay each write of the node to its store."""
         self.nodes[node].slow_disk_until = self.true_us + duration_us
 
     def kill_at_step(self, node: str, step: str) -> None:
+        """Kill the node's process when it next reaches the step, and start it again."""
         self.nodes[node].hook = step
 
     def trickle_messages(self, origin: str, target: str, duration_us: int) -> None:
-        self.delay_messages(origin, target, duration_us)  # a message arrives whole: it can only be late
+        """Delay messages: here one arrives as a whole, and can only be late."""
+        self.delay_messages(origin, target, duration_us)
 
     def duplicate_messages(self, origin: str, target: str, duration_us: int) -> None:
+        """Deliver some messages from one node to the other twice."""
         self.link(origin, target).repeat_until = self.true_us + duration_us
 
     def reset_connection(self, origin: str, target: str) -> None:
-        self.drop_messages(origin, target, RECONNECT_US)  # there are no connections: messages get lost
-
-    def resolve_role(self, name: str) -> str:
-        """Which node a plan means by a role."""
-        if name == "@holder":
-            mine = [effect for effect in self.effects if effect.task == TASKS[0] and effect.accepted]
-            return mine[-1].node if mine else self.plan.nodes[0]
-        if name == "@leader":
-            leads = [one for one in self.nodes.values() if one.up and one.voter and one.voter.raft.is_leader]
-            terms = {one.voter.raft.term: one.name for one in leads if one.voter}
-            return terms[max(terms)] if terms else self.plan.voters[0]
-        return name
-
-    def _spare(self, node: SimulatedNode) -> bool:
-        """A second voter may lose its store only once the first is replaced: else the majority itself is gone."""
-        leaders = [
-            one.voter
-            for one in self.nodes.values()
-            if one.up and one.voter and one.voter.raft.is_established_leader
-        ]
-        if not leaders or node.disk is None or self.true_us < self._amnesia_until:
-            self.counts["spared"] += 1
-            return False
-        group = max(leaders, key=lambda voter: voter.raft.term).raft.configuration
-        known = {one.disk.identity for one in self.nodes.values() if one.disk is not None}
-        if not set(group.voters) <= known or len(group.voters) < len(self.plan.voters):
-            self.counts["spared"] += 1
-            return False
-        self._amnesia_until = self.true_us + 4_000_000
-        return True
+        """Lose messages for the time of a reconnect: here there are no connections."""
+        self.drop_messages(origin, target, RECONNECT_US)
 
-    _amnesia_until = 0
-
-    def _kill(self, node: SimulatedNode, for_us: int) -> None:
-        if node.up:
-            node.kill()
-        self.after(for_us, node.restart)
-
-    def _back_up(self) -> None:
-        for node in self.nodes.values():
-            if node.disk is not None:
-                node.olds = [*node.olds[-1:], node.disk.copy()]
-        self.after(OLD_STORE_EVERY_US, self._back_up)
-
-    # The server of the tasks: a witness.
-
-    def send_effect(self, node: SimulatedNode, task: str, do: RunnerAction) -> None:
-        delay = self.chance.randrange(200, 5_000)
-        if self.chance.random() < 0.02:
-            delay += self.chance.randrange(600_000)
-        elif self.chance.random() < self.mutation.stuck:
-            delay += self.chance.randrange(4_000_000)  # stuck in a line on the way, for longer than a term
-        work = 0 if do.kind is ActionKind.FENCE else self.chance.randrange(5_000, MOST_WORK_US)
-        generation = node.generation
-        open_still = [True]
-
-        def answer(outcome: Outcome) -> None:
-            if open_still and node.generation == generation:
-                open_still.clear()
-                node.answered(task, do, outcome)
-
-        def arrive() -> None:
-            taken = self._receiver.accepts(task, do.token)
-            began = self.true_us
-            fence = do.kind is ActionKind.FENCE
-            self.effects.append(Effect(task, node.name, do.token, do.run, began, began + work, taken, fence))
-            outcome = Outcome.DONE if taken else Outcome.FENCED_OFF
-            if self.chance.random() >= 0.02:  # else the answer is lost
-                node.at(work + self.chance.randrange(200, 5_000), lambda: answer(outcome))
-
-        self.after(delay, arrive)
-        node.at(span_us(LONGEST), lambda: answer(Outcome.UNKNOWN))
-
-    # The eye.
-
-    def changed(self, what: str) -> None:
-        self.counts[what] += 1
+    # Invariants.
 
     def check_holders(self) -> None:
-        """No two hold one lease at this moment, each by its own clock."""
+        """Check that no two nodes hold one lease now, each by its own clock.
+
+        Raises:
+            TwoHoldersError: Two do.
+        """
         for task in TASKS:
-            name = TASK_LEASE_PREFIX + task
+            lease = TASK_LEASE_PREFIX + task
             holders = [
                 node.name
                 for node in self.nodes.values()
                 if node.up
-                and node.name not in self._beyond
-                and node.participant.holder.time_left(name, node.now)
+                and node.name not in self._beyond_drift
+                and node.participant.holder.time_left(lease, node.now)
             ]
             if len(holders) > 1:
-                raise InvariantViolationError(f"two hold {name} at {self.true_us} us: {', '.join(holders)}")
-
-    def committed(self, node: SimulatedNode, entry: LogEntry) -> None:
-        known = self._committed.setdefault(entry.index, entry)
-        if known != entry:
-            raise InvariantViolationError(
-                f"committed entry {entry.index} differs at {self.true_us} us on {node.name}: "
-                f"{known} there, {entry} here"
-            )
+                raise TwoHoldersError(lease, self.true_us, holders)
 
-    def applied(self, node: SimulatedNode, index: int, command: Any, result: Any) -> None:
-        if index in self._tokens or "granted" not in result:
-            return
-        token = int(result["token"])
-        if any(token <= other for at, other in self._tokens.items() if at < index):
-            raise InvariantViolationError(f"token {token} at entry {index} is not above all before it")
-        self._tokens[index] = token
-        self.grants += 1
-        holder = str(result["granted"])
-        if (holder, command["name"]) not in self._wanted:
-            raise InvariantViolationError(f"granted what was not asked: {command}")
-
-    def leads(self, voter: Replica) -> None:
-        known = self._leaders.setdefault(voter.raft.term, voter.identity)
-        if known != voter.identity:
-            raise InvariantViolationError(f"two lead in term {voter.raft.term}: {known} and {voter.identity}")
-
-    def _judge(self) -> None:
+    def _check_end(self) -> None:
+        """Check all effects of the run, and that tasks still ran at its end."""
         self.counts["runs"] = sum(effect.accepted and not effect.fence for effect in self.effects)
         self.counts["refused late"] = sum(not effect.accepted for effect in self.effects)
-        for one, other in overlapping_effects(self.effects):
-            raise InvariantViolationError(f"acts overlap: {one} and {other}")
-        for one, other in stale_tokens_accepted(self.effects):
-            raise InvariantViolationError(f"accepted with a falling token: {other} after {one}")
-        for one, other in shared_tokens(self.effects):
-            raise InvariantViolationError(f"one token, two nodes: {one} and {other}")
-        for one, other in repeated_runs(self.effects, UNSAFE):
-            raise InvariantViolationError(f"run twice: {one} and {other}")
-        last = max((effect.ended_us for effect in self.effects if effect.accepted), default=0)
-        if last < (self.plan.length_ms - 2_500) * 1_000:
-            raise InvariantViolationError(f"nobody acts any more after {last} us, though all faults are over")
-
-
-def broken_by(cluster: SimulatedCluster) -> str:
-    """Run it to its end; what broke, or an empty text."""
+        check_effects(self.effects, NON_REPEATABLE_TASKS)
+        last_us = max((effect.ended_us for effect in self.effects if effect.accepted), default=0)
+        if last_us < (self.plan.length_ms - MAX_QUIET_END_MS) * 1_000:
+            raise NoProgressError(last_us)
+
+
+def violation_of(cluster: SimulatedCluster) -> str:
+    """Run a cluster's plan to its end; return what was violated, or an empty text."""
     try:
         cluster.run()
-    except InvariantViolationError as fault:
-        return str(fault)
-    except AssertionError as fault:
-        return f"an assertion of the product: {fault}"
+    except InvariantViolationError as violation:
+        return str(violation)
+    except AssertionError as failure:
+        return f"an assertion of the product: {failure}"
     return ""
 
 
 def run(plan: Plan, mutation: Mutation | None = None) -> tuple[SimulatedCluster, str]:
-    """One world; gives it and what broke, or an empty text."""
+    """Run a plan on a new cluster; return the cluster, and what was violated or an empty text."""
     cluster = SimulatedCluster(plan, mutation)
-    return cluster, broken_by(cluster)
+    return cluster, violation_of(cluster)
 
 
 def shrink(plan: Plan, mutation: Mutation | None = None, tries: int = 200) -> Plan:
-    """The plan with as few of its faults as still break something."""
-    faults = list(plan.faults)
-    size = max(1, len(faults) // 2)
-    while size and tries > 0:
-        at = 0
-        while at < len(faults) and tries > 0:
-            fewer = faults[:at] + faults[at + size :]
+    """Return the plan with as few of its faults as still violate an invariant.
+
+    Leaves out ever smaller groups of faults, each time that the rest still violates something.
+
+    Args:
+        plan: A plan that violates an invariant.
+        mutation: The deliberate defect that the nodes run with, or none.
+        tries: How many plans may be run.
+    """
+    faults = plan.faults
+    group_size = max(1, len(faults) // 2)
+    while group_size and tries > 0:
+        position = 0
+        while position < len(faults) and tries > 0:
+            fewer = faults[:position] + faults[position + group_size :]
             tries -= 1
-            trial = Plan(
-                plan.seed, plan.nodes, plan.voters, plan.length_ms, plan.rates, tuple(fewer), plan.drift
-            )
-            if run(trial, mutation)[1]:
+            if run(replace(plan, faults=fewer), mutation)[1]:
                 faults = fewer
             else:
-                at += size
-        size //= 2
-    return Plan(plan.seed, plan.nodes, plan.voters, plan.length_ms, plan.rates, tuple(faults), plan.drift)
+                position += group_size
+        group_size //= 2
+    return replace(plan, faults=faults)
--- a/marlstep/fault_injection/simulated_documents.py
+++ b/marlstep/fault_injection/simulated_documents.py
@@ -19,7 +19,8 @@
 from marlstep.fault_injection.linearizability import Call, CallOutcome, linearizability_violation
 from marlstep.fault_injection.mutations import Mutation
 from marlstep.fault_injection.plan import Plan
-from marlstep.fault_injection.simulated_cluster import SimulatedCluster, SimulatedNode, broken_by
+from marlstep.fault_injection.simulated_cluster import SimulatedCluster, violation_of
+from marlstep.fault_injection.simulated_node import SimulatedNode
 from marlstep.leases.holder import HeartbeatReport
 from marlstep.leases.messages import RequestCounts, TenantDemand
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX
@@ -94,10 +95,10 @@
     def lease(node: SimulatedNode) -> str:
         return CONFIG_LEASE_PREFIX + node.participant.holder.name
 
-    def wants(self, node: SimulatedNode) -> list[str]:
+    def extra_leases(self, node: SimulatedNode) -> list[str]:
         return [self.lease(node)]
 
-    def started(self, node: SimulatedNode) -> None:
+    def node_started(self, node: SimulatedNode) -> None:
         follower = ConfigFollower(DOCUMENTS, node.name)
         self.mutation.apply_to(follower)
         node.participant.holder.report = lambda now: self._report(node, follower, now)
@@ -130,7 +131,7 @@
 
     # What nodes do.
 
-    def heard(self, node: SimulatedNode) -> None:
+    def response_received(self, node: SimulatedNode) -> None:
         news, node.participant.holder.documents = node.participant.holder.documents, None
         using, now = self.using[node.name], node.now
         for tenant, to in using.update(node.participant.holder.quota_shares):
@@ -146,12 +147,12 @@
             left = node.participant.holder.time_left(self.lease(node), node.now)
             self._carry_out(node, self.followers[node.name].handle_statuses(node.now, news, left))
 
-    def got(self, node: SimulatedNode, message: Any) -> None:
+    def message_received(self, node: SimulatedNode, message: Any) -> None:
         if isinstance(message, DocumentChunk):
             left = node.participant.holder.time_left(self.lease(node), node.now)
             self._carry_out(node, self.followers[node.name].handle_chunk(node.now, message, left))
 
-    def drove(self, node: SimulatedNode) -> None:
+    def node_driven(self, node: SimulatedNode) -> None:
         follower, participant = self.followers[node.name], node.participant
         for key in [key for key in self._acks if key[:2] == (node.name, node.generation)]:
             result = participant.take_result(key[2])
@@ -259,7 +260,7 @@
             for node in self.nodes.values()
             if node.up
             and node.name in self.using
-            and node.name not in self._beyond
+            and node.name not in self._beyond_drift
             and node.participant.holder.time_left(self.lease(node), node.now)
         }
         self.most_used = max(self.most_used, sum(used.values()))
@@ -277,7 +278,7 @@
             versions: dict[int, str] = {}
             for node in self.nodes.values():
                 follower = self.followers.get(node.name)
-                if not node.up or follower is None or node.name in self._beyond:
+                if not node.up or follower is None or node.name in self._beyond_drift:
                     continue
                 one = follower.documents[named.name]
                 held = node.participant.holder.time_left(self.lease(node), node.now)
@@ -301,8 +302,8 @@
             else:
                 seen.differ_since = None
 
-    def _judge(self) -> None:
-        super()._judge()
+    def _check_end(self) -> None:
+        super()._check_end()
         for named in DOCUMENTS:
             calls = [one for client in self.clients for one in client.calls[named.name]]
             by_version = {
@@ -446,4 +447,4 @@
 def run_rules(plan: Plan, mutation: Mutation | None = None) -> tuple[SimulatedDocumentCluster, str]:
     """One world; gives it and what broke, or an empty text."""
     cluster = SimulatedDocumentCluster(plan, mutation)
-    return cluster, broken_by(cluster)
+    return cluster, violation_of(cluster)
