--- a/marlstep/fault_injection/process_cluster.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -20,12 +20,12 @@
 
 from marlstep.cluster.recovery import create_group
 from marlstep.cluster.store import FILE_NAME
+from marlstep.emulators.site import EmulatedSite
 from marlstep.fault_injection.effect_recorder import EffectRecorder, clock_us
 from marlstep.fault_injection.errors import ProcessClusterError
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, FaultTarget
 from marlstep.fault_injection.network_links import Link, Ports
 from marlstep.fault_injection.plan import Plan
-from marlstep.standins.servers import StandIns
 
 READY_S = 20.0
 LEAVE_S = 8.0
@@ -251,7 +251,7 @@
         self.counts: Counter[str] = Counter()
         self.injected_faults: list[tuple[int, Fault]] = []  # microseconds of the witness's clock
         self.unexpected: list[str] = []  # processes that ended by themselves
-        self._sites: list[StandIns] = []
+        self._sites: list[EmulatedSite] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._amnesia_until = 0.0
         self.upgrade_durations_s: list[float] = []  # seconds from SIGTERM to the end of each elder
@@ -285,7 +285,7 @@
                     await link.open(0)
                     self.links[one, other] = link
         for node in self.nodes.values():
-            site = StandIns(cores=2, speed=1.0, call_us=10_000)
+            site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
             await site.open()
             self._sites.append(site)
             node.write(site.addresses)
@@ -512,7 +512,7 @@
         elder = node.process
         if elder is None or elder.returncode is not None:
             return
-        site = StandIns(cores=2, speed=1.0, call_us=10_000)
+        site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
         await site.open()
         self._sites.append(site)
         node.write(site.addresses)
