--- a/marlstep/cli/main.py
+++ b/marlstep/cli/main.py
@@ -20,7 +20,7 @@
 """
 COMMAND_LOCATIONS = {  # a command by its name: its module, and its name there
     "rules": ("marlstep.cli.rules.group", "group"),
-    "trace": ("marlstep.cli.trace", "group"),
+    "trace": ("marlstep.cli.trace.group", "group"),
     "config": ("marlstep.cli.config", "group"),
     "drill": ("marlstep.cli.drill", "group"),
     "explore": ("marlstep.cli.drill", "explore"),
--- a/marlstep/config/traces.py
+++ b/marlstep/config/traces.py
@@ -1,4 +1,4 @@
-"""The `[trace]` tables of an operator's file: how rows become requests.
+"""Reader of `[trace]` of an operator's file: how the rows of a trace become requests.
 
     [trace]
     format = "google-2011"
@@ -16,160 +16,218 @@
 from __future__ import annotations
 
 import tomllib
-from dataclasses import replace
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
 
 from marlstep.config.readers import ConfigError, Table, known, number, read_file, table, take, word
+from marlstep.traces.default_mappings import CLASS_WORK, DEFAULT_MAPPINGS
 from marlstep.traces.formats import MODULES
 from marlstep.traces.formats.generic import UNITS, Columns
-from marlstep.traces.mapping import CLASS_WORK, DEFAULTS, MappingSettings, Rule, Scale, Tenants, Work
+from marlstep.traces.mapping import HintScale, MappingSettings, Rule, TenantMode, WorkRange
 
+GENERIC = "generic"
+MAX_HINT = 1e18  # in the trace's unit
+MIN_WORK_MS = 0.001
+MAX_WORK_MS = 1e6
 KEYS = ("format", "rest", "rules", "work", "scale", "tenants", "columns")
+RULE_KEYS = ("class", "kinds", "tenants", "hint_from", "hint_under")
+WORK_KEYS = ("least_ms", "most_ms")
+SCALE_KEYS = ("low", "high")
+TENANT_KEYS = ("mode", "names", "rest")
 COLUMN_KEYS = ("time", "unit", "tenant", "kind", "hint", "key", "name", "header", "only")
 
 
-def load_trace(path: str | None, format: str) -> tuple[MappingSettings, Columns | None]:
-    """The mapping for a format, with what the operator's file says of it, and the columns of `generic`."""
+@dataclass(slots=True, frozen=True)
+class TraceConfig:
+    """How a trace is read.
+
+    Attributes:
+        mapping: how its rows become requests.
+        columns: its columns, for the format `generic`; the other formats have their own.
+    """
+
+    mapping: MappingSettings
+    columns: Columns | None
+
+
+def load_trace(path: str | None, format_name: str) -> TraceConfig:
+    """Read the section from a file; without a path, the format's defaults.
+
+    Args:
+        path: of an operator's file.
+        format_name: the format that the trace is read in.
+
+    Raises:
+        ConfigError: the file can't be read, or a key is unknown, missing or has a wrong value.
+    """
     if path is None:
-        return check_trace({}, format)
-    raw = read_file(path, "--map", tomllib.loads)
+        return read_trace({}, format_name)
+    document = read_file(path, "--map", tomllib.loads)
     try:
-        return check_trace(table(raw, "trace", "trace"), format)
-    except ConfigError as fault:
-        raise ConfigError(f"--map: {path}: {fault}") from fault
+        return read_trace(table(document, "trace", "trace"), format_name)
+    except ConfigError as error:
+        raise ConfigError.found("--map", f"{path}: {error}") from error
+
+
+def read_trace(section: Table, format_name: str) -> TraceConfig:
+    """Read the section. Raises ConfigError where a key is unknown, missing or has a wrong value."""
+    known(section, "trace", KEYS)
+    _check_format(section, format_name)
+    mapping = DEFAULT_MAPPINGS[format_name]
+    if "rules" in section:
+        mapping = replace(mapping, rules=_read_rules(section), default_class=None)
+    if "rest" in section:
+        mapping = replace(mapping, default_class=_read_class(section, "rest", "trace.rest"))
+    if "work" in section:
+        mapping = replace(mapping, work={**CLASS_WORK, **_read_work(section)})
+    if "scale" in section:
+        mapping = replace(mapping, scale=_read_scale(section))
+    if "tenants" in section:
+        mapping = _with_tenants(section, mapping)
+    return TraceConfig(mapping, _read_format_columns(section, format_name))
+
+
+def _check_format(section: Table, format_name: str) -> None:
+    named = section.get("format", format_name)
+    if named not in MODULES:
+        raise _not_one_of("trace.format", sorted(MODULES))
+    if named != format_name:
+        raise ConfigError.unmet("trace.format", f"is {named}, but the call says {format_name}")
 
 
-def check_trace(raw: Table, format: str) -> tuple[MappingSettings, Columns | None]:
-    known(raw, "trace", KEYS)
-    named = raw.get("format", format)
-    if named not in MODULES:
-        raise ConfigError(f"trace.format must be one of {', '.join(sorted(MODULES))}")
-    if named != format:
-        raise ConfigError(f"trace.format is {named}, but the call says {format}")
-    settings = DEFAULTS[format]
-    if "rules" in raw:
-        settings = replace(settings, rules=_rules(raw), rest=None)
-    if "rest" in raw:
-        rest = word(raw, "rest", "trace.rest")
-        settings = replace(settings, rest=_class(rest, "trace.rest"))
-    if "work" in raw:
-        settings = replace(settings, work={**CLASS_WORK, **_work(table(raw, "work", "trace.work"))})
-    if "scale" in raw:
-        scale = table(raw, "scale", "trace.scale")
-        known(scale, "trace.scale", ("low", "high"))
-        low = number(scale, "low", "trace.scale.low", 0, 1e18)
-        high = number(scale, "high", "trace.scale.high", 0, 1e18)
-        if high <= low:
-            raise ConfigError("trace.scale.high must be above trace.scale.low")
-        settings = replace(settings, scale=Scale(low, high))
-    if "tenants" in raw:
-        settings = _tenants(table(raw, "tenants", "trace.tenants"), settings)
-    columns = _columns(table(raw, "columns", "trace.columns")) if "columns" in raw else None
-    if format == "generic" and columns is None:
-        raise ConfigError("trace.columns is missing: the format generic needs it")
-    if format != "generic" and columns is not None:
-        raise ConfigError(f"trace.columns is for the format generic; {format} has its own")
-    return settings, columns
-
-
-def _class(name: str, path: str) -> str:
+def _not_one_of(path: str, choices: Iterable[str]) -> ConfigError:
+    return ConfigError.unmet(path, f"must be one of {', '.join(choices)}")
+
+
+def _read_class(holder: Table, key: str, path: str) -> str:
+    return _check_class(word(holder, key, path), path)
+
+
+def _check_class(name: str, path: str) -> str:
     if name not in CLASS_WORK:
-        raise ConfigError(f"{path} must be one of {', '.join(CLASS_WORK)}")
+        raise _not_one_of(path, CLASS_WORK)
     return name
 
 
-def _words(raw: Table, key: str, path: str) -> tuple[str, ...]:
-    value = take(raw, key, path, [])
-    if not isinstance(value, list) or not all(isinstance(one, str | int) for one in value):
-        raise ConfigError(f"{path} must be a list of words")
-    return tuple(str(one) for one in value)
+def _read_names(holder: Table, key: str, path: str) -> tuple[str, ...]:
+    """Read a list of names, which may be written as numbers."""
+    names = take(holder, key, path, [])
+    if not isinstance(names, list) or not all(isinstance(name, str | int) for name in names):
+        raise ConfigError.unmet(path, "must be a list of words")
+    return tuple(str(name) for name in names)
 
 
-def _rules(raw: Table) -> tuple[Rule, ...]:
-    rows = raw["rules"]
+def _read_rules(section: Table) -> tuple[Rule, ...]:
+    rows = section["rules"]
     if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
-        raise ConfigError("trace.rules must be a list of tables")
+        raise ConfigError.unmet("trace.rules", "must be a list of tables")
     rules: list[Rule] = []
     for index, row in enumerate(rows):
         path = f"trace.rules[{index}]"
-        known(row, path, ("class", "kinds", "tenants", "hint_from", "hint_under"))
-        rule = Rule(
-            _class(word(row, "class", f"{path}.class"), f"{path}.class"),
-            frozenset(_words(row, "kinds", f"{path}.kinds")),
-            frozenset(_words(row, "tenants", f"{path}.tenants")),
-            number(row, "hint_from", f"{path}.hint_from", 0, 1e18, 0.0),
-            number(row, "hint_under", f"{path}.hint_under", 0, 1e18, 1e18),
-        )
-        if any(_covers(other, rule) for other in rules):
-            raise ConfigError(f"{path} is never reached: an earlier rule takes all that fits it")
+        rule = _read_rule(row, path)
+        if any(earlier.covers(rule) for earlier in rules):
+            raise ConfigError.unmet(path, "is never reached: an earlier rule takes all that fits it")
         rules.append(rule)
     return tuple(rules)
 
 
-def _covers(first: Rule, second: Rule) -> bool:
-    """Does the first take all that would fit the second?"""
-    return (
-        (not first.kinds or (bool(second.kinds) and second.kinds <= first.kinds))
-        and (not first.tenants or (bool(second.tenants) and second.tenants <= first.tenants))
-        and first.hint_from <= second.hint_from
-        and first.hint_under >= second.hint_under
+def _read_rule(row: Table, path: str) -> Rule:
+    known(row, path, RULE_KEYS)
+    return Rule(
+        request_class=_read_class(row, "class", f"{path}.class"),
+        categories=frozenset(_read_names(row, "kinds", f"{path}.kinds")),
+        tenants=frozenset(_read_names(row, "tenants", f"{path}.tenants")),
+        min_hint=number(row, "hint_from", f"{path}.hint_from", 0, MAX_HINT, 0.0),
+        max_hint=number(row, "hint_under", f"{path}.hint_under", 0, MAX_HINT, MAX_HINT),
     )
 
 
-def _work(raw: Table) -> dict[str, Work]:
-    found = {}
-    for name in raw:
-        path = f"trace.work.{name}"
-        _class(name, path)
-        row = table(raw, name, path)
-        known(row, path, ("least_ms", "most_ms"))
-        least = number(row, "least_ms", f"{path}.least_ms", 0.001, 1e6)
-        most = number(row, "most_ms", f"{path}.most_ms", 0.001, 1e6)
-        if most < least:
-            raise ConfigError(f"{path}.most_ms must not be under {path}.least_ms")
-        found[name] = Work(round(least * 1000), round(most * 1000))
-    return found
-
-
-def _tenants(raw: Table, settings: MappingSettings) -> MappingSettings:
-    known(raw, "trace.tenants", ("mode", "names", "rest"))
-    modes = [mode.value for mode in Tenants]
-    mode = raw.get("mode", Tenants.BUCKETS.value)
+def _read_work(section: Table) -> dict[str, WorkRange]:
+    rows = table(section, "work", "trace.work")
+    return {name: _read_work_range(rows, name) for name in rows}
+
+
+def _read_work_range(rows: Table, name: str) -> WorkRange:
+    path = f"trace.work.{name}"
+    _check_class(name, path)
+    row = table(rows, name, path)
+    known(row, path, WORK_KEYS)
+    min_ms = number(row, "least_ms", f"{path}.least_ms", MIN_WORK_MS, MAX_WORK_MS)
+    max_ms = number(row, "most_ms", f"{path}.most_ms", MIN_WORK_MS, MAX_WORK_MS)
+    if max_ms < min_ms:
+        raise ConfigError.unmet(f"{path}.most_ms", f"must not be under {path}.least_ms")
+    return WorkRange(round(min_ms * 1000), round(max_ms * 1000))
+
+
+def _read_scale(section: Table) -> HintScale:
+    row = table(section, "scale", "trace.scale")
+    known(row, "trace.scale", SCALE_KEYS)
+    low = number(row, "low", "trace.scale.low", 0, MAX_HINT)
+    high = number(row, "high", "trace.scale.high", 0, MAX_HINT)
+    if high <= low:
+        raise ConfigError.unmet("trace.scale.high", "must be above trace.scale.low")
+    return HintScale(low, high)
+
+
+def _with_tenants(section: Table, mapping: MappingSettings) -> MappingSettings:
+    row = table(section, "tenants", "trace.tenants")
+    known(row, "trace.tenants", TENANT_KEYS)
+    modes = [mode.value for mode in TenantMode]
+    mode = row.get("mode", TenantMode.BUCKETS.value)
     if mode not in modes:
-        raise ConfigError(f"trace.tenants.mode must be one of {', '.join(modes)}")
-    names = _words(raw, "names", "trace.tenants.names") or settings.tenant_names
-    rest = word(raw, "rest", "trace.tenants.rest", "others")
-    return replace(settings, tenants=Tenants(str(mode)), tenant_names=names, rest_tenant=rest)
+        raise _not_one_of("trace.tenants.mode", modes)
+    return replace(
+        mapping,
+        tenant_mode=TenantMode(str(mode)),
+        tenant_names=_read_names(row, "names", "trace.tenants.names") or mapping.tenant_names,
+        default_tenant=word(row, "rest", "trace.tenants.rest", "others"),
+    )
 
 
-def _columns(raw: Table) -> Columns:
-    known(raw, "trace.columns", COLUMN_KEYS)
+def _read_format_columns(section: Table, format_name: str) -> Columns | None:
+    """Read the columns, which the format `generic` must have and no other may."""
+    columns = _read_columns(section) if "columns" in section else None
+    if format_name == GENERIC and columns is None:
+        raise ConfigError.unmet("trace.columns", "is missing: the format generic needs it")
+    if format_name != GENERIC and columns is not None:
+        raise ConfigError.unmet("trace.columns", f"is for the format generic; {format_name} has its own")
+    return columns
 
-    def named(key: str) -> str | None:
-        value = raw.get(key)
-        if value is None:
-            return None
-        if not isinstance(value, str | int) or isinstance(value, bool) or not str(value):
-            raise ConfigError(f"trace.columns.{key} must be a column's name or number")
-        return str(value)
 
-    time = named("time")
+def _read_columns(section: Table) -> Columns:
+    row = table(section, "columns", "trace.columns")
+    known(row, "trace.columns", COLUMN_KEYS)
+    time = _read_column(row, "time")
     if time is None:
-        raise ConfigError("trace.columns.time is missing")
-    unit = raw.get("unit")
+        raise ConfigError.unmet("trace.columns.time", "is missing")
+    unit = row.get("unit")
     if unit not in UNITS:
-        raise ConfigError(f"trace.columns.unit must be one of {', '.join(UNITS)}")
-    header = raw.get("header", True)
-    if not isinstance(header, bool):
-        raise ConfigError("trace.columns.header must be true or false")
-    only = table(raw, "only", "trace.columns.only", {})
+        raise _not_one_of("trace.columns.unit", UNITS)
+    has_header = row.get("header", True)
+    if not isinstance(has_header, bool):
+        raise ConfigError.unmet("trace.columns.header", "must be true or false")
+    selected = table(row, "only", "trace.columns.only", {})
     return Columns(
         time=time,
         unit_us=UNITS[str(unit)],
-        tenant=named("tenant"),
-        kind=named("kind"),
-        hint=named("hint"),
-        key=named("key"),
-        name=named("name"),
-        header=header,
-        only={name: frozenset(_words(only, name, f"trace.columns.only.{name}")) for name in only},
+        tenant=_read_column(row, "tenant"),
+        category=_read_column(row, "kind"),
+        hint=_read_column(row, "hint"),
+        key=_read_column(row, "key"),
+        name=_read_column(row, "name"),
+        has_header=has_header,
+        selected={
+            column: frozenset(_read_names(selected, column, f"trace.columns.only.{column}"))
+            for column in selected
+        },
     )
+
+
+def _read_column(row: Table, key: str) -> str | None:
+    """Read a column's name in the header, or its number from 0."""
+    value = row.get(key)
+    if value is None:
+        return None
+    if not isinstance(value, str | int) or isinstance(value, bool) or not str(value):
+        raise ConfigError.unmet(f"trace.columns.{key}", "must be a column's name or number")
+    return str(value)
--- a/marlstep/traces/formats/__init__.py
+++ b/marlstep/traces/formats/__init__.py
@@ -18,7 +18,7 @@
     "generic": "generic",
 }
 
-# How late a row may come, in microseconds, where the format needs more than `order.WINDOW_US`.
+# How late a row may come, in microseconds, where the format needs more than `reordering.WINDOW_US`.
 WINDOWS_US: Mapping[str, int] = {
     "alibaba-2018-task": 60_000_000,  # whole seconds, and neighbours by job
     "alibaba-2018-instance": 60_000_000,
@@ -27,7 +27,7 @@
 
 
 def named(name: str) -> Format:
-    """The format of that name; KeyError where there is none. `generic` needs its columns as well."""
+    """Return the format of that name; `generic` needs its columns as well. Raises KeyError where there is none."""
     module = importlib.import_module(f"marlstep.traces.formats.{MODULES[name]}")
     found: Format = module.FORMAT
     return found
--- a/marlstep/traces/formats/alibaba_2018_instance.py
+++ b/marlstep/traces/formats/alibaba_2018_instance.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 from marlstep.traces.formats.alibaba_2018_task import started
-from marlstep.traces.formats.base import PlainReader, Skip
-from marlstep.traces.rows import Arrival, decimal, width, word
+from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason
+from marlstep.traces.rows import Arrival, check_width, read_decimal, read_word
 
 COLUMNS = (
     "instance_name",
@@ -30,27 +30,23 @@
 )
 
 
-class Reader(PlainReader):
-    first = "instance_name"
+class Reader(RowReaderBase):
+    """Reads the rows of one trace."""
 
-    def parse(self, cells: list[str], line: int) -> Arrival | Skip:
+    first_column = "instance_name"
+
+    def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
+        """Read one row. Raises BadRowError."""
         if len(cells) != 14:
-            width(cells, 14)
-        told = started(cells[5], cells[6], cells[4])
-        if isinstance(told, str):
-            return told
-        job = word(cells[2], "job_name")
-        cores = decimal(cells[10], "cpu_avg") / 100 if cells[10] else 1.0
+            check_width(cells, 14)
+        run = started(cells[5], cells[6], cells[4])
+        if isinstance(run, str):
+            return run
+        at_us, seconds = run
+        job = read_word(cells[2], "job_name")
+        cores = read_decimal(cells[10], "cpu_avg") / 100 if cells[10] else 1.0
         name = f"{cells[1]}/{cells[0]}/{cells[8]}"
-        return Arrival(told[0], job, name, job, word(cells[3], "task_type"), told[1] * cores, line)
-
-
-class Alibaba2018Instance:
-    name = "alibaba-2018-instance"
-    columns = COLUMNS
-
-    def make(self, seed: int) -> Reader:
-        return Reader()
+        return Arrival(at_us, job, name, job, read_word(cells[3], "task_type"), seconds * cores, line)
 
 
-FORMAT = Alibaba2018Instance()
+FORMAT = FixedFormat("alibaba-2018-instance", COLUMNS, Reader)
--- a/marlstep/traces/formats/alibaba_2018_task.py
+++ b/marlstep/traces/formats/alibaba_2018_task.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from marlstep.traces.formats.base import PlainReader, Skip
-from marlstep.traces.rows import Arrival, BadRow, Reason, instant_us, width, word
+from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason
+from marlstep.traces.rows import Arrival, BadRowError, Reason, check_width, read_instant_us, read_word
 
 COLUMNS = (
     "task_name",
@@ -24,39 +24,39 @@
 SECOND_US = 1_000_000
 
 
-def started(start: str, end: str, status: str) -> tuple[int, float] | Skip:
-    """When a task began, in microseconds, and for how many seconds it ran; shared by the tables of 2018."""
+def started(start: str, end: str, status: str) -> tuple[int, float] | SkipReason:
+    """Return when a task began, in microseconds, and for how many seconds it ran; the tables of 2018 share it.
+
+    Raises:
+        BadRowError: a time can't be read, or the end is before the start.
+    """
     if not start and status in ("Waiting", "Ready"):
         return "not-started"
-    at = instant_us(word(start, "start_time"), "start_time", SECOND_US)
+    at = read_instant_us(read_word(start, "start_time"), "start_time", SECOND_US)
     if not end or (end == "0" and status != "Terminated"):
         return at, 0.0
-    until = instant_us(end, "end_time", SECOND_US)
+    until = read_instant_us(end, "end_time", SECOND_US)
     if until < at:
-        raise BadRow(Reason.END_BEFORE_START, "end_time", f"{start} to {end}")
+        raise BadRowError(Reason.END_BEFORE_START, "end_time", f"{start} to {end}")
     return at, (until - at) / SECOND_US
 
 
-class Reader(PlainReader):
-    first = "task_name"
-
-    def parse(self, cells: list[str], line: int) -> Arrival | Skip:
-        if len(cells) != 9:
-            width(cells, 9)
-        name, _, job, kind, status, start, end, _, _ = cells
-        told = started(start, end, status)
-        if isinstance(told, str):
-            return told
-        job = word(job, "job_name")
-        return Arrival(told[0], job, name, job, word(kind, "task_type"), told[1], line)
+class Reader(RowReaderBase):
+    """Reads the rows of one trace."""
 
+    first_column = "task_name"
 
-class Alibaba2018Task:
-    name = "alibaba-2018-task"
-    columns = COLUMNS
-
-    def make(self, seed: int) -> Reader:
-        return Reader()
+    def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
+        """Read one row. Raises BadRowError."""
+        if len(cells) != 9:
+            check_width(cells, 9)
+        name, _, job, category, status, start, end, _, _ = cells
+        run = started(start, end, status)
+        if isinstance(run, str):
+            return run
+        at_us, seconds = run
+        job = read_word(job, "job_name")
+        return Arrival(at_us, job, name, job, read_word(category, "task_type"), seconds, line)
 
 
-FORMAT = Alibaba2018Task()
+FORMAT = FixedFormat("alibaba-2018-task", COLUMNS, Reader)
--- a/marlstep/traces/formats/alibaba_2021_calls.py
+++ b/marlstep/traces/formats/alibaba_2021_calls.py
@@ -9,44 +9,51 @@
 
 from __future__ import annotations
 
-from marlstep.traces.formats.base import PlainReader, Skip, places
-from marlstep.traces.rows import Arrival, BadRow, Reason, decimal, instant_us, width, word
+from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason, find_columns
+from marlstep.traces.rows import (
+    Arrival,
+    BadRowError,
+    Reason,
+    check_width,
+    read_decimal,
+    read_instant_us,
+    read_word,
+)
 
 COLUMNS = ("traceid", "timestamp", "rpcid", "um", "rpctype", "dm", "interface", "rt")
 MILLISECOND_US = 1_000
 
 
-class Reader(PlainReader):
+class Reader(RowReaderBase):
+    """Reads the rows of one trace."""
+
     def __init__(self) -> None:
-        self._at: dict[str, int] = {}
+        """Start before the first line."""
+        self._indices: dict[str, int] = {}
         self._width = 0
 
     def header(self, cells: list[str]) -> bool:
+        """Find the columns. Raises BadRowError where one is missing."""
         self._width = 0
-        self._at = places(cells, {name: (name,) for name in COLUMNS}, COLUMNS)
+        self._indices = find_columns(cells, {name: (name,) for name in COLUMNS}, COLUMNS)
         self._width = len(cells)
         return True
 
-    def parse(self, cells: list[str], line: int) -> Arrival | Skip:
+    def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
+        """Read one row. Raises BadRowError."""
         if not self._width:
-            raise BadRow(Reason.NO_HEADER)
+            raise BadRowError(Reason.NO_HEADER)
         if len(cells) != self._width:
-            width(cells, self._width)
-        at = self._at
-        when = instant_us(word(cells[at["timestamp"]], "timestamp"), "timestamp", MILLISECOND_US)
-        trace = word(cells[at["traceid"]], "traceid")
-        name = f"{cells[at['rpcid']]}/{cells[at['um']]}/{cells[at['dm']]}/{cells[at['interface']]}"
-        hint = decimal(cells[at["rt"]], "rt")
-        kind = word(cells[at["rpctype"]], "rpctype")
-        return Arrival(when, trace, name, word(cells[at["um"]], "um"), kind, hint, line)
-
-
-class Alibaba2021Calls:
-    name = "alibaba-2021-calls"
-    columns = COLUMNS
-
-    def make(self, seed: int) -> Reader:
-        return Reader()
-
-
-FORMAT = Alibaba2021Calls()
+            check_width(cells, self._width)
+        indices = self._indices
+        when = read_instant_us(
+            read_word(cells[indices["timestamp"]], "timestamp"), "timestamp", MILLISECOND_US
+        )
+        trace = read_word(cells[indices["traceid"]], "traceid")
+        name = f"{cells[indices['rpcid']]}/{cells[indices['um']]}/{cells[indices['dm']]}/{cells[indices['interface']]}"
+        hint = read_decimal(cells[indices["rt"]], "rt")
+        category = read_word(cells[indices["rpctype"]], "rpctype")
+        return Arrival(when, trace, name, read_word(cells[indices["um"]], "um"), category, hint, line)
+
+
+FORMAT = FixedFormat("alibaba-2021-calls", COLUMNS, Reader)
--- a/marlstep/traces/formats/azure_2019.py
+++ b/marlstep/traces/formats/azure_2019.py
@@ -18,20 +18,23 @@
 
 from blake3 import blake3
 
-from marlstep.traces.formats.base import PlainReader, Skip
-from marlstep.traces.rows import Arrival, BadRow, Reason, whole, width, word
+from marlstep.traces.formats.base import RowReaderBase, SkipReason
+from marlstep.traces.rows import Arrival, BadRowError, Reason, check_width, read_whole, read_word
 
 MINUTES = 1440
 MINUTE_US = 60_000_000
 HEAD = ("HashOwner", "HashApp", "HashFunction", "Trigger")
 COLUMNS = (*HEAD, *(str(number) for number in range(1, MINUTES + 1)))
-MOST_FUNCTIONS = 500_000  # of one day; also the bound of a minute's share of the index
-MOST_COUNTS = 16_000_000  # of one day that are not zero, 128 MB
-MOST_A_MINUTE = 1_000_000  # of one function; more is taken for a fault
+MAX_FUNCTIONS = 500_000  # of one day; also the bound of a minute's share of the index
+MAX_COUNTS = 16_000_000  # of one day that are not zero, 128 MB
+MAX_PER_MINUTE = 1_000_000  # of one function; more is taken for a fault
 
 
-class Reader(PlainReader):
+class Reader(RowReaderBase):
+    """Reads the rows of one trace."""
+
     def __init__(self, seed: int) -> None:
+        """Start before the first line."""
         self._seed = seed.to_bytes(8, "little", signed=False)
         self._day = -1
         self._counts = 0
@@ -48,29 +51,33 @@
         self._minutes = [array("L") for _ in range(MINUTES)]  # function and count, in turn
 
     def header(self, cells: list[str]) -> bool:
+        """Find the columns. Raises BadRowError where one is missing."""
         # A spoilt header must not pass for a row: its 1, 2, 3 and so on would be a million invocations.
         if tuple(cell.strip() for cell in cells) != COLUMNS:
-            raise BadRow(Reason.NO_HEADER, text=",".join(cells))
+            raise BadRowError(Reason.NO_HEADER, text=",".join(cells))
         return True
 
-    def parse(self, cells: list[str], line: int) -> Arrival | Skip:
-        width(cells, len(COLUMNS))
+    def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
+        """Read one row. Raises BadRowError."""
+        check_width(cells, len(COLUMNS))
         owner, app, function, trigger = cells[:4]
-        word(owner, "HashOwner")
-        word(function, "HashFunction")
-        word(trigger, "Trigger")
+        read_word(owner, "HashOwner")
+        read_word(function, "HashFunction")
+        read_word(trigger, "Trigger")
         counts = [
-            (minute, whole(cell, str(minute + 1))) for minute, cell in enumerate(cells[4:]) if cell != "0"
+            (minute, read_whole(cell, str(minute + 1)))
+            for minute, cell in enumerate(cells[4:])
+            if cell != "0"
         ]
         for minute, count in counts:
-            if count > MOST_A_MINUTE:
-                raise BadRow(Reason.OVERFLOW, str(minute + 1), str(count))
+            if count > MAX_PER_MINUTE:
+                raise BadRowError(Reason.OVERFLOW, str(minute + 1), str(count))
         identity = f"{owner}/{app}/{function}"
         if identity in self._known:
             return "duplicate"
-        if len(self._functions) >= MOST_FUNCTIONS or self._counts + len(counts) > MOST_COUNTS:
-            raise BadRow(
-                Reason.TOO_MANY, text=f"over {MOST_FUNCTIONS} functions or {MOST_COUNTS} counts a day"
+        if len(self._functions) >= MAX_FUNCTIONS or self._counts + len(counts) > MAX_COUNTS:
+            raise BadRowError(
+                Reason.TOO_MANY, text=f"over {MAX_FUNCTIONS} functions or {MAX_COUNTS} counts a day"
             )
         self._known.add(identity)
         number = len(self._functions)
@@ -81,6 +88,7 @@
         return "counted"
 
     def end_of_part(self) -> Iterator[Arrival]:
+        """Yield the arrivals of the day, in order of time."""
         for minute, counts in enumerate(self._minutes):
             yield from self._minute(minute, counts)
         self._begin()
@@ -113,10 +121,13 @@
 
 
 class Azure2019:
+    """The format with counts of a minute, whose instants depend on the seed."""
+
     name = "azure-2019"
     columns = COLUMNS
 
     def make(self, seed: int) -> Reader:
+        """Return a reader that starts afresh, and spreads arrivals by the seed."""
         return Reader(seed)
 
 
--- a/marlstep/traces/formats/azure_2021.py
+++ b/marlstep/traces/formats/azure_2021.py
@@ -8,49 +8,54 @@
 
 from __future__ import annotations
 
-from marlstep.traces.formats.base import PlainReader, Skip, places
-from marlstep.traces.rows import Arrival, BadRow, Reason, decimal, instant_us, width, word
+from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason, find_columns
+from marlstep.traces.rows import (
+    Arrival,
+    BadRowError,
+    Reason,
+    check_width,
+    read_decimal,
+    read_instant_us,
+    read_word,
+)
 
 COLUMNS = ("app", "func", "end_timestamp", "duration")
 SECOND_US = 1_000_000
 KIND = "invocation"
 
 
-class Reader(PlainReader):
+class Reader(RowReaderBase):
+    """Reads the rows of one trace."""
+
     def __init__(self) -> None:
-        self._at: list[int] = []
+        """Start before the first line."""
+        self._indices: list[int] = []
         self._width = 0
 
     def header(self, cells: list[str]) -> bool:
+        """Find the columns. Raises BadRowError where one is missing."""
         self._width = 0
-        found = places(cells, {name: (name,) for name in COLUMNS}, COLUMNS)
-        self._at = [found[name] for name in COLUMNS]
+        found = find_columns(cells, {name: (name,) for name in COLUMNS}, COLUMNS)
+        self._indices = [found[name] for name in COLUMNS]
         self._width = len(cells)
         return True
 
-    def parse(self, cells: list[str], line: int) -> Arrival | Skip:
+    def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
+        """Read one row. Raises BadRowError."""
         if not self._width:
-            raise BadRow(Reason.NO_HEADER)
+            raise BadRowError(Reason.NO_HEADER)
         if len(cells) != self._width:
-            width(cells, self._width)
-        app, function, end, duration = (cells[at] for at in self._at)
-        until = instant_us(word(end, "end_timestamp"), "end_timestamp", SECOND_US)
+            check_width(cells, self._width)
+        app, function, end, duration = (cells[at] for at in self._indices)
+        until = read_instant_us(read_word(end, "end_timestamp"), "end_timestamp", SECOND_US)
         if duration.startswith("-"):
-            decimal(duration[1:], "duration")
-            raise BadRow(Reason.END_BEFORE_START, "duration", duration)
-        seconds = decimal(duration, "duration")
+            read_decimal(duration[1:], "duration")
+            raise BadRowError(Reason.END_BEFORE_START, "duration", duration)
+        seconds = read_decimal(duration, "duration")
         at = until - round(seconds * SECOND_US)
         if at < 0:
             return "before-the-trace"
-        return Arrival(at, word(function, "func"), duration, word(app, "app"), KIND, seconds, line)
-
-
-class Azure2021:
-    name = "azure-2021"
-    columns = COLUMNS
-
-    def make(self, seed: int) -> Reader:
-        return Reader()
+        return Arrival(at, read_word(function, "func"), duration, read_word(app, "app"), KIND, seconds, line)
 
 
-FORMAT = Azure2021()
+FORMAT = FixedFormat("azure-2021", COLUMNS, Reader)
--- a/marlstep/traces/formats/google_2011.py
+++ b/marlstep/traces/formats/google_2011.py
@@ -8,8 +8,16 @@
 
 from __future__ import annotations
 
-from marlstep.traces.formats.base import PlainReader, Skip
-from marlstep.traces.rows import Arrival, BadRow, Reason, decimal, whole, width, word
+from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason
+from marlstep.traces.rows import (
+    Arrival,
+    BadRowError,
+    Reason,
+    check_width,
+    read_decimal,
+    read_whole,
+    read_word,
+)
 
 COLUMNS = (
     "time",
@@ -30,35 +38,30 @@
 BEFORE, AFTER = "0", str((1 << 63) - 1)
 
 
-class Reader(PlainReader):
-    first = "time"
+class Reader(RowReaderBase):
+    """Reads the rows of one trace."""
+
+    first_column = "time"
 
-    def parse(self, cells: list[str], line: int) -> Arrival | Skip:
+    def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
+        """Read one row. Raises BadRowError."""
         if len(cells) != 13:
-            width(cells, 13)
-        time, _, job, index, _, event, user, kind, _, cpu, _, _, _ = cells
+            check_width(cells, 13)
+        time, _, job, index, _, event, user, category, _, cpu, _, _, _ = cells
         if time == BEFORE:
             return "before-the-trace"
         if time == AFTER:
             return "after-the-trace"
-        at = whole(time, "time")
+        at = read_whole(time, "time")
         if event != "0":
             if event not in EVENTS:
-                raise BadRow(Reason.NOT_A_NUMBER if event else Reason.EMPTY, "event_type", event)
+                raise BadRowError(Reason.NOT_A_NUMBER if event else Reason.EMPTY, "event_type", event)
             return "not-a-submission"
-        if not (job and user and kind):
-            word(job, "job_id")
-            word(user, "user")
-            word(kind, "scheduling_class")
-        return Arrival(at, job, index, user, kind, decimal(cpu, "cpu_request") if cpu else 0.0, line)
-
-
-class Google2011:
-    name = "google-2011"
-    columns = COLUMNS
-
-    def make(self, seed: int) -> Reader:
-        return Reader()
+        if not (job and user and category):
+            read_word(job, "job_id")
+            read_word(user, "user")
+            read_word(category, "scheduling_class")
+        return Arrival(at, job, index, user, category, read_decimal(cpu, "cpu_request") if cpu else 0.0, line)
 
 
-FORMAT = Google2011()
+FORMAT = FixedFormat("google-2011", COLUMNS, Reader)
--- a/marlstep/traces/formats/google_2019.py
+++ b/marlstep/traces/formats/google_2019.py
@@ -9,8 +9,16 @@
 
 from __future__ import annotations
 
-from marlstep.traces.formats.base import PlainReader, Skip, places
-from marlstep.traces.rows import Arrival, BadRow, Reason, decimal, whole, width, word
+from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason, find_columns
+from marlstep.traces.rows import (
+    Arrival,
+    BadRowError,
+    Reason,
+    check_width,
+    read_decimal,
+    read_whole,
+    read_word,
+)
 
 COLUMNS = (
     "time",
@@ -36,53 +44,50 @@
     "UPDATE_RUNNING",
 } | {str(number) for number in range(11)}  # fmt: skip
 BEFORE, AFTER = "0", str((1 << 63) - 1)
-MOST_USERS = 200_000  # collections whose user is kept
+MAX_USERS = 200_000  # collections whose user is kept
+
 
+class Reader(RowReaderBase):
+    """Reads the rows of one trace."""
 
-class Reader(PlainReader):
     def __init__(self) -> None:
-        self._at: dict[str, int] = {}
+        """Start before the first line."""
+        self._indices: dict[str, int] = {}
         self._width = 0
         self._users: dict[str, str] = {}
 
     def header(self, cells: list[str]) -> bool:
+        """Find the columns. Raises BadRowError where one is missing."""
         self._width = 0
-        self._at = places(cells, NAMES, NEEDED)
+        self._indices = find_columns(cells, NAMES, NEEDED)
         self._width = len(cells)
         return True
 
-    def parse(self, cells: list[str], line: int) -> Arrival | Skip:
+    def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
+        """Read one row. Raises BadRowError."""
         if not self._width:
-            raise BadRow(Reason.NO_HEADER)
-        width(cells, self._width)
-        at = self._at
-        time, event = cells[at["time"]], cells[at["type"]]
-        collection = word(cells[at["collection"]], "collection_id")
-        if "index" not in at and "user" in at and len(self._users) < MOST_USERS:
-            self._users.setdefault(collection, cells[at["user"]])
+            raise BadRowError(Reason.NO_HEADER)
+        check_width(cells, self._width)
+        indices = self._indices
+        time, event = cells[indices["time"]], cells[indices["type"]]
+        collection = read_word(cells[indices["collection"]], "collection_id")
+        if "index" not in indices and "user" in indices and len(self._users) < MAX_USERS:
+            self._users.setdefault(collection, cells[indices["user"]])
         if time == BEFORE:
             return "before-the-trace"
         if time == AFTER:
             return "after-the-trace"
-        when = whole(time, "time")
+        when = read_whole(time, "time")
         if event not in EVENTS:
-            raise BadRow(Reason.NOT_A_NUMBER if event else Reason.EMPTY, "type", event)
+            raise BadRowError(Reason.NOT_A_NUMBER if event else Reason.EMPTY, "type", event)
         if event not in ("0", "SUBMIT"):
             return "not-a-submission"
-        kind = word(cells[at["class"]], "scheduling_class")
-        user = cells[at["user"]] if "user" in at else self._users.get(collection, "")
-        index = "i" + cells[at["index"]] if "index" in at else "c"
-        cpus = cells[at["cpus"]] if "cpus" in at else ""
-        hint = decimal(cpus, "resource_request.cpus") if cpus else 0.0
-        return Arrival(when, collection, index, user or "unknown", kind, hint, line)
-
-
-class Google2019:
-    name = "google-2019"
-    columns = COLUMNS
-
-    def make(self, seed: int) -> Reader:
-        return Reader()
+        category = read_word(cells[indices["class"]], "scheduling_class")
+        user = cells[indices["user"]] if "user" in indices else self._users.get(collection, "")
+        index = "i" + cells[indices["index"]] if "index" in indices else "c"
+        cpus = cells[indices["cpus"]] if "cpus" in indices else ""
+        hint = read_decimal(cpus, "resource_request.cpus") if cpus else 0.0
+        return Arrival(when, collection, index, user or "unknown", category, hint, line)
 
 
-FORMAT = Google2019()
+FORMAT = FixedFormat("google-2019", COLUMNS, Reader)
--- a/marlstep/traces/mapping.py
+++ b/marlstep/traces/mapping.py
@@ -1,9 +1,9 @@
-"""Which rows become which requests; pure.
+"""Mapping of a trace's rows to requests; pure.
 
-A rule names a class and what a row must look like for it; the first that fits counts. What no rule fits goes to
-the class for the rest, or is dropped and counted. The work hint places a request within its class's range of
-work: between `low` and `high` of the trace's own unit, on a logarithmic scale, as sizes in these traces spread
-over decades.
+A rule names a request class and what a row must look like for it; the first rule that matches decides. A row that no
+rule matches goes to the default class, or is dropped and counted. The work hint places a request within its class's
+range of work: between two hints in the trace's own unit, on a logarithmic scale, as sizes in these traces spread over
+decades.
 """
 
 from __future__ import annotations
@@ -19,167 +19,204 @@
 
 from marlstep.traces.rows import Arrival
 
+MAX_DROPPED_CATEGORIES = 1000  # that are counted by name; the rest are counted together
+OTHER_CATEGORIES = "others"
+MAX_CACHED_HASHES = 100_000
+HASH_BYTES = 8
+HASH_KEY_BYTES = 32
 
-class Planned(NamedTuple):
-    """A request to be sent. Times and work are microseconds, the work on one core."""
 
-    at_us: int  # since the start
-    kind: str  # the class
+class PlannedRequest(NamedTuple):
+    """A request of a schedule. The order of the fields is the order in which equal times are put.
+
+    Attributes:
+        at_us: when it is sent, in microseconds since the start.
+        request_class: its class.
+        tenant: its tenant.
+        work_us: its work on one core, in microseconds.
+        sender: 64 bits that stand for the sender.
+    """
+
+    at_us: int
+    request_class: str
     tenant: str
     work_us: int
-    sender: int  # 64 bits that stand for the sender
+    sender: int
 
 
-class Tenants(enum.StrEnum):
+class TenantMode(enum.StrEnum):
+    """How the tenants of a trace become tenants of requests."""
+
     AS_IS = "as-is"  # the trace's own names
-    NAMED = "named"  # those listed, the rest together
-    BUCKETS = "buckets"  # so many, by a hash of the trace's names
-    ONE = "one"
+    NAMED = "named"  # the listed names stay, all others become the default tenant
+    BUCKETS = "buckets"  # one of the listed names, by a hash of the trace's name
+    ONE = "one"  # the default tenant
 
 
 @dataclass(slots=True, frozen=True)
 class Rule:
-    kind: str  # the class that it gives
-    kinds: frozenset[str] = frozenset()  # of the trace; empty: any
+    """A request class, and the rows that become requests of it.
+
+    Attributes:
+        request_class: the class.
+        categories: the categories of the trace that match; any where there is none.
+        tenants: the tenants of the trace that match; any where there is none.
+        min_hint: the lowest work hint that matches, in the trace's unit.
+        max_hint: the work hint from which on nothing matches, in the trace's unit.
+    """
+
+    request_class: str
+    categories: frozenset[str] = frozenset()
     tenants: frozenset[str] = frozenset()
-    hint_from: float = 0.0
-    hint_under: float = math.inf
-
-    def fits(self, row: Arrival) -> bool:
-        return (
-            (not self.kinds or row.kind in self.kinds)
-            and (not self.tenants or row.tenant in self.tenants)
-            and self.hint_from <= row.hint < self.hint_under
+    min_hint: float = 0.0
+    max_hint: float = math.inf
+
+    def matches(self, row: Arrival) -> bool:
+        """Return whether category, tenant and work hint all match."""
+        matches_category = not self.categories or row.category in self.categories
+        matches_tenant = not self.tenants or row.tenant in self.tenants
+        return matches_category and matches_tenant and self.min_hint <= row.hint < self.max_hint
+
+    def covers(self, other: Rule) -> bool:
+        """Return whether this rule matches every row that the other one matches."""
+        covers_categories = not self.categories or (
+            bool(other.categories) and (other.categories <= self.categories)
         )
+        covers_tenants = not self.tenants or (bool(other.tenants) and other.tenants <= self.tenants)
+        covers_hints = self.min_hint <= other.min_hint and self.max_hint >= other.max_hint
+        return covers_categories and covers_tenants and covers_hints
 
 
 @dataclass(slots=True, frozen=True)
-class Work:
-    """The range of a class's work, in microseconds on one core."""
+class WorkRange:
+    """The least and the most work of a class's requests, in microseconds on one core."""
+
+    min_us: int
+    max_us: int
 
-    least_us: int
-    most_us: int
+    def at(self, position: float) -> int:
+        """Return the work at a position from 0, the least, to 1, the most."""
+        return self.min_us + round((self.max_us - self.min_us) * position)
 
 
 @dataclass(slots=True, frozen=True)
-class Scale:
-    """Hints at `low` or below get the least work, those at `high` or above the most."""
+class HintScale:
+    """Work hints, in the trace's unit: `low` and below get the least work, `high` and above the most."""
 
     low: float
     high: float
 
-    def place(self, hint: float) -> float:
-        """From 0 to 1; the middle where there is no hint."""
+    def position(self, hint: float) -> float:
+        """Return where a hint lies, from 0 to 1; the middle where there is no hint or no scale."""
         if hint <= 0 or self.high <= self.low:
             return 0.5
         if self.low <= 0:
             return min(1.0, hint / self.high)
-        place = math.log(hint / self.low) / math.log(self.high / self.low)
-        return min(1.0, max(0.0, place))
+        position = math.log(hint / self.low) / math.log(self.high / self.low)
+        return min(1.0, max(0.0, position))
 
 
 @dataclass(slots=True, frozen=True)
 class MappingSettings:
+    """How the rows of a trace become requests.
+
+    Attributes:
+        rules: the first that matches decides the class.
+        work: the range of work, by request class.
+        default_class: the class of rows that no rule matches; None drops them.
+        scale: the work hints that stand for the least and the most work.
+        tenant_mode: how tenants are named.
+        tenant_names: the buckets, or the names that stay.
+        default_tenant: the tenant of all others.
+    """
+
     rules: tuple[Rule, ...]
-    work: Mapping[str, Work]  # by class
-    rest: str | None = None  # the class of what no rule fits; None: it is dropped
-    scale: Scale = Scale(0.0, 0.0)
-    tenants: Tenants = Tenants.AS_IS
-    tenant_names: tuple[str, ...] = ()  # of the buckets, or those that keep their own
-    rest_tenant: str = "others"
+    work: Mapping[str, WorkRange]
+    default_class: str | None = None
+    scale: HintScale = HintScale(0.0, 0.0)
+    tenant_mode: TenantMode = TenantMode.AS_IS
+    tenant_names: tuple[str, ...] = ()
+    default_tenant: str = "others"
 
 
 class Mapper:
-    """Maps one stream; `seed` keys the hashes that tell senders and buckets apart."""
+    """Maps the rows of one trace, and counts what it mapped and dropped.
+
+    Attributes:
+        settings: the rules.
+        dropped: rows that were dropped, by category of the trace.
+        mapped: requests, by class.
+    """
 
     def __init__(self, settings: MappingSettings, seed: int) -> None:
+        """Start with empty counts; `seed` keys the hashes of senders and tenants."""
         self.settings = settings
-        self.dropped: Counter[str] = Counter()  # by the trace's kind
-        self.mapped: Counter[str] = Counter()  # by class
-        self._hash = Hashing(seed)
-
-    def map(self, row: Arrival, start_us: int = 0) -> Planned | None:
-        """The request that a row stands for; None where it is dropped."""
-        settings = self.settings
-        for rule in settings.rules:
-            if rule.fits(row):
-                kind: str | None = rule.kind
-                break
-        else:
-            kind = settings.rest
-        if kind is None:
-            self.dropped[row.kind if len(self.dropped) < 1000 else "others"] += 1
+        self.dropped: Counter[str] = Counter()
+        self.mapped: Counter[str] = Counter()
+        self._hash = KeyedHash(seed)
+
+    def map(self, row: Arrival, start_us: int = 0) -> PlannedRequest | None:
+        """Return the request that a row stands for; None where the row is dropped.
+
+        Args:
+            row: the arrival.
+            start_us: the trace's own time, in microseconds, that becomes 0.
+        """
+        request_class = self._request_class(row)
+        if request_class is None:
+            self._count_dropped(row.category)
             return None
-        self.mapped[kind] += 1
-        work = settings.work[kind]
-        us = work.least_us + round((work.most_us - work.least_us) * settings.scale.place(row.hint))
-        return Planned(row.at_us - start_us, kind, self._tenant(row.tenant), us, self._hash.of(row.key))
+        self.mapped[request_class] += 1
+        return PlannedRequest(
+            at_us=row.at_us - start_us,
+            request_class=request_class,
+            tenant=self._tenant(row.tenant),
+            work_us=self.settings.work[request_class].at(self.settings.scale.position(row.hint)),
+            sender=self._hash.of(row.key),
+        )
+
+    def _request_class(self, row: Arrival) -> str | None:
+        for rule in self.settings.rules:
+            if rule.matches(row):
+                return rule.request_class
+        return self.settings.default_class
+
+    def _count_dropped(self, category: str) -> None:
+        has_room = len(self.dropped) < MAX_DROPPED_CATEGORIES
+        self.dropped[category if has_room else OTHER_CATEGORIES] += 1
 
     def _tenant(self, name: str) -> str:
         settings = self.settings
-        match settings.tenants:
-            case Tenants.AS_IS:
+        match settings.tenant_mode:
+            case TenantMode.AS_IS:
                 return name
-            case Tenants.NAMED:
-                return name if name in settings.tenant_names else settings.rest_tenant
-            case Tenants.BUCKETS:
+            case TenantMode.NAMED:
+                return name if name in settings.tenant_names else settings.default_tenant
+            case TenantMode.BUCKETS:
                 return settings.tenant_names[self._hash.of(name) % len(settings.tenant_names)]
-            case Tenants.ONE:
-                return settings.rest_tenant
-
-
-MOST_HASHED = 100_000
+            case TenantMode.ONE:
+                return settings.default_tenant
 
 
 @dataclass(slots=True)
-class Hashing:
-    """Keyed 64-bit hashes of names, with the last ones kept at hand."""
+class KeyedHash:
+    """Keyed 64-bit hashes of names, with a cache of bounded size.
+
+    Attributes:
+        seed: the key; the same seed gives the same hashes.
+    """
 
     seed: int
-    _known: dict[str, int] = field(default_factory=dict)
+    _cache: dict[str, int] = field(default_factory=dict)
 
     def of(self, name: str) -> int:
-        found = self._known.get(name)
-        if found is None:
-            if len(self._known) >= MOST_HASHED:
-                self._known.clear()
-            key = self.seed.to_bytes(32, "little")
-            found = int.from_bytes(blake3(name.encode("utf-8", "replace"), key=key).digest(8), "little")
-            self._known[name] = found
-        return found
-
-
-# The defaults, by format; docs/traces.md has the reasoning.
-
-HISTORY, SCHEDULE, SETPOINT = "temp-history", "schedule-save", "setpoint-cmd"
-CLASS_WORK: Mapping[str, Work] = {
-    HISTORY: Work(280_000, 500_000),
-    SCHEDULE: Work(210_000, 370_000),
-    SETPOINT: Work(120_000, 210_000),
-}
-TENANT_NAMES = ("ain-sebaa", "sidi-maarouf", "bouskoura")
-
-
-def _by_kind(setpoint: str, schedule: str) -> tuple[Rule, ...]:
-    """Classes by the trace's kinds, given as words; all others are reads of history."""
-    return (
-        Rule(SETPOINT, frozenset(setpoint.split())),
-        Rule(SCHEDULE, frozenset(schedule.split())),
-    )
-
-
-def _default(rules: tuple[Rule, ...], low: float, high: float) -> MappingSettings:
-    return MappingSettings(rules, CLASS_WORK, HISTORY, Scale(low, high), Tenants.BUCKETS, TENANT_NAMES)
-
-
-BY_HINT = (Rule(SETPOINT, hint_under=0.1), Rule(SCHEDULE, hint_under=1.0))
-DEFAULTS: Mapping[str, MappingSettings] = {
-    "google-2011": _default(_by_kind("2 3", "1"), 0.001, 0.25),
-    "google-2019": _default(_by_kind("2 3", "1"), 0.0001, 0.1),
-    "alibaba-2018-task": _default(_by_kind("1 3 5 7 9 11", "2 4 6 8 10 12"), 1, 1000),
-    "alibaba-2018-instance": _default(_by_kind("1 3 5 7 9 11", "2 4 6 8 10 12"), 1, 1000),
-    "alibaba-2021-calls": _default(_by_kind("http", "mq db"), 0.5, 500),
-    "azure-2019": _default(_by_kind("http", "queue event storage orchestration"), 0, 0),
-    "azure-2021": _default(BY_HINT, 0.01, 60),
-    "generic": _default((), 0, 0),
-}
+        """Return the hash of a name."""
+        cached = self._cache.get(name)
+        if cached is not None:
+            return cached
+        if len(self._cache) >= MAX_CACHED_HASHES:
+            self._cache.clear()
+        key = self.seed.to_bytes(HASH_KEY_BYTES, "little")
+        digest = blake3(name.encode("utf-8", "replace"), key=key).digest(HASH_BYTES)
+        value = self._cache[name] = int.from_bytes(digest, "little")
+        return value
--- a/marlstep/traces/reading.py
+++ b/marlstep/traces/reading.py
@@ -7,102 +7,73 @@
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, field
 
+from marlstep.errors import MarlstepError
+from marlstep.traces.account import Account
 from marlstep.traces.formats import WINDOWS_US
 from marlstep.traces.formats.base import Format, RowReader
-from marlstep.traces.lines import BOM, LINE_LIMIT, LineCutter, cells, plain
-from marlstep.traces.order import WINDOW_US, Reorder
-from marlstep.traces.rows import SHOWN, Arrival, BadRow, Reason, Reject
-from marlstep.traces.sources import open_part, unpacked
+from marlstep.traces.lines import BOM, MAX_LINE_BYTES, LineCutter, split_cells, split_plain_lines
+from marlstep.traces.reordering import WINDOW_US, Reorderer
+from marlstep.traces.rows import MAX_SHOWN_TEXT, Arrival, BadRowError, Reason, Reject
+from marlstep.traces.sources import STANDARD_INPUT, open_part, unpack
 
-MOST_NAMES = 100_000  # tenants and kinds that are told apart: memory stays bounded
-OTHERS = "others"
-BATCH = 4_096  # arrivals that a part's end gives at once
+BATCH_SIZE = 4_096  # arrivals that a part's end gives at once
+BOM_BYTES = BOM.encode()
+DUPLICATE = "duplicate"  # the reason by which formats skip rows that come twice
+WINDOW_FULL_NOTE = "reorder-window-full"
 
 
-class Strict(Exception):
-    """The first bad row, where none may be."""
-
-    def __init__(self, reject: Reject, where: str) -> None:
-        super().__init__(f"{where}: {described(reject)}")
-        self.reject = reject
+class StrictReadingError(MarlstepError):
+    """A row is bad, where none may be.
 
+    Attributes:
+        reject: the first bad row.
+    """
 
-def described(reject: Reject) -> str:
-    column = f" in column {reject.column}" if reject.column else ""
-    text = f": {reject.text!r}" if reject.text else ""
-    return f"{reject.reason.value}{column}{text}"
+    def __init__(self, reject: Reject, place: str) -> None:
+        """Name the place, as `part:line`, and what is wrong there."""
+        super().__init__(f"{place}: {reject.describe()}")
+        self.reject = reject
 
 
-@dataclass(slots=True)
-class Account:
-    """What was read, and what became of it."""
-
-    lines: int = 0
-    headers: int = 0
-    blank: int = 0
-    rows: int = 0
-    bad: int = 0
-    bad_by_reason: Counter[str] = field(default_factory=Counter)
-    skipped: Counter[str] = field(default_factory=Counter)  # rows that are no arrivals
-    notes: Counter[str] = field(default_factory=Counter)  # oddities that cost nothing: bom, crlf
-    arrivals: int = 0
-    duplicates: int = 0
-    out_of_order: int = 0
-    first_us: int | None = None  # of the arrivals, on the trace's own clock
-    last_us: int | None = None
-    tenants: Counter[str] = field(default_factory=Counter)
-    kinds: Counter[str] = field(default_factory=Counter)
-
-    @property
-    def good(self) -> int:
-        return self.rows - self.bad
-
-    def add(self, rows: list[Arrival]) -> None:
-        if not rows:
-            return
-        self.arrivals += len(rows)
-        if self.first_us is None:
-            self.first_us = rows[0].at_us
-        self.last_us = rows[-1].at_us
-        _tally(self.tenants, [row[3] for row in rows])
-        _tally(self.kinds, [row[4] for row in rows])
-
-
-def _tally(counts: Counter[str], names: list[str]) -> None:
-    if len(counts) + len(names) <= MOST_NAMES:
-        counts.update(names)
-        return
-    for name in names:
-        counts[name if name in counts or len(counts) < MOST_NAMES else OTHERS] += 1
+def _ignore(_: object) -> None:
+    """Take a report that nobody asked for."""
 
 
 @dataclass(slots=True)
 class Reading:
     """One reading of a trace; `batches` may be used once.
 
-    `on_reject` hears every reject, in the order in which they are found. `window_us` is the reorder window in
-    microseconds; `line_limit` is in bytes.
+    Attributes:
+        format: of the trace.
+        parts: paths; `-` is standard input.
+        seed: sets what the trace leaves open.
+        window_us: how late a row may come, in microseconds; None for what the format needs.
+        is_strict: end at the first bad row.
+        on_reject: is given every bad row, in the order in which they are found.
+        on_progress: is given the number of bytes that were read, after decompression.
+        on_raw: is given the bytes as they lie in the parts.
+        max_line_bytes: a longer line is a bad row.
+        account: what was read so far.
     """
 
     format: Format
     parts: Sequence[str]
     seed: int = 0
-    window_us: int | None = None  # None: what the format needs
-    strict: bool = False
-    on_reject: Callable[[Reject], None] = lambda reject: None
-    on_progress: Callable[[int], None] = lambda size: None  # bytes that were read, after decompression
-    on_raw: Callable[[bytes], None] | None = None  # the bytes as they lie in the parts
-    line_limit: int = LINE_LIMIT
+    window_us: int | None = None
+    is_strict: bool = False
+    on_reject: Callable[[Reject], None] = _ignore
+    on_progress: Callable[[int], None] = _ignore
+    on_raw: Callable[[bytes], None] | None = None
+    max_line_bytes: int = MAX_LINE_BYTES
     account: Account = field(default_factory=Account)
     _starts: list[tuple[int, str]] = field(default_factory=list)  # the first line of each part, and its name
-    _fresh: bool = True  # the part has shown no line yet
+    _is_at_start: bool = True  # no line of the part has been read yet
 
-    def where(self, line: int) -> str:
-        """`part:line` of a line that is counted over all parts."""
+    def place(self, line: int) -> str:
+        """Return `part:line` of a line that is counted over all parts."""
         name, start = "?", 0
         for first, part in self._starts:
             if first <= line:
@@ -110,96 +81,117 @@
         return f"{name}:{line - start + 1}"
 
     def batches(self) -> Iterator[list[Arrival]]:
-        """Arrivals in order of time, in batches of any size."""
-        window = WINDOWS_US.get(self.format.name, WINDOW_US) if self.window_us is None else self.window_us
-        order = Reorder(window)
+        """Yield arrivals in order of time, in batches of any size.
+
+        Raises:
+            SourceError: a part can't be opened or read.
+            StrictReadingError: a row is bad, and the reading is strict.
+        """
+        window_us = self.window_us
+        if window_us is None:
+            window_us = WINDOWS_US.get(self.format.name, WINDOW_US)
+        reorderer = Reorderer(window_us)
         reader = self.format.make(self.seed)
-        account = self.account
         try:
             for part in self.parts:
-                for found in self._part(part, reader):
-                    yield from self._ordered(order, found)
-            ready = order.end()
-            account.add(ready)
+                for found in self._read_part(part, reader):
+                    yield from self._reorder(reorderer, found)
+            ready = reorderer.end()
+            self.account.add(ready)
             if ready:
                 yield ready
         finally:
-            account.out_of_order = order.out_of_order
-            account.duplicates = order.duplicates + account.skipped["duplicate"]
-            if order.forced:
-                account.notes["reorder-window-full"] = order.forced
-
-    def _ordered(self, order: Reorder, found: list[Arrival]) -> Iterator[list[Arrival]]:
-        told = order.push(found)
-        for reason, rows in ((Reason.LATE, told.late), (Reason.JUMP, told.jumps)):
+            self._account_order(reorderer)
+
+    def _account_order(self, reorderer: Reorderer) -> None:
+        account = self.account
+        account.out_of_order = reorderer.out_of_order
+        account.duplicates = reorderer.duplicates + account.skipped[DUPLICATE]
+        if reorderer.forced:
+            account.notes[WINDOW_FULL_NOTE] = reorderer.forced
+
+    def _reorder(self, reorderer: Reorderer, found: list[Arrival]) -> Iterator[list[Arrival]]:
+        done = reorderer.push(found)
+        for reason, rows in ((Reason.LATE, done.late), (Reason.JUMP, done.jumps)):
             for row in rows:
-                self._reject(row.line, reason, "", f"{row.at_us} us", row=False)
-        self.account.add(told.ready)
-        if told.ready:
-            yield told.ready
+                self._reject(row.line, BadRowError(reason, text=f"{row.at_us} us"))
+        self.account.add(done.ready)
+        if done.ready:
+            yield done.ready
 
-    def _part(self, name: str, reader: RowReader) -> Iterator[list[Arrival]]:
+    def _read_part(self, name: str, reader: RowReader) -> Iterator[list[Arrival]]:
+        yield from self._read_lines(name, reader)
+        batch: list[Arrival] = []
+        for arrival in reader.end_of_part():
+            batch.append(arrival)
+            if len(batch) >= BATCH_SIZE:
+                yield batch
+                batch = []
+        yield batch
+
+    def _read_lines(self, name: str, reader: RowReader) -> Iterator[list[Arrival]]:
         account = self.account
         self._starts.append((account.lines + 1, name))
-        cutter = LineCutter(self.line_limit)
-        self._fresh = True
+        self._is_at_start = True
+        cutter = LineCutter(self.max_line_bytes)
         stream = open_part(name)
         try:
-            for data in unpacked(stream, name, self.on_raw):
+            for data in unpack(stream, name, self.on_raw):
                 self.on_progress(len(data))
-                yield self._rows(self._first(cutter.feed(data), reader), reader)
+                yield self._read_rows(self._after_header(cutter.feed(data), reader), reader)
             rest = cutter.end()
             if rest is not None:
-                yield self._rows(self._first([rest], reader), reader)
-        except BadRow as fault:  # the stream is cut or spoilt; the line that was begun goes with it
+                yield self._read_rows(self._after_header([rest], reader), reader)
+        except BadRowError as error:  # the stream is cut or corrupt; the line that was begun goes with it
             account.lines += 1
-            self._reject(account.lines, fault.reason, fault.column, fault.text)
+            account.rows += 1
+            self._reject(account.lines, error)
         finally:
-            if name != "-":
+            if name != STANDARD_INPUT:
                 stream.close()
-        batch: list[Arrival] = []
-        for arrival in reader.end_of_part():
-            batch.append(arrival)
-            if len(batch) >= BATCH:
-                yield batch
-                batch = []
-        yield batch
 
-    def _first(self, lines: list[bytes | None], reader: RowReader) -> list[bytes | None]:
-        """The first line of a part is taken off where it is a header; empty ones before it are passed over."""
-        account = self.account
-        while self._fresh and lines:
+    def _after_header(self, lines: list[bytes | None], reader: RowReader) -> list[bytes | None]:
+        """Return the lines without a part's header, and without empty lines before it."""
+        while self._is_at_start and lines:
             first = lines[0]
-            if first is not None and first.startswith(BOM.encode()):
-                account.notes["bom"] += 1
-                first = first[len(BOM.encode()) :]
+            if first is not None and first.startswith(BOM_BYTES):
+                self.account.notes["bom"] += 1
+                first = first[len(BOM_BYTES) :]
                 lines = [first, *lines[1:]]
             if first is not None and not first.strip():
-                account.lines += 1
-                account.blank += 1
+                self.account.lines += 1
+                self.account.blank += 1
                 lines = lines[1:]
                 continue
-            self._fresh = False
-            try:
-                if reader.header(cells(first)):
-                    account.lines += 1
-                    account.headers += 1
-                    return lines[1:]
-            except BadRow as fault:
-                account.lines += 1
-                self._reject(account.lines, fault.reason, fault.column, fault.text)
+            self._is_at_start = False
+            if self._take_header(first, reader):
                 return lines[1:]
         return lines
 
-    def _rows(self, lines: list[bytes | None], reader: RowReader) -> list[Arrival]:
-        texts = plain(lines)
-        return self._each(lines, reader) if texts is None else self._quick(texts, reader)
+    def _take_header(self, line: bytes | None, reader: RowReader) -> bool:
+        """Return whether the line is done with: a header, or a header at fault."""
+        account = self.account
+        try:
+            is_header = reader.header(split_cells(line))
+        except BadRowError as error:
+            account.lines += 1
+            account.rows += 1
+            self._reject(account.lines, error)
+            return True
+        if is_header:
+            account.lines += 1
+            account.headers += 1
+        return is_header
+
+    def _read_rows(self, lines: list[bytes | None], reader: RowReader) -> list[Arrival]:
+        texts = split_plain_lines(lines)
+        return self._read_any(lines, reader) if texts is None else self._read_plain(texts, reader)
 
-    def _quick(self, texts: list[str], reader: RowReader) -> list[Arrival]:
-        """The short way, where no line needs a closer look."""
+    def _read_plain(self, texts: list[str], reader: RowReader) -> list[Arrival]:
+        """Read lines of which none needs a closer look, the short way."""
         account = self.account
         found: list[Arrival] = []
-        keep, parse, skipped = found.append, reader.parse, account.skipped
+        append, parse, skipped = found.append, reader.parse, account.skipped
         number = account.lines
         account.lines += len(texts)
         for text in texts:
@@ -209,17 +201,17 @@
                 continue
             try:
                 row = parse(text.split(","), number)
-            except BadRow as fault:
-                self._reject(number, fault.reason, fault.column, fault.text, row=False)
+            except BadRowError as error:
+                self._reject(number, error)
                 continue
             if row.__class__ is str:
                 skipped[row] += 1
             else:
-                keep(row)  # type: ignore[arg-type]
+                append(row)  # type: ignore[arg-type]
         account.rows += len(texts) - sum(not text for text in texts)
         return found
 
-    def _each(self, lines: list[bytes | None], reader: RowReader) -> list[Arrival]:
+    def _read_any(self, lines: list[bytes | None], reader: RowReader) -> list[Arrival]:
         account = self.account
         found: list[Arrival] = []
         for line in lines:
@@ -231,9 +223,9 @@
                 account.notes["crlf"] += 1
             account.rows += 1
             try:
-                row = reader.parse(cells(line), account.lines)
-            except BadRow as fault:
-                self._reject(account.lines, fault.reason, fault.column, fault.text, row=False)
+                row = reader.parse(split_cells(line), account.lines)
+            except BadRowError as error:
+                self._reject(account.lines, error)
                 continue
             if isinstance(row, str):
                 account.skipped[row] += 1
@@ -241,13 +233,12 @@
                 found.append(row)
         return found
 
-    def _reject(self, line: int, reason: Reason, column: str, text: str, row: bool = True) -> None:
-        """Every bad row passes here; `row` where it is not counted as a row yet."""
+    def _reject(self, line: int, error: BadRowError) -> None:
+        """Count a bad row; every one passes here."""
         account = self.account
-        account.rows += row
         account.bad += 1
-        account.bad_by_reason[reason.value] += 1
-        reject = Reject(line, column, reason, text[:SHOWN])
+        account.bad_by_reason[error.reason.value] += 1
+        reject = Reject(line, error.column, error.reason, error.text[:MAX_SHOWN_TEXT])
         self.on_reject(reject)
-        if self.strict:
-            raise Strict(reject, self.where(line))
+        if self.is_strict:
+            raise StrictReadingError(reject, self.place(line))
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -14,7 +14,7 @@
 
 from marlstep.admission.settings import ClassSettings, Effect
 from marlstep.core.interfaces import ResponseStatus
-from marlstep.traces.mapping import Planned
+from marlstep.traces.mapping import PlannedRequest
 from marlstep.traces.replay.figures import Figures
 from marlstep.traces.retries import Retries
 
@@ -28,7 +28,7 @@
 @dataclass(slots=True)
 class Work:
     number: int
-    planned: Planned
+    planned: PlannedRequest
     tries: int = 0
     open: str | None = None  # the id of the try that is out there
     due_us: int = 0  # of that try
@@ -56,9 +56,9 @@
     _open: dict[str, Work] = field(default_factory=dict)
     _answered: set[str] = field(default_factory=set)
 
-    def begin(self, number: int, planned: Planned) -> Try:
+    def begin(self, number: int, planned: PlannedRequest) -> Try:
         """The first try of a line of the schedule."""
-        self.figures.asked(planned, self.classes[planned.kind].priority_weight)
+        self.figures.asked(planned, self.classes[planned.request_class].priority_weight)
         self.counts["work"] += 1
         return self._try(Work(number, planned), planned.at_us)
 
@@ -68,7 +68,7 @@
         node = (work.number + work.tries) % self.nodes
         one = Try(blake3(name).hexdigest(8), work, at_us, work.tries > 0, node)
         work.tries += 1
-        work.open, work.due_us = one.id, at_us + self.classes[work.planned.kind].deadline_us
+        work.open, work.due_us = one.id, at_us + self.classes[work.planned.request_class].deadline_us
         self._open[one.id] = work
         return one
 
@@ -89,7 +89,7 @@
         self.counts[verdict.value] += 1
         if now_us > work.due_us + SLACK_US:
             self.counts["late_answers"] += 1
-        kind = self.classes[work.planned.kind]
+        kind = self.classes[work.planned.request_class]
         work.open = None
         if verdict is ResponseStatus.DONE:
             self.figures.done(work.planned, kind, now_us - work.planned.at_us, poor)
--- a/marlstep/traces/replay/figures.py
+++ b/marlstep/traces/replay/figures.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from marlstep.admission.settings import ClassSettings
-from marlstep.traces.mapping import Planned
+from marlstep.traces.mapping import PlannedRequest
 
 MOST_US = 60_000_000
 WORST_SECONDS = 10
@@ -50,7 +50,7 @@
     poor: int = 0
     after_aim: int = 0
 
-    def _shares(self, planned: Planned) -> tuple[Share, ...]:
+    def _shares(self, planned: PlannedRequest) -> tuple[Share, ...]:
         tenant = planned.tenant
         if tenant not in self.by_tenant and len(self.by_tenant) >= MOST_TENANTS:
             tenant = "others"
@@ -59,17 +59,17 @@
             self.by_second.append(Share())
         return (
             self.whole,
-            self.by_class.setdefault(planned.kind, Share()),
+            self.by_class.setdefault(planned.request_class, Share()),
             self.by_tenant.setdefault(tenant, Share()),
             self.by_second[second],
         )
 
-    def asked(self, planned: Planned, worth: float) -> None:
+    def asked(self, planned: PlannedRequest, worth: float) -> None:
         for share in self._shares(planned):
             share.asked += worth * planned.work_us
 
-    def done(self, planned: Planned, kind: ClassSettings, took_us: int, poor: bool) -> None:
-        self.times.setdefault(planned.kind, histogram()).record_value(min(MOST_US, max(1, took_us)))
+    def done(self, planned: PlannedRequest, kind: ClassSettings, took_us: int, poor: bool) -> None:
+        self.times.setdefault(planned.request_class, histogram()).record_value(min(MOST_US, max(1, took_us)))
         self.poor += poor
         if took_us > kind.latency_objective_us:
             self.after_aim += 1
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -25,7 +25,7 @@
 from marlstep.frontends.resp_wire import FrameReader, read_fields, write_frame
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.stream import RingStream
-from marlstep.traces.mapping import Planned
+from marlstep.traces.mapping import PlannedRequest
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
 from marlstep.units import SystemClock
 
@@ -57,7 +57,7 @@
     def exec(self, one: Try, fields: str, body: bytes) -> None:
         self._tag += 1
         self.open[self._tag] = one.id
-        kind = one.work.planned.kind.encode()
+        kind = one.work.planned.request_class.encode()
         self.send(write_frame(b"EXEC", b"%d" % self._tag, kind, fields.encode(), body))
 
     def data_received(self) -> None:
@@ -150,7 +150,7 @@
     def now_us(self) -> int:
         return int((asyncio.get_running_loop().time() - self._start) * 1e6)
 
-    async def run(self, rows: Iterator[Planned]) -> None:
+    async def run(self, rows: Iterator[PlannedRequest]) -> None:
         with tempfile.TemporaryDirectory() as folder:
             try:
                 await self._open(Path(folder))
@@ -251,7 +251,7 @@
 
     # Sending.
 
-    async def _replay(self, rows: Iterator[Planned]) -> None:
+    async def _replay(self, rows: Iterator[PlannedRequest]) -> None:
         loop = asyncio.get_running_loop()
         self._spare = [[] for _ in range(self.settings.senders * self.settings.nodes)]
         self._start = loop.time() + LEAD_US / 1e6
@@ -269,7 +269,7 @@
                 self._send(self.campaign.begin(number, planned))
             sent.set()
 
-        def first(number: int, planned: Planned) -> None:
+        def first(number: int, planned: PlannedRequest) -> None:
             self._send(self.campaign.begin(number, planned))
             next_row()
 
@@ -282,7 +282,9 @@
         self.campaign.sent(one, self.now_us())
         self._where[one.id] = one.node
         planned, number = one.work.planned, one.work.number
-        plan = WorkPlan(number, planned.work_us, calls_of(self.campaign.classes[planned.kind], number))
+        plan = WorkPlan(
+            number, planned.work_us, calls_of(self.campaign.classes[planned.request_class], number)
+        )
         if self.settings.front == "uwsgi":
             self._send_uwsgi(one, plan)
         else:
@@ -309,8 +311,8 @@
         variables = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": "/",
-            "HTTP_X_CLASS": planned.kind,
-            "HTTP_X_ID": f"work-{one.work.number}" if planned.kind == self.settings.once else "",
+            "HTTP_X_CLASS": planned.request_class,
+            "HTTP_X_ID": f"work-{one.work.number}" if planned.request_class == self.settings.once else "",
             "HTTP_X_RETRY": "1" if one.again else "",
             "HTTP_X_COST_MS": f"{plan.work_us / self.settings.speed / 1000:.2f}",
             "HTTP_X_TENANT": planned.tenant,
--- a/marlstep/traces/replay/replaying.py
+++ b/marlstep/traces/replay/replaying.py
@@ -12,14 +12,14 @@
 
 from marlstep.config.checking import check
 from marlstep.emulators.machine import Machine, count_runs
-from marlstep.traces.mapping import Planned
+from marlstep.traces.cutting import compress_time, factor_for_load, repeat
+from marlstep.traces.mapping import PlannedRequest
 from marlstep.traces.replay.campaign import Campaign
 from marlstep.traces.replay.figures import Figures
 from marlstep.traces.replay.loopback import Loopback, Settings
 from marlstep.traces.replay.virtual import VirtualReplay
 from marlstep.traces.retries import Retries
 from marlstep.traces.schedule import Schedule
-from marlstep.traces.window import compressed, factor_for_load, repeated
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     for_us: int | None = None  # repeat or cut the schedule to this length
 
 
-def rows_of(schedule: Schedule, wanted: Wanted) -> tuple[Iterator[Planned], float]:
+def rows_of(schedule: Schedule, wanted: Wanted) -> tuple[Iterator[PlannedRequest], float]:
     """The requests to be sent, and how much faster than the schedule's own time they go."""
     compiled = schedule.head["compiled"]
     period = float(compiled["seconds"])
@@ -45,9 +45,9 @@
     if wanted.load is not None:
         factor = factor_for_load(round(compiled["work_s"] * 1e6), period, cores, wanted.load)
     if wanted.for_us is None:
-        return compressed(schedule.rows(), factor), factor
+        return compress_time(schedule.rows(), factor), factor
     period_us = round(period / factor * 1e6)
-    return repeated(lambda: compressed(schedule.rows(), factor), period_us, wanted.for_us), factor
+    return repeat(lambda: compress_time(schedule.rows(), factor), period_us, wanted.for_us), factor
 
 
 def replay(schedule: Schedule, wanted: Wanted) -> dict[str, Any]:
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -17,7 +17,7 @@
 from marlstep.emulators.machine import Machine, Notice, NoticeType
 from marlstep.emulators.work_plan import WorkPlan
 from marlstep.timer_queue import Timer, TimerQueue
-from marlstep.traces.mapping import Planned
+from marlstep.traces.mapping import PlannedRequest
 from marlstep.traces.replay.campaign import Campaign, Try, calls_of
 from marlstep.units import EPOCH, MICROSECOND, SECOND, span, span_us
 
@@ -81,10 +81,10 @@
             VirtualNode(self, settings, seed + number, machine, gauge_names, call_us)
             for number, machine in enumerate(machines)
         ]
-        self._rows: Iterator[tuple[int, Planned]] = iter(())
+        self._rows: Iterator[tuple[int, PlannedRequest]] = iter(())
         self._all_sent = False
 
-    def run(self, rows: Iterator[Planned]) -> None:
+    def run(self, rows: Iterator[PlannedRequest]) -> None:
         self._rows = enumerate(rows)
         for node in self.nodes:
             node.core.start()
@@ -99,7 +99,7 @@
         number, planned = found
         self.timeline.at(START + span(planned.at_us), lambda: self._first(number, planned))
 
-    def _first(self, number: int, planned: Planned) -> None:
+    def _first(self, number: int, planned: PlannedRequest) -> None:
         self._send(self.campaign.begin(number, planned))
         self._next_row()
 
@@ -138,11 +138,13 @@
     def take(self, one: Try) -> None:
         """A request arrives."""
         planned, number = one.work.planned, one.work.number
-        plan = WorkPlan(number, planned.work_us, calls_of(self.world.campaign.classes[planned.kind], number))
+        plan = WorkPlan(
+            number, planned.work_us, calls_of(self.world.campaign.classes[planned.request_class], number)
+        )
         self._number += 1
         offer = InboundRequest(
             id=one.id,
-            request_class=planned.kind,
+            request_class=planned.request_class,
             body=plan.to_body(),
             arrived_at=self.clock.now(),
             memory_kb=HELD_KB,
--- a/marlstep/traces/retries.py
+++ b/marlstep/traces/retries.py
@@ -1,4 +1,4 @@
-"""How senders behave after a refusal."""
+"""How senders behave after a rejection."""
 
 from __future__ import annotations
 
@@ -6,6 +6,10 @@
 
 
 class Retries(enum.StrEnum):
+    """When a sender retries a request that was rejected or failed."""
+
     NONE = "none"
-    POLITE = "polite"  # after the time that the refusal told, at least BACKOFF; three tries
+    POLITE = (
+        "polite"  # after the Retry-After of the rejection, or BACKOFF_US if that is longer; three attempts
+    )
     HASTY = "hasty"  # at once and without limit, while the client waits
--- a/marlstep/traces/rows.py
+++ b/marlstep/traces/rows.py
@@ -11,20 +11,32 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MOST_US = 1 << 62  # a time beyond it is no time: some 146,000 years
-SHOWN = 48  # characters of a faulty cell that a reject keeps
+from marlstep.errors import MarlstepError
 
+MAX_TIME_US = 1 << 62  # some 146,000 years
+MAX_SHOWN_TEXT = 48  # characters of a faulty cell that a reject keeps
 
-class Arrival(NamedTuple):
-    """One arrival. The order of the fields is the order in which equal times are put."""
 
-    at_us: int  # on the trace's own clock, until the start is taken off (`since_start`)
-    key: str  # who sent it: a sender stays whole when a trace is thinned
-    name: str  # tells it from the sender's others; equal key, name and time make a duplicate; "" where none
+class Arrival(NamedTuple):
+    """One arrival. The order of the fields is the order in which equal times are put.
+
+    Attributes:
+        at_us: microseconds on the trace's own clock.
+        key: the sender; a sender stays complete when a trace is thinned.
+        name: tells the arrival from others of its sender; equal time, key and name make a duplicate; "" where none.
+        tenant: the tenant, as the trace names it.
+        category: the trace's own class of the arrival.
+        hint: the work, in the format's unit; 0 where the trace has none.
+        line: where it stands, counted from 1 over all parts.
+    """
+
+    at_us: int
+    key: str
+    name: str
     tenant: str
-    kind: str
-    hint: float  # of the work, in the format's unit; 0 where the trace does not tell
-    line: int  # where it stands, counted from 1 over all parts
+    category: str
+    hint: float
+    line: int
 
 
 class Reason(enum.StrEnum):
@@ -53,83 +65,108 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    line: int  # counted from 1 over all parts
-    column: str  # "" where the row as a whole is bad
+    """One bad row.
+
+    Attributes:
+        line: where it stands, counted from 1 over all parts.
+        column: the column at fault; "" where the row as a whole is bad.
+        reason: what is wrong.
+        text: the start of what stood there.
+    """
+
+    line: int
+    column: str
     reason: Reason
-    text: str  # the start of what stood there
+    text: str
+
+    def describe(self) -> str:
+        """Return the reason, the column and the text, as far as they are known."""
+        column = f" in column {self.column}" if self.column else ""
+        text = f": {self.text!r}" if self.text else ""
+        return f"{self.reason.value}{column}{text}"
+
 
+class BadRowError(MarlstepError):
+    """A row can't be read. Formats raise it; the reader of the trace adds the line.
 
-class BadRow(Exception):
-    """A row that can't be read. Formats raise it; the reader adds the line."""
+    Attributes:
+        reason: what is wrong.
+        column: the column at fault; "" where the row as a whole is bad.
+        text: the start of what stood there.
+    """
 
     def __init__(self, reason: Reason, column: str = "", text: str = "") -> None:
+        """Keep the start of the text."""
         super().__init__(reason)
-        self.reason, self.column, self.text = reason, column, text[:SHOWN]
+        self.reason, self.column, self.text = reason, column, text[:MAX_SHOWN_TEXT]
 
 
-def width(cells: list[str], wanted: int) -> None:
-    if len(cells) < wanted:
-        raise BadRow(Reason.MISSING, text=f"{len(cells)} of {wanted} columns")
-    if len(cells) > wanted:
-        raise BadRow(Reason.SURPLUS, text=f"{len(cells)} in place of {wanted} columns")
+def check_width(cells: list[str], width: int) -> None:
+    """Check the number of cells. Raises BadRowError."""
+    if len(cells) < width:
+        raise BadRowError(Reason.MISSING, text=f"{len(cells)} of {width} columns")
+    if len(cells) > width:
+        raise BadRowError(Reason.SURPLUS, text=f"{len(cells)} in place of {width} columns")
 
 
-def whole(text: str, column: str) -> int:
-    """A whole number from 0 to MOST_US."""
+def read_whole(text: str, column: str) -> int:
+    """Read a whole number from 0 to MAX_TIME_US. Raises BadRowError."""
     if not text.isdigit():
-        raise diagnosed(text, column)
+        raise number_error(text, column)
     try:
         value = int(text)
     except ValueError:
-        raise diagnosed(text, column) from None
-    if value > MOST_US:
-        raise BadRow(Reason.OVERFLOW, column, text)
+        raise number_error(text, column) from None
+    if value > MAX_TIME_US:
+        raise BadRowError(Reason.OVERFLOW, column, text)
     return value
 
 
-def decimal(text: str, column: str) -> float:
-    """A finite number, 0 or more."""
+def read_decimal(text: str, column: str) -> float:
+    """Read a finite number, 0 or more. Raises BadRowError."""
     try:
         value = float(text)
     except ValueError:
-        raise diagnosed(text, column) from None
-    if not 0 <= value <= MOST_US or "_" in text:
-        raise diagnosed(text, column)
+        raise number_error(text, column) from None
+    if not 0 <= value <= MAX_TIME_US or "_" in text:
+        raise number_error(text, column)
     return value
 
 
-def instant_us(text: str, column: str, unit_us: float) -> int:
-    """A time in units of `unit_us` microseconds, with or without a fraction."""
+def read_instant_us(text: str, column: str, unit_us: float) -> int:
+    """Read a time in units of `unit_us` microseconds, with or without a fraction. Raises BadRowError."""
     if text.isdigit() and unit_us == 1:
-        return whole(text, column)
-    value = decimal(text, column) * unit_us
-    if value > MOST_US:
-        raise BadRow(Reason.OVERFLOW, column, text)
+        return read_whole(text, column)
+    value = read_decimal(text, column) * unit_us
+    if value > MAX_TIME_US:
+        raise BadRowError(Reason.OVERFLOW, column, text)
     return round(value)
 
 
-def word(text: str, column: str) -> str:
+def read_word(text: str, column: str) -> str:
+    """Return the text of a cell that must not be empty. Raises BadRowError."""
     if not text:
-        raise BadRow(Reason.EMPTY, column)
+        raise BadRowError(Reason.EMPTY, column)
     return text
 
 
-def diagnosed(text: str, column: str) -> BadRow:
-    """Why a cell is no number from 0 up."""
-    reason = Reason.NOT_A_NUMBER
+def number_error(text: str, column: str) -> BadRowError:
+    """Return the error that says why a cell is no number from 0 to MAX_TIME_US."""
+    return BadRowError(_number_reason(text), column, text)
+
+
+def _number_reason(text: str) -> Reason:
     if not text.strip():
-        reason = Reason.EMPTY
-    elif "_" not in text:
-        try:
-            value = float(text)
-        except ValueError:
-            pass
-        else:
-            if math.isnan(value) or math.isinf(value):
-                spelled = any(letter.isalpha() and letter not in "eE" for letter in text)
-                reason = Reason.NOT_FINITE if spelled else Reason.OVERFLOW
-            elif value < 0:
-                reason = Reason.NEGATIVE
-            elif value > MOST_US:
-                reason = Reason.OVERFLOW
-    return BadRow(reason, column, text)
+        return Reason.EMPTY
+    try:
+        value = float(text)
+    except ValueError:
+        return Reason.NOT_A_NUMBER
+    if "_" in text:
+        return Reason.NOT_A_NUMBER
+    if math.isnan(value) or math.isinf(value):
+        is_spelled = any(letter.isalpha() and letter not in "eE" for letter in text)
+        return Reason.NOT_FINITE if is_spelled else Reason.OVERFLOW
+    if value < 0:
+        return Reason.NEGATIVE
+    return Reason.OVERFLOW if value > MAX_TIME_US else Reason.NOT_A_NUMBER
--- a/marlstep/traces/sources.py
+++ b/marlstep/traces/sources.py
@@ -10,37 +10,59 @@
 
 import zstandard
 
-from marlstep.traces.rows import BadRow, Reason
-
-CHUNK = 64 * 1024  # bytes read at once
-MOST_OUT = 256 * 1024  # bytes that are decompressed at once, whatever a stream would unfold to
-ZSTD_IN = 1024  # bytes fed to zstd at once: at its densest they unfold to 32 MB
-ZSTD_WINDOW = 8 << 20
+from marlstep.errors import MarlstepError
+from marlstep.traces.rows import BadRowError, Reason
+
+CHUNK_BYTES = 64 * 1024  # bytes read at once
+MAX_UNPACKED_BYTES = 256 * 1024  # bytes that are decompressed at once, whatever a stream would unfold to
+ZSTD_CHUNK_BYTES = 1024  # bytes fed to zstd at once: at its densest they unfold to 32 MB
+MAX_ZSTD_WINDOW_BYTES = 8 << 20
+STANDARD_INPUT = "-"
 GZIP_MAGIC, ZSTD_MAGIC = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
 
 
-class SourceError(Exception):
-    """A part that can't be opened or read, in one line that names it."""
+class SourceError(MarlstepError):
+    """A part can't be opened or read.
+
+    Attributes:
+        part: its path.
+    """
+
+    def __init__(self, part: str, reason: str | None) -> None:
+        """Name the part, and what the system says."""
+        super().__init__(f"{part}: {reason}")
+        self.part = part
 
 
 def open_part(name: str) -> BinaryIO:
-    if name == "-":
+    """Open a file, or standard input for `-`. Raises SourceError."""
+    if name == STANDARD_INPUT:
         return sys.stdin.buffer
     try:
         return open(name, "rb")
-    except OSError as fault:
-        raise SourceError(f"{name}: {fault.strerror}") from fault
+    except OSError as error:
+        raise SourceError(name, error.strerror) from error
+
+
+def unpack(stream: BinaryIO, name: str, on_raw: Callable[[bytes], None] | None = None) -> Iterator[bytes]:
+    """Yield the bytes of a part, decompressed.
 
+    Args:
+        stream: the part.
+        name: its path, for errors.
+        on_raw: is given the bytes as they lie in the part.
 
-def unpacked(stream: BinaryIO, name: str, on_raw: Callable[[bytes], None] | None = None) -> Iterator[bytes]:
-    """The bytes of a part, decompressed; raises BadRow where the compressed stream is cut or spoilt."""
+    Raises:
+        BadRowError: the compressed stream is cut or corrupt.
+        SourceError: the part can't be read.
+    """
     chunks = _chunks(stream, name, on_raw)
     head = next(chunks, b"")
     while 0 < len(head) < len(ZSTD_MAGIC) and (more := next(chunks, b"")):  # a pipe may bring it in drops
         head += more
     rest = itertools.chain((head,) if head else (), chunks)
     if head.startswith(GZIP_MAGIC):
-        return _gunzipped(rest)
+        return _gunzip(rest)
     if head.startswith(ZSTD_MAGIC):
         return _unzstd(rest)
     return rest
@@ -49,9 +71,9 @@
 def _chunks(stream: BinaryIO, name: str, on_raw: Callable[[bytes], None] | None) -> Iterator[bytes]:
     while True:
         try:
-            chunk = stream.read(CHUNK)
-        except OSError as fault:
-            raise SourceError(f"{name}: {fault.strerror}") from fault
+            chunk = stream.read(CHUNK_BYTES)
+        except OSError as error:
+            raise SourceError(name, error.strerror) from error
         if not chunk:
             return
         if on_raw is not None:
@@ -59,8 +81,8 @@
         yield chunk
 
 
-def _gunzipped(chunks: Iterator[bytes]) -> Iterator[bytes]:
-    """One gzip member after another."""
+def _gunzip(chunks: Iterator[bytes]) -> Iterator[bytes]:
+    """Unpack one gzip member after another."""
     member = zlib.decompressobj(wbits=31)
     begun = False
     for chunk in chunks:
@@ -72,41 +94,42 @@
                     break
                 member, begun = zlib.decompressobj(wbits=31), False
             begun = True
-            try:
-                out = member.decompress(data, MOST_OUT)
-            except zlib.error as fault:
-                raise BadRow(Reason.CORRUPT, text=str(fault)) from None
+            out = _decompress(member, data)
             if out:
                 yield out
             data = member.unused_data if member.eof else member.unconsumed_tail
-    while begun and not member.eof:  # what the last chunk unfolds to
-        try:
-            out = member.decompress(member.unconsumed_tail, MOST_OUT)
-        except zlib.error as fault:
-            raise BadRow(Reason.CORRUPT, text=str(fault)) from None
+    while begun and not member.eof:  # what the last chunk unpacks to
+        out = _decompress(member, member.unconsumed_tail)
         if not out:
-            raise BadRow(Reason.TRUNCATED, text="the gzip stream ends inside a member")
+            raise BadRowError(Reason.TRUNCATED, text="the gzip stream ends inside a member")
         yield out
 
 
+def _decompress(member: zlib._Decompress, data: bytes) -> bytes:
+    try:
+        return member.decompress(data, MAX_UNPACKED_BYTES)
+    except zlib.error as error:
+        raise BadRowError(Reason.CORRUPT, text=str(error)) from None
+
+
 def _unzstd(chunks: Iterator[bytes]) -> Iterator[bytes]:
-    """One zstd frame after another."""
-    maker = zstandard.ZstdDecompressor(max_window_size=ZSTD_WINDOW)
+    """Unpack one zstd frame after another."""
+    maker = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES)
     frame = maker.decompressobj()
     begun = False
     for chunk in chunks:
-        for at in range(0, len(chunk), ZSTD_IN):
-            data = chunk[at : at + ZSTD_IN]
+        for at in range(0, len(chunk), ZSTD_CHUNK_BYTES):
+            data = chunk[at : at + ZSTD_CHUNK_BYTES]
             while data:
                 if frame.eof:
                     frame, begun = maker.decompressobj(), False
                 begun = True
                 try:
                     out = frame.decompress(data)
-                except zstandard.ZstdError as fault:
-                    raise BadRow(Reason.CORRUPT, text=str(fault)) from None
+                except zstandard.ZstdError as error:
+                    raise BadRowError(Reason.CORRUPT, text=str(error)) from None
                 if out:
                     yield out
                 data = frame.unused_data if frame.eof else b""
     if begun and not frame.eof:
-        raise BadRow(Reason.TRUNCATED, text="the zstd stream ends inside a frame")
+        raise BadRowError(Reason.TRUNCATED, text="the zstd stream ends inside a frame")
--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -16,9 +16,9 @@
 import click
 
 from marlstep.cli.main import call, marlstep
-from marlstep.config.traces import check_trace
-from marlstep.traces.compiling import settings_digest
-from marlstep.traces.mapping import DEFAULTS
+from marlstep.config.traces import read_trace
+from marlstep.traces.default_mappings import DEFAULT_MAPPINGS
+from marlstep.traces.settings_digest import settings_digest
 from tests.cli.trace_sections import COMPLETE, errors_of_unknown_keys, errors_of_wrong_values
 from tests.golden.everything import counted_names
 from tests.golden.shown import PLATFORM, Connection, Shown, lines
@@ -211,7 +211,7 @@
 
 def trace_settings() -> dict[str, Any]:
     """How `[trace]` is read: the errors of wrong sections, and the digests that schedules store of settings."""
-    settings = {**DEFAULTS, "complete": check_trace(COMPLETE, "generic")[0]}
+    settings = {**DEFAULT_MAPPINGS, "complete": read_trace(COMPLETE, "generic").mapping}
     return {
         "digests": {name: settings_digest(value) for name, value in settings.items()},
         "unknown": errors_of_unknown_keys(),
--- a/tests/cli/trace_sections.py
+++ b/tests/cli/trace_sections.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from marlstep.config.readers import ConfigError
-from marlstep.config.traces import check_trace
+from marlstep.config.traces import read_trace
 
 COMPLETE: dict[str, Any] = {
     "format": "generic",
@@ -55,7 +55,7 @@
 def error_of(section: dict[str, Any]) -> str:
     """The error's text; empty where the section is accepted."""
     try:
-        check_trace(section, "generic")
+        read_trace(section, "generic")
     except ConfigError as error:
         return str(error)
     return ""
--- a/tests/config/test_traces.py
+++ b/tests/config/test_traces.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from marlstep.config.traces import check_trace
-from marlstep.traces.compiling import settings_digest
-from marlstep.traces.mapping import DEFAULTS
+from marlstep.config.traces import read_trace
+from marlstep.traces.default_mappings import DEFAULT_MAPPINGS
+from marlstep.traces.settings_digest import settings_digest
 from tests.cli.surface import read_golden
 from tests.cli.trace_sections import COMPLETE, errors_of_unknown_keys, errors_of_wrong_values
 
@@ -23,13 +23,14 @@
     assert errors_of_unknown_keys() == GOLDEN["unknown"]
 
 
-@pytest.mark.parametrize("name", sorted(DEFAULTS))
+@pytest.mark.parametrize("name", sorted(DEFAULT_MAPPINGS))
 def test_the_defaults_of_a_format_keep_the_digest_that_schedules_store(name: str) -> None:
-    assert settings_digest(DEFAULTS[name]) == GOLDEN["digests"][name]
+    assert settings_digest(DEFAULT_MAPPINGS[name]) == GOLDEN["digests"][name]
 
 
 def test_a_complete_section_keeps_the_digest_that_schedules_store() -> None:
-    settings, columns = check_trace(COMPLETE, "generic")
-    assert settings_digest(settings) == GOLDEN["digests"]["complete"]
-    assert columns is not None and columns.unit_us == 1_000 and not columns.header
+    config = read_trace(COMPLETE, "generic")
+    columns = config.columns
+    assert settings_digest(config.mapping) == GOLDEN["digests"]["complete"]
+    assert columns is not None and columns.unit_us == 1_000 and not columns.has_header
     assert columns.named() == ["at", "site", "3", "work", "gateway", "id", "phase"]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -154,7 +154,12 @@
         "marlstep.timer_queue",
         "marlstep.units",
     ),
-    "marlstep.config.traces": ("marlstep.config", "marlstep.traces.formats", "marlstep.traces.mapping"),
+    "marlstep.config.traces": (
+        "marlstep.config",
+        "marlstep.traces.default_mappings",
+        "marlstep.traces.formats",
+        "marlstep.traces.mapping",
+    ),
     "marlstep.traces": ("marlstep.traces", "marlstep.units"),
     "marlstep.traces.replay": (
         "marlstep.traces",
@@ -339,11 +344,15 @@
     "marlstep/scheduled_tasks/run_log.py",
     "marlstep/scheduled_tasks/runner.py",
     "marlstep/scheduled_tasks/schedule.py",
+    "marlstep/traces/account.py",
+    "marlstep/traces/cutting.py",
+    "marlstep/traces/default_mappings.py",
     "marlstep/traces/mapping.py",
-    "marlstep/traces/order.py",
+    "marlstep/traces/operator_file.py",
+    "marlstep/traces/reordering.py",
+    "marlstep/traces/settings_digest.py",
     "marlstep/traces/replay/campaign.py",
     "marlstep/traces/replay/figures.py",
-    "marlstep/traces/window.py",
 )
 IO = {
     "asyncio",
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -21,25 +21,35 @@
 from marlstep.cli.main import call
 from marlstep.config import check
 from marlstep.config.readers import ConfigError
-from marlstep.config.traces import check_trace
+from marlstep.config.traces import read_trace
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.emulators.machine import Machine, count_runs
+from marlstep.traces.cutting import (
+    Counts,
+    Section,
+    busiest_sections,
+    compress_time,
+    cut_sections,
+    dispersion_index,
+    repeat,
+    thin_senders,
+)
+from marlstep.traces.default_mappings import DEFAULT_MAPPINGS
 from marlstep.traces.formats import named
-from marlstep.traces.mapping import DEFAULTS, Hashing, Mapper, Planned, Tenants
+from marlstep.traces.mapping import KeyedHash, Mapper, PlannedRequest, TenantMode
 from marlstep.traces.replay.campaign import Campaign, Try
 from marlstep.traces.replay.figures import Figures
 from marlstep.traces.replay.virtual import VirtualReplay
 from marlstep.traces.retries import Retries
 from marlstep.traces.rows import Arrival
-from marlstep.traces.schedule import BLOCK_ROWS, Schedule, ScheduleError, Writer
-from marlstep.traces.window import Counts, Section, busiest, compressed, cut, dispersion, repeated, thinned
+from marlstep.traces.schedule import BLOCK_ROWS, Schedule, ScheduleError, ScheduleWriter
 from tests.frontends.test_parsers import FIXED
 from tests.support.node import raw_config
 
 ROOT = Path(__file__).parent.parent
 KINDS = ("temp-history", "schedule-save", "setpoint-cmd")
 PLANNED = st.builds(
-    Planned,
+    PlannedRequest,
     st.integers(0, 10**9),
     st.sampled_from(KINDS),
     st.sampled_from(["ain-sebaa", "b" * 300, "é", ""]),
@@ -48,14 +58,14 @@
 )
 
 
-def written(path: Path, rows: list[Planned], **head: Any) -> Path:
-    with Writer(str(path), head) as writer:
+def written(path: Path, rows: list[PlannedRequest], **head: Any) -> Path:
+    with ScheduleWriter(str(path), head) as writer:
         writer.add(rows)
         writer.finish(head)
     return path
 
 
-def read_back(path: Path) -> list[Planned]:
+def read_back(path: Path) -> list[PlannedRequest]:
     with Schedule(str(path)) as schedule:
         return list(schedule.rows())
 
@@ -63,7 +73,7 @@
 @FIXED
 @given(st.lists(PLANNED, max_size=40))
 def test_what_is_compiled_is_what_is_read(
-    tmp_path_factory: pytest.TempPathFactory, rows: list[Planned]
+    tmp_path_factory: pytest.TempPathFactory, rows: list[PlannedRequest]
 ) -> None:
     rows.sort()
     path = written(tmp_path_factory.mktemp("s") / "a.sched", rows, seed=3)
@@ -73,12 +83,14 @@
 
 
 def test_many_blocks_are_read_one_at_a_time(tmp_path: Path) -> None:
-    rows = [Planned(at, KINDS[at % 3], f"t{at % 50}", 1000 + at, at) for at in range(2 * BLOCK_ROWS + 5)]
+    rows = [
+        PlannedRequest(at, KINDS[at % 3], f"t{at % 50}", 1000 + at, at) for at in range(2 * BLOCK_ROWS + 5)
+    ]
     assert read_back(written(tmp_path / "a.sched", rows)) == rows
 
 
 def test_a_schedule_that_is_cut_or_changed_anywhere_says_so_and_gives_nothing_wrong(tmp_path: Path) -> None:
-    rows = [Planned(at * 1000, KINDS[at % 3], "t", 1000, at) for at in range(50)]
+    rows = [PlannedRequest(at * 1000, KINDS[at % 3], "t", 1000, at) for at in range(50)]
     whole = written(tmp_path / "a.sched", rows).read_bytes()
     path = tmp_path / "b.sched"
     for size in [*range(0, 40, 3), *range(4000, len(whole), 17)]:
@@ -98,10 +110,10 @@
 
 
 def test_a_compilation_that_fails_leaves_the_old_file_as_it_was(tmp_path: Path) -> None:
-    path = written(tmp_path / "a.sched", [Planned(1, "a", "b", 1, 1)])
+    path = written(tmp_path / "a.sched", [PlannedRequest(1, "a", "b", 1, 1)])
     before = path.read_bytes()
-    with pytest.raises(ScheduleError, match="order"), Writer(str(path), {}) as writer:
-        writer.add([Planned(5, "a", "b", 1, 1), Planned(4, "a", "b", 1, 1)])
+    with pytest.raises(ScheduleError, match="order"), ScheduleWriter(str(path), {}) as writer:
+        writer.add([PlannedRequest(5, "a", "b", 1, 1), PlannedRequest(4, "a", "b", 1, 1)])
     assert path.read_bytes() == before and list(tmp_path.iterdir()) == [path]
 
 
@@ -111,9 +123,9 @@
 @FIXED
 @given(st.floats(0.05, 0.95), st.integers(0, 2**32))
 def test_thinning_keeps_whole_senders_at_its_rate(share: float, seed: int) -> None:
-    hashing = Hashing(seed)
-    rows = [Planned(at, "a", "t", 1, hashing.of(f"sender-{at % 400}")) for at in range(2000)]
-    kept = list(thinned(iter(rows), share))
+    hashing = KeyedHash(seed)
+    rows = [PlannedRequest(at, "a", "t", 1, hashing.of(f"sender-{at % 400}")) for at in range(2000)]
+    kept = list(thin_senders(iter(rows), share))
     counts = Counter(row.sender for row in kept)
     assert set(counts.values()) <= {5}
     # Five standard deviations of a binomial count: one seed in two million would miss it.
@@ -128,7 +140,7 @@
     counts = Counts()
     for at in times:
         counts.add(at)
-    found = busiest(counts, seconds * 1_000_000, number)
+    found = busiest_sections(counts, seconds * 1_000_000, number)
     assert all(one.end_us <= other.start_us for one, other in itertools.pairwise(found))
 
     def inside(start: int) -> int:
@@ -139,20 +151,20 @@
 
 
 def test_sections_follow_each_other_without_a_gap_and_compression_keeps_the_shape() -> None:
-    rows = [Planned(at * 1_000_000, "a", "t", 1, at) for at in range(100)]
+    rows = [PlannedRequest(at * 1_000_000, "a", "t", 1, at) for at in range(100)]
     sections = [Section(10_000_000, 5_000_000), Section(50_000_000, 3_000_000)]
-    found = list(cut(iter(rows), sections))
+    found = list(cut_sections(iter(rows), sections))
     assert [row.sender for row in found] == [10, 11, 12, 13, 14, 50, 51, 52]
     assert [row.at_us // 1_000_000 for row in found] == list(range(8))
-    assert [row.at_us for row in compressed(iter(found), 4.0)] == [at * 250_000 for at in range(8)]
-    again = list(repeated(lambda: iter(found), 8_000_000, 20_000_000))
+    assert [row.at_us for row in compress_time(iter(found), 4.0)] == [at * 250_000 for at in range(8)]
+    again = list(repeat(lambda: iter(found), 8_000_000, 20_000_000))
     assert [row.at_us // 1_000_000 for row in again] == list(range(20))
 
 
 def test_the_index_of_dispersion_tells_bursts_from_an_even_stream() -> None:
-    assert dispersion([5] * 50) == 0.0
-    assert dispersion([0, 0, 0, 20] * 10) > 10
-    assert dispersion([]) == dispersion([0, 0]) == dispersion([3]) == 0.0
+    assert dispersion_index([5] * 50) == 0.0
+    assert dispersion_index([0, 0, 0, 20] * 10) > 10
+    assert dispersion_index([]) == dispersion_index([0, 0]) == dispersion_index([3]) == 0.0
 
 
 # Mapping.
@@ -163,7 +175,7 @@
 
 
 def test_the_first_rule_that_fits_counts_and_the_rest_is_dropped_or_mapped() -> None:
-    settings, _ = check_trace(
+    settings = read_trace(
         {
             "rules": [
                 {"class": "setpoint-cmd", "kinds": [3], "hint_under": 0.5},
@@ -171,26 +183,26 @@
             ]
         },
         "google-2011",
-    )
+    ).mapping
     mapper = Mapper(settings, 1)
     told = [mapper.map(arrival("3", hint=0.1)), mapper.map(arrival("3", hint=0.7)), mapper.map(arrival("1"))]
-    assert [one and one.kind for one in told] == ["setpoint-cmd", "schedule-save", None]
+    assert [one and one.request_class for one in told] == ["setpoint-cmd", "schedule-save", None]
     assert dict(mapper.dropped) == {"1": 1}
 
 
 @FIXED
 @given(st.floats(0, 1e12))
 def test_work_stays_within_its_class_and_grows_with_the_hint(hint: float) -> None:
-    mapper = Mapper(DEFAULTS["google-2011"], 1)
+    mapper = Mapper(DEFAULT_MAPPINGS["google-2011"], 1)
     small, large = mapper.map(arrival(hint=hint)), mapper.map(arrival(hint=hint * 2 + 1e-9))
     assert small is not None and large is not None
     assert 280_000 <= small.work_us <= 500_000
     assert hint == 0 or small.work_us <= large.work_us
 
 
-@pytest.mark.parametrize("mode", list(Tenants))
-def test_tenants_are_those_that_the_mode_names(mode: Tenants) -> None:
-    settings = replace(DEFAULTS["google-2011"], tenants=mode, tenant_names=("a", "b"))
+@pytest.mark.parametrize("mode", list(TenantMode))
+def test_tenants_are_those_that_the_mode_names(mode: TenantMode) -> None:
+    settings = replace(DEFAULT_MAPPINGS["google-2011"], tenant_mode=mode, tenant_names=("a", "b"))
     found = {row.tenant for name in "abcdefgh" if (row := Mapper(settings, 1).map(arrival(tenant=name)))}
     wanted = {
         "as-is": set("abcdefgh"),
@@ -220,11 +232,11 @@
 )
 def test_what_is_wrong_with_a_mapping_is_named_by_its_key(raw: dict[str, Any], message: str) -> None:
     with pytest.raises(ConfigError, match=message):
-        check_trace(raw, "google-2011")
+        read_trace(raw, "google-2011")
     with pytest.raises(ConfigError, match=r"trace\.columns is missing"):
-        check_trace({}, "generic")
+        read_trace({}, "generic")
     with pytest.raises(ConfigError, match=r"trace\.columns\.unit must be one of"):
-        check_trace({"columns": {"time": "t"}}, "generic")
+        read_trace({"columns": {"time": "t"}}, "generic")
 
 
 # Campaigns and replays.
@@ -254,7 +266,7 @@
 ) -> None:
     one = campaign(retries)
     for number, (kind, verdicts) in enumerate(works):
-        planned = Planned(number * 1000, kind, "t", 1000, 1)
+        planned = PlannedRequest(number * 1000, kind, "t", 1000, 1)
         following: Try | None = one.begin(number, planned)
         now, done = planned.at_us, False
         for verdict in verdicts:
@@ -279,8 +291,8 @@
 
 def test_the_service_counts_worth_by_work_in_time() -> None:
     one = campaign()
-    plans = [Planned(0, "setpoint-cmd", "a", 100, 1), Planned(0, "temp-history", "b", 300, 1)]
-    plans += [Planned(0, "temp-history", "b", 300, 1), Planned(0, "schedule-save", "b", 100, 1)]
+    plans = [PlannedRequest(0, "setpoint-cmd", "a", 100, 1), PlannedRequest(0, "temp-history", "b", 300, 1)]
+    plans += [PlannedRequest(0, "temp-history", "b", 300, 1), PlannedRequest(0, "schedule-save", "b", 100, 1)]
     tries = [one.begin(number, planned) for number, planned in enumerate(plans)]
     one.answered(tries[0].id, ResponseStatus.DONE, 1_000)
     one.answered(tries[1].id, ResponseStatus.DONE, 1_000, poor=True)
@@ -295,7 +307,7 @@
     assert one.figures.by_tenant["a"].service == 1.0 and one.open == 0 and one.lost(10**9) == 0
 
 
-def virtual(rows: list[Planned], retries: Retries, seed: int = 1) -> tuple[Campaign, VirtualReplay]:
+def virtual(rows: list[PlannedRequest], retries: Retries, seed: int = 1) -> tuple[Campaign, VirtualReplay]:
     one = campaign(retries, nodes=2)
     machines = [Machine(SETTINGS.cores, 1.0) for _ in range(one.nodes)]
     world = VirtualReplay(SETTINGS, seed, one, machines, ("cpu", "runq", "memory", "conns"), 20_000)
@@ -306,7 +318,7 @@
 @pytest.mark.parametrize("retries", list(Retries))
 def test_a_virtual_replay_in_overload_answers_all_once_and_is_the_same_each_time(retries: Retries) -> None:
     rows = [
-        Planned(at * 25_000, KINDS[at * 7 % 3], f"t{at % 3}", 150_000 + at * 37 % 200_000, at)
+        PlannedRequest(at * 25_000, KINDS[at * 7 % 3], f"t{at % 3}", 150_000 + at * 37 % 200_000, at)
         for at in range(240)
     ]
     reports = []
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -18,8 +18,8 @@
 from marlstep.traces.formats.base import Format
 from marlstep.traces.formats.generic import Columns, Generic
 from marlstep.traces.lines import LineCutter
-from marlstep.traces.order import SURE, Reorder
-from marlstep.traces.reading import Reading, Strict
+from marlstep.traces.reading import Reading, StrictReadingError
+from marlstep.traces.reordering import MIN_ROWS_AFTER_GAP, Reorderer
 from marlstep.traces.rows import Arrival, Reject
 from tests.frontends.test_parsers import FIXED
 
@@ -52,7 +52,7 @@
     account = reading.account
     assert account.lines == account.headers + account.blank + account.rows
     assert account.bad == len(rejects) == account.bad_by_reason.total()
-    assert account.arrivals == len(rows) == account.tenants.total() == account.kinds.total()
+    assert account.arrivals == len(rows) == account.tenants.total() == account.categories.total()
     assert [row.at_us for row in rows] == sorted(row.at_us for row in rows)
     if reading.format.name != "azure-2019":
         skipped = account.skipped.total() - account.skipped["duplicate"]
@@ -112,7 +112,7 @@
 @given(st.binary(max_size=300), st.lists(st.integers(1, 40), max_size=12))
 def test_lines_are_the_same_however_the_stream_is_cut(data: bytes, cuts: list[int]) -> None:
     def cut_up(sizes: list[int]) -> list[bytes | None]:
-        cutter, lines, at = LineCutter(limit=24), [], 0
+        cutter, lines, at = LineCutter(max_line_bytes=24), [], 0
         for size in [*sizes, len(data) + 1]:
             lines += cutter.feed(data[at : at + size])
             at += size
@@ -155,8 +155,8 @@
     adds_up(reading, rows, rejects)
     assert [(reject.line, reject.reason.value, reject.column) for reject in rejects] == [(2, reason, column)]
     assert [row.line for row in rows] == [1, 3, 4]
-    with pytest.raises(Strict, match=f"trace.csv:2: {reason}"):
-        read_rows(tmp_path, good[0], row, strict=True)
+    with pytest.raises(StrictReadingError, match=f"trace.csv:2: {reason}"):
+        read_rows(tmp_path, good[0], row, is_strict=True)
 
 
 def test_marks_of_other_systems_are_noted_and_cost_nothing(tmp_path: Path) -> None:
@@ -231,7 +231,7 @@
     for row in rows:
         (late if row.at_us < high - window else kept).append(row)
         high = max(high, row.at_us)
-    order, found, found_late, at = Reorder(window), [], [], 0
+    order, found, found_late, at = Reorderer(window), [], [], 0
     for size in [*cuts, len(rows)]:
         told = order.push(rows[at : at + size])
         found += told.ready
@@ -247,18 +247,18 @@
     for stray in (0, 5):
         times = [1_000 + number for number in range(100)]
         times.insert(stray, 900 * day)
-        order = Reorder(10)
+        order = Reorderer(10)
         told = order.push([arrival(at) for at in times])
         assert [row.at_us for row in told.jumps] == [900 * day]
         assert len(told.ready) + len(order.end()) == 100 and told.late == []
-    order = Reorder(10)  # a real gap: enough rows agree
-    times = [*range(5), *range(900 * day, 900 * day + SURE)]
+    order = Reorderer(10)  # a real gap: enough rows agree
+    times = [*range(5), *range(900 * day, 900 * day + MIN_ROWS_AFTER_GAP)]
     told = order.push([arrival(at) for at in times])
     assert told.jumps == [] and len(told.ready) + len(order.end()) == len(times)
 
 
 def test_a_window_that_holds_too_many_lets_the_older_half_go() -> None:
-    order = Reorder(1_000_000, most=10_000)
+    order = Reorderer(1_000_000, max_waiting_rows=10_000)
     ready = [
         row
         for start in range(0, 50_000, 500)
--- a/tests/traces/test_tenants.py
+++ b/tests/traces/test_tenants.py
@@ -11,8 +11,8 @@
 
 from marlstep.cli.main import call
 from marlstep.config import check
-from marlstep.traces import tenants
-from marlstep.traces.reading import Account
+from marlstep.traces.account import Account
+from marlstep.traces.operator_file import operator_lines
 from marlstep.traces.rows import Arrival
 from tests.frontends.test_parsers import FIXED
 from tests.support.node import raw_config
@@ -54,18 +54,18 @@
     # Guards against ranking by the new names, and against a table that comes twice when two share a name.
     account = tallied(*(("a", kind) for kind in ("0", "2", "10", "1")))
     names = {"0": "z", "10": "a", "1": "m", "2": "m"}
-    operator = tomllib.loads("\n".join(tenants.settings(account, 5, 1.0, names)))
+    operator = tomllib.loads("\n".join(operator_lines(account, 5, 1.0, names)))
     assert operator["classes"] == {"z": {"worth": 1.0}, "m": {"worth": 3.0}, "a": {"worth": 4.0}}
 
 
 def test_a_tenant_called_others_is_listed_once() -> None:
     account = tallied(*((tenant, "0") for tenant in ("others", "a", "a", "b")))
     for most in (1, 2, 3):
-        found = tomllib.loads("\n".join(tenants.settings(account, most, 1.0, {})))["tenants"]
+        found = tomllib.loads("\n".join(operator_lines(account, most, 1.0, {})))["tenants"]
         assert sum(tenant["share"] for tenant in found.values()) == 1.0
 
 
 @FIXED
 @given(st.lists(st.tuples(st.text(max_size=20), st.text(max_size=20)), min_size=1, max_size=20))
 def test_any_tenant_names_make_a_valid_file(rows: list[tuple[str, str]]) -> None:
-    tomllib.loads("\n".join(tenants.settings(tallied(*rows), 5, 1.0, {})))
+    tomllib.loads("\n".join(operator_lines(tallied(*rows), 5, 1.0, {})))
