--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -15,8 +15,8 @@
 from benchmarks.mixed.upgrade_site import PLATFORM_CONFIG
 from benchmarks.mixed.versions import Version
 from marlstep.emulators.site import EmulatedSite
-from marlstep.fault_injection.links import Ports
-from marlstep.fault_injection.witness import Witness
+from marlstep.fault_injection.effect_recorder import EffectRecorder
+from marlstep.fault_injection.network_links import Ports
 
 NAMES = ("n1", "n2", "n3")
 LEASE_TERM_MS = 1_500
@@ -184,7 +184,7 @@
         self.config["settings"]["rules"]["drainGraceUs"] = DRAIN_GRACE_US
         self.config["naming"] = None
         self.ports = Ports()
-        self.witness = Witness(seed)
+        self.witness = EffectRecorder(seed)
         self.emulators: list[EmulatedSite] = []
         self.nodes: dict[str, FleetNode] = {}
         self.successors: list[ServerProcess] = []  # that took over from a process that served
--- a/marlstep/fault_injection/plan.py
+++ b/marlstep/fault_injection/plan.py
@@ -7,6 +7,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
+from marlstep.fault_injection.errors import InvalidPlanError
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, Kill
 
 KINDS = tuple(name for name, fault_type in FAULT_TYPES.items() if fault_type.is_drawn)
@@ -31,10 +32,6 @@
         return asdict(self)
 
 
-class BadPlan(ValueError):
-    """What was read is no plan; the text says why."""
-
-
 def read_plan(told: Any) -> Plan:
     """Raises BadPlan."""
     try:
@@ -49,15 +46,15 @@
             float(told.get("drift", 0.01)),
         )
     except (KeyError, TypeError, ValueError) as wrong:
-        raise BadPlan(f"no plan: {wrong!r}") from wrong
+        raise InvalidPlanError(f"no plan: {wrong!r}") from wrong
     for fault in faults:
         names = (*plan.nodes, *ROLES)
         if fault.kind not in FAULT_TYPES or fault.node not in names or fault.other not in ("", *names):
-            raise BadPlan(f"no fault that this rig knows: {asdict(fault)}")
+            raise InvalidPlanError(f"no fault that this rig knows: {asdict(fault)}")
         if FAULT_TYPES[fault.kind].takes_step and fault.hook not in HOOKS + RULES_HOOKS:
-            raise BadPlan(f"no hook {fault.hook!r}: {', '.join(HOOKS + RULES_HOOKS)}")
+            raise InvalidPlanError(f"no hook {fault.hook!r}: {', '.join(HOOKS + RULES_HOOKS)}")
     if len(plan.rates) != len(plan.nodes) or not set(plan.voters) <= set(plan.nodes):
-        raise BadPlan("a plan has a rate for each node, and its voters are among the nodes")
+        raise InvalidPlanError("a plan has a rate for each node, and its voters are among the nodes")
     return plan
 
 
--- a/marlstep/traces/mapping.py
+++ b/marlstep/traces/mapping.py
@@ -73,9 +73,11 @@
 
     def matches(self, row: Arrival) -> bool:
         """Return whether category, tenant and work hint all match."""
-        matches_category = not self.categories or row.category in self.categories
-        matches_tenant = not self.tenants or row.tenant in self.tenants
-        return matches_category and matches_tenant and self.min_hint <= row.hint < self.max_hint
+        if self.categories and row.category not in self.categories:
+            return False
+        if self.tenants and row.tenant not in self.tenants:
+            return False
+        return self.min_hint <= row.hint < self.max_hint
 
     def covers(self, other: Rule) -> bool:
         """Return whether this rule matches every row that the other one matches."""
@@ -167,13 +169,9 @@
             self._count_dropped(row.category)
             return None
         self.mapped[request_class] += 1
-        return PlannedRequest(
-            at_us=row.at_us - start_us,
-            request_class=request_class,
-            tenant=self._tenant(row.tenant),
-            work_us=self.settings.work[request_class].at(self.settings.scale.position(row.hint)),
-            sender=self._hash.of(row.key),
-        )
+        work_us = self.settings.work[request_class].at(self.settings.scale.position(row.hint))
+        tenant, sender = self._tenant(row.tenant), self._hash.of(row.key)
+        return PlannedRequest(row.at_us - start_us, request_class, tenant, work_us, sender)
 
     def _request_class(self, row: Arrival) -> str | None:
         for rule in self.settings.rules:
