--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -10,7 +10,9 @@
 - `idempotency`, `repeats` and `sibling_claims` know which work has been accepted before,
 - `served_settings`, `drain`, `gauge_timers` and `counters` own what their names say.
 
-The module is longer than the others of the package, as the whole interface that the rest of the node uses stands here.
+To follow a request, start at `Core.submit`, then read `Core._decide`, which lets the controller decide about the
+events so far, then `ActionDispatcher`, which carries out what it decided. The rest of `Core` passes calls on to the
+parts: the whole interface that other packages use stands here.
 """
 
 from __future__ import annotations
@@ -39,7 +41,7 @@
 from marlstep.core.event_queue import EventQueue
 from marlstep.core.gauge_timers import GaugeTimers
 from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable
-from marlstep.core.intake import Intake
+from marlstep.core.intake import RequestIntake
 from marlstep.core.interfaces import (
     Backend,
     CallClient,
@@ -91,7 +93,7 @@
 
         Args:
             settings: the first ones in force.
-            seed: of the controller's random choices.
+            seed: passed on to the controller, which ignores it.
             timeline: the clock and the timers of everything here.
             ports: for gauges and downstream calls.
             max_requests: in flight at once. Raises InvalidTableLimitError for a number that no table can have.
@@ -115,7 +117,7 @@
         self._repeats = RepeatedWork(timeline, requests, keys, self._responses, served)
         arrivals = ControllerArrivals(timeline, requests, keys, events)
         self._claims = SiblingClaims(timeline, keys, arrivals, self._responses)
-        self._intake = Intake(
+        self._intake = RequestIntake(
             timeline, served, requests, keys, self._counters, self._responses, arrivals, self._claims
         )
         self._run_events = RunEvents(
@@ -161,14 +163,15 @@
             The handle by which the frontend reports that the client has disconnected.
 
         Raises:
-            RequestRejectedError: the request broke a rule of the intake; nothing ran, and no response follows.
+            RequestRejectedError: the request broke a rule of the intake. The core owes it no response: the frontend
+                responds itself.
         """
         return self._intake.submit(frontend, response_handle, backend, inbound)
 
     def client_disconnected(self, handle: int) -> None:
         """Owe the client no response any more. A handle of a request that is over is ignored."""
         request = self._requests.get(handle)
-        if request is not None and not request.responded:
+        if request is not None and not request.is_settled:
             self._counters.count(request, DISCONNECTED_COUNT)
             self._events.post(ClientDisconnected(request.id))
             self._responses.settle(request)
@@ -332,9 +335,9 @@
         """Enter what another process says of a piece of work."""
         self._repeats.adopt_remote(key, remote)
 
-    def forget_remote_key(self, key: IdempotencyKey, request_id: str) -> None:
+    def drop_remote_key(self, key: IdempotencyKey, request_id: str) -> None:
         """Hear that another process's request never ran."""
-        self._repeats.forget_remote(key, request_id)
+        self._repeats.drop_remote(key, request_id)
 
     def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
         """Hear that nobody reports any more how the other processes' requests end.
@@ -343,7 +346,8 @@
         """
         self._repeats.mark_remote_outcomes_unknown(expires_at)
 
-    # Leaving.
+    # Leaving. A process *shuts down* from SIGTERM on. It *drains* if it has no successor: after a grace it rejects what
+    # arrives. With a successor it finishes what it has, and does not drain unless the successor is lost.
 
     @property
     def stops_at(self) -> datetime | None:
@@ -351,13 +355,13 @@
         return self._shutdown.stops_at
 
     @property
-    def draining(self) -> bool:
-        """Whether the process leaves, alone or beside a successor."""
+    def is_shutting_down(self) -> bool:
+        """Whether SIGTERM has come: the process drains, or leaves beside a successor that serves."""
         return self._shutdown.stops_at is not None
 
     @property
-    def shutdown_requested(self) -> bool:
-        """Whether a graceful shutdown has begun; handing over to a successor is none."""
+    def is_draining(self) -> bool:
+        """Whether the process shuts down without a successor: it rejects what arrives after the grace."""
         return self._shutdown.is_draining
 
     @property
@@ -366,13 +370,13 @@
         return self._shutdown.in_grace
 
     @property
-    def on_grace_over(self) -> Callable[[], None]:
-        """Called when the frontends have stopped accepting."""
-        return self._shutdown.on_grace_over
+    def on_accepting_stopped(self) -> Callable[[], None]:
+        """Called once frontends have stopped accepting: after the grace of a drain, or for a successor."""
+        return self._shutdown.on_accepting_stopped
 
-    @on_grace_over.setter
-    def on_grace_over(self, callback: Callable[[], None]) -> None:
-        self._shutdown.on_grace_over = callback
+    @on_accepting_stopped.setter
+    def on_accepting_stopped(self, callback: Callable[[], None]) -> None:
+        self._shutdown.on_accepting_stopped = callback
 
     def drain(self, stops_at: datetime, noticed_at: datetime | None = None) -> None:
         """Begin graceful shutdown: arrivals of the grace run, and all get their response before the stop.
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -29,7 +29,8 @@
         id: unique among the requests in flight.
         request_class: the name of its class.
         body: passed on to the backend unchanged.
-        arrived_at: when its first byte came, as far as the frontend knows; may come from the client's clock.
+        arrived_at: when its first byte came, as far as the frontend knows. It may come from the client's clock and
+            lie after now; see `counted_arrival`.
         memory_kb: that it takes while it is queued.
         caller: the number of the calling server; 0 where callers have none.
         is_retry: whether the client marks it as a retry.
@@ -93,7 +94,7 @@
     """How a request ended for its client; the values are the names of the counters."""
 
     DONE = "done"
-    REJECTED = "refused"  # nothing ran: the client may send it elsewhere
+    REJECTED = "refused"  # this attempt did not run: the client may send it elsewhere
     FAILED = "failed"  # promises nothing about effects
     EXPIRED = "expired"  # likewise, as its time ran out
 
@@ -157,8 +158,12 @@
     def start(self, request: Request) -> None:
         """Run a request from its beginning. `EventSink.run_ended` follows."""
 
-    def pause(self, request: Request) -> None:
-        """Preempt a run. Where that takes effect, the run ends as cancelled and may be resumed."""
+    def preempt(self, request: Request) -> None:
+        """Preempt a run where the backend can. It then ends as cancelled; the settings say whether its work is kept.
+
+        With `PreemptionMode.PAUSE` the run may be resumed, with `DROP` it begins again. A backend that can't preempt
+        lets the run go on.
+        """
 
     def resume(self, request: Request) -> None:
         """Let a paused run go on."""
@@ -170,7 +175,7 @@
         """Let a run that waits for its call go on without a reply."""
 
     def abandon(self, request: Request) -> None:
-        """Hear that nobody waits for the result of a run any more. The run still has to be reported as ended."""
+        """Stop the run where the backend can, as nobody waits for its result; report its end either way."""
 
 
 class CallClient(Protocol):
@@ -205,9 +210,9 @@
         stage: where it stands.
         may_have_run: a run has begun, or may have; it never turns false again.
         known_to_have_run: the backend has reported something that only a run does.
-        pause_requested: the backend was asked to pause the run, and has not reported its end.
+        preempt_requested: the backend was asked to preempt the run, and has not reported its end.
         call_failed: the last call failed, and was not skipped.
-        responded: no response is owed any more: it has left, or the client has disconnected.
+        is_settled: no response is owed any more: it has left, or the client has disconnected.
         deadline_timer: that of `deadline_at`.
         call_body: of the call that the run needs.
         call_started_at: when its last call was made.
@@ -226,9 +231,9 @@
     stage: Stage = Stage.QUEUED
     may_have_run: bool = False
     known_to_have_run: bool = False
-    pause_requested: bool = False
+    preempt_requested: bool = False
     call_failed: bool = False
-    responded: bool = False
+    is_settled: bool = False
     deadline_timer: Timer | None = None
     call_body: bytes = b""
     call_started_at: datetime | None = None
@@ -249,7 +254,7 @@
         """Report that the backend is up."""
 
     def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None:
-        """Report the end of a run, or with `Outcome.CANCELLED` that it has paused."""
+        """Report the end of a run, or with `Outcome.CANCELLED` that it was preempted."""
 
     def call_needed(self, id: str, body: bytes) -> None:
         """Report that a run waits for a downstream call with this body."""
--- a/marlstep/core/repeats.py
+++ b/marlstep/core/repeats.py
@@ -43,8 +43,8 @@
                 request.idempotency_key, request.id, now + window, now, max_unread, request.inbound.digest
             )
 
-    def release_key(self, request: Request) -> None:
-        """Free the key of a request that never ran: the next request with it is new work."""
+    def drop_key(self, request: Request) -> None:
+        """Drop the key of a request that never ran: the next request with it is new work."""
         if request.idempotency_key:
             self._keys.drop(request.idempotency_key, request.id, even_if_retained=True)
 
@@ -53,6 +53,8 @@
 
         It fails where no result is known and none will come: the work may have run.
         """
+        # The controller attaches keyed work alone, and the intake accepts none without a key. Were there one, its empty
+        # name would find no record, and the repeat would fail as one without a known result.
         key = repeat.idempotency_key or IdempotencyKey(repeat.inbound.request_class, "")
         arrived_at = counted_arrival(self._timeline.now(), repeat.inbound.arrived_at)
         record = self._keys.find(key, arrived_at)
@@ -77,7 +79,7 @@
         if remote.finished or remote.result is not None:
             self._remote_ended(key, remote.result)
 
-    def forget_remote(self, key: IdempotencyKey, request_id: str) -> None:
+    def drop_remote(self, key: IdempotencyKey, request_id: str) -> None:
         """Drop the entry of another process's request that never ran; the repeats here fail."""
         if self._keys.drop_remote(key, request_id):
             self._remote_ended(key, None)
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -21,7 +21,9 @@
 MAX_RESTART_DEADLINE = 3 * SECOND  # bound on the deadline that a process with a successor waits for
 RESTART_DEADLINE_MARGIN = 700 * MILLISECOND
 DRAIN_POLL_INTERVAL = 20 * MILLISECOND  # between checks whether the drain is done
-EXIT_MARGIN = 100 * MILLISECOND  # before the platform stops the process, it ends by itself
+# Before the platform stops the process, it ends by itself. Last of three margins: by then the controller has responded
+# to all requests (`admission.deadlines.DRAIN_LEAD_TICKS`), and after it the core (`core.drain.STOP_MARGIN`).
+EXIT_MARGIN = 100 * MILLISECOND
 
 
 class DrainController:
@@ -41,7 +43,7 @@
         self._config, self._core, self._timeline = config, core, timeline
         self._naming, self._frontends, self._components = naming, frontends, components
         self._on_drained = on_drained
-        core.on_grace_over = self._poll
+        core.on_accepting_stopped = self._poll
 
     @property
     def restart_state(self) -> RestartState | None:
@@ -93,7 +95,7 @@
 
     def successor_lost(self) -> None:
         """Drain if SIGTERM has come: until now the successor served in the place of this process."""
-        if self._core.stops_at is not None and not self._core.shutdown_requested:
+        if self._core.stops_at is not None and not self._core.is_draining:
             log.warning("successor lost during shutdown: action=drain")
             self._frontends.accept_again()
             self._naming.report_last()
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -15,7 +15,7 @@
 from marlstep.load_balancing.outlier_detection import (
     OutlierDetectionSettings,
     ServerHealth,
-    ServerState,
+    ServerHealthState,
     ejection_allowed,
 )
 from marlstep.load_balancing.server import Server
@@ -40,7 +40,7 @@
 
     limits: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
     health: OutlierDetectionSettings = field(default_factory=OutlierDetectionSettings)
-    max_ejected_share: float = 0.34  # of the members that may be ejected at once
+    max_ejected_share: float = 0.34  # of the members that may be ejected at once; see `ejection_allowed`
     latency_decay_time: timedelta = 10 * SECOND  # of the latency estimate
 
 
@@ -99,7 +99,11 @@
         is the same server, with all that is known of it.
 
         Raises:
-            PoolFullError: There would be too many servers; nothing is changed then.
+            PoolFullError: There would be too many servers; nothing is changed then. Servers that this call removes
+                are not counted.
+            TableFullError: Servers that this call removed have attempts in flight, and leave no slot for some of the
+                new ones. No new server is used then, although some have been added, and the removed ones get no
+                attempts any more.
 
         """
         members = dict.fromkeys(names)
@@ -145,13 +149,16 @@
     # Capacity and choice.
 
     def capacity(self, now: datetime) -> int:
-        """Return how many attempts the members take at once, those in flight included; a probe counts as one."""
+        """Return how many attempts the members take at once, those in flight included; a probe counts as one.
+
+        Ejections and slow starts whose time is over end with this call.
+        """
         total = 0
         for server in self._members:
             server.health.end_ejection_if_due(now)
             if server.in_service:
                 total += max(0, server.available_capacity(now)) + server.in_flight
-            elif server.health.state is ServerState.PROBING and self._is_probe_permitted(server, now):
+            elif server.health.state is ServerHealthState.PROBING and self._is_probe_permitted(server, now):
                 total += 1
         return total
 
@@ -175,7 +182,7 @@
     def _server_due_for_probe(self, now: datetime, excluded: frozenset[int]) -> Server | None:
         for server in self._ejected.values():
             server.health.end_ejection_if_due(now)
-            is_due = server.health.state is ServerState.PROBING and not server.probe_in_flight
+            is_due = server.health.state is ServerHealthState.PROBING and not server.probe_in_flight
             is_eligible = not server.leaving and server.handle not in excluded
             if is_due and is_eligible and self._is_probe_permitted(server, now):
                 return server
@@ -196,11 +203,16 @@
     # Attempts.
 
     def attempt_started(self, handle: int) -> None:
-        """Count an attempt as in flight at the server."""
+        """Count an attempt as in flight at the server.
+
+        Attempts are counted, not told apart: while a server is probed, an older attempt that ends counts as the probe.
+        """
         server = self._servers.get(handle)
         if server is not None:
             server.in_flight += 1
-            server.probe_in_flight = server.probe_in_flight or server.health.state is ServerState.PROBING
+            server.probe_in_flight = (
+                server.probe_in_flight or server.health.state is ServerHealthState.PROBING
+            )
 
     def attempt_succeeded(self, handle: int, now: datetime, latency: timedelta) -> None:
         """Take in a response, which came `latency` after the attempt was started."""
@@ -237,7 +249,7 @@
         if server is None:
             return
         server.limit.record_failure(now)
-        if server.health.state is ServerState.PROBING:
+        if server.health.state is ServerHealthState.PROBING:
             self._record_success(server, now)
         self._drop_if_drained(server)
 
@@ -258,13 +270,13 @@
     def _record_success(self, server: Server, now: datetime) -> None:
         server.health.record_success(now)
         server.probe_in_flight = False
-        if server.health.state is not ServerState.EJECTED:
+        if server.health.state is not ServerHealthState.EJECTED:
             self._ejected.pop(server.handle, None)
 
     def _eject_unless_too_many(self, server: Server, now: datetime) -> None:
         """Eject a server; one that failed its probe is ejected again however many are."""
         ejected = sum(not other.leaving for other in self._ejected.values())
-        failed_its_probe = server.health.state is ServerState.PROBING
+        failed_its_probe = server.health.state is ServerHealthState.PROBING
         if failed_its_probe or ejection_allowed(ejected, len(self._members), self.settings.max_ejected_share):
             server.health.eject(now)
             self._ejected[server.handle] = server
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -52,7 +52,7 @@
         desk.clock.settle()
     assert desk.backend.told[-1] == ("skip", "r1")
     desk.submit(2, "setpoint-cmd")
-    assert ("pause", "r1") in desk.backend.told
+    assert ("preempt", "r1") in desk.backend.told
 
 
 def test_a_run_that_reaches_its_call_before_the_pause_is_not_paused_by_it() -> None:
@@ -73,7 +73,7 @@
     desk.end(1, Outcome.CANCELLED)
     assert (
         desk.verdicts(1) == [ResponseStatus.FAILED]
-        and desk.core._controller.state.entries.count_unfinished() == 0
+        and desk.core._controller.state.entries.count_in_flight() == 0
     )
     desk.submit(1, "schedule-save")
     desk.end(1)
