--- a/marlstep/fault_injection/linearizability.py
+++ b/marlstep/fault_injection/linearizability.py
@@ -1,7 +1,8 @@
-"""Is a history of calls what one register could have said, each call at one moment between its begin and its end?
+"""Whether a history of calls is linearizable: explained by one register that each call reached at one moment.
 
-The register has a version. `get` tells it; `put` sets another where it still has the one that was expected. A search
-over all orders in the manner of Wing and Gong: whoever began before all others had ended may come next.
+The register has a version. A `get` reads it; a `put` replaces it if it still is the one that the caller expects. The
+search over all orders is that of Wing and Gong: whoever began before all calls that are still to come had ended may be
+next.
 """
 
 from __future__ import annotations
@@ -12,19 +13,28 @@
 
 
 class CallOutcome(enum.Enum):
-    """What a call came to, as its client saw it."""
+    """The outcome of a call, as its client saw it."""
 
-    TOLD = "told"  # a get: the version
-    DONE = "done"  # a put: it is the version now
-    STALE = "stale"  # a put: refused, as another version is in force, which was told
+    TOLD = "told"  # a get: it read the version
+    DONE = "done"  # a put: its version came into force
+    STALE = "stale"  # a put: rejected, since another version is in force, which it was told
     UNKNOWN = (
-        "unknown"  # a put without an answer: it may have an effect at any time from its begin on, or none
+        "unknown"  # a put without a response: it may have an effect at any time after its begin, or none
     )
 
 
 @dataclass(slots=True)
 class Call:
-    """`version` is what was told or given; 0 of a put of which it is not known."""
+    """A call to the register.
+
+    Attributes:
+        client: Who called.
+        begun_us: When, in microseconds.
+        ended_us: When the response came; None if none did.
+        expect: The version that a put expects.
+        came: The outcome.
+        version: The version that was read or written; 0 of a put for which it is not known.
+    """
 
     client: str
     begun_us: int
@@ -34,16 +44,21 @@
     version: int = 0
 
 
-NEVER = 1 << 62
+NEVER_US = 1 << 62
 
 
 def linearizability_violation(calls: Sequence[Call], first: int = 0) -> str:
-    """Why no order of the calls explains them; empty where one does. `first` is the version before all of them."""
+    """Return why no order of the calls explains them, or an empty text where one does.
+
+    Args:
+        calls: The history, in any order.
+        first: The version of the register before all of them.
+    """
     rows = sorted(calls, key=lambda one: one.begun_us)
     ends = [
-        NEVER if one.came is CallOutcome.UNKNOWN or one.ended_us is None else one.ended_us for one in rows
+        NEVER_US if one.came is CallOutcome.UNKNOWN or one.ended_us is None else one.ended_us for one in rows
     ]
-    wanted = sum(1 << at for at, end in enumerate(ends) if end != NEVER)
+    wanted = sum(1 << at for at, end in enumerate(ends) if end != NEVER_US)
     claimed = {one.version for one in rows if one.came is CallOutcome.DONE}
     claimed |= {one.version for one in rows if one.came is CallOutcome.UNKNOWN and one.version}
     # What a put without any answer may have made: versions that were seen and that nobody else made.
@@ -75,7 +90,7 @@
 
 
 def _next(one: Call, version: int, open_versions: Sequence[int]) -> list[int]:
-    """The versions that the register may have after that call, where it may come now at all."""
+    """Return the versions that the register may have after the call; none where it can't come next."""
     match one.came:
         case CallOutcome.TOLD | CallOutcome.STALE:
             return [version] if one.version == version else []
