--- a/marlstep/fault_injection/plan.py
+++ b/marlstep/fault_injection/plan.py
@@ -66,13 +66,14 @@
         InvalidPlanError: It is no plan, or names a fault, step or node that does not exist.
     """
     try:
+        faults = tuple(Fault(**fault) for fault in row["faults"])
         plan = Plan(
             seed=int(row["seed"]),
             nodes=tuple(row["nodes"]),
             voters=tuple(row["voters"]),
             length_ms=int(row["length_ms"]),
             rates=tuple(map(float, row["rates"])),
-            faults=tuple(Fault(**fault) for fault in row["faults"]),
+            faults=faults,
             drift=float(row.get("drift", DEFAULT_DRIFT)),
         )
     except (KeyError, TypeError, ValueError) as cause:
