--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -69,7 +69,7 @@
 
 
 def _described(parameter: click.Parameter) -> dict[str, Any]:
-    told = parameter.to_info_dict()
+    described = parameter.to_info_dict()
     keys = (
         "param_type_name",
         "opts",
@@ -80,7 +80,7 @@
         "default",
         "is_flag",
     )
-    return {"type": parameter.type.name, **{key: _plain(told[key]) for key in keys if key in told}}
+    return {"type": parameter.type.name, **{key: _plain(described[key]) for key in keys if key in described}}
 
 
 def _plain(value: object) -> Any:
@@ -222,12 +222,12 @@
 def record() -> None:
     """Write the golden files anew, from the program as it stands. No test runs it."""
     GOLDEN.mkdir(parents=True, exist_ok=True)
-    told: dict[str, Any] = {"help.json": help_texts(), "parameters.json": parameters()}
-    told["trace_settings.json"] = trace_settings()
+    described: dict[str, Any] = {"help.json": help_texts(), "parameters.json": parameters()}
+    described["trace_settings.json"] = trace_settings()
     for name, make in REPORTS.items():
         with tempfile.TemporaryDirectory() as folder:
-            told[f"{name}.json"] = make(Path(folder))
-    for name, value in told.items():
+            described[f"{name}.json"] = make(Path(folder))
+    for name, value in described.items():
         (GOLDEN / name).write_text(json.dumps(value, indent=1, ensure_ascii=False) + "\n", "utf-8")
 
 
--- /dev/null
+++ b/tests/cli/test_trace.py
@@ -0,0 +1,101 @@
+"""`marlstep trace`: inspect, compile, replay and report."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from marlstep.cli.main import call
+from marlstep.traces.formats import named
+from marlstep.traces.schedule import Schedule
+
+EXAMPLES = Path(__file__).parent.parent.parent / "examples" / "traces"
+
+
+def test_inspect_prints_one_object_and_writes_all_rejects(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    source = str(EXAMPLES / "google-2011.csv")
+    rejects = tmp_path / "rejects.csv"
+    words = ["trace", "inspect", "--format", "google-2011", "--json", "--rejects", str(rejects)]
+    assert call([*words, source]) == 0
+    report = json.loads(capsys.readouterr().out)
+    assert (report["rows"], report["good"], report["bad"]) == (833, 826, 7)
+    assert report["bad_by_reason"]["open-quote"] == 1 and report["duplicates"] == 1
+    assert set(report["classes"]) == {"temp-history", "schedule-save", "setpoint-cmd"}
+    assert len(rejects.read_text().splitlines()) == 8
+    assert call([*words[:4], "--strict", source]) == 3
+    assert call([*words[:4], str(tmp_path / "none")]) == 2
+    empty = tmp_path / "empty"
+    empty.write_text("")
+    assert call([*words[:4], str(empty)]) == 2
+    assert call([*words[:2], source]) == 2
+    assert call([*words[:2], "--format", "none", source]) == 2
+
+
+ROOT = Path(__file__).parent.parent.parent
+
+
+def compiled(folder: Path, capsys: pytest.CaptureFixture[str], *more: str) -> tuple[str, dict[str, Any]]:
+    out = str(folder / "a.sched")
+    source = str(ROOT / "examples" / "traces" / "google-2011.csv")
+    code = call(["trace", "compile", "--format", "google-2011", "--json", "--out", out, *more, source])
+    assert code == 0
+    return out, json.loads(capsys.readouterr().out)
+
+
+def test_a_trace_is_compiled_replayed_and_compared(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    out, report = compiled(tmp_path, capsys, "--busiest", "10s", "--load", "1.2", "--cores", "6")
+    [[start, length]] = report["sections"]
+    assert 55 <= start <= 70 and length == 10 and report["dispersion_trace"] > 1.5
+    assert report["work_s"] / report["seconds"] == pytest.approx(1.2 * 6, rel=1e-6)
+    config = str(ROOT / "deploy" / "node.json")
+    reports = []
+    for number in (1, 2):
+        path = tmp_path / f"{number}.json"
+        words = [
+            "trace",
+            "replay",
+            "--virtual",
+            "--config",
+            config,
+            "--for",
+            "6s",
+            "--out",
+            str(path),
+            "--json",
+            out,
+        ]
+        assert call(words) == 0
+        reports.append(json.loads(capsys.readouterr().out))
+    assert reports[0] == reports[1] and reports[0]["lost"] == 0 == reports[0]["ran_twice"]
+    page = tmp_path / "change.html"
+    assert (
+        call(
+            ["trace", "report", *(str(tmp_path / f"{number}.json") for number in (1, 2)), "--plot", str(page)]
+        )
+        == 0
+    )
+    assert "service" in capsys.readouterr().out and "data:image/png;base64," in page.read_text()
+    assert call(["trace", "report", out, out]) == 2
+    assert call(["trace", "replay", str(ROOT / "README.md")]) == 2
+    assert call(["trace", "replay", "--config", str(ROOT / "README.md"), out]) == 2
+
+
+def test_only_the_requested_part_of_a_trace_is_compiled(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    out, report = compiled(
+        tmp_path, capsys, "--from", "60s", "--for", "15s", "--rate", "4", "--compress", "2"
+    )
+    with Schedule(out) as schedule:
+        rows = list(schedule.rows())
+    assert report["requests"] == len(rows) and rows[-1].at_us < 7_500_000
+    assert 0.1 < report["keep"] < 0.9 and report["seconds"] == 7.5
+    assert call(["trace", "compile", "--format", "google-2011", "--out", out, "-"]) == 2
+    assert named("google-2011").columns[0] == "time"
--- a/tests/config/test_traces.py
+++ b/tests/config/test_traces.py
@@ -6,11 +6,15 @@
 
 import pytest
 
+from marlstep.config.readers import ConfigError
 from marlstep.config.traces import read_trace
 from marlstep.traces.default_mappings import DEFAULT_MAPPINGS
 from marlstep.traces.settings_digest import settings_digest
 from tests.cli.surface import read_golden
 from tests.cli.trace_sections import COMPLETE, errors_of_unknown_keys, errors_of_wrong_values
+from tests.traces.support import (
+    KINDS,
+)
 
 GOLDEN: dict[str, Any] = read_golden("trace_settings.json")
 
@@ -34,3 +38,29 @@
     assert settings_digest(config.mapping) == GOLDEN["digests"]["complete"]
     assert columns is not None and columns.unit_us == 1_000 and not columns.has_header
     assert columns.named() == ["at", "site", "3", "work", "gateway", "id", "phase"]
+
+
+@pytest.mark.parametrize(
+    ("raw", "message"),
+    [
+        ({"colour": 1}, "trace.colour is not known"),
+        ({"format": "google-2019"}, "trace.format is google-2019, but the call says google-2011"),
+        ({"rules": [{"kinds": ["1"]}]}, r"trace.rules\[0\].class is missing"),
+        ({"rules": [{"class": "x"}]}, r"trace.rules\[0\].class must be one of"),
+        (
+            {"rules": [{"class": KINDS[0]}, {"class": KINDS[1], "kinds": ["1"]}]},
+            r"rules\[1\] is never reached",
+        ),
+        ({"work": {KINDS[0]: {"least_ms": 5, "most_ms": 4}}}, "most_ms must not be under"),
+        ({"scale": {"low": 3, "high": 3}}, "trace.scale.high must be above"),
+        ({"tenants": {"mode": "some"}}, "trace.tenants.mode must be one of"),
+        ({"columns": {"time": "t", "unit": "s"}}, "trace.columns is for the format generic"),
+    ],
+)
+def test_an_invalid_section_is_reported_by_its_key(raw: dict[str, Any], message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
+        read_trace(raw, "google-2011")
+    with pytest.raises(ConfigError, match=r"trace\.columns is missing"):
+        read_trace({}, "generic")
+    with pytest.raises(ConfigError, match=r"trace\.columns\.unit must be one of"):
+        read_trace({"columns": {"time": "t"}}, "generic")
--- /dev/null
+++ b/tests/traces/replay/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of replays of compiled schedules."""
--- /dev/null
+++ b/tests/traces/replay/support.py
@@ -0,0 +1,18 @@
+"""A campaign of senders for the classes of a node."""
+
+from __future__ import annotations
+
+from marlstep.config import check
+from marlstep.traces.replay.campaign import Campaign
+from marlstep.traces.replay.figures import Figures
+from marlstep.traces.retries import Retries
+from tests.support.node import raw_config
+
+SETTINGS = check(raw_config()).settings
+
+
+CLASSES = {kind.name: kind for kind in SETTINGS.classes}
+
+
+def campaign(retries: Retries = Retries.NONE, nodes: int = 1) -> Campaign:
+    return Campaign(CLASSES, retries, 1, Figures(), nodes)
--- /dev/null
+++ b/tests/traces/replay/test_loopback.py
@@ -0,0 +1,60 @@
+"""Replays on sockets."""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+from concurrent.futures import ThreadPoolExecutor
+from functools import partial
+from pathlib import Path
+
+import pytest
+
+from marlstep.cli.main import call
+
+ROOT = Path(__file__).parent.parent.parent.parent
+
+
+FRONTS = ("resp", "uwsgi")
+
+
+REPLAY_SECONDS = 60  # of one replay at the most, start and end of its processes included
+
+
+@pytest.fixture(scope="module")
+def replays(tmp_path_factory: pytest.TempPathFactory) -> dict[str, subprocess.CompletedProcess[str]]:
+    """A replay on sockets at each front. Both go on at once, as most of their time nodes start or leave."""
+    out = str(tmp_path_factory.mktemp("replays") / "a.sched")
+    source = str(ROOT / "examples" / "traces" / "google-2011.csv")
+    assert call(["trace", "compile", "--format", "google-2011", "--out", out, source]) == 0
+    with ThreadPoolExecutor(len(FRONTS)) as pool:
+        return dict(zip(FRONTS, pool.map(partial(replayed, out), FRONTS), strict=True))
+
+
+def replayed(schedule: str, front: str) -> subprocess.CompletedProcess[str]:
+    """The command's exit code and output, by a process of its own."""
+    words = (
+        f"--retries polite --front {front} --load 0.8 --for 2s --nodes 2 --speed 5 --late 1s --json".split()
+    )
+    config = str(ROOT / "deploy" / "node.json")
+    return subprocess.run(
+        [sys.executable, "-m", "marlstep", "trace", "replay", "--config", config, *words, schedule],
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        timeout=REPLAY_SECONDS,
+        check=False,  # the test judges it
+    )
+
+
+@pytest.mark.parametrize("front", FRONTS)
+def test_a_replay_on_sockets_loses_nothing_and_runs_no_setpoint_twice(
+    front: str, replays: dict[str, subprocess.CompletedProcess[str]]
+) -> None:
+    assert replays[front].returncode == 0, replays[front].stderr
+    report = json.loads(replays[front].stdout)
+    assert report["mode"] == f"loopback-{front}"
+    assert (report["lost"], report["answered_twice"], report["ran_twice"]) == (0, 0, 0)
+    assert report["answered"] == report["sent"] > 50 and report["runs"] <= report["sent"]
+    assert report["service"] > 0.5
--- /dev/null
+++ b/tests/traces/replay/test_virtual.py
@@ -0,0 +1,40 @@
+"""Replays on a clock that is moved by hand."""
+
+from __future__ import annotations
+
+import pytest
+
+from marlstep.emulators.machine import Machine, count_runs
+from marlstep.traces.mapping import PlannedRequest
+from marlstep.traces.replay.campaign import Campaign
+from marlstep.traces.replay.virtual import VirtualReplay
+from marlstep.traces.retries import Retries
+from tests.traces.replay.support import SETTINGS, campaign
+from tests.traces.support import KINDS
+
+
+def virtual(rows: list[PlannedRequest], retries: Retries, seed: int = 1) -> tuple[Campaign, VirtualReplay]:
+    one = campaign(retries, nodes=2)
+    machines = [Machine(SETTINGS.cores, 1.0) for _ in range(one.nodes)]
+    world = VirtualReplay(SETTINGS, seed, one, machines, ("cpu", "runq", "memory", "conns"), 20_000)
+    world.run(iter(rows))
+    return one, world
+
+
+@pytest.mark.parametrize("retries", list(Retries))
+def test_a_virtual_replay_in_overload_answers_everything_once_and_is_deterministic(retries: Retries) -> None:
+    rows = [
+        PlannedRequest(at * 25_000, KINDS[at * 7 % 3], f"t{at % 3}", 150_000 + at * 37 % 200_000, at)
+        for at in range(240)
+    ]
+    reports = []
+    for _ in range(2):
+        one, world = virtual(rows, retries)
+        assert (
+            one.open == 0 and one.counts["twice"] == one.counts["unknown"] == one.counts["late_answers"] == 0
+        )
+        assert one.counts["answered"] == one.counts["sent"] >= 240
+        assert sum(node.core.unanswered for node in world.nodes) == 0
+        assert count_runs((node.machine for node in world.nodes), "setpoint-cmd").ran_twice == 0
+        reports.append(one.figures.report())
+    assert reports[0] == reports[1] and 0.3 < reports[0]["service"] < 0.95
--- a/tests/traces/test_tenants.py
+++ b/tests/traces/test_operator_file.py
@@ -28,8 +28,8 @@
     words = ["--tenant", "user", "--kind", "queue", "--time", "time", "--most", "1", "--headroom", "2"]
     names = ["--as", "0=schedule-save", "--as", "1=setpoint-cmd"]
     assert call(["trace", "tenants", *words, *names, str(path)]) == 0
-    told = capsys.readouterr()
-    assert [f"trace.csv:{line}" in told.err for line in range(2, 8)] == [
+    printed = capsys.readouterr()
+    assert [f"trace.csv:{line}" in printed.err for line in range(2, 8)] == [
         False,
         False,
         True,
@@ -37,7 +37,7 @@
         True,
         False,
     ]
-    operator = tomllib.loads(told.out)
+    operator = tomllib.loads(printed.out)
     assert operator["tenants"]["a"] == {"share": 0.666667, "allowance_per_s": 1.0}
     settings = check(raw_config(), operator).settings
     assert {tenant.name for tenant in settings.tenants} == {"a", "others"}
