--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -26,7 +26,7 @@
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.stream import RingStream
 from marlstep.traces.mapping import PlannedRequest
-from marlstep.traces.replay.campaign import Campaign, Try, calls_of
+from marlstep.traces.replay.campaign import Attempt, Campaign, calls_of
 from marlstep.units import SystemClock
 
 RING_SIZE = 64 * 1024
@@ -54,10 +54,10 @@
         self._tag = 0
         self._on_answer, self._on_close = on_answer, on_close
 
-    def exec(self, one: Try, fields: str, body: bytes) -> None:
+    def exec(self, attempt: Attempt, fields: str, body: bytes) -> None:
         self._tag += 1
-        self.open[self._tag] = one.id
-        kind = one.work.planned.request_class.encode()
+        self.open[self._tag] = attempt.id
+        kind = attempt.work.planned.request_class.encode()
         self.send(write_frame(b"EXEC", b"%d" % self._tag, kind, fields.encode(), body))
 
     def data_received(self) -> None:
@@ -278,48 +278,50 @@
         while self.campaign.open and self.now_us() < self.campaign.last_due_us() + 1_000_000:
             await asyncio.sleep(0.02)
 
-    def _send(self, one: Try) -> None:
-        self.campaign.sent(one, self.now_us())
-        self._where[one.id] = one.node
-        planned, number = one.work.planned, one.work.number
+    def _send(self, attempt: Attempt) -> None:
+        self.campaign.record_sent(attempt, self.now_us())
+        self._where[attempt.id] = attempt.node
+        planned, number = attempt.work.planned, attempt.work.number
         plan = WorkPlan(
             number, planned.work_us, calls_of(self.campaign.classes[planned.request_class], number)
         )
         if self.settings.front == "uwsgi":
-            self._send_uwsgi(one, plan)
+            self._send_uwsgi(attempt, plan)
         else:
-            self._send_resp(one, plan)
+            self._send_resp(attempt, plan)
 
-    def _send_resp(self, one: Try, plan: WorkPlan) -> None:
-        sender = one.work.number % self.settings.senders
+    def _send_resp(self, attempt: Attempt, plan: WorkPlan) -> None:
+        sender = attempt.work.number % self.settings.senders
         cost = plan.work_us / self.settings.speed / 1000
         at = round(SystemClock().now().timestamp() * 1000)
-        fields = f"id={one.id},at={at},from={sender},kb={HELD_KB},cost={cost:.2f},rank=0.5"
-        fields += ",retry=1" if one.again else ""
-        fields += f",tenant={one.work.planned.tenant}" if one.work.planned.tenant.isalnum() else ""
-        spare = self._spare[one.node * self.settings.senders + sender]
+        fields = f"id={attempt.id},at={at},from={sender},kb={HELD_KB},cost={cost:.2f},rank=0.5"
+        fields += ",retry=1" if attempt.is_retry else ""
+        fields += f",tenant={attempt.work.planned.tenant}" if attempt.work.planned.tenant.isalnum() else ""
+        spare = self._spare[attempt.node * self.settings.senders + sender]
         for connection in spare:
             if not connection.closing and len(connection.open) < OPEN_LIMIT and connection.connected:
-                connection.exec(one, fields, plan.to_body())
+                connection.exec(attempt, fields, plan.to_body())
                 return
         connection = RespSender(self._answered, lambda one: spare.remove(one) if one in spare else None)
         spare.append(connection)
-        self._dial(connection, self._resp[one.node], lambda: connection.exec(one, fields, plan.to_body()))
+        self._dial(
+            connection, self._resp[attempt.node], lambda: connection.exec(attempt, fields, plan.to_body())
+        )
 
-    def _send_uwsgi(self, one: Try, plan: WorkPlan) -> None:
-        planned = one.work.planned
+    def _send_uwsgi(self, attempt: Attempt, plan: WorkPlan) -> None:
+        planned = attempt.work.planned
         variables = {
             "REQUEST_METHOD": "POST",
             "PATH_INFO": "/",
             "HTTP_X_CLASS": planned.request_class,
-            "HTTP_X_ID": f"work-{one.work.number}" if planned.request_class == self.settings.once else "",
-            "HTTP_X_RETRY": "1" if one.again else "",
+            "HTTP_X_ID": f"work-{attempt.work.number}" if planned.request_class == self.settings.once else "",
+            "HTTP_X_RETRY": "1" if attempt.is_retry else "",
             "HTTP_X_COST_MS": f"{plan.work_us / self.settings.speed / 1000:.2f}",
             "HTTP_X_TENANT": planned.tenant,
             "MARLSTEP_PLAN": plan.to_body().decode(),
         }
-        connection = UwsgiSender(one.id, write_packet(variables), self._answered)
-        self._dial(connection, self._uwsgi[one.node], lambda: None)
+        connection = UwsgiSender(attempt.id, write_packet(variables), self._answered)
+        self._dial(connection, self._uwsgi[attempt.node], lambda: None)
 
     def _dial(self, connection: RingStream, port: int, then: Callable[[], None]) -> None:
         async def open() -> None:
@@ -338,7 +340,7 @@
         stand_ins = self._children[0]
         if stand_ins.stdin is not None:
             stand_ins.stdin.write(b"%d %b\n" % (self._where.pop(id, 0), id.encode()))
-        following = self.campaign.answered(id, verdict, self.now_us(), after_us, poor)
+        following = self.campaign.record_response(id, verdict, self.now_us(), after_us, poor)
         if following is not None:
             at = self._start + following.at_us / 1e6
             asyncio.get_running_loop().call_at(at, self._send, following)
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -18,7 +18,7 @@
 from marlstep.emulators.work_plan import WorkPlan
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.traces.mapping import PlannedRequest
-from marlstep.traces.replay.campaign import Campaign, Try, calls_of
+from marlstep.traces.replay.campaign import Attempt, Campaign, calls_of
 from marlstep.units import EPOCH, MICROSECOND, SECOND, span, span_us
 
 START = EPOCH + 1_800_000_000 * SECOND
@@ -103,12 +103,12 @@
         self._send(self.campaign.begin(number, planned))
         self._next_row()
 
-    def _send(self, one: Try) -> None:
-        self.campaign.sent(one, self.clock.us())
-        self.nodes[one.node].take(one)
+    def _send(self, attempt: Attempt) -> None:
+        self.campaign.record_sent(attempt, self.clock.us())
+        self.nodes[attempt.node].take(attempt)
 
-    def answered(self, one: Try, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
-        following = self.campaign.answered(one.id, verdict, self.clock.us(), after_us, poor)
+    def answered(self, attempt: Attempt, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
+        following = self.campaign.record_response(attempt.id, verdict, self.clock.us(), after_us, poor)
         if following is not None:
             self.timeline.at(START + span(following.at_us), lambda: self._send(following))
 
@@ -130,48 +130,48 @@
         self._gauge_names, self._call = gauge_names, span(call_us)
         self.core = Core(settings, seed, self.timeline, Ports(self, self))
         self.core.add_frontend(self)
-        self._tries: dict[int, Try] = {}
+        self._attempts: dict[int, Attempt] = {}
         self._number = 0
         self._alarm: Timer | None = None
         self._calls: dict[str, Timer] = {}
 
-    def take(self, one: Try) -> None:
+    def take(self, attempt: Attempt) -> None:
         """A request arrives."""
-        planned, number = one.work.planned, one.work.number
+        planned, number = attempt.work.planned, attempt.work.number
         plan = WorkPlan(
             number, planned.work_us, calls_of(self.world.campaign.classes[planned.request_class], number)
         )
         self._number += 1
         offer = InboundRequest(
-            id=one.id,
+            id=attempt.id,
             request_class=planned.request_class,
             body=plan.to_body(),
             arrived_at=self.clock.now(),
             memory_kb=HELD_KB,
             caller=number % CALLERS,
-            is_retry=one.again,
+            is_retry=attempt.is_retry,
             cost_hint=span(round(planned.work_us / self.machine.sharing.speed)),
             tenant=planned.tenant,
         )
-        self._tries[self._number] = one
+        self._attempts[self._number] = attempt
         try:
             self.core.submit(self, (0, self._number), self, offer)
         except RequestRejectedError:
-            del self._tries[self._number]
-            self.timeline.soon(lambda: self.world.answered(one, ResponseStatus.FAILED, 0, False))
+            del self._attempts[self._number]
+            self.timeline.soon(lambda: self.world.answered(attempt, ResponseStatus.FAILED, 0, False))
 
     # As a front.
 
     def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
-        one = self._tries.pop(ticket[1])
+        attempt = self._attempts.pop(ticket[1])
         poor = answer.body.startswith(b"poor")
         verdict, after = answer.status, span_us(answer.retry_after)
-        self.timeline.soon(lambda: self._delivered(one, verdict, after, poor))
+        self.timeline.soon(lambda: self._delivered(attempt, verdict, after, poor))
 
-    def _delivered(self, one: Try, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
-        self.world.answered(one, verdict, after_us, poor)
+    def _delivered(self, attempt: Attempt, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
+        self.world.answered(attempt, verdict, after_us, poor)
         self._advance()
-        if (notice := self.machine.response_delivered(one.id)) is not None:
+        if (notice := self.machine.response_delivered(attempt.id)) is not None:
             self._notice(notice)
         self._look()
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -354,6 +354,7 @@
     "marlstep/traces/settings_digest.py",
     "marlstep/traces/replay/campaign.py",
     "marlstep/traces/replay/figures.py",
+    "marlstep/traces/replay/retry_rules.py",
 )
 IO = {
     "asyncio",
--- a/tests/traces/replay/test_campaign.py
+++ b/tests/traces/replay/test_campaign.py
@@ -7,7 +7,7 @@
 
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.traces.mapping import PlannedRequest
-from marlstep.traces.replay.campaign import Try
+from marlstep.traces.replay.campaign import Attempt
 from marlstep.traces.retries import Retries
 from tests.frontends.test_parsers import FIXED
 from tests.traces.replay.support import CLASSES, campaign
@@ -29,10 +29,10 @@
 def test_a_setpoint_is_retried_only_if_it_never_ran(
     works: list[tuple[str, list[ResponseStatus]]], retries: Retries, after: int
 ) -> None:
-    one = campaign(retries)
+    senders = campaign(retries)
     for number, (kind, verdicts) in enumerate(works):
         planned = PlannedRequest(number * 1000, kind, "t", 1000, 1)
-        following: Try | None = one.begin(number, planned)
+        following: Attempt | None = senders.begin(number, planned)
         now, done = planned.at_us, False
         for verdict in verdicts:
             if following is None:
@@ -40,8 +40,8 @@
             assert not done and following.at_us >= now
             assert following.at_us - planned.at_us < CLASSES[kind].latency_objective_us
             now = following.at_us + 1_000
-            one.sent(following, following.at_us)
-            last, following = following, one.answered(following.id, verdict, now, after)
+            senders.record_sent(following, following.at_us)
+            last, following = following, senders.record_response(following.id, verdict, now, after)
             done = verdict is ResponseStatus.DONE
             if (
                 done
@@ -49,24 +49,24 @@
                 or (kind == "setpoint-cmd" and verdict is not ResponseStatus.REJECTED)
             ):
                 assert following is None
-            assert one.answered(last.id, verdict, now) is None
-    assert one.counts["twice"] == one.counts["answered"] and one.counts["sent"] >= len(works)
-    assert 0.0 <= one.figures.whole.service <= 1.0
+            assert senders.record_response(last.id, verdict, now) is None
+    assert senders.counts["twice"] == senders.counts["answered"] and senders.counts["sent"] >= len(works)
+    assert 0.0 <= senders.figures.total.service <= 1.0
 
 
 def test_the_service_weighs_work_in_time_by_priority() -> None:
-    one = campaign()
+    senders = campaign()
     plans = [PlannedRequest(0, "setpoint-cmd", "a", 100, 1), PlannedRequest(0, "temp-history", "b", 300, 1)]
     plans += [PlannedRequest(0, "temp-history", "b", 300, 1), PlannedRequest(0, "schedule-save", "b", 100, 1)]
-    tries = [one.begin(number, planned) for number, planned in enumerate(plans)]
-    one.answered(tries[0].id, ResponseStatus.DONE, 1_000)
-    one.answered(tries[1].id, ResponseStatus.DONE, 1_000, poor=True)
-    one.answered(tries[2].id, ResponseStatus.DONE, 2_700_000)  # after its aim
-    one.answered(tries[3].id, ResponseStatus.REJECTED, 1_000)
-    assert one.figures.whole.service == (300 + 180) / (300 + 300 + 300 + 100)
-    assert one.figures.report()["by_class"] == {
+    attempts = [senders.begin(number, planned) for number, planned in enumerate(plans)]
+    senders.record_response(attempts[0].id, ResponseStatus.DONE, 1_000)
+    senders.record_response(attempts[1].id, ResponseStatus.DONE, 1_000, is_partial=True)
+    senders.record_response(attempts[2].id, ResponseStatus.DONE, 2_700_000)  # after its latency objective
+    senders.record_response(attempts[3].id, ResponseStatus.REJECTED, 1_000)
+    assert senders.figures.total.service == (300 + 180) / (300 + 300 + 300 + 100)
+    assert senders.figures.report()["by_class"] == {
         "schedule-save": 0.0,
         "setpoint-cmd": 1.0,
         "temp-history": 0.3,
     }
-    assert one.figures.by_tenant["a"].service == 1.0 and one.open == 0 and one.lost(10**9) == 0
+    assert senders.figures.by_tenant["a"].service == 1.0 and senders.open == 0 and senders.overdue(10**9) == 0
--- a/tests/traces/replay/test_virtual.py
+++ b/tests/traces/replay/test_virtual.py
@@ -14,11 +14,11 @@
 
 
 def virtual(rows: list[PlannedRequest], retries: Retries, seed: int = 1) -> tuple[Campaign, VirtualReplay]:
-    one = campaign(retries, nodes=2)
-    machines = [Machine(SETTINGS.cores, 1.0) for _ in range(one.nodes)]
-    world = VirtualReplay(SETTINGS, seed, one, machines, ("cpu", "runq", "memory", "conns"), 20_000)
+    senders = campaign(retries, nodes=2)
+    machines = [Machine(SETTINGS.cores, 1.0) for _ in range(senders.nodes)]
+    world = VirtualReplay(SETTINGS, seed, senders, machines, ("cpu", "runq", "memory", "conns"), 20_000)
     world.run(iter(rows))
-    return one, world
+    return senders, world
 
 
 @pytest.mark.parametrize("retries", list(Retries))
@@ -29,12 +29,13 @@
     ]
     reports = []
     for _ in range(2):
-        one, world = virtual(rows, retries)
+        senders, world = virtual(rows, retries)
         assert (
-            one.open == 0 and one.counts["twice"] == one.counts["unknown"] == one.counts["late_answers"] == 0
+            senders.open == 0
+            and senders.counts["twice"] == senders.counts["unknown"] == senders.counts["late_answers"] == 0
         )
-        assert one.counts["answered"] == one.counts["sent"] >= 240
+        assert senders.counts["answered"] == senders.counts["sent"] >= 240
         assert sum(node.core.unanswered for node in world.nodes) == 0
         assert count_runs((node.machine for node in world.nodes), "setpoint-cmd").ran_twice == 0
-        reports.append(one.figures.report())
+        reports.append(senders.figures.report())
     assert reports[0] == reports[1] and 0.3 < reports[0]["service"] < 0.95
