--- a/marlstep/cli/trace/replay.py
+++ b/marlstep/cli/trace/replay.py
@@ -87,14 +87,14 @@
     loopback. Senders with retries count them with the first try.
     """
     from marlstep.traces.replay.loopback import ReplayError, Settings
-    from marlstep.traces.replay.replaying import Wanted
+    from marlstep.traces.replay.replaying import ReplayPlan
     from marlstep.traces.replay.replaying import replay as run
 
     try:
         with exit_on_error(ctx), Schedule(schedule) as opened:
             document = read_file(config, "--config", json.loads)
             settings = Settings(document, frontend, speed, call_us, nodes=nodes, late_us=max_late_us)
-            report = run(opened, Wanted(settings, is_virtual, Retries(retries), seed, load, for_us))
+            report = run(opened, ReplayPlan(settings, is_virtual, Retries(retries), seed, load, for_us))
     except ReplayError as error:
         end_unusable(ctx, error)
     if out_path is not None:
--- a/marlstep/traces/replay/report.py
+++ b/marlstep/traces/replay/report.py
@@ -6,12 +6,18 @@
 import html
 import io
 import json
+from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from hdrh.histogram import HdrHistogram
 
-NEEDED = (
+from marlstep.errors import MarlstepError
+
+if TYPE_CHECKING:  # matplotlib is loaded only where a plot is asked for
+    from matplotlib.axes import Axes
+
+REQUIRED_KEYS = (
     "service",
     "by_class",
     "by_tenant",
@@ -22,64 +28,100 @@
     "times_ms",
     "histograms",
 )
+SERVICE_KEYS = ("service", "goal", "worst_10s")
+GROUP_PREFIX = "by_"
+PERCENTILES = ("p50", "p99")
+COUNT_KEYS = ("sent", "answered", "lost", "refused", "failed", "expired", "retries", "poor", "ran_twice")
+MAX_NAME_LENGTH = 18  # characters of a path that the table shows, from its end
+PLOT_STEPS = 200
+PLOT_MAX_PERCENTILE = 99.9
+PLOT_SIZE_INCHES = (11, 8)
+PLOT_DPI = 90
+
+Report = Mapping[str, Any]
+Row = tuple[str, float | None, float | None]
+
 
+class ReportError(MarlstepError):
+    """A report can't be read, or a plot can't be written.
 
-class ReportError(Exception):
-    """What is wrong with a report, in one line."""
+    Attributes:
+        path: of the file.
+        problem: what is wrong with it.
+    """
 
+    def __init__(self, path: str, problem: object) -> None:
+        """Name the file and the problem."""
+        super().__init__(f"{path}: {problem}")
+        self.path = path
+        self.problem = problem
 
-def load(path: str) -> dict[str, Any]:
+
+def load(path: str) -> Report:
+    """Read the report of a replay. Raises ReportError."""
     try:
-        told = json.loads(Path(path).read_text("utf-8"))
-    except OSError as fault:
-        raise ReportError(f"{path}: {fault.strerror}") from fault
-    except ValueError as fault:
-        raise ReportError(f"{path}: not a report: {fault}") from fault
-    missing = [name for name in NEEDED if not isinstance(told, dict) or name not in told]
+        report = json.loads(Path(path).read_text("utf-8"))
+    except OSError as error:
+        raise ReportError(path, error.strerror) from error
+    except ValueError as error:
+        raise ReportError(path, f"not a report: {error}") from error
+    missing = [key for key in REQUIRED_KEYS if not isinstance(report, dict) or key not in report]
     if missing:
-        raise ReportError(f"{path}: not the report of a replay: {', '.join(missing)} missing")
-    return told  # type: ignore[no-any-return]
+        raise ReportError(path, f"not the report of a replay: {', '.join(missing)} missing")
+    loaded: Report = report
+    return loaded
 
 
-def compared(first: dict[str, Any], second: dict[str, Any]) -> list[tuple[str, Any, Any]]:
-    rows = [(name, first.get(name), second.get(name)) for name in ("service", "goal", "worst_10s")]
+def compared(first: Report, second: Report) -> list[Row]:
+    """Return each figure by its name, of the first and of the second replay; None where one has none."""
+    rows: list[Row] = [(key, first.get(key), second.get(key)) for key in SERVICE_KEYS]
     for group in ("by_class", "by_tenant"):
-        for name in sorted({*first[group], *second[group]}):
-            rows.append((f"{group[3:]} {name}", first[group].get(name), second[group].get(name)))
-    for name in sorted({*first["times_ms"], *second["times_ms"]}):
-        for point in ("p50", "p99"):
-            one, other = (run["times_ms"].get(name, {}).get(point) for run in (first, second))
-            rows.append((f"{name} {point} ms", one, other))
-    for name in ("sent", "answered", "lost", "refused", "failed", "expired", "retries", "poor", "ran_twice"):
-        rows.append((name, first.get(name), second.get(name)))
+        rows += _group_rows(group, first[group], second[group])
+    rows += _time_rows(first["times_ms"], second["times_ms"])
+    rows += [(key, first.get(key), second.get(key)) for key in COUNT_KEYS]
     return rows
 
 
-def as_text(first: dict[str, Any], second: dict[str, Any], names: tuple[str, str]) -> str:
-    lines = [f"{'':<28}{names[0][-18:]:>20}{names[1][-18:]:>20}{'change':>12}"]
-    for name, one, other in compared(first, second):
-        change = f"{other - one:+.4f}" if one is not None and other is not None else ""
-        lines.append(f"{name:<28}{_shown(one):>20}{_shown(other):>20}{change:>12}")
-    for run, name in zip((first, second), names, strict=True):
-        if run.get("counts") is False:
+def _group_rows(group: str, first: Mapping[str, float], second: Mapping[str, float]) -> list[Row]:
+    label = group.removeprefix(GROUP_PREFIX)
+    return [(f"{label} {name}", first.get(name), second.get(name)) for name in sorted({*first, *second})]
+
+
+def _time_rows(first: Mapping[str, Any], second: Mapping[str, Any]) -> list[Row]:
+    return [
+        (f"{name} {point} ms", first.get(name, {}).get(point), second.get(name, {}).get(point))
+        for name in sorted({*first, *second})
+        for point in PERCENTILES
+    ]
+
+
+def as_text(first: Report, second: Report, names: tuple[str, str]) -> str:
+    """Return a table of both replays and of the change, under the ends of their names."""
+    heads = [name[-MAX_NAME_LENGTH:] for name in names]
+    lines = [f"{'':<28}{heads[0]:>20}{heads[1]:>20}{'change':>12}"]
+    for name, value, other in compared(first, second):
+        change = f"{other - value:+.4f}" if value is not None and other is not None else ""
+        lines.append(f"{name:<28}{_render(value):>20}{_render(other):>20}{change:>12}")
+    for report, name in zip((first, second), names, strict=True):
+        if report.get("counts") is False:
             lines.append(f"{name} does not count: its senders fell behind")
     return "\n".join(lines)
 
 
-def _shown(value: Any) -> str:
+def _render(value: float | None) -> str:
     if value is None:
         return "-"
     return f"{value:.4f}" if isinstance(value, float) else str(value)
 
 
-def plot(first: dict[str, Any], second: dict[str, Any], names: tuple[str, str], path: str) -> None:
-    """A PNG, or a page that holds it and the table, by the ending of the path."""
+def plot(first: Report, second: Report, names: tuple[str, str], path: str) -> None:
+    """Write a PNG, or a page that holds it and the table, by the ending of the path. Raises ReportError."""
     image = _image(first, second, names)
     if path.endswith(".png"):
         Path(path).write_bytes(image)
         return
     if not path.endswith((".html", ".htm")):
-        raise ReportError(f"{path}: a plot goes to a file that ends in .png or .html")
+        raise ReportError(path, "a plot goes to a file that ends in .png or .html")
     text = html.escape(as_text(first, second, names))
     data = base64.b64encode(image).decode("ascii")
     title = html.escape(f"{names[0]} and {names[1]}")
@@ -91,25 +133,17 @@
     )
 
 
-def _image(first: dict[str, Any], second: dict[str, Any], names: tuple[str, str]) -> bytes:
+def _image(first: Report, second: Report, names: tuple[str, str]) -> bytes:
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib.figure import Figure
 
-    figure = Figure(figsize=(11, 8), layout="constrained")
+    figure = Figure(figsize=PLOT_SIZE_INCHES, layout="constrained")
     service, load_, times = figure.subplots(3, 1)
-    for run, name in zip((first, second), names, strict=True):
-        seconds = range(len(run["by_second"]))
-        asked = [one / 1e6 for one, _ in run["by_second"]]
-        shares = [got / one if one else 1.0 for one, got in run["by_second"]]
-        service.step(seconds, shares, where="post", label=f"{name}: {run['service']:.4f}")
-        load_.step(seconds, asked, where="post", label=name)
-        for kind, text in sorted(run["histograms"].items()):
-            values = HdrHistogram.decode(text)
-            points = [99.9 * step / 200 for step in range(201)]
-            lengths = [values.get_value_at_percentile(point) / 1000 for point in points]
-            times.plot(lengths, points, label=f"{name}: {kind}")
+    for report, name in zip((first, second), names, strict=True):
+        _draw_load(service, load_, report, name)
+        _draw_times(times, report, name)
     service.set(ylabel="service", ylim=(0, 1.05), title="worth answered in time over worth asked, by second")
     load_.set(ylabel="worth x s of work asked", xlabel="s")
     times.set(xscale="log", xlabel="ms to the answer", ylabel="percentile")
@@ -117,5 +151,24 @@
         axes.grid(alpha=0.3)
         axes.legend(fontsize="small")
     sink = io.BytesIO()
-    figure.savefig(sink, format="png", dpi=90, metadata={"Software": "marlstep"})
+    figure.savefig(sink, format="png", dpi=PLOT_DPI, metadata={"Software": "marlstep"})
     return sink.getvalue()
+
+
+def _draw_load(service: Axes, load_: Axes, report: Report, name: str) -> None:
+    """Draw the service and the offered work of each second."""
+    by_second = report["by_second"]
+    seconds = range(len(by_second))
+    offered_s = [offered / 1e6 for offered, _ in by_second]
+    shares = [earned / offered if offered else 1.0 for offered, earned in by_second]
+    service.step(seconds, shares, where="post", label=f"{name}: {report['service']:.4f}")
+    load_.step(seconds, offered_s, where="post", label=name)
+
+
+def _draw_times(times: Axes, report: Report, name: str) -> None:
+    """Draw the percentiles of the time to the response, by request class."""
+    percentiles = [PLOT_MAX_PERCENTILE * step / PLOT_STEPS for step in range(PLOT_STEPS + 1)]
+    for request_class, text in sorted(report["histograms"].items()):
+        histogram = HdrHistogram.decode(text)
+        times_ms = [histogram.get_value_at_percentile(point) / 1000 for point in percentiles]
+        times.plot(times_ms, percentiles, label=f"{name}: {request_class}")
