--- a/marlstep/cli/trace/replay.py
+++ b/marlstep/cli/trace/replay.py
@@ -86,9 +86,9 @@
     On sockets a node process is started between stand-ins of the kernel, the tier below and a uwsgi server, all on
     loopback. Senders with retries count them with the first try.
     """
-    from marlstep.traces.replay.loopback import ReplayError, Settings
     from marlstep.traces.replay.replaying import ReplayPlan
     from marlstep.traces.replay.replaying import replay as run
+    from marlstep.traces.replay.settings import ReplayError, Settings
 
     try:
         with exit_on_error(ctx), Schedule(schedule) as opened:
--- a/marlstep/traces/replay/replaying.py
+++ b/marlstep/traces/replay/replaying.py
@@ -17,7 +17,8 @@
 from marlstep.traces.mapping import PlannedRequest
 from marlstep.traces.replay.campaign import Campaign
 from marlstep.traces.replay.figures import Figures
-from marlstep.traces.replay.loopback import Loopback, Settings
+from marlstep.traces.replay.loopback import Loopback
+from marlstep.traces.replay.settings import Settings
 from marlstep.traces.replay.virtual import VirtualReplay
 from marlstep.traces.retries import Retries
 from marlstep.traces.schedule import Schedule
@@ -70,8 +71,7 @@
 
 def _cores(settings: Settings) -> float:
     """Return the capacity of all nodes, in cores of speed 1."""
-    cores: float = settings.config["settings"]["familyInfo"]["cpus"] * settings.speed * settings.nodes
-    return cores
+    return settings.cores * settings.speed * settings.nodes
 
 
 def replay(schedule: Schedule, plan: ReplayPlan) -> dict[str, Any]:
@@ -107,7 +107,7 @@
 def _run_on_sockets(plan: ReplayPlan, campaign: Campaign, requests: Iterator[PlannedRequest]) -> _Outcome:
     loopback = Loopback(plan.settings, campaign)
     uvloop.run(loopback.run(requests))
-    return _Outcome(loopback.account, loopback.node_cpu_s)
+    return _Outcome(loopback.processes.account, loopback.processes.node_cpu_s)
 
 
 def _report(
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -1,7 +1,7 @@
-"""A replay without sockets: the node's core, the machine and the senders on one clock moved by hand.
+"""A replay without sockets: the nodes' cores, the emulated machines and the senders on one simulated clock.
 
-The clock jumps from one thing due to the next, in an order that is fixed, so two runs agree to the last digit.
-What it leaves out is what the wires cost; the core and the module are the node's own.
+The clock jumps from one event to the next, in an order that is fixed, so two runs agree to the last digit. What it
+leaves out is the cost of the wires; the core and its admission controller are the node's own.
 """
 
 from __future__ import annotations
@@ -22,38 +22,41 @@
 from marlstep.units import EPOCH, MICROSECOND, SECOND, span, span_us
 
 START = EPOCH + 1_800_000_000 * SECOND
-HELD_KB = 20.0
+REQUEST_MEMORY_KB = 20.0
 CALLERS = 4
-ENDS = {NoticeType.COMPLETE: Outcome.OK, NoticeType.CANCELLED: Outcome.CANCELLED}
+PARTIAL_PREFIX = b"poor"  # begins the body of a response without its call
+OUTCOMES = {NoticeType.COMPLETE: Outcome.OK, NoticeType.CANCELLED: Outcome.CANCELLED}
 
 
-class Clock:
-    """A waker whose time is moved by `run`."""
+class SimulatedClock:
+    """A clock whose time is moved by `run`, from one alarm to the next."""
 
     def __init__(self) -> None:
+        """Start at START, without an alarm."""
         self.time = START
         self._alarm: tuple[datetime, Callable[[], None]] | None = None
-        self._soon: list[Callable[[], None]] = []
+        self._callbacks: list[Callable[[], None]] = []  # due at once
 
     def now(self) -> datetime:
+        """Return the time."""
         return self.time
 
-    def us(self) -> int:
+    def elapsed_us(self) -> int:
+        """Return the time since the start, in microseconds."""
         return (self.time - START) // MICROSECOND
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
+        """Set the one alarm, in place of an earlier one."""
         self._alarm = (when, callback)
 
     def soon(self, callback: Callable[[], None]) -> None:
-        self._soon.append(callback)
+        """Run the callback before the next alarm."""
+        self._callbacks.append(callback)
 
     def run(self, done: Callable[[], bool]) -> None:
-        """On from alarm to alarm until `done`, or until nothing is due any more."""
+        """Go from alarm to alarm until `done`, or until no alarm is set."""
         while True:
-            while self._soon:
-                turns, self._soon = self._soon, []
-                for turn in turns:
-                    turn()
+            self._run_callbacks()
             if done() or self._alarm is None:
                 return
             when, callback = self._alarm
@@ -61,9 +64,22 @@
             self.time = max(self.time, when)
             callback()
 
+    def _run_callbacks(self) -> None:
+        while self._callbacks:
+            callbacks, self._callbacks = self._callbacks, []
+            for callback in callbacks:
+                callback()
+
 
 class VirtualReplay:
-    """The world of one replay: the senders, and the nodes on one timeline."""
+    """One replay: the senders, and the nodes on one timeline.
+
+    Attributes:
+        clock: the simulated time.
+        timeline: the timers of all nodes and senders.
+        campaign: the senders.
+        nodes: the nodes, by number.
+    """
 
     def __init__(
         self,
@@ -74,7 +90,17 @@
         gauge_names: tuple[str, ...],
         call_us: int,
     ) -> None:
-        self.clock = Clock()
+        """Make the nodes, which start with `run`.
+
+        Args:
+            settings: of each node.
+            seed: of the first node; the others count on.
+            campaign: the senders.
+            machines: one for each node.
+            gauge_names: in the order in which a machine reports gauges.
+            call_us: how long a call to the dependency takes, in microseconds.
+        """
+        self.clock = SimulatedClock()
         self.timeline = TimerQueue(self.clock)
         self.campaign = campaign
         self.nodes = [
@@ -85,6 +111,7 @@
         self._all_sent = False
 
     def run(self, rows: Iterator[PlannedRequest]) -> None:
+        """Replay the requests until all have their response."""
         self._rows = enumerate(rows)
         for node in self.nodes:
             node.core.start()
@@ -92,42 +119,56 @@
         self.clock.run(lambda: self._all_sent and not self.campaign.open)
 
     def _next_row(self) -> None:
-        found = next(self._rows, None)
-        if found is None:
+        row = next(self._rows, None)
+        if row is None:
             self._all_sent = True
             return
-        number, planned = found
-        self.timeline.at(START + span(planned.at_us), lambda: self._first(number, planned))
+        number, planned = row
+        self.timeline.at(START + span(planned.at_us), lambda: self._begin(number, planned))
 
-    def _first(self, number: int, planned: PlannedRequest) -> None:
+    def _begin(self, number: int, planned: PlannedRequest) -> None:
         self._send(self.campaign.begin(number, planned))
         self._next_row()
 
     def _send(self, attempt: Attempt) -> None:
-        self.campaign.record_sent(attempt, self.clock.us())
+        self.campaign.record_sent(attempt, self.clock.elapsed_us())
         self.nodes[attempt.node].take(attempt)
 
-    def answered(self, attempt: Attempt, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
-        following = self.campaign.record_response(attempt.id, verdict, self.clock.us(), after_us, poor)
-        if following is not None:
-            self.timeline.at(START + span(following.at_us), lambda: self._send(following))
+    def record_response(
+        self, attempt: Attempt, status: ResponseStatus, retry_after_us: int, is_partial: bool
+    ) -> None:
+        """Give a response to the senders, and plan the retry where there is one."""
+        retry = self.campaign.record_response(
+            attempt.id, status, self.clock.elapsed_us(), retry_after_us, is_partial
+        )
+        if retry is not None:
+            self.timeline.at(START + span(retry.at_us), lambda: self._send(retry))
 
 
 class VirtualNode:
-    """One node: its core, and the front, backend, store and gauges around it at once."""
+    """One node: its core, and the frontend, the machine, the dependency and the gauges around it, in one object.
+
+    Attributes:
+        replay: what the node is part of.
+        machine: runs the node's requests.
+        clock: the simulated time.
+        timeline: the timers of the replay.
+        core: the node itself.
+    """
 
     def __init__(
         self,
-        world: VirtualReplay,
+        replay: VirtualReplay,
         settings: Settings,
         seed: int,
         machine: Machine,
         gauge_names: tuple[str, ...],
         call_us: int,
     ) -> None:
-        self.world, self.machine = world, machine
-        self.clock, self.timeline = world.clock, world.timeline
-        self._gauge_names, self._call = gauge_names, span(call_us)
+        """Make the core, and join it to the replay's timeline."""
+        self.replay, self.machine = replay, machine
+        self.clock, self.timeline = replay.clock, replay.timeline
+        self._gauge_names, self._call_time = gauge_names, span(call_us)
         self.core = Core(settings, seed, self.timeline, Ports(self, self))
         self.core.add_frontend(self)
         self._attempts: dict[int, Attempt] = {}
@@ -136,18 +177,18 @@
         self._calls: dict[str, Timer] = {}
 
     def take(self, attempt: Attempt) -> None:
-        """A request arrives."""
+        """Submit a request to the core."""
         planned, number = attempt.work.planned, attempt.work.number
         plan = WorkPlan(
-            number, planned.work_us, calls_of(self.world.campaign.classes[planned.request_class], number)
+            number, planned.work_us, calls_of(self.replay.campaign.classes[planned.request_class], number)
         )
         self._number += 1
-        offer = InboundRequest(
+        inbound = InboundRequest(
             id=attempt.id,
             request_class=planned.request_class,
             body=plan.to_body(),
             arrived_at=self.clock.now(),
-            memory_kb=HELD_KB,
+            memory_kb=REQUEST_MEMORY_KB,
             caller=number % CALLERS,
             is_retry=attempt.is_retry,
             cost_hint=span(round(planned.work_us / self.machine.sharing.speed)),
@@ -155,36 +196,36 @@
         )
         self._attempts[self._number] = attempt
         try:
-            self.core.submit(self, (0, self._number), self, offer)
+            self.core.submit(self, (0, self._number), self, inbound)
         except RequestRejectedError:
             del self._attempts[self._number]
-            self.timeline.soon(lambda: self.world.answered(attempt, ResponseStatus.FAILED, 0, False))
+            self.timeline.soon(lambda: self.replay.record_response(attempt, ResponseStatus.FAILED, 0, False))
 
-    # As a front.
+    # As a frontend.
 
-    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
-        attempt = self._attempts.pop(ticket[1])
-        poor = answer.body.startswith(b"poor")
-        verdict, after = answer.status, span_us(answer.retry_after)
-        self.timeline.soon(lambda: self._delivered(attempt, verdict, after, poor))
+    def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
+        """Hand a response to its sender."""
+        attempt = self._attempts.pop(response_handle[1])
+        self.timeline.soon(lambda: self._delivered(attempt, response))
 
-    def _delivered(self, attempt: Attempt, verdict: ResponseStatus, after_us: int, poor: bool) -> None:
-        self.world.answered(attempt, verdict, after_us, poor)
+    def _delivered(self, attempt: Attempt, response: Response) -> None:
+        is_partial = response.body.startswith(PARTIAL_PREFIX)
+        self.replay.record_response(attempt, response.status, span_us(response.retry_after), is_partial)
         self._advance()
         if (notice := self.machine.response_delivered(attempt.id)) is not None:
             self._notice(notice)
-        self._look()
+        self._plan_next_event()
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """There are no connections here."""
+        """Do nothing: there are no connections here."""
 
     def stop_accepting(self) -> None:
-        """A replay ends before the node does."""
+        """Do nothing: a replay ends before the node does."""
 
-    # As the kernel.
+    # As the machine.
 
     def _advance(self) -> None:
-        for notice in self.machine.advance(self.clock.us()):
+        for notice in self.machine.advance(self.clock.elapsed_us()):
             self._notice(notice)
 
     def _notice(self, notice: Notice) -> None:
@@ -192,9 +233,9 @@
             self.core.call_needed(notice.run_id, notice.body)
         else:
             elapsed = span(notice.elapsed_us)
-            self.core.run_ended(notice.run_id, ENDS[notice.type], elapsed, notice.body)
+            self.core.run_ended(notice.run_id, OUTCOMES[notice.type], elapsed, notice.body)
 
-    def _look(self) -> None:
+    def _plan_next_event(self) -> None:
         self.timeline.cancel(self._alarm)
         at = self.machine.next_event_us()
         self._alarm = None if at is None else self.timeline.at(START + span(at), self._due)
@@ -202,59 +243,68 @@
     def _due(self) -> None:
         self._alarm = None
         self._advance()
-        self._look()
+        self._plan_next_event()
 
-    def _told(self, request: Request, command: Callable[[], bool]) -> None:
-        """A command reaches the machine in a turn of its own, as it would over the link."""
+    def _command(self, request: Request, command: Callable[[], bool]) -> None:
+        """Carry out a command in a callback of its own, as it would arrive over the connection."""
 
         def carry_out() -> None:
             self._advance()
             if not command():
                 self.core.run_ended(request.id, Outcome.NOT_STARTED, span(0))
-            self._look()
+            self._plan_next_event()
 
         self.timeline.soon(carry_out)
 
     def start(self, request: Request) -> None:
-        offer = request.inbound
-        self._told(request, lambda: self.machine.start(offer.id, offer.request_class, offer.body))
+        """Start a run."""
+        inbound = request.inbound
+        self._command(request, lambda: self.machine.start(inbound.id, inbound.request_class, inbound.body))
 
     def preempt(self, request: Request) -> None:
-        def halt() -> bool:
+        """Pause a run, which the machine may end instead."""
+
+        def pause_run() -> bool:
             if (notice := self.machine.pause(request.id)) is not None:
                 self._notice(notice)
             return True
 
-        self._told(request, halt)
+        self._command(request, pause_run)
 
     def resume(self, request: Request) -> None:
-        self._told(request, lambda: self.machine.resume(request.id))
+        """Resume a paused run."""
+        self._command(request, lambda: self.machine.resume(request.id))
 
-    def supply(self, request: Request, reply: bytes) -> None:
-        self._told(request, lambda: self.machine.end_call(request.id, skipped=False))
+    def supply(self, request: Request, reply: bytes) -> None:  # noqa: ARG002  (runs here ignore the reply)
+        """Give a run the reply to its call."""
+        self._command(request, lambda: self.machine.end_call(request.id, skipped=False))
 
     def skip(self, request: Request) -> None:
-        self._told(request, lambda: self.machine.end_call(request.id, skipped=True))
+        """Let a run go on without its call."""
+        self._command(request, lambda: self.machine.end_call(request.id, skipped=True))
 
     def abandon(self, request: Request) -> None:
-        """The machine hears of it by the answer."""
+        """Do nothing: the machine learns of it by the response."""
 
     def request_gauges(self) -> None:
+        """Report the machine's gauges to the core."""
         self._advance()
         values = dict(zip(self._gauge_names, self.machine.read_gauges(), strict=False))
         self.timeline.soon(lambda: self.core.gauges(values))
 
-    # As the database.
+    # As the dependency.
 
     def call(self, request: Request, until: datetime) -> None:
-        reply_at = self.clock.now() + self._call
+        """Begin a call; it times out at `until`."""
+        reply_at = self.clock.now() + self._call_time
         outcome = Outcome.OK if reply_at <= until else Outcome.TIMEOUT
         at = min(reply_at, until)
         self._calls[request.id] = self.timeline.at(at, lambda: self._called(request.id, outcome))
 
-    def _called(self, id: str, outcome: Outcome) -> None:
-        del self._calls[id]
-        self.core.call_ended(id, outcome, b"rows" if outcome is Outcome.OK else b"")
+    def _called(self, request_id: str, outcome: Outcome) -> None:
+        del self._calls[request_id]
+        self.core.call_ended(request_id, outcome, b"rows" if outcome is Outcome.OK else b"")
 
     def abandon_call(self, request: Request) -> None:
+        """Cancel a call."""
         self.timeline.cancel(self._calls.pop(request.id, None))
