--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -206,12 +206,12 @@
     def adopt(self, key: IdempotencyKey, remote: KeyRecord, now: datetime, max_unread: timedelta) -> None:
         """Enter what another process says of a piece of work.
 
-        An entry for an own request stays as it is; one that another process gave earlier is replaced. An own entry
-        counts here for as long as it is kept, also past the end of its window, when `find` has new work in its place:
-        what another process says of that new work is then not entered.
+        An entry for an own request stays as it is while its window lasts; past that `find` has new work in its place,
+        and so has this. One that another process gave earlier is replaced.
         """
         record = self._records.get(key)
-        if record is not None and not record.is_remote:
+        is_own_in_force = record is not None and not record.is_remote and record.covers(now)
+        if is_own_in_force:
             return
         remote.is_remote = True
         self._records[key] = remote
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -43,6 +43,20 @@
     assert found is not None and found.request_id == "own" and not table.drop_remote(KEY, "remote")
 
 
+def test_an_own_entry_past_its_window_gives_way_to_new_work_of_another_process() -> None:
+    # Guards against a key that runs in both processes: an entry is kept longer than its window, for requests that are
+    # read late, and hid the other process's new work with that key.
+    table = KeyTable()
+    table.retain(KEY, "own", START + SECOND, START, 10 * SECOND)
+    table.adopt(KEY, KeyRecord("early"), START, ZERO)
+    assert table.find(KEY, START) == KeyRecord("own", START + SECOND, droppable_at=START + 11 * SECOND)
+    later = START + 2 * SECOND
+    assert table.find(KEY, later) is None
+    table.adopt(KEY, KeyRecord("remote"), later, ZERO)
+    found = table.find(KEY, later)
+    assert found is not None and found.request_id == "remote" and found.is_remote
+
+
 def test_remote_work_whose_outcome_nobody_reports_stays_known_until_the_given_end() -> None:
     table = KeyTable()
     table.adopt(KEY, KeyRecord("remote"), START, ZERO)
