--- a/marlstep/admission/deadlines.py
+++ b/marlstep/admission/deadlines.py
@@ -3,8 +3,9 @@
 from __future__ import annotations
 
 TICKS_PER_OBJECTIVE = 40  # in the shortest latency objective; deadlines and limits need no finer clock
-# Before the process is stopped, by which the controller gives all responses. The core gives what is left by
-# its own, smaller margin (marlstep/core/drain.py), and the process ends by the smallest (marlstep/drain.py).
+# Before the process is stopped, by which the controller gives all responses. The core gives what is left by a
+# fixed margin of its own (marlstep/core/drain.py), which comes first where objectives are so short that 8
+# ticks are less; the process ends by the last one (marlstep/drain.py).
 DRAIN_LEAD_TICKS = 8
 
 
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -46,7 +46,7 @@
         calling = self.state.entries.by_state[State.CALLING]
         for entry in awaiting_call:
             if not entry.response_owed:
-                continue  # the backend ends the run: it is told that nobody waits for a response
+                continue  # nobody waits: the backend ends the run, by itself or when told (`Backend.abandon`)
             if self._is_better_skipped(entry, is_calling=bool(calling)):
                 self._skip_or_fail(entry)
             elif entry.next_call_at <= self.state.now and self._has_capacity(len(calling)):
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -39,7 +39,7 @@
     advisor: RetryAdvisor
 
     def reject_or_fail(self, entry: Entry) -> None:
-        """Reject a request that never ran, and fail one that may have had an effect.
+        """Reject a request that was never started, and fail any other.
 
         A rejection promises that the request did not run, so that the caller may retry it anywhere. Where no
         response is owed any more, nothing happens.
--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -19,7 +19,7 @@
     """When a component takes its address."""
 
     BEFORE_SERVING = "before serving"  # before the node serves, to say that it does not yet
-    WITH_CLIENTS = "with clients"  # whichever process of the node serves
+    WITH_CLIENTS = "with clients"  # with the clients of kernel and database, in standby as well
     WITH_FRONTENDS = "with frontends"  # with the platform's frontend
 
 
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -342,7 +342,7 @@
     def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
         """Hear that nobody reports any more how the other processes' requests end.
 
-        Their work stays known until `expires_at` at least.
+        Their work stays known: until the end of its key, or until `expires_at` where that has none.
         """
         self._repeats.mark_remote_outcomes_unknown(expires_at)
 
--- a/marlstep/core/errors.py
+++ b/marlstep/core/errors.py
@@ -68,4 +68,4 @@
 
 
 class RepeatedWorkError(RequestRejectedError):
-    """A request repeats work that an earlier attempt ran or may have run: it failed, and must not be retried."""
+    """The id or key of a request is in use by another, which may have run: it fails, and must not be retried."""
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -63,7 +63,7 @@
     """What the node's other processes say when this one claims a piece of keyed work."""
 
     GRANTED = "granted"  # none of them has accepted it before
-    KNOWN = "known"  # one of them has, and has reported it to `Core.adopt_remote_key`
+    KNOWN = "known"  # not granted: one has, and reported it to `Core.adopt_remote_key`, or could not decide
     UNSURE = "unsure"  # nobody can say any more whether it ran
 
 
--- a/marlstep/core/repeats.py
+++ b/marlstep/core/repeats.py
@@ -87,7 +87,7 @@
     def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
         """End what the other processes had in flight, as nobody reports on it any more; the repeats here fail.
 
-        The keys stay known until `expires_at` at least, as the work may have run.
+        The keys stay known, as the work may have run: until their own end, or until `expires_at` if they have none.
         """
         for key in self._keys.mark_remote_outcomes_unknown(expires_at, self._timeline.now()):
             self._remote_ended(key, None)
--- a/marlstep/core/serving_state.py
+++ b/marlstep/core/serving_state.py
@@ -8,9 +8,9 @@
 class ServingPhase(enum.Enum):
     """What operators see as the state of the process; the values are those of the status JSON."""
 
-    STARTING = "starting"  # it listens, but its backend has not reported that it is up
+    STARTING = "starting"  # not marked ready yet: its backend is not up, or a predecessor still serves
     SERVING = "serving"
-    QUIESCED = "quiesced"  # by an operator: health checks fail, and what arrives is served all the same
+    QUIESCED = "quiesced"  # by an operator: health checks of the protocol fail, and what arrives is served
     HANDING_OVER = "handing over"  # a successor process takes what is new; what is here is finished
     LEAVING = "leaving"  # graceful shutdown has begun, and there is no way back
 
@@ -40,12 +40,18 @@
 
     @property
     def can_serve(self) -> bool:
-        """Whether requests that arrive now are run: the backend is up, and no drain has begun."""
+        """Whether the process reports itself able to serve: it was marked ready, and no drain has begun.
+
+        Requests that arrive within the grace of a drain still run, although this is False then.
+        """
         return self._ready and not self._is_draining
 
     @property
     def wants_traffic(self) -> bool:
-        """Whether the process wants new requests: it neither drains nor is quiesced. Health checks follow it."""
+        """Whether the process wants new requests: it neither drains nor is quiesced.
+
+        Health checks of the protocol follow it (`Core.healthy`); `/admin/health` follows `can_serve`.
+        """
         return not (self._is_draining or self._quiesced)
 
     def mark_ready(self) -> None:
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -82,13 +82,15 @@
             self._core.begin_hand_over(now + self.restart_timeout())
         else:
             self._core.drain(now + self._config().shutdown_timeout, now)
-            # A predecessor that serves goes on reporting; one that handed over sends its last report now.
+            # With a predecessor still there, this process sends no last report: one that serves goes on reporting, and
+            # one that handed over sends its own when it hears that this process drains (`successor_draining`).
             self._naming.report_last(sends_last_report=state is None or not state.has_predecessor)
 
     def restart_timeout(self) -> timedelta:
         """Return the time from SIGTERM to the end of a process whose successor serves.
 
-        The longest deadline of the classes, up to a bound, and a margin: what this process accepted has ended by then.
+        The longest deadline of the classes, up to a bound, and a margin. A request whose deadline is beyond the bound
+        gets its response without an outcome shortly before that end.
         """
         longest = max(span(request_class.deadline_us) for request_class in self._config().settings.classes)
         return min(longest, MAX_RESTART_DEADLINE) + RESTART_DEADLINE_MARGIN
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -62,8 +62,9 @@
     def _submit(self, packet: Packet) -> None:
         """Submit the request, or respond with the status of its rejection.
 
-        A repeat of work that ran or may have run gets 502, as a failure does. All other rejections of the intake get
-        400, also PROCESS_AT_CAPACITY, which is the node's own state and no fault of the request.
+        A request whose id or key is in use, by work that may have run, gets 502, as a failure does. All other
+        rejections of the intake get 400, also PROCESS_AT_CAPACITY, which is the node's own state and no fault of the
+        request.
         """
         try:
             self.submit(ONLY_REQUEST, self.frontend.read_request(packet))
--- a/marlstep/hot_restart/interfaces.py
+++ b/marlstep/hot_restart/interfaces.py
@@ -50,7 +50,7 @@
         """Answer health checks from now on as a process that can serve."""
 
     def successor_lost(self) -> None:
-        """Handle the end of a successor that was not told to leave."""
+        """Handle the end of a successor that has not said that it drains."""
 
     def successor_draining(self) -> None:
         """Handle a successor that drains and has no successor of its own."""
@@ -68,7 +68,10 @@
         """Forget the other process's attempt: it never ran."""
 
     def mark_outcomes_unknown(self, until: datetime, /) -> None:
-        """Count the other process's attempts that have not ended as ones that may have run, until that time."""
+        """Count the other process's attempts that have not ended as ones that may have run.
+
+        Their keys stay known until their own end, or until the given time where they have none.
+        """
 
 
 class NodeCallbacks(Protocol):
--- a/marlstep/hot_restart/key_exchange.py
+++ b/marlstep/hot_restart/key_exchange.py
@@ -3,7 +3,8 @@
 Among the processes of a node that overlap, an effect runs at most once, because each key has one process that decides
 on it. While a predecessor is connected its table counts, and the successor claims a key there before it enqueues a
 request. Each process sends every change of a key before the run concerned begins. After a predecessor was lost,
-requests with keys are rejected for as long as a retry of what it ran may come.
+requests with keys that are not known here are rejected for as long as a retry of what it ran may come; repeats of known
+work get its result, or fail.
 
 Keys do not outlive the last process of a node: they are stored nowhere else. After a crash of the sole process the next
 one starts with an empty table and rejects nothing, so a request that ran before the crash may run again.
@@ -71,7 +72,7 @@
 
 
 def outcomes_unknown_until(end: PredecessorEnd, now: datetime, retry_window: timedelta) -> datetime | None:
-    """Return until when requests with keys are rejected after the predecessor's end; None where none are.
+    """Return until when requests with unknown keys are rejected after the predecessor's end; None where none are.
 
     Rule: for as long as a client may send again what the lost process ran. Exception: after a complete hot restart
     nothing is unknown.
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -42,7 +42,7 @@
     NO_SUCCESSOR = "no successor"
     SUCCESSOR_STARTING = "successor starting"  # connected, and accepts no connections yet
     SUCCESSOR_ACCEPTING = "successor accepting"  # it serves beside this process
-    SUCCESSOR_REPLACED = "successor replaced"  # it drains, and its own successor serves
+    SUCCESSOR_REPLACED = "successor replaced"  # it hands over, and its own successor serves
     SUCCESSOR_DRAINING = "successor draining"  # it drains, and no process is known here to serve in its place
 
 
@@ -128,7 +128,8 @@
 
     Rule: SIGTERM drains the node: health checks fail, the name service hears of it, and after a grace requests are
     rejected. Exception: while a successor accepts connections, or its own successor does in its place, the node goes
-    on; this process stops accepting, finishes what is in flight, and reports nothing.
+    on; this process stops accepting, finishes what is in flight, and does not report that it leaves. Its regular
+    reports to the name service go on.
     """
     return TRANSITIONS[state][Event.SHUTDOWN_REQUESTED].effect is Effect.HAND_OVER
 
@@ -229,7 +230,7 @@
         self._give_capacity(self._sharing.give(in_use))
 
     def finish(self) -> None:
-        """Hand over all that is left: this process ends, and has nothing in flight."""
+        """Hand over all that is left: this process ends. Runs that no client waits for may go on in the backend."""
         if self._successor is None:
             return
         while self._snapshot is not None:
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -92,7 +92,11 @@
             self._successor_ended_by = now + termination_timeout
 
     def drain(self, needed_share: float) -> None:
-        """Keep no more than `needed_share`, 0 to 1: what all requests in flight here may come to use."""
+        """Bound this process, which hands over, to what its requests in flight may come to use.
+
+        Args:
+            needed_share: that, 0 to 1. It keeps `MIN_DRAINING_SHARE` at least, and never more than before.
+        """
         self._draining_limit = min(self.limit, max(MIN_DRAINING_SHARE, needed_share))
 
     def give(self, share_in_use: float, rest: bool = False) -> float:
--- a/marlstep/load_balancing/server.py
+++ b/marlstep/load_balancing/server.py
@@ -27,9 +27,9 @@
     handle: int = 0
     in_flight: int = 0  # attempts
     boot_id: str | None = None  # of its current incarnation, where its responses name one
-    leaving: bool = (
-        False  # removed from the pool: gets no new attempts, and is dropped once none is in flight
-    )
+    # Removed from the pool: dropped once no attempt is in flight, and gets no new ones, except in a pool without
+    # limits (`ServerPool.choose`).
+    leaving: bool = False
     probe_in_flight: bool = False
 
     @property
--- a/marlstep/platform/command_log.py
+++ b/marlstep/platform/command_log.py
@@ -1,9 +1,10 @@
 """Which commands the kernel may not have read, and so what is sent again after its connection broke. Pure.
 
-The rule: a command is sent again on a new connection unless the kernel is known to have read it. Two things prove that
-it was read: a notice that speaks of its request, or gauges that were asked for after it on the same connection.
+The rule: a command is sent again on a new connection unless the kernel is known to have read it. Three things prove
+that: a notice that speaks of its request, the kernel's rejection of the command, or gauges that were asked for after it
+on the same connection.
 
-The reason for both halves: a command that was lost leaves a run that never starts or never goes on. One that is sent
+The reason for the rule: a command that was lost leaves a run that never starts or never goes on. One that is sent
 twice is as bad: between the last notice of the new connection and the repeated command the run may end, or come to its
 next call, and would be started a second time or get the reply to the call before.
 """
