--- a/marlstep/load_balancing/__init__.py
+++ b/marlstep/load_balancing/__init__.py
@@ -1,4 +1,4 @@
 """Load balancing over one pool of servers: estimates, limits, outlier detection, choice and retries.
 
-Every module decides and none does I/O: the time and the source of randomness are passed in.
+The modules do no I/O: the current time and the source of randomness are passed in.
 """
--- a/marlstep/load_balancing/concurrency_limit.py
+++ b/marlstep/load_balancing/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive concurrency limit: how many requests a server is given at once.
+"""Adaptive concurrency limit: how many requests a server may have in flight at once.
 
 The limit follows the gradient of latency, as Netflix's concurrency-limits does, and backs off on failures.
 """
@@ -12,21 +12,21 @@
 from marlstep.load_balancing.latency_estimators import WindowedMinimum
 from marlstep.units import MILLISECOND, ZERO
 
-MIN_GRADIENT = 0.5  # of the limit that one interval's latencies leave at least, before smoothing
-MIN_UTILIZATION = 0.5  # of the limit that was in flight at the peak, for the limit to count as in use
+MIN_GRADIENT = 0.5  # one interval lowers the target to no less than half the limit plus the headroom
+MIN_UTILIZATION = 0.5  # peak requests in flight over the limit, from which the limit counts as in use
 
 
 @dataclass(slots=True, frozen=True)
 class ConcurrencyLimitSettings:
-    """How a concurrency limit moves; limits count requests in flight at one server."""
+    """Settings of a concurrency limit. Limits are numbers of requests in flight at one server."""
 
     min_limit: float = 2.0
     max_limit: float = 256.0
     initial_limit: float = 8.0
     latency_tolerance: float = 1.5  # multiple of the baseline latency up to which the limit does not fall
-    smoothing: float = 0.3  # share of the way to the target that one interval goes
-    backoff_ratio: float = 0.8  # share of the limit that a failure leaves
-    interval: timedelta = 250 * MILLISECOND  # between two adjustments, and between two backoffs
+    smoothing: float = 0.3  # share of the distance to the target by which one interval moves the limit
+    backoff_ratio: float = 0.8  # factor applied to the limit after a failure
+    interval: timedelta = 250 * MILLISECOND  # minimum time between adjustments, and between backoffs
 
     def clamp(self, limit: float) -> float:
         """Return the nearest limit within the bounds."""
@@ -42,16 +42,18 @@
 ) -> float:
     """Return the concurrency limit after one interval.
 
-    Rule: the target is the limit times the gradient, plus its square root as headroom for a queue; the limit goes a
-    part of the way to it. The gradient is the tolerated latency (a multiple of the baseline) over the mean, at most 1.
-    Exception: the limit does not rise unless it was in use, since a limit that no load has tested tells nothing.
+    The target is the limit times the gradient, plus the square root of the limit as headroom for a queue; `smoothing`
+    determines how far the limit moves towards it. The gradient is the tolerated latency (a multiple of the baseline)
+    divided by the mean latency, and at most 1.
+
+    The limit does not rise unless it was in use: low latency below the limit says nothing about a higher limit.
 
     Args:
         settings: Bounds, tolerance and smoothing.
         limit: The limit during the interval, in requests in flight.
-        baseline_latency: Latency of the server without load.
-        mean_latency: Mean over the responses of the interval; above zero.
-        max_in_flight: Most requests that were in flight when a response came.
+        baseline_latency: Latency of the server when it is not loaded.
+        mean_latency: Mean latency of the interval's responses; above zero.
+        max_in_flight: Highest number of requests in flight when a response was received.
 
     """
     tolerated = settings.latency_tolerance * (baseline_latency / mean_latency)
@@ -65,29 +67,36 @@
 
 
 def limit_after_failure(settings: ConcurrencyLimitSettings, limit: float) -> float:
-    """Return the concurrency limit after a failure or rejection: multiplicative decrease, within the bounds."""
+    """Return the concurrency limit after a failure or rejection (multiplicative decrease within the bounds)."""
     return settings.clamp(limit * settings.backoff_ratio)
 
 
 @dataclass(slots=True)
 class AdaptiveConcurrencyLimit:
-    """The concurrency limit of one server, adjusted once per interval by the responses that came in it."""
+    """The concurrency limit of one server, adjusted once per interval from the responses received in it."""
 
     settings: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
-    value: float = 0.0  # requests in flight; 0: start at the initial limit
+    value: float = 0.0  # current limit, in requests in flight; 0 selects `settings.initial_limit`
     baseline_latency: WindowedMinimum = field(default_factory=WindowedMinimum)
     _interval_start: datetime | None = None
     _last_backoff_at: datetime | None = None
-    _latency_sum: timedelta = ZERO  # over the interval, as are the next two
+    _latency_sum: timedelta = ZERO  # this and the next two fields cover the current interval
     _response_count: int = 0
     _max_in_flight: int = 0
 
     def __post_init__(self) -> None:
-        """Start at the initial limit."""
+        """Use the initial limit if no limit is passed."""
         self.value = self.value or self.settings.initial_limit
 
     def record_response(self, now: datetime, latency: timedelta, in_flight: int) -> None:
-        """Take in a response; `in_flight` counts its own request as well."""
+        """Record a response, and adjust the limit once an interval has passed.
+
+        Args:
+            now: The current time.
+            latency: Time from the start of the attempt to the response.
+            in_flight: Requests in flight at the server, this one included.
+
+        """
         self.baseline_latency.observe(now, latency)
         self._latency_sum += latency
         self._response_count += 1
@@ -105,9 +114,9 @@
         self._latency_sum, self._response_count, self._max_in_flight = ZERO, 0, 0
 
     def record_failure(self, now: datetime) -> None:
-        """Take in a failure or rejection: back off, at most once per interval.
+        """Reduce the limit after a failure or rejection, at most once per interval.
 
-        Failures that come together are one sign of overload, so only the first of them counts.
+        Failures in quick succession usually have the same overload as their cause, so only the first of them counts.
         """
         if self._last_backoff_at is None or now - self._last_backoff_at >= self.settings.interval:
             self._last_backoff_at = now
--- a/marlstep/load_balancing/errors.py
+++ b/marlstep/load_balancing/errors.py
@@ -6,9 +6,9 @@
 
 
 class PoolFullError(TableFullError):
-    """A pool was given more servers than its table holds; the operator has to name fewer."""
+    """A pool is configured with more servers than its table holds; the operator has to configure fewer."""
 
     def __init__(self, limit: int, requested: int) -> None:
-        """Keep how many servers a pool holds, and how many it would have held."""
+        """Initialize the error with the maximum number of servers and the requested number."""
         super().__init__(f"a pool holds at most {limit} servers, not {requested}")
         self.limit, self.requested = limit, requested
--- a/marlstep/load_balancing/failure_rate.py
+++ b/marlstep/load_balancing/failure_rate.py
@@ -1,4 +1,4 @@
-"""The share of a server's attempts that failed lately."""
+"""The share of a server's recent attempts that failed."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 @dataclass(slots=True)
 class FailureRate:
-    """Attempts and failures, both decaying with the same half-life, so that their ratio follows the recent past."""
+    """Counts of attempts and failures that decay exponentially, so that their ratio reflects recent attempts."""
 
-    half_life: timedelta = 5 * SECOND
+    half_life: timedelta = 5 * SECOND  # of both counts
     attempts: float = 0.0
     failures: float = 0.0
     updated_at: datetime | None = None
 
     def add(self, now: datetime, failed: bool) -> None:
-        """Count one attempt."""
+        """Count one attempt, and as a failure if `failed`."""
         retained = self._retained_share(now)
         self.attempts = self.attempts * retained + 1
         self.failures = self.failures * retained + failed
@@ -31,9 +31,9 @@
 
     @property
     def failure_share(self) -> float:
-        """The failed share of the counted attempts, from 0 to 1; 0 where there were none."""
+        """The share of the counted attempts that failed, from 0 to 1; 0 if there were none."""
         return self.failures / self.attempts if self.attempts > 0 else 0.0
 
     def reset(self) -> None:
-        """Forget all attempts."""
+        """Reset both counts to zero."""
         self.attempts = self.failures = 0.0
--- a/marlstep/load_balancing/latency_estimators.py
+++ b/marlstep/load_balancing/latency_estimators.py
@@ -1,6 +1,6 @@
 """Estimates of a server's latency from its responses.
 
-No estimator reads a clock: the time of each observation is passed in, and never goes backwards.
+The estimators read no clock: the time of each observation is passed in, and never decreases.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 @dataclass(slots=True)
 class PeakEwma:
-    """An exponentially weighted moving average of latency that rises at once and falls slowly.
+    """An exponentially weighted moving average of latency that rises at once and decays slowly.
 
-    A server that becomes slow must count as slow from its first slow response on, since the requests behind that one
-    are already waiting. A single fast response may be luck, so it lowers the estimate only in part.
+    A server that becomes slow must be rated as slow from its first slow response on, since further requests are already
+    waiting behind that one. A single fast response may be an exception, so it lowers the estimate only partially.
     """
 
-    decay_time: timedelta = 10 * SECOND  # in which a difference shrinks to 1/e
-    value: timedelta | None = None  # None: no response was observed yet
+    decay_time: timedelta = 10 * SECOND  # time constant: after it, the weight of the previous value is 1/e
+    value: timedelta | None = None  # None until the first response
     updated_at: datetime | None = None
 
     def observe(self, now: datetime, sample: timedelta) -> None:
-        """Take in the latency of one response."""
+        """Update the average with the latency of one response."""
         if self.value is None or sample >= self.value:
             self.value = sample
         else:
@@ -33,7 +33,7 @@
         self.updated_at = now
 
     def retained_share(self, now: datetime) -> float:
-        """Return the weight that the current value still has, from 1 down to 0; 0 before the first observation."""
+        """Return the remaining weight of the current value, from 1 down to 0; 0 before the first observation."""
         if self.updated_at is None:
             return 0.0
         return math.exp(-(max(ZERO, now - self.updated_at) / self.decay_time))
@@ -41,24 +41,24 @@
 
 @dataclass(slots=True)
 class WindowedMinimum:
-    """The lowest latency of the last one to two windows: the latency of a server that is not loaded.
+    """The lowest latency in the current and the previous window: an estimate of the server's latency without load.
 
-    Older samples are dropped, so that a server that was moved to a slower machine gets a new baseline.
+    Older samples are dropped, so that a server that has moved to a slower machine gets a new baseline.
     """
 
     window: timedelta = 30 * SECOND
     _window_start: datetime | None = None
-    _current: timedelta | None = None  # minimum of the window that runs
-    _previous: timedelta | None = None  # minimum of the window before it
+    _current: timedelta | None = None  # minimum of the current window
+    _previous: timedelta | None = None  # minimum of the previous window
 
     def observe(self, now: datetime, sample: timedelta) -> None:
-        """Take in the latency of one response."""
+        """Update the minimum of the current window with the latency of one response."""
         if self._window_start is None or now - self._window_start >= self.window:
             self._previous, self._current, self._window_start = self._current, None, now
         self._current = sample if self._current is None else min(self._current, sample)
 
     @property
     def value(self) -> timedelta | None:
-        """The minimum; None before the first observation."""
+        """The minimum of both windows; None before the first observation."""
         minimums = [minimum for minimum in (self._current, self._previous) if minimum is not None]
         return min(minimums, default=None)
--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -1,11 +1,12 @@
-"""Outlier detection, as Envoy names it: when a server is ejected from its pool, and how it comes back.
+"""Outlier detection, as in Envoy: when a server is ejected from its pool, and how it returns to service.
 
-    new ──ok──▶ healthy ◀──ok── suspect ──too many failures──▶ ejected ──time over──▶ probing
-                    └──a failure──▶ suspect                       ▲                      │
-                                                                  └──── it failed ───────┘  (longer each time)
-    probing ──ok──▶ healthy, in slow start
+    new ──success──▶ healthy ◀──success── suspect ──too many failures──▶ ejected ──time over──▶ probing
+                        └──failure──▶ suspect                               ▲                     │
+                                                                            └────── failure ──────┘
+    probing ──success──▶ healthy, in slow start
 
-A server that is new, or that recovered, is in slow start: its share of requests rises to the full one over a while.
+Each ejection lasts longer than the one before, up to a maximum. A server that is new or has recovered is in slow start:
+its share of requests rises to the full share over `slow_start_time`.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from marlstep.load_balancing.failure_rate import FailureRate
 from marlstep.units import SECOND
 
-MAX_EJECTION_DOUBLINGS = 16  # bounds the power of two; by then any ejection is at its maximum
+MAX_EJECTION_DOUBLINGS = 16  # bounds the power of two; after so many doublings an ejection is at its maximum
 
 
 class ServerHealthState(enum.Enum):
@@ -25,11 +26,11 @@
 
     NEW = "new"
     HEALTHY = "healthy"
-    SUSPECT = "suspect"  # its last attempt failed, or it was kept in service although it should be ejected
-    EJECTED = "ejected"  # gets no requests
-    PROBING = (
-        "probing"  # gets one request; the next attempt that ends decides, also one from before the ejection
-    )
+    # Its last attempt failed, or it was kept in service because too many servers were ejected.
+    SUSPECT = "suspect"
+    EJECTED = "ejected"  # receives no requests
+    # Receives one request. The next attempt that ends decides, even if it was started before the ejection.
+    PROBING = "probing"
 
 
 STATE_AFTER_SUCCESS = {
@@ -37,7 +38,7 @@
     ServerHealthState.HEALTHY: ServerHealthState.HEALTHY,
     ServerHealthState.SUSPECT: ServerHealthState.HEALTHY,
     ServerHealthState.PROBING: ServerHealthState.HEALTHY,
-    ServerHealthState.EJECTED: ServerHealthState.EJECTED,  # of an attempt from before the ejection
+    ServerHealthState.EJECTED: ServerHealthState.EJECTED,  # the attempt was started before the ejection
 }
 STATE_AFTER_FAILURE = {
     ServerHealthState.NEW: ServerHealthState.SUSPECT,
@@ -52,29 +53,29 @@
 class OutlierDetectionSettings:
     """When a server is ejected, for how long, and how its share of requests rises afterwards."""
 
-    consecutive_failures: int = 5  # that eject a server
-    failure_share: float = 0.5  # of recent attempts that ejects a server
-    min_samples: float = 10.0  # recent attempts, decaying, from which the failure share counts
-    base_ejection_time: timedelta = 2 * SECOND  # of the first ejection; each further one lasts twice as long
+    consecutive_failures: int = 5  # number that ejects a server
+    failure_share: float = 0.5  # failed share of the recent attempts that ejects a server
+    min_samples: float = 10.0  # decaying count of attempts below which the failure share is ignored
+    base_ejection_time: timedelta = 2 * SECOND  # of the first ejection; doubles with each further one
     max_ejection_time: timedelta = 60 * SECOND
-    forgive_after: timedelta = 60 * SECOND  # of health, after which earlier ejections are forgotten
+    forgive_after: timedelta = 60 * SECOND  # time as HEALTHY after which the ejection count is reset
     slow_start_time: timedelta = 10 * SECOND
-    min_slow_start_weight: float = 0.1  # share of its requests that a server gets when slow start begins
+    min_slow_start_weight: float = 0.1  # share of its full load that a server gets when slow start begins
 
 
 def should_eject(
     settings: OutlierDetectionSettings, consecutive_failures: int, attempts: float, failure_share: float
 ) -> bool:
-    """Decide whether a server in regular service is to be ejected after a failure.
+    """Return whether a server in regular service should be ejected after a failure.
 
-    Rule: it failed too many times in a row, or too large a share of its recent attempts failed. The share counts only
-    from a minimum of attempts on, since the first failure of few would otherwise be a large share.
+    It should if too many attempts in a row failed, or if too large a share of its recent attempts failed. The share
+    counts only from a minimum number of attempts on, since one failure among few attempts is already a large share.
 
     Args:
         settings: The thresholds.
         consecutive_failures: Failures since the last success, this one included.
-        attempts: Recent attempts, decaying.
-        failure_share: Failed share of them, from 0 to 1.
+        attempts: Decaying count of recent attempts.
+        failure_share: Failed share of the recent attempts, from 0 to 1.
 
     """
     failed_in_a_row = consecutive_failures >= settings.consecutive_failures
@@ -84,15 +85,15 @@
 
 
 def ejection_allowed(ejected: int, members: int, max_ejected_share: float) -> bool:
-    """Decide whether a pool may lose one more server to an ejection.
+    """Return whether one more server of a pool may be ejected.
 
-    Rule: no more than the given share of its members is ejected at once. With more in trouble the fault is as likely
-    on this node's side, and the servers that are left would be overloaded. The share is not rounded up: by the default
-    of `PoolSettings`, a pool of one or two servers ejects none.
+    At most the given share of the members may be ejected at once. If more servers fail, the fault is as likely to be on
+    this node's side, and the remaining servers would be overloaded. The product is not rounded up: with the default of
+    `PoolSettings`, a pool of one or two servers ejects none.
 
     Args:
-        ejected: Members that are ejected or probed now.
-        members: All members of the pool.
+        ejected: Number of members that are currently ejected or probed.
+        members: Number of all members of the pool.
         max_ejected_share: Share of the members, from 0 to 1.
 
     """
@@ -100,23 +101,23 @@
 
 
 def ejection_time(settings: OutlierDetectionSettings, earlier_ejections: int) -> timedelta:
-    """Return how long a server is ejected: twice as long after each earlier ejection, up to the maximum.
+    """Return how long a server is ejected: the time doubles with each earlier ejection, up to the maximum.
 
-    Earlier ejections are forgotten after a while in health (`forgive_after`).
+    The count of earlier ejections is reset once the server has been healthy for `forgive_after`.
     """
     doublings = min(earlier_ejections, MAX_EJECTION_DOUBLINGS)
     return min(settings.max_ejection_time, settings.base_ejection_time * (1 << doublings))
 
 
 def slow_start_weight(settings: OutlierDetectionSettings, elapsed: timedelta) -> float:
-    """Return the share of its requests that a server gets in slow start; 1 once slow start is over.
+    """Return the share of its full load that a server gets in slow start; 1 once slow start is over.
 
-    Rule: the share rises linearly from the minimum, so that caches and connections of a server that has just started
-    are not overrun.
+    The share rises linearly from the minimum, so that a server that has just started can fill its caches and open its
+    connections before it gets the full load.
 
     Args:
-        settings: Length of slow start and the minimum.
-        elapsed: Since slow start began.
+        settings: Length of slow start and the minimum share.
+        elapsed: Time since slow start began.
 
     """
     progress = elapsed / settings.slow_start_time
@@ -127,23 +128,23 @@
 
 @dataclass(slots=True)
 class ServerHealth:
-    """The health of one server. Whether an ejection is carried out is decided by the pool, which sees all servers."""
+    """The health of one server. The pool, which has the state of all servers, decides whether to eject it."""
 
     settings: OutlierDetectionSettings
     state_since: datetime
     state: ServerHealthState = ServerHealthState.NEW
     failure_rate: FailureRate = field(default_factory=FailureRate)
     consecutive_failures: int = 0
-    ejections: int = 0  # that are not forgotten yet
-    ejected_until: datetime | None = None  # end of the last ejection; None: never ejected
-    slow_start_since: datetime | None = None  # None: not in slow start
+    ejections: int = 0  # since the count was last reset (`forgive_after`)
+    ejected_until: datetime | None = None  # end of the last ejection; None if never ejected
+    slow_start_since: datetime | None = None  # None if not in slow start
 
     def __post_init__(self) -> None:
-        """Begin slow start."""
+        """Put the new server in slow start."""
         self.slow_start_since = self.state_since
 
     def record_success(self, now: datetime) -> None:
-        """Take in a successful attempt."""
+        """Record a successful attempt."""
         self.failure_rate.add(now, failed=False)
         self.consecutive_failures = 0
         if self.state is ServerHealthState.PROBING:
@@ -159,9 +160,9 @@
         )
 
     def record_failure(self, now: datetime) -> bool:
-        """Take in a failed attempt, and return whether the server should be ejected now.
+        """Record a failed attempt, and return whether the server should be ejected now.
 
-        A server that fails its probe should be ejected again; one that is ejected already stays as it is.
+        A server that fails its probe should be ejected again. For a server that is already ejected the result is False.
         """
         self.failure_rate.add(now, failed=True)
         self.consecutive_failures += 1
@@ -174,20 +175,20 @@
         return should_eject(self.settings, self.consecutive_failures, rate.attempts, rate.failure_share)
 
     def eject(self, now: datetime) -> None:
-        """Take the server out of service for a time that doubles with each ejection."""
+        """Eject the server for a time that doubles with each ejection."""
         self.ejected_until = now + ejection_time(self.settings, self.ejections)
         self.ejections += 1
         self.consecutive_failures = 0
         self._enter(ServerHealthState.EJECTED, now)
 
     def keep_in_service(self, now: datetime) -> None:
-        """Keep a server that should be ejected, as too many are already; its failures are counted anew."""
+        """Mark the server as suspect and reset its failure counts; used when too many servers are ejected already."""
         self.consecutive_failures = 0
         self.failure_rate.reset()
         self._enter(ServerHealthState.SUSPECT, now)
 
     def end_ejection_if_due(self, now: datetime) -> None:
-        """Let the server be probed once its ejection time is over."""
+        """Change the state from EJECTED to PROBING if the ejection time has passed."""
         if (
             self.state is ServerHealthState.EJECTED
             and self.ejected_until is not None
@@ -196,9 +197,9 @@
             self._enter(ServerHealthState.PROBING, now)
 
     def weight(self, now: datetime) -> float:
-        """Return the share of its requests that the server gets, from above 0 to 1.
+        """Return the share of its full load that the server gets; greater than 0, at most 1.
 
-        The first call after the slow-start time ends slow start, which `slow_start_since` shows from then on.
+        The first call after the slow-start time has passed ends slow start and sets `slow_start_since` to None.
         """
         if self.slow_start_since is None:
             return 1.0
--- a/marlstep/load_balancing/pool_config.py
+++ b/marlstep/load_balancing/pool_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a pool of servers, as the operator's file gives it."""
+"""The configuration of a pool of servers, as read from the operator's file."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass(slots=True, frozen=True)
 class PoolConfig:
-    """One pool of servers."""
+    """Configuration of one pool of servers."""
 
     name: str  # "" for the single server of `upstream`
     servers: tuple[Address, ...]
-    request_classes: tuple[str, ...] = ()  # that the pool serves; none: those that no other pool lists
-    rejection_statuses: tuple[int, ...] = ()  # by which a server says that it did not run the request
-    boot_id_header: str = "x-boot-id"  # of responses, in lower case; names the server's incarnation
+    request_classes: tuple[str, ...] = ()  # that the pool serves; if empty, all that no other pool lists
+    rejection_statuses: tuple[int, ...] = ()  # by which a server reports that it did not run the request
+    boot_id_header: str = "x-boot-id"  # response header with the server's incarnation, in lower case
     connect_timeout: timedelta = 1 * SECOND
-    max_attempts: int = 3  # of one request, each at another server
+    max_attempts: int = 3  # per request, each at a different server
     has_limits: bool = True  # whether concurrency limits and outlier detection apply
 
     @property
     def server_names(self) -> list[str]:
-        """The names of the servers, in the operator's order."""
+        """The names of the servers, in the order of the operator's file."""
         return [server_name(address) for address in self.servers]
 
 
@@ -35,7 +35,10 @@
 
 
 def pool_for(pools: tuple[PoolConfig, ...], request_class: str) -> str:
-    """Return the name of the pool that serves a request class: the one that lists it, else the one that lists none."""
+    """Return the name of the pool that serves a request class.
+
+    That is the pool that lists the class, or else the pool that lists no classes.
+    """
     for pool in pools:
         if request_class in pool.request_classes:
             return pool.name
--- a/marlstep/load_balancing/retry_policy.py
+++ b/marlstep/load_balancing/retry_policy.py
@@ -1,8 +1,8 @@
-"""Whether a request is sent to another server after an attempt that went wrong.
+"""Retry policy: whether a request is sent to another server after a failed attempt.
 
-An attempt that proves that nothing ran may be followed by another for every request. One that may have run is followed
-by another only where the request is idempotent, and only once: a request that brings down the server that runs it
-would else bring down one after another.
+Any request is retried after an attempt that certainly did not run. After an attempt that may have run, a request is
+retried only if it is idempotent, and only once: otherwise a request that crashes the server that runs it would crash
+one server after another.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 from marlstep.units import MILLISECOND
 
-MIN_REMAINING_TIME = 5 * MILLISECOND  # to the deadline; with less no server would respond in time
+MIN_REMAINING_TIME = 5 * MILLISECOND  # before the deadline; with less, no server would respond in time
 MIN_CONNECT_TIMEOUT = 1 * MILLISECOND
 
 
 class AttemptOutcome(enum.Enum):
     """How an attempt at one server ended."""
 
-    SUCCEEDED = "succeeded"  # there is a response, whatever its status
-    CONNECT_FAILED = "connect_failed"  # there was no connection: nothing ran
-    REJECTED = "rejected"  # the server says that nothing ran
-    CONNECTION_LOST = "connection_lost"  # the request was sent at least in part: it may have run
-    CANCELLED = "cancelled"  # nobody waits for the response any more
+    SUCCEEDED = "succeeded"  # a response was received, whatever its status
+    CONNECT_FAILED = "connect_failed"  # no connection was established: nothing ran
+    REJECTED = "rejected"  # the server reported that nothing ran
+    CONNECTION_LOST = "connection_lost"  # the request was sent at least partially: it may have run
+    CANCELLED = "cancelled"  # no client waits for the response any more
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that nothing took effect."""
+        """Whether this outcome rules out that the attempt had an effect."""
         return self in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.REJECTED)
 
 
 @dataclass(slots=True, frozen=True)
 class RetryPolicy:
-    """The retry state of one request: what bounds its attempts, and what the attempts so far came to.
+    """The retry state of one request: the bounds on its attempts, and the attempts so far.
 
-    It is immutable; `attempt_started` and `next_attempt` return the policy that holds from then on.
+    Instances are immutable; `attempt_started` and `next_attempt` return the updated policy.
 
     Attributes:
-        is_idempotent: Whether the request may run twice.
-        max_attempts: Bound on the attempts, each at another server.
-        deadline: After which a response is of no use.
-        attempted_servers: Handles of the servers that had an attempt.
+        is_idempotent: Whether the request may run more than once.
+        max_attempts: Maximum number of attempts, each at a different server.
+        deadline: Time after which a response is of no use.
+        attempted_servers: Handles of the servers to which the request has been sent.
         may_have_run: Whether an earlier attempt may have taken effect.
 
     """
@@ -54,7 +54,7 @@
     may_have_run: bool = False
 
     def attempt_started(self, server: int) -> RetryPolicy:
-        """Return the policy with one more server that had an attempt."""
+        """Return the policy after an attempt at `server` (a handle) has started."""
         return RetryPolicy(
             self.is_idempotent,
             self.max_attempts,
@@ -64,17 +64,17 @@
         )
 
     def next_attempt(self, outcome: AttemptOutcome, now: datetime) -> RetryPolicy | None:
-        """Decide whether the request goes to another server after an attempt ended.
+        """Decide whether the request is sent to another server after an attempt has ended.
 
-        Rule: it does while there are attempts and time left, if the outcome proves that nothing ran. Exception: if
-        the attempt may have run, it does only where the request is idempotent and no earlier attempt may have run.
+        It is, while attempts and time are left, if the outcome rules out that the attempt ran. If the attempt may have
+        run, it is only if the request is idempotent and no earlier attempt may have run.
 
         Args:
             outcome: How the attempt ended.
-            now: The time, which is compared with the deadline.
+            now: The current time.
 
         Returns:
-            The policy for the next attempt, or None where the request is not sent again.
+            The policy for the next attempt, or None if the request is not sent again.
 
         """
         attempts_left = len(self.attempted_servers) < self.max_attempts
@@ -91,5 +91,5 @@
         )
 
     def connect_timeout(self, now: datetime, configured: timedelta) -> timedelta:
-        """Return how long a connection may take to open: as configured, but not beyond the deadline."""
+        """Return the connect timeout: the configured one, shortened to the time left before the deadline."""
         return max(MIN_CONNECT_TIMEOUT, min(configured, self.deadline - now))
--- a/marlstep/load_balancing/server_choice.py
+++ b/marlstep/load_balancing/server_choice.py
@@ -8,30 +8,31 @@
 
 from marlstep.load_balancing.server import Server
 
-MAX_RANDOM_DRAWS = 6  # to find two servers with capacity, before all servers are looked at
+MAX_RANDOM_DRAWS = 6  # to find two servers with capacity, before all servers are examined
 
 
 class RandomSource(Protocol):
     """A seeded source of randomness, such as `random.Random`."""
 
     def randrange(self, start: int, /) -> int:
-        """Return a number from 0 up to, and without, `start`."""
+        """Return a random integer in the range [0, start)."""
 
 
 def choose_server(
     servers: Sequence[Server], excluded: frozenset[int], now: datetime, random_source: RandomSource
 ) -> Server | None:
-    """Return the server for an attempt, or None where no server has capacity.
+    """Return the server for an attempt, or None if no server has capacity.
 
-    Rule: of two servers with capacity that are drawn at random, the one with the shorter expected completion time.
-    That is nearly as good as the best of all servers, at a cost that does not grow with the pool; and nodes that share
-    no state do not all send to the same server. Where a few draws find no server with capacity, all are looked at.
+    Two servers with capacity are drawn at random, and the one with the shorter expected completion time is chosen. This
+    is nearly as good as choosing the best of all servers, at a cost that does not grow with the pool, and it prevents
+    nodes that share no state from all sending to the same server. If a few draws find no server with capacity, all
+    servers are examined.
 
     Args:
         servers: The members of the pool.
-        excluded: Handles of servers that must not be chosen: those that had an attempt of this request.
-        now: The time, by which slow start is computed.
-        random_source: Where draws come from.
+        excluded: Handles of servers that must not be chosen, because the request has been sent to them before.
+        now: The current time, from which the progress of slow start follows.
+        random_source: Source of the random draws.
 
     """
     candidates = _draw_with_capacity(servers, excluded, now, random_source)
@@ -40,14 +41,14 @@
     if len(candidates) > 2:
         first = candidates.pop(random_source.randrange(len(candidates)))
         candidates = [first, candidates[random_source.randrange(len(candidates))]]
-    # Of equals the first drawn wins: any fixed order would give a light load to the same few servers.
+    # Among equals the first drawn is chosen: a fixed order would send a light load to the same few servers.
     return min(candidates, key=lambda server: server.expected_completion_time(now), default=None)
 
 
 def _draw_with_capacity(
     servers: Sequence[Server], excluded: frozenset[int], now: datetime, random_source: RandomSource
 ) -> list[Server]:
-    """Draw up to two servers with capacity; none in a pool so small that all are looked at anyway."""
+    """Draw up to two servers with capacity; none if the pool is so small that all its servers are examined."""
     drawn: list[Server] = []
     if len(servers) <= MAX_RANDOM_DRAWS:
         return drawn
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -1,6 +1,6 @@
-"""The servers of one pool: its members, the attempts that they have in flight, and which server is next.
+"""The servers of one pool: its members, their attempts in flight, and the choice of the next server.
 
-What exceeds the capacity of all servers is not queued here: the admission controller does that, by priority.
+Requests beyond the capacity of all servers are not queued here: the admission controller queues them by priority.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 from marlstep.slots import SlotTable
 from marlstep.units import SECOND
 
-MAX_SERVERS = 1_024  # of a pool, those that are leaving included
+MAX_SERVERS = 1_024  # per pool, including servers that are leaving
 
-# Whether a server may be probed, by its name, the end of its ejection and the time.
+# Returns whether a server may be probed. Arguments: its name, the end of its ejection, the current time.
 ProbePermission = Callable[[str, datetime, datetime], bool]
 
 
 def always_may_probe(_server: str, _ejected_until: datetime, _now: datetime) -> bool:
-    """Let this node probe every server whose ejection is over, as a node without peers does."""
+    """Permit every probe: the default, for a node without peers."""
     return True
 
 
 @dataclass(slots=True, frozen=True)
 class PoolSettings:
-    """Settings of the servers of a pool, and of the pool as a whole."""
+    """Settings of a pool and its servers."""
 
     limits: ConcurrencyLimitSettings = field(default_factory=ConcurrencyLimitSettings)
     health: OutlierDetectionSettings = field(default_factory=OutlierDetectionSettings)
-    max_ejected_share: float = 0.34  # of the members that may be ejected at once; see `ejection_allowed`
+    max_ejected_share: float = 0.34  # of the members, at once; see `ejection_allowed`
     latency_decay_time: timedelta = 10 * SECOND  # of the latency estimate
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipChange:
-    """The names of the servers that a change of members added and removed."""
+    """The names of the servers that were added to and removed from a pool."""
 
     added: tuple[str, ...] = ()
     removed: tuple[str, ...] = ()
@@ -57,53 +57,54 @@
 
 
 class ServerTable:
-    """The servers of a pool by handle; the handle of a server that was dropped finds nothing."""
+    """The servers of a pool by handle; the handle of a server that was dropped is no longer valid."""
 
     def __init__(self, settings: PoolSettings, random_source: RandomSource) -> None:
-        """Make an empty table; `random_source` is drawn from to choose servers."""
+        """Initialize an empty table; `random_source` is used to choose servers."""
         self.settings = settings
-        self.may_probe: ProbePermission = (
-            always_may_probe  # replaced where one node of a fleet checks for all
-        )
+        # Replaced on the nodes of a fleet, where one node checks the ejected servers for all.
+        self.may_probe: ProbePermission = always_may_probe
         self._random_source = random_source
         self._servers: SlotTable[Server] = SlotTable(MAX_SERVERS)
         self._handles: dict[str, int] = {}  # by name
-        self._members: list[
-            Server
-        ] = []  # all but those that are leaving, in the order in which they were added
-        self._ejected: dict[int, Server] = {}  # by handle: those that are ejected or probed
+        self._members: list[Server] = []  # those that are not leaving, in the order of their slots
+        self._ejected: dict[int, Server] = {}  # by handle; servers that are ejected or probed
 
     def __len__(self) -> int:
-        """Count the servers, those that are leaving included."""
+        """Return the number of servers, including those that are leaving."""
         return len(self._servers)
 
     def __iter__(self) -> Iterator[Server]:
-        """Iterate over the servers, those that are leaving included."""
+        """Iterate over the servers, including those that are leaving."""
         return iter(self._servers)
 
     def get(self, handle: int) -> Server | None:
-        """Look up a server by its handle; None where it was dropped."""
+        """Look up a server by its handle; None if it was dropped."""
         return self._servers.get(handle)
 
     def find(self, name: str) -> Server | None:
-        """Look up a server by its name; None where there is none."""
+        """Look up a server by its name; None if there is none."""
         handle = self._handles.get(name)
         return None if handle is None else self._servers.get(handle)
 
-    # Members.
+    # Membership of the pool.
 
     def set_members(self, names: list[str], now: datetime) -> MembershipChange:
-        """Make these the members of the pool, and return what changed.
+        """Set the members of the pool, and return the servers that were added and removed.
+
+        A removed server stays in the table until its attempts in flight have ended. If it is added again before then,
+        it keeps its state.
 
-        A server that is removed keeps its attempts in flight until they have ended. If it is added again before, it
-        is the same server, with all that is known of it.
+        Args:
+            names: Names of all members; duplicates are ignored.
+            now: The current time; new servers begin slow start at it.
 
         Raises:
-            PoolFullError: There would be too many servers; nothing is changed then. Servers that this call removes
-                are not counted.
-            TableFullError: Servers that this call removed have attempts in flight, and leave no slot for some of the
-                new ones. No new server is used then, although some have been added, and the removed ones get no
-                attempts any more.
+            PoolFullError: The new members and the servers that were already leaving exceed `MAX_SERVERS`; nothing is
+                changed. Servers that this call would remove are not counted.
+            TableFullError: Servers that this call removed still have attempts in flight, and leave too few free slots
+                for the new ones. Some new servers may have been added to the table, but none of them is used, and the
+                removed servers get no more attempts.
 
         """
         members = dict.fromkeys(names)
@@ -125,7 +126,7 @@
         return removed
 
     def _add(self, name: str, now: datetime) -> bool:
-        """Add a server, unless it is a member."""
+        """Add a server; return False if it is already a member."""
         known = self.find(name)
         if known is not None:
             was_leaving, known.leaving = known.leaving, False
@@ -141,17 +142,17 @@
         return True
 
     def _drop_if_drained(self, server: Server) -> None:
-        """Free the slot of a server that is leaving and has no attempt in flight."""
+        """Remove the server from the table if it is leaving and has no attempt in flight."""
         if server.leaving and not server.in_flight and self._servers.free(server.handle):
             del self._handles[server.name]
             self._ejected.pop(server.handle, None)
 
-    # Capacity and choice.
+    # Capacity, and the choice of servers.
 
     def capacity(self, now: datetime) -> int:
-        """Return how many attempts the members take at once, those in flight included; a probe counts as one.
+        """Return how many attempts the members can have in flight at once; a server that may be probed counts as one.
 
-        Ejections and slow starts whose time is over end with this call.
+        Also ends the ejections and slow starts whose time has passed.
         """
         total = 0
         for server in self._members:
@@ -164,16 +165,20 @@
 
     @property
     def capacity_changes_with_time(self) -> bool:
-        """Whether the capacity can change without an attempt that ends: a server is ejected, or in slow start."""
+        """Whether the capacity can change over time alone, because a server is ejected or in slow start."""
         return bool(self._ejected) or any(
             server.health.slow_start_since is not None for server in self._members
         )
 
     def choose(self, now: datetime, excluded: frozenset[int] = frozenset()) -> Server | None:
-        """Return the server for an attempt; None where none has capacity. Nothing is reserved yet.
+        """Return the server for an attempt, or None if no server has capacity. This does not reserve any capacity.
 
-        Rule: a server that is due for a probe comes first, since its recovery is worth more than one request. Else
-        `choose_server` decides. Servers whose handles are in `excluded` are not chosen.
+        A server that is due for a probe has precedence, since its recovery is worth more than one request. Otherwise
+        `choose_server` decides.
+
+        Args:
+            now: The current time.
+            excluded: Handles of servers that must not be chosen.
         """
         return self._server_due_for_probe(now, excluded) or choose_server(
             self._members, excluded, now, self._random_source
@@ -193,19 +198,20 @@
         return until is None or self.may_probe(server.name, until, now)
 
     def ejected(self) -> dict[str, datetime]:
-        """Return the members that are ejected or probed, by name, with the end of their ejection."""
+        """Return the end of the ejection of each member that is ejected or probed, by server name."""
         return {
             server.name: server.health.ejected_until
             for server in self._ejected.values()
             if server.health.ejected_until is not None and not server.leaving
         }
 
-    # Attempts.
+    # Start and end of attempts.
 
     def attempt_started(self, handle: int) -> None:
         """Count an attempt as in flight at the server.
 
-        Attempts are counted, not told apart: while a server is probed, an older attempt that ends counts as the probe.
+        Attempts are only counted, not identified: if an older attempt ends while a server is probed, its result counts
+        as the result of the probe.
         """
         server = self._servers.get(handle)
         if server is not None:
@@ -215,7 +221,7 @@
             )
 
     def attempt_succeeded(self, handle: int, now: datetime, latency: timedelta) -> None:
-        """Take in a response, which came `latency` after the attempt was started."""
+        """Record a response that was received `latency` after the start of the attempt."""
         server = self._end_attempt(handle)
         if server is None:
             return
@@ -225,9 +231,14 @@
         self._drop_if_drained(server)
 
     def attempt_failed(self, handle: int, now: datetime, elapsed: timedelta) -> None:
-        """Take in that the server could not be reached, or that the connection or the response failed.
+        """Record that the server could not be reached, or that the connection was lost or the response invalid.
+
+        A failure that took longer than the latency estimate raises the estimate; a faster failure does not lower it.
 
-        A failure that took longer than the latency estimate raises the estimate; a fast one does not lower it.
+        Args:
+            handle: Handle of the server.
+            now: The current time.
+            elapsed: Time since the start of the attempt.
         """
         server = self._end_attempt(handle)
         if server is None:
@@ -241,9 +252,10 @@
         self._drop_if_drained(server)
 
     def attempt_rejected(self, handle: int, now: datetime) -> None:
-        """Take in that the server rejected the request: it is alive, and overloaded.
+        """Record that the server rejected the request, which means that it is alive but overloaded.
 
-        This lowers its concurrency limit, and is no failure for outlier detection. A probe passes by it.
+        A rejection lowers the concurrency limit, but is not a failure for outlier detection: a rejected probe counts as
+        successful.
         """
         server = self._end_attempt(handle)
         if server is None:
@@ -254,7 +266,7 @@
         self._drop_if_drained(server)
 
     def attempt_cancelled(self, handle: int) -> None:
-        """Take in that nobody waits for the response any more, which tells nothing about the server."""
+        """Record that an attempt was cancelled, which gives no information about the server."""
         server = self._end_attempt(handle)
         if server is not None:
             server.probe_in_flight = False
@@ -274,7 +286,7 @@
             self._ejected.pop(server.handle, None)
 
     def _eject_unless_too_many(self, server: Server, now: datetime) -> None:
-        """Eject a server; one that failed its probe is ejected again however many are."""
+        """Eject a server if the pool permits; a server that failed its probe is always ejected again."""
         ejected = sum(not other.leaving for other in self._ejected.values())
         failed_its_probe = server.health.state is ServerHealthState.PROBING
         if failed_its_probe or ejection_allowed(ejected, len(self._members), self.settings.max_ejected_share):
@@ -284,9 +296,10 @@
             server.health.keep_in_service(now)
 
     def boot_id_received(self, handle: int, boot_id: str, now: datetime) -> bool:
-        """Take in the identity of the server's incarnation, and return whether the server has restarted.
+        """Record the boot id of the server's incarnation, and return whether the server has restarted.
 
-        What was learned of the previous incarnation tells nothing about this one, and is discarded.
+        After a restart the latency, concurrency limit and health of the previous incarnation are discarded, since they
+        do not apply to the new one.
         """
         server = self._servers.get(handle)
         if server is None:
--- a/marlstep/upstreams/__init__.py
+++ b/marlstep/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The client of uwsgi servers: a backend that does its work by forwarding requests to pools of servers."""
+"""The uwsgi client: a backend that forwards requests to pools of uwsgi servers."""
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request on its way to one uwsgi server, over a connection of its own."""
+"""One attempt: sends a request to one uwsgi server over its own connection, and receives the response."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from marlstep.upstreams.outcomes import response_outcome
 from marlstep.upstreams.response_reader import ResponseReader
 
-RING_SIZE = 16 * 1024  # bytes, in each direction
+RING_SIZE = 16 * 1024  # bytes per direction
 
 
 class AttemptState(enum.Enum):
-    """The life cycle of an attempt; it goes through the states in this order, and may skip the middle one."""
+    """The life cycle of an attempt: the states occur in this order, and AWAITING_RESPONSE may be skipped."""
 
-    CONNECTING = "connecting"  # nothing was sent: nothing can have run
-    AWAITING_RESPONSE = "awaiting_response"  # the request was sent at least in part: it may run
+    CONNECTING = "connecting"  # nothing was sent, so nothing can have run
+    AWAITING_RESPONSE = "awaiting_response"  # the request was sent at least partially, and may run
     ENDED = "ended"  # the owner was notified
 
 
 class AttemptOwner(Protocol):
-    """What an attempt reports to."""
+    """The object that starts an attempt and is notified of its end."""
 
-    response_limit: int  # bytes
+    response_limit: int  # largest response that is accepted, in bytes
 
     def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, error: AttemptError | None) -> None:
-        """Handle the end of an attempt; called once. The owner then calls `release`."""
+        """Handle the end of an attempt. Called once per attempt; the owner must call `attempt.release`."""
 
 
 class Attempt(RingStream):
-    """The connection of one attempt, from its opening to the complete response."""
+    """The connection of one attempt, from the connect to the complete response."""
 
     def __init__(
         self,
@@ -54,7 +54,17 @@
         rejection_statuses: Collection[int],
         boot_id_header: str,
     ) -> None:
-        """`packet` is the whole uwsgi request; the others are as the pool's configuration has them."""
+        """Initialize an attempt that is not connected yet; `open` starts it.
+
+        Args:
+            owner: Is notified once of the end of the attempt.
+            request_id: The id of the request, for the owner.
+            packet: The complete uwsgi request.
+            started_at: The time at which the attempt is started, for the owner.
+            rejection_statuses: Status codes by which a server reports that it did not run the request.
+            boot_id_header: Response header with the server's incarnation, in lower case.
+
+        """
         super().__init__(RING_SIZE)
         self.request_id, self.started_at = request_id, started_at
         self.state = AttemptState.CONNECTING
@@ -66,16 +76,24 @@
 
     @property
     def response(self) -> bytes:
-        """The response as far as it was received."""
+        """The part of the response that has been received so far."""
         return bytes(self._reader.data)
 
     @property
     def boot_id(self) -> str | None:
-        """The incarnation of the server, where its response names one."""
+        """The server's incarnation; None if the response contains none."""
         return self._reader.boot_id
 
     def open(self, dial: Dial, address: Address, timeline: TimerQueue, connect_timeout: timedelta) -> None:
-        """Begin to connect; the request is sent as soon as the connection is open."""
+        """Start to connect; the request is sent as soon as the connection is open.
+
+        Args:
+            dial: Opens connections.
+            address: Host and port of the server.
+            timeline: The clock and its timers.
+            connect_timeout: Time after which the attempt ends if the connection is not open.
+
+        """
         self._timeline = timeline
         self._connect_timer = timeline.at(
             timeline.now() + connect_timeout,
@@ -84,11 +102,11 @@
         self._cancel_dial = dial(lambda: self, address, self._dialed)
 
     def cancel(self) -> None:
-        """End the attempt, as nobody waits for the response any more; does nothing where it has ended."""
+        """Cancel the attempt because no client waits for the response; has no effect once the attempt has ended."""
         self._end(AttemptOutcome.CANCELLED)
 
     def release(self) -> None:
-        """Free the timer and the connection."""
+        """Cancel the connect timer and close the connection."""
         self._timeline.cancel(self._connect_timer)
         if self._cancel_dial is not None:
             self._cancel_dial()
@@ -101,7 +119,7 @@
             self.connect_failed(ConnectError(error))
 
     def connect_failed(self, error: AttemptError) -> None:
-        """End the attempt; only where nothing was sent that proves that nothing ran."""
+        """End the attempt after a connect error; the request cannot have run if nothing was sent."""
         nothing_sent = self.state is AttemptState.CONNECTING
         self._end(AttemptOutcome.CONNECT_FAILED if nothing_sent else AttemptOutcome.CONNECTION_LOST, error)
 
@@ -110,10 +128,10 @@
             self.state = AttemptState.ENDED
             self._owner.attempt_ended(self, outcome, error)
 
-    # Called by the stream.
+    # Callbacks of `RingStream`.
 
     def opened(self) -> None:
-        """Send the request, unless the attempt ended while the connection was being opened: it must not run then."""
+        """Send the request, unless the attempt ended during the connect: the request must not run then."""
         self._timeline.cancel(self._connect_timer)
         if self.state is AttemptState.ENDED:
             self.abort()
@@ -122,7 +140,7 @@
             self.send(self._packet)
 
     def data_received(self) -> None:
-        """Read the response, and end the attempt once it is complete or proves invalid."""
+        """Parse the received data, and end the attempt once the response is complete or found to be invalid."""
         try:
             self._reader.feed(self.inbox.take(self.inbox.used))
             if self.at_eof:
@@ -134,7 +152,7 @@
                 self._end(response_outcome(self._reader.status, self._rejection_statuses))
 
     def closed(self) -> None:
-        """End the attempt, where the response is not complete."""
+        """End the attempt, unless it has ended already: the connection was lost."""
         self._end(AttemptOutcome.CONNECTION_LOST, ServerDisconnectedError())
 
     def _is_head_request(self) -> bool:
--- a/marlstep/upstreams/errors.py
+++ b/marlstep/upstreams/errors.py
@@ -1,4 +1,4 @@
-"""Why an attempt at a server failed."""
+"""Errors of attempts to forward a request to a server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """No server of the pool has capacity for the request."""
 
     def __init__(self, pool: str) -> None:
-        """Keep the name of the pool."""
+        """Initialize the error with the name of the pool."""
         super().__init__(f"no server of pool {pool!r} has capacity")
         self.pool = pool
 
@@ -25,16 +25,16 @@
     """The connection to the server could not be opened."""
 
     def __init__(self, cause: OSError) -> None:
-        """Keep what the system said."""
+        """Initialize the error with the operating system's error."""
         super().__init__(f"connect failed: {cause}")
         self.cause = cause
 
 
 class ConnectTimeoutError(AttemptError):
-    """The connection to the server was not open in time."""
+    """The connection to the server was not open before the connect timeout."""
 
     def __init__(self, timeout: timedelta) -> None:
-        """Keep how long it was waited for."""
+        """Initialize the error with the timeout that has passed."""
         super().__init__(f"connect timed out after {timeout / MILLISECOND:g} ms")
         self.timeout = timeout
 
@@ -43,36 +43,36 @@
     """The connection was lost before the response was complete."""
 
     def __init__(self) -> None:
-        """Say so."""
-        super().__init__("connection lost")
+        """Initialize the error."""
+        super().__init__("connection lost before the response was complete")
 
 
 class RemoteProtocolError(AttemptError):
-    """Base: what the server sent is no valid response."""
+    """Base: the server sent data that is not a valid response."""
 
 
 class MalformedResponseError(RemoteProtocolError):
     """The response could not be parsed."""
 
     def __init__(self, cause: Exception) -> None:
-        """Keep what the parser said."""
+        """Initialize the error with the parser's exception."""
         super().__init__(f"malformed response: {cause!r}")
         self.cause = cause
 
 
 class ResponseTooLargeError(RemoteProtocolError):
-    """The response is larger than the operator's file allows."""
+    """The response is larger than the configured limit."""
 
     def __init__(self, limit_bytes: int) -> None:
-        """Keep the limit."""
-        super().__init__(f"response of over {limit_bytes} bytes")
+        """Initialize the error with the limit."""
+        super().__init__(f"response exceeds the limit of {limit_bytes} bytes")
         self.limit_bytes = limit_bytes
 
 
 class TruncatedResponseError(RemoteProtocolError):
-    """The server ended its stream before the response was complete."""
+    """The server closed the stream before the response was complete."""
 
     def __init__(self, received_bytes: int) -> None:
-        """Keep how much was received."""
+        """Initialize the error with the number of bytes received."""
         super().__init__(f"response truncated after {received_bytes} bytes")
         self.received_bytes = received_bytes
--- a/marlstep/upstreams/outcomes.py
+++ b/marlstep/upstreams/outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt, and of a request's last attempt, means. Pure: no I/O."""
+"""Pure functions that map responses to outcomes of attempts, and outcomes of attempts to outcomes of runs."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def response_outcome(status: int, rejection_statuses: Collection[int]) -> AttemptOutcome:
-    """Return what a complete response means.
+    """Return the outcome of an attempt with a complete response.
 
-    Rule: the attempt succeeded, whatever the status: errors of the application are its response. Exception: the
-    operator's file lists statuses by which a server says that it did not run the request.
+    The attempt succeeded whatever the status, since an application error is a response too, except with one of the
+    configured statuses by which a server reports that it did not run the request.
     """
     if status in rejection_statuses:
         return AttemptOutcome.REJECTED
@@ -28,10 +28,10 @@
 
 
 def run_outcome(last_attempt: AttemptOutcome, may_have_run: bool) -> Outcome:
-    """Return the outcome of a request that is not sent to another server any more.
+    """Return the outcome of a run after its last attempt.
 
-    Rule: it is the outcome of the last attempt. Exception: if that attempt proves that it did not run, but an earlier
-    one may have, the outcome is that of a lost connection; the client must not be told that nothing took effect.
+    It is the outcome of the last attempt. However, if that attempt certainly did not run but an earlier one may have,
+    it is the outcome of a lost connection: the client must not conclude that the request had no effect.
 
     Args:
         last_attempt: How the last attempt ended.
--- a/marlstep/upstreams/response_reader.py
+++ b/marlstep/upstreams/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads one HTTP response out of the bytes that a server sends, without I/O."""
+"""Incremental parser of one HTTP response, without I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,22 @@
 
 from marlstep.upstreams.errors import MalformedResponseError, ResponseTooLargeError, TruncatedResponseError
 
-MAX_BOOT_ID_LENGTH = 64  # characters; the rest is cut off
-FIRST_FINAL_STATUS = 200  # a response below it is informational, and another one follows
+MAX_BOOT_ID_LENGTH = 64  # characters; longer values are truncated
+FIRST_FINAL_STATUS = 200  # lower statuses are informational, and another response follows
 LENGTH_HEADERS = (b"content-length", b"transfer-encoding")
 
 
 class ResponseReader:
-    """One response: the bytes received so far, kept as they came, and whether they are complete."""
+    """One response: the unmodified bytes received so far, and whether the response is complete."""
 
     def __init__(self, limit_bytes: int, boot_id_header: bytes) -> None:
-        """`boot_id_header` is the name, in lower case, of the header that names the server's incarnation."""
+        """Initialize the reader with no data received.
+
+        Args:
+            limit_bytes: Largest response that is accepted.
+            boot_id_header: Name of the header with the server's incarnation, in lower case.
+
+        """
         self.data = bytearray()
         self.boot_id: str | None = None
         self.is_complete = False
@@ -28,15 +34,15 @@
 
     @property
     def status(self) -> int:
-        """The status code; valid once the response is complete."""
+        """The status code; only valid once the response is complete."""
         return self._parser.get_status_code()
 
     def feed(self, data: bytes) -> None:
-        """Take in what was received.
+        """Parse received bytes.
 
         Raises:
-            MalformedResponseError: It is no HTTP response, or changes to another protocol.
-            ResponseTooLargeError: There are more bytes than are allowed.
+            MalformedResponseError: The data is not an HTTP response, or upgrades to another protocol.
+            ResponseTooLargeError: The response is larger than the limit.
 
         """
         self.data += data
@@ -49,14 +55,14 @@
             raise ResponseTooLargeError(self._limit_bytes)
 
     def feed_eof(self, is_head_request: Callable[[], bool]) -> None:
-        """Take in that the server has ended its stream, which completes a response that declares no length.
+        """Handle the end of the server's stream, which completes a response without a declared length.
 
         Args:
-            is_head_request: Called only where it matters: the response to a HEAD request declares the length of a
-                body that does not follow.
+            is_head_request: Returns whether the request was a HEAD request, whose response declares the length of a
+                body that does not follow. Called only if the result depends on it.
 
         Raises:
-            TruncatedResponseError: There is more to come by what the response says itself.
+            TruncatedResponseError: The headers, or a body of the declared length, are incomplete.
 
         """
         if self.is_complete:
@@ -65,19 +71,19 @@
             raise TruncatedResponseError(len(self.data))
         self.is_complete = True
 
-    # Called by httptools.
+    # Callbacks of the httptools parser.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note whether the response declares its length, and the server's incarnation."""
+        """Record whether the response declares its length, and the server's incarnation."""
         name = name.lower()
         self._length_declared = self._length_declared or name in LENGTH_HEADERS
         if name == self._boot_id_header:
             self.boot_id = value.decode("latin-1")[:MAX_BOOT_ID_LENGTH]
 
     def on_headers_complete(self) -> None:
-        """Note that the headers of the final response are complete."""
+        """Record whether the headers of the final response are complete."""
         self._headers_complete = self._parser.get_status_code() >= FIRST_FINAL_STATUS
 
     def on_message_complete(self) -> None:
-        """Note that the body is complete; without a declared length only the end of the stream says so."""
+        """Record that the body is complete; without a declared length it ends only with the stream."""
         self.is_complete = self._headers_complete and self._length_declared
--- a/marlstep/upstreams/server_pool.py
+++ b/marlstep/upstreams/server_pool.py
@@ -1,4 +1,4 @@
-"""One pool of servers as the client sees it: their addresses, what they take, and what is counted."""
+"""One pool of servers: its addresses, capacity and statistics."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-# The keys of the counters in the status of the administration API, by field.
+# Keys of the counters in the status of the administration API, by field of `PoolStatistics`.
 STATISTICS_KEYS = {
     "attempts": "attempts",
     "retries": "again",
@@ -28,17 +28,17 @@
 
 @dataclass(slots=True)
 class PoolStatistics:
-    """Counters of one pool since it was configured."""
+    """Counters of one pool since it was first configured."""
 
     attempts: int = 0
-    retries: int = 0  # attempts that followed another one of the same request
+    retries: int = 0  # attempts after the first one of a request
     connect_failures: int = 0
-    rejections: int = 0  # by a server, with one of the configured statuses
-    lost_connections: int = 0  # attempts that may have run, and gave no response
-    no_capacity: int = 0  # requests that no server had capacity for
+    rejections: int = 0  # responses with one of the configured rejection statuses
+    lost_connections: int = 0  # attempts that may have run, without a valid response
+    no_capacity: int = 0  # requests for which no server had capacity
 
     def count_outcome(self, outcome: AttemptOutcome) -> None:
-        """Count how an attempt ended; success and cancellation are not counted."""
+        """Count the outcome of an attempt; successes and cancellations are not counted."""
         match outcome:
             case AttemptOutcome.CONNECT_FAILED:
                 self.connect_failures += 1
@@ -48,7 +48,7 @@
                 self.lost_connections += 1
 
     def to_json(self) -> dict[str, Any]:
-        """Return the counters by their keys in the administration API."""
+        """Return the counters under their keys in the administration API."""
         return {key: getattr(self, name) for name, key in STATISTICS_KEYS.items()}
 
 
@@ -58,16 +58,16 @@
     def __init__(
         self, config: PoolConfig, settings: PoolSettings, random_source: random.Random, now: datetime
     ) -> None:
-        """Make a pool of new servers."""
+        """Initialize the pool with all servers new at `now`; `random_source` is used to choose servers."""
         self.config = config
         self.table = ServerTable(settings, random_source)
         self.addresses: dict[str, Address] = {}  # by server name
-        self.reported_capacity: int | None = None  # that the core was last notified of
+        self.reported_capacity: int | None = None  # last value reported to the core
         self.statistics = PoolStatistics()
         self.reconfigure(config, now)
 
     def reconfigure(self, config: PoolConfig, now: datetime) -> None:
-        """Take over a changed configuration; attempts in flight at servers that were removed end there."""
+        """Apply a changed configuration; attempts in flight at removed servers continue there."""
         change = self.table.set_members(config.server_names, now)
         self.config = config
         self.addresses |= {server_name(address): address for address in config.servers}
@@ -81,20 +81,24 @@
             )
 
     def choose(self, now: datetime, attempted_servers: frozenset[int]) -> Server | None:
-        """Return the server for an attempt; None where none has capacity.
+        """Return the server for an attempt, or None if no server has capacity.
 
-        A pool without limits takes the first server that had no attempt of the request. That may be a server that was
-        removed and still has attempts in flight: neither its health nor its membership is looked at.
+        A pool without limits uses the first server to which the request has not been sent. Neither health nor
+        membership is considered, so this may be a removed server that still has attempts in flight.
+
+        Args:
+            now: The current time.
+            attempted_servers: Handles of the servers to which the request has been sent.
         """
         if self.config.has_limits:
             return self.table.choose(now, attempted_servers)
         return next((server for server in self.table if server.handle not in attempted_servers), None)
 
     def capacity(self, now: datetime, is_full: bool) -> int:
-        """Return how many requests the pool takes at once.
+        """Return how many requests the pool can have in flight at once.
 
-        Where an attempt found no capacity (`is_full`) that is what is in flight: a server that is excluded or due for
-        a probe would count as capacity that the request could not use.
+        If an attempt has just found no capacity (`is_full`), this is the number of attempts in flight: servers that are
+        excluded for the request or due for a probe would otherwise count as capacity that the request could not use.
         """
         if is_full:
             return sum(server.in_flight for server in self.table)
@@ -103,7 +107,16 @@
     def attempt_ended(
         self, handle: int, outcome: AttemptOutcome, boot_id: str | None, now: datetime, elapsed: timedelta
     ) -> None:
-        """Take in how an attempt ended, `elapsed` after its start, and what the response tells of the server."""
+        """Record the end of an attempt.
+
+        Args:
+            handle: Handle of the server.
+            outcome: How the attempt ended.
+            boot_id: The server's incarnation from the response; None if there is none.
+            now: The current time.
+            elapsed: Time since the start of the attempt.
+
+        """
         server = self.table.get(handle)
         if boot_id is not None and self.table.boot_id_received(handle, boot_id, now):
             log.info(
--- a/marlstep/upstreams/upstream.py
+++ b/marlstep/upstreams/upstream.py
@@ -1,8 +1,8 @@
 """The backend of the uwsgi frontend: it forwards each request to a server of its pool.
 
-`marlstep.load_balancing` decides which server gets a request, and whether another one does after an attempt that went
-wrong. Requests beyond the capacity of a pool are queued by the admission controller, which is notified of that
-capacity. A run cannot be preempted here; it is cancelled only once its request is settled.
+`marlstep.load_balancing` decides which server gets a request, and whether the request is sent to another server after a
+failed attempt. The admission controller queues requests beyond the capacity of a pool, and is notified of its capacity.
+A run cannot be preempted; it is cancelled only once its request is settled.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 
 log = logging.getLogger(__name__)
 
-CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # also from a change to its report
+CAPACITY_REPORT_INTERVAL = 50 * MILLISECOND  # also the delay from a change to its report
 
 
 @dataclass(slots=True)
 class UpstreamRequest:
-    """One request, from its start here to its end."""
+    """The state of a request that is being forwarded."""
 
     request: Request
     pool: ServerPool
     started_at: datetime
     retry_policy: RetryPolicy
     attempt: Attempt | None = None  # in flight
-    server: int = 0  # handle of the server of the last attempt
+    server: int = 0  # handle of the last attempt's server
     errors: list[AttemptError] = field(default_factory=list)  # of the attempts so far
 
 
 class Upstream:
-    """Forwards requests to the servers of their pools, and reports how the runs ended."""
+    """Forwards requests to the servers of their pools, and reports the outcomes of the runs."""
 
     def __init__(
         self,
@@ -58,15 +58,15 @@
         settings: PoolSettings | None = None,
         dial: Dial = dial,
     ) -> None:
-        """Make the pools.
+        """Initialize the pools, and schedule the reports of their capacity.
 
         Args:
-            pools: Their configuration.
-            timeline: The clock, and timers on it.
-            sink: Returns what the ends of runs and the capacity of pools are reported to.
-            response_limit: Largest response, in bytes.
-            seed: Of the random choice of servers.
-            settings: Of limits and outlier detection; None: the defaults.
+            pools: Configuration of the pools.
+            timeline: The clock and its timers.
+            sink: Returns the receiver of events: ends of runs and capacities of pools.
+            response_limit: Largest response that is accepted, in bytes.
+            seed: Seed of the random choice of servers.
+            settings: Settings of concurrency limits and outlier detection; None for the defaults.
             dial: Opens connections.
 
         """
@@ -79,7 +79,7 @@
         self.reconfigure(pools)
 
     def reconfigure(self, pools: tuple[PoolConfig, ...]) -> None:
-        """Take over pools and servers from a changed configuration. A pool that was removed gets no new requests."""
+        """Apply a changed configuration of pools and servers. A removed pool gets no new requests."""
         now = self._timeline.now()
         for config in pools:
             if config.name in self.pools:
@@ -92,13 +92,13 @@
                 del self.pools[name]
         self._schedule_capacity_reports()
 
-    # The backend of requests.
+    # Backend interface.
 
     def start(self, request: Request) -> None:
-        """Forward a request to a server; it ends as rejected where no server has capacity."""
+        """Forward a request to a server; the run ends as rejected if no server has capacity."""
         now = self._timeline.now()
         pool = self.pools.get(request.inbound.pool)
-        if pool is None:  # it was removed while the request was queued
+        if pool is None:  # the pool was removed while the request was queued
             self._timeline.soon(lambda: self._sink().run_ended(request.id, Outcome.REJECTED, ZERO))
             return
         is_idempotent = request.class_settings.effect is Effect.IDEMPOTENT
@@ -109,34 +109,34 @@
             pool.statistics.no_capacity += 1
             forwarded.errors.append(NoCapacityError(pool.config.name))
             self._report_capacity(pool, is_full=True)
-            # Reported in a later turn of the loop: the core is still starting the request.
+            # Deferred to a later iteration of the event loop, because the core is still starting the request.
             self._timeline.soon(lambda: self._finish(forwarded, Outcome.REJECTED))
 
     def preempt(self, request: Request) -> None:
-        """Cancel the run if its request is settled; otherwise a server behind a socket cannot be preempted."""
+        """Cancel the run if its request is settled; otherwise do nothing, as a remote server cannot be preempted."""
         if request.is_settled:
             self.abandon(request)
 
     def abandon(self, request: Request) -> None:
-        """Cancel the run: nobody waits for its response."""
+        """Cancel the run, because no client waits for its response."""
         forwarded = self._requests.get(request.id)
         if forwarded is not None and forwarded.attempt is not None:
-            # Reported in a later turn of the loop: the core is still sending the response.
+            # Deferred to a later iteration of the event loop, because the core is still sending the response.
             self._timeline.soon(forwarded.attempt.cancel)
 
     def resume(self, request: Request) -> None:
-        """Do nothing: no run is ever paused here."""
+        """Do nothing: this backend never pauses runs."""
 
     def supply(self, request: Request, reply: bytes) -> None:
-        """Do nothing: no run here asks the node for a call."""
+        """Do nothing: runs of this backend request no downstream calls from the node."""
 
     def skip(self, request: Request) -> None:
-        """Do nothing: no run here asks the node for a call."""
+        """Do nothing: runs of this backend request no downstream calls from the node."""
 
-    # Attempts.
+    # Attempts and retries.
 
     def _start_attempt(self, forwarded: UpstreamRequest, now: datetime) -> bool:
-        """Send the request to a server that had no attempt of it; return False where none has capacity."""
+        """Send the request to a server that has not had it before; return False if none has capacity."""
         pool, request = forwarded.pool, forwarded.request
         server = pool.choose(now, forwarded.retry_policy.attempted_servers)
         if server is None:
@@ -155,7 +155,7 @@
         return True
 
     def attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome, error: AttemptError | None) -> None:
-        """Release the attempt, and send the request to another server or report its end."""
+        """Release the attempt, and either retry the request or report the end of its run."""
         forwarded = self._requests[attempt.request_id]
         now, pool = self._timeline.now(), forwarded.pool
         pool.attempt_ended(forwarded.server, outcome, attempt.boot_id, now, now - attempt.started_at)
@@ -171,7 +171,7 @@
             self._finish(forwarded, run_outcome(outcome, may_have_run), attempt.response)
 
     def _retry(self, forwarded: UpstreamRequest, outcome: AttemptOutcome, now: datetime) -> bool:
-        """Send the request to another server, where it may go there and one has capacity."""
+        """Send the request to another server if the retry policy permits; return whether it was sent."""
         next_policy = forwarded.retry_policy.next_attempt(outcome, now)
         if next_policy is None:
             return False
@@ -191,7 +191,7 @@
         elapsed = self._timeline.now() - forwarded.started_at
         self._sink().run_ended(request_id, outcome, elapsed, response)
 
-    # Capacity of the pools.
+    # Reports of the pools' capacity.
 
     def _schedule_capacity_reports(self) -> None:
         if self._report_timer is None:
@@ -206,7 +206,7 @@
             self._schedule_capacity_reports()
 
     def _report_capacity(self, pool: ServerPool, is_full: bool = False) -> None:
-        """Notify the core of a pool's capacity, where it has changed and the pool has limits."""
+        """Notify the core of a pool's capacity if it has changed and the pool has limits."""
         if not pool.config.has_limits:
             return
         capacity = pool.capacity(self._timeline.now(), is_full)
@@ -215,7 +215,7 @@
             self._sink().pool_capacity(pool.config.name, capacity)
 
     def close(self) -> None:
-        """Stop the reports, and close the connections to servers."""
+        """Stop the capacity reports, and close all connections to servers."""
         self._timeline.cancel(self._report_timer)
         for forwarded in list(self._requests.values()):
             if forwarded.attempt is not None:
