--- a/tests/load_balancing/test_concurrency_limit.py
+++ b/tests/load_balancing/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive concurrency limit: its two rules, and that it finds what a server can do."""
+"""Tests of the adaptive concurrency limit: adjustment, backoff, and convergence to a server's capacity."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def test_a_limit_falls_by_the_gradient_even_where_it_was_not_in_use() -> None:
-    # Mean latency of twice the tolerated: the gradient is a half.
+    # The mean latency is twice the tolerated latency, so the gradient is 0.5.
     fallen = limit_after_interval(SETTINGS, 100.0, 20 * MILLISECOND, 60 * MILLISECOND, max_in_flight=1)
     assert fallen == pytest.approx(100 + 0.3 * (50 + 10 - 100))
 
@@ -47,7 +47,7 @@
 
 
 def drive(limit: AdaptiveConcurrencyLimit, capacity: int, seconds: int, start: datetime) -> datetime:
-    """A server that does `capacity` requests in 20 ms each, and queues what exceeds them."""
+    """Simulate a server that runs `capacity` requests at once in 20 ms each, and queues further requests."""
     now = start
     for _ in range(seconds * 20):
         now += 50 * MILLISECOND
@@ -62,7 +62,7 @@
     limit = AdaptiveConcurrencyLimit(ConcurrencyLimitSettings())
     now = drive(limit, 40, 30, START)
     assert 40 <= limit.value <= 90
-    drive(limit, 10, 30, now)  # it lost three quarters of what it could do
+    drive(limit, 10, 30, now)  # the server loses three quarters of its capacity
     assert 8 <= limit.value <= 30
 
 
--- a/tests/load_balancing/test_failure_rate.py
+++ b/tests/load_balancing/test_failure_rate.py
@@ -1,4 +1,4 @@
-"""The decaying share of failed attempts."""
+"""Tests of the decaying share of failed attempts."""
 
 from __future__ import annotations
 
--- a/tests/load_balancing/test_health_checks.py
+++ b/tests/load_balancing/test_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of ejected servers by one node for all."""
+"""Tests of the health checks of ejected servers, which one node performs for all."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     ejected = {"s": NOW}
     assert holder.servers_to_check(ejected, NOW - MILLISECOND) == []
     assert holder.servers_to_check(ejected, NOW) == ["s"]
-    assert holder.servers_to_check(ejected, NOW + 500 * MILLISECOND) == []  # not all the time
+    assert holder.servers_to_check(ejected, NOW + 500 * MILLISECOND) == []  # within the retry interval
     assert not holder.may_probe("s", NOW, NOW) and not other.may_probe("s", NOW, NOW)
     holder.check_finished("s", True)
     assert holder.may_probe("s", NOW, NOW) and holder.servers_to_check(ejected, NOW + 5 * SECOND) == []
     assert other.peer_reported_recovery("s", 5, ejected) and other.may_probe("s", NOW, NOW)
-    assert not other.peer_reported_recovery("s", 4, ejected)  # from an earlier holder
-    assert not other.may_probe("s", NOW + SECOND, NOW + SECOND)  # ejected anew
-    assert other.may_probe("s", NOW + SECOND, NOW + 7 * SECOND)  # no notification came
+    assert not other.peer_reported_recovery("s", 4, ejected)  # from an earlier lease holder
+    assert not other.may_probe("s", NOW + SECOND, NOW + SECOND)  # ejected again, and not recovered since
+    assert other.may_probe("s", NOW + SECOND, NOW + 7 * SECOND)  # no notification within the fallback time
--- a/tests/load_balancing/test_latency_estimators.py
+++ b/tests/load_balancing/test_latency_estimators.py
@@ -1,4 +1,4 @@
-"""Estimates of latency: the peak average and the windowed minimum."""
+"""Tests of the latency estimators: the peak EWMA and the windowed minimum."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     mean.observe(START + 10 * SECOND, 10 * MILLISECOND)
     assert mean.value is not None and 39 * MILLISECOND < mean.value < 40 * MILLISECOND
     assert mean.retained_share(START + 20 * SECOND) == pytest.approx(0.368, abs=0.001)
-    assert mean.retained_share(START) == 1.0  # a clock that is held back makes nothing older
+    assert mean.retained_share(START) == 1.0  # a time before the last observation counts as no time elapsed
 
 
 def test_nothing_is_retained_before_the_first_observation() -> None:
--- a/tests/load_balancing/test_outlier_detection.py
+++ b/tests/load_balancing/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: the rules of ejection, and how a server comes back."""
+"""Tests of outlier detection: when a server is ejected, and how it returns to service."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 @pytest.mark.parametrize(
     ("consecutive_failures", "attempts", "failure_share", "expected"),
     [
-        (5, 5.0, 1.0, True),  # too many in a row
-        (4, 4.0, 1.0, False),  # a large share, of too few attempts
-        (1, 10.0, 0.5, True),  # a large share of enough
-        (4, 100.0, 0.49, False),
+        (5, 5.0, 1.0, True),  # too many failures in a row
+        (4, 4.0, 1.0, False),  # a large share of failures, but too few attempts
+        (1, 10.0, 0.5, True),  # a large share of failures, and enough attempts
+        (4, 100.0, 0.49, False),  # just below both thresholds
     ],
 )
 def test_a_server_is_ejected_after_failures_in_a_row_or_by_its_share_of_failures(
@@ -47,7 +47,7 @@
 
 def test_ejections_are_allowed_up_to_the_share_of_the_pool() -> None:
     assert ejection_allowed(2, 10, 0.34) and not ejection_allowed(3, 10, 0.34)
-    assert not ejection_allowed(0, 2, 0.34)  # one of two is over a third
+    assert not ejection_allowed(0, 2, 0.34)  # one of two servers is more than the permitted share
 
 
 def test_an_ejection_lasts_twice_as_long_after_each_earlier_one_up_to_the_maximum() -> None:
@@ -95,7 +95,7 @@
         now = server.health.ejected_until
         assert table.choose(now) is server
         table.attempt_started(server.handle)
-        assert table.choose(now) is not server  # one probe at a time
+        assert table.choose(now) is not server  # only one probe at a time
         table.attempt_failed(server.handle, now, 10 * MILLISECOND)
     assert ejection_times == [2, 4, 8, 16, 32, 60, 60]
     assert server.health.ejected_until is not None
--- a/tests/load_balancing/test_pool_config.py
+++ b/tests/load_balancing/test_pool_config.py
@@ -1,4 +1,4 @@
-"""The configuration of pools."""
+"""Tests of the configuration of pools."""
 
 from __future__ import annotations
 
--- a/tests/load_balancing/test_retry_policy.py
+++ b/tests/load_balancing/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request is sent to another server."""
+"""Tests of the retry policy: whether a request is sent to another server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def policy(is_idempotent: bool = False, max_attempts: int = 3) -> RetryPolicy:
-    """Make a policy after one attempt, at server 1."""
+    """Return the policy of a request that had one attempt, at the server with handle 1."""
     return RetryPolicy(is_idempotent, max_attempts, DEADLINE).attempt_started(1)
 
 
@@ -37,7 +37,7 @@
     assert retried is not None and retried.may_have_run
     second = retried.attempt_started(2)
     assert second.may_have_run and second.next_attempt(AttemptOutcome.CONNECTION_LOST, START) is None
-    assert second.next_attempt(AttemptOutcome.CONNECT_FAILED, START) is not None  # that one never ran
+    assert second.next_attempt(AttemptOutcome.CONNECT_FAILED, START) is not None  # it never ran
 
 
 @pytest.mark.parametrize("outcome", [AttemptOutcome.SUCCEEDED, AttemptOutcome.CANCELLED])
--- a/tests/load_balancing/test_server.py
+++ b/tests/load_balancing/test_server.py
@@ -1,4 +1,4 @@
-"""What one server can take, and how it is rated."""
+"""Tests of one server: its available capacity and its expected completion time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_server(limit: float = 10.0) -> Server:
-    """Make a server without responses yet."""
+    """Return a server without responses."""
     return Server(
         "s0",
         ServerHealth(OutlierDetectionSettings(), START),
--- a/tests/load_balancing/test_server_choice.py
+++ b/tests/load_balancing/test_server_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a server: power of two random choices."""
+"""Tests of the choice of a server: power of two random choices."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedDraws:
-    """A source of randomness that gives the numbers of a list, and notes the bounds it was asked for."""
+    """A random source that returns the given numbers in order, and records the bounds of the calls."""
 
     def __init__(self, *numbers: int) -> None:
         self.numbers, self.bounds = list(numbers), list[int]()
@@ -31,7 +31,7 @@
     servers = list(table)
     for index, server in enumerate(servers):
         complete_attempt(table, server, LATER, (10 + index) * MILLISECOND)
-    draws = ScriptedDraws(5, 5, 3)  # one that was drawn before is passed over
+    draws = ScriptedDraws(5, 5, 3)  # a server that is drawn again is skipped
     assert choose_server(servers, frozenset(), LATER, draws) is servers[3]
     assert draws.bounds == [len(servers)] * 3
 
--- a/tests/load_balancing/test_server_table.py
+++ b/tests/load_balancing/test_server_table.py
@@ -1,4 +1,4 @@
-"""The servers of a pool: members, incarnations, and that every sequence of events leaves the table consistent."""
+"""Tests of the servers of a pool: membership, restarts, and consistency under any sequence of events."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     table.set_members(["s1"], START)
     table.attempt_succeeded(server.handle, START, MILLISECOND)
     assert table.find("s0") is None and len(table) == 1
-    table.attempt_succeeded(server.handle, START, MILLISECOND)  # late, of a server that was dropped
+    table.attempt_succeeded(server.handle, START, MILLISECOND)  # has no effect: the server was dropped
 
 
 def test_a_pool_with_too_many_servers_is_rejected_and_stays_as_it_is() -> None:
--- a/tests/upstreams/test_attempt.py
+++ b/tests/upstreams/test_attempt.py
@@ -1,4 +1,4 @@
-"""The life cycle of one attempt, and that its end is reported once."""
+"""Tests of the life cycle of one attempt; its end is reported once."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Owner:
-    """Notes how its attempt ended, and releases it as the backend does."""
+    """Records how its attempt ended, and releases it as the backend does."""
 
     response_limit = 4096
 
@@ -38,7 +38,7 @@
 
     @property
     def end(self) -> tuple[AttemptOutcome, type[AttemptError] | None]:
-        """The one end that was reported."""
+        """Outcome and type of error of the only reported end."""
         [(outcome, error)] = self.ends
         assert self.attempt.state is AttemptState.ENDED
         return outcome, None if error is None else type(error)
--- a/tests/upstreams/test_outcomes.py
+++ b/tests/upstreams/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt means for its request."""
+"""Tests of the mapping from responses and attempts to outcomes."""
 
 from __future__ import annotations
 
--- a/tests/upstreams/test_response_reader.py
+++ b/tests/upstreams/test_response_reader.py
@@ -1,4 +1,4 @@
-"""Reading one response: when it is complete, and what makes it invalid."""
+"""Tests of reading one response: when it is complete, and when it is invalid."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def make_reader(limit_bytes: int = 4096) -> ResponseReader:
-    """Make a reader of responses with the default header."""
+    """Return a reader with the default boot id header."""
     return ResponseReader(limit_bytes, b"x-boot-id")
 
 
 def is_get() -> bool:
-    """Say that the request is no HEAD request."""
+    """Return whether the request is a HEAD request: no."""
     return False
 
 
 def is_head() -> bool:
-    """Say that the request is a HEAD request."""
+    """Return whether the request is a HEAD request: yes."""
     return True
 
 
@@ -38,7 +38,7 @@
         assert not reader.is_complete
         reader.feed(WITH_LENGTH[index : index + 1])
     assert reader.is_complete and reader.status == 200 and bytes(reader.data) == WITH_LENGTH
-    reader.feed_eof(is_get)  # says nothing more
+    reader.feed_eof(is_get)  # has no effect on a complete response
 
 
 def test_a_chunked_response_is_complete_with_its_last_chunk() -> None:
--- a/tests/upstreams/test_server_pool.py
+++ b/tests/upstreams/test_server_pool.py
@@ -1,4 +1,4 @@
-"""A pool of servers: its addresses, what it logs, and the keys of its counters."""
+"""Tests of a pool of servers: choice, capacity, addresses, log lines and the keys of its counters."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_pool(has_limits: bool = True) -> ServerPool:
-    """Make a pool of two servers."""
+    """Return a pool of two servers."""
     config = PoolConfig("p", SERVERS, has_limits=has_limits)
     return ServerPool(config, PoolSettings(), random.Random(1), START)
 
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -1,4 +1,7 @@
-"""The backend that forwards requests: to which server, to which next, and that a command is sent once."""
+"""Tests of the backend that forwards requests: choice of servers, retries, queueing, reconfiguration and ejection.
+
+A request that is not idempotent is never sent again once it may have run.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 class UpstreamSite:
-    """A core whose backend forwards to a pool of three servers; connections are opened by hand."""
+    """A core whose backend forwards to a pool, by default of three servers. The test accepts or refuses connections."""
 
     def __init__(self, *ports: int, **pool: Any) -> None:
         self.desk = Desk(cores=8)
@@ -56,7 +59,7 @@
 
     @property
     def port(self) -> int:
-        """The port of the connection that is being opened."""
+        """The server port of the oldest connection that is being opened."""
         return self.dial.waiting[0][1][1]
 
     def reply(self, wire: Wire, data: bytes = OK) -> None:
@@ -138,12 +141,12 @@
 
 
 def test_requests_beyond_the_capacity_of_the_pool_are_queued_by_priority() -> None:
-    # Guards against a queue in the backend, which would not know priorities, and rejections for lack of capacity.
-    site = UpstreamSite(1, 2)  # two requests each
+    # Guards against a queue in the backend, which would ignore priorities, and against rejections for lack of capacity.
+    site = UpstreamSite(1, 2)  # two requests at once per server
     for number in range(1, 6):
         site.send(number)
     site.send(6, "setpoint-cmd")
-    site.desk.submit(7)  # of no pool: not queued behind them
+    site.desk.submit(7)  # belongs to no pool, so it is not queued behind the others
     assert ("start", "r7") in site.desk.backend.told
     assert len(site.dial.waiting) == 4 and site.upstream.pools["p"].statistics.no_capacity == 0
     wires = [site.dial.accept() for _ in range(4)]
@@ -176,7 +179,7 @@
     for number, boot in enumerate((b"a", b"a", b"b"), 1):
         site.send(number)
         wire = site.dial.accept()
-        site.desk.clock.advance(100 - 30 * number)  # each response is quicker than the one before
+        site.desk.clock.advance(100 - 30 * number)  # each response is faster than the one before
         known = site.server(1).latency.value is not None
         assert known is (number > 1)
         site.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot + OK[15:])
@@ -187,7 +190,7 @@
 def test_a_dead_server_is_ejected_and_comes_back_by_a_probe() -> None:
     site = UpstreamSite()
     busy: list[Wire] = []
-    for number in range(1, 12):  # until the others are full, and the dead one has failed five times
+    for number in range(1, 12):  # enough to fill the other servers and to fail five times at the dead one
         site.send(number)
         while site.dial.waiting:
             if site.port == 2:
@@ -199,9 +202,8 @@
     for wire in busy:
         site.reply(wire)
     answered = [verdict for number in range(1, 12) for verdict in site.desk.verdicts(number)]
-    assert (
-        Counter(answered)[ResponseStatus.DONE] == 4 and Counter(answered)[ResponseStatus.REJECTED] >= 3
-    )  # none failed
+    # No request fails because of the dead server.
+    assert Counter(answered)[ResponseStatus.DONE] == 4 and Counter(answered)[ResponseStatus.REJECTED] >= 3
     site.desk.clock.advance(2_000)
     site.send(12)
     assert site.port == 2  # the probe
