--- a/marlstep/load_balancing/concurrency_limit.py
+++ b/marlstep/load_balancing/concurrency_limit.py
@@ -56,8 +56,8 @@
         max_in_flight: Highest number of requests in flight when a response was received.
 
     """
-    tolerated = settings.latency_tolerance * (baseline_latency / mean_latency)
-    gradient = max(MIN_GRADIENT, min(1.0, tolerated))
+    latency_ratio = settings.latency_tolerance * (baseline_latency / mean_latency)
+    gradient = max(MIN_GRADIENT, min(1.0, latency_ratio))
     target = limit * gradient + math.sqrt(limit)
     falls = target < limit
     was_in_use = max_in_flight >= MIN_UTILIZATION * limit
--- a/marlstep/load_balancing/health_checks.py
+++ b/marlstep/load_balancing/health_checks.py
@@ -76,8 +76,8 @@
         for name in self._servers.keys() - ejected.keys():
             del self._servers[name]
         due = []
-        for name, until in ejected.items():
-            ejection = self._ejection_of(name, until)
+        for name, ejected_until in ejected.items():
+            ejection = self._ejection_of(name, ejected_until)
             if check_is_due(ejection, now):
                 ejection.last_check_at = now
                 due.append(name)
--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -58,7 +58,7 @@
     min_samples: float = 10.0  # decaying count of attempts below which the failure share is ignored
     base_ejection_time: timedelta = 2 * SECOND  # of the first ejection; doubles with each further one
     max_ejection_time: timedelta = 60 * SECOND
-    forgive_after: timedelta = 60 * SECOND  # time as HEALTHY after which the ejection count is reset
+    ejection_count_reset_after: timedelta = 60 * SECOND  # time in the state HEALTHY
     slow_start_time: timedelta = 10 * SECOND
     min_slow_start_weight: float = 0.1  # share of its full load that a server gets when slow start begins
 
@@ -103,7 +103,7 @@
 def ejection_time(settings: OutlierDetectionSettings, earlier_ejections: int) -> timedelta:
     """Return how long a server is ejected: the time doubles with each earlier ejection, up to the maximum.
 
-    The count of earlier ejections is reset once the server has been healthy for `forgive_after`.
+    The count of earlier ejections is reset once the server has been healthy for `ejection_count_reset_after`.
     """
     doublings = min(earlier_ejections, MAX_EJECTION_DOUBLINGS)
     return min(settings.max_ejection_time, settings.base_ejection_time * (1 << doublings))
@@ -135,7 +135,7 @@
     state: ServerHealthState = ServerHealthState.NEW
     failure_rate: FailureRate = field(default_factory=FailureRate)
     consecutive_failures: int = 0
-    ejections: int = 0  # since the count was last reset (`forgive_after`)
+    ejections: int = 0  # since the count was last reset; see `ejection_count_reset_after`
     ejected_until: datetime | None = None  # end of the last ejection; None if never ejected
     slow_start_since: datetime | None = None  # None if not in slow start
 
@@ -156,7 +156,8 @@
 
     def _was_healthy_long_enough(self, now: datetime) -> bool:
         return (
-            self.state is ServerHealthState.HEALTHY and now - self.state_since >= self.settings.forgive_after
+            self.state is ServerHealthState.HEALTHY
+            and now - self.state_since >= self.settings.ejection_count_reset_after
         )
 
     def record_failure(self, now: datetime) -> bool:
--- a/marlstep/load_balancing/retry_policy.py
+++ b/marlstep/load_balancing/retry_policy.py
@@ -83,8 +83,8 @@
             return None
         if outcome.never_ran:
             return self
-        is_first_unsure = outcome is AttemptOutcome.CONNECTION_LOST and not self.may_have_run
-        if not (is_first_unsure and self.is_idempotent):
+        is_first_ambiguous_outcome = outcome is AttemptOutcome.CONNECTION_LOST and not self.may_have_run
+        if not (is_first_ambiguous_outcome and self.is_idempotent):
             return None
         return RetryPolicy(
             self.is_idempotent, self.max_attempts, self.deadline, self.attempted_servers, may_have_run=True
--- a/marlstep/load_balancing/server_table.py
+++ b/marlstep/load_balancing/server_table.py
@@ -29,7 +29,7 @@
 ProbePermission = Callable[[str, datetime, datetime], bool]
 
 
-def always_may_probe(_server: str, _ejected_until: datetime, _now: datetime) -> bool:
+def permit_every_probe(_server: str, _ejected_until: datetime, _now: datetime) -> bool:
     """Permit every probe: the default, for a node without peers."""
     return True
 
@@ -63,7 +63,7 @@
         """Initialize an empty table; `random_source` is used to choose servers."""
         self.settings = settings
         # Replaced on the nodes of a fleet, where one node checks the ejected servers for all.
-        self.may_probe: ProbePermission = always_may_probe
+        self.may_probe: ProbePermission = permit_every_probe
         self._random_source = random_source
         self._servers: SlotTable[Server] = SlotTable(MAX_SERVERS)
         self._handles: dict[str, int] = {}  # by name
@@ -127,9 +127,9 @@
 
     def _add(self, name: str, now: datetime) -> bool:
         """Add a server; return False if it is already a member."""
-        known = self.find(name)
-        if known is not None:
-            was_leaving, known.leaving = known.leaving, False
+        existing = self.find(name)
+        if existing is not None:
+            was_leaving, existing.leaving = existing.leaving, False
             return was_leaving
         server = Server(
             name,
@@ -194,8 +194,8 @@
         return None
 
     def _is_probe_permitted(self, server: Server, now: datetime) -> bool:
-        until = server.health.ejected_until
-        return until is None or self.may_probe(server.name, until, now)
+        ejection_end = server.health.ejected_until
+        return ejection_end is None or self.may_probe(server.name, ejection_end, now)
 
     def ejected(self) -> dict[str, datetime]:
         """Return the end of the ejection of each member that is ejected or probed, by server name."""
@@ -287,9 +287,11 @@
 
     def _eject_unless_too_many(self, server: Server, now: datetime) -> None:
         """Eject a server if the pool permits; a server that failed its probe is always ejected again."""
-        ejected = sum(not other.leaving for other in self._ejected.values())
+        ejected_count = sum(not other.leaving for other in self._ejected.values())
         failed_its_probe = server.health.state is ServerHealthState.PROBING
-        if failed_its_probe or ejection_allowed(ejected, len(self._members), self.settings.max_ejected_share):
+        if failed_its_probe or ejection_allowed(
+            ejected_count, len(self._members), self.settings.max_ejected_share
+        ):
             server.health.eject(now)
             self._ejected[server.handle] = server
         else:
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -99,7 +99,7 @@
             timeline.now() + connect_timeout,
             lambda: self.connect_failed(ConnectTimeoutError(connect_timeout)),
         )
-        self._cancel_dial = dial(lambda: self, address, self._dialed)
+        self._cancel_dial = dial(lambda: self, address, self._on_dialed)
 
     def cancel(self) -> None:
         """Cancel the attempt because no client waits for the response; has no effect once the attempt has ended."""
@@ -113,7 +113,7 @@
             self._cancel_dial = None
         self.abort()
 
-    def _dialed(self, error: OSError | None) -> None:
+    def _on_dialed(self, error: OSError | None) -> None:
         self._cancel_dial = None
         if error is not None:
             self.connect_failed(ConnectError(error))
--- a/marlstep/upstreams/server_pool.py
+++ b/marlstep/upstreams/server_pool.py
@@ -125,13 +125,15 @@
                 "" if server is None else server.name,
                 boot_id,
             )
-        self._record(handle, outcome, now, elapsed)
+        self._record_outcome(handle, outcome, now, elapsed)
         was_dropped = self.table.get(handle) is None
         if server is not None and was_dropped:
             self.addresses.pop(server.name, None)
         self.statistics.count_outcome(outcome)
 
-    def _record(self, handle: int, outcome: AttemptOutcome, now: datetime, elapsed: timedelta) -> None:
+    def _record_outcome(
+        self, handle: int, outcome: AttemptOutcome, now: datetime, elapsed: timedelta
+    ) -> None:
         match outcome:
             case AttemptOutcome.SUCCEEDED:
                 self.table.attempt_succeeded(handle, now, elapsed)
--- a/tests/load_balancing/test_concurrency_limit.py
+++ b/tests/load_balancing/test_concurrency_limit.py
@@ -19,8 +19,8 @@
 
 
 def test_a_limit_in_use_rises_toward_its_square_root_as_headroom_at_baseline_latency() -> None:
-    risen = limit_after_interval(SETTINGS, 16.0, 20 * MILLISECOND, 20 * MILLISECOND, max_in_flight=8)
-    assert risen == pytest.approx(16 + 0.3 * 4)
+    raised_limit = limit_after_interval(SETTINGS, 16.0, 20 * MILLISECOND, 20 * MILLISECOND, max_in_flight=8)
+    assert raised_limit == pytest.approx(16 + 0.3 * 4)
 
 
 def test_a_limit_that_was_not_in_use_does_not_rise() -> None:
@@ -29,8 +29,8 @@
 
 def test_a_limit_falls_by_the_gradient_even_where_it_was_not_in_use() -> None:
     # The mean latency is twice the tolerated latency, so the gradient is 0.5.
-    fallen = limit_after_interval(SETTINGS, 100.0, 20 * MILLISECOND, 60 * MILLISECOND, max_in_flight=1)
-    assert fallen == pytest.approx(100 + 0.3 * (50 + 10 - 100))
+    lowered_limit = limit_after_interval(SETTINGS, 100.0, 20 * MILLISECOND, 60 * MILLISECOND, max_in_flight=1)
+    assert lowered_limit == pytest.approx(100 + 0.3 * (50 + 10 - 100))
 
 
 def test_one_interval_lowers_the_target_to_no_less_than_the_minimum_gradient() -> None:
@@ -40,13 +40,15 @@
 
 
 def test_limits_stay_within_their_bounds() -> None:
-    high = limit_after_interval(SETTINGS, 256.0, 20 * MILLISECOND, 20 * MILLISECOND, max_in_flight=256)
-    assert high == SETTINGS.max_limit
+    limit_at_maximum = limit_after_interval(
+        SETTINGS, 256.0, 20 * MILLISECOND, 20 * MILLISECOND, max_in_flight=256
+    )
+    assert limit_at_maximum == SETTINGS.max_limit
     assert limit_after_failure(SETTINGS, 2.1) == SETTINGS.min_limit
     assert limit_after_failure(SETTINGS, 10.0) == pytest.approx(8.0)
 
 
-def drive(limit: AdaptiveConcurrencyLimit, capacity: int, seconds: int, start: datetime) -> datetime:
+def simulate_load(limit: AdaptiveConcurrencyLimit, capacity: int, seconds: int, start: datetime) -> datetime:
     """Simulate a server that runs `capacity` requests at once in 20 ms each, and queues further requests."""
     now = start
     for _ in range(seconds * 20):
@@ -58,11 +60,11 @@
     return now
 
 
-def test_the_limit_finds_what_a_server_can_do_and_follows_it() -> None:
+def test_the_limit_converges_to_the_capacity_of_the_server_and_follows_its_changes() -> None:
     limit = AdaptiveConcurrencyLimit(ConcurrencyLimitSettings())
-    now = drive(limit, 40, 30, START)
+    now = simulate_load(limit, 40, 30, START)
     assert 40 <= limit.value <= 90
-    drive(limit, 10, 30, now)  # the server loses three quarters of its capacity
+    simulate_load(limit, 10, 30, now)  # the server loses three quarters of its capacity
     assert 8 <= limit.value <= 30
 
 
--- a/tests/load_balancing/test_outlier_detection.py
+++ b/tests/load_balancing/test_outlier_detection.py
@@ -57,15 +57,15 @@
 
 def test_the_weight_in_slow_start_rises_linearly_from_its_minimum() -> None:
     elapsed = (-SECOND, ZERO, 5 * SECOND, 10 * SECOND, 99 * SECOND)
-    weights = [slow_start_weight(SETTINGS, one) for one in elapsed]
+    weights = [slow_start_weight(SETTINGS, time_in_slow_start) for time_in_slow_start in elapsed]
     assert weights == [pytest.approx(weight) for weight in (0.1, 0.1, 0.55, 1.0, 1.0)]
 
 
-def test_the_tables_of_states_cover_every_state() -> None:
+def test_the_transition_tables_cover_every_state() -> None:
     assert set(STATE_AFTER_SUCCESS) == set(STATE_AFTER_FAILURE) == set(ServerHealthState)
 
 
-def test_a_minute_of_health_forgives_earlier_ejections() -> None:
+def test_the_ejection_count_is_reset_after_a_minute_in_the_healthy_state() -> None:
     health = ServerHealth(SETTINGS, START, ejections=3)
     health.record_success(START)
     health.record_success(START + 59 * SECOND)
@@ -128,7 +128,7 @@
     assert capacities == [5, 27, 50]
 
 
-def test_no_more_than_the_stated_share_is_ever_ejected() -> None:
+def test_no_more_than_the_maximum_share_of_servers_is_ejected() -> None:
     table = make_table(10)
     for index in range(10):
         fail_attempts(table, f"s{index}", START, count=20)
--- a/tests/load_balancing/test_server_choice.py
+++ b/tests/load_balancing/test_server_choice.py
@@ -41,7 +41,7 @@
     assert choose_server(servers, frozenset(), LATER, ScriptedDraws(4, 2)) is servers[4]
 
 
-def test_all_servers_are_looked_at_where_the_draws_find_none_with_capacity() -> None:
+def test_all_servers_are_examined_if_the_draws_find_none_with_capacity() -> None:
     servers = list(make_table(MAX_RANDOM_DRAWS + 1))
     excluded = frozenset(server.handle for server in servers[:-1])
     draws = ScriptedDraws(*range(MAX_RANDOM_DRAWS))
@@ -67,7 +67,7 @@
     assert server_named(table, first.name).limit.value < limit
 
 
-def test_nothing_is_chosen_where_all_servers_are_full_or_excluded() -> None:
+def test_no_server_is_chosen_if_all_are_full_or_excluded() -> None:
     settings = PoolSettings(
         ConcurrencyLimitSettings(min_limit=1, initial_limit=2),
         OutlierDetectionSettings(slow_start_time=MILLISECOND),
--- a/tests/load_balancing/test_server_table.py
+++ b/tests/load_balancing/test_server_table.py
@@ -15,7 +15,7 @@
 from tests.support.pools import START, choose_and_complete, fail_attempts, make_table, server_named
 
 
-def test_nothing_learned_of_a_server_outlives_its_restart() -> None:
+def test_the_statistics_of_a_server_are_discarded_when_it_restarts() -> None:
     table = make_table(3)
     server = server_named(table, "s1")
     assert not table.boot_id_received(server.handle, "a", START)
@@ -28,7 +28,7 @@
     assert table.boot_id_received(server.handle + (1 << 30), "c", START) is False
 
 
-def test_attempts_in_flight_at_a_removed_server_end_there() -> None:
+def test_attempts_in_flight_at_a_removed_server_are_completed() -> None:
     table = make_table(3)
     server = server_named(table, "s0")
     table.attempt_started(server.handle)
@@ -42,7 +42,7 @@
     table.attempt_succeeded(server.handle, START, MILLISECOND)  # has no effect: the server was dropped
 
 
-def test_a_pool_with_too_many_servers_is_rejected_and_stays_as_it_is() -> None:
+def test_too_many_servers_are_rejected_and_leave_the_pool_unchanged() -> None:
     table = make_table(1)
     with pytest.raises(PoolFullError) as caught:
         table.set_members([f"x{index}" for index in range(2_000)], START)
@@ -50,7 +50,7 @@
     assert len(table) == 1 and table.find("s0") is not None
 
 
-def test_a_change_to_the_same_members_is_none() -> None:
+def test_setting_the_same_members_reports_no_change() -> None:
     table = make_table(2)
     assert not table.set_members(["s1", "s0"], START)
 
@@ -66,7 +66,7 @@
     assert table.capacity(until) == without_probe + 1 and table.choose(until) is server_named(table, "s0")
 
 
-def test_a_rejection_passes_a_probe() -> None:
+def test_a_rejected_probe_counts_as_successful() -> None:
     table = make_table(3)
     fail_attempts(table, "s0", START)
     until = table.ejected()["s0"]
@@ -101,7 +101,9 @@
 
 @FIXED
 @given(st.lists(EVENTS, max_size=80), st.integers(0, 100))
-def test_the_table_stays_consistent_whatever_happens(events: list[tuple[str, int]], seed: int) -> None:
+def test_the_table_stays_consistent_under_any_sequence_of_events(
+    events: list[tuple[str, int]], seed: int
+) -> None:
     table, now, in_flight = make_table(6, seed), START, list[int]()
     for event, number in events:
         match event:
@@ -115,14 +117,17 @@
                     table.attempt_started(server.handle)
                     in_flight.append(server.handle)
                 else:
-                    assert all(one.available_capacity(now) <= 0 or one.handle in excluded for one in table)
+                    assert all(
+                        candidate.available_capacity(now) <= 0 or candidate.handle in excluded
+                        for candidate in table
+                    )
             case "wait":
                 now += number * MILLISECOND
             case "members":
                 table.set_members([f"s{index}" for index in range(8) if number >> index & 1], now)
             case "restart":
-                if (known := table.find(f"s{number}")) is not None:
-                    table.boot_id_received(known.handle, str(number), now)
+                if (existing := table.find(f"s{number}")) is not None:
+                    table.boot_id_received(existing.handle, str(number), now)
             case _ if in_flight:
                 handle = in_flight.pop(number % len(in_flight))
                 if event == "succeed":
--- a/tests/upstreams/test_attempt.py
+++ b/tests/upstreams/test_attempt.py
@@ -21,7 +21,7 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class Owner:
+class RecordingOwner:
     """Records how its attempt ended, and releases it as the backend does."""
 
     response_limit = 4096
@@ -45,7 +45,7 @@
 
 
 def test_an_attempt_sends_its_request_once_connected_and_ends_with_the_response() -> None:
-    owner = Owner()
+    owner = RecordingOwner()
     states = [owner.attempt.state]
     wire = owner.dial.accept()
     states.append(owner.attempt.state)
@@ -55,41 +55,41 @@
 
 
 def test_a_configured_status_ends_the_attempt_as_rejected() -> None:
-    owner = Owner()
+    owner = RecordingOwner()
     owner.dial.accept().feed(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
     assert owner.end == (AttemptOutcome.REJECTED, None)
 
 
-def test_a_refused_connection_proves_that_nothing_ran() -> None:
-    owner = Owner()
+def test_a_refused_connection_ends_the_attempt_as_connect_failed() -> None:
+    owner = RecordingOwner()
     owner.dial.refuse()
     assert owner.end == (AttemptOutcome.CONNECT_FAILED, ConnectError)
 
 
-def test_a_connection_that_is_not_open_in_time_is_given_up() -> None:
-    owner = Owner()
+def test_a_connect_that_times_out_ends_the_attempt() -> None:
+    owner = RecordingOwner()
     owner.clock.advance(199)
     assert not owner.ends
     owner.clock.advance(1)
     assert owner.end == (AttemptOutcome.CONNECT_FAILED, ConnectTimeoutError) and not owner.dial.waiting
 
 
-def test_a_connection_that_opens_in_time_has_no_timeout_any_more() -> None:
-    owner = Owner()
+def test_the_connect_timeout_is_cancelled_once_the_connection_opens() -> None:
+    owner = RecordingOwner()
     owner.dial.accept()
     owner.clock.advance(10_000)
     assert not owner.ends
 
 
-def test_an_error_of_the_connect_after_the_request_was_sent_proves_nothing() -> None:
-    owner = Owner()
+def test_a_connect_error_after_the_request_was_sent_counts_as_a_lost_connection() -> None:
+    owner = RecordingOwner()
     owner.dial.accept()
     owner.attempt.connect_failed(ConnectError(ConnectionResetError()))
     assert owner.end == (AttemptOutcome.CONNECTION_LOST, ConnectError)
 
 
 def test_a_connection_that_closes_before_the_response_is_lost() -> None:
-    owner = Owner()
+    owner = RecordingOwner()
     owner.dial.accept().close()
     assert owner.end == (AttemptOutcome.CONNECTION_LOST, ServerDisconnectedError)
 
@@ -97,8 +97,10 @@
 @pytest.mark.parametrize(
     ("data", "error"), [(b"junk\r\n\r\n", MalformedResponseError), (OK[:-1], TruncatedResponseError)]
 )
-def test_an_invalid_response_may_have_run(data: bytes, error: type[AttemptError]) -> None:
-    owner = Owner()
+def test_an_attempt_with_an_invalid_response_ends_as_connection_lost(
+    data: bytes, error: type[AttemptError]
+) -> None:
+    owner = RecordingOwner()
     wire = owner.dial.accept()
     wire.feed(data)
     if not wire.closed:
@@ -107,15 +109,15 @@
 
 
 def test_a_cancelled_attempt_sends_nothing_on_a_connection_that_opens_late() -> None:
-    owner = Owner()
-    make, _, _ = owner.dial.waiting[0]
+    owner = RecordingOwner()
+    make_protocol, _, _ = owner.dial.waiting[0]
     owner.attempt.cancel()
-    late = Wire(make())  # type: ignore[arg-type]
-    assert owner.end == (AttemptOutcome.CANCELLED, None) and late.closed and not late.written
+    late_wire = Wire(make_protocol())  # type: ignore[arg-type]
+    assert owner.end == (AttemptOutcome.CANCELLED, None) and late_wire.closed and not late_wire.written
 
 
 def test_the_end_is_reported_once() -> None:
-    owner = Owner()
+    owner = RecordingOwner()
     owner.dial.accept().feed(OK)
     owner.attempt.cancel()
     owner.attempt.closed()
--- a/tests/upstreams/test_outcomes.py
+++ b/tests/upstreams/test_outcomes.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("outcome", list(AttemptOutcome))
-def test_an_attempt_that_never_ran_ends_a_run_that_never_ran_and_only_that(outcome: AttemptOutcome) -> None:
+def test_a_run_of_one_attempt_never_ran_exactly_if_the_attempt_never_ran(outcome: AttemptOutcome) -> None:
     assert run_outcome(outcome, may_have_run=False).never_ran is outcome.never_ran
 
 
--- a/tests/upstreams/test_response_reader.py
+++ b/tests/upstreams/test_response_reader.py
@@ -81,7 +81,7 @@
     assert reader.is_complete
 
 
-def test_what_is_no_response_is_malformed_and_kept() -> None:
+def test_data_that_is_not_a_response_is_malformed_and_kept() -> None:
     reader = make_reader()
     with pytest.raises(MalformedResponseError):
         reader.feed(b"junk\r\n\r\n")
@@ -101,6 +101,6 @@
     assert reader.boot_id == "a" * MAX_BOOT_ID_LENGTH and make_reader().boot_id is None
 
 
-def test_errors_of_the_server_share_a_base() -> None:
+def test_response_errors_share_a_base_class() -> None:
     for error in (MalformedResponseError, ResponseTooLargeError, TruncatedResponseError):
         assert issubclass(error, RemoteProtocolError) and issubclass(error, AttemptError)
--- a/tests/upstreams/test_server_pool.py
+++ b/tests/upstreams/test_server_pool.py
@@ -51,7 +51,7 @@
     assert pool.choose(START, frozenset({first.handle, second.handle})) is None
 
 
-def test_a_full_pool_has_the_capacity_of_what_is_in_flight() -> None:
+def test_the_capacity_of_a_full_pool_is_its_number_of_attempts_in_flight() -> None:
     pool = make_pool()
     server = pool.choose(START, frozenset())
     assert server is not None
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -129,13 +129,13 @@
         assert site.desk.verdicts(1) == [ResponseStatus.FAILED] and not site.dial.waiting
 
 
-def test_a_connection_that_opens_after_its_timeout_carries_nothing() -> None:
+def test_no_request_is_sent_on_a_connection_that_opens_after_its_timeout() -> None:
     site = UpstreamSite(connect_timeout=200 * MILLISECOND)
     site.send(1, "setpoint-cmd")
-    make, _, _ = site.dial.waiting[0]
+    make_protocol, _, _ = site.dial.waiting[0]
     site.desk.clock.advance(210)
-    late = Wire(make())  # type: ignore[arg-type]
-    assert late.closed and not late.written
+    late_wire = Wire(make_protocol())  # type: ignore[arg-type]
+    assert late_wire.closed and not late_wire.written
     site.reply(site.dial.accept())
     assert site.desk.verdicts(1) == [ResponseStatus.DONE]
 
@@ -157,7 +157,7 @@
     assert site.upstream._requests["r6"].attempt is sent.stream and not site.desk.verdicts(6)
 
 
-def test_attempts_in_flight_end_at_servers_and_pools_that_were_removed() -> None:
+def test_attempts_in_flight_at_removed_servers_and_pools_are_completed() -> None:
     site = UpstreamSite(1)
     site.send(1, "setpoint-cmd")
     wire = site.dial.accept()
@@ -174,36 +174,36 @@
     assert site.desk.verdicts(2) == [ResponseStatus.DONE]
 
 
-def test_nothing_learned_of_a_server_outlives_its_restart() -> None:
+def test_the_statistics_of_a_server_are_discarded_when_it_restarts() -> None:
     site = UpstreamSite(1)
-    for number, boot in enumerate((b"a", b"a", b"b"), 1):
+    for number, boot_id in enumerate((b"a", b"a", b"b"), 1):
         site.send(number)
         wire = site.dial.accept()
         site.desk.clock.advance(100 - 30 * number)  # each response is faster than the one before
-        known = site.server(1).latency.value is not None
-        assert known is (number > 1)
-        site.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot + OK[15:])
+        has_latency_estimate = site.server(1).latency.value is not None
+        assert has_latency_estimate is (number > 1)
+        site.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot_id + OK[15:])
         site.settle()
     assert site.server(1).boot_id == "b" and site.server(1).latency.value == 10 * MILLISECOND
 
 
-def test_a_dead_server_is_ejected_and_comes_back_by_a_probe() -> None:
+def test_a_dead_server_is_ejected_and_returns_after_a_successful_probe() -> None:
     site = UpstreamSite()
-    busy: list[Wire] = []
+    accepted_wires: list[Wire] = []
     for number in range(1, 12):  # enough to fill the other servers and to fail five times at the dead one
         site.send(number)
         while site.dial.waiting:
             if site.port == 2:
                 site.refuse_connection()
             else:
-                busy.append(site.dial.accept())
+                accepted_wires.append(site.dial.accept())
         site.settle()
-    assert site.server(2).health.state is ServerHealthState.EJECTED and len(busy) == 4
-    for wire in busy:
+    assert site.server(2).health.state is ServerHealthState.EJECTED and len(accepted_wires) == 4
+    for wire in accepted_wires:
         site.reply(wire)
-    answered = [verdict for number in range(1, 12) for verdict in site.desk.verdicts(number)]
+    statuses = [status for number in range(1, 12) for status in site.desk.verdicts(number)]
     # No request fails because of the dead server.
-    assert Counter(answered)[ResponseStatus.DONE] == 4 and Counter(answered)[ResponseStatus.REJECTED] >= 3
+    assert Counter(statuses)[ResponseStatus.DONE] == 4 and Counter(statuses)[ResponseStatus.REJECTED] >= 3
     site.desk.clock.advance(2_000)
     site.send(12)
     assert site.port == 2  # the probe
@@ -221,7 +221,7 @@
         max_size=60,
     )
 )
-def test_each_request_has_one_response_whatever_servers_do(
+def test_each_request_gets_one_response_under_any_sequence_of_events(
     events: list[str],
 ) -> None:
     site = UpstreamSite()
@@ -249,13 +249,13 @@
         site.desk.clock.settle()
     site.desk.clock.advance(12_000)
     disconnected = number - len(handles)
-    answered = [len(site.desk.verdicts(one)) for one in range(1, number + 1)]
-    assert max(answered, default=0) <= 1 and answered.count(0) <= disconnected
+    response_counts = [len(site.desk.verdicts(request_number)) for request_number in range(1, number + 1)]
+    assert max(response_counts, default=0) <= 1 and response_counts.count(0) <= disconnected
     assert site.desk.core.in_flight == 0 and not site.upstream._requests
     assert all(server.in_flight == 0 for server in site.upstream.pools["p"].table)
 
 
-def test_a_probe_is_due_by_time_alone() -> None:
+def test_a_probe_becomes_due_by_elapsed_time_alone() -> None:
     site = UpstreamSite(1, 2, 3)
     table = site.upstream.pools["p"].table
     server = site.server(1)
