--- a/tests/load_balancing/test_server_choice.py
+++ b/tests/load_balancing/test_server_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a server: power of two random choices."""
+"""Tests of the choice of a server: power of two random choices."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedDraws:
-    """A source of randomness that gives the numbers of a list, and notes the bounds it was asked for."""
+    """A random source that returns the given numbers in order, and records the bounds of the calls."""
 
     def __init__(self, *numbers: int) -> None:
         self.numbers, self.bounds = list(numbers), list[int]()
@@ -31,7 +31,7 @@
     servers = list(table)
     for index, server in enumerate(servers):
         complete_attempt(table, server, LATER, (10 + index) * MILLISECOND)
-    draws = ScriptedDraws(5, 5, 3)  # one that was drawn before is passed over
+    draws = ScriptedDraws(5, 5, 3)  # a server that is drawn again is skipped
     assert choose_server(servers, frozenset(), LATER, draws) is servers[3]
     assert draws.bounds == [len(servers)] * 3
 
@@ -41,7 +41,7 @@
     assert choose_server(servers, frozenset(), LATER, ScriptedDraws(4, 2)) is servers[4]
 
 
-def test_all_servers_are_looked_at_where_the_draws_find_none_with_capacity() -> None:
+def test_all_servers_are_examined_if_the_draws_find_none_with_capacity() -> None:
     servers = list(make_table(MAX_RANDOM_DRAWS + 1))
     excluded = frozenset(server.handle for server in servers[:-1])
     draws = ScriptedDraws(*range(MAX_RANDOM_DRAWS))
@@ -67,7 +67,7 @@
     assert server_named(table, first.name).limit.value < limit
 
 
-def test_nothing_is_chosen_where_all_servers_are_full_or_excluded() -> None:
+def test_no_server_is_chosen_if_all_are_full_or_excluded() -> None:
     settings = PoolSettings(
         ConcurrencyLimitSettings(min_limit=1, initial_limit=2),
         OutlierDetectionSettings(slow_start_time=MILLISECOND),
--- a/tests/upstreams/test_server_pool.py
+++ b/tests/upstreams/test_server_pool.py
@@ -1,4 +1,4 @@
-"""A pool of servers: its addresses, what it logs, and the keys of its counters."""
+"""Tests of a pool of servers: choice, capacity, addresses, log lines and the keys of its counters."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_pool(has_limits: bool = True) -> ServerPool:
-    """Make a pool of two servers."""
+    """Return a pool of two servers."""
     config = PoolConfig("p", SERVERS, has_limits=has_limits)
     return ServerPool(config, PoolSettings(), random.Random(1), START)
 
@@ -51,7 +51,7 @@
     assert pool.choose(START, frozenset({first.handle, second.handle})) is None
 
 
-def test_a_full_pool_has_the_capacity_of_what_is_in_flight() -> None:
+def test_the_capacity_of_a_full_pool_is_its_number_of_attempts_in_flight() -> None:
     pool = make_pool()
     server = pool.choose(START, frozenset())
     assert server is not None
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -1,4 +1,7 @@
-"""The backend that forwards requests: to which server, to which next, and that a command is sent once."""
+"""Tests of the backend that forwards requests: choice of servers, retries, queueing, reconfiguration and ejection.
+
+A request that is not idempotent is never sent again once it may have run.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 class UpstreamSite:
-    """A core whose backend forwards to a pool of three servers; connections are opened by hand."""
+    """A core whose backend forwards to a pool, by default of three servers. The test accepts or refuses connections."""
 
     def __init__(self, *ports: int, **pool: Any) -> None:
         self.desk = Desk(cores=8)
@@ -56,7 +59,7 @@
 
     @property
     def port(self) -> int:
-        """The port of the connection that is being opened."""
+        """The server port of the oldest connection that is being opened."""
         return self.dial.waiting[0][1][1]
 
     def reply(self, wire: Wire, data: bytes = OK) -> None:
@@ -126,24 +129,24 @@
         assert site.desk.verdicts(1) == [ResponseStatus.FAILED] and not site.dial.waiting
 
 
-def test_a_connection_that_opens_after_its_timeout_carries_nothing() -> None:
+def test_no_request_is_sent_on_a_connection_that_opens_after_its_timeout() -> None:
     site = UpstreamSite(connect_timeout=200 * MILLISECOND)
     site.send(1, "setpoint-cmd")
-    make, _, _ = site.dial.waiting[0]
+    make_protocol, _, _ = site.dial.waiting[0]
     site.desk.clock.advance(210)
-    late = Wire(make())  # type: ignore[arg-type]
-    assert late.closed and not late.written
+    late_wire = Wire(make_protocol())  # type: ignore[arg-type]
+    assert late_wire.closed and not late_wire.written
     site.reply(site.dial.accept())
     assert site.desk.verdicts(1) == [ResponseStatus.DONE]
 
 
 def test_requests_beyond_the_capacity_of_the_pool_are_queued_by_priority() -> None:
-    # Guards against a queue in the backend, which would not know priorities, and rejections for lack of capacity.
-    site = UpstreamSite(1, 2)  # two requests each
+    # Guards against a queue in the backend, which would ignore priorities, and against rejections for lack of capacity.
+    site = UpstreamSite(1, 2)  # two requests at once per server
     for number in range(1, 6):
         site.send(number)
     site.send(6, "setpoint-cmd")
-    site.desk.submit(7)  # of no pool: not queued behind them
+    site.desk.submit(7)  # belongs to no pool, so it is not queued behind the others
     assert ("start", "r7") in site.desk.backend.told
     assert len(site.dial.waiting) == 4 and site.upstream.pools["p"].statistics.no_capacity == 0
     wires = [site.dial.accept() for _ in range(4)]
@@ -154,7 +157,7 @@
     assert site.upstream._requests["r6"].attempt is sent.stream and not site.desk.verdicts(6)
 
 
-def test_attempts_in_flight_end_at_servers_and_pools_that_were_removed() -> None:
+def test_attempts_in_flight_at_removed_servers_and_pools_are_completed() -> None:
     site = UpstreamSite(1)
     site.send(1, "setpoint-cmd")
     wire = site.dial.accept()
@@ -171,37 +174,36 @@
     assert site.desk.verdicts(2) == [ResponseStatus.DONE]
 
 
-def test_nothing_learned_of_a_server_outlives_its_restart() -> None:
+def test_the_statistics_of_a_server_are_discarded_when_it_restarts() -> None:
     site = UpstreamSite(1)
-    for number, boot in enumerate((b"a", b"a", b"b"), 1):
+    for number, boot_id in enumerate((b"a", b"a", b"b"), 1):
         site.send(number)
         wire = site.dial.accept()
-        site.desk.clock.advance(100 - 30 * number)  # each response is quicker than the one before
-        known = site.server(1).latency.value is not None
-        assert known is (number > 1)
-        site.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot + OK[15:])
+        site.desk.clock.advance(100 - 30 * number)  # each response is faster than the one before
+        has_latency_estimate = site.server(1).latency.value is not None
+        assert has_latency_estimate is (number > 1)
+        site.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot_id + OK[15:])
         site.settle()
     assert site.server(1).boot_id == "b" and site.server(1).latency.value == 10 * MILLISECOND
 
 
-def test_a_dead_server_is_ejected_and_comes_back_by_a_probe() -> None:
+def test_a_dead_server_is_ejected_and_returns_after_a_successful_probe() -> None:
     site = UpstreamSite()
-    busy: list[Wire] = []
-    for number in range(1, 12):  # until the others are full, and the dead one has failed five times
+    accepted_wires: list[Wire] = []
+    for number in range(1, 12):  # enough to fill the other servers and to fail five times at the dead one
         site.send(number)
         while site.dial.waiting:
             if site.port == 2:
                 site.refuse_connection()
             else:
-                busy.append(site.dial.accept())
+                accepted_wires.append(site.dial.accept())
         site.settle()
-    assert site.server(2).health.state is ServerHealthState.EJECTED and len(busy) == 4
-    for wire in busy:
+    assert site.server(2).health.state is ServerHealthState.EJECTED and len(accepted_wires) == 4
+    for wire in accepted_wires:
         site.reply(wire)
-    answered = [verdict for number in range(1, 12) for verdict in site.desk.verdicts(number)]
-    assert (
-        Counter(answered)[ResponseStatus.DONE] == 4 and Counter(answered)[ResponseStatus.REJECTED] >= 3
-    )  # none failed
+    statuses = [status for number in range(1, 12) for status in site.desk.verdicts(number)]
+    # No request fails because of the dead server.
+    assert Counter(statuses)[ResponseStatus.DONE] == 4 and Counter(statuses)[ResponseStatus.REJECTED] >= 3
     site.desk.clock.advance(2_000)
     site.send(12)
     assert site.port == 2  # the probe
@@ -219,7 +221,7 @@
         max_size=60,
     )
 )
-def test_each_request_has_one_response_whatever_servers_do(
+def test_each_request_gets_one_response_under_any_sequence_of_events(
     events: list[str],
 ) -> None:
     site = UpstreamSite()
@@ -247,13 +249,13 @@
         site.desk.clock.settle()
     site.desk.clock.advance(12_000)
     disconnected = number - len(handles)
-    answered = [len(site.desk.verdicts(one)) for one in range(1, number + 1)]
-    assert max(answered, default=0) <= 1 and answered.count(0) <= disconnected
+    response_counts = [len(site.desk.verdicts(request_number)) for request_number in range(1, number + 1)]
+    assert max(response_counts, default=0) <= 1 and response_counts.count(0) <= disconnected
     assert site.desk.core.in_flight == 0 and not site.upstream._requests
     assert all(server.in_flight == 0 for server in site.upstream.pools["p"].table)
 
 
-def test_a_probe_is_due_by_time_alone() -> None:
+def test_a_probe_becomes_due_by_elapsed_time_alone() -> None:
     site = UpstreamSite(1, 2, 3)
     table = site.upstream.pools["p"].table
     server = site.server(1)
