--- a/marlstep/__init__.py
+++ b/marlstep/__init__.py
@@ -1,1 +1,1 @@
-"""The node: requests, attempts and outcomes on real sockets, decided by `marlstep.admission`."""
+"""Node that serves requests on real sockets; the controller in `marlstep.admission` makes its decisions."""
--- a/marlstep/__main__.py
+++ b/marlstep/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m marlstep`: the node as the platform starts it, or any command.
+"""Entry point of `python -m marlstep`: run the node, or one of the commands.
 
-The platform's line has no arguments, and goes to the node without loading what commands need.
+The platform starts the node without arguments. That path does not import the packages that only commands need.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import sys
 
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
-COMPLETION_VARIABLE = "_MARLSTEP_COMPLETE"  # set by a shell that asks which words may follow
+COMPLETION_VARIABLE = "_MARLSTEP_COMPLETE"  # set by the shell for tab completion
 MISSING_PACKAGE = 2  # exit code
 
 
@@ -18,7 +18,7 @@
     """Run the node, or a command, and return the exit code.
 
     Args:
-        arguments: the words of the call; those of the process where there are none.
+        arguments: the command-line arguments; `sys.argv[1:]` if None.
     """
     words = sys.argv[1:] if arguments is None else arguments
     match words:
@@ -45,7 +45,9 @@
     except ModuleNotFoundError as error:
         if str(error.name).startswith("marlstep"):
             raise
-        print(f"marlstep: commands need {error.name}: install requirements-ops.txt", file=sys.stderr)
+        print(
+            f"marlstep: commands need the package {error.name}: install requirements-ops.txt", file=sys.stderr
+        )
         return MISSING_PACKAGE
     return call(words)
 
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -18,16 +18,17 @@
 
 log = logging.getLogger("marlstep")
 
-MAX_RESTART_DEADLINE = 3 * SECOND  # bound on the deadline that a process with a successor waits for
-RESTART_DEADLINE_MARGIN = 700 * MILLISECOND
-DRAIN_POLL_INTERVAL = 20 * MILLISECOND  # between checks whether the drain is done
-# Before the platform stops the process, it ends by itself. Last of three margins: by then the controller has responded
-# to all requests (`admission.deadlines.DRAIN_LEAD_TICKS`), and after it the core (`core.drain.STOP_MARGIN`).
+MAX_RESTART_DEADLINE = 3 * SECOND  # longest request deadline that a process with a successor waits for
+RESTART_DEADLINE_MARGIN = 700 * MILLISECOND  # added to that deadline
+DRAIN_POLL_INTERVAL = 20 * MILLISECOND  # between checks for the end of the drain
+# The process exits by itself this long before the platform stops it. Last of three margins: by then the controller has
+# responded to all requests (`admission.deadlines.DRAIN_LEAD_TICKS`), and then the core to any that were left
+# (`core.drain.STOP_MARGIN`).
 EXIT_MARGIN = 100 * MILLISECOND
 
 
 class DrainController:
-    """Decides how a process shuts down, and when it has ended."""
+    """Decides how a process shuts down, and when it may exit."""
 
     def __init__(
         self,
@@ -39,7 +40,17 @@
         components: Mapping[str, Component],
         on_drained: Callable[[], None],
     ) -> None:
-        """Call `on_drained` once the process may end."""
+        """Initialize the controller, which polls once the core has stopped accepting.
+
+        Args:
+            config: returns the configuration in force.
+            core: the request lifecycle, which drains or hands over.
+            timeline: the node's timers.
+            naming: sends the last report to the name service.
+            frontends: counted for open connections, and told to accept again if the successor is lost.
+            components: the node's components by name.
+            on_drained: called once the process may exit.
+        """
         self._config, self._core, self._timeline = config, core, timeline
         self._naming, self._frontends, self._components = naming, frontends, components
         self._on_drained = on_drained
@@ -47,56 +58,57 @@
 
     @property
     def restart_state(self) -> RestartState | None:
-        """What is known of the node's other processes; None where the platform passes no socket."""
+        """The state of the node's other processes; None if the platform passes no socket."""
         states = (component.restart_state for component in self._components.values())
         return next((state for state in states if state is not None), None)
 
     def handle_signals(self) -> None:
-        """Drain at SIGTERM and SIGINT from now on."""
+        """Install handlers that drain the node at SIGTERM and SIGINT."""
         loop = asyncio.get_running_loop()
 
         def notify(*_: object) -> None:
-            # Called at once, also while the loop is busy with something long: the grace counts from here.
+            # Runs as soon as the signal arrives, even if the loop is blocked: the grace counts from this time.
             if not loop.is_closed():
                 loop.call_soon_threadsafe(self.drain, self._timeline.now())
 
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, notify)
 
-    def drain(self, noticed: datetime | None = None) -> None:
-        """Begin the graceful shutdown, as SIGTERM asks for.
+    def drain(self, noticed_at: datetime | None = None) -> None:
+        """Begin the graceful shutdown that SIGTERM requests.
 
-        A process in standby ends at once: the predecessor serves on. With a successor that serves, this process only
-        finishes its requests. Otherwise the node drains: it runs what arrives within the grace, and rejects the rest.
+        A process in standby exits at once, because its predecessor still serves. If a successor serves, this process
+        only finishes its requests. Otherwise the node drains: it runs requests that arrive within the grace, and
+        rejects later ones.
 
         Args:
-            noticed: when the signal came, from which the grace counts; now by default.
+            noticed_at: when the signal arrived, from which the grace counts; now if None.
         """
-        now = noticed or self._timeline.now()
+        now = noticed_at or self._timeline.now()
         for component in self._components.values():
             component.drain()
         state = self.restart_state
         if state is not None and state.is_standby:
-            self._on_drained()  # the predecessor goes on, and its reports to the name service with it
+            self._on_drained()  # the predecessor keeps serving and reporting to the name service
         elif state is not None and state.begin_shutdown(now) is ShutdownMode.HAND_OVER:
             self._core.begin_hand_over(now + self.restart_timeout())
         else:
             self._core.drain(now + self._config().shutdown_timeout, now)
-            # With a predecessor still there, this process sends no last report: one that serves goes on reporting, and
-            # one that handed over sends its own when it hears that this process drains (`successor_draining`).
+            # While the predecessor still runs, this process sends no last report: a predecessor that serves keeps
+            # reporting, and one that has handed over sends the last report itself (`successor_draining`).
             self._naming.report_last(sends_last_report=state is None or not state.has_predecessor)
 
     def restart_timeout(self) -> timedelta:
-        """Return the time from SIGTERM to the end of a process whose successor serves.
+        """Return the time from SIGTERM to the exit of a process whose successor serves.
 
-        The longest deadline of the classes, up to a bound, and a margin. A request whose deadline is beyond the bound
-        gets its response without an outcome shortly before that end.
+        It is the longest deadline of all classes, at most `MAX_RESTART_DEADLINE`, plus a margin. A request with a later
+        deadline that has not finished shortly before the exit gets a response that states no outcome.
         """
         longest = max(span(request_class.deadline_us) for request_class in self._config().settings.classes)
         return min(longest, MAX_RESTART_DEADLINE) + RESTART_DEADLINE_MARGIN
 
     def successor_lost(self) -> None:
-        """Drain if SIGTERM has come: until now the successor served in the place of this process."""
+        """Drain if this process got SIGTERM: the successor that served in its place is gone."""
         if self._core.stops_at is not None and not self._core.is_draining:
             log.warning("successor lost during shutdown: action=drain")
             self._frontends.accept_again()
@@ -105,12 +117,12 @@
             self._core.drain(self._core.stops_at)
 
     def successor_draining(self) -> None:
-        """Send the last report: the successor has sent its own to the name service, and no request is to come here."""
+        """Send the last report to the name service: the draining successor sends none while this process runs."""
         if self._core.stops_at is not None:
             self._naming.report_last()
 
     def _poll(self) -> None:
-        """End once all requests have responses and all peers have closed, or when time is up."""
+        """Finish once all requests have responses and all connections are closed, or shortly before the stop time."""
         core, now = self._core, self._timeline.now()
         out_of_time = core.stops_at is not None and now >= core.stops_at - EXIT_MARGIN
         if out_of_time or not self._is_busy():
--- a/marlstep/errors.py
+++ b/marlstep/errors.py
@@ -1,15 +1,15 @@
-"""The base of all errors that this program raises on purpose."""
+"""Base classes of the errors that this program raises itself."""
 
 from __future__ import annotations
 
 
 class MarlstepError(Exception):
-    """Base of the program's own errors; subclasses are told apart by what a caller can do about them."""
+    """Base of the program's own errors. Each subclass stands for a different reaction of the caller."""
 
 
 class RemoteProtocolError(MarlstepError):
-    """A peer sent what its protocol does not allow: reject what it sent, or end its connection."""
+    """A peer violated its protocol: reject its message, or close its connection."""
 
 
 class LocalProtocolError(MarlstepError):
-    """This program misused a protocol or its buffers: a defect here, which no peer can cause."""
+    """This program misused a protocol or a buffer: a bug in this program, which no peer can cause."""
--- a/marlstep/frontend_group.py
+++ b/marlstep/frontend_group.py
@@ -1,4 +1,4 @@
-"""All frontends of one node: they start to listen together, also later than the process itself."""
+"""All frontends of one node: they start to listen together, at the start of the process or later."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FrontendGroup:
-    """The platform's frontend, and those of components that open with it."""
+    """The platform's frontend, and the frontends of the components that open with it."""
 
     def __init__(
         self,
@@ -24,7 +24,14 @@
         open_components: Callable[[], Awaitable[None]],
         on_failure: Callable[[], None],
     ) -> None:
-        """Call `on_failure` where an address can't be had after `accept_connections`; `failure` tells why."""
+        """Initialize the group without listening.
+
+        Args:
+            resp: the platform's frontend.
+            others: frontends of components.
+            open_components: opens the components that own these.
+            on_failure: called when listening fails after `accept_connections` or `resume`; `failure` holds the error.
+        """
         self.resp = resp
         self.all: list[Frontend] = [resp, *others]
         self.failure: OSError | None = None
@@ -33,18 +40,22 @@
         self._listen_task: asyncio.Task[None] | None = None
 
     async def listen(self, config: Config) -> None:
-        """Listen for the platform, then open the components that belong to it. Raises OSError."""
+        """Listen on the platform's address, then open the components that own frontends.
+
+        Raises:
+            OSError: an address is not available.
+        """
         await self.resp.listen(config.listen, config.passed_socket)
         log.info("listening: node=%s address=%s:%d", config.name, *config.listen)
         await self._open_components()
 
     def accept_connections(self, config: Config) -> None:
-        """Begin to listen, in the place of another process if there is one, unless that has begun before."""
+        """Start to listen, in place of the predecessor if there is one, unless this was started before."""
         if self._listen_task is None:
             self.resume(config)
 
     def resume(self, config: Config) -> None:
-        """Begin to listen, unless this process listens already."""
+        """Start to listen, unless this process already listens."""
         if not self.resp.listening:
             self._listen_task = asyncio.get_running_loop().create_task(self.listen(config))
             self._listen_task.add_done_callback(self._listened)
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -1,4 +1,4 @@
-"""Composition root of one node: which part is given which, and the order in which they start and stop."""
+"""Composition root of one node: creates and connects its parts, and starts and stops them in order."""
 
 from __future__ import annotations
 
@@ -42,7 +42,13 @@
     def __init__(
         self, config: Config, timeline: TimerQueue, read_config: Callable[[], Config] | None = None
     ) -> None:
-        """Make the parts. Nothing is opened yet; `read_config` is what a reload goes by."""
+        """Create the parts of the node without opening anything.
+
+        Args:
+            config: the configuration to start with.
+            timeline: the node's timers.
+            read_config: reads the configuration for a reload; a reload keeps the configuration if None.
+        """
         self.timeline = timeline
         self.config_reloader = ConfigReloader(config, read_config or (lambda: self.config), self._reconfigure)
         self.ended = asyncio.Event()
@@ -69,7 +75,7 @@
         self._status_log = StatusLog(self.core, timeline, self.frontends.connection_count)
 
     def _make_components(self, config: Config, max_connections: int) -> int:
-        """Make what the configuration turns on. Returns the connections that are left for the node's own frontend."""
+        """Create the enabled components. Returns the number of connections left for the node's own frontend."""
         for registration in REGISTRY:
             if registration.is_enabled(config):
                 component = registration.make(self, max_connections)
@@ -93,7 +99,11 @@
         return self.config_reloader.config
 
     async def open(self) -> None:
-        """Take the addresses and start to serve. Raises OSError."""
+        """Bind the addresses and start to serve.
+
+        Raises:
+            OSError: an address is not available.
+        """
         self.drain_controller.handle_signals()
         self.config_reloader.handle_signal()
         await self._open_components(StartPhase.BEFORE_SERVING)
@@ -116,14 +126,14 @@
         self._status_log.start()
 
     async def _open_components(self, phase: StartPhase) -> None:
-        # Where the platform passes a socket, two processes of the node have the other addresses side by side.
+        # If the platform passes a socket, two processes of the node bind the other addresses at the same time.
         reuse_address = self.config.passed_socket is not None
         for component in self.components.values():
             if component.start_phase is phase:
                 await component.open(self.config, reuse_address)
 
     async def close(self) -> None:
-        """Give back all that was taken."""
+        """Close all components and clients."""
         log.info(
             "stopped: unanswered=%d in_flight=%d %s",
             self.core.unanswered,
@@ -138,7 +148,11 @@
             await component.close()
 
     def _reconfigure(self, replaced: Config) -> None:
-        """Give each part its share of the configuration that has come into force."""
+        """Apply the new configuration to each part of the node.
+
+        Args:
+            replaced: the configuration that was in force before.
+        """
         config = self.config
         self.kernel.change_address(config.kernel)
         self.database.change_address(config.database)
@@ -150,44 +164,56 @@
             self.kernel.set_gauge_names(config.gauge_names)
             self.core.apply_settings(config.settings)
 
-    # What components use of the node: see marlstep/components/host.py.
+    # Interface for components: see the protocols in marlstep/components/host.py.
 
     def drain(self) -> None:
-        """Leave, as at SIGTERM."""
+        """Begin the graceful shutdown, as at SIGTERM."""
         self.drain_controller.drain()
 
     def accept_connections(self) -> None:
-        """Accept connections from now on, in the place of the predecessor if there is one."""
+        """Start to accept connections, in place of the predecessor if there is one."""
         self.frontends.accept_connections(self.config)
 
     def serving_state_changed(self) -> None:
-        """Tell the name service and the node's other processes that an operator quiesced or resumed this one."""
+        """Report to the name service and the node's other processes that an operator quiesced or resumed this one."""
         self.report_serving_state()
         restart_state = self.drain_controller.restart_state
         if restart_state is not None:
             restart_state.serving_state_changed(self.core.serving_state.wants_traffic)
 
     def report_serving_state(self) -> None:
-        """Tell the name service whether requests are wanted here."""
+        """Report to the name service whether this node wants requests."""
         self.naming.report_state(self.core.serving_state.wants_traffic)
 
     def limit_capacity(self, capacity_share: float) -> None:
-        """Bound this process to its share, 0 to 1, of the node's memory, requests and connections."""
+        """Limit this process to a share of the node's memory, requests and connections.
+
+        Args:
+            capacity_share: from 0 to 1; the rest belongs to the node's other process.
+        """
         budget = resource_budget(self.config, processes=1 if capacity_share >= 1 else 2)
         self.core.set_capacity_share(capacity_share, max(1, int(capacity_share * budget.requests)))
         self.resp.connections.capacity = max(1, int(capacity_share * budget.connections))
 
     def connection_share(self) -> float:
-        """Tell which share of the connections that two processes have together is in use in this one."""
+        """Return the connections open in this process, as a share of the budget that two processes have together."""
         return len(self.resp.connections) / resource_budget(self.config, processes=2).connections
 
 
 async def serve(config: Config, read_config: Callable[[], Config]) -> None:
-    """Run one node until it has drained. Raises OSError where an address can't be had."""
+    """Run one node until it has drained.
+
+    Args:
+        config: the configuration to start with.
+        read_config: reads the configuration for a reload.
+
+    Raises:
+        OSError: an address is not available.
+    """
     timeline = TimerQueue(LoopWaker(asyncio.get_running_loop()))
     node = Node(config, timeline, read_config)
     if stall_ms := os.environ.get("MARLSTEP_STALL_MS", ""):
-        from marlstep.event_loop_watchdog import EventLoopWatchdog  # not loaded unless it is turned on
+        from marlstep.event_loop_watchdog import EventLoopWatchdog  # imported only if enabled
 
         EventLoopWatchdog(timeline, max(1, int(stall_ms)) * MILLISECOND).start()
     await node.open()
@@ -201,12 +227,12 @@
     """Serve until the node has drained.
 
     Args:
-        operator: path of the operator's file, for what the platform does not set.
+        operator: path of the operator's configuration file, for settings that the platform does not provide.
 
     Returns:
-        The exit code: 0, 1 where an address can't be had, 2 where the configuration is wrong.
+        The exit code: 0, 1 if an address is not available, 2 if the configuration is invalid.
     """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the node can read its configuration again
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the node can reload its configuration
     read_config = partial(load, operator=operator)
     try:
         config = read_config()
@@ -221,7 +247,7 @@
         if str(error.name).startswith("marlstep"):
             raise
         print(
-            f"marlstep: {operator} turns on what needs {error.name}: install requirements-ops.txt",
+            f"marlstep: {operator} enables a component that needs {error.name}: install requirements-ops.txt",
             file=sys.stderr,
         )
         return EXIT_CONFIG
@@ -229,6 +255,6 @@
 
 
 def _cannot_serve(error: OSError) -> int:
-    # Without a traceback: the message names the address, which is what an operator has to correct.
+    # Logged without a traceback: the message names the address that the operator has to correct.
     log.error("cannot serve: %s", error)
     return EXIT_ADDRESS
--- a/marlstep/reload.py
+++ b/marlstep/reload.py
@@ -1,4 +1,4 @@
-"""Configuration in force, and its reload: by SIGHUP from the files, or by documents that the cluster agreed on."""
+"""Configuration in force, and its reload: from the files at SIGHUP, or from documents that the cluster agreed on."""
 
 from __future__ import annotations
 
@@ -19,26 +19,37 @@
 class ConfigReloader:
     """Owner of the configuration in force.
 
-    A new one that can't be read, or that breaks a rule, is rejected before anything is changed. One that passes is in
-    force from then on, and `on_change` gives each part of the node its share. An error that `on_change` raises is not
-    handled: the parts before it have the new configuration and the others the old one, until the next reload.
+    A new configuration that can't be read, or that breaks a rule, is rejected before anything is changed. A valid one
+    comes into force, and `on_change` applies it to each part of the node. An error that `on_change` raises is not
+    handled: the parts before the failed one then have the new configuration and the others the old one, until the next
+    reload.
+
+    Attributes:
+        config: the configuration in force.
+        governed: documents in force, which override the files; None if the cluster agrees on no documents.
     """
 
     def __init__(
         self, config: Config, read_config: Callable[[], Config], on_change: Callable[[Config], None]
     ) -> None:
-        """Call `on_change` with the configuration replaced, once the new one is in force."""
+        """Initialize with the configuration to start with.
+
+        Args:
+            config: the configuration in force until the first reload.
+            read_config: reads the configuration for a reload; raises ConfigError for an invalid one.
+            on_change: called with the replaced configuration once the new one is in force.
+        """
         self.config = config
-        self.governed: DocumentOverrides | None = None  # documents in force, where the cluster agrees on any
+        self.governed: DocumentOverrides | None = None
         self._read_config = read_config
         self._on_change = on_change
 
     def handle_signal(self) -> None:
-        """Reload at each SIGHUP from now on."""
+        """Install a handler that reloads the configuration at each SIGHUP."""
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Read the configuration again. An error is logged with its key, and the old one stays in force."""
+        """Read and apply the configuration. An invalid one is logged with its key, and the old one stays in force."""
         try:
             self.apply_config(self._with_documents(self._read_config()))
         except ConfigError as error:
@@ -47,7 +58,7 @@
         log.info("configuration reloaded")
 
     def _with_documents(self, config: Config) -> Config:
-        """Put the documents in force in the place of what files say."""
+        """Override the settings of the files with the documents in force."""
         if self.governed is None:
             return config
         for difference in self.governed.describe_differences(config):
@@ -58,9 +69,9 @@
         """Put another configuration in force.
 
         Raises:
-            ConfigError: it breaks a rule; the old one stays in force.
-            TableFullError: a pool got more servers than its table holds beside those that still finish requests. The
-                configuration is in force by then, but not at all parts of the node.
+            ConfigError: the configuration breaks a rule; the old one stays in force.
+            TableFullError: a pool got more servers than its table can hold besides the removed ones that still finish
+                requests. The new configuration is in force by then, but not in all parts of the node.
         """
         replaced = self.config
         self.config, restart_keys = merge_reloaded(replaced, config)
@@ -70,11 +81,11 @@
 
 
 def log_setting_changes(replaced: Config, config: Config) -> None:
-    """Log each setting that differs, in a line of its own."""
+    """Log one line for each setting that differs."""
     for line in describe_changes(replaced.settings, config.settings):
         log.info("settings changed: %s", line)
 
 
 def _log_rejected(error: ConfigError) -> None:
-    # Without a traceback: the message names the key, which is what the author of the file has to correct.
+    # Logged without a traceback: the message names the key that the author of the file has to correct.
     log.error("configuration rejected, the running one stays in force: %s", error)
--- a/marlstep/resource_budget.py
+++ b/marlstep/resource_budget.py
@@ -8,29 +8,33 @@
 from marlstep.core.request_registry import MAX_REQUESTS
 
 HEALTH_ENDPOINT_CONNECTIONS = 48
-RESERVED_DESCRIPTORS = 64  # descriptors that are no frontend's connection
-BASE_MEMORY = 20 << 20  # bytes that one process takes before its first request
-MIN_WORKING_MEMORY = 2 << 20  # bytes for requests and connections, however small the limit is
-CONNECTION_MEMORY = 16 << 10  # bytes: its rings, its objects and what its transport holds
-REQUEST_MEMORY = 5 << 10  # bytes, with its body
+RESERVED_DESCRIPTORS = 64  # descriptors of one process for anything but frontend connections
+BASE_MEMORY = 20 << 20  # bytes that one process uses before its first request
+MIN_WORKING_MEMORY = 2 << 20  # bytes for requests and connections, even under a smaller memory limit
+CONNECTION_MEMORY = 16 << 10  # bytes: ring buffers, objects and the buffers of the transport
+REQUEST_MEMORY = 5 << 10  # bytes, including the body
 MIN_CONNECTIONS = 16
 
 
 class ResourceBudget(NamedTuple):
-    """The most requests and connections that a node holds at once."""
+    """The maximum numbers of requests and connections that a node holds at once."""
 
     requests: int
     connections: int
 
 
 def resource_budget(config: Config, processes: int) -> ResourceBudget:
-    """Derive the budget of a node that runs as this number of processes.
+    """Derive the budget of a node from the limits in its configuration.
 
-    Half of the memory left beside the processes themselves is for requests, and half for connections.
+    Of the memory that the processes themselves leave, half is for requests and half for connections.
+
+    Args:
+        config: names the memory and descriptor limits.
+        processes: how many processes of the node share them.
     """
     half = max(MIN_WORKING_MEMORY, config.memory_bytes - processes * BASE_MEMORY) // 2
     reserved = RESERVED_DESCRIPTORS + (HEALTH_ENDPOINT_CONNECTIONS if config.health_listen else 0)
     descriptors = config.max_descriptors - processes * reserved
-    # With a small limit of descriptors, clients still get their minimum.
+    # Under a small descriptor limit, clients still get the minimum.
     connections = max(min(descriptors, half // CONNECTION_MEMORY), MIN_CONNECTIONS)
     return ResourceBudget(min(MAX_REQUESTS, half // REQUEST_MEMORY), connections)
--- a/marlstep/standins/__main__.py
+++ b/marlstep/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run `python -m marlstep.emulators` under its former name, which the operators' pages give."""
+"""Run `python -m marlstep.emulators` under its former name, which the operators' documentation still uses."""
 
 from marlstep.emulators.__main__ import main
 
--- a/marlstep/status_log.py
+++ b/marlstep/status_log.py
@@ -1,4 +1,4 @@
-"""Periodic status: one log line on what passed since the last, to compare with what the peers saw."""
+"""Periodic status log line, whose counts since the last line can be compared with what the peers counted."""
 
 from __future__ import annotations
 
@@ -16,30 +16,36 @@
 
 
 def format_counters(counts: Mapping[str, int]) -> str:
-    """Format counters for a log line, in the order of their names: `done=2 read=3`."""
+    """Format counters for a log line, sorted by name: `done=2 read=3`; `idle` if there are none."""
     return " ".join(f"{name.replace(' ', '_')}={count}" for name, count in sorted(counts.items())) or "idle"
 
 
 class StatusLog:
-    """Logs the counters of the core as differences, and its gauges as they are."""
+    """Logs how much the core's counters have grown since the last line, and the current values of its gauges."""
 
     def __init__(self, core: Core, timeline: TimerQueue, connection_count: Callable[[], int]) -> None:
-        """Log nothing before `start`."""
+        """Initialize the log, which writes nothing until `start`.
+
+        Args:
+            core: the source of the counters and gauges.
+            timeline: the node's timers.
+            connection_count: returns the number of open connections.
+        """
         self._core, self._timeline = core, timeline
         self._connection_count = connection_count
         self._logged: Counter[str] = Counter()
 
     def start(self) -> None:
-        """Log a line after each interval from now on."""
+        """Log one line per `STATUS_INTERVAL` from now on."""
         self._timeline.at(self._timeline.now() + STATUS_INTERVAL, self._log_status)
 
     def _log_status(self) -> None:
         core = self._core
-        passed = core.counts - self._logged
+        increments = core.counts - self._logged
         self._logged = core.counts.copy()
         log.info(
             "status: %s in_flight=%d advertised=%s connections=%d",
-            format_counters(passed),
+            format_counters(increments),
             core.in_flight,
             "-" if core.advertised_value is None else f"{core.advertised_value:.1f}",
             self._connection_count(),
--- a/marlstep/timer_queue.py
+++ b/marlstep/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timer queue: all timers of the program in one heap, with one alarm of the event loop behind it."""
+"""Timer queue: all timers of the program in one heap, driven by a single event-loop timer."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 from typing import Protocol
 
 log = logging.getLogger(__name__)
-MAX_CANCELLED_TIMERS = 64  # in a small heap, before it is rebuilt without them; in a large one, half of it
+# The heap is rebuilt without cancelled timers once it holds more of them than this, and than half of its entries.
+MAX_CANCELLED_TIMERS = 64
 
 
 class Waker(Protocol):
-    """The clock that timers are counted by, and its one alarm."""
+    """The clock of a timer queue, and its single alarm."""
 
     def now(self) -> datetime:
-        """Return the time."""
+        """Return the current time."""
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
-        """Set the alarm, in place of the one before."""
+        """Set the alarm, replacing the previous one."""
 
     def soon(self, callback: Callable[[], None]) -> None:
-        """Call back in the next turn of the event loop."""
+        """Call back in the next iteration of the event loop."""
 
 
 class Timer:
     """One timer, ordered by its time and then by its number.
 
     Attributes:
-        when: it is due.
-        number: of its setting; timers of the same time run in the order in which they were set.
-        callback: None once it has run or was cancelled.
+        when: the time at which it is due.
+        number: its sequence number; timers due at the same time run in the order in which they were set.
+        callback: called when the timer is due; None once it has run or was cancelled.
     """
 
     __slots__ = ("callback", "number", "when")
 
     def __init__(self, when: datetime, number: int, callback: Callable[[], None]) -> None:
-        """Make a timer that is due at `when`."""
+        """Create a timer that is due at `when`."""
         self.when, self.number = when, number
         self.callback: Callable[[], None] | None = callback
 
@@ -47,29 +48,29 @@
 
 
 class TimerQueue:
-    """Calls back at given times, in their order.
+    """Calls back at given times, in chronological order.
 
     Attributes:
-        now: returns the time, as the waker does.
-        soon: calls back in the next turn of the event loop, as the waker does.
+        now: the `now` method of the waker.
+        soon: the `soon` method of the waker.
     """
 
     def __init__(self, waker: Waker) -> None:
-        """Count by the clock of this waker, whose alarm belongs to the queue alone."""
+        """Create an empty queue on a waker, whose alarm nothing else may use."""
         self._waker = waker
         self._heap: list[Timer] = []
         self._number = 0
-        self._cancelled = 0  # timers that are still in the heap
+        self._cancelled = 0  # cancelled timers that are still in the heap
         self._alarm: datetime | None = None
         self.now = waker.now
         self.soon = waker.soon
 
     def __len__(self) -> int:
-        """Count the timers that are set."""
+        """Return the number of pending timers."""
         return len(self._heap) - self._cancelled
 
     def at(self, when: datetime, callback: Callable[[], None]) -> Timer:
-        """Call back at that time, or in the next turn if it has passed. Returns the timer, for `cancel`."""
+        """Call back at that time, or in the next loop iteration if it has passed. Returns the timer, for `cancel`."""
         self._number += 1
         timer = Timer(when, self._number, callback)
         heapq.heappush(self._heap, timer)
@@ -77,14 +78,15 @@
         return timer
 
     def after_reading(self, callback: Callable[[], None]) -> None:
-        """Call back once all that has arrived by now has been read.
+        """Call back once all data that has arrived by now has been read.
 
-        An event loop runs its timers before it reads: what a late timer would give up may have arrived in time.
+        An event loop runs its timers before it reads. A request or call that a late timer would time out may thus have
+        data waiting that arrived in time.
         """
         self.soon(lambda: self.soon(callback))
 
     def cancel(self, timer: Timer | None) -> None:
-        """Cancel a timer. Does nothing for one that has run or was cancelled before, and for None."""
+        """Cancel a timer. Does nothing for None, or for a timer that has run or was cancelled before."""
         if timer is None or timer.callback is None:
             return
         timer.callback = None
--- a/marlstep/units.py
+++ b/marlstep/units.py
@@ -1,6 +1,6 @@
-"""Units of time: `datetime` and `timedelta` in the program, whole microseconds for the decision module.
+"""Units of time: `datetime` and `timedelta` in most of the program, whole microseconds in `marlstep.admission`.
 
-This is the one place where the two are turned into each other.
+Only this module converts between the two.
 """
 
 from __future__ import annotations
@@ -35,30 +35,31 @@
     return EPOCH + timedelta(microseconds=us)
 
 
-def whole_ms(length: timedelta) -> int:
-    """Convert a span to whole milliseconds, rounded up: a Retry-After must not be too short."""
-    return -(-length // MILLISECOND)
+def whole_ms(duration: timedelta) -> int:
+    """Convert a span to whole milliseconds, rounded up so that a Retry-After is never too short."""
+    return -(-duration // MILLISECOND)
 
 
 class SystemClock:
-    """The system's Unix clock. It stands still while the system's own is set back."""
+    """The system's wall clock, made non-decreasing: it stands still after the system clock has been set back."""
 
     def __init__(self) -> None:
-        """Start with no earlier reading."""
+        """Initialize the clock with no earlier reading."""
         self._last = EPOCH
 
     def now(self) -> datetime:
-        """Give the time in UTC, never before an earlier reading."""
+        """Return the current UTC time, never before an earlier reading."""
         self._last = max(self._last, datetime.now(UTC))
         return self._last
 
 
 class SteadyClock:
-    """The time since the machine started, sleep included, as if it had started at the epoch.
+    """The time since boot, including suspend (CLOCK_BOOTTIME), as an instant after the epoch.
 
-    Nobody sets it, and it doesn't tell the time of day: lease terms are counted by it, on this machine alone.
+    It is never adjusted and is not the time of day. Lease durations are measured with it, so its readings must not be
+    compared between machines.
     """
 
     def now(self) -> datetime:
-        """Give the time since the start of the machine, as an instant after the epoch."""
+        """Return the time since boot, as an instant after the epoch."""
         return EPOCH + timedelta(microseconds=time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Slot tables: a handle is good until its slot is freed, and a full table says so."""
+"""Slot tables: a handle is valid until its slot is freed, and a full table raises an error."""
 
 from __future__ import annotations
 
@@ -20,5 +20,5 @@
 
 @pytest.mark.parametrize("limit", [-1, 0, INDEX_MASK + 1])
 def test_a_limit_that_handles_cannot_number_is_named(limit: int) -> None:
-    with pytest.raises(InvalidTableLimitError, match=rf"from 1 to 2\^20 - 1 slots, not {limit}"):
+    with pytest.raises(InvalidTableLimitError, match=rf"from 1 to 2\^20 - 1 slots, got {limit}"):
         SlotTable[str](limit)
