--- a/marlstep/__main__.py
+++ b/marlstep/__main__.py
@@ -11,7 +11,7 @@
 
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
 COMPLETION_VARIABLE = "_MARLSTEP_COMPLETE"  # set by the shell for tab completion
-MISSING_PACKAGE = 2  # exit code
+EXIT_MISSING_PACKAGE = 2  # exit code
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -20,16 +20,16 @@
     Args:
         arguments: the command-line arguments; `sys.argv[1:]` if None.
     """
-    words = sys.argv[1:] if arguments is None else arguments
-    match words:
+    argv = sys.argv[1:] if arguments is None else arguments
+    match argv:
         case _ if COMPLETION_VARIABLE in os.environ:
-            return _run_command(words)
+            return _run_command(argv)
         case [] | ["node"]:
             return _run_node(None)
         case ["--operator", operator] | ["node", "--operator", operator]:
             return _run_node(operator)
         case _:
-            return _run_command(words)
+            return _run_command(argv)
 
 
 def _run_node(operator: str | None) -> int:
@@ -39,7 +39,7 @@
     return run(operator)
 
 
-def _run_command(words: list[str]) -> int:
+def _run_command(argv: list[str]) -> int:
     try:
         from marlstep.cli.main import call
     except ModuleNotFoundError as error:
@@ -48,8 +48,8 @@
         print(
             f"marlstep: commands need the package {error.name}: install requirements-ops.txt", file=sys.stderr
         )
-        return MISSING_PACKAGE
-    return call(words)
+        return EXIT_MISSING_PACKAGE
+    return call(argv)
 
 
 if __name__ == "__main__":
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -66,13 +66,13 @@
         """Install handlers that drain the node at SIGTERM and SIGINT."""
         loop = asyncio.get_running_loop()
 
-        def notify(*_: object) -> None:
+        def handle_signal(*_: object) -> None:
             # Runs as soon as the signal arrives, even if the loop is blocked: the grace counts from this time.
             if not loop.is_closed():
                 loop.call_soon_threadsafe(self.drain, self._timeline.now())
 
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, notify)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, handle_signal)
 
     def drain(self, noticed_at: datetime | None = None) -> None:
         """Begin the graceful shutdown that SIGTERM requests.
--- a/marlstep/frontend_group.py
+++ b/marlstep/frontend_group.py
@@ -58,9 +58,9 @@
         """Start to listen, unless this process already listens."""
         if not self.resp.listening:
             self._listen_task = asyncio.get_running_loop().create_task(self.listen(config))
-            self._listen_task.add_done_callback(self._listened)
+            self._listen_task.add_done_callback(self._on_listen_done)
 
-    def _listened(self, task: asyncio.Task[None]) -> None:
+    def _on_listen_done(self, task: asyncio.Task[None]) -> None:
         error = None if task.cancelled() else task.exception()
         if isinstance(error, OSError):
             self.failure = error
--- a/marlstep/node.py
+++ b/marlstep/node.py
@@ -31,9 +31,9 @@
 
 log = logging.getLogger("marlstep")
 
-EXIT_SERVED = 0
-EXIT_ADDRESS = 1
-EXIT_CONFIG = 2
+EXIT_OK = 0
+EXIT_ADDRESS_UNAVAILABLE = 1
+EXIT_CONFIG_INVALID = 2
 
 
 class Node:
@@ -84,8 +84,8 @@
         return max_connections
 
     def _make_frontends(self) -> FrontendGroup:
-        of_components = (component.frontend for component in self.components.values())
-        others = [frontend for frontend in of_components if frontend is not None]
+        component_frontends = (component.frontend for component in self.components.values())
+        others = [frontend for frontend in component_frontends if frontend is not None]
         frontends = FrontendGroup(
             self.resp, others, partial(self._open_components, StartPhase.WITH_FRONTENDS), self.ended.set
         )
@@ -238,11 +238,11 @@
         config = read_config()
     except ConfigError as error:
         print(f"marlstep: {error}", file=sys.stderr)
-        return EXIT_CONFIG
+        return EXIT_CONFIG_INVALID
     try:
         uvloop.run(serve(config, read_config))
     except OSError as error:
-        return _cannot_serve(error)
+        return _report_serve_error(error)
     except ModuleNotFoundError as error:
         if str(error.name).startswith("marlstep"):
             raise
@@ -250,11 +250,11 @@
             f"marlstep: {operator} enables a component that needs {error.name}: install requirements-ops.txt",
             file=sys.stderr,
         )
-        return EXIT_CONFIG
-    return EXIT_SERVED
+        return EXIT_CONFIG_INVALID
+    return EXIT_OK
 
 
-def _cannot_serve(error: OSError) -> int:
+def _report_serve_error(error: OSError) -> int:
     # Logged without a traceback: the message names the address that the operator has to correct.
     log.error("cannot serve: %s", error)
-    return EXIT_ADDRESS
+    return EXIT_ADDRESS_UNAVAILABLE
--- a/marlstep/resource_budget.py
+++ b/marlstep/resource_budget.py
@@ -32,9 +32,9 @@
         config: names the memory and descriptor limits.
         processes: how many processes of the node share them.
     """
-    half = max(MIN_WORKING_MEMORY, config.memory_bytes - processes * BASE_MEMORY) // 2
+    half_bytes = max(MIN_WORKING_MEMORY, config.memory_bytes - processes * BASE_MEMORY) // 2
     reserved = RESERVED_DESCRIPTORS + (HEALTH_ENDPOINT_CONNECTIONS if config.health_listen else 0)
     descriptors = config.max_descriptors - processes * reserved
     # Under a small descriptor limit, clients still get the minimum.
-    connections = max(min(descriptors, half // CONNECTION_MEMORY), MIN_CONNECTIONS)
-    return ResourceBudget(min(MAX_REQUESTS, half // REQUEST_MEMORY), connections)
+    connections = max(min(descriptors, half_bytes // CONNECTION_MEMORY), MIN_CONNECTIONS)
+    return ResourceBudget(min(MAX_REQUESTS, half_bytes // REQUEST_MEMORY), connections)
