--- a/marlstep/__main__.py
+++ b/marlstep/__main__.py
@@ -20,16 +20,16 @@
     Args:
         arguments: the command-line arguments; `sys.argv[1:]` if None.
     """
-    argv = sys.argv[1:] if arguments is None else arguments
-    match argv:
+    command_line = sys.argv[1:] if arguments is None else arguments
+    match command_line:
         case _ if COMPLETION_VARIABLE in os.environ:
-            return _run_command(argv)
+            return _run_command(command_line)
         case [] | ["node"]:
             return _run_node(None)
         case ["--operator", operator] | ["node", "--operator", operator]:
             return _run_node(operator)
         case _:
-            return _run_command(argv)
+            return _run_command(command_line)
 
 
 def _run_node(operator: str | None) -> int:
@@ -39,7 +39,7 @@
     return run(operator)
 
 
-def _run_command(argv: list[str]) -> int:
+def _run_command(command_line: list[str]) -> int:
     try:
         from marlstep.cli.main import call
     except ModuleNotFoundError as error:
@@ -49,7 +49,7 @@
             f"marlstep: commands need the package {error.name}: install requirements-ops.txt", file=sys.stderr
         )
         return EXIT_MISSING_PACKAGE
-    return call(argv)
+    return call(command_line)
 
 
 if __name__ == "__main__":
