--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""Runs the cases of KNOWN-RED.txt like all others, prints how each went, and accepts only the failures listed there.
+"""Accepts the known failures that KNOWN-RED.txt lists, and prints the result of each listed test.
 
-A line of the file has six fields between ` | `: the test's id, a regular expression for the failure, the seed, the
-command, what was seen, and the open issue. A failure that the expression does not match fails the run as any other.
+Listed tests run like all others. A line of the file has six fields separated by ` | `: the test's id, a regular
+expression for the failure, the seed, the command, what was observed, and the open issue. A failure that the expression
+does not match fails the run.
 """
 
 from __future__ import annotations
@@ -33,7 +34,9 @@
     """Return the listed failures by test id.
 
     Raises:
-        TypeError: A line has too few or too many fields.
+        TypeError: a line has fewer or more than six fields.
+        ValueError: a line has no separator.
+        re.error: the expression of a line is invalid.
     """
     known = {}
     for line in filter(None, text.splitlines()):
@@ -46,7 +49,7 @@
 
 
 def accept_known_failure(known: dict[str, KnownFailure], report: pytest.TestReport) -> None:
-    """Turn the report of a listed failure into an expected one. Setup, teardown and other failures stay as they are."""
+    """Mark the report of a listed failure as an expected failure. Other failures, also in setup or teardown, stay."""
     listed = known.get(report.nodeid)
     if listed and report.when == "call" and report.failed and listed.failure.search(report.longreprtext):
         report.outcome = "skipped"
@@ -63,7 +66,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print how each listed case went."""
+    """Print the result of each listed test."""
     for outcome in ("passed", "failed", "xfailed"):
         for report in terminalreporter.getreports(outcome):
             if report.nodeid in KNOWN_FAILURES and report.when == "call":
--- a/tests/races/test_crossings_page.py
+++ b/tests/races/test_crossings_page.py
@@ -1,4 +1,4 @@
-"""docs/crossings.md names tests that exist, and every test of this package."""
+"""docs/crossings.md names only tests that exist, and names every test of this package."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def names_in(package: str) -> set[str]:
-    """List the test functions of a package of tests."""
+    """Return the names of the test functions in a package under `tests`."""
     paths = [path for path in (ROOT / "tests" / package).glob("test_*.py") if path.name != OWN_FILE]
     return {name for path in paths for name in re.findall(r"^def (test_\w+)", path.read_text(), re.MULTILINE)}
 
--- a/tests/races/test_idempotency_across_events.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -1,6 +1,7 @@
-"""Keyed work, cancellations, a shared dependency and the tenants of the settings, each at an inconvenient moment.
+"""Races of keyed work, cancellations, downstream calls and tenants with other events.
 
-A whole node on loopback sockets, as in test_shutdown_and_reload.py; docs/crossings.md lists what must hold.
+The tests use a whole node on loopback sockets, as in test_shutdown_and_reload.py. docs/crossings.md lists the expected
+results.
 """
 
 from __future__ import annotations
@@ -40,14 +41,14 @@
     async def run(harness: NodeHarness) -> None:
         one, two = await harness.connect(), await harness.connect()
         book(one, 1, 1)
-        book(two, 1, 2)  # the node has read neither
+        book(two, 1, 2)  # the node has read neither attempt yet
         await harness.requests_read(2)
         await until(lambda: harness.kernel.commands)
         [(_, first)] = harness.kernel.commands
         harness.kernel.end_run(int(first, 16), body=b"booked")
         answers = {number: await caller.response(1) for number, caller in ((1, one), (2, two))}
         assert answers.pop(int(first, 16)) == [b"done", b"booked"]
-        # One that was read before the other began is replaced by it and rejected unrun; a later one shares the run.
+        # An attempt read before the other starts is replaced by it and rejected; one read later shares the run.
         assert next(iter(answers.values())) in ([b"done", b"booked"], [b"later", b""])
         assert len(harness.kernel.commands) == 1
 
@@ -99,10 +100,10 @@
         match where:
             case "queued":
                 kernel.end_run(9)
-                await served(harness, other, 2, 2)  # the first attempt never ran
+                await served(harness, other, 2, 2)  # the first attempt has not run
             case "paused":
                 kernel.end_run(9)
-                assert await other.status_word(2) == "error"  # it may have had its effect
+                assert await other.status_word(2) == "error"  # the paused run may have had its effect
             case "running":
                 kernel.end_run(1, body=b"booked")
                 assert await other.response(2) == [b"done", b"booked"]
@@ -115,9 +116,9 @@
         )
         await until(lambda: harness.core.in_flight == 0)
         again = await harness.connect()
-        book(again, 1, 3)  # work that has run is never rejected
+        book(again, 1, 3)  # a repeat of work that has run is never rejected
         assert await again.status_word(1) == ("done" if where in ("queued", "running") else "error")
-        assert harness.core._controller.state.entries.memory_kb == pytest.approx(7.5)  # of the one key
+        assert harness.core._controller.state.entries.memory_kb == pytest.approx(7.5)  # the memory of one key
 
     run_with_node(tmp_path, run, settings=one_core(halt="suspend"))
 
@@ -142,7 +143,7 @@
         await harness.requests_read(2)
         if event == "the end of the grace":
             await harness.advance(GRACE_MS + 50)
-            book(caller, 3, 3)  # after the grace, and not rejected: the work has run
+            book(caller, 3, 3)  # after the grace, but not rejected, because the work has run
             await harness.requests_read(3)
         harness.kernel.end_run(1, body=b"booked")
         tags = (1, 2, 3) if event == "the end of the grace" else (1, 2)
@@ -162,7 +163,7 @@
         caller.send_request(2, "list")
         await harness.kernel.command_read("SCHED", 2)
         harness.kernel.end_run(2)
-        await until(lambda: harness.core.counts["done"] == 1)  # its response is on its way
+        await until(lambda: harness.core.counts["done"] == 1)  # the response is sent but not read
         caller.send(write_frame(b"FORGET", b"2"))
         caller.send_request(3, "list")
         await served(harness, caller, 3, 3)
@@ -219,7 +220,7 @@
         steps = averaging_ms // 20
         assert max(sum(counts[at : at + steps]) / steps for at in range(len(counts) - steps)) <= mean
         if dependency == "silent":
-            assert len(harness.database.calls) > 1  # calls go on within the mean
+            assert len(harness.database.calls) > 1  # further calls are made within the mean
         await harness.advance(6_000, size=100)
         assert {await caller.status_word(tag) for tag in range(1, 31)} <= {"later", "error"} and len(
             caller.frames
@@ -237,7 +238,7 @@
         for number in range(1, 13):
             caller.send_request(number, "book", id=number, once=f"k{number}")
             await harness.requests_read(number)
-            await until(lambda: harness.kernel.command_count("SCHED", number) or not harness.core.unanswered)  # noqa: B023  (awaited within the turn)
+            await until(lambda: harness.kernel.command_count("SCHED", number) or not harness.core.unanswered)  # noqa: B023  (awaited within the iteration)
             if harness.kernel.command_count("SCHED", number):
                 harness.kernel.end_run(number)
             words.append(await caller.status_word(number))
@@ -245,7 +246,7 @@
         assert 0 < done < 12 and words == ["done"] * done + ["later"] * (12 - done)
         assert harness.core._controller.state.entries.memory_kb <= 0.8 * 7_000
         assert sum(word == "SCHED" for word, _ in harness.kernel.commands) == done
-        caller.send_request(20, "list", id=20)  # idempotent work goes on
+        caller.send_request(20, "list", id=20)  # idempotent work still runs
         await served(harness, caller, 20, 20)
         caller.send_request(21, "book", id=21, once="k1")  # the result of keyed work that ran is still shared
         assert await caller.response(21) == [b"done", b"done"]
@@ -290,7 +291,7 @@
 def test_an_unknown_tenant_or_a_missing_key_gets_one_error_and_runs_nothing(
     fault: str, tmp_path: Path
 ) -> None:
-    # Guards against keyed work whose repeats nothing can tell, and against weight that no tenant owns.
+    # Guards against keyed work whose repeats can't be recognised, and against load that counts towards no tenant.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         if fault == "an unknown tenant":
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Attempts of keyed work that meet: with another body, at the edge of the window, cancelled, or read late."""
+"""Concurrent attempts of keyed work: with another body, at the end of the window, cancelled, or read late."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def run_first_attempt(desk: RespDesk) -> Wire:
-    """Send an attempt of the work k and let it run; return its connection."""
+    """Send an attempt with the key k and start it. Returns its connection."""
     wire = desk.connect()
     desk.send_request(wire, 1, "book", b"mine", once="k")
     assert desk.start_count(1) == 1
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("ended", [False, True])
 def test_a_key_with_another_body_gets_an_error_and_no_result_of_other_work(ended: bool) -> None:
-    # Guards against a bad client that gets the result of a good request by using its key.
+    # Guards against a client that gets the result of another client's request by using its key.
     desk = RespDesk()
     good, bad = run_first_attempt(desk), desk.connect()
     if ended:
@@ -51,11 +51,11 @@
 
 @pytest.mark.parametrize("how", ["unknown to the kernel", "rejected", "cancelled", "connection lost"])
 def test_a_key_that_a_bad_client_used_first_is_free_once_its_attempt_ends_unrun(how: str) -> None:
-    # Guards against good requests that fail for a whole window, as somebody else has used their key.
+    # Guards against requests that fail for a whole window because another client has used their key.
     desk = RespDesk(cpus=1)
     bad = desk.connect()
     if how != "unknown to the kernel":
-        for number in range(50, 58):  # the cores are full: what arrives is queued
+        for number in range(50, 58):  # all cores are busy, so later requests are queued
             desk.send_request(desk.connect(), 1, "open", id=number)
     arrived_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) - 1_500
     desk.send_request(bad, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
@@ -109,7 +109,7 @@
         now = START + number * SECOND
         table.retain(IdempotencyKey("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
     assert len(table) <= 3
-    # A later window for the same key outlives the end of the one before.
+    # The record of a key stays until the later of two windows ends.
     table.retain(IdempotencyKey("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
     table.retain(IdempotencyKey("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
     assert table.find(IdempotencyKey("book", "k99"), START + 111 * SECOND) is not None
@@ -126,7 +126,7 @@
     )
 
 
-# Requests that their client cancels.
+# Requests that are cancelled by their client.
 
 
 def test_a_request_cancelled_at_any_stage_gets_no_response_and_runs_at_most_once() -> None:
@@ -136,7 +136,7 @@
     desk.core.call_needed(f"{1:016x}", b"ask")
     desk.clock.settle()
     desk.send_request(wire, 2, "ping")
-    desk.send_request(wire, 3, "open")  # the second request is paused for it
+    desk.send_request(wire, 3, "open")  # preempts the second request
     desk.end_run(2, b"", Outcome.CANCELLED)
     desk.send_request(wire, 4, "ping")  # queued
     wire.take()
@@ -147,7 +147,7 @@
     desk.end_run(1, b"", Outcome.CANCELLED)
     assert wire.take() == b"" and desk.core.in_flight == 0 and desk.core.unanswered == 0
     assert [desk.start_count(id) for id in (1, 2, 3, 4)] == [1, 1, 1, 0]
-    wire.close()  # the reset after it releases nothing twice
+    wire.close()  # the reset releases nothing a second time
     desk.clock.settle()
     assert desk.core.in_flight == 0 and len(desk.front.connections) == 0
 
@@ -155,7 +155,7 @@
 def test_a_cancellation_after_the_response_is_ignored_and_repeated_unknown_ones_close_the_connection() -> (
     None
 ):
-    # Guards against a FORGET that closes the connection, and with it all that is open there.
+    # Guards against a FORGET that closes the connection, and so drops its other open requests.
     desk = RespDesk()
     wire = desk.connect()
     desk.send_request(wire, 1, "list")
@@ -171,7 +171,7 @@
 
 
 def test_keys_of_work_that_never_ran_take_no_memory() -> None:
-    # Guards against memory that bad clients fill: each of their keys took some for a window, though none ran.
+    # Guards against clients that fill the memory with keys of work that never ran: each was kept for a window.
     desk = RespDesk(keyKb=100.0)
     wire = desk.connect()
     for number in range(1, 200):
@@ -197,8 +197,8 @@
 
 
 def test_requests_behind_unread_responses_get_theirs_before_the_close() -> None:
-    # Guards against requests that were received and dropped: the peer had half-closed, or was asked to close, while
-    # its requests waited for it to read responses.
+    # Guards against requests that are received but dropped: the peer half-closes, or is asked to close, while its
+    # requests wait until it reads earlier responses.
     for end in ("half-closed", "asked to close"):
         desk = RespDesk()
         wire = desk.connect()
@@ -227,8 +227,8 @@
 
 @pytest.mark.parametrize("stage", ["ended", "running", "queued"])
 def test_an_id_used_again_for_other_work_allows_no_second_run(stage: str) -> None:
-    # Guards against a second run: the controller knows attempts by their ids, and took a bad client's, which never
-    # ran, for the one that had run under this id before. Nor is a result of it shared.
+    # Guards against a second run: the controller identifies attempts by id, and took another client's attempt, which
+    # never ran, for the one that had run under this id. No result is shared either.
     desk = RespDesk(cpus=1)
     run_first_attempt(desk)
     desk.end_run(1, b"", Outcome.ERROR)
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -1,6 +1,6 @@
-"""Events that cross on a whole node on loopback sockets: shutdown, reload, connections, kernel and database.
+"""Races between shutdown, reload, connections, kernel and database, with a whole node on loopback sockets.
 
-docs/crossings.md lists what must hold. The settings share nothing with those of the other tests.
+docs/crossings.md lists the expected results. The settings differ from those of all other tests on purpose.
 """
 
 from __future__ import annotations
@@ -37,16 +37,17 @@
     return alternate_settings(cpus=1, **info)
 
 
-# Graceful shutdown.
+# Graceful shutdown: events at SIGTERM and around the end of the grace.
 
 
 @pytest.mark.parametrize("cut", [1, 3, 30, -1])
 def test_a_request_half_read_at_sigterm_is_read_to_its_end_and_runs(cut: int, tmp_path: Path) -> None:
-    # Guards against a connection that is closed 0.4 s after `0 closing`, in the middle of a request.
+    # Guards against a connection that is closed in the middle of a request, 0.4 s after `0 closing`.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send(write_frame(b"ALIVE", b"9"))
-        assert await caller.status_word(9) == "healthy"  # the connection has proven itself
+        # After one valid request the node trusts the connection.
+        assert await caller.status_word(9) == "healthy"
         whole = caller.frame(1, "list")
         caller.send(whole[:cut])
         connection = harness.only_connection
@@ -56,7 +57,7 @@
         await caller.closing_frame()
         await harness.advance(700)
         caller.send(whole[cut:])
-        await harness.kernel.command_read("SCHED", 1)  # its first byte came inside the grace
+        await harness.kernel.command_read("SCHED", 1)  # its first byte arrived within the grace
         harness.kernel.end_run(1)
         assert await caller.response(1) == [b"done", b"done"]
         await harness.run_to_exit()
@@ -80,7 +81,7 @@
 
 
 def test_a_connection_in_the_backlog_at_the_end_of_the_grace_is_served(tmp_path: Path) -> None:
-    # Guards against requests in the backlog of a socket that a late timer closes: they are reset.
+    # Guards against requests that are reset in the accept backlog when a late timer closes the listening socket.
     async def run(harness: NodeHarness) -> None:
         await harness.send_sigterm()
         await harness.advance(GRACE_MS - 40)
@@ -102,7 +103,7 @@
 
         def submit_and_signal(*arguments: Any) -> int:
             handle: int = submit(*arguments)
-            os.kill(os.getpid(), signal.SIGTERM)  # before the controller's turn
+            os.kill(os.getpid(), signal.SIGTERM)  # before the controller handles the request
             return handle
 
         harness.core.submit = submit_and_signal
@@ -168,7 +169,7 @@
         await harness.requests_read(2)
         await harness.send_sigterm()
         if returns:
-            harness.kernel.end_run(1)  # the run has gone on without the link
+            harness.kernel.end_run(1)  # the run continued without the link
             harness.kernel.up.set()
             await harness.kernel.command_read("SCHED", 2)
             harness.kernel.end_run(2)
@@ -254,12 +255,12 @@
 
 
 def test_the_drain_grace_counts_from_the_signal_although_the_loop_handles_it_late(tmp_path: Path) -> None:
-    # Guards against work that runs although it arrived too late: the loop was busy when the signal came.
+    # Guards against work that runs although it arrived after the grace, because the loop was busy at the signal.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         await until(lambda: len(harness.node.resp.connections) == 1)
         os.kill(os.getpid(), signal.SIGTERM)
-        harness.waker.shift += 400 * MILLISECOND  # for so long the loop is busy
+        harness.waker.shift += 400 * MILLISECOND  # the loop is busy for 0.4 s
         await until(lambda: harness.core.is_shutting_down)
         await harness.advance(GRACE_MS - 300)
         caller.send_request(1, "ping")
@@ -286,11 +287,11 @@
     run_with_node(tmp_path, run)
 
 
-# New settings and addresses.
+# SIGHUP: new settings and addresses with requests in flight.
 
 
 def changed_settings() -> dict[str, Any]:
-    """Settings with classes removed, renamed, reordered, and of another effect, deadline and weight."""
+    """Return settings with classes removed, renamed, reordered, and with another effect, deadline and weight."""
     settings = alternate_settings(
         cpus=2, runMemFactor=3.0, keyKb=1.0, halt="suspend", say="window", ramKb=3_000.0
     )
@@ -383,7 +384,7 @@
         await harness.reload(kernel=fresh.address, db=database.address)
         fresh.notices = old.notices  # the same kernel at another address
         await until(lambda: fresh.link_count == 1)
-        await harness.database.reply(1)  # a call in flight ends on its connection
+        await harness.database.reply(1)  # a call in flight finishes on its old connection
         await fresh.command_read("IODONE", 1)
         harness.database.stop()  # the old addresses close
         old.stop()
@@ -412,7 +413,7 @@
         caller.send_request(1, "open")
         await harness.kernel.command_read("SCHED", 1)
         await harness.reload(kernel=silent.address)
-        await until(lambda: silent.link_count == 1)  # it never reports that it is up
+        await until(lambda: silent.link_count == 1)  # this kernel never reports that it has booted
         last.notices = harness.kernel.notices
         await harness.reload(kernel=last.address)
         await until(lambda: last.link_count == 1)
@@ -429,9 +430,9 @@
 
 
 def test_an_advertised_value_is_dropped_when_callers_read_it_in_another_way(tmp_path: Path) -> None:
-    # Guards against a number of requests that callers read as a rank: none would send any more.
+    # Guards against a request count that callers read as a rank, after which no caller would send requests.
     async def run(harness: NodeHarness) -> None:
-        harness.core._dispatcher.execute_all([Advertise(12.0)])  # while callers count requests by the value
+        harness.core._dispatcher.execute_all([Advertise(12.0)])  # read by callers as a request count
         assert harness.core.advertised_value == 12.0
         await harness.reload(settings=alternate_settings(say="threshold"))
         caller = await harness.connect()
@@ -462,7 +463,7 @@
     run_with_node(tmp_path, run)
 
 
-# Connections.
+# Connections that are reset, idle, half-closed or not read by their peer.
 
 
 def test_a_late_result_for_a_reset_connection_does_not_reach_the_next_one_in_its_slot(tmp_path: Path) -> None:
@@ -485,7 +486,7 @@
 
 
 def test_a_request_that_crosses_the_idle_close_is_served_although_the_loop_is_late(tmp_path: Path) -> None:
-    # Guards against a request that lies unread while the timer closes its connection, as timers come first.
+    # Guards against a connection closed with a request unread: a late loop runs timers before it reads.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send(write_frame(b"ALIVE", b"1"))
@@ -514,7 +515,7 @@
         await until(lambda: connection._frames.inside)
         os.write(caller.writer.get_extra_info("socket").fileno(), whole[20:])
         harness.advance_unread(1_600 * MILLISECOND)
-        assert await caller.status_word(1) == "later"  # past its deadline by then, but read and responded to
+        assert await caller.status_word(1) == "later"  # read, although its deadline has passed
 
     run_with_node(tmp_path, run)
 
@@ -538,8 +539,8 @@
 def test_a_connection_that_ends_within_a_response_leaves_its_slot_and_descriptor_clean(
     how: str, tmp_path: Path
 ) -> None:
-    # One response is partly written, one is buffered, one is not made yet. Then the slot, the tags and the descriptor
-    # are another connection's, while `0 closing`, the timer behind it and a result still name the first.
+    # One response is partly written, one is buffered and one does not exist yet. Then another connection gets the
+    # slot, a tag and the descriptor, while `0 closing`, its timer and a result still refer to the first connection.
     async def run(harness: NodeHarness) -> None:
         first = await harness.adopt(harness.connect_unread(receive_buffer=4_096))
         first.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -555,7 +556,7 @@
         harness.kernel.end_run(2, body=b"y" * 60_000)
         await until(lambda: old.send_blocked)
         old.close_idle()
-        old.drain()  # it is closed 0.2 s later
+        old.drain()  # the connection is closed 0.2 s later
         if how == "reset":
             first.reset()
         else:
@@ -575,7 +576,7 @@
     run_with_node(tmp_path, run)
 
 
-# The kernel and the database.
+# Kernel notices and database replies that arrive late, twice or not at all.
 
 
 def test_a_run_that_ends_before_its_preemption_arrives_is_not_resumed(tmp_path: Path) -> None:
@@ -585,7 +586,7 @@
         await harness.kernel.command_read("SCHED", 1)
         caller.send_request(2, "open")
         await harness.kernel.command_read("PREEMPT", 1)
-        harness.kernel.end_run(1)  # it ends before the preemption arrives
+        harness.kernel.end_run(1)  # the run ends before the preemption arrives
         await harness.kernel.command_read("SCHED", 2)
         harness.kernel.end_run(2)
         assert [await caller.status_word(tag) for tag in (1, 2)] == ["done", "done"]
@@ -648,7 +649,7 @@
         await harness.kernel.command_read("SCHED", 5)
         harness.kernel._link.write(harness.kernel.notices[0])  # type: ignore[union-attr]
         harness.kernel.end_run(5)
-        assert await caller.status_word(5) == "done"  # so the node has read the link up to here
+        assert await caller.status_word(5) == "done"  # so the node has read all notices up to this one
         await harness.advance(20)
         harness.kernel.end_run(1, body=b"opened")
         harness.kernel._link.write(harness.kernel.notices[1])  # type: ignore[union-attr]
@@ -683,7 +684,7 @@
 
 
 def test_a_reply_received_in_time_counts_although_the_loop_is_late(tmp_path: Path) -> None:
-    # Guards against a call that is abandoned and retried while its reply lies unread.
+    # Guards against a call that is abandoned and retried although its reply has arrived but is unread.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send_request(1, "list")
@@ -721,16 +722,16 @@
         (await harness.database.call_read(3)).transport.abort()
         assert (
             await caller.status_word(3) == "error" and harness.database.call_count(3) == 1
-        )  # it may have run: not retried
+        )  # not retried, because it may have run
 
     run_with_node(tmp_path, run)
 
 
-# Hot restart (with two processes: tests/hot_restart/test_process_races.py).
+# Hot restart in one process. Races of two processes: tests/hot_restart/test_process_races.py.
 
 
 def test_a_successor_lost_during_the_hot_restart_leaves_the_drain_grace_in_force(tmp_path: Path) -> None:
-    # Guards against a hand-over that stops accepting although a drain with its own grace has replaced it.
+    # Guards against a hand-over that stops accepting although a drain with a later grace has replaced it.
     async def run(harness: NodeHarness) -> None:
         harness.core.begin_hand_over(harness.node.timeline.now() + 3_700 * MILLISECOND)
         harness.node.drain_controller.successor_lost()
@@ -747,7 +748,7 @@
     run_with_node(tmp_path, run)
 
 
-# Bad input.
+# Malformed, truncated and out-of-range input.
 
 BAD_INPUT = {
     "malformed": b"*5\r\n$4\r\nEXEC\r\n$1\r\n1\r\n$-7\r\n",
@@ -781,7 +782,7 @@
         else:
             ends = asyncio.ensure_future(client.read_to_end())
             await harness.advance(1_520)
-            await ends  # closed by the read timeout
+            await ends  # the read timeout closes the connection
         harness.kernel.up.set()
         harness.kernel.end_run(1)
         assert await caller.status_word(1) == "done" and caller.response_count(1) == 1
@@ -818,7 +819,7 @@
 def test_reports_begin_once_a_descriptor_is_available(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards against a node that stays off the endpoint list, as it once could not open its socket for reports.
+    # Guards against a node that stays off the endpoint list after it failed once to open its socket for reports.
     async def run(harness: NodeHarness) -> None:
         await until(lambda: harness.reports.seen)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -838,14 +839,14 @@
 
 
 def stop_name_service(harness: NodeHarness) -> int:
-    """Stop the name service, and return its port, which refuses from now on."""
+    """Stop the name service, and return its port, which rejects datagrams from now on."""
     port: int = harness.naming.get_extra_info("sockname")[1]
     harness.naming.close()
     return port
 
 
 async def start_name_service(harness: NodeHarness, port: int) -> NameServiceRecorder:
-    """Start it again on this port; 0 for any."""
+    """Start the name service on this port, or on any free port if 0."""
     loop = asyncio.get_running_loop()
     harness.naming, reports = await loop.create_datagram_endpoint(
         NameServiceRecorder, local_addr=("127.0.0.1", port)
@@ -865,7 +866,7 @@
             harness.node.serving_state_changed()
             await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
         port = stop_name_service(harness)
-        await harness.advance(700)  # reports are sent in vain
+        await harness.advance(700)  # reports in this time are lost
         match meanwhile:
             case "quiesce":
                 state.quiesce()
@@ -879,7 +880,7 @@
             await harness.reload(naming=f"127.0.0.1:{harness.naming.get_extra_info('sockname')[1]}")
         if meanwhile == "drain":
             await harness.run_to_exit()
-            assert reports.seen == []  # its last report was sent before
+            assert reports.seen == []  # the last report was sent while the name service was down
             return
         await harness.advance(350)
         await until(lambda: reports.seen)
@@ -893,11 +894,11 @@
 def test_a_burst_at_a_node_without_a_kernel_starts_only_what_the_warming_node_survives(
     tmp_path: Path,
 ) -> None:
-    # Requests that arrived before the kernel was up start only as far as the node survives it; all get a response.
+    # Of requests that arrive before the kernel is up, only as many start as the node can survive; all get a response.
     cold = alternate_settings(cold=True, ramKb=1e9)
     cold["rules"].update(coldShare=0.25, warmAfterUs=60_000_000)
-    # Far beyond what a slow machine takes, for all classes: the shortest objective bounds the lag of reading from which
-    # on the controller takes cores back from the runs.
+    # Objectives far longer than a slow machine needs, for all classes: the shortest one bounds the reading lag at which
+    # the controller takes cores back from runs.
     for request_class in cold["classes"]:
         request_class.update(aimUs=14_000_000, hardLimitUs=15_000_000)
 
@@ -914,9 +915,10 @@
         await harness.requests_read(160)
         kernel.up.set()
         await until(lambda: kernel.commands)
-        await harness.advance(5_000)  # no run ends, and the cores have capacity
+        await harness.advance(5_000)  # no run ends, and cores are free
         warmed = (harness.node.timeline.now() - up) / (60 * SECOND)
-        survives = 3 * (1 + (7 - 1) * (0.25 + 0.75 * warmed))  # cores, overload factor, initial share
+        # 3 cores, overload factor 7, initial capacity share 0.25
+        survives = 3 * (1 + (7 - 1) * (0.25 + 0.75 * warmed))
         assert 3 < len(kernel.commands) <= survives
         ended: set[str] = set()
         while harness.core.unanswered:
--- a/tests/test_event_loop_watchdog.py
+++ b/tests/test_event_loop_watchdog.py
@@ -1,4 +1,4 @@
-"""A loop that does not come round says where it stands."""
+"""The event-loop watchdog writes a traceback when the loop hangs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 clock = HandClock()
 EventLoopWatchdog(clock.timeline, 50 * MILLISECOND).start()
-clock.advance(500)  # it comes round ten times over, and nothing is said
+clock.advance(500)  # the loop runs its timers throughout, so nothing is written
 stuck()
 """
 
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -1,4 +1,4 @@
-"""No module imports another that leads back to it, at load, in a function or for its types alone."""
+"""The import graph has no cycles, including imports inside functions and under TYPE_CHECKING."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 ROOT = Path(__file__).parent.parent
 PACKAGES = ("marlstep",)
 
-Graph = Mapping[str, set[str]]  # a module, and the modules that it imports
+Graph = Mapping[str, set[str]]  # module name -> names of the modules that it imports
 
 
 def modules_of(root: Path) -> dict[str, Path]:
-    """The project's modules by name; a package goes by its own."""
+    """Return the paths of the project's modules by name. The `__init__` module has the name of its package."""
     found = {}
     for package in PACKAGES:
         for path in sorted((root / package).rglob("*.py")):
@@ -25,7 +25,7 @@
 
 
 def imported_names(module: str, is_package: bool, source: str) -> Iterator[str]:
-    """What the text imports, wherever the import stands: `a.b` of `import a.b`, `a` and `a.b` of `from a import b`."""
+    """Yield all imported names, at any depth: `a.b` for `import a.b`, `a` and `a.b` for `from a import b`."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -36,7 +36,7 @@
 
 
 def base_of(module: str, is_package: bool, node: ast.ImportFrom) -> str:
-    """The absolute name of what stands between `from` and `import`."""
+    """Return the absolute name of the module that a `from` import names."""
     if not node.level:
         return node.module or ""
     parts = module.split(".")
@@ -45,13 +45,13 @@
 
 
 def packages_above(module: str) -> set[str]:
-    """The packages that an import of the module loads before it."""
+    """Return the parent packages, which an import of the module loads first."""
     parts = module.split(".")
     return {".".join(parts[:length]) for length in range(1, len(parts))}
 
 
 def graph_of(root: Path) -> dict[str, set[str]]:
-    """Each module with the modules that it imports, and the packages above these where they aren't its own."""
+    """Map each module to the modules that it imports and their parent packages, except its own parents."""
     modules = modules_of(root)
     graph = {}
     for module, path in modules.items():
@@ -63,7 +63,7 @@
 
 
 def reached(graph: Graph, start: str) -> set[str]:
-    """All modules that the module leads to by at least one import."""
+    """Return all modules that can be reached from a module by one or more imports."""
     found: set[str] = set()
     waiting = [*graph[start]]
     while waiting:
@@ -75,7 +75,7 @@
 
 
 def cyclic_imports(graph: Graph) -> set[tuple[str, str]]:
-    """Every import whose target leads back to the module that has it."""
+    """Return each import, as importer and target, whose target imports the importer directly or indirectly."""
     leads_to = {module: reached(graph, module) for module in graph}
     return {
         (module, target)
@@ -90,7 +90,7 @@
 
 
 def written(root: Path, sources: Mapping[str, str]) -> Path:
-    """A project of these files, with an empty `__init__.py` in each package that has none."""
+    """Write the files of a project, and an empty `__init__.py` for each package that has none. Returns its root."""
     for name, source in sources.items():
         path = root / name
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -101,7 +101,7 @@
 
 
 def packages_in(root: Path, names: Iterable[str]) -> set[Path]:
-    """The folders that hold the files, and the packages above them."""
+    """Return the folders of the files and all their parent folders below the root."""
     return {root / above for name in names for above in Path(name).parents if above != Path(".")}
 
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The direction of imports, and what the platform's node must not load."""
+"""Import rules between packages, and the modules that a node without an operator file must not load."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parent.parent
 
-# A part, and what it may import of the project, by prefix. The longest prefix of a module's name counts.
+# Which modules of the project a package may import, by name prefix. The longest matching prefix applies.
 MAY: dict[str, tuple[str, ...]] = {
     "marlstep.admission": ("marlstep.admission",),
     "marlstep.simulator": ("marlstep.simulator", "marlstep.admission"),
@@ -191,7 +191,7 @@
         "marlstep.simulator.configuration",
     ),
 }
-# Modules that decide: no I/O, no clock, no source of chance of their own.
+# Decision modules: they do no I/O, read no clock and have no random number generator of their own.
 DECIDE = (
     "marlstep/admission/actions.py",
     "marlstep/admission/call_latency.py",
@@ -369,7 +369,7 @@
     "time",
     "uvloop",
 }
-# What a node that was told nothing more must not load: it lives in 32 MB.
+# Modules that a node must not load unless a setting enables them: such a node has to fit into 32 MB.
 ABSENT = (
     "apsw", "argparse", "blake3", "click", "csv", "gzip", "hdrh", "marlstep.admin", "marlstep.cli",
     "marlstep.config.cluster", "marlstep.config.document_overrides", "marlstep.consensus",
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""The whole node on loopback sockets between small stand-ins: both fronts lose the same requests, none."""
+"""A whole node on loopback sockets between fake servers: no request is lost, and none that may have run is repeated."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class ShiftedWaker(LoopWaker):
-    """The loop's own clock, which a test can push on."""
+    """The event loop's clock, which a test can advance by a shift."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
@@ -118,7 +118,7 @@
 
 
 def test_a_kernel_link_that_breaks_loses_nothing_and_runs_nothing_twice() -> None:
-    # Guards against commands lost with a link, notices applied twice, and a resumed link that starts from 0.
+    # Guards against commands lost with a link, notices applied twice, and a new link that resumes from notice 0.
     async def run(site: Site) -> None:
         for number in range(1, 7):
             answer = await site.over_resp("setpoint-cmd", number, b"call" if number % 2 else b"body")
@@ -160,7 +160,7 @@
 
 
 def test_an_error_of_the_connect_proves_nothing_once_the_packet_has_begun_to_leave() -> None:
-    # Guards against taking a late error of the connecting call for proof, and letting a setpoint come again.
+    # Guards against a late connect error that is taken as proof that nothing was sent, so that a setpoint is retried.
     async def run(site: Site) -> None:
         waiting = asyncio.ensure_future(site.over_uwsgi("setpoint-cmd", "b7", "/hang"))
         await site.uwsgi.reached.wait()
@@ -188,7 +188,7 @@
 
 
 def test_a_line_in_the_log_tells_what_passed_since_the_last(caplog: pytest.LogCaptureFixture) -> None:
-    # Guards against a node whose belief of its load can't be set against what its peers saw.
+    # Guards against a node whose own counts can't be compared with those of its peers.
     async def run(site: Site) -> None:
         for number in (1, 2):
             await site.over_resp("schedule-save", number)
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""The judges of the measurement of two versions together: what they have to find."""
+"""The checks of the mixed-version benchmark: the failures that they have to find."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def sent(record: Record, request_class: str, *statuses: str) -> list[Attempt]:
-    """One piece of work with an attempt for each status, answered with it; not answered where it is empty."""
+    """Record one piece of work with an attempt per status. An empty status stands for no response."""
     work = record.new_work(CLASS_BY_NAME[request_class])
     attempts = [record.new_attempt(work) for _ in statuses]
     for attempt, status in zip(attempts, statuses, strict=True):
@@ -34,7 +34,7 @@
 
 
 def runs(**counts: int) -> Counter[tuple[str, int]]:
-    """Of the first piece of work of each class, named with an underscore."""
+    """Return the run counts of the first piece of work of each class; class names have underscores for hyphens."""
     return Counter({(name.replace("_", "-"), 1): count for name, count in counts.items()})
 
 
@@ -127,10 +127,10 @@
 @pytest.mark.parametrize(
     "second",
     [
-        act("n2/b", 1, 2, 20),  # a token of another node
-        act("n2/b", 2, 1, 20),  # a run that was done
-        act("n2/b", 2, 2, 5),  # at the same time
-        act("n1/a", 1, 1, 20),  # once more under the same grant
+        act("n2/b", 1, 2, 20),  # the fencing token of another node
+        act("n2/b", 2, 1, 20),  # a run that has been done before
+        act("n2/b", 2, 2, 5),  # overlaps the first
+        act("n1/a", 1, 1, 20),  # repeated under the same lease grant
     ],
 )
 def test_acts_that_must_not_be_are_found(second: Effect) -> None:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example does what it says."""
+"""The example in the README runs and gives the stated actions."""
 
 import re
 from pathlib import Path
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again under load; what is wrong with it is logged and changes nothing."""
+"""SIGHUP reloads the configuration under load; an invalid one is logged and changes nothing."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def test_reports_come_so_often_that_a_lost_quarter_of_them_lets_no_entry_lapse() -> None:
-    # Guards against a node that falls off the list: an entry lapses after 3 s without a report.
+    # Guards against a node that drops off the endpoint list: an entry lapses after 3 s without a report.
     in_a_row = (3000 * MILLISECOND) // REPORT_INTERVAL
     assert 0.25**in_a_row < 1e-5
 
@@ -63,7 +63,7 @@
 
 
 def test_a_socket_that_comes_after_the_address_has_changed_is_closed_and_one_reports() -> None:
-    # Guards against reports to an old address, and against two sockets that report side by side.
+    # Guards against reports to an old address, and against two sockets that report at the same time.
     clock, here, there = HandClock(), ("127.0.0.1", 1), ("127.0.0.1", 2)
     naming = NameServiceClient("n1", here, clock.timeline)
     late, first, second = Socket(), Socket(), Socket()
@@ -80,7 +80,7 @@
 def test_on_sighup_all_that_is_new_goes_to_the_new_addresses_and_a_faulty_file_changes_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    # Guards against a process that ends on SIGHUP, and against one that stays with the old addresses.
+    # Guards against a process that exits on SIGHUP, and against one that keeps using the old addresses.
     path = tmp_path / "config.json"
 
     async def run() -> None:
@@ -104,7 +104,9 @@
             node.config_reloader.reload()
         await names[0][0].came.wait()
         assert (await over_resp(node, "setpoint-cmd", 2, b"call")).endswith(b"rows\r\n")
-        kernels[1].notices = list(kernels[0].notices)  # it is one kernel: runs and numbers go on
+        kernels[1].notices = list(
+            kernels[0].notices
+        )  # the same kernel at another address: runs and notice numbers continue
         for one in (1, 0):
             write(one)
             node.config_reloader.reload()
--- a/tests/test_resource_budget.py
+++ b/tests/test_resource_budget.py
@@ -1,4 +1,4 @@
-"""The budget of requests and connections, from the limits that the configuration names."""
+"""The budget of requests and connections, derived from the limits in the configuration."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def test_the_tables_fit_the_machine_that_the_configuration_names(
     memory_mb: int, sockets: int, connections: int, requests: int
 ) -> None:
-    # Guards against a node that is killed for memory, or runs out of descriptors, on a small machine.
+    # Guards against a node that is killed by the OOM killer, or runs out of descriptors, on a small machine.
     async def run() -> None:
         limits = {"cores": 0.25, "memory_mb": memory_mb, "sockets": sockets}
         node = Node(check(raw_config(limits=limits)), TimerQueue(LoopWaker(asyncio.get_running_loop())))
--- a/tests/test_status_log.py
+++ b/tests/test_status_log.py
@@ -1,4 +1,4 @@
-"""The periodic status: differences of counters, and gauges as they are."""
+"""The periodic status log line: increments of counters, and current values of gauges."""
 
 from __future__ import annotations
 
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""The timer queue: timers run in order, and one that raises or is cancelled stops no other."""
+"""Timer queue: timers run in order, and a timer that raises or is cancelled does not affect others."""
 
 import functools
 
@@ -15,12 +15,12 @@
     clock.timeline.cancel(timers[2])
     clock.advance(5)
     assert seen == [1, 3] and len(clock.timeline) == 0
-    clock.timeline.cancel(timers[0])  # after the run, a cancel does nothing
+    clock.timeline.cancel(timers[0])  # cancelling a timer that has run does nothing
     assert len(clock.timeline) == 0
 
 
 def test_a_timer_that_raises_stops_no_other() -> None:
-    # Guards against a fault in one callback that leaves the alarm unset, and with it every later response.
+    # Guards against an exception in one callback that leaves the alarm unset, so that all later responses fail.
     clock, seen = HandClock(), list[int]()
     clock.timeline.at(START, lambda: seen.append(1 // 0))
     clock.timeline.at(START, lambda: seen.append(2))
--- a/tests/test_units.py
+++ b/tests/test_units.py
@@ -1,4 +1,4 @@
-"""Units of time: conversions keep whole microseconds, and waits are rounded up."""
+"""Units of time: conversions keep whole microseconds, and waiting times are rounded up."""
 
 from __future__ import annotations
 
