--- a/tests/test_event_loop_watchdog.py
+++ b/tests/test_event_loop_watchdog.py
@@ -22,7 +22,7 @@
 """
 
 
-def test_a_loop_that_hangs_is_named_by_a_traceback() -> None:
+def test_a_hung_loop_writes_a_traceback() -> None:
     with subprocess.Popen([sys.executable, "-c", PROGRAM], stderr=subprocess.PIPE, text=True) as program:
         assert program.stderr is not None
         lines = [program.stderr.readline() for _ in range(4)]
--- a/tests/test_import_cycles.py
+++ b/tests/test_import_cycles.py
@@ -11,10 +11,10 @@
 ROOT = Path(__file__).parent.parent
 PACKAGES = ("marlstep",)
 
-Graph = Mapping[str, set[str]]  # module name -> names of the modules that it imports
+ImportGraph = Mapping[str, set[str]]  # module name -> names of the modules that it imports
 
 
-def modules_of(root: Path) -> dict[str, Path]:
+def find_modules(root: Path) -> dict[str, Path]:
     """Return the paths of the project's modules by name. The `__init__` module has the name of its package."""
     found = {}
     for package in PACKAGES:
@@ -30,12 +30,12 @@
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            package = base_of(module, is_package, node)
+            package = resolve_import_base(module, is_package, node)
             yield package
             yield from (f"{package}.{alias.name}" for alias in node.names)
 
 
-def base_of(module: str, is_package: bool, node: ast.ImportFrom) -> str:
+def resolve_import_base(module: str, is_package: bool, node: ast.ImportFrom) -> str:
     """Return the absolute name of the module that a `from` import names."""
     if not node.level:
         return node.module or ""
@@ -44,69 +44,69 @@
     return ".".join([*base, node.module] if node.module else base)
 
 
-def packages_above(module: str) -> set[str]:
+def parent_packages(module: str) -> set[str]:
     """Return the parent packages, which an import of the module loads first."""
     parts = module.split(".")
     return {".".join(parts[:length]) for length in range(1, len(parts))}
 
 
-def graph_of(root: Path) -> dict[str, set[str]]:
+def import_graph(root: Path) -> dict[str, set[str]]:
     """Map each module to the modules that it imports and their parent packages, except its own parents."""
-    modules = modules_of(root)
+    modules = find_modules(root)
     graph = {}
     for module, path in modules.items():
         is_package = path.name == "__init__.py"
-        named = modules.keys() & set(imported_names(module, is_package, path.read_text()))
-        loaded = {package for target in named for package in packages_above(target)}
-        graph[module] = (named | loaded - packages_above(module)) - {module}
+        imported = modules.keys() & set(imported_names(module, is_package, path.read_text()))
+        loaded = {package for target in imported for package in parent_packages(target)}
+        graph[module] = (imported | loaded - parent_packages(module)) - {module}
     return graph
 
 
-def reached(graph: Graph, start: str) -> set[str]:
+def reachable_modules(graph: ImportGraph, start: str) -> set[str]:
     """Return all modules that can be reached from a module by one or more imports."""
     found: set[str] = set()
-    waiting = [*graph[start]]
-    while waiting:
-        module = waiting.pop()
+    pending = [*graph[start]]
+    while pending:
+        module = pending.pop()
         if module not in found:
             found.add(module)
-            waiting.extend(graph[module])
+            pending.extend(graph[module])
     return found
 
 
-def cyclic_imports(graph: Graph) -> set[tuple[str, str]]:
+def cyclic_imports(graph: ImportGraph) -> set[tuple[str, str]]:
     """Return each import, as importer and target, whose target imports the importer directly or indirectly."""
-    leads_to = {module: reached(graph, module) for module in graph}
+    reachable = {module: reachable_modules(graph, module) for module in graph}
     return {
         (module, target)
         for module, targets in graph.items()
         for target in targets
-        if module in leads_to[target]
+        if module in reachable[target]
     }
 
 
-def test_no_import_leads_back_to_its_module() -> None:
-    assert sorted(cyclic_imports(graph_of(ROOT))) == []
+def test_imports_form_no_cycle() -> None:
+    assert sorted(cyclic_imports(import_graph(ROOT))) == []
 
 
-def written(root: Path, sources: Mapping[str, str]) -> Path:
+def write_project(root: Path, sources: Mapping[str, str]) -> Path:
     """Write the files of a project, and an empty `__init__.py` for each package that has none. Returns its root."""
     for name, source in sources.items():
         path = root / name
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(source)
-    for folder in packages_in(root, sources):
+    for folder in package_folders(root, sources):
         (folder / "__init__.py").touch()
     return root
 
 
-def packages_in(root: Path, names: Iterable[str]) -> set[Path]:
+def package_folders(root: Path, names: Iterable[str]) -> set[Path]:
     """Return the folders of the files and all their parent folders below the root."""
     return {root / above for name in names for above in Path(name).parents if above != Path(".")}
 
 
 @pytest.mark.parametrize(
-    "back",
+    "import_back",
     [
         "import marlstep.a",
         "from marlstep import a",
@@ -117,9 +117,11 @@
         "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from marlstep.a import thing",
     ],
 )
-def test_an_import_of_any_form_closes_a_cycle(tmp_path: Path, back: str) -> None:
-    root = written(tmp_path, {"marlstep/a.py": "from marlstep.b import thing", "marlstep/b.py": back})
-    assert cyclic_imports(graph_of(root)) == {("marlstep.a", "marlstep.b"), ("marlstep.b", "marlstep.a")}
+def test_every_form_of_import_is_found_in_a_cycle(tmp_path: Path, import_back: str) -> None:
+    root = write_project(
+        tmp_path, {"marlstep/a.py": "from marlstep.b import thing", "marlstep/b.py": import_back}
+    )
+    assert cyclic_imports(import_graph(root)) == {("marlstep.a", "marlstep.b"), ("marlstep.b", "marlstep.a")}
 
 
 def test_a_cycle_through_a_package_and_over_three_modules_is_found(tmp_path: Path) -> None:
@@ -129,17 +131,17 @@
         "marlstep/inner/b.py": "",
         "marlstep/c.py": "from marlstep.a import thing",
     }
-    assert cyclic_imports(graph_of(written(tmp_path, sources))) == {
+    assert cyclic_imports(import_graph(write_project(tmp_path, sources))) == {
         ("marlstep.a", "marlstep.inner"),
         ("marlstep.inner", "marlstep.c"),
         ("marlstep.c", "marlstep.a"),
     }
 
 
-def test_modules_that_only_share_what_they_import_make_no_cycle(tmp_path: Path) -> None:
+def test_a_shared_dependency_is_not_a_cycle(tmp_path: Path) -> None:
     sources = {
         "marlstep/a.py": "from marlstep.b import thing\nimport marlstep.c",
         "marlstep/b.py": "from marlstep.c import thing",
         "marlstep/c.py": "import json",
     }
-    assert cyclic_imports(graph_of(written(tmp_path, sources))) == set()
+    assert cyclic_imports(import_graph(write_project(tmp_path, sources))) == set()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parent.parent
 
 # Which modules of the project a package may import, by name prefix. The longest matching prefix applies.
-MAY: dict[str, tuple[str, ...]] = {
+ALLOWED_IMPORTS: dict[str, tuple[str, ...]] = {
     "marlstep.admission": ("marlstep.admission",),
     "marlstep.simulator": ("marlstep.simulator", "marlstep.admission"),
     "marlstep.errors": (),
@@ -192,7 +192,7 @@
     ),
 }
 # Decision modules: they do no I/O, read no clock and have no random number generator of their own.
-DECIDE = (
+DECISION_MODULES = (
     "marlstep/admission/actions.py",
     "marlstep/admission/call_latency.py",
     "marlstep/admission/call_policy.py",
@@ -356,7 +356,7 @@
     "marlstep/traces/replay/figures.py",
     "marlstep/traces/replay/retry_rules.py",
 )
-IO = {
+IO_MODULES = {
     "asyncio",
     "io",
     "os",
@@ -370,7 +370,7 @@
     "uvloop",
 }
 # Modules that a node must not load unless a setting enables them: such a node has to fit into 32 MB.
-ABSENT = (
+NOT_LOADED_BY_DEFAULT = (
     "apsw", "argparse", "blake3", "click", "csv", "gzip", "hdrh", "marlstep.admin", "marlstep.cli",
     "marlstep.config.cluster", "marlstep.config.document_overrides", "marlstep.consensus",
     "marlstep.fault_injection", "marlstep.cluster", "marlstep.frontends.uwsgi", "marlstep.hot_restart",
@@ -385,7 +385,7 @@
 )  # fmt: skip
 
 
-def imports(path: Path) -> set[str]:
+def imported_modules(path: Path) -> set[str]:
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom):
@@ -399,31 +399,33 @@
     return ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__")
 
 
-def within(name: str, prefix: str) -> bool:
+def has_prefix(name: str, prefix: str) -> bool:
     return name == prefix or name.startswith(prefix + ".")
 
 
-def test_imports_go_one_way() -> None:
-    faults = []
+def test_packages_import_only_allowed_modules() -> None:
+    violations = []
     for path in sorted(ROOT.glob("marlstep/**/*.py")):
         name = module_name(path)
-        part = max((prefix for prefix in MAY if within(name, prefix)), key=len, default=None)
-        if part is None:
+        package = max(
+            (prefix for prefix in ALLOWED_IMPORTS if has_prefix(name, prefix)), key=len, default=None
+        )
+        if package is None:
             continue
-        for one in imports(path):
-            if one.startswith("marlstep") and not any(
-                within(one, good) for good in (*MAY[part], "marlstep.errors")
+        for imported in imported_modules(path):
+            if imported.startswith("marlstep") and not any(
+                has_prefix(imported, allowed) for allowed in (*ALLOWED_IMPORTS[package], "marlstep.errors")
             ):
-                faults.append(f"{name} imports {one}")
-    assert faults == []
+                violations.append(f"{name} imports {imported}")
+    assert violations == []
 
 
-def test_modules_that_decide_do_no_io() -> None:
-    faults = {name: imports(ROOT / name) & IO for name in DECIDE}
-    assert {name: found for name, found in faults.items() if found} == {}
+def test_decision_modules_import_no_io_modules() -> None:
+    violations = {name: imported_modules(ROOT / name) & IO_MODULES for name in DECISION_MODULES}
+    assert {name: found for name, found in violations.items() if found} == {}
 
 
-def test_a_node_as_the_platform_starts_it_loads_nothing_that_is_not_turned_on() -> None:
+def test_a_node_started_by_the_platform_loads_only_enabled_modules() -> None:
     program = (
         "import sys, marlstep.node, marlstep.__main__\n"
         "print(*[name for name in sys.modules if not name.startswith('_')])"
@@ -433,4 +435,4 @@
     )
     names = loaded.stdout.split()
     assert "marlstep.core.engine" in names
-    assert [name for name in names for bad in ABSENT if within(name, bad)] == []
+    assert [name for name in names for prefix in NOT_LOADED_BY_DEFAULT if has_prefix(name, prefix)] == []
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -37,19 +37,24 @@
         self.now = lambda: system() + self.shift
 
 
-class Site:
+class LoopbackNode:
     def __init__(self, cut_at: tuple[int, ...] = (), **operator: Any) -> None:
         self.operator = operator
         self.kernel, self.database, self.uwsgi = FakeKernel(cut_at), FakeDatabase(), FakeUwsgiServer()
 
-    async def __aenter__(self) -> Site:
+    async def __aenter__(self) -> LoopbackNode:
         for server in (self.kernel, self.database, self.uwsgi):
             await server.start()
         raw = raw_config(kernel=self.kernel.address, db=self.database.address)
-        second = {"listen": "127.0.0.1:0", "upstream": self.uwsgi.address, "vars": VARS, "max_response": 4096}
+        uwsgi_config = {
+            "listen": "127.0.0.1:0",
+            "upstream": self.uwsgi.address,
+            "vars": VARS,
+            "max_response": 4096,
+        }
         self.waker = ShiftedWaker(asyncio.get_running_loop())
         self.timeline = TimerQueue(self.waker)
-        self.node = Node(check(raw, {"uwsgi": second, **self.operator}), self.timeline)
+        self.node = Node(check(raw, {"uwsgi": uwsgi_config, **self.operator}), self.timeline)
         await self.node.open()
         return self
 
@@ -61,72 +66,79 @@
         for server in (self.kernel, self.database, self.uwsgi):
             server.stop()
 
-    def push(self, by: timedelta) -> None:
-        self.waker.shift += by
+    def advance(self, duration: timedelta) -> None:
+        self.waker.shift += duration
         self.timeline.run_due()
 
-    async def over_uwsgi(self, kind: str, id: str, path: str = "/") -> bytes:
+    async def over_uwsgi(self, request_class: str, id: str, path: str = "/") -> bytes:
         assert isinstance(self.node.components["uwsgi"], UwsgiComponent)
         reader, writer = await asyncio.open_connection(
             "127.0.0.1", self.node.components["uwsgi"].frontend.port
         )
-        writer.write(write_packet({"X_CLASS": kind, "X_ID": id, "PATH_INFO": path}))
-        answer = await reader.read()
+        writer.write(write_packet({"X_CLASS": request_class, "X_ID": id, "PATH_INFO": path}))
+        response = await reader.read()
         writer.close()
-        return answer
+        return response
 
-    async def over_resp(self, kind: str, number: int, body: bytes = b"body") -> bytes:
-        return await over_resp(self.node, kind, number, body)
+    async def over_resp(self, request_class: str, number: int, body: bytes = b"body") -> bytes:
+        return await over_resp(self.node, request_class, number, body)
 
 
-async def over_resp(node: Node, kind: str, number: int, body: bytes = b"body") -> bytes:
+async def over_resp(node: Node, request_class: str, number: int, body: bytes = b"body") -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", node.resp.port)
     at = instant_us(node.timeline.now()) // 1000
-    writer.write(write_frame(b"EXEC", b"1", kind.encode(), b"id=%016x,at=%d,kb=1" % (number, at), body))
-    answer = b""
-    while not answer.startswith(b"*4\r\n") or answer.count(b"\r\n") < 9:
+    writer.write(
+        write_frame(b"EXEC", b"1", request_class.encode(), b"id=%016x,at=%d,kb=1" % (number, at), body)
+    )
+    response = b""
+    while not response.startswith(b"*4\r\n") or response.count(b"\r\n") < 9:
         data = await reader.read(4096)
         if not data:
             break
-        answer += data
+        response += data
     writer.close()
-    return answer
+    return response
 
 
-def on(test: Callable[[Site], Awaitable[Any]], cut_at: tuple[int, ...] = (), **operator: Any) -> None:
+def run_test(
+    test: Callable[[LoopbackNode], Awaitable[Any]], cut_at: tuple[int, ...] = (), **operator: Any
+) -> None:
     async def run() -> None:
-        async with asyncio.timeout(20), Site(cut_at, **operator) as site:
-            await test(site)
+        async with asyncio.timeout(20), LoopbackNode(cut_at, **operator) as harness:
+            await test(harness)
 
     uvloop.run(run())
 
 
-def test_both_fronts_lose_the_same_requests_none() -> None:
-    kinds = ("temp-history", "schedule-save", "setpoint-cmd")
+def test_no_request_is_lost_on_either_frontend() -> None:
+    request_classes = ("temp-history", "schedule-save", "setpoint-cmd")
 
-    async def run(site: Site) -> None:
-        answers = await asyncio.gather(
-            *(site.over_uwsgi(kinds[number % 3], f"u{number}") for number in range(30)),
-            *(site.over_resp(kinds[number % 3], number) for number in range(1, 31)),
+    async def run(harness: LoopbackNode) -> None:
+        responses = await asyncio.gather(
+            *(harness.over_uwsgi(request_classes[number % 3], f"u{number}") for number in range(30)),
+            *(harness.over_resp(request_classes[number % 3], number) for number in range(1, 31)),
         )
-        lost = [[answer for answer in part if b"done" not in answer] for part in (answers[:30], answers[30:])]
-        assert lost == [[], []]
-        assert set(site.uwsgi.runs.values()) | set(site.kernel.runs.values()) == {1}
-        assert site.node.core.in_flight == 0
+        without_result = [
+            [response for response in frontend_responses if b"done" not in response]
+            for frontend_responses in (responses[:30], responses[30:])
+        ]
+        assert without_result == [[], []]
+        assert set(harness.uwsgi.runs.values()) | set(harness.kernel.runs.values()) == {1}
+        assert harness.node.core.in_flight == 0
 
-    on(run)
+    run_test(run)
 
 
-def test_a_kernel_link_that_breaks_loses_nothing_and_runs_nothing_twice() -> None:
+def test_a_broken_kernel_link_loses_no_request_and_runs_none_twice() -> None:
     # Guards against commands lost with a link, notices applied twice, and a new link that resumes from notice 0.
-    async def run(site: Site) -> None:
+    async def run(harness: LoopbackNode) -> None:
         for number in range(1, 7):
-            answer = await site.over_resp("setpoint-cmd", number, b"call" if number % 2 else b"body")
-            assert answer.endswith(b"$4\r\nrows\r\n" if number % 2 else b"$4\r\ndone\r\n")
-        assert set(site.kernel.runs.values()) == {1} and set(site.database.runs.values()) == {1}
-        assert len(site.kernel.opened) == 4 and site.kernel.opened[-1] > 0
+            response = await harness.over_resp("setpoint-cmd", number, b"call" if number % 2 else b"body")
+            assert response.endswith(b"$4\r\nrows\r\n" if number % 2 else b"$4\r\ndone\r\n")
+        assert set(harness.kernel.runs.values()) == {1} and set(harness.database.runs.values()) == {1}
+        assert len(harness.kernel.opened) == 4 and harness.kernel.opened[-1] > 0
 
-    on(run, cut_at=(1, 2, 4))
+    run_test(run, cut_at=(1, 2, 4))
 
 
 @pytest.mark.parametrize(
@@ -140,95 +152,95 @@
         ("/garbage", b"502"),
     ],
 )
-def test_what_the_upstream_does_to_a_setpoint_is_told_and_never_sent_again(path: str, status: bytes) -> None:
-    async def run(site: Site) -> None:
-        answers = [await site.over_uwsgi("setpoint-cmd", "b7", path) for _ in range(2)]
-        assert [answer.split(b" ", 2)[1] for answer in answers] == [status, b"502"]
-        assert site.uwsgi.runs == {"b7": 1}
+def test_a_setpoint_that_reached_the_upstream_is_never_sent_again(path: str, status: bytes) -> None:
+    async def run(harness: LoopbackNode) -> None:
+        responses = [await harness.over_uwsgi("setpoint-cmd", "b7", path) for _ in range(2)]
+        assert [response.split(b" ", 2)[1] for response in responses] == [status, b"502"]
+        assert harness.uwsgi.runs == {"b7": 1}
 
-    on(run)
+    run_test(run)
 
 
-def test_a_refused_connection_is_503_and_the_work_may_come_again() -> None:
-    async def run(site: Site) -> None:
-        site.uwsgi.stop()
+def test_a_refused_upstream_connection_gives_503_and_allows_a_retry() -> None:
+    async def run(harness: LoopbackNode) -> None:
+        harness.uwsgi.stop()
         for _ in range(2):
-            answer = await site.over_uwsgi("setpoint-cmd", "b7")
-            assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1\r\n" in answer
+            response = await harness.over_uwsgi("setpoint-cmd", "b7")
+            assert response.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1\r\n" in response
 
-    on(run)
+    run_test(run)
 
 
-def test_an_error_of_the_connect_proves_nothing_once_the_packet_has_begun_to_leave() -> None:
+def test_a_connect_error_after_sending_has_begun_allows_no_retry() -> None:
     # Guards against a late connect error that is taken as proof that nothing was sent, so that a setpoint is retried.
-    async def run(site: Site) -> None:
-        waiting = asyncio.ensure_future(site.over_uwsgi("setpoint-cmd", "b7", "/hang"))
-        await site.uwsgi.reached.wait()
-        assert isinstance(site.node.components["uwsgi"], UwsgiComponent)
-        [run] = site.node.components["uwsgi"].upstream._requests.values()
+    async def run(harness: LoopbackNode) -> None:
+        response_task = asyncio.ensure_future(harness.over_uwsgi("setpoint-cmd", "b7", "/hang"))
+        await harness.uwsgi.reached.wait()
+        assert isinstance(harness.node.components["uwsgi"], UwsgiComponent)
+        [run] = harness.node.components["uwsgi"].upstream._requests.values()
         assert run.attempt is not None
         run.attempt.connect_failed(ConnectError(ConnectionResetError()))
-        assert (await waiting).startswith(b"HTTP/1.1 502 ")
-        assert (await site.over_uwsgi("setpoint-cmd", "b7")).startswith(b"HTTP/1.1 502 ")
-        assert site.uwsgi.runs == {"b7": 1}
+        assert (await response_task).startswith(b"HTTP/1.1 502 ")
+        assert (await harness.over_uwsgi("setpoint-cmd", "b7")).startswith(b"HTTP/1.1 502 ")
+        assert harness.uwsgi.runs == {"b7": 1}
 
-    on(run)
+    run_test(run)
 
 
-def test_a_deadline_in_a_run_is_504_and_the_upstream_is_let_go() -> None:
-    async def run(site: Site) -> None:
-        waiting = asyncio.ensure_future(site.over_uwsgi("setpoint-cmd", "b7", "/hang"))
-        await site.uwsgi.reached.wait()
-        site.push(1.8 * SECOND)
-        assert (await waiting).startswith(b"HTTP/1.1 504 ")
-        while site.node.core.in_flight:
+def test_a_deadline_during_a_run_gives_504_and_ends_the_upstream_request() -> None:
+    async def run(harness: LoopbackNode) -> None:
+        response_task = asyncio.ensure_future(harness.over_uwsgi("setpoint-cmd", "b7", "/hang"))
+        await harness.uwsgi.reached.wait()
+        harness.advance(1.8 * SECOND)
+        assert (await response_task).startswith(b"HTTP/1.1 504 ")
+        while harness.node.core.in_flight:
             await asyncio.sleep(0)
 
-    on(run)
+    run_test(run)
 
 
-def test_a_line_in_the_log_tells_what_passed_since_the_last(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_status_line_counts_since_the_last_one(caplog: pytest.LogCaptureFixture) -> None:
     # Guards against a node whose own counts can't be compared with those of its peers.
-    async def run(site: Site) -> None:
+    async def run(harness: LoopbackNode) -> None:
         for number in (1, 2):
-            await site.over_resp("schedule-save", number)
-            site.push(10 * SECOND)
+            await harness.over_resp("schedule-save", number)
+            harness.advance(10 * SECOND)
 
     with caplog.at_level("INFO"):
-        on(run)
+        run_test(run)
     assert caplog.text.count("status: done=1 read=1 runs=1 in_flight=0 advertised=") == 2
 
 
-def test_the_notice_to_leave_ends_the_node_with_all_answered() -> None:
-    async def run(site: Site) -> None:
-        waiting = asyncio.ensure_future(site.over_uwsgi("temp-history", "h1", "/hang"))
-        await site.uwsgi.reached.wait()
-        site.node.drain()
-        assert b"\r\ndone\r\n" in await site.over_resp("schedule-save", 1)
-        site.push(2.51 * SECOND)
-        site.push(0.6 * SECOND)
-        assert (await waiting).startswith(b"HTTP/1.1 504 ")
-        await site.node.ended.wait()
+def test_a_drain_ends_the_node_after_all_requests_have_responses() -> None:
+    async def run(harness: LoopbackNode) -> None:
+        response_task = asyncio.ensure_future(harness.over_uwsgi("temp-history", "h1", "/hang"))
+        await harness.uwsgi.reached.wait()
+        harness.node.drain()
+        assert b"\r\ndone\r\n" in await harness.over_resp("schedule-save", 1)
+        harness.advance(2.51 * SECOND)
+        harness.advance(0.6 * SECOND)
+        assert (await response_task).startswith(b"HTTP/1.1 504 ")
+        await harness.node.ended.wait()
         with pytest.raises(OSError):
-            await site.over_resp("schedule-save", 2)
+            await harness.over_resp("schedule-save", 2)
 
-    on(run)
+    run_test(run)
 
 
-def test_the_administration_counts_what_both_fronts_carry(tmp_path: Path) -> None:
+def test_the_admin_counters_include_requests_of_both_frontends(tmp_path: Path) -> None:
     path = tmp_path / "token"
     path.write_text("0123456789abcdef")
 
-    async def run(site: Site) -> None:
-        await site.over_uwsgi("setpoint-cmd", "b7")
-        await site.over_resp("setpoint-cmd", 1)
-        assert isinstance(site.node.components["admin"], AdminComponent)
+    async def run(harness: LoopbackNode) -> None:
+        await harness.over_uwsgi("setpoint-cmd", "b7")
+        await harness.over_resp("setpoint-cmd", 1)
+        assert isinstance(harness.node.components["admin"], AdminComponent)
         reader, writer = await asyncio.open_connection(
-            "127.0.0.1", site.node.components["admin"].service.port
+            "127.0.0.1", harness.node.components["admin"].service.port
         )
         writer.write(b"GET /v1/counters HTTP/1.1\r\nAuthorization: Bearer 0123456789abcdef\r\n\r\n")
-        answer = await reader.read()
+        response = await reader.read()
         writer.close()
-        assert json.loads(answer.partition(b"\r\n\r\n")[2]) == {"done": 2, "read": 2, "runs": 2}
+        assert json.loads(response.partition(b"\r\n\r\n")[2]) == {"done": 2, "read": 2, "runs": 2}
 
-    on(run, admin={"listen": "127.0.0.1:0", "token_file": str(path)})
+    run_test(run, admin={"listen": "127.0.0.1:0", "token_file": str(path)})
