--- a/tests/races/test_crossings_page.py
+++ b/tests/races/test_crossings_page.py
@@ -7,22 +7,28 @@
 
 ROOT = Path(__file__).parents[2]
 PAGE = (ROOT / "docs" / "crossings.md").read_text("utf-8")
-NAMED = set(re.findall(r"`(test_\w+)`", PAGE))
+NAMED_ON_PAGE = set(re.findall(r"`(test_\w+)`", PAGE))
 OWN_FILE = Path(__file__).name
 
 
-def names_in(package: str) -> set[str]:
+def find_test_functions(package: str) -> set[str]:
     """Return the names of the test functions in a package under `tests`."""
     paths = [path for path in (ROOT / "tests" / package).glob("test_*.py") if path.name != OWN_FILE]
     return {name for path in paths for name in re.findall(r"^def (test_\w+)", path.read_text(), re.MULTILINE)}
 
 
 def test_each_test_that_the_page_names_exists() -> None:
-    assert NAMED - names_in("races") - names_in("core") - names_in("hot_restart") == set()
+    assert (
+        NAMED_ON_PAGE
+        - find_test_functions("races")
+        - find_test_functions("core")
+        - find_test_functions("hot_restart")
+        == set()
+    )
 
 
 def test_each_race_test_stands_on_the_page() -> None:
-    assert names_in("races") - NAMED == set()
+    assert find_test_functions("races") - NAMED_ON_PAGE == set()
 
 
 def test_each_file_that_the_page_names_exists() -> None:
--- a/tests/races/test_idempotency_across_events.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -21,15 +21,15 @@
 WINDOW_MS = 2_000
 
 
-def now_ms_of(harness: NodeHarness) -> int:
+def node_time_ms(harness: NodeHarness) -> int:
     return int(harness.node.timeline.now().timestamp() * 1000)
 
 
-def book(caller: RespClient, tag: int, id: int, body: bytes = b"mine", **fields: Any) -> None:
+def send_booking(caller: RespClient, tag: int, id: int, body: bytes = b"mine", **fields: Any) -> None:
     caller.send_request(tag, "book", body, id=id, once="k", **fields)
 
 
-async def served(
+async def run_and_check_response(
     harness: NodeHarness, caller: RespClient, tag: int, id: int, body: bytes = b"booked"
 ) -> None:
     await harness.kernel.command_read("SCHED", id)
@@ -39,17 +39,19 @@
 
 def test_two_attempts_with_one_key_at_the_same_moment_run_once(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
-        one, two = await harness.connect(), await harness.connect()
-        book(one, 1, 1)
-        book(two, 1, 2)  # the node has read neither attempt yet
+        first_caller, second_caller = await harness.connect(), await harness.connect()
+        send_booking(first_caller, 1, 1)
+        send_booking(second_caller, 1, 2)  # the node has read neither attempt yet
         await harness.requests_read(2)
         await until(lambda: harness.kernel.commands)
-        [(_, first)] = harness.kernel.commands
-        harness.kernel.end_run(int(first, 16), body=b"booked")
-        answers = {number: await caller.response(1) for number, caller in ((1, one), (2, two))}
-        assert answers.pop(int(first, 16)) == [b"done", b"booked"]
+        [(_, started_id)] = harness.kernel.commands
+        harness.kernel.end_run(int(started_id, 16), body=b"booked")
+        responses = {
+            number: await caller.response(1) for number, caller in ((1, first_caller), (2, second_caller))
+        }
+        assert responses.pop(int(started_id, 16)) == [b"done", b"booked"]
         # An attempt read before the other starts is replaced by it and rejected; one read later shares the run.
-        assert next(iter(answers.values())) in ([b"done", b"booked"], [b"later", b""])
+        assert next(iter(responses.values())) in ([b"done", b"booked"], [b"later", b""])
         assert len(harness.kernel.commands) == 1
 
     run_with_node(tmp_path, run)
@@ -60,13 +62,13 @@
     after_ms: int, runs: int, tmp_path: Path
 ) -> None:
     async def run(harness: NodeHarness) -> None:
-        caller, began = await harness.connect(), now_ms_of(harness)
-        book(caller, 1, 1, at=began)
-        await served(harness, caller, 1, 1)
+        caller, began_ms = await harness.connect(), node_time_ms(harness)
+        send_booking(caller, 1, 1, at=began_ms)
+        await run_and_check_response(harness, caller, 1, 1)
         await harness.advance(WINDOW_MS + 100, size=100)
-        book(caller, 2, 2, at=began + after_ms)
+        send_booking(caller, 2, 2, at=began_ms + after_ms)
         if runs:
-            await served(harness, caller, 2, 2, b"again")
+            await run_and_check_response(harness, caller, 2, 2, b"again")
         else:
             assert await caller.response(2) == [b"done", b"booked"]
         assert harness.kernel.command_count("SCHED", 2) == runs
@@ -81,7 +83,7 @@
         if where == "queued":
             other.send_request(9, "open", id=9)
             await kernel.command_read("SCHED", 9)
-        book(caller, 1, 1)
+        send_booking(caller, 1, 1)
         await harness.requests_read(1 + (where == "queued"))
         if where != "queued":
             await kernel.command_read("SCHED", 1)
@@ -95,12 +97,12 @@
             await harness.database.call_read(1)
         caller.send(write_frame(b"FORGET", b"1"))
         await until(lambda: harness.core.counts["gone"] == 1)
-        book(other, 2, 2)
+        send_booking(other, 2, 2)
         await harness.requests_read(3 if where in ("queued", "paused") else 2)
         match where:
             case "queued":
                 kernel.end_run(9)
-                await served(harness, other, 2, 2)  # the first attempt has not run
+                await run_and_check_response(harness, other, 2, 2)  # the first attempt has not run
             case "paused":
                 kernel.end_run(9)
                 assert await other.status_word(2) == "error"  # the paused run may have had its effect
@@ -115,9 +117,9 @@
             and caller.response_count(1) == 0
         )
         await until(lambda: harness.core.in_flight == 0)
-        again = await harness.connect()
-        book(again, 1, 3)  # a repeat of work that has run is never rejected
-        assert await again.status_word(1) == ("done" if where in ("queued", "running") else "error")
+        new_caller = await harness.connect()
+        send_booking(new_caller, 1, 3)  # a repeat of work that has run is never rejected
+        assert await new_caller.status_word(1) == ("done" if where in ("queued", "running") else "error")
         assert harness.core._controller.state.entries.memory_kb == pytest.approx(7.5)  # the memory of one key
 
     run_with_node(tmp_path, run, settings=one_core(halt="suspend"))
@@ -127,7 +129,7 @@
 def test_a_repeat_after_sighup_or_sigterm_shares_the_run(event: str, tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
-        book(caller, 1, 1)
+        send_booking(caller, 1, 1)
         await harness.kernel.command_read("SCHED", 1)
         if event == "SIGHUP":
             changed = copy.deepcopy(ALTERNATE_SETTINGS)
@@ -139,11 +141,11 @@
             await harness.reload(settings=changed)
         else:
             await harness.send_sigterm()
-        book(caller, 2, 2)
+        send_booking(caller, 2, 2)
         await harness.requests_read(2)
         if event == "the end of the grace":
             await harness.advance(GRACE_MS + 50)
-            book(caller, 3, 3)  # after the grace, but not rejected, because the work has run
+            send_booking(caller, 3, 3)  # after the grace, but not rejected, because the work has run
             await harness.requests_read(3)
         harness.kernel.end_run(1, body=b"booked")
         tags = (1, 2, 3) if event == "the end of the grace" else (1, 2)
@@ -166,7 +168,7 @@
         await until(lambda: harness.core.counts["done"] == 1)  # the response is sent but not read
         caller.send(write_frame(b"FORGET", b"2"))
         caller.send_request(3, "list")
-        await served(harness, caller, 3, 3)
+        await run_and_check_response(harness, caller, 3, 3)
         assert (caller.response_count(1), caller.response_count(2)) == (
             0,
             1,
@@ -182,9 +184,9 @@
 def test_calls_in_flight_stay_within_their_mean_although_the_dependency_is_slow_or_down(
     dependency: str, tmp_path: Path
 ) -> None:
-    mean, averaging_ms, abandoned_ms = 2.0, 1_000, 200
+    mean_calls, averaging_ms, abandoned_ms = 2.0, 1_000, 200
     changed = alternate_settings(
-        callsOut=mean, callsOverUs=averaging_ms * 1000, lingersUs=abandoned_ms * 1000, cold=True
+        callsOut=mean_calls, callsOverUs=averaging_ms * 1000, lingersUs=abandoned_ms * 1000, cold=True
     )
     changed["classes"][1].update(aimUs=9_000_000, hardLimitUs=9_500_000)
 
@@ -195,30 +197,36 @@
         with_call, rejected_count = set[str](), 0
         in_flight = set[int]()  # ids of the calls in flight
         leave_at_ms: list[int] = []  # when each abandoned call leaves the dependency, ms
-        counts: list[float] = []
+        call_counts: list[float] = []
         if dependency == "down":
             harness.database.stop()
         for now_ms in range(0, 4_000, 20):
-            for word, run_id in harness.kernel.commands:
-                if word == "SCHED" and run_id not in with_call:
+            for command, run_id in harness.kernel.commands:
+                if command == "SCHED" and run_id not in with_call:
                     with_call.add(run_id)
                     harness.kernel.request_call(int(run_id, 16))
             await harness.advance(20)
-            calls = harness.database.calls
+            calls_read = harness.database.calls
             if dependency == "rejecting":
-                for number, line in calls[rejected_count:]:
-                    line.write(f"{number:016x} FULL\r\n".encode())
-                rejected_count = len(calls)
+                for number, writer in calls_read[rejected_count:]:
+                    writer.write(f"{number:016x} FULL\r\n".encode())
+                rejected_count = len(calls_read)
             in_flight_now = {id(call) for call in harness.node.database._calls.values() if call.connection}
             leave_at_ms += [
                 now_ms + abandoned_ms
-                for one in in_flight
-                if one not in in_flight_now and dependency == "silent"
+                for call_id in in_flight
+                if call_id not in in_flight_now and dependency == "silent"
             ]
             in_flight = in_flight_now
-            counts.append(len(in_flight) + sum(end > now_ms for end in leave_at_ms))
-        steps = averaging_ms // 20
-        assert max(sum(counts[at : at + steps]) / steps for at in range(len(counts) - steps)) <= mean
+            call_counts.append(len(in_flight) + sum(leave_ms > now_ms for leave_ms in leave_at_ms))
+        window_steps = averaging_ms // 20
+        assert (
+            max(
+                sum(call_counts[start : start + window_steps]) / window_steps
+                for start in range(len(call_counts) - window_steps)
+            )
+            <= mean_calls
+        )
         if dependency == "silent":
             assert len(harness.database.calls) > 1  # further calls are made within the mean
         await harness.advance(6_000, size=100)
@@ -234,25 +242,25 @@
 ) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
-        words = []
+        status_words = []
         for number in range(1, 13):
             caller.send_request(number, "book", id=number, once=f"k{number}")
             await harness.requests_read(number)
             await until(lambda: harness.kernel.command_count("SCHED", number) or not harness.core.unanswered)  # noqa: B023  (awaited within the iteration)
             if harness.kernel.command_count("SCHED", number):
                 harness.kernel.end_run(number)
-            words.append(await caller.status_word(number))
-        done = words.count("done")
-        assert 0 < done < 12 and words == ["done"] * done + ["later"] * (12 - done)
+            status_words.append(await caller.status_word(number))
+        done_count = status_words.count("done")
+        assert 0 < done_count < 12 and status_words == ["done"] * done_count + ["later"] * (12 - done_count)
         assert harness.core._controller.state.entries.memory_kb <= 0.8 * 7_000
-        assert sum(word == "SCHED" for word, _ in harness.kernel.commands) == done
+        assert sum(command == "SCHED" for command, _ in harness.kernel.commands) == done_count
         caller.send_request(20, "list", id=20)  # idempotent work still runs
-        await served(harness, caller, 20, 20)
+        await run_and_check_response(harness, caller, 20, 20)
         caller.send_request(21, "book", id=21, once="k1")  # the result of keyed work that ran is still shared
         assert await caller.response(21) == [b"done", b"done"]
         await harness.advance(WINDOW_MS + 50, size=100)
         caller.send_request(22, "book", id=22, once="k12")
-        await served(harness, caller, 22, 22)
+        await run_and_check_response(harness, caller, 22, 22)
 
     run_with_node(tmp_path, run, settings=alternate_settings(keyKb=700.0))
 
@@ -261,7 +269,7 @@
     async def run(harness: NodeHarness) -> None:
         caller, tag = await harness.connect(), 0
 
-        async def both_report(status: str) -> None:
+        async def check_both_report(status: str) -> None:
             nonlocal tag
             tag += 1
             caller.send(write_frame(b"ALIVE", b"%d" % tag))
@@ -270,19 +278,19 @@
             await until(lambda: harness.reports.seen[-1] == report)
 
         state = harness.core.serving_state
-        await both_report("healthy")
+        await check_both_report("healthy")
         state.quiesce()
         harness.node.serving_state_changed()
-        await both_report("sick")
+        await check_both_report("sick")
         await harness.advance(700)
-        await both_report("sick")
+        await check_both_report("sick")
         state.resume()
         harness.node.serving_state_changed()
-        await both_report("healthy")
+        await check_both_report("healthy")
         await harness.send_sigterm()
-        await both_report("sick")
+        await check_both_report("sick")
         assert not state.resume()
-        await both_report("sick")
+        await check_both_report("sick")
 
     run_with_node(tmp_path, run)
 
@@ -300,7 +308,7 @@
             caller.send_request(1, "book")
         assert await caller.status_word(1) == "error"
         caller.send_request(2, "book", tenant="north", once="k")
-        await served(harness, caller, 2, 2)
+        await run_and_check_response(harness, caller, 2, 2)
         assert (
             caller.response_count(1) == 1
             and len(harness.kernel.commands) == 1
@@ -318,7 +326,7 @@
         changed["realms"].pop()
         await harness.reload(settings=changed)
         caller.send_request(1, "list", tenant="south")
-        await served(harness, caller, 1, 1)
+        await run_and_check_response(harness, caller, 1, 1)
         await harness.advance(3 * SECOND / MILLISECOND + 50, size=100)
         caller.send_request(2, "list", tenant="south")
         assert await caller.status_word(2) == "error"
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -19,7 +19,7 @@
 from tests.support.alternate_settings import RespDesk, response_frame
 from tests.support.node import START, Wire
 
-BUSY = response_frame(1, b"error")
+ERROR_RESPONSE = response_frame(1, b"error")
 
 
 def run_first_attempt(desk: RespDesk) -> Wire:
@@ -34,72 +34,74 @@
 def test_a_key_with_another_body_gets_an_error_and_no_result_of_other_work(ended: bool) -> None:
     # Guards against a client that gets the result of another client's request by using its key.
     desk = RespDesk()
-    good, bad = run_first_attempt(desk), desk.connect()
+    owner, intruder = run_first_attempt(desk), desk.connect()
     if ended:
         desk.end_run(1)
-    desk.send_request(bad, 1, "book", b"theirs", id=2, once="k")
-    assert bad.take() == response_frame(1, b"error") and desk.start_count(2) == 0
+    desk.send_request(intruder, 1, "book", b"theirs", id=2, once="k")
+    assert intruder.take() == response_frame(1, b"error") and desk.start_count(2) == 0
     if not ended:
         desk.end_run(1)
-    assert good.take() == response_frame(1, b"done", b"result")
-    again = desk.connect()
+    assert owner.take() == response_frame(1, b"done", b"result")
+    repeat = desk.connect()
     desk.send_request(
-        again, 1, "book", b"mine", id=3, once="k"
+        repeat, 1, "book", b"mine", id=3, once="k"
     )  # a repeat with the same body shares the result
-    assert again.take() == response_frame(1, b"done", b"result") and desk.start_count(3) == 0
+    assert repeat.take() == response_frame(1, b"done", b"result") and desk.start_count(3) == 0
 
 
-@pytest.mark.parametrize("how", ["unknown to the kernel", "rejected", "cancelled", "connection lost"])
-def test_a_key_that_a_bad_client_used_first_is_free_once_its_attempt_ends_unrun(how: str) -> None:
+@pytest.mark.parametrize("end", ["unknown to the kernel", "rejected", "cancelled", "connection lost"])
+def test_a_key_used_first_by_another_client_is_free_once_its_attempt_ends_without_a_run(end: str) -> None:
     # Guards against requests that fail for a whole window because another client has used their key.
     desk = RespDesk(cpus=1)
-    bad = desk.connect()
-    if how != "unknown to the kernel":
+    intruder = desk.connect()
+    if end != "unknown to the kernel":
         for number in range(50, 58):  # all cores are busy, so later requests are queued
             desk.send_request(desk.connect(), 1, "open", id=number)
     arrived_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) - 1_500
-    desk.send_request(bad, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
-    match how:
+    desk.send_request(intruder, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
+    match end:
         case "unknown to the kernel":
             desk.end_run(2, b"", Outcome.NOT_STARTED)
         case "rejected":
             assert desk.start_count(2) == 0
             desk.clock.advance(400)  # its deadline passes
         case "cancelled":
-            desk.feed(bad, write_frame(b"FORGET", b"1"))
+            desk.feed(intruder, write_frame(b"FORGET", b"1"))
         case "connection lost":
-            bad.close()
+            intruder.close()
             desk.clock.settle()
     for number in range(50, 58):
         desk.end_run(number)
-    good = desk.connect()
-    desk.send_request(good, 1, "book", b"mine", id=3, once="k")
+    owner = desk.connect()
+    desk.send_request(owner, 1, "book", b"mine", id=3, once="k")
     desk.end_run(3)
-    assert good.take() == response_frame(1, b"done", b"result")
+    assert owner.take() == response_frame(1, b"done", b"result")
 
 
 @pytest.mark.parametrize(("arrives_after_ms", "runs"), [(1_999, 0), (2_100, 1)])
-def test_an_attempt_counts_by_its_arrival_however_late_it_is_read(arrives_after_ms: int, runs: int) -> None:
+def test_the_arrival_time_of_an_attempt_counts_even_if_it_is_read_late(
+    arrives_after_ms: int, runs: int
+) -> None:
     # Guards against a second run of an attempt that arrived inside the window and was read after it.
     desk = RespDesk()
     run_first_attempt(desk)
     desk.end_run(1)
     desk.clock.advance(arrives_after_ms)
-    again = desk.connect()
-    late = desk.frame(1, "book", b"mine", id=2, once="k")
+    repeat = desk.connect()
+    late_frame = desk.frame(1, "book", b"mine", id=2, once="k")
     desk.clock.advance(300)
-    desk.feed(again, late)
+    desk.feed(repeat, late_frame)
     assert desk.start_count(2) == runs
     if not runs:
-        assert again.take() == response_frame(1, b"done", b"result")
+        assert repeat.take() == response_frame(1, b"done", b"result")
 
 
-def test_a_client_clock_that_runs_ahead_opens_no_window() -> None:
+def test_a_client_clock_that_runs_ahead_allows_no_second_run() -> None:
     desk = RespDesk()
     run_first_attempt(desk)
-    again = desk.connect()
-    fast = int((desk.clock.now() - EPOCH) / MILLISECOND) + 60_000
-    desk.send_request(again, 1, "book", b"mine", id=2, once="k", at=fast)
+    repeat = desk.connect()
+    future_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) + 60_000
+    desk.send_request(repeat, 1, "book", b"mine", id=2, once="k", at=future_ms)
     assert desk.start_count(2) == 0
 
 
@@ -116,8 +118,8 @@
 
 
 def test_a_label_carries_the_digest_and_is_an_id_to_processes_without_digests() -> None:
-    one = encode_label("9b1f03aa5c7e2d41", body_digest(b"body"))
-    assert decode_label(one) == ("9b1f03aa5c7e2d41", body_digest(b"body"))
+    label = encode_label("9b1f03aa5c7e2d41", body_digest(b"body"))
+    assert decode_label(label) == ("9b1f03aa5c7e2d41", body_digest(b"body"))
     assert decode_label("uwsgi~7") == ("uwsgi~7", "") and encode_label("r1", "") == "r1"
     assert (
         KeyRecord("r1", digest="a").matches_body("")
@@ -235,9 +237,9 @@
     if stage == "queued":
         for number in range(50, 58):
             desk.send_request(desk.connect(), 1, "open", id=number)
-    bad, again = desk.connect(), desk.connect()
-    desk.send_request(bad, 1, "book", b"theirs", id=1, once="other")
+    intruder, repeat = desk.connect(), desk.connect()
+    desk.send_request(intruder, 1, "book", b"theirs", id=1, once="other")
     if stage == "ended":
         desk.end_run(1, b"", Outcome.NOT_STARTED)
-    desk.send_request(again, 1, "book", b"mine", id=2, once="k")
-    assert desk.start_count(2) == 0 and again.take() == response_frame(1, b"error")
+    desk.send_request(repeat, 1, "book", b"mine", id=2, once="k")
+    assert desk.start_count(2) == 0 and repeat.take() == response_frame(1, b"error")
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -40,23 +40,23 @@
 # Graceful shutdown: events at SIGTERM and around the end of the grace.
 
 
-@pytest.mark.parametrize("cut", [1, 3, 30, -1])
-def test_a_request_half_read_at_sigterm_is_read_to_its_end_and_runs(cut: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize("cut_at", [1, 3, 30, -1])
+def test_a_request_half_read_at_sigterm_is_read_to_its_end_and_runs(cut_at: int, tmp_path: Path) -> None:
     # Guards against a connection that is closed in the middle of a request, 0.4 s after `0 closing`.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         caller.send(write_frame(b"ALIVE", b"9"))
         # After one valid request the node trusts the connection.
         assert await caller.status_word(9) == "healthy"
-        whole = caller.frame(1, "list")
-        caller.send(whole[:cut])
+        frame = caller.frame(1, "list")
+        caller.send(frame[:cut_at])
         connection = harness.only_connection
         await until(lambda: connection.inbox.used or connection._frames.inside)
         await harness.send_sigterm()
         await harness.advance(420)
         await caller.closing_frame()
         await harness.advance(700)
-        caller.send(whole[cut:])
+        caller.send(frame[cut_at:])
         await harness.kernel.command_read("SCHED", 1)  # its first byte arrived within the grace
         harness.kernel.end_run(1)
         assert await caller.response(1) == [b"done", b"done"]
@@ -85,10 +85,10 @@
     async def run(harness: NodeHarness) -> None:
         await harness.send_sigterm()
         await harness.advance(GRACE_MS - 40)
-        blind = harness.connect_unread()
-        blind.sendall(RespClient(harness.waker.now, None, None).frame(1, "ping"))  # type: ignore[arg-type]
+        unread_socket = harness.connect_unread()
+        unread_socket.sendall(RespClient(harness.waker.now, None, None).frame(1, "ping"))  # type: ignore[arg-type]
         harness.advance_unread(200 * MILLISECOND)  # the loop is late: its timers run before it reads
-        caller = await harness.adopt(blind)
+        caller = await harness.adopt(unread_socket)
         await harness.kernel.command_read("SCHED", 1)
         harness.kernel.end_run(1)
         assert await caller.status_word(1) == "done"
@@ -154,9 +154,9 @@
     run_with_node(tmp_path, run)
 
 
-@pytest.mark.parametrize("returns", [True, False])
+@pytest.mark.parametrize("link_returns", [True, False])
 def test_requests_at_sigterm_without_a_kernel_link_get_one_response_each(
-    returns: bool, tmp_path: Path
+    link_returns: bool, tmp_path: Path
 ) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
@@ -168,15 +168,15 @@
         caller.send_request(2, "book", once="k")
         await harness.requests_read(2)
         await harness.send_sigterm()
-        if returns:
+        if link_returns:
             harness.kernel.end_run(1)  # the run continued without the link
             harness.kernel.up.set()
             await harness.kernel.command_read("SCHED", 2)
             harness.kernel.end_run(2)
             assert [await caller.status_word(1), await caller.status_word(2)] == ["done", "done"]
         await harness.run_to_exit()
-        words = [await caller.status_word(tag) for tag in (1, 2)]
-        assert words == (["done", "done"] if returns else ["error", "error"])
+        status_words = [await caller.status_word(tag) for tag in (1, 2)]
+        assert status_words == (["done", "done"] if link_returns else ["error", "error"])
         assert (
             caller.response_count(1) == caller.response_count(2) == 1
             and harness.kernel.command_count("SCHED", 1) == 1
@@ -206,11 +206,11 @@
         caller.send_request(1, "list")
         await harness.kernel.command_read("SCHED", 1)
         await harness.send_sigterm()
-        stops = harness.core.stops_at
+        stops_at = harness.core.stops_at
         await harness.advance(300)
         os.kill(os.getpid(), signal.SIGTERM)
         await harness.advance(20)
-        assert harness.core.stops_at == stops
+        assert harness.core.stops_at == stops_at
         harness.kernel.end_run(1)
         assert await caller.status_word(1) == "done"
         await harness.run_to_exit()
@@ -237,8 +237,8 @@
             await harness.reload(settings=changed)
             await harness.send_sigterm()
         grace_ms = (ALTERNATE_SETTINGS if first == "SIGTERM" else changed)["rules"]["drainGraceUs"] / 1000
-        inside = min(grace_ms, 1_500) - 100
-        await harness.advance(inside)
+        within_grace_ms = min(grace_ms, 1_500) - 100
+        await harness.advance(within_grace_ms)
         caller.send_request(2, "list")
         await harness.kernel.command_read("SCHED", 2)
         for tag in (1, 2):
@@ -274,11 +274,11 @@
 def test_a_deadline_at_the_end_of_the_grace_gives_one_response(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         await harness.send_sigterm()
-        end = harness.core._shutdown._run_until
+        grace_end = harness.core._shutdown._run_until
         caller = await harness.connect()
         await harness.advance(GRACE_MS - 900 - 50)
-        early = int((end - harness.node.timeline.now()) / MILLISECOND) - 900
-        at_ms = int(harness.node.timeline.now().timestamp() * 1000) + early
+        offset_ms = int((grace_end - harness.node.timeline.now()) / MILLISECOND) - 900
+        at_ms = int(harness.node.timeline.now().timestamp() * 1000) + offset_ms
         caller.send_request(1, "ping", at=at_ms)  # the deadline of a ping is 0.9 s
         await harness.kernel.command_read("SCHED", 1)
         await harness.run_to_exit()
@@ -295,13 +295,13 @@
     settings = alternate_settings(
         cpus=2, runMemFactor=3.0, keyKb=1.0, halt="suspend", say="window", ramKb=3_000.0
     )
-    ping, lists, book, opens, tally = settings["classes"]
-    opens.update(name="unlock")
-    lists.update(semantics="at_most_once", worth=9.0)
-    book.update(hardLimitUs=300_000, aimUs=200_000)
-    settings["classes"] = [tally, opens, book, lists]
+    ping_class, list_class, book_class, open_class, tally_class = settings["classes"]
+    open_class.update(name="unlock")
+    list_class.update(semantics="at_most_once", worth=9.0)
+    book_class.update(hardLimitUs=300_000, aimUs=200_000)
+    settings["classes"] = [tally_class, open_class, book_class, list_class]
     settings["familyInfo"].update(callsByClass=[False, True, True, True], degradedWorth=[0.0] * 4)
-    del ping
+    del ping_class
     return settings
 
 
@@ -309,12 +309,12 @@
 def test_requests_in_flight_at_sighup_keep_their_class(where: str, tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
-        other = "list" if where == "at a call" else "ping"
+        request_class = "list" if where == "at a call" else "ping"
         if where == "no link":
             harness.kernel.up.clear()
             harness.kernel.drop_link()
             await until(lambda: harness.kernel.link_count == 2)
-        caller.send_request(1, other)
+        caller.send_request(1, request_class)
         await harness.requests_read(1)
         if where == "no link":
             await until(lambda: f"{1:016x}" in harness.node.kernel._commands.unconfirmed_requests())
@@ -351,7 +351,7 @@
             harness.kernel.end_run(1)
         tags = (1, 2, 3) if where in ("queued", "paused") else (1,)
         assert [await caller.status_word(tag) for tag in tags] == ["done"] * len(tags)
-        assert harness.kernel.classes[f"{1:016x}"] == other
+        assert harness.kernel.classes[f"{1:016x}"] == request_class
         controller = harness.core._controller
         assert (
             harness.core.in_flight == 0
@@ -370,61 +370,62 @@
     tmp_path: Path,
 ) -> None:
     async def run(harness: NodeHarness) -> None:
-        caller, old = await harness.connect(), harness.kernel
-        for tag, kind in ((1, "open"), (2, "list")):
-            caller.send_request(tag, kind)
-            await old.command_read("SCHED", tag)
-        old.request_call(1)
-        old.request_call(2)
+        caller, old_kernel = await harness.connect(), harness.kernel
+        for tag, request_class in ((1, "open"), (2, "list")):
+            caller.send_request(tag, request_class)
+            await old_kernel.command_read("SCHED", tag)
+        old_kernel.request_call(1)
+        old_kernel.request_call(2)
         for tag in (1, 2):
             await harness.database.call_read(tag)
-        fresh, database = ScriptedKernel(), ScriptedDatabase()
-        await fresh.start()
-        await database.start()
-        await harness.reload(kernel=fresh.address, db=database.address)
-        fresh.notices = old.notices  # the same kernel at another address
-        await until(lambda: fresh.link_count == 1)
+        new_kernel, new_database = ScriptedKernel(), ScriptedDatabase()
+        await new_kernel.start()
+        await new_database.start()
+        await harness.reload(kernel=new_kernel.address, db=new_database.address)
+        new_kernel.notices = old_kernel.notices  # the same kernel at another address
+        await until(lambda: new_kernel.link_count == 1)
         await harness.database.reply(1)  # a call in flight finishes on its old connection
-        await fresh.command_read("IODONE", 1)
+        await new_kernel.command_read("IODONE", 1)
         harness.database.stop()  # the old addresses close
-        old.stop()
-        await database.call_read(2)  # idempotent: retried at the new address
-        await database.reply(2)
-        await fresh.command_read("IODONE", 2)
+        old_kernel.stop()
+        await new_database.call_read(2)  # idempotent: retried at the new address
+        await new_database.reply(2)
+        await new_kernel.command_read("IODONE", 2)
         for tag in (1, 2):
-            fresh.end_run(tag)
+            new_kernel.end_run(tag)
             assert await caller.status_word(tag) == "done"
-        assert (harness.database.call_count(1), database.call_count(1)) == (1, 0) and fresh.command_count(
-            "SCHED", 1
-        ) == 0
-        fresh.stop()
-        database.stop()
+        assert (harness.database.call_count(1), new_database.call_count(1)) == (
+            1,
+            0,
+        ) and new_kernel.command_count("SCHED", 1) == 0
+        new_kernel.stop()
+        new_database.stop()
 
     run_with_node(tmp_path, run)
 
 
 def test_a_second_sighup_before_the_first_takes_effect_skips_its_address(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
-        silent, last = ScriptedKernel(), ScriptedKernel()
-        silent.up.clear()
-        await silent.start()
-        await last.start()
+        silent_kernel, last_kernel = ScriptedKernel(), ScriptedKernel()
+        silent_kernel.up.clear()
+        await silent_kernel.start()
+        await last_kernel.start()
         caller = await harness.connect()
         caller.send_request(1, "open")
         await harness.kernel.command_read("SCHED", 1)
-        await harness.reload(kernel=silent.address)
-        await until(lambda: silent.link_count == 1)  # this kernel never reports that it has booted
-        last.notices = harness.kernel.notices
-        await harness.reload(kernel=last.address)
-        await until(lambda: last.link_count == 1)
+        await harness.reload(kernel=silent_kernel.address)
+        await until(lambda: silent_kernel.link_count == 1)  # this kernel never reports that it has booted
+        last_kernel.notices = harness.kernel.notices
+        await harness.reload(kernel=last_kernel.address)
+        await until(lambda: last_kernel.link_count == 1)
         caller.send_request(2, "list")
-        await last.command_read("SCHED", 2)
+        await last_kernel.command_read("SCHED", 2)
         for tag in (1, 2):
-            last.end_run(tag)
+            last_kernel.end_run(tag)
             assert await caller.status_word(tag) == "done"
-        assert silent.commands == []
-        silent.stop()
-        last.stop()
+        assert silent_kernel.commands == []
+        silent_kernel.stop()
+        last_kernel.stop()
 
     run_with_node(tmp_path, run)
 
@@ -454,10 +455,11 @@
         changed["classes"][2]["repeatWindowUs"] = 6_000_000
         await harness.reload(settings=changed)
         await harness.advance(4_000, size=200)
-        again = await harness.connect()
-        again.send_request(1, "book", b"mine", id=2, once="k")
+        new_caller = await harness.connect()
+        new_caller.send_request(1, "book", b"mine", id=2, once="k")
         assert (
-            await again.response(1) == [b"done", b"booked"] and harness.kernel.command_count("SCHED", 2) == 0
+            await new_caller.response(1) == [b"done", b"booked"]
+            and harness.kernel.command_count("SCHED", 2) == 0
         )
 
     run_with_node(tmp_path, run)
@@ -493,8 +495,8 @@
         await caller.response(1)
         harness.only_connection.close_idle()
         await caller.closing_frame()
-        blind = caller.writer.get_extra_info("socket")
-        os.write(blind.fileno(), caller.frame(2, "ping"))  # sent before the peer read `0 closing`
+        unread_socket = caller.writer.get_extra_info("socket")
+        os.write(unread_socket.fileno(), caller.frame(2, "ping"))  # sent before the peer read `0 closing`
         harness.advance_unread(210 * MILLISECOND)
         await harness.kernel.command_read("SCHED", 2)
         harness.kernel.end_run(2)
@@ -509,11 +511,11 @@
 ) -> None:
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
-        whole = caller.frame(1, "open")
-        caller.send(whole[:20])
+        frame = caller.frame(1, "open")
+        caller.send(frame[:20])
         connection = harness.only_connection
         await until(lambda: connection._frames.inside)
-        os.write(caller.writer.get_extra_info("socket").fileno(), whole[20:])
+        os.write(caller.writer.get_extra_info("socket").fileno(), frame[20:])
         harness.advance_unread(1_600 * MILLISECOND)
         assert await caller.status_word(1) == "later"  # read, although its deadline has passed
 
@@ -547,16 +549,16 @@
         for tag in (1, 2, 3):
             first.send_request(tag, "list")
             await harness.kernel.command_read("SCHED", tag)
-        old = harness.only_connection
-        transport: Any = old._transport
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        descriptor = transport.get_extra_info("socket").fileno()
+        old_connection = harness.only_connection
+        old_transport: Any = old_connection._transport
+        old_transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+        descriptor = old_transport.get_extra_info("socket").fileno()
         harness.kernel.end_run(1, body=b"x" * 60_000)
-        await until(lambda: not old._writable)
+        await until(lambda: not old_connection._writable)
         harness.kernel.end_run(2, body=b"y" * 60_000)
-        await until(lambda: old.send_blocked)
-        old.close_idle()
-        old.drain()  # the connection is closed 0.2 s later
+        await until(lambda: old_connection.send_blocked)
+        old_connection.close_idle()
+        old_connection.drain()  # the connection is closed 0.2 s later
         if how == "reset":
             first.reset()
         else:
@@ -565,8 +567,8 @@
         second = await harness.connect()
         second.send_request(3, "list", id=9)
         await harness.kernel.command_read("SCHED", 9)
-        new: Any = harness.only_connection._transport
-        assert new.get_extra_info("socket").fileno() == descriptor  # reused by the new connection
+        new_transport: Any = harness.only_connection._transport
+        assert new_transport.get_extra_info("socket").fileno() == descriptor  # reused by the new connection
         harness.kernel.end_run(3, body=b"late")
         await harness.advance(650)  # the timer has run twice
         harness.kernel.end_run(9, body=b"mine")
@@ -670,12 +672,12 @@
         caller.send_request(1, "open")
         await harness.kernel.command_read("SCHED", 1)
         harness.kernel.request_call(1)
-        line = await harness.database.call_read(1)
+        writer = await harness.database.call_read(1)
         await harness.advance(1_220)  # the deadline of an open is 1.2 s
         assert await caller.status_word(1) == "error"
         harness.kernel.end_run(1, "cancelled", b"")
         await until(lambda: harness.core.in_flight == 0)
-        line.write(b"%016x ROWS 4\r\nrows\r\n" % 1)
+        writer.write(b"%016x ROWS 4\r\nrows\r\n" % 1)
         caller.send_request(2, "ping")
         await harness.kernel.command_read("SCHED", 2)
         assert caller.response_count(1) == 1 and harness.kernel.command_count("IODONE", 1) == 0
@@ -690,9 +692,9 @@
         caller.send_request(1, "list")
         await harness.kernel.command_read("SCHED", 1)
         harness.kernel.request_call(1)
-        line = await harness.database.call_read(1)
+        writer = await harness.database.call_read(1)
         call = harness.node.database._calls[f"{1:016x}"]
-        os.write(line.get_extra_info("socket").fileno(), b"%016x ROWS 4\r\nrows\r\n" % 1)
+        os.write(writer.get_extra_info("socket").fileno(), b"%016x ROWS 4\r\nrows\r\n" % 1)
         harness.advance_unread(call.until - harness.node.timeline.now() + 60 * MILLISECOND)
         await harness.kernel.command_read("IODONE", 1)
         harness.kernel.end_run(1)
@@ -708,9 +710,9 @@
             caller.send_request(tag, "list")
             await harness.kernel.command_read("SCHED", tag)
             harness.kernel.request_call(tag)
-            line = await harness.database.call_read(tag)
+            writer = await harness.database.call_read(tag)
             if tag == 2:
-                line.transport.abort()
+                writer.transport.abort()
                 await harness.database.call_read(2, times=2)  # idempotent: retried
             await harness.database.reply(tag, times=tag)
             await harness.kernel.command_read("IODONE", tag)
@@ -759,14 +761,16 @@
 }
 
 
-@pytest.mark.parametrize("bad", BAD_INPUT)
+@pytest.mark.parametrize("bad_input", BAD_INPUT)
 @pytest.mark.parametrize("moment", ["calm", "draining", "reloaded", "link down"])
-def test_bad_input_at_any_moment_affects_no_other_connection(bad: str, moment: str, tmp_path: Path) -> None:
+def test_bad_input_at_any_moment_affects_no_other_connection(
+    bad_input: str, moment: str, tmp_path: Path
+) -> None:
     async def run(harness: NodeHarness) -> None:
         caller, client = await harness.connect(), await harness.connect()
         caller.send_request(1, "list")
         await harness.kernel.command_read("SCHED", 1)
-        client.send(BAD_INPUT[bad][:3])
+        client.send(BAD_INPUT[bad_input][:3])
         match moment:
             case "draining":
                 await harness.send_sigterm()
@@ -776,13 +780,13 @@
                 harness.kernel.up.clear()
                 harness.kernel.drop_link()
                 await until(lambda: harness.kernel.link_count == 2)
-        client.send(BAD_INPUT[bad][3:])
-        if bad in ("malformed", "out of range", "unknown class"):
+        client.send(BAD_INPUT[bad_input][3:])
+        if bad_input in ("malformed", "out of range", "unknown class"):
             assert await client.status_word(1) == "error"
         else:
-            ends = asyncio.ensure_future(client.read_to_end())
+            close_task = asyncio.ensure_future(client.read_to_end())
             await harness.advance(1_520)
-            await ends  # the read timeout closes the connection
+            await close_task  # the read timeout closes the connection
         harness.kernel.up.set()
         harness.kernel.end_run(1)
         assert await caller.status_word(1) == "done" and caller.response_count(1) == 1
@@ -798,9 +802,9 @@
     async def run(harness: NodeHarness) -> None:
         await until(lambda: harness.reports.seen)
         await harness.reload(settings=changed_settings())
-        seen = len(harness.reports.seen)
+        report_count = len(harness.reports.seen)
         await harness.advance(700)
-        await until(lambda: len(harness.reports.seen) >= seen + 2)
+        await until(lambda: len(harness.reports.seen) >= report_count + 2)
         harness.core.serving_state.quiesce()
         harness.node.serving_state_changed()
         await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
@@ -809,9 +813,9 @@
         await until(lambda: harness.reports.seen[-1] == b"renew n1 yes")
         await harness.send_sigterm()
         await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
-        seen = len(harness.reports.seen)
+        report_count = len(harness.reports.seen)
         await harness.run_to_exit()
-        assert len(harness.reports.seen) == seen
+        assert len(harness.reports.seen) == report_count
 
     run_with_node(tmp_path, run)
 
@@ -856,22 +860,20 @@
 
 @pytest.mark.parametrize("where", ["same address", "moved"])
 @pytest.mark.parametrize("meanwhile", ["quiesce", "resume", "drain"])
-def test_a_name_service_that_comes_back_hears_the_present_state(
-    meanwhile: str, where: str, tmp_path: Path
-) -> None:
+def test_a_restarted_name_service_gets_the_current_state(meanwhile: str, where: str, tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
-        state = harness.core.serving_state
+        serving_state = harness.core.serving_state
         if meanwhile == "resume":
-            state.quiesce()
+            serving_state.quiesce()
             harness.node.serving_state_changed()
             await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
         port = stop_name_service(harness)
         await harness.advance(700)  # reports in this time are lost
         match meanwhile:
             case "quiesce":
-                state.quiesce()
+                serving_state.quiesce()
             case "resume":
-                state.resume()
+                serving_state.resume()
         harness.node.serving_state_changed()
         if meanwhile == "drain":
             await harness.send_sigterm()
@@ -895,40 +897,40 @@
     tmp_path: Path,
 ) -> None:
     # Of requests that arrive before the kernel is up, only as many start as the node can survive; all get a response.
-    cold = alternate_settings(cold=True, ramKb=1e9)
-    cold["rules"].update(coldShare=0.25, warmAfterUs=60_000_000)
+    settings = alternate_settings(cold=True, ramKb=1e9)
+    settings["rules"].update(coldShare=0.25, warmAfterUs=60_000_000)
     # Objectives far longer than a slow machine needs, for all classes: the shortest one bounds the reading lag at which
     # the controller takes cores back from runs.
-    for request_class in cold["classes"]:
+    for request_class in settings["classes"]:
         request_class.update(aimUs=14_000_000, hardLimitUs=15_000_000)
 
     async def run(harness: NodeHarness) -> None:
-        kernel, up = harness.kernel, harness.node.timeline.now()
+        kernel, started_at = harness.kernel, harness.node.timeline.now()
         kernel.up.clear()
         kernel.drop_link()
         await until(lambda: kernel.link_count == 2)
         callers = [await harness.connect() for _ in range(8)]
-        for number, caller in enumerate(callers):
-            sender: Any = {"from": number}
+        for index, caller in enumerate(callers):
+            sender_field: Any = {"from": index}
             for tag in range(1, 21):
-                caller.send_request(tag, "list", id=100 * number + tag, **sender)
+                caller.send_request(tag, "list", id=100 * index + tag, **sender_field)
         await harness.requests_read(160)
         kernel.up.set()
         await until(lambda: kernel.commands)
         await harness.advance(5_000)  # no run ends, and cores are free
-        warmed = (harness.node.timeline.now() - up) / (60 * SECOND)
+        warmed_share = (harness.node.timeline.now() - started_at) / (60 * SECOND)
         # 3 cores, overload factor 7, initial capacity share 0.25
-        survives = 3 * (1 + (7 - 1) * (0.25 + 0.75 * warmed))
-        assert 3 < len(kernel.commands) <= survives
-        ended: set[str] = set()
+        max_runs = 3 * (1 + (7 - 1) * (0.25 + 0.75 * warmed_share))
+        assert 3 < len(kernel.commands) <= max_runs
+        ended_ids: set[str] = set()
         while harness.core.unanswered:
-            for id in [id for word, id in kernel.commands if word == "SCHED" and id not in ended]:
-                ended.add(id)
+            for id in [id for command, id in kernel.commands if command == "SCHED" and id not in ended_ids]:
+                ended_ids.add(id)
                 kernel.end_run(int(id, 16))
             await harness.advance(20)
-        words = [await caller.status_word(tag) for caller in callers for tag in range(1, 21)]
-        assert words.count("done") >= 9 and set(words) <= {"done", "later", "error"}
-        started = [id for word, id in kernel.commands if word == "SCHED"]
-        assert len(started) == len(set(started))
+        status_words = [await caller.status_word(tag) for caller in callers for tag in range(1, 21)]
+        assert status_words.count("done") >= 9 and set(status_words) <= {"done", "later", "error"}
+        started_ids = [id for command, id in kernel.commands if command == "SCHED"]
+        assert len(started_ids) == len(set(started_ids))
 
-    run_with_node(tmp_path, run, settings=cold)
+    run_with_node(tmp_path, run, settings=settings)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -177,9 +177,9 @@
         response_task = asyncio.ensure_future(harness.over_uwsgi("setpoint-cmd", "b7", "/hang"))
         await harness.uwsgi.reached.wait()
         assert isinstance(harness.node.components["uwsgi"], UwsgiComponent)
-        [run] = harness.node.components["uwsgi"].upstream._requests.values()
-        assert run.attempt is not None
-        run.attempt.connect_failed(ConnectError(ConnectionResetError()))
+        [upstream_request] = harness.node.components["uwsgi"].upstream._requests.values()
+        assert upstream_request.attempt is not None
+        upstream_request.attempt.connect_failed(ConnectError(ConnectionResetError()))
         assert (await response_task).startswith(b"HTTP/1.1 502 ")
         assert (await harness.over_uwsgi("setpoint-cmd", "b7")).startswith(b"HTTP/1.1 502 ")
         assert harness.uwsgi.runs == {"b7": 1}
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -24,30 +24,30 @@
 from tests.test_loopback import over_resp
 
 
-class Reports(asyncio.DatagramProtocol):
+class ReportRecorder(asyncio.DatagramProtocol):
     def __init__(self) -> None:
         self.seen: list[bytes] = []
-        self.came = asyncio.Event()
+        self.received = asyncio.Event()
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         self.seen.append(data)
-        self.came.set()
+        self.received.set()
 
 
-async def listen_for_reports() -> tuple[Reports, str]:
+async def listen_for_reports() -> tuple[ReportRecorder, str]:
     transport, reports = await asyncio.get_running_loop().create_datagram_endpoint(
-        Reports, local_addr=("127.0.0.1", 0)
+        ReportRecorder, local_addr=("127.0.0.1", 0)
     )
     return reports, f"127.0.0.1:{transport.get_extra_info('sockname')[1]}"
 
 
-def test_reports_come_so_often_that_a_lost_quarter_of_them_lets_no_entry_lapse() -> None:
+def test_reports_are_frequent_enough_that_losing_a_quarter_lets_no_entry_lapse() -> None:
     # Guards against a node that drops off the endpoint list: an entry lapses after 3 s without a report.
-    in_a_row = (3000 * MILLISECOND) // REPORT_INTERVAL
-    assert 0.25**in_a_row < 1e-5
+    lost_in_a_row = (3000 * MILLISECOND) // REPORT_INTERVAL
+    assert 0.25**lost_in_a_row < 1e-5
 
 
-class Socket:
+class FakeSocket:
     def __init__(self) -> None:
         self.sent: list[bytes] = []
         self.closed = False
@@ -62,22 +62,26 @@
         return self.closed
 
 
-def test_a_socket_that_comes_after_the_address_has_changed_is_closed_and_one_reports() -> None:
+def test_a_socket_opened_after_a_change_of_address_is_closed_and_only_one_reports() -> None:
     # Guards against reports to an old address, and against two sockets that report at the same time.
-    clock, here, there = HandClock(), ("127.0.0.1", 1), ("127.0.0.1", 2)
-    naming = NameServiceClient("n1", here, clock.timeline)
-    late, first, second = Socket(), Socket(), Socket()
-    for address, socket in ((there, late), (here, first), (here, second)):
+    clock, current_address, former_address = HandClock(), ("127.0.0.1", 1), ("127.0.0.1", 2)
+    naming = NameServiceClient("n1", current_address, clock.timeline)
+    late_socket, first_socket, second_socket = FakeSocket(), FakeSocket(), FakeSocket()
+    for address, socket in (
+        (former_address, late_socket),
+        (current_address, first_socket),
+        (current_address, second_socket),
+    ):
         naming.opened(address, cast(asyncio.DatagramTransport, socket))
     clock.advance(1_000)
-    assert late.closed and first.closed and not late.sent and len(first.sent) == 1
-    assert second.sent == [b"renew n1 yes"] * 4
+    assert late_socket.closed and first_socket.closed and not late_socket.sent and len(first_socket.sent) == 1
+    assert second_socket.sent == [b"renew n1 yes"] * 4
     naming.report_last()
     clock.advance(1_000)
-    assert second.closed and second.sent[4:] == [b"renew n1 no"]
+    assert second_socket.closed and second_socket.sent[4:] == [b"renew n1 no"]
 
 
-def test_on_sighup_all_that_is_new_goes_to_the_new_addresses_and_a_faulty_file_changes_nothing(
+def test_after_sighup_new_work_uses_the_new_addresses_and_an_invalid_file_changes_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     # Guards against a process that exits on SIGHUP, and against one that keeps using the old addresses.
@@ -88,36 +92,38 @@
         databases = FakeDatabase(), FakeDatabase()
         for server in (*kernels, *databases):
             await server.start()
-        names = [await listen_for_reports() for _ in range(2)]
+        name_services = [await listen_for_reports() for _ in range(2)]
 
-        def write(one: int, **other: Any) -> None:
-            raw = raw_config(kernel=kernels[one].address, db=databases[one].address, naming=names[one][1])
+        def write(index: int, **other: Any) -> None:
+            raw = raw_config(
+                kernel=kernels[index].address, db=databases[index].address, naming=name_services[index][1]
+            )
             path.write_text(json.dumps({**raw, **other}))
 
         write(0)
-        read = partial(load, {"PROXY_CONFIG": str(path)})
-        node = Node(read(), TimerQueue(LoopWaker(asyncio.get_running_loop())), read)
+        read_config = partial(load, {"PROXY_CONFIG": str(path)})
+        node = Node(read_config(), TimerQueue(LoopWaker(asyncio.get_running_loop())), read_config)
         await node.open()
         assert (await over_resp(node, "setpoint-cmd", 1, b"call")).endswith(b"rows\r\n")
-        for text in ("{", json.dumps(raw_config(kernel="nowhere")), "[]"):
-            path.write_text(text)
+        for invalid_text in ("{", json.dumps(raw_config(kernel="nowhere")), "[]"):
+            path.write_text(invalid_text)
             node.config_reloader.reload()
-        await names[0][0].came.wait()
+        await name_services[0][0].received.wait()
         assert (await over_resp(node, "setpoint-cmd", 2, b"call")).endswith(b"rows\r\n")
         kernels[1].notices = list(
             kernels[0].notices
         )  # the same kernel at another address: runs and notice numbers continue
-        for one in (1, 0):
-            write(one)
+        for index in (1, 0):
+            write(index)
             node.config_reloader.reload()
         write(1)
         os.kill(os.getpid(), signal.SIGHUP)
-        await names[1][0].came.wait()
+        await name_services[1][0].received.wait()
         while not kernels[1].opened:
             await asyncio.sleep(0)
         for number in range(3, 9):
-            answer = await over_resp(node, "setpoint-cmd", number, b"call")
-            assert answer.endswith(b"rows\r\n")
+            response = await over_resp(node, "setpoint-cmd", number, b"call")
+            assert response.endswith(b"rows\r\n")
         assert (len(kernels[0].runs), len(databases[0].runs)) == (2, 2)
         assert (len(kernels[1].runs), len(databases[1].runs)) == (6, 6)
         assert kernels[1].opened[0] == 4
--- a/tests/test_resource_budget.py
+++ b/tests/test_resource_budget.py
@@ -20,7 +20,7 @@
     ("memory_mb", "sockets", "connections", "requests"),
     [(32, 384, 320, 1228), (24, 384, 128, 409), (192, 512, 448, MAX_REQUESTS), (192, 64, 16, MAX_REQUESTS)],
 )
-def test_the_tables_fit_the_machine_that_the_configuration_names(
+def test_the_tables_fit_the_configured_memory_and_descriptor_limits(
     memory_mb: int, sockets: int, connections: int, requests: int
 ) -> None:
     # Guards against a node that is killed by the OOM killer, or runs out of descriptors, on a small machine.
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("memory_mb", "sockets", "other", "budget"),
+    ("memory_mb", "sockets", "other_settings", "budget"),
     [
         (64, 512, {}, ResourceBudget(2457, 384)),
         (64, 512, {"mgmt": "127.0.0.1:0"}, ResourceBudget(2457, 288)),
@@ -43,7 +43,7 @@
     ],
 )
 def test_two_processes_reserve_memory_and_descriptors_for_each(
-    memory_mb: int, sockets: int, other: dict[str, Any], budget: ResourceBudget
+    memory_mb: int, sockets: int, other_settings: dict[str, Any], budget: ResourceBudget
 ) -> None:
-    config = check(raw_config(limits={"memory_mb": memory_mb, "sockets": sockets}, **other))
+    config = check(raw_config(limits={"memory_mb": memory_mb, "sockets": sockets}, **other_settings))
     assert resource_budget(config, processes=2) == budget
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -19,6 +19,6 @@
 
 
 @pytest.mark.parametrize("limit", [-1, 0, INDEX_MASK + 1])
-def test_a_limit_that_handles_cannot_number_is_named(limit: int) -> None:
+def test_a_limit_that_handles_cannot_index_is_rejected(limit: int) -> None:
     with pytest.raises(InvalidTableLimitError, match=rf"from 1 to 2\^20 - 1 slots, got {limit}"):
         SlotTable[str](limit)
--- a/tests/test_status_log.py
+++ b/tests/test_status_log.py
@@ -9,15 +9,15 @@
 from tests.support.node import Desk
 
 
-def test_counters_stand_in_the_order_of_their_names_without_blanks() -> None:
+def test_counters_are_sorted_by_name_and_contain_no_spaces() -> None:
     assert format_counters({"runs": 2, "without rules": 1, "done": 3}) == "done=3 runs=2 without_rules=1"
 
 
-def test_a_status_without_counts_says_that_the_node_is_idle() -> None:
+def test_a_status_without_counts_is_idle() -> None:
     assert format_counters({}) == "idle"
 
 
-def test_each_line_counts_from_the_one_before(caplog: pytest.LogCaptureFixture) -> None:
+def test_each_line_counts_since_the_previous_one(caplog: pytest.LogCaptureFixture) -> None:
     desk = Desk()
     StatusLog(desk.core, desk.clock.timeline, lambda: 5).start()
     with caplog.at_level("INFO", "marlstep"):
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -7,26 +7,26 @@
 
 
 def test_timers_run_in_order_and_cancelled_ones_never() -> None:
-    clock, seen = HandClock(), list[int]()
+    clock, calls = HandClock(), list[int]()
     timers = [
-        clock.timeline.at(START + ms * MILLISECOND, functools.partial(seen.append, ms)) for ms in (3, 1, 2)
+        clock.timeline.at(START + ms * MILLISECOND, functools.partial(calls.append, ms)) for ms in (3, 1, 2)
     ]
     clock.timeline.cancel(timers[2])
     clock.timeline.cancel(timers[2])
     clock.advance(5)
-    assert seen == [1, 3] and len(clock.timeline) == 0
+    assert calls == [1, 3] and len(clock.timeline) == 0
     clock.timeline.cancel(timers[0])  # cancelling a timer that has run does nothing
     assert len(clock.timeline) == 0
 
 
-def test_a_timer_that_raises_stops_no_other() -> None:
+def test_a_timer_that_raises_does_not_stop_others() -> None:
     # Guards against an exception in one callback that leaves the alarm unset, so that all later responses fail.
-    clock, seen = HandClock(), list[int]()
-    clock.timeline.at(START, lambda: seen.append(1 // 0))
-    clock.timeline.at(START, lambda: seen.append(2))
-    clock.timeline.at(START + SECOND, lambda: seen.append(3))
+    clock, calls = HandClock(), list[int]()
+    clock.timeline.at(START, lambda: calls.append(1 // 0))
+    clock.timeline.at(START, lambda: calls.append(2))
+    clock.timeline.at(START + SECOND, lambda: calls.append(3))
     clock.advance(2000)
-    assert seen == [2, 3]
+    assert calls == [2, 3]
 
 
 def test_many_cancelled_timers_do_not_accumulate() -> None:
