--- a/marlstep/__main__.py
+++ b/marlstep/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m marlstep`: the node as the platform starts it, or any command.
+"""Entry point of `python -m marlstep`: run the node, or one of the commands.
 
-The platform's line has no arguments, and goes to the node without loading what commands need.
+The platform starts the node without arguments. That path does not import the packages that only commands need.
 """
 
 from __future__ import annotations
@@ -10,26 +10,26 @@
 import sys
 
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
-COMPLETION_VARIABLE = "_MARLSTEP_COMPLETE"  # set by a shell that asks which words may follow
-MISSING_PACKAGE = 2  # exit code
+COMPLETION_VARIABLE = "_MARLSTEP_COMPLETE"  # set by the shell for tab completion
+EXIT_MISSING_PACKAGE = 2  # exit code
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Run the node, or a command, and return the exit code.
 
     Args:
-        arguments: the words of the call; those of the process where there are none.
+        arguments: the command-line arguments; `sys.argv[1:]` if None.
     """
-    words = sys.argv[1:] if arguments is None else arguments
-    match words:
+    command_line = sys.argv[1:] if arguments is None else arguments
+    match command_line:
         case _ if COMPLETION_VARIABLE in os.environ:
-            return _run_command(words)
+            return _run_command(command_line)
         case [] | ["node"]:
             return _run_node(None)
         case ["--operator", operator] | ["node", "--operator", operator]:
             return _run_node(operator)
         case _:
-            return _run_command(words)
+            return _run_command(command_line)
 
 
 def _run_node(operator: str | None) -> int:
@@ -39,15 +39,17 @@
     return run(operator)
 
 
-def _run_command(words: list[str]) -> int:
+def _run_command(command_line: list[str]) -> int:
     try:
         from marlstep.cli.main import call
     except ModuleNotFoundError as error:
         if str(error.name).startswith("marlstep"):
             raise
-        print(f"marlstep: commands need {error.name}: install requirements-ops.txt", file=sys.stderr)
-        return MISSING_PACKAGE
-    return call(words)
+        print(
+            f"marlstep: commands need the package {error.name}: install requirements-ops.txt", file=sys.stderr
+        )
+        return EXIT_MISSING_PACKAGE
+    return call(command_line)
 
 
 if __name__ == "__main__":
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Attempts of keyed work that meet: with another body, at the edge of the window, cancelled, or read late."""
+"""Concurrent attempts of keyed work: with another body, at the end of the window, cancelled, or read late."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.support.alternate_settings import RespDesk, response_frame
 from tests.support.node import START, Wire
 
-BUSY = response_frame(1, b"error")
+ERROR_RESPONSE = response_frame(1, b"error")
 
 
 def run_first_attempt(desk: RespDesk) -> Wire:
-    """Send an attempt of the work k and let it run; return its connection."""
+    """Send an attempt with the key k and start it. Returns its connection."""
     wire = desk.connect()
     desk.send_request(wire, 1, "book", b"mine", once="k")
     assert desk.start_count(1) == 1
@@ -32,74 +32,76 @@
 
 @pytest.mark.parametrize("ended", [False, True])
 def test_a_key_with_another_body_gets_an_error_and_no_result_of_other_work(ended: bool) -> None:
-    # Guards against a bad client that gets the result of a good request by using its key.
+    # Guards against a client that gets the result of another client's request by using its key.
     desk = RespDesk()
-    good, bad = run_first_attempt(desk), desk.connect()
+    owner, intruder = run_first_attempt(desk), desk.connect()
     if ended:
         desk.end_run(1)
-    desk.send_request(bad, 1, "book", b"theirs", id=2, once="k")
-    assert bad.take() == response_frame(1, b"error") and desk.start_count(2) == 0
+    desk.send_request(intruder, 1, "book", b"theirs", id=2, once="k")
+    assert intruder.take() == response_frame(1, b"error") and desk.start_count(2) == 0
     if not ended:
         desk.end_run(1)
-    assert good.take() == response_frame(1, b"done", b"result")
-    again = desk.connect()
+    assert owner.take() == response_frame(1, b"done", b"result")
+    repeat = desk.connect()
     desk.send_request(
-        again, 1, "book", b"mine", id=3, once="k"
+        repeat, 1, "book", b"mine", id=3, once="k"
     )  # a repeat with the same body shares the result
-    assert again.take() == response_frame(1, b"done", b"result") and desk.start_count(3) == 0
+    assert repeat.take() == response_frame(1, b"done", b"result") and desk.start_count(3) == 0
 
 
-@pytest.mark.parametrize("how", ["unknown to the kernel", "rejected", "cancelled", "connection lost"])
-def test_a_key_that_a_bad_client_used_first_is_free_once_its_attempt_ends_unrun(how: str) -> None:
-    # Guards against good requests that fail for a whole window, as somebody else has used their key.
+@pytest.mark.parametrize("end", ["unknown to the kernel", "rejected", "cancelled", "connection lost"])
+def test_a_key_used_first_by_another_client_is_free_once_its_attempt_ends_without_a_run(end: str) -> None:
+    # Guards against requests that fail for a whole window because another client has used their key.
     desk = RespDesk(cpus=1)
-    bad = desk.connect()
-    if how != "unknown to the kernel":
-        for number in range(50, 58):  # the cores are full: what arrives is queued
+    intruder = desk.connect()
+    if end != "unknown to the kernel":
+        for number in range(50, 58):  # all cores are busy, so later requests are queued
             desk.send_request(desk.connect(), 1, "open", id=number)
     arrived_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) - 1_500
-    desk.send_request(bad, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
-    match how:
+    desk.send_request(intruder, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
+    match end:
         case "unknown to the kernel":
             desk.end_run(2, b"", Outcome.NOT_STARTED)
         case "rejected":
             assert desk.start_count(2) == 0
             desk.clock.advance(400)  # its deadline passes
         case "cancelled":
-            desk.feed(bad, write_frame(b"FORGET", b"1"))
+            desk.feed(intruder, write_frame(b"FORGET", b"1"))
         case "connection lost":
-            bad.close()
+            intruder.close()
             desk.clock.settle()
     for number in range(50, 58):
         desk.end_run(number)
-    good = desk.connect()
-    desk.send_request(good, 1, "book", b"mine", id=3, once="k")
+    owner = desk.connect()
+    desk.send_request(owner, 1, "book", b"mine", id=3, once="k")
     desk.end_run(3)
-    assert good.take() == response_frame(1, b"done", b"result")
+    assert owner.take() == response_frame(1, b"done", b"result")
 
 
 @pytest.mark.parametrize(("arrives_after_ms", "runs"), [(1_999, 0), (2_100, 1)])
-def test_an_attempt_counts_by_its_arrival_however_late_it_is_read(arrives_after_ms: int, runs: int) -> None:
+def test_the_arrival_time_of_an_attempt_counts_even_if_it_is_read_late(
+    arrives_after_ms: int, runs: int
+) -> None:
     # Guards against a second run of an attempt that arrived inside the window and was read after it.
     desk = RespDesk()
     run_first_attempt(desk)
     desk.end_run(1)
     desk.clock.advance(arrives_after_ms)
-    again = desk.connect()
-    late = desk.frame(1, "book", b"mine", id=2, once="k")
+    repeat = desk.connect()
+    late_frame = desk.frame(1, "book", b"mine", id=2, once="k")
     desk.clock.advance(300)
-    desk.feed(again, late)
+    desk.feed(repeat, late_frame)
     assert desk.start_count(2) == runs
     if not runs:
-        assert again.take() == response_frame(1, b"done", b"result")
+        assert repeat.take() == response_frame(1, b"done", b"result")
 
 
-def test_a_client_clock_that_runs_ahead_opens_no_window() -> None:
+def test_a_client_clock_that_runs_ahead_allows_no_second_run() -> None:
     desk = RespDesk()
     run_first_attempt(desk)
-    again = desk.connect()
-    fast = int((desk.clock.now() - EPOCH) / MILLISECOND) + 60_000
-    desk.send_request(again, 1, "book", b"mine", id=2, once="k", at=fast)
+    repeat = desk.connect()
+    future_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) + 60_000
+    desk.send_request(repeat, 1, "book", b"mine", id=2, once="k", at=future_ms)
     assert desk.start_count(2) == 0
 
 
@@ -109,15 +111,15 @@
         now = START + number * SECOND
         table.retain(IdempotencyKey("book", f"k{number}"), f"r{number}", now + SECOND, now, SECOND)
     assert len(table) <= 3
-    # A later window for the same key outlives the end of the one before.
+    # The record of a key stays until the later of two windows ends.
     table.retain(IdempotencyKey("book", "k99"), "r100", START + 200 * SECOND, START + 99 * SECOND, SECOND)
     table.retain(IdempotencyKey("book", "x"), "r", START + 120 * SECOND, START + 110 * SECOND, ZERO)
     assert table.find(IdempotencyKey("book", "k99"), START + 111 * SECOND) is not None
 
 
 def test_a_label_carries_the_digest_and_is_an_id_to_processes_without_digests() -> None:
-    one = encode_label("9b1f03aa5c7e2d41", body_digest(b"body"))
-    assert decode_label(one) == ("9b1f03aa5c7e2d41", body_digest(b"body"))
+    label = encode_label("9b1f03aa5c7e2d41", body_digest(b"body"))
+    assert decode_label(label) == ("9b1f03aa5c7e2d41", body_digest(b"body"))
     assert decode_label("uwsgi~7") == ("uwsgi~7", "") and encode_label("r1", "") == "r1"
     assert (
         KeyRecord("r1", digest="a").matches_body("")
@@ -126,7 +128,7 @@
     )
 
 
-# Requests that their client cancels.
+# Requests that are cancelled by their client.
 
 
 def test_a_request_cancelled_at_any_stage_gets_no_response_and_runs_at_most_once() -> None:
@@ -136,7 +138,7 @@
     desk.core.call_needed(f"{1:016x}", b"ask")
     desk.clock.settle()
     desk.send_request(wire, 2, "ping")
-    desk.send_request(wire, 3, "open")  # the second request is paused for it
+    desk.send_request(wire, 3, "open")  # preempts the second request
     desk.end_run(2, b"", Outcome.CANCELLED)
     desk.send_request(wire, 4, "ping")  # queued
     wire.take()
@@ -147,7 +149,7 @@
     desk.end_run(1, b"", Outcome.CANCELLED)
     assert wire.take() == b"" and desk.core.in_flight == 0 and desk.core.unanswered == 0
     assert [desk.start_count(id) for id in (1, 2, 3, 4)] == [1, 1, 1, 0]
-    wire.close()  # the reset after it releases nothing twice
+    wire.close()  # the reset releases nothing a second time
     desk.clock.settle()
     assert desk.core.in_flight == 0 and len(desk.front.connections) == 0
 
@@ -155,7 +157,7 @@
 def test_a_cancellation_after_the_response_is_ignored_and_repeated_unknown_ones_close_the_connection() -> (
     None
 ):
-    # Guards against a FORGET that closes the connection, and with it all that is open there.
+    # Guards against a FORGET that closes the connection, and so drops its other open requests.
     desk = RespDesk()
     wire = desk.connect()
     desk.send_request(wire, 1, "list")
@@ -171,7 +173,7 @@
 
 
 def test_keys_of_work_that_never_ran_take_no_memory() -> None:
-    # Guards against memory that bad clients fill: each of their keys took some for a window, though none ran.
+    # Guards against clients that fill the memory with keys of work that never ran: each was kept for a window.
     desk = RespDesk(keyKb=100.0)
     wire = desk.connect()
     for number in range(1, 200):
@@ -197,8 +199,8 @@
 
 
 def test_requests_behind_unread_responses_get_theirs_before_the_close() -> None:
-    # Guards against requests that were received and dropped: the peer had half-closed, or was asked to close, while
-    # its requests waited for it to read responses.
+    # Guards against requests that are received but dropped: the peer half-closes, or is asked to close, while its
+    # requests wait until it reads earlier responses.
     for end in ("half-closed", "asked to close"):
         desk = RespDesk()
         wire = desk.connect()
@@ -227,17 +229,17 @@
 
 @pytest.mark.parametrize("stage", ["ended", "running", "queued"])
 def test_an_id_used_again_for_other_work_allows_no_second_run(stage: str) -> None:
-    # Guards against a second run: the controller knows attempts by their ids, and took a bad client's, which never
-    # ran, for the one that had run under this id before. Nor is a result of it shared.
+    # Guards against a second run: the controller identifies attempts by id, and took another client's attempt, which
+    # never ran, for the one that had run under this id. No result is shared either.
     desk = RespDesk(cpus=1)
     run_first_attempt(desk)
     desk.end_run(1, b"", Outcome.ERROR)
     if stage == "queued":
         for number in range(50, 58):
             desk.send_request(desk.connect(), 1, "open", id=number)
-    bad, again = desk.connect(), desk.connect()
-    desk.send_request(bad, 1, "book", b"theirs", id=1, once="other")
+    intruder, repeat = desk.connect(), desk.connect()
+    desk.send_request(intruder, 1, "book", b"theirs", id=1, once="other")
     if stage == "ended":
         desk.end_run(1, b"", Outcome.NOT_STARTED)
-    desk.send_request(again, 1, "book", b"mine", id=2, once="k")
-    assert desk.start_count(2) == 0 and again.take() == response_frame(1, b"error")
+    desk.send_request(repeat, 1, "book", b"mine", id=2, once="k")
+    assert desk.start_count(2) == 0 and repeat.take() == response_frame(1, b"error")
--- a/tests/test_event_loop_watchdog.py
+++ b/tests/test_event_loop_watchdog.py
@@ -1,4 +1,4 @@
-"""A loop that does not come round says where it stands."""
+"""The event-loop watchdog writes a traceback when the loop hangs."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 clock = HandClock()
 EventLoopWatchdog(clock.timeline, 50 * MILLISECOND).start()
-clock.advance(500)  # it comes round ten times over, and nothing is said
+clock.advance(500)  # the loop runs its timers throughout, so nothing is written
 stuck()
 """
 
 
-def test_a_loop_that_hangs_is_named_by_a_traceback() -> None:
+def test_a_hung_loop_writes_a_traceback() -> None:
     with subprocess.Popen([sys.executable, "-c", PROGRAM], stderr=subprocess.PIPE, text=True) as program:
         assert program.stderr is not None
         lines = [program.stderr.readline() for _ in range(4)]
