--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -84,8 +84,8 @@
     def _redirect(self, generation: int) -> None:
         """Connect to the predecessor's successor in place of the predecessor: that one is to be taken over from."""
         if self._predecessor is not None:
-            redirecting, self._predecessor = self._predecessor, None
-            redirecting.close()
+            previous_connection, self._predecessor = self._predecessor, None
+            previous_connection.close()
         task = asyncio.get_running_loop().create_task(self._connect_to(generation))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/marlstep/hot_restart/discovery.py
+++ b/marlstep/hot_restart/discovery.py
@@ -91,7 +91,7 @@
                 listening.bind(path)
             draft.chmod(0o600)
             listening.listen(LISTEN_BACKLOG)
-            generation = self._take_name(draft, first_generation)
+            generation = self._link_free_generation(draft, first_generation)
         except OSError:
             listening.close()
             raise
@@ -99,7 +99,7 @@
             draft.unlink(missing_ok=True)
         return listening, generation
 
-    def _take_name(self, draft: Path, first_generation: int) -> int:
+    def _link_free_generation(self, draft: Path, first_generation: int) -> int:
         for generation in range(first_generation, first_generation + MAX_NAME_ATTEMPTS):
             with contextlib.suppress(FileExistsError):
                 self.path_of(generation).hardlink_to(draft)
@@ -110,8 +110,8 @@
 async def connect(path: Path, make_connection: Callable[[], PeerConnection]) -> PeerConnection:
     """Connect to a process of this node. Raises OSError, or TimeoutError after `CONNECT_TIMEOUT_S`."""
     loop = asyncio.get_running_loop()
-    with short_path(path) as name:
-        connecting = loop.create_unix_connection(make_connection, name)
+    with short_path(path) as socket_path:
+        connecting = loop.create_unix_connection(make_connection, socket_path)
         return (await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S))[1]
 
 
--- a/marlstep/hot_restart/key_exchange.py
+++ b/marlstep/hot_restart/key_exchange.py
@@ -80,12 +80,12 @@
     return None if end is PredecessorEnd.HANDOVER_COMPLETE else now + retry_window
 
 
-def is_claim_granted(known: KeyStatus | None, decided_upstream: ClaimResult) -> bool:
+def is_claim_granted(known_status: KeyStatus | None, predecessor_result: ClaimResult) -> bool:
     """Decide whether the successor may run the request whose key it claims.
 
     Rule: if the key is not known here and the predecessor of this process, if there is one, has granted the claim.
     """
-    return known is None and decided_upstream is ClaimResult.GRANTED
+    return known_status is None and predecessor_result is ClaimResult.GRANTED
 
 
 class OpenClaims:
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -227,7 +227,7 @@
         if self._handing_over:
             self._sharing.drain(needed)
         self._apply_capacity_limit()
-        self._give_capacity(self._sharing.give(in_use))
+        self._send_capacity_grant(self._sharing.grant(in_use))
 
     def finish(self) -> None:
         """Hand over all that is left: this process ends. Runs that no client waits for may go on in the backend."""
@@ -235,7 +235,7 @@
             return
         while self._snapshot is not None:
             self._send_keys()
-        self._give_capacity(self._sharing.give(0.0, rest=True))
+        self._send_capacity_grant(self._sharing.grant(0.0, all_remaining=True))
         self.send(PredecessorDone())
 
     def _send_keys(self) -> None:
@@ -246,7 +246,7 @@
         if self._snapshot.complete:
             self._snapshot = None
 
-    def _give_capacity(self, capacity_share: float) -> None:
+    def _send_capacity_grant(self, capacity_share: float) -> None:
         if capacity_share:
             self.send(CapacityGrant(capacity_share))
 
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         """Begin as the sole process of the node."""
         self._owned_share = FULL_SHARE
-        self._given_share = 0.0  # to the successor
+        self._granted_share = 0.0  # to the successor
         self._has_predecessor = self._has_successor = False
         self._draining_limit = FULL_SHARE  # in force once this process drains
         self._predecessor_ended_by: datetime | None = None  # set where it is lost
@@ -38,8 +38,8 @@
         Rule: all that it owns. Exceptions: with a successor only half of what both have, as the rest is to be given;
         while it drains no more than its requests in flight may need.
         """
-        common_share = self._owned_share + self._given_share
-        limit_beside_successor = common_share * HALF_SHARE if self._has_successor else FULL_SHARE
+        combined_share = self._owned_share + self._granted_share
+        limit_beside_successor = combined_share * HALF_SHARE if self._has_successor else FULL_SHARE
         return min(self._owned_share, limit_beside_successor, self._draining_limit)
 
     @property
@@ -54,17 +54,17 @@
     def receive(self, share: float) -> None:
         """Own a share, 0 to 1, that the predecessor gave. One that makes no sense is ignored."""
         if self._has_predecessor and 0 < share <= FULL_SHARE:
-            self._owned_share = min(FULL_SHARE - self._given_share, self._owned_share + share)
+            self._owned_share = min(FULL_SHARE - self._granted_share, self._owned_share + share)
 
     def predecessor_done(self) -> None:
         """Own all that was not given away: the predecessor has ended."""
-        self._has_predecessor, self._owned_share = False, FULL_SHARE - self._given_share
+        self._has_predecessor, self._owned_share = False, FULL_SHARE - self._granted_share
 
     def predecessor_lost(self, now: datetime, termination_timeout: timedelta) -> None:
         """Keep to a half until the lost predecessor must have ended, `termination_timeout` from now."""
         if self._has_predecessor and self._predecessor_ended_by is None:
             self._predecessor_ended_by = now + termination_timeout
-            self._owned_share = max(self._owned_share, HALF_SHARE - self._given_share)
+            self._owned_share = max(self._owned_share, HALF_SHARE - self._granted_share)
 
     def predecessor_unreachable(self, now: datetime, termination_timeout: timedelta) -> None:
         """Own a half until a process that did not answer must have ended, `termination_timeout` from now.
@@ -99,27 +99,27 @@
         """
         self._draining_limit = min(self.limit, max(MIN_DRAINING_SHARE, needed_share))
 
-    def give(self, share_in_use: float, rest: bool = False) -> float:
+    def grant(self, share_in_use: float, all_remaining: bool = False) -> float:
         """Give the successor what is free, and return the share to send; 0 where there is nothing to send.
 
         Args:
             share_in_use: what this process uses now, 0 to 1.
-            rest: give all that is left: this process ends.
+            all_remaining: give all that is left: this process ends.
         """
-        free_share = self._owned_share if rest else self._owned_share - max(self.limit, share_in_use)
+        free_share = self._owned_share if all_remaining else self._owned_share - max(self.limit, share_in_use)
         successor_can_receive = self._has_successor and self._successor_ended_by is None
-        worth_sending = free_share > 0 and (rest or free_share >= MIN_TRANSFER_SHARE)
+        worth_sending = free_share > 0 and (all_remaining or free_share >= MIN_TRANSFER_SHARE)
         if not (successor_can_receive and worth_sending):
             return 0.0
         self._owned_share -= free_share
-        self._given_share += free_share
+        self._granted_share += free_share
         return free_share
 
-    def pass_time(self, now: datetime) -> None:
+    def reclaim_lost_shares(self, now: datetime) -> None:
         """Reclaim what lost processes had, where they must have ended by now."""
         if self._predecessor_ended_by is not None and self._predecessor_ended_by <= now:
             self._predecessor_ended_by = None
             self.predecessor_done()
         if self._successor_ended_by is not None and self._successor_ended_by <= now:
             self._has_successor, self._successor_ended_by = False, None
-            self._owned_share, self._given_share = self._owned_share + self._given_share, 0.0
+            self._owned_share, self._granted_share = self._owned_share + self._granted_share, 0.0
--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -112,11 +112,13 @@
 
     def successor_connected(self, peer: Peer, hello: Hello, now: datetime) -> bool:
         """Answer a process that came to take over. False where it is redirected to the successor that there is."""
-        taken = self._toward_successor.successor_generation
-        measurements = {} if taken else self._host.measurements()
+        successor_generation = self._toward_successor.successor_generation
+        measurements = {} if successor_generation else self._host.measurements()
         wants_traffic = self._host.wants_traffic()
-        peer.send_message(Hello(self.generation, self._pid, wants_traffic, taken, measurements))
-        if taken:
+        peer.send_message(
+            Hello(self.generation, self._pid, wants_traffic, successor_generation, measurements)
+        )
+        if successor_generation:
             return False
         self._toward_successor.successor_connected(peer, hello, now)
         return True
@@ -145,11 +147,11 @@
             # No predecessor has to be asked, so none is against it. `_respond_to_claim` still rejects a known key.
             respond(ClaimResult.GRANTED)
 
-    def _respond_to_claim(self, claim: ClaimRequest, decided_upstream: ClaimResult) -> None:
-        known = self._host.find_key(claim.request_class, claim.idempotency_key)
-        granted = is_claim_granted(known, decided_upstream)
-        if known is not None:
-            self._toward_successor.send(known)  # it may not have come to the successor yet
+    def _respond_to_claim(self, claim: ClaimRequest, predecessor_result: ClaimResult) -> None:
+        known_status = self._host.find_key(claim.request_class, claim.idempotency_key)
+        granted = is_claim_granted(known_status, predecessor_result)
+        if known_status is not None:
+            self._toward_successor.send(known_status)  # it may not have come to the successor yet
         elif granted:
             self._host.adopt_key(KeyStatus(claim.request_class, claim.idempotency_key, claim.request_label))
         self._toward_successor.send(ClaimResponse(claim.number, granted))
@@ -192,7 +194,7 @@
 
     def tick(self, now: datetime) -> None:
         """Do what is due. Called every `TICK_INTERVAL` while there is another process."""
-        self.sharing.pass_time(now)
+        self.sharing.reclaim_lost_shares(now)
         self._toward_successor.tick()
         self._toward_predecessor.advance(now)
 
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -130,9 +130,9 @@
     """
     if not backend_ready:
         return False
-    waits_for_nobody = not predecessor_connected or initial_sync_timed_out
-    has_what_it_needs = snapshot_complete and capacity_share > 0
-    return waits_for_nobody or has_what_it_needs
+    need_not_wait = not predecessor_connected or initial_sync_timed_out
+    initial_sync_complete = snapshot_complete and capacity_share > 0
+    return need_not_wait or initial_sync_complete
 
 
 def has_passed(deadline: datetime | None, now: datetime) -> bool:
--- a/tests/hot_restart/test_channel.py
+++ b/tests/hot_restart/test_channel.py
@@ -34,10 +34,10 @@
 
 
 async def open_channel(folder: Path, process: SimulatedProcess) -> RestartChannel:
-    opened = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.hot_restart)
-    assert not await opened.open()
+    channel = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.hot_restart)
+    assert not await channel.open()
     process.hot_restart.backend_ready(process.desk.clock.now())
-    return opened
+    return channel
 
 
 @pytest.mark.parametrize("cause", ["the backlog is full", "the dial times out"])
@@ -74,15 +74,15 @@
     uvloop.run(run())
 
 
-def test_a_socket_that_refuses_is_of_a_dead_process_and_leaves_nothing_unknown(tmp_path: Path) -> None:
+def test_a_refused_connection_means_a_dead_process_and_no_unknown_outcome(tmp_path: Path) -> None:
     async def run() -> None:
         path = tmp_path / "marlstep.n1.1.sock"
         with socket.socket(socket.AF_UNIX) as dead:
             dead.bind(str(path))
         process = SimulatedProcess(HandClock(), 2)
-        opened = await open_channel(tmp_path, process)
+        channel = await open_channel(tmp_path, process)
         process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
         assert process.desk.backend.told == [("start", "r1")] and not path.exists()
-        opened.close()
+        channel.close()
 
     uvloop.run(run())
--- a/tests/hot_restart/test_connection.py
+++ b/tests/hot_restart/test_connection.py
@@ -60,7 +60,7 @@
         await asyncio.sleep(0)
 
 
-def send_until_it_waits(peer: PeerConnection) -> None:
+def send_until_blocked(peer: PeerConnection) -> None:
     """Send more than the system's buffers take."""
     while not peer._unsent and peer._socket is not None:
         peer.send_message(STATUS)
@@ -74,9 +74,9 @@
     run_with_connection(scenario)
 
 
-def test_what_a_peer_does_not_read_waits_and_is_sent_in_order_later() -> None:
+def test_messages_that_a_peer_does_not_read_are_buffered_and_sent_in_order() -> None:
     async def scenario(peer: PeerConnection, far: socket.socket, handler: RecordingHandler) -> None:
-        send_until_it_waits(peer)
+        send_until_blocked(peer)
         peer.send_message(messages.SuccessorReady())
         received = b""
         while not received.endswith(messages.write(messages.SuccessorReady())):
@@ -91,17 +91,17 @@
 def test_a_peer_that_must_read_promptly_and_does_not_is_disconnected() -> None:
     async def scenario(peer: PeerConnection, _: socket.socket, handler: RecordingHandler) -> None:
         peer.require_prompt_reads()
-        send_until_it_waits(peer)
+        send_until_blocked(peer)
         await until(lambda: handler.events == ["lost"])
 
     run_with_connection(scenario)
 
 
-def test_a_peer_that_lets_too_much_wait_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_peer_with_too_many_unsent_bytes_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "MAX_UNSENT_BYTES", 20_000)
 
     async def scenario(peer: PeerConnection, _: socket.socket, handler: RecordingHandler) -> None:
-        send_until_it_waits(peer)
+        send_until_blocked(peer)
         for _number in range(5):
             peer.send_message(STATUS)
         await until(lambda: handler.events == ["lost"])
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("first", [b"GET / HTTP/1.1\r\n\r\n", messages.write(messages.SuccessorReady())])
-def test_a_first_message_that_is_no_hello_is_of_an_unknown_process(first: bytes) -> None:
+def test_a_first_message_other_than_hello_reports_an_unknown_process(first: bytes) -> None:
     async def scenario(_: PeerConnection, far: socket.socket, handler: RecordingHandler) -> None:
         far.sendall(first)
         await until(lambda: handler.events == ["unknown process", "lost"])
@@ -126,7 +126,7 @@
     run_with_connection(scenario)
 
 
-def test_what_a_peer_sent_before_its_end_is_read_before_the_connection_is_lost() -> None:
+def test_messages_sent_before_the_peer_closed_are_read_before_connection_lost() -> None:
     async def scenario(peer: PeerConnection, far: socket.socket, handler: RecordingHandler) -> None:
         far.sendall(messages.write(messages.Hello(1, 7)) + messages.write(messages.PredecessorDone()))
         far.close()
--- a/tests/hot_restart/test_discovery.py
+++ b/tests/hot_restart/test_discovery.py
@@ -48,7 +48,7 @@
     return uvloop.run(run())
 
 
-def dead_socket(path: Path) -> None:
+def create_dead_socket(path: Path) -> None:
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(str(path))
 
@@ -92,7 +92,7 @@
     directory = SocketDirectory(tmp_path, "n1")
     older, _ = directory.listen(1)
     newer, _ = directory.listen(2)
-    dead_socket(directory.path_of(3))
+    create_dead_socket(directory.path_of(3))
     with older, newer:
         found = search(directory, directory.list_sockets())
         accepted, _ = newer.accept()
--- a/tests/hot_restart/test_host_adapter.py
+++ b/tests/hot_restart/test_host_adapter.py
@@ -36,7 +36,7 @@
         desk.submit(10)
 
 
-def test_a_predecessor_with_a_successor_runs_all_that_still_comes_and_stays_healthy() -> None:
+def test_a_predecessor_that_hands_over_runs_late_requests_and_stays_healthy() -> None:
     desk = Desk(cores=2)
     desk.core.backend_ready()
     desk.core.begin_hand_over(desk.clock.now() + 3700 * MILLISECOND)
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     "learned", [{}, {"limit": "x", "means_us": 3}, {"base_us": float("nan")}, {"limit": -1}]
 )
-def test_measurements_of_another_version_that_make_no_sense_are_ignored(learned: dict[str, Any]) -> None:
+def test_invalid_measurements_of_another_version_are_ignored(learned: dict[str, Any]) -> None:
     desk = Desk()
     before = replace(desk.core._controller.measurements())
     desk.core.adopt_measurements({**learned, "odd": [1]})
@@ -71,5 +71,5 @@
     retry = pair.submit(pair.successor, "schedule-save", "w" * 256)
     pair.exchange()
     [response] = pair.successor.desk.answers[retry]
-    shared = (ResponseStatus.DONE, result) if len(result) <= 4096 else (ResponseStatus.FAILED, b"")
-    assert (response.status, response.body) == shared and sum(pair.run_counts().values()) == 1
+    expected = (ResponseStatus.DONE, result) if len(result) <= 4096 else (ResponseStatus.FAILED, b"")
+    assert (response.status, response.body) == expected and sum(pair.run_counts().values()) == 1
--- a/tests/hot_restart/test_key_exchange.py
+++ b/tests/hot_restart/test_key_exchange.py
@@ -62,7 +62,7 @@
     assert pair.run_counts() == {("setpoint-cmd", "k"): 1}
 
 
-def test_request_ids_that_both_processes_use_are_not_taken_for_one_another() -> None:
+def test_equal_request_ids_of_both_processes_are_kept_apart() -> None:
     # Guards against a request that waits for itself, as the controller finds the other's request id among its own.
     pair = serving_pair()
     first = pair.submit(pair.predecessor, "schedule-save", "k")
@@ -80,7 +80,7 @@
     )
 
 
-def test_a_key_status_that_comes_before_the_response_to_its_claim_is_no_retry() -> None:
+def test_a_key_status_received_before_the_response_to_its_claim_is_not_a_retry() -> None:
     pair = serving_pair()
     number = pair.submit(pair.successor, "schedule-save", "k")
     pair.deliver_to_predecessor()
@@ -167,13 +167,13 @@
     assert outcomes_unknown_until(end, START, RETRY_WINDOW) == (None if complete else START + RETRY_WINDOW)
 
 
-@pytest.mark.parametrize("upstream", ClaimResult)
-def test_a_claim_is_granted_only_where_the_key_is_unknown_here_and_granted_upstream(
-    upstream: ClaimResult,
+@pytest.mark.parametrize("predecessor_result", ClaimResult)
+def test_a_claim_is_granted_only_if_the_key_is_unknown_here_and_the_predecessor_granted_it(
+    predecessor_result: ClaimResult,
 ) -> None:
     known = messages.KeyStatus("setpoint-cmd", "k", "r1")
-    assert not is_claim_granted(known, upstream)
-    assert is_claim_granted(None, upstream) is (upstream is ClaimResult.GRANTED)
+    assert not is_claim_granted(known, predecessor_result)
+    assert is_claim_granted(None, predecessor_result) is (predecessor_result is ClaimResult.GRANTED)
 
 
 def test_each_claim_is_decided_once_by_its_number_or_with_all_that_are_open() -> None:
@@ -195,7 +195,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1, MAX_KEYS_PER_TICK - 1, MAX_KEYS_PER_TICK, 2 * MAX_KEYS_PER_TICK + 1])
-def test_a_snapshot_sends_every_key_once_in_bounded_batches_and_then_its_end(count: int) -> None:
+def test_a_snapshot_sends_every_key_once_in_bounded_batches_and_then_snapshot_complete(count: int) -> None:
     statuses = [messages.KeyStatus("setpoint-cmd", f"k{number}", "r1") for number in range(count)]
     snapshot, batches = KeySnapshot(iter(statuses)), list[list[messages.Message]]()
     while not snapshot.complete:
--- a/tests/hot_restart/test_messages.py
+++ b/tests/hot_restart/test_messages.py
@@ -31,9 +31,9 @@
 
 @FIXED
 @given(CUTS)
-def test_messages_are_read_complete_from_any_pieces(cuts: list[int]) -> None:
+def test_messages_are_read_from_any_split_of_the_stream(cuts: list[int]) -> None:
     ring, received = Ring(4096), []
-    for part in pieces(b"".join(messages.write(one) for one in MESSAGES), cuts):
+    for part in pieces(b"".join(messages.write(expected) for expected in MESSAGES), cuts):
         ring.put(part)
         while (message := messages.read(ring)) is not None:
             received.append(message)
@@ -62,7 +62,7 @@
     "body",
     [b"[]", b"{}", b'["No", {}]', b'["Give", {}]', b'["Give", {"share": true}]', b'["Whole", {"x": 1}]'],
 )
-def test_a_message_with_a_good_checksum_and_no_sense_is_corrupt(body: bytes) -> None:
+def test_a_message_with_a_valid_checksum_and_an_invalid_body_is_corrupt(body: bytes) -> None:
     ring = Ring(4096)
     ring.put(messages.FRAMING.write(body))
     with pytest.raises(messages.CorruptError):
--- a/tests/hot_restart/test_operations_page.py
+++ b/tests/hot_restart/test_operations_page.py
@@ -18,13 +18,13 @@
 
 def test_the_page_shows_every_transition_in_the_order_of_the_code() -> None:
     rows_of_successor = [
-        f"| {state.value} | {event.value} | {step.next_state.value} | {step.effect.value} |"
+        f"| {state.value} | {event.value} | {transition.next_state.value} | {transition.effect.value} |"
         for state, row in successor.TRANSITIONS.items()
-        for event, step in row.items()
+        for event, transition in row.items()
     ]
     rows_of_predecessor = [
-        f"| {state.value} | {event.value} | {step.next_state.value} | {step.effect.value} |"
+        f"| {state.value} | {event.value} | {transition.next_state.value} | {transition.effect.value} |"
         for state, row in predecessor.TRANSITIONS.items()
-        for event, step in row.items()
+        for event, transition in row.items()
     ]
     assert tables_on_the_page() == [rows_of_successor, rows_of_predecessor]
--- a/tests/hot_restart/test_passed_socket.py
+++ b/tests/hot_restart/test_passed_socket.py
@@ -22,31 +22,31 @@
 from tests.test_loopback import over_resp
 
 
-def environ(tmp_path: Path, passed: int | str, **other: str) -> dict[str, str]:
+def environment(tmp_path: Path, passed_socket: int | str, **settings: str) -> dict[str, str]:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(raw_config(**other)))
-    return {"PROXY_CONFIG": str(path), "PROXY_PASSED_SOCKET": str(passed)}
+    path.write_text(json.dumps(raw_config(**settings)))
+    return {"PROXY_CONFIG": str(path), "PROXY_PASSED_SOCKET": str(passed_socket)}
 
 
 def test_only_the_descriptor_of_a_listening_tcp_socket_is_accepted(tmp_path: Path) -> None:
     with socket.socket() as unconnected, socket.create_server(("127.0.0.1", 0)) as listening:
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagrams, open(os.devnull) as file:
-            for wrong in ("x", "-1", "1.5", "99999", "9" * 30, file.fileno()):
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagram_socket, open(os.devnull) as file:
+            for invalid_value in ("x", "-1", "1.5", "99999", "9" * 30, file.fileno()):
                 with pytest.raises(
                     ConfigError, match="PROXY_PASSED_SOCKET must be the number of an open socket"
                 ):
-                    load(environ(tmp_path, wrong))
-            for not_listening in (unconnected, datagrams):
+                    load(environment(tmp_path, invalid_value))
+            for not_listening in (unconnected, datagram_socket):
                 with pytest.raises(ConfigError, match="no TCP socket that listens"):
-                    load(environ(tmp_path, not_listening.fileno()))
-        assert load(environ(tmp_path, listening.fileno())).passed_socket == listening.fileno()
-        assert load(environ(tmp_path, "")).passed_socket is None
+                    load(environment(tmp_path, not_listening.fileno()))
+        assert load(environment(tmp_path, listening.fileno())).passed_socket == listening.fileno()
+        assert load(environment(tmp_path, "")).passed_socket is None
 
 
 def test_a_wrong_descriptor_is_one_clear_line_and_exit_code_2(tmp_path: Path) -> None:
     completed = subprocess.run(
         [sys.executable, "-m", "marlstep"],
-        env={**os.environ, **environ(tmp_path, 77)},
+        env={**os.environ, **environment(tmp_path, 77)},
         capture_output=True,
         text=True,
     )
@@ -61,21 +61,21 @@
     async def run() -> None:
         kernel = FakeKernel()
         await kernel.start()
-        config = load(environ(tmp_path, listening.fileno(), kernel=kernel.address))
+        config = load(environment(tmp_path, listening.fileno(), kernel=kernel.address))
         nodes = [Node(config, TimerQueue(LoopWaker(asyncio.get_running_loop()))) for _ in range(2)]
         for node in nodes:
             await node.open()
         assert nodes[0].resp.port == nodes[1].resp.port == listening.getsockname()[1]
         number = 0
-        for leaves, stays in ((0, 1), (1, 0)):
-            nodes[leaves].resp.stop_accepting()
-            read = nodes[stays].core.counts["read"]
+        for stopping, serving in ((0, 1), (1, 0)):
+            nodes[stopping].resp.stop_accepting()
+            read_before = nodes[serving].core.counts["read"]
             for _ in range(3):
                 number += 1
-                assert b"done" in await over_resp(nodes[stays], "setpoint-cmd", number)
-            assert nodes[stays].core.counts["read"] == read + 3
-            nodes[leaves].resp.draining = False
-            await nodes[leaves].resp.listen(config.listen, config.passed_socket)
+                assert b"done" in await over_resp(nodes[serving], "setpoint-cmd", number)
+            assert nodes[serving].core.counts["read"] == read_before + 3
+            nodes[stopping].resp.draining = False
+            await nodes[stopping].resp.listen(config.listen, config.passed_socket)
         for node in nodes:
             node.resp.stop_accepting()
             await node.close()
--- a/tests/hot_restart/test_predecessor.py
+++ b/tests/hot_restart/test_predecessor.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("first", ["predecessor", "successor"])
-def test_a_predecessor_whose_successor_drains_as_well_accepts_nothing_again(first: str) -> None:
+def test_a_predecessor_does_not_accept_again_if_its_successor_drains_too(first: str) -> None:
     # Guards against a predecessor that accepts again, for a whole grace, when a successor that drains ends.
     pair = serving_pair()
     successor, predecessor = pair.successor.hot_restart, pair.predecessor.hot_restart
@@ -56,29 +56,29 @@
 ) -> None:
     serves_elsewhere = state in (State.SUCCESSOR_ACCEPTING, State.SUCCESSOR_REPLACED)
     assert shutdown_hands_over(state) is serves_elsewhere
-    step = TRANSITIONS[state][Event.SHUTDOWN_REQUESTED]
-    assert step.next_state is state and step.effect is (
+    transition = TRANSITIONS[state][Event.SHUTDOWN_REQUESTED]
+    assert transition.next_state is state and transition.effect is (
         Effect.HAND_OVER if serves_elsewhere else Effect.DRAIN
     )
 
 
 @pytest.mark.parametrize("state", [state for state in State if state is not State.NO_SUCCESSOR])
-def test_a_lost_successor_reclaims_its_capacity_and_is_replaced_here_unless_it_was_draining(
+def test_capacity_of_a_lost_successor_is_reclaimed_and_its_loss_reported_unless_it_was_draining(
     state: State,
 ) -> None:
-    step = TRANSITIONS[state][Event.SUCCESSOR_LOST]
+    transition = TRANSITIONS[state][Event.SUCCESSOR_LOST]
     was_draining = state in (State.SUCCESSOR_REPLACED, State.SUCCESSOR_DRAINING)
-    assert step.next_state is State.NO_SUCCESSOR
-    assert step.effect is (
+    assert transition.next_state is State.NO_SUCCESSOR
+    assert transition.effect is (
         Effect.RECLAIM_CAPACITY if was_draining else Effect.RECLAIM_CAPACITY_AND_REPORT_LOSS
     )
 
 
 @pytest.mark.parametrize("state", [state for state in State if state is not State.NO_SUCCESSOR])
 def test_a_successor_that_is_ready_is_acknowledged_in_every_state(state: State) -> None:
-    step = TRANSITIONS[state][Event.SUCCESSOR_READY]
-    assert step.effect is Effect.ACKNOWLEDGE and shutdown_hands_over(step.next_state)
+    transition = TRANSITIONS[state][Event.SUCCESSOR_READY]
+    assert transition.effect is Effect.ACKNOWLEDGE and shutdown_hands_over(transition.next_state)
 
 
-def test_without_a_successor_only_a_connection_and_sigterm_mean_anything() -> None:
+def test_without_a_successor_only_a_connection_and_sigterm_have_a_transition() -> None:
     assert set(TRANSITIONS[State.NO_SUCCESSOR]) == {Event.SUCCESSOR_CONNECTED, Event.SHUTDOWN_REQUESTED}
--- a/tests/hot_restart/test_process_races.py
+++ b/tests/hot_restart/test_process_races.py
@@ -34,7 +34,7 @@
     run_on_platform(tmp_path, test, alternate_config(settings=settings, stop_ms=6_000))
 
 
-class HeldProcess:
+class ProcessWithKernel:
     """A process and its kernel."""
 
     def __init__(self, process: NodeProcess, kernel: ScriptedKernel) -> None:
@@ -60,17 +60,17 @@
         self.signal(signal.SIGCONT)
 
 
-async def start_serving(platform: Platform) -> HeldProcess:
+async def start_serving(platform: Platform) -> ProcessWithKernel:
     kernel = ScriptedKernel()
-    return HeldProcess(await platform.start_process(kernel), kernel)
+    return ProcessWithKernel(await platform.start_process(kernel), kernel)
 
 
-async def launch(platform: Platform, up: bool = True) -> HeldProcess:
-    """Start a process and do not wait; with `up` false its kernel answers only once `kernel.up` is set."""
+async def launch(platform: Platform, kernel_up: bool = True) -> ProcessWithKernel:
+    """Start a process and do not wait; with `kernel_up` false its kernel answers only once `kernel.up` is set."""
     kernel = ScriptedKernel()
-    if not up:
+    if not kernel_up:
         kernel.up.clear()
-    return HeldProcess(await platform.launch_process(kernel), kernel)
+    return ProcessWithKernel(await platform.launch_process(kernel), kernel)
 
 
 async def connect(platform: Platform) -> RespClient:
@@ -79,10 +79,10 @@
 
 async def accepted_connection(platform: Platform) -> RespClient:
     """A connection that the only process that runs now has accepted."""
-    caller = await connect(platform)
-    caller.send(write_frame(b"ALIVE", b"1"))
-    await caller.response(1)
-    return caller
+    client = await connect(platform)
+    client.send(write_frame(b"ALIVE", b"1"))
+    await client.response(1)
+    return client
 
 
 def queued_connection(platform: Platform, frame: bytes) -> socket.socket:
@@ -104,11 +104,11 @@
         yield
 
 
-async def serve(process: HeldProcess, caller: RespClient, tag: int, id: int) -> None:
+async def serve_request(process: ProcessWithKernel, client: RespClient, tag: int, request_id: int) -> None:
     """Have the process run the request, and its client get the response."""
-    await process.kernel.command_read("SCHED", id)
-    process.kernel.end_run(id)
-    assert await caller.status_word(tag) == "done"
+    await process.kernel.command_read("SCHED", request_id)
+    process.kernel.end_run(request_id)
+    assert await client.status_word(tag) == "done"
 
 
 @pytest.mark.parametrize("victim", ["predecessor", "successor"])
@@ -120,7 +120,7 @@
         first.send_request(2, "book", b"mine", id=2, once="k")
         await predecessor.kernel.command_read("SCHED", 2)
         if step == "its kernel is not up":
-            successor = await launch(platform, up=False)
+            successor = await launch(platform, kernel_up=False)
             await until(
                 lambda: successor.kernel.link_count
             )  # it has connected to the predecessor, or found that it can't
@@ -137,17 +137,17 @@
             await predecessor.kill()
             second.send_request(3, "list", id=3)  # waits until a process accepts it
             successor.kernel.up.set()
-            await serve(successor, second, 3, 3)
+            await serve_request(successor, second, 3, 3)
             retry = await connect(platform)
             retry.send_request(4, "book", b"mine", id=4, once="k")  # it may have run there
             assert await retry.status_word(4) in ("later", "error")
             retry.send_request(5, "list", id=5)
-            await serve(successor, retry, 5, 5)
+            await serve_request(successor, retry, 5, 5)
         else:
             await successor.kill()
             predecessor.signal(signal.SIGCONT)
             second.send_request(3, "list", id=3)
-            await serve(predecessor, second, 3, 3)
+            await serve_request(predecessor, second, 3, 3)
             predecessor.kernel.end_run(2)
             assert await first.status_word(2) == "done"
             second.send_request(4, "book", b"mine", id=4, once="k")
@@ -175,7 +175,7 @@
         second = await accepted_connection(platform)
         second.send_request(3, "book", b"mine", id=4, once="k")
         second.send_request(4, "list", id=5)
-        await serve(successor, second, 4, 5)
+        await serve_request(successor, second, 4, 5)
         assert successor.kernel.command_count("SCHED", 4) == 0
         assert await second.status_word(3) == "later"
         if after == "the predecessor goes on":
@@ -211,11 +211,11 @@
                 lambda: platform.reports[-1][1] == DRAINING_REPORT
             )  # the name service hears that the node drains
         queued.setblocking(False)
-        caller = RespClient(now, *await asyncio.open_connection(sock=queued))
-        await serve(serving, caller, 3, 3)
+        client = RespClient(now, *await asyncio.open_connection(sock=queued))
+        await serve_request(serving, client, 3, 3)
         predecessor.kernel.end_run(2)
         assert await first.status_word(2) == "done"
-        caller.writer.close()
+        client.writer.close()
         first.writer.close()
         assert await predecessor.process.subprocess.wait() == 0
         assert (platform.reports[-1][1] == READY_REPORT) is (serving is successor)
@@ -250,7 +250,7 @@
             await predecessor.process.wait_for_state("leaving")
         await until(lambda: platform.reports[-1][1] == DRAINING_REPORT)
         at_successor.send_request(4, "list", id=4)  # inside the grace
-        await serve(successor, at_successor, 4, 4)
+        await serve_request(successor, at_successor, 4, 4)
         successor.kernel.end_run(3)
         assert await at_successor.status_word(3) == "done"
         at_successor.writer.close()
@@ -277,19 +277,19 @@
     # Guards against a node that is reported as draining, and a process that accepts connections only to reject them.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
-        successor = await launch(platform, up=False)
+        successor = await launch(platform, kernel_up=False)
         await until(lambda: successor.kernel.link_count)
         assert await successor.process.signal_and_wait(signal.SIGTERM) == 0
-        caller = await accepted_connection(platform)
-        caller.send_request(2, "open", id=2)
-        await serve(predecessor, caller, 2, 2)
+        client = await accepted_connection(platform)
+        client.send_request(2, "open", id=2)
+        await serve_request(predecessor, client, 2, 2)
         third = await start_serving(platform)  # the next one may start
         predecessor.signal(signal.SIGTERM)
-        caller.writer.close()
+        client.writer.close()
         assert await predecessor.process.subprocess.wait() == 0
-        caller = await accepted_connection(platform)
-        caller.send_request(2, "open", id=3)
-        await serve(third, caller, 2, 3)
+        client = await accepted_connection(platform)
+        client.send_request(2, "open", id=3)
+        await serve_request(third, client, 2, 3)
         assert DRAINING_REPORT not in [report for _, report in platform.reports]
 
     run_with_long_deadlines(tmp_path, run)
@@ -303,39 +303,39 @@
         in_flight.send_request(2, "list", id=50)  # the predecessor has this to finish
         await predecessor.kernel.command_read("SCHED", 50)
         [path] = (tmp_path / "tmp").iterdir()
-        _, stranger = await asyncio.open_unix_connection(str(path))
-        stranger.write(b"GET / HTTP/1.1\r\n\r\n")
+        _, invalid_peer = await asyncio.open_unix_connection(str(path))
+        invalid_peer.write(b"GET / HTTP/1.1\r\n\r\n")
         serving = predecessor
-        caller = await accepted_connection(platform)
-        clients = {bad: await connect(platform) for bad in BAD_INPUT}
+        client = await accepted_connection(platform)
+        bad_clients = {input_name: await connect(platform) for input_name in BAD_INPUT}
         successor = await start_serving(platform)
         if where == "successor":
             async with predecessor.stopped_meanwhile():
-                caller, serving = await accepted_connection(platform), successor
-                clients = {bad: await connect(platform) for bad in BAD_INPUT}
-                for bad, client in clients.items():
-                    client.send(BAD_INPUT[bad][:3])
-                caller.send_request(2, "book", b"mine", id=2, once="k")  # its claim waits for the predecessor
+                client, serving = await accepted_connection(platform), successor
+                bad_clients = {input_name: await connect(platform) for input_name in BAD_INPUT}
+                for input_name, bad_client in bad_clients.items():
+                    bad_client.send(BAD_INPUT[input_name][:3])
+                client.send_request(2, "book", b"mine", id=2, once="k")  # its claim waits for the predecessor
         else:
-            for bad, client in clients.items():
-                client.send(BAD_INPUT[bad][:3])
-            caller.send_request(2, "book", b"mine", id=2, once="k")
+            for input_name, bad_client in bad_clients.items():
+                bad_client.send(BAD_INPUT[input_name][:3])
+            client.send_request(2, "book", b"mine", id=2, once="k")
         await serving.kernel.command_read("SCHED", 2)
         predecessor.signal(signal.SIGTERM)
         await predecessor.process.wait_for_state("handing over")
         predecessor.kernel.end_run(50)
         assert await in_flight.status_word(2) == "done"
-        for bad, client in clients.items():
-            client.send(BAD_INPUT[bad][3:])
-        for bad, client in clients.items():
-            if bad in ("malformed", "out of range", "unknown class"):
-                assert await client.status_word(1) == "error"
-                client.writer.close()
+        for input_name, bad_client in bad_clients.items():
+            bad_client.send(BAD_INPUT[input_name][3:])
+        for input_name, bad_client in bad_clients.items():
+            if input_name in ("malformed", "out of range", "unknown class"):
+                assert await bad_client.status_word(1) == "error"
+                bad_client.writer.close()
             else:
-                await client.read_to_end()  # closed in its time
+                await bad_client.read_to_end()  # closed in its time
         serving.kernel.end_run(2)
-        assert await caller.status_word(2) == "done" and caller.response_count(2) == 1
-        for connection in (caller, in_flight):
+        assert await client.status_word(2) == "done" and client.response_count(2) == 1
+        for connection in (client, in_flight):
             connection.writer.close()
         assert await predecessor.process.subprocess.wait() == 0
         assert (
--- a/tests/hot_restart/test_processes_under_load.py
+++ b/tests/hot_restart/test_processes_under_load.py
@@ -53,13 +53,13 @@
     async def run(platform: Platform) -> None:
         await platform.start_process()
 
-        async def kill_one() -> None:
+        async def kill_victim() -> None:
             await platform.start_process()
             await platform.wait_for_responses(30)
             await platform.processes[victim].signal_and_wait(signal.SIGKILL)
             await platform.wait_for_responses(60)
 
-        await platform.under_load(kill_one)
+        await platform.under_load(kill_victim)
         assert platform.check_single_runs()["done"] > 60
         survivor = platform.processes[1 - victim]
         assert await survivor.call("GET", "/admin/health") == 200
--- a/tests/hot_restart/test_resource_sharing.py
+++ b/tests/hot_restart/test_resource_sharing.py
@@ -26,39 +26,37 @@
     successor.predecessor_connected()
     predecessor.successor_connected()
     lost = False
-    for step, figure in steps:
+    for step, fraction in steps:
         match step:
             case "give" | "rest" if not lost:
-                successor.receive(predecessor.give(figure, rest=step == "rest"))
+                successor.receive(predecessor.grant(fraction, all_remaining=step == "rest"))
             case "drain" if not lost:
-                predecessor.drain(figure)
+                predecessor.drain(fraction)
             case "lost" if not lost:
                 lost = True
                 predecessor.successor_lost(now, TERMINATION_TIMEOUT)
                 successor.predecessor_lost(now, TERMINATION_TIMEOUT)
             case "wait":
-                now += timedelta(seconds=figure)
-                predecessor.pass_time(now)
-                successor.pass_time(now)
+                now += timedelta(seconds=fraction)
+                predecessor.reclaim_lost_shares(now)
+                successor.reclaim_lost_shares(now)
         if now < START + TERMINATION_TIMEOUT:
             assert predecessor.limit + successor.limit <= FULL_SHARE + 1e-9
     if lost:
-        successor.pass_time(now + TERMINATION_TIMEOUT)
+        successor.reclaim_lost_shares(now + TERMINATION_TIMEOUT)
         assert successor.limit == pytest.approx(FULL_SHARE) and successor.is_sole_process
 
 
-def test_beside_an_unreachable_predecessor_or_an_unknown_process_a_half_is_kept_until_it_must_have_ended() -> (
-    None
-):
+def test_half_of_the_capacity_is_used_until_an_unreachable_or_unknown_process_must_have_ended() -> None:
     unreachable, unknown = ResourceSharing(), ResourceSharing()
     unreachable.predecessor_unreachable(START, TERMINATION_TIMEOUT)
     unknown.unknown_process_connected(START, TERMINATION_TIMEOUT)
     ended_by = START + TERMINATION_TIMEOUT
     for sharing in (unreachable, unknown):
-        sharing.pass_time(ended_by - MILLISECOND)
+        sharing.reclaim_lost_shares(ended_by - MILLISECOND)
         assert sharing.limit == HALF_SHARE and not sharing.is_sole_process
-        assert sharing.give(0.0) == 0.0  # nobody can receive it
-        sharing.pass_time(ended_by)
+        assert sharing.grant(0.0) == 0.0  # nobody can receive it
+        sharing.reclaim_lost_shares(ended_by)
         assert sharing.limit == FULL_SHARE and sharing.is_sole_process
 
 
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -27,7 +27,7 @@
 )
 
 
-def test_a_lost_process_is_waited_for_by_the_longest_timeouts_since_the_start() -> None:
+def test_after_a_process_is_lost_the_longest_timeouts_since_the_start_apply() -> None:
     # Guards against a key that runs twice: the window in which a retry may come was that of the start.
     pair = serving_pair()
     pair.successor.hot_restart.set_timeouts(LostProcessTimeouts(TERMINATION_TIMEOUT / 2, 3 * RETRY_WINDOW))
@@ -91,8 +91,8 @@
         self.is_connected = False
         self.accepted: list[tuple[SimulatedProcess, int]] = []
 
-    def step(self, kind: str, which: int, choice: Any, number: int) -> None:
-        process = (self.predecessor, self.successor)[which]
+    def step(self, kind: str, process_index: int, choice: Any, number: int) -> None:
+        process = (self.predecessor, self.successor)[process_index]
         core = process.desk.core
         match kind:
             case "connect" if not self.is_connected and not self.predecessor.is_killed:
@@ -103,7 +103,7 @@
             case "kill" if not process.is_killed and self.is_connected and not self.is_cut:
                 self.kill(process)
             case "deliver":
-                (self.deliver_to_predecessor if which else self.deliver_to_successor)(number)
+                (self.deliver_to_predecessor if process_index else self.deliver_to_successor)(number)
             case "advance":
                 self.clock.advance(number)
             case _ if process.is_killed:
@@ -152,16 +152,16 @@
 def test_in_any_order_of_events_no_key_runs_twice_and_each_request_has_one_response(
     steps: list[tuple[str, int, Any, int]], connected: bool
 ) -> None:
-    play = RandomSteps()
+    pair = RandomSteps()
     if connected:
-        play.step("connect", 0, "", 0)
-        play.run_for(100)
+        pair.step("connect", 0, "", 0)
+        pair.run_for(100)
     for step in steps:
-        if play.clock.now() - START < RETRY_WINDOW - 3 * SECOND:  # afterwards a retry is a new request
-            play.step(*step)
-    if not play.is_cut and play.is_connected:
-        play.cut_connection()
-    play.clock.advance(10_000)
-    for process, number in play.accepted:
+        if pair.clock.now() - START < RETRY_WINDOW - 3 * SECOND:  # afterwards a retry is a new request
+            pair.step(*step)
+    if not pair.is_cut and pair.is_connected:
+        pair.cut_connection()
+    pair.clock.advance(10_000)
+    for process, number in pair.accepted:
         if not process.is_killed:
             assert len(process.desk.verdicts(number)) == 1, number
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -58,14 +58,14 @@
 def test_a_predecessor_that_hangs_delays_its_successor_for_four_seconds_at_most() -> None:
     pair = ProcessPair()
     pair.connect()
-    for span in (INITIAL_SYNC_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
+    for timeout in (INITIAL_SYNC_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
         assert not pair.successor.desk.core.serving_state.can_serve
-        pair.clock.advance(span / MILLISECOND)
+        pair.clock.advance(timeout / MILLISECOND)
         pair.successor.hot_restart.tick(pair.clock.now())
     assert pair.successor.accepts_connections and pair.successor.desk.core.serving_state.can_serve
 
 
-def test_measurements_and_a_quiesce_reach_the_successor_and_a_resume_comes_back() -> None:
+def test_measurements_and_a_quiesce_reach_the_successor_and_its_resume_reaches_the_predecessor() -> None:
     pair = ProcessPair()
     pair.predecessor.desk.core.serving_state.quiesce()
     controller = pair.predecessor.desk.core._controller
@@ -74,10 +74,10 @@
     controller.concurrency.limit = 4.0
     pair.connect()
     pair.run_for(40)
-    learned = pair.successor.desk.core._controller
-    assert learned.state.statistics.mean_run_us["temp-history"] == 300_000.0
-    assert learned.state.call_latency.usual_us == 9_000.0
-    assert 1.0 <= learned.concurrency.limit <= learned.state.max_concurrency
+    successor_controller = pair.successor.desk.core._controller
+    assert successor_controller.state.statistics.mean_run_us["temp-history"] == 300_000.0
+    assert successor_controller.state.call_latency.usual_us == 9_000.0
+    assert 1.0 <= successor_controller.concurrency.limit <= successor_controller.state.max_concurrency
     core = pair.successor.desk.core
     assert not core.healthy and core.serving_state.can_serve
     core.serving_state.resume()
@@ -98,7 +98,7 @@
         (True, True, False, 0.0, True, True),
     ],
 )
-def test_connections_are_accepted_with_the_kernel_and_all_that_the_predecessor_gives_or_after_its_timeout(
+def test_connections_are_accepted_with_a_ready_backend_after_the_initial_sync_or_its_timeout(
     backend_ready: bool,
     predecessor_connected: bool,
     snapshot_complete: bool,
@@ -120,20 +120,24 @@
     for state in set(State) - {State.SERVING}:
         reached = {state}
         for _ in State:
-            reached |= {step.next_state for known in reached for step in TRANSITIONS[known].values()}
+            reached |= {
+                transition.next_state
+                for reached_state in reached
+                for transition in TRANSITIONS[reached_state].values()
+            }
         assert State.SERVING in reached
 
 
-def test_a_process_reports_ready_exactly_where_it_comes_to_serve() -> None:
+def test_ready_is_reported_exactly_on_transitions_to_serving() -> None:
     reports_ready = {Effect.MARK_READY, Effect.ACCEPT_AND_MARK_READY}
     for row in TRANSITIONS.values():
-        for step in row.values():
-            assert (step.effect in reports_ready) is (step.next_state is State.SERVING)
+        for transition in row.values():
+            assert (transition.effect in reports_ready) is (transition.next_state is State.SERVING)
 
 
-def test_a_successor_beside_a_predecessor_serves_only_by_way_of_the_announcement() -> None:
-    step = TRANSITIONS[State.STANDBY][Event.MAY_ACCEPT]
-    assert (step.next_state, step.effect) == (State.ACCEPTING, Effect.ACCEPT_AND_ANNOUNCE)
+def test_a_standby_successor_accepts_connections_and_announces_it_before_it_serves() -> None:
+    transition = TRANSITIONS[State.STANDBY][Event.MAY_ACCEPT]
+    assert (transition.next_state, transition.effect) == (State.ACCEPTING, Effect.ACCEPT_AND_ANNOUNCE)
 
 
 def test_an_unreachable_process_beside_a_connected_predecessor_only_makes_outcomes_unknown() -> None:
@@ -150,7 +154,7 @@
     assert ("start", f"r{granted}") in pair.successor.desk.backend.told
 
 
-def test_an_unreachable_process_leaves_a_lone_one_half_of_the_capacity_until_it_must_have_ended() -> None:
+def test_a_sole_process_uses_half_of_the_capacity_until_an_unreachable_one_must_have_ended() -> None:
     process = SimulatedProcess(HandClock(), 2)
     process.hot_restart.predecessor_unreachable(START)
     process.hot_restart.backend_ready(START)
