--- a/marlstep/hot_restart/restart.py
+++ b/marlstep/hot_restart/restart.py
@@ -112,13 +112,11 @@
 
     def successor_connected(self, peer: Peer, hello: Hello, now: datetime) -> bool:
         """Answer a process that came to take over. False where it is redirected to the successor that there is."""
-        successor_generation = self._toward_successor.successor_generation
-        measurements = {} if successor_generation else self._host.measurements()
+        existing_generation = self._toward_successor.successor_generation
+        measurements = {} if existing_generation else self._host.measurements()
         wants_traffic = self._host.wants_traffic()
-        peer.send_message(
-            Hello(self.generation, self._pid, wants_traffic, successor_generation, measurements)
-        )
-        if successor_generation:
+        peer.send_message(Hello(self.generation, self._pid, wants_traffic, existing_generation, measurements))
+        if existing_generation:
             return False
         self._toward_successor.successor_connected(peer, hello, now)
         return True
