--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -1,6 +1,6 @@
 """The I/O of a hot restart: this process's socket, its connections to the other processes, and the timer.
 
-All decisions are in `HotRestart`; what comes on a connection is handed to it together with the time.
+`HotRestart` makes all decisions. This module passes it the received messages together with the current time.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-TICK_INTERVAL = 20 * MILLISECOND  # while there is another process
+TICK_INTERVAL = 20 * MILLISECOND  # between calls of `HotRestart.tick` while it is not idle
 
 
 class RestartChannel:
@@ -30,13 +30,13 @@
     def __init__(
         self, folder: Path, node: str, timeline: TimerQueue, make_hot_restart: Callable[[int], HotRestart]
     ) -> None:
-        """Open nothing yet.
+        """Create the channel; `open` does the I/O.
 
         Args:
-            folder: where the node's processes have their sockets.
+            folder: the directory of the Unix sockets of the node's processes.
             node: the node's name.
-            timeline: the node's timers.
-            make_hot_restart: is given the generation of this process.
+            timeline: the node's timers and clock.
+            make_hot_restart: returns the state machine for a given generation of this process.
         """
         self._directory = SocketDirectory(folder, node)
         self._folder, self._timeline, self._make_hot_restart = folder, timeline, make_hot_restart
@@ -51,14 +51,14 @@
         self._accept_successor = partial(PeerConnection, self, PeerRole.SUCCESSOR)
 
     async def open(self) -> bool:
-        """Connect to the predecessor, if there is one, and listen for the successor. True where there is one."""
+        """Connect to the predecessor, if any, and listen for a successor. Return whether a predecessor is connected."""
         search, generation = PredecessorSearch(), 0
         try:
             sockets = self._directory.list_sockets()
             search = await self._directory.find_predecessor(sockets, self._connect_predecessor)
             generation = max(sockets, default=0) + 1
             generation = await self._listen(generation)
-        except OSError as error:  # no folder, nothing that may be written, no Unix sockets
+        except OSError as error:  # folder missing or not writable, or no Unix sockets
             log.warning("hot restart unavailable: folder=%s error=%s", self._folder, error)
         self.hot_restart = self._make_hot_restart(generation)
         predecessor = search.connection
@@ -82,7 +82,7 @@
         self.hot_restart.predecessor_connected(connection, self._timeline.now())
 
     def _redirect(self, generation: int) -> None:
-        """Connect to the predecessor's successor in place of the predecessor: that one is to be taken over from."""
+        """Drop the connection to the predecessor and connect to the newer process that it named as its successor."""
         if self._predecessor is not None:
             previous_connection, self._predecessor = self._predecessor, None
             previous_connection.close()
@@ -99,10 +99,14 @@
         else:
             self._begin_initial_sync(connection)
 
-    # What happens on the connections.
+    # ConnectionHandler, called by the connections.
 
     def message_received(self, connection: PeerConnection, message: Message) -> None:
-        """Hand a message to the state machine that it is for. Raises CorruptError before the hello."""
+        """Pass a message to the state machine of its sender's side.
+
+        Raises:
+            HelloMissingError: the first message of the connection is not a Hello.
+        """
         now = self._timeline.now()
         if not connection.hello_received:
             if not isinstance(message, Hello):
@@ -127,13 +131,13 @@
             self._schedule_tick()
 
     def unknown_process_connected(self, connection: PeerConnection) -> None:
-        """Count a process that dialed this one, and can't be understood, as one that may serve."""
+        """Handle an incoming connection whose first message can't be decoded: its process may be serving as well."""
         if connection.role is PeerRole.SUCCESSOR:
             self.hot_restart.unknown_process_connected(self._timeline.now())
             self._schedule_tick()
 
     def connection_lost(self, connection: PeerConnection) -> None:
-        """Handle the end of a connection; nothing where it was redirected, or never used."""
+        """Report the end of a connection to the state machine, unless it was redirected or never accepted as a peer."""
         now = self._timeline.now()
         if connection is self._predecessor:
             self._predecessor = None
@@ -156,13 +160,13 @@
         self._schedule_tick()
 
     def close(self) -> None:
-        """Hand over the rest, and give back the socket, its name and the connections."""
+        """Hand over everything that is left, close the connections and the listening socket, and unlink its path."""
         self.hot_restart.finish()
         connections = (self._predecessor, self._successor)
         self._predecessor = self._successor = None
         for connection in connections:
             if connection is not None:
-                connection.flush_unsent()  # what is written is still read after the close
+                connection.flush_unsent()  # the peer can still read written data after the close
                 connection.close()
         if self._server is not None:
             self._server.close()
--- a/marlstep/hot_restart/connection.py
+++ b/marlstep/hot_restart/connection.py
@@ -13,25 +13,29 @@
 
 log = logging.getLogger(__name__)
 
-RING_BYTES = 2 * MAX_MESSAGE_BYTES  # of the inbox: the longest message, and the beginning of the next
-MAX_UNSENT_BYTES = 4 << 20  # that may wait for the peer to read, until `require_prompt_reads`
+RING_BYTES = 2 * MAX_MESSAGE_BYTES  # receive buffer: the longest message and the start of the next one
+MAX_UNSENT_BYTES = 4 << 20  # buffered for a slow peer; after `require_prompt_reads` nothing may be buffered
 
 
 class PeerRole(enum.Enum):
-    """What the process at the other end is to this one."""
+    """The role of the process at the other end, relative to this process."""
 
     PREDECESSOR = "predecessor"
     SUCCESSOR = "successor"
 
 
 class ConnectionHandler(Protocol):
-    """What takes what happens on a connection."""
+    """Receives the events of a connection."""
 
     def message_received(self, connection: PeerConnection, message: Message, /) -> None:
-        """Handle a message. Raises CorruptError where it must not come now."""
+        """Handle a message.
+
+        Raises:
+            CorruptError: the message is not valid at this point of the connection.
+        """
 
     def unknown_process_connected(self, connection: PeerConnection, /) -> None:
-        """Handle a process whose first message can't be understood."""
+        """Handle a peer whose first message can't be decoded or is not a Hello."""
 
     def connection_lost(self, connection: PeerConnection, /) -> None:
         """Handle the end of a connection."""
@@ -40,12 +44,17 @@
 class PeerConnection(RingStream):
     """One connection to another process of the node.
 
-    A message must be on its way before the run that it speaks of begins, and a transport writes only at the end of a
-    pass of the event loop. So messages are written straight to a duplicate of the socket.
+    A message about a run must be sent before that run begins, but an asyncio transport may write only at the end of an
+    event loop iteration. Messages are therefore written directly to a duplicate of the socket.
     """
 
     def __init__(self, handler: ConnectionHandler, role: PeerRole) -> None:
-        """`role` is what the process at the other end is to this one."""
+        """Initialize an unconnected connection.
+
+        Args:
+            handler: receives the events of the connection.
+            role: the role of the process at the other end, relative to this process.
+        """
         super().__init__(RING_BYTES)
         self._handler, self.role = handler, role
         self._socket: socket.socket | None = None
@@ -54,22 +63,22 @@
         self.hello_received = False
 
     def opened(self) -> None:
-        """Duplicate the socket, for writing."""
+        """Duplicate the socket for direct writes."""
         assert self._transport is not None
         self._socket = socket.socket(fileno=os.dup(self._transport.get_extra_info("socket").fileno()))
 
     def closed(self) -> None:
-        """Give back the duplicate."""
+        """Close the duplicate socket and report the lost connection."""
         self._close_duplicate()
         self._handler.connection_lost(self)
 
     def data_received(self) -> None:
-        """Handle all messages that are complete; close at the end of the stream, and where it is corrupt."""
+        """Handle all complete messages; close the connection at the end of the stream or on corrupt data."""
         try:
             while (message := read(self.inbox)) is not None:
                 self._handler.message_received(self, message)
         except CorruptError as error:
-            log.error(  # noqa: TRY400 - the peer's fault: a traceback of this process says nothing
+            log.error(  # noqa: TRY400 - caused by the peer, so a local traceback does not help
                 "restart connection closed: reason=corrupt_message error=%s peer=%s", error, self.role.value
             )
             if not self.hello_received:
@@ -79,17 +88,17 @@
             self.close()
 
     def send_message(self, message: Message) -> None:
-        """Write a message now; what the peer does not take waits for `flush_unsent`."""
+        """Write a message now; buffer what the socket does not accept until the next `flush_unsent`."""
         if self._socket is not None:
             self._unsent += write(message)
             self.flush_unsent()
 
     def require_prompt_reads(self) -> None:
-        """Let no message wait from now on: close where the peer does not take one at once."""
+        """Stop buffering: from now on, close the connection if the socket does not accept a message at once."""
         self._requires_prompt_reads = True
 
     def flush_unsent(self) -> None:
-        """Write what the peer takes. Close the connection where too much waits."""
+        """Write as many buffered bytes as the socket accepts. Close the connection if too many remain."""
         if self._socket is None:
             return
         try:
@@ -97,17 +106,17 @@
                 del self._unsent[: self._socket.send(self._unsent, socket.MSG_DONTWAIT)]
         except BlockingIOError:
             if self._requires_prompt_reads or len(self._unsent) > MAX_UNSENT_BYTES:
-                log.error(  # noqa: TRY400 - the peer's fault, as above
+                log.error(  # noqa: TRY400 - caused by the peer, as above
                     "restart connection closed: reason=peer_not_reading unsent_bytes=%d peer=%s",
                     len(self._unsent),
                     self.role.value,
                 )
                 self.close()
         except OSError:
-            self._close_duplicate()  # the peer has ended: what it wrote before is still to be read
+            self._close_duplicate()  # the peer has closed; data that it wrote before is still to be read
 
     def close(self) -> None:
-        """Close at once; what was written to the socket is still delivered."""
+        """Close at once; data already written to the socket is still delivered."""
         self._close_duplicate()
         self.abort()
 
--- a/marlstep/hot_restart/host_adapter.py
+++ b/marlstep/hot_restart/host_adapter.py
@@ -1,4 +1,4 @@
-"""This process as its hot restart sees it: the core, with keys and times as the other process writes them."""
+"""Adapts the core to the `Host` interface and converts its keys and times to and from the message format."""
 
 from __future__ import annotations
 
@@ -15,14 +15,20 @@
     from marlstep.hot_restart.interfaces import NodeCallbacks
     from marlstep.hot_restart.restart import HotRestart
 
-MAX_RESULT_BYTES = 4 * 1024  # the longest on the platform's wire; in JSON each byte may take six
+MAX_RESULT_BYTES = 4 * 1024  # the platform's longest result; JSON may encode each byte as six
 
 
 class HostAdapter:
     """Implements the state machines' `Host` with a core."""
 
     def __init__(self, core: Core, timeline: TimerQueue, callbacks: NodeCallbacks) -> None:
-        """Change nothing yet; `watch` connects the core."""
+        """Initialize the adapter; `watch` connects it to the core.
+
+        Args:
+            core: the core of this process.
+            timeline: the node's timers and clock.
+            callbacks: the node's side of the hot restart, beyond the core.
+        """
         self._core, self._timeline, self._callbacks = core, timeline, callbacks
         self.accept_connections = callbacks.accept_connections
         self.successor_lost = callbacks.successor_lost
@@ -34,7 +40,7 @@
         self.mark_ready = core.serving_state.mark_ready
 
     def watch(self, hot_restart: HotRestart) -> None:
-        """Have the core ask the other processes about keys, and send them each change of one."""
+        """Have the core claim keys from the other processes and send them each change of a key."""
 
         def key_changed(key: IdempotencyKey, record: KeyRecord, released: bool) -> None:
             if released:
@@ -47,11 +53,11 @@
         self._core.idempotency_keys.on_changed = key_changed
 
     def wants_traffic(self) -> bool:
-        """Return False while an operator has quiesced the node."""
+        """Return whether the node wants traffic: False while an operator has quiesced it."""
         return self._core.serving_state.wants_traffic
 
     def set_wants_traffic(self, wanted: bool, /) -> None:
-        """Take over a quiesce or a resume from another process of the node."""
+        """Apply a quiesce or resume from another process of the node."""
         serving_state = self._core.serving_state
         if wanted is serving_state.wants_traffic:
             return
@@ -62,23 +68,23 @@
         self._callbacks.serving_state_changed()
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        """Return shares of the node's capacity, 0 to 1: what is in use here, and what all in flight may come to use."""
+        """Return two shares, 0 to 1, of the node's capacity: in use now, and the most that all in flight may use."""
         in_use, needed = self._core.memory_and_concurrency_in_use()
         connections = self._callbacks.connection_share()
         return max(in_use, connections), max(needed, connections)
 
     def key_statuses(self) -> Iterator[KeyStatus]:
-        """Iterate over all idempotency keys that are known at the time of the call."""
+        """Iterate over all idempotency keys known at the time of the call."""
         return (key_status(key, record) for key, record in self._core.idempotency_keys)
 
     def find_key(self, request_class: str, idempotency_key: str, /) -> KeyStatus | None:
-        """Return what is known of a key; None where a request with it may run."""
+        """Return the status of a known key; None if a request with the key may run."""
         key = IdempotencyKey(request_class, idempotency_key)
         record = self._core.idempotency_keys.find(key, self._timeline.now())
         return None if record is None else key_status(key, record)
 
     def adopt_key(self, status: KeyStatus, /) -> None:
-        """Record what another process knows of a key."""
+        """Record the status of a key at another process."""
         result = None if status.result is None else status.result.encode("latin-1")
         expires_at = instant(status.expires_at_us) if status.expires_at_us else None
         request_id, digest = decode_label(status.request_label)
@@ -88,14 +94,17 @@
         )
 
     def release_key(self, released: KeyReleased, /) -> None:
-        """Forget the other process's attempt: it never ran."""
+        """Remove the key of another process's attempt, which never ran."""
         request_id, _digest = decode_label(released.request_label)
         key = IdempotencyKey(released.request_class, released.idempotency_key)
         self._core.drop_remote_key(key, request_id)
 
 
 def key_status(key: IdempotencyKey, record: KeyRecord) -> KeyStatus:
-    """Return a key as a message. A result that is too long is left out: a retry then fails, and does not run."""
+    """Return the message for a key.
+
+    A result longer than `MAX_RESULT_BYTES` is left out: a retry then fails instead of running again.
+    """
     expires_at_us = instant_us(record.expires_at) if record.expires_at else 0
     fits = record.result is not None and len(record.result) <= MAX_RESULT_BYTES
     result = record.result.decode("latin-1") if record.result is not None and fits else None
--- a/marlstep/hot_restart/interfaces.py
+++ b/marlstep/hot_restart/interfaces.py
@@ -1,6 +1,6 @@
-"""What the state machines of a hot restart use: the other process, their own process, and the node that it runs.
+"""Interfaces that the hot restart state machines use: the peer process, this process and the node that it runs.
 
-The module is imported for types alone, so that a process at work does not load it.
+The module is imported for type checking only, so a running process does not load it.
 """
 
 from __future__ import annotations
@@ -13,84 +13,84 @@
 
 
 class Peer(Protocol):
-    """The connection to another process of the node."""
+    """A connection to another process of the node."""
 
     def send_message(self, message: Message, /) -> None:
-        """Send a message now; it is on its way when this returns, unless the peer does not read."""
+        """Send a message before returning; it is buffered only if the peer does not read fast enough."""
 
     def require_prompt_reads(self) -> None:
-        """Close the connection from now on where the peer does not read what is sent at once."""
+        """Stop buffering: from now on, close the connection if a message can't be sent at once."""
 
 
 class Host(Protocol):
-    """This process, as its hot restart sees it."""
+    """The parts of this process that its hot restart reads and controls."""
 
     def wants_traffic(self) -> bool:
-        """Return False while an operator has quiesced the node."""
+        """Return whether the node wants traffic: False while an operator has quiesced it."""
 
     def set_wants_traffic(self, wanted: bool, /) -> None:
-        """Take over a quiesce or a resume from another process of the node."""
+        """Apply a quiesce or resume from another process of the node."""
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        """Return shares of the node's capacity, 0 to 1: what is in use here, and what all in flight may come to use."""
+        """Return two shares, 0 to 1, of the node's capacity: in use now, and the most that all in flight may use."""
 
     def limit_capacity(self, capacity_share: float, /) -> None:
-        """Bound this process to a share, 0 to 1, of the node's capacity."""
+        """Limit this process to a share, 0 to 1, of the node's capacity."""
 
     def measurements(self) -> dict[str, object]:
-        """Return what the admission controller has learned, as JSON."""
+        """Return the admission controller's measurements as a JSON object."""
 
     def adopt_measurements(self, measurements: dict[str, object], /) -> None:
-        """Start from what the predecessor's admission controller has learned."""
+        """Use the measurements of the predecessor's admission controller as the starting values here."""
 
     def accept_connections(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
 
     def mark_ready(self) -> None:
-        """Answer health checks from now on as a process that can serve."""
+        """Start to answer health checks as a process that can serve."""
 
     def successor_lost(self) -> None:
-        """Handle the end of a successor that has not said that it drains."""
+        """Handle the loss of a successor that had not announced that it drains."""
 
     def successor_draining(self) -> None:
-        """Handle a successor that drains and has no successor of its own."""
+        """Handle a successor that drains without a successor of its own."""
 
     def key_statuses(self) -> Iterator[KeyStatus]:
-        """Iterate over all idempotency keys that are known at the time of the call."""
+        """Iterate over all idempotency keys known at the time of the call."""
 
     def find_key(self, request_class: str, idempotency_key: str, /) -> KeyStatus | None:
-        """Return what is known of a key; None where a request with it may run."""
+        """Return the status of a known key; None if a request with the key may run."""
 
     def adopt_key(self, status: KeyStatus, /) -> None:
-        """Record what another process knows of a key."""
+        """Record the status of a key at another process."""
 
     def release_key(self, released: KeyReleased, /) -> None:
-        """Forget the other process's attempt: it never ran."""
+        """Remove the key of another process's attempt, which never ran."""
 
     def mark_outcomes_unknown(self, until: datetime, /) -> None:
-        """Count the other process's attempts that have not ended as ones that may have run.
+        """Treat the other process's unfinished attempts as attempts that may have run.
 
-        Their keys stay known until their own end, or until the given time where they have none.
+        Their keys are kept until their own expiry, or until the given time if they have none.
         """
 
 
 class NodeCallbacks(Protocol):
-    """What a hot restart has the node do, beyond its core."""
+    """The actions and values that a hot restart needs from the node, apart from its core."""
 
     def accept_connections(self) -> None:
-        """Accept connections from now on, in the place of the predecessor if there is one."""
+        """Start to accept connections, in place of the predecessor if there is one."""
 
     def successor_lost(self) -> None:
-        """Start the graceful shutdown if SIGTERM has come: it was a hot restart as long as a successor served."""
+        """Start the graceful shutdown if SIGTERM was received: without a successor it is no longer a hot restart."""
 
     def successor_draining(self) -> None:
-        """Report to the name service that the node drains, if SIGTERM has come here too."""
+        """Report to the name service that the node drains, if this process received SIGTERM too."""
 
     def limit_capacity(self, capacity_share: float, /) -> None:
-        """Bound this process to a share, 0 to 1, of the node's memory, requests and connections."""
+        """Limit this process to a share, 0 to 1, of the node's memory, requests and connections."""
 
     def connection_share(self) -> float:
-        """Return the share, 0 to 1, of the node's connections that is in use here."""
+        """Return the share, 0 to 1, of the node's connections that this process uses."""
 
     def serving_state_changed(self) -> None:
-        """Report to the name service that another process was quiesced or resumed, and the node with it."""
+        """Report to the name service that the node was quiesced or resumed through another process."""
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -1,9 +1,9 @@
-"""This process as the predecessor: from the successor's connection until nothing is left to hand over.
+"""State machine of this process as the predecessor, from the successor's connection to the end of the handover.
 
-The state is what this process knows of its successor: whether there is one, whether it accepts connections, and whether
-it drains. From it follows what SIGTERM means here and what the loss of the successor does. `TRANSITIONS` is the whole
-state machine. docs/operations.md shows it for operators. There is no I/O and no clock: messages come in, and time is
-passed in.
+The state records whether a successor is connected, whether it accepts connections and whether it drains. It determines
+the effect of SIGTERM and of the loss of the successor. `TRANSITIONS` defines the complete state machine;
+docs/operations.md shows it for operators. The module does no I/O and reads no clock: callers pass in messages and the
+current time.
 """
 
 from __future__ import annotations
@@ -37,34 +37,36 @@
 
 
 class State(enum.Enum):
-    """What this process knows of its successor."""
+    """The state of the successor as this process knows it."""
 
     NO_SUCCESSOR = "no successor"
-    SUCCESSOR_STARTING = "successor starting"  # connected, and accepts no connections yet
-    SUCCESSOR_ACCEPTING = "successor accepting"  # it serves beside this process
-    SUCCESSOR_REPLACED = "successor replaced"  # it hands over, and its own successor serves
-    SUCCESSOR_DRAINING = "successor draining"  # it drains, and no process is known here to serve in its place
+    SUCCESSOR_STARTING = "successor starting"  # connected, but does not accept connections yet
+    SUCCESSOR_ACCEPTING = "successor accepting"  # it serves in parallel with this process
+    SUCCESSOR_REPLACED = "successor replaced"  # it hands over to its own successor, which serves
+    SUCCESSOR_DRAINING = "successor draining"  # it drains, and this process knows of no other that serves
 
 
 class Event(enum.Enum):
-    """What a successor does, and what is asked of this process."""
+    """An event reported by the successor, or a shutdown request to this process."""
 
     SUCCESSOR_CONNECTED = "successor connected"
     SUCCESSOR_READY = "successor ready"
-    SUCCESSOR_REPLACED = "successor draining, replaced"  # SuccessorDraining with a successor of its own
-    SUCCESSOR_DRAINING = "successor draining, alone"  # SuccessorDraining without
+    SUCCESSOR_REPLACED = (
+        "successor draining, replaced"  # SuccessorDraining from a process with a serving successor
+    )
+    SUCCESSOR_DRAINING = "successor draining, alone"  # SuccessorDraining from a process without one
     SUCCESSOR_LOST = "successor lost"
     SHUTDOWN_REQUESTED = "shutdown requested"  # SIGTERM, or an operator's drain
 
 
 class Effect(enum.Enum):
-    """What a transition has this process do."""
+    """The action of a transition."""
 
     NONE = "nothing"
     SEND_SNAPSHOT = "send keys, give capacity"
     ACKNOWLEDGE = "send SuccessorReady"
     REPORT_SUCCESSOR_DRAINING = "report that the node drains, if SIGTERM has come"
-    # These two are carried out by `marlstep.drain.DrainController.drain`, by the result of `begin_shutdown`.
+    # HAND_OVER and DRAIN are carried out by `marlstep.drain.DrainController.drain` from the result of `begin_shutdown`.
     HAND_OVER = "stop accepting, finish what is in flight"
     DRAIN = "start the graceful shutdown"
     RECLAIM_CAPACITY = "reclaim capacity after a wait"
@@ -73,14 +75,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Transition:
-    """Where an event leads, and what is done on the way."""
+    """The state after an event and the action to take."""
 
     next_state: State
     effect: Effect = Effect.NONE
 
 
-# An event that is missing at a state changes nothing. A second process is redirected to the successor that there is; it
-# gets here, and replaces that one, only where that one gave no generation to be redirected to.
+# Events that are not listed for a state are ignored in it. Another process that connects is normally redirected to the
+# existing successor. It replaces that successor, by SUCCESSOR_CONNECTED, only if that one reported no generation.
 TRANSITIONS: Mapping[State, Mapping[Event, Transition]] = {
     State.NO_SUCCESSOR: {
         Event.SUCCESSOR_CONNECTED: Transition(State.SUCCESSOR_STARTING, Effect.SEND_SNAPSHOT),
@@ -89,8 +91,9 @@
     State.SUCCESSOR_STARTING: {
         Event.SUCCESSOR_CONNECTED: Transition(State.SUCCESSOR_STARTING, Effect.SEND_SNAPSHOT),
         Event.SUCCESSOR_READY: Transition(State.SUCCESSOR_ACCEPTING, Effect.ACKNOWLEDGE),
-        # From a successor that accepted connections before it was redirected here: it announced that to the process
-        # that redirected it. Without its SuccessorReady this process counts on neither, and drains at SIGTERM.
+        # Sent by a successor that accepted connections before it was redirected here: its SuccessorReady went to the
+        # process that redirected it. Without that message this process relies on neither the successor nor the process
+        # that replaced it, and drains at SIGTERM.
         Event.SUCCESSOR_REPLACED: Transition(State.SUCCESSOR_DRAINING),
         Event.SUCCESSOR_DRAINING: Transition(State.SUCCESSOR_DRAINING, Effect.REPORT_SUCCESSOR_DRAINING),
         Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY_AND_REPORT_LOSS),
@@ -113,8 +116,9 @@
     },
     State.SUCCESSOR_DRAINING: {
         Event.SUCCESSOR_CONNECTED: Transition(State.SUCCESSOR_STARTING, Effect.SEND_SNAPSHOT),
-        # Not sent by this version: SuccessorReady is sent on leaving standby, and a process in standby ends at SIGTERM
-        # without SuccessorDraining. A process that says so all the same accepts connections, and is acknowledged.
+        # This version never sends SuccessorReady here: it sends it on leaving standby, and a process in standby exits
+        # at SIGTERM without SuccessorDraining. A process of another version that does accepts connections, so it is
+        # acknowledged.
         Event.SUCCESSOR_READY: Transition(State.SUCCESSOR_REPLACED, Effect.ACKNOWLEDGE),
         Event.SUCCESSOR_DRAINING: Transition(State.SUCCESSOR_DRAINING, Effect.REPORT_SUCCESSOR_DRAINING),
         Event.SUCCESSOR_LOST: Transition(State.NO_SUCCESSOR, Effect.RECLAIM_CAPACITY),
@@ -124,18 +128,18 @@
 
 
 def shutdown_hands_over(state: State) -> bool:
-    """Decide whether SIGTERM means a hot restart, and no drain of the node.
+    """Return whether SIGTERM starts a handover to the successor instead of a drain of the node.
 
-    Rule: SIGTERM drains the node: health checks fail, the name service hears of it, and after a grace requests are
-    rejected. Exception: while a successor accepts connections, or its own successor does in its place, the node goes
-    on; this process stops accepting, finishes what is in flight, and does not report that it leaves. Its regular
-    reports to the name service go on.
+    Rule: SIGTERM drains the node: health checks fail, the drain is reported to the name service, and after a grace
+    period requests are rejected. Exception: while a successor, or the successor that replaced it, accepts connections,
+    the node keeps serving. This process then stops accepting connections, finishes the requests in flight and does not
+    report a drain; its regular reports to the name service continue.
     """
     return TRANSITIONS[state][Event.SHUTDOWN_REQUESTED].effect is Effect.HAND_OVER
 
 
 class Predecessor:
-    """This process's connection to its successor, if there is one, and what is handed over to it."""
+    """The side of this process that hands over to its successor, if one is connected."""
 
     def __init__(
         self,
@@ -144,13 +148,13 @@
         timeouts: LostProcessTimeouts,
         apply_capacity_limit: Callable[[], None],
     ) -> None:
-        """Begin without a successor.
+        """Initialize the state machine without a successor.
 
         Args:
             host: this process.
-            sharing: its part of the node's capacity.
-            timeouts: how long the work of a lost successor matters.
-            apply_capacity_limit: bounds this process to what `sharing` allows.
+            sharing: this process's part of the node's capacity.
+            timeouts: timeouts that apply after the successor is lost.
+            apply_capacity_limit: limits this process to the share that `sharing` allows.
         """
         self._host, self._sharing, self._apply_capacity_limit = host, sharing, apply_capacity_limit
         self.timeouts = timeouts
@@ -158,21 +162,21 @@
         self._successor: Peer | None = None
         self._snapshot: KeySnapshot | None = None
         self._successor_generation = 0
-        self._handing_over = False  # SIGTERM has come, and the successor serves in this process's place
+        self._handing_over = False  # SIGTERM was received while a successor served
 
     @property
     def has_serving_successor(self) -> bool:
-        """Whether SIGTERM would be a hot restart, and no drain of the node."""
+        """Whether SIGTERM would start a handover instead of a drain of the node."""
         return shutdown_hands_over(self.state)
 
     @property
     def has_successor(self) -> bool:
-        """Whether a successor is connected, serving or not."""
+        """Whether a successor is connected, whether or not it serves."""
         return self._successor is not None
 
     @property
     def successor_generation(self) -> int:
-        """The generation of the connected successor; 0 where there is none, or it gave none."""
+        """The generation of the connected successor; 0 if none is connected or it reported no generation."""
         return 0 if self._successor is None else self._successor_generation
 
     def send(self, message: Message) -> None:
@@ -181,19 +185,19 @@
             self._successor.send_message(message)
 
     def successor_connected(self, peer: Peer, hello: Hello, now: datetime) -> None:
-        """Take the process at the other end as the successor of this one."""
+        """Accept the peer as the successor of this process."""
         log.info("successor connected: pid=%d generation=%d", hello.pid, hello.generation)
         self._successor, self._successor_generation = peer, hello.generation
         self._apply(Event.SUCCESSOR_CONNECTED, now)
 
     def unknown_process_connected(self, now: datetime) -> None:
-        """Keep to half of the capacity for a while: a process that can't be understood may serve as well."""
+        """Limit this process to half of the capacity for a time: a peer that sent no valid Hello may serve too."""
         if self._successor is None:
             self._sharing.unknown_process_connected(now, self.timeouts.termination)
             self._apply_capacity_limit()
 
     def handle(self, message: Message, now: datetime) -> None:
-        """Act on a message of the successor."""
+        """Handle a message from the successor."""
         match message:
             case KeyStatus():
                 self._host.adopt_key(message)
@@ -208,18 +212,18 @@
                 self._host.set_wants_traffic(wants_traffic)
 
     def successor_lost(self, now: datetime) -> None:
-        """Handle the end of the connection, in order or not."""
+        """Handle the end of the connection, whether the successor finished or failed."""
         if self._successor is not None:
             self._apply(Event.SUCCESSOR_LOST, now)
 
     def begin_shutdown(self, now: datetime) -> bool:
-        """Handle SIGTERM. Return whether this process hands over: a successor serves on; see `shutdown_hands_over`."""
+        """Handle SIGTERM. Return whether this process hands over to a serving successor; see `shutdown_hands_over`."""
         self._handing_over = self.has_serving_successor
         self._apply(Event.SHUTDOWN_REQUESTED, now)
         return self._handing_over
 
     def tick(self) -> None:
-        """Send the next keys, and give away the capacity that is free."""
+        """Send the next batch of the snapshot and grant free capacity to the successor."""
         if self._successor is None:
             return
         self._send_keys()
@@ -230,7 +234,10 @@
         self._send_capacity_grant(self._sharing.grant(in_use))
 
     def finish(self) -> None:
-        """Hand over all that is left: this process ends. Runs that no client waits for may go on in the backend."""
+        """Hand over everything that is left before this process exits.
+
+        Runs that no client waits for may continue in the backend.
+        """
         if self._successor is None:
             return
         while self._snapshot is not None:
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -1,8 +1,8 @@
-"""The capacity of one node between its processes: memory, requests and connections, as capacity shares of 1 in all.
+"""Division of a node's capacity (memory, requests and connections) between its processes, as shares that sum to 1.
 
-"Share" means a capacity share throughout. It is given only by the process that has it, and after that process has
-bounded itself to what it keeps. So at no moment do two processes together use more than the node has. Where the
-connection between them is lost, each keeps to a half until the other must have ended.
+"Share" always means a capacity share. Only the process that owns a share can grant it, and only after it has limited
+itself to what it keeps, so two processes together never use more than the node's capacity. If their connection is lost,
+each uses at most half until the other must have ended.
 """
 
 from __future__ import annotations
@@ -10,33 +10,33 @@
 from datetime import datetime, timedelta
 
 FULL_SHARE, HALF_SHARE = 1.0, 0.5  # of the node's capacity
-MIN_DRAINING_SHARE = 0.2  # kept by a draining predecessor until it has finished, for requests that still come
-MIN_TRANSFER_SHARE = 0.02  # given at a time, so that a message is worth sending
+MIN_DRAINING_SHARE = 0.2  # kept by a predecessor that hands over, for requests that still arrive
+MIN_TRANSFER_SHARE = 0.02  # smallest grant, so that small changes cause no messages
 
 
 class ResourceSharing:
-    """One process's part of the node's capacity; all of it while there is no other process."""
+    """One process's part of the node's capacity; the whole capacity while it is the sole process."""
 
     def __init__(self) -> None:
-        """Begin as the sole process of the node."""
+        """Initialize the shares of the sole process of a node."""
         self._owned_share = FULL_SHARE
         self._granted_share = 0.0  # to the successor
         self._has_predecessor = self._has_successor = False
-        self._draining_limit = FULL_SHARE  # in force once this process drains
-        self._predecessor_ended_by: datetime | None = None  # set where it is lost
+        self._draining_limit = FULL_SHARE  # below FULL_SHARE once this process drains
+        self._predecessor_ended_by: datetime | None = None  # set once the predecessor is lost
         self._successor_ended_by: datetime | None = None
 
     @property
     def owned_share(self) -> float:
-        """The share, 0 to 1, that no other process may use. It can be more than `limit` until it is given away."""
+        """The share, 0 to 1, that no other process may use. It can exceed `limit` until the rest is granted."""
         return self._owned_share
 
     @property
     def limit(self) -> float:
         """The share, 0 to 1, that this process may use.
 
-        Rule: all that it owns. Exceptions: with a successor only half of what both have, as the rest is to be given;
-        while it drains no more than its requests in flight may need.
+        Rule: the whole share that it owns. Exceptions: with a successor at most half of the share of both, because the
+        rest is to be granted; while it drains at most the share that its requests in flight may need.
         """
         combined_share = self._owned_share + self._granted_share
         limit_beside_successor = combined_share * HALF_SHARE if self._has_successor else FULL_SHARE
@@ -44,67 +44,69 @@
 
     @property
     def is_sole_process(self) -> bool:
-        """Whether no other process may use a part of the capacity."""
+        """Whether no other process may use any part of the capacity."""
         return not (self._has_predecessor or self._has_successor)
 
     def predecessor_connected(self) -> None:
-        """Own nothing until the predecessor gives a share: it has all."""
+        """Own no share until the predecessor grants one: it owns the whole capacity."""
         self._has_predecessor, self._owned_share = True, 0.0
 
     def receive(self, share: float) -> None:
-        """Own a share, 0 to 1, that the predecessor gave. One that makes no sense is ignored."""
+        """Add a share, 0 to 1, that the predecessor granted. Ignore a share outside that range."""
         if self._has_predecessor and 0 < share <= FULL_SHARE:
             self._owned_share = min(FULL_SHARE - self._granted_share, self._owned_share + share)
 
     def predecessor_done(self) -> None:
-        """Own all that was not given away: the predecessor has ended."""
+        """Own the whole capacity except the share granted to the successor: the predecessor has ended."""
         self._has_predecessor, self._owned_share = False, FULL_SHARE - self._granted_share
 
     def predecessor_lost(self, now: datetime, termination_timeout: timedelta) -> None:
-        """Keep to a half until the lost predecessor must have ended, `termination_timeout` from now."""
+        """Own at most half until the lost predecessor must have ended, `termination_timeout` from now."""
         if self._has_predecessor and self._predecessor_ended_by is None:
             self._predecessor_ended_by = now + termination_timeout
             self._owned_share = max(self._owned_share, HALF_SHARE - self._granted_share)
 
     def predecessor_unreachable(self, now: datetime, termination_timeout: timedelta) -> None:
-        """Own a half until a process that did not answer must have ended, `termination_timeout` from now.
+        """Own half until a process that did not answer must have ended, `termination_timeout` from now.
 
-        Called at the start alone, where no predecessor is connected: the process that did not answer may have all.
+        Called only at startup and without a connected predecessor: the process that did not answer may use the rest.
         """
         self._has_predecessor, self._predecessor_ended_by = True, now + termination_timeout
         self._owned_share = HALF_SHARE
 
     def unknown_process_connected(self, now: datetime, termination_timeout: timedelta) -> None:
-        """Keep to a half until a process that can't be understood must have ended, `termination_timeout` from now.
+        """Use at most half until a process of unknown version must have ended, `termination_timeout` from now.
 
-        Called where no successor is connected: the unknown process may serve beside this one.
+        Called if no successor is connected: the unknown process may serve in parallel.
         """
         self._has_successor, self._successor_ended_by = True, now + termination_timeout
 
     def successor_connected(self) -> None:
-        """Keep to a half from now on: the rest is the successor's as it becomes free."""
+        """Use at most half from now on; the rest is granted to the successor as it becomes free."""
         self._has_successor, self._successor_ended_by = True, None
 
     def successor_lost(self, now: datetime, termination_timeout: timedelta) -> None:
-        """Reclaim what was given once the lost successor must have ended, `termination_timeout` from now."""
-        self._draining_limit = FULL_SHARE  # there is nobody to hand over to
+        """Reclaim the granted share once the lost successor must have ended, `termination_timeout` from now."""
+        self._draining_limit = FULL_SHARE  # no process is left to hand over to
         if self._has_successor:
             self._successor_ended_by = now + termination_timeout
 
     def drain(self, needed_share: float) -> None:
-        """Bound this process, which hands over, to what its requests in flight may come to use.
+        """Limit this process, which hands over, to the share that its requests in flight may need.
+
+        The new limit is the needed share, but at least `MIN_DRAINING_SHARE` and never above the previous limit.
 
         Args:
-            needed_share: that, 0 to 1. It keeps `MIN_DRAINING_SHARE` at least, and never more than before.
+            needed_share: the most that the requests in flight may use, 0 to 1.
         """
         self._draining_limit = min(self.limit, max(MIN_DRAINING_SHARE, needed_share))
 
     def grant(self, share_in_use: float, all_remaining: bool = False) -> float:
-        """Give the successor what is free, and return the share to send; 0 where there is nothing to send.
+        """Grant the free share to the successor and return the share to send; 0 if there is nothing to send.
 
         Args:
-            share_in_use: what this process uses now, 0 to 1.
-            all_remaining: give all that is left: this process ends.
+            share_in_use: the share that this process uses now, 0 to 1.
+            all_remaining: whether to grant everything that is left, because this process ends.
         """
         free_share = self._owned_share if all_remaining else self._owned_share - max(self.limit, share_in_use)
         successor_can_receive = self._has_successor and self._successor_ended_by is None
@@ -116,7 +118,7 @@
         return free_share
 
     def reclaim_lost_shares(self, now: datetime) -> None:
-        """Reclaim what lost processes had, where they must have ended by now."""
+        """Reclaim the shares of lost processes that must have ended by now."""
         if self._predecessor_ended_by is not None and self._predecessor_ended_by <= now:
             self._predecessor_ended_by = None
             self.predecessor_done()
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -1,9 +1,10 @@
-"""This process as the successor: from its start until it serves in the place of its predecessor.
+"""State machine of this process as the successor, from its start until it serves in place of its predecessor.
 
-Every process of a node starts here. Without a predecessor it serves as soon as its backend is ready. With one it stands
-by until it has the predecessor's keys and a share of the capacity, then accepts connections beside it, and reports that
-it can serve once the predecessor has acknowledged that. `TRANSITIONS` is the whole state machine; docs/operations.md
-shows it for operators. There is no I/O and no clock: messages come in, and time is passed in.
+Every process of a node starts in this state machine. Without a predecessor it serves as soon as its backend is ready.
+With one it stands by until it has the predecessor's keys and a share of the capacity. It then accepts connections in
+parallel with the predecessor, and reports that it can serve once the predecessor has acknowledged that. `TRANSITIONS`
+defines the complete state machine; docs/operations.md shows it for operators. The module does no I/O and reads no
+clock: callers pass in messages and the current time.
 """
 
 from __future__ import annotations
@@ -48,31 +49,31 @@
 
 INITIAL_SYNC_TIMEOUT = (
     1 * SECOND
-)  # from the connection on, for the predecessor's keys and its grant of capacity
-ACKNOWLEDGE_TIMEOUT = 3 * SECOND  # for the predecessor to acknowledge that this process accepts connections
+)  # for the predecessor to send its keys and a capacity grant, from the connection on
+ACKNOWLEDGE_TIMEOUT = 3 * SECOND  # for the predecessor to acknowledge SuccessorReady
 
 
 class State(enum.Enum):
-    """How far this process has come."""
+    """The stage of this process's startup."""
 
-    STARTING = "starting"  # no predecessor, and the backend is not ready
+    STARTING = "starting"  # no predecessor is connected and the backend is not ready
     STANDBY = "standby"  # a predecessor serves; this process accepts no connections
-    ACCEPTING = "accepting"  # accepts connections; the predecessor has not acknowledged it
-    SERVING = "serving"  # health checks say that this process can serve
+    ACCEPTING = "accepting"  # accepts connections; the predecessor has not acknowledged this yet
+    SERVING = "serving"  # health checks report that this process can serve
 
 
 class Event(enum.Enum):
-    """What moves this process on."""
+    """An event that may change the state."""
 
     PREDECESSOR_CONNECTED = "predecessor connected"
     PREDECESSOR_ENDED = "predecessor ended"
-    MAY_ACCEPT = "may accept connections"  # `may_accept_connections` says so
+    MAY_ACCEPT = "may accept connections"  # `may_accept_connections` returned True
     READY_ACKNOWLEDGED = "ready acknowledged"
     ACKNOWLEDGE_TIMED_OUT = "acknowledge timed out"
 
 
 class Effect(enum.Enum):
-    """What a transition has this process do."""
+    """The action of a transition."""
 
     NONE = "nothing"
     ACCEPT_AND_ANNOUNCE = "accept connections, send SuccessorReady"
@@ -82,13 +83,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Transition:
-    """Where an event leads, and what is done on the way."""
+    """The state after an event and the action to take."""
 
     next_state: State
     effect: Effect = Effect.NONE
 
 
-# An event that is missing at a state changes nothing, such as a late acknowledgement.
+# Events that are not listed for a state, such as a late acknowledgement, are ignored in it.
 TRANSITIONS: Mapping[State, Mapping[Event, Transition]] = {
     State.STARTING: {
         Event.PREDECESSOR_CONNECTED: Transition(State.STANDBY),
@@ -115,18 +116,18 @@
     capacity_share: float,
     initial_sync_timed_out: bool,
 ) -> bool:
-    """Decide whether a process that does not accept connections yet may begin to.
+    """Return whether a process that does not accept connections yet may start to.
 
-    Rule: when its backend is ready, and it has all of the predecessor's keys and a share of the node's capacity.
-    Exception: without a predecessor, or once the predecessor has had `INITIAL_SYNC_TIMEOUT` to send both, the backend
-    alone decides: a predecessor that hangs must not keep the node from serving.
+    Rule: its backend is ready, and it has all keys of the predecessor and a share of the node's capacity. Exception:
+    without a predecessor, or after `INITIAL_SYNC_TIMEOUT`, a ready backend is enough: a predecessor that hangs must not
+    keep the node from serving.
 
     Args:
-        backend_ready: this process can start runs: its backend's connection is up.
-        predecessor_connected: an older process of this node is connected and has not ended.
-        snapshot_complete: all keys that the predecessor knew at the beginning have come.
+        backend_ready: whether the backend's connection is up, so that this process can start runs.
+        predecessor_connected: whether an older process of this node is connected and has not ended.
+        snapshot_complete: whether all keys that the predecessor knew at the connection have been received.
         capacity_share: this process's limit, 0 to 1 of the node's capacity.
-        initial_sync_timed_out: `INITIAL_SYNC_TIMEOUT` has passed since the predecessor connected.
+        initial_sync_timed_out: whether `INITIAL_SYNC_TIMEOUT` has passed since the predecessor connected.
     """
     if not backend_ready:
         return False
@@ -136,12 +137,12 @@
 
 
 def has_passed(deadline: datetime | None, now: datetime) -> bool:
-    """Return whether there is a deadline, and its time has come."""
+    """Return whether a deadline is set and has passed."""
     return deadline is not None and deadline <= now
 
 
 class Successor:
-    """This process's way to serving, and its connection to the predecessor if there is one."""
+    """The side of this process that takes over from its predecessor, if one is connected."""
 
     def __init__(
         self,
@@ -150,19 +151,19 @@
         timeouts: LostProcessTimeouts,
         apply_capacity_limit: Callable[[], None],
     ) -> None:
-        """Begin without a predecessor.
+        """Initialize the state machine without a predecessor.
 
         Args:
             host: this process.
-            sharing: its part of the node's capacity.
-            timeouts: how long the work of a lost predecessor matters.
-            apply_capacity_limit: bounds this process to what `sharing` allows.
+            sharing: this process's part of the node's capacity.
+            timeouts: timeouts that apply after the predecessor is lost.
+            apply_capacity_limit: limits this process to the share that `sharing` allows.
         """
         self._host, self._sharing, self._apply_capacity_limit = host, sharing, apply_capacity_limit
         self.timeouts = timeouts
         self.state = State.STARTING
         self._predecessor: Peer | None = None
-        self._predecessor_generation = 0  # 0: not known
+        self._predecessor_generation = 0  # 0: unknown
         self._backend_ready = self._snapshot_complete = False
         self._initial_sync_deadline: datetime | None = None
         self._acknowledge_deadline: datetime | None = None
@@ -176,12 +177,12 @@
 
     @property
     def is_standby(self) -> bool:
-        """Whether a predecessor serves, and this process does not accept connections yet."""
+        """Whether a predecessor serves and this process does not accept connections yet."""
         return self.state is State.STANDBY
 
     @property
     def is_serving(self) -> bool:
-        """Whether health checks say that this process can serve."""
+        """Whether health checks report that this process can serve."""
         return self.state is State.SERVING
 
     def send(self, message: Message) -> None:
@@ -190,12 +191,12 @@
             self._predecessor.send_message(message)
 
     def backend_became_ready(self, now: datetime) -> None:
-        """Note that the backend's connection is up."""
+        """Record that the backend's connection is up."""
         self._backend_ready = True
         self.advance(now)
 
     def predecessor_connected(self, peer: Peer, hello: Hello, now: datetime) -> None:
-        """Introduce this process to its predecessor."""
+        """Send Hello to the predecessor and start the initial sync."""
         self._predecessor, self._initial_sync_deadline = peer, now + INITIAL_SYNC_TIMEOUT
         self._sharing.predecessor_connected()
         peer.send_message(hello)
@@ -203,7 +204,7 @@
         self._apply(Event.PREDECESSOR_CONNECTED, now)
 
     def predecessor_lost(self, now: datetime) -> None:
-        """Handle a connection that is cut, or on which something came that can't be trusted."""
+        """Handle a connection to the predecessor that was closed or carried corrupt data."""
         if self._predecessor is None:
             return
         log.warning(
@@ -217,7 +218,7 @@
         self.advance(now)
 
     def predecessor_unreachable(self, now: datetime) -> None:
-        """Handle a process that listens and did not answer: it may live, and run requests with keys."""
+        """Handle an older process that did not answer: it may be alive and run requests with keys."""
         log.warning(
             "predecessor unreachable: keyed_requests_rejected_s=%.1f",
             self.timeouts.retry_window.total_seconds(),
@@ -230,7 +231,7 @@
             self._apply_capacity_limit()
 
     def handle(self, message: Message, now: datetime) -> None:
-        """Act on a message of the predecessor; `advance` is to be called after it."""
+        """Handle a message from the predecessor; the caller then calls `advance`."""
         match message:
             case Hello():
                 self._predecessor_generation = message.generation
@@ -265,7 +266,7 @@
         unknown_until = outcomes_unknown_until(end, now, self.timeouts.retry_window)
         if unknown_until is not None:
             self._outcomes_unknown_until = unknown_until
-        # After a complete hot restart this ends the entries that the predecessor left open; nothing stays unknown.
+        # After a complete hot restart this expires the predecessor's unfinished entries, so that none stays unknown.
         self._host.mark_outcomes_unknown(unknown_until or now)
         self._claims.decide_all(result_of_open_claims(end))
         self._apply_capacity_limit()
@@ -279,7 +280,11 @@
         now: datetime,
         on_decided: ClaimCallback,
     ) -> bool:
-        """Ask whether a request may run. False where this process decides; `on_decided` is not called then."""
+        """Claim a key before its request runs.
+
+        Returns:
+            False if this process decides; `on_decided` is not called then.
+        """
         match self.key_authority(now):
             case KeyAuthority.THIS_PROCESS:
                 return False
@@ -291,7 +296,7 @@
         return True
 
     def key_authority(self, now: datetime) -> KeyAuthority:
-        """Return who decides now whether a request with an idempotency key may run here."""
+        """Return which process decides now whether a request with an idempotency key may run here."""
         return key_authority(
             predecessor_connected=self.has_predecessor,
             unknown_until=self._outcomes_unknown_until,
@@ -299,7 +304,7 @@
         )
 
     def advance(self, now: datetime) -> None:
-        """Take the transitions that are due: called after every message, and at every tick."""
+        """Take the transitions that are due. Called after every message and on every tick."""
         self._apply_capacity_limit()
         if may_accept_connections(
             backend_ready=self._backend_ready,
--- a/tests/hot_restart/test_passed_socket.py
+++ b/tests/hot_restart/test_passed_socket.py
@@ -22,7 +22,7 @@
 from tests.test_loopback import over_resp
 
 
-def environment(tmp_path: Path, passed_socket: int | str, **settings: str) -> dict[str, str]:
+def environ(tmp_path: Path, passed_socket: int | str, **settings: str) -> dict[str, str]:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(**settings)))
     return {"PROXY_CONFIG": str(path), "PROXY_PASSED_SOCKET": str(passed_socket)}
@@ -35,18 +35,18 @@
                 with pytest.raises(
                     ConfigError, match="PROXY_PASSED_SOCKET must be the number of an open socket"
                 ):
-                    load(environment(tmp_path, invalid_value))
+                    load(environ(tmp_path, invalid_value))
             for not_listening in (unconnected, datagram_socket):
                 with pytest.raises(ConfigError, match="no TCP socket that listens"):
-                    load(environment(tmp_path, not_listening.fileno()))
-        assert load(environment(tmp_path, listening.fileno())).passed_socket == listening.fileno()
-        assert load(environment(tmp_path, "")).passed_socket is None
+                    load(environ(tmp_path, not_listening.fileno()))
+        assert load(environ(tmp_path, listening.fileno())).passed_socket == listening.fileno()
+        assert load(environ(tmp_path, "")).passed_socket is None
 
 
 def test_a_wrong_descriptor_is_one_clear_line_and_exit_code_2(tmp_path: Path) -> None:
     completed = subprocess.run(
         [sys.executable, "-m", "marlstep"],
-        env={**os.environ, **environment(tmp_path, 77)},
+        env={**os.environ, **environ(tmp_path, 77)},
         capture_output=True,
         text=True,
     )
@@ -61,7 +61,7 @@
     async def run() -> None:
         kernel = FakeKernel()
         await kernel.start()
-        config = load(environment(tmp_path, listening.fileno(), kernel=kernel.address))
+        config = load(environ(tmp_path, listening.fileno(), kernel=kernel.address))
         nodes = [Node(config, TimerQueue(LoopWaker(asyncio.get_running_loop()))) for _ in range(2)]
         for node in nodes:
             await node.open()
--- a/tests/hot_restart/test_process_races.py
+++ b/tests/hot_restart/test_process_races.py
@@ -65,10 +65,10 @@
     return ProcessWithKernel(await platform.start_process(kernel), kernel)
 
 
-async def launch(platform: Platform, kernel_up: bool = True) -> ProcessWithKernel:
-    """Start a process and do not wait; with `kernel_up` false its kernel answers only once `kernel.up` is set."""
+async def launch(platform: Platform, up: bool = True) -> ProcessWithKernel:
+    """Start a process and do not wait; with `up` false its kernel answers only once `kernel.up` is set."""
     kernel = ScriptedKernel()
-    if not kernel_up:
+    if not up:
         kernel.up.clear()
     return ProcessWithKernel(await platform.launch_process(kernel), kernel)
 
@@ -120,7 +120,7 @@
         first.send_request(2, "book", b"mine", id=2, once="k")
         await predecessor.kernel.command_read("SCHED", 2)
         if step == "its kernel is not up":
-            successor = await launch(platform, kernel_up=False)
+            successor = await launch(platform, up=False)
             await until(
                 lambda: successor.kernel.link_count
             )  # it has connected to the predecessor, or found that it can't
@@ -277,7 +277,7 @@
     # Guards against a node that is reported as draining, and a process that accepts connections only to reject them.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
-        successor = await launch(platform, kernel_up=False)
+        successor = await launch(platform, up=False)
         await until(lambda: successor.kernel.link_count)
         assert await successor.process.signal_and_wait(signal.SIGTERM) == 0
         client = await accepted_connection(platform)
