--- a/tests/hot_restart/test_channel.py
+++ b/tests/hot_restart/test_channel.py
@@ -1,4 +1,4 @@
-"""The restart channel: finding the predecessor's socket, and what holds where nothing answers there."""
+"""The restart channel: finding the predecessor's socket, and the behaviour if no process answers there."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @contextlib.contextmanager
 def listening_with_full_backlog(path: Path) -> Iterator[None]:
-    """A socket that listens, whose process accepts nothing: the next connection neither stands nor is refused."""
+    """Listen at a path with a full backlog: the next connection is neither established nor refused."""
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(socket.socket(socket.AF_UNIX))
         server.bind(str(path))
@@ -44,7 +44,7 @@
 def test_a_process_whose_predecessor_does_not_answer_runs_no_keyed_request_in_its_window(
     cause: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a second run: the predecessor may live, and has sent this process none of its keys.
+    # Guards against a second run of a keyed request: the predecessor may be alive, but has sent none of its keys.
     async def run() -> None:
         clock = HandClock()
         predecessor = RestartChannel(
--- a/tests/hot_restart/test_connection.py
+++ b/tests/hot_restart/test_connection.py
@@ -1,4 +1,4 @@
-"""One connection between two processes: what is sent is out at once, and what a peer may not do closes it."""
+"""The connection between two processes: messages are sent at once, and misbehaviour of a peer closes it."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def run_with_connection(scenario: Scenario) -> None:
-    """Run a scenario with one end as a connection, and the other as a plain socket."""
+    """Run a scenario with a PeerConnection at one end of a socket pair and a plain socket at the other."""
 
     async def run() -> None:
         near, far = socket.socketpair()
@@ -61,7 +61,7 @@
 
 
 def send_until_blocked(peer: PeerConnection) -> None:
-    """Send more than the system's buffers take."""
+    """Send until the kernel's socket buffers are full."""
     while not peer._unsent and peer._socket is not None:
         peer.send_message(STATUS)
 
@@ -130,7 +130,7 @@
     async def scenario(peer: PeerConnection, far: socket.socket, handler: RecordingHandler) -> None:
         far.sendall(messages.write(messages.Hello(1, 7)) + messages.write(messages.PredecessorDone()))
         far.close()
-        peer.send_message(STATUS)  # can't be sent any more
+        peer.send_message(STATUS)  # can't be delivered, because the peer has closed
         await until(lambda: handler.events == ["Hello", "PredecessorDone", "lost"])
 
     run_with_connection(scenario)
--- a/tests/hot_restart/test_discovery.py
+++ b/tests/hot_restart/test_discovery.py
@@ -1,4 +1,4 @@
-"""Where processes find each other: names of sockets, and which of them are of processes that live."""
+"""Discovery of the processes of a node: socket names, and which sockets belong to living processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class IgnoringHandler:
-    """Takes what happens on a connection, and does nothing."""
+    """A ConnectionHandler that ignores all events."""
 
     def message_received(self, *_: Any) -> None:
         pass
@@ -63,7 +63,7 @@
     ]
     for name in names:
         (tmp_path / name).touch()
-    directory = SocketDirectory(tmp_path, "n/1")  # a character that a file's name can't have is replaced
+    directory = SocketDirectory(tmp_path, "n/1")  # a character that is not valid in a file name is replaced
     assert directory.list_sockets() == {1: tmp_path / names[0], 12: tmp_path / names[1]}
 
 
@@ -115,7 +115,7 @@
     directory = SocketDirectory(tmp_path, "n1")
     older, _ = directory.listen(1)
     loop_path = directory.path_of(2)
-    loop_path.symlink_to(loop_path)  # neither refuses nor is missing
+    loop_path.symlink_to(loop_path)  # connecting fails, but neither as refused nor as not found
     with older:
         found = search(directory, directory.list_sockets())
     assert found.connection is not None and found.unreachable
--- a/tests/hot_restart/test_host_adapter.py
+++ b/tests/hot_restart/test_host_adapter.py
@@ -1,4 +1,4 @@
-"""What a hot restart does to the core, and takes from it."""
+"""The host adapter: effects of a hot restart on the core, and the data exchanged with it."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 def test_the_core_keeps_to_its_share_of_memory_and_requests() -> None:
     desk = Desk(cores=2)
-    desk.core.set_capacity_share(0.02, 100)  # of room for 10 requests
+    desk.core.set_capacity_share(0.02, 100)  # the node has room for 10 requests
     for number in range(1, 9):
         desk.submit(number, "temp-history", memory_kb=1.0)
     assert run_count(desk) == 1
@@ -40,11 +40,12 @@
     desk = Desk(cores=2)
     desk.core.backend_ready()
     desk.core.begin_hand_over(desk.clock.now() + 3700 * MILLISECOND)
-    assert not desk.stopped  # what has come by now is read first: else its connection is closed unread
+    # Bytes received by now are read first; otherwise the connection would be closed with them unread.
+    assert not desk.stopped
     desk.clock.settle()
     assert desk.stopped and desk.core.healthy and desk.core.serving_state.phase is ServingPhase.HANDING_OVER
     desk.clock.advance(2_600)
-    desk.submit(1)  # over 2.5 s later: a drain would reject it
+    desk.submit(1)  # over 2.5 s later, when a drain would reject it
     desk.end(1)
     desk.submit(2)
     desk.clock.advance(950)
@@ -64,7 +65,7 @@
 
 @pytest.mark.parametrize("result", [b"\x00" * 4096, b"\xff" * 4096, b"x" * 40_000])
 def test_the_longest_results_reach_the_successor_and_longer_ones_fail_a_retry(result: bytes) -> None:
-    # Guards against a message that the other process can't read: the connection is closed on it, and all keys lost.
+    # Guards against a message longer than the peer reads: it would close the connection, and all keys would be lost.
     pair = serving_pair()
     pair.predecessor.desk.end(pair.submit(pair.predecessor, "schedule-save", "w" * 256), result=result)
     pair.exchange()
--- a/tests/hot_restart/test_key_exchange.py
+++ b/tests/hot_restart/test_key_exchange.py
@@ -1,4 +1,4 @@
-"""Idempotency keys between two processes: a request with an effect runs at most once."""
+"""Idempotency keys between two processes: a keyed request runs at most once."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     third = pair.submit(pair.successor, request_class, "m")
     pair.run_for(40)
     fourth = pair.last_number + 1
-    with contextlib.suppress(RequestRejectedError):  # rejected at once where the effect is unsafe
+    with contextlib.suppress(RequestRejectedError):  # rejected at once if the effect is unsafe
         pair.submit(pair.predecessor, request_class, "m")
     pair.exchange()
     assert pair.run_counts() == {(request_class, "k"): 1, (request_class, "m"): 1}
@@ -63,12 +63,13 @@
 
 
 def test_equal_request_ids_of_both_processes_are_kept_apart() -> None:
-    # Guards against a request that waits for itself, as the controller finds the other's request id among its own.
+    # Guards against a request that waits for itself because the controller takes the other process's request id for one
+    # of its own.
     pair = serving_pair()
     first = pair.submit(pair.predecessor, "schedule-save", "k")
     pair.exchange()
     pair.last_number -= 1
-    retry = pair.submit(pair.successor, "schedule-save", "k")  # under the same id
+    retry = pair.submit(pair.successor, "schedule-save", "k")  # with the same request id
     pair.submit(pair.successor, "schedule-save", "k")
     pair.run_for(100)
     pair.predecessor.desk.end(first)
@@ -103,7 +104,7 @@
 def test_a_claim_that_is_granted_after_its_request_has_expired_is_released() -> None:
     pair = serving_pair()
     number = pair.submit(pair.successor, "setpoint-cmd", "k")
-    pair.clock.advance(4_400)  # past its deadline, without a response to the claim
+    pair.clock.advance(4_400)  # past its deadline, before any response to the claim
     assert pair.successor.desk.verdicts(number) == [ResponseStatus.REJECTED]
     pair.exchange()
     pair.submit(pair.predecessor, "setpoint-cmd", "k")
@@ -113,7 +114,7 @@
 def test_after_a_lost_predecessor_keyed_requests_are_rejected_for_the_retry_window_and_others_run() -> None:
     pair = serving_pair()
     waiting = pair.submit(pair.successor, "setpoint-cmd", "k")
-    pair.to_predecessor.data.clear()  # the claim was never read
+    pair.to_predecessor.data.clear()  # the predecessor never reads the claim
     pair.kill(pair.predecessor)
     assert pair.successor.desk.verdicts(waiting) == [ResponseStatus.REJECTED]
     rejected = pair.submit(pair.successor, "setpoint-cmd", "m")
@@ -182,8 +183,8 @@
     second = claims.add(lambda result: decided.append(("second", result)))
     claims.add(lambda result: decided.append(("third", result)))
     claims.decide(second, granted=False)
-    claims.decide(second, granted=True)  # a repeated response, and one to no claim
-    claims.decide(99, granted=True)
+    claims.decide(second, granted=True)  # a repeated response
+    claims.decide(99, granted=True)  # a response to an unknown claim
     claims.decide(first, granted=True)
     claims.decide_all(ClaimResult.UNSURE)
     claims.decide_all(ClaimResult.GRANTED)
--- a/tests/hot_restart/test_messages.py
+++ b/tests/hot_restart/test_messages.py
@@ -1,4 +1,4 @@
-"""The messages between two processes: read from any pieces, and never misread."""
+"""The messages between two processes: read from any split of the stream, with corrupt data rejected."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     ring = Ring(8192)
     ring.put(bytes(data))
     with contextlib.suppress(messages.CorruptError):
-        assert messages.read(ring) is None  # a longer length: more has to come
+        assert messages.read(ring) is None  # the length field grew, so the message is incomplete
 
 
 @pytest.mark.parametrize(
--- a/tests/hot_restart/test_operations_page.py
+++ b/tests/hot_restart/test_operations_page.py
@@ -1,4 +1,4 @@
-"""docs/operations.md shows both transition tables as the code has them."""
+"""docs/operations.md shows the same transition tables as the code."""
 
 from __future__ import annotations
 
--- a/tests/hot_restart/test_passed_socket.py
+++ b/tests/hot_restart/test_passed_socket.py
@@ -57,7 +57,8 @@
 def test_two_nodes_accept_connections_at_one_socket_and_either_may_stop_and_start_again(
     tmp_path: Path,
 ) -> None:
-    # Guards against a second process that can't start, and against a close that ends the other's listening.
+    # Guards against a second process that can't start on the socket, and against a close by one process that stops the
+    # other from listening.
     async def run() -> None:
         kernel = FakeKernel()
         await kernel.start()
--- a/tests/hot_restart/test_predecessor.py
+++ b/tests/hot_restart/test_predecessor.py
@@ -1,4 +1,4 @@
-"""This process as the predecessor: what SIGTERM means, and what the end of the successor does."""
+"""The predecessor's state machine: the effects of SIGTERM and of the end of the successor."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     assert pair.predecessor.hot_restart.begin_shutdown(pair.clock.now())
     pair.kill(pair.successor)
     assert pair.predecessor.saw_successor_lost and not pair.predecessor.hot_restart.has_serving_successor
-    # The runs of the killed one may still be on the cores, so its share is reclaimed later.
+    # Runs of the killed successor may still use the cores, so its share is reclaimed later.
     assert pair.predecessor.hot_restart.sharing.limit == pytest.approx(MIN_DRAINING_SHARE)
     pair.clock.advance(TERMINATION_TIMEOUT / MILLISECOND)
     pair.predecessor.hot_restart.tick(pair.clock.now())
@@ -25,7 +25,8 @@
 
 @pytest.mark.parametrize("first", ["predecessor", "successor"])
 def test_a_predecessor_does_not_accept_again_if_its_successor_drains_too(first: str) -> None:
-    # Guards against a predecessor that accepts again, for a whole grace, when a successor that drains ends.
+    # Guards against a predecessor that accepts connections again, for a whole grace period, when a draining successor
+    # ends.
     pair = serving_pair()
     successor, predecessor = pair.successor.hot_restart, pair.predecessor.hot_restart
     if first == "predecessor":
@@ -34,9 +35,7 @@
     pair.exchange()
     assert pair.predecessor.saw_successor_draining and not predecessor.has_serving_successor
     if first == "successor":
-        assert not predecessor.begin_shutdown(
-            pair.clock.now()
-        )  # the node drains: there is no successor to serve
+        assert not predecessor.begin_shutdown(pair.clock.now())  # the node drains: no successor serves
     pair.kill(pair.successor)
     assert not pair.predecessor.saw_successor_lost
 
--- a/tests/hot_restart/test_process_races.py
+++ b/tests/hot_restart/test_process_races.py
@@ -1,7 +1,8 @@
-"""Races of a hot restart (docs/crossings.md): two real processes on one passed socket, with kernels that hold back.
+"""Races of a hot restart (docs/crossings.md): two real processes on one passed socket, with scripted kernels.
 
-Which of them accepts a connection is made sure by stopping the other. Order comes from what an emulator has read, a
-response, the state that a process gives at its health endpoint, or its end. The settings share nothing with casa-main.
+To control which process accepts a connection, a test stops the other one. Tests order events by the commands that an
+emulator has read, by responses, by the state at a process's health endpoint, or by the exit of a process. The settings
+differ entirely from those of casa-main.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
 
 
 def run_with_long_deadlines(tmp_path: Path, test: Callable[[Platform], Awaitable[None]]) -> None:
-    # Here time passes by itself: neither a deadline nor the end of an idempotency window may come before what a slow
-    # machine takes to start a process. After its window a key may run again, which is not what these tests are about.
+    # These tests run in real time: deadlines and idempotency windows must be longer than the time that a slow machine
+    # takes to start a process. After its window a key may run again, which these tests do not cover.
     settings = copy.deepcopy(ALTERNATE_SETTINGS)
     for row in settings["classes"]:
         row.update(aimUs=4_000_000, hardLimitUs=20_000_000, repeatWindowUs=60_000_000)
@@ -35,7 +36,7 @@
 
 
 class ProcessWithKernel:
-    """A process and its kernel."""
+    """A node process and the scripted kernel that it connects to."""
 
     def __init__(self, process: NodeProcess, kernel: ScriptedKernel) -> None:
         self.process, self.kernel = process, kernel
@@ -47,14 +48,14 @@
         await self.process.signal_and_wait(signal.SIGKILL)
 
     async def stop(self) -> None:
-        """Return once the operating system has stopped it."""
+        """Send SIGSTOP and wait until the operating system has stopped the process."""
         self.signal(signal.SIGSTOP)
         path = Path(f"/proc/{self.process.subprocess.pid}/stat")
         await until(lambda: path.read_text().rpartition(")")[2].split()[0] == "T")
 
     @asynccontextmanager
     async def stopped_meanwhile(self) -> AsyncIterator[None]:
-        """The other process accepts what comes meanwhile."""
+        """Stop the process within the context, so that the other one accepts all connections."""
         await self.stop()
         yield
         self.signal(signal.SIGCONT)
@@ -66,7 +67,7 @@
 
 
 async def launch(platform: Platform, up: bool = True) -> ProcessWithKernel:
-    """Start a process and do not wait; with `up` false its kernel answers only once `kernel.up` is set."""
+    """Start a process without waiting for it; if `up` is false, its kernel answers only once `kernel.up` is set."""
     kernel = ScriptedKernel()
     if not up:
         kernel.up.clear()
@@ -78,7 +79,7 @@
 
 
 async def accepted_connection(platform: Platform) -> RespClient:
-    """A connection that the only process that runs now has accepted."""
+    """Return a connection accepted by the only process that runs now."""
     client = await connect(platform)
     client.send(write_frame(b"ALIVE", b"1"))
     await client.response(1)
@@ -86,7 +87,7 @@
 
 
 def queued_connection(platform: Platform, frame: bytes) -> socket.socket:
-    """A connection at the passed socket with a request in it, which no process has accepted yet."""
+    """Return a connection to the passed socket with a request sent, which no process has accepted yet."""
     client = socket.create_connection(("127.0.0.1", platform.port), timeout=10)
     client.sendall(frame)
     return client
@@ -94,7 +95,7 @@
 
 @contextmanager
 def full_backlog(path: Path) -> Iterator[None]:
-    """Fill the queue of a socket whose process accepts nothing now: a connection neither stands nor is refused."""
+    """Fill the backlog of a stopped process's socket: new connections are neither established nor refused."""
     with ExitStack() as stack:
         with suppress(BlockingIOError):
             while True:
@@ -105,7 +106,7 @@
 
 
 async def serve_request(process: ProcessWithKernel, client: RespClient, tag: int, request_id: int) -> None:
-    """Have the process run the request, and its client get the response."""
+    """Run the request at the process's kernel and check that the client gets its response."""
     await process.kernel.command_read("SCHED", request_id)
     process.kernel.end_run(request_id)
     assert await client.status_word(tag) == "done"
@@ -121,25 +122,23 @@
         await predecessor.kernel.command_read("SCHED", 2)
         if step == "its kernel is not up":
             successor = await launch(platform, up=False)
-            await until(
-                lambda: successor.kernel.link_count
-            )  # it has connected to the predecessor, or found that it can't
+            # By then it has connected to the predecessor, or found that it can't.
+            await until(lambda: successor.kernel.link_count)
         else:
             await predecessor.stop()
             successor = await launch(platform)
-            await until(
-                (tmp_path / "tmp" / "marlstep.n1.2.sock").exists
-            )  # it has connected to the predecessor, or found that it can't
+            # By then it has connected to the predecessor, or found that it can't.
+            await until((tmp_path / "tmp" / "marlstep.n1.2.sock").exists)
         if victim == "predecessor":
-            await predecessor.stop()  # it accepts no connection before its end
+            await predecessor.stop()  # so that it accepts no connection before it is killed
         second = await connect(platform)
         if victim == "predecessor":
             await predecessor.kill()
-            second.send_request(3, "list", id=3)  # waits until a process accepts it
+            second.send_request(3, "list", id=3)  # waits until the successor accepts the connection
             successor.kernel.up.set()
             await serve_request(successor, second, 3, 3)
             retry = await connect(platform)
-            retry.send_request(4, "book", b"mine", id=4, once="k")  # it may have run there
+            retry.send_request(4, "book", b"mine", id=4, once="k")  # it may have run at the predecessor
             assert await retry.status_word(4) in ("later", "error")
             retry.send_request(5, "list", id=5)
             await serve_request(successor, retry, 5, 5)
@@ -161,7 +160,8 @@
 def test_a_successor_that_gets_no_reply_from_its_predecessor_runs_no_keyed_request(
     after: str, tmp_path: Path
 ) -> None:
-    # Guards against a second run: a successor took silence for there being no predecessor, and knew none of its keys.
+    # Guards against a second run: a successor that got no answer assumed that there was no predecessor, and had none of
+    # its keys.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         first = await accepted_connection(platform)
@@ -169,7 +169,7 @@
         await predecessor.kernel.command_read("SCHED", 2)
         await predecessor.stop()
         with full_backlog(tmp_path / "tmp" / "marlstep.n1.1.sock"):
-            successor = await start_serving(platform)  # nobody answered it
+            successor = await start_serving(platform)  # its connection attempt got no answer
         if after == "the predecessor is killed":
             await predecessor.kill()
         second = await accepted_connection(platform)
@@ -199,7 +199,7 @@
         successor = await start_serving(platform)
         await successor.stop()
         predecessor.signal(signal.SIGTERM)
-        await predecessor.process.wait_for_state("handing over")  # it accepts nothing any more
+        await predecessor.process.wait_for_state("handing over")  # it no longer accepts connections
         queued = queued_connection(platform, RespClient.frame(first, 3, "list", id=3))
         serving = successor
         if after == "goes on":
@@ -207,9 +207,8 @@
         else:
             serving = predecessor
             await successor.kill()
-            await until(
-                lambda: platform.reports[-1][1] == DRAINING_REPORT
-            )  # the name service hears that the node drains
+            # The name service receives the drain report.
+            await until(lambda: platform.reports[-1][1] == DRAINING_REPORT)
         queued.setblocking(False)
         client = RespClient(now, *await asyncio.open_connection(sock=queued))
         await serve_request(serving, client, 3, 3)
@@ -225,7 +224,8 @@
 
 @pytest.mark.parametrize("first", ["predecessor", "successor"])
 def test_both_processes_get_sigterm_and_neither_accepts_again(first: str, tmp_path: Path) -> None:
-    # Guards against a predecessor that accepts connections again, for a whole grace, when a draining successor ends.
+    # Guards against a predecessor that accepts connections again, for a whole grace period, when a draining successor
+    # ends.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         at_predecessor = await accepted_connection(platform)
@@ -249,14 +249,14 @@
             predecessor.signal(signal.SIGTERM)
             await predecessor.process.wait_for_state("leaving")
         await until(lambda: platform.reports[-1][1] == DRAINING_REPORT)
-        at_successor.send_request(4, "list", id=4)  # inside the grace
+        at_successor.send_request(4, "list", id=4)  # within the grace period
         await serve_request(successor, at_successor, 4, 4)
         successor.kernel.end_run(3)
         assert await at_successor.status_word(3) == "done"
         at_successor.writer.close()
         assert await successor.process.subprocess.wait() == 0
         if first == "predecessor":
-            await predecessor.process.state()  # it has seen the successor's end
+            await predecessor.process.state()  # by this response it has noticed the successor's exit
             unaccepted = queued_connection(platform, RespClient.frame(at_predecessor, 5, "list", id=5))
         predecessor.kernel.end_run(2)
         assert await at_predecessor.status_word(2) == "done"
@@ -274,7 +274,8 @@
 def test_a_successor_that_gets_sigterm_before_it_accepts_anything_leaves_the_node_to_the_predecessor(
     tmp_path: Path,
 ) -> None:
-    # Guards against a node that is reported as draining, and a process that accepts connections only to reject them.
+    # Guards against a drain reported for a node that keeps serving, and against a successor that accepts connections
+    # only to reject them.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         successor = await launch(platform, up=False)
@@ -283,7 +284,7 @@
         client = await accepted_connection(platform)
         client.send_request(2, "open", id=2)
         await serve_request(predecessor, client, 2, 2)
-        third = await start_serving(platform)  # the next one may start
+        third = await start_serving(platform)  # another successor can start
         predecessor.signal(signal.SIGTERM)
         client.writer.close()
         assert await predecessor.process.subprocess.wait() == 0
@@ -300,7 +301,7 @@
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         in_flight = await accepted_connection(platform)
-        in_flight.send_request(2, "list", id=50)  # the predecessor has this to finish
+        in_flight.send_request(2, "list", id=50)  # keeps the predecessor busy until the end of the run
         await predecessor.kernel.command_read("SCHED", 50)
         [path] = (tmp_path / "tmp").iterdir()
         _, invalid_peer = await asyncio.open_unix_connection(str(path))
@@ -332,7 +333,7 @@
                 assert await bad_client.status_word(1) == "error"
                 bad_client.writer.close()
             else:
-                await bad_client.read_to_end()  # closed in its time
+                await bad_client.read_to_end()  # the node closes the connection in time
         serving.kernel.end_run(2)
         assert await client.status_word(2) == "done" and client.response_count(2) == 1
         for connection in (client, in_flight):
--- a/tests/hot_restart/test_processes_under_load.py
+++ b/tests/hot_restart/test_processes_under_load.py
@@ -1,4 +1,4 @@
-"""Two real processes of a node on one passed socket under load: one takes over, or is killed."""
+"""Two real processes of a node on one passed socket under load: one takes over or is killed."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
             for _ in range(2):
                 predecessor = platform.processes[-1]
                 successor = await platform.start_process()
-                await platform.wait_for_responses(30)  # both serve
+                await platform.wait_for_responses(30)  # both processes serve
                 assert await predecessor.call("POST", "/admin/quiesce") == 200
                 await successor.wait_for_state("quiesced")
                 assert await predecessor.call("POST", "/admin/resume") == 200
                 await successor.wait_for_state("serving")
-                await platform.wait_for_responses(SENDER_COUNT)  # what was reported until here has been read
+                # After these responses all earlier reports have been received.
+                await platform.wait_for_responses(SENDER_COUNT)
                 reports_before, started_at = len(platform.reports), now()
                 assert await predecessor.signal_and_wait(signal.SIGTERM) == 0
                 assert now() - started_at < 3700 * MILLISECOND
@@ -34,14 +35,14 @@
 
         await platform.under_load(restart_twice)
         statuses = platform.check_single_runs()
-        # error: a key that another request had before; later: rejected, as a busy machine does to some
+        # "error": the key was used by another request; "later": rejected, as happens to a few on a busy machine
         assert (
             set(statuses) <= {"done", "error", "later"} and statuses["later"] <= sum(statuses.values()) / 50
         ), statuses
         assert first.subprocess.returncode == 0
         gaps = [after[0] - before[0] for before, after in pairwise(platform.reports)]
         assert max(gaps) < 3 * SECOND and platform.reports[-1][1] == b"renew n1 yes"
-        assert len(list((tmp_path / "tmp").iterdir())) == 1  # the socket of the one that runs
+        assert len(list((tmp_path / "tmp").iterdir())) == 1  # only the socket of the running process
 
     run_on_platform(tmp_path, run)
 
@@ -65,7 +66,7 @@
         assert await survivor.call("GET", "/admin/health") == 200
         started_at = now()
         assert await survivor.signal_and_wait(signal.SIGTERM) == 0
-        assert now() - started_at > 2.4 * SECOND  # there is no successor: it drains, for a whole grace
+        assert now() - started_at > 2.4 * SECOND  # without a successor it drains for the whole grace period
 
     run_on_platform(tmp_path, run)
 
@@ -78,7 +79,7 @@
             second = await platform.start_process()
             await platform.wait_for_responses(30)
             await platform.processes[0].signal_and_wait(signal.SIGKILL)
-            await platform.wait_for_responses(30)  # keyed requests are rejected: they may have run
+            await platform.wait_for_responses(30)  # keyed requests are rejected, because they may have run
             await platform.start_process()
             await platform.wait_for_responses(30)
             assert await second.signal_and_wait(signal.SIGTERM) == 0
@@ -119,9 +120,8 @@
             await platform.start_process()
             await platform.wait_for_responses(30)
             platform.processes[victim].subprocess.send_signal(signal.SIGSTOP)
-            await (
-                platform.request_on_new_connection()
-            )  # by the other; what the stopped one accepted waits for it
+            # The other process serves this request; connections accepted by the stopped one wait.
+            await platform.request_on_new_connection()
             platform.processes[victim].subprocess.send_signal(signal.SIGCONT)
             await platform.wait_for_responses(40)
             assert await platform.processes[0].signal_and_wait(signal.SIGTERM) == 0
--- a/tests/hot_restart/test_resource_sharing.py
+++ b/tests/hot_restart/test_resource_sharing.py
@@ -1,4 +1,4 @@
-"""The shares of two processes in the capacity of their node."""
+"""The division of a node's capacity between two processes."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     for sharing in (unreachable, unknown):
         sharing.reclaim_lost_shares(ended_by - MILLISECOND)
         assert sharing.limit == HALF_SHARE and not sharing.is_sole_process
-        assert sharing.grant(0.0) == 0.0  # nobody can receive it
+        assert sharing.grant(0.0) == 0.0  # no connected successor can receive it
         sharing.reclaim_lost_shares(ended_by)
         assert sharing.limit == FULL_SHARE and sharing.is_sole_process
 
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -1,4 +1,4 @@
-"""Both sides of a hot restart together: any order of events, and a connection that is cut anywhere."""
+"""Both sides of a hot restart: arbitrary orders of events, and a connection cut at any byte."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
 
 
 def test_after_a_process_is_lost_the_longest_timeouts_since_the_start_apply() -> None:
-    # Guards against a key that runs twice: the window in which a retry may come was that of the start.
+    # Guards against a second run of a key: the retry window in force was the one of the start, although a reload had
+    # made it longer.
     pair = serving_pair()
     pair.successor.hot_restart.set_timeouts(LostProcessTimeouts(TERMINATION_TIMEOUT / 2, 3 * RETRY_WINDOW))
     pair.kill(pair.predecessor)
@@ -84,7 +85,7 @@
 
 
 class RandomSteps(ProcessPair):
-    """A pair to which one step after another is done, and checked after each."""
+    """A pair of processes that executes random steps and checks its invariants after each."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -122,12 +123,12 @@
                 if running:
                     request = running[number % len(running)]
                     if choice.never_ran and not request.known_to_have_run:
-                        process.keyed_requests.pop(request.id, None)  # this proves that the key may run again
+                        process.keyed_requests.pop(request.id, None)  # it never ran, so the key may run again
                     core.run_ended(request.id, choice, SECOND, b"result")
             case "tick":
                 process.hot_restart.tick(self.clock.now())
             case "use connections" if process is self.predecessor or process.accepts_connections:
-                # A process accepts none beyond its limit; what is open already may stay above it.
+                # A process accepts no connection above its limit, but open ones may stay above it.
                 limit = process.hot_restart.sharing.limit
                 process.connections_in_use = min(number / 10, max(limit, process.connections_in_use))
             case "shut down" if process.hot_restart.begin_shutdown(self.clock.now()):
@@ -137,7 +138,7 @@
 
     def check(self) -> None:
         if self.is_connected and len(self.living) == 2:
-            counts_connections = not self.is_cut  # after a cut each can do no more than bound itself
+            counts_connections = not self.is_cut  # after a cut each process can only apply its own limit
             used = [
                 max(process.hot_restart.sharing.limit, process.connections_in_use * counts_connections)
                 for process in self.living
@@ -157,7 +158,8 @@
         pair.step("connect", 0, "", 0)
         pair.run_for(100)
     for step in steps:
-        if pair.clock.now() - START < RETRY_WINDOW - 3 * SECOND:  # afterwards a retry is a new request
+        # After the window a retry counts as a new request.
+        if pair.clock.now() - START < RETRY_WINDOW - 3 * SECOND:
             pair.step(*step)
     if not pair.is_cut and pair.is_connected:
         pair.cut_connection()
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -1,4 +1,4 @@
-"""This process as the successor: when it accepts connections, and when it reports that it can serve."""
+"""The successor's state machine: when it accepts connections and when it reports that it can serve."""
 
 from __future__ import annotations
 
@@ -36,16 +36,18 @@
         and process.desk.core.serving_state.phase is ServingPhase.SERVING
         and process.hot_restart.is_idle
     )
-    assert not process.hot_restart.begin_shutdown(START)  # SIGTERM drains the node
+    assert not process.hot_restart.begin_shutdown(START)  # no handover: SIGTERM drains the node
     assert not process.applied_limits
 
 
 def test_a_successor_reports_ready_only_after_the_predecessor_knows_that_it_accepts_connections() -> None:
-    # Guards against a SIGTERM, sent once this process is ready, by which the predecessor would drain the node.
+    # Guards against a node drain: the predecessor gets SIGTERM once the successor reports ready, and it drains the node
+    # if it does not know yet that the successor accepts connections.
     pair = ProcessPair()
     pair.connect(backend_ready=False)
     pair.run_for(40)
-    assert not pair.successor.accepts_connections  # it has all but its kernel
+    # The initial sync is complete, but the successor's kernel is not connected.
+    assert not pair.successor.accepts_connections
     pair.successor.hot_restart.backend_ready(pair.clock.now())
     assert pair.successor.accepts_connections and not pair.successor.desk.core.serving_state.can_serve
     assert not pair.predecessor.hot_restart.begin_shutdown(pair.clock.now())
