--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -99,7 +99,7 @@
         else:
             self._begin_initial_sync(connection)
 
-    # ConnectionHandler, called by the connections.
+    # Implementation of ConnectionHandler.
 
     def message_received(self, connection: PeerConnection, message: Message) -> None:
         """Pass a message to the state machine of its sender's side.
--- a/marlstep/hot_restart/key_exchange.py
+++ b/marlstep/hot_restart/key_exchange.py
@@ -52,7 +52,7 @@
     it, and the client may retry it until then.
 
     Args:
-        predecessor_connected: an older process of this node is connected and has not ended.
+        predecessor_connected: whether an older process of this node is connected and has not ended.
         unknown_until: end of the period in which clients may retry requests that a lost process ran; None if no
             process was lost.
         now: the time of the decision.
--- a/marlstep/hot_restart/predecessor.py
+++ b/marlstep/hot_restart/predecessor.py
@@ -51,10 +51,8 @@
 
     SUCCESSOR_CONNECTED = "successor connected"
     SUCCESSOR_READY = "successor ready"
-    SUCCESSOR_REPLACED = (
-        "successor draining, replaced"  # SuccessorDraining from a process with a serving successor
-    )
-    SUCCESSOR_DRAINING = "successor draining, alone"  # SuccessorDraining from a process without one
+    SUCCESSOR_REPLACED = "successor draining, replaced"  # SuccessorDraining(has_successor=True)
+    SUCCESSOR_DRAINING = "successor draining, alone"  # SuccessorDraining(has_successor=False)
     SUCCESSOR_LOST = "successor lost"
     SHUTDOWN_REQUESTED = "shutdown requested"  # SIGTERM, or an operator's drain
 
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -2,7 +2,8 @@
 
 "Share" always means a capacity share. Only the process that owns a share can grant it, and only after it has limited
 itself to what it keeps, so two processes together never use more than the node's capacity. If their connection is lost,
-each uses at most half until the other must have ended.
+each reclaims the share of the other only once that one must have ended. Until then a predecessor uses at most half, and
+a successor owns half, or more if more was granted to it.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 FULL_SHARE, HALF_SHARE = 1.0, 0.5  # of the node's capacity
 MIN_DRAINING_SHARE = 0.2  # kept by a predecessor that hands over, for requests that still arrive
-MIN_TRANSFER_SHARE = 0.02  # smallest grant, so that small changes cause no messages
+MIN_TRANSFER_SHARE = 0.02  # smallest grant except the last, so that small changes cause no messages
 
 
 class ResourceSharing:
@@ -22,7 +23,7 @@
         self._owned_share = FULL_SHARE
         self._granted_share = 0.0  # to the successor
         self._has_predecessor = self._has_successor = False
-        self._draining_limit = FULL_SHARE  # below FULL_SHARE once this process drains
+        self._draining_limit = FULL_SHARE  # lowered once this process hands over
         self._predecessor_ended_by: datetime | None = None  # set once the predecessor is lost
         self._successor_ended_by: datetime | None = None
 
@@ -36,7 +37,7 @@
         """The share, 0 to 1, that this process may use.
 
         Rule: the whole share that it owns. Exceptions: with a successor at most half of the share of both, because the
-        rest is to be granted; while it drains at most the share that its requests in flight may need.
+        rest is to be granted; while it hands over at most the share that its requests in flight may need.
         """
         combined_share = self._owned_share + self._granted_share
         limit_beside_successor = combined_share * HALF_SHARE if self._has_successor else FULL_SHARE
@@ -61,7 +62,10 @@
         self._has_predecessor, self._owned_share = False, FULL_SHARE - self._granted_share
 
     def predecessor_lost(self, now: datetime, termination_timeout: timedelta) -> None:
-        """Own at most half until the lost predecessor must have ended, `termination_timeout` from now."""
+        """Own at least half until the lost predecessor must have ended, `termination_timeout` from now.
+
+        A share that this process has granted to its own successor counts toward that half.
+        """
         if self._has_predecessor and self._predecessor_ended_by is None:
             self._predecessor_ended_by = now + termination_timeout
             self._owned_share = max(self._owned_share, HALF_SHARE - self._granted_share)
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -47,9 +47,8 @@
 
 log = logging.getLogger(__name__)
 
-INITIAL_SYNC_TIMEOUT = (
-    1 * SECOND
-)  # for the predecessor to send its keys and a capacity grant, from the connection on
+# From the connection on, for the predecessor to send its keys and a capacity grant.
+INITIAL_SYNC_TIMEOUT = 1 * SECOND
 ACKNOWLEDGE_TIMEOUT = 3 * SECOND  # for the predecessor to acknowledge SuccessorReady
 
 
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -68,6 +68,7 @@
         assert not pair.successor.desk.backend.told
 
 
+# The arguments of `RandomSteps.step`.
 STEPS = st.one_of(
     st.tuples(
         st.just("submit"), st.integers(0, 1), st.sampled_from([*EFFECTS, "temp-history"]), st.integers(0, 2)
