--- a/tests/hot_restart/test_process_races.py
+++ b/tests/hot_restart/test_process_races.py
@@ -54,7 +54,7 @@
         await until(lambda: path.read_text().rpartition(")")[2].split()[0] == "T")
 
     @asynccontextmanager
-    async def stopped_meanwhile(self) -> AsyncIterator[None]:
+    async def while_stopped(self) -> AsyncIterator[None]:
         """Stop the process within the context, so that the other one accepts all connections."""
         await self.stop()
         yield
@@ -230,7 +230,7 @@
         predecessor = await start_serving(platform)
         at_predecessor = await accepted_connection(platform)
         successor = await start_serving(platform)
-        async with predecessor.stopped_meanwhile():
+        async with predecessor.while_stopped():
             at_successor = await accepted_connection(platform)
         at_predecessor.send_request(2, "list", id=2)
         at_successor.send_request(3, "list", id=3)
@@ -311,7 +311,7 @@
         bad_clients = {input_name: await connect(platform) for input_name in BAD_INPUT}
         successor = await start_serving(platform)
         if where == "successor":
-            async with predecessor.stopped_meanwhile():
+            async with predecessor.while_stopped():
                 client, serving = await accepted_connection(platform), successor
                 bad_clients = {input_name: await connect(platform) for input_name in BAD_INPUT}
                 for input_name, bad_client in bad_clients.items():
