--- a/tests/hot_restart/test_channel.py
+++ b/tests/hot_restart/test_channel.py
@@ -1,4 +1,4 @@
-"""The restart channel: finding the predecessor's socket, and what holds where nothing answers there."""
+"""The restart channel: finding the predecessor's socket, and the behaviour if no process answers there."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @contextlib.contextmanager
 def listening_with_full_backlog(path: Path) -> Iterator[None]:
-    """A socket that listens, whose process accepts nothing: the next connection neither stands nor is refused."""
+    """Listen at a path with a full backlog: the next connection is neither established nor refused."""
     with contextlib.ExitStack() as stack:
         server = stack.enter_context(socket.socket(socket.AF_UNIX))
         server.bind(str(path))
@@ -34,17 +34,17 @@
 
 
 async def open_channel(folder: Path, process: SimulatedProcess) -> RestartChannel:
-    opened = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.hot_restart)
-    assert not await opened.open()
+    channel = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.hot_restart)
+    assert not await channel.open()
     process.hot_restart.backend_ready(process.desk.clock.now())
-    return opened
+    return channel
 
 
 @pytest.mark.parametrize("cause", ["the backlog is full", "the dial times out"])
 def test_a_process_whose_predecessor_does_not_answer_runs_no_keyed_request_in_its_window(
     cause: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a second run: the predecessor may live, and has sent this process none of its keys.
+    # Guards against a second run of a keyed request: the predecessor may be alive, but has sent none of its keys.
     async def run() -> None:
         clock = HandClock()
         predecessor = RestartChannel(
@@ -74,15 +74,15 @@
     uvloop.run(run())
 
 
-def test_a_socket_that_refuses_is_of_a_dead_process_and_leaves_nothing_unknown(tmp_path: Path) -> None:
+def test_a_refused_connection_means_a_dead_process_and_no_unknown_outcome(tmp_path: Path) -> None:
     async def run() -> None:
         path = tmp_path / "marlstep.n1.1.sock"
         with socket.socket(socket.AF_UNIX) as dead:
             dead.bind(str(path))
         process = SimulatedProcess(HandClock(), 2)
-        opened = await open_channel(tmp_path, process)
+        channel = await open_channel(tmp_path, process)
         process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
         assert process.desk.backend.told == [("start", "r1")] and not path.exists()
-        opened.close()
+        channel.close()
 
     uvloop.run(run())
--- a/tests/hot_restart/test_messages.py
+++ b/tests/hot_restart/test_messages.py
@@ -1,4 +1,4 @@
-"""The messages between two processes: read from any pieces, and never misread."""
+"""The messages between two processes: read from any split of the stream, with corrupt data rejected."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 @FIXED
 @given(CUTS)
-def test_messages_are_read_complete_from_any_pieces(cuts: list[int]) -> None:
+def test_messages_are_read_from_any_split_of_the_stream(cuts: list[int]) -> None:
     ring, received = Ring(4096), []
-    for part in pieces(b"".join(messages.write(one) for one in MESSAGES), cuts):
+    for part in pieces(b"".join(messages.write(expected) for expected in MESSAGES), cuts):
         ring.put(part)
         while (message := messages.read(ring)) is not None:
             received.append(message)
@@ -55,14 +55,14 @@
     ring = Ring(8192)
     ring.put(bytes(data))
     with contextlib.suppress(messages.CorruptError):
-        assert messages.read(ring) is None  # a longer length: more has to come
+        assert messages.read(ring) is None  # the length field grew, so the message is incomplete
 
 
 @pytest.mark.parametrize(
     "body",
     [b"[]", b"{}", b'["No", {}]', b'["Give", {}]', b'["Give", {"share": true}]', b'["Whole", {"x": 1}]'],
 )
-def test_a_message_with_a_good_checksum_and_no_sense_is_corrupt(body: bytes) -> None:
+def test_a_message_with_a_valid_checksum_and_an_invalid_body_is_corrupt(body: bytes) -> None:
     ring = Ring(4096)
     ring.put(messages.FRAMING.write(body))
     with pytest.raises(messages.CorruptError):
--- a/tests/hot_restart/test_process_races.py
+++ b/tests/hot_restart/test_process_races.py
@@ -1,7 +1,8 @@
-"""Races of a hot restart (docs/crossings.md): two real processes on one passed socket, with kernels that hold back.
+"""Races of a hot restart (docs/crossings.md): two real processes on one passed socket, with scripted kernels.
 
-Which of them accepts a connection is made sure by stopping the other. Order comes from what an emulator has read, a
-response, the state that a process gives at its health endpoint, or its end. The settings share nothing with casa-main.
+To control which process accepts a connection, a test stops the other one. Tests order events by the commands that an
+emulator has read, by responses, by the state at a process's health endpoint, or by the exit of a process. The settings
+differ entirely from those of casa-main.
 """
 
 from __future__ import annotations
@@ -26,16 +27,16 @@
 
 
 def run_with_long_deadlines(tmp_path: Path, test: Callable[[Platform], Awaitable[None]]) -> None:
-    # Here time passes by itself: neither a deadline nor the end of an idempotency window may come before what a slow
-    # machine takes to start a process. After its window a key may run again, which is not what these tests are about.
+    # These tests run in real time: deadlines and idempotency windows must be longer than the time that a slow machine
+    # takes to start a process. After its window a key may run again, which these tests do not cover.
     settings = copy.deepcopy(ALTERNATE_SETTINGS)
     for row in settings["classes"]:
         row.update(aimUs=4_000_000, hardLimitUs=20_000_000, repeatWindowUs=60_000_000)
     run_on_platform(tmp_path, test, alternate_config(settings=settings, stop_ms=6_000))
 
 
-class HeldProcess:
-    """A process and its kernel."""
+class ProcessWithKernel:
+    """A node process and the scripted kernel that it connects to."""
 
     def __init__(self, process: NodeProcess, kernel: ScriptedKernel) -> None:
         self.process, self.kernel = process, kernel
@@ -47,30 +48,30 @@
         await self.process.signal_and_wait(signal.SIGKILL)
 
     async def stop(self) -> None:
-        """Return once the operating system has stopped it."""
+        """Send SIGSTOP and wait until the operating system has stopped the process."""
         self.signal(signal.SIGSTOP)
         path = Path(f"/proc/{self.process.subprocess.pid}/stat")
         await until(lambda: path.read_text().rpartition(")")[2].split()[0] == "T")
 
     @asynccontextmanager
-    async def stopped_meanwhile(self) -> AsyncIterator[None]:
-        """The other process accepts what comes meanwhile."""
+    async def while_stopped(self) -> AsyncIterator[None]:
+        """Stop the process within the context, so that the other one accepts all connections."""
         await self.stop()
         yield
         self.signal(signal.SIGCONT)
 
 
-async def start_serving(platform: Platform) -> HeldProcess:
+async def start_serving(platform: Platform) -> ProcessWithKernel:
     kernel = ScriptedKernel()
-    return HeldProcess(await platform.start_process(kernel), kernel)
+    return ProcessWithKernel(await platform.start_process(kernel), kernel)
 
 
-async def launch(platform: Platform, up: bool = True) -> HeldProcess:
-    """Start a process and do not wait; with `up` false its kernel answers only once `kernel.up` is set."""
+async def launch(platform: Platform, up: bool = True) -> ProcessWithKernel:
+    """Start a process without waiting for it; if `up` is false, its kernel answers only once `kernel.up` is set."""
     kernel = ScriptedKernel()
     if not up:
         kernel.up.clear()
-    return HeldProcess(await platform.launch_process(kernel), kernel)
+    return ProcessWithKernel(await platform.launch_process(kernel), kernel)
 
 
 async def connect(platform: Platform) -> RespClient:
@@ -78,15 +79,15 @@
 
 
 async def accepted_connection(platform: Platform) -> RespClient:
-    """A connection that the only process that runs now has accepted."""
-    caller = await connect(platform)
-    caller.send(write_frame(b"ALIVE", b"1"))
-    await caller.response(1)
-    return caller
+    """Return a connection accepted by the only process that runs now."""
+    client = await connect(platform)
+    client.send(write_frame(b"ALIVE", b"1"))
+    await client.response(1)
+    return client
 
 
 def queued_connection(platform: Platform, frame: bytes) -> socket.socket:
-    """A connection at the passed socket with a request in it, which no process has accepted yet."""
+    """Return a connection to the passed socket with a request sent, which no process has accepted yet."""
     client = socket.create_connection(("127.0.0.1", platform.port), timeout=10)
     client.sendall(frame)
     return client
@@ -94,7 +95,7 @@
 
 @contextmanager
 def full_backlog(path: Path) -> Iterator[None]:
-    """Fill the queue of a socket whose process accepts nothing now: a connection neither stands nor is refused."""
+    """Fill the backlog of a stopped process's socket: new connections are neither established nor refused."""
     with ExitStack() as stack:
         with suppress(BlockingIOError):
             while True:
@@ -104,11 +105,11 @@
         yield
 
 
-async def serve(process: HeldProcess, caller: RespClient, tag: int, id: int) -> None:
-    """Have the process run the request, and its client get the response."""
-    await process.kernel.command_read("SCHED", id)
-    process.kernel.end_run(id)
-    assert await caller.status_word(tag) == "done"
+async def serve_request(process: ProcessWithKernel, client: RespClient, tag: int, request_id: int) -> None:
+    """Run the request at the process's kernel and check that the client gets its response."""
+    await process.kernel.command_read("SCHED", request_id)
+    process.kernel.end_run(request_id)
+    assert await client.status_word(tag) == "done"
 
 
 @pytest.mark.parametrize("victim", ["predecessor", "successor"])
@@ -121,33 +122,31 @@
         await predecessor.kernel.command_read("SCHED", 2)
         if step == "its kernel is not up":
             successor = await launch(platform, up=False)
-            await until(
-                lambda: successor.kernel.link_count
-            )  # it has connected to the predecessor, or found that it can't
+            # By then it has connected to the predecessor, or found that it can't.
+            await until(lambda: successor.kernel.link_count)
         else:
             await predecessor.stop()
             successor = await launch(platform)
-            await until(
-                (tmp_path / "tmp" / "marlstep.n1.2.sock").exists
-            )  # it has connected to the predecessor, or found that it can't
+            # By then it has connected to the predecessor, or found that it can't.
+            await until((tmp_path / "tmp" / "marlstep.n1.2.sock").exists)
         if victim == "predecessor":
-            await predecessor.stop()  # it accepts no connection before its end
+            await predecessor.stop()  # so that it accepts no connection before it is killed
         second = await connect(platform)
         if victim == "predecessor":
             await predecessor.kill()
-            second.send_request(3, "list", id=3)  # waits until a process accepts it
+            second.send_request(3, "list", id=3)  # waits until the successor accepts the connection
             successor.kernel.up.set()
-            await serve(successor, second, 3, 3)
+            await serve_request(successor, second, 3, 3)
             retry = await connect(platform)
-            retry.send_request(4, "book", b"mine", id=4, once="k")  # it may have run there
+            retry.send_request(4, "book", b"mine", id=4, once="k")  # it may have run at the predecessor
             assert await retry.status_word(4) in ("later", "error")
             retry.send_request(5, "list", id=5)
-            await serve(successor, retry, 5, 5)
+            await serve_request(successor, retry, 5, 5)
         else:
             await successor.kill()
             predecessor.signal(signal.SIGCONT)
             second.send_request(3, "list", id=3)
-            await serve(predecessor, second, 3, 3)
+            await serve_request(predecessor, second, 3, 3)
             predecessor.kernel.end_run(2)
             assert await first.status_word(2) == "done"
             second.send_request(4, "book", b"mine", id=4, once="k")
@@ -161,7 +160,8 @@
 def test_a_successor_that_gets_no_reply_from_its_predecessor_runs_no_keyed_request(
     after: str, tmp_path: Path
 ) -> None:
-    # Guards against a second run: a successor took silence for there being no predecessor, and knew none of its keys.
+    # Guards against a second run: a successor that got no answer assumed that there was no predecessor, and had none of
+    # its keys.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         first = await accepted_connection(platform)
@@ -169,13 +169,13 @@
         await predecessor.kernel.command_read("SCHED", 2)
         await predecessor.stop()
         with full_backlog(tmp_path / "tmp" / "marlstep.n1.1.sock"):
-            successor = await start_serving(platform)  # nobody answered it
+            successor = await start_serving(platform)  # its connection attempt got no answer
         if after == "the predecessor is killed":
             await predecessor.kill()
         second = await accepted_connection(platform)
         second.send_request(3, "book", b"mine", id=4, once="k")
         second.send_request(4, "list", id=5)
-        await serve(successor, second, 4, 5)
+        await serve_request(successor, second, 4, 5)
         assert successor.kernel.command_count("SCHED", 4) == 0
         assert await second.status_word(3) == "later"
         if after == "the predecessor goes on":
@@ -199,7 +199,7 @@
         successor = await start_serving(platform)
         await successor.stop()
         predecessor.signal(signal.SIGTERM)
-        await predecessor.process.wait_for_state("handing over")  # it accepts nothing any more
+        await predecessor.process.wait_for_state("handing over")  # it no longer accepts connections
         queued = queued_connection(platform, RespClient.frame(first, 3, "list", id=3))
         serving = successor
         if after == "goes on":
@@ -207,15 +207,14 @@
         else:
             serving = predecessor
             await successor.kill()
-            await until(
-                lambda: platform.reports[-1][1] == DRAINING_REPORT
-            )  # the name service hears that the node drains
+            # The name service receives the drain report.
+            await until(lambda: platform.reports[-1][1] == DRAINING_REPORT)
         queued.setblocking(False)
-        caller = RespClient(now, *await asyncio.open_connection(sock=queued))
-        await serve(serving, caller, 3, 3)
+        client = RespClient(now, *await asyncio.open_connection(sock=queued))
+        await serve_request(serving, client, 3, 3)
         predecessor.kernel.end_run(2)
         assert await first.status_word(2) == "done"
-        caller.writer.close()
+        client.writer.close()
         first.writer.close()
         assert await predecessor.process.subprocess.wait() == 0
         assert (platform.reports[-1][1] == READY_REPORT) is (serving is successor)
@@ -225,12 +224,13 @@
 
 @pytest.mark.parametrize("first", ["predecessor", "successor"])
 def test_both_processes_get_sigterm_and_neither_accepts_again(first: str, tmp_path: Path) -> None:
-    # Guards against a predecessor that accepts connections again, for a whole grace, when a draining successor ends.
+    # Guards against a predecessor that accepts connections again, for a whole grace period, when a draining successor
+    # ends.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         at_predecessor = await accepted_connection(platform)
         successor = await start_serving(platform)
-        async with predecessor.stopped_meanwhile():
+        async with predecessor.while_stopped():
             at_successor = await accepted_connection(platform)
         at_predecessor.send_request(2, "list", id=2)
         at_successor.send_request(3, "list", id=3)
@@ -249,14 +249,14 @@
             predecessor.signal(signal.SIGTERM)
             await predecessor.process.wait_for_state("leaving")
         await until(lambda: platform.reports[-1][1] == DRAINING_REPORT)
-        at_successor.send_request(4, "list", id=4)  # inside the grace
-        await serve(successor, at_successor, 4, 4)
+        at_successor.send_request(4, "list", id=4)  # within the grace period
+        await serve_request(successor, at_successor, 4, 4)
         successor.kernel.end_run(3)
         assert await at_successor.status_word(3) == "done"
         at_successor.writer.close()
         assert await successor.process.subprocess.wait() == 0
         if first == "predecessor":
-            await predecessor.process.state()  # it has seen the successor's end
+            await predecessor.process.state()  # by this response it has noticed the successor's exit
             unaccepted = queued_connection(platform, RespClient.frame(at_predecessor, 5, "list", id=5))
         predecessor.kernel.end_run(2)
         assert await at_predecessor.status_word(2) == "done"
@@ -274,22 +274,23 @@
 def test_a_successor_that_gets_sigterm_before_it_accepts_anything_leaves_the_node_to_the_predecessor(
     tmp_path: Path,
 ) -> None:
-    # Guards against a node that is reported as draining, and a process that accepts connections only to reject them.
+    # Guards against a drain reported for a node that keeps serving, and against a successor that accepts connections
+    # only to reject them.
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         successor = await launch(platform, up=False)
         await until(lambda: successor.kernel.link_count)
         assert await successor.process.signal_and_wait(signal.SIGTERM) == 0
-        caller = await accepted_connection(platform)
-        caller.send_request(2, "open", id=2)
-        await serve(predecessor, caller, 2, 2)
-        third = await start_serving(platform)  # the next one may start
+        client = await accepted_connection(platform)
+        client.send_request(2, "open", id=2)
+        await serve_request(predecessor, client, 2, 2)
+        third = await start_serving(platform)  # another successor can start
         predecessor.signal(signal.SIGTERM)
-        caller.writer.close()
+        client.writer.close()
         assert await predecessor.process.subprocess.wait() == 0
-        caller = await accepted_connection(platform)
-        caller.send_request(2, "open", id=3)
-        await serve(third, caller, 2, 3)
+        client = await accepted_connection(platform)
+        client.send_request(2, "open", id=3)
+        await serve_request(third, client, 2, 3)
         assert DRAINING_REPORT not in [report for _, report in platform.reports]
 
     run_with_long_deadlines(tmp_path, run)
@@ -300,42 +301,42 @@
     async def run(platform: Platform) -> None:
         predecessor = await start_serving(platform)
         in_flight = await accepted_connection(platform)
-        in_flight.send_request(2, "list", id=50)  # the predecessor has this to finish
+        in_flight.send_request(2, "list", id=50)  # keeps the predecessor busy until the end of the run
         await predecessor.kernel.command_read("SCHED", 50)
         [path] = (tmp_path / "tmp").iterdir()
-        _, stranger = await asyncio.open_unix_connection(str(path))
-        stranger.write(b"GET / HTTP/1.1\r\n\r\n")
+        _, invalid_peer = await asyncio.open_unix_connection(str(path))
+        invalid_peer.write(b"GET / HTTP/1.1\r\n\r\n")
         serving = predecessor
-        caller = await accepted_connection(platform)
-        clients = {bad: await connect(platform) for bad in BAD_INPUT}
+        client = await accepted_connection(platform)
+        bad_clients = {input_name: await connect(platform) for input_name in BAD_INPUT}
         successor = await start_serving(platform)
         if where == "successor":
-            async with predecessor.stopped_meanwhile():
-                caller, serving = await accepted_connection(platform), successor
-                clients = {bad: await connect(platform) for bad in BAD_INPUT}
-                for bad, client in clients.items():
-                    client.send(BAD_INPUT[bad][:3])
-                caller.send_request(2, "book", b"mine", id=2, once="k")  # its claim waits for the predecessor
+            async with predecessor.while_stopped():
+                client, serving = await accepted_connection(platform), successor
+                bad_clients = {input_name: await connect(platform) for input_name in BAD_INPUT}
+                for input_name, bad_client in bad_clients.items():
+                    bad_client.send(BAD_INPUT[input_name][:3])
+                client.send_request(2, "book", b"mine", id=2, once="k")  # its claim waits for the predecessor
         else:
-            for bad, client in clients.items():
-                client.send(BAD_INPUT[bad][:3])
-            caller.send_request(2, "book", b"mine", id=2, once="k")
+            for input_name, bad_client in bad_clients.items():
+                bad_client.send(BAD_INPUT[input_name][:3])
+            client.send_request(2, "book", b"mine", id=2, once="k")
         await serving.kernel.command_read("SCHED", 2)
         predecessor.signal(signal.SIGTERM)
         await predecessor.process.wait_for_state("handing over")
         predecessor.kernel.end_run(50)
         assert await in_flight.status_word(2) == "done"
-        for bad, client in clients.items():
-            client.send(BAD_INPUT[bad][3:])
-        for bad, client in clients.items():
-            if bad in ("malformed", "out of range", "unknown class"):
-                assert await client.status_word(1) == "error"
-                client.writer.close()
+        for input_name, bad_client in bad_clients.items():
+            bad_client.send(BAD_INPUT[input_name][3:])
+        for input_name, bad_client in bad_clients.items():
+            if input_name in ("malformed", "out of range", "unknown class"):
+                assert await bad_client.status_word(1) == "error"
+                bad_client.writer.close()
             else:
-                await client.read_to_end()  # closed in its time
+                await bad_client.read_to_end()  # the node closes the connection in time
         serving.kernel.end_run(2)
-        assert await caller.status_word(2) == "done" and caller.response_count(2) == 1
-        for connection in (caller, in_flight):
+        assert await client.status_word(2) == "done" and client.response_count(2) == 1
+        for connection in (client, in_flight):
             connection.writer.close()
         assert await predecessor.process.subprocess.wait() == 0
         assert (
