--- a/marlstep/core/arrivals.py
+++ b/marlstep/core/arrivals.py
@@ -16,7 +16,7 @@
 REMOTE_ID_PREFIX = "elsewhere/"  # before the id of a request that is not in flight here: ids are used again
 
 
-def counted_arrival(now: datetime, arrived_at: datetime) -> datetime:
+def effective_arrival_time(now: datetime, arrived_at: datetime) -> datetime:
     """Return the moment at which a request counts as having arrived.
 
     A client's clock may run ahead, which must open no idempotency window: never later than now.
@@ -48,7 +48,7 @@
         inbound, now = request.inbound, self._timeline.now()
         request.stage = Stage.QUEUED
         if request.idempotency_key:
-            arrived_at = counted_arrival(now, inbound.arrived_at)
+            arrived_at = effective_arrival_time(now, inbound.arrived_at)
             self._keys.record(request.idempotency_key, inbound.id, arrived_at, inbound.digest)
         self._events.post(
             Arrival(
--- a/marlstep/core/drain.py
+++ b/marlstep/core/drain.py
@@ -102,9 +102,9 @@
             self._stop_at(stops_at)
             self._events.post(Drain(instant_us(stops_at), has_successor=True))
             # What has come to a socket of this process alone is read first: nobody else will read it.
-            self._timeline.after_reading(self._handed_over)
+            self._timeline.after_reading(self._stop_accepting_after_hand_over)
 
-    def _handed_over(self) -> None:
+    def _stop_accepting_after_hand_over(self) -> None:
         if not self.is_draining:  # else the successor was lost meanwhile, and the drain's own grace counts
             self._stop_accepting()
 
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -10,9 +10,9 @@
 - `idempotency`, `repeats` and `sibling_claims` know which work has been accepted before,
 - `served_settings`, `drain`, `gauge_timers` and `counters` own what their names say.
 
-To follow a request, start at `Core.submit`, then read `Core._decide`, which lets the controller decide about the
-events so far, then `ActionDispatcher`, which carries out what it decided. The rest of `Core` passes calls on to the
-parts: the whole interface that other packages use stands here.
+To follow a request, start at `Core.submit`, then read `Core._run_controller`, which passes the pending events to the
+controller, then `ActionDispatcher`, which carries out the resulting actions. The rest of `Core` delegates to the parts:
+it is the complete interface for other packages.
 """
 
 from __future__ import annotations
@@ -100,7 +100,7 @@
         """
         self._timeline = timeline
         self._controller = Controller(settings, seed)
-        self._events = EventQueue(timeline, self._decide)
+        self._events = EventQueue(timeline, self._run_controller)
         self._served = ServedSettings(settings)
         self._counters = RequestCounters(self._served.tenants)
         self._requests = RequestRegistry(max_requests)
@@ -136,9 +136,9 @@
 
     def start(self) -> None:
         """Let the controller set its first timers."""
-        self._decide([])
+        self._run_controller([])
 
-    def _decide(self, events: list[Event]) -> None:
+    def _run_controller(self, events: list[Event]) -> None:
         now_us = instant_us(self._timeline.now())
         self._dispatcher.execute_all(self._controller.decide(now_us, events))
 
--- a/marlstep/core/errors.py
+++ b/marlstep/core/errors.py
@@ -11,7 +11,7 @@
 from marlstep.core.interfaces import InboundRequest
 from marlstep.errors import MarlstepError
 
-MAX_QUOTED_NAME = 64  # characters of a name that a client chose, in a message
+MAX_QUOTED_NAME_CHARS = 64  # characters of a name that a client chose, in a message
 
 
 class RejectionReason(enum.Enum):
@@ -62,7 +62,8 @@
         self.request_class, self.tenant = inbound.request_class, inbound.tenant or ""
         self.request_id = inbound.id
         text = RESPONSE_TEXTS[reason].format(
-            request_class=self.request_class[:MAX_QUOTED_NAME], tenant=self.tenant[:MAX_QUOTED_NAME]
+            request_class=self.request_class[:MAX_QUOTED_NAME_CHARS],
+            tenant=self.tenant[:MAX_QUOTED_NAME_CHARS],
         )
         super().__init__(text)
 
--- a/marlstep/core/event_queue.py
+++ b/marlstep/core/event_queue.py
@@ -26,9 +26,9 @@
         self._events.append(event)
         if not self._is_scheduled:
             self._is_scheduled = True
-            self._timeline.soon(self._run_turn)
+            self._timeline.soon(self._deliver_events)
 
-    def _run_turn(self) -> None:
+    def _deliver_events(self) -> None:
         self._is_scheduled = False
         events, self._events = self._events, []
         self._deliver(events)
--- a/marlstep/core/gauge_timers.py
+++ b/marlstep/core/gauge_timers.py
@@ -41,18 +41,18 @@
         """Take new readings; the timers that wait for them are posted now."""
         self._gauges, self._read_at = gauges, self._timeline.now()
         if self._due_tags:
-            self._post_due()
+            self._post_due_timers()
 
     def _on_due(self, tag: int) -> None:
         self._due_tags.append(tag)
         if are_gauges_fresh(self._read_at, self._timeline.now()):
-            self._post_due()
+            self._post_due_timers()
             return
         self._source.request_gauges()
         if self._timeout is None:
-            self._timeout = self._timeline.at(self._timeline.now() + GAUGES_TIMEOUT, self._post_due)
+            self._timeout = self._timeline.at(self._timeline.now() + GAUGES_TIMEOUT, self._post_due_timers)
 
-    def _post_due(self) -> None:
+    def _post_due_timers(self) -> None:
         self._timeline.cancel(self._timeout)
         self._timeout = None
         for tag in self._due_tags:
--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -86,14 +86,14 @@
         """
         return self.expires_at is None or arrived_at < self.expires_at
 
-    def expire(self, expires_at: datetime, max_unread: timedelta) -> datetime:
+    def set_expiry(self, expires_at: datetime, max_unread_time: timedelta) -> datetime:
         """Set the end of the window, and return when the entry may be dropped.
 
         Args:
             expires_at: the end of the window.
-            max_unread: for how long a request that arrived before the end may lie unread and still be run.
+            max_unread_time: for how long a request that arrived before the end may lie unread and still be run.
         """
-        self.expires_at, self.droppable_at = expires_at, expires_at + max_unread
+        self.expires_at, self.droppable_at = expires_at, expires_at + max_unread_time
         return self.droppable_at
 
 
@@ -147,7 +147,7 @@
         request_id: str,
         expires_at: datetime,
         now: datetime,
-        max_unread: timedelta,
+        max_unread_time: timedelta,
         digest: str = "",
     ) -> None:
         """Keep an own request's key until the end of a window, also after the request has ended.
@@ -157,16 +157,16 @@
             request_id: the request that stands for it from now on.
             expires_at: the end of the window.
             now: entries that may be dropped by now are dropped.
-            max_unread: for how long a request that arrived before the end may lie unread and still be run.
+            max_unread_time: for how long a request that arrived before the end may lie unread and still be run.
             digest: of the body; empty where it is not known.
         """
         record = self._records.setdefault(key, KeyRecord(request_id))
         record.request_id, record.is_remote, record.finished, record.digest = request_id, False, False, digest
-        self._expire(key, record, expires_at, now, max_unread)
+        self._set_expiry(key, record, expires_at, now, max_unread_time)
         self.on_changed(key, record, False)
 
     def extend(
-        self, request_class: str, added_window: timedelta, now: datetime, max_unread: timedelta
+        self, request_class: str, added_window: timedelta, now: datetime, max_unread_time: timedelta
     ) -> None:
         """Lengthen the windows of a class, for work that ran under the shorter one as well.
 
@@ -175,7 +175,7 @@
         """
         for key, record in self:
             if key[0] == request_class and record.expires_at is not None:
-                self._expire(key, record, record.expires_at + added_window, now, max_unread)
+                self._set_expiry(key, record, record.expires_at + added_window, now, max_unread_time)
                 if not record.is_remote:
                     self.on_changed(key, record, False)
 
@@ -203,20 +203,22 @@
 
     # Entries of the node's other processes.
 
-    def adopt(self, key: IdempotencyKey, remote: KeyRecord, now: datetime, max_unread: timedelta) -> None:
+    def adopt(
+        self, key: IdempotencyKey, remote: KeyRecord, now: datetime, max_unread_time: timedelta
+    ) -> None:
         """Enter what another process says of a piece of work.
 
         An entry for an own request stays as it is while its window lasts; past that `find` has new work in its place,
         and so has this. One that another process gave earlier is replaced.
         """
         record = self._records.get(key)
-        is_own_in_force = record is not None and not record.is_remote and record.covers(now)
-        if is_own_in_force:
+        is_local_in_force = record is not None and not record.is_remote and record.covers(now)
+        if is_local_in_force:
             return
         remote.is_remote = True
         self._records[key] = remote
         if remote.expires_at is not None:
-            self._expire(key, remote, remote.expires_at, now, max_unread)
+            self._set_expiry(key, remote, remote.expires_at, now, max_unread_time)
 
     def drop_remote(self, key: IdempotencyKey, request_id: str) -> bool:
         """Drop the entry of another process's request that never ran. Returns False where there is none."""
@@ -239,22 +241,26 @@
             record = self._records[key]
             record.finished = True
             if record.expires_at is None:
-                self._expire(key, record, expires_at, now, ZERO)
+                self._set_expiry(key, record, expires_at, now, ZERO)
         return unfinished
 
-    def _expire(
+    def _set_expiry(
         self,
         key: IdempotencyKey,
         record: KeyRecord,
         expires_at: datetime,
         now: datetime,
-        max_unread: timedelta,
+        max_unread_time: timedelta,
     ) -> None:
         """Set the end of an entry, and drop those that may be dropped by now."""
-        heapq.heappush(self._expiries, (record.expire(expires_at, max_unread), key))
+        heapq.heappush(self._expiries, (record.set_expiry(expires_at, max_unread_time), key))
         while self._expiries and self._expiries[0][0] <= now:
             droppable_at, due_key = heapq.heappop(self._expiries)
-            due = self._records.get(due_key)
+            due_record = self._records.get(due_key)
             # An entry that was given a later end has a later row in the heap.
-            if due is not None and due.droppable_at is not None and due.droppable_at <= droppable_at:
+            if (
+                due_record is not None
+                and due_record.droppable_at is not None
+                and due_record.droppable_at <= droppable_at
+            ):
                 del self._records[due_key]
--- a/marlstep/core/intake.py
+++ b/marlstep/core/intake.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from marlstep.core.arrivals import ControllerArrivals, counted_arrival
+from marlstep.core.arrivals import ControllerArrivals, effective_arrival_time
 from marlstep.core.counters import ACCEPTED_COUNT, NO_CONFIG_COUNT, RequestCounters
 from marlstep.core.idempotency import KeyTable
 from marlstep.core.intake_checks import check_id_free, check_repeat, check_served, key_of
@@ -51,7 +51,7 @@
         class_settings = check_served(inbound, self._served, now)
         check_id_free(inbound, inbound.id in self._requests)
         key = key_of(inbound, class_settings)
-        prior = self._keys.find(key, counted_arrival(now, inbound.arrived_at)) if key else None
+        prior = self._keys.find(key, effective_arrival_time(now, inbound.arrived_at)) if key else None
         check_repeat(inbound, class_settings, prior)
         request = Request(
             inbound,
@@ -59,15 +59,15 @@
             frontend,
             response_handle,
             backend,
-            # From the arrival as stated: where a client's clock runs ahead the deadline is later by as much. Keys
-            # don't trust that clock (`counted_arrival`), nor does the controller, which responds at its own deadline;
-            # this one only stands behind it.
+            # The deadline counts from the stated arrival time, so a client clock that runs ahead delays it by as
+            # much. Idempotency keys don't trust that clock (see `effective_arrival_time`), and neither does the
+            # controller, which responds at its own deadline. This deadline is only the fallback.
             max(now, inbound.arrived_at + span(class_settings.deadline_us)),
             config_versions=self.config_versions,
             idempotency_key=key,
         )
         self._requests.add(request)
-        self._responses.expect(request)
+        self._responses.track_response(request)
         self._counters.count(request, ACCEPTED_COUNT)
         if self.accepts_work is not None and not self.accepts_work():
             # In a turn of its own: the frontend doesn't have the handle yet.
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -30,7 +30,7 @@
         request_class: the name of its class.
         body: passed on to the backend unchanged.
         arrived_at: when its first byte came, as far as the frontend knows. It may come from the client's clock and
-            lie after now; see `counted_arrival`.
+            lie after now; see `effective_arrival_time`.
         memory_kb: that it takes while it is queued.
         caller: the number of the calling server; 0 where callers have none.
         is_retry: whether the client marks it as a retry.
--- a/marlstep/core/repeats.py
+++ b/marlstep/core/repeats.py
@@ -5,7 +5,7 @@
 from datetime import datetime, timedelta
 
 from marlstep.admission.events import Outcome
-from marlstep.core.arrivals import counted_arrival, original_in_flight
+from marlstep.core.arrivals import effective_arrival_time, original_in_flight
 from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable
 from marlstep.core.interfaces import Request, Stage
 from marlstep.core.request_registry import RequestRegistry
@@ -38,9 +38,14 @@
         """
         if request.idempotency_key:
             now = self._timeline.now()
-            max_unread = span(request.class_settings.deadline_us)
+            max_unread_time = span(request.class_settings.deadline_us)
             self._keys.retain(
-                request.idempotency_key, request.id, now + window, now, max_unread, request.inbound.digest
+                request.idempotency_key,
+                request.id,
+                now + window,
+                now,
+                max_unread_time,
+                request.inbound.digest,
             )
 
     def drop_key(self, request: Request) -> None:
@@ -56,7 +61,7 @@
         # The controller attaches keyed work alone, and the intake accepts none without a key. Were there one, its empty
         # name would find no record, and the repeat would fail as one without a known result.
         key = repeat.idempotency_key or IdempotencyKey(repeat.inbound.request_class, "")
-        arrived_at = counted_arrival(self._timeline.now(), repeat.inbound.arrived_at)
+        arrived_at = effective_arrival_time(self._timeline.now(), repeat.inbound.arrived_at)
         record = self._keys.find(key, arrived_at)
         original = original_in_flight(self._requests, repeat, record) if record else None
         repeat.stage = Stage.ATTACHED
@@ -74,15 +79,15 @@
     def adopt_remote(self, key: IdempotencyKey, remote: KeyRecord) -> None:
         """Enter what another process says of a piece of work; an end is passed on to the repeats here."""
         class_settings = self._served.classes.get(key[0])
-        max_unread = span(class_settings.deadline_us) if class_settings else ZERO
-        self._keys.adopt(key, remote, self._timeline.now(), max_unread)
+        max_unread_time = span(class_settings.deadline_us) if class_settings else ZERO
+        self._keys.adopt(key, remote, self._timeline.now(), max_unread_time)
         if remote.finished or remote.result is not None:
-            self._remote_ended(key, remote.result)
+            self._end_waiting_repeats(key, remote.result)
 
     def drop_remote(self, key: IdempotencyKey, request_id: str) -> None:
         """Drop the entry of another process's request that never ran; the repeats here fail."""
         if self._keys.drop_remote(key, request_id):
-            self._remote_ended(key, None)
+            self._end_waiting_repeats(key, None)
 
     def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
         """End what the other processes had in flight, as nobody reports on it any more; the repeats here fail.
@@ -90,9 +95,9 @@
         The keys stay known, as the work may have run: until their own end, or until `expires_at` if they have none.
         """
         for key in self._keys.mark_remote_outcomes_unknown(expires_at, self._timeline.now()):
-            self._remote_ended(key, None)
+            self._end_waiting_repeats(key, None)
 
-    def _remote_ended(self, key: IdempotencyKey, result: bytes | None) -> None:
+    def _end_waiting_repeats(self, key: IdempotencyKey, result: bytes | None) -> None:
         outcome = Outcome.ERROR if result is None else Outcome.OK
         for repeat_id in self._waiting_for_remote.pop(key, ()):
             repeat = self._requests.find(repeat_id)
--- a/marlstep/core/responses.py
+++ b/marlstep/core/responses.py
@@ -50,7 +50,7 @@
         self._counters, self._events, self._served = counters, events, served
         self.unanswered = 0
 
-    def expect(self, request: Request) -> None:
+    def track_response(self, request: Request) -> None:
         """Owe a request its response, by its deadline at the latest."""
         self.unanswered += 1
         request.deadline_timer = self._timeline.at(request.deadline_at, lambda: self._on_deadline(request))
--- a/marlstep/core/run_events.py
+++ b/marlstep/core/run_events.py
@@ -50,9 +50,9 @@
         if request is None:
             return
         if was_preempted(outcome, preempt_requested=request.preempt_requested, is_settled=request.is_settled):
-            self._preempted(request)
+            self._on_preempted(request)
         else:
-            self._end(request, outcome, result)
+            self._finish_run(request, outcome, result)
             if outcome is Outcome.CANCELLED:
                 # This end is final, and to the controller a cancelled run is a paused one: it would keep the
                 # request, and confuse it with a later one under the same id.
@@ -60,13 +60,13 @@
         self._events.post(RunEnded(request_id, outcome, span_us(elapsed)))
         self._responses.release_if_finished(request)
 
-    def _preempted(self, request: Request) -> None:
+    def _on_preempted(self, request: Request) -> None:
         request.preempt_requested = False
         request.known_to_have_run = True
         drops_work = self._served.settings.preemption_mode is PreemptionMode.DROP
         request.stage = Stage.QUEUED if drops_work else Stage.PAUSED
 
-    def _end(self, request: Request, outcome: Outcome, result: bytes) -> None:
+    def _finish_run(self, request: Request, outcome: Outcome, result: bytes) -> None:
         if request.stage is Stage.CALLING:
             self._call_client.abandon_call(request)
         request.stage = Stage.FINISHED
--- a/marlstep/core/served_settings.py
+++ b/marlstep/core/served_settings.py
@@ -39,12 +39,12 @@
     return tuple(
         WindowExtension(
             settings.name,
-            span(settings.idempotency_window_us - before.idempotency_window_us),
+            span(settings.idempotency_window_us - old_class.idempotency_window_us),
             span(settings.deadline_us),
         )
         for settings in new.classes
-        if (before := old_classes.get(settings.name)) is not None
-        and settings.idempotency_window_us > before.idempotency_window_us
+        if (old_class := old_classes.get(settings.name)) is not None
+        and settings.idempotency_window_us > old_class.idempotency_window_us
     )
 
 
@@ -84,8 +84,10 @@
 
     def accepted_class(self, name: str, now: datetime) -> ClassSettings | None:
         """Return the class of that name; None where it is unknown, or was removed too long ago."""
-        found = self.classes.get(name)
-        return None if found is None or self._retired_classes.get(name, now) < now else found
+        class_settings = self.classes.get(name)
+        return (
+            None if class_settings is None or self._retired_classes.get(name, now) < now else class_settings
+        )
 
     def accepts_tenant(self, name: str, now: datetime) -> bool:
         """Decide whether requests of this tenant are accepted.
@@ -116,7 +118,11 @@
 
     def _retire_classes(self, old: Settings, new: Settings, now: datetime) -> tuple[ClassSettings, ...]:
         names = {request_class.name for request_class in new.classes}
-        removed = {cls.name: cls for cls in old.classes if cls.name not in names}
+        removed = {
+            request_class.name: request_class
+            for request_class in old.classes
+            if request_class.name not in names
+        }
         still_accepted = {
             name: until for name, until in self._retired_classes.items() if until >= now and name not in names
         }
--- a/marlstep/core/serving_state.py
+++ b/marlstep/core/serving_state.py
@@ -77,5 +77,5 @@
 
     def begin_drain(self) -> bool:
         """Note that graceful shutdown has begun. Returns False where it had begun before."""
-        first, self._is_draining = not self._is_draining, True
-        return first
+        newly_begun, self._is_draining = not self._is_draining, True
+        return newly_begun
--- a/marlstep/core/sibling_claims.py
+++ b/marlstep/core/sibling_claims.py
@@ -6,7 +6,7 @@
 from datetime import datetime
 
 from marlstep.admission.settings import Effect
-from marlstep.core.arrivals import ControllerArrivals, counted_arrival
+from marlstep.core.arrivals import ControllerArrivals, effective_arrival_time
 from marlstep.core.idempotency import IdempotencyKey, KeyRecord, KeyTable, encode_label
 from marlstep.core.interfaces import (
     ClaimResult,
@@ -80,18 +80,18 @@
 
         def on_decided(result: ClaimResult) -> None:
             # It may be decided before this returns, and no response may leave before the frontend has its handle.
-            self._timeline.soon(lambda: self._decided(request, key, result))
+            self._timeline.soon(lambda: self._on_claim_decided(request, key, result))
 
         label = encode_label(request.id, request.inbound.digest)
         return siblings.claim(*key, label, now, on_decided)
 
-    def _decided(self, request: Request, key: IdempotencyKey, result: ClaimResult) -> None:
+    def _on_claim_decided(self, request: Request, key: IdempotencyKey, result: ClaimResult) -> None:
         granted = result is ClaimResult.GRANTED
         if granted:
             # The other process has entered this very request, and may have reported that entry back.
             self._keys.drop_remote(key, request.id)
         inbound = request.inbound
-        arrived_at = counted_arrival(self._timeline.now(), inbound.arrived_at)
+        arrived_at = effective_arrival_time(self._timeline.now(), inbound.arrived_at)
         prior = self._keys.find(key, arrived_at)
         if request.stage is not Stage.CLAIMING:
             if granted and prior is None:
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -17,7 +17,7 @@
 
 def test_an_entry_is_kept_beyond_its_window_for_requests_that_are_still_unread() -> None:
     record = KeyRecord("r1")
-    assert record.expire(START, 2 * SECOND) == START + 2 * SECOND == record.droppable_at
+    assert record.set_expiry(START, 2 * SECOND) == START + 2 * SECOND == record.droppable_at
     assert record.expires_at == START
 
 
