--- a/marlstep/core/__init__.py
+++ b/marlstep/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts, outcomes and deadlines. Nothing here knows a wire."""
+"""Requests, attempts, outcomes and deadlines. This package is independent of the wire protocols."""
--- a/marlstep/core/arrivals.py
+++ b/marlstep/core/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals as the admission controller hears of them."""
+"""Reports the arrival of requests to the admission controller."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import span_us
 
-REMOTE_ID_PREFIX = "elsewhere/"  # before the id of a request that is not in flight here: ids are used again
+# Prefix for the id of a request that is not in flight in this process. Clients reuse ids, so the bare id could match
+# an unrelated request.
+REMOTE_ID_PREFIX = "elsewhere/"
 
 
 def effective_arrival_time(now: datetime, arrived_at: datetime) -> datetime:
-    """Return the moment at which a request counts as having arrived.
+    """Return the arrival time that idempotency windows are checked against: the stated one, but at most `now`.
 
-    A client's clock may run ahead, which must open no idempotency window: never later than now.
+    A client clock that runs ahead must not move a request past the end of an idempotency window.
     """
     return min(now, arrived_at)
 
 
 def original_in_flight(requests: RequestRegistry, repeat: Request, record: KeyRecord) -> Request | None:
-    """Return the request that stands for the work, while it is in flight in this process.
+    """Return the original request that `repeat` repeats, or None if it is not in flight in this process.
 
-    A client may use its id again for other work: a request with that id and another key is no original.
+    A client may reuse an id for other work, so a request with the recorded id but another key is not the original.
     """
     original = None if record.is_remote or record.finished else requests.find(record.request_id)
     same_work = original is not None and original.idempotency_key == repeat.idempotency_key
@@ -35,16 +37,21 @@
 
 
 class ControllerArrivals:
-    """Hands accepted requests to the controller's queue."""
+    """Passes accepted requests to the controller's queue."""
 
     def __init__(
         self, timeline: TimerQueue, requests: RequestRegistry, keys: KeyTable, events: EventQueue
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share."""
         self._timeline, self._requests, self._keys, self._events = timeline, requests, keys, events
 
     def enqueue(self, request: Request, prior: KeyRecord | None) -> None:
-        """Queue a request, and enter its key. `prior` is the work that it repeats; None for new work."""
+        """Queue a request and record its idempotency key.
+
+        Args:
+            request: the accepted request.
+            prior: the record of the work that the request repeats; None for new work.
+        """
         inbound, now = request.inbound, self._timeline.now()
         request.stage = Stage.QUEUED
         if request.idempotency_key:
@@ -69,7 +76,10 @@
         )
 
     def _prior_id(self, request: Request, prior: KeyRecord) -> str:
-        """Name the request that this one repeats. One that is not in flight here has run, or may have."""
+        """Return the id of the request that this one repeats, prefixed if that is not in flight in this process.
+
+        A request that is not in flight here has run or may have run.
+        """
         if original_in_flight(self._requests, request, prior) is not None:
             return prior.request_id
         return REMOTE_ID_PREFIX + prior.request_id
--- a/marlstep/core/dispatcher.py
+++ b/marlstep/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatches the controller's actions to their handlers by type, as two tables state."""
+"""Dispatches the controller's actions to their handlers by action type."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 
 log = logging.getLogger(__name__)
 
-# A handler takes exactly the type under which it stands, which the annotation of a mapping can't say.
+# Each handler takes the action type that it is registered under. A mapping's type can't express that, hence Any.
 NodeHandler = Callable[[Any], None]
 RequestHandler = Callable[[Request, Any], None]
 
 
 class ActionDispatcher:
-    """Finds the handler of an action by its type, and the request that it is about by its id.
+    """Looks up the handler of an action by its type, and the request that it concerns by its id.
 
-    An action about a request that has been released is ignored: the controller learns of its end with a later event.
+    Actions about a released request are ignored: the controller learns of the request's end from a later event.
     """
 
     def __init__(
@@ -49,7 +49,14 @@
         node: NodeActions,
         request: RequestActions,
     ) -> None:
-        """Hand actions about the node to `node`, and those about a request to `request`."""
+        """Register the handlers.
+
+        Args:
+            requests: the requests in flight.
+            responses: releases requests that an action has finished.
+            node: handles the actions about the node as a whole.
+            request: handles the actions about one request.
+        """
         self._requests, self._responses = requests, responses
         self._node_handlers: dict[type[Any], NodeHandler] = {
             SetTimer: node.set_timer,
@@ -71,14 +78,14 @@
         }
 
     def execute_all(self, actions: Iterable[Action]) -> None:
-        """Carry out actions in their order. One that raises is logged, and stops no other."""
+        """Carry out actions in order. An exception is logged and does not stop the actions that follow."""
         for action in actions:
             try:
                 self._execute(action)
             except Exception:
                 log.exception("controller action failed: action=%s", action)
 
-    def _execute(self, action: Any) -> None:  # noqa: ANN401  (the tables tell which types have an id)
+    def _execute(self, action: Any) -> None:  # noqa: ANN401  (the handler tables define which types have an id)
         request_handler = self._request_handlers.get(type(action))
         if request_handler is None:
             self._node_handlers[type(action)](action)
--- a/marlstep/core/drain.py
+++ b/marlstep/core/drain.py
@@ -1,4 +1,4 @@
-"""How the core leaves: graceful shutdown alone, or after a hot restart beside a successor that serves."""
+"""Shutdown of the core: a drain without a successor, or a hand-over to a successor in a hot restart."""
 
 from __future__ import annotations
 
@@ -17,26 +17,32 @@
 
 log = logging.getLogger(__name__)
 
-# Before the process is stopped, all open requests get their response. Second of three margins, each a line of defence
-# for the one before: the controller responds first (`admission.deadlines.drain_response_deadline`), then the core, then
-# the process ends by itself (`marlstep.drain.EXIT_MARGIN`).
+# How long before the process stops the core responds to all open requests. This is the second of three margins, each a
+# fallback for the one before: first the controller responds (`admission.deadlines.drain_response_deadline`), then the
+# core, and then the process exits by itself (`marlstep.drain.EXIT_MARGIN`).
 STOP_MARGIN = 150 * MILLISECOND
 
 
 def grace_end(run_until: datetime, stops_at: datetime) -> datetime:
-    """Return when frontends stop accepting: after the drain's grace, or earlier where the process stops before it."""
+    """Return when frontends stop accepting: at the end of the grace, but `STOP_MARGIN` before the stop at the latest.
+
+    Args:
+        run_until: the end of the drain's grace.
+        stops_at: when the process is stopped.
+    """
     return min(run_until, stops_at - STOP_MARGIN)
 
 
 class GracefulShutdown:
-    """Owns when the process stops, and until when arrivals are run.
+    """Decides when the process stops, and until when arriving requests are run.
 
-    A drain runs what arrives within a grace, rejects what arrives later, and gives every open request a response
-    before the process is stopped. Beside a successor, everything that still arrives here is run as ever.
+    A drain runs requests that arrive within a grace period, rejects those that arrive later, and responds to every
+    open request before the process is stopped. In a hand-over to a successor, all requests that still arrive at this
+    process are run normally.
 
     Attributes:
-        stops_at: when the process is stopped; None while it stays.
-        on_accepting_stopped: called when frontends have stopped accepting, after the grace or for a successor.
+        stops_at: when the process is stopped; None while no shutdown has begun.
+        on_accepting_stopped: called when frontends have stopped accepting, at the end of the grace or of a hand-over.
     """
 
     def __init__(
@@ -48,42 +54,41 @@
         events: EventQueue,
         frontends: list[Frontend],
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share."""
         self._timeline, self._serving_state = timeline, serving_state
         self._requests, self._responses = requests, responses
         self._events, self._frontends = events, frontends
         self.stops_at: datetime | None = None
         self.on_accepting_stopped: Callable[[], None] = lambda: None
-        self._run_until: datetime | None = (
-            None  # what arrives later is not run; None while no drain has begun
-        )
+        # End of the drain's grace: requests that arrive later are not run. None while no drain has begun.
+        self._run_until: datetime | None = None
 
     @property
     def is_draining(self) -> bool:
-        """Whether a drain has begun: a shutdown without a successor."""
+        """Whether a drain (a shutdown without a successor) has begun."""
         return self._run_until is not None
 
     @property
     def in_grace(self) -> bool:
-        """Whether a drain has begun and arrivals are still run."""
+        """Whether a drain has begun and arriving requests are still run."""
         return self._run_until is not None and self._timeline.now() < self._run_until
 
     def is_too_late(self, arrived_at: datetime) -> bool:
-        """Decide whether a request that arrived then must not run: it came after the grace of a drain.
+        """Decide whether a request must not run because it arrived after the grace of a drain.
 
-        The controller has decided by the same rule before (`admission.deadlines.last_runnable_arrival`); this is the
-        second line of defence, which `run_rules.decide_run` applies to each start. The arrival counts as stated, so
-        that a client's clock that runs ahead may bring a request here that the controller took for one of the grace.
+        The controller has already applied the same rule (`admission.deadlines.last_runnable_arrival`). This is the
+        second line of defence, which `run_rules.decide_run` applies to each start. It uses the stated arrival time,
+        so with a client clock that runs ahead it may forbid a request that the controller counted within the grace.
         """
         return self._run_until is not None and arrived_at > self._run_until
 
     def drain(self, stops_at: datetime, noticed_at: datetime, grace: timedelta) -> None:
-        """Begin graceful shutdown; does nothing where it has begun before.
+        """Begin a drain. Does nothing if a drain has already begun.
 
         Args:
             stops_at: when the process is stopped.
-            noticed_at: when the notice to leave came; the grace counts from then, however late this is called.
-            grace: for which arrivals are still run.
+            noticed_at: when the shutdown notice arrived; the grace counts from then, however late this is called.
+            grace: how long arriving requests are still run.
         """
         if not self._serving_state.begin_drain():
             return
@@ -96,16 +101,18 @@
         )
 
     def begin_hand_over(self, stops_at: datetime) -> None:
-        """Leave to a successor that serves; does nothing where the process leaves already."""
+        """Hand over to a successor that serves. Does nothing if a shutdown has already begun."""
         if self.stops_at is None:
             self._serving_state.begin_hand_over()
             self._stop_at(stops_at)
             self._events.post(Drain(instant_us(stops_at), has_successor=True))
-            # What has come to a socket of this process alone is read first: nobody else will read it.
+            # Data that has reached a socket owned only by this process is read first: no other process will read it.
             self._timeline.after_reading(self._stop_accepting_after_hand_over)
 
     def _stop_accepting_after_hand_over(self) -> None:
-        if not self.is_draining:  # else the successor was lost meanwhile, and the drain's own grace counts
+        if (
+            not self.is_draining
+        ):  # if the successor was lost meanwhile, the drain stops accepting after its grace
             self._stop_accepting()
 
     def _stop_at(self, stops_at: datetime) -> None:
@@ -121,6 +128,6 @@
         self.on_accepting_stopped()
 
     def _respond_to_all(self) -> None:
-        """Respond to what is open. The controller has done so well before; this stands behind it."""
+        """Respond to all open requests. This is a fallback: the controller normally has responded earlier."""
         for request in self._requests:
             self._responses.respond_without_outcome(request)
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -1,14 +1,15 @@
 """`Core` composes the request lifecycle from its parts, around the admission controller.
 
-A request goes from its frontend through the intake to the controller's queue; the controller's actions start, pause,
-call and reject; backends report what became of that; and exactly one response leaves. Each part owns its own state:
+A request passes from its frontend through the intake to the controller's queue. The controller's actions run, preempt
+or reject it and make its downstream calls, backends report the results, and exactly one response is sent. Each part
+owns its own state:
 
-- `intake` accepts or rejects, `request_registry` holds what is in flight,
-- `event_queue` brings events to the controller; `dispatcher` hands its actions to `request_actions` and
+- `intake` accepts or rejects requests, and `request_registry` holds those in flight,
+- `event_queue` delivers events to the controller, and `dispatcher` passes its actions to `request_actions` and
   `node_actions`,
-- `run_events` takes the reports of backends, `responses` sends responses and ends requests,
-- `idempotency`, `repeats` and `sibling_claims` know which work has been accepted before,
-- `served_settings`, `drain`, `gauge_timers` and `counters` own what their names say.
+- `run_events` handles the reports of backends, and `responses` sends responses and ends requests,
+- `idempotency`, `repeats` and `sibling_claims` track which work has been accepted before,
+- `served_settings`, `drain`, `gauge_timers` and `counters` own the state that their names say.
 
 To follow a request, start at `Core.submit`, then read `Core._run_controller`, which passes the pending events to the
 controller, then `ActionDispatcher`, which carries out the resulting actions. The rest of `Core` delegates to the parts:
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True)
 class Ports:
-    """What the core asks for gauges and for downstream calls."""
+    """The ports through which the core reads gauges and makes downstream calls."""
 
     gauges: GaugeSource
     call_client: CallClient
@@ -76,9 +77,10 @@
     """The request lifecycle of one process, on one clock. It is the `EventSink` of backends and call clients.
 
     Attributes:
-        serving_state: whether the process starts, serves or leaves.
-        idempotency_keys: the work that this process and its siblings have accepted.
-        on_backend_ready: called when the backend is up; marks the process ready unless something else decides that.
+        serving_state: whether the process is starting, serving or shutting down.
+        idempotency_keys: the keyed work that this process and its siblings have accepted.
+        on_backend_ready: called when the backend is up. By default it marks the process ready; replaced where
+            readiness depends on more than the backend.
     """
 
     def __init__(
@@ -89,14 +91,17 @@
         ports: Ports,
         max_requests: int = MAX_REQUESTS,
     ) -> None:
-        """Compose the parts; nothing happens before `start`.
+        """Compose the parts. The controller does not run before `start`.
 
         Args:
-            settings: the first ones in force.
-            seed: passed on to the controller, which ignores it.
-            timeline: the clock and the timers of everything here.
+            settings: the initial settings.
+            seed: passed to the controller, which ignores it.
+            timeline: the clock and the timers of all parts.
             ports: for gauges and downstream calls.
-            max_requests: in flight at once. Raises InvalidTableLimitError for a number that no table can have.
+            max_requests: the limit on requests in flight at once.
+
+        Raises:
+            InvalidTableLimitError: `max_requests` is out of range for a slot table.
         """
         self._timeline = timeline
         self._controller = Controller(settings, seed)
@@ -135,83 +140,83 @@
         self._dispatcher = ActionDispatcher(requests, self._responses, node_actions, request_actions)
 
     def start(self) -> None:
-        """Let the controller set its first timers."""
+        """Run the controller once without events, so that it sets its first timers."""
         self._run_controller([])
 
     def _run_controller(self, events: list[Event]) -> None:
         now_us = instant_us(self._timeline.now())
         self._dispatcher.execute_all(self._controller.decide(now_us, events))
 
-    # From frontends.
+    # Calls made by frontends.
 
     def add_frontend(self, frontend: Frontend) -> None:
-        """Tell this frontend about idle limits and the end of accepting from now on."""
+        """Register a frontend, which receives idle limits and is told when to stop accepting."""
         self._frontends.append(frontend)
 
     def submit(
         self, frontend: Frontend, response_handle: ResponseHandle, backend: Backend, inbound: InboundRequest
     ) -> int:
-        """Accept a request. From here on it is owed one response, which leaves in a later turn of the loop.
+        """Accept a request. An accepted request gets exactly one response, sent in a later turn of the event loop.
 
         Args:
-            frontend: which delivers the response.
-            response_handle: given back with the response.
-            backend: which runs the request.
-            inbound: the request as it was read.
+            frontend: delivers the response.
+            response_handle: passed to the frontend with the response.
+            backend: runs the request.
+            inbound: the request as the frontend read it.
 
         Returns:
             The handle by which the frontend reports that the client has disconnected.
 
         Raises:
-            RequestRejectedError: the request broke a rule of the intake. The core owes it no response: the frontend
-                responds itself.
+            RequestRejectedError: the request broke an intake rule. The core sends no response; the frontend must
+                respond itself.
         """
         return self._intake.submit(frontend, response_handle, backend, inbound)
 
     def client_disconnected(self, handle: int) -> None:
-        """Owe the client no response any more. A handle of a request that is over is ignored."""
+        """Settle a request without a response, as its client has disconnected. Ignored if it is settled already."""
         request = self._requests.get(handle)
         if request is not None and not request.is_settled:
             self._counters.count(request, DISCONNECTED_COUNT)
             self._events.post(ClientDisconnected(request.id))
             self._responses.settle(request)
 
-    # From backends and call clients: see `EventSink`.
+    # Reports from backends, call clients and gauge sources: see `EventSink`.
 
     def backend_ready(self) -> None:
-        """Hear that the backend is up."""
+        """Handle the report that the backend is up."""
         self.on_backend_ready()
 
     def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None:
-        """Hear that a run has ended or paused."""
+        """Handle the report that a run has ended or was preempted."""
         self._run_events.run_ended(id, outcome, elapsed, result)
 
     def call_needed(self, id: str, body: bytes) -> None:
-        """Hear that a run waits for a downstream call."""
+        """Handle the report that a run waits for a downstream call."""
         self._run_events.call_needed(id, body)
 
     def call_ended(self, id: str, outcome: Outcome, reply: bytes = b"") -> None:
-        """Hear that a downstream call has ended."""
+        """Handle the report that a downstream call has ended."""
         self._run_events.call_ended(id, outcome, reply)
 
     def pool_capacity(self, pool: str, capacity: int) -> None:
-        """Hear how many requests the servers of a pool run at once from now on."""
+        """Handle a change in how many requests the servers of a pool run at once."""
         self._events.post(PoolCapacityChanged(pool, capacity))
 
     def gauges(self, values: Mapping[str, float]) -> None:
-        """Take new readings of the gauges."""
+        """Handle new gauge readings."""
         self._gauge_timers.record(values)
 
     # Settings.
 
     @property
     def settings(self) -> Settings:
-        """The settings in force, without quotas that were changed at run time."""
+        """The settings in force, without quotas changed at run time."""
         return self._served.settings
 
     @property
     def classes(self) -> Mapping[str, ClassSettings]:
-        """The accepted classes by name, those included that were removed a short time ago."""
+        """The accepted classes by name, including recently removed classes."""
         return self._served.classes
 
     @property
@@ -225,19 +230,19 @@
         self._events.post(QuotaChanged(tenant, per_s))
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put other settings in force. Requests in flight keep the class that they came with."""
+        """Apply new settings. Requests in flight keep the class settings that were in force at their arrival."""
         now = self._timeline.now()
         change = self._served.change(settings, now)
         self._counters.set_tenants(self._served.tenants)
         for extension in change.window_extensions:
             self.idempotency_keys.extend(extension.request_class, extension.added, now, extension.deadline)
         if change.load_signal_changed:
-            self._signals.advertised_value = None  # callers would misread it
+            self._signals.advertised_value = None  # callers would read it as a value of the new load signal
         self._events.post(SettingsChanged(change.effective, change.retired))
 
     @property
     def accepts_work(self) -> Callable[[], bool] | None:
-        """Whether there is a configuration to accept work under; None where there always is one."""
+        """Callback that returns whether the node has a cluster configuration; None on nodes that need none."""
         return self._intake.accepts_work
 
     @accepts_work.setter
@@ -246,18 +251,22 @@
 
     @property
     def config_versions(self) -> str:
-        """The versions of the cluster's documents that this node acts on, as requests record them."""
+        """The versions of the cluster documents in force on this node, in the text form that requests record."""
         return self._intake.config_versions
 
     @config_versions.setter
     def config_versions(self, versions: str) -> None:
         self._intake.config_versions = versions
 
-    # Figures.
+    # Health, load signal and counters.
 
     @property
     def healthy(self) -> bool:
-        """Whether health checks succeed: the controller, the operator and the configuration all agree."""
+        """Whether protocol health checks succeed.
+
+        They do while the controller reports health, the process neither drains nor is quiesced, and the node has the
+        configuration that it needs.
+        """
         return (
             self._signals.is_healthy
             and self.serving_state.wants_traffic
@@ -266,43 +275,43 @@
 
     @property
     def advertised_value(self) -> float | None:
-        """The load signal that every response carries; None for none."""
+        """The load signal value that every response carries; None if none is advertised."""
         return self._signals.advertised_value
 
     @property
     def counts(self) -> Counter[str]:
-        """Counts of what happened to requests, by the names in `counters`."""
+        """Request counts over all tenants, by the names in `counters`."""
         return self._counters.totals
 
     @property
     def tenant_counts(self) -> Mapping[str, Counter[str]]:
-        """The same for each tenant in force."""
+        """Request counts for each tenant in force."""
         return self._counters.by_tenant
 
     @property
     def request_counts(self) -> tuple[int, int, int]:
-        """Requests accepted at intake so far, of them those rejected, and those failed or expired."""
+        """Numbers of requests accepted at intake, and of those: rejected, and failed or expired."""
         return self._counters.accepted_rejected_failed()
 
     def accepted_count(self, tenant: str) -> int:
-        """Return how many requests of a tenant were accepted at intake so far."""
+        """Return how many requests of a tenant have been accepted at intake. Raises KeyError for an unknown tenant."""
         return self.tenant_counts[tenant][ACCEPTED_COUNT]
 
     @property
     def unanswered(self) -> int:
-        """Accepted requests that are still owed a response."""
+        """Number of accepted requests that still await their response."""
         return self._responses.unanswered
 
     @property
     def in_flight(self) -> int:
-        """Accepted requests whose response or run is not over."""
+        """Number of accepted requests whose response is outstanding or whose run has not ended."""
         return len(self._requests)
 
-    # Other processes of this node.
+    # Sibling processes and hot restart.
 
     @property
     def siblings(self) -> SiblingProcesses | None:
-        """The other processes, which are asked about keyed work; None while there are none."""
+        """The sibling processes, at which keyed work is claimed; None while there are none."""
         return self._claims.siblings
 
     @siblings.setter
@@ -310,68 +319,68 @@
         self._claims.siblings = siblings
 
     def set_capacity_share(self, share: float, max_requests: int) -> None:
-        """Bound this process to its part of the node from now on.
+        """Limit this process to its share of the node's capacity.
 
         Args:
-            share: of the memory and concurrency that the controller may use, 0 to 1.
-            max_requests: in flight at once.
+            share: the share of the node's memory and concurrency that the controller may use, 0 to 1.
+            max_requests: the limit on requests in flight at once.
         """
         self._requests.set_capacity(max_requests)
         self._events.post(PortionChanged(share))
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        """Return the shares of the node that are in use here, and that all requests in flight may come to use."""
+        """Return the share of the node in use here, and the share that all requests in flight may need."""
         return self._controller.memory_and_concurrency_in_use()
 
     def measurements(self) -> dict[str, object]:
-        """Return what the controller has measured, for the controller of another process."""
+        """Return the controller's measurements, for the controller of a sibling process."""
         return self._controller.measurements().to_json()
 
     def adopt_measurements(self, measured: Mapping[str, object]) -> None:
-        """Start from what another process's controller has measured; implausible values are left out."""
+        """Initialize the controller from a sibling's measurements. Implausible values are ignored."""
         self._events.post(Measurements.from_mapping(measured))
 
     def adopt_remote_key(self, key: IdempotencyKey, remote: KeyRecord) -> None:
-        """Enter what another process says of a piece of work."""
+        """Record a sibling process's report on a piece of work."""
         self._repeats.adopt_remote(key, remote)
 
     def drop_remote_key(self, key: IdempotencyKey, request_id: str) -> None:
-        """Hear that another process's request never ran."""
+        """Drop the key of a sibling process's request, as that never ran."""
         self._repeats.drop_remote(key, request_id)
 
     def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
-        """Hear that nobody reports any more how the other processes' requests end.
+        """Mark the siblings' unfinished requests as ended with an unknown outcome, as no report will come.
 
-        Their work stays known: until the end of its key, or until `expires_at` where that has none.
+        Their keys stay recorded until their own expiry, or until `expires_at` if they have none.
         """
         self._repeats.mark_remote_outcomes_unknown(expires_at)
 
-    # Leaving. A process *shuts down* from SIGTERM on. It *drains* if it has no successor: after a grace it rejects what
-    # arrives. With a successor it finishes what it has, and does not drain unless the successor is lost.
+    # Shutdown. A process *shuts down* from SIGTERM on. Without a successor it *drains*: after a grace it rejects
+    # arriving requests. With a successor it finishes its requests, and drains only if the successor is lost.
 
     @property
     def stops_at(self) -> datetime | None:
-        """When the process is stopped; None while it stays."""
+        """When the process is stopped; None while no shutdown has begun."""
         return self._shutdown.stops_at
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether SIGTERM has come: the process drains, or leaves beside a successor that serves."""
+        """Whether SIGTERM was received: the process drains, or hands over to a successor that serves."""
         return self._shutdown.stops_at is not None
 
     @property
     def is_draining(self) -> bool:
-        """Whether the process shuts down without a successor: it rejects what arrives after the grace."""
+        """Whether the process shuts down without a successor, and so rejects requests that arrive after the grace."""
         return self._shutdown.is_draining
 
     @property
     def in_grace(self) -> bool:
-        """Whether a graceful shutdown has begun and arrivals are still run."""
+        """Whether a drain has begun and arriving requests are still run."""
         return self._shutdown.in_grace
 
     @property
     def on_accepting_stopped(self) -> Callable[[], None]:
-        """Called once frontends have stopped accepting: after the grace of a drain, or for a successor."""
+        """Callback for when frontends have stopped accepting, after the grace of a drain or in a hand-over."""
         return self._shutdown.on_accepting_stopped
 
     @on_accepting_stopped.setter
@@ -379,15 +388,15 @@
         self._shutdown.on_accepting_stopped = callback
 
     def drain(self, stops_at: datetime, noticed_at: datetime | None = None) -> None:
-        """Begin graceful shutdown: arrivals of the grace run, and all get their response before the stop.
+        """Begin a drain: requests that arrive within the grace run, and all requests get a response before the stop.
 
         Args:
             stops_at: when the process is stopped.
-            noticed_at: when the notice to leave came, if that was before now; the grace counts from then.
+            noticed_at: when the shutdown notice arrived; the grace counts from then. None means now.
         """
         grace = span(self.settings.drain_grace_us)
         self._shutdown.drain(stops_at, noticed_at or self._timeline.now(), grace)
 
     def begin_hand_over(self, stops_at: datetime) -> None:
-        """Leave to a successor that serves: what is here, and what still arrives here, is run as ever."""
+        """Hand over to a successor that serves. Requests in flight, and those that still arrive here, run normally."""
         self._shutdown.begin_hand_over(stops_at)
--- a/marlstep/core/errors.py
+++ b/marlstep/core/errors.py
@@ -1,6 +1,6 @@
-"""Why a request is rejected at intake: one base error with a typed reason and the request's fields beside the text.
+"""Errors for requests rejected at intake: a base error with a typed reason and the request's fields.
 
-The core owes such a request no response; its frontend responds by a policy of its own (`RespConnection._exec`,
+The core sends no response to such a request; its frontend responds by its own policy (`RespConnection._exec`,
 `UwsgiConnection._submit`).
 """
 
@@ -11,14 +11,14 @@
 from marlstep.core.interfaces import InboundRequest
 from marlstep.errors import MarlstepError
 
-MAX_QUOTED_NAME_CHARS = 64  # characters of a name that a client chose, in a message
+MAX_QUOTED_NAME_CHARS = 64  # names chosen by clients are cut to this length in error messages
 
 
 class RejectionReason(enum.Enum):
     """The intake rule that a request broke.
 
-    All but PROCESS_AT_CAPACITY are faults of the request. That one says that this process has as many requests in
-    flight as it may hold; frontends treat it like the others all the same.
+    All reasons but PROCESS_AT_CAPACITY are faults of the request. PROCESS_AT_CAPACITY means that this process already
+    holds its maximum number of requests in flight; frontends treat it like the other reasons.
     """
 
     UNKNOWN_CLASS = "unknown_class"
@@ -30,7 +30,7 @@
     PROCESS_AT_CAPACITY = "process_at_capacity"
 
 
-# The uwsgi frontend sends this text as the body of its error response: the wording belongs to the wire.
+# The uwsgi frontend sends these texts as the body of its error response, so the wording is part of the wire protocol.
 RESPONSE_TEXTS = {
     RejectionReason.UNKNOWN_CLASS: "unknown class {request_class!r}",
     RejectionReason.UNKNOWN_TENANT: "unknown tenant {tenant!r}",
@@ -45,19 +45,24 @@
 
 
 class RequestRejectedError(MarlstepError):
-    """A request was rejected before the core owed it a response; the frontend responds itself.
+    """A request was rejected at intake. The core sends no response; the frontend must respond itself.
 
-    This attempt was not run. Whether the work ran is known only from the subclass: see `RepeatedWorkError`.
+    This attempt was not run. The subclass `RepeatedWorkError` says that another request may have run the work.
 
     Attributes:
         reason: the rule that the request broke.
-        request_class: the class that it named.
-        tenant: the tenant that it named; empty for none.
-        request_id: its id.
+        request_class: the class named by the request.
+        tenant: the tenant named by the request; empty if it named none.
+        request_id: the id of the request.
     """
 
     def __init__(self, reason: RejectionReason, inbound: InboundRequest) -> None:
-        """Reject a request, with the text that frontends may send to its client."""
+        """Build the error; its message is a text that frontends may send to the client.
+
+        Args:
+            reason: the rule that the request broke.
+            inbound: the rejected request.
+        """
         self.reason = reason
         self.request_class, self.tenant = inbound.request_class, inbound.tenant or ""
         self.request_id = inbound.id
@@ -69,4 +74,7 @@
 
 
 class RepeatedWorkError(RequestRejectedError):
-    """The id or key of a request is in use by another, which may have run: it fails, and must not be retried."""
+    """The id or key of a request belongs to another request, which may have run.
+
+    Frontends respond with a failure, so that clients don't retry the request.
+    """
--- a/marlstep/core/event_queue.py
+++ b/marlstep/core/event_queue.py
@@ -1,4 +1,4 @@
-"""Events for the admission controller, gathered over one turn of the event loop."""
+"""A queue that batches the events for the admission controller by turn of the event loop."""
 
 from __future__ import annotations
 
@@ -9,20 +9,25 @@
 
 
 class EventQueue:
-    """Hands all events of one turn of the loop to the controller together, in their order.
+    """Delivers all events posted in one turn of the event loop to the controller together, in order.
 
-    The controller decides better on all arrivals of a turn at once than on the first alone, and its actions never
-    re-enter the code that posted an event.
+    Batching lets the controller compare all arrivals of a turn instead of deciding on the first alone, and ensures
+    that its actions never re-enter the code that posted an event.
     """
 
     def __init__(self, timeline: TimerQueue, deliver: Callable[[list[Event]], None]) -> None:
-        """Call `deliver` with the events of a turn in the turn after it."""
+        """Initialize an empty queue.
+
+        Args:
+            timeline: schedules the delivery.
+            deliver: called in the turn after the one in which the events were posted, with all of them.
+        """
         self._timeline, self._deliver = timeline, deliver
         self._events: list[Event] = []
         self._is_scheduled = False
 
     def post(self, event: Event) -> None:
-        """Add an event to those of this turn."""
+        """Add an event to the batch of this turn."""
         self._events.append(event)
         if not self._is_scheduled:
             self._is_scheduled = True
--- a/marlstep/core/gauge_timers.py
+++ b/marlstep/core/gauge_timers.py
@@ -1,4 +1,4 @@
-"""The controller's timers, each delivered with gauges that are fresh enough."""
+"""Timers of the controller. Each due timer is delivered with recent gauge readings."""
 
 from __future__ import annotations
 
@@ -10,35 +10,45 @@
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND
 
-GAUGES_MAX_AGE = 100 * MILLISECOND  # age up to which gauges serve a timer without being read again
-GAUGES_TIMEOUT = 20 * MILLISECOND  # wait of a due timer for new gauges; after it, the last ones serve
+GAUGES_MAX_AGE = 100 * MILLISECOND  # older readings are refreshed before a timer is delivered
+GAUGES_TIMEOUT = 20 * MILLISECOND  # how long a due timer waits for new readings before it uses the last ones
 
 
 def are_gauges_fresh(read_at: datetime | None, now: datetime) -> bool:
-    """Decide whether gauges that were read at `read_at` may serve a timer that is due now.
+    """Decide whether readings are recent enough for a timer that is due now.
 
-    They may up to `GAUGES_MAX_AGE`: reading them costs a round trip to their source. None means never read.
+    Readings are reused up to `GAUGES_MAX_AGE`, as reading the gauges costs a round trip to their source.
+
+    Args:
+        read_at: when the gauges were last read; None if they never were.
+        now: the current time.
     """
     return read_at is not None and now - read_at <= GAUGES_MAX_AGE
 
 
 class GaugeTimers:
-    """Sets the controller's timers, and reads gauges for those that are due. It owns the last readings."""
+    """Sets the controller's timers, requests gauge readings for due timers, and keeps the last readings."""
 
     def __init__(self, timeline: TimerQueue, source: GaugeSource, post: Callable[[Event], None]) -> None:
-        """Read gauges at `source`, and `post` a `TimerDue` for each timer."""
+        """Initialize with no timers and no readings.
+
+        Args:
+            timeline: the clock and the timers.
+            source: where gauge readings are requested.
+            post: called with a `TimerDue` for each due timer.
+        """
         self._timeline, self._source, self._post = timeline, source, post
         self._gauges: Mapping[str, float] = {}
         self._read_at: datetime | None = None
-        self._due_tags: list[int] = []  # of timers that wait for gauges
+        self._due_tags: list[int] = []  # tags of due timers that wait for gauge readings
         self._timeout: Timer | None = None
 
     def set_timer(self, after: timedelta, tag: int) -> None:
-        """Post `TimerDue` with this tag after so long."""
+        """Post a `TimerDue` with this tag once `after` has passed."""
         self._timeline.at(self._timeline.now() + after, lambda: self._on_due(tag))
 
     def record(self, gauges: Mapping[str, float]) -> None:
-        """Take new readings; the timers that wait for them are posted now."""
+        """Store new readings, and post the timers that wait for them."""
         self._gauges, self._read_at = gauges, self._timeline.now()
         if self._due_tags:
             self._post_due_timers()
--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -1,14 +1,14 @@
-"""Idempotency keys known to this node: repeats of keyed work, and effects that must not happen twice.
+"""Idempotency keys known to this node, which identify repeats of work whose effect must not happen twice.
 
-Entries are *dropped*: when the work never ran, when a request that keeps no key ends, or once they are past their
-time. Three rules hold for every entry.
+Entries are dropped when the work never ran, when a request whose key is not retained ends, or once they have expired.
+Three rules hold for every entry:
 
-- Whether a key is known is asked for the moment at which a request arrived, not for that at which it is read. An
-  entry is therefore kept beyond its window for as long as a request may lie unread and still be run.
-- One key names one body. Where the wire promises that all attempts of a piece of work carry the same body, frontends
-  give its digest, and a request whose digest differs is no attempt of that work.
-- While two processes form one node, an entry may stand for a request of the other process (`is_remote`). What is
-  known here of an own request counts for more than what the other process says.
+- A key is looked up as of the time at which a request arrived, not the time at which it is read. An entry is therefore
+  kept beyond its window for as long as a request may wait unread and still be run.
+- A key names one body. Where the wire protocol promises that all attempts of a piece of work carry the same body,
+  frontends pass its digest, and a request with a different digest is not an attempt of that work.
+- While two processes form one node, an entry may stand for a request of the sibling process (`is_remote`). The entry
+  of a local request takes precedence over a report from the sibling.
 """
 
 from __future__ import annotations
@@ -23,48 +23,49 @@
 from marlstep.units import ZERO
 
 DIGEST_BYTES = 16
-DIGEST_MARK = "~"  # between a request's id and the digest in a label
+DIGEST_MARK = "~"  # separates the request id from the body digest in a label
 
 
 class IdempotencyKey(NamedTuple):
-    """What names a piece of work: attempts with the same key are attempts of the same work."""
+    """Identifies a piece of work: requests with the same key are attempts of the same work."""
 
     request_class: str
-    name: str  # given by the client
+    name: str  # chosen by the client
 
 
 def body_digest(body: bytes) -> str:
-    """Return the digest by which bodies of the same work are compared, in hexadecimal digits."""
+    """Return the hexadecimal digest by which request bodies are compared."""
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def encode_label(request_id: str, digest: str) -> str:
-    """Return the label under which the node's other processes know a request.
+    """Return the label that identifies a request in messages between sibling processes.
 
-    It takes the place of an id in their messages, so that versions which know no digests still match it.
+    The label stands in the id field of the messages, so that versions that don't know digests still match it.
     """
     return f"{request_id}{DIGEST_MARK}{digest}" if digest else request_id
 
 
 def decode_label(label: str) -> tuple[str, str]:
-    """Split a label into the request's id and its body digest; the digest is empty where it has none."""
+    """Split a label into the request id and the body digest. The digest is empty if the label has none."""
     request_id, mark, digest = label.rpartition(DIGEST_MARK)
     return (request_id, digest) if mark and len(digest) == 2 * DIGEST_BYTES else (label, "")
 
 
 @dataclass(slots=True)
 class KeyRecord:
-    """What is known of one piece of work.
+    """The record of one piece of work.
 
     Attributes:
-        request_id: the request that stands for the work.
-        expires_at: a request that arrives then or later is new work; None as long as that request is in flight.
-        result: what repeats share; None where there is nothing to share.
-        finished: whether that request has ended.
-        is_remote: whether it is a request of another process of the node.
-        digest: of the body; empty where it is not known.
-        droppable_at: when the entry may be dropped. It is later than `expires_at`, as requests that arrived before
-            that may still be unread.
+        request_id: the id of the original request of the work.
+        expires_at: the end of the idempotency window; a request that arrives then or later is new work. None until
+            the key is retained for a window.
+        result: the result that repeats share; None if there is none.
+        finished: whether the original request has ended.
+        is_remote: whether the original request belongs to a sibling process.
+        digest: the digest of the body; empty if unknown.
+        droppable_at: when the entry may be dropped: later than `expires_at`, as requests that arrived before the end
+            of the window may still be unread.
     """
 
     request_id: str
@@ -76,13 +77,17 @@
     droppable_at: datetime | None = None
 
     def matches_body(self, digest: str) -> bool:
-        """Check whether a request with this body digest may be an attempt of the same work."""
+        """Return whether a request with this body digest may be an attempt of the same work.
+
+        It may if the digests are equal or one of them is unknown.
+        """
         return not (self.digest and digest) or self.digest == digest
 
     def covers(self, arrived_at: datetime) -> bool:
-        """Decide whether a request that arrived then repeats this work: the expiry rule.
+        """Return whether a request that arrived at `arrived_at` is a repeat of this work.
 
-        It does until the window ends, however late it is read. An entry without an end covers every arrival.
+        It is if it arrived before the end of the window, however late it is read. An entry without an expiry covers
+        every arrival time.
         """
         return self.expires_at is None or arrived_at < self.expires_at
 
@@ -91,51 +96,58 @@
 
         Args:
             expires_at: the end of the window.
-            max_unread_time: for how long a request that arrived before the end may lie unread and still be run.
+            max_unread_time: how long a request that arrived before the end may wait unread and still be run.
         """
         self.expires_at, self.droppable_at = expires_at, expires_at + max_unread_time
         return self.droppable_at
 
 
-KeyChangeCallback = Callable[
-    [IdempotencyKey, KeyRecord, bool], None
-]  # the last: whether the entry was dropped
+# The last argument says whether the entry was dropped.
+KeyChangeCallback = Callable[[IdempotencyKey, KeyRecord, bool], None]
 
 
 def _ignore_change(_key: IdempotencyKey, _record: KeyRecord, _dropped: bool) -> None:
-    """Stand in for an observer where no other process shares the node."""
+    """Ignore the change: the default callback while no sibling process shares the node."""
 
 
 class KeyTable:
-    """One entry for each piece of work. Entries past their time are dropped as others are added.
+    """Idempotency keys and their records, one for each piece of work.
+
+    Entries that may be dropped are removed whenever the expiry of an entry is set.
 
     Attributes:
-        on_changed: called with each change of an entry that stands for an own request.
+        on_changed: called after each change of an entry that stands for a request of this process.
     """
 
     def __init__(self) -> None:
-        """Make an empty table, whose changes nobody observes."""
+        """Initialize an empty table whose changes are not observed."""
         self._records: dict[IdempotencyKey, KeyRecord] = {}
-        self._expiries: list[tuple[datetime, IdempotencyKey]] = []  # heap: when entries may be dropped
+        self._expiries: list[tuple[datetime, IdempotencyKey]] = []  # heap of (time to drop the entry, key)
         self.on_changed: KeyChangeCallback = _ignore_change
 
     def __len__(self) -> int:
-        """Count the entries, those past their time included."""
+        """Return the number of entries, including expired ones."""
         return len(self._records)
 
     def __iter__(self) -> Iterator[tuple[IdempotencyKey, KeyRecord]]:
-        """Iterate over the entries as they are now; some may be dropped meanwhile."""
+        """Iterate over a copy of the entries, so that entries may be dropped during the iteration."""
         return iter([*self._records.items()])
 
     def find(self, key: IdempotencyKey, arrived_at: datetime) -> KeyRecord | None:
-        """Return the work that a request with this key, which arrived then, repeats; None for new work."""
+        """Return the record of the work that a request repeats, or None for new work.
+
+        Args:
+            key: the key of the request.
+            arrived_at: when the request arrived.
+        """
         record = self._records.get(key)
         return record if record is not None and record.covers(arrived_at) else None
 
     def record(self, key: IdempotencyKey, request_id: str, arrived_at: datetime, digest: str = "") -> None:
-        """Enter a request that is in flight, unless it repeats known work.
+        """Record the key of a request that is now in flight, unless the request repeats known work.
 
-        The entry lasts as long as the request, so that two attempts that arrive together know of each other.
+        Unless it is retained, the entry lasts as long as the request. It lets the second of two simultaneous attempts
+        be recognised as a repeat.
         """
         if self.find(key, arrived_at) is None:
             self._records[key] = KeyRecord(request_id, digest=digest)
@@ -150,15 +162,15 @@
         max_unread_time: timedelta,
         digest: str = "",
     ) -> None:
-        """Keep an own request's key until the end of a window, also after the request has ended.
+        """Keep the key of a request of this process until the end of a window, even after the request has ended.
 
         Args:
-            key: the work.
-            request_id: the request that stands for it from now on.
+            key: the key of the work.
+            request_id: the id of the request, which becomes the original request of the work.
             expires_at: the end of the window.
-            now: entries that may be dropped by now are dropped.
-            max_unread_time: for how long a request that arrived before the end may lie unread and still be run.
-            digest: of the body; empty where it is not known.
+            now: the current time; entries whose time to drop has come are removed.
+            max_unread_time: how long a request that arrived before the end may wait unread and still be run.
+            digest: the digest of the body; empty if unknown.
         """
         record = self._records.setdefault(key, KeyRecord(request_id))
         record.request_id, record.is_remote, record.finished, record.digest = request_id, False, False, digest
@@ -168,10 +180,16 @@
     def extend(
         self, request_class: str, added_window: timedelta, now: datetime, max_unread_time: timedelta
     ) -> None:
-        """Lengthen the windows of a class, for work that ran under the shorter one as well.
+        """Extend the windows of a class, including those of work that ran under the previous settings.
 
-        A client that reads the new settings counts on the longer window for all its requests. Entries without an
-        end are left as they are: their window begins later, under the new settings.
+        Clients that read the new settings rely on the longer window for all their requests. Entries without an expiry
+        are left unchanged: their window begins later, under the new settings.
+
+        Args:
+            request_class: the name of the class.
+            added_window: how much longer the window has become.
+            now: the current time; entries whose time to drop has come are removed.
+            max_unread_time: how long a request that arrived before the end may wait unread and still be run.
         """
         for key, record in self:
             if key[0] == request_class and record.expires_at is not None:
@@ -180,19 +198,25 @@
                     self.on_changed(key, record, False)
 
     def finish(self, key: IdempotencyKey, request_id: str, result: bytes | None) -> None:
-        """Note that an own request has ended, with a result that repeats may share or with None."""
+        """Record that a request of this process has ended.
+
+        Args:
+            key: the key of the work.
+            request_id: the id of the request; nothing changes if another request is the original one by now.
+            result: the result for repeats to share; None if there is none.
+        """
         record = self._records.get(key)
         if record is not None and record.request_id == request_id and not record.is_remote:
             record.result, record.finished = result, True
             self.on_changed(key, record, False)
 
     def drop(self, key: IdempotencyKey, request_id: str, *, even_if_retained: bool) -> None:
-        """Drop the entry of an own request, so that the key names new work.
+        """Drop the entry of a request of this process, so that the next request with the key is new work.
 
         Args:
-            key: the work.
-            request_id: nothing is dropped where another request stands for the work by now.
-            even_if_retained: drop it inside its window as well; right only for work that never ran.
+            key: the key of the work.
+            request_id: the id of the request; nothing is dropped if another request is the original one by now.
+            even_if_retained: whether to drop the entry within its window too. Only correct for work that never ran.
         """
         record = self._records.get(key)
         if record is None or record.request_id != request_id or record.is_remote:
@@ -201,15 +225,21 @@
             del self._records[key]
             self.on_changed(key, record, True)
 
-    # Entries of the node's other processes.
+    # Entries for requests of sibling processes.
 
     def adopt(
         self, key: IdempotencyKey, remote: KeyRecord, now: datetime, max_unread_time: timedelta
     ) -> None:
-        """Enter what another process says of a piece of work.
+        """Record a sibling process's report on a piece of work.
+
+        An entry of a request of this process takes precedence while its window lasts. Once that has expired, `find`
+        treats the key as new work, so the report replaces the entry. An entry from an earlier report is replaced too.
 
-        An entry for an own request stays as it is while its window lasts; past that `find` has new work in its place,
-        and so has this. One that another process gave earlier is replaced.
+        Args:
+            key: the key of the work.
+            remote: the reported record; it is marked as remote.
+            now: the current time; entries whose time to drop has come are removed.
+            max_unread_time: how long a request that arrived before the expiry may wait unread and still be run.
         """
         record = self._records.get(key)
         is_local_in_force = record is not None and not record.is_remote and record.covers(now)
@@ -221,7 +251,7 @@
             self._set_expiry(key, remote, remote.expires_at, now, max_unread_time)
 
     def drop_remote(self, key: IdempotencyKey, request_id: str) -> bool:
-        """Drop the entry of another process's request that never ran. Returns False where there is none."""
+        """Drop the entry of a sibling's request that never ran. Returns False if there is no such entry."""
         record = self._records.get(key)
         if record is None or not record.is_remote or record.request_id != request_id:
             return False
@@ -229,10 +259,16 @@
         return True
 
     def mark_remote_outcomes_unknown(self, expires_at: datetime, now: datetime) -> list[IdempotencyKey]:
-        """End the entries of other processes' requests whose outcome nobody will report any more.
+        """Mark the unfinished requests of sibling processes as finished, as no outcome will be reported.
+
+        They may have run, so their entries are kept until their own expiry, or until `expires_at` if they have none.
+
+        Args:
+            expires_at: the expiry of entries that have none.
+            now: the current time; entries whose time to drop has come are removed.
 
-        They may have run, so they stay known: until their own end, or until `expires_at` where they have none.
-        Returns the keys of those that had not ended.
+        Returns:
+            The keys of the entries that were unfinished.
         """
         unfinished = [
             key for key, record in self._records.items() if record.is_remote and not record.finished
@@ -252,12 +288,12 @@
         now: datetime,
         max_unread_time: timedelta,
     ) -> None:
-        """Set the end of an entry, and drop those that may be dropped by now."""
+        """Set the expiry of an entry, and remove all entries whose time to drop has come."""
         heapq.heappush(self._expiries, (record.set_expiry(expires_at, max_unread_time), key))
         while self._expiries and self._expiries[0][0] <= now:
             droppable_at, due_key = heapq.heappop(self._expiries)
             due_record = self._records.get(due_key)
-            # An entry that was given a later end has a later row in the heap.
+            # If the expiry was extended, a later heap item drops the entry.
             if (
                 due_record is not None
                 and due_record.droppable_at is not None
--- a/marlstep/core/intake.py
+++ b/marlstep/core/intake.py
@@ -1,4 +1,4 @@
-"""The intake of the core: the way of a request from its frontend to the controller, which has an intake of its own."""
+"""The intake of the core, which checks new requests. The controller later makes its own admission decision."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 
 
 class RequestIntake:
-    """Accepts requests into the core or rejects them; whether the controller queues them is another decision.
+    """Accepts or rejects requests from frontends. The controller then decides separately whether to queue them.
 
     Attributes:
-        accepts_work: whether there is a configuration to accept work under; None where there always is one.
-        config_versions: of the documents that this node acts on, as requests record them.
+        accepts_work: returns whether the node has a cluster configuration; None on nodes that need none.
+        config_versions: the versions of the cluster documents in force on this node, in the text form that requests
+            record.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
         arrivals: ControllerArrivals,
         claims: SiblingClaims,
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share."""
         self._timeline, self._served, self._requests, self._keys = timeline, served, requests, keys
         self._counters, self._responses = counters, responses
         self._arrivals, self._claims = arrivals, claims
@@ -46,7 +47,7 @@
     def submit(
         self, frontend: Frontend, response_handle: ResponseHandle, backend: Backend, inbound: InboundRequest
     ) -> int:
-        """Accept a request, as `Core.submit` says."""
+        """Accept a request; see `Core.submit`."""
         now = self._timeline.now()
         class_settings = check_served(inbound, self._served, now)
         check_id_free(inbound, inbound.id in self._requests)
@@ -70,7 +71,7 @@
         self._responses.track_response(request)
         self._counters.count(request, ACCEPTED_COUNT)
         if self.accepts_work is not None and not self.accepts_work():
-            # In a turn of its own: the frontend doesn't have the handle yet.
+            # Reject in a later turn of the event loop, as the frontend doesn't have the handle yet.
             self._timeline.soon(lambda: self._reject_without_config(request))
             return request.handle
         is_new_work = key is not None and prior is None
@@ -79,7 +80,7 @@
         return request.handle
 
     def _reject_without_config(self, request: Request) -> None:
-        """Reject a request that there is no configuration for; the controller never hears of it."""
+        """Reject a request because the node has no configuration. The controller never sees this request."""
         if not request.is_settled:
             self._counters.count(request, NO_CONFIG_COUNT)
             self._responses.reject(request)
--- a/marlstep/core/intake_checks.py
+++ b/marlstep/core/intake_checks.py
@@ -1,6 +1,6 @@
-"""The rules that a request must meet at intake. They are pure, and raise typed errors.
+"""The rules that a request must meet at intake, as pure functions that raise typed errors.
 
-A request that breaks one is rejected by its frontend at once: nothing ran, and the core never owes it a response.
+The frontend rejects a request that breaks a rule at once: this attempt has not run, and the core sends no response.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 def check_served(inbound: InboundRequest, served: ServedSettings, now: datetime) -> ClassSettings:
     """Return the settings of the request's class if the node serves its class and its tenant.
 
-    Keyed work must name its idempotency key as well: without one, nothing could tell a repeat of it.
+    Keyed work must carry an idempotency key, as its repeats can't be recognised otherwise.
 
     Raises:
-        RequestRejectedError: the class or the tenant is unknown, or the key is missing.
+        RequestRejectedError: the class or the tenant is unknown, or the key of keyed work is missing.
     """
     class_settings = served.accepted_class(inbound.request_class, now)
     if class_settings is None:
@@ -33,26 +33,35 @@
 
 
 def check_id_free(inbound: InboundRequest, in_flight: bool) -> None:
-    """Check that no request with this id is in flight: the id is how backends name it. Raises RepeatedWorkError."""
+    """Check that no request with this id is in flight, as backends identify requests by id.
+
+    Raises:
+        RepeatedWorkError: the id is in flight.
+    """
     if in_flight:
         raise RepeatedWorkError(RejectionReason.ID_IN_FLIGHT, inbound)
 
 
 def key_of(inbound: InboundRequest, class_settings: ClassSettings) -> IdempotencyKey | None:
-    """Return the key of the work; None for idempotent work, which may run again, and where the client names none."""
+    """Return the idempotency key of the work; None if the client gave none, or for idempotent work, which may rerun."""
     if not inbound.idempotency_key or class_settings.effect is Effect.IDEMPOTENT:
         return None
     return IdempotencyKey(inbound.request_class, inbound.idempotency_key)
 
 
 def check_repeat(inbound: InboundRequest, class_settings: ClassSettings, prior: KeyRecord | None) -> None:
-    """Check that a request may repeat the work that its key names. `prior` is None for new work.
+    """Check that a request may repeat the work that its key identifies.
+
+    At-most-once work must not be repeated, as the first attempt ran or may have run. A repeat of keyed work must carry
+    the same body, or it would get the result of other work.
 
-    Work that runs at most once has no repeats: the first attempt ran or may have. A repeat of keyed work must carry
-    the same body, else it would get the result of other work.
+    Args:
+        inbound: the request.
+        class_settings: the settings of its class.
+        prior: the record of the work that the request repeats; None for new work.
 
     Raises:
-        RepeatedWorkError: it may not.
+        RepeatedWorkError: the request repeats at-most-once work, or its body differs.
     """
     if prior is None:
         return
--- a/marlstep/core/interfaces.py
+++ b/marlstep/core/interfaces.py
@@ -1,7 +1,7 @@
-"""What the core deals in, requests and responses, and the ports through which it meets the world.
+"""Requests and responses, and the protocols that connect the core with its surroundings.
 
-Frontends bring requests and deliver responses, backends do the work, a call client makes downstream calls, and a
-gauge source reads the machine. Each is a protocol here; none of them imports the core's own modules.
+Frontends submit requests and deliver responses, backends run them, a call client makes downstream calls, and a gauge
+source reads machine metrics. Each is a protocol here, so that implementations don't depend on the core's internals.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from marlstep.timer_queue import Timer
 from marlstep.units import ZERO
 
-ResponseHandle = tuple[int, int]  # a frontend's own way to find where a response goes
+ResponseHandle = tuple[int, int]  # chosen by a frontend, which finds the destination of a response by it
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,19 +28,20 @@
     Attributes:
         id: unique among the requests in flight.
         request_class: the name of its class.
-        body: passed on to the backend unchanged.
-        arrived_at: when its first byte came, as far as the frontend knows. It may come from the client's clock and
-            lie after now; see `effective_arrival_time`.
-        memory_kb: that it takes while it is queued.
-        caller: the number of the calling server; 0 where callers have none.
-        is_retry: whether the client marks it as a retry.
-        cost_hint: the client's estimate of its run time.
-        rank: by which the load signal `LEVEL` compares requests.
-        tenant: the name of its tenant; None where it names none.
-        entity: the subject of the request, for classes whose responses may be shared by subject.
-        pool: of the servers that do the work; empty where this node's cores do.
-        idempotency_key: the name of the work of which this is one attempt, where the client gives one.
-        digest: of the body, where the wire promises that all attempts of the work carry the same; else empty.
+        body: passed to the backend unchanged.
+        arrived_at: when its first byte arrived, as far as the frontend knows. It may be taken from the client's clock
+            and be later than now; see `effective_arrival_time`.
+        memory_kb: the memory that it takes while it is queued.
+        caller: the number of the caller; 0 if callers are not numbered.
+        is_retry: whether the client marked it as a retry.
+        cost_hint: the client's estimate of its run time; None without one.
+        rank: the value by which the load signal `LEVEL` compares requests.
+        tenant: the name of its tenant; None if it names none.
+        entity: the subject of the request, for classes whose responses may be shared by subject; None without one.
+        pool: the name of the upstream pool that runs it; empty if it runs on this node's own cores.
+        idempotency_key: the name of the work of which this request is one attempt; None if the client gave none.
+        digest: the digest of the body if the wire protocol promises that all attempts of the work carry the same body;
+            else empty.
     """
 
     id: str
@@ -60,43 +61,43 @@
 
 
 class ClaimResult(enum.Enum):
-    """What the node's other processes say when this one claims a piece of keyed work."""
+    """The reply of the sibling processes to this process's claim of keyed work."""
 
-    GRANTED = "granted"  # none of them has accepted it before
-    KNOWN = "known"  # not granted: one has, and reported it to `Core.adopt_remote_key`, or could not decide
-    UNSURE = "unsure"  # nobody can say any more whether it ran
+    GRANTED = "granted"  # no sibling has accepted the work before
+    KNOWN = "known"  # not granted: a sibling has reported the work to `Core.adopt_remote_key`, or could not decide
+    UNSURE = "unsure"  # no process can tell any more whether the work ran
 
 
 ClaimCallback = Callable[[ClaimResult], None]
 
 
 class SiblingProcesses(Protocol):
-    """The other processes of this node, while one version takes over from another."""
+    """The sibling processes of this node during a hot restart."""
 
     def claim(
         self, request_class: str, key: str, label: str, now: datetime, on_decided: ClaimCallback, /
     ) -> bool:
-        """Ask whether this process may run a piece of work.
+        """Ask the siblings whether this process may run a piece of work.
 
         Args:
             request_class: the class of the work.
-            key: the name of the work, which the client chose.
-            label: of the request, see `encode_label`.
+            key: the name of the work, chosen by the client.
+            label: the label of the request; see `encode_label`.
             now: the time of the claim.
-            on_decided: called once with the result, perhaps before this returns.
+            on_decided: called once with the result, possibly before this method returns.
 
         Returns:
-            False where nobody has to be asked; `on_decided` is not called then.
+            False if no sibling has to be asked; `on_decided` is not called then.
         """
 
 
 class ResponseStatus(enum.Enum):
-    """How a request ended for its client; the values are the names of the counters."""
+    """The final status of a request as its client sees it. The values are also counter names."""
 
     DONE = "done"
-    REJECTED = "refused"  # this attempt did not run: the client may send it elsewhere
-    FAILED = "failed"  # promises nothing about effects
-    EXPIRED = "expired"  # likewise, as its time ran out
+    REJECTED = "refused"  # this attempt did not run, so the client may send it to another node
+    FAILED = "failed"  # the request may or may not have had its effect
+    EXPIRED = "expired"  # the time for a response ran out; the request may or may not have had its effect
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,9 +106,9 @@
 
     Attributes:
         status: how the request ended.
-        body: the result of the run; empty for any other status than DONE.
-        retry_after: of a rejection: how long the client is asked to stay away; zero where it is not.
-        no_failover: of a rejection: whether the client is asked to try no other node.
+        body: the result of the run; empty unless the status is DONE.
+        retry_after: for a rejection, how long the client should wait before it retries; zero if no wait is requested.
+        no_failover: for a rejection, whether the client is asked not to try another node.
     """
 
     status: ResponseStatus
@@ -117,16 +118,17 @@
 
 
 class Stage(enum.Enum):
-    """Where a request stands, and what takes it to the next stage.
-
-    CLAIMING: a sibling's reply makes it QUEUED, or FINISHED by a response.
-    QUEUED: the controller runs it (RUNNING) or attaches it to another attempt (ATTACHED); a response ends it.
-    RUNNING: pauses (PAUSED, or QUEUED again where pausing drops the work), needs a call, or its run ends.
-    PAUSED: the controller resumes it (RUNNING); a response ends it.
-    AWAITING_CALL: the controller makes the call (CALLING) or skips it (RUNNING), or the run ends.
-    CALLING: a reply resumes the run (RUNNING); a failed call leaves it AWAITING_CALL, or the run ends.
-    ATTACHED: the attempt that it repeats ends, or a response does.
-    FINISHED: nothing runs any more; the request is released once its response has left.
+    """The stage of a request in its lifecycle, and the transitions out of each stage.
+
+    CLAIMING: a sibling's reply leads to QUEUED, or to FINISHED with a response.
+    QUEUED: the controller runs it (RUNNING) or attaches it to another attempt (ATTACHED); a response finishes it.
+    RUNNING: it is preempted (PAUSED, or QUEUED again if preemption drops its work), it needs a downstream call
+        (AWAITING_CALL), or its run ends (FINISHED).
+    PAUSED: the controller resumes it (RUNNING); a response finishes it.
+    AWAITING_CALL: the controller makes the call (CALLING) or skips it (RUNNING), or the run ends (FINISHED).
+    CALLING: a reply resumes the run (RUNNING), a failed call leads back to AWAITING_CALL, or the run ends (FINISHED).
+    ATTACHED: the end of the attempt that it repeats, or a response, finishes it.
+    FINISHED: nothing runs any more; the request is released once it is settled.
     """
 
     CLAIMING = "claiming"
@@ -140,85 +142,85 @@
 
 
 class Frontend(Protocol):
-    """Where requests come from and responses go."""
+    """Reads requests from clients and sends them their responses."""
 
     def deliver(self, response_handle: ResponseHandle, response: Response, /) -> None:
         """Send the final response to the request that was submitted with this handle."""
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Close connections that have been idle for longer, from now on."""
+        """From now on, close connections that have been idle for longer than `after`."""
 
     def stop_accepting(self) -> None:
-        """Accept no new connections or requests; what has been read still gets its response."""
+        """Stop accepting connections and requests. Requests that have been read still get their response."""
 
 
 class Backend(Protocol):
-    """What does the work. It reports to an `EventSink`."""
+    """Runs requests, and reports to an `EventSink`."""
 
     def start(self, request: Request) -> None:
-        """Run a request from its beginning. `EventSink.run_ended` follows."""
+        """Start the run of a request. The backend reports the end to `EventSink.run_ended`."""
 
     def preempt(self, request: Request) -> None:
-        """Preempt a run where the backend can. It then ends as cancelled; the settings say whether its work is kept.
+        """Preempt a run, if the backend supports it. A preempted run ends with `Outcome.CANCELLED`.
 
-        With `PreemptionMode.PAUSE` the run may be resumed, with `DROP` it begins again. A backend that can't preempt
-        lets the run go on.
+        With `PreemptionMode.PAUSE` the run can be resumed; with `PreemptionMode.DROP` its work is lost and it starts
+        over. A backend that can't preempt lets the run continue.
         """
 
     def resume(self, request: Request) -> None:
-        """Let a paused run go on."""
+        """Resume a paused run."""
 
     def supply(self, request: Request, reply: bytes) -> None:
-        """Let a run that waits for its call go on with the reply."""
+        """Continue a run that waits for its downstream call, with the reply."""
 
     def skip(self, request: Request) -> None:
-        """Let a run that waits for its call go on without a reply."""
+        """Continue a run that waits for its downstream call, without a reply."""
 
     def abandon(self, request: Request) -> None:
-        """Stop the run where the backend can, as nobody waits for its result; report its end either way."""
+        """Stop the run if the backend can, as its result is no longer needed. The end is reported in any case."""
 
 
 class CallClient(Protocol):
-    """What makes downstream calls. It reports to `EventSink.call_ended`."""
+    """Makes downstream calls, and reports to `EventSink.call_ended`."""
 
     def call(self, request: Request, until: datetime) -> None:
-        """Make the call in `request.call_body`, and give it up at `until`."""
+        """Make the call in `request.call_body`. The call times out at `until`."""
 
     def abandon_call(self, request: Request) -> None:
-        """Give up the request's call, and report nothing of it."""
+        """Abandon the request's call without reporting its end."""
 
 
 class GaugeSource(Protocol):
-    """What reads the gauges of processors, memory and connections."""
+    """Reads the gauges of processors, memory and connections."""
 
     def request_gauges(self) -> None:
-        """Read them; the readings come to `EventSink.gauges`."""
+        """Start reading the gauges. The readings are reported to `EventSink.gauges`."""
 
 
 @dataclass(slots=True)
 class Request:
-    """A request in flight: from `Core.submit` until its response has left and its run is over.
+    """A request in flight: from `Core.submit` until it is settled and its run has ended.
 
     Attributes:
-        inbound: as it was read.
-        class_settings: of its class at its arrival; later settings don't change them.
-        frontend: which delivers its response.
-        response_handle: the frontend's own name for where the response goes.
-        backend: which does the work.
-        deadline_at: when a response leaves whatever happens.
-        handle: in the request registry.
-        stage: where it stands.
-        may_have_run: a run has begun, or may have; it never turns false again.
-        known_to_have_run: the backend has reported something that only a run does.
-        preempt_requested: the backend was asked to preempt the run, and has not reported its end.
-        call_failed: the last call failed, and was not skipped.
-        is_settled: no response is owed any more: it has left, or the client has disconnected.
-        deadline_timer: that of `deadline_at`.
-        call_body: of the call that the run needs.
-        call_started_at: when its last call was made.
-        attached_request_ids: repeats that wait for the result of this one.
-        config_versions: of the cluster's documents in force at its arrival, as text for records.
-        idempotency_key: names its work; None for idempotent work, and where the client names none.
+        inbound: the request as the frontend read it.
+        class_settings: the settings of its class at its arrival; later changes of the settings don't affect them.
+        frontend: delivers its response.
+        response_handle: the frontend's handle for the destination of the response.
+        backend: runs it.
+        deadline_at: when a response is sent at the latest, in any stage.
+        handle: its handle in the request registry.
+        stage: its stage in the lifecycle.
+        may_have_run: whether a run has begun or may have begun; never reset to False.
+        known_to_have_run: whether the backend has reported something that proves that a run began.
+        preempt_requested: whether the backend was asked to preempt the run and has not reported its end yet.
+        call_failed: whether the last downstream call failed and was not skipped.
+        is_settled: whether no response is due any more: it was sent, or the client has disconnected.
+        deadline_timer: the timer that fires at `deadline_at`.
+        call_body: the body of the downstream call that the run needs.
+        call_started_at: when the last downstream call was started.
+        attached_request_ids: the ids of repeats that wait for the result of this request.
+        config_versions: the versions of the cluster documents in force at its arrival, as text for records.
+        idempotency_key: identifies its work; None for idempotent work, and if the client gave no key.
     """
 
     inbound: InboundRequest
@@ -243,18 +245,18 @@
 
     @property
     def id(self) -> str:
-        """The id under which it is in flight."""
+        """The id of the request, unique among those in flight."""
         return self.inbound.id
 
 
 class EventSink(Protocol):
-    """What backends, call clients and gauge sources report to; the core is one."""
+    """Receives the reports of backends, call clients and gauge sources. `Core` implements it."""
 
     def backend_ready(self) -> None:
         """Report that the backend is up."""
 
     def run_ended(self, id: str, outcome: Outcome, elapsed: timedelta, result: bytes = b"") -> None:
-        """Report the end of a run, or with `Outcome.CANCELLED` that it was preempted."""
+        """Report the end of a run. `Outcome.CANCELLED` also reports a preemption that was requested."""
 
     def call_needed(self, id: str, body: bytes) -> None:
         """Report that a run waits for a downstream call with this body."""
@@ -263,7 +265,7 @@
         """Report the end of a downstream call."""
 
     def gauges(self, values: Mapping[str, float]) -> None:
-        """Report new readings, by gauge."""
+        """Report new gauge readings, by gauge name."""
 
     def pool_capacity(self, pool: str, capacity: int, /) -> None:
-        """Report how many requests the servers of a pool run at once from now on."""
+        """Report a change in how many requests the servers of a pool run at once."""
