--- a/marlstep/core/node_actions.py
+++ b/marlstep/core/node_actions.py
@@ -1,4 +1,4 @@
-"""The controller's actions about the node as a whole, and what it last said of it."""
+"""The controller's actions about the node as a whole, and the signals that result from them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclass(slots=True)
 class ControllerSignals:
-    """What the controller last said about the node as a whole.
+    """The signals about the node as a whole that the controller set last.
 
     Attributes:
-        advertised_value: the load signal that every response carries; None for none.
-        is_healthy: what the controller would have health checks report.
+        advertised_value: the load signal value that every response carries; None if none is advertised.
+        is_healthy: whether the controller considers the node healthy.
     """
 
     advertised_value: float | None = None
@@ -28,14 +28,19 @@
 
 
 class NodeActions:
-    """Carries out the actions about the node, each by its own method.
+    """Carries out the actions about the node, with one method for each type of action.
 
     Attributes:
-        signals: what the actions so far leave in force.
+        signals: the signals in force after the actions so far.
     """
 
     def __init__(self, gauge_timers: GaugeTimers, frontends: Sequence[Frontend]) -> None:
-        """Set timers at `gauge_timers`; `frontends` may grow."""
+        """Initialize with healthy signals and no load signal.
+
+        Args:
+            gauge_timers: sets the controller's timers.
+            frontends: receive idle limits; frontends added to the list later are included.
+        """
         self._gauge_timers, self._frontends = gauge_timers, frontends
         self.signals = ControllerSignals()
 
@@ -44,18 +49,18 @@
         self._gauge_timers.set_timer(span(action.after_us), action.tag)
 
     def advertise(self, action: Advertise) -> None:
-        """Let responses carry another load signal."""
+        """Set the load signal value that responses carry."""
         self.signals.advertised_value = action.value
 
     def report_health(self, action: Health) -> None:
-        """Let health checks report another health."""
+        """Set the health that health checks report."""
         self.signals.is_healthy = action.good
 
     def limit_idle_time(self, action: IdleLimit) -> None:
-        """Let all frontends close connections that are idle for longer."""
+        """Pass an idle limit for connections to all frontends."""
         for frontend in self._frontends:
             frontend.limit_idle_time(span(action.after_us))
 
     def log_message(self, action: Log) -> None:
-        """Log a message of the controller."""
+        """Log a message from the controller."""
         log.info("controller message: text=%s", action.text)
--- a/marlstep/core/repeats.py
+++ b/marlstep/core/repeats.py
@@ -1,4 +1,4 @@
-"""Repeats of work that has an effect: kept keys, repeats that wait for a result, and keys of other processes."""
+"""Repeats of work that has an effect: retained keys, repeats that wait for a result, and keys of sibling processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class RepeatedWork:
-    """Keeps keys, and attaches repeats to what they repeat. It owns the repeats that wait for another process."""
+    """Retains idempotency keys, and attaches repeats to their original requests.
+
+    It also keeps the list of repeats that wait for the result of a sibling process.
+    """
 
     def __init__(
         self,
@@ -26,15 +29,16 @@
         responses: ResponseDelivery,
         served: ServedSettings,
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share."""
         self._timeline, self._requests, self._keys = timeline, requests, keys
         self._responses, self._served = responses, served
-        self._waiting_for_remote: dict[IdempotencyKey, list[str]] = {}  # ids of repeats, by their work
+        self._waiting_for_remote: dict[IdempotencyKey, list[str]] = {}  # ids of waiting repeats, by key
 
     def retain_key(self, request: Request, window: timedelta) -> None:
-        """Keep the request's key for a window from now on.
+        """Keep the request's key for a window that starts now.
 
-        The entry outlives the window by the class's deadline: a repeat that lies unread for longer never runs.
+        The entry outlives the window by the deadline of the class, as a repeat that waits unread for longer than that
+        never runs.
         """
         if request.idempotency_key:
             now = self._timeline.now()
@@ -49,17 +53,17 @@
             )
 
     def drop_key(self, request: Request) -> None:
-        """Drop the key of a request that never ran: the next request with it is new work."""
+        """Drop the key of a request that never ran, so that the next request with the key is new work."""
         if request.idempotency_key:
             self._keys.drop(request.idempotency_key, request.id, even_if_retained=True)
 
     def attach(self, repeat: Request) -> None:
-        """Give a repeat the result of the request that it repeats, now or when that ends.
+        """Give a repeat the result of its original request, either now or when that request ends.
 
-        It fails where no result is known and none will come: the work may have run.
+        The repeat fails if there is no result and none is expected, as the work may have run.
         """
-        # The controller attaches keyed work alone, and the intake accepts none without a key. Were there one, its empty
-        # name would find no record, and the repeat would fail as one without a known result.
+        # The controller attaches only keyed work, and the intake rejects keyed work without a key. The empty key name
+        # is a fallback that matches no record, so that such a repeat would fail.
         key = repeat.idempotency_key or IdempotencyKey(repeat.inbound.request_class, "")
         arrived_at = effective_arrival_time(self._timeline.now(), repeat.inbound.arrived_at)
         record = self._keys.find(key, arrived_at)
@@ -74,10 +78,10 @@
         else:
             self._responses.share_result(repeat, Outcome.ERROR, b"")
 
-    # Work of the node's other processes.
+    # Work of sibling processes.
 
     def adopt_remote(self, key: IdempotencyKey, remote: KeyRecord) -> None:
-        """Enter what another process says of a piece of work; an end is passed on to the repeats here."""
+        """Record a sibling's report on a piece of work. If the work has ended, end the repeats that wait for it."""
         class_settings = self._served.classes.get(key[0])
         max_unread_time = span(class_settings.deadline_us) if class_settings else ZERO
         self._keys.adopt(key, remote, self._timeline.now(), max_unread_time)
@@ -85,14 +89,15 @@
             self._end_waiting_repeats(key, remote.result)
 
     def drop_remote(self, key: IdempotencyKey, request_id: str) -> None:
-        """Drop the entry of another process's request that never ran; the repeats here fail."""
+        """Drop the entry of a sibling's request that never ran. The repeats that wait for it fail."""
         if self._keys.drop_remote(key, request_id):
             self._end_waiting_repeats(key, None)
 
     def mark_remote_outcomes_unknown(self, expires_at: datetime) -> None:
-        """End what the other processes had in flight, as nobody reports on it any more; the repeats here fail.
+        """Mark the siblings' unfinished requests as ended with an unknown outcome. The repeats that wait for them fail.
 
-        The keys stay known, as the work may have run: until their own end, or until `expires_at` if they have none.
+        The keys stay recorded, as the work may have run: until their own expiry, or until `expires_at` if they have
+        none.
         """
         for key in self._keys.mark_remote_outcomes_unknown(expires_at, self._timeline.now()):
             self._end_waiting_repeats(key, None)
--- a/marlstep/core/request_actions.py
+++ b/marlstep/core/request_actions.py
@@ -1,4 +1,4 @@
-"""The controller's actions about one request: the only place where runs and downstream calls are started."""
+"""The controller's actions about one request. Only this module starts runs and downstream calls."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 def max_retry_span(settings: ClassSettings) -> timedelta:
-    """Return how long after the start of a run the last repeat of at-most-once work may arrive.
+    """Return how long after the start of a run a repeat of at-most-once work may arrive.
 
-    The first attempt may be open until its deadline, and the class's window follows. Keyed work needs no such bound:
-    the controller counts its window from the arrival, and says with `KeepKey` how long the key is to be kept. In
-    both cases `RepeatedWork.retain_key` adds the time for which a repeat may lie unread.
+    The first attempt may be open until its deadline, and the idempotency window of the class follows. Keyed work does
+    not need this bound: the controller counts its window from the arrival, and its `KeepKey` action says how long the
+    key is kept. In both cases `RepeatedWork.retain_key` adds the time for which a repeat may wait unread.
     """
     return span(settings.idempotency_window_us + settings.deadline_us)
 
 
 class RequestActions:
-    """Carries out the actions about a request, each by its own method."""
+    """Carries out the actions about one request, with one method for each type of action."""
 
     def __init__(
         self,
@@ -42,12 +42,12 @@
         shutdown: GracefulShutdown,
         call_client: CallClient,
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share."""
         self._timeline, self._responses, self._repeats = timeline, responses, repeats
         self._counters, self._shutdown, self._call_client = counters, shutdown, call_client
 
     def run(self, request: Request, action: Run) -> None:
-        """Start a queued request or resume a paused one, if the rules allow it; give it up if they don't."""
+        """Start a queued request or resume a paused one, or abandon the request if `decide_run` forbids the run."""
         decision = decide_run(
             request.stage,
             may_have_run=request.may_have_run,
@@ -79,7 +79,7 @@
             request.backend.preempt(request)
 
     def reject(self, request: Request, action: Reject) -> None:
-        """Respond that nothing ran, or with a failure where that can't be promised."""
+        """Send a rejection, or a failure if the request has an effect and may have run."""
         has_effect = request.class_settings.effect is not Effect.IDEMPOTENT
         if may_reject(may_have_run=request.may_have_run, has_effect=has_effect):
             retry_after = span(action.retry_after_us)
@@ -92,19 +92,19 @@
             self._responses.respond(request, Response(ResponseStatus.FAILED))
 
     def fail(self, request: Request, _action: Fail) -> None:
-        """Respond with a failure that promises nothing about effects."""
+        """Send a failure, which leaves open whether the request had its effect."""
         self._responses.respond(request, Response(status_of_failure(call_failed=request.call_failed)))
 
     def keep_key(self, request: Request, action: KeepKey) -> None:
-        """Keep the request's idempotency key for a time from now on."""
+        """Keep the request's idempotency key for the lifetime given by the action, counted from now."""
         self._repeats.retain_key(request, span(action.lifetime_us))
 
     def forget_key(self, request: Request, _action: ForgetKey) -> None:
-        """Drop the key of a request that never ran; named after the controller's action."""
+        """Drop the idempotency key of a request that never ran."""
         self._repeats.drop_key(request)
 
     def attach(self, request: Request, _action: Attach) -> None:
-        """Give a repeat the result of the request that it repeats."""
+        """Attach a repeat to its original request, whose result it shares."""
         self._repeats.attach(request)
 
     def call(self, request: Request, action: Call) -> None:
@@ -115,6 +115,6 @@
             self._call_client.call(request, instant(action.until_us))
 
     def skip_call(self, request: Request, _action: SkipCall) -> None:
-        """Let a run go on without its downstream call."""
+        """Continue a run without its downstream call."""
         request.stage, request.call_failed = Stage.RUNNING, False
         request.backend.skip(request)
--- a/marlstep/core/request_registry.py
+++ b/marlstep/core/request_registry.py
@@ -1,4 +1,4 @@
-"""The registry of requests in flight: the one owner of their slots and ids."""
+"""The registry of requests in flight, which assigns their handles and keeps their ids."""
 
 from __future__ import annotations
 
@@ -8,67 +8,74 @@
 from marlstep.core.interfaces import Request
 from marlstep.slots import SlotTable
 
-MAX_REQUESTS = 8_192  # requests in flight at once; bounds their memory, see `resource_budget.REQUEST_MEMORY`
+# Limit on requests in flight at once. It bounds the memory that they take; see `resource_budget.REQUEST_MEMORY`.
+MAX_REQUESTS = 8_192
 
 
 class RequestRegistry:
     """Requests in flight, by handle and by id. An id is in use until its request is released.
 
     Attributes:
-        capacity: requests that this process may hold at once; at most `limit`, and less while two processes
-            of the node share its memory.
+        capacity: how many requests this process may hold at once. At most `limit`, and less while two processes of
+            the node share its memory.
     """
 
     def __init__(self, limit: int) -> None:
-        """Make an empty registry for at most `limit` requests. Raises InvalidTableLimitError."""
+        """Initialize an empty registry for at most `limit` requests.
+
+        Raises:
+            InvalidTableLimitError: `limit` is out of range for a slot table.
+        """
         self._slots: SlotTable[Request] = SlotTable(limit)
         self._handles: dict[str, int] = {}  # by request id
         self.capacity = limit
 
     @property
     def limit(self) -> int:
-        """The most requests that the registry can hold, whatever the capacity is."""
+        """The upper bound for the capacity."""
         return self._slots.limit
 
     def __len__(self) -> int:
-        """Count the requests in flight."""
+        """Return the number of requests in flight."""
         return len(self._slots)
 
     def __iter__(self) -> Iterator[Request]:
-        """Iterate over the requests as they are now; some may be released meanwhile."""
+        """Iterate over the requests in flight. Requests may be released during the iteration."""
         return iter(self._slots)
 
     def __contains__(self, request_id: object) -> bool:
-        """Check whether a request with this id is in flight."""
+        """Return whether a request with this id is in flight."""
         return request_id in self._handles
 
     def set_capacity(self, capacity: int) -> None:
-        """Hold at most so many requests from now on; those that are in flight stay."""
+        """Set the capacity, bounded by `limit`. Requests in flight stay even if they exceed it."""
         self.capacity = min(capacity, self._slots.limit)
 
     def add(self, request: Request) -> None:
         """Register a request under a new handle and under its id, which must not be in use.
 
         Raises:
-            RequestRejectedError: as many requests as the capacity allows are in flight.
+            RequestRejectedError: the number of requests in flight has reached the capacity.
         """
         inbound = request.inbound
         if len(self._slots) >= self.capacity:
             raise RequestRejectedError(RejectionReason.PROCESS_AT_CAPACITY, inbound)
-        request.handle = self._slots.add(request)  # never full: the capacity is at most its limit
+        request.handle = self._slots.add(
+            request
+        )  # the table is not full, as the capacity is at most its limit
         self._handles[inbound.id] = request.handle
 
     def get(self, handle: int) -> Request | None:
-        """Look up a request by its handle; None once it has been released."""
+        """Return the request with this handle, or None if it has been released."""
         return self._slots.get(handle)
 
     def find(self, request_id: str) -> Request | None:
-        """Look up a request by its id; None where none is in flight."""
+        """Return the request with this id, or None if none is in flight."""
         handle = self._handles.get(request_id)
         return None if handle is None else self._slots.get(handle)
 
     def release(self, request: Request) -> bool:
-        """Give a request's slot and id back. Returns False where that has been done before."""
+        """Free the slot and the id of a request. Returns False if it has been released before."""
         if not self._slots.free(request.handle):
             return False
         del self._handles[request.inbound.id]
--- a/marlstep/core/response_rules.py
+++ b/marlstep/core/response_rules.py
@@ -1,8 +1,8 @@
-"""Which final response an outcome gives. The rules are pure; `responses` delivers what they decide.
+"""Pure rules that map outcomes to the status of the final response. `responses` sends it.
 
-A client may send a rejected request elsewhere, and must not do so with a failed or expired one that has an effect:
-REJECTED is a promise that this attempt did not run. It says nothing of earlier attempts of the same work: see the
-exception in `sibling_claims.decide_claim`.
+A client may send a rejected request to another node, but not a failed or expired one that has an effect: REJECTED
+promises that this attempt did not run. It promises nothing about earlier attempts of the same work; see the exception
+in `sibling_claims.decide_claim`.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 def status_after_run(outcome: Outcome, *, known_to_have_run: bool) -> ResponseStatus:
-    """Return the status of the response to a request whose run has ended.
+    """Return the status for a request whose run has ended.
 
-    DONE for a result. REJECTED where the outcome proves that nothing ran; a run that was seen to have begun is no
-    such case, whatever the outcome of a later attempt to resume it says. FAILED otherwise.
+    DONE for a result, REJECTED if the outcome proves that the request never ran, FAILED otherwise. A request that is
+    known to have run is never rejected: a later attempt to resume it may report an outcome such as NOT_STARTED.
     """
     if outcome is Outcome.OK:
         return ResponseStatus.DONE
@@ -24,29 +24,29 @@
 
 
 def status_without_outcome(*, may_have_run: bool) -> ResponseStatus:
-    """Return the status where the response is due before any outcome is known.
+    """Return the status for a response that is due before the outcome is known.
 
-    EXPIRED if a run has begun or may have, REJECTED if none has.
+    EXPIRED if a run has begun or may have begun, REJECTED if none has.
     """
     return ResponseStatus.EXPIRED if may_have_run else ResponseStatus.REJECTED
 
 
 def may_reject(*, may_have_run: bool, has_effect: bool) -> bool:
-    """Decide whether the controller's rejection may be sent as such.
+    """Decide whether the controller's rejection may be sent as REJECTED.
 
-    Not for work with an effect that may have run: another node would run it again.
+    It may not for work that has an effect and may have run, as the client could run it again on another node.
     """
     return not (may_have_run and has_effect)
 
 
 def status_of_failure(*, call_failed: bool) -> ResponseStatus:
-    """Return the status where the controller fails a request: FAILED after a failed call, else EXPIRED."""
+    """Return the status for a request that the controller fails: FAILED after a failed call, else EXPIRED."""
     return ResponseStatus.FAILED if call_failed else ResponseStatus.EXPIRED
 
 
 def status_of_repeat(outcome: Outcome) -> ResponseStatus:
-    """Return the status of a repeat when the request that it repeats has ended so.
+    """Return the status for a repeat whose original request ended with this outcome.
 
-    DONE with the shared result, FAILED otherwise: the work may have run.
+    DONE for a result, FAILED otherwise, as the work may have run.
     """
     return ResponseStatus.DONE if outcome is Outcome.OK else ResponseStatus.FAILED
--- a/marlstep/core/responses.py
+++ b/marlstep/core/responses.py
@@ -1,7 +1,7 @@
-"""Delivery of responses: the one place where a final response leaves, and where a request ends.
+"""Delivery of responses. Only this module sends final responses and ends requests.
 
-Each accepted request is owed one response. Once it has left, or the client has disconnected, the request is settled:
-its run is abandoned or its key is dropped, its repeats get its result, and when nothing runs any more it is released.
+Each accepted request gets one response. A request is settled once that was sent or the client has disconnected. Then
+its run is abandoned or its key is dropped, its repeats get its result, and it is released once nothing runs any more.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 
 log = logging.getLogger(__name__)
 
-# The backend has a run to end, whose end it reports. A paused run is none: nothing of it executes, and no backend has
-# anything to do for it. The kernel drops it when it sees the response, without a report (see `KernelClient.abandon` and
-# the emulated kernel's `response_delivered`), and upstreams pause no run. So the request is over once it is settled.
+# Stages with a run in the backend that must be abandoned, and whose end the backend reports. A paused run is not
+# included: the kernel drops it when it sees the response, without a report (see `KernelClient.abandon` and the emulated
+# kernel's `response_delivered`), and upstreams don't pause runs. A paused request is therefore finished once settled.
 RUN_STAGES = frozenset({Stage.RUNNING, Stage.AWAITING_CALL, Stage.CALLING})
 
 
 class ResponseDelivery:
-    """Sends responses, shares results with repeats, and releases requests. It owns the count of those unanswered.
+    """Sends responses, shares results with repeats, releases requests, and counts unanswered requests.
 
     Attributes:
-        unanswered: accepted requests that are still owed a response.
+        unanswered: number of accepted requests that still await their response.
     """
 
     def __init__(
@@ -45,18 +45,18 @@
         events: EventQueue,
         served: ServedSettings,
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share."""
         self._timeline, self._requests, self._keys = timeline, requests, keys
         self._counters, self._events, self._served = counters, events, served
         self.unanswered = 0
 
     def track_response(self, request: Request) -> None:
-        """Owe a request its response, by its deadline at the latest."""
+        """Count an accepted request as unanswered, and set the timer for its deadline."""
         self.unanswered += 1
         request.deadline_timer = self._timeline.at(request.deadline_at, lambda: self._on_deadline(request))
 
     def respond(self, request: Request, response: Response) -> None:
-        """Send the final response, unless none is owed any more. All final responses leave here."""
+        """Send the final response, unless the request is settled. All final responses are sent by this method."""
         if request.is_settled:
             return
         self._counters.count(request, response.status.value)
@@ -64,11 +64,11 @@
         self.settle(request)
 
     def reject(self, request: Request) -> None:
-        """Respond that this attempt did not run, with the longest Retry-After."""
+        """Send a rejection, which promises that this attempt did not run, with the longest Retry-After."""
         self.respond(request, Response(ResponseStatus.REJECTED, retry_after=self.retry_after()))
 
     def respond_without_outcome(self, request: Request) -> None:
-        """Respond although no outcome is known: expired if the request may have run, else rejected."""
+        """Respond before an outcome is known: expired if the request may have run, else rejected."""
         if request.is_settled:
             return
         status = status_without_outcome(may_have_run=request.may_have_run)
@@ -79,17 +79,17 @@
         self.release_if_finished(request)
 
     def give_up(self, request: Request) -> None:
-        """Respond without an outcome, and tell the controller that the request needs nothing more."""
+        """Respond without an outcome, and make the controller drop the request by a `ClientDisconnected` event."""
         self.respond_without_outcome(request)
         self._events.post(ClientDisconnected(request.id))
 
     def retry_after(self) -> timedelta:
-        """Return the longest Retry-After that is allowed, for where the controller gave none; zero if none is sent."""
+        """Return the maximum Retry-After, used for rejections not made by the controller; zero if none is sent."""
         settings = self._served.settings
         return span(settings.max_retry_after_us) if settings.sends_retry_after else ZERO
 
     def _on_deadline(self, request: Request) -> None:
-        """Respond at the deadline whatever happens. The controller responds earlier; this stands behind it."""
+        """Respond at the deadline in any stage. This is a fallback: the controller normally responds earlier."""
         if not request.is_settled:
             log.warning(
                 "request unanswered at its deadline: request=%s stage=%s", request.id, request.stage.value
@@ -97,10 +97,10 @@
             self.give_up(request)
 
     def settle(self, request: Request) -> None:
-        """Note that no response is owed any more, and end what doesn't run.
+        """Mark a request as settled. Abandon its run if it has one, else finish the request.
 
-        A run that goes on is abandoned, and its backend reports the end. The key of work that never began is
-        dropped; the repeats of anything that is over by this get a failure.
+        An abandoned run ends with a report of its backend. A request that is finished here fails its attached repeats,
+        and if it never began to run, its key is dropped.
         """
         request.is_settled = True
         self.unanswered -= 1
@@ -110,14 +110,14 @@
         elif request.stage is not Stage.FINISHED:
             never_began = request.stage is Stage.QUEUED and not request.may_have_run
             if request.idempotency_key and never_began:
-                # Inside its window as well: work that never ran may be begun by the next attempt.
+                # Drop it within its window too: the work never ran, so the next attempt may run it.
                 self._keys.drop(request.idempotency_key, request.id, even_if_retained=True)
             request.stage = Stage.FINISHED
             self.forward_result(request, Outcome.ERROR, b"")
         self.release_if_finished(request)
 
     def forward_result(self, request: Request, outcome: Outcome, result: bytes) -> None:
-        """Pass the end of a run to the repeats that wait for it, and keep it for those still to come."""
+        """Share the outcome of a run with the attached repeats, and record the result for later repeats."""
         if request.idempotency_key and request.class_settings.effect is Effect.KEYED:
             self._keys.finish(request.idempotency_key, request.id, result if outcome is Outcome.OK else None)
         for repeat_id in request.attached_request_ids:
@@ -127,7 +127,7 @@
         request.attached_request_ids.clear()
 
     def share_result(self, repeat: Request, outcome: Outcome, result: bytes) -> None:
-        """End a repeat with the outcome of the request that it repeats."""
+        """Finish a repeat with the outcome and the result of its original request."""
         repeat.stage = Stage.FINISHED
         status = status_of_repeat(outcome)
         self.respond(repeat, Response(status, result if status is ResponseStatus.DONE else b""))
@@ -135,10 +135,10 @@
         self.release_if_finished(repeat)
 
     def release_if_finished(self, request: Request) -> None:
-        """Release a request that is settled and whose run is over. All requests are released here.
+        """Release a request that is settled and finished. All requests are released by this method.
 
-        Its key is dropped with it, unless the key is retained for a window: the work may have run, so that
-        `even_if_retained` would let a repeat run it again.
+        Its key is dropped with it, unless the key is retained for a window. In that case the work may have run, so
+        dropping the key with `even_if_retained` would allow a repeat to run it again.
         """
         finished = request.is_settled and request.stage is Stage.FINISHED
         if finished and self._requests.release(request) and request.idempotency_key:
--- a/marlstep/core/run_events.py
+++ b/marlstep/core/run_events.py
@@ -1,4 +1,4 @@
-"""What backends and call clients report of runs, turned into stages, responses and events for the controller."""
+"""Handling of reports from backends and call clients: stage changes, responses and events for the controller."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 def was_preempted(outcome: Outcome, *, preempt_requested: bool, is_settled: bool) -> bool:
-    """Decide whether a run ended by a preemption, after which it may go on or begin again.
+    """Decide whether a run ended by preemption, so that it can be resumed or started again.
 
-    It did where the run was cancelled as the core had asked. Any other end is final: a run that was cancelled
-    unasked, and one whose response has left, which nobody would resume.
+    It did if the core had requested the preemption and the run was cancelled. Any other end is final, including a
+    cancellation that the core did not ask for, and the end of a settled request, which is never resumed.
     """
     return outcome is Outcome.CANCELLED and preempt_requested and not is_settled
 
 
 class RunEvents:
-    """Applies the reports of one run after another. Reports on requests that were released are ignored."""
+    """Applies reports to the requests in flight. Reports on released requests are ignored."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         served: ServedSettings,
         call_client: CallClient,
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share."""
         self._timeline, self._requests, self._responses = timeline, requests, responses
         self._repeats, self._events, self._served = repeats, events, served
         self._call_client = call_client
 
     def run_ended(self, request_id: str, outcome: Outcome, elapsed: timedelta, result: bytes) -> None:
-        """Note that the run was preempted, or end the request with its response."""
+        """Record that the run was preempted, or finish the request and send its response."""
         request = self._requests.find(request_id)
         if request is None:
             return
@@ -54,8 +54,8 @@
         else:
             self._finish_run(request, outcome, result)
             if outcome is Outcome.CANCELLED:
-                # This end is final, and to the controller a cancelled run is a paused one: it would keep the
-                # request, and confuse it with a later one under the same id.
+                # The controller treats a cancelled run as paused. As this end is final, it would keep an entry that
+                # never ends, and confuse it with a later request that reuses the id.
                 outcome = Outcome.ERROR
         self._events.post(RunEnded(request_id, outcome, span_us(elapsed)))
         self._responses.release_if_finished(request)
@@ -80,16 +80,16 @@
         self._responses.forward_result(request, outcome, result)
 
     def call_needed(self, request_id: str, body: bytes) -> None:
-        """Let the run wait for the controller's word on its call."""
+        """Record that the run waits for a downstream call, and ask the controller to decide on the call."""
         request = self._requests.find(request_id)
         if request is not None:
             request.stage, request.call_body = Stage.AWAITING_CALL, body
             request.known_to_have_run = True
-            request.preempt_requested = False  # the run came to its call before the preemption
+            request.preempt_requested = False  # the run reached its call before the preemption took effect
             self._events.post(CallNeeded(request_id))
 
     def call_ended(self, request_id: str, outcome: Outcome, reply: bytes) -> None:
-        """Let the run go on with the reply, or wait again for the controller's word."""
+        """Continue the run with the reply, or after a failed call wait for the controller to decide again."""
         request = self._requests.find(request_id)
         if request is None or request.stage is not Stage.CALLING:
             return
--- a/marlstep/core/run_rules.py
+++ b/marlstep/core/run_rules.py
@@ -1,4 +1,4 @@
-"""What may be started, stated apart from the controller that asks for it."""
+"""Rules for which runs may be started, independent of the controller that requests them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class RunDecision(enum.Enum):
-    """What becomes of the controller's action to run a request."""
+    """How the core responds to the controller's action to run a request."""
 
     START = "start"
     RESUME = "resume"
-    NOTHING_TO_DO = "nothing_to_do"  # it runs already, or waits for something else
+    NOTHING_TO_DO = "nothing_to_do"  # the request is neither queued nor paused, for example it runs already
     FORBIDDEN = "forbidden"
 
 
@@ -21,16 +21,16 @@
 ) -> RunDecision:
     """Decide what to do with a request that the controller wants to run.
 
-    Nothing runs for a request that is settled, nor for one that arrived too late for a drain. Work with
-    an effect that may have run is not started again; resuming a paused run of it is no new start. These rules hold
-    whatever the controller asks for, as breaking one may run a client's work twice.
+    A settled request never runs, and neither does one that arrived after the grace of a drain. Work that has an effect
+    and may have run is not started again; resuming a paused run is not a new start. These rules apply whatever the
+    controller requests, as breaking one could run a client's work twice.
 
     Args:
-        stage: where the request stands.
-        may_have_run: whether a run of it has begun, or may have.
-        is_settled: whether no response is owed any more: it has left, or the client has disconnected.
-        has_effect: whether its class is not idempotent.
-        arrived_too_late: see `GracefulShutdown.is_too_late`, the second line of defence of the controller's rule.
+        stage: the stage of the request.
+        may_have_run: whether a run of the request has begun or may have begun.
+        is_settled: whether no response is due any more: it was sent, or the client has disconnected.
+        has_effect: whether the class of the request is not idempotent.
+        arrived_too_late: the result of `GracefulShutdown.is_too_late`, which repeats the controller's own check.
     """
     runs_again = has_effect and may_have_run and stage is not Stage.PAUSED
     if is_settled or arrived_too_late or runs_again:
--- a/marlstep/core/served_settings.py
+++ b/marlstep/core/served_settings.py
@@ -1,4 +1,4 @@
-"""The settings in force, and the classes and tenants that were removed from them a short time ago."""
+"""The settings in force, and recently removed classes and tenants, which are still accepted for a short time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from marlstep.admission.settings import ClassSettings, Settings, TenantSettings
 from marlstep.units import EPOCH, SECOND, span
 
-RETIRED_CLASS_GRACE = 3 * SECOND  # for which a removed class or tenant is still accepted
+RETIRED_CLASS_GRACE = 3 * SECOND  # how long a removed class or tenant is still accepted
 
 
 @dataclass(slots=True, frozen=True)
@@ -16,24 +16,24 @@
     """A class whose idempotency window has become longer."""
 
     request_class: str
-    added: timedelta
-    deadline: timedelta  # of the class: the longest that a request may lie unread and still be run
+    added: timedelta  # how much longer the window has become
+    deadline: timedelta  # deadline of the class: how long a request may wait unread and still be run
 
 
 @dataclass(slots=True, frozen=True)
 class SettingsChange:
-    """What a change of settings means for the rest of the core."""
+    """The consequences of a change of settings for the rest of the core."""
 
-    effective: Settings  # with the quotas in force
+    effective: Settings  # the new settings, with the quotas in force
     retired: tuple[ClassSettings, ...]  # removed classes that are still accepted
     window_extensions: tuple[WindowExtension, ...]
     load_signal_changed: bool
 
 
 def longer_windows(old: Settings, new: Settings) -> tuple[WindowExtension, ...]:
-    """List the classes whose idempotency window is longer in the new settings than in the old.
+    """Return the classes whose idempotency window is longer in the new settings than in the old ones.
 
-    A window that shrinks shortens nothing: clients were promised the longer one.
+    A shorter window does not affect existing entries, as clients were promised the longer one.
     """
     old_classes = {settings.name: settings for settings in old.classes}
     return tuple(
@@ -51,9 +51,14 @@
 def effective_tenants(
     old: Settings, in_force: dict[str, TenantSettings], new: Settings
 ) -> dict[str, TenantSettings]:
-    """Return the tenants under new settings, with the quotas that hold from then on.
+    """Return the tenants of the new settings by name, with the quotas to put in force.
 
-    A quota that was changed at run time stays, unless the settings' own row for the tenant has changed.
+    A quota changed at run time is kept, unless the new settings change any value of that tenant.
+
+    Args:
+        old: the settings in force until now.
+        in_force: the tenants in force until now, with quotas changed at run time.
+        new: the new settings.
     """
     configured = {tenant.name: tenant for tenant in old.tenants}
     return {
@@ -63,48 +68,48 @@
 
 
 class ServedSettings:
-    """Owns the settings, and with them which classes and tenants are accepted.
+    """Holds the settings in force, and decides which classes and tenants are accepted.
 
-    A class or tenant that new settings remove is accepted for `RETIRED_CLASS_GRACE` more: clients learn of the
-    change later than this node does.
+    A class or tenant removed by new settings is accepted for another `RETIRED_CLASS_GRACE`, as clients learn of the
+    change later than this node.
 
     Attributes:
-        settings: as they were given last, without quotas that were changed at run time.
-        classes: the accepted classes by name, retired ones included.
-        tenants: the tenants in force by name; empty where the settings name none.
+        settings: the settings applied last, without quotas changed at run time.
+        classes: the accepted classes by name, including retired ones.
+        tenants: the tenants in force by name; empty if the settings define none.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Begin with these settings and nothing retired."""
+        """Initialize with the first settings, and no retired classes or tenants."""
         self.settings = settings
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.tenants = {tenant.name: tenant for tenant in settings.tenants}
-        self._retired_classes: dict[str, datetime] = {}  # until when each is accepted
-        self._retired_tenants: dict[str, datetime] = {}
+        self._retired_classes: dict[str, datetime] = {}  # by name, until when the class is accepted
+        self._retired_tenants: dict[str, datetime] = {}  # by name, until when the tenant is accepted
 
     def accepted_class(self, name: str, now: datetime) -> ClassSettings | None:
-        """Return the class of that name; None where it is unknown, or was removed too long ago."""
+        """Return the settings of the class; None if it is unknown or its grace has ended."""
         class_settings = self.classes.get(name)
         return (
             None if class_settings is None or self._retired_classes.get(name, now) < now else class_settings
         )
 
     def accepts_tenant(self, name: str, now: datetime) -> bool:
-        """Decide whether requests of this tenant are accepted.
+        """Return whether requests of this tenant are accepted.
 
-        Every name is where the settings name no tenants, and so is a request without a tenant. Otherwise the
-        settings must name it, or have named it until a short time ago.
+        Any name is accepted if the settings define no tenants, and the empty name (a request without a tenant) always
+        is. Otherwise the tenant must be in the settings, or have been removed at most `RETIRED_CLASS_GRACE` ago.
         """
         if not self.tenants or not name or name in self.tenants:
             return True
         return self._retired_tenants.get(name, EPOCH) >= now
 
     def set_quota(self, tenant: str, per_s: float) -> None:
-        """Change a tenant's quota, in requests a second. Raises KeyError for a tenant that is not in force."""
+        """Change a tenant's quota, in requests per second. Raises KeyError for a tenant that is not in force."""
         self.tenants[tenant] = replace(self.tenants[tenant], quota_per_s=per_s)
 
     def change(self, settings: Settings, now: datetime) -> SettingsChange:
-        """Put other settings in force, and say what follows from them. Requests in flight keep their class."""
+        """Apply new settings and return the consequences. Requests in flight keep their class settings."""
         old = self.settings
         retired = self._retire_classes(old, settings, now)
         self._retire_tenants(old, settings, now)
--- a/marlstep/core/serving_state.py
+++ b/marlstep/core/serving_state.py
@@ -1,4 +1,4 @@
-"""The serving state of this process: the one place that remembers whether it starts, serves or leaves."""
+"""The serving state of this process: whether it is starting, serving or shutting down."""
 
 from __future__ import annotations
 
@@ -6,30 +6,29 @@
 
 
 class ServingPhase(enum.Enum):
-    """What operators see as the state of the process; the values are those of the status JSON."""
+    """The state of the process as operators see it. The values appear in the status JSON."""
 
-    STARTING = "starting"  # not marked ready yet: its backend is not up, or a predecessor still serves
+    STARTING = "starting"  # not marked ready yet: the backend is not up, or a predecessor still serves
     SERVING = "serving"
-    QUIESCED = "quiesced"  # by an operator: health checks of the protocol fail, and what arrives is served
-    HANDING_OVER = "handing over"  # a successor process takes what is new; what is here is finished
-    LEAVING = "leaving"  # graceful shutdown has begun, and there is no way back
+    QUIESCED = "quiesced"  # by an operator: protocol health checks fail, but arriving requests are served
+    HANDING_OVER = "handing over"  # a successor takes new requests; this process finishes those it has
+    LEAVING = "leaving"  # a drain has begun, which can't be undone
 
 
 class ServingState:
-    """Four facts about the process, and the phase that follows from them.
+    """Four flags (ready, quiesced, handing over, draining), and the phase that follows from them.
 
-    A later fact hides an earlier one: a process that drains is LEAVING whatever an operator asked for before, and
-    one that hands over is HANDING_OVER even if it is quiesced. Quiescing is remembered while it is hidden, and can
-    be undone until the drain begins.
+    Draining takes precedence over all other flags, and handing over takes precedence over quiescing. The quiesced flag
+    is kept while another flag hides it, and can be cleared until a drain begins.
     """
 
     def __init__(self) -> None:
-        """Begin as STARTING."""
+        """Initialize the state as STARTING."""
         self._ready = self._quiesced = self._is_handing_over = self._is_draining = False
 
     @property
     def phase(self) -> ServingPhase:
-        """The state that operators see."""
+        """The phase that is shown to operators."""
         if self._is_draining:
             return ServingPhase.LEAVING
         if self._is_handing_over:
@@ -40,30 +39,30 @@
 
     @property
     def can_serve(self) -> bool:
-        """Whether the process reports itself able to serve: it was marked ready, and no drain has begun.
+        """Whether the process reports that it can serve: it was marked ready, and no drain has begun.
 
-        Requests that arrive within the grace of a drain still run, although this is False then.
+        This is False during the grace of a drain, although requests that arrive then still run.
         """
         return self._ready and not self._is_draining
 
     @property
     def wants_traffic(self) -> bool:
-        """Whether the process wants new requests: it neither drains nor is quiesced.
+        """Whether the process should get new requests: it neither drains nor is quiesced.
 
-        Health checks of the protocol follow it (`Core.healthy`); `/admin/health` follows `can_serve`.
+        Protocol health checks depend on this property (`Core.healthy`), while `/admin/health` reports `can_serve`.
         """
         return not (self._is_draining or self._quiesced)
 
     def mark_ready(self) -> None:
-        """Note that the backend is up and connections are accepted."""
+        """Record that the backend is up and connections are accepted."""
         self._ready = True
 
     def quiesce(self) -> bool:
-        """Empty the process of traffic. Returns False, and changes nothing, once it drains."""
+        """Quiesce the process: fail protocol health checks. Once it drains, do nothing and return False."""
         return self._set_quiesced(True)
 
     def resume(self) -> bool:
-        """Undo `quiesce`. Returns False, and changes nothing, once the process drains."""
+        """Undo `quiesce`. Once the process drains, do nothing and return False."""
         return self._set_quiesced(False)
 
     def _set_quiesced(self, quiesced: bool) -> bool:
@@ -72,10 +71,10 @@
         return not self._is_draining
 
     def begin_hand_over(self) -> None:
-        """Note that a successor serves: the node goes on, and this process ends."""
+        """Record that a successor serves, and that this process will exit once it has finished its requests."""
         self._is_handing_over = True
 
     def begin_drain(self) -> bool:
-        """Note that graceful shutdown has begun. Returns False where it had begun before."""
+        """Record that a drain has begun. Returns False if one had begun before."""
         newly_begun, self._is_draining = not self._is_draining, True
         return newly_begun
--- a/marlstep/core/sibling_claims.py
+++ b/marlstep/core/sibling_claims.py
@@ -1,4 +1,4 @@
-"""Claims of keyed work at the node's other processes, before this one may run it."""
+"""Claims of keyed work at the sibling processes, which must grant them before this process may run the work."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ClaimDecision(enum.Enum):
-    """What becomes of a request whose claim has been decided."""
+    """What to do with a request whose claim has been decided."""
 
     ENQUEUE = "enqueue"
     FAIL = "fail"
@@ -29,22 +29,22 @@
 
 
 def decide_claim(result: ClaimResult, prior: KeyRecord | None, effect: Effect, digest: str) -> ClaimDecision:
-    """Decide what a claim's result means for its request.
+    """Decide what to do with a request, given the result of its claim.
 
-    Work that is known by now is repeated, unless it runs at most once or had another body: then the request fails,
-    as the work may have run. Unknown work runs where the claim was granted. Otherwise an earlier attempt may have run
-    in another process, and the request is rejected here.
+    If the work is known by now, the request is a repeat of it. A repeat of at-most-once work, or with another body,
+    fails, as the work may have run. Unknown work runs if the claim was granted. Otherwise an earlier attempt may have
+    run in a sibling process, and the request is rejected.
 
-    That rejection is an exception to what `response_rules` says of REJECTED: it promises that this attempt did not
-    run, and no more. It keeps the work from running twice on this node, whose key is decided on again when the
-    other process's retry window is over. A client that took it as leave to run the work on another node would run it
-    there although the earlier attempt may have run here.
+    That rejection is an exception to the rule for REJECTED in `response_rules`: it promises only that this attempt did
+    not run. It keeps the work from running twice on this node, where the key can be claimed again once the sibling's
+    retry window has ended. A client that takes the rejection as permission to run the work on another node may run it
+    twice, as the earlier attempt may have run here.
 
     Args:
-        result: what the other processes said.
-        prior: the work as it is known after they said it; None where it is not.
-        effect: whether requests of the class may run again.
-        digest: of the request's body; empty where it is not known.
+        result: the reply of the sibling processes.
+        prior: the record of the work at the time of the reply; None if the work is unknown.
+        effect: the effect of the request's class, which says whether repeats are allowed.
+        digest: the digest of the request's body; empty if unknown.
     """
     if prior is not None:
         may_repeat = effect is not Effect.AT_MOST_ONCE and prior.matches_body(digest)
@@ -53,10 +53,10 @@
 
 
 class SiblingClaims:
-    """Asks the other processes, and carries out what their replies mean.
+    """Claims keyed work at the sibling processes, and applies their replies.
 
     Attributes:
-        siblings: the other processes; None while there are none.
+        siblings: the sibling processes; None while there are none.
     """
 
     def __init__(
@@ -66,20 +66,20 @@
         arrivals: ControllerArrivals,
         responses: ResponseDelivery,
     ) -> None:
-        """Work on these collaborators, which the core shares among its parts."""
+        """Initialize with the collaborators that the parts of the core share, and no siblings."""
         self._timeline, self._keys = timeline, keys
         self._arrivals, self._responses = arrivals, responses
         self.siblings: SiblingProcesses | None = None
 
     def claim(self, request: Request, now: datetime) -> bool:
-        """Claim the work of a request. Returns False where nobody has to be asked, and the request may go on."""
+        """Claim the work of a request. Returns False if no sibling has to be asked and the request can be queued."""
         siblings, key = self.siblings, request.idempotency_key
         if siblings is None or key is None:
             return False
         request.stage = Stage.CLAIMING
 
         def on_decided(result: ClaimResult) -> None:
-            # It may be decided before this returns, and no response may leave before the frontend has its handle.
+            # The claim may be decided before `claim` returns, but the frontend must get the handle before a response.
             self._timeline.soon(lambda: self._on_claim_decided(request, key, result))
 
         label = encode_label(request.id, request.inbound.digest)
@@ -88,7 +88,7 @@
     def _on_claim_decided(self, request: Request, key: IdempotencyKey, result: ClaimResult) -> None:
         granted = result is ClaimResult.GRANTED
         if granted:
-            # The other process has entered this very request, and may have reported that entry back.
+            # The sibling has recorded this request under the key, and may have reported that entry back.
             self._keys.drop_remote(key, request.id)
         inbound = request.inbound
         arrived_at = effective_arrival_time(self._timeline.now(), inbound.arrived_at)
@@ -106,6 +106,9 @@
                 self._responses.reject(request)
 
     def _return_grant(self, request: Request, key: IdempotencyKey, arrived_at: datetime) -> None:
-        """Let the other processes hear that the work of a request that is over by now never ran."""
+        """Notify the siblings that the granted work never ran, as its request has finished meanwhile.
+
+        Recording the key and dropping it again reports the drop to the siblings through `KeyTable.on_changed`.
+        """
         self._keys.record(key, request.id, arrived_at, request.inbound.digest)
         self._keys.drop(key, request.id, even_if_retained=False)
