--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -225,7 +225,7 @@
         return self._served.tenants
 
     def set_quota(self, tenant: str, per_s: float) -> None:
-        """Change a tenant's quota, in requests a second. Raises KeyError for an unknown tenant."""
+        """Change a tenant's quota, in requests per second. Raises KeyError for an unknown tenant."""
         self._served.set_quota(tenant, per_s)
         self._events.post(QuotaChanged(tenant, per_s))
 
--- a/marlstep/core/served_settings.py
+++ b/marlstep/core/served_settings.py
@@ -123,11 +123,7 @@
 
     def _retire_classes(self, old: Settings, new: Settings, now: datetime) -> tuple[ClassSettings, ...]:
         names = {request_class.name for request_class in new.classes}
-        removed = {
-            request_class.name: request_class
-            for request_class in old.classes
-            if request_class.name not in names
-        }
+        removed = {old_class.name: old_class for old_class in old.classes if old_class.name not in names}
         still_accepted = {
             name: until for name, until in self._retired_classes.items() if until >= now and name not in names
         }
