--- a/tests/core/test_arrivals.py
+++ b/tests/core/test_arrivals.py
@@ -7,6 +7,6 @@
 from tests.support.node import START
 
 
-def test_a_client_clock_that_runs_ahead_counts_as_now_and_an_early_arrival_as_it_is() -> None:
+def test_an_arrival_time_in_the_future_counts_as_now_and_a_past_one_is_kept() -> None:
     assert effective_arrival_time(START, START + SECOND) == START
     assert effective_arrival_time(START, START - SECOND) == START - SECOND
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -11,16 +11,18 @@
 from tests.support.node import Desk
 
 
-def test_an_action_that_raises_stops_no_other_action_of_its_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_action_that_raises_does_not_stop_the_other_actions_of_its_turn(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     desk = Desk()
     start = desk.backend.start
 
-    def fail_for_the_first(request: Request) -> None:
+    def raise_for_first_request(request: Request) -> None:
         if request.id == "r1":
             raise OSError("out of descriptors")
         start(request)
 
-    monkeypatch.setattr(desk.backend, "start", fail_for_the_first)
+    monkeypatch.setattr(desk.backend, "start", raise_for_first_request)
     desk.submit(1)
     desk.submit(2)
     assert desk.backend.told == [("start", "r2")]
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -12,7 +12,9 @@
     desk.submit(1)
     assert desk.backend.told == [("start", "r1")]
     desk.end(1)
-    assert [(a.status, a.body) for a in desk.answers[1]] == [(ResponseStatus.DONE, b"result")]
+    assert [(response.status, response.body) for response in desk.answers[1]] == [
+        (ResponseStatus.DONE, b"result")
+    ]
     assert desk.core.in_flight == 0
 
 
--- a/tests/core/test_engine_properties.py
+++ b/tests/core/test_engine_properties.py
@@ -43,8 +43,8 @@
         self.settings = self.desk.core.settings
         self.handles = dict[str, int]()  # by id; -1 for a request that was rejected at intake
         self.disconnected = set[str]()
-        self.grace_over_at = self.desk.clock.now() + 1000 * SECOND
-        self.late = set[str]()
+        self.grace_ends_at = self.desk.clock.now() + 1000 * SECOND
+        self.arrived_after_grace = set[str]()
 
     def step(self, action: str, choice: object, detail: object) -> None:
         desk, core = self.desk, self.desk.core
@@ -61,8 +61,8 @@
                 except RequestRejectedError:
                     self.handles[f"r{number}"] = -1
                     return
-                if desk.clock.now() > self.grace_over_at:
-                    self.late.add(f"r{number}")
+                if desk.clock.now() > self.grace_ends_at:
+                    self.arrived_after_grace.add(f"r{number}")
             case "end", int(index) if running and isinstance(detail, Outcome):
                 core.run_ended(running[index % len(running)].id, detail, SECOND, b"result")
             case "need call", int(index) if running:
@@ -72,22 +72,24 @@
             case "end call", int(index) if running and isinstance(detail, Outcome):
                 core.call_ended(running[index % len(running)].id, detail, b"told")
             case "disconnect", int(index) if self.handles:
-                id = list(self.handles)[index % len(self.handles)]
-                if self.handles[id] >= 0 and not desk.answers.get(int(id[1:])):
-                    self.disconnected.add(id)
-                core.client_disconnected(self.handles[id]) if self.handles[id] >= 0 else None
+                request_id = list(self.handles)[index % len(self.handles)]
+                if self.handles[request_id] >= 0 and not desk.answers.get(int(request_id[1:])):
+                    self.disconnected.add(request_id)
+                core.client_disconnected(self.handles[request_id]) if self.handles[request_id] >= 0 else None
             case "advance", int(ms):
                 desk.clock.advance(ms)
-            case "quiesce", bool(on):
+            case "quiesce", bool(quiesced):
                 assert (
-                    core.serving_state.quiesce() if on else core.serving_state.resume()
+                    core.serving_state.quiesce() if quiesced else core.serving_state.resume()
                 ) is not core.is_shutting_down
             case "change settings", tuple(names):
-                classes = tuple(one for one in self.settings.classes if one.name in names)
+                classes = tuple(
+                    class_settings for class_settings in self.settings.classes if class_settings.name in names
+                )
                 core.apply_settings(replace(self.settings, classes=classes))
             case "drain", _ if not core.is_shutting_down:
                 core.drain(desk.clock.now() + 3.2 * SECOND)
-                self.grace_over_at = desk.clock.now() + 2.5 * SECOND
+                self.grace_ends_at = desk.clock.now() + 2.5 * SECOND
         desk.clock.settle()
 
     def finish(self) -> None:
@@ -109,12 +111,12 @@
         run.step(*step)
     run.finish()
     core, answers = run.desk.core, run.desk.answers
-    starts = Counter(id for command, id in run.desk.backend.told if command == "start")
-    for id, handle in run.handles.items():
-        responses = answers.get(int(id[1:]), [])
-        assert len(responses) == (0 if id in run.disconnected or handle < 0 else 1), id
-        assert starts[id] <= 1
-        assert not (id in run.late and starts[id]), id
+    starts = Counter(request_id for command, request_id in run.desk.backend.told if command == "start")
+    for request_id, handle in run.handles.items():
+        responses = answers.get(int(request_id[1:]), [])
+        assert len(responses) == (0 if request_id in run.disconnected or handle < 0 else 1), request_id
+        assert starts[request_id] <= 1
+        assert not (request_id in run.arrived_after_grace and starts[request_id]), request_id
         if responses and responses[0].status is ResponseStatus.REJECTED:
             assert 0 * SECOND <= responses[0].retry_after <= SECOND
     assert core.unanswered == core.in_flight == 0
@@ -151,7 +153,7 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
 @given(st.lists(STEPS, max_size=40))
-def test_a_request_goes_only_through_the_documented_changes_of_its_stage(
+def test_a_request_changes_its_stage_only_as_documented(
     steps: list[tuple[str, object, object]],
 ) -> None:
     with recorded_stage_changes() as changes:
@@ -162,7 +164,7 @@
     assert not {(before, after) for before, after in changes if after not in NEXT_STAGES[before]}
 
 
-def test_random_runs_record_changes_of_the_stage() -> None:
+def test_the_recorder_sees_the_stage_changes_of_a_run() -> None:
     with recorded_stage_changes() as changes:
         desk = Desk()
         desk.submit(1)
@@ -171,7 +173,7 @@
 
 
 IDS = st.integers(1, 6)
-TURNS = st.one_of(
+REUSED_ID_STEPS = st.one_of(
     st.tuples(st.just("submit"), IDS, st.sampled_from([0, 0, 5, 3_000, 1e12, -5_000])),
     st.tuples(st.just("disconnect"), IDS, st.just(0)),
     st.tuples(
@@ -186,14 +188,14 @@
 
 
 @FIXED
-@given(st.lists(TURNS, max_size=60), st.sampled_from(CLASSES))
-def test_the_controller_holds_no_request_that_the_core_does_not_whatever_ids_are_used_again(
-    turns: list[tuple[str, int, Any]], request_class: str
+@given(st.lists(REUSED_ID_STEPS, max_size=60), st.sampled_from(CLASSES))
+def test_the_controller_keeps_no_entry_that_the_core_has_released_when_ids_are_reused(
+    steps: list[tuple[str, int, Any]], request_class: str
 ) -> None:
     """Bad clients copy the ids of others: an entry that only the controller has would never end."""
     desk = Desk(cores=1)
     handles: dict[int, int] = {}
-    for action, number, detail in turns:
+    for action, number, detail in steps:
         match action:
             case "submit":
                 with contextlib.suppress(RequestRejectedError):
@@ -211,9 +213,11 @@
         desk.clock.settle()
         controller = desk.core._controller
         held = {
-            id: entry
+            request_id: entry
             for entries in controller.state.entries.by_state.values()
-            for id, entry in entries.items()
+            for request_id, entry in entries.items()
         }
-        assert all(controller.state.entries.by_id.get(id) is entry for id, entry in held.items())
+        assert all(
+            controller.state.entries.by_id.get(request_id) is entry for request_id, entry in held.items()
+        )
         assert held.keys() <= {request.id for request in desk.core._requests}
--- a/tests/core/test_gauge_timers.py
+++ b/tests/core/test_gauge_timers.py
@@ -8,53 +8,53 @@
 from tests.support.node import START, HandClock
 
 
-class GaugeReader:
+class FakeGaugeSource:
     def __init__(self) -> None:
-        self.asked = 0
+        self.request_count = 0
 
     def request_gauges(self) -> None:
-        self.asked += 1
+        self.request_count += 1
 
 
 class TimersUnderTest:
     def __init__(self) -> None:
-        self.clock, self.reader = HandClock(), GaugeReader()
+        self.clock, self.source = HandClock(), FakeGaugeSource()
         self.posted: list[Event] = []
-        self.timers = GaugeTimers(self.clock.timeline, self.reader, self.posted.append)
+        self.timers = GaugeTimers(self.clock.timeline, self.source, self.posted.append)
 
 
-def test_gauges_serve_a_timer_up_to_their_greatest_age() -> None:
+def test_gauges_are_fresh_up_to_their_maximum_age() -> None:
     assert are_gauges_fresh(START, START + GAUGES_MAX_AGE)
     assert not are_gauges_fresh(START, START + GAUGES_MAX_AGE + MILLISECOND)
     assert not are_gauges_fresh(None, START)
 
 
 def test_a_timer_without_fresh_gauges_waits_for_new_ones() -> None:
-    test = TimersUnderTest()
-    test.timers.set_timer(5 * MILLISECOND, 7)
-    test.clock.advance(6)
-    assert test.reader.asked == 1 and test.posted == []
-    test.timers.record({"cpu": 0.5})
-    assert test.posted == [TimerDue(7, {"cpu": 0.5})]
-    test.clock.advance(1_000)  # the timeout of the wait does not post it again
-    assert len(test.posted) == 1
-
-
-def test_a_timer_whose_gauges_do_not_come_is_posted_with_the_last_ones_after_the_timeout() -> None:
-    test = TimersUnderTest()
-    test.timers.record({"cpu": 0.5})
-    test.clock.advance(GAUGES_MAX_AGE / MILLISECOND + 1)
-    test.timers.set_timer(0 * MILLISECOND, 7)
-    test.timers.set_timer(0 * MILLISECOND, 8)
-    test.clock.advance(GAUGES_TIMEOUT / MILLISECOND - 1)
-    assert test.posted == []
-    test.clock.advance(1)
-    assert test.posted == [TimerDue(7, {"cpu": 0.5}), TimerDue(8, {"cpu": 0.5})]
-
-
-def test_a_timer_with_fresh_gauges_asks_for_none() -> None:
-    test = TimersUnderTest()
-    test.timers.record({"cpu": 0.5})
-    test.timers.set_timer(5 * MILLISECOND, 7)
-    test.clock.advance(5)
-    assert test.reader.asked == 0 and test.posted == [TimerDue(7, {"cpu": 0.5})]
+    fixture = TimersUnderTest()
+    fixture.timers.set_timer(5 * MILLISECOND, 7)
+    fixture.clock.advance(6)
+    assert fixture.source.request_count == 1 and fixture.posted == []
+    fixture.timers.record({"cpu": 0.5})
+    assert fixture.posted == [TimerDue(7, {"cpu": 0.5})]
+    fixture.clock.advance(1_000)  # the timeout of the wait does not post it again
+    assert len(fixture.posted) == 1
+
+
+def test_a_timer_without_new_gauges_is_posted_with_the_last_ones_after_the_timeout() -> None:
+    fixture = TimersUnderTest()
+    fixture.timers.record({"cpu": 0.5})
+    fixture.clock.advance(GAUGES_MAX_AGE / MILLISECOND + 1)
+    fixture.timers.set_timer(0 * MILLISECOND, 7)
+    fixture.timers.set_timer(0 * MILLISECOND, 8)
+    fixture.clock.advance(GAUGES_TIMEOUT / MILLISECOND - 1)
+    assert fixture.posted == []
+    fixture.clock.advance(1)
+    assert fixture.posted == [TimerDue(7, {"cpu": 0.5}), TimerDue(8, {"cpu": 0.5})]
+
+
+def test_a_timer_with_fresh_gauges_requests_no_reading() -> None:
+    fixture = TimersUnderTest()
+    fixture.timers.record({"cpu": 0.5})
+    fixture.timers.set_timer(5 * MILLISECOND, 7)
+    fixture.clock.advance(5)
+    assert fixture.source.request_count == 0 and fixture.posted == [TimerDue(7, {"cpu": 0.5})]
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -9,7 +9,7 @@
 KEY = IdempotencyKey("book", "k1")
 
 
-def test_an_entry_covers_arrivals_before_the_end_of_its_window_and_all_without_an_end() -> None:
+def test_an_entry_covers_arrivals_before_the_end_of_its_window_and_all_without_an_expiry() -> None:
     record = KeyRecord("r1", expires_at=START)
     assert record.covers(START - MILLISECOND) and not record.covers(START)
     assert KeyRecord("r1").covers(START + 1000 * SECOND)
@@ -35,7 +35,7 @@
     assert table.find(KEY, START) is None
 
 
-def test_an_own_entry_counts_for_more_than_what_another_process_says() -> None:
+def test_a_local_entry_takes_precedence_over_the_report_of_a_sibling() -> None:
     table = KeyTable()
     table.record(KEY, "own", START)
     table.adopt(KEY, KeyRecord("remote"), START, ZERO)
@@ -43,7 +43,7 @@
     assert found is not None and found.request_id == "own" and not table.drop_remote(KEY, "remote")
 
 
-def test_an_own_entry_past_its_window_gives_way_to_new_work_of_another_process() -> None:
+def test_a_local_entry_past_its_window_is_replaced_by_new_work_of_a_sibling() -> None:
     # Guards against a key that runs in both processes: an entry is kept longer than its window, for requests that are
     # read late, and hid the other process's new work with that key.
     table = KeyTable()
@@ -57,7 +57,7 @@
     assert found is not None and found.request_id == "remote" and found.is_remote
 
 
-def test_remote_work_whose_outcome_nobody_reports_stays_known_until_the_given_end() -> None:
+def test_remote_work_with_an_unknown_outcome_stays_known_until_the_given_expiry() -> None:
     table = KeyTable()
     table.adopt(KEY, KeyRecord("remote"), START, ZERO)
     assert table.mark_remote_outcomes_unknown(START + SECOND, START) == [KEY]
@@ -66,19 +66,19 @@
     assert table.find(KEY, START + SECOND) is None
 
 
-def test_a_longer_window_extends_the_entries_of_its_class_that_have_an_end() -> None:
-    table, other = KeyTable(), IdempotencyKey("open", "k1")
+def test_a_longer_window_extends_the_entries_of_its_class_that_have_an_expiry() -> None:
+    table, other_key = KeyTable(), IdempotencyKey("open", "k1")
     table.retain(KEY, "r1", START + SECOND, START, ZERO)
-    table.retain(other, "r2", START + SECOND, START, ZERO)
+    table.retain(other_key, "r2", START + SECOND, START, ZERO)
     table.extend("book", SECOND, START, ZERO)
-    assert table.find(KEY, START + SECOND) is not None and table.find(other, START + SECOND) is None
+    assert table.find(KEY, START + SECOND) is not None and table.find(other_key, START + SECOND) is None
 
 
-def test_observers_hear_of_changes_to_own_entries_and_of_no_remote_ones() -> None:
-    table, heard = KeyTable(), list[tuple[str, bool]]()
-    table.on_changed = lambda key, record, dropped: heard.append((record.request_id, dropped))
+def test_on_changed_is_called_for_local_entries_and_not_for_remote_ones() -> None:
+    table, changes = KeyTable(), list[tuple[str, bool]]()
+    table.on_changed = lambda key, record, dropped: changes.append((record.request_id, dropped))
     table.adopt(IdempotencyKey("book", "k2"), KeyRecord("remote"), START, ZERO)
     table.record(KEY, "r1", START)
     table.finish(KEY, "r1", b"result")
     table.drop(KEY, "r1", even_if_retained=False)
-    assert heard == [("r1", False), ("r1", False), ("r1", True)]
+    assert changes == [("r1", False), ("r1", False), ("r1", True)]
--- a/tests/core/test_intake_checks.py
+++ b/tests/core/test_intake_checks.py
@@ -17,8 +17,8 @@
 from tests.support.node import SETTINGS, START
 
 IDEMPOTENT, KEYED, AT_MOST_ONCE = (
-    replace(one, effect=effect)
-    for one, effect in zip(
+    replace(class_settings, effect=effect)
+    for class_settings, effect in zip(
         read_settings(SETTINGS).classes, (Effect.IDEMPOTENT, Effect.KEYED, Effect.AT_MOST_ONCE), strict=True
     )
 )
@@ -64,7 +64,7 @@
     assert raised.value.reason is RejectionReason.ID_IN_FLIGHT
 
 
-def test_work_has_a_key_where_the_client_names_one_and_a_second_run_would_matter() -> None:
+def test_work_has_a_key_if_the_client_names_one_and_the_work_is_not_idempotent() -> None:
     assert key_of(inbound(KEYED.name, idempotency_key="k"), KEYED) == IdempotencyKey(KEYED.name, "k")
     assert key_of(inbound(AT_MOST_ONCE.name), AT_MOST_ONCE) is None
     assert key_of(inbound(idempotency_key="k"), IDEMPOTENT) is None
--- a/tests/core/test_node_actions.py
+++ b/tests/core/test_node_actions.py
@@ -11,7 +11,7 @@
 from tests.support.node import Desk, HandClock, Recorder
 
 
-class IdleLimits(Desk):
+class IdleLimitRecorder(Desk):
     """A frontend that records its idle limits."""
 
     def __init__(self) -> None:
@@ -32,8 +32,8 @@
 
 
 def test_an_idle_limit_reaches_all_frontends_also_those_added_later() -> None:
-    frontends = [IdleLimits()]
+    frontends = [IdleLimitRecorder()]
     actions = NodeActions(GaugeTimers(HandClock().timeline, Recorder(), lambda event: None), frontends)
-    frontends.append(IdleLimits())
+    frontends.append(IdleLimitRecorder())
     actions.limit_idle_time(IdleLimit(15_000_000))
     assert [frontend.idle_limits for frontend in frontends] == [[15 * SECOND]] * 2
--- a/tests/core/test_quotas.py
+++ b/tests/core/test_quotas.py
@@ -15,4 +15,9 @@
     desk.end(1)
     desk.end(2)
     desk.end(4)
-    assert [id for what, id in desk.backend.told if what == "start"] == ["r1", "r2", "r4", "r3"]
+    assert [request_id for command, request_id in desk.backend.told if command == "start"] == [
+        "r1",
+        "r2",
+        "r4",
+        "r3",
+    ]
--- a/tests/core/test_responses.py
+++ b/tests/core/test_responses.py
@@ -10,9 +10,7 @@
 from tests.support.node import Desk
 
 
-def test_a_request_that_cannot_meet_its_latency_objective_gets_its_response_then_and_not_at_the_deadline() -> (
-    None
-):
+def test_a_request_that_cannot_meet_its_latency_objective_gets_its_response_before_its_deadline() -> None:
     desk = Desk(cores=1)
     for number in range(1, 4):
         desk.submit(number, "setpoint-cmd")
@@ -41,7 +39,7 @@
     assert not desk.answers and desk.core.in_flight == 0
 
 
-def test_a_response_leaves_at_the_deadline_although_the_controller_is_silent(
+def test_a_response_is_sent_at_the_deadline_if_the_controller_takes_no_action(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     desk = Desk(cores=1)
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -28,7 +28,7 @@
     assert [command for command, _ in desk.backend.told].count("call ask") == 1
 
 
-def test_a_moot_run_is_rejected_if_it_never_began_and_failed_if_it_had() -> None:
+def test_a_run_that_was_not_started_is_rejected_if_new_and_failed_if_it_was_paused() -> None:
     # Guards against taking a resume that started nothing for proof that the request never ran.
     desk = Desk(cores=1)
     desk.submit(1, "setpoint-cmd")
@@ -55,7 +55,7 @@
     assert ("preempt", "r1") in desk.backend.told
 
 
-def test_a_run_that_reaches_its_call_before_the_pause_is_not_paused_by_it() -> None:
+def test_a_run_that_reaches_its_call_before_the_preemption_is_not_paused() -> None:
     # Guards against taking an end at the call, which is final, for the pause that was requested before.
     desk = Desk(cores=1)
     desk.submit(1)
@@ -65,7 +65,7 @@
     assert desk.verdicts(1) == [ResponseStatus.FAILED]
 
 
-def test_a_run_cancelled_unasked_is_over_for_the_controller_too() -> None:
+def test_a_run_cancelled_without_a_preemption_request_ends_for_the_controller_too() -> None:
     # Guards against a hang of the whole node: a run that was cancelled unasked got its response, while the controller
     # kept it as paused. When its id came again, the controller lost the older entry and looped for ever.
     desk = Desk(cores=1)
--- a/tests/core/test_run_rules.py
+++ b/tests/core/test_run_rules.py
@@ -9,8 +9,8 @@
 
 
 def decide(stage: Stage, **facts: bool) -> RunDecision:
-    usual = {"may_have_run": False, "is_settled": False, "has_effect": True, "arrived_too_late": False}
-    return decide_run(stage, **{**usual, **facts})
+    defaults = {"may_have_run": False, "is_settled": False, "has_effect": True, "arrived_too_late": False}
+    return decide_run(stage, **{**defaults, **facts})
 
 
 def test_a_queued_request_is_started_and_a_paused_one_resumed() -> None:
@@ -20,7 +20,9 @@
 
 @pytest.mark.parametrize("stage", [Stage.QUEUED, Stage.PAUSED])
 @pytest.mark.parametrize("fact", ["is_settled", "arrived_too_late"])
-def test_nothing_runs_after_the_response_or_for_an_arrival_after_the_grace(stage: Stage, fact: str) -> None:
+def test_nothing_runs_after_the_response_or_for_an_arrival_after_the_grace(
+    stage: Stage, fact: str
+) -> None:
     assert decide(stage, **{fact: True}) is RunDecision.FORBIDDEN
 
 
--- a/tests/core/test_served_settings.py
+++ b/tests/core/test_served_settings.py
@@ -15,12 +15,15 @@
 NORTH, SOUTH = TenantSettings("north", 0.6, 40.0), TenantSettings("south", 0.4, 20.0)
 
 
-def settings_of(**changed: Any) -> Settings:
-    return replace(read_settings(SETTINGS), **changed)
+def settings_of(**changes: Any) -> Settings:
+    return replace(read_settings(SETTINGS), **changes)
 
 
 def without_class(settings: Settings) -> Settings:
-    return replace(settings, classes=tuple(one for one in settings.classes if one.name != CLASS))
+    return replace(
+        settings,
+        classes=tuple(class_settings for class_settings in settings.classes if class_settings.name != CLASS),
+    )
 
 
 def test_a_removed_class_is_accepted_until_its_grace_ends() -> None:
@@ -32,7 +35,7 @@
     assert served.accepted_class(CLASS, START + RETIRED_CLASS_GRACE + MILLISECOND) is None
 
 
-def test_a_class_that_comes_back_is_accepted_without_an_end() -> None:
+def test_a_removed_class_that_returns_is_accepted_without_a_time_limit() -> None:
     settings = settings_of()
     served = ServedSettings(settings)
     served.change(without_class(settings), START)
@@ -40,7 +43,7 @@
     assert served.accepted_class(CLASS, START + 100 * SECOND) is not None
 
 
-def test_a_removed_tenant_is_accepted_until_its_grace_ends_and_a_strange_one_never() -> None:
+def test_a_removed_tenant_is_accepted_until_its_grace_ends_and_an_unknown_one_never() -> None:
     served = ServedSettings(settings_of(tenants=(NORTH, SOUTH)))
     served.change(settings_of(tenants=(NORTH,)), START)
     assert served.accepts_tenant("south", START + RETIRED_CLASS_GRACE)
@@ -48,7 +51,7 @@
     assert not served.accepts_tenant("west", START)
 
 
-def test_any_tenant_is_accepted_where_the_settings_name_none_and_no_tenant_always() -> None:
+def test_any_tenant_is_accepted_if_the_settings_name_none_and_the_empty_one_always() -> None:
     assert ServedSettings(settings_of(tenants=())).accepts_tenant("west", START)
     assert ServedSettings(settings_of(tenants=(NORTH,))).accepts_tenant("", START)
 
@@ -70,8 +73,11 @@
     new = replace(
         old,
         classes=tuple(
-            replace(one, idempotency_window_us=one.idempotency_window_us * factor)
-            for one, factor in zip(old.classes, factors, strict=True)
+            replace(
+                class_settings,
+                idempotency_window_us=class_settings.idempotency_window_us * factor,
+            )
+            for class_settings, factor in zip(old.classes, factors, strict=True)
         ),
     )
     [extension] = longer_windows(old, new)
--- a/tests/core/test_settings_change.py
+++ b/tests/core/test_settings_change.py
@@ -19,19 +19,19 @@
 from tests.support.node import SETTINGS, Desk
 
 
-def changed_settings(change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
-    told = copy.deepcopy(SETTINGS)
-    change(told)
-    return told
+def changed_config(change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
+    config = copy.deepcopy(SETTINGS)
+    change(config)
+    return config
 
 
-def replace_setpoint_class(told: dict[str, Any]) -> None:
+def replace_setpoint_class(config: dict[str, Any]) -> None:
     """Replace setpoint-cmd by boiler-cmd, with half the deadline."""
-    told["classes"][2].update(name="boiler-cmd", aimUs=400_000, hardLimitUs=2_000_000.0, worth=5.0)
+    config["classes"][2].update(name="boiler-cmd", aimUs=400_000, hardLimitUs=2_000_000.0, worth=5.0)
 
 
-def settings(change: Callable[[dict[str, Any]], Any]) -> Settings:
-    return read_settings({**changed_settings(change), "familyInfo": {**SETTINGS["familyInfo"], "cpus": 2}})
+def changed_settings(change: Callable[[dict[str, Any]], Any]) -> Settings:
+    return read_settings({**changed_config(change), "familyInfo": {**SETTINGS["familyInfo"], "cpus": 2}})
 
 
 def test_requests_in_flight_keep_their_class_and_the_new_class_runs() -> None:
@@ -40,8 +40,12 @@
         desk.submit(number, "temp-history")
     desk.submit(4, "setpoint-cmd")  # the second is told to halt for it
     desk.end(2, Outcome.CANCELLED)
-    assert [id for what, id in desk.backend.told if what == "start"] == ["r1", "r2", "r4"]
-    desk.core.apply_settings(settings(replace_setpoint_class))
+    assert [request_id for command, request_id in desk.backend.told if command == "start"] == [
+        "r1",
+        "r2",
+        "r4",
+    ]
+    desk.core.apply_settings(changed_settings(replace_setpoint_class))
     desk.clock.settle()
     assert desk.core._controller.state.statistics.mean_run_us.keys() == {
         "temp-history",
@@ -59,8 +63,8 @@
 
 def test_a_removed_class_is_accepted_for_a_grace_then_rejected_and_accepted_when_it_returns() -> None:
     desk = Desk()
-    desk.core.apply_settings(settings(replace_setpoint_class))
-    desk.core.apply_settings(settings(replace_setpoint_class))  # the same once more ends no grace
+    desk.core.apply_settings(changed_settings(replace_setpoint_class))
+    desk.core.apply_settings(changed_settings(replace_setpoint_class))  # the same once more ends no grace
     desk.submit(1, "setpoint-cmd")
     desk.clock.advance(RETIRED_CLASS_GRACE / MILLISECOND + 1)
     with pytest.raises(RequestRejectedError, match="unknown class"):
@@ -72,12 +76,12 @@
 
 def test_a_deadline_is_that_of_the_settings_in_force_when_the_request_was_submitted() -> None:
     desk = Desk(cores=1)
-    for number, kind in ((1, "setpoint-cmd"), (2, "boiler-cmd")):
-        desk.submit(number, kind)
-        desk.core.apply_settings(settings(replace_setpoint_class))
+    for number, request_class in ((1, "setpoint-cmd"), (2, "boiler-cmd")):
+        desk.submit(number, request_class)
+        desk.core.apply_settings(changed_settings(replace_setpoint_class))
         desk.clock.settle()
-    dues = [request.deadline_at - desk.clock.now() for request in desk.core._requests]
-    assert dues == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
+    remaining_times = [request.deadline_at - desk.clock.now() for request in desk.core._requests]
+    assert remaining_times == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
     entries = desk.core._controller.state.entries.by_id.values()
     assert [entry.deadline_at - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
 
@@ -89,67 +93,70 @@
     desk.clock.advance(300)
     desk.end(1)
     controller.concurrency.limit = 9.0
-    learnt = (
+    measured = (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
         controller.state.callers.last_seen,
     )
-    assert learnt[0] > 0
-    desk.core.apply_settings(settings(lambda told: told["classes"][0].update(worth=2.0)))
+    assert measured[0] > 0
+    desk.core.apply_settings(changed_settings(lambda config: config["classes"][0].update(worth=2.0)))
     desk.clock.settle()
     assert (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
         controller.state.callers.last_seen,
-    ) == learnt
+    ) == measured
     assert controller.concurrency.limit == 9.0
-    desk.core.apply_settings(settings(lambda told: told["rules"].update(fallMultiple=2.0)))
+    desk.core.apply_settings(changed_settings(lambda config: config["rules"].update(fallMultiple=2.0)))
     desk.clock.settle()
     assert controller.concurrency.limit == 4.0  # the crowd that it survives now
 
 
 def test_a_quota_set_by_the_api_stays_until_the_file_changes_it() -> None:
-    rows = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
-    desk = Desk(realms=rows)
+    realms = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
+    desk = Desk(realms=realms)
     desk.core.set_quota("riad", 7.0)
-    for per_s, wanted in ((2.0, 7.0), (3.0, 3.0)):
-        told = [{**rows[0], "allowancePerS": per_s}, {"name": "souk", "portion": 0.1, "allowancePerS": 1.0}]
-        desk.core.apply_settings(read_settings({**SETTINGS, "realms": told}))
+    for per_s, expected_quota in ((2.0, 7.0), (3.0, 3.0)):
+        changed_realms = [
+            {**realms[0], "allowancePerS": per_s},
+            {"name": "souk", "portion": 0.1, "allowancePerS": 1.0},
+        ]
+        desk.core.apply_settings(read_settings({**SETTINGS, "realms": changed_realms}))
         desk.clock.settle()
-        assert desk.core._controller.state.quotas_per_s == {"riad": wanted, "souk": 1.0}
+        assert desk.core._controller.state.quotas_per_s == {"riad": expected_quota, "souk": 1.0}
     desk.core.apply_settings(read_settings(SETTINGS))
     assert not desk.core.tenants and not desk.core.tenant_counts
 
 
-def test_memory_is_counted_and_released_by_the_settings_in_force() -> None:
+def test_booked_memory_is_counted_and_released_by_the_settings_in_force() -> None:
     # Guards against a hold that is full for good: what was booked by one factor was given back by another.
     desk = RespDesk(cpus=1, keyKb=5.0)
-    wire = desk.connect()
-    for tag, kind in ((1, "list"), (2, "book"), (3, "list"), (4, "book")):
-        desk.send_request(wire, tag, kind, once=f"k{tag}")
-    module = desk.core._controller
+    connection = desk.connect()
+    for tag, request_class in ((1, "list"), (2, "book"), (3, "list"), (4, "book")):
+        desk.send_request(connection, tag, request_class, once=f"k{tag}")
+    controller = desk.core._controller
     for factor, key_kb in ((3.0, 50.0), (12.0, 1.0)):
         desk.core.apply_settings(read_settings(alternate_settings(cpus=1, keyKb=key_kb, runMemFactor=factor)))
         desk.clock.settle()
         running = desk.start_count(1) + desk.start_count(2) + desk.start_count(3) + desk.start_count(4)
-        assert module.state.entries.memory_kb == factor * running + (4 - running) + 2 * key_kb
+        assert controller.state.entries.memory_kb == factor * running + (4 - running) + 2 * key_kb
     for _ in range(4):
         for tag in (1, 2, 3, 4):
             desk.end_run(tag)
-    assert module.state.entries.memory_kb == 2.0  # the two names
+    assert controller.state.entries.memory_kb == 2.0  # the two names
     desk.clock.advance(6_000)
-    assert module.state.entries.memory_kb == 0
+    assert controller.state.entries.memory_kb == 0
 
 
 def test_a_longer_window_covers_kept_keys_and_a_shorter_one_does_not_shorten_theirs() -> None:
-    told = alternate_settings()
+    config = alternate_settings()
     for window_us, wait_ms, runs in ((5_000_000, 4_000, 0), (500_000, 1_000, 0), (2_000_000, 2_500, 1)):
         desk = RespDesk()
-        wire = desk.connect()
-        desk.send_request(wire, 1, "book", once="k")
+        connection = desk.connect()
+        desk.send_request(connection, 1, "book", once="k")
         desk.end_run(1)
-        told["classes"][2]["repeatWindowUs"] = window_us
-        desk.core.apply_settings(read_settings(told))
+        config["classes"][2]["repeatWindowUs"] = window_us
+        desk.core.apply_settings(read_settings(config))
         desk.clock.advance(wait_ms)
         desk.send_request(desk.connect(), 1, "book", id=2, once="k")
         assert desk.start_count(2) == runs
--- a/tests/core/test_sibling_claims.py
+++ b/tests/core/test_sibling_claims.py
@@ -10,7 +10,7 @@
 from marlstep.core.sibling_claims import ClaimDecision, decide_claim
 
 
-def test_unknown_work_runs_where_it_was_granted_and_is_rejected_otherwise() -> None:
+def test_unknown_work_runs_if_its_claim_was_granted_and_is_rejected_otherwise() -> None:
     for effect in (Effect.KEYED, Effect.AT_MOST_ONCE):
         assert decide_claim(ClaimResult.GRANTED, None, effect, "") is ClaimDecision.ENQUEUE
         assert decide_claim(ClaimResult.KNOWN, None, effect, "") is ClaimDecision.REJECT
