--- a/tests/core/test_engine_properties.py
+++ b/tests/core/test_engine_properties.py
@@ -72,10 +72,10 @@
             case "end call", int(index) if running and isinstance(detail, Outcome):
                 core.call_ended(running[index % len(running)].id, detail, b"told")
             case "disconnect", int(index) if self.handles:
-                request_id = list(self.handles)[index % len(self.handles)]
-                if self.handles[request_id] >= 0 and not desk.answers.get(int(request_id[1:])):
-                    self.disconnected.add(request_id)
-                core.client_disconnected(self.handles[request_id]) if self.handles[request_id] >= 0 else None
+                id = list(self.handles)[index % len(self.handles)]
+                if self.handles[id] >= 0 and not desk.answers.get(int(id[1:])):
+                    self.disconnected.add(id)
+                core.client_disconnected(self.handles[id]) if self.handles[id] >= 0 else None
             case "advance", int(ms):
                 desk.clock.advance(ms)
             case "quiesce", bool(quiesced):
@@ -111,12 +111,12 @@
         run.step(*step)
     run.finish()
     core, answers = run.desk.core, run.desk.answers
-    starts = Counter(request_id for command, request_id in run.desk.backend.told if command == "start")
-    for request_id, handle in run.handles.items():
-        responses = answers.get(int(request_id[1:]), [])
-        assert len(responses) == (0 if request_id in run.disconnected or handle < 0 else 1), request_id
-        assert starts[request_id] <= 1
-        assert not (request_id in run.arrived_after_grace and starts[request_id]), request_id
+    starts = Counter(id for command, id in run.desk.backend.told if command == "start")
+    for id, handle in run.handles.items():
+        responses = answers.get(int(id[1:]), [])
+        assert len(responses) == (0 if id in run.disconnected or handle < 0 else 1), id
+        assert starts[id] <= 1
+        assert not (id in run.arrived_after_grace and starts[id]), id
         if responses and responses[0].status is ResponseStatus.REJECTED:
             assert 0 * SECOND <= responses[0].retry_after <= SECOND
     assert core.unanswered == core.in_flight == 0
@@ -213,11 +213,9 @@
         desk.clock.settle()
         controller = desk.core._controller
         held = {
-            request_id: entry
+            id: entry
             for entries in controller.state.entries.by_state.values()
-            for request_id, entry in entries.items()
+            for id, entry in entries.items()
         }
-        assert all(
-            controller.state.entries.by_id.get(request_id) is entry for request_id, entry in held.items()
-        )
+        assert all(controller.state.entries.by_id.get(id) is entry for id, entry in held.items())
         assert held.keys() <= {request.id for request in desk.core._requests}
--- a/tests/core/test_repeats.py
+++ b/tests/core/test_repeats.py
@@ -57,9 +57,9 @@
 
 def test_a_repeat_under_the_id_and_key_of_ended_work_shares_its_result() -> None:
     # Guards against a hang: the controller took the new attempt for the one before it, and followed it in a circle.
-    classes = [dict(row) for row in SETTINGS["classes"]]
-    classes[1].update(semantics="deduplicated")
-    desk = Desk(classes=classes)
+    class_rows = [dict(row) for row in SETTINGS["classes"]]
+    class_rows[1].update(semantics="deduplicated")
+    desk = Desk(classes=class_rows)
     for _ in range(4):
         desk.submit(1, "schedule-save", idempotency_key="k")
         desk.end(1)
--- a/tests/core/test_run_rules.py
+++ b/tests/core/test_run_rules.py
@@ -20,9 +20,7 @@
 
 @pytest.mark.parametrize("stage", [Stage.QUEUED, Stage.PAUSED])
 @pytest.mark.parametrize("fact", ["is_settled", "arrived_too_late"])
-def test_nothing_runs_after_the_response_or_for_an_arrival_after_the_grace(
-    stage: Stage, fact: str
-) -> None:
+def test_nothing_runs_after_the_response_or_for_an_arrival_after_the_grace(stage: Stage, fact: str) -> None:
     assert decide(stage, **{fact: True}) is RunDecision.FORBIDDEN
 
 
--- a/tests/core/test_settings_change.py
+++ b/tests/core/test_settings_change.py
@@ -113,12 +113,12 @@
 
 
 def test_a_quota_set_by_the_api_stays_until_the_file_changes_it() -> None:
-    realms = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
-    desk = Desk(realms=realms)
+    realm_rows = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
+    desk = Desk(realms=realm_rows)
     desk.core.set_quota("riad", 7.0)
     for per_s, expected_quota in ((2.0, 7.0), (3.0, 3.0)):
         changed_realms = [
-            {**realms[0], "allowancePerS": per_s},
+            {**realm_rows[0], "allowancePerS": per_s},
             {"name": "souk", "portion": 0.1, "allowancePerS": 1.0},
         ]
         desk.core.apply_settings(read_settings({**SETTINGS, "realms": changed_realms}))
