--- a/marlstep/core/drain.py
+++ b/marlstep/core/drain.py
@@ -24,10 +24,12 @@
 
 
 def grace_end(run_until: datetime, stops_at: datetime) -> datetime:
-    """Return when frontends stop accepting: at the end of the grace, but `STOP_MARGIN` before the stop at the latest.
+    """Return when frontends stop accepting: at the end of the grace period, or earlier if the process stops soon.
+
+    Frontends stop accepting at least `STOP_MARGIN` before the process is stopped.
 
     Args:
-        run_until: the end of the drain's grace.
+        run_until: the end of the drain's grace period.
         stops_at: when the process is stopped.
     """
     return min(run_until, stops_at - STOP_MARGIN)
@@ -42,7 +44,8 @@
 
     Attributes:
         stops_at: when the process is stopped; None while no shutdown has begun.
-        on_accepting_stopped: called when frontends have stopped accepting, at the end of the grace or of a hand-over.
+        on_accepting_stopped: called when frontends have stopped accepting, after the grace period of a
+            drain or in a hand-over.
     """
 
     def __init__(
@@ -60,7 +63,7 @@
         self._events, self._frontends = events, frontends
         self.stops_at: datetime | None = None
         self.on_accepting_stopped: Callable[[], None] = lambda: None
-        # End of the drain's grace: requests that arrive later are not run. None while no drain has begun.
+        # End of the drain's grace period: requests that arrive later are not run. None while no drain has begun.
         self._run_until: datetime | None = None
 
     @property
@@ -74,11 +77,12 @@
         return self._run_until is not None and self._timeline.now() < self._run_until
 
     def is_too_late(self, arrived_at: datetime) -> bool:
-        """Decide whether a request must not run because it arrived after the grace of a drain.
+        """Decide whether a request must not run because it arrived after the grace period of a drain.
 
         The controller has already applied the same rule (`admission.deadlines.last_runnable_arrival`). This is the
         second line of defence, which `run_rules.decide_run` applies to each start. It uses the stated arrival time,
-        so with a client clock that runs ahead it may forbid a request that the controller counted within the grace.
+        so with a client clock that runs ahead it may forbid a request that the controller counted within the
+        grace period.
         """
         return self._run_until is not None and arrived_at > self._run_until
 
@@ -87,8 +91,9 @@
 
         Args:
             stops_at: when the process is stopped.
-            noticed_at: when the shutdown notice arrived; the grace counts from then, however late this is called.
-            grace: how long arriving requests are still run.
+            noticed_at: when the shutdown notice arrived; the grace period counts from then, however late this
+                method is called.
+            grace: the grace period, in which arriving requests are still run.
         """
         if not self._serving_state.begin_drain():
             return
@@ -110,9 +115,8 @@
             self._timeline.after_reading(self._stop_accepting_after_hand_over)
 
     def _stop_accepting_after_hand_over(self) -> None:
-        if (
-            not self.is_draining
-        ):  # if the successor was lost meanwhile, the drain stops accepting after its grace
+        # If the successor was lost meanwhile, the process drains and stops accepting after its grace period instead.
+        if not self.is_draining:
             self._stop_accepting()
 
     def _stop_at(self, stops_at: datetime) -> None:
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -355,8 +355,8 @@
         """
         self._repeats.mark_remote_outcomes_unknown(expires_at)
 
-    # Shutdown. A process *shuts down* from SIGTERM on. Without a successor it *drains*: after a grace it rejects
-    # arriving requests. With a successor it finishes its requests, and drains only if the successor is lost.
+    # Shutdown. A process *shuts down* from SIGTERM on. Without a successor it *drains*: after a grace period it
+    # rejects arriving requests. With a successor it finishes its requests, and drains only if the successor is lost.
 
     @property
     def stops_at(self) -> datetime | None:
@@ -370,7 +370,7 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the process shuts down without a successor, and so rejects requests that arrive after the grace."""
+        """Whether the process shuts down without a successor, and so rejects requests after the grace period."""
         return self._shutdown.is_draining
 
     @property
@@ -380,7 +380,7 @@
 
     @property
     def on_accepting_stopped(self) -> Callable[[], None]:
-        """Callback for when frontends have stopped accepting, after the grace of a drain or in a hand-over."""
+        """Callback for when frontends have stopped accepting, after a drain's grace period or in a hand-over."""
         return self._shutdown.on_accepting_stopped
 
     @on_accepting_stopped.setter
@@ -388,11 +388,11 @@
         self._shutdown.on_accepting_stopped = callback
 
     def drain(self, stops_at: datetime, noticed_at: datetime | None = None) -> None:
-        """Begin a drain: requests that arrive within the grace run, and all requests get a response before the stop.
+        """Begin a drain: arrivals within the grace period run, and all requests get a response before the stop.
 
         Args:
             stops_at: when the process is stopped.
-            noticed_at: when the shutdown notice arrived; the grace counts from then. None means now.
+            noticed_at: when the shutdown notice arrived; the grace period counts from then. None means now.
         """
         grace = span(self.settings.drain_grace_us)
         self._shutdown.drain(stops_at, noticed_at or self._timeline.now(), grace)
--- a/marlstep/core/request_registry.py
+++ b/marlstep/core/request_registry.py
@@ -60,9 +60,8 @@
         inbound = request.inbound
         if len(self._slots) >= self.capacity:
             raise RequestRejectedError(RejectionReason.PROCESS_AT_CAPACITY, inbound)
-        request.handle = self._slots.add(
-            request
-        )  # the table is not full, as the capacity is at most its limit
+        # The table is not full here, as the capacity is at most its limit.
+        request.handle = self._slots.add(request)
         self._handles[inbound.id] = request.handle
 
     def get(self, handle: int) -> Request | None:
--- a/marlstep/core/run_rules.py
+++ b/marlstep/core/run_rules.py
@@ -21,9 +21,9 @@
 ) -> RunDecision:
     """Decide what to do with a request that the controller wants to run.
 
-    A settled request never runs, and neither does one that arrived after the grace of a drain. Work that has an effect
-    and may have run is not started again; resuming a paused run is not a new start. These rules apply whatever the
-    controller requests, as breaking one could run a client's work twice.
+    A settled request never runs, and neither does one that arrived after the grace period of a drain. Work that has an
+    effect and may have run is not started again; resuming a paused run is not a new start. These rules apply whatever
+    the controller requests, as breaking one could run a client's work twice.
 
     Args:
         stage: the stage of the request.
--- a/marlstep/core/served_settings.py
+++ b/marlstep/core/served_settings.py
@@ -88,11 +88,9 @@
         self._retired_tenants: dict[str, datetime] = {}  # by name, until when the tenant is accepted
 
     def accepted_class(self, name: str, now: datetime) -> ClassSettings | None:
-        """Return the settings of the class; None if it is unknown or its grace has ended."""
-        class_settings = self.classes.get(name)
-        return (
-            None if class_settings is None or self._retired_classes.get(name, now) < now else class_settings
-        )
+        """Return the settings of the class; None if it is unknown or its grace period has ended."""
+        settings = self.classes.get(name)
+        return None if settings is None or self._retired_classes.get(name, now) < now else settings
 
     def accepts_tenant(self, name: str, now: datetime) -> bool:
         """Return whether requests of this tenant are accepted.
--- a/marlstep/core/serving_state.py
+++ b/marlstep/core/serving_state.py
@@ -41,7 +41,7 @@
     def can_serve(self) -> bool:
         """Whether the process reports that it can serve: it was marked ready, and no drain has begun.
 
-        This is False during the grace of a drain, although requests that arrive then still run.
+        This is False during the grace period of a drain, although requests that arrive then still run.
         """
         return self._ready and not self._is_draining
 
--- a/tests/core/test_arrivals.py
+++ b/tests/core/test_arrivals.py
@@ -1,4 +1,4 @@
-"""When a request counts as having arrived."""
+"""The arrival time that idempotency windows are checked against."""
 
 from __future__ import annotations
 
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The controller's actions."""
+"""Dispatch of the controller's actions to their handlers."""
 
 from __future__ import annotations
 
--- a/tests/core/test_drain.py
+++ b/tests/core/test_drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the grace, and the responses before the stop."""
+"""Drain: the grace period, and the responses before the process stops."""
 
 from __future__ import annotations
 
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -1,4 +1,4 @@
-"""The core as a whole: a request from its frontend to its response."""
+"""The core as a whole, from the submission of a request to its response."""
 
 from __future__ import annotations
 
--- a/tests/core/test_engine_properties.py
+++ b/tests/core/test_engine_properties.py
@@ -1,4 +1,4 @@
-"""The rules hold for the core whatever its frontends, backends and call clients do, in any order."""
+"""Invariants of the core under random sequences of events from frontends, backends and call clients."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 class RandomRun:
-    """Applies random steps to a core, and notes what each request may expect."""
+    """Applies random steps to a core, and records the facts that the expected response of each request depends on."""
 
     def __init__(self) -> None:
         self.desk = Desk(cores=1)
         self.settings = self.desk.core.settings
-        self.handles = dict[str, int]()  # by id; -1 for a request that was rejected at intake
+        self.handles = dict[str, int]()  # by request id; -1 for a request rejected at intake
         self.disconnected = set[str]()
         self.grace_ends_at = self.desk.clock.now() + 1000 * SECOND
         self.arrived_after_grace = set[str]()
@@ -93,10 +93,10 @@
         desk.clock.settle()
 
     def finish(self) -> None:
-        """Let every deadline pass, then end all runs."""
+        """Advance past every deadline, then end all runs."""
         self.desk.clock.advance(10_000)
         for request in self.desk.core._requests:
-            assert request.stage is not Stage.PAUSED  # no backend would report its end
+            assert request.stage is not Stage.PAUSED  # backends don't report the end of a paused run
             self.desk.core.run_ended(request.id, Outcome.CANCELLED, SECOND)
         self.desk.clock.advance(10_000)
 
@@ -122,7 +122,7 @@
     assert core.unanswered == core.in_flight == 0
 
 
-# The stages that may follow each, as the documentation of Stage says.
+# The stages that may follow each stage, as documented in `Stage`.
 NEXT_STAGES = {
     Stage.CLAIMING: {Stage.QUEUED, Stage.FINISHED},
     Stage.QUEUED: {Stage.RUNNING, Stage.ATTACHED, Stage.FINISHED},
@@ -137,7 +137,7 @@
 
 @contextlib.contextmanager
 def recorded_stage_changes() -> Iterator[set[tuple[Stage, Stage]]]:
-    """Record each change of the stage of any request."""
+    """Record each stage change of any request as a pair (before, after)."""
     changes = set[tuple[Stage, Stage]]()
 
     def record(request: Request, name: str, value: object) -> None:
@@ -192,7 +192,7 @@
 def test_the_controller_keeps_no_entry_that_the_core_has_released_when_ids_are_reused(
     steps: list[tuple[str, int, Any]], request_class: str
 ) -> None:
-    """Bad clients copy the ids of others: an entry that only the controller has would never end."""
+    """Faulty clients reuse the ids of other requests. An entry that only the controller still has would never end."""
     desk = Desk(cores=1)
     handles: dict[int, int] = {}
     for action, number, detail in steps:
--- a/tests/core/test_gauge_timers.py
+++ b/tests/core/test_gauge_timers.py
@@ -1,4 +1,4 @@
-"""Timers of the controller wait for fresh gauges, for a short time."""
+"""Timers of the controller, which wait a short time for fresh gauge readings."""
 
 from __future__ import annotations
 
--- a/tests/core/test_idempotency.py
+++ b/tests/core/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The expiry of idempotency keys, and whose word on a key counts."""
+"""The expiry of idempotency keys, and the precedence of local entries over those of a sibling process."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 
 
 def test_a_local_entry_past_its_window_is_replaced_by_new_work_of_a_sibling() -> None:
-    # Guards against a key that runs in both processes: an entry is kept longer than its window, for requests that are
-    # read late, and hid the other process's new work with that key.
+    # Guards against the work of one key running in both processes. A local entry is kept beyond its window for requests
+    # that are read late, and it must not hide the sibling's new work with the same key.
     table = KeyTable()
     table.retain(KEY, "own", START + SECOND, START, 10 * SECOND)
     table.adopt(KEY, KeyRecord("early"), START, ZERO)
--- a/tests/core/test_intake_checks.py
+++ b/tests/core/test_intake_checks.py
@@ -1,4 +1,4 @@
-"""The rules of the intake, and the typed errors of requests that break them."""
+"""The intake rules, and the typed errors for requests that break them."""
 
 from __future__ import annotations
 
--- a/tests/core/test_node_actions.py
+++ b/tests/core/test_node_actions.py
@@ -12,7 +12,7 @@
 
 
 class IdleLimitRecorder(Desk):
-    """A frontend that records its idle limits."""
+    """A frontend that records the idle limits passed to it."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/core/test_quotas.py
+++ b/tests/core/test_quotas.py
@@ -9,7 +9,7 @@
 
 def test_requests_beyond_a_tenants_quota_run_after_the_others() -> None:
     desk = Desk(cores=1, realms=TENANTS, overShareWorth=0.1)
-    for number in (1, 2, 3):  # the third is over
+    for number in (1, 2, 3):  # the third request exceeds the quota
         desk.submit(number, tenant="riad")
     desk.submit(4)
     desk.end(1)
--- a/tests/core/test_repeats.py
+++ b/tests/core/test_repeats.py
@@ -1,4 +1,4 @@
-"""Repeats of work that has an effect share its result, and run nothing twice."""
+"""Repeats of work that has an effect share its result, and never run the work twice."""
 
 from __future__ import annotations
 
@@ -56,7 +56,8 @@
 
 
 def test_a_repeat_under_the_id_and_key_of_ended_work_shares_its_result() -> None:
-    # Guards against a hang: the controller took the new attempt for the one before it, and followed it in a circle.
+    # Guards against an endless loop: the controller mistook the new attempt for the earlier one with the same id, and
+    # followed the reference between them in a circle.
     class_rows = [dict(row) for row in SETTINGS["classes"]]
     class_rows[1].update(semantics="deduplicated")
     desk = Desk(classes=class_rows)
--- a/tests/core/test_request_registry.py
+++ b/tests/core/test_request_registry.py
@@ -1,4 +1,4 @@
-"""Requests in flight: their handles, their ids, and the capacity."""
+"""The registry of requests in flight: lookup by handle and id, release, and the capacity."""
 
 from __future__ import annotations
 
--- a/tests/core/test_response_rules.py
+++ b/tests/core/test_response_rules.py
@@ -1,4 +1,4 @@
-"""Which response an outcome gives: REJECTED only where nothing ran."""
+"""The status of the final response by outcome. REJECTED is given only if this attempt did not run."""
 
 from __future__ import annotations
 
--- a/tests/core/test_responses.py
+++ b/tests/core/test_responses.py
@@ -1,4 +1,4 @@
-"""Responses: exactly one for each request, at the deadline at the latest, and the release of requests."""
+"""Each request gets exactly one response, at the deadline at the latest, and is then released."""
 
 from __future__ import annotations
 
--- a/tests/core/test_run_events.py
+++ b/tests/core/test_run_events.py
@@ -1,4 +1,4 @@
-"""Reports of backends and call clients: pauses, ends, downstream calls."""
+"""Reports of backends and call clients: preempted and ended runs, and downstream calls."""
 
 from __future__ import annotations
 
@@ -29,7 +29,8 @@
 
 
 def test_a_run_that_was_not_started_is_rejected_if_new_and_failed_if_it_was_paused() -> None:
-    # Guards against taking a resume that started nothing for proof that the request never ran.
+    # Guards against a wrong rejection: a failed attempt to resume a paused run (NOT_STARTED) does not prove that the
+    # request never ran.
     desk = Desk(cores=1)
     desk.submit(1, "setpoint-cmd")
     desk.end(1, Outcome.NOT_STARTED)
@@ -56,7 +57,7 @@
 
 
 def test_a_run_that_reaches_its_call_before_the_preemption_is_not_paused() -> None:
-    # Guards against taking an end at the call, which is final, for the pause that was requested before.
+    # Guards against treating a run that was cancelled at its call, which is final, as paused by the earlier preemption.
     desk = Desk(cores=1)
     desk.submit(1)
     desk.submit(2, "setpoint-cmd")
@@ -66,8 +67,9 @@
 
 
 def test_a_run_cancelled_without_a_preemption_request_ends_for_the_controller_too() -> None:
-    # Guards against a hang of the whole node: a run that was cancelled unasked got its response, while the controller
-    # kept it as paused. When its id came again, the controller lost the older entry and looped for ever.
+    # Guards against a hang of the whole node. A run that was cancelled without a preemption request got its response,
+    # but the controller kept its entry as paused. When the id was reused, the controller lost the older entry and
+    # looped forever.
     desk = Desk(cores=1)
     desk.submit(1)
     desk.end(1, Outcome.CANCELLED)
--- a/tests/core/test_run_rules.py
+++ b/tests/core/test_run_rules.py
@@ -1,4 +1,4 @@
-"""What may be started, whatever the controller asks for."""
+"""The rules for which runs may be started, whatever the controller requests."""
 
 from __future__ import annotations
 
--- a/tests/core/test_served_settings.py
+++ b/tests/core/test_served_settings.py
@@ -1,4 +1,4 @@
-"""Which classes and tenants are accepted while settings change."""
+"""The classes and tenants that are accepted after a change of settings, and the quotas and windows in force."""
 
 from __future__ import annotations
 
--- a/tests/core/test_settings_change.py
+++ b/tests/core/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Changed settings while requests are in flight."""
+"""Changes of settings while requests are in flight."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def replace_setpoint_class(config: dict[str, Any]) -> None:
-    """Replace setpoint-cmd by boiler-cmd, with half the deadline."""
+    """Replace the class setpoint-cmd by boiler-cmd, which has about half the deadline."""
     config["classes"][2].update(name="boiler-cmd", aimUs=400_000, hardLimitUs=2_000_000.0, worth=5.0)
 
 
@@ -36,9 +36,9 @@
 
 def test_requests_in_flight_keep_their_class_and_the_new_class_runs() -> None:
     desk = Desk(cores=2)
-    for number in (1, 2, 3):  # the third is held
+    for number in (1, 2, 3):  # the third stays queued, as both cores are busy
         desk.submit(number, "temp-history")
-    desk.submit(4, "setpoint-cmd")  # the second is told to halt for it
+    desk.submit(4, "setpoint-cmd")  # preempts the second
     desk.end(2, Outcome.CANCELLED)
     assert [request_id for command, request_id in desk.backend.told if command == "start"] == [
         "r1",
@@ -53,8 +53,8 @@
         "setpoint-cmd",
         "boiler-cmd",
     }
-    desk.submit(5, "boiler-cmd")  # worth most now
-    desk.submit(6, "setpoint-cmd")  # gone, but its front end has not heard of it
+    desk.submit(5, "boiler-cmd")  # has the highest priority weight now
+    desk.submit(6, "setpoint-cmd")  # removed, but still accepted for a grace period
     for number in (4, 1, 5, 6, 2, 3):
         desk.end(number)
     assert all(desk.verdicts(number) == [ResponseStatus.DONE] for number in range(1, 7))
@@ -64,7 +64,8 @@
 def test_a_removed_class_is_accepted_for_a_grace_then_rejected_and_accepted_when_it_returns() -> None:
     desk = Desk()
     desk.core.apply_settings(changed_settings(replace_setpoint_class))
-    desk.core.apply_settings(changed_settings(replace_setpoint_class))  # the same once more ends no grace
+    # Applying the same settings again must not end the grace period.
+    desk.core.apply_settings(changed_settings(replace_setpoint_class))
     desk.submit(1, "setpoint-cmd")
     desk.clock.advance(RETIRED_CLASS_GRACE / MILLISECOND + 1)
     with pytest.raises(RequestRejectedError, match="unknown class"):
@@ -109,7 +110,7 @@
     assert controller.concurrency.limit == 9.0
     desk.core.apply_settings(changed_settings(lambda config: config["rules"].update(fallMultiple=2.0)))
     desk.clock.settle()
-    assert controller.concurrency.limit == 4.0  # the crowd that it survives now
+    assert controller.concurrency.limit == 4.0  # the bound under the new settings
 
 
 def test_a_quota_set_by_the_api_stays_until_the_file_changes_it() -> None:
@@ -129,7 +130,8 @@
 
 
 def test_booked_memory_is_counted_and_released_by_the_settings_in_force() -> None:
-    # Guards against a hold that is full for good: what was booked by one factor was given back by another.
+    # Guards against a memory account that stays full forever, because memory was booked with the factor of one version
+    # of the settings and released with that of another.
     desk = RespDesk(cpus=1, keyKb=5.0)
     connection = desk.connect()
     for tag, request_class in ((1, "list"), (2, "book"), (3, "list"), (4, "book")):
@@ -143,7 +145,7 @@
     for _ in range(4):
         for tag in (1, 2, 3, 4):
             desk.end_run(tag)
-    assert controller.state.entries.memory_kb == 2.0  # the two names
+    assert controller.state.entries.memory_kb == 2.0  # the two idempotency keys
     desk.clock.advance(6_000)
     assert controller.state.entries.memory_kb == 0
 
--- a/tests/core/test_sibling_claims.py
+++ b/tests/core/test_sibling_claims.py
@@ -1,4 +1,4 @@
-"""What the reply to a claim means for its request."""
+"""The decision about a request by the reply to its claim."""
 
 from __future__ import annotations
 
