--- a/tests/core/test_run_rules.py
+++ b/tests/core/test_run_rules.py
@@ -1,4 +1,4 @@
-"""What may be started, whatever the controller asks for."""
+"""The rules for which runs may be started, whatever the controller requests."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 def decide(stage: Stage, **facts: bool) -> RunDecision:
-    usual = {"may_have_run": False, "is_settled": False, "has_effect": True, "arrived_too_late": False}
-    return decide_run(stage, **{**usual, **facts})
+    defaults = {"may_have_run": False, "is_settled": False, "has_effect": True, "arrived_too_late": False}
+    return decide_run(stage, **{**defaults, **facts})
 
 
 def test_a_queued_request_is_started_and_a_paused_one_resumed() -> None:
