--- a/marlstep/admission/__init__.py
+++ b/marlstep/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control: which request runs, waits, is preempted or is rejected; no clock and no I/O."""
+"""Admission control: decides which requests run, wait, are preempted or rejected; no clock and no I/O."""
--- a/marlstep/admission/actions.py
+++ b/marlstep/admission/actions.py
@@ -1,6 +1,6 @@
-"""Actions: what the admission controller asks its server to do, in the order given.
+"""Actions that the admission controller asks its server to carry out, in the order returned.
 
-Durations are microseconds. An `id` is that of a request.
+Durations are in microseconds. An `id` is a request ID.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 @dataclass(slots=True)
 class Preempt:
-    """Preempt a run; the server reports when it has stopped."""
+    """Preempt a run; the server reports `RunEnded` once the run has stopped."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Reject:
-    """Give the final response: rejected, with the promise that the request never ran.
+    """Send a final response that rejects the request and guarantees that it never ran.
 
     Attributes:
-        id: of the request.
-        retry_after_us: for which the caller should stay away; 0 for no advice.
-        no_failover: whether the caller should not try another server either.
+        id: The request ID.
+        retry_after_us: How long the caller should wait before it retries; 0 for no advice.
+        no_failover: Whether the caller should not retry on another server either.
     """
 
     id: str
@@ -39,14 +39,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Give the final response: an error that promises nothing about effects."""
+    """Send an error as the final response, without a guarantee that the request had no effect."""
 
     id: str
 
 
 @dataclass(slots=True)
 class KeepKey:
-    """Keep the idempotency key of a request for the given time."""
+    """Keep the idempotency key of a request for `lifetime_us`."""
 
     id: str
     lifetime_us: int
@@ -61,14 +61,14 @@
 
 @dataclass(slots=True)
 class Attach:
-    """Respond to a queued repeat with the result of the request that it repeats."""
+    """Respond to a repeated request with the result of the request that it repeats."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Call:
-    """Make the downstream call of a request, and abandon it at the given time on the controller's clock."""
+    """Make the downstream call of a request, and abandon it at `until_us` on the controller's clock."""
 
     id: str
     until_us: int
@@ -76,14 +76,14 @@
 
 @dataclass(slots=True)
 class SkipCall:
-    """Go on without the downstream call."""
+    """Continue the run without the downstream call."""
 
     id: str
 
 
 @dataclass(slots=True)
 class Advertise:
-    """Advertise a value to callers; how they read it depends on the settings' `load_signal`."""
+    """Advertise a value to callers, which interpret it by the setting `load_signal`."""
 
     value: float
 
@@ -93,8 +93,8 @@
     """Set what health checks report.
 
     Attributes:
-        stored: whether checks are served from this alone, without real work; only the simulator reads it.
-        good: whether the server is healthy.
+        stored: Whether health checks return this state without doing real work. Only the simulator reads it.
+        good: Whether the server is healthy.
     """
 
     stored: bool
@@ -103,14 +103,14 @@
 
 @dataclass(slots=True)
 class IdleLimit:
-    """Close connections that have been idle for the given time."""
+    """Close connections that have been idle for `after_us`."""
 
     after_us: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Report a `TimerDue` with this tag after the given time."""
+    """Report a `TimerDue` with this tag after `after_us`."""
 
     after_us: int
     tag: int
--- a/marlstep/admission/caller_activity.py
+++ b/marlstep/admission/caller_activity.py
@@ -1,30 +1,30 @@
-"""When callers were last seen, and how often."""
+"""Time of the last request and number of requests of each caller."""
 
 from __future__ import annotations
 
 from marlstep.admission.timing import SECOND_US
 
-RETENTION_FACTOR = 5  # of an advertised value's lifetime plus a second; later a caller is forgotten
+RETENTION_FACTOR = 5  # of an advertised value's lifetime plus a second; inactive callers are dropped after it
 
 
 class CallerActivity:
-    """Callers by number, with the time of their last request in microseconds and the count of all."""
+    """Time of the last request, in microseconds, and number of requests by caller number."""
 
     def __init__(self) -> None:
-        """Start without a caller."""
+        """Initialize with no callers."""
         self.last_seen: dict[int, tuple[int, int]] = {}
 
     def record(self, caller: int, now: int) -> None:
-        """Count a request of a caller."""
+        """Record a request of a caller at `now`, in microseconds."""
         _, requests = self.last_seen.get(caller, (0, 0))
         self.last_seen[caller] = (now, requests + 1)
 
     def forget(self, caller: int) -> None:
-        """Drop a caller whose request turned out not to exist."""
+        """Drop a caller, for instance after its request turned out never to have run."""
         self.last_seen.pop(caller, None)
 
     def forget_inactive(self, now: int, load_signal_lifetime_us: int) -> None:
-        """Drop the callers that have not been seen for several lifetimes of an advertised value."""
+        """Drop callers that sent no request for `RETENTION_FACTOR` lifetimes of an advertised value."""
         since = now - RETENTION_FACTOR * (load_signal_lifetime_us + SECOND_US)
         self.last_seen = {
             caller: (seen_at, requests)
@@ -33,6 +33,6 @@
         }
 
     def count(self, since: int) -> tuple[int, int]:
-        """Return how many callers were seen after this time, and how many of these more than once."""
+        """Return how many callers sent a request after `since`, and how many of them sent several in all."""
         request_counts = [requests for seen_at, requests in self.last_seen.values() if seen_at > since]
         return len(request_counts), sum(requests > 1 for requests in request_counts)
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -1,4 +1,4 @@
-"""The admission controller: takes events and the time, gives actions; no clock, no I/O (docs/design.md).
+"""The admission controller: maps events and the time to actions, without a clock or I/O (docs/design.md).
 
 Types: marlstep/admission/settings.py, marlstep/admission/events.py, marlstep/admission/actions.py.
 """
@@ -25,37 +25,37 @@
 from marlstep.admission.timing import NEVER, SECOND_US
 from marlstep.admission.turn_timer import TurnTimer
 
-# A paused run needs no tick: it goes on with the event that ends another run, or when its objective is due.
+# Paused runs need no tick: they are resumed when another run ends, or handled when their objective is due.
 STATES_CHECKED_EACH_TICK = (State.QUEUED, State.STOPPING, State.AWAITING_CALL)
 CPU_GAUGE = "cpu"  # share of the cores in use
 CONNECTIONS_GAUGE = "conns"
-CPU_LOAD_IF_UNKNOWN = 1.0  # a server that does not measure its cores takes them for busy
+CPU_LOAD_IF_UNKNOWN = 1.0  # without a measurement the cores are assumed to be busy
 
 
 class Controller:
-    """Decides for one server, from its start to its end, by the components that it composes.
+    """Makes the admission decisions of one server by composing the components below.
 
-    Each call of `decide` is a turn: the events of the turn are dispatched to the components, then what is due
-    is done, calls are made, and the running set is filled.
+    Each call of `decide` is a turn: the events are dispatched to the components, due requests get their final
+    response, downstream calls are made, and queued or paused runs are started.
 
     Attributes:
-        state: what the components share: requests, measurements, the settings in force, the clock.
-        concurrency: the limit on runs at once.
-        memory: the bounds on memory.
-        advisor: Retry-After and callers' credit.
-        lifecycle: final responses.
-        queue: the order of runs, starts and preemption.
-        intake: arrivals.
-        calls: downstream calls.
-        timer: the one timer that the controller has set.
+        state: State shared by the components: requests, measurements, the settings in force, the clock.
+        concurrency: The limit on concurrent runs.
+        memory: The memory limits.
+        advisor: Computes Retry-After and callers' credit.
+        lifecycle: Gives final responses.
+        queue: Orders, starts and preempts runs.
+        intake: Handles arrivals.
+        calls: Makes downstream calls.
+        timer: The controller's timer.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Compose the components.
+        """Create the components.
 
         Args:
-            settings: in force until a `SettingsChanged`.
-            seed: not used, since nothing here is random; the simulator gives one to every controller.
+            settings: Settings in force until a `SettingsChanged`.
+            seed: Not used, since no decision is random; the simulator passes a seed to every controller.
         """
         del seed
         self.state = ControllerState(settings)
@@ -84,11 +84,11 @@
         self._apply_settings(settings, ())
 
     def decide(self, now_us: int, new_events: list[events.Event]) -> list[Action]:
-        """Take what has happened since the last turn, and return the actions to carry out, in this order.
+        """Process the events since the last turn, and return the actions to carry out, in this order.
 
         Args:
-            now_us: the time in microseconds, never before that of the last turn.
-            new_events: in the order in which they happened.
+            now_us: The time in microseconds, not before that of the last turn.
+            new_events: Events since the last turn, in the order in which they happened.
         """
         is_first_turn = self.state.begin_turn(now_us)
         if is_first_turn:
@@ -104,11 +104,11 @@
         return self.state.actions
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        """Return the share of the server that is in use, and the share that all in flight may need."""
+        """Return the share of the server in use, and the share that all requests in flight may need."""
         return self.state.memory_and_concurrency_in_use()
 
     def measurements(self) -> events.Measurements:
-        """Return what was measured, for the controller of another process of this server."""
+        """Return the measurements to pass to the controller of another process of this server."""
         return events.Measurements(
             limit=self.concurrency.limit,
             least_run_us=self.state.statistics.least_run_us,
@@ -117,7 +117,7 @@
             mean_run_us=dict(self.state.statistics.mean_run_us),
         )
 
-    # Events of a request. One that has ended here already is passed over.
+    # Request events. Events of requests that are unknown or already finished are ignored.
 
     def _on_client_disconnected(self, event: events.ClientDisconnected) -> None:
         if (entry := self.state.entries.unfinished(event.id)) is not None:
@@ -135,12 +135,13 @@
         if (entry := self.state.entries.unfinished(event.id)) is not None:
             self.queue.end(entry, event.outcome)
 
-    # Events of the server.
+    # Server events.
 
     def _on_drain(self, event: events.Drain) -> None:
-        """Respond to all before the process is stopped; without a successor also leave service.
+        """Move deadlines forward so that all requests get a response before the process is stopped.
 
-        A successor takes this process's place, so late arrivals are run as ever and health stays good.
+        Without a successor, health also turns bad and arrivals after the grace period are not run. With a
+        successor, which replaces this process, late arrivals still run and health stays good.
         """
         self.state.respond_by = drain_response_deadline(event.stops_at, self.state.tick_us)
         if not event.has_successor:
@@ -162,14 +163,14 @@
             self._end_second(event)
 
     def _end_second(self, event: events.TimerDue) -> None:
-        """Adapt the limit and the idle timeout to the second that ends, and let measurements decay."""
+        """Adapt the limit and the idle timeout to the second that ends, and decay the measurements."""
         is_busy = is_cpu_busy(event.gauges.get(CPU_GAUGE, CPU_LOAD_IF_UNKNOWN))
         self.concurrency.adjust(is_busy)
         self._adjust_idle_timeout(event.gauges.get(CONNECTIONS_GAUGE, 0.0), is_busy)
         self.state.end_second()
 
     def _adjust_idle_timeout(self, open_connections: float, is_busy: bool) -> None:
-        """Fit the idle timeout to the number of open connections, where both are known."""
+        """Adjust the idle timeout to the number of open connections, if both are known."""
         state = self.state
         if not open_connections or not state.idle_timeout_us:
             return
@@ -192,7 +193,7 @@
             self.state.actions.append(IdleLimit(self.state.idle_timeout_us))
 
     def _apply_settings(self, settings: Settings, retired: tuple[ClassSettings, ...]) -> None:
-        """Put settings in force, at the start and whenever they change; measurements stay."""
+        """Apply settings at the start or after a change; measurements are kept."""
         self.state.configure(settings, retired)
         self.concurrency.clamp()
         self.calls.configure()
@@ -207,10 +208,10 @@
     def _on_portion_changed(self, event: events.PortionChanged) -> None:
         self.state.set_portion(event.portion)
 
-    # The end of a turn.
+    # Last steps of a turn: due responses and the timer.
 
     def _respond_if_due(self, entry: Entry) -> None:
-        """Give the final response shortly before the deadline; until then only look at the request again."""
+        """Give the final response if the deadline is near, else schedule another check."""
         if not entry.response_owed:
             return
         respond_at = entry.deadline_at - self.state.response_lead_us
@@ -220,7 +221,7 @@
             self.state.wakeups.add(entry, respond_at)
 
     def _arm_timer(self) -> None:
-        """Set the timer for what comes first: a tick while requests wait, the next second, or a wakeup."""
+        """Set the timer for the next wakeup, or for the next tick or second if requests need that sooner."""
         now, entries = self.state.now, self.state.entries
         next_check = NEVER
         if entries.count(*STATES_CHECKED_EACH_TICK):
--- a/marlstep/admission/controller_state.py
+++ b/marlstep/admission/controller_state.py
@@ -1,6 +1,6 @@
-"""What the components of the admission controller share: clock, settings in force, requests, measurements.
+"""State shared by the components of the admission controller: clock, settings, requests, measurements.
 
-State changes are carried out and counted here; whether and when they happen is decided by the components.
+State changes of requests are carried out and accounted for here; the components decide when they happen.
 """
 
 from __future__ import annotations
@@ -22,41 +22,41 @@
 from marlstep.admission.token_buckets import TokenBuckets
 from marlstep.admission.wake_heap import WakeHeap
 
-FULLY_WARM = 1.0  # of its capacity
-MIN_PORTION = 1e-6  # of the server; shares are divided by the portion, so it is never 0
+FULLY_WARM = 1.0  # share of the capacity
+MIN_PORTION = 1e-6  # of the server; above 0, since shares are divided by the portion
 
 
 class ControllerState:
-    """The controller's view of its server, this node. Times and durations are microseconds, sizes kilobytes.
+    """State of this server, this node. Times and durations are microseconds, sizes kilobytes.
 
     Attributes:
-        now: the time of this turn.
-        actions: of this turn.
-        portion: of the server that this process uses; less than 1 while another process serves beside it.
-        memory_kb: that this process may use.
-        max_concurrency: requests on the cores that this process's portion of the server survives.
-        last_runnable_arrival_at: what arrives later is not run; `NEVER` unless the server drains.
-        respond_by: when all responses must be given; `NEVER` until the process is to be stopped, with or
-            without a successor.
-        settings: in force.
-        shortest_objective_us: the shortest latency objective of all classes.
-        highest_weight: the highest priority weight of all classes.
-        tick_us: interval at which waiting requests are looked at.
-        response_lead_us: before its deadline, at which a request gets its final response.
-        idle_timeout_us: of connections, at present.
-        classes: the request classes by name, retired ones included.
-        quotas_per_s: this server's part of each tenant's quota, in requests a second.
-        wakeups: when to look at which request again.
-        buckets: of tenants, for their quotas.
-        callers: when each was last seen.
-        statistics: what runs have taken.
-        call_latency: what downstream calls take.
-        call_reserve: what downstream calls may still take.
-        entries: the requests.
+        now: Time of the current turn.
+        actions: Actions of the current turn.
+        portion: Portion of the server that this process uses; below 1 while another one serves beside it.
+        memory_kb: Memory that this process may use.
+        max_concurrency: Requests on the cores that this process's portion of the server survives.
+        last_runnable_arrival_at: Requests that arrive later are not run; `NEVER` unless the server drains.
+        respond_by: Time by which all responses must be given; `NEVER` until a `Drain`, with or without a
+            successor.
+        settings: Settings in force.
+        shortest_objective_us: The shortest latency objective of all classes.
+        highest_weight: The highest priority weight of all classes.
+        tick_us: Interval at which waiting requests are checked.
+        response_lead_us: How long before its deadline a request gets its final response.
+        idle_timeout_us: Current idle timeout of connections; 0 for none.
+        classes: Request classes by name, including retired ones.
+        quotas_per_s: This server's part of each tenant's quota, in requests per second.
+        wakeups: Times at which requests are to be checked again.
+        buckets: Token buckets of the tenants' quotas.
+        callers: Recent activity of callers.
+        statistics: Measurements of runs.
+        call_latency: Measured duration of downstream calls.
+        call_reserve: Reserve of time for downstream calls.
+        entries: The known requests.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Start with the whole server to this process, and nothing measured."""
+        """Initialize with these settings, the whole server as this process's portion, and no measurements."""
         self.now = 0
         self.actions: list[Action] = []
         self.portion = 1.0
@@ -74,15 +74,15 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether the server leaves service, without a successor."""
+        """Whether the server drains without a successor."""
         return self.last_runnable_arrival_at < NEVER
 
     def configure(self, settings: Settings, retired: tuple[ClassSettings, ...]) -> None:
-        """Put new settings in force; what was measured stays.
+        """Apply new settings; measurements are kept.
 
         Args:
-            settings: from now on.
-            retired: classes that are no longer in the settings but may still arrive.
+            settings: Settings in force from now on.
+            retired: Classes that are no longer in the settings but whose requests may still arrive.
         """
         self.settings = settings
         self.idle_timeout_us = settings.idle_timeout_us
@@ -99,7 +99,7 @@
         self._update_capacity()
 
     def begin_turn(self, now: int) -> bool:
-        """Let time pass, and return whether this turn is the first."""
+        """Advance the clock to `now` and clear the actions; return whether this is the first turn."""
         is_first = self._started_at is None
         if is_first:
             self._started_at = now
@@ -111,17 +111,17 @@
         return is_first
 
     def end_second(self) -> None:
-        """Let measurements decay, and forget callers that have not been seen for long."""
+        """Decay measurements and drop inactive callers."""
         self.callers.forget_inactive(self.now, self.settings.load_signal_lifetime_us)
         self.statistics.end_second()
 
     def set_portion(self, portion: float) -> None:
-        """Use this share of the server from now on, 0 to 1."""
+        """Set the portion of the server that this process uses, 0 to 1."""
         self.portion = max(portion, MIN_PORTION)
         self._update_capacity()
 
     def add(self, entry: Entry, unread_us: int) -> None:
-        """Queue an arrival, to be looked at again when its objective or its deadline is due."""
+        """Queue an arrival, and schedule a check at its objective or shortly before its deadline."""
         entry.deadline_at = min(entry.deadline_at, self.respond_by)
         self.callers.record(entry.caller, self.now)
         self.statistics.record_read_lag(unread_us)
@@ -130,9 +130,9 @@
         self.wakeups.add(entry, min(entry.objective_at + 1, entry.deadline_at - self.response_lead_us))
 
     def move(self, entry: Entry, state: State) -> None:
-        """Put a request into a state, and account for the time that it spent in the one before.
+        """Move a request to a state, and account for the time that it spent in the previous one.
 
-        A finished request with an idempotency key stays known, so that repeats are recognised.
+        A finished request with an idempotency key is kept, so that repeats are recognised.
         """
         elapsed_us = self.now - entry.entered_state_at
         if entry.state is State.RUNNING:
@@ -150,9 +150,9 @@
         self.statistics.spent_us[entry.request_class.priority_weight] += elapsed_us
 
     def _account_for_call(self, entry: Entry, elapsed_us: int, is_abandoned: bool) -> None:
-        """Give back what a call did not use of the reserve.
+        """Return the unused part of a call's reservation to the reserve.
 
-        An abandoned one stays in the dependency for a while, which counts as used.
+        An abandoned call stays in the dependency for `abandoned_call_us`, which counts as used.
         """
         used_us = elapsed_us
         if is_abandoned:
@@ -166,14 +166,14 @@
             del self.entries.by_id[entry.id]
 
     def await_call(self, entry: Entry) -> None:
-        """Begin a step of a run that needs a downstream call."""
+        """Take a run off the cores for a downstream call, and reset its attempt counters."""
         entry.calls_made = 0
         entry.calls_never_ran = 0
         entry.next_call_at = self.now
         self.move(entry, State.AWAITING_CALL)
 
     def begin_call(self, entry: Entry, until: int) -> None:
-        """Reserve a call until it is abandoned, and for as long as it then stays in the dependency."""
+        """Reserve the time until a call is abandoned, and the time that it then stays in the dependency."""
         entry.reserved_call_us = until - self.now + self.settings.abandoned_call_us
         self.call_reserve.take(entry.reserved_call_us)
         entry.calls_made += 1
@@ -188,7 +188,7 @@
         self.actions.append(KeepKey(entry.id, expires_at - self.now))
 
     def due_entries(self) -> Iterator[Entry]:
-        """Yield the requests that are due; free expired keys before, drop requests to forget after."""
+        """Yield due requests; free their expired keys before, and drop those no longer recognised after."""
         while (entry := self.wakeups.pop_due(self.now, self.entries.is_current)) is not None:
             if 0 < entry.key_kept_until <= self.now:
                 self.entries.release_key_memory(entry)
@@ -197,9 +197,9 @@
                 self.entries.by_id.pop(entry.id, None)
 
     def memory_and_concurrency_in_use(self) -> tuple[float, float]:
-        """Return the share of the server that is in use, and the share that all requests in flight may need.
+        """Return the share of the server in use, and the share that all requests in flight may need.
 
-        Both are shares of the whole server, of its memory or of its concurrency, whichever is larger.
+        Each is a share of the whole server's memory or concurrency, whichever is larger.
         """
         memory_kb = self.settings.memory_kb
         concurrency = self.max_concurrency / self.portion
@@ -211,7 +211,7 @@
         return in_use, needed
 
     def set_quota(self, tenant: str, per_s: float) -> None:
-        """Change a tenant's quota, which all servers of the tier share."""
+        """Set a tenant's quota, in requests per second over all servers of the tier."""
         self.quotas_per_s[tenant] = per_s / self.settings.server_count
 
     def _update_capacity(self) -> None:
@@ -222,7 +222,7 @@
         )
 
     def _warm_share(self) -> float:
-        """Return the share of its capacity that the server has at present, 0 to 1."""
+        """Return the share of its full capacity that the server currently has, 0 to 1."""
         settings = self.settings
         if not settings.warms_up or settings.warm_up_us <= 0:
             return FULLY_WARM
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -1,4 +1,4 @@
-"""Downstream calls: made in the order of priority, attempted again, or left out."""
+"""Makes, retries and skips downstream calls, in order of priority."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 @dataclass(slots=True)
 class DownstreamCalls:
-    """Makes calls as far as this server's share of the dependency reaches."""
+    """Makes calls within this server's share of the dependency."""
 
     state: ControllerState
     lifecycle: RequestLifecycle
 
     def configure(self) -> None:
-        """Set rate and size of the reserve of calls in flight; only a shared dependency bounds them."""
+        """Set rate and capacity of the call reserve; calls are bounded only for a shared dependency."""
         settings = self.state.settings
         rate = 0.0
         if settings.dependency is Downstream.SHARED:
@@ -38,7 +38,7 @@
         self.state.call_reserve.configure(rate, rate * settings.call_averaging_us)
 
     def dispatch(self) -> None:
-        """Make the calls that there is capacity for, and go on without those that are better skipped."""
+        """Make the calls for which there is capacity, and skip those whose runs are better off without."""
         awaiting_call = self.state.entries.in_states(State.AWAITING_CALL)
         if not awaiting_call:
             return
@@ -46,14 +46,14 @@
         calling = self.state.entries.by_state[State.CALLING]
         for entry in awaiting_call:
             if not entry.response_owed:
-                continue  # nobody waits: the backend ends the run, by itself or when told (`Backend.abandon`)
+                continue  # no client waits: the backend ends the run itself or after `Backend.abandon`
             if self._is_better_skipped(entry, is_calling=bool(calling)):
                 self._skip_or_fail(entry)
             elif entry.next_call_at <= self.state.now and self._has_capacity(len(calling)):
                 self._call(entry)
 
     def end(self, entry: Entry, event: CallEnded) -> None:
-        """Go on with the run after a reply; after a failure, attempt again or go without the call."""
+        """Resume the run after a reply; after a failure, schedule a retry, skip the call or fail."""
         self.state.call_latency.record(event.elapsed_us)
         if event.outcome.never_ran:
             entry.calls_never_ran += 1
@@ -67,7 +67,7 @@
             self._skip_or_fail(entry)
 
     def _has_capacity(self, calls_in_flight: int) -> bool:
-        """Return whether concurrency and the share of the dependency allow one more call."""
+        """Return whether the concurrency limit and the call reserve allow one more call."""
         if calls_in_flight + 1 > self.state.max_concurrency:
             return False
         reserve = self.state.call_reserve
@@ -79,13 +79,12 @@
         return reserve.available_us >= needed_us
 
     def _call(self, entry: Entry) -> None:
-        """Make the call of a request, and set the time at which it is abandoned."""
+        """Make the call of a request, with the time at which it is to be abandoned."""
         now, latency, reserve = self.state.now, self.state.call_latency, self.state.call_reserve
         until = self._latest_useful_reply_at(entry)
         policy = CallRetryPolicy.of_request(entry.is_idempotent, entry.can_skip_call)
-        if policy.allows_another_after(
-            entry.calls_ran
-        ):  # the last one is waited for while its reply is of use
+        if policy.allows_another_after(entry.calls_ran):
+            # The last attempt has no timeout of its own: it may last as long as its reply is useful.
             call_us = max(latency.usual_us, latency.mean_us)
             until = min(until, now + attempt_timeout_us(call_us, entry.calls_ran))
         if reserve.rate:
@@ -94,9 +93,9 @@
         self.state.begin_call(entry, until)
 
     def _is_better_skipped(self, entry: Entry, is_calling: bool) -> bool:
-        """Return whether the call can be skipped, and its reply would be too late or calls are slow.
+        """Return whether the call can be skipped, and either calls are slow or its reply would be too late.
 
-        While calls are slow, one at a time is still made, to notice when they are fast again.
+        While calls are slow, one at a time is still made, to detect when they are fast again.
         """
         if not entry.can_skip_call:
             return False
@@ -115,7 +114,7 @@
         )
 
     def _skip_or_fail(self, entry: Entry) -> None:
-        """Go on without the call, or give the final response if the run needs it."""
+        """Continue the run without the call, or give the final response if the run needs the call."""
         if entry.can_skip_call:
             self.state.actions.append(SkipCall(entry.id))
             self.state.move(entry, State.RUNNING)
--- a/marlstep/admission/entry.py
+++ b/marlstep/admission/entry.py
@@ -1,6 +1,6 @@
-"""What the admission controller knows of one request, and the states that it passes through.
+"""The admission controller's record of one request, and its states.
 
-Plain data. Times (`_at`, `_until`) and durations (`_us`) are microseconds on the controller's clock.
+Times (`_at`, `_until`) and durations (`_us`) are microseconds on the controller's clock.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 
 class State(enum.IntEnum):
-    """Where a request stands. Numbers, since their hash is cheap and they are looked up for every request."""
+    """State of a request. An integer enum, since states are hashed often and integers hash cheaply."""
 
     QUEUED = 1
     RUNNING = 2
-    STOPPING = 3  # preempted, and not yet known to have stopped
+    STOPPING = 3  # preempted, stop not yet confirmed
     PAUSED = 4
-    AWAITING_CALL = 5  # off the cores, its call not yet made
+    AWAITING_CALL = 5  # off the cores, call not yet made
     CALLING = 6
-    ATTACHED = 7  # a repeat that waits for the result of another attempt
+    ATTACHED = 7  # repeated request that waits for the result of another attempt
     FINISHED = 8
 
 
-# A run that has begun and is neither paused nor ended, whether on the cores or at a call.
+# Runs that have begun and are neither paused nor ended, on the cores or at a call.
 ACTIVE_STATES = (State.RUNNING, State.STOPPING, State.AWAITING_CALL, State.CALLING)
-# Active, paused or queued: requests with work of their own to do. A repeat that is attached has none.
+# Active, paused or queued requests, which have work left. Attached requests have none of their own.
 UNFINISHED_STATES = (*ACTIVE_STATES, State.PAUSED, State.QUEUED)
 
 
@@ -38,33 +38,34 @@
     """One request, from its arrival until its idempotency key is no longer recognised.
 
     Attributes:
-        id: of the request.
-        request_class: its class, as the settings had it at the arrival.
-        priority_weight: of its class, reduced if its tenant exceeds its quota.
-        priority: the priority weight that a response can still earn, as of this turn.
-        arrived_at: when it reached the server, which was before it was read.
-        deadline_at: after which no response counts.
-        objective_at: end of its latency objective; a later response earns only the late share.
-        recognised_until: past its idempotency window, since a repeat may be read late.
-        memory_kb: while it is queued.
-        caller: number of the caller that sent it.
-        pool: of the servers that do its work.
-        is_idempotent: whether it may run again whatever has happened.
-        is_keyed: whether repeats are recognised by its idempotency key.
-        can_skip_call: whether its run may go on without a downstream call.
-        arrival_number: order of arrival.
-        state: where it stands; `FINISHED`, which takes no memory, until it is added and queued.
-        entered_state_at: when it entered its state.
-        run_us: time on the cores so far, without the time from a preemption to its effect (`STOPPING`).
-        response_owed: whether a caller waits for a final response.
-        has_run: whether it was started, or shares the result of an attempt that was.
-        was_paused: whether it was preempted.
-        key_kept_until: when its idempotency key expires; 0 if none is kept.
-        calls_made: attempts of the call of the present step.
-        calls_never_ran: those of them that provably had no effect.
-        next_call_at: before which the call is not attempted.
-        reserved_call_us: what the call in flight has taken out of the reserve.
-        superseded_by: the attempt that took its place.
+        id: The request ID.
+        request_class: Its class, as in the settings at its arrival.
+        priority_weight: Priority weight of its class, reduced if its tenant exceeds its quota.
+        priority: The priority weight that a response can still earn, updated each turn.
+        arrived_at: When it reached the server, which may be before it was read.
+        deadline_at: The time after which a response no longer counts.
+        objective_at: End of its latency objective; a later response earns only the late share.
+        recognised_until: Until when repeats are recognised; past its idempotency window, since a repeat may
+            be read late.
+        memory_kb: Memory that it takes while queued, in kilobytes.
+        caller: Number of the caller that sent it.
+        pool: Pool of the servers that do its work; empty for the cores of this server.
+        is_idempotent: Whether it may run any number of times.
+        is_keyed: Whether repeats are recognised by its idempotency key.
+        can_skip_call: Whether its run can continue without a downstream call.
+        arrival_number: Position in the order of arrivals.
+        state: Current state; `FINISHED`, which takes no memory, until it is added and queued.
+        entered_state_at: When it entered its state.
+        run_us: Time on the cores so far, without the time from a preemption to the stop (`STOPPING`).
+        response_owed: Whether a caller waits for a final response.
+        has_run: Whether it was started, or shares the result of an attempt that was.
+        was_paused: Whether it was preempted.
+        key_kept_until: When its idempotency key expires; 0 if none is kept.
+        calls_made: Attempts of the call of the current step.
+        calls_never_ran: Attempts of that call that provably had no effect.
+        next_call_at: Earliest time of the next attempt of the call.
+        reserved_call_us: Time that the call in flight has reserved.
+        superseded_by: The attempt that replaced this one, if any.
     """
 
     id: str
@@ -97,13 +98,13 @@
 
     @classmethod
     def from_arrival(cls, event: Arrival, request_class: ClassSettings, weight: float, now: int) -> Entry:
-        """Return the entry of an arrival that is read now.
+        """Create the entry of a request that was read at `now`.
 
         Args:
-            event: the arrival.
-            request_class: its class.
-            weight: its priority weight.
-            now: the time, in microseconds.
+            event: The arrival.
+            request_class: Its class.
+            weight: Its priority weight.
+            now: The current time, in microseconds.
         """
         arrived_at = now - event.unread_us
         return cls(
@@ -128,10 +129,10 @@
         )
 
     def was_queued_at(self, now: int) -> bool:
-        """Return whether it entered the queue at this time, by its arrival or after a preemption."""
+        """Return whether it entered the queue at `now`, by its arrival or after a preemption."""
         return self.entered_state_at == now and self.state is State.QUEUED
 
     @property
     def calls_ran(self) -> int:
-        """Attempts of the present call that may have had an effect."""
+        """Attempts of the current call that may have had an effect."""
         return self.calls_made - self.calls_never_ran
--- a/marlstep/admission/entry_index.py
+++ b/marlstep/admission/entry_index.py
@@ -1,6 +1,6 @@
-"""The admission controller's requests by id and by state, with the memory that they take.
+"""Index of the admission controller's requests by ID and state, with the memory that they take.
 
-It only counts; what may enter a state, and when, is decided by its callers.
+The index only keeps count; its callers decide which requests enter which state, and when.
 """
 
 from __future__ import annotations
@@ -9,23 +9,25 @@
 from marlstep.admission.settings import Settings
 
 UNBOUNDED = float("inf")
-ACTIVE_RUNS_IN_STATE = {state: int(state in ACTIVE_STATES) for state in State}  # 1: it counts for its pool
+ACTIVE_RUNS_IN_STATE = {
+    state: int(state in ACTIVE_STATES) for state in State
+}  # 1 if a request in this state counts against its pool's capacity
 
 
 class EntryIndex:
-    """All entries by id; those that are not finished also by state, active runs counted by pool.
+    """Entries by ID, unfinished entries also by state, and the number of active runs by pool.
 
     Attributes:
-        by_id: all entries, those of finished requests with a remembered key included.
-        by_state: the entries of each state but `FINISHED`, by id, in the order in which they entered it.
-        active_by_pool: active runs, by pool: on the cores or at a call.
-        pool_capacity: how many the servers of a pool run at once; pools that are not named have no bound.
-        memory_kb: of all entries and kept keys, in kilobytes.
-        key_kb: of one kept key, in kilobytes.
+        by_id: All entries by ID, including finished requests whose key is remembered.
+        by_state: Entries of each state except `FINISHED`, by ID, in the order in which they entered it.
+        active_by_pool: Number of active runs by pool, on the cores or at a call.
+        pool_capacity: Maximum number of concurrent runs by pool; pools without an entry are unbounded.
+        memory_kb: Memory of all entries and kept keys, in kilobytes.
+        key_kb: Memory of one kept key, in kilobytes.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Start empty."""
+        """Initialize an empty index with the memory factors of the settings."""
         self.by_id: dict[str, Entry] = {}
         self.by_state: dict[State, dict[str, Entry]] = {state: {} for state in State}
         self.active_by_pool: dict[str, int] = {}
@@ -35,7 +37,7 @@
         self.configure(settings)
 
     def configure(self, settings: Settings) -> None:
-        """Count all memory again by new settings."""
+        """Apply the memory factors of new settings, and recalculate the memory in use."""
         self._run_factor = settings.running_memory_factor
         self.key_kb = settings.idempotency_key_kb
         self._factors = dict.fromkeys(State, self._run_factor)
@@ -46,25 +48,25 @@
         )
 
     def add(self, entry: Entry) -> None:
-        """Add an entry as the latest to arrive."""
+        """Add an entry as the latest arrival."""
         self._added += 1
         entry.arrival_number = self._added
         self.by_id[entry.id] = entry
 
     def unfinished(self, request_id: str) -> Entry | None:
-        """Return the entry of this id, or None if it is unknown or finished."""
+        """Return the entry with this ID, or None if it is unknown or finished."""
         entry = self.by_id.get(request_id)
         return entry if entry is not None and entry.state is not State.FINISHED else None
 
     def latest_attempt(self, request_id: str, excluding: Entry) -> Entry | None:
-        """Return the attempt that superseded the one of this id, or that one itself; None if it is unknown.
+        """Return the attempt with this ID or the latest one that superseded it; None if the ID is unknown.
 
-        Whichever attempt a repeat names, it is compared with the latest, since two attempts of one key must
-        never both be queued.
+        A repeat is always compared with the latest attempt, whichever one it names, since two attempts with
+        the same key must never both be queued.
 
         Args:
-            request_id: of the attempt that a repeat names.
-            excluding: the repeat itself.
+            request_id: ID of the attempt that a repeat names.
+            excluding: The entry of the repeat itself.
         """
         entry = self.by_id.get(request_id) if request_id != excluding.id else None
         while entry is not None and entry.superseded_by is not None:
@@ -72,11 +74,11 @@
         return entry
 
     def is_current(self, entry: Entry) -> bool:
-        """Return whether this entry is still the one known under its id."""
+        """Return whether this entry is still the one indexed under its ID."""
         return self.by_id.get(entry.id) is entry
 
     def in_states(self, *states: State) -> list[Entry]:
-        """Return the entries of these states, state by state, as a list of its own."""
+        """Return a new list of the entries in these states, grouped by state."""
         found: list[Entry] = []
         for state in states:
             found.extend(self.by_state[state].values())
@@ -90,15 +92,15 @@
         return total
 
     def count_in_flight(self) -> int:
-        """Return how many requests are in flight: all that are not finished, attached repeats included."""
+        """Return how many requests are in flight: all that are not finished, including attached ones."""
         return sum(map(len, self.by_state.values()))
 
     def is_pool_full(self, pool: str) -> bool:
-        """Return whether the servers of a pool run as many as they can."""
+        """Return whether the servers of a pool run as many requests as they can."""
         return self.active_by_pool.get(pool, 0) >= self.pool_capacity.get(pool, UNBOUNDED)
 
     def growth_at_start(self, entry: Entry) -> float:
-        """Return the memory that a start adds, in kilobytes; a paused run has it already."""
+        """Return the memory added by a start, in kilobytes; 0 for a paused run, which has it already."""
         if entry.state is not State.QUEUED:
             return 0.0
         return entry.memory_kb * (self._run_factor - 1)
@@ -108,7 +110,7 @@
         return entry.memory_kb * self._factors[state]
 
     def move(self, entry: Entry, state: State, now: int) -> None:
-        """Put an entry into a state and count its memory there; a finished one is known by its id alone."""
+        """Move an entry to a state and update the memory in use; finished entries are indexed by ID only."""
         previous, factors = entry.state, self._factors
         self.memory_kb += entry.memory_kb * factors[state] - entry.memory_kb * factors[previous]
         self.by_state[previous].pop(entry.id, None)
@@ -121,14 +123,14 @@
             self.by_state[state][entry.id] = entry
 
     def keep_key(self, entry: Entry, expires_at: int) -> None:
-        """Count the memory of an entry's idempotency key, which expires at this time."""
+        """Record that an entry's idempotency key is kept until `expires_at`, and count its memory."""
         entry.key_kept_until = expires_at
         self.memory_kb += self.key_kb
 
     def release_key_memory(self, entry: Entry) -> bool:
-        """Free the memory of an entry's key, kept or expired, and return whether it was counted.
+        """Stop counting the memory of an entry's key, and return whether it was counted.
 
-        Whether the key is forgotten is decided by the caller.
+        The caller decides whether the server also forgets the key.
         """
         was_kept = entry.key_kept_until > 0
         if was_kept:
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -1,6 +1,6 @@
-"""Events: what has happened to a server, as reported to its admission controller.
+"""Events that a server reports to its admission controller.
 
-Times are microseconds on one clock that only advances, sizes are kilobytes. An `id` is that of a request.
+Times are microseconds on a monotonic clock, sizes are kilobytes. An `id` is a request ID.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 from marlstep.admission.settings import ClassSettings, Settings
 
-MAX_PLAUSIBLE_ESTIMATE = 1e12  # microseconds or requests; a greater value can't have been measured
+MAX_PLAUSIBLE_ESTIMATE = 1e12  # microseconds or requests; larger values cannot be real measurements
 
 
 class Outcome(enum.StrEnum):
-    """How a run or a downstream call ended. The values are stored words and stay as they are."""
+    """How a run or a downstream call ended. The values are part of stored data and must not change."""
 
     OK = "ok"
     ERROR = "error"
-    REJECTED = "full"  # the other side rejected it unexamined
+    REJECTED = "full"  # the other side rejected it without processing it
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"  # the connection was lost after the request was sent
     CANCELLED = "cancelled"
-    NOT_STARTED = "moot"  # the request had ended before the run or call began
+    NOT_STARTED = "moot"  # the request ended before the run or call began
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that nothing took effect."""
+        """Whether this outcome proves that the run or call had no effect."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
@@ -38,20 +38,20 @@
     """A request has been read; it is queued until it runs or gets its final response.
 
     Attributes:
-        id: of the request.
-        request_class: the name of its class.
-        memory_kb: that it takes while it is queued.
-        caller: number of the caller that sent it.
-        unread_us: for which it lay unread in the server's buffers.
-        caller_deadline_at: clock time at which the caller stops waiting; None if it is not known.
-        tenant: name of its tenant; None for requests without one.
-        key: number of what the request is about; not used by this controller.
-        is_retry: whether it is marked as a retry; not used.
-        rank: of the user within its class, 0 to 1; not used.
-        cost_hint_us: expected time on a core; None if it is not known; not used.
-        prior: id of the request with the same idempotency key that this one repeats.
-        is_write: whether it changes data; not used.
-        pool: of the servers that would do the work; empty for the cores of this server.
+        id: The request ID.
+        request_class: Name of its class.
+        memory_kb: Memory that it takes while queued.
+        caller: Number of the caller that sent it.
+        unread_us: How long it waited in the server's buffers before it was read.
+        caller_deadline_at: Time at which the caller stops waiting; None if unknown.
+        tenant: Name of its tenant; None if it has none.
+        key: Number of the item that the request is about; not used by this controller.
+        is_retry: Whether it is marked as a retry; not used.
+        rank: Rank of the user within the class, 0 to 1; not used.
+        cost_hint_us: Expected time on a core; None if unknown; not used.
+        prior: ID of the request with the same idempotency key that this one repeats; None if it repeats none.
+        is_write: Whether it changes data; not used.
+        pool: Pool of the servers that would do the work; empty for the cores of this server.
     """
 
     id: str
@@ -72,14 +72,14 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client no longer waits; no response is owed."""
+    """The client has disconnected; no response is owed."""
 
     id: str
 
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run has reached a downstream call; it is off the cores until a `Call`, a `SkipCall` or a `Fail`."""
+    """A run needs a downstream call; it is off the cores until a `Call`, `SkipCall` or `Fail` action."""
 
     id: str
 
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run has ended, or has been preempted (cancelled). The controller keeps its own time of runs."""
+    """A run has ended, or has stopped after a preemption (cancelled). The controller times runs itself."""
 
     id: str
     outcome: Outcome
@@ -107,9 +107,9 @@
     """This server shuts down gracefully.
 
     Attributes:
-        stops_at: when its process is stopped.
-        has_successor: whether another process takes its place, so that late arrivals are run as ever.
-        noticed_at: when the notice came, if that was before this event; else 0.
+        stops_at: When its process is stopped.
+        has_successor: Whether another process replaces it, so that late arrivals still run.
+        noticed_at: When the drain was announced, if that was before this event; else 0.
     """
 
     stops_at: int
@@ -119,11 +119,11 @@
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer that the controller has set is due.
+    """A timer that the controller set is due.
 
     Attributes:
-        tag: of the timer.
-        gauges: `cpu`, `runq`, `memory`, `conns`, where measured; only `cpu` and `conns` are used.
+        tag: Tag of the timer.
+        gauges: Values of `cpu`, `runq`, `memory`, `conns`, if measured; only `cpu` and `conns` are used.
     """
 
     tag: int
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True)
 class QuotaChanged:
-    """A tenant has a new quota, in requests a second over all servers of the tier."""
+    """A tenant has a new quota, in requests per second over all servers of the tier."""
 
     tenant: str
     per_s: float
@@ -140,11 +140,11 @@
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings are in force. Requests in flight keep the class that they came with.
+    """New settings are in force. Requests in flight keep the class settings of their arrival.
 
     Attributes:
-        settings: from now on.
-        retired: classes that are no longer in the settings but may still arrive.
+        settings: Settings in force from now on.
+        retired: Classes that are no longer in the settings but whose requests may still arrive.
     """
 
     settings: Settings
@@ -153,7 +153,7 @@
 
 @dataclass(slots=True)
 class PoolCapacityChanged:
-    """The servers of a pool run a new number of requests at once."""
+    """The number of concurrent requests that the servers of a pool can run has changed."""
 
     pool: str
     capacity: int
@@ -161,16 +161,19 @@
 
 @dataclass(slots=True)
 class PortionChanged:
-    """Another process serves on the same server; this one has a new share of memory and concurrency."""
+    """This process's portion of the server's memory and concurrency has changed, 0 to 1.
+
+    This happens when another process starts or stops serving on the same server.
+    """
 
     portion: float
 
 
 @dataclass(slots=True)
 class Measurements:
-    """What the controller of another process of this server has measured; 0 stands for nothing measured.
+    """Measurements by the controller of another process of this server; 0 means not measured.
 
-    It passes between two processes, perhaps of different versions, as JSON under the names of `STORED_NAMES`.
+    Processes, perhaps of different versions, exchange them as JSON with the keys of `STORED_NAMES`.
     """
 
     limit: float = 0.0
@@ -181,7 +184,7 @@
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, object]) -> Measurements:
-        """Read what another version may have written; an implausible value counts as not measured."""
+        """Create from JSON, perhaps of another version; implausible values count as not measured."""
         means = raw.get(MEANS_STORED_NAME)
         rows = means.items() if isinstance(means, Mapping) else ()
         return cls(
@@ -190,12 +193,12 @@
         )
 
     def to_json(self) -> dict[str, object]:
-        """Return the stored form, keys in their fixed order."""
+        """Return the JSON form, with the keys in a fixed order."""
         plain: dict[str, object] = {stored: getattr(self, name) for name, stored in STORED_NAMES.items()}
         return {**plain, MEANS_STORED_NAME: dict(self.mean_run_us)}
 
 
-# The keys of `Measurements` between two processes, by field; they don't follow the fields' names.
+# JSON keys of `Measurements` by field name. They are fixed, so they differ from renamed fields.
 STORED_NAMES = {
     "limit": "limit",
     "least_run_us": "base_us",
@@ -206,7 +209,7 @@
 
 
 def _plausible(value: object) -> float:
-    """Return a measured value as a float, or 0 if it can't have been measured."""
+    """Return a value as a float, or 0 if it is not a plausible measurement."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number:
         return 0.0
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -1,4 +1,4 @@
-"""Arrivals: which are queued, attached to the run that they repeat, or rejected at once."""
+"""Intake of arrivals: queues them, attaches them to the run that they repeat, or rejects them."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from marlstep.admission.memory_ledger import MemoryLedger
 from marlstep.admission.run_queue import RunQueue
 
-MIN_QUOTA_BURST = 1.0  # requests; a quota under one a second still lets one through in full
+MIN_QUOTA_BURST = 1.0  # requests; even with a quota below one per second, a single request counts in full
 FULL_WEIGHT = 1.0
 
 
 def quota_burst(quota_per_s: float) -> float:
-    """Return how many requests of a tenant count in full at once: a second's quota, one at least."""
+    """Return the burst size of a tenant's quota, in requests: the quota of one second, but at least one."""
     return max(MIN_QUOTA_BURST, quota_per_s)
 
 
 def must_share_result(entry: Entry, prior_id: str | None, prior: Entry | None) -> bool:
-    """Return whether an arrival must be attached to the run of another attempt, and never run itself.
+    """Return whether an arrival must be attached to the run of another attempt instead of being run.
 
-    A repeat with an idempotency key never runs, because the attempt that it repeats has run, or may have if
-    it is no longer known. The exception is an attempt that is known not to have run: the repeat takes its
-    place in the queue.
+    A repeat with an idempotency key must not run if the attempt that it repeats has run, or may have run
+    because it is no longer known. If that attempt is known not to have run, the repeat takes its place in the
+    queue.
 
     Args:
-        entry: the arrival.
-        prior_id: the id of the attempt that it repeats, if it repeats one.
-        prior: the latest attempt of that id, if it is still known.
+        entry: The arrival.
+        prior_id: ID of the attempt that it repeats, if any.
+        prior: The latest attempt for that ID, if still known.
     """
     if not entry.is_keyed or not prior_id:
         return False
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Intake:
-    """Takes arrivals in."""
+    """Queues, attaches or rejects arrivals."""
 
     state: ControllerState
     memory: MemoryLedger
@@ -48,7 +48,7 @@
     queue: RunQueue
 
     def arrive(self, event: Arrival) -> None:
-        """Take in a request that has been read; one of an unknown class is rejected and not retried."""
+        """Handle a request that has been read; one of an unknown class is rejected without failover."""
         request_class = self.state.classes.get(event.request_class)
         if request_class is None:
             self.state.actions.append(Reject(event.id, 0, no_failover=True))
@@ -62,16 +62,16 @@
         self._place(entry, event.prior)
 
     def _discard(self, replaced: Entry) -> None:
-        """Drop a request whose id has come again: its sender no longer waits for the one before."""
+        """Drop a request whose ID has arrived again; its sender no longer waits for the earlier one."""
         replaced.response_owed = False
         self.state.entries.release_key_memory(replaced)
         self.lifecycle.finish(replaced)
 
     def _quota_factor(self, tenant: str | None) -> float:
-        """Return the share of its class's priority weight that a request of this tenant has.
+        """Return the factor by which the tenant's quota reduces a request's priority weight.
 
-        Requests within the tenant's quota count in full, those beyond it and those of unknown tenants for the
-        share that the settings give. Where the settings name no tenants, all count in full.
+        Requests within the quota keep their full weight. Requests beyond it and those of unknown tenants get
+        `over_quota_factor`. If the settings have no tenants, all requests keep their full weight.
         """
         quotas_per_s = self.state.quotas_per_s
         if tenant is None or not quotas_per_s:
@@ -84,7 +84,7 @@
         return self.state.settings.over_quota_factor
 
     def _place(self, entry: Entry, prior_id: str | None) -> None:
-        """Attach an arrival to the run that it repeats, leave it in the queue, or reject it."""
+        """Attach a queued arrival to the run that it repeats, leave it in the queue, or reject it."""
         prior = self.state.entries.latest_attempt(prior_id, entry) if prior_id else None
         if must_share_result(entry, prior_id, prior):
             self._attach(entry)
@@ -98,18 +98,18 @@
                 self._supersede(prior, entry)
 
     def _may_queue(self, entry: Entry) -> bool:
-        """Return whether an arrival came within the drain's grace and could run if it were alone."""
+        """Return whether an arrival is within a drain's grace period and would fit in memory on its own."""
         is_in_time = entry.arrived_at <= self.state.last_runnable_arrival_at
         return is_in_time and self.memory.could_ever_run(entry)
 
     def _make_room_for(self, entry: Entry, prior: Entry | None) -> bool:
-        """End waiting requests that can earn nothing while memory lacks; return whether there is enough."""
+        """Evict worthless waiting requests if memory is short; return whether the arrival fits."""
         limit_kb = self.memory.queue_limit_kb(entry, prior)
         self._evict_down_to(limit_kb, entry)
         return self.state.entries.memory_kb <= limit_kb
 
     def _evict_down_to(self, limit_kb: float, arrival: Entry) -> None:
-        """End waiting requests that can earn nothing until the memory is within the limit."""
+        """Evict waiting requests whose response would earn nothing until the memory is within the limit."""
         entries = self.state.entries
         for waiting in entries.in_states(State.PAUSED, State.QUEUED):
             if entries.memory_kb <= limit_kb:
@@ -118,7 +118,7 @@
                 self.lifecycle.reject_or_fail(waiting)
 
     def _attach(self, entry: Entry) -> None:
-        """Let a repeat share the result of the attempt that ran; where memory lacks, it fails."""
+        """Attach a repeat to the attempt that ran, to share its result; fail it if memory is short."""
         entry.has_run = True
         if self.memory.fits(0.0):
             self.state.actions.append(Attach(entry.id))
@@ -127,7 +127,7 @@
             self.lifecycle.reject_or_fail(entry)
 
     def _supersede(self, prior: Entry, entry: Entry) -> None:
-        """Let an arrival take key and turn of the attempt that it repeats; that one is rejected."""
+        """Give an arrival the key and queue position of the attempt that it repeats, and reject that one."""
         self.state.entries.release_key_memory(prior)
         self.state.keep_key(entry)
         entry.arrival_number = prior.arrival_number
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -1,6 +1,6 @@
-"""Ends of requests: the one place that gives known requests a final response other than the result of a run.
+"""The end of requests: the only module that gives known requests a final response other than a run's result.
 
-An arrival of an unknown class is rejected by the intake, as there is no entry of it.
+Arrivals of an unknown class have no entry and are rejected by the intake.
 """
 
 from __future__ import annotations
@@ -16,16 +16,15 @@
 
 
 def forbids_failover(priority_weight: float, highest_weight: float, is_draining: bool) -> bool:
-    """Return whether a rejection asks the caller not to try another server either.
+    """Return whether a rejection tells the caller not to retry on another server either.
 
-    A retry elsewhere costs that server the reading of it, so only requests of the highest class may be
-    retried while this server is overloaded. A server that drains is the exception: the others have capacity,
-    and all may go there.
+    Even reading a retry costs the other server time, so while this server is overloaded only requests of the
+    highest class may fail over. While it drains all requests may, since the other servers have capacity.
 
     Args:
-        priority_weight: of the request's class.
-        highest_weight: the highest priority weight of all classes.
-        is_draining: whether the server leaves service.
+        priority_weight: Priority weight of the request's class.
+        highest_weight: The highest priority weight of all classes.
+        is_draining: Whether the server drains without a successor.
     """
     is_highest_class = priority_weight >= highest_weight
     return not is_draining and not is_highest_class
@@ -33,16 +32,16 @@
 
 @dataclass(slots=True)
 class RequestLifecycle:
-    """Gives final responses and finishes requests."""
+    """Gives final responses other than a run's result, and finishes requests."""
 
     state: ControllerState
     advisor: RetryAdvisor
 
     def reject_or_fail(self, entry: Entry) -> None:
-        """Reject a request that was never started, and fail any other.
+        """Reject a request that was never started, or fail one that was.
 
-        A rejection promises that the request did not run, so that the caller may retry it anywhere. Where no
-        response is owed any more, nothing happens.
+        A rejection guarantees that the request did not run, so that it is safe to retry. Does nothing if no
+        response is owed.
         """
         if not entry.response_owed:
             return
@@ -56,16 +55,17 @@
         self.abandon(entry)
 
     def abandon(self, entry: Entry) -> None:
-        """Note that no response is owed; what has not begun or is paused is finished with that.
+        """Mark that no response is owed, and finish the request if it is queued, paused or attached.
 
-        Whether a run goes on is decided with its priority: that of a keyed request may still serve a retry.
+        A run in progress continues or is preempted by its priority, since that of a keyed request may still
+        serve a retry.
         """
         entry.response_owed = False
         if entry.state in WAITING_WITHOUT_CORE:
             self.finish(entry)
 
     def finish(self, entry: Entry) -> None:
-        """End a request, and drop its idempotency key if it never ran, so that a retry may run."""
+        """Finish a request, and forget its idempotency key if it never ran, so that a retry can run."""
         self.state.move(entry, State.FINISHED)
         is_key_unused = entry.is_keyed and not entry.has_run
         if is_key_unused and self.state.entries.release_key_memory(entry):
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -1,4 +1,4 @@
-"""Memory: what may be queued, run and attached beside what is already there."""
+"""Memory limits for queueing, starting and attaching requests."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import Entry, State
 
-MAX_QUEUE_MEMORY_FRACTION = 0.8  # of memory, for arrivals that are queued; the rest is for runs that start
-MAX_MEMORY_FRACTION = 0.95  # of memory, for starts; the rest is for repeats that attach
+MAX_QUEUE_MEMORY_FRACTION = 0.8  # of memory, limit for queueing arrivals; the rest is for starts
+MAX_MEMORY_FRACTION = 0.95  # of memory, limit for starts; the rest is for attached repeats
 
 
 @dataclass(slots=True)
 class MemoryLedger:
-    """The bounds on the memory that requests and idempotency keys take. Sizes are kilobytes."""
+    """Limits on the memory that requests and idempotency keys take. Sizes are kilobytes."""
 
     state: ControllerState
 
     def fits(self, growth_kb: float) -> bool:
-        """Return whether a run that takes so much more memory may start, or a repeat may attach."""
+        """Return whether memory allows a start that adds `growth_kb`, or a repeat to be attached."""
         return self.state.entries.memory_kb + growth_kb <= MAX_MEMORY_FRACTION * self.state.memory_kb
 
     def could_ever_run(self, entry: Entry) -> bool:
-        """Return whether a request could run if it were alone.
+        """Return whether a request could run if it were the only one.
 
-        One that could not would only take memory from others in the queue until its objective is past.
+        A request that could not would only take queue memory from others until its objective has passed.
         """
         running_kb = self.state.entries.size(entry, State.RUNNING)
         return running_kb <= MAX_MEMORY_FRACTION * self.state.memory_kb
 
     def queue_limit_kb(self, entry: Entry, prior: Entry | None) -> float:
-        """Return how much memory may be in use for an arrival to be queued.
+        """Return up to which memory use an arrival may be queued.
 
-        It leaves room for the arrival's idempotency key, unless it takes over the key of the attempt that it
-        repeats.
+        The limit leaves room for the arrival's idempotency key, unless it takes over the key of the attempt
+        that it repeats.
 
         Args:
-            entry: the arrival; its own memory is already counted.
-            prior: the attempt that it repeats, if any.
+            entry: The arrival; its own memory is already counted.
+            prior: The attempt that it repeats, if any.
         """
         limit_kb = MAX_QUEUE_MEMORY_FRACTION * self.state.memory_kb
         takes_over_key = prior is not None and prior.key_kept_until > 0
--- a/marlstep/admission/preemption.py
+++ b/marlstep/admission/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: which run is stopped for a request of higher priority, and what becomes of it."""
+"""Preemption rules: which run is stopped for a request of higher priority, and its state afterwards."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
 def may_preempt(mode: PreemptionMode, entry: Entry) -> bool:
     """Return whether a run may be preempted at all.
 
-    A paused run keeps its progress, so any run may be paused. A dropped run starts again from nothing, so
-    while its caller waits that is allowed for idempotent requests only, since the effect of any other may be
-    half done.
+    A paused run keeps its progress, so any run may be paused. A dropped run starts over, so while its caller
+    waits only runs of idempotent requests may be dropped: the effect of any other may be half done.
 
     Args:
-        mode: what the server does with a preempted run.
-        entry: the request that runs.
+        mode: What the server does with a preempted run.
+        entry: The running request.
     """
     if mode is PreemptionMode.NONE:
         return False
@@ -30,18 +29,18 @@
 def lowest_preemptible(runs: Iterable[Entry], below_priority: float, mode: PreemptionMode) -> Entry | None:
     """Return the run to preempt for a request of the given priority, or None if there is none.
 
-    It is the last in dispatch order of those below the priority: a run never gives way to one of its own
-    priority, or equal requests would preempt each other in turn.
+    This is the last run in dispatch order with a lower priority. Runs of the same priority are excluded,
+    since equal requests would otherwise keep preempting each other.
 
     Args:
-        runs: the requests that run.
-        below_priority: the priority of the request that needs the place.
-        mode: what the server does with a preempted run.
+        runs: The running requests.
+        below_priority: Priority of the request to be started.
+        mode: What the server does with a preempted run.
     """
     candidates = [entry for entry in runs if entry.priority < below_priority and may_preempt(mode, entry)]
     return max(candidates, key=dispatch_order, default=None)
 
 
 def state_after_preemption(mode: PreemptionMode) -> State:
-    """Return where a run stands once it has stopped: paused if it keeps its progress, else queued again."""
+    """Return the state of a run that has stopped: paused if it keeps its progress, else queued again."""
     return State.PAUSED if mode is PreemptionMode.PAUSE else State.QUEUED
--- a/marlstep/admission/queue_wait.py
+++ b/marlstep/admission/queue_wait.py
@@ -1,24 +1,24 @@
-"""How long an arrival would wait in the queue, and when that is too long to accept it."""
+"""The expected queueing time of an arrival, and the limit above which the arrival is rejected."""
 
 from __future__ import annotations
 
-UNMARKED_RETRY_WAIT_FRACTION = 0.3  # of the latency objective; an arrival that is not marked may be a retry
+UNMARKED_RETRY_WAIT_FRACTION = 0.3  # of the latency objective; an unmarked arrival may be a retry
 
 
 def expected_wait_us(
     requests_ahead: int, us_per_run: float, concurrency_limit: float, higher_weight_share: float, cores: int
 ) -> float:
-    """Return how long a request waits for its start if the recent rate of runs goes on, in microseconds.
+    """Return how long a request would wait for its start at the recent rate of runs, in microseconds.
 
-    Requests of higher priority weight that arrive later go ahead of it: the share of the cores that they used
-    lately is taken off the rate, down to one core.
+    Later arrivals of higher priority weight will overtake the request. The rate is therefore reduced by their
+    recent share of the cores, but at least one core is assumed to remain.
 
     Args:
-        requests_ahead: requests before it in dispatch order that also wait.
-        us_per_run: recent time on the cores per run, in microseconds.
-        concurrency_limit: how many run at once.
-        higher_weight_share: share of the recent time on the cores spent on higher priority weights, 0 to 1.
-        cores: of the server.
+        requests_ahead: Waiting requests before it in dispatch order.
+        us_per_run: Recent time on the cores per run, in microseconds.
+        concurrency_limit: Limit on concurrent runs.
+        higher_weight_share: Share of the recent time on the cores spent on higher priority weights, 0 to 1.
+        cores: Number of cores of the server.
     """
     remaining_share = max(1 / cores, 1 - higher_weight_share)
     return requests_ahead * us_per_run / concurrency_limit / remaining_share
@@ -27,17 +27,17 @@
 def latest_acceptable_response_at(
     arrived_at: int, latency_objective_us: int, deadline_at: int, marks_retries: bool
 ) -> float:
-    """Return the time by which a new arrival has to be done, in microseconds.
+    """Return the time by which a new arrival must be expected to finish to be accepted, in microseconds.
 
-    It is the end of the latency objective, or the deadline if that is sooner. If callers do not mark their
-    retries, any arrival may be one whose caller has waited before; then only a part of the objective is left
-    to it.
+    This is the end of the latency objective, or the deadline if that is sooner. If callers do not mark their
+    retries, any arrival may be a retry whose caller has already waited, so only
+    `UNMARKED_RETRY_WAIT_FRACTION` of the objective is allowed.
 
     Args:
-        arrived_at: when the request reached the server, in microseconds.
-        latency_objective_us: of its class, in microseconds.
-        deadline_at: after which no response counts, in microseconds.
-        marks_retries: whether callers mark a retry as one.
+        arrived_at: When the request reached the server, in microseconds.
+        latency_objective_us: Latency objective of its class, in microseconds.
+        deadline_at: Time after which a response no longer counts, in microseconds.
+        marks_retries: Whether callers mark retries.
     """
     fraction = 1.0 if marks_retries else UNMARKED_RETRY_WAIT_FRACTION
     return min(arrived_at + fraction * latency_objective_us, deadline_at)
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -1,4 +1,4 @@
-"""The priority queue: which request starts next, what it preempts, and what is ended unserved."""
+"""The priority queue: which request starts next, which run it preempts, and which end without a run."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 from marlstep.admission.start_rules import has_idle_core, is_eligible, max_active_runs
 
 ANY_PRIORITY = float("inf")
-# A run that did not stop in time counts as running again; if it stops later, it was still preempted.
+# A run that did not stop in time counts as running again, but may still stop later because of the preemption.
 MAY_HAVE_BEEN_PREEMPTED = (State.STOPPING, State.RUNNING)
 
 
 @dataclass(slots=True)
 class RunQueue:
-    """Starts, resumes and preempts runs, within the concurrency limit and the memory.
+    """Starts, resumes and preempts runs within the concurrency limit and the memory limits.
 
-    The limit counts all runs, those at servers of a pool as well: the node spends its own cores on them too.
-    A run that is being preempted (`STOPPING`) is not counted, so that its place is filled at once.
+    The concurrency limit includes runs at the servers of a pool, since they use cores of this node as well. A
+    run that is being preempted (`STOPPING`) is not counted, so that its place is filled at once.
     """
 
     state: ControllerState
@@ -54,7 +54,7 @@
             if entry.priority <= 0 and not has_idle_core(len(running), self.state.settings.cores):
                 continue
             if has_place and len(running) + 1 > limit:
-                # Before memory and the pool are checked: where these refuse, the place goes to the next.
+                # Before the checks of memory and the pool: if they fail, the next request gets the place.
                 has_place = self._make_place(entry)
             if has_place and not self.state.entries.is_pool_full(entry.pool):
                 self._start_if_allowed(entry)
@@ -64,7 +64,7 @@
                 requests_ahead += 1
 
     def end(self, entry: Entry, outcome: Outcome) -> None:
-        """Take note of a run that has ended, or has stopped after it was preempted."""
+        """Handle a run that has ended, or has stopped after it was preempted."""
         was_preempted = outcome is Outcome.CANCELLED and entry.state in MAY_HAVE_BEEN_PREEMPTED
         if was_preempted and entry.response_owed:
             entry.was_paused = True
@@ -73,27 +73,27 @@
         entry.response_owed = False
         if outcome.never_ran and entry.run_us == 0:
             self._undo_start(entry)
-        self.lifecycle.finish(entry)  # first: it adds the last time on the cores, which is recorded next
+        self.lifecycle.finish(entry)  # first, since it updates `run_us`, which is recorded next
         self.state.statistics.record(entry, is_complete=outcome is Outcome.OK)
 
     def resume_unstopped(self) -> None:
-        """Count a run that has not stopped a tick after its preemption as running again.
+        """Mark runs that have not stopped a tick after their preemption as running again.
 
-        The preemption did not take effect; until the run is counted again, its core would be left idle.
+        Such a preemption did not take effect; until the run is counted again, its core would be left idle.
         """
         for entry in self.state.entries.in_states(State.STOPPING):
             if self.state.now - entry.entered_state_at >= self.state.tick_us:
                 self.state.move(entry, State.RUNNING)
 
     def current_weight(self, entry: Entry) -> float:
-        """Return the priority weight that a response would earn if the request went on now."""
+        """Return the priority weight that a response would earn if the request ran from now on."""
         mean_run_us = self.state.statistics.mean_run_us[entry.request_class.name]
         return attainable_weight(entry, expected_response_at(entry, self.state.now, mean_run_us))
 
     def _update_priorities_and_end_hopeless(self) -> None:
-        """Set the priority of each request, and end or preempt those that no run can help any more.
+        """Update the priority of each request, and end or preempt those that can no longer earn anything.
 
-        The times are reckoned once for each class, as this runs for all requests at each turn.
+        Response times are computed once per class, since this runs for all requests in each turn.
         """
         now = self.state.now
         response_at_if_started = {
@@ -107,9 +107,10 @@
                 self._end_hopeless(entry)
 
     def _end_hopeless(self, entry: Entry) -> None:
-        """Give the final response to a request past its objective, and preempt a run that earns nothing.
+        """Give the final response to a request past its objective, and preempt it if it runs.
 
-        Until the objective is past, a queued request stays: it may yet end in time on a core that comes free.
+        Until its objective has passed, a queued request stays, since it may still finish in time on an idle
+        core.
         """
         if self.state.now > entry.objective_at:
             self.lifecycle.reject_or_fail(entry)
@@ -117,14 +118,14 @@
             self._preempt(entry)
 
     def _preempt_down_to(self, limit: float) -> None:
-        """Preempt the lowest runs until no more run than the limit allows, or none may be preempted."""
+        """Preempt runs of the lowest priority until the limit is met or no run may be preempted."""
         running = self.state.entries.by_state[State.RUNNING]
         while len(running) > limit:
             if not self._preempt_lowest_below(ANY_PRIORITY):
                 return
 
     def _make_place(self, entry: Entry) -> bool:
-        """Preempt a run of lower priority for this request, and return whether there was one."""
+        """Preempt a run of lower priority for this request, if there is one, and return whether there was."""
         self.concurrency.was_full = True
         return self._preempt_lowest_below(entry.priority)
 
@@ -141,7 +142,7 @@
         self.state.move(entry, State.STOPPING)
 
     def _start_if_allowed(self, entry: Entry) -> None:
-        """Start or resume a run if memory, concurrency, a drain and its effect allow it."""
+        """Start or resume a run if the start rules, memory and concurrency allow it."""
         entries = self.state.entries
         if not is_eligible(entry, self.state.last_runnable_arrival_at):
             return
@@ -154,9 +155,9 @@
         self.state.move(entry, State.RUNNING)
 
     def _would_wait_too_long(self, entry: Entry, requests_ahead: int) -> bool:
-        """Return whether the requests ahead would keep a new arrival past the time that it can accept.
+        """Return whether a new arrival would finish too late because of the requests ahead of it.
 
-        Nothing is rejected for its wait before the first runs have been measured.
+        Always false until the first runs have been measured.
         """
         settings, statistics, request_class = self.state.settings, self.state.statistics, entry.request_class
         us_per_run = statistics.us_per_run()
@@ -172,7 +173,7 @@
         )
 
     def _undo_start(self, entry: Entry) -> None:
-        """Take back a start after which nothing ran: it is not measured, and its key is freed for a retry."""
+        """Undo a start after which nothing ran, so that it is not measured and a retry can use its key."""
         entry.entered_state_at = self.state.now
         entry.has_run = False
         self.state.callers.forget(entry.caller)
--- a/marlstep/admission/run_statistics.py
+++ b/marlstep/admission/run_statistics.py
@@ -1,4 +1,4 @@
-"""What runs have taken on the cores, and requests to be read: running means, sums and counts."""
+"""Statistics of the time that runs take on the cores, and of the lag of reading requests."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from marlstep.admission.entry import Entry
 from marlstep.admission.settings import ClassSettings
 
-EWMA_WEIGHT = 0.1  # of the newest value in an exponentially weighted mean
-DECAY_PER_SECOND = 0.8  # share of the measured use of the cores that a second leaves
+EWMA_WEIGHT = 0.1  # of the newest value in an exponentially weighted moving average
+DECAY_PER_SECOND = 0.8  # factor applied each second to the measured use of the cores
 
 
 class RunStatistics:
     """Time on the cores, in microseconds: by request class, by priority weight, and of single runs.
 
     Attributes:
-        mean_run_us: by class name; 0 while unknown.
-        spent_us: by priority weight, decaying each second.
-        runs_ended: decaying each second.
-        least_run_us: of complete runs that were never paused; 0 while unknown.
-        recent_runs_us: of such runs, in this second.
-        read_lag_us: how long requests lie unread, in the mean.
+        mean_run_us: Mean run time by class name; 0 while unknown.
+        spent_us: Time spent on the cores by priority weight, decaying each second.
+        runs_ended: Number of ended runs, decaying each second.
+        least_run_us: Shortest complete run that was never paused; 0 while unknown.
+        recent_runs_us: Complete runs of this second that were never paused.
+        read_lag_us: Mean time that requests wait in the buffers before they are read.
     """
 
     def __init__(self) -> None:
-        """Start without a measurement."""
+        """Initialize with no measurements."""
         self.mean_run_us: dict[str, float] = {}
         self.spent_us: dict[float, float] = {}
         self.runs_ended = 0.0
@@ -33,19 +33,19 @@
         self.read_lag_us = 0.0
 
     def configure(self, classes: Iterable[ClassSettings]) -> None:
-        """Measure these classes from now on; what was measured of them stays."""
+        """Set the classes to measure; existing measurements of these classes are kept."""
         known = list(classes)
         self.mean_run_us = {each.name: self.mean_run_us.get(each.name, 0.0) for each in known}
         self.spent_us = {each.priority_weight: self.spent_us.get(each.priority_weight, 0.0) for each in known}
 
     def record(self, entry: Entry, is_complete: bool) -> None:
-        """Take a run that has ended into the means.
+        """Add a run that has ended to the statistics.
 
-        One that was cut short only shows that runs take at least as long.
+        An incomplete run only shows a lower bound of the run time, so it counts only if it exceeds the mean.
 
         Args:
-            entry: the request, with its time on the cores.
-            is_complete: whether the run came to its own end.
+            entry: The request, with its time on the cores.
+            is_complete: Whether the run completed normally.
         """
         name, run_us = entry.request_class.name, entry.run_us
         mean = self.mean_run_us[name] or run_us
@@ -57,25 +57,25 @@
             self.least_run_us = min(self.least_run_us or run_us, run_us)
 
     def record_read_lag(self, unread_us: int) -> None:
-        """Take the time for which a request lay unread into the mean."""
+        """Add the time that a request waited before it was read, in microseconds, to the mean."""
         self.read_lag_us += EWMA_WEIGHT * (unread_us - self.read_lag_us)
 
     def us_per_run(self) -> float:
-        """Return the time on the cores per run that ended lately, however it ended; 0 while too few have."""
+        """Return the recent time on the cores per ended run of any outcome; 0 while too few have ended."""
         return sum(self.spent_us.values()) / self.runs_ended if self.runs_ended >= 1 else 0.0
 
     def share_above(self, priority_weight: float) -> float:
-        """Return the share of the time lately spent on the cores that went to higher weights, 0 to 1."""
+        """Return the share of the recent time on the cores spent on higher weights, 0 to 1."""
         total = sum(self.spent_us.values()) or 1.0
         return sum(spent for weight, spent in self.spent_us.items() if weight > priority_weight) / total
 
     def end_second(self) -> None:
-        """Let the recent figures decay for a second that is over."""
+        """Decay the recent measurements at the end of a second."""
         self.runs_ended *= DECAY_PER_SECOND
         self.spent_us = {weight: DECAY_PER_SECOND * spent for weight, spent in self.spent_us.items()}
         self.recent_runs_us = []
 
     def adopt(self, means_us: Mapping[str, float], least_run_us: float) -> None:
-        """Take over the figures of another process of this server where nothing was measured here."""
+        """Adopt measurements of another process of this server, in microseconds, if there are none here."""
         self.mean_run_us = {name: mean or means_us.get(name, 0.0) for name, mean in self.mean_run_us.items()}
         self.least_run_us = self.least_run_us or int(least_run_us)
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one server's admission controller, as the simulator or the platform gives them at its start.
+"""Settings of one server's admission controller, provided by the simulator or the platform at its start.
 
-Durations are whole microseconds, sizes are kilobytes. Stored settings have keys of their own for most
-fields: the key stands beside the field, and errors name it.
+Durations are whole microseconds, sizes are kilobytes. In stored settings most fields have a different key,
+which is declared with the field; errors name the stored key.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 
 from marlstep.errors import MarlstepError
 
-STORED_KEY = "stored_key"  # of the metadata of a field
+STORED_KEY = "stored_key"  # key in the metadata of a field
 
 
 class InvalidSettingError(MarlstepError, ValueError):
-    """A setting is missing, of the wrong type or impossible; the message starts with its path.
+    """A setting is missing, of the wrong type or invalid; the message starts with its path.
 
     Attributes:
-        path: of the setting, by its keys as they were written, such as `classes[0].deadline_us`.
-        problem: what is wrong with it, to follow the path in a sentence.
+        path: Path of the setting, made of stored keys, such as `classes[0].deadline_us`.
+        problem: What is wrong with it, phrased to follow the path.
     """
 
     def __init__(self, path: str, problem: str) -> None:
-        """Name the setting by its path, and say what is wrong with it."""
+        """Initialize the error with the path of the setting and the problem."""
         super().__init__(f"{path} {problem}")
         self.path = path
         self.problem = problem
 
 
 class Effect(enum.StrEnum):
-    """Whether a request of a class may run again. The values are stored words and stay as they are."""
+    """Whether a request of a class may run again. The values are part of stored data and must not change."""
 
     IDEMPOTENT = "safe"  # may run any number of times
     KEYED = "keyed"  # idempotent within its window, by an idempotency key
@@ -42,24 +42,24 @@
 
 
 class PreemptionMode(enum.StrEnum):
-    """What becomes of a run that is preempted."""
+    """What happens to a preempted run."""
 
     NONE = "none"  # runs can't be preempted
-    DROP = "drop"  # its work is lost, the request is queued again
-    PAUSE = "pause"  # it keeps its progress and its memory
+    DROP = "drop"  # the run loses its progress, the request is queued again
+    PAUSE = "pause"  # the run keeps its progress and its memory
 
 
 class LoadSignal(enum.StrEnum):
-    """How callers read the value that a server advertises."""
+    """How callers interpret the value that a server advertises."""
 
     NONE = "none"
-    LEVEL = "level"  # requests ranked below it stay away
-    CREDIT = "credit"  # the most requests that each caller may have outstanding
-    WEIGHT = "weight"  # the chance that a caller does not skip this server
+    LEVEL = "level"  # callers do not send requests ranked below it
+    CREDIT = "credit"  # maximum of outstanding requests of each caller
+    WEIGHT = "weight"  # probability that a caller does not skip this server
 
 
 class Downstream(enum.StrEnum):
-    """What the downstream calls of a server reach."""
+    """Target of the downstream calls of a server."""
 
     NONE = "none"
     SHARED = "shared"  # one dependency common to all servers of the tier
@@ -67,12 +67,12 @@
 
 
 def stored_as(key: str) -> Mapping[str, str]:
-    """Return the metadata of a field that stored settings and operators know by another word."""
+    """Return the metadata of a field that has a different key in stored settings and for operators."""
     return {STORED_KEY: key}
 
 
 def stored_key(part: dataclasses.Field[typing.Any]) -> str:
-    """Return the key of a field in stored settings: its own name unless it was declared with another."""
+    """Return the key of a field in stored settings: the one declared with the field, else its name."""
     return str(part.metadata.get(STORED_KEY, part.name))
 
 
@@ -81,16 +81,17 @@
     """One request class.
 
     Attributes:
-        name: by which requests name the class.
-        effect: whether a request may run again.
-        latency_objective_us: from the arrival; a later response earns only `late_response_factor`.
-        deadline_us: from the arrival; no response counts after it.
-        idempotency_window_us: how long an idempotency key is kept; 0 for classes without keys.
-        priority_weight: what a response within the objective earns.
-        late_response_factor: share of the priority weight that a response after the objective earns, 0 to 1.
-        makes_calls: whether runs of the class make downstream calls.
-        skipped_call_factor: share of the priority weight that is left when a call is skipped, 0 to 1; at 0
-            the call may not be skipped.
+        name: Name of the class in requests.
+        effect: Whether a request may run again.
+        latency_objective_us: Latency objective from the arrival; a later response earns only
+            `late_response_factor` of the weight.
+        deadline_us: Deadline from the arrival; a later response does not count.
+        idempotency_window_us: How long an idempotency key is kept; 0 for classes without keys.
+        priority_weight: What a response within the objective earns.
+        late_response_factor: Share of the priority weight that a response after the objective earns, 0 to 1.
+        makes_calls: Whether runs of the class make downstream calls.
+        skipped_call_factor: Share of the priority weight that remains if a call is skipped, 0 to 1; if 0,
+            calls may not be skipped.
     """
 
     name: str
@@ -109,9 +110,10 @@
     """One tenant.
 
     Attributes:
-        name: by which requests name the tenant.
-        portion: of the traffic of the whole tier that is the tenant's, 0 to 1.
-        quota_per_s: requests a second over all servers of the tier that count in full; 0 for no quota.
+        name: Name of the tenant in requests.
+        portion: The tenant's portion of the traffic of the whole tier, 0 to 1.
+        quota_per_s: Requests per second, over all servers of the tier, that keep their full weight; if 0,
+            none do.
     """
 
     name: str
@@ -121,40 +123,40 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one server knows of itself, its callers and its dependency from its start.
+    """Settings of one server, its callers and its dependency.
 
     Attributes:
-        classes: the request classes that the server accepts.
-        tenants: the tenants that it accepts; empty where requests name none.
-        over_quota_factor: share of the priority weight of a request beyond its tenant's quota, 0 to 1.
-        cores: how many runs progress at full speed at once.
-        memory_kb: for requests and idempotency keys; the server is lost beyond it.
-        running_memory_factor: memory of a running or paused request as a multiple of a queued one.
-        idempotency_key_kb: memory of a kept idempotency key.
-        cacheable_us: how long the response to a read may serve other requests; 0 for never.
-        server_count: servers of this tier, this one included.
-        caller_count: callers of this tier.
-        warms_up: whether the server starts at a part of its capacity.
-        initial_capacity_share: of the capacity, at the start of a server that warms up, 0 to 1.
-        warm_up_us: after which a server that warms up has its full capacity.
-        overload_concurrency_factor: requests on the cores, for each core, that a warm server survives.
-        overload_duration_us: over which those requests are averaged.
-        drain_grace_us: after the notice of a drain, for which arrivals may still be run.
-        response_margin_us: after its due time, for which a response still counts.
-        tick_us: precision of the server's timers.
-        preemption_mode: what becomes of a run that is preempted.
-        load_signal: how callers read the value that the server advertises.
-        load_signal_lifetime_us: for which a caller heeds an advertised value.
-        dependency: what downstream calls reach.
-        mean_calls_in_flight: calls that this server may have in the dependency on the mean; 0 for no bound.
-        call_averaging_us: over which that mean is taken.
-        abandoned_call_us: for which an abandoned call stays in the dependency, at most.
-        idle_timeout_us: after which an idle connection is closed; 0 for never.
-        endpoint_list_follows_health: whether an unhealthy server leaves the callers' endpoint list.
-        deep_health_checks: whether a health check does real work unless it is served from stored health.
-        sends_retry_after: whether a rejection may carry a Retry-After.
-        max_retry_after_us: the longest Retry-After that callers respect.
-        marks_retries: whether callers mark a retry as one.
+        classes: Request classes that the server accepts.
+        tenants: Tenants that it accepts; empty if requests have none.
+        over_quota_factor: Share of the priority weight that requests beyond the tenant's quota keep, 0 to 1.
+        cores: Number of runs that progress at full speed at once.
+        memory_kb: Memory for requests and idempotency keys; exceeding it crashes the server.
+        running_memory_factor: Memory of a running or paused request as a multiple of that of a queued one.
+        idempotency_key_kb: Memory of a kept idempotency key.
+        cacheable_us: How long the response to a read may serve other requests; 0 for never.
+        server_count: Number of servers of this tier, including this one.
+        caller_count: Number of callers of this tier.
+        warms_up: Whether the server starts with a part of its capacity.
+        initial_capacity_share: Share of the capacity at the start of a server that warms up, 0 to 1.
+        warm_up_us: Time after which a server that warms up has its full capacity.
+        overload_concurrency_factor: Requests on the cores, per core, that a warm server survives.
+        overload_duration_us: Time over which those requests are averaged.
+        drain_grace_us: How long after the announcement of a drain arrivals may still be run.
+        response_margin_us: How long after its due time a response still counts.
+        tick_us: Precision of the server's timers.
+        preemption_mode: What happens to a preempted run.
+        load_signal: How callers interpret the value that the server advertises.
+        load_signal_lifetime_us: How long callers use an advertised value.
+        dependency: Target of downstream calls.
+        mean_calls_in_flight: Mean number of calls that this server may have in flight; 0 for no limit.
+        call_averaging_us: Time over which that mean is taken.
+        abandoned_call_us: Maximum time that an abandoned call stays in the dependency.
+        idle_timeout_us: Time after which an idle connection is closed; 0 for never.
+        endpoint_list_follows_health: Whether an unhealthy server is removed from the callers' endpoint list.
+        deep_health_checks: Whether a health check does real work unless it is served from stored health.
+        sends_retry_after: Whether a rejection may carry a Retry-After.
+        max_retry_after_us: The longest Retry-After that callers respect.
+        marks_retries: Whether callers mark retries.
     """
 
     classes: tuple[ClassSettings, ...]
@@ -191,15 +193,19 @@
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, object]) -> Settings:
-        """Build from plain values under their stored keys.
+        """Create settings from plain values by stored key.
 
         Raises:
-            InvalidSettingError: a value is missing, of the wrong type or impossible; it names the stored key.
+            InvalidSettingError: If a value is missing, of the wrong type or invalid.
         """
         return typing.cast(Settings, _read(cls, raw, ""))
 
     def __post_init__(self) -> None:
-        """Check the values, whoever gave them."""
+        """Validate the values.
+
+        Raises:
+            InvalidSettingError: If a value is invalid.
+        """
         _require(self.cores >= 1, "cores", "must be at least 1")
         _require(len(self.classes) > 0, "classes", "must name at least one class")
         _require(self.memory_kb > 0, "memory_kb", "must be above 0")
@@ -236,7 +242,11 @@
 
 
 def _read(wanted: object, raw: object, path: str) -> object:
-    """Convert a plain value to the wanted type, or raise an error that names its path."""
+    """Convert a plain value to the expected type.
+
+    Raises:
+        InvalidSettingError: If the value is missing, of the wrong type or invalid.
+    """
     if isinstance(wanted, type) and dataclasses.is_dataclass(wanted):
         return _read_table(wanted, raw, path)
     if typing.get_origin(wanted) is tuple:
@@ -250,7 +260,7 @@
 
 
 def _is_of_type(raw: object, plain: type) -> bool:
-    """Return whether a value is of a plain type; a whole number is also a float, but a bool is no number."""
+    """Return whether a value is of a plain type; an int is accepted as a float, a bool not as a number."""
     if isinstance(raw, bool):
         return plain is bool
     accepted: type | types.UnionType = (int | float) if plain is float else plain
--- a/marlstep/admission/start_rules.py
+++ b/marlstep/admission/start_rules.py
@@ -1,4 +1,4 @@
-"""What a request needs before it is started or resumed, apart from its turn in the order of priority."""
+"""Conditions for starting or resuming a request, other than its position in dispatch order."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def max_active_runs(max_concurrency: float) -> float:
-    """Return how many runs may be active at once, those off the cores at a call included.
+    """Return how many runs may be active at once, including those off the cores at a call.
 
-    Runs come back to the cores from their calls whenever these end, so starts stop short of the concurrency
-    that the server survives. One run is always allowed, however small this process's part of the server.
+    Runs return to the cores whenever their calls end, so the maximum is below the concurrency that the server
+    survives. One run is always allowed, however small this process's portion of the server.
 
     Args:
-        max_concurrency: runs on the cores that this process's part of the server survives.
+        max_concurrency: Runs on the cores that this process's portion of the server survives.
     """
     return max(MAX_CONCURRENCY_FRACTION * max_concurrency, 1.0)
 
@@ -22,28 +22,28 @@
 def has_idle_core(running: int, cores: int) -> bool:
     """Return whether fewer requests run than the server has cores.
 
-    A request that is unlikely to be in time starts only then: it takes nothing from the others, and may yet
-    end in time.
+    A request that is unlikely to be in time is started only on an idle core, where it delays no other request
+    and may still finish in time.
 
     Args:
-        running: requests on the cores.
-        cores: of the server.
+        running: Number of requests on the cores.
+        cores: Number of cores of the server.
     """
     return running < cores
 
 
 def is_eligible(entry: Entry, last_runnable_arrival_at: int) -> bool:
-    """Return whether the rules on draining, idempotency keys and effects let a request run.
+    """Return whether the rules on draining, idempotency keys and effects allow a request to run.
 
-    Nothing runs that arrived after the drain's grace period: intake rejects such arrivals, and this holds for
-    those queued before the drain was known. A paused run may otherwise resume. A queued
-    request with an idempotency key needs its key kept first, so that retries find it; one that has run
-    before, and was dropped, may run again only if it is idempotent.
+    Requests that arrived after the drain's grace period never run. Intake rejects such arrivals; the check
+    here covers those queued before the drain was announced. Other paused runs may resume. A queued request
+    with an idempotency key runs only once its key is kept, so that retries find it. A queued request that has
+    run before, and was dropped, may run again only if it is idempotent.
 
     Args:
-        entry: the queued or paused request.
-        last_runnable_arrival_at: the latest arrival that may still run, in microseconds; `NEVER` unless
-            draining.
+        entry: The queued or paused request.
+        last_runnable_arrival_at: Latest arrival time of requests that may still run, in microseconds; `NEVER`
+            unless draining.
     """
     if entry.arrived_at > last_runnable_arrival_at:
         return False
--- a/marlstep/admission/timing.py
+++ b/marlstep/admission/timing.py
@@ -1,4 +1,4 @@
-"""Constants of the controller's clock, which counts microseconds."""
+"""Constants for times on the controller's clock, in microseconds."""
 
 from __future__ import annotations
 
--- a/marlstep/admission/token_buckets.py
+++ b/marlstep/admission/token_buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets by name. Their rates, and what follows from an empty one, are decided elsewhere."""
+"""Token buckets by name. Callers provide the rates and decide what an empty bucket means."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class TokenBuckets:
-    """Buckets that start full; one with a rate of 0 gives no token."""
+    """Token buckets, created full on first use. A bucket with a rate of 0 never provides a token."""
 
     def __init__(self) -> None:
-        """Start without a bucket."""
-        self._tokens: dict[str, tuple[float, int]] = {}  # how many, and when they were counted
+        """Initialize with no buckets."""
+        self._tokens: dict[str, tuple[float, int]] = {}  # by name: number of tokens, time of the last update
 
     def take(self, name: str, rate_per_s: float, burst: float, now: int) -> bool:
-        """Fill a bucket for the time that has passed, and take a token if there is one.
+        """Refill a bucket for the elapsed time, and take a token if one is available.
 
         Args:
-            name: of the bucket.
-            rate_per_s: tokens a second by which it fills.
-            burst: tokens at which it is full.
-            now: the time, in microseconds.
+            name: Name of the bucket.
+            rate_per_s: Tokens added per second.
+            burst: Maximum number of tokens in the bucket.
+            now: The current time, in microseconds.
 
         Returns:
             Whether a token was taken.
@@ -35,5 +35,5 @@
         return is_taken
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Drop all other buckets."""
+        """Drop all buckets except those with the given names."""
         self._tokens = {name: bucket for name, bucket in self._tokens.items() if name in names}
--- a/marlstep/admission/turn_timer.py
+++ b/marlstep/admission/turn_timer.py
@@ -1,4 +1,4 @@
-"""The one timer that the controller has set."""
+"""The controller's timer."""
 
 from __future__ import annotations
 
@@ -7,19 +7,26 @@
 
 
 class TurnTimer:
-    """The time at which the next timer is due, in microseconds; the timer's tag is that time."""
+    """Tracks the earliest timer that the controller has set, and replaces it only by an earlier one.
+
+    Attributes:
+        due_at: When the timer is due, in microseconds, which is also its tag; `NEVER` if none is set.
+    """
 
     def __init__(self) -> None:
-        """Start with no timer."""
+        """Initialize with no timer set."""
         self.due_at = NEVER
 
     def fired(self, tag: int) -> None:
-        """Take note of a timer that is due, unless an earlier one was set after it."""
+        """Clear the timer if it is the one with this tag, and not one that was set after it."""
         if tag == self.due_at:
             self.due_at = NEVER
 
     def arm(self, now: int, due: int) -> list[SetTimer]:
-        """Set a timer for the given time unless one is due as early."""
+        """Return the action that sets a timer for `due`, or none if one is due at least as early.
+
+        Times are microseconds.
+        """
         if due >= self.due_at:
             return []
         self.due_at = max(due, now + 1)
