--- a/marlstep/admission/call_reserve.py
+++ b/marlstep/admission/call_reserve.py
@@ -32,6 +32,6 @@
         """Reserve time for a call, in microseconds."""
         self.available_us -= reserved_us
 
-    def give_back(self, reserved_us: int, used_us: int) -> None:
+    def return_unused(self, reserved_us: int, used_us: int) -> None:
         """Return the time that an ended call reserved and did not use, in microseconds."""
         self.available_us += max(0, reserved_us - used_us)
--- a/marlstep/admission/concurrency_limit.py
+++ b/marlstep/admission/concurrency_limit.py
@@ -24,7 +24,7 @@
 
 
 def adapted_limit(
-    limit: float, is_busy: bool, was_full: bool, base_latency_us: int, latencies_us: Sequence[int]
+    limit: float, is_busy: bool, was_reached: bool, base_latency_us: int, latencies_us: Sequence[int]
 ) -> float:
     """Return the limit for the next second, before it is clamped.
 
@@ -35,12 +35,12 @@
     Args:
         limit: Limit of the last second, in runs.
         is_busy: Whether the cores are busy.
-        was_full: Whether the limit was reached in the last second.
+        was_reached: Whether the limit was reached in the last second.
         base_latency_us: Latency of the quickest run measured, in microseconds.
         latencies_us: Latencies of the last second's complete, never paused runs, in microseconds.
     """
     if not is_busy:
-        return limit + LIMIT_INCREASE_PER_SECOND if was_full else limit
+        return limit + LIMIT_INCREASE_PER_SECOND if was_reached else limit
     if not latencies_us:
         return limit
     total_us = max(1, sum(latencies_us))
@@ -68,7 +68,7 @@
     state: ControllerState
     limit: float = 0.0
     adjusted_at: int = 0
-    was_full: bool = False  # at any time since the last adjustment
+    was_reached: bool = False  # at any time since the last adjustment
 
     def clamp(self) -> None:
         """Clamp the limit to its bounds, after the limit or a bound has changed."""
@@ -90,8 +90,8 @@
         """Adapt the limit to the measurements of the second that ends now."""
         statistics = self.state.statistics
         self.limit = adapted_limit(
-            self.limit, is_busy, self.was_full, statistics.least_run_us, statistics.recent_runs_us
+            self.limit, is_busy, self.was_reached, statistics.least_run_us, statistics.recent_runs_us
         )
         self.clamp()
         self.adjusted_at = self.state.now
-        self.was_full = False
+        self.was_reached = False
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -68,7 +68,7 @@
         self.calls = DownstreamCalls(self.state, self.lifecycle)
         self.timer = TurnTimer()
         self._handlers: dict[type, Callable[[Any], None]] = {
-            events.Arrival: self.intake.arrive,
+            events.Arrival: self.intake.handle_arrival,
             events.ClientDisconnected: self._on_client_disconnected,
             events.CallNeeded: self._on_call_needed,
             events.CallEnded: self._on_call_ended,
@@ -129,11 +129,11 @@
 
     def _on_call_ended(self, event: events.CallEnded) -> None:
         if (entry := self.state.entries.unfinished(event.id)) is not None:
-            self.calls.end(entry, event)
+            self.calls.handle_call_ended(entry, event)
 
     def _on_run_ended(self, event: events.RunEnded) -> None:
         if (entry := self.state.entries.unfinished(event.id)) is not None:
-            self.queue.end(entry, event.outcome)
+            self.queue.handle_run_ended(entry, event.outcome)
 
     # Server events.
 
@@ -155,7 +155,7 @@
             self.state.wakeups.add(entry, entry.deadline_at - self.state.response_lead_us)
 
     def _on_timer(self, event: events.TimerDue) -> None:
-        self.timer.fired(event.tag)
+        self.timer.mark_fired(event.tag)
         self.queue.resume_unstopped()
         if self.state.settings.load_signal is LoadSignal.CREDIT:
             self.advisor.advertise_credit()
--- a/marlstep/admission/controller_state.py
+++ b/marlstep/admission/controller_state.py
@@ -157,7 +157,7 @@
         used_us = elapsed_us
         if is_abandoned:
             used_us += self.settings.abandoned_call_us
-        self.call_reserve.give_back(entry.reserved_call_us, used_us)
+        self.call_reserve.return_unused(entry.reserved_call_us, used_us)
 
     def _forget_or_remember(self, entry: Entry) -> None:
         if entry.is_keyed:
@@ -204,8 +204,8 @@
         memory_kb = self.settings.memory_kb
         concurrency = self.max_concurrency / self.portion
         entries = self.entries
-        own_work = entries.in_states(*UNFINISHED_STATES)
-        running_kb = sum(entries.size(entry, State.RUNNING) for entry in own_work)
+        unfinished = entries.in_states(*UNFINISHED_STATES)
+        running_kb = sum(entries.size(entry, State.RUNNING) for entry in unfinished)
         in_use = max(entries.memory_kb / memory_kb, entries.count(*ACTIVE_STATES) / concurrency)
         needed = max(running_kb / memory_kb, entries.count_in_flight() / concurrency)
         return in_use, needed
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -52,7 +52,7 @@
             elif entry.next_call_at <= self.state.now and self._has_capacity(len(calling)):
                 self._call(entry)
 
-    def end(self, entry: Entry, event: CallEnded) -> None:
+    def handle_call_ended(self, entry: Entry, event: CallEnded) -> None:
         """Resume the run after a reply; after a failure, schedule a retry, skip the call or fail."""
         self.state.call_latency.record(event.elapsed_us)
         if event.outcome.never_ran:
--- a/marlstep/admission/intake.py
+++ b/marlstep/admission/intake.py
@@ -47,7 +47,7 @@
     lifecycle: RequestLifecycle
     queue: RunQueue
 
-    def arrive(self, event: Arrival) -> None:
+    def handle_arrival(self, event: Arrival) -> None:
         """Handle a request that has been read; one of an unknown class is rejected without failover."""
         request_class = self.state.classes.get(event.request_class)
         if request_class is None:
@@ -59,7 +59,7 @@
         priority_weight = request_class.priority_weight * self._quota_factor(event.tenant)
         entry = Entry.from_arrival(event, request_class, priority_weight, self.state.now)
         self.state.add(entry, event.unread_us)
-        self._place(entry, event.prior)
+        self._admit(entry, event.prior)
 
     def _discard(self, replaced: Entry) -> None:
         """Drop a request whose ID has arrived again; its sender no longer waits for the earlier one."""
@@ -83,7 +83,7 @@
             return FULL_WEIGHT
         return self.state.settings.over_quota_factor
 
-    def _place(self, entry: Entry, prior_id: str | None) -> None:
+    def _admit(self, entry: Entry, prior_id: str | None) -> None:
         """Attach a queued arrival to the run that it repeats, leave it in the queue, or reject it."""
         prior = self.state.entries.latest_attempt(prior_id, entry) if prior_id else None
         if must_share_result(entry, prior_id, prior):
--- a/marlstep/admission/lifecycle.py
+++ b/marlstep/admission/lifecycle.py
@@ -12,7 +12,7 @@
 from marlstep.admission.entry import Entry, State
 from marlstep.admission.retry_advisor import RetryAdvisor
 
-WAITING_WITHOUT_CORE = (State.QUEUED, State.PAUSED, State.ATTACHED)
+INACTIVE_STATES = (State.QUEUED, State.PAUSED, State.ATTACHED)
 
 
 def forbids_failover(priority_weight: float, highest_weight: float, is_draining: bool) -> bool:
@@ -61,7 +61,7 @@
         serve a retry.
         """
         entry.response_owed = False
-        if entry.state in WAITING_WITHOUT_CORE:
+        if entry.state in INACTIVE_STATES:
             self.finish(entry)
 
     def finish(self, entry: Entry) -> None:
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -24,7 +24,7 @@
 
 ANY_PRIORITY = float("inf")
 # A run that did not stop in time counts as running again, but may still stop later because of the preemption.
-MAY_HAVE_BEEN_PREEMPTED = (State.STOPPING, State.RUNNING)
+POSSIBLY_PREEMPTED_STATES = (State.STOPPING, State.RUNNING)
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
 
     def fill(self) -> None:
         """Preempt, start and resume runs by priority, and reject arrivals that would wait too long."""
-        self._update_priorities_and_end_hopeless()
+        self._update_priorities_and_end_late()
         limit = self.concurrency.effective_limit()
         self._preempt_down_to(limit)
         running = self.state.entries.by_state[State.RUNNING]
@@ -63,9 +63,9 @@
             else:
                 requests_ahead += 1
 
-    def end(self, entry: Entry, outcome: Outcome) -> None:
+    def handle_run_ended(self, entry: Entry, outcome: Outcome) -> None:
         """Handle a run that has ended, or has stopped after it was preempted."""
-        was_preempted = outcome is Outcome.CANCELLED and entry.state in MAY_HAVE_BEEN_PREEMPTED
+        was_preempted = outcome is Outcome.CANCELLED and entry.state in POSSIBLY_PREEMPTED_STATES
         if was_preempted and entry.response_owed:
             entry.was_paused = True
             self.state.move(entry, state_after_preemption(self.state.settings.preemption_mode))
@@ -90,7 +90,7 @@
         mean_run_us = self.state.statistics.mean_run_us[entry.request_class.name]
         return attainable_weight(entry, expected_response_at(entry, self.state.now, mean_run_us))
 
-    def _update_priorities_and_end_hopeless(self) -> None:
+    def _update_priorities_and_end_late(self) -> None:
         """Update the priority of each request, and end or preempt those that can no longer earn anything.
 
         Response times are computed once per class, since this runs for all requests in each turn.
@@ -104,9 +104,9 @@
             response_at = now if entry.has_run else response_at_if_started[entry.request_class.name]
             entry.priority = priority = attainable_weight(entry, response_at)
             if priority <= 0 and not can_be_on_time(entry, response_at):
-                self._end_hopeless(entry)
+                self._end_or_preempt_late(entry)
 
-    def _end_hopeless(self, entry: Entry) -> None:
+    def _end_or_preempt_late(self, entry: Entry) -> None:
         """Give the final response to a request past its objective, and preempt it if it runs.
 
         Until its objective has passed, a queued request stays, since it may still finish in time on an idle
@@ -126,7 +126,7 @@
 
     def _make_place(self, entry: Entry) -> bool:
         """Preempt a run of lower priority for this request, if there is one, and return whether there was."""
-        self.concurrency.was_full = True
+        self.concurrency.was_reached = True
         return self._preempt_lowest_below(entry.priority)
 
     def _preempt_lowest_below(self, priority: float) -> bool:
--- a/marlstep/admission/run_statistics.py
+++ b/marlstep/admission/run_statistics.py
@@ -34,9 +34,11 @@
 
     def configure(self, classes: Iterable[ClassSettings]) -> None:
         """Set the classes to measure; existing measurements of these classes are kept."""
-        known = list(classes)
-        self.mean_run_us = {each.name: self.mean_run_us.get(each.name, 0.0) for each in known}
-        self.spent_us = {each.priority_weight: self.spent_us.get(each.priority_weight, 0.0) for each in known}
+        measured = list(classes)
+        self.mean_run_us = {each.name: self.mean_run_us.get(each.name, 0.0) for each in measured}
+        self.spent_us = {
+            each.priority_weight: self.spent_us.get(each.priority_weight, 0.0) for each in measured
+        }
 
     def record(self, entry: Entry, is_complete: bool) -> None:
         """Add a run that has ended to the statistics.
@@ -49,8 +51,8 @@
         """
         name, run_us = entry.request_class.name, entry.run_us
         mean = self.mean_run_us[name] or run_us
-        shows_mean = run_us > 0 if is_complete else run_us > mean
-        if shows_mean:
+        updates_mean = run_us > 0 if is_complete else run_us > mean
+        if updates_mean:
             self.mean_run_us[name] = mean + EWMA_WEIGHT * (run_us - mean)
         if is_complete and run_us and not entry.was_paused:
             self.recent_runs_us.append(run_us)
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -71,9 +71,9 @@
     return {STORED_KEY: key}
 
 
-def stored_key(part: dataclasses.Field[typing.Any]) -> str:
+def stored_key(setting: dataclasses.Field[typing.Any]) -> str:
     """Return the key of a field in stored settings: the one declared with the field, else its name."""
-    return str(part.metadata.get(STORED_KEY, part.name))
+    return str(setting.metadata.get(STORED_KEY, setting.name))
 
 
 @dataclass(slots=True, frozen=True)
@@ -235,52 +235,54 @@
 
 
 def _require_not_negative(item: Settings | ClassSettings | TenantSettings, path: str) -> None:
-    for part in dataclasses.fields(item):
-        value = getattr(item, part.name)
+    for setting in dataclasses.fields(item):
+        value = getattr(item, setting.name)
         if isinstance(value, int | float):
-            _require(0 <= value < float("inf"), path + stored_key(part), "must be a finite number, 0 or more")
+            _require(
+                0 <= value < float("inf"), path + stored_key(setting), "must be a finite number, 0 or more"
+            )
 
 
-def _read(wanted: object, raw: object, path: str) -> object:
+def _read(expected: object, raw: object, path: str) -> object:
     """Convert a plain value to the expected type.
 
     Raises:
         InvalidSettingError: If the value is missing, of the wrong type or invalid.
     """
-    if isinstance(wanted, type) and dataclasses.is_dataclass(wanted):
-        return _read_table(wanted, raw, path)
-    if typing.get_origin(wanted) is tuple:
-        return _read_rows(typing.get_args(wanted)[0], raw, path)
-    if isinstance(wanted, type) and issubclass(wanted, enum.StrEnum):
-        _require(raw in list(wanted), path, f"must be one of {', '.join(wanted)}")
-        return wanted(typing.cast(str, raw))
-    plain = typing.cast(type, wanted)
-    _require(_is_of_type(raw, plain), path, f"must be of type {plain.__name__}")
+    if isinstance(expected, type) and dataclasses.is_dataclass(expected):
+        return _read_table(expected, raw, path)
+    if typing.get_origin(expected) is tuple:
+        return _read_rows(typing.get_args(expected)[0], raw, path)
+    if isinstance(expected, type) and issubclass(expected, enum.StrEnum):
+        _require(raw in list(expected), path, f"must be one of {', '.join(expected)}")
+        return expected(typing.cast(str, raw))
+    plain_type = typing.cast(type, expected)
+    _require(_is_of_type(raw, plain_type), path, f"must be of type {plain_type.__name__}")
     return raw
 
 
-def _is_of_type(raw: object, plain: type) -> bool:
+def _is_of_type(raw: object, plain_type: type) -> bool:
     """Return whether a value is of a plain type; an int is accepted as a float, a bool not as a number."""
     if isinstance(raw, bool):
-        return plain is bool
-    accepted: type | types.UnionType = (int | float) if plain is float else plain
+        return plain_type is bool
+    accepted: type | types.UnionType = (int | float) if plain_type is float else plain_type
     return isinstance(raw, accepted)
 
 
-def _read_rows(wanted: object, raw: object, path: str) -> tuple[object, ...]:
+def _read_rows(expected: object, raw: object, path: str) -> tuple[object, ...]:
     _require(isinstance(raw, list | tuple), path, "must be a list")
     rows = typing.cast(list[object], raw)
-    return tuple(_read(wanted, row, f"{path}[{index}]") for index, row in enumerate(rows))
+    return tuple(_read(expected, row, f"{path}[{index}]") for index, row in enumerate(rows))
 
 
-def _read_table(wanted: type, raw: object, path: str) -> object:
+def _read_table(expected: type, raw: object, path: str) -> object:
     _require(isinstance(raw, Mapping), path or "settings", "must be a table of settings")
     table = typing.cast(Mapping[str, object], raw)
-    hints = typing.get_type_hints(wanted)
+    hints = typing.get_type_hints(expected)
     values: dict[str, object] = {}
-    for part in dataclasses.fields(wanted):
-        key = stored_key(part)
+    for setting in dataclasses.fields(expected):
+        key = stored_key(setting)
         key_path = f"{path}.{key}" if path else key
         _require(key in table, key_path, "is missing")
-        values[part.name] = _read(hints[part.name], table[key], key_path)
-    return wanted(**values)
+        values[setting.name] = _read(hints[setting.name], table[key], key_path)
+    return expected(**values)
--- a/marlstep/admission/turn_timer.py
+++ b/marlstep/admission/turn_timer.py
@@ -17,7 +17,7 @@
         """Initialize with no timer set."""
         self.due_at = NEVER
 
-    def fired(self, tag: int) -> None:
+    def mark_fired(self, tag: int) -> None:
         """Clear the timer if it is the one with this tag, and not one that was set after it."""
         if tag == self.due_at:
             self.due_at = NEVER
--- a/tests/admission/test_call_reserve.py
+++ b/tests/admission/test_call_reserve.py
@@ -19,9 +19,9 @@
     reserve = CallReserve()
     reserve.configure(rate=0.5, capacity_us=1_000.0)
     reserve.take(800)
-    reserve.give_back(800, used_us=300)
+    reserve.return_unused(800, used_us=300)
     assert reserve.available_us == 700.0
-    reserve.give_back(100, used_us=400)
+    reserve.return_unused(100, used_us=400)
     assert reserve.available_us == 700.0
 
 
--- a/tests/admission/test_turn_timer.py
+++ b/tests/admission/test_turn_timer.py
@@ -25,9 +25,9 @@
     timer = TurnTimer()
     timer.arm(100, due=300)
     timer.arm(100, due=250)
-    timer.fired(300)
+    timer.mark_fired(300)
     assert timer.due_at == 250
-    timer.fired(250)
+    timer.mark_fired(250)
     assert timer.due_at == NEVER
 
 
