--- a/tests/admission/entries.py
+++ b/tests/admission/entries.py
@@ -1,4 +1,4 @@
-"""Entries of requests for tests of single rules."""
+"""Builds request entries for tests of single rules."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def queued_entry(request_class: ClassSettings = LOW, **changes: Any) -> Entry:
-    """A request that arrives at `START`: its objective ends 2 s later, its deadline is after 4 s."""
+    """Return a queued request that arrived at `START`, by default with an objective of 2 s and a deadline of 4 s."""
     arrival = Arrival("r", request_class.name, memory_kb=10.0, caller=1, unread_us=0)
     entry = Entry.from_arrival(arrival, request_class, request_class.priority_weight, START)
     return dataclasses.replace(entry, **{"state": State.QUEUED, **changes})
--- a/tests/admission/random_server.py
+++ b/tests/admission/random_server.py
@@ -1,7 +1,7 @@
-"""A seeded server round an admission controller: random events in, actions out, a digest of all actions.
+"""A simulated server that feeds seeded random events to an admission controller and digests its actions.
 
-It draws from `random.Random(seed)` alone, and carries out the actions only as far as the next events need it, so a
-sequence is the same wherever it is played as long as the controller's actions are.
+All randomness comes from `random.Random(seed)`. The server carries out actions only as far as later events depend on
+them, so a sequence is reproducible as long as the controller's actions stay the same.
 """
 
 from __future__ import annotations
@@ -79,19 +79,19 @@
 
 @dataclass(slots=True)
 class KnownRequest:
-    """What the server knows of one request."""
+    """State of one request on the simulated server."""
 
     number: int
     request_class: str
     key: int
     is_keyed: bool
     caller: int
-    state: str = "queued"  # queued, running, awaiting call, calling, paused, attached, finished
+    state: str = "queued"  # or running, awaiting call, calling, paused, attached, finished
     is_key_kept: bool = False
 
 
 def variants() -> dict[str, Settings]:
-    """Settings that between them reach every branch: preemption, dependencies, signals, tenants, warm-up."""
+    """Return settings by name that together cover preemption, dependencies, load signals, tenants and warm-up."""
     classes = tuple(dataclasses.replace(each, makes_calls=True) for each in helpers.CLASSES)
     late = tuple(
         dataclasses.replace(
@@ -149,7 +149,7 @@
 
 
 class RandomServer:
-    """A controller, its clock, and all that happens to it."""
+    """A controller with a clock, its requests and timers, and a digest of its actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -165,7 +165,7 @@
         self.digest = hashlib.blake2b(digest_size=16)
 
     def play(self, turns: int = TURNS) -> str:
-        """Return the digest of all actions of so many turns."""
+        """Run the given number of turns, and return the digest of all actions."""
         for _ in range(turns):
             self.now += int(self.random.choice((1, 7, 20, 60, 180)) * MS * (0.5 + self.random.random()))
             actions = self.controller.decide(self.now, list(self._events()))
--- a/tests/admission/record.py
+++ b/tests/admission/record.py
@@ -1,4 +1,4 @@
-"""Writes the digests of the controller's actions again: `python -m tests.admission.record`; no test does."""
+"""Regenerates the stored digests of the controller's actions: `python -m tests.admission.record`. No test does so."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def digests_of(variant: str) -> list[str]:
-    """Return one digest for each run of `SEEDS_PER_DIGEST` sequences."""
+    """Return one digest for each group of `SEEDS_PER_DIGEST` sequences."""
     settings = variants()[variant]
     found = []
     for first in range(0, SEEDS_PER_VARIANT, SEEDS_PER_DIGEST):
--- a/tests/admission/rule_model.py
+++ b/tests/admission/rule_model.py
@@ -1,7 +1,7 @@
-"""A small model of a server that knows only the four rules, and checks a controller against them.
+"""A small model of a server that checks a controller against four rules.
 
-The rules: one response in time for each request, no effect twice, nothing run after a drain's grace, no overload of
-memory, cores or dependency.
+The rules: each request gets one response in time, no effect happens twice, no request runs that arrived after the
+grace period of a drain, and memory, cores and dependency are not overloaded.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """What the model knows of one attempt of a request."""
+    """State of one attempt of a request in the model."""
 
     request_class: ClassSettings
     key: int
     arrived_at: int
     deadline_at: int
     memory_kb: float
-    state: str = "queued"  # running, awaiting call, calling, paused, attached, finished
+    state: str = "queued"  # or running, awaiting call, calling, paused, attached, finished
     responses: int = 0
     disconnected: bool = False
     ran: bool = False
@@ -74,9 +74,9 @@
         self.draining_since: int | None = None
         self.stops_at: int | None = None
         self.abandoned_until: list[int] = []
-        self.calls_in_flight: list[int] = []  # calls in the dependency, by turn
+        self.calls_in_flight: list[int] = []  # number of calls in the dependency in each recent turn
 
-    # What happens to the server.
+    # Events for the controller.
 
     def turn(self) -> None:
         self.now += STEP
@@ -119,7 +119,7 @@
                 ),
                 None,
             )
-            if prior is None:  # two that are read in one batch know each other
+            if prior is None:  # attempts read in the same batch recognise each other
                 waiting = [i for i, t in self.attempts.items() if t.key == key and t.state != "finished"]
                 prior = waiting[-1] if waiting else None
         self.attempts[id] = attempt
@@ -173,7 +173,7 @@
         attempt.state = "finished"
         return [RunEnded(id, outcome, STEP)]
 
-    # What the controller asks for.
+    # Actions of the controller.
 
     def carry_out(self, action: object) -> None:
         attempt = self.attempts[action.id] if isinstance(
@@ -259,7 +259,7 @@
             attempt.state = "finished"
             self.pending.append(RunEnded(id, Outcome.CANCELLED, 0))
 
-    # The rules.
+    # Checks of the rules after each turn.
 
     def check(self) -> None:
         self.key_expires_at = {id: until for id, until in self.key_expires_at.items() if until > self.now}
--- a/tests/admission/test_action_digests.py
+++ b/tests/admission/test_action_digests.py
@@ -1,4 +1,4 @@
-"""The controller's actions on three thousand random event sequences are those of the version that wrote the digests."""
+"""Regression tests: the controller's actions on 3000 random event sequences match the stored digests."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_call_latency.py
+++ b/tests/admission/test_call_latency.py
@@ -1,4 +1,4 @@
-"""What downstream calls take."""
+"""Tests of the measured duration of downstream calls."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_call_policy.py
+++ b/tests/admission/test_call_policy.py
@@ -1,4 +1,4 @@
-"""How often a downstream call is attempted, how long it is waited for, and when it is skipped."""
+"""Tests of the retry, timeout and skip policy of downstream calls."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_call_reserve.py
+++ b/tests/admission/test_call_reserve.py
@@ -1,4 +1,4 @@
-"""The reserve of calls in flight."""
+"""Tests of the reserve of call time."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_caller_activity.py
+++ b/tests/admission/test_caller_activity.py
@@ -1,4 +1,4 @@
-"""When callers were last seen."""
+"""Tests of the record of callers' last requests."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_capacity.py
+++ b/tests/admission/test_capacity.py
@@ -1,4 +1,4 @@
-"""The concurrency that a process may use of its server."""
+"""Tests of the concurrency that a process may use of its server."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_concurrency_limit.py
+++ b/tests/admission/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The limit on runs at once."""
+"""Tests of the limit on concurrent runs."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,4 +1,4 @@
-"""The turn of the controller: health, timers, idle timeout and ids that come twice."""
+"""Tests of the controller's turn: health, timers, idle timeout and repeated request IDs."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def test_a_request_whose_id_comes_again_replaces_the_one_before() -> None:
-    # Guards against an entry that is known by its state and not by its id: its wakeup never came.
+    # Guards against an entry that stays indexed by state but not by ID, so that it is never checked again.
     controller = Controller(settings(cores=1), seed=1)
     controller.decide(START, [])
     twice: list[Event] = [
--- a/tests/admission/test_deadlines.py
+++ b/tests/admission/test_deadlines.py
@@ -1,4 +1,4 @@
-"""How early before a deadline a final response is given."""
+"""Tests of deadlines and of how long before them final responses are given."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -1,4 +1,4 @@
-"""Downstream calls: made, attempted again or skipped."""
+"""Tests of making, retrying and skipping downstream calls."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_a_call_that_can_be_repeated_is_abandoned_early_and_one_that_can_not_is_not() -> None:
-    # Guards against replies that never come: each kept its run until only a degraded response was left.
+    # Guards against lost replies: without a timeout, a run waited until only a response without the call was possible.
     low, unsafe = (
         request_class("low", makes_calls=True, skipped_call_factor=0.5),
         request_class("set", effect=Effect.AT_MOST_ONCE),
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -1,4 +1,4 @@
-"""Settings at their edges, callers that come and go, and timers that misbehave."""
+"""Tests with extreme settings, changing callers, and timers that are early, late or duplicated."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_events.py
+++ b/tests/admission/test_events.py
@@ -1,4 +1,4 @@
-"""Measurements keep their stored form between two processes, whatever the fields are called."""
+"""Tests of the JSON form in which two processes exchange measurements."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_idle_timeout.py
+++ b/tests/admission/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""How long connections may stay idle."""
+"""Tests of the idle timeout of connections."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_key_retention.py
+++ b/tests/admission/test_key_retention.py
@@ -1,4 +1,4 @@
-"""How long idempotency keys are kept."""
+"""Tests of the retention of idempotency keys."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_lifecycle.py
+++ b/tests/admission/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Final responses other than the result of a run."""
+"""Tests of final responses other than the result of a run."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -1,4 +1,4 @@
-"""The form of the admission controller's modules, and the list of those that decide."""
+"""Checks of the format and imports of the admission modules, and of the list of those that make decisions."""
 
 import ast
 import tomllib
@@ -10,7 +10,7 @@
 PACKAGE = "marlstep/admission"
 CONTROLLER = f"{PACKAGE}/controller.py"
 DECIDING: list[str] = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
-# Types, counters and holders of state, which decide nothing; docs/design.md gives the reason for each.
+# Modules with types, counters and state, which make no decisions; docs/design.md gives the reason for each.
 DECIDES_NOTHING = {
     f"{PACKAGE}/{name}.py"
     for name in (
@@ -54,10 +54,10 @@
 
 @pytest.mark.parametrize("name", DECIDING)
 def test_a_file_that_decides_is_formatted_like_all_other_code(name: str) -> None:
-    # Decisions are read at night: no exception from the formatter or the linter.
+    # These files are read during incidents, so none is exempt from the formatter or the linter.
     text = (ROOT / name).read_text()
     assert "fmt:" not in text and "noqa" not in text and "ruff:" not in text and "isort:" not in text
-    assert ";" not in text.replace("; ", "")  # one statement a line; in prose a blank follows
+    assert ";" not in text.replace("; ", "")  # one statement per line; in prose a space follows the semicolon
 
 
 def test_no_file_of_the_package_is_excepted_from_the_linter_or_the_formatter() -> None:
--- a/tests/admission/test_memory_ledger.py
+++ b/tests/admission/test_memory_ledger.py
@@ -1,4 +1,4 @@
-"""The bounds on memory."""
+"""Tests of the memory limits."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_preemption.py
+++ b/tests/admission/test_preemption.py
@@ -1,4 +1,4 @@
-"""Which run is preempted, and what becomes of it."""
+"""Tests of which run is preempted, and of its state afterwards."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_priority.py
+++ b/tests/admission/test_priority.py
@@ -1,4 +1,4 @@
-"""The priority weight that a response can still earn, and the order of requests."""
+"""Tests of the priority weight that a response can still earn, and of the dispatch order."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -1,4 +1,4 @@
-"""The four rules on generated event sequences."""
+"""Property tests: the four rules of `rule_model` hold on generated event sequences."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_queue_wait.py
+++ b/tests/admission/test_queue_wait.py
@@ -1,4 +1,4 @@
-"""How long an arrival would wait, and when that is too long."""
+"""Tests of the expected queueing time of an arrival, and of its limit."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_retry_advisor.py
+++ b/tests/admission/test_retry_advisor.py
@@ -1,4 +1,4 @@
-"""Retry-After and callers' credit."""
+"""Tests of Retry-After and callers' credit."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 
 def test_callers_that_came_once_do_not_reduce_the_credit_of_the_others() -> None:
-    # Guards against a credit cut to nothing: on a long run it was shared among dozens of callers that had
-    # sent one request, and for ten seconds half of all requests were rejected with cores to spare.
+    # Guards against a credit that is far too low: in a long run it was shared with dozens of callers that had sent a
+    # single request, and for ten seconds half of all requests were rejected while cores were idle.
     credits = []
     for others in (0, 40):
         server = ControllerDriver(cores=1, load_signal=LoadSignal.CREDIT, memory_kb=100_000.0)
--- a/tests/admission/test_run_queue.py
+++ b/tests/admission/test_run_queue.py
@@ -1,4 +1,4 @@
-"""Starts, preemption and order of runs."""
+"""Tests of the start, preemption and order of runs."""
 
 from __future__ import annotations
 
@@ -99,15 +99,16 @@
 
 
 def test_if_retries_are_not_marked_an_arrival_may_wait_for_a_part_of_its_objective_only() -> None:
-    # Guards against retries that end within their own objective, but past that of a caller that waited before.
-    assert rejected_arrivals(False, 200) == ["r4", "r5", "r6", "r7"]  # 0.6 s of 2 s, with the run
+    # Guards against retries that finish within their own objective, but too late for a caller that has waited before.
+    # Only 0.6 s of the objective of 2 s may be used, including the run.
+    assert rejected_arrivals(False, 200) == ["r4", "r5", "r6", "r7"]
     assert rejected_arrivals(True, 200) == []
 
 
 def test_a_keyed_run_goes_on_for_its_callers_retry() -> None:
     server = ControllerDriver(cores=1)
     server.arrive("k", "keyed", caller_deadline_at=START + 500 * MS)
-    assert server.tick(after_ms=450) == [("Fail", "k")]  # and no preemption
+    assert server.tick(after_ms=450) == [("Fail", "k")]  # but no preemption
     assert server.arrive("again", "keyed", prior="k", after_ms=10) == [("Attach", "again")]
 
 
@@ -117,7 +118,7 @@
     server.end("quick", after_ms=100)
     for index in range(20):
         server.arrive(f"r{index}")
-        server.tick(after_ms=4_000)  # failed at its deadline and stopped
+        server.tick(after_ms=4_000)  # the request fails at its deadline, and its run is stopped
         server.end(f"r{index}", Outcome.CANCELLED)
     assert server.controller.state.statistics.mean_run_us["low"] > 2_000 * MS
 
--- a/tests/admission/test_run_statistics.py
+++ b/tests/admission/test_run_statistics.py
@@ -1,4 +1,4 @@
-"""What runs have taken on the cores."""
+"""Tests of the statistics of time on the cores."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_settings.py
+++ b/tests/admission/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings keep their stored keys, and errors name these."""
+"""Tests that settings keep their stored keys, and that errors name them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def stored(item: Settings | ClassSettings | TenantSettings) -> dict[str, object]:
-    """Return the stored form of settings."""
+    """Return settings as plain values by stored key."""
     plain: dict[str, object] = {}
     for part in dataclasses.fields(item):
         value = getattr(item, part.name)
--- a/tests/admission/test_start_rules.py
+++ b/tests/admission/test_start_rules.py
@@ -1,4 +1,4 @@
-"""What a request needs before it is started or resumed."""
+"""Tests of the conditions for starting or resuming a request."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_token_buckets.py
+++ b/tests/admission/test_token_buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets of tenants."""
+"""Tests of token buckets."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_turn_timer.py
+++ b/tests/admission/test_turn_timer.py
@@ -1,4 +1,4 @@
-"""The one timer of the controller, and the wakeups that it is set for."""
+"""Tests of the controller's timer and of the wakeups for which it is set."""
 
 from __future__ import annotations
 
