--- a/tests/admission/random_server.py
+++ b/tests/admission/random_server.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class KnownRequest:
+class SimulatedRequest:
     """State of one request on the simulated server."""
 
     number: int
@@ -93,7 +93,7 @@
 def variants() -> dict[str, Settings]:
     """Return settings by name that together cover preemption, dependencies, load signals, tenants and warm-up."""
     classes = tuple(dataclasses.replace(each, makes_calls=True) for each in helpers.CLASSES)
-    late = tuple(
+    calls_skippable = tuple(
         dataclasses.replace(
             each,
             late_response_factor=0.2,
@@ -109,21 +109,21 @@
     return {
         "plain": helpers.settings(classes=classes),
         "drop, shared dependency": helpers.settings(
-            classes=late,
+            classes=calls_skippable,
             preemption_mode=PreemptionMode.DROP,
             dependency=Downstream.SHARED,
             mean_calls_in_flight=0.6,
             overload_concurrency_factor=3.0,
         ),
         "no halt, cold, little memory": helpers.settings(
-            classes=late,
+            classes=calls_skippable,
             preemption_mode=PreemptionMode.NONE,
             warms_up=True,
             memory_kb=200.0,
             warm_up_us=2_000 * MS,
         ),
         "tenants and credit": helpers.settings(
-            classes=late,
+            classes=calls_skippable,
             tenants=tenants,
             over_quota_factor=0.1,
             load_signal=LoadSignal.CREDIT,
@@ -137,7 +137,7 @@
             memory_kb=500.0,
         ),
         "shared dependency, cold, tenants": helpers.settings(
-            classes=late,
+            classes=calls_skippable,
             tenants=tenants,
             over_quota_factor=0.3,
             warms_up=True,
@@ -156,11 +156,11 @@
         self.random = random.Random(f"{seed}")
         self.controller = Controller(settings, seed)
         self.now = helpers.START
-        self.requests: dict[str, KnownRequest] = {}
+        self.requests: dict[str, SimulatedRequest] = {}
         self.timers: list[tuple[int, int]] = []
         self.pending: list[Event] = []
         self.draining = False
-        self.busy = self.random.random()
+        self.arrival_load = self.random.random()
         self.actions_seen: set[str] = set()
         self.digest = hashlib.blake2b(digest_size=16)
 
@@ -170,12 +170,12 @@
             self.now += int(self.random.choice((1, 7, 20, 60, 180)) * MS * (0.5 + self.random.random()))
             actions = self.controller.decide(self.now, list(self._events()))
             for action in actions:
-                name = STORED_NAMES[type(action)]
-                self.actions_seen.add(name)
-                self.digest.update(f"{self.now} {name} {dataclasses.astuple(action)!r}\n".encode())
+                stored_name = STORED_NAMES[type(action)]
+                self.actions_seen.add(stored_name)
+                self.digest.update(f"{self.now} {stored_name} {dataclasses.astuple(action)!r}\n".encode())
                 self._carry_out(action)
-            used = self.controller.memory_and_concurrency_in_use()
-            self.digest.update(f"used {used[0]!r} {used[1]!r}\n".encode())
+            in_use = self.controller.memory_and_concurrency_in_use()
+            self.digest.update(f"used {in_use[0]!r} {in_use[1]!r}\n".encode())
         measured = self.controller.measurements()
         self.digest.update(f"learnt {dataclasses.astuple(measured)!r}\n".encode())
         return self.digest.hexdigest()
@@ -183,14 +183,14 @@
     def _events(self) -> Iterator[Event]:
         yield from self.pending
         self.pending = []
-        for _ in range(self.random.randrange(0, 2 + int(4 * self.busy))):
+        for _ in range(self.random.randrange(0, 2 + int(4 * self.arrival_load))):
             yield self._arrival()
-        for name, known in list(self.requests.items()):
-            if (event := self._progress(name, known)) is not None:
+        for request_id, request in list(self.requests.items()):
+            if (event := self._progress(request_id, request)) is not None:
                 yield event
-        due = [(when, tag) for when, tag in self.timers if when <= self.now]
-        self.timers = [(when, tag) for when, tag in self.timers if when > self.now]
-        for _, tag in due:
+        due_timers = [(due_at, tag) for due_at, tag in self.timers if due_at <= self.now]
+        self.timers = [(due_at, tag) for due_at, tag in self.timers if due_at > self.now]
+        for _, tag in due_timers:
             gauges = {
                 "cpu": self.random.choice((0.3, 0.9, 1.0)),
                 "conns": float(self.random.randrange(0, 80)),
@@ -208,23 +208,23 @@
         )
         prior = None
         if request_class.effect is Effect.KEYED:
-            same = [
-                id
-                for id, known in self.requests.items()
+            kept_attempts = [
+                known_id
+                for known_id, known in self.requests.items()
                 if known.key == key and known.is_keyed and known.is_key_kept
             ]
-            prior = same[-1] if same else None
+            prior = kept_attempts[-1] if kept_attempts else None
         caller = self.random.randrange(12)
-        self.requests[name] = KnownRequest(
+        self.requests[name] = SimulatedRequest(
             number, request_class.name, key, request_class.effect is Effect.KEYED, caller
         )
-        unread = self.random.choice((0, 0, 0, 3, 40, 900)) * MS
+        unread_us = self.random.choice((0, 0, 0, 3, 40, 900)) * MS
         return Arrival(
             name,
             request_class.name if self.random.random() < 0.99 else "unknown",
             self.random.choice((5.0, 20.0, 60.0)),
             caller,
-            unread,
+            unread_us,
             caller_deadline_at=self.now + self.random.choice((200, 1_500, 4_000)) * MS
             if self.random.random() < 0.7
             else None,
@@ -235,28 +235,28 @@
             pool=self.random.choice(("", "", "", "west")),
         )
 
-    def _progress(self, name: str, known: KnownRequest) -> Event | None:
-        if known.state == "finished":
+    def _progress(self, request_id: str, request: SimulatedRequest) -> Event | None:
+        if request.state == "finished":
             return None
         chance = self.random.random()
         if chance < 0.01:
-            return ClientDisconnected(name)
-        if known.state == "running" and chance < 0.25:
-            known.state = "finished"
-            return RunEnded(name, self.random.choice(OUTCOMES), self.random.randrange(300) * MS)
-        if known.state == "running" and chance < 0.40:
-            known.state = "awaiting call"
-            return CallNeeded(name)
-        if known.state == "calling" and chance < 0.45:
-            known.state = "awaiting call"
+            return ClientDisconnected(request_id)
+        if request.state == "running" and chance < 0.25:
+            request.state = "finished"
+            return RunEnded(request_id, self.random.choice(OUTCOMES), self.random.randrange(300) * MS)
+        if request.state == "running" and chance < 0.40:
+            request.state = "awaiting call"
+            return CallNeeded(request_id)
+        if request.state == "calling" and chance < 0.45:
+            request.state = "awaiting call"
             outcome = self.random.choice(OUTCOMES)
             if outcome is Outcome.OK:
-                known.state = "running"
-            return CallEnded(name, outcome, self.random.randrange(1, 400) * MS)
+                request.state = "running"
+            return CallEnded(request_id, outcome, self.random.randrange(1, 400) * MS)
         return None
 
     def _rare_event(self) -> Event:
-        makers: list[Callable[[], Event]] = [
+        event_factories: list[Callable[[], Event]] = [
             lambda: PortionChanged(self.random.choice((0.2, 0.5, 1.0))),
             lambda: PoolCapacityChanged("west", self.random.randrange(0, 4)),
             lambda: QuotaChanged("riad", self.random.choice((0.0, 3.0, 60.0))),
@@ -266,35 +266,37 @@
         if not self.draining and self.random.random() < 0.2:
             self.draining = True
             return Drain(self.now + 3_000 * MS, self.random.random() < 0.3, self.now - 5 * MS)
-        return self.random.choice(makers)()
+        return self.random.choice(event_factories)()
 
     def _settings_changed(self) -> SettingsChanged:
         remaining = self.settings.classes[1:]
-        fewer = dataclasses.replace(self.settings, classes=remaining, memory_kb=self.settings.memory_kb * 0.8)
-        return SettingsChanged(fewer, self.settings.classes[:1])
+        reduced = dataclasses.replace(
+            self.settings, classes=remaining, memory_kb=self.settings.memory_kb * 0.8
+        )
+        return SettingsChanged(reduced, self.settings.classes[:1])
 
     def _carry_out(self, action: Action) -> None:
         match action:
             case SetTimer():
                 self.timers.append((self.now + action.after_us, action.tag))
-            case Run(id=name):
-                self.requests[name].state = "running"
-            case Preempt(id=name):
+            case Run(id=request_id):
+                self.requests[request_id].state = "running"
+            case Preempt(id=request_id):
                 if self.random.random() < 0.9:
-                    self.requests[name].state = "paused"
-                    self.pending.append(RunEnded(name, Outcome.CANCELLED, 0))
-            case Reject(id=name) | Fail(id=name):
-                if self.requests[name].state != "running":
-                    self.requests[name].state = "finished"
-            case Call(id=name):
-                self.requests[name].state = "calling"
-            case SkipCall(id=name):
-                self.requests[name].state = "running"
-            case KeepKey(id=name):
-                self.requests[name].is_key_kept = True
-            case ForgetKey(id=name):
-                self.requests[name].is_key_kept = False
-            case Attach(id=name):
-                self.requests[name].state = "attached"
+                    self.requests[request_id].state = "paused"
+                    self.pending.append(RunEnded(request_id, Outcome.CANCELLED, 0))
+            case Reject(id=request_id) | Fail(id=request_id):
+                if self.requests[request_id].state != "running":
+                    self.requests[request_id].state = "finished"
+            case Call(id=request_id):
+                self.requests[request_id].state = "calling"
+            case SkipCall(id=request_id):
+                self.requests[request_id].state = "running"
+            case KeepKey(id=request_id):
+                self.requests[request_id].is_key_kept = True
+            case ForgetKey(id=request_id):
+                self.requests[request_id].is_key_kept = False
+            case Attach(id=request_id):
+                self.requests[request_id].state = "attached"
             case _:
                 pass
--- a/tests/admission/rule_model.py
+++ b/tests/admission/rule_model.py
@@ -85,10 +85,10 @@
             events.append(self.request(key))
         for id, attempt in list(self.attempts.items()):
             events += self.progress(id, attempt)
-        due = [(when, tag) for when, tag in self.timers if when <= self.now]
-        self.timers = [(when, tag) for when, tag in self.timers if when > self.now]
+        due_timers = [(due_at, tag) for due_at, tag in self.timers if due_at <= self.now]
+        self.timers = [(due_at, tag) for due_at, tag in self.timers if due_at > self.now]
         gauges = {"cpu": self.draw.draw(st.sampled_from([0.3, 1.0]))} if self.gauges is None else self.gauges
-        events += [TimerDue(tag, gauges) for _, tag in due]
+        events += [TimerDue(tag, gauges) for _, tag in due_timers]
         if self.draining_since is None and self.draw.draw(st.integers(0, 99)) == 0:
             self.draining_since, self.stops_at = self.now, self.now + 3_000 * MS
             events.append(Drain(self.stops_at))
@@ -98,38 +98,42 @@
 
     def request(self, key: int) -> Arrival:
         request_class = CLASSES[key % 4]
-        unread = self.draw.draw(st.sampled_from([0, 0, 35 * MS, 900 * MS]))
-        wait = self.draw.draw(st.sampled_from([300, 1_500, 4_000])) * MS
-        arrived = self.now - unread
+        unread_us = self.draw.draw(st.sampled_from([0, 0, 35 * MS, 900 * MS]))
+        wait_us = self.draw.draw(st.sampled_from([300, 1_500, 4_000])) * MS
+        arrived_at = self.now - unread_us
         attempt = Attempt(
             request_class,
             key,
-            arrived,
-            max(self.now, arrived + wait),
+            arrived_at,
+            max(self.now, arrived_at + wait_us),
             self.draw.draw(st.sampled_from([5.0, 20.0])),
         )
-        id = f"{len(self.attempts)}"
+        request_id = f"{len(self.attempts)}"
         prior = None
         if request_class.effect == "keyed":
             prior = next(
                 (
-                    i
-                    for i, until in self.key_expires_at.items()
-                    if self.attempts[i].key == key and until >= arrived
+                    other_id
+                    for other_id, until in self.key_expires_at.items()
+                    if self.attempts[other_id].key == key and until >= arrived_at
                 ),
                 None,
             )
             if prior is None:  # attempts read in the same batch recognise each other
-                waiting = [i for i, t in self.attempts.items() if t.key == key and t.state != "finished"]
+                waiting = [
+                    other_id
+                    for other_id, other in self.attempts.items()
+                    if other.key == key and other.state != "finished"
+                ]
                 prior = waiting[-1] if waiting else None
-        self.attempts[id] = attempt
+        self.attempts[request_id] = attempt
         return Arrival(
-            id,
+            request_id,
             request_class.name,
             attempt.memory_kb,
             key % 3,
-            unread,
-            caller_deadline_at=arrived + wait,
+            unread_us,
+            caller_deadline_at=arrived_at + wait_us,
             prior=prior,
         )
 
@@ -203,10 +207,10 @@
                     "a preemption where none is possible"
                 )
                 if attempt.state == "running" and self.draw.draw(st.integers(0, 9)) > 0:
-                    over = attempt.responses or attempt.disconnected
+                    is_over = attempt.responses or attempt.disconnected
                     attempt.state = (
                         "finished"
-                        if over
+                        if is_over
                         else ("paused" if self.settings.preemption_mode == PreemptionMode.PAUSE else "queued")
                     )
                     self.pending.append(RunEnded(action.id, Outcome.CANCELLED, 0))
@@ -253,7 +257,7 @@
         if attempt.state in ("queued", "paused", "attached"):
             attempt.state = "finished"
         elif attempt.state in ("awaiting call", "calling"):
-            id = next(i for i, t in self.attempts.items() if t is attempt)
+            id = next(other_id for other_id, other in self.attempts.items() if other is attempt)
             if attempt.state == "calling":
                 self.abandoned_until.append(self.now + self.settings.abandoned_call_us)
             attempt.state = "finished"
@@ -263,27 +267,29 @@
 
     def check(self) -> None:
         self.key_expires_at = {id: until for id, until in self.key_expires_at.items() if until > self.now}
-        memory = len(self.key_expires_at) * self.settings.idempotency_key_kb
+        used_kb = len(self.key_expires_at) * self.settings.idempotency_key_kb
         for id, attempt in self.attempts.items():
             if attempt.state != "finished":
-                memory += attempt.memory_kb * (
+                used_kb += attempt.memory_kb * (
                     1.0 if attempt.state in ("queued", "attached") else self.settings.running_memory_factor
                 )
-            late = self.now > attempt.deadline_at + self.settings.response_margin_us
-            assert attempt.responses or attempt.disconnected or not late, f"{id} got no response in time"
-            stopped = self.stops_at is not None and self.now >= self.stops_at - STEP
-            assert attempt.responses or attempt.disconnected or not stopped, (
+            is_late = self.now > attempt.deadline_at + self.settings.response_margin_us
+            assert attempt.responses or attempt.disconnected or not is_late, f"{id} got no response in time"
+            is_stopping = self.stops_at is not None and self.now >= self.stops_at - STEP
+            assert attempt.responses or attempt.disconnected or not is_stopping, (
                 f"{id} had no response before the stop"
             )
-        assert memory <= self.settings.memory_kb, "out of memory"
-        share = 1.0
+        assert used_kb <= self.settings.memory_kb, "out of memory"
+        capacity_share = 1.0
         if self.settings.warms_up:
-            warmed = (self.now - START) / self.settings.warm_up_us
-            share = min(
+            warmed_up = (self.now - START) / self.settings.warm_up_us
+            capacity_share = min(
                 1.0,
-                self.settings.initial_capacity_share + (1 - self.settings.initial_capacity_share) * warmed,
+                self.settings.initial_capacity_share + (1 - self.settings.initial_capacity_share) * warmed_up,
             )
-        max_concurrency = self.settings.cores * (1 + (self.settings.overload_concurrency_factor - 1) * share)
+        max_concurrency = self.settings.cores * (
+            1 + (self.settings.overload_concurrency_factor - 1) * capacity_share
+        )
         assert sum(attempt.state == "running" for attempt in self.attempts.values()) <= max_concurrency, (
             "too many on the cores"
         )
--- a/tests/admission/test_action_digests.py
+++ b/tests/admission/test_action_digests.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("variant", list(variants()))
-def test_actions_on_random_sequences_are_the_stored_ones(variant: str) -> None:
+def test_actions_on_random_sequences_match_the_stored_digests(variant: str) -> None:
     assert digests_of(variant) == STORED[variant]
 
 
@@ -24,7 +24,7 @@
         assert all(len(row) == 6 * SEEDS_PER_DIGEST for row in rows)
 
 
-def test_the_sequences_reach_every_action() -> None:
+def test_the_random_sequences_produce_every_action_except_log() -> None:
     played = set()
     for settings in variants().values():
         for seed in range(SEEDS_PER_DIGEST):
--- a/tests/admission/test_call_policy.py
+++ b/tests/admission/test_call_policy.py
@@ -38,11 +38,11 @@
     assert policy.is_exhausted(attempts, attempts_never_ran) is exhausted
 
 
-def test_the_backoff_doubles_with_each_rejected_attempt() -> None:
+def test_the_backoff_doubles_with_each_attempt_that_never_ran() -> None:
     assert [backoff_us(rejected, tick_us=10) for rejected in range(5)] == [10, 10, 20, 40, 80]
 
 
-def test_a_reply_is_of_use_until_the_deadline_if_the_call_is_needed() -> None:
+def test_a_reply_is_useful_until_the_deadline_if_the_call_is_needed() -> None:
     assert latest_useful_reply_at(9_000, 5_000, can_skip_call=False, remaining_us=700) == 9_000
 
 
@@ -51,13 +51,13 @@
     assert latest_useful_reply_at(4_000, 5_000, can_skip_call=True, remaining_us=700) == 4_000
 
 
-def test_each_attempt_is_given_twice_the_time_of_the_one_before() -> None:
+def test_the_attempt_timeout_doubles_with_each_attempt() -> None:
     first = attempt_timeout_us(100.0, attempts=0)
     assert first == CALL_TIMEOUT_FACTOR * 100.0
     assert attempt_timeout_us(100.0, attempts=2) == 4 * first
 
 
-def test_a_call_draws_on_half_of_the_reserve_but_may_always_last_a_usual_time() -> None:
+def test_a_call_may_use_half_of_the_reserve_but_always_the_time_of_a_call_that_is_not_slow() -> None:
     assert reserve_timeout_us(300, 5_001.0) == 2_500
     assert reserve_timeout_us(300, 100.0) == 300
 
--- a/tests/admission/test_call_reserve.py
+++ b/tests/admission/test_call_reserve.py
@@ -15,7 +15,7 @@
     assert reserve.available_us == 1_000.0
 
 
-def test_a_call_gives_back_what_it_did_not_use_and_no_more() -> None:
+def test_an_ended_call_returns_only_the_reserved_time_that_it_did_not_use() -> None:
     reserve = CallReserve()
     reserve.configure(rate=0.5, capacity_us=1_000.0)
     reserve.take(800)
@@ -25,7 +25,7 @@
     assert reserve.available_us == 700.0
 
 
-def test_what_calls_have_reserved_stays_reserved_when_the_capacity_changes() -> None:
+def test_reserved_time_stays_reserved_when_the_capacity_changes() -> None:
     reserve = CallReserve()
     reserve.configure(rate=0.5, capacity_us=1_000.0)
     reserve.take(800)
--- a/tests/admission/test_caller_activity.py
+++ b/tests/admission/test_caller_activity.py
@@ -6,7 +6,7 @@
 from marlstep.admission.timing import SECOND_US
 
 
-def test_callers_are_counted_since_a_time_with_those_seen_again() -> None:
+def test_count_returns_recent_callers_and_those_with_several_requests() -> None:
     callers = CallerActivity()
     callers.record(1, now=100)
     callers.record(2, now=200)
@@ -15,7 +15,7 @@
     assert callers.count(since=100) == (1, 1)
 
 
-def test_a_caller_that_is_forgotten_starts_again() -> None:
+def test_a_forgotten_caller_is_counted_from_zero_again() -> None:
     callers = CallerActivity()
     callers.record(1, now=100)
     callers.forget(1)
@@ -23,7 +23,7 @@
     assert callers.count(since=0) == (1, 0)
 
 
-def test_inactive_callers_are_forgotten_after_some_lifetimes_of_an_advertised_value() -> None:
+def test_inactive_callers_are_forgotten_after_the_retention_time() -> None:
     callers = CallerActivity()
     callers.record(1, now=0)
     retention_us = RETENTION_FACTOR * (SECOND_US + SECOND_US)
--- a/tests/admission/test_concurrency_limit.py
+++ b/tests/admission/test_concurrency_limit.py
@@ -15,7 +15,7 @@
 from tests.support.helpers import MS, ControllerDriver
 
 
-def test_the_limit_grows_by_two_a_second_while_the_cores_have_time() -> None:
+def test_the_limit_grows_by_two_per_second_while_the_cores_are_not_busy() -> None:
     server = ControllerDriver(cores=2)
     for index in range(10):
         server.arrive(f"r{index}")
@@ -37,7 +37,7 @@
     assert server.controller.concurrency.limit < 3
 
 
-def test_reading_that_lags_takes_cores_from_the_runs() -> None:
+def test_read_lag_reduces_the_number_of_concurrent_runs() -> None:
     server = ControllerDriver(cores=8, memory_kb=10_000.0)
     for index in range(20):
         server.arrive(f"r{index}", unread_us=1_500 * MS)
@@ -49,7 +49,7 @@
     assert is_cpu_busy(cpu_load) is is_busy
 
 
-def test_the_limit_stays_while_the_cores_have_time_and_it_was_not_reached() -> None:
+def test_the_limit_grows_only_if_reached_while_the_cores_are_not_busy() -> None:
     assert adapted_limit(4.0, False, False, 100, [900]) == 4.0
     assert adapted_limit(4.0, False, True, 100, [900]) == 4.0 + LIMIT_INCREASE_PER_SECOND
 
@@ -59,7 +59,7 @@
     assert adapted_limit(8.0, True, False, 100, []) == 8.0
 
 
-def test_reading_that_lags_beyond_its_allowance_takes_its_share_of_the_limit() -> None:
+def test_read_lag_above_the_allowance_reduces_the_limit_in_proportion() -> None:
     allowed_us = MAX_READ_LAG_FRACTION * 2_000
     assert read_lag_factor(allowed_us, shortest_objective_us=2_000) == 1.0
     assert read_lag_factor(2 * allowed_us, shortest_objective_us=2_000) == 0.5
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -34,7 +34,7 @@
     assert timers_in_a_second("low", "high", "keyed") > 10
 
 
-def test_idle_connections_are_closed_sooner_while_more_are_open_than_could_run() -> None:
+def test_the_idle_timeout_shrinks_while_more_connections_are_open_than_requests_could_run() -> None:
     server = ControllerDriver(overload_concurrency_factor=8.0)  # 16 runs on two cores
     server.step(TimerDue(0, {"cpu": 0.5, "conns": 12.0}), after_ms=1000)
     assert server.actions_of(IdleLimit) == [IdleLimit(30_000 * MS)]
@@ -44,13 +44,13 @@
     assert server.actions_of(IdleLimit) == [IdleLimit(30_000 * MS)]
 
 
-def test_without_a_gauge_or_an_idle_timeout_none_is_set() -> None:
+def test_no_idle_timeout_is_set_without_a_connection_gauge_or_a_configured_timeout() -> None:
     for server in (ControllerDriver(), ControllerDriver(idle_timeout_us=0)):
         server.step(TimerDue(0, {}), after_ms=1000)
         assert server.actions_of(IdleLimit) == []
 
 
-def test_a_request_whose_id_comes_again_replaces_the_one_before() -> None:
+def test_an_arrival_with_a_known_id_replaces_the_earlier_request() -> None:
     # Guards against an entry that stays indexed by state but not by ID, so that it is never checked again.
     controller = Controller(settings(cores=1), seed=1)
     controller.decide(START, [])
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -21,7 +21,7 @@
     assert server.step(CallEnded("a", Outcome.TIMEOUT, 1_900 * MS), after_ms=1950) == [("SkipCall", "a")]
 
 
-def test_while_calls_are_slow_one_at_a_time_is_made_and_others_are_skipped() -> None:
+def test_while_calls_are_slow_only_one_is_made_at_a_time_and_others_are_skipped() -> None:
     server = ControllerDriver(
         classes=(request_class("low", makes_calls=True, skipped_call_factor=0.5),),
         dependency=Downstream.SHARED,
@@ -38,7 +38,7 @@
     assert server.step(CallNeeded("b"), after_ms=1) == [("SkipCall", "b")]
 
 
-def test_a_call_that_can_be_repeated_is_abandoned_early_and_one_that_can_not_is_not() -> None:
+def test_a_call_is_abandoned_early_only_if_it_can_be_retried() -> None:
     # Guards against lost replies: without a timeout, a run waited until only a response without the call was possible.
     low, unsafe = (
         request_class("low", makes_calls=True, skipped_call_factor=0.5),
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("shift_ms", [-30, 0, 40])
 @pytest.mark.parametrize("times", [1, 2])
-def test_timers_that_come_early_late_or_twice_delay_no_response(shift_ms: int, times: int) -> None:
+def test_timers_that_fire_early_late_or_twice_delay_no_response(shift_ms: int, times: int) -> None:
     controller = Controller(helpers.settings(cores=1), 1)
     controller.decide(START, [])
     now, responded_at = START, {}
--- a/tests/admission/test_intake.py
+++ b/tests/admission/test_intake.py
@@ -18,7 +18,7 @@
     assert server.arrive("over") == [("Reject", "over")]
 
 
-def test_requests_past_their_objective_leave_a_full_queue_to_an_arrival() -> None:
+def test_requests_past_their_objective_are_evicted_from_a_full_queue() -> None:
     server = ControllerDriver(cores=1, memory_kb=100.0)
     for index in range(5):
         server.arrive(f"r{index}")
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(("quota_per_s", "burst"), [(0.0, 1.0), (0.3, 1.0), (12.0, 12.0)])
-def test_a_second_of_quota_may_come_at_once_and_one_request_at_least(
+def test_the_quota_burst_is_one_second_of_quota_but_at_least_one_request(
     quota_per_s: float, burst: float
 ) -> None:
     assert quota_burst(quota_per_s) == burst
@@ -46,7 +46,7 @@
     assert must_share_result(repeat, "prior", None)
 
 
-def test_a_keyed_repeat_may_run_if_the_attempt_before_is_known_not_to_have_run() -> None:
+def test_a_keyed_repeat_may_run_if_the_earlier_attempt_is_known_not_to_have_run() -> None:
     assert not must_share_result(queued_entry(KEYED), "prior", queued_entry(KEYED))
 
 
@@ -55,7 +55,7 @@
     assert not must_share_result(queued_entry(LOW), "prior", queued_entry(LOW, has_run=True))
 
 
-def test_requests_beyond_the_quota_and_of_unknown_tenants_weigh_less() -> None:
+def test_requests_beyond_the_quota_and_of_unknown_tenants_get_a_lower_weight() -> None:
     server = ControllerDriver(tenants=(TenantSettings("riad", 0.5, 6.0),), over_quota_factor=0.25)
     server.arrive("first", tenant="riad")
     server.arrive("second", tenant="riad")
--- a/tests/admission/test_lifecycle.py
+++ b/tests/admission/test_lifecycle.py
@@ -29,7 +29,7 @@
     assert [action.id for action in server.actions_of(Fail)] == ["running"]
 
 
-def test_a_draining_server_sends_callers_away_for_as_long_as_they_respect() -> None:
+def test_a_draining_server_sends_the_longest_retry_after_that_callers_respect() -> None:
     server = ControllerDriver(cores=1, memory_kb=100.0)
     server.step(Drain(server.now + 60_000 * MS))
     server.arrive("late", after_ms=2_000)
@@ -38,7 +38,7 @@
     assert not rejection.no_failover
 
 
-def test_a_queued_request_whose_client_left_gets_no_response_and_drops_its_key() -> None:
+def test_a_queued_request_of_a_disconnected_client_gets_no_response_and_its_key_is_forgotten() -> None:
     server = ControllerDriver(cores=1)
     server.arrive("running", "high")
     server.arrive("keyed", "keyed")
--- a/tests/admission/test_limits.py
+++ b/tests/admission/test_limits.py
@@ -47,33 +47,33 @@
     return names
 
 
-def test_the_files_that_decide_hold_lines_of_at_most_110_characters() -> None:
+def test_deciding_files_have_lines_of_at_most_110_characters() -> None:
     lines = [line for name in DECIDING for line in lines_of(name)]
     assert 0 < max(map(len, lines)) <= 110
 
 
 @pytest.mark.parametrize("name", DECIDING)
-def test_a_file_that_decides_is_formatted_like_all_other_code(name: str) -> None:
+def test_deciding_files_contain_no_exception_from_formatter_or_linter(name: str) -> None:
     # These files are read during incidents, so none is exempt from the formatter or the linter.
     text = (ROOT / name).read_text()
     assert "fmt:" not in text and "noqa" not in text and "ruff:" not in text and "isort:" not in text
     assert ";" not in text.replace("; ", "")  # one statement per line; in prose a space follows the semicolon
 
 
-def test_no_file_of_the_package_is_excepted_from_the_linter_or_the_formatter() -> None:
+def test_the_ruff_configuration_exempts_no_file_of_the_package() -> None:
     ruff = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]
     assert ruff["line-length"] == 110
     assert [name for name in ruff["lint"]["per-file-ignores"] if name.startswith(PACKAGE)] == []
     assert "exclude" not in ruff and "extend-exclude" not in ruff
 
 
-def test_every_file_of_the_package_is_listed_as_one_that_decides_or_as_one_that_does_not() -> None:
+def test_every_file_of_the_package_is_listed_either_as_deciding_or_as_not_deciding() -> None:
     found = {path.relative_to(ROOT).as_posix() for path in (ROOT / PACKAGE).rglob("*.py")}
     assert found == {*DECIDING, *DECIDES_NOTHING}
     assert CONTROLLER in DECIDING and len(DECIDING) == len(set(DECIDING))
 
 
-def test_the_design_names_every_file_that_decides_nothing_but_the_types() -> None:
+def test_the_design_page_names_every_file_that_does_not_decide() -> None:
     design = (ROOT / "docs" / "design.md").read_text()
     described = {
         f"{PACKAGE}/__init__.py",
--- a/tests/admission/test_memory_ledger.py
+++ b/tests/admission/test_memory_ledger.py
@@ -27,7 +27,7 @@
     assert not ledger().could_ever_run(queued_entry(memory_kb=MEMORY_KB / factor))
 
 
-def test_the_queue_leaves_memory_for_the_key_of_an_arrival_unless_it_takes_one_over() -> None:
+def test_the_queue_limit_leaves_room_for_a_key_unless_the_arrival_takes_one_over() -> None:
     limit_kb = MAX_QUEUE_MEMORY_FRACTION * MEMORY_KB
     with_key, without_key = queued_entry(KEYED, key_kept_until=START + 1), queued_entry(KEYED)
     assert ledger().queue_limit_kb(queued_entry(), None) == limit_kb
--- a/tests/admission/test_preemption.py
+++ b/tests/admission/test_preemption.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("response_owed", [True, False])
-def test_no_run_is_preempted_where_that_is_not_possible(response_owed: bool) -> None:
+def test_no_run_is_preempted_if_preemption_is_disabled(response_owed: bool) -> None:
     assert not may_preempt(PreemptionMode.NONE, queued_entry(response_owed=response_owed))
 
 
@@ -38,11 +38,11 @@
     assert lowest_preemptible([old, new, high], 2.0, PreemptionMode.PAUSE) is new
 
 
-def test_a_run_does_not_give_way_to_its_own_priority() -> None:
+def test_a_run_is_not_preempted_for_a_request_of_the_same_priority() -> None:
     assert lowest_preemptible([run(1.0, 1)], 1.0, PreemptionMode.PAUSE) is None
 
 
-def test_a_run_that_must_not_be_dropped_is_passed_over() -> None:
+def test_a_run_that_must_not_be_dropped_is_skipped() -> None:
     lowest, idempotent = run(1.0, 1, AT_MOST_ONCE), run(2.0, 2)
     assert lowest_preemptible([lowest, idempotent], 3.0, PreemptionMode.DROP) is idempotent
     assert lowest_preemptible([lowest], 3.0, PreemptionMode.DROP) is None
--- a/tests/admission/test_priority.py
+++ b/tests/admission/test_priority.py
@@ -22,7 +22,7 @@
 DEADLINE = START + 4_000 * MS
 
 
-def test_a_run_that_starts_needs_a_part_of_the_mean_run_time() -> None:
+def test_the_earliest_response_of_a_new_run_is_a_fraction_of_the_mean_run_time_away() -> None:
     assert earliest_response_at(START, 300.0) == START + MIN_REMAINING_RUN_FRACTION * 300.0
     assert earliest_response_at(START, 0.0) == START
 
@@ -31,21 +31,21 @@
     ("response_at", "weight"),
     [(OBJECTIVE, 3.0), (OBJECTIVE + 1, 1.5), (DEADLINE, 1.5), (DEADLINE + 1, 0.0)],
 )
-def test_a_response_earns_all_until_the_objective_and_the_late_share_until_the_deadline(
+def test_a_response_earns_full_weight_until_the_objective_and_the_late_share_until_the_deadline(
     response_at: int, weight: float
 ) -> None:
     assert attainable_weight(queued_entry(LATE), response_at) == weight
 
 
-def test_a_response_that_nobody_waits_for_earns_nothing() -> None:
+def test_a_response_that_is_not_owed_earns_nothing() -> None:
     assert attainable_weight(queued_entry(LATE, response_owed=False), START) == 0.0
 
 
-def test_a_keyed_run_earns_its_weight_for_the_retry_of_a_caller_that_left() -> None:
+def test_a_keyed_run_earns_its_weight_after_its_caller_has_disconnected() -> None:
     assert attainable_weight(queued_entry(KEYED, response_owed=False), START) == KEYED.priority_weight
 
 
-def test_a_keyed_run_earns_its_weight_until_its_objective_if_its_caller_waits_less() -> None:
+def test_a_keyed_run_earns_its_weight_until_its_objective_if_the_caller_deadline_is_earlier() -> None:
     impatient: dict[str, Any] = {"deadline_at": START + 500 * MS}
     assert attainable_weight(queued_entry(KEYED, **impatient), OBJECTIVE) == KEYED.priority_weight
     assert attainable_weight(queued_entry(KEYED, **impatient), OBJECTIVE + 1) == 0.0
--- a/tests/admission/test_queue_wait.py
+++ b/tests/admission/test_queue_wait.py
@@ -11,7 +11,7 @@
 )
 
 
-def test_the_wait_is_the_work_ahead_over_the_runs_at_once() -> None:
+def test_the_wait_is_the_work_ahead_divided_by_the_concurrency_limit() -> None:
     assert expected_wait_us(6, 100.0, 2.0, higher_weight_share=0.0, cores=4) == 300.0
 
 
@@ -19,7 +19,7 @@
     assert expected_wait_us(6, 100.0, 2.0, higher_weight_share=0.5, cores=4) == 600.0
 
 
-def test_higher_weights_leave_one_core_at_least() -> None:
+def test_at_least_one_core_is_assumed_to_remain_beside_higher_weights() -> None:
     assert expected_wait_us(6, 100.0, 2.0, higher_weight_share=1.0, cores=4) == 1200.0
 
 
--- a/tests/admission/test_retry_advisor.py
+++ b/tests/admission/test_retry_advisor.py
@@ -30,7 +30,7 @@
     assert server.now > START
 
 
-def test_callers_that_came_once_do_not_reduce_the_credit_of_the_others() -> None:
+def test_callers_with_a_single_request_do_not_reduce_the_credit_of_the_others() -> None:
     # Guards against a credit that is far too low: in a long run it was shared with dozens of callers that had sent a
     # single request, and for ten seconds half of all requests were rejected while cores were idle.
     credits = []
@@ -52,13 +52,13 @@
 @pytest.mark.parametrize(
     ("seen", "seen_again", "expected", "active"), [(0, 0, 3, 1), (2, 0, 3, 2), (40, 0, 3, 3), (40, 9, 3, 9)]
 )
-def test_callers_that_came_once_count_up_to_the_number_of_the_settings(
+def test_callers_with_a_single_request_count_only_up_to_the_configured_number(
     seen: int, seen_again: int, expected: int, active: int
 ) -> None:
     assert active_callers(seen, seen_again, expected) == active
 
 
-def test_retry_after_is_the_time_of_the_queue_between_a_tick_and_what_callers_respect() -> None:
+def test_retry_after_is_the_time_to_work_off_the_queue_between_a_tick_and_the_maximum() -> None:
     assert retry_after_us(10, 400.0, 2.0, tick_us=50, max_retry_after_us=9_000) == 2_000
     assert retry_after_us(0, 400.0, 2.0, tick_us=50, max_retry_after_us=9_000) == 50
     assert retry_after_us(900, 400.0, 2.0, tick_us=50, max_retry_after_us=9_000) == 9_000
@@ -72,7 +72,7 @@
     assert credit == (4.0 * 4 + 2) * 0.5 / 3
 
 
-def test_each_caller_gets_a_credit_of_one_at_least() -> None:
+def test_each_caller_gets_a_credit_of_at_least_one() -> None:
     assert credit_per_caller(1.0, 0.0, 100.0, at_calls=0, lag_factor=0.1, callers=50) == 1.0
 
 
--- a/tests/admission/test_run_queue.py
+++ b/tests/admission/test_run_queue.py
@@ -59,7 +59,7 @@
     assert server.end("top1", after_ms=10) == [("Run", "top2")]
 
 
-def test_a_preemption_without_effect_is_noticed() -> None:
+def test_a_run_that_did_not_stop_after_preemption_counts_as_running_again() -> None:
     server = ControllerDriver(cores=1)
     server.arrive("low")
     server.arrive("top", "high", after_ms=1)
@@ -67,7 +67,7 @@
     assert server.end("top", after_ms=1) == []  # "low" never stopped, so there is nothing to resume
 
 
-def test_requests_at_calls_leave_the_cores_to_others() -> None:
+def test_a_request_at_a_call_frees_its_core_for_another_request() -> None:
     server = ControllerDriver(cores=1)
     server.arrive("a")
     server.arrive("b")
@@ -98,14 +98,14 @@
     assert rejected and "r1" not in rejected and "r7" in rejected
 
 
-def test_if_retries_are_not_marked_an_arrival_may_wait_for_a_part_of_its_objective_only() -> None:
+def test_an_arrival_may_use_only_a_part_of_its_objective_if_retries_are_not_marked() -> None:
     # Guards against retries that finish within their own objective, but too late for a caller that has waited before.
     # Only 0.6 s of the objective of 2 s may be used, including the run.
     assert rejected_arrivals(False, 200) == ["r4", "r5", "r6", "r7"]
     assert rejected_arrivals(True, 200) == []
 
 
-def test_a_keyed_run_goes_on_for_its_callers_retry() -> None:
+def test_a_keyed_run_continues_after_its_response_and_its_retry_is_attached() -> None:
     server = ControllerDriver(cores=1)
     server.arrive("k", "keyed", caller_deadline_at=START + 500 * MS)
     assert server.tick(after_ms=450) == [("Fail", "k")]  # but no preemption
@@ -123,7 +123,7 @@
     assert server.controller.state.statistics.mean_run_us["low"] > 2_000 * MS
 
 
-def test_of_classes_of_one_weight_the_sooner_objective_starts_first() -> None:
+def test_among_classes_of_equal_weight_the_earlier_objective_starts_first() -> None:
     slow, quick = (
         request_class("slow", latency_objective_us=3_500 * MS),
         request_class("quick", latency_objective_us=1_500 * MS),
@@ -143,7 +143,7 @@
     assert server.arrive("another", caller_deadline_at=server.now + 400 * MS) == []
 
 
-def test_a_run_that_never_began_leaves_the_run_statistics_as_they_are() -> None:
+def test_a_run_that_never_began_does_not_change_the_run_statistics() -> None:
     server = ControllerDriver(cores=1, load_signal=LoadSignal.CREDIT)
     server.arrive("real")
     server.end("real", after_ms=400)
--- a/tests/admission/test_run_statistics.py
+++ b/tests/admission/test_run_statistics.py
@@ -13,7 +13,7 @@
     return statistics
 
 
-def test_the_first_complete_run_is_the_mean_and_later_ones_move_it() -> None:
+def test_the_first_complete_run_sets_the_mean_and_later_ones_adjust_it() -> None:
     statistics = measured_statistics()
     statistics.record(queued_entry(run_us=100), is_complete=True)
     assert statistics.mean_run_us == {"low": 100.0, "high": 0.0}
@@ -21,7 +21,7 @@
     assert statistics.mean_run_us["low"] == 100.0 + EWMA_WEIGHT * 100.0
 
 
-def test_a_run_that_was_cut_short_counts_only_if_it_was_longer_than_the_mean() -> None:
+def test_an_incomplete_run_counts_only_if_it_was_longer_than_the_mean() -> None:
     statistics = measured_statistics()
     statistics.record(queued_entry(run_us=100), is_complete=True)
     statistics.record(queued_entry(run_us=50), is_complete=False)
--- a/tests/admission/test_start_rules.py
+++ b/tests/admission/test_start_rules.py
@@ -19,16 +19,16 @@
 from tests.support.helpers import AT_MOST_ONCE, KEYED, LOW, START
 
 
-def test_runs_stop_short_of_the_concurrency_that_the_server_survives() -> None:
+def test_the_maximum_of_active_runs_is_below_the_survivable_concurrency() -> None:
     assert max_active_runs(20.0) == MAX_CONCURRENCY_FRACTION * 20.0
 
 
-def test_a_core_is_idle_while_fewer_run_than_there_are_cores() -> None:
+def test_a_core_is_idle_while_fewer_requests_run_than_there_are_cores() -> None:
     assert has_idle_core(1, cores=2)
     assert not has_idle_core(2, cores=2)
 
 
-def test_one_run_is_allowed_however_small_the_share_of_the_server() -> None:
+def test_one_run_is_always_allowed_even_with_a_tiny_portion_of_the_server() -> None:
     assert max_active_runs(0.001) == 1.0
 
 
@@ -53,6 +53,6 @@
 
 
 @pytest.mark.parametrize("state", [State.QUEUED, State.PAUSED])
-def test_nothing_runs_that_arrived_after_the_grace_of_a_drain(state: State) -> None:
+def test_a_request_that_arrived_after_the_grace_period_of_a_drain_does_not_run(state: State) -> None:
     assert is_eligible(queued_entry(state=state), START)
     assert not is_eligible(queued_entry(state=state), START - 1)
--- a/tests/admission/test_token_buckets.py
+++ b/tests/admission/test_token_buckets.py
@@ -23,7 +23,7 @@
     assert not TokenBuckets().take("riad", 0.0, 1.0, now=0)
 
 
-def test_buckets_that_are_not_kept_start_full_again() -> None:
+def test_a_dropped_bucket_starts_full_again() -> None:
     buckets = TokenBuckets()
     buckets.take("riad", 1.0, 1.0, now=0)
     buckets.keep_only(())
--- a/tests/admission/test_turn_timer.py
+++ b/tests/admission/test_turn_timer.py
@@ -10,7 +10,7 @@
 from tests.admission.entries import queued_entry
 
 
-def test_a_timer_is_set_only_if_none_is_due_as_early() -> None:
+def test_a_timer_is_set_only_if_none_is_due_at_least_as_early() -> None:
     timer = TurnTimer()
     assert timer.arm(100, due=300) == [SetTimer(200, 300)]
     assert timer.arm(100, due=300) == []
@@ -31,7 +31,7 @@
     assert timer.due_at == NEVER
 
 
-def test_entries_wake_in_the_order_in_which_they_are_due_and_then_were_added() -> None:
+def test_entries_are_returned_by_due_time_and_then_in_insertion_order() -> None:
     heap, first, second, third = WakeHeap(), *(queued_entry(id=name) for name in "abc")
     heap.add(third, 20)
     heap.add(first, 10)
