--- a/marlstep/admission/call_latency.py
+++ b/marlstep/admission/call_latency.py
@@ -5,9 +5,8 @@
 from marlstep.admission.run_statistics import EWMA_WEIGHT
 
 SLOW_CALL_FACTOR = 3.0  # of the usual duration; calls are slow while their mean exceeds it
-INITIAL_CALL_FRACTION = (
-    0.1  # of the shortest latency objective; the usual duration before any call is measured
-)
+# Of the shortest latency objective; the usual duration before any call is measured.
+INITIAL_CALL_FRACTION = 0.1
 USUAL_EWMA_WEIGHT = EWMA_WEIGHT * EWMA_WEIGHT
 
 
--- a/marlstep/admission/caller_activity.py
+++ b/marlstep/admission/caller_activity.py
@@ -20,7 +20,7 @@
         self.last_seen[caller] = (now, requests + 1)
 
     def forget(self, caller: int) -> None:
-        """Drop a caller, for instance after its request turned out never to have run."""
+        """Drop a caller whose request never ran."""
         self.last_seen.pop(caller, None)
 
     def forget_inactive(self, now: int, load_signal_lifetime_us: int) -> None:
--- a/marlstep/admission/concurrency_limit.py
+++ b/marlstep/admission/concurrency_limit.py
@@ -9,9 +9,8 @@
 
 CPU_BUSY_THRESHOLD = 0.85  # share of the cores in use; below it the limit does not fall
 LIMIT_INCREASE_PER_SECOND = 2.0  # runs
-MAX_READ_LAG_FRACTION = (
-    0.1  # of the shortest latency objective; above it the limit is reduced so that reading gets cores
-)
+# Of the shortest latency objective; above it the limit is reduced so that reading gets cores.
+MAX_READ_LAG_FRACTION = 0.1
 
 
 def is_cpu_busy(cpu_load: float) -> bool:
--- a/marlstep/admission/controller.py
+++ b/marlstep/admission/controller.py
@@ -138,7 +138,7 @@
     # Server events.
 
     def _on_drain(self, event: events.Drain) -> None:
-        """Move deadlines forward so that all requests get a response before the process is stopped.
+        """Bring deadlines forward so that all requests get a response before the process is stopped.
 
         Without a successor, health also turns bad and arrivals after the grace period are not run. With a
         successor, which replaces this process, late arrivals still run and health stays good.
--- a/marlstep/admission/entry_index.py
+++ b/marlstep/admission/entry_index.py
@@ -9,9 +9,8 @@
 from marlstep.admission.settings import Settings
 
 UNBOUNDED = float("inf")
-ACTIVE_RUNS_IN_STATE = {
-    state: int(state in ACTIVE_STATES) for state in State
-}  # 1 if a request in this state counts against its pool's capacity
+# 1 if a request in this state counts against its pool's capacity, else 0.
+ACTIVE_RUNS_IN_STATE = {state: int(state in ACTIVE_STATES) for state in State}
 
 
 class EntryIndex:
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -30,7 +30,7 @@
         return running_kb <= MAX_MEMORY_FRACTION * self.state.memory_kb
 
     def queue_limit_kb(self, entry: Entry, prior: Entry | None) -> float:
-        """Return up to which memory use an arrival may be queued.
+        """Return the memory use up to which an arrival may be queued.
 
         The limit leaves room for the arrival's idempotency key, unless it takes over the key of the attempt
         that it repeats.
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -79,7 +79,8 @@
     def resume_unstopped(self) -> None:
         """Mark runs that have not stopped a tick after their preemption as running again.
 
-        Such a preemption did not take effect; until the run is counted again, its core would be left idle.
+        Such a preemption did not take effect; until the run is counted as running, its core
+        would be left idle.
         """
         for entry in self.state.entries.in_states(State.STOPPING):
             if self.state.now - entry.entered_state_at >= self.state.tick_us:
@@ -107,7 +108,7 @@
                 self._end_or_preempt_late(entry)
 
     def _end_or_preempt_late(self, entry: Entry) -> None:
-        """Give the final response to a request past its objective, and preempt it if it runs.
+        """Give the final response if the objective has passed, and preempt the run if that is allowed.
 
         Until its objective has passed, a queued request stays, since it may still finish in time on an idle
         core.
