--- a/marlstep/platform/call_policy.py
+++ b/marlstep/platform/call_policy.py
@@ -27,7 +27,7 @@
     WAIT = enum.auto()  # until a call in flight ends
 
 
-def times_out_at(until: datetime) -> datetime:
+def call_timeout_at(until: datetime) -> datetime:
     """Return when a call without a reply ends as timed out: its time, and a grace for a reply that is on its way."""
     return until + LATE_REPLY_GRACE
 
--- a/marlstep/platform/command_log.py
+++ b/marlstep/platform/command_log.py
@@ -17,7 +17,7 @@
 from marlstep.admission.events import Outcome
 from marlstep.platform.kernel_wire import RESUME_RUN, SKIP_CALL, START_RUN, SUPPLY_REPLY
 
-RUN_OUTCOMES_OF_REJECTED = {
+RUN_OUTCOME_BY_REJECTED_VERB = {
     START_RUN: Outcome.NOT_STARTED,
     RESUME_RUN: Outcome.ERROR,
     SUPPLY_REPLY: Outcome.ERROR,
@@ -25,13 +25,13 @@
 }
 
 
-def run_outcome_of_rejected(word: str) -> Outcome | None:
+def run_outcome_of_rejected_command(verb: str) -> Outcome | None:
     """Return how a run ends whose command the kernel rejected; None where it is not affected.
 
     A run that was to start has not. One that was to go on never will, so it has failed. A rejected pause means that
     the run is over already or never stopped, and its own notice tells which.
     """
-    return RUN_OUTCOMES_OF_REJECTED.get(word)
+    return RUN_OUTCOME_BY_REJECTED_VERB.get(verb)
 
 
 @dataclass(slots=True, eq=False)  # equal commands are two: a run may be paused and resumed many times
@@ -42,7 +42,7 @@
     data: bytes
 
     @property
-    def word(self) -> str:
+    def verb(self) -> str:
         """Its verb on the wire."""
         return self.data.split(b" ", 1)[0].decode()
 
@@ -99,10 +99,10 @@
             self._confirm(self._written.popleft())
         self._probe_tag = None
 
-    def take_rejected(self, word: str, request_id: str) -> bool:
+    def confirm_rejected(self, verb: str, request_id: str) -> bool:
         """Note that the kernel rejected a command, which it has thus read; False where none of that kind is open."""
         commands = self._unconfirmed.get(request_id, [])
-        rejected = next((command for command in commands if command.word == word), None)
+        rejected = next((command for command in commands if command.verb == verb), None)
         if rejected is None:
             return False
         self._confirm(rejected)
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -128,9 +128,9 @@
         self.abandon_call(request)
         is_idempotent = request.class_settings.effect is Effect.IDEMPOTENT
         call = _Call(request.id, request.call_body, until, is_idempotent)
-        on_timeout = partial(self._timed_out, call)
+        on_timeout = partial(self._on_call_timeout, call)
         call.timeout = self._timeline.at(
-            call_policy.times_out_at(until), lambda: self._timeline.after_reading(on_timeout)
+            call_policy.call_timeout_at(until), lambda: self._timeline.after_reading(on_timeout)
         )
         self._calls[call.id] = call
         if self._may_use_idle(call):
@@ -269,7 +269,7 @@
             self._forget_call(call)
             self._sink().call_ended(call.id, outcome, body)
 
-    def _timed_out(self, call: _Call) -> None:
+    def _on_call_timeout(self, call: _Call) -> None:
         if self._calls.get(call.id) is call:  # otherwise its reply has come in the same turn
             self._forget_call(call)
             self._sink().call_ended(call.id, Outcome.TIMEOUT)
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -15,7 +15,7 @@
 from marlstep.net.eventloop import Address, Cancel, Dial, dial
 from marlstep.net.lines import LineStream
 from marlstep.platform import kernel_wire
-from marlstep.platform.command_log import Command, CommandLog, run_outcome_of_rejected
+from marlstep.platform.command_log import Command, CommandLog, run_outcome_of_rejected_command
 from marlstep.platform.kernel_wire import (
     CallNeeded,
     CommandRejected,
@@ -37,8 +37,8 @@
 MIN_BACKOFF = 20 * MILLISECOND  # between attempts to connect, after a first one at once
 MAX_BACKOFF = 1000 * MILLISECOND
 SYNC_TAG = "sync"  # of the gauges that are asked for behind the opening of a connection
-MAX_LOGGED_CHARACTERS = 200  # of a message of the kernel
-MAX_LOGGED_NOTICE = 64  # characters of a notice that is unknown
+MAX_LOGGED_MESSAGE_CHARACTERS = 200  # of a message of the kernel
+MAX_LOGGED_NOTICE_CHARACTERS = 64  # characters of a notice that is unknown
 
 
 class KernelConnection(LineStream):
@@ -97,10 +97,10 @@
         self._synced = False  # the notices that the connection repeats have been applied
         self._notices = NoticeSequence()
         self._commands = CommandLog()
-        self._call_numbers: dict[
+        self._call_notice_numbers: dict[
             str, int
         ] = {}  # by request, of the notice by which its run asked for its call
-        self._gauge_requests = 0
+        self._gauge_request_count = 0
         self._backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
         self._cancel_dialing: Cancel | None = None  # while an attempt to connect is under way
         self._redial_timer: Timer | None = None
@@ -201,21 +201,21 @@
                 self._call_needed(notice, body)
             case GaugeReadings(tag, readings):
                 self._gauges_received(tag, readings)
-            case CommandRejected(word, request_id):
-                self._command_rejected(word, request_id)
+            case CommandRejected(verb, request_id):
+                self._command_rejected(verb, request_id)
             case KernelStarted() as notice:
                 self._kernel_started(notice)
             case KernelMessage() as notice:
-                if self._is_to_be_applied(notice.number):
-                    log.info("kernel message: text=%s", notice.text[:MAX_LOGGED_CHARACTERS])
+                if self._should_apply(notice.number):
+                    log.info("kernel message: text=%s", notice.text[:MAX_LOGGED_MESSAGE_CHARACTERS])
             case UnknownNotice():
                 # It has no body, so that what follows can still be read: no reason to close the connection.
-                log.warning("kernel notice ignored: words=%r", " ".join(words)[:MAX_LOGGED_NOTICE])
+                log.warning("kernel notice ignored: words=%r", " ".join(words)[:MAX_LOGGED_NOTICE_CHARACTERS])
 
-    def _is_to_be_applied(self, number: int) -> bool:
+    def _should_apply(self, number: int) -> bool:
         """Whether a numbered notice is applied, by the rule of NoticeSequence. Raises MissingNoticesError."""
         last = self._notices.last
-        decision = self._notices.next(number)
+        decision = self._notices.decide(number)
         if decision is NoticeDecision.APPLY:
             return True
         if decision is NoticeDecision.RECONNECT:
@@ -226,20 +226,20 @@
         return False
 
     def _run_ended(self, notice: RunEnded, body: bytes) -> None:
-        if not self._is_to_be_applied(notice.number):
+        if not self._should_apply(notice.number):
             return
-        elapsed = kernel_wire.read_elapsed(notice.elapsed_text)
+        elapsed = kernel_wire.parse_elapsed(notice.elapsed_text)
         if elapsed is None:
             shown = notice.elapsed_text[: kernel_wire.MAX_SHOWN_CHARACTERS]
             log.warning("kernel run time unreadable: request=%s elapsed_ms=%r", notice.request_id, shown)
             elapsed = ZERO
-        self._confirm(notice.request_id)
+        self._confirm_request(notice.request_id)
         self._sink().run_ended(notice.request_id, notice.outcome, elapsed, body)
 
     def _call_needed(self, notice: CallNeeded, body: bytes) -> None:
-        if self._is_to_be_applied(notice.number):
-            self._confirm(notice.request_id)
-            self._call_numbers[notice.request_id] = notice.number
+        if self._should_apply(notice.number):
+            self._confirm_request(notice.request_id)
+            self._call_notice_numbers[notice.request_id] = notice.number
             self._sink().call_needed(notice.request_id, body)
 
     def _kernel_started(self, notice: KernelStarted) -> None:
@@ -265,44 +265,46 @@
             return
         self._sink().gauges(dict(zip(self._gauge_names, values, strict=False)))
 
-    def _command_rejected(self, word: str, request_id: str) -> None:
+    def _command_rejected(self, verb: str, request_id: str) -> None:
         """End the run that depends on a command which was not carried out."""
-        log.warning("kernel rejected a command: command=%s request=%s", word, request_id)
-        if not self._commands.take_rejected(word, request_id):
+        log.warning("kernel rejected a command: command=%s request=%s", verb, request_id)
+        if not self._commands.confirm_rejected(verb, request_id):
             return
-        outcome = run_outcome_of_rejected(word)
+        outcome = run_outcome_of_rejected_command(verb)
         if outcome is not None:
-            self._confirm(request_id)
+            self._confirm_request(request_id)
             self._sink().run_ended(request_id, outcome, ZERO)
 
-    def _confirm(self, request_id: str) -> None:
+    def _confirm_request(self, request_id: str) -> None:
         """Note that a notice speaks of a request: what was sent for it has been read."""
         self._commands.confirm_request(request_id)
-        self._call_numbers.pop(request_id, None)
+        self._call_notice_numbers.pop(request_id, None)
 
     # Commands.
 
     def start(self, request: Request) -> None:
         """Start a run."""
         inbound = request.inbound
-        self._command(inbound.id, kernel_wire.encode_start(inbound.id, inbound.request_class, inbound.body))
+        self._send_when_synced(
+            inbound.id, kernel_wire.encode_start(inbound.id, inbound.request_class, inbound.body)
+        )
 
     def preempt(self, request: Request) -> None:
         """Preempt a run; where that takes effect, it ends as cancelled."""
-        self._command(request.id, kernel_wire.encode_pause(request.id))
+        self._send_when_synced(request.id, kernel_wire.encode_pause(request.id))
 
     def resume(self, request: Request) -> None:
         """Resume a paused run."""
-        self._command(request.id, kernel_wire.encode_resume(request.id))
+        self._send_when_synced(request.id, kernel_wire.encode_resume(request.id))
 
     def supply(self, request: Request, reply: bytes) -> None:
         """Give a run the reply to its call."""
-        self._command(request.id, kernel_wire.encode_reply(request.id, reply))
+        self._send_when_synced(request.id, kernel_wire.encode_reply(request.id, reply))
 
     def skip(self, request: Request) -> None:
         """Let a run go on without its call."""
-        call_number = self._call_numbers.get(request.id, 0)
-        self._command(request.id, kernel_wire.encode_skip(request.id, call_number))
+        call_notice_number = self._call_notice_numbers.get(request.id, 0)
+        self._send_when_synced(request.id, kernel_wire.encode_skip(request.id, call_notice_number))
 
     def abandon(self, request: Request) -> None:
         """Do nothing: the kernel ends the run of a request that is over at its next call, or runs it out."""
@@ -310,12 +312,12 @@
     def request_gauges(self) -> None:
         """Ask for the gauges; the readings go to the sink."""
         if self._synced and self._connection is not None:
-            self._gauge_requests += 1
-            tag = f"g{self._gauge_requests}"
+            self._gauge_request_count += 1
+            tag = f"g{self._gauge_request_count}"
             self._commands.gauges_requested(tag)
             self._connection.send(kernel_wire.encode_gauges_request(tag))
 
-    def _command(self, request_id: str, data: bytes) -> None:
+    def _send_when_synced(self, request_id: str, data: bytes) -> None:
         """Send a command now, or once the connection is in step with the notices."""
         command = Command(request_id, data)
         self._commands.add(command)
--- a/marlstep/platform/kernel_wire.py
+++ b/marlstep/platform/kernel_wire.py
@@ -16,7 +16,10 @@
 BODY_LIMIT = 64 * 1024  # bytes; the protocol names 4 KiB for results
 MAX_ELAPSED_MS = 1e9  # of a run; more is read as this
 MAX_SHOWN_CHARACTERS = 32  # of a wrong word, in the log
-WORDS_BEFORE_BODY = {"REAP": 6, "IOREQ": 4}  # how many words such a line has; the last is its body's length
+WORDS_BEFORE_BODY = {
+    "REAP": 6,
+    "IOREQ": 4,
+}  # how many words such a line has; the last is its body's length
 
 
 # The words of commands on the wire, by what they ask for.
@@ -83,7 +86,7 @@
 class CommandRejected:
     """A command was not carried out."""
 
-    word: str  # of the command on the wire
+    verb: str  # of the command on the wire
     request_id: str
 
 
@@ -142,29 +145,29 @@
         case ["REAP", number, request_id, outcome_word, elapsed_text, _]:
             # An outcome of a later version of the kernel counts as an error: the run is over in any case.
             outcome = RUN_OUTCOMES.get(outcome_word, Outcome.ERROR)
-            notice = RunEnded(_read_number(number), request_id, outcome, elapsed_text)
+            notice = RunEnded(_parse_notice_number(number), request_id, outcome, elapsed_text)
         case ["IOREQ", number, request_id, _]:
-            notice = CallNeeded(_read_number(number), request_id)
+            notice = CallNeeded(_parse_notice_number(number), request_id)
         case ["INFO", tag, *readings]:
             notice = GaugeReadings(tag, readings)
-        case ["EINVAL", word, request_id]:
-            notice = CommandRejected(word, request_id)
+        case ["EINVAL", verb, request_id]:
+            notice = CommandRejected(verb, request_id)
         case ["BOOTED", state, age_ms]:
             notice = KernelStarted(state, age_ms)
         case ["DMESG", number, *text]:
-            notice = KernelMessage(_read_number(number), " ".join(text))
+            notice = KernelMessage(_parse_notice_number(number), " ".join(text))
         case _:
             notice = UnknownNotice(words)
     return notice
 
 
-def _read_number(word: str) -> int:
+def _parse_notice_number(word: str) -> int:
     if not (word.isascii() and word.isdigit()):
         raise InvalidNoticeNumberError(word)
     return int(word)
 
 
-def read_elapsed(text: str) -> timedelta | None:
+def parse_elapsed(text: str) -> timedelta | None:
     """Return a run time that is written in milliseconds, at least 0; None where the text is no number.
 
     The figure only informs, so that one which can't be read is no reason to reject its notice.
@@ -206,6 +209,6 @@
     return f"{SUPPLY_REPLY} {request_id} {len(reply)}\r\n".encode() + reply + b"\r\n"
 
 
-def encode_skip(request_id: str, call_number: int) -> bytes:
+def encode_skip(request_id: str, call_notice_number: int) -> bytes:
     """Return the command that makes a run go on without the call that it asked for by the notice of this number."""
-    return f"{SKIP_CALL} {request_id} {call_number}\r\n".encode()
+    return f"{SKIP_CALL} {request_id} {call_notice_number}\r\n".encode()
--- a/marlstep/platform/name_service.py
+++ b/marlstep/platform/name_service.py
@@ -44,12 +44,12 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._open_task: asyncio.Task[None] | None = None
         self._next_report: Timer | None = None
-        self._has_left = False
+        self._reporting_ended = False
         self._wants_requests = True
 
     def open(self) -> None:
         """Begin to report."""
-        if self._address is not None and not self._has_left:
+        if self._address is not None and not self._reporting_ended:
             self._open_task = asyncio.get_running_loop().create_task(self._open(self._address))
 
     async def _open(self, address: Address) -> None:
@@ -61,7 +61,7 @@
             log.error(  # noqa: TRY400 the reason is in the text; the trace would add nothing
                 "name service reports failed: address=%s:%d reason=%s", *address, error
             )
-            if not self._has_left and address == self._address:
+            if not self._reporting_ended and address == self._address:
                 self._next_report = self._timeline.at(self._timeline.now() + REPORT_INTERVAL, self.open)
 
     def change_address(self, address: Address | None) -> None:
@@ -82,7 +82,7 @@
 
     def opened(self, address: Address, transport: asyncio.DatagramTransport) -> None:
         """Use a socket that has been opened, and report at once."""
-        if self._has_left or address != self._address:  # the address changed while it was being opened
+        if self._reporting_ended or address != self._address:  # the address changed while it was being opened
             transport.close()
             return
         self._stop(stop_opening=False)
@@ -103,7 +103,7 @@
 
     def report_state(self, wants_requests: bool) -> None:
         """Report whether requests are wanted here; a change is reported at once. The entry stays either way."""
-        if wants_requests != self._wants_requests and not self._has_left:
+        if wants_requests != self._wants_requests and not self._reporting_ended:
             self._wants_requests = wants_requests
             self._send(wants_requests)
 
@@ -116,5 +116,5 @@
         """
         if sends_last_report:
             self._send(False)
-        self._has_left = True
+        self._reporting_ended = True
         self._stop()
--- a/marlstep/platform/notice_sequence.py
+++ b/marlstep/platform/notice_sequence.py
@@ -22,7 +22,7 @@
         self.last = 0
         self._reconnected_after: int | None = None  # the notice after which missing ones were asked for
 
-    def next(self, number: int) -> NoticeDecision:
+    def decide(self, number: int) -> NoticeDecision:
         """Decide on a notice, and count it as read where it is to be applied.
 
         A notice that was read before is ignored, since a new connection repeats some. Where numbers are missing, a
--- a/tests/platform/test_call_policy.py
+++ b/tests/platform/test_call_policy.py
@@ -8,25 +8,25 @@
     MAX_CONNECTIONS,
     MAX_IDLE_CONNECTIONS,
     ConnectionChoice,
+    call_timeout_at,
     choose_connection,
     evicts_idle_connection,
     is_reusable,
     may_use_idle_connection,
-    times_out_at,
 )
 from marlstep.units import MILLISECOND
 from tests.support.node import START
 
 
-def test_a_call_times_out_after_its_time_and_a_grace_for_a_late_reply() -> None:
-    assert times_out_at(START) == START + 50 * MILLISECOND
+def test_a_call_times_out_after_its_time_limit_plus_a_grace_period() -> None:
+    assert call_timeout_at(START) == START + 50 * MILLISECOND
 
 
 @pytest.mark.parametrize(
     ("is_idempotent", "last_request_id", "expected"),
     [(True, "other", True), (False, "other", False), (True, "same", False)],
 )
-def test_only_an_idempotent_call_takes_an_idle_connection_and_not_that_of_its_own_last_call(
+def test_only_an_idempotent_call_reuses_an_idle_connection_unless_its_own_request_used_it_last(
     is_idempotent: bool, last_request_id: str, expected: bool
 ) -> None:
     assert may_use_idle_connection(is_idempotent, "same", last_request_id) is expected
@@ -58,7 +58,7 @@
         (True, False, MAX_CONNECTIONS, 0, ConnectionChoice.WAIT),
     ],
 )
-def test_a_call_in_the_queue_gets_an_idle_connection_else_a_new_one_within_the_bound(
+def test_a_queued_call_gets_an_idle_connection_or_a_new_one_within_the_limit(
     has_address: bool, may_use_idle: bool, connection_count: int, idle_count: int, expected: ConnectionChoice
 ) -> None:
     assert choose_connection(has_address, may_use_idle, connection_count, idle_count) is expected
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -13,22 +13,22 @@
 from marlstep.units import SECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
-OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
+OLD_ADDRESS, NEW_ADDRESS = ("127.0.0.1", 1), ("127.0.0.1", 2)
 ROWS = b"%b ROWS 4\r\nrows\r\n"
 
 
 class Harness:
     def __init__(self) -> None:
         self.clock, self.notes, self.dial = HandClock(), Notes(), HandDial()
-        self.database = DatabaseClient(OLD, self.clock.timeline, lambda: self.notes, self.dial)
+        self.database = DatabaseClient(OLD_ADDRESS, self.clock.timeline, lambda: self.notes, self.dial)
         self.desk = Desk()
 
     def call(self, number: int = 1, request_class: str = "temp-history") -> Request:
-        id = f"r{number}"
-        request = next((one for one in self.desk.core._requests if one.id == id), None)
+        request_id = f"r{number}"
+        request = next((item for item in self.desk.core._requests if item.id == request_id), None)
         if request is None:
             self.desk.submit(number, request_class)
-            request = next(one for one in self.desk.core._requests if one.id == id)
+            request = next(item for item in self.desk.core._requests if item.id == request_id)
         request.call_body = b"ask"
         self.database.call(request, self.clock.now() + SECOND / 4)
         return request
@@ -36,11 +36,11 @@
     def open(self, number: int = 1, request_class: str = "temp-history") -> Wire:
         """A call on a connection of its own."""
         self.call(number, request_class)
-        wire = self.dial.accept()
-        assert wire.take() == b"Q r%d 250 3\r\nask\r\n" % number
-        return wire
+        connection = self.dial.accept()
+        assert connection.take() == b"Q r%d 250 3\r\nask\r\n" % number
+        return connection
 
-    def ends(self) -> list[Outcome]:
+    def outcomes(self) -> list[Outcome]:
         return [outcome for _, _, outcome, _ in self.notes.told]
 
 
@@ -56,84 +56,86 @@
 )
 def test_a_reply_ends_its_call_once_and_its_connection_is_reused(reply: bytes, outcome: Outcome) -> None:
     harness = Harness()
-    wire = harness.open()
-    wire.feed(reply)
-    assert harness.ends() == [outcome]
+    connection = harness.open()
+    connection.feed(reply)
+    assert harness.outcomes() == [outcome]
     harness.call(2)
-    assert wire.take() == b"Q r2 250 3\r\nask\r\n" and not harness.dial.waiting
+    assert connection.take() == b"Q r2 250 3\r\nask\r\n" and not harness.dial.waiting
 
 
 @pytest.mark.parametrize(
-    "more",
+    "extra_input",
     [ROWS % b"r1", b"", b"r1 FULL\r\n", b"x", b"\r\n"],
 )
-def test_a_reply_that_comes_twice_counts_once_and_its_connection_is_dropped(more: bytes) -> None:
+def test_input_after_a_reply_is_ignored_and_its_connection_is_dropped(extra_input: bytes) -> None:
     # Guards against a duplicate that is mistaken for the reply to a later call.
     harness = Harness()
-    wire = harness.open()
-    wire.feed(ROWS % b"r1" + more)
-    assert harness.ends() == [Outcome.OK] and wire.closed == bool(more)
+    connection = harness.open()
+    connection.feed(ROWS % b"r1" + extra_input)
+    assert harness.outcomes() == [Outcome.OK] and connection.closed == bool(extra_input)
 
 
-def test_a_late_duplicate_reply_drops_the_connection_after_the_call_that_has_it_by_then() -> None:
+def test_a_late_duplicate_reply_drops_the_connection_once_its_next_call_has_ended() -> None:
     harness = Harness()
-    wire = harness.open()
-    wire.feed(ROWS % b"r1")
+    connection = harness.open()
+    connection.feed(ROWS % b"r1")
     harness.call(2)
-    wire.feed(ROWS % b"r1" + ROWS % b"r2")
-    assert harness.ends() == [Outcome.OK, Outcome.OK] and wire.closed
+    connection.feed(ROWS % b"r1" + ROWS % b"r2")
+    assert harness.outcomes() == [Outcome.OK, Outcome.OK] and connection.closed
 
 
-def test_a_request_does_not_call_again_on_the_connection_of_its_last_call() -> None:
+def test_a_request_does_not_reuse_the_connection_of_its_last_call() -> None:
     harness = Harness()
-    wire = harness.open()
-    wire.feed(b"r1 FULL\r\n")
+    connection = harness.open()
+    connection.feed(b"r1 FULL\r\n")
     harness.call(1)
-    assert not wire.written and len(harness.dial.waiting) == 1
+    assert not connection.written and len(harness.dial.waiting) == 1
 
 
 def test_a_reply_under_an_unknown_id_does_not_invalidate_the_reply_after_it() -> None:
     harness = Harness()
-    wire = harness.open()
-    wire.feed(ROWS % b"zz")
-    assert not wire.closed and not harness.ends()
-    wire.feed(ROWS % b"r1")
-    assert harness.ends() == [Outcome.OK] and wire.closed
+    connection = harness.open()
+    connection.feed(ROWS % b"zz")
+    assert not connection.closed and not harness.outcomes()
+    connection.feed(ROWS % b"r1")
+    assert harness.outcomes() == [Outcome.OK] and connection.closed
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed_reply",
     [b"r1 WHAT\r\n", b"r1 ROWS -1\r\n", b"r1 ROWS 3000000000\r\n", b"r1 ROWS 2\r\nlong\r\n", b"x" * 300],
 )
-def test_an_unreadable_reply_ends_its_own_call_as_one_that_may_have_run_and_no_other(bad: bytes) -> None:
+def test_a_malformed_reply_ends_only_its_own_call_which_may_have_run(malformed_reply: bytes) -> None:
     # Guards against one unreadable reply that ends all calls, as it did while they shared a connection.
     harness = Harness()
-    wire, other = harness.open(1), harness.open(2)
-    wire.feed(bad)
-    assert wire.closed and harness.ends() == [Outcome.RESET] and not Outcome.RESET.never_ran
+    connection, other = harness.open(1), harness.open(2)
+    connection.feed(malformed_reply)
+    assert connection.closed and harness.outcomes() == [Outcome.RESET] and not Outcome.RESET.never_ran
     other.feed(ROWS % b"r2")
-    assert harness.ends() == [Outcome.RESET, Outcome.OK]
+    assert harness.outcomes() == [Outcome.RESET, Outcome.OK]
 
 
-@pytest.mark.parametrize("part", [b"", b"r1 ROWS 400\r\nrows", b"r1 RO"])
-def test_a_call_without_a_complete_reply_times_out_and_its_connection_is_dropped(part: bytes) -> None:
+@pytest.mark.parametrize("partial_reply", [b"", b"r1 ROWS 400\r\nrows", b"r1 RO"])
+def test_a_call_without_a_complete_reply_times_out_and_its_connection_is_dropped(
+    partial_reply: bytes,
+) -> None:
     harness = Harness()
-    wire = harness.open()
-    wire.feed(part)
+    connection = harness.open()
+    connection.feed(partial_reply)
     harness.clock.advance(301)
-    assert harness.ends() == [Outcome.TIMEOUT] and wire.closed
+    assert harness.outcomes() == [Outcome.TIMEOUT] and connection.closed
 
 
 def test_a_call_that_is_abandoned_or_made_again_drops_its_connection() -> None:
     harness = Harness()
-    wire = harness.open()
+    connection = harness.open()
     request = harness.call()
-    assert wire.closed
-    again = harness.dial.accept()
-    again.feed(b"r1 FULL\r\n")
-    assert harness.ends() == [Outcome.REJECTED]
+    assert connection.closed
+    second_connection = harness.dial.accept()
+    second_connection.feed(b"r1 FULL\r\n")
+    assert harness.outcomes() == [Outcome.REJECTED]
     harness.database.abandon_call(request)
-    assert harness.ends() == [Outcome.REJECTED]
+    assert harness.outcomes() == [Outcome.REJECTED]
 
 
 def test_an_at_most_once_call_opens_a_connection_even_if_one_is_idle() -> None:
@@ -155,36 +157,36 @@
     assert idle.take().startswith(b"Q r3 ") and len(harness.dial.waiting) == 1
 
 
-def test_a_failed_connect_proves_that_the_call_in_the_queue_never_ran() -> None:
+def test_a_failed_connect_ends_only_the_first_queued_call() -> None:
     harness = Harness()
     harness.call(1)
     harness.call(2)
     harness.dial.refuse()
-    assert harness.ends() == [Outcome.CONNECT_FAILED]
+    assert harness.outcomes() == [Outcome.CONNECT_FAILED]
     harness.dial.accept().feed(ROWS % b"r2")
-    assert harness.ends() == [Outcome.CONNECT_FAILED, Outcome.OK]
+    assert harness.outcomes() == [Outcome.CONNECT_FAILED, Outcome.OK]
 
 
-def test_an_idle_connection_is_closed_by_us_before_the_other_side_does() -> None:
+def test_an_idle_connection_is_closed_before_the_database_closes_it() -> None:
     harness = Harness()
-    wire = harness.open()
-    wire.feed(b"r1 FULL\r\n")
+    connection = harness.open()
+    connection.feed(b"r1 FULL\r\n")
     harness.clock.advance(2001)
-    assert wire.closed
+    assert connection.closed
 
 
-def test_of_the_connections_that_at_most_once_calls_leave_some_stay_for_other_calls() -> None:
+def test_connections_of_ended_at_most_once_calls_are_kept_idle_up_to_the_limit() -> None:
     # Guards against all idle ones being dropped at once when there were too many.
     harness = Harness()
-    wires = [harness.open(number, "setpoint-cmd") for number in range(1, MAX_IDLE_CONNECTIONS + 3)]
-    for number, wire in enumerate(wires, 1):
-        wire.feed(ROWS % b"r%d" % number)
-    assert [wire.closed for wire in wires] == [True] * 2 + [False] * MAX_IDLE_CONNECTIONS
+    connections = [harness.open(number, "setpoint-cmd") for number in range(1, MAX_IDLE_CONNECTIONS + 3)]
+    for number, connection in enumerate(connections, 1):
+        connection.feed(ROWS % b"r%d" % number)
+    assert [connection.closed for connection in connections] == [True] * 2 + [False] * MAX_IDLE_CONNECTIONS
     harness.call(50)
-    assert wires[-1].take() and not harness.dial.waiting
+    assert connections[-1].take() and not harness.dial.waiting
 
 
-def test_connections_are_bounded_and_the_calls_beyond_wait_for_one() -> None:
+def test_connections_are_bounded_and_further_calls_wait_for_one() -> None:
     harness = Harness()
     [request] = [harness.call()]
     for number in range(2, MAX_CONNECTIONS + 2):
@@ -193,30 +195,30 @@
             harness.clock.now() + SECOND,
         )
     assert len(harness.dial.waiting) == MAX_CONNECTIONS
-    wires = [harness.dial.accept() for _ in range(MAX_CONNECTIONS)]
+    connections = [harness.dial.accept() for _ in range(MAX_CONNECTIONS)]
     assert not harness.dial.waiting
-    wires[0].feed(ROWS % b"r1")
-    assert wires[0].take().endswith(b"Q r%d 1000 3\r\nask\r\n" % (MAX_CONNECTIONS + 1))
+    connections[0].feed(ROWS % b"r1")
+    assert connections[0].take().endswith(b"Q r%d 1000 3\r\nask\r\n" % (MAX_CONNECTIONS + 1))
 
 
-def test_after_a_move_new_calls_go_to_the_new_address_and_old_ones_end_where_they_are() -> None:
+def test_after_an_address_change_calls_in_flight_finish_and_new_calls_use_the_new_address() -> None:
     harness = Harness()
     busy, idle = harness.open(1), harness.open(2)
     idle.feed(ROWS % b"r2")
     harness.call(3, "setpoint-cmd")
-    harness.database.change_address(NEW)
+    harness.database.change_address(NEW_ADDRESS)
     harness.call(4)
     assert idle.closed and not busy.closed
-    assert [address for _, address, _ in harness.dial.waiting] == [OLD, NEW]
+    assert [address for _, address, _ in harness.dial.waiting] == [OLD_ADDRESS, NEW_ADDRESS]
     assert harness.dial.accept().closed  # it was on its way to the old address
-    assert {address for _, address, _ in harness.dial.waiting} == {NEW}
+    assert {address for _, address, _ in harness.dial.waiting} == {NEW_ADDRESS}
     assert [harness.dial.accept().take()[:4] for _ in range(2)] == [b"Q r3", b"Q r4"]
     busy.feed(ROWS % b"r1")
-    assert harness.ends() == [Outcome.OK, Outcome.OK] and busy.closed
+    assert harness.outcomes() == [Outcome.OK, Outcome.OK] and busy.closed
 
 
-def test_without_an_address_a_call_never_runs() -> None:
+def test_a_call_without_a_database_address_ends_as_connect_failed() -> None:
     harness = Harness()
     harness.database.change_address(None)
     harness.call()
-    assert harness.ends() == [Outcome.CONNECT_FAILED]
+    assert harness.outcomes() == [Outcome.CONNECT_FAILED]
--- a/tests/platform/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -10,53 +10,55 @@
 from marlstep.units import MILLISECOND
 from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
 
-OLD, NEW = ("127.0.0.1", 1), ("127.0.0.1", 2)
+OLD_ADDRESS, NEW_ADDRESS = ("127.0.0.1", 1), ("127.0.0.1", 2)
 
 
 class Harness:
     def __init__(self) -> None:
         self.clock, self.notes, self.dial = HandClock(), Notes(), HandDial()
-        self.kernel = KernelClient(OLD, ("cpu", "runq"), self.clock.timeline, lambda: self.notes, self.dial)
+        self.kernel = KernelClient(
+            OLD_ADDRESS, ("cpu", "runq"), self.clock.timeline, lambda: self.notes, self.dial
+        )
         self.kernel.open()
 
     def connect(self) -> Wire:
         return self.dial.accept()
 
 
-def test_the_milliseconds_of_a_notice_may_be_a_fraction() -> None:
+def test_the_run_time_of_a_notice_may_have_a_fraction() -> None:
     # Guards against a client that never gets on: `REAP ... 25.382 ...` was malformed to it, the connection was
     # closed before the notice counted as read, and each new one began with the same notice.
     harness = Harness()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 12.5\r\nREAP 1 9b1f03aa5c7e2d41 complete 25.382 2\r\nok\r\n")
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 12.5\r\nREAP 1 9b1f03aa5c7e2d41 complete 25.382 2\r\nok\r\n")
     assert harness.notes.told == [("ended", "9b1f03aa5c7e2d41", Outcome.OK, 25.382 * MILLISECOND, b"ok")]
-    assert not wire.closed
+    assert not connection.closed
 
 
-def request_with_id(id: str) -> Request:
+def request_with_id(request_id: str) -> Request:
     desk = Desk()
     desk.submit(1)
     [request] = desk.core._requests
-    request.inbound = dataclasses.replace(request.inbound, id=id)
+    request.inbound = dataclasses.replace(request.inbound, id=request_id)
     return request
 
 
-def start_run(harness: Harness, id: str) -> None:
-    harness.kernel.start(request_with_id(id))
+def start_run(harness: Harness, request_id: str) -> None:
+    harness.kernel.start(request_with_id(request_id))
 
 
-def test_commands_without_a_connection_are_sent_once_the_next_has_repeated_its_notices() -> None:
+def test_commands_issued_while_disconnected_are_sent_once_the_next_connection_is_synced() -> None:
     harness = Harness()
     start_run(harness, "a")
-    wire = harness.connect()
-    assert wire.take() == b"OPEN 0\r\n"
-    wire.feed(b"BOOTED hot 1\r\n")
-    assert wire.take() == b"SYSINFO sync\r\n"
-    wire.feed(b"INFO sync 0.5 1\r\n")
-    assert wire.take() == b"SCHED a temp-history 4\r\nbody\r\n"
+    connection = harness.connect()
+    assert connection.take() == b"OPEN 0\r\n"
+    connection.feed(b"BOOTED hot 1\r\n")
+    assert connection.take() == b"SYSINFO sync\r\n"
+    connection.feed(b"INFO sync 0.5 1\r\n")
+    assert connection.take() == b"SCHED a temp-history 4\r\nbody\r\n"
 
 
-def test_after_a_break_commands_that_a_notice_confirmed_are_not_sent_again() -> None:
+def test_after_a_reconnect_commands_confirmed_by_a_notice_are_not_resent() -> None:
     # Guards against a setpoint that ended while the connection was down being started once more.
     harness = Harness()
     first = harness.connect()
@@ -81,28 +83,30 @@
 )
 def test_a_rejected_command_ends_the_run_that_depends_on_it(command: str, outcome: Outcome | None) -> None:
     harness = Harness()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
     start_run(harness, "a")
-    wire.feed(f"EINVAL {command} a\r\n".encode())
+    connection.feed(f"EINVAL {command} a\r\n".encode())
     ends = [note[2] for note in harness.notes.told if note[0] == "ended"]
-    assert ends == ([outcome] if outcome else []) and not wire.closed
+    assert ends == ([outcome] if outcome else []) and not connection.closed
 
 
-@pytest.mark.parametrize("bad", [b"REAP 1 a complete\r\n", b"REAP 1 a complete 1 2\r\nlong\r\n", b"x" * 9000])
-def test_a_malformed_notice_closes_the_connection_and_does_no_more(bad: bytes) -> None:
+@pytest.mark.parametrize(
+    "malformed_notice", [b"REAP 1 a complete\r\n", b"REAP 1 a complete 1 2\r\nlong\r\n", b"x" * 9000]
+)
+def test_a_malformed_notice_closes_the_connection_and_reports_nothing(malformed_notice: bytes) -> None:
     harness = Harness()
-    wire = harness.connect()
-    wire.feed(bad)
-    assert wire.closed and not harness.notes.told
+    connection = harness.connect()
+    connection.feed(malformed_notice)
+    assert connection.closed and not harness.notes.told
 
 
-def test_after_a_break_a_connection_is_opened_at_once_and_after_a_failed_connect_with_backoff() -> None:
+def test_a_lost_connection_is_reopened_immediately_and_a_failed_connect_is_retried_with_backoff() -> None:
     # Guards against runs whose ends wait, and cores that stand idle, for longer than the break itself.
     harness = Harness()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
-    wire.close()
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
+    connection.close()
     assert len(harness.dial.waiting) == 1
     harness.dial.refuse()
     assert not harness.dial.waiting
@@ -110,31 +114,31 @@
     assert len(harness.dial.waiting) == 1
 
 
-def test_a_notice_that_a_break_cut_is_repeated_and_applied_once() -> None:
+def test_a_notice_truncated_by_a_lost_connection_is_repeated_and_applied_once() -> None:
     harness = Harness()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nREAP 1 a complete 1 0\r\n\r\nREAP 2 b complete 1 4\r\nre")
-    wire.close()
-    again = harness.connect()
-    assert again.take() == b"OPEN 1\r\n"
-    again.feed(b"BOOTED hot 1\r\nREAP 2 b complete 1 4\r\nrest\r\nINFO sync 0 0\r\n")
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nREAP 1 a complete 1 0\r\n\r\nREAP 2 b complete 1 4\r\nre")
+    connection.close()
+    second_connection = harness.connect()
+    assert second_connection.take() == b"OPEN 1\r\n"
+    second_connection.feed(b"BOOTED hot 1\r\nREAP 2 b complete 1 4\r\nrest\r\nINFO sync 0 0\r\n")
     assert [note[1:] for note in harness.notes.told if note[0] == "ended"] == [
         ("a", Outcome.OK, MILLISECOND, b""),
         ("b", Outcome.OK, MILLISECOND, b"rest"),
     ]
 
 
-def test_a_new_address_gets_a_connection_that_continues_the_notices_and_unconfirmed_commands() -> None:
+def test_a_connection_to_a_new_address_continues_the_notices_and_unconfirmed_commands() -> None:
     harness = Harness()
     old = harness.connect()
     old.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\nREAP 1 z complete 1 0\r\n\r\n")
-    harness.kernel.change_address(NEW)
+    harness.kernel.change_address(NEW_ADDRESS)
     start_run(harness, "a")
     assert b"SCHED a" in old.written and not old.closed  # it serves until the new one is open
-    harness.kernel.change_address(OLD)
-    harness.kernel.change_address(NEW)
+    harness.kernel.change_address(OLD_ADDRESS)
+    harness.kernel.change_address(NEW_ADDRESS)
     [(_, address, _)] = harness.dial.waiting
-    assert address == NEW
+    assert address == NEW_ADDRESS
     new = harness.connect()
     assert old.closed and new.take() == b"OPEN 1\r\n"
     new.feed(b"BOOTED hot 9\r\nINFO sync 0 0\r\n")
@@ -143,76 +147,76 @@
 
 def test_a_missing_notice_is_requested_on_a_new_connection_but_only_once() -> None:
     harness = Harness()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nREAP 1 a complete 1 0\r\n\r\nREAP 3 c complete 1 0\r\n\r\n")
-    assert wire.closed
-    again = harness.connect()
-    assert again.take() == b"OPEN 1\r\n"
-    again.feed(b"BOOTED hot 1\r\nREAP 3 c complete 1 0\r\n\r\n")
-    assert not again.closed and [note[1] for note in harness.notes.told] == ["a", "c"]
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nREAP 1 a complete 1 0\r\n\r\nREAP 3 c complete 1 0\r\n\r\n")
+    assert connection.closed
+    second_connection = harness.connect()
+    assert second_connection.take() == b"OPEN 1\r\n"
+    second_connection.feed(b"BOOTED hot 1\r\nREAP 3 c complete 1 0\r\n\r\n")
+    assert not second_connection.closed and [note[1] for note in harness.notes.told] == ["a", "c"]
 
 
 # What is sent again after a break.
 
 
-def synced() -> tuple[Harness, Wire]:
+def synced_harness() -> tuple[Harness, Wire]:
     harness = Harness()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
-    wire.take()
-    return harness, wire
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
+    connection.take()
+    return harness, connection
 
 
-def resent(harness: Harness, wire: Wire) -> bytes:
+def reconnect_and_take_resent(harness: Harness, connection: Wire) -> bytes:
     """Break the connection, open and sync a new one, and return what is sent again."""
-    wire.close()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
-    return wire.take().replace(b"OPEN 0\r\nSYSINFO sync\r\n", b"")
+    connection.close()
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
+    return connection.take().replace(b"OPEN 0\r\nSYSINFO sync\r\n", b"")
 
 
-def test_commands_that_gauges_confirmed_are_not_sent_again() -> None:
+def test_commands_confirmed_by_gauges_are_not_resent() -> None:
     # Guards against a run that goes on and is started anew just as it ends, and against the reply to one call that is
     # mistaken for the reply to the next: both lie between the last notice of a new connection and the
     # command on its way.
-    harness, wire = synced()
+    harness, connection = synced_harness()
     harness.kernel.start(request_with_id("a"))
     harness.kernel.supply(request_with_id("b"), b"rows")
     harness.kernel.request_gauges()
     harness.kernel.start(request_with_id("c"))  # behind the question: it may not have been read
-    wire.feed(b"INFO g1 0 0\r\n")
-    assert resent(harness, wire) == b"SCHED c temp-history 4\r\nbody\r\n"
+    connection.feed(b"INFO g1 0 0\r\n")
+    assert reconnect_and_take_resent(harness, connection) == b"SCHED c temp-history 4\r\nbody\r\n"
 
 
 def test_gauges_requested_on_a_broken_connection_confirm_nothing_on_the_next() -> None:
-    harness, wire = synced()
+    harness, connection = synced_harness()
     harness.kernel.start(request_with_id("a"))
     harness.kernel.request_gauges()
-    wire.close()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\nINFO g1 0 0\r\n")
-    assert resent(harness, wire) == b"SCHED a temp-history 4\r\nbody\r\n"
+    connection.close()
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\nINFO g1 0 0\r\n")
+    assert reconnect_and_take_resent(harness, connection) == b"SCHED a temp-history 4\r\nbody\r\n"
 
 
 def test_of_two_equal_commands_the_one_that_was_read_is_confirmed() -> None:
     # Guards against a run that stays paused: the older RESCHED was read, the newer one lost with the connection.
-    harness, wire = synced()
+    harness, connection = synced_harness()
     request = request_with_id("a")
     harness.kernel.resume(request)
     harness.kernel.request_gauges()
-    wire.feed(b"REAP 1 a cancelled 1 0\r\n\r\n")  # paused once more
+    connection.feed(b"REAP 1 a cancelled 1 0\r\n\r\n")  # paused once more
     harness.kernel.resume(request)
-    wire.feed(b"INFO g1 0 0\r\n")
-    wire.close()
-    wire = harness.connect()
-    wire.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
-    assert wire.take().endswith(b"RESCHED a\r\n")
+    connection.feed(b"INFO g1 0 0\r\n")
+    connection.close()
+    connection = harness.connect()
+    connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
+    assert connection.take().endswith(b"RESCHED a\r\n")
 
 
 def test_while_gauges_are_pending_later_requests_do_not_postpone_the_confirmation() -> None:
-    harness, wire = synced()
+    harness, connection = synced_harness()
     harness.kernel.start(request_with_id("a"))
     for _ in range(100):
         harness.kernel.request_gauges()
-    wire.feed(b"INFO g1 0 0\r\n")
-    assert resent(harness, wire) == b""
+    connection.feed(b"INFO g1 0 0\r\n")
+    assert reconnect_and_take_resent(harness, connection) == b""
--- a/tests/platform/test_kernel_wire.py
+++ b/tests/platform/test_kernel_wire.py
@@ -27,17 +27,17 @@
         ("LATER words", kernel_wire.UnknownNotice(["LATER", "words"])),
     ],
 )
-def test_a_line_is_read_as_a_typed_notice(line: str, notice: kernel_wire.Notice) -> None:
+def test_each_line_is_parsed_into_its_type_of_notice(line: str, notice: kernel_wire.Notice) -> None:
     assert kernel_wire.parse_notice(line.split(" ")) == notice
 
 
 @pytest.mark.parametrize("line", ["REAP x a complete 1 0", "IOREQ -1 a 0", "DMESG 1.5 text"])
-def test_a_notice_without_a_number_breaks_the_protocol(line: str) -> None:
+def test_a_notice_with_an_invalid_number_is_a_protocol_error(line: str) -> None:
     with pytest.raises(kernel_wire.InvalidNoticeNumberError):
         kernel_wire.parse_notice(line.split(" "))
 
 
-def test_the_length_of_a_body_is_the_last_word_of_some_notices() -> None:
+def test_the_last_word_of_a_notice_with_a_body_is_the_body_length() -> None:
     assert kernel_wire.notice_body_length(["REAP", "1", "a", "complete", "1", "4"]) == 4
     assert kernel_wire.notice_body_length(["BOOTED", "hot", "4"]) is None
 
@@ -46,7 +46,7 @@
     ("line", "error"),
     [("REAP 1 a complete", kernel_wire.MalformedNoticeError), ("IOREQ 1 a 65537", InvalidLengthError)],
 )
-def test_a_notice_whose_body_cannot_be_found_breaks_the_protocol(
+def test_a_notice_with_a_wrong_word_count_or_body_length_is_a_protocol_error(
     line: str, error: type[LineProtocolError]
 ) -> None:
     with pytest.raises(error):
@@ -56,11 +56,13 @@
 @pytest.mark.parametrize(
     ("text", "expected"), [("1.5", 1.5 * MILLISECOND), ("-1", ZERO), ("x", None), ("nan", None)]
 )
-def test_a_run_time_that_is_no_number_is_none(text: str, expected: timedelta | None) -> None:
-    assert kernel_wire.read_elapsed(text) == expected
+def test_parse_elapsed_returns_none_for_text_that_is_not_a_number(
+    text: str, expected: timedelta | None
+) -> None:
+    assert kernel_wire.parse_elapsed(text) == expected
 
 
-def test_commands_have_the_words_of_the_protocol() -> None:
+def test_commands_are_encoded_in_the_format_of_the_protocol() -> None:
     assert kernel_wire.encode_open(7) == b"OPEN 7\r\n"
     assert kernel_wire.encode_gauges_request("g1") == b"SYSINFO g1\r\n"
     assert kernel_wire.encode_start("a", "class", b"body") == b"SCHED a class 4\r\nbody\r\n"
