--- a/marlstep/platform/__init__.py
+++ b/marlstep/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the platform's services: kernel, database, name service."""
+"""Clients of the platform's services: the kernel, the database and the name service."""
--- a/marlstep/platform/call_policy.py
+++ b/marlstep/platform/call_policy.py
@@ -1,7 +1,6 @@
-"""What a database call may cost, and which connection it takes. Pure.
+"""Time limits of database calls, and which connection a call uses. No I/O.
 
-Each connection carries one call at a time, so that a reply which can't be read, does not end or never comes costs that
-call alone.
+Each connection carries one call at a time, so that a malformed, incomplete or missing reply affects only that call.
 """
 
 from __future__ import annotations
@@ -11,42 +10,48 @@
 
 from marlstep.units import MILLISECOND, SECOND
 
-LATE_REPLY_GRACE = 50 * MILLISECOND  # after a call's time, in which its reply may still arrive
-IDLE_CONNECTION_TIMEOUT = 2 * SECOND  # an idle connection is closed then; the database does so after 10 s
+LATE_REPLY_GRACE = 50 * MILLISECOND  # after the end of a call's time limit, for a reply in transit
+IDLE_CONNECTION_TIMEOUT = 2 * SECOND  # for closing an idle connection; the database closes it after 10 s
 MAX_IDLE_CONNECTIONS = 16
 MAX_CONNECTIONS = 40  # open or being opened
 
 
 class ConnectionChoice(enum.Enum):
-    """How the first call in the queue gets its connection."""
+    """How the first call in the queue gets a connection."""
 
-    FAIL = enum.auto()  # there is no database: the call never ran
+    FAIL = enum.auto()  # no database address is set: the call never ran
     USE_IDLE = enum.auto()
     OPEN = enum.auto()
-    REPLACE_IDLE = enum.auto()  # close an idle one, which makes room for a new one
+    REPLACE_IDLE = enum.auto()  # close an idle connection to make room for a new one
     WAIT = enum.auto()  # until a call in flight ends
 
 
 def call_timeout_at(until: datetime) -> datetime:
-    """Return when a call without a reply ends as timed out: its time, and a grace for a reply that is on its way."""
+    """Return when a call without a reply times out: at the end of its time limit plus a grace for a late reply."""
     return until + LATE_REPLY_GRACE
 
 
 def may_use_idle_connection(is_idempotent: bool, request_id: str, last_request_id: str) -> bool:
-    """Whether a call may go out on a connection that has carried another before and lain idle.
+    """Return whether a call may be sent on an idle connection that has carried another call.
 
-    An idempotent call may. A call that must not run twice opens a new connection, since the database may have dropped
-    an idle one, and the reset would leave open whether the call ran. The exception: after a call for the same request,
-    a duplicate of its reply may still come, and would be mistaken for the reply to this one.
+    Only an idempotent call may. A call that must not run twice opens a new connection: the database may have dropped
+    the idle one, and after a reset it is unknown whether the call ran. Nor may a call use a connection whose
+    last call was for the same request: a duplicate of that reply could be mistaken for the reply to this call.
     """
     return is_idempotent and request_id != last_request_id
 
 
 def is_reusable(carried_call: bool, connected: bool, has_foreign_reply: bool, has_unread_input: bool) -> bool:
-    """Whether a connection is kept for another call once its call has ended.
+    """Return whether a connection is kept for another call after its call has ended.
 
-    It is after exactly one complete reply. Input that belongs to no call means that a later reply may not be the one
-    to its call, so the connection is dropped.
+    It is kept only after exactly one complete reply. After input that belongs to no call, later replies can no longer
+    be matched to their calls, so the connection is dropped.
+
+    Args:
+        carried_call: whether a call was in flight when the input arrived.
+        connected: whether the connection is still open.
+        has_foreign_reply: whether a reply has arrived whose id is not that of the call.
+        has_unread_input: whether there is input after the reply, or the peer has closed its side.
     """
     return carried_call and connected and not (has_foreign_reply or has_unread_input)
 
@@ -54,10 +59,16 @@
 def choose_connection(
     has_address: bool, may_use_idle: bool, connection_count: int, idle_count: int
 ) -> ConnectionChoice:
-    """Choose how the first call in the queue gets its connection.
+    """Choose how the first call in the queue gets a connection.
+
+    The call uses an idle connection if it may, and otherwise a new one. At the limit of connections, an idle connection
+    that the call may not use is closed to make room; if none is idle, the call waits.
 
-    An idle one where the call may use it, else a new one. The number of connections is bounded, opening ones included;
-    at the bound an idle one that this call may not use makes room, and without idle ones the call waits.
+    Args:
+        has_address: whether the address of the database is set.
+        may_use_idle: whether a connection is idle and the call may use it.
+        connection_count: number of connections that are open or being opened.
+        idle_count: number of idle connections.
     """
     if not has_address:
         return ConnectionChoice.FAIL
@@ -69,5 +80,8 @@
 
 
 def evicts_idle_connection(idle_count: int) -> bool:
-    """Whether the longest idle connection closes when one more becomes idle; each at-most-once call leaves one."""
+    """Return whether the connection that has been idle longest is closed when another becomes idle.
+
+    Without a limit, idle connections would accumulate: each at-most-once call opens one and leaves it idle.
+    """
     return idle_count >= MAX_IDLE_CONNECTIONS
--- a/marlstep/platform/command_log.py
+++ b/marlstep/platform/command_log.py
@@ -1,12 +1,14 @@
-"""Which commands the kernel may not have read, and so what is sent again after its connection broke. Pure.
+"""Tracks commands that the kernel may not have read, so that they are resent after a reconnect. No I/O.
 
-The rule: a command is sent again on a new connection unless the kernel is known to have read it. Three things prove
-that: a notice that speaks of its request, the kernel's rejection of the command, or gauges that were asked for after it
-on the same connection.
+A command is resent on a new connection unless the kernel is known to have read it. A command is confirmed as read by
 
-The reason for the rule: a command that was lost leaves a run that never starts or never goes on. One that is sent
-twice is as bad: between the last notice of the new connection and the repeated command the run may end, or come to its
-next call, and would be started a second time or get the reply to the call before.
+- a notice about its request,
+- the kernel's rejection of the command, or
+- gauge readings that were requested after the command on the same connection.
+
+Both a lost and a repeated command do harm. A run whose command is lost never starts or never continues. If a command is
+repeated, its run may end or reach its next call after the last notice read on the new connection but before the kernel
+reads the repeated command: the run would then start a second time, or receive the reply to its previous call.
 """
 
 from __future__ import annotations
@@ -26,73 +28,79 @@
 
 
 def run_outcome_of_rejected_command(verb: str) -> Outcome | None:
-    """Return how a run ends whose command the kernel rejected; None where it is not affected.
+    """Return the outcome of a run whose command the kernel rejected, or None if the run is not affected.
 
-    A run that was to start has not. One that was to go on never will, so it has failed. A rejected pause means that
-    the run is over already or never stopped, and its own notice tells which.
+    If a start was rejected, the run did not start. If a command that continues a run was rejected, the run can never
+    continue, so it has failed. A rejected pause leaves the run unaffected: it has ended already or keeps running, and
+    its own notice reports the outcome.
     """
     return RUN_OUTCOME_BY_REJECTED_VERB.get(verb)
 
 
-@dataclass(slots=True, eq=False)  # equal commands are two: a run may be paused and resumed many times
+@dataclass(slots=True, eq=False)  # by identity: a run may be paused and resumed by equal commands many times
 class Command:
-    """A command as it is written to the kernel."""
+    """A command in the encoded form that is sent to the kernel."""
 
     request_id: str
     data: bytes
 
     @property
     def verb(self) -> str:
-        """Its verb on the wire."""
+        """The verb of the command on the wire."""
         return self.data.split(b" ", 1)[0].decode()
 
 
 class CommandLog:
-    """The commands that the kernel is not known to have read, with what was written on the present connection."""
+    """The commands that the kernel is not known to have read, and those written on the current connection."""
 
     def __init__(self) -> None:
-        """Start without commands."""
-        self._unconfirmed: dict[str, list[Command]] = {}  # by request, in order
-        self._written: deque[Command] = deque()  # on this connection, in order, and not known to be read
-        self._probe_tag: str | None = None  # of gauges that were asked for to learn what has been read
+        """Initialize an empty log."""
+        self._unconfirmed: dict[str, list[Command]] = {}  # by request, in the order of `add`
+        self._written: deque[Command] = deque()  # on this connection, not confirmed by gauges, oldest first
+        self._probe_tag: str | None = None  # of the pending gauge request that will confirm commands
         self._written_before_probe = 0
 
     def add(self, command: Command) -> None:
-        """Note a command that is to be written."""
+        """Record a command that will be written."""
         self._unconfirmed.setdefault(command.request_id, []).append(command)
 
     def mark_written(self, command: Command) -> None:
-        """Note that a command has been written on the present connection."""
+        """Record that a command has been written on the current connection."""
         self._written.append(command)
 
     def connection_opened(self) -> None:
-        """Forget what was written on the connection before: nothing on the new one can prove that it was read."""
+        """Forget what was written on the previous connection: gauges on the new one cannot confirm it."""
         self._written.clear()
         self._probe_tag = None
 
     def commands_to_resend(self) -> list[Command]:
-        """Return what is to be sent on a new connection, once the notices that it repeats have been applied.
+        """Return the unconfirmed commands.
 
-        These are the commands that no notice and no gauges confirmed, by request in the order of their first one.
+        They are to be resent on a new connection after the notices repeated on it have been applied. They are
+        grouped by request, in the order of the first unconfirmed command of each request.
         """
         return [command for commands in self._unconfirmed.values() for command in commands]
 
     def unconfirmed_requests(self) -> set[str]:
-        """Return the requests with commands that may not have been read."""
+        """Return the ids of the requests with commands that the kernel may not have read."""
         return set(self._unconfirmed)
 
     def confirm_request(self, request_id: str) -> None:
-        """Note that a notice speaks of a request: the kernel has read all that was sent for it."""
+        """Confirm all commands of a request: a notice about it shows that the kernel has read them."""
         self._unconfirmed.pop(request_id, None)
 
     def gauges_requested(self, tag: str) -> None:
-        """Note a request for gauges. While one is open, later ones prove nothing: a slow kernel then still confirms."""
+        """Record a request for gauges, whose readings will confirm the commands written before it.
+
+        While such a request is pending, later ones are ignored. Otherwise each would postpone the confirmation, and a
+        kernel that responds more slowly than gauges are requested would never confirm anything.
+        """
         if self._probe_tag is None:
             self._probe_tag = tag
             self._written_before_probe = len(self._written)
 
     def gauges_received(self, tag: str) -> None:
-        """Note gauges: the kernel has read all that was written before it was asked for them."""
+        """Confirm the commands that were written before the gauges with this tag were requested."""
         if tag != self._probe_tag:
             return
         for _ in range(self._written_before_probe):
@@ -100,7 +108,11 @@
         self._probe_tag = None
 
     def confirm_rejected(self, verb: str, request_id: str) -> bool:
-        """Note that the kernel rejected a command, which it has thus read; False where none of that kind is open."""
+        """Confirm a command that the kernel rejected, and so has read.
+
+        Returns:
+            Whether the request had an unconfirmed command with this verb.
+        """
         commands = self._unconfirmed.get(request_id, [])
         rejected = next((command for command in commands if command.verb == verb), None)
         if rejected is None:
@@ -109,7 +121,7 @@
         return True
 
     def _confirm(self, command: Command) -> None:
-        """Forget one command that was read; a notice may have confirmed it before."""
+        """Forget a command that the kernel has read, unless a notice has already confirmed it."""
         commands = self._unconfirmed.get(command.request_id, [])
         if command in commands:
             commands.remove(command)
--- a/marlstep/platform/database.py
+++ b/marlstep/platform/database.py
@@ -1,7 +1,7 @@
-"""The client of the database: the downstream calls that runs make.
+"""The client of the database, which makes the downstream calls of runs.
 
-`call_policy.py` has the rules for time and connections, `database_wire.py` the words. This module keeps the calls in
-flight, those in the queue, and the connections.
+This module manages the calls in flight, the queue of calls, and the connections. `call_policy.py` has the rules for
+time limits and connections, `database_wire.py` the wire protocol.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
     id: str  # of its request
     body: bytes
-    until: datetime
+    until: datetime  # end of the time limit that the database gets
     is_idempotent: bool
     timeout: Timer | None = None
     connection: DatabaseConnection | None = None
@@ -41,34 +41,43 @@
     """One connection to the database, which carries one call at a time."""
 
     def __init__(self, client: DatabaseClient, address: Address) -> None:
-        """Carry calls of the client to the database at this address."""
+        """Initialize a connection that is not open yet.
+
+        Args:
+            client: handles replies and changes of the connection's state.
+            address: of the database, as host and port.
+        """
         super().__init__(database_wire.RING_SIZE, database_wire.LINE_LIMIT)
         self.address = address
         self.call: _Call | None = None  # in flight
-        self.last_request_id = ""  # of its last call
+        self.last_request_id = ""  # of the last call on this connection
         self.idle_timer: Timer | None = None
         self._client = client
-        self._has_foreign_reply = False  # a reply came that belongs to no call of this connection
+        self._has_foreign_reply = False  # a reply arrived that does not belong to the call in flight
 
     def opened(self) -> None:
-        """Hand the connection to the client."""
+        """Notify the client that the connection is open."""
         self._client.connection_opened(self)
 
     def closed(self) -> None:
-        """Tell the client."""
+        """Notify the client that the connection has closed."""
         self._client.connection_closed(self)
 
     def body_length(self, words: list[str]) -> int | None:
-        """Return the length of a reply's result. Raises LineProtocolError."""
+        """Return the length in bytes of the result of a reply, or None if it has no result.
+
+        Raises:
+            InvalidLengthError: the length is invalid.
+        """
         return database_wire.reply_body_length(words)
 
     def data_received(self) -> None:
-        """Handle replies; once the call has ended, give the connection back or drop it."""
+        """Handle replies; once the call has ended, return the connection to the pool or drop it."""
         carried_call = self.call is not None
         super().data_received()
         if self.call is not None:
             return
-        # Decided when all that came together has been read: what came with the reply belongs to no call.
+        # Decided only after all received input was handled: input after the reply belongs to no call.
         if call_policy.is_reusable(
             carried_call,
             self.connected,
@@ -80,7 +89,11 @@
             self.abort()
 
     def message(self, words: list[str], body: bytes) -> None:
-        """Handle a reply. Raises UnknownReplyError."""
+        """Handle a reply.
+
+        Raises:
+            UnknownReplyError: the line is not a reply that the protocol defines.
+        """
         reply = database_wire.parse_reply(words)
         if self.call is not None and self.call.id == reply.call_id:
             self._client.call_ended(self.call, reply.outcome, body)
@@ -90,32 +103,35 @@
 
 
 class DatabaseClient:
-    """Makes calls, each of which ends exactly once at the sink, and keeps idle connections for later ones."""
+    """Makes calls, and keeps idle connections for later calls.
+
+    The end of each call is reported to the sink exactly once, unless the call is abandoned.
+    """
 
     def __init__(
         self, address: Address | None, timeline: TimerQueue, sink: Callable[[], EventSink], dial: Dial = dial
     ) -> None:
-        """Make a client without connections.
+        """Initialize a client without connections.
 
         Args:
-            address: of the database; without one every call fails as one that never ran.
-            timeline: the timers of calls and idle connections.
-            sink: returns the receiver of outcomes.
+            address: of the database, as host and port; if None, every call ends as `Outcome.CONNECT_FAILED`.
+            timeline: runs the timers of calls and idle connections.
+            sink: returns the receiver of the outcomes of calls.
             dial: opens connections.
         """
         self._address = address
         self._dial = dial
         self._timeline = timeline
         self._sink = sink
-        self._calls: dict[str, _Call] = {}  # in flight or in the queue, by request
-        self._queue: deque[_Call] = deque()  # without a connection
+        self._calls: dict[str, _Call] = {}  # in flight or queued, by request id
+        self._queue: deque[_Call] = deque()  # waiting for a connection
         self._connections: set[DatabaseConnection] = set()  # all that are open
-        self._idle: list[DatabaseConnection] = []  # free for a call, the last used at the end
-        self._dialing: dict[int, Cancel] = {}  # being opened
+        self._idle: list[DatabaseConnection] = []  # ready for a call, most recently used last
+        self._dialing: dict[int, Cancel] = {}  # connections being opened, by number
         self._dial_count = 0
 
     def change_address(self, address: Address | None) -> None:
-        """Make new calls at another address; those in flight may end where they are."""
+        """Send new calls to another address; calls in flight finish on their connections."""
         if address == self._address:
             return
         self._address = address
@@ -124,7 +140,12 @@
         self._serve_queue()
 
     def call(self, request: Request, until: datetime) -> None:
-        """Make the call of a request, in place of an earlier one that is still in flight."""
+        """Make the call of a request, which replaces an earlier call of the request that has not ended.
+
+        Args:
+            request: whose `call_body` is sent.
+            until: the end of the time limit that the database gets; the call times out `LATE_REPLY_GRACE` later.
+        """
         self.abandon_call(request)
         is_idempotent = request.class_settings.effect is Effect.IDEMPOTENT
         call = _Call(request.id, request.call_body, until, is_idempotent)
@@ -140,7 +161,7 @@
             self._serve_queue()
 
     def abandon_call(self, request: Request) -> None:
-        """Forget the call of a request, if there is one; its outcome is not reported."""
+        """Abandon the call of a request, if it has one, without reporting an outcome."""
         if (call := self._calls.get(request.id)) is not None:
             self._forget_call(call)
 
@@ -151,10 +172,10 @@
         for connection in list(self._connections):
             connection.abort()
 
-    # The queue.
+    # Connections for queued calls.
 
     def _serve_queue(self) -> None:
-        """Open as many connections as there are calls in the queue, or find them another."""
+        """Assign idle connections to queued calls, and open connections for the others within the limit."""
         while len(self._dialing) < len(self._queue):
             choice = call_policy.choose_connection(
                 self._address is not None,
@@ -172,13 +193,13 @@
                     self._fail_queue()
                     return
                 case ConnectionChoice.REPLACE_IDLE:
-                    self._drop_connection(self._idle[0])  # once it has closed, the queue is served again
+                    self._drop_connection(self._idle[0])  # `connection_closed` serves the queue again
                     return
                 case ConnectionChoice.WAIT:
                     return
 
     def _fail_queue(self) -> None:
-        """End all calls in the queue: without a connection, none of them ran."""
+        """End all queued calls; without a connection, none of them ran."""
         for call in list(self._queue):
             self.call_ended(call, Outcome.CONNECT_FAILED)
 
@@ -197,14 +218,14 @@
         del self._dialing[number]
         if error is not None and address == self._address:
             log.warning("database connect failed: address=%s:%d reason=%s", *address, error)
-            if self._queue:  # the other calls have connections of their own being opened
+            if self._queue:  # for each other call, a connection is being opened
                 self.call_ended(self._queue[0], Outcome.CONNECT_FAILED)
         self._serve_queue()
 
-    # Connections.
+    # Lifecycle of connections.
 
     def connection_opened(self, connection: DatabaseConnection) -> None:
-        """Send the first call in the queue on a new connection."""
+        """Send the first queued call on a new connection, or add the connection to the pool."""
         self._connections.add(connection)
         if connection.address != self._address:
             self._drop_connection(connection)
@@ -214,7 +235,10 @@
             self.return_to_pool(connection)
 
     def connection_closed(self, connection: DatabaseConnection) -> None:
-        """Forget a connection, and end its call as one that may have run. All connections end here."""
+        """Remove a connection, and end its call as `Outcome.RESET`, since the call may have run.
+
+        This is called for every connection that closes, whatever the reason.
+        """
         self._connections.discard(connection)
         self._timeline.cancel(connection.idle_timer)
         if connection in self._idle:
@@ -224,7 +248,7 @@
         self._serve_queue()
 
     def return_to_pool(self, connection: DatabaseConnection) -> None:
-        """Keep a free connection for the next call, for a while."""
+        """Keep an idle connection for the next call, for at most `IDLE_CONNECTION_TIMEOUT`."""
         if connection.address != self._address:
             self._drop_connection(connection)
             return
@@ -237,7 +261,7 @@
             self._serve_queue()
 
     def _may_use_idle(self, call: _Call) -> bool:
-        """Whether the connection that was used last is free, and this call may go out on it."""
+        """Return whether there is an idle connection and the call may use the most recently used one."""
         return bool(self._idle) and call_policy.may_use_idle_connection(
             call.is_idempotent, call.id, self._idle[-1].last_request_id
         )
@@ -253,7 +277,7 @@
         self._timeline.cancel(connection.idle_timer)
         connection.abort()
 
-    # Calls.
+    # Sending and ending calls.
 
     def _send(self, call: _Call, connection: DatabaseConnection) -> None:
         call.connection, connection.call, connection.last_request_id = connection, call, call.id
@@ -261,21 +285,24 @@
         connection.send(database_wire.encode_call(call.id, call.body, time_left))
 
     def call_ended(self, call: _Call, outcome: Outcome, body: bytes = b"") -> None:
-        """Report the outcome of a call, unless it has ended before."""
+        """End a call and report its outcome, unless the call has already ended."""
         if self._calls.get(call.id) is call:
             connection, call.connection = call.connection, None
             if connection is not None:
-                connection.call = None  # the connection itself is given back by whoever reads from it
+                connection.call = None  # `data_received` returns the connection to the pool
             self._forget_call(call)
             self._sink().call_ended(call.id, outcome, body)
 
     def _on_call_timeout(self, call: _Call) -> None:
-        if self._calls.get(call.id) is call:  # otherwise its reply has come in the same turn
+        if self._calls.get(call.id) is call:  # otherwise its reply was read in the same event loop iteration
             self._forget_call(call)
             self._sink().call_ended(call.id, Outcome.TIMEOUT)
 
     def _forget_call(self, call: _Call) -> None:
-        """Remove a call, and drop its connection if the reply is still to come on it. All calls end here."""
+        """Remove a call, and drop its connection if the reply is still outstanding.
+
+        This is called for every call that ends, whatever the reason.
+        """
         del self._calls[call.id]
         self._timeline.cancel(call.timeout)
         if call in self._queue:
--- a/marlstep/platform/database_wire.py
+++ b/marlstep/platform/database_wire.py
@@ -1,4 +1,4 @@
-"""The words of the database's wire, mapped once: calls as bytes, replies as types. Pure."""
+"""The wire protocol of the database: encodes calls and parses replies. No I/O."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 RING_SIZE = 16 * 1024  # bytes
 LINE_LIMIT = 256  # bytes
-BODY_LIMIT = RING_SIZE - LINE_LIMIT  # bytes; the protocol names 4 KiB for results
-MAX_SHOWN_CHARACTERS = 64  # of an unknown reply, in the log
+BODY_LIMIT = RING_SIZE - LINE_LIMIT  # bytes; the protocol specifies 4 KiB for results
+MAX_SHOWN_CHARACTERS = 64  # of an unknown reply, in error messages
 MIN_TIME_LEFT_MS = 1
-ROWS_WORD = "ROWS"  # a result follows
+ROWS_WORD = "ROWS"  # the reply has a result as its body
 
 OUTCOMES = {
     "FULL": Outcome.REJECTED,
@@ -25,29 +25,39 @@
 
 
 class UnknownReplyError(LineProtocolError):
-    """A reply is none of those that the protocol has."""
+    """A reply is not one that the protocol defines."""
 
     def __init__(self, words: list[str]) -> None:
-        """`words` are those of the reply's line."""
-        super().__init__(f"unknown reply {' '.join(words)[:MAX_SHOWN_CHARACTERS]!r}")
+        """Initialize the error with the words of the line of the reply."""
+        super().__init__(
+            f"expected a reply of the database protocol, got {' '.join(words)[:MAX_SHOWN_CHARACTERS]!r}"
+        )
         self.words = words
 
 
 @dataclass(slots=True)
 class Reply:
-    """How a call ended."""
+    """The reply to a call, without its result."""
 
     call_id: str
     outcome: Outcome
 
 
 def reply_body_length(words: list[str]) -> int | None:
-    """Return the length in bytes of the result that follows a line; None where none does. Raises LineProtocolError."""
+    """Return the length in bytes of the result that follows a line, or None if the reply has no result.
+
+    Raises:
+        InvalidLengthError: the length is not a decimal number or exceeds BODY_LIMIT.
+    """
     return parse_length(words[2], BODY_LIMIT) if len(words) == 3 and words[1] == ROWS_WORD else None
 
 
 def parse_reply(words: list[str]) -> Reply:
-    """Return the reply of a line. Raises UnknownReplyError."""
+    """Return the reply that a line contains.
+
+    Raises:
+        UnknownReplyError: the line is not a reply that the protocol defines.
+    """
     match words:
         case [call_id, "ROWS", _]:
             return Reply(call_id, Outcome.OK)
@@ -58,6 +68,12 @@
 
 
 def encode_call(call_id: str, body: bytes, time_left: timedelta) -> bytes:
-    """Return the bytes of a call; the database gives up after the time that is left, at least a millisecond."""
+    """Return the bytes of a call.
+
+    Args:
+        call_id: identifies the call; its reply carries the same id.
+        body: of the call.
+        time_left: after which the database gives the call up; sent as at least MIN_TIME_LEFT_MS.
+    """
     time_left_ms = max(MIN_TIME_LEFT_MS, whole_ms(time_left))
     return f"Q {call_id} {time_left_ms} {len(body)}\r\n".encode() + body + b"\r\n"
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -1,8 +1,8 @@
-"""The client of the kernel, which owns the cores: commands out, notices in, over one connection that is kept up.
+"""The client of the kernel, which owns the cores: sends commands and receives notices over one connection.
 
-A broken connection is opened again. Each notice is applied once (`notice_sequence.py`), and after a break the commands
-that the kernel may not have read are sent again (`command_log.py`), as soon as the notices that it repeats have been
-applied. `kernel_wire.py` has the words.
+A lost connection is reopened. The kernel then repeats the notices that were not read; each notice is applied only once
+(`notice_sequence.py`). Once the repeated notices have been applied, the client resends the commands that the kernel may
+not have read (`command_log.py`). `kernel_wire.py` has the wire protocol.
 """
 
 from __future__ import annotations
@@ -34,42 +34,57 @@
 
 RING_SIZE = 256 * 1024  # bytes
 LINE_LIMIT = 8 * 1024  # bytes
-MIN_BACKOFF = 20 * MILLISECOND  # between attempts to connect, after a first one at once
+MIN_BACKOFF = 20 * MILLISECOND  # between connection attempts; the first attempt is immediate
 MAX_BACKOFF = 1000 * MILLISECOND
-SYNC_TAG = "sync"  # of the gauges that are asked for behind the opening of a connection
-MAX_LOGGED_MESSAGE_CHARACTERS = 200  # of a message of the kernel
-MAX_LOGGED_NOTICE_CHARACTERS = 64  # characters of a notice that is unknown
+SYNC_TAG = "sync"  # of the gauges requested after OPEN_CONNECTION; the repeated notices arrive before them
+MAX_LOGGED_MESSAGE_CHARACTERS = 200  # of a kernel message
+MAX_LOGGED_NOTICE_CHARACTERS = 64  # of an unknown notice
 
 
 class KernelConnection(LineStream):
     """One connection to the kernel."""
 
     def __init__(self, client: KernelClient, address: Address) -> None:
-        """Carry lines between the kernel at this address and its client."""
+        """Initialize a connection that is not open yet.
+
+        Args:
+            client: handles notices and changes of the connection's state.
+            address: of the kernel, as host and port.
+        """
         super().__init__(RING_SIZE, LINE_LIMIT)
         self.address = address
-        self.started = False  # the kernel has responded on it
+        self.started = False  # the kernel has responded to OPEN_CONNECTION
         self._client = client
 
     def opened(self) -> None:
-        """Hand the connection to the client."""
+        """Notify the client that the connection is open."""
         self._client.connection_opened(self)
 
     def closed(self) -> None:
-        """Tell the client."""
+        """Notify the client that the connection has closed."""
         self._client.connection_closed(self)
 
     def body_length(self, words: list[str]) -> int | None:
-        """Return the length of a notice's body. Raises LineProtocolError."""
+        """Return the length in bytes of the body of a notice, or None if it has no body.
+
+        Raises:
+            MalformedNoticeError: the line has the wrong number of words.
+            InvalidLengthError: the length is invalid.
+        """
         return kernel_wire.notice_body_length(words)
 
     def message(self, words: list[str], body: bytes) -> None:
-        """Hand a notice to the client."""
+        """Pass a notice to the client.
+
+        Raises:
+            InvalidNoticeNumberError: the number of a numbered notice is not a decimal number.
+            MissingNoticesError: notices before this one are missing.
+        """
         self._client.notice_received(self, words, body)
 
 
 class KernelClient:
-    """The one client of the kernel: a backend of the core, and its source of gauges."""
+    """The client of the kernel, used by the core as its backend and its source of gauges."""
 
     def __init__(
         self,
@@ -79,13 +94,13 @@
         sink: Callable[[], EventSink],
         dial: Dial = dial,
     ) -> None:
-        """Make a client that connects with `open`.
+        """Initialize a client that does not connect before `open`.
 
         Args:
-            address: of the kernel.
+            address: of the kernel, as host and port.
             gauge_names: in the order in which the kernel sends the readings.
-            timeline: the timer of the backoff.
-            sink: returns the receiver of what the kernel reports.
+            timeline: runs the timer of the backoff.
+            sink: returns the receiver of the events that the kernel reports.
             dial: opens connections.
         """
         self._address = address
@@ -94,31 +109,30 @@
         self._timeline = timeline
         self._sink = sink
         self._connection: KernelConnection | None = None
-        self._synced = False  # the notices that the connection repeats have been applied
+        self._synced = False  # the notices repeated on the connection have been applied
         self._notices = NoticeSequence()
         self._commands = CommandLog()
-        self._call_notice_numbers: dict[
-            str, int
-        ] = {}  # by request, of the notice by which its run asked for its call
+        # By request: the number of the notice in which its run asked for a call.
+        self._call_notice_numbers: dict[str, int] = {}
         self._gauge_request_count = 0
         self._backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
-        self._cancel_dialing: Cancel | None = None  # while an attempt to connect is under way
+        self._cancel_dialing: Cancel | None = None  # set while a connection is being opened
         self._redial_timer: Timer | None = None
         self._closing = False
 
     def open(self) -> None:
-        """Begin to connect."""
+        """Start connecting."""
         self._connect()
 
     def close(self) -> None:
-        """Close the connection, for good."""
+        """Close the connection, and do not reconnect."""
         self._closing = True
         self._stop_connecting()
         if self._connection is not None:
             self._connection.abort()
 
     def change_address(self, address: Address) -> None:
-        """Connect to another address. The old connection serves until the new one is open."""
+        """Connect to another address; the old connection stays in use until the new one is open."""
         if address != self._address:
             self._address = address
             self._backoff.reset()
@@ -126,10 +140,10 @@
             self._connect()
 
     def set_gauge_names(self, gauge_names: Sequence[str]) -> None:
-        """Take another order of the gauges."""
+        """Set the names of the gauges, in the order in which the kernel sends the readings."""
         self._gauge_names = gauge_names
 
-    # Connecting.
+    # Opening connections, with backoff.
 
     def _stop_connecting(self) -> None:
         self._timeline.cancel(self._redial_timer)
@@ -150,7 +164,8 @@
         self._cancel_dialing = None
         if error is not None:
             log.warning("kernel connect failed: address=%s:%d reason=%s", *self._address, error)
-        if self._connection is None or self._connection.address != self._address:  # also if it closed at once
+        # The connection is None as well if it was opened and has already closed.
+        if self._connection is None or self._connection.address != self._address:
             self._connect_later()
 
     def _connect_later(self) -> None:
@@ -158,11 +173,11 @@
             due = self._timeline.now() + self._backoff.next_delay()
             self._redial_timer = self._timeline.at(due, self._connect)
 
-    # The connection's life.
+    # Connection events.
 
     def connection_opened(self, connection: KernelConnection) -> None:
-        """Use a new connection in place of the one before; ask for the notices that were missed."""
-        if connection.address != self._address:  # the address changed while it was being opened
+        """Replace the previous connection by a new one, and request the notices that were not read."""
+        if connection.address != self._address:  # the address changed while it opened
             connection.abort()
             return
         previous, self._connection, self._synced = self._connection, connection, False
@@ -172,10 +187,10 @@
             previous.abort()
 
     def connection_closed(self, connection: KernelConnection) -> None:
-        """Connect again, unless a newer connection is in use.
+        """Reconnect, unless a newer connection is in use.
 
-        That is done at once if the kernel had responded on the connection: runs wait for their ends, and cores stand
-        idle, for as long as the break lasts. Otherwise it is done with backoff, since the kernel may be down.
+        If the kernel had responded on the connection, the client reconnects immediately: until then the ends of runs
+        are not reported and cores may be idle. Otherwise it reconnects with backoff, since the kernel may be down.
         """
         if self._connection is not connection:
             return
@@ -188,12 +203,17 @@
         else:
             self._connect_later()
 
-    # Notices.
+    # Handling notices.
 
     def notice_received(self, connection: KernelConnection, words: list[str], body: bytes) -> None:
-        """Apply a notice. Raises LineProtocolError where it can't be read, or notices before it are missing."""
+        """Apply a notice.
+
+        Raises:
+            InvalidNoticeNumberError: the number of a numbered notice is not a decimal number.
+            MissingNoticesError: notices before this one are missing.
+        """
         if connection is not self._connection:
-            return  # a newer connection is in use, on which the kernel repeats what was not read here
+            return  # a newer connection is in use, on which the kernel repeats unread notices
         match kernel_wire.parse_notice(words):
             case RunEnded() as notice:
                 self._run_ended(notice, body)
@@ -209,11 +229,15 @@
                 if self._should_apply(notice.number):
                     log.info("kernel message: text=%s", notice.text[:MAX_LOGGED_MESSAGE_CHARACTERS])
             case UnknownNotice():
-                # It has no body, so that what follows can still be read: no reason to close the connection.
+                # The connection stays open: the notice has no body, so the next notice can still be parsed.
                 log.warning("kernel notice ignored: words=%r", " ".join(words)[:MAX_LOGGED_NOTICE_CHARACTERS])
 
     def _should_apply(self, number: int) -> bool:
-        """Whether a numbered notice is applied, by the rule of NoticeSequence. Raises MissingNoticesError."""
+        """Return whether a numbered notice is to be applied, as NoticeSequence decides.
+
+        Raises:
+            MissingNoticesError: notices before this one are missing, and a new connection may repeat them.
+        """
         last = self._notices.last
         decision = self._notices.decide(number)
         if decision is NoticeDecision.APPLY:
@@ -248,7 +272,7 @@
         self._sink().backend_ready()
         if self._connection is not None:
             self._connection.started = True
-            # The notices that were missed come before the response to this.
+            # The kernel sends the unread notices before its response to this request.
             self._connection.send(kernel_wire.encode_gauges_request(SYNC_TAG))
 
     def _gauges_received(self, tag: str, readings: list[str]) -> None:
@@ -266,7 +290,7 @@
         self._sink().gauges(dict(zip(self._gauge_names, values, strict=False)))
 
     def _command_rejected(self, verb: str, request_id: str) -> None:
-        """End the run that depends on a command which was not carried out."""
+        """Handle a command that the kernel rejected: a run that depends on the command ends."""
         log.warning("kernel rejected a command: command=%s request=%s", verb, request_id)
         if not self._commands.confirm_rejected(verb, request_id):
             return
@@ -276,11 +300,11 @@
             self._sink().run_ended(request_id, outcome, ZERO)
 
     def _confirm_request(self, request_id: str) -> None:
-        """Note that a notice speaks of a request: what was sent for it has been read."""
+        """Confirm the commands of a request after a notice about it, and forget the number of its call's notice."""
         self._commands.confirm_request(request_id)
         self._call_notice_numbers.pop(request_id, None)
 
-    # Commands.
+    # Sending commands.
 
     def start(self, request: Request) -> None:
         """Start a run."""
@@ -290,7 +314,7 @@
         )
 
     def preempt(self, request: Request) -> None:
-        """Preempt a run; where that takes effect, it ends as cancelled."""
+        """Preempt a run; if this takes effect, the run is reported as cancelled."""
         self._send_when_synced(request.id, kernel_wire.encode_pause(request.id))
 
     def resume(self, request: Request) -> None:
@@ -298,19 +322,19 @@
         self._send_when_synced(request.id, kernel_wire.encode_resume(request.id))
 
     def supply(self, request: Request, reply: bytes) -> None:
-        """Give a run the reply to its call."""
+        """Supply a run with the reply to its call."""
         self._send_when_synced(request.id, kernel_wire.encode_reply(request.id, reply))
 
     def skip(self, request: Request) -> None:
-        """Let a run go on without its call."""
+        """Resume a run without a reply to its call."""
         call_notice_number = self._call_notice_numbers.get(request.id, 0)
         self._send_when_synced(request.id, kernel_wire.encode_skip(request.id, call_notice_number))
 
     def abandon(self, request: Request) -> None:
-        """Do nothing: the kernel ends the run of a request that is over at its next call, or runs it out."""
+        """Do nothing: the kernel ends the run of an abandoned request at its next call, or runs it to completion."""
 
     def request_gauges(self) -> None:
-        """Ask for the gauges; the readings go to the sink."""
+        """Request the gauges, whose readings are reported to the sink."""
         if self._synced and self._connection is not None:
             self._gauge_request_count += 1
             tag = f"g{self._gauge_request_count}"
@@ -318,7 +342,7 @@
             self._connection.send(kernel_wire.encode_gauges_request(tag))
 
     def _send_when_synced(self, request_id: str, data: bytes) -> None:
-        """Send a command now, or once the connection is in step with the notices."""
+        """Send a command immediately, or once the notices repeated on the connection have been applied."""
         command = Command(request_id, data)
         self._commands.add(command)
         if self._synced:
--- a/marlstep/platform/kernel_wire.py
+++ b/marlstep/platform/kernel_wire.py
@@ -1,7 +1,7 @@
-"""The words of the kernel's wire, mapped once: commands as bytes, notices as types. Pure.
+"""The wire protocol of the kernel: encodes commands and parses notices. No I/O.
 
-The kernel owns the cores. The words on its wire are those of its protocol; behind this module there are only
-the functions that encode commands and the types of notices.
+The kernel owns the cores. Only this module uses the words of its protocol; other modules call the functions that
+encode commands and use the types of notices.
 """
 
 from __future__ import annotations
@@ -13,21 +13,19 @@
 from marlstep.net.lines import LineProtocolError, parse_length
 from marlstep.units import MILLISECOND, ZERO
 
-BODY_LIMIT = 64 * 1024  # bytes; the protocol names 4 KiB for results
-MAX_ELAPSED_MS = 1e9  # of a run; more is read as this
-MAX_SHOWN_CHARACTERS = 32  # of a wrong word, in the log
-WORDS_BEFORE_BODY = {
-    "REAP": 6,
-    "IOREQ": 4,
-}  # how many words such a line has; the last is its body's length
+BODY_LIMIT = 64 * 1024  # bytes; the protocol specifies 4 KiB for results
+MAX_ELAPSED_MS = 1e9  # longer run times are clamped to this
+MAX_SHOWN_CHARACTERS = 32  # of an invalid word, in error messages
+# Number of words in the line of each notice that has a body; the last word is the length of the body in bytes.
+WORDS_BEFORE_BODY = {"REAP": 6, "IOREQ": 4}
 
 
-# The words of commands on the wire, by what they ask for.
+# The verbs of commands on the wire.
 START_RUN = "SCHED"
 PAUSE_RUN = "PREEMPT"
 RESUME_RUN = "RESCHED"
-SUPPLY_REPLY = "IODONE"  # the reply to the call that a run waits for
-SKIP_CALL = "NOIO"  # the run goes on without its call
+SUPPLY_REPLY = "IODONE"  # supplies the reply to the call that the run waits for
+SKIP_CALL = "NOIO"  # resumes the run without a reply to its call
 REQUEST_GAUGES = "SYSINFO"
 OPEN_CONNECTION = "OPEN"
 
@@ -40,43 +38,50 @@
 
 
 class MalformedNoticeError(LineProtocolError):
-    """A notice has the wrong number of words."""
+    """A notice with a body has the wrong number of words."""
 
     def __init__(self, words: list[str]) -> None:
-        """`words` are those of the notice's line."""
-        super().__init__(f"malformed {words[0]}")
+        """Initialize the error with the words of the line of the notice."""
+        super().__init__(
+            f"malformed {words[0]} notice: expected {WORDS_BEFORE_BODY.get(words[0])} words, got {len(words)}"
+        )
         self.words = words
 
 
 class InvalidNoticeNumberError(LineProtocolError):
-    """A numbered notice has no number."""
+    """The number of a numbered notice is not a decimal number."""
 
     def __init__(self, word: str) -> None:
-        """`word` stands in its place."""
-        super().__init__(f"expected the number of a notice, got {word[:MAX_SHOWN_CHARACTERS]!r}")
+        """Initialize the error with the word found in place of the number."""
+        super().__init__(f"expected a decimal notice number, got {word[:MAX_SHOWN_CHARACTERS]!r}")
         self.word = word
 
 
 class MissingNoticesError(LineProtocolError):
-    """Notices before this one were never read; the kernel repeats them on a new connection."""
+    """Notices before this one have not been read; the kernel repeats them on a new connection."""
 
     def __init__(self, last: int, number: int) -> None:
-        """`last` is the number of the last notice that was read, `number` that of the one that came."""
-        super().__init__(f"expected notice {last + 1}, got {number}")
+        """Initialize the error.
+
+        Args:
+            last: the number of the last notice that was read.
+            number: the number of the notice that arrived.
+        """
+        super().__init__(f"expected notice number {last + 1}, got {number}")
         self.last, self.number = last, number
 
 
 @dataclass(slots=True)
 class KernelStarted:
-    """The kernel responded to the opening of a connection."""
+    """The kernel's response to `OPEN_CONNECTION`."""
 
     state: str
-    age_ms: str  # as the kernel wrote it
+    age_ms: str  # not parsed, as it is only logged
 
 
 @dataclass(slots=True)
 class GaugeReadings:
-    """The gauges that were asked for under a tag."""
+    """The gauge readings for the request with this tag."""
 
     tag: str
     readings: list[str]
@@ -84,7 +89,7 @@
 
 @dataclass(slots=True)
 class CommandRejected:
-    """A command was not carried out."""
+    """The kernel did not execute a command."""
 
     verb: str  # of the command on the wire
     request_id: str
@@ -92,17 +97,17 @@
 
 @dataclass(slots=True)
 class RunEnded:
-    """A run ended, or was paused."""
+    """A run has ended or was paused."""
 
     number: int
     request_id: str
     outcome: Outcome
-    elapsed_text: str  # in milliseconds
+    elapsed_text: str  # in milliseconds; parsed by `parse_elapsed`
 
 
 @dataclass(slots=True)
 class CallNeeded:
-    """A run waits for a downstream call; the notice's body is the call's."""
+    """A run waits for a downstream call, whose body is that of the notice."""
 
     number: int
     request_id: str
@@ -110,7 +115,7 @@
 
 @dataclass(slots=True)
 class KernelMessage:
-    """A line for the log."""
+    """A message from the kernel, to be logged."""
 
     number: int
     text: str
@@ -118,7 +123,7 @@
 
 @dataclass(slots=True)
 class UnknownNotice:
-    """A notice that this client does not know. It has no body."""
+    """A notice of a type that this client does not know; it has no body."""
 
     words: list[str]
 
@@ -129,7 +134,12 @@
 
 
 def notice_body_length(words: list[str]) -> int | None:
-    """Return the length in bytes of the body that follows a line; None where none does. Raises LineProtocolError."""
+    """Return the length in bytes of the body that follows a line, or None if the notice has no body.
+
+    Raises:
+        MalformedNoticeError: the line has the wrong number of words.
+        InvalidLengthError: the length is not a decimal number or exceeds BODY_LIMIT.
+    """
     count = WORDS_BEFORE_BODY.get(words[0])
     if count is None:
         return None
@@ -139,11 +149,15 @@
 
 
 def parse_notice(words: list[str]) -> Notice:
-    """Return the notice of a line. Raises InvalidNoticeNumberError."""
+    """Return the notice that a line contains.
+
+    Raises:
+        InvalidNoticeNumberError: the number of a numbered notice is not a decimal number.
+    """
     notice: Notice
     match words:
         case ["REAP", number, request_id, outcome_word, elapsed_text, _]:
-            # An outcome of a later version of the kernel counts as an error: the run is over in any case.
+            # An unknown outcome, as from a later version of the kernel, is an error: the run has ended either way.
             outcome = RUN_OUTCOMES.get(outcome_word, Outcome.ERROR)
             notice = RunEnded(_parse_notice_number(number), request_id, outcome, elapsed_text)
         case ["IOREQ", number, request_id, _]:
@@ -168,9 +182,9 @@
 
 
 def parse_elapsed(text: str) -> timedelta | None:
-    """Return a run time that is written in milliseconds, at least 0; None where the text is no number.
+    """Parse a run time in milliseconds, clamped to 0 to MAX_ELAPSED_MS; None if the text is not a number.
 
-    The figure only informs, so that one which can't be read is no reason to reject its notice.
+    The run time is only informational, so a notice is not rejected if it cannot be parsed.
     """
     try:
         return max(ZERO, min(float(text), MAX_ELAPSED_MS) * MILLISECOND)
@@ -179,12 +193,12 @@
 
 
 def encode_open(last_notice: int) -> bytes:
-    """Return the first command on a connection: the kernel repeats the notices after this one."""
+    """Return the first command on a connection, which makes the kernel repeat the notices after `last_notice`."""
     return f"{OPEN_CONNECTION} {last_notice}\r\n".encode()
 
 
 def encode_gauges_request(tag: str) -> bytes:
-    """Return the command that asks for the gauges."""
+    """Return the command that requests the gauges; the readings carry the same tag."""
     return f"{REQUEST_GAUGES} {tag}\r\n".encode()
 
 
@@ -205,10 +219,10 @@
 
 
 def encode_reply(request_id: str, reply: bytes) -> bytes:
-    """Return the command that gives a run the reply to its call."""
+    """Return the command that supplies a run with the reply to its call."""
     return f"{SUPPLY_REPLY} {request_id} {len(reply)}\r\n".encode() + reply + b"\r\n"
 
 
 def encode_skip(request_id: str, call_notice_number: int) -> bytes:
-    """Return the command that makes a run go on without the call that it asked for by the notice of this number."""
+    """Return the command that resumes a run without the call requested in the notice with this number."""
     return f"{SKIP_CALL} {request_id} {call_notice_number}\r\n".encode()
--- a/marlstep/platform/name_service.py
+++ b/marlstep/platform/name_service.py
@@ -1,7 +1,7 @@
-"""Reports to the name service: datagrams, to which nothing comes back.
+"""Sends reports to the name service as datagrams, which are not acknowledged.
 
-The name service removes an entry 3 s after the last report that arrived. Some reports are lost, so they are sent often
-enough that it takes ten losses in a row for an entry to lapse.
+The name service removes an entry 3 s after the last report it received. Since datagrams may be lost, the reporting
+interval is short enough that an entry lapses only after ten consecutive losses.
 """
 
 from __future__ import annotations
@@ -17,29 +17,40 @@
 log = logging.getLogger(__name__)
 
 REPORT_INTERVAL = 300 * MILLISECOND
-STATE_WORDS = {True: "yes", False: "no"}  # on the wire: whether requests are wanted here
+STATE_WORDS = {True: "yes", False: "no"}  # on the wire, by whether requests are wanted at this node
 
 
 class ReportSocket(asyncio.DatagramProtocol):
-    """The socket for one address."""
+    """The datagram socket for reports to one address."""
 
     def __init__(self, client: NameServiceClient, address: Address) -> None:
-        """Send to this address for the client."""
+        """Initialize the protocol of a socket.
+
+        Args:
+            client: gets the socket once it is open.
+            address: of the name service, as host and port.
+        """
         self._client, self._address = client, address
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Hand the socket to the client."""
+        """Pass the open socket to the client."""
         self._client.opened(self._address, cast(asyncio.DatagramTransport, transport))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that the name service is down: no entry lapses meanwhile, and the next report is due soon."""
+        """Ignore the error: if the name service is down, no entry lapses, and the next report is sent soon."""
 
 
 class NameServiceClient:
-    """Reports regularly whether requests are wanted at this node."""
+    """Sends periodic reports on whether requests are wanted at this node."""
 
     def __init__(self, name: str, address: Address | None, timeline: TimerQueue) -> None:
-        """Make a client for the entry of this name; without an address it reports nothing."""
+        """Initialize a client that does not report before `open`.
+
+        Args:
+            name: of the entry of this node.
+            address: of the name service, as host and port; if None, nothing is reported.
+            timeline: schedules the reports.
+        """
         self._name, self._address, self._timeline = name, address, timeline
         self._transport: asyncio.DatagramTransport | None = None
         self._open_task: asyncio.Task[None] | None = None
@@ -48,7 +59,7 @@
         self._wants_requests = True
 
     def open(self) -> None:
-        """Begin to report."""
+        """Open the socket and start reporting."""
         if self._address is not None and not self._reporting_ended:
             self._open_task = asyncio.get_running_loop().create_task(self._open(self._address))
 
@@ -57,22 +68,26 @@
         try:
             await loop.create_datagram_endpoint(lambda: ReportSocket(self, address), remote_addr=address)
         except OSError as error:
-            # Perhaps no descriptor is free. A node that is not listed still serves the clients that know it.
-            log.error(  # noqa: TRY400 the reason is in the text; the trace would add nothing
+            # For example, no file descriptor is free. An unlisted node still serves the clients that know it.
+            log.error(  # noqa: TRY400 the message has the reason; a traceback would add nothing
                 "name service reports failed: address=%s:%d reason=%s", *address, error
             )
             if not self._reporting_ended and address == self._address:
                 self._next_report = self._timeline.at(self._timeline.now() + REPORT_INTERVAL, self.open)
 
     def change_address(self, address: Address | None) -> None:
-        """Report to another address, the first time at once."""
+        """Report to another address, starting immediately."""
         if address != self._address:
             self._address = address
             self._stop()
             self.open()
 
     def _stop(self, stop_opening: bool = True) -> None:
-        """Close the socket. All sockets are closed here."""
+        """Cancel the next report, and close the socket. This is the only place that closes a socket in use.
+
+        Args:
+            stop_opening: whether to cancel the opening of a socket as well.
+        """
         self._timeline.cancel(self._next_report)
         if stop_opening and self._open_task is not None:
             self._open_task.cancel()
@@ -81,8 +96,8 @@
             self._transport = None
 
     def opened(self, address: Address, transport: asyncio.DatagramTransport) -> None:
-        """Use a socket that has been opened, and report at once."""
-        if self._reporting_ended or address != self._address:  # the address changed while it was being opened
+        """Use a newly opened socket, and send a report immediately."""
+        if self._reporting_ended or address != self._address:  # the address changed while it opened
             transport.close()
             return
         self._stop(stop_opening=False)
@@ -90,7 +105,7 @@
         self._report()
 
     def _report(self) -> None:
-        if self._transport is None or self._transport.is_closing():  # the system closed it
+        if self._transport is None or self._transport.is_closing():  # closed by the operating system
             self._transport = None
             self.open()
             return
@@ -102,17 +117,20 @@
             self._transport.sendto(f"renew {self._name} {STATE_WORDS[wants_requests]}".encode())
 
     def report_state(self, wants_requests: bool) -> None:
-        """Report whether requests are wanted here; a change is reported at once. The entry stays either way."""
+        """Set whether requests are wanted at this node, and report a change immediately.
+
+        The reports renew the entry in both states.
+        """
         if wants_requests != self._wants_requests and not self._reporting_ended:
             self._wants_requests = wants_requests
             self._send(wants_requests)
 
     def report_last(self, sends_last_report: bool = True) -> None:
-        """Report no more, so that the entry lapses.
+        """Stop reporting for good, so that the entry lapses.
 
         Args:
-            sends_last_report: whether to report once more that no requests are wanted; not where another process
-                goes on to report for this node.
+            sends_last_report: whether to send a last report that no requests are wanted. False if another process
+                continues to report for this node.
         """
         if sends_last_report:
             self._send(False)
