--- a/tests/platform/test_call_policy.py
+++ b/tests/platform/test_call_policy.py
@@ -1,4 +1,4 @@
-"""What a database call may cost, and which connection it takes."""
+"""Time limits of database calls, and which connection a call uses."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_command_log.py
+++ b/tests/platform/test_command_log.py
@@ -1,4 +1,4 @@
-"""Which commands are sent again after a break."""
+"""Which commands are resent after a reconnect."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -1,4 +1,4 @@
-"""Database calls: each ends once, with an outcome that proves no more than is known, and affects no other."""
+"""Each database call ends once, with an outcome that claims no more than is known, and does not affect other calls."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
         return request
 
     def open(self, number: int = 1, request_class: str = "temp-history") -> Wire:
-        """A call on a connection of its own."""
+        """Make a call, accept the new connection that it opens, and return that connection."""
         self.call(number, request_class)
         connection = self.dial.accept()
         assert connection.take() == b"Q r%d 250 3\r\nask\r\n" % number
@@ -68,7 +68,7 @@
     [ROWS % b"r1", b"", b"r1 FULL\r\n", b"x", b"\r\n"],
 )
 def test_input_after_a_reply_is_ignored_and_its_connection_is_dropped(extra_input: bytes) -> None:
-    # Guards against a duplicate that is mistaken for the reply to a later call.
+    # Guards against a duplicate reply that is mistaken for the reply to a later call.
     harness = Harness()
     connection = harness.open()
     connection.feed(ROWS % b"r1" + extra_input)
@@ -106,7 +106,7 @@
     [b"r1 WHAT\r\n", b"r1 ROWS -1\r\n", b"r1 ROWS 3000000000\r\n", b"r1 ROWS 2\r\nlong\r\n", b"x" * 300],
 )
 def test_a_malformed_reply_ends_only_its_own_call_which_may_have_run(malformed_reply: bytes) -> None:
-    # Guards against one unreadable reply that ends all calls, as it did while they shared a connection.
+    # Guards against one malformed reply that ends all calls, which happened when calls shared a connection.
     harness = Harness()
     connection, other = harness.open(1), harness.open(2)
     connection.feed(malformed_reply)
@@ -139,7 +139,7 @@
 
 
 def test_an_at_most_once_call_opens_a_connection_even_if_one_is_idle() -> None:
-    # Guards against a connection that the other side forgot: its reset leaves open whether the call ran.
+    # Guards against a connection that the database has dropped: after its reset it is unknown whether the call ran.
     harness = Harness()
     idle = harness.open()
     idle.feed(ROWS % b"r1")
@@ -148,7 +148,7 @@
 
 
 def test_a_call_that_may_use_an_idle_connection_does_so_while_others_wait_for_new_ones() -> None:
-    # Guards against a connection opened for nearly every call: 3508 for 4066 calls on the fast day.
+    # Guards against opening a connection for nearly every call: 3508 connections for 4066 calls on the "fast" day.
     harness = Harness()
     idle = harness.open()
     idle.feed(ROWS % b"r1")
@@ -176,7 +176,7 @@
 
 
 def test_connections_of_ended_at_most_once_calls_are_kept_idle_up_to_the_limit() -> None:
-    # Guards against all idle ones being dropped at once when there were too many.
+    # Guards against dropping all idle connections at once when the limit is exceeded.
     harness = Harness()
     connections = [harness.open(number, "setpoint-cmd") for number in range(1, MAX_IDLE_CONNECTIONS + 3)]
     for number, connection in enumerate(connections, 1):
@@ -210,7 +210,7 @@
     harness.call(4)
     assert idle.closed and not busy.closed
     assert [address for _, address, _ in harness.dial.waiting] == [OLD_ADDRESS, NEW_ADDRESS]
-    assert harness.dial.accept().closed  # it was on its way to the old address
+    assert harness.dial.accept().closed  # the connection to the old address was still being opened
     assert {address for _, address, _ in harness.dial.waiting} == {NEW_ADDRESS}
     assert [harness.dial.accept().take()[:4] for _ in range(2)] == [b"Q r3", b"Q r4"]
     busy.feed(ROWS % b"r1")
--- a/tests/platform/test_database_wire.py
+++ b/tests/platform/test_database_wire.py
@@ -1,4 +1,4 @@
-"""The words of the database's wire."""
+"""Calls and replies in the wire protocol of the database."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -1,4 +1,4 @@
-"""The kernel's client: each notice once, commands again after a break, and nothing that blocks the connection."""
+"""The kernel client applies each notice once, resends commands after a reconnect, and never gets stuck on a notice."""
 
 import dataclasses
 
@@ -26,8 +26,8 @@
 
 
 def test_the_run_time_of_a_notice_may_have_a_fraction() -> None:
-    # Guards against a client that never gets on: `REAP ... 25.382 ...` was malformed to it, the connection was
-    # closed before the notice counted as read, and each new one began with the same notice.
+    # Guards against an endless reconnect loop: if `REAP ... 25.382 ...` is rejected as malformed, the connection closes
+    # before the notice counts as read, and each new connection begins with the same notice.
     harness = Harness()
     connection = harness.connect()
     connection.feed(b"BOOTED hot 12.5\r\nREAP 1 9b1f03aa5c7e2d41 complete 25.382 2\r\nok\r\n")
@@ -59,7 +59,8 @@
 
 
 def test_after_a_reconnect_commands_confirmed_by_a_notice_are_not_resent() -> None:
-    # Guards against a setpoint that ended while the connection was down being started once more.
+    # Guards against starting a run a second time if it ended while the connection was down, e.g. one that sets a
+    # setpoint.
     harness = Harness()
     first = harness.connect()
     first.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
@@ -102,7 +103,7 @@
 
 
 def test_a_lost_connection_is_reopened_immediately_and_a_failed_connect_is_retried_with_backoff() -> None:
-    # Guards against runs whose ends wait, and cores that stand idle, for longer than the break itself.
+    # Guards against ends of runs that are reported late, and idle cores, after the connection could be reopened.
     harness = Harness()
     connection = harness.connect()
     connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
@@ -134,7 +135,7 @@
     old.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\nREAP 1 z complete 1 0\r\n\r\n")
     harness.kernel.change_address(NEW_ADDRESS)
     start_run(harness, "a")
-    assert b"SCHED a" in old.written and not old.closed  # it serves until the new one is open
+    assert b"SCHED a" in old.written and not old.closed  # used until the new connection is open
     harness.kernel.change_address(OLD_ADDRESS)
     harness.kernel.change_address(NEW_ADDRESS)
     [(_, address, _)] = harness.dial.waiting
@@ -156,7 +157,7 @@
     assert not second_connection.closed and [note[1] for note in harness.notes.told] == ["a", "c"]
 
 
-# What is sent again after a break.
+# Commands that are resent after a reconnect.
 
 
 def synced_harness() -> tuple[Harness, Wire]:
@@ -168,7 +169,7 @@
 
 
 def reconnect_and_take_resent(harness: Harness, connection: Wire) -> bytes:
-    """Break the connection, open and sync a new one, and return what is sent again."""
+    """Close the connection, open and sync a new one, and return the commands that are resent on it."""
     connection.close()
     connection = harness.connect()
     connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
@@ -176,14 +177,14 @@
 
 
 def test_commands_confirmed_by_gauges_are_not_resent() -> None:
-    # Guards against a run that goes on and is started anew just as it ends, and against the reply to one call that is
-    # mistaken for the reply to the next: both lie between the last notice of a new connection and the
-    # command on its way.
+    # Guards against a run that is started a second time after it has ended, and against a reply that is taken for the
+    # reply to the next call. Either happens if the run ends or makes its next call after the last notice on the new
+    # connection and before the resent command arrives.
     harness, connection = synced_harness()
     harness.kernel.start(request_with_id("a"))
     harness.kernel.supply(request_with_id("b"), b"rows")
     harness.kernel.request_gauges()
-    harness.kernel.start(request_with_id("c"))  # behind the question: it may not have been read
+    harness.kernel.start(request_with_id("c"))  # sent after the request for gauges, so not confirmed by them
     connection.feed(b"INFO g1 0 0\r\n")
     assert reconnect_and_take_resent(harness, connection) == b"SCHED c temp-history 4\r\nbody\r\n"
 
@@ -199,12 +200,12 @@
 
 
 def test_of_two_equal_commands_the_one_that_was_read_is_confirmed() -> None:
-    # Guards against a run that stays paused: the older RESCHED was read, the newer one lost with the connection.
+    # Guards against a run that stays paused: the first RESCHED was read, the second was lost with the connection.
     harness, connection = synced_harness()
     request = request_with_id("a")
     harness.kernel.resume(request)
     harness.kernel.request_gauges()
-    connection.feed(b"REAP 1 a cancelled 1 0\r\n\r\n")  # paused once more
+    connection.feed(b"REAP 1 a cancelled 1 0\r\n\r\n")  # paused again
     harness.kernel.resume(request)
     connection.feed(b"INFO g1 0 0\r\n")
     connection.close()
--- a/tests/platform/test_kernel_wire.py
+++ b/tests/platform/test_kernel_wire.py
@@ -1,4 +1,4 @@
-"""The words of the kernel's wire."""
+"""Commands and notices in the wire protocol of the kernel."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_notice_sequence.py
+++ b/tests/platform/test_notice_sequence.py
@@ -1,4 +1,4 @@
-"""Which numbered notices are applied."""
+"""Which numbered notices of the kernel are applied."""
 
 from __future__ import annotations
 
