--- a/marlstep/emulators/__main__.py
+++ b/marlstep/emulators/__main__.py
@@ -1,7 +1,8 @@
-"""`python -m marlstep.emulators`: the emulators as a process of their own, for replays and trials.
+"""`python -m marlstep.emulators`: run the emulators in a separate process, for replays and tests.
 
-Prints one JSON line with the addresses, serves until standard input ends, and prints one with what was run. Each line
-of standard input holds the number of a node and the id of a request there whose response has been delivered.
+Prints a JSON line with the addresses of each node's emulators, serves until the end of standard input, and prints a
+JSON line with the counts of runs and calls. Each line of standard input reports a delivered response: the index of a
+node, counted from 0, a space, and the id of the request on that node.
 """
 
 from __future__ import annotations
@@ -19,7 +20,16 @@
 async def serve(
     node_count: int, cores: float, speed: float, call_us: int, at_most_once_class: str, first_port: int
 ) -> None:
-    """Serve one site for each node until standard input ends; `first_port` 0 lets the system choose the ports."""
+    """Serve one site for each node until the end of standard input.
+
+    Args:
+        node_count: number of nodes.
+        cores: number of cores of each emulated machine.
+        speed: microseconds of work that one core does in a microsecond.
+        call_us: latency of the emulated databases in microseconds.
+        at_most_once_class: request class whose work must not be started twice.
+        first_port: first of `PORTS_PER_SITE` consecutive ports for each node; 0 lets the system choose free ports.
+    """
     sites = [EmulatedSite(cores, speed, call_us) for _ in range(node_count)]
     for number, site in enumerate(sites):
         await site.open(first_port + PORTS_PER_SITE * number if first_port else 0)
@@ -31,7 +41,7 @@
 
 
 async def read_delivered_responses(sites: list[EmulatedSite]) -> None:
-    """Tell the emulated kernels which responses were delivered, until standard input ends."""
+    """Report each delivered response to its node's emulated kernel, until the end of standard input."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -41,14 +51,16 @@
 
 
 def main() -> None:
-    """Read the options of the command, and serve."""
+    """Parse the command-line options and serve."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--nodes", type=int, default=1)
     parser.add_argument("--cores", type=float, default=6.0)
     parser.add_argument("--speed", type=float, default=1.0)
     parser.add_argument("--call-us", type=int, default=30_000)
-    parser.add_argument("--once", default="setpoint-cmd", help="the class that must never run twice")
-    parser.add_argument("--first-port", type=int, default=0, help="three a node; 0: the system chooses")
+    parser.add_argument("--once", default="setpoint-cmd", help="the request class that must run at most once")
+    parser.add_argument(
+        "--first-port", type=int, default=0, help="first port, three ports per node; 0: the system chooses"
+    )
     options = parser.parse_args()
     uvloop.run(
         serve(options.nodes, options.cores, options.speed, options.call_us, options.once, options.first_port)
--- a/marlstep/emulators/database.py
+++ b/marlstep/emulators/database.py
@@ -1,4 +1,4 @@
-"""An emulator of the database: it responds to every call with the same rows after a set time."""
+"""Emulator of the database: responds to every call with the same rows after a fixed latency."""
 
 from __future__ import annotations
 
@@ -9,14 +9,20 @@
 MAX_LINE_BYTES = 8 * 1024
 MAX_BODY_BYTES = 64 * 1024
 QUERY = "Q"
-QUERY_WORDS = 4  # the last is the length of the call's body
+QUERY_WORDS = 4  # words in the line of a call; the last is the length of the body
 
 
 class DatabaseEmulator:
-    """The database's latency, and the calls that came in over all connections."""
+    """State shared by all connections to the emulated database.
+
+    Attributes:
+        clock: times the responses.
+        latency_us: time between a call and its response, in microseconds.
+        calls: number of calls received on all connections.
+    """
 
     def __init__(self, clock: LoopClock, latency_us: int) -> None:
-        """Respond `latency_us` microseconds after a call came in."""
+        """Initialize the database with no calls received."""
         self.clock, self.latency_us = clock, latency_us
         self.calls = 0
 
@@ -25,16 +31,20 @@
     """A connection from a node to the emulated database."""
 
     def __init__(self, database: DatabaseEmulator) -> None:
-        """Count calls in `database`, and respond with its latency."""
+        """Initialize a connection whose calls are counted in `database` and answered after its latency."""
         super().__init__(RING_BYTES, MAX_LINE_BYTES)
         self._database = database
 
     def body_length(self, words: list[str]) -> int | None:
-        """Return the length of a call's body. Raises LineProtocolError."""
+        """Return the length of a call's body in bytes; None if the line is not a call.
+
+        Raises:
+            LineProtocolError: the length is not a number, or is over the limit.
+        """
         return parse_length(words[-1], MAX_BODY_BYTES) if is_query(words) else None
 
     def message(self, words: list[str], body: bytes) -> None:  # noqa: ARG002 - the rows are the same for every body
-        """Respond to a call when its time has passed; ignore other lines."""
+        """Schedule the response to a call after the database's latency; ignore other lines."""
         if not is_query(words):
             return
         database = self._database
--- a/marlstep/emulators/kernel.py
+++ b/marlstep/emulators/kernel.py
@@ -1,7 +1,7 @@
-"""An emulator of the kernel: its protocol on sockets, with a machine behind it.
+"""Emulator of the kernel: serves the kernel's protocol on sockets and runs requests on an emulated machine.
 
-The words of the protocol are written out here again, apart from the node's own table of them: an emulator that shared
-that table could not show a fault in it.
+The words of the protocol are written out here instead of imported from the node's code: an emulator that shared the
+node's table could not reveal a mistake in it.
 """
 
 from __future__ import annotations
@@ -13,37 +13,45 @@
 RING_BYTES = 256 * 1024
 MAX_LINE_BYTES = 8 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MAX_RETAINED_NOTICES = 4_000  # that a new connection can ask for again, as the protocol says
-WORDS_BEFORE_BODY = {
-    "SCHED": 4,
-    "IODONE": 3,
-}  # how many words such a command has; the last is its body's length
-MAX_SHOWN_CHARACTERS = 64  # of a wrong command, in the log
+MAX_RETAINED_NOTICES = 4_000  # kept for repetition on a new connection, as the protocol specifies
+# Number of words of each command that is followed by a body; the last word is the length of the body.
+WORDS_BEFORE_BODY = {"SCHED": 4, "IODONE": 3}
+MAX_SHOWN_CHARACTERS = 64  # of an unknown command in an error message
 
 
 class UnknownCommandError(LineProtocolError):
-    """A line is no command of the kernel's protocol."""
+    """A line is not a command of the kernel's protocol."""
 
     def __init__(self, words: list[str]) -> None:
-        """`words` are those of the line."""
-        super().__init__(f"no command: {' '.join(words)[:MAX_SHOWN_CHARACTERS]!r}")
+        """Initialize the error with the words of the line."""
+        super().__init__(f"unknown kernel command: {' '.join(words)[:MAX_SHOWN_CHARACTERS]!r}")
         self.words = words
 
 
 class KernelEmulator:
-    """The kernel's end of the protocol: one connection at a time, to which earlier notices are repeated."""
+    """The kernel's side of the protocol.
+
+    Only the latest connection is used. It first receives the earlier notices that the node has not read yet.
+
+    Attributes:
+        machine: runs the requests.
+    """
 
     def __init__(self, machine: Machine, clock: LoopClock) -> None:
-        """`machine` is what commands act on."""
+        """Initialize the kernel with no connection and no notices; commands act on `machine`."""
         self.machine = machine
         self._clock = clock
         self._driver = MachineDriver(machine, clock, self._send_notice)
         self._connection: KernelConnection | None = None
         self._last_number = 0
-        self._notices: list[tuple[int, bytes]] = []  # the last ones, by number
+        self._notices: list[tuple[int, bytes]] = []  # the most recent ones with their numbers, ascending
 
     def handle_command(self, connection: KernelConnection, words: list[str], body: bytes) -> None:
-        """Carry out a command. Raises UnknownCommandError."""
+        """Execute a command.
+
+        Raises:
+            UnknownCommandError: the words are not a command of the protocol.
+        """
         machine = self.machine
         self._driver.advance()
         match words:
@@ -68,19 +76,19 @@
         self._driver.reschedule()
 
     def response_delivered(self, run_id: str) -> None:
-        """Note that the client has its response, so that nobody waits for the run."""
+        """End the run as soon as the machine can, because its client has the response already."""
         self._driver.advance()
         if (notice := self.machine.response_delivered(run_id)) is not None:
             self._send_notice(notice)
         self._driver.reschedule()
 
     def connection_closed(self, connection: KernelConnection) -> None:
-        """Send nothing more on a connection; notices wait for the next."""
+        """Stop sending on this connection; notices are retained for the next one."""
         if self._connection is connection:
             self._connection = None
 
     def _open(self, connection: KernelConnection, last_number: int) -> None:
-        """Take a connection in place of the one before, and repeat the notices that the node has not read."""
+        """Replace the current connection, and repeat the retained notices with numbers above `last_number`."""
         previous, self._connection = self._connection, connection
         if previous is not None and previous is not connection:
             previous.abort()
@@ -104,7 +112,7 @@
 
 
 def encode_notice(number: int, notice: Notice) -> bytes:
-    """Return the bytes of a numbered notice: its line, and its body with a line end."""
+    """Return the bytes of a numbered notice: its line, its body and a line end."""
     if notice.type is NoticeType.CALL:
         line = f"IOREQ {number} {notice.run_id} {len(notice.body)}\r\n"
     else:
@@ -117,20 +125,28 @@
     """A connection from a node to the emulated kernel."""
 
     def __init__(self, kernel: KernelEmulator) -> None:
-        """Pass each command to `kernel`."""
+        """Initialize a connection whose commands are executed by `kernel`."""
         super().__init__(RING_BYTES, MAX_LINE_BYTES)
         self._kernel = kernel
 
     def body_length(self, words: list[str]) -> int | None:
-        """Return the length of a command's body. Raises LineProtocolError."""
+        """Return the length of a command's body in bytes; None if the command has none.
+
+        Raises:
+            LineProtocolError: the length is not a number, or is over the limit.
+        """
         word_count = WORDS_BEFORE_BODY.get(words[0])
         has_body = word_count is not None and len(words) == word_count
         return parse_length(words[-1], MAX_BODY_BYTES) if has_body else None
 
     def message(self, words: list[str], body: bytes) -> None:
-        """Carry out a command. Raises UnknownCommandError."""
+        """Execute a command.
+
+        Raises:
+            UnknownCommandError: the words are not a command of the protocol.
+        """
         self._kernel.handle_command(self, words, body)
 
     def closed(self) -> None:
-        """Leave the kernel without a connection, unless another has taken this one's place."""
+        """Remove this connection from the kernel if it is the current one."""
         self._kernel.connection_closed(self)
--- a/marlstep/emulators/machine.py
+++ b/marlstep/emulators/machine.py
@@ -1,7 +1,7 @@
-"""An emulated machine: runs that start, pause, resume and call downstream, on shared cores. Pure.
+"""An emulated machine: runs that start, pause, resume and make downstream calls on shared cores, without I/O.
 
-The work of a run is divided into equal parts by its downstream calls. Between two parts the run is off the cores
-until its call was answered or skipped. Times are microseconds on the caller's clock.
+The downstream calls of a run divide its work into equal parts. Between two parts the run is off the cores until its
+call has been answered or skipped. Times are in microseconds on the clock of the code that uses the machine.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from marlstep.emulators.processor_sharing import ProcessorSharing
 from marlstep.emulators.work_plan import WorkPlan, parse_work_plan
 
-FULL_RESULT = b"full"  # first word of a result whose calls were all answered
-DEGRADED_RESULT = b"poor"  # first word of a result for which a call was skipped
+FULL_RESULT = b"full"  # first word of the result if all calls were answered
+DEGRADED_RESULT = b"poor"  # first word of the result if a call was skipped
 
 
 class NoticeType(StrEnum):
-    """What happened to a run; the values of ends are the words of the kernel's notices."""
+    """What happened to a run. The values of `COMPLETE` and `CANCELLED` are words of the kernel's notices."""
 
     COMPLETE = "complete"
     CANCELLED = "cancelled"
@@ -28,21 +28,21 @@
 
 
 class Notice(NamedTuple):
-    """What a machine reports about a run."""
+    """An event of a run that a machine reports."""
 
     run_id: str
     type: NoticeType
-    elapsed_us: int  # since the run started; 0 for a call
-    body: bytes  # the result of a complete run, or the body of its call
+    elapsed_us: int  # since the start of the run; 0 for a call
+    body: bytes  # the result of a complete run, the body of a call, or empty
 
 
 class Gauges(NamedTuple):
     """The load of a machine, in the order of the kernel's gauges."""
 
-    cpu_busy: float  # share of the cores' time that was used since the last reading
-    runnable: float
-    memory_used: float
-    sockets: float
+    cpu_busy: float  # used share of the cores' time since the previous reading
+    runnable: float  # number of runs on the cores
+    memory_used: float  # not emulated, always 0
+    sockets: float  # not emulated, always 1
 
 
 class _RunState(Enum):
@@ -56,39 +56,48 @@
     plan: WorkPlan
     started_us: int
     parts_left: int
-    paused_work_us: float = 0.0  # that the current part needed when the run was paused
+    paused_work_us: float = 0.0  # remaining work of the current part when the run was paused
     state: _RunState = _RunState.RUNNING
     skipped_call: bool = False
-    response_delivered: bool = False  # the run ends at its next call, as nobody waits for its result
+    response_delivered: bool = False  # the client does not wait any more: end the run at its next call
 
 
 class Machine:
-    """The runs of one machine: commands in, notices out.
+    """The runs of one machine. Commands change them; notices report their calls and ends.
 
-    Call `advance` with the current time before any command. Commands return False, or no notice, where they do not fit
-    the state of their run.
+    Call `advance` with the current time before any command. A command that is not valid in the state of its run
+    changes nothing, and returns False or None.
+
+    Attributes:
+        sharing: the cores of the machine.
+        start_counts: number of runs started, by request class and `WorkPlan.number`.
     """
 
     def __init__(self, cores: float, speed: float = 1.0, knee: float = 3.0, slowdown: float = 0.02) -> None:
-        """Start an idle machine; the parameters are those of `ProcessorSharing`."""
+        """Initialize an idle machine at time 0; the arguments are those of `ProcessorSharing`."""
         self.sharing = ProcessorSharing(cores, speed, knee, slowdown)
-        self.start_counts: Counter[tuple[str, int]] = Counter()  # by request class and number of the work
+        self.start_counts: Counter[tuple[str, int]] = Counter()
         self._runs: dict[str, _Run] = {}
         self._now_us = 0
         self._gauges_read_us = 0
         self._gauges_read_busy_us = 0.0
 
     def advance(self, now_us: int) -> list[Notice]:
-        """Let time pass until `now_us`, and return what happened until then, in that order."""
+        """Advance to `now_us`, and return the notices since the previous call in order of their times."""
         self._now_us = max(self._now_us, now_us)
         return [self._end_part(run_id) for run_id in self.sharing.advance(self._now_us)]
 
     def next_event_us(self) -> int | None:
-        """Return when the next notice is due if no command comes before it; None if none is."""
+        """Return the time of the next notice if no command precedes it; None if no run is on the cores."""
         return self.sharing.next_completion_us()
 
     def start(self, run_id: str, request_class: str, body: bytes) -> bool:
-        """Start a run with the plan of its request's body; a run that is there already goes on."""
+        """Start a run with the work plan in `body`.
+
+        Returns:
+            True if the run was started or exists already; an existing run continues unchanged. False if `body` is
+            not a valid work plan.
+        """
         if run_id in self._runs:
             return True
         plan = parse_work_plan(body)
@@ -100,7 +109,7 @@
         return True
 
     def pause(self, run_id: str) -> Notice | None:
-        """Take a run off the cores; it keeps the work that is done."""
+        """Remove a run from the cores, keeping its remaining work for `resume`; return the notice of its pause."""
         run = self._runs.get(run_id)
         if run is None or run.state is not _RunState.RUNNING:
             return None
@@ -117,7 +126,7 @@
         return True
 
     def end_call(self, run_id: str, *, skipped: bool) -> bool:
-        """Let a run go on that waits for a call. Where the call is `skipped`, its result will be degraded."""
+        """Continue a run that waits for a call. If the call was `skipped`, the result of the run is degraded."""
         run = self._runs.get(run_id)
         if run is None or run.state is not _RunState.WAITING_FOR_CALL:
             return False
@@ -126,10 +135,10 @@
         return True
 
     def response_delivered(self, run_id: str) -> Notice | None:
-        """Note that the client has its response, so that nobody waits for the run.
+        """End a run early because its client has the response already.
 
-        A run that waits for a call ends now, one on the cores ends at its next call. A paused run is dropped without a
-        notice, as its pause was reported as its end.
+        A run that waits for a call is cancelled now; a run on the cores is cancelled at its next call. A paused run is
+        removed without a notice, as its pause has been reported as cancelled.
         """
         run = self._runs.get(run_id)
         if run is None:
@@ -141,7 +150,7 @@
         return self._cancelled(run_id, run) if run.state is _RunState.WAITING_FOR_CALL else None
 
     def read_gauges(self) -> Gauges:
-        """Return the load; the share of busy time is that since the last reading."""
+        """Return the load, with the busy share since the previous call of this method."""
         elapsed_us = self._now_us - self._gauges_read_us
         busy_us = self.sharing.busy_us - self._gauges_read_busy_us
         self._gauges_read_us, self._gauges_read_busy_us = self._now_us, self.sharing.busy_us
@@ -155,7 +164,7 @@
         self.sharing.add(run_id, run.plan.work_us / (run.plan.calls + 1))
 
     def _end_part(self, run_id: str) -> Notice:
-        """Complete a run whose last part is done; others wait for a call, or end if nobody waits for them."""
+        """Handle the end of a part: complete the run, cancel it, or make it wait for its next call."""
         run = self._runs[run_id]
         run.parts_left -= 1
         if not run.parts_left:
@@ -175,18 +184,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RunCounts:
-    """How many runs were started on some machines, for the report of a replay."""
+    """Number of runs on a group of machines, for the report of a replay."""
 
     runs: int
-    ran_twice: int  # pieces of work of the class that must run at most once, and were started more often
+    ran_twice: int  # pieces of work of the at-most-once class that were started more than once
 
     def to_json(self) -> dict[str, int]:
-        """Return the counts under their names in reports."""
+        """Return the counts by their names in reports."""
         return {"runs": self.runs, "ran_twice": self.ran_twice}
 
 
 def count_runs(machines: Iterable[Machine], at_most_once_class: str) -> RunCounts:
-    """Count the runs of all machines together: work that ran on two machines ran twice."""
+    """Count the runs of all machines together, so that work started on two machines counts as run twice."""
     starts: Counter[tuple[str, int]] = Counter()
     for machine in machines:
         starts.update(machine.start_counts)
--- a/marlstep/emulators/processor_sharing.py
+++ b/marlstep/emulators/processor_sharing.py
@@ -1,7 +1,8 @@
-"""Processor sharing: how fast runs advance that share the cores of a machine. Pure.
+"""Processor-sharing model: the speed of runs that share the cores of a machine, without I/O.
 
-Of n runs on c cores each advances at min(1, c / n) of the machine's speed. From a knee on, each further run slows all
-runs, as contention does on the machines of the platform. Times are microseconds on the caller's clock.
+With n runs on c cores, each run advances at min(1, c / n) of the machine's speed. Above a knee, each additional run
+slows down all runs, as contention does on the machines of the platform. Times are in microseconds on the clock of the
+code that uses the model.
 """
 
 from __future__ import annotations
@@ -11,61 +12,65 @@
 
 
 class _Completion(NamedTuple):
-    """Where a run ends, on the scale of the work that each run has received since the start."""
+    """When a run ends, as the value that the work per run since time 0 has by then."""
 
     at_work_us: float
-    order: int  # of arrival; decides between runs that end together
+    order: int  # in which runs were added; breaks ties between runs that end together
     run_id: str
 
 
 class ProcessorSharing:
-    """Runs that share the cores evenly.
+    """A set of runs that share the cores evenly.
 
-    Call `advance` with the current time before any other method: the others act at the time of the last call.
+    Call `advance` with the current time before any other method: the others act at the time of its last call.
+
+    Attributes:
+        cores: number of cores.
+        speed: microseconds of work that one core does in a microsecond.
+        busy_us: core time used since time 0, in microseconds.
     """
 
     def __init__(self, cores: float, speed: float = 1.0, knee: float = 3.0, slowdown: float = 0.02) -> None:
-        """Start with no runs at time 0.
+        """Initialize the cores with no runs, at time 0.
 
         Args:
             cores: Number of cores.
-            speed: Work in microseconds that one core does in a microsecond.
-            knee: Runs per core up to which further runs cost nothing but their share.
-            slowdown: Part of the speed that each further run per core past the knee costs.
+            speed: Microseconds of work that one core does in a microsecond.
+            knee: Runs per core up to which there is no contention.
+            slowdown: Relative increase in the time that work takes, for each run per core above the knee.
         """
         self.cores, self.speed = cores, speed
-        self.busy_us = 0.0  # core time used since the start
+        self.busy_us = 0.0
         self._knee_runs, self._slowdown_per_run = knee * cores, slowdown / cores
         self._now_us = 0
-        self._work_per_run_us = 0.0  # that a run present since the start would have received
-        self._completions: list[
-            _Completion
-        ] = []  # a heap; entries of removed runs stay until they come first
+        self._work_per_run_us = 0.0  # received by a run that is on the cores since time 0
+        # A heap; the entry of a removed run stays until it is the first.
+        self._completions: list[_Completion] = []
         self._running: dict[str, _Completion] = {}
         self._added = 0
 
     def __len__(self) -> int:
-        """Return how many runs are on the cores."""
+        """Return the number of runs on the cores."""
         return len(self._running)
 
     def add(self, run_id: str, work_us: float) -> None:
-        """Put a run on the cores that needs so much work, in microseconds at speed 1."""
+        """Put a run on the cores that needs `work_us` of work, in microseconds of core time at speed 1."""
         self._added += 1
         completion = _Completion(self._work_per_run_us + max(0.0, work_us), self._added, run_id)
         self._running[run_id] = completion
         heapq.heappush(self._completions, completion)
 
     def remove(self, run_id: str) -> float:
-        """Take a run off the cores, and return the work that it still needs, in microseconds at speed 1.
+        """Remove a run from the cores, and return its remaining work in microseconds of core time at speed 1.
 
         Raises:
-            KeyError: No such run is on the cores.
+            KeyError: The run is not on the cores.
         """
         completion = self._running.pop(run_id)
         return max(0.0, completion.at_work_us - self._work_per_run_us)
 
     def next_completion_us(self) -> int | None:
-        """Return when the next run ends if none is added or removed; None if there is none."""
+        """Return the time at which the next run ends if none is added or removed; None if there are no runs."""
         first = self._first_completion()
         if first is None:
             return None
@@ -73,7 +78,7 @@
         return self._now_us + max(1, -int(-remaining_us // 1))
 
     def advance(self, now_us: int) -> list[str]:
-        """Let time pass until `now_us`, and return the runs that have ended by then, in that order."""
+        """Advance to `now_us`, and return the runs that ended since the previous call in order of their ends."""
         ended = []
         reached_us = float(self._now_us)
         while (first := self._first_completion()) is not None:
@@ -91,19 +96,19 @@
         return ended
 
     def _rate(self) -> float:
-        """Return the work that each run receives in a microsecond."""
+        """Return the microseconds of work that each run receives in a microsecond. There must be a run."""
         running = len(self._running)
         rate = self.speed * min(1.0, self.cores / running)
         runs_past_knee = max(0.0, running - self._knee_runs)
         return rate / (1 + self._slowdown_per_run * runs_past_knee)
 
     def _work_for(self, duration_us: float) -> None:
-        """Let the runs work for so long, during which none of them ends."""
+        """Account for the work of `duration_us` microseconds during which no run ends."""
         self._work_per_run_us += duration_us * self._rate()
         self.busy_us += duration_us * min(self.cores, len(self._running))
 
     def _first_completion(self) -> _Completion | None:
-        """Return the completion that comes first, and drop those of runs that were removed."""
+        """Return the earliest completion, or None; drop the entries of removed runs before it."""
         while self._completions:
             first = self._completions[0]
             if self._running.get(first.run_id) == first:
--- a/marlstep/emulators/site.py
+++ b/marlstep/emulators/site.py
@@ -1,4 +1,4 @@
-"""The emulators around one node: a kernel, a database and a uwsgi server, on loopback."""
+"""The emulators that one node connects to: a kernel, a database and a uwsgi server, on loopback."""
 
 from __future__ import annotations
 
@@ -17,25 +17,29 @@
 
 
 class EmulatedSite:
-    """What one node connects to. The kernel and the uwsgi server each have a machine of their own."""
+    """The emulators of one node. The kernel and the uwsgi server run on separate machines.
+
+    Attributes:
+        addresses: "host:port" of each emulator by its key in the node's configuration; empty before `open`.
+    """
 
     def __init__(self, cores: float, speed: float, call_us: int) -> None:
-        """Make the emulators inside a running event loop; they listen after `open`.
+        """Initialize the emulators, which listen after `open`; requires a running event loop.
 
         Args:
-            cores: Cores of each machine.
-            speed: Work in microseconds that one core does in a microsecond.
-            call_us: The database's latency in microseconds.
+            cores: Number of cores of each machine.
+            speed: Microseconds of work that one core does in a microsecond.
+            call_us: Latency of the database in microseconds.
         """
         clock = LoopClock()
         self.kernel = KernelEmulator(Machine(cores, speed), clock)
         self.database = DatabaseEmulator(clock, call_us)
         self.uwsgi = UwsgiServerEmulator(Machine(cores, speed), clock)
-        self.addresses: dict[str, str] = {}  # "host:port" by the key of the node's configuration
+        self.addresses: dict[str, str] = {}
         self._listeners: list[asyncio.Server] = []
 
     async def open(self, first_port: int = 0) -> None:
-        """Listen on `first_port` and the two after it, or on ports that the system chooses if it is 0."""
+        """Listen on `first_port` and the next two ports; if it is 0, on ports that the system chooses."""
         connection_types: dict[str, Callable[[], asyncio.BaseProtocol]] = {
             "kernel": lambda: KernelConnection(self.kernel),
             "db": lambda: DatabaseConnection(self.database),
@@ -55,9 +59,9 @@
 
 
 def report_sites(sites: Sequence[EmulatedSite], at_most_once_class: str) -> dict[str, int]:
-    """Return the runs and calls of all sites under their names in a replay's report.
+    """Return the counts of runs and calls of all sites together, by their names in a replay's report.
 
-    Work that ran on two sites ran twice.
+    Work that was started on two sites counts as run twice.
     """
     machines = [machine for site in sites for machine in (site.kernel.machine, site.uwsgi.machine)]
     counts = count_runs(machines, at_most_once_class)
--- a/marlstep/emulators/work_plan.py
+++ b/marlstep/emulators/work_plan.py
@@ -1,4 +1,4 @@
-"""What a request asks of an emulated machine, as the request's body carries it. Pure."""
+"""The work plan that a request body holds for an emulated machine, without I/O."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class WorkPlan(NamedTuple):
-    """The work of one request: how much, and how many downstream calls divide it."""
+    """The work of one request: its core time and the number of its downstream calls."""
 
-    number: int  # identifies the piece of work; every attempt at it carries the same
-    work_us: int  # processor time in microseconds on a core of speed 1
+    number: int  # identifies the piece of work; the same for every attempt at it
+    work_us: int  # core time in microseconds at speed 1
     calls: int = 0
 
     def to_body(self) -> bytes:
-        """Return the request body that `parse_work_plan` reads."""
+        """Return the request body, which `parse_work_plan` reads."""
         return b"n=%d work=%d calls=%d" % self
 
 
 def parse_work_plan(body: bytes) -> WorkPlan | None:
-    """Return the plan that a request body holds; None if `WorkPlan.to_body` did not write it."""
+    """Return the plan in a request body; None if the body is not in the format of `WorkPlan.to_body`."""
     try:
         parts = dict(part.split("=", 1) for part in body.decode("ascii").split(" "))
         return WorkPlan(int(parts["n"]), int(parts["work"]), int(parts["calls"]))
--- a/marlstep/simulator/__init__.py
+++ b/marlstep/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The admission controller on the simulator's wire, on standard input and output."""
+"""The admission controller behind the simulator's wire protocol, on standard input and output."""
--- a/marlstep/simulator/adapter.py
+++ b/marlstep/simulator/adapter.py
@@ -1,7 +1,8 @@
-"""The simulator's wire on standard input and output, one controller for each instance.
+"""Adapter between the simulator's wire protocol on standard input and output and one controller per instance.
 
-It only translates. Input comes in batches: a line `mark` with the time, lines of events, a line `eob`. The
-reply to each batch is the actions of all instances and a line `done`.
+The adapter only translates messages; every decision is made by the controllers. Each line is one JSON message.
+Input arrives in batches: a `mark` line with the simulated time, lines with events, and an `eob` line. The reply
+to each batch is the actions of all instances followed by a `done` line.
 """
 
 from __future__ import annotations
@@ -28,23 +29,31 @@
 )
 
 DONE = b'{"m":"done"}'
-MARK, END_OF_BATCH = "mark", "eob"  # messages that enclose a batch
+MARK, END_OF_BATCH = "mark", "eob"  # first and last message of a batch
 
-NumberedMessage = tuple[int, RawMessage]  # the number of the input line, and its message
+NumberedMessage = tuple[int, RawMessage]  # number of the input line, counted from 1, and its message
 
 
 class SimulatedServers:
-    """The servers of one simulation, each with its controller, by their numbers."""
+    """The server instances of one simulation and their controllers.
+
+    Attributes:
+        instances: the controller of each instance by its `serverId`.
+    """
 
     def __init__(self) -> None:
-        """Start without a server."""
+        """Initialize the simulation with no instances."""
         self.instances: dict[int, Controller] = {}
 
     def process_batch(self, clock: int, messages: list[NumberedMessage]) -> list[bytes]:
-        """Return the lines of the reply to the events of one instant.
+        """Process one batch of messages and return the lines of the reply without `done`.
+
+        Args:
+            clock: simulated time of the batch in microseconds.
+            messages: the messages between `mark` and `eob`, in input order.
 
         Raises:
-            WireError: a message is malformed.
+            WireError: a message is malformed, or is for an instance that does not exist.
         """
         events_by_server: dict[int, list[Event]] = {}
         for line, raw in messages:
@@ -58,7 +67,7 @@
         return reply
 
     def _dispatch(self, raw: RawMessage, events_by_server: dict[int, list[Event]]) -> None:
-        """Create or remove an instance, or add an event to those of its instance."""
+        """Create or remove an instance, or append an event to the list of its instance."""
         server = required_field(raw, "serverId")
         if not isinstance(server, int):
             raise FieldTypeError("serverId", "a whole number")
@@ -89,10 +98,10 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Reply to batch after batch until the end of input.
+    """Read batches from `source` and write the reply to each to `sink`, until the end of input.
 
     Raises:
-        WireError: at the first malformed line.
+        WireError: a line is malformed or outside a batch, or the input ends inside a batch.
     """
     servers = SimulatedServers()
     clock: int | None = None
@@ -102,7 +111,7 @@
         if event == MARK:
             clock, messages = _read_clock(line, raw), []
         elif clock is None:
-            raise WireError(line, f"{event}: stands outside a batch")
+            raise WireError(line, f"{event}: message outside a batch, expected {MARK!r}")
         elif event == END_OF_BATCH:
             sink.write(b"\n".join([*servers.process_batch(clock, messages), DONE, b""]))
             sink.flush()
@@ -120,19 +129,19 @@
         except orjson.JSONDecodeError as error:
             raise WireError(line, f"not JSON: {error}") from error
         if not isinstance(raw, dict) or "m" not in raw:
-            raise WireError(line, "not a message with a field 'm'")
+            raise WireError(line, "not a message: expected an object with a field 'm'")
         yield line, raw
 
 
 def _read_clock(line: int, raw: RawMessage) -> int:
     clock = raw.get("clockUs")
     if not isinstance(clock, int):
-        raise WireError(line, "mark: clockUs is missing or no whole number")
+        raise WireError(line, f"mark: clockUs must be a whole number, got {clock!r}")
     return clock
 
 
 def main() -> int:
-    """Serve standard input and output, and return the exit code."""
+    """Serve standard input and output; return 0 at the end of input and 1 after malformed input."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/marlstep/simulator/configuration.py
+++ b/marlstep/simulator/configuration.py
@@ -1,8 +1,8 @@
-"""The settings of a server as the simulator's wire and the platform's configuration write them (`conf`).
+"""Conversion of `conf`, the server settings in the simulator's `create` message and the platform's configuration.
 
-Each setting's key stands beside the field that it fills, in one table for each table of `conf`. Only names
-are translated here; the values are checked by `marlstep.admission.settings`, and its errors get the path that
-was written.
+There is one tuple of `WireKey` entries for each table of `conf`; each entry maps a wire key to a settings field.
+This module translates names, and converts a few values that the wire writes differently. All values are validated
+by `marlstep.admission.settings`; its errors are raised again with the path of the key in `conf`.
 """
 
 from __future__ import annotations
@@ -49,29 +49,31 @@
 
 
 def _as_written(value: object) -> object:
+    """Return the value unchanged."""
     return value
 
 
 def _whole_number(value: object) -> object:
-    """Read a whole number that may be written with a decimal point."""
+    """Convert a float without a fraction to an int, as the wire may write whole numbers with a decimal point."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
 def _at_least_one(value: object) -> object:
-    """Count this server itself where the endpoint list is empty."""
+    """Raise a server count to at least 1: an empty endpoint list omits this server itself."""
     return max(1, value) if isinstance(value, int | float) else value
 
 
 @dataclass(slots=True, frozen=True)
 class WireKey:
-    """Where `conf` holds one setting.
+    """How one setting is stored in a table of `conf`.
 
     Attributes:
-        field: the field of `Settings`, `ClassSettings` or `TenantSettings` that it fills.
-        key: in its table.
-        default: the value if the key is absent or null; None if the key is required.
-        words: the values by the wire's words for them, where these differ.
-        convert: applied to what is written.
+        field: name of the field in `Settings`, `ClassSettings` or `TenantSettings`.
+        key: key in the table.
+        default: value of the setting if the key is absent or null; None if the key is required. Null is not
+            replaced by the default where `words` is set.
+        words: value of the setting by its name on the wire; None if the value is not an enumeration.
+        convert: applied to the value in `conf`. Not applied to a default, and not used with `words`.
     """
 
     field: str
@@ -81,7 +83,7 @@
     convert: Callable[[object], object] = _as_written
 
 
-# By the path of the table that holds them.
+# Settings of the whole server, by the path of their table in `conf`.
 SERVER_KEYS: dict[str, tuple[WireKey, ...]] = {
     ROOT_PATH: (
         WireKey("over_quota_factor", "overShareWorth", default=1.0),
@@ -120,7 +122,7 @@
         WireKey("max_retry_after_us", "maxRetryAfterUs", default=0),
     ),
 }
-CALLER_KEYS = (WireKey("marks_retries", "marksRetry", default=False),)  # of a table that may be absent
+CALLER_KEYS = (WireKey("marks_retries", "marksRetry", default=False),)  # in the optional table `conf.callers`
 CLASS_KEYS = (
     WireKey("name", "name"),
     WireKey("effect", "semantics", words=EFFECTS),
@@ -130,7 +132,7 @@
     WireKey("priority_weight", "worth"),
     WireKey("late_response_factor", "lateShare", default=0.0),
 )
-# Lists of one value for each class, which stand in `conf.familyInfo`.
+# Lists in `conf.familyInfo` with one value for each class, in the order of `conf.classes`.
 PER_CLASS_KEYS = (
     WireKey("makes_calls", "callsByClass", default=False),
     WireKey("skipped_call_factor", "degradedWorth", default=0.0),
@@ -143,17 +145,18 @@
 
 
 def read_settings(raw: object) -> Settings:
-    """Translate `conf`.
+    """Convert `conf` to settings.
 
     Raises:
-        InvalidSettingError: a value is missing, of the wrong type or impossible; it names the key as written.
+        InvalidSettingError: a value is missing, of the wrong type or out of range. The error has the path of the
+            key in `conf`.
     """
     reader = _Reader(_Table(raw, ROOT_PATH))
     return reader.read()
 
 
 class _Table:
-    """A table of `conf`, with its path for error messages."""
+    """A table of `conf` and its path, which error messages start with."""
 
     def __init__(self, raw: object, path: str) -> None:
         if not isinstance(raw, Mapping):
@@ -177,7 +180,7 @@
         """Read one setting.
 
         Raises:
-            InvalidSettingError: it is required and missing, or it is none of the words that it may be.
+            InvalidSettingError: the key is required and missing, or its value is not one of the allowed names.
         """
         if wire.words is not None:
             return self._word(wire, wire.words)
@@ -210,7 +213,7 @@
         """Read a list of one value for each class.
 
         Raises:
-            InvalidSettingError: it is no list, or of another length.
+            InvalidSettingError: the value is not a list, or its length is not `class_count`.
         """
         values = self._raw.get(wire.key)
         if values is None:
@@ -221,7 +224,7 @@
 
 
 class _Reader:
-    """Collects the values of `conf` by stored key, and the path at which each was written."""
+    """Collects the values of `conf` by stored key, and the path of each in `conf` for error messages."""
 
     def __init__(self, conf: _Table) -> None:
         self._conf = conf
--- a/marlstep/simulator/errors.py
+++ b/marlstep/simulator/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the simulator's wire; all of them are the sender's fault."""
+"""Errors for input that does not follow the simulator's wire protocol."""
 
 from __future__ import annotations
 
@@ -6,33 +6,33 @@
 
 
 class WireError(MarlstepError):
-    """The input is malformed; the text is one line that names the line of input.
+    """The input is malformed. The error text is a single line that names the input line.
 
     Attributes:
-        line: of the input, counted from 1; None for its end.
-        problem: the fault.
+        line: number of the input line, counted from 1; None if the error is at the end of input.
+        problem: description of the error.
     """
 
     def __init__(self, line: int | None, problem: str) -> None:
-        """Name the line of the input and the fault."""
+        """Initialize the error with the number of the input line, if any, and a description of the problem."""
         super().__init__(problem if line is None else f"line {line}: {problem}")
         self.line = line
         self.problem = problem
 
 
 class InvalidMessageError(MarlstepError):
-    """A message has a field of the wrong type, lacks one, or has an unknown word in it."""
+    """A message has a missing field, a field of the wrong type, or an unknown name in it."""
 
 
 class MissingFieldError(InvalidMessageError):
-    """A field of a message is missing, or has an unknown word.
+    """A field of a message is missing, or its value is not a known name.
 
     Attributes:
-        field: the key that was looked for, or the word that is not known.
+        field: key of the missing field, or the unknown name.
     """
 
     def __init__(self, field: str) -> None:
-        """Name the key that was looked for, or the word that is not known."""
+        """Initialize the error with the key of the missing field, or the unknown name."""
         super().__init__(f"missing or unknown {field!r}")
         self.field = field
 
@@ -41,38 +41,41 @@
     """A field of a message has a value of the wrong type.
 
     Attributes:
-        field: the key of the field.
-        expected: what its value should be.
+        field: key of the field.
+        expected: expected type of the value, such as "a whole number".
     """
 
     def __init__(self, field: str, expected: str) -> None:
-        """Name the field, and say what was expected."""
+        """Initialize the error with the key of the field and the expected type of its value."""
         super().__init__(f"{field} must be {expected}")
         self.field = field
         self.expected = expected
 
 
 class UnknownEventError(InvalidMessageError):
-    """A message reports an event that the wire does not have.
+    """The name of a message is not an event of the protocol.
 
     Attributes:
-        event: its name.
+        event: the unknown name.
     """
 
     def __init__(self, event: str) -> None:
-        """Keep the name out of the text, which follows the name in the report of the input line."""
+        """Initialize the error with the unknown name.
+
+        The error text does not contain the name, as the enclosing `WireError` has it already.
+        """
         super().__init__("unknown event")
         self.event = event
 
 
 class UnknownInstanceError(InvalidMessageError):
-    """A message is for an instance that was never created, or went down.
+    """A message is for an instance that was never created or has gone down.
 
     Attributes:
-        instance: its number.
+        instance: `serverId` of the instance.
     """
 
     def __init__(self, instance: int) -> None:
-        """Name the instance by its number."""
+        """Initialize the error with the `serverId` of the instance."""
         super().__init__(f"unknown instance {instance}")
         self.instance = instance
--- a/marlstep/simulator/messages.py
+++ b/marlstep/simulator/messages.py
@@ -1,6 +1,7 @@
-"""The simulator's messages: events as it writes them, actions as it reads them.
+"""Conversion of the simulator's messages: events from JSON objects, actions to JSON lines.
 
-Each wire key stands beside the field that it fills; readers and writers are tables by message and by action.
+`READERS` has a function for each message name, `WRITERS` one for each action type. Each function pairs the wire
+keys with the fields of the event or action.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 RawMessage = dict[str, Any]
 
-# Names of outcomes and gauges on the wire, and those of the controller.
+# Outcomes and gauges of the controller by their names on the wire.
 OUTCOMES = {
     "served": Outcome.OK,
     "server_error": Outcome.ERROR,
@@ -78,7 +79,7 @@
     return {GAUGES[name]: value for name, value in raw.items() if name in GAUGES}
 
 
-# By the message's `m`. A reader raises KeyError for a key that is missing or a word that is not known.
+# Keyed by the message name in `m`. A reader raises KeyError for a missing key or an unknown outcome.
 READERS: dict[str, Callable[[RawMessage], Event]] = {
     "request": _read_arrival,
     "timedOutClient": lambda raw: ClientDisconnected(raw["id"]),
@@ -102,20 +103,20 @@
 
 
 def check_event_name(name: str) -> None:
-    """Accept the name of an event of the wire.
+    """Check that a message name is an event of the protocol.
 
     Raises:
-        UnknownEventError: the wire has no such event.
+        UnknownEventError: the protocol has no event of this name.
     """
     if name not in READERS:
         raise UnknownEventError(name)
 
 
 def read_event(raw: RawMessage) -> Event:
-    """Read an event of one instance, whose name is known.
+    """Convert a message to an event; its name must have passed `check_event_name`.
 
     Raises:
-        MissingFieldError: a field is missing, or has an unknown word.
+        MissingFieldError: a field is missing, or an outcome is unknown.
     """
     try:
         return READERS[raw["m"]](raw)
@@ -151,11 +152,11 @@
 
 
 def write_action(server: int, action: Action) -> bytes:
-    """Return an action of one instance as a line, without the line break."""
+    """Return an action of the instance with number `server` as a JSON line, without the line break."""
     return orjson.dumps(WRITERS[type(action)](action) | {"serverId": server})
 
 
 def write_crash(server: int, error: Exception) -> bytes:
-    """Return the message that the controller of one instance has failed."""
+    """Return the JSON line which reports that the controller of instance `server` raised `error`."""
     text = f"{type(error).__name__}: {error}"
     return orjson.dumps({"m": "die", "serverId": server, "msg": text})
