--- a/marlstep/emulators/kernel.py
+++ b/marlstep/emulators/kernel.py
@@ -56,21 +56,27 @@
         self._driver.advance()
         match words:
             case ["OPEN", last_number] if last_number.isdigit():
-                self._open(connection, int(last_number))
+                self._replace_connection(connection, int(last_number))
             case ["SYSINFO", tag]:
                 gauges = " ".join(f"{value:.4f}" for value in machine.read_gauges())
                 connection.send(f"INFO {tag} {gauges}\r\n".encode())
             case ["SCHED", run_id, request_class, _]:
-                self._confirm(connection, machine.start(run_id, request_class, body), "SCHED", run_id)
+                self._send_error_unless_accepted(
+                    connection, machine.start(run_id, request_class, body), "SCHED", run_id
+                )
             case ["PREEMPT", run_id]:
                 if (notice := machine.pause(run_id)) is not None:
                     self._send_notice(notice)
             case ["RESCHED", run_id]:
-                self._confirm(connection, machine.resume(run_id), "RESCHED", run_id)
+                self._send_error_unless_accepted(connection, machine.resume(run_id), "RESCHED", run_id)
             case ["IODONE", run_id, _]:
-                self._confirm(connection, machine.end_call(run_id, skipped=False), "IODONE", run_id)
+                self._send_error_unless_accepted(
+                    connection, machine.end_call(run_id, skipped=False), "IODONE", run_id
+                )
             case ["NOIO", run_id, _]:
-                self._confirm(connection, machine.end_call(run_id, skipped=True), "NOIO", run_id)
+                self._send_error_unless_accepted(
+                    connection, machine.end_call(run_id, skipped=True), "NOIO", run_id
+                )
             case _:
                 raise UnknownCommandError(words)
         self._driver.reschedule()
@@ -87,7 +93,7 @@
         if self._connection is connection:
             self._connection = None
 
-    def _open(self, connection: KernelConnection, last_number: int) -> None:
+    def _replace_connection(self, connection: KernelConnection, last_number: int) -> None:
         """Replace the current connection, and repeat the retained notices with numbers above `last_number`."""
         previous, self._connection = self._connection, connection
         if previous is not None and previous is not connection:
@@ -106,7 +112,9 @@
             self._connection.send(data)
 
     @staticmethod
-    def _confirm(connection: KernelConnection, accepted: bool, command: str, run_id: str) -> None:
+    def _send_error_unless_accepted(
+        connection: KernelConnection, accepted: bool, command: str, run_id: str
+    ) -> None:
         if not accepted:
             connection.send(f"EINVAL {command} {run_id}\r\n".encode())
 
--- a/marlstep/emulators/machine.py
+++ b/marlstep/emulators/machine.py
@@ -114,7 +114,7 @@
         if run is None or run.state is not _RunState.RUNNING:
             return None
         run.paused_work_us, run.state = self.sharing.remove(run_id), _RunState.PAUSED
-        return self._cancelled(run_id, run)
+        return self._create_cancelled_notice(run_id, run)
 
     def resume(self, run_id: str) -> bool:
         """Put a paused run back on the cores."""
@@ -147,7 +147,7 @@
         if run.state is _RunState.RUNNING:
             return None
         del self._runs[run_id]
-        return self._cancelled(run_id, run) if run.state is _RunState.WAITING_FOR_CALL else None
+        return self._create_cancelled_notice(run_id, run) if run.state is _RunState.WAITING_FOR_CALL else None
 
     def read_gauges(self) -> Gauges:
         """Return the load, with the busy share since the previous call of this method."""
@@ -174,11 +174,11 @@
             return Notice(run_id, NoticeType.COMPLETE, self._now_us - run.started_us, result)
         if run.response_delivered:
             del self._runs[run_id]
-            return self._cancelled(run_id, run)
+            return self._create_cancelled_notice(run_id, run)
         run.state = _RunState.WAITING_FOR_CALL
         return Notice(run_id, NoticeType.CALL, 0, b"call of %d" % run.plan.number)
 
-    def _cancelled(self, run_id: str, run: _Run) -> Notice:
+    def _create_cancelled_notice(self, run_id: str, run: _Run) -> Notice:
         return Notice(run_id, NoticeType.CANCELLED, self._now_us - run.started_us, b"")
 
 
--- a/marlstep/emulators/processor_sharing.py
+++ b/marlstep/emulators/processor_sharing.py
@@ -14,7 +14,7 @@
 class _Completion(NamedTuple):
     """When a run ends, as the value that the work per run since time 0 has by then."""
 
-    at_work_us: float
+    end_work_per_run_us: float
     order: int  # in which runs were added; breaks ties between runs that end together
     run_id: str
 
@@ -47,7 +47,7 @@
         # A heap; the entry of a removed run stays until it is the first.
         self._completions: list[_Completion] = []
         self._running: dict[str, _Completion] = {}
-        self._added = 0
+        self._added_count = 0
 
     def __len__(self) -> int:
         """Return the number of runs on the cores."""
@@ -55,8 +55,8 @@
 
     def add(self, run_id: str, work_us: float) -> None:
         """Put a run on the cores that needs `work_us` of work, in microseconds of core time at speed 1."""
-        self._added += 1
-        completion = _Completion(self._work_per_run_us + max(0.0, work_us), self._added, run_id)
+        self._added_count += 1
+        completion = _Completion(self._work_per_run_us + max(0.0, work_us), self._added_count, run_id)
         self._running[run_id] = completion
         heapq.heappush(self._completions, completion)
 
@@ -67,14 +67,14 @@
             KeyError: The run is not on the cores.
         """
         completion = self._running.pop(run_id)
-        return max(0.0, completion.at_work_us - self._work_per_run_us)
+        return max(0.0, completion.end_work_per_run_us - self._work_per_run_us)
 
     def next_completion_us(self) -> int | None:
         """Return the time at which the next run ends if none is added or removed; None if there are no runs."""
         first = self._first_completion()
         if first is None:
             return None
-        remaining_us = (first.at_work_us - self._work_per_run_us) / self._rate()
+        remaining_us = (first.end_work_per_run_us - self._work_per_run_us) / self._rate()
         return self._now_us + max(1, -int(-remaining_us // 1))
 
     def advance(self, now_us: int) -> list[str]:
@@ -82,16 +82,16 @@
         ended = []
         reached_us = float(self._now_us)
         while (first := self._first_completion()) is not None:
-            remaining_us = (first.at_work_us - self._work_per_run_us) / self._rate()
+            remaining_us = (first.end_work_per_run_us - self._work_per_run_us) / self._rate()
             if reached_us + remaining_us > now_us:
                 break
-            self._work_for(max(0.0, remaining_us))
+            self._account_work(max(0.0, remaining_us))
             reached_us += max(0.0, remaining_us)
             heapq.heappop(self._completions)
             del self._running[first.run_id]
             ended.append(first.run_id)
         if self._running:
-            self._work_for(max(0.0, now_us - reached_us))
+            self._account_work(max(0.0, now_us - reached_us))
         self._now_us = max(self._now_us, now_us)
         return ended
 
@@ -102,7 +102,7 @@
         runs_past_knee = max(0.0, running - self._knee_runs)
         return rate / (1 + self._slowdown_per_run * runs_past_knee)
 
-    def _work_for(self, duration_us: float) -> None:
+    def _account_work(self, duration_us: float) -> None:
         """Account for the work of `duration_us` microseconds during which no run ends."""
         self._work_per_run_us += duration_us * self._rate()
         self.busy_us += duration_us * min(self.cores, len(self._running))
--- a/marlstep/simulator/configuration.py
+++ b/marlstep/simulator/configuration.py
@@ -48,7 +48,7 @@
 }
 
 
-def _as_written(value: object) -> object:
+def _unchanged(value: object) -> object:
     """Return the value unchanged."""
     return value
 
@@ -58,7 +58,7 @@
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
-def _at_least_one(value: object) -> object:
+def _count_this_server(value: object) -> object:
     """Raise a server count to at least 1: an empty endpoint list omits this server itself."""
     return max(1, value) if isinstance(value, int | float) else value
 
@@ -71,23 +71,23 @@
         field: name of the field in `Settings`, `ClassSettings` or `TenantSettings`.
         key: key in the table.
         default: value of the setting if the key is absent or null; None if the key is required. Null is not
-            replaced by the default where `words` is set.
-        words: value of the setting by its name on the wire; None if the value is not an enumeration.
-        convert: applied to the value in `conf`. Not applied to a default, and not used with `words`.
+            replaced by the default where `translations` is set.
+        translations: value of the setting by its name on the wire; None if the value is not an enumeration.
+        convert: applied to the value in `conf`. Not applied to a default, and not used with `translations`.
     """
 
     field: str
     key: str
     default: object = None
-    words: Mapping[str, str] | None = None
-    convert: Callable[[object], object] = _as_written
+    translations: Mapping[str, str] | None = None
+    convert: Callable[[object], object] = _unchanged
 
 
 # Settings of the whole server, by the path of their table in `conf`.
 SERVER_KEYS: dict[str, tuple[WireKey, ...]] = {
     ROOT_PATH: (
         WireKey("over_quota_factor", "overShareWorth", default=1.0),
-        WireKey("server_count", "peersTotal", default=1, convert=_at_least_one),
+        WireKey("server_count", "peersTotal", default=1, convert=_count_this_server),
         WireKey("tick_us", "resolutionUs"),
     ),
     "conf.familyInfo": (
@@ -98,8 +98,8 @@
         WireKey("cacheable_us", "freshUs", default=0),
         WireKey("caller_count", "upstreams", default=0),
         WireKey("warms_up", "cold", default=False),
-        WireKey("preemption_mode", "halt", default=PreemptionMode.NONE, words=PREEMPTION_MODES),
-        WireKey("load_signal", "say", default=LoadSignal.NONE, words=LOAD_SIGNALS),
+        WireKey("preemption_mode", "halt", default=PreemptionMode.NONE, translations=PREEMPTION_MODES),
+        WireKey("load_signal", "say", default=LoadSignal.NONE, translations=LOAD_SIGNALS),
         WireKey("load_signal_lifetime_us", "heededUs", default=0),
         WireKey("dependency", "below", default=Downstream.NONE),
         WireKey("mean_calls_in_flight", "callsOut", default=0.0),
@@ -125,7 +125,7 @@
 CALLER_KEYS = (WireKey("marks_retries", "marksRetry", default=False),)  # in the optional table `conf.callers`
 CLASS_KEYS = (
     WireKey("name", "name"),
-    WireKey("effect", "semantics", words=EFFECTS),
+    WireKey("effect", "semantics", translations=EFFECTS),
     WireKey("latency_objective_us", "aimUs", convert=_whole_number),
     WireKey("deadline_us", "hardLimitUs", convert=_whole_number),
     WireKey("idempotency_window_us", "repeatWindowUs", default=0),
@@ -176,26 +176,26 @@
             raise InvalidSettingError(self.path_of(key), "is missing")
         return value
 
-    def value(self, wire: WireKey) -> object:
+    def value(self, wire_key: WireKey) -> object:
         """Read one setting.
 
         Raises:
             InvalidSettingError: the key is required and missing, or its value is not one of the allowed names.
         """
-        if wire.words is not None:
-            return self._word(wire, wire.words)
-        if wire.default is None:
-            return wire.convert(self.required(wire.key))
-        written = self._raw.get(wire.key)
-        return wire.default if written is None else wire.convert(written)
-
-    def _word(self, wire: WireKey, words: Mapping[str, str]) -> object:
-        if wire.default is not None and wire.key not in self._raw:
-            return wire.default
-        written = self.required(wire.key)
-        if not isinstance(written, str) or written not in words:
-            raise InvalidSettingError(self.path_of(wire.key), f"must be one of {', '.join(words)}")
-        return words[written]
+        if wire_key.translations is not None:
+            return self._translate(wire_key, wire_key.translations)
+        if wire_key.default is None:
+            return wire_key.convert(self.required(wire_key.key))
+        raw_value = self._raw.get(wire_key.key)
+        return wire_key.default if raw_value is None else wire_key.convert(raw_value)
+
+    def _translate(self, wire_key: WireKey, translations: Mapping[str, str]) -> object:
+        if wire_key.default is not None and wire_key.key not in self._raw:
+            return wire_key.default
+        raw_value = self.required(wire_key.key)
+        if not isinstance(raw_value, str) or raw_value not in translations:
+            raise InvalidSettingError(self.path_of(wire_key.key), f"must be one of {', '.join(translations)}")
+        return translations[raw_value]
 
     def table(self, key: str) -> _Table:
         return _Table(self.required(key), self.path_of(key))
@@ -209,17 +209,17 @@
     def optional_rows(self, key: str) -> list[_Table]:
         return [] if self._raw.get(key) is None else self.rows(key)
 
-    def per_class(self, wire: WireKey, class_count: int) -> list[object]:
+    def per_class(self, wire_key: WireKey, class_count: int) -> list[object]:
         """Read a list of one value for each class.
 
         Raises:
             InvalidSettingError: the value is not a list, or its length is not `class_count`.
         """
-        values = self._raw.get(wire.key)
+        values = self._raw.get(wire_key.key)
         if values is None:
-            return [wire.default] * class_count
+            return [wire_key.default] * class_count
         if not isinstance(values, list) or len(values) != class_count:
-            raise InvalidSettingError(self.path_of(wire.key), "must have one value for each class")
+            raise InvalidSettingError(self.path_of(wire_key.key), "must have one value for each class")
         return values
 
 
@@ -228,7 +228,7 @@
 
     def __init__(self, conf: _Table) -> None:
         self._conf = conf
-        self._written_paths: dict[str, str] = {}
+        self._conf_paths: dict[str, str] = {}
 
     def read(self) -> Settings:
         tables = {path: self._find_table(path) for path in SERVER_KEYS}
@@ -241,7 +241,7 @@
         try:
             return Settings.from_mapping(values)
         except InvalidSettingError as error:
-            raise InvalidSettingError(self._written_paths[error.path], error.problem) from error
+            raise InvalidSettingError(self._conf_paths[error.path], error.problem) from error
 
     def _find_table(self, path: str) -> _Table:
         if path == ROOT_PATH:
@@ -251,25 +251,25 @@
     def _read_caller_behaviour(self) -> dict[str, object]:
         if "callers" in self._conf:
             return self._read_row(Settings, self._conf.table("callers"), CALLER_KEYS, "")
-        return {STORED_KEYS[Settings][wire.field]: wire.default for wire in CALLER_KEYS}
+        return {STORED_KEYS[Settings][wire_key.field]: wire_key.default for wire_key in CALLER_KEYS}
 
     def _read_classes(self, family_info: _Table) -> list[dict[str, object]]:
         rows = self._conf.rows("classes")
-        self._written_paths["classes"] = CLASSES_PATH
+        self._conf_paths["classes"] = CLASSES_PATH
         classes = []
         for index, row in enumerate(rows):
             classes.append(self._read_row(ClassSettings, row, CLASS_KEYS, f"classes[{index}]."))
-        for wire in PER_CLASS_KEYS:
-            stored = STORED_KEYS[ClassSettings][wire.field]
-            for index, value in enumerate(family_info.per_class(wire, len(rows))):
+        for wire_key in PER_CLASS_KEYS:
+            stored = STORED_KEYS[ClassSettings][wire_key.field]
+            for index, value in enumerate(family_info.per_class(wire_key, len(rows))):
                 classes[index][stored] = value
-                self._written_paths[f"classes[{index}].{stored}"] = (
-                    f"{family_info.path_of(wire.key)}[{index}]"
+                self._conf_paths[f"classes[{index}].{stored}"] = (
+                    f"{family_info.path_of(wire_key.key)}[{index}]"
                 )
         return classes
 
     def _read_tenants(self) -> list[dict[str, object]]:
-        self._written_paths["tenants"] = TENANTS_PATH
+        self._conf_paths["tenants"] = TENANTS_PATH
         rows = self._conf.optional_rows("realms")
         return [
             self._read_row(TenantSettings, row, TENANT_KEYS, f"tenants[{index}].")
@@ -280,8 +280,8 @@
         self, owner: type, table: _Table, keys: tuple[WireKey, ...], stored_prefix: str
     ) -> dict[str, object]:
         values: dict[str, object] = {}
-        for wire in keys:
-            stored = STORED_KEYS[owner][wire.field]
-            self._written_paths[stored_prefix + stored] = table.path_of(wire.key)
-            values[stored] = table.value(wire)
+        for wire_key in keys:
+            stored = STORED_KEYS[owner][wire_key.field]
+            self._conf_paths[stored_prefix + stored] = table.path_of(wire_key.key)
+            values[stored] = table.value(wire_key)
         return values
