--- a/tests/emulators/test_command.py
+++ b/tests/emulators/test_command.py
@@ -1,4 +1,4 @@
-"""The emulators as a process of their own: its two JSON lines, under its name and its former name."""
+"""The emulators command: its two JSON lines, with the current and the former name of the module."""
 
 from __future__ import annotations
 
--- a/tests/emulators/test_kernel.py
+++ b/tests/emulators/test_kernel.py
@@ -1,4 +1,4 @@
-"""The emulated kernel on a socket: notices of a closed connection are sent again on the next."""
+"""The emulated kernel on a socket: notices sent on an earlier connection are repeated on the next."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 def test_notices_are_repeated_on_the_next_connection_and_an_unknown_command_closes_it() -> None:
     async def run() -> None:
-        site = EmulatedSite(1, 0.05, 1_000)  # the run takes 20 ms
+        site = EmulatedSite(1, 0.05, 1_000)  # 1 ms of work takes 20 ms at speed 0.05
         await site.open()
         host, port = site.addresses["kernel"].split(":")
         body = WorkPlan(1, 1_000).to_body()
@@ -25,7 +25,7 @@
         assert (await next_reader.readline()).startswith(b"REAP 1 a complete ")
         assert await next_reader.readline() == b"full 1\r\n"
         assert (await next_reader.readline()).startswith(b"INFO t ")
-        assert await next_reader.read() == b""  # closed at the unknown command
+        assert await next_reader.read() == b""  # closed because of the unknown command
         assert report_sites([site], "setpoint-cmd")["runs"] == 1
         site.close()
 
--- a/tests/emulators/test_machine.py
+++ b/tests/emulators/test_machine.py
@@ -1,4 +1,4 @@
-"""An emulated machine: the states of a run, and the count of runs that started more than once."""
+"""The emulated machine: state changes of a run, and the count of work that is started more than once."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def test_second_start_of_the_same_work_counts_as_run_twice() -> None:
     machine = Machine(1)
     machine.start("a", AT_MOST_ONCE, BODY)
-    machine.start("b", AT_MOST_ONCE, BODY)  # another attempt
+    machine.start("b", AT_MOST_ONCE, BODY)  # another attempt at the same work
     assert count_runs([machine], AT_MOST_ONCE).to_json() == {"runs": 2, "ran_twice": 1}
     assert count_runs([machine], "another-class").ran_twice == 0
 
--- a/tests/emulators/test_processor_sharing.py
+++ b/tests/emulators/test_processor_sharing.py
@@ -1,4 +1,4 @@
-"""How runs share emulated cores: each gets its work, whenever time is advanced."""
+"""Processor sharing: every run receives all of its work, at whatever times the model is advanced."""
 
 from __future__ import annotations
 
@@ -8,13 +8,15 @@
 from marlstep.emulators.processor_sharing import ProcessorSharing
 from tests.support.streams import FIXED
 
-MAX_ROUNDING_US = 2  # by which completions may differ, as times are whole microseconds
+MAX_ROUNDING_US = 2  # largest difference between completion times, which are whole microseconds
 
 
 def completion_times(jobs: list[tuple[int, int]], extra_advances: set[int]) -> dict[str, int]:
-    """Run jobs, each of a start and its work, on two cores, and return when each ended, by its index.
+    """Run jobs on two cores, and return the time at which each ended by its index.
 
-    Time is advanced to each start and completion, and to `extra_advances` in between.
+    Args:
+        jobs: start time and work of each job, in microseconds.
+        extra_advances: times to which the model is advanced in addition to the starts and completions.
     """
     sharing, ended, now = ProcessorSharing(2, knee=100), [], 0
     waiting = sorted((start, number, work) for number, (start, work) in enumerate(jobs))
--- a/tests/emulators/test_work_plan.py
+++ b/tests/emulators/test_work_plan.py
@@ -1,4 +1,4 @@
-"""The plan of a request's work, as the body of a request carries it."""
+"""The format of a work plan in a request body."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-made wire messages."""
+"""The simulator adapter with hand-written wire messages: replies, malformed input and the lifetime of instances."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def run(*batches: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
-    """Process each batch of messages at clock 5 s, 5.001 s and so on; return the replies without `done`."""
+    """Serve the batches at 5 s, 5.001 s and so on of simulated time; return the replies without `done`."""
     text = ""
     for index, batch in enumerate(batches):
         mark = {"m": "mark", "clockUs": 5_000_000 + 1000 * index}
--- a/tests/simulator/test_configuration.py
+++ b/tests/simulator/test_configuration.py
@@ -1,4 +1,4 @@
-"""Settings as the simulator and the platform write them."""
+"""Conversion of `conf`, as the simulator and the platform write it, to settings."""
 
 from __future__ import annotations
 
--- a/tests/simulator/test_messages.py
+++ b/tests/simulator/test_messages.py
@@ -1,4 +1,4 @@
-"""Events and actions on the simulator's wire."""
+"""Conversion of events and actions between the simulator's wire format and the controller's types."""
 
 from __future__ import annotations
 
