--- a/tests/emulators/test_machine.py
+++ b/tests/emulators/test_machine.py
@@ -9,7 +9,7 @@
 BODY = WorkPlan(7, 1_000, 1).to_body()
 
 
-def test_run_is_paused_resumed_and_degraded_by_a_skipped_call() -> None:
+def test_run_can_be_paused_and_resumed_and_a_skipped_call_degrades_its_result() -> None:
     machine = Machine(1)
     assert machine.start("a", AT_MOST_ONCE, BODY) and machine.start("a", AT_MOST_ONCE, BODY)
     assert machine.advance(300) == []
@@ -38,7 +38,7 @@
     assert [notice.type for notice in machine.advance(1_300)] == [NoticeType.CANCELLED]
 
 
-def test_run_that_waits_for_a_call_ends_when_its_response_was_delivered() -> None:
+def test_run_that_waits_for_a_call_ends_when_its_response_is_delivered() -> None:
     machine = Machine(1)
     machine.start("b", AT_MOST_ONCE, BODY)
     machine.advance(500)
@@ -47,5 +47,5 @@
     assert machine.response_delivered("b") is None
 
 
-def test_start_without_a_plan_is_rejected() -> None:
+def test_start_without_a_valid_work_plan_is_rejected() -> None:
     assert not Machine(1).start("c", AT_MOST_ONCE, b"what is this")
--- a/tests/emulators/test_processor_sharing.py
+++ b/tests/emulators/test_processor_sharing.py
@@ -19,14 +19,14 @@
         extra_advances: times to which the model is advanced in addition to the starts and completions.
     """
     sharing, ended, now = ProcessorSharing(2, knee=100), [], 0
-    waiting = sorted((start, number, work) for number, (start, work) in enumerate(jobs))
-    while waiting or len(sharing):
-        next_start = waiting[0][0] if waiting else None
-        due = [when for when in (sharing.next_completion_us(), next_start) if when is not None]
-        now = max(now, min([*due, *(when for when in extra_advances if when > now)]))
+    pending = sorted((start, number, work) for number, (start, work) in enumerate(jobs))
+    while pending or len(sharing):
+        next_start = pending[0][0] if pending else None
+        due = [time for time in (sharing.next_completion_us(), next_start) if time is not None]
+        now = max(now, min([*due, *(time for time in extra_advances if time > now)]))
         ended += [(run_id, now) for run_id in sharing.advance(now)]
-        while waiting and waiting[0][0] <= now:
-            _, number, work = waiting.pop(0)
+        while pending and pending[0][0] <= now:
+            _, number, work = pending.pop(0)
             sharing.add(str(number), work)
     assert abs(sharing.busy_us - sum(work for _, work in jobs)) < 1e-3 * len(jobs) + 1
     assert len(ended) == len(dict(ended))
@@ -38,7 +38,7 @@
     st.lists(st.tuples(st.integers(0, 5_000), st.integers(1, 4_000)), min_size=1, max_size=12),
     st.lists(st.integers(1, 3_000), max_size=15),
 )
-def test_runs_end_at_the_same_time_with_their_whole_work_however_often_time_is_advanced(
+def test_runs_receive_all_their_work_and_end_at_the_same_times_however_often_time_is_advanced(
     jobs: list[tuple[int, int]], gaps: list[int]
 ) -> None:
     total, extra_advances = 0, set()
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -18,11 +18,11 @@
 
 
 def request_message(id: str, **other: Any) -> dict[str, Any]:
-    plain = {"m": "request", "serverId": 3, "id": id, "class": "read", "kb": 10.0, "neighbour": 1}
-    return plain | {"dropDeadUs": 9_000_000, "unreadForUs": 0, "prior": None} | other
+    message = {"m": "request", "serverId": 3, "id": id, "class": "read", "kb": 10.0, "neighbour": 1}
+    return message | {"dropDeadUs": 9_000_000, "unreadForUs": 0, "prior": None} | other
 
 
-def run(*batches: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
+def serve_batches(*batches: list[dict[str, Any]]) -> list[list[dict[str, Any]]]:
     """Serve the batches at 5 s, 5.001 s and so on of simulated time; return the replies without `done`."""
     text = ""
     for index, batch in enumerate(batches):
@@ -46,43 +46,43 @@
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
-    assert run([]) == [[]]
+    assert serve_batches([]) == [[]]
 
 
 def test_a_created_instance_reports_its_health() -> None:
-    [reply] = run([CREATE])
+    [reply] = serve_batches([CREATE])
     assert [line["m"] for line in reply] == ["readiness"]
     assert all(line["serverId"] == 3 for line in reply)
 
 
-def test_a_request_runs_under_its_id() -> None:
-    assert request_messages(run([CREATE], [request_message("r-1")])[1]) == [("process", "r-1")]
+def test_an_admitted_request_is_processed_under_its_id() -> None:
+    assert request_messages(serve_batches([CREATE], [request_message("r-1")])[1]) == [("process", "r-1")]
 
 
 def test_a_deduplicated_request_is_retained_before_it_is_processed() -> None:
-    reply = run([CREATE], [request_message("k", **{"class": "book"})])[1]
+    reply = serve_batches([CREATE], [request_message("k", **{"class": "book"})])[1]
     assert request_messages(reply) == [("retain", "k"), ("process", "k")]
     assert reply[0]["lifetimeUs"] >= 8_000_000
 
 
-def test_a_repeat_is_attached() -> None:
-    first, again = (
+def test_a_repeated_request_is_attached_to_the_first() -> None:
+    first, repeat = (
         request_message("k", **{"class": "book"}),
         request_message("k2", **{"class": "book", "prior": "k"}),
     )
-    assert request_messages(run([CREATE], [first], [again])[2]) == [("attach", "k2")]
+    assert request_messages(serve_batches([CREATE], [first], [repeat])[2]) == [("attach", "k2")]
 
 
-def test_outcomes_and_gauges_are_read() -> None:
-    done = {"m": "workDone", "serverId": 3, "id": "r", "code": "served", "elapsedUs": 5}
+def test_run_outcomes_and_gauges_are_accepted() -> None:
+    work_done = {"m": "workDone", "serverId": 3, "id": "r", "code": "served", "elapsedUs": 5}
     tick = {"m": "tickDue", "serverId": 3, "keyBack": 0, "report": {"cpu_busy": 0.5, "x9": 1}}
-    replies = run([CREATE], [request_message("r")], [done, tick])
+    replies = serve_batches([CREATE], [request_message("r")], [work_done, tick])
     assert replies[2] == []
     assert [line["m"] for line in replies[1]] == ["process", "arm"]
 
 
-def test_an_instance_that_went_down_may_be_created_again_under_its_number() -> None:
-    replies = run(
+def test_an_instance_that_went_down_can_be_created_again_with_the_same_number() -> None:
+    replies = serve_batches(
         [CREATE], [request_message("a")], [{"m": "down", "serverId": 3}, CREATE], [request_message("b")]
     )
     assert [line["m"] for line in replies[2]] == ["readiness"]
@@ -90,8 +90,10 @@
 
 
 def test_unknown_keys_are_ignored() -> None:
-    odd = CREATE | {"conf": CONF | {"news": 1}, "more": [1]}
-    assert request_messages(run([odd], [request_message("a", colour="red")])[1]) == [("process", "a")]
+    create = CREATE | {"conf": CONF | {"news": 1}, "more": [1]}
+    assert request_messages(serve_batches([create], [request_message("a", colour="red")])[1]) == [
+        ("process", "a")
+    ]
 
 
 @pytest.mark.parametrize(
@@ -108,32 +110,32 @@
 def test_malformed_input_is_reported_on_one_line(line: str, expected: str) -> None:
     text = '{"m":"mark","clockUs":5}\n' + line + '\n{"m":"eob"}\n'
     command = [sys.executable, "-m", "marlstep.simulator"]
-    done = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
-    assert done.returncode != 0 and done.stdout == ""
-    assert expected in done.stderr and done.stderr.count("\n") == 1
+    completed = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
+    assert completed.returncode != 0 and completed.stdout == ""
+    assert expected in completed.stderr and completed.stderr.count("\n") == 1
 
 
-def test_a_missing_field_is_named() -> None:
+def test_the_error_for_a_missing_field_names_the_field() -> None:
     request = request_message("a")
     del request["kb"]
     with pytest.raises(WireError, match="line 5: request: missing or unknown 'kb'"):
-        run([CREATE], [request])
+        serve_batches([CREATE], [request])
 
 
-def test_the_end_of_input_ends_the_adapter_without_an_error() -> None:
+def test_the_adapter_exits_without_an_error_at_the_end_of_input() -> None:
     command = [sys.executable, "-m", "marlstep.simulator"]
-    done = subprocess.run(command, input="", capture_output=True, text=True, check=False)
-    assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
+    completed = subprocess.run(command, input="", capture_output=True, text=True, check=False)
+    assert (completed.returncode, completed.stdout, completed.stderr) == (0, "", "")
 
 
 def test_an_exception_in_a_controller_is_reported_for_that_instance(monkeypatch: pytest.MonkeyPatch) -> None:
     servers = SimulatedServers()
     servers.process_batch(1, [(1, CREATE), (2, CREATE | {"serverId": 4})])
 
-    def broken(now: int, events: object) -> list[Any]:
+    def raise_index_error(now: int, events: object) -> list[Any]:
         raise IndexError("out of range")
 
-    monkeypatch.setattr(servers.instances[3], "decide", broken)
+    monkeypatch.setattr(servers.instances[3], "decide", raise_index_error)
     replies = [
         json.loads(line)
         for line in servers.process_batch(
--- a/tests/simulator/test_configuration.py
+++ b/tests/simulator/test_configuration.py
@@ -44,7 +44,7 @@
         (("peersTotal",), "ten", "conf.peersTotal must be of type int"),
     ],
 )
-def test_an_invalid_setting_is_named_by_the_key_that_was_written(
+def test_the_error_for_an_invalid_setting_names_its_key_in_conf(
     path: tuple[str | int, ...], value: Any, expected: str
 ) -> None:
     conf = json.loads(json.dumps(CONF))
@@ -56,7 +56,7 @@
         read_settings(conf)
 
 
-def test_absent_options_mean_that_a_feature_is_off() -> None:
+def test_features_whose_options_are_absent_are_off() -> None:
     settings = read_settings(CONF)
     assert (
         settings.tenants == ()
@@ -79,23 +79,23 @@
     ],
 )
 def test_every_field_has_one_wire_key(owner: type, keys: list[WireKey], rows: set[str]) -> None:
-    named = [key.field for key in keys]
-    assert len(set(named)) == len(named)
-    assert {*named, *rows} == {part.name for part in dataclasses.fields(owner)}
+    field_names = [key.field for key in keys]
+    assert len(set(field_names)) == len(field_names)
+    assert {*field_names, *rows} == {part.name for part in dataclasses.fields(owner)}
 
 
-def test_the_wire_words_of_a_setting_are_translated() -> None:
+def test_the_wire_names_of_setting_values_are_translated() -> None:
     conf = CONF | {"familyInfo": CONF["familyInfo"] | {"say": "window", "halt": "abort", "below": "tier"}}
     settings = read_settings(conf)
     assert (settings.load_signal, settings.preemption_mode, settings.dependency) == ("credit", "drop", "tier")
-    assert [each.effect for each in settings.classes] == ["safe", "keyed"]
+    assert [request_class.effect for request_class in settings.classes] == ["safe", "keyed"]
 
 
-def test_a_duration_of_a_class_may_be_written_with_a_decimal_point() -> None:
+def test_a_class_duration_may_have_a_decimal_point() -> None:
     conf = json.loads(json.dumps(CONF))
     conf["classes"][0]["aimUs"] = 2_000_000.0
     assert read_settings(conf).classes[0].latency_objective_us == 2_000_000
 
 
-def test_a_server_counts_itself_where_the_endpoint_list_is_empty() -> None:
+def test_the_server_count_is_one_if_the_endpoint_list_is_empty() -> None:
     assert read_settings(CONF | {"peersTotal": 0}).server_count == 1
--- a/tests/simulator/test_messages.py
+++ b/tests/simulator/test_messages.py
@@ -37,12 +37,12 @@
     assert read_event(raw) == event
 
 
-def test_an_outcome_that_is_not_known_is_named() -> None:
+def test_the_error_for_an_unknown_outcome_names_the_outcome() -> None:
     with pytest.raises(MissingFieldError, match="missing or unknown 'vanished'"):
         read_event({"m": "workDone", "id": "r", "code": "vanished"})
 
 
-def test_an_event_that_is_not_known_is_an_error() -> None:
+def test_an_unknown_event_is_an_error() -> None:
     with pytest.raises(UnknownEventError):
         check_event_name("dance")
 
@@ -62,7 +62,7 @@
     assert json.loads(write_action(3, action)) == written | {"serverId": 3}
 
 
-def test_a_crash_names_the_error_and_its_text() -> None:
+def test_a_crash_message_holds_the_type_and_text_of_the_error() -> None:
     assert json.loads(write_crash(3, IndexError("out of range"))) == {
         "m": "die",
         "serverId": 3,
