--- a/marlstep/emulators/__main__.py
+++ b/marlstep/emulators/__main__.py
@@ -28,7 +28,8 @@
         speed: microseconds of work that one core does in a microsecond.
         call_us: latency of the emulated databases in microseconds.
         at_most_once_class: request class whose work must not be started twice.
-        first_port: first of `PORTS_PER_SITE` consecutive ports for each node; 0 lets the system choose free ports.
+        first_port: port of the first emulator; each node takes the next `PORTS_PER_SITE` ports. 0 lets the system
+            choose free ports.
     """
     sites = [EmulatedSite(cores, speed, call_us) for _ in range(node_count)]
     for number, site in enumerate(sites):
