--- a/marlstep/emulators/machine_driver.py
+++ b/marlstep/emulators/machine_driver.py
@@ -46,8 +46,8 @@
         """Set the timer to the time of the next notice. Call this after any command to the machine."""
         if self._timer is not None:
             self._timer.cancel()
-        next_event_us = self._machine.next_event_us()
-        self._timer = None if next_event_us is None else self._clock.call_at(next_event_us, self._on_timer)
+        next_us = self._machine.next_event_us()
+        self._timer = None if next_us is None else self._clock.call_at(next_us, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
--- a/marlstep/simulator/adapter.py
+++ b/marlstep/simulator/adapter.py
@@ -107,12 +107,12 @@
     clock: int | None = None
     messages: list[NumberedMessage] = []
     for line, raw in _read_lines(source):
-        event = raw["m"]
-        if event == MARK:
+        name = raw["m"]
+        if name == MARK:
             clock, messages = _read_clock(line, raw), []
         elif clock is None:
-            raise WireError(line, f"{event}: message outside a batch, expected {MARK!r}")
-        elif event == END_OF_BATCH:
+            raise WireError(line, f"{name}: message outside a batch, expected {MARK!r}")
+        elif name == END_OF_BATCH:
             sink.write(b"\n".join([*servers.process_batch(clock, messages), DONE, b""]))
             sink.flush()
             clock = None
--- a/marlstep/simulator/configuration.py
+++ b/marlstep/simulator/configuration.py
@@ -43,7 +43,7 @@
 TENANTS_PATH = "conf.realms"
 
 STORED_KEYS: dict[type, dict[str, str]] = {
-    owner: {part.name: stored_key(part) for part in fields(owner)}
+    owner: {field.name: stored_key(field) for field in fields(owner)}
     for owner in (Settings, ClassSettings, TenantSettings)
 }
 
--- a/tests/emulators/test_machine.py
+++ b/tests/emulators/test_machine.py
@@ -13,13 +13,15 @@
     machine = Machine(1)
     assert machine.start("a", AT_MOST_ONCE, BODY) and machine.start("a", AT_MOST_ONCE, BODY)
     assert machine.advance(300) == []
-    paused = machine.pause("a")
-    assert paused is not None and paused.type is NoticeType.CANCELLED and machine.pause("a") is None
+    pause_notice = machine.pause("a")
+    assert (
+        pause_notice is not None and pause_notice.type is NoticeType.CANCELLED and machine.pause("a") is None
+    )
     assert machine.advance(5_000) == [] and machine.resume("a") and not machine.resume("a")
     assert [notice.type for notice in machine.advance(5_200)] == [NoticeType.CALL]
     assert machine.end_call("a", skipped=True) and not machine.end_call("a", skipped=True)
-    [end] = machine.advance(5_700)
-    assert (end.type, end.body, end.elapsed_us) == (NoticeType.COMPLETE, b"poor 7", 5_700)
+    [notice] = machine.advance(5_700)
+    assert (notice.type, notice.body, notice.elapsed_us) == (NoticeType.COMPLETE, b"poor 7", 5_700)
     assert count_runs([machine], AT_MOST_ONCE).ran_twice == 0
 
 
@@ -42,8 +44,8 @@
     machine = Machine(1)
     machine.start("b", AT_MOST_ONCE, BODY)
     machine.advance(500)
-    ended = machine.response_delivered("b")
-    assert ended is not None and ended.type is NoticeType.CANCELLED
+    notice = machine.response_delivered("b")
+    assert notice is not None and notice.type is NoticeType.CANCELLED
     assert machine.response_delivered("b") is None
 
 
--- a/tests/emulators/test_processor_sharing.py
+++ b/tests/emulators/test_processor_sharing.py
@@ -45,7 +45,7 @@
     for gap in gaps:
         total += gap
         extra_advances.add(total)
-    plain, advanced_more = completion_times(jobs, set()), completion_times(jobs, extra_advances)
-    assert plain.keys() == advanced_more.keys() == {str(number) for number in range(len(jobs))}
-    assert all(abs(plain[run_id] - advanced_more[run_id]) <= MAX_ROUNDING_US for run_id in plain)
-    assert all(plain[str(number)] >= start + work for number, (start, work) in enumerate(jobs))
+    times, times_with_extra = completion_times(jobs, set()), completion_times(jobs, extra_advances)
+    assert times.keys() == times_with_extra.keys() == {str(number) for number in range(len(jobs))}
+    assert all(abs(times[run_id] - times_with_extra[run_id]) <= MAX_ROUNDING_US for run_id in times)
+    assert all(times[str(number)] >= start + work for number, (start, work) in enumerate(jobs))
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -41,7 +41,7 @@
     return replies
 
 
-def request_messages(reply: list[dict[str, Any]]) -> list[tuple[str, str]]:
+def names_and_ids(reply: list[dict[str, Any]]) -> list[tuple[str, str]]:
     return [(line["m"], line["id"]) for line in reply if "id" in line]
 
 
@@ -56,12 +56,12 @@
 
 
 def test_an_admitted_request_is_processed_under_its_id() -> None:
-    assert request_messages(serve_batches([CREATE], [request_message("r-1")])[1]) == [("process", "r-1")]
+    assert names_and_ids(serve_batches([CREATE], [request_message("r-1")])[1]) == [("process", "r-1")]
 
 
 def test_a_deduplicated_request_is_retained_before_it_is_processed() -> None:
     reply = serve_batches([CREATE], [request_message("k", **{"class": "book"})])[1]
-    assert request_messages(reply) == [("retain", "k"), ("process", "k")]
+    assert names_and_ids(reply) == [("retain", "k"), ("process", "k")]
     assert reply[0]["lifetimeUs"] >= 8_000_000
 
 
@@ -70,7 +70,7 @@
         request_message("k", **{"class": "book"}),
         request_message("k2", **{"class": "book", "prior": "k"}),
     )
-    assert request_messages(serve_batches([CREATE], [first], [repeat])[2]) == [("attach", "k2")]
+    assert names_and_ids(serve_batches([CREATE], [first], [repeat])[2]) == [("attach", "k2")]
 
 
 def test_run_outcomes_and_gauges_are_accepted() -> None:
@@ -86,12 +86,12 @@
         [CREATE], [request_message("a")], [{"m": "down", "serverId": 3}, CREATE], [request_message("b")]
     )
     assert [line["m"] for line in replies[2]] == ["readiness"]
-    assert request_messages(replies[3]) == [("process", "b")]
+    assert names_and_ids(replies[3]) == [("process", "b")]
 
 
 def test_unknown_keys_are_ignored() -> None:
     create = CREATE | {"conf": CONF | {"news": 1}, "more": [1]}
-    assert request_messages(serve_batches([create], [request_message("a", colour="red")])[1]) == [
+    assert names_and_ids(serve_batches([create], [request_message("a", colour="red")])[1]) == [
         ("process", "a")
     ]
 
@@ -143,4 +143,4 @@
         )
     ]
     assert replies[0] == {"m": "die", "serverId": 3, "msg": "IndexError: out of range"}
-    assert request_messages(replies[1:]) == [("process", "b")]
+    assert names_and_ids(replies[1:]) == [("process", "b")]
--- a/tests/simulator/test_configuration.py
+++ b/tests/simulator/test_configuration.py
@@ -81,7 +81,7 @@
 def test_every_field_has_one_wire_key(owner: type, keys: list[WireKey], rows: set[str]) -> None:
     field_names = [key.field for key in keys]
     assert len(set(field_names)) == len(field_names)
-    assert {*field_names, *rows} == {part.name for part in dataclasses.fields(owner)}
+    assert {*field_names, *rows} == {field.name for field in dataclasses.fields(owner)}
 
 
 def test_the_wire_names_of_setting_values_are_translated() -> None:
