--- a/marlstep/frontends/__init__.py
+++ b/marlstep/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Frontends: what clients speak, translated to requests of the core and back."""
+"""Frontends: translate between the client protocols and the requests and responses of the core."""
--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -1,19 +1,20 @@
-"""What all frontends share: a listening socket, its connections, and the timers that bound how long each may stay.
+"""Base classes of all frontends: a listening socket, its connections, and the timers that close connections.
 
-`connection_policy.py` has the rules, `connection_table.py` the connections; here they meet the sockets. The life of a
-connection is `opened`, `data_received` any number of times, `closed`; in between its timers may call `timed_out` or
-`close_idle`, and the frontend `drain`. Which method ends a connection, and when to use it:
+The rules are in `connection_policy.py` and the table of connections in `connection_table.py`; this module applies them
+to sockets. For each connection `opened` is called first, then `data_received` any number of times, then `closed`. In
+between the timers may call `timed_out` or `close_idle`, and the frontend may call `drain`. The methods that end a
+connection:
 
-| method | use it | what is open, and what is queued to be sent |
+| method | used for | open requests and queued output |
 | --- | --- | --- |
-| `abort` | for a peer that does not read, or that gets no slot | cancelled, lost |
-| `finish` | when nothing is owed any more: no request is open | sent within CLOSE_TIMEOUT, or else lost |
-| `drain` | when the peer is to send nothing new here | gets its responses, then the connection closes |
-| `close_idle` | for an idle connection; RESP drains it, uwsgi has none to close | nothing is open |
-| `timed_out` | from the read timer alone: RESP rejects the stream, uwsgi finishes | RESP: gets its responses |
-| `RespConnection._reject_stream` | where the bytes can't be divided into frames any more | drained |
-
-How long a connection may be idle is up to the admission controller: its action `IdleLimit` comes through the core to
+| `abort` | a peer that does not read, or that gets no slot | requests are cancelled, output is lost |
+| `finish` | a connection without open requests | output is sent within CLOSE_TIMEOUT, or else lost |
+| `drain` | a connection that must carry no new request | requests get their responses, then it closes |
+| `close_idle` | an idle connection; RESP drains it, uwsgi has no idle ones | none is open |
+| `timed_out` | the read timer only: RESP rejects the stream, uwsgi finishes | RESP: requests get their responses |
+| `RespConnection._reject_stream` | a stream that can no longer be divided into frames | as with `drain` |
+
+The admission controller sets how long a connection may be idle: the core passes its action `IdleLimit` on to
 `Listener.limit_idle_time`.
 """
 
@@ -36,8 +37,8 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512  # connections that the system queues before they are accepted
-PASSED_BACKLOG = 4096  # other processes listen on a passed socket too: theirs must not shrink
-REJECTIONS_PER_LOG_LINE = 100  # rejected connections; the first of each hundred is logged
+PASSED_BACKLOG = 4096  # other processes listen on a passed socket too, and their backlog must not shrink
+REJECTIONS_PER_LOG_LINE = 100  # the first of every 100 rejected connections is logged
 
 
 class Connection(RingStream):
@@ -53,14 +54,14 @@
         self._close_timer: Timer | None = None
 
     def opened(self) -> None:
-        """Take a slot in the table, or abort."""
+        """Occupy a slot in the table, or abort the connection where none is free."""
         if self.listener.accept(self):
             self.start_progress_timer()
         else:
             self.abort()
 
     def closed(self) -> None:
-        """Give the slot back, and cancel what is open: nobody can take the responses."""
+        """Free the slot and cancel the open requests, whose responses can no longer be delivered."""
         timeline = self.listener.timeline
         timeline.cancel(self._progress_timer)
         timeline.cancel(self._close_timer)
@@ -68,7 +69,7 @@
             self.cancel_requests()
 
     def start_progress_timer(self) -> None:
-        """Give the peer the read timeout to send, or to read, what the connection waits for."""
+        """Start the read timeout, unless it is running: within it the peer must send or read what is pending."""
         if self._progress_timer is None and self.listener.read_timeout:
             timeline = self.listener.timeline
             due = timeline.now() + self.listener.read_timeout
@@ -77,14 +78,14 @@
             )
 
     def stop_progress_timer(self) -> None:
-        """Note that the peer did what the connection waited for."""
+        """Stop the read timeout: the peer has sent or read what was pending."""
         if self._progress_timer is not None:
             self.listener.timeline.cancel(self._progress_timer)
             self._progress_timer = None
 
     def _progress_timed_out(self, timer: Timer) -> None:
         if self._progress_timer is not timer:
-            return  # what the connection waited for has come in the same turn
+            return  # the timer was stopped or replaced in the same turn of the event loop
         self._progress_timer = None
         if not self.connected:
             return
@@ -95,52 +96,52 @@
             self.timed_out()
 
     def finish(self) -> None:
-        """Read no more and close once all is sent; abort where the peer does not take it within CLOSE_TIMEOUT."""
+        """Stop reading and close once all output is sent; abort if that takes longer than CLOSE_TIMEOUT."""
         if self._close_timer is None and self.connected:
             timeline = self.listener.timeline
             due = timeline.now() + connection_policy.CLOSE_TIMEOUT
             self._close_timer = timeline.at(due, self.abort)
         super().finish()
 
-    # For subclasses to implement.
+    # Methods that subclasses implement.
 
     def send_response(self, number: int, response: Response) -> None:
-        """Send the response to the request that the connection submitted under this number."""
+        """Send the response to the request that was submitted under `number`."""
         raise NotImplementedError
 
     def cancel_requests(self) -> None:
-        """Cancel all requests that are open: the connection has closed."""
+        """Cancel all open requests after the connection has closed."""
         raise NotImplementedError
 
     def timed_out(self) -> None:
-        """Handle a read timeout: no complete message came in time."""
+        """Handle a read timeout: the peer sent no complete message in time."""
         raise NotImplementedError
 
     def close_idle(self) -> None:
-        """Close a connection that was idle for too long, or has to make room for another."""
+        """Close a connection that was idle for too long or that is evicted for a new one."""
 
     def drain(self) -> None:
-        """Accept nothing new on this connection: the frontend is closing."""
+        """Accept no new request on this connection, because the frontend stops accepting."""
         raise NotImplementedError
 
 
 class RequestConnection(Connection):
-    """A connection that submits requests to the core, each under a number of the connection's own."""
+    """A connection that submits requests to the core, each under a number that is unique on the connection."""
 
     def __init__(self, frontend: RequestListener, ring_size: int) -> None:
         """`ring_size` is the size of the inbox and of the outbox, in bytes each."""
         super().__init__(frontend, ring_size)
         self._core, self._backend = frontend.core, frontend.backend
-        self._request_handles: dict[int, int] = {}  # of the open requests, by number
+        self._request_handles: dict[int, int] = {}  # open requests: number to core handle
 
     def submit(self, number: int, inbound: InboundRequest) -> None:
-        """Submit a request. Raises RequestRejectedError."""
+        """Submit a request under `number`. Raises RequestRejectedError where the intake rejects it."""
         self._request_handles[number] = self._core.submit(
             self.listener, (self.handle, number), self._backend, inbound
         )
 
     def cancel_request(self, number: int) -> bool:
-        """Cancel one request, to which no response is owed any more; False where it is not open."""
+        """Cancel a request, which then gets no response. Return False if it is not open."""
         handle = self._request_handles.pop(number, None)
         if handle is not None:
             self._core.client_disconnected(handle)
@@ -154,7 +155,7 @@
 
 
 class Listener:
-    """A frontend's listening socket, and the connections that it accepted."""
+    """A frontend's listening socket and the connections accepted on it."""
 
     def __init__(
         self,
@@ -164,14 +165,14 @@
         read_timeout: timedelta,
         idle_timeout: timedelta = timedelta(0),
     ) -> None:
-        """Make a frontend that does not listen yet.
+        """Create a frontend that does not listen yet.
 
         Args:
-            core: takes the requests.
-            timeline: the timers of all connections.
-            limit: of the connections at a time.
-            read_timeout: for the peer to send a complete message or to read its responses; 0 for no limit.
-            idle_timeout: after which an idle connection is closed, until the controller sets another limit by
+            core: processes the requests.
+            timeline: runs the timers of all connections.
+            limit: maximum number of connections at a time.
+            read_timeout: time for the peer to send a complete message or to read its responses; 0 for no limit.
+            idle_timeout: time after which an idle connection is closed, until the controller sets another one with
                 `limit_idle_time`; 0 for no limit.
         """
         self.core = core
@@ -180,13 +181,13 @@
         self.read_timeout = read_timeout
         self.idle_timeout = idle_timeout
         self.draining = False
-        self.port = 0  # once it listens, the one that the system chose where 0 was configured
+        self.port = 0  # set by `listen`; the port that the system chose if 0 was configured
         self._idle_sweep: Timer | None = None
         self._rejected_connections = 0
         self._server: asyncio.Server | None = None
 
     def make(self) -> Connection:
-        """Make a connection for a peer that has connected."""
+        """Create the connection object for a peer that has connected."""
         raise NotImplementedError
 
     @property
@@ -195,12 +196,15 @@
         return self._server is not None and self._server.is_serving()
 
     async def listen(self, address: tuple[str, int], passed: int | None = None, shared: bool = False) -> None:
-        """Accept connections. Raises OSError.
+        """Start accepting connections.
 
         Args:
             address: host and port.
-            passed: the descriptor of a listening socket that this process was started with, to use in its place.
+            passed: descriptor of a listening socket that this process inherited, used instead of `address`.
             shared: whether another process may listen on the address at the same time.
+
+        Raises:
+            OSError: the address or the passed socket cannot be listened on.
         """
         host, port = address
         loop = asyncio.get_running_loop()
@@ -209,15 +213,15 @@
                 self.make, host, port, backlog=LISTEN_BACKLOG, reuse_address=True, reuse_port=shared
             )
         else:
-            # A duplicate: closing it ends the listening here alone, and this process can listen again.
+            # Closing the duplicate leaves the passed descriptor open, so that this process can listen again.
             duplicate = socket.socket(fileno=os.dup(passed))
             self._server = await loop.create_server(self.make, sock=duplicate, backlog=PASSED_BACKLOG)
         self.port = int(self._server.sockets[0].getsockname()[1])
 
-    # The connections.
+    # Connection slots and idle connections.
 
     def accept(self, connection: Connection) -> bool:
-        """Enter a new connection in the table, closing another where the policy says so; False if there is no slot."""
+        """Add a new connection to the table, evicting another if the policy asks for it; False if no slot is free."""
         self._make_room()
         try:
             self.connections.add(connection)
@@ -249,7 +253,7 @@
             oldest.abort()
 
     def mark_idle(self, connection: Connection) -> None:
-        """Note that nothing is open on a connection from now on."""
+        """Mark a connection as idle from now on, and schedule the idle sweep."""
         self.connections.mark_idle(connection, self.timeline.now())
         if self._idle_sweep is None:
             self._schedule_idle_sweep()
@@ -271,21 +275,21 @@
         self._schedule_idle_sweep()
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Close connections that are idle for longer, as the controller's `IdleLimit` asks; 0 for no limit."""
+        """Set the idle timeout, as the controller's action `IdleLimit` asks; 0 for no limit."""
         self.idle_timeout = after
         self._schedule_idle_sweep()
 
-    # The core's side.
+    # Methods that the core calls.
 
     def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
-        """Send a response, unless its connection has closed."""
+        """Send a response on its connection, unless that has closed."""
         handle, number = response_handle
         connection = self.connections.get(handle)
         if connection is not None:
             connection.send_response(number, response)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket, and drain all connections."""
+        """Close the listening socket and drain all connections."""
         self.draining = True
         if self._server is not None:
             self._server.close()
@@ -293,7 +297,7 @@
             connection.drain()
 
     def accept_again(self) -> None:
-        """Undo `stop_accepting`; `listen` follows."""
+        """End the draining state, so that `listen` can be called again after `stop_accepting`."""
         self.draining = False
 
 
@@ -309,6 +313,6 @@
         read_timeout: timedelta,
         idle_timeout: timedelta = timedelta(0),
     ) -> None:
-        """As a Listener; `backend` runs the requests."""
+        """Create the frontend; `backend` runs the requests, for the other arguments see `Listener`."""
         super().__init__(core, timeline, limit, read_timeout, idle_timeout)
         self.backend = backend
--- a/marlstep/frontends/connection_policy.py
+++ b/marlstep/frontends/connection_policy.py
@@ -1,7 +1,7 @@
-"""The rules by which any frontend keeps, times out and closes its connections. Pure: counts and times are passed in.
+"""Rules for evicting and timing out connections, common to all frontends. Pure: counts and times are arguments.
 
-A connection is *unproven* until it has sent one complete message, and *idle* while nothing is open on it and nothing
-comes. Unproven connections and idle ones must not keep other clients out.
+A connection is *unproven* until it has sent one complete message, and *idle* while it has no open request and receives
+nothing. Neither kind may use up the slots that other clients need.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 
 from marlstep.units import MILLISECOND, SECOND
 
-CLOSE_TIMEOUT = 2 * SECOND  # from `finish` until a peer that does not read the rest is disconnected
-IDLE_EVICTION_SHARE = 0.75  # of the table; once it is so full, a new connection closes an idle one
-UNPROVEN_SHARE = 0.25  # of the table; once unproven connections fill it, a new one closes the oldest of them
-MIN_UNPROVEN_AGE = 100 * MILLISECOND  # an unproven connection stays for so long while there are free slots
-MIN_SWEEP_INTERVAL = 50 * MILLISECOND  # between two searches for connections that have been idle for too long
+CLOSE_TIMEOUT = 2 * SECOND  # from `finish` until a peer that does not read the remaining output is aborted
+IDLE_EVICTION_SHARE = 0.75  # used share of the table from which a new connection evicts an idle one
+UNPROVEN_SHARE = 0.25  # share of the table that unproven connections may fill before the oldest is evicted
+MIN_UNPROVEN_AGE = 100 * MILLISECOND  # younger unproven connections are evicted only for the last slot
+MIN_SWEEP_INTERVAL = 50 * MILLISECOND  # between two sweeps for connections that exceeded the idle timeout
 
 
 def evicts_idle_connection(open_count: int, capacity: int) -> bool:
-    """Whether the longest idle connection has to close for a new one.
+    """Whether the longest idle connection is evicted for a new one.
 
-    It has to once the table is three quarters full, so that clients which keep idle connections shut nobody out; the
-    closing is announced early enough for the peer to stop sending. `capacity` is the part of the table that this
-    process may use.
+    This begins when three quarters of the table are used, so that idle connections lock no client out and the closing
+    can be announced early enough for the peer to stop sending. `capacity` is the number of slots that this process may
+    use.
     """
     return open_count >= IDLE_EVICTION_SHARE * capacity
 
@@ -30,10 +30,10 @@
 def evicts_unproven_connection(
     open_count: int, unproven_count: int, oldest_unproven_age: timedelta, capacity: int
 ) -> bool:
-    """Whether the oldest unproven connection has to close for a new one.
+    """Whether the oldest unproven connection is evicted for a new one.
 
-    It has to once unproven connections fill their share of the table, so that silent clients shut nobody out. The
-    exception: one that is younger than `MIN_UNPROVEN_AGE` may still send its message, and stays unless the new
+    It is evicted once unproven connections fill their share of the table, so that silent clients lock no others out.
+    A connection younger than `MIN_UNPROVEN_AGE` may still send its first message, and is evicted only if the new
     connection would take the last slot.
     """
     share_is_full = unproven_count >= UNPROVEN_SHARE * capacity
@@ -43,19 +43,19 @@
 
 
 def has_free_slot(open_count: int, capacity: int) -> bool:
-    """Whether a new connection is accepted; without a free slot it is aborted at once."""
+    """Whether a new connection is accepted; it is aborted at once if no slot is free."""
     return open_count < capacity
 
 
 def is_idle_too_long(idle_since: datetime, idle_timeout: timedelta, now: datetime) -> bool:
-    """Whether an idle connection has to close: its whole idle timeout has passed."""
+    """Whether a connection has been idle for the whole idle timeout and is to be closed."""
     return idle_since + idle_timeout <= now
 
 
 def next_idle_sweep_at(longest_idle_since: datetime, idle_timeout: timedelta, now: datetime) -> datetime:
-    """Return when to look for connections that have been idle for too long.
+    """Return when to sweep for connections that exceeded the idle timeout.
 
-    That is when the longest idle one times out, but not sooner than `MIN_SWEEP_INTERVAL` from now: one search then
-    closes many, where thousands of connections time out one after the other.
+    The sweep is due when the longest idle connection times out, but not sooner than `MIN_SWEEP_INTERVAL` from now.
+    Where thousands of connections time out one after the other, each sweep thus closes many.
     """
     return max(longest_idle_since + idle_timeout, now + MIN_SWEEP_INTERVAL)
--- a/marlstep/frontends/errors.py
+++ b/marlstep/frontends/errors.py
@@ -1,4 +1,4 @@
-"""What a client can send wrong, as typed errors. All of them are the peer's fault."""
+"""Typed errors for invalid input from clients."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from marlstep.errors import RemoteProtocolError
 
-MAX_SHOWN_CHARACTERS = 32  # of what a peer sent, in an error's text and so in the log
+MAX_SHOWN_CHARACTERS = 32  # of the peer's input, in the text of an error and thus in the log
 
 
 def shown(found: str | bytes | None) -> str:
-    """Return a short printable form of what a peer sent; `nothing` where it sent none of it."""
+    """Return the beginning of the peer's input in printable form; `nothing` for None."""
     return "nothing" if found is None else repr(found[:MAX_SHOWN_CHARACTERS])
 
 
 class FrameFault(enum.Enum):
-    """Why the stream of a RESP connection is read no further; the value is what was expected in its place."""
+    """Why reading from a RESP connection stops. The value completes `expected ...` in the error text."""
 
     HEAD = "a line with a count or a length"
     WORD_COUNT = "an array of as many words as a command has"
@@ -29,40 +29,40 @@
 
 
 class MalformedFrameError(RemoteProtocolError):
-    """The stream of a RESP connection can't be divided into frames from here on, or is not to be."""
+    """No more frames are read from a RESP connection: the stream is malformed, or the peer broke a limit."""
 
     def __init__(self, fault: FrameFault, found: str | bytes | None, tag: int | None = None) -> None:
-        """Describe the fault.
+        """Create the error.
 
         Args:
-            fault: what is wrong.
-            found: what came in its place, if anything.
-            tag: of the frame that is malformed, if it had been read by then; a response on it can be sent.
+            fault: which rule was broken.
+            found: the input that broke it; None if there is none.
+            tag: tag of the malformed frame, if it was read before the fault; `error` can be sent on it.
         """
         super().__init__(f"expected {fault.value}, got {shown(found)}")
         self.fault, self.found, self.tag = fault, found, tag
 
 
 class InvalidFieldError(RemoteProtocolError):
-    """A frame is complete, but one of the fields of its request is missing or wrong."""
+    """A frame is complete, but a field of its request is missing, malformed or out of bounds."""
 
     def __init__(self, name: str, expected: str, found: str | bytes | None) -> None:
-        """`name` is the field's name on the wire; `found` is None where the field is missing."""
+        """`name` is the field's name on the wire; `found` is its value, or None if the field is missing."""
         super().__init__(f"field {name}: expected {expected}, got {shown(found)}")
         self.name, self.expected, self.found = name, expected, found
 
 
 class InvalidPacketError(RemoteProtocolError):
-    """What came is no uwsgi packet that this frontend accepts. The text goes to the client."""
+    """The uwsgi packet is malformed or not accepted. The error text is sent to the client."""
 
-    status: ClassVar[int] = 400  # of the HTTP response that the client gets
+    status: ClassVar[int] = 400  # HTTP status of the response
 
 
 class InvalidModifierError(InvalidPacketError):
-    """The packet's first byte does not say that it is a request."""
+    """The packet's first byte, modifier1, is not 0, so the packet is not a request."""
 
     def __init__(self, found: int) -> None:
-        """`found` is the first byte."""
+        """`found` is the value of modifier1."""
         super().__init__(f"modifier1 is {found}; requests have 0")
         self.found = found
 
@@ -71,15 +71,15 @@
     """The packet has no variables at all."""
 
     def __init__(self) -> None:
-        """There is nothing to add."""
+        """Create the error, which has no details."""
         super().__init__("a packet without variables")
 
 
 class VariableSizeError(InvalidPacketError):
-    """The size of a variable's name or value reaches past the variables' block."""
+    """The size of a variable's name or value exceeds what is left of the block of variables."""
 
     def __init__(self, end: int, block_size: int) -> None:
-        """`end` and `block_size` are in bytes from the block's start."""
+        """`end` is where the name or value would end, in bytes from the block's start; `block_size` is in bytes."""
         super().__init__("a variable reaches past its block")
         self.end, self.block_size = end, block_size
 
@@ -88,12 +88,12 @@
     """The last variable has a name and no value."""
 
     def __init__(self) -> None:
-        """There is nothing to add."""
+        """Create the error, which has no details."""
         super().__init__("a name without a value")
 
 
 class InvalidContentLengthError(InvalidPacketError):
-    """CONTENT_LENGTH is no number."""
+    """CONTENT_LENGTH is not a decimal number, or has too many digits."""
 
     def __init__(self, found: str) -> None:
         """`found` is the variable's value."""
@@ -102,20 +102,20 @@
 
 
 class BodyTooLargeError(InvalidPacketError):
-    """The body is larger than the operator allows."""
+    """The body is larger than the configured limit."""
 
     status: ClassVar[int] = 413
 
     def __init__(self, size: str, limit: int) -> None:
-        """`size` is as the client wrote it; `limit` is in bytes."""
+        """`size` is CONTENT_LENGTH as the client sent it; `limit` is in bytes."""
         super().__init__(f"a body of {size} bytes")
         self.size, self.limit = size, limit
 
 
 class IdempotencyKeyTooLongError(InvalidPacketError):
-    """The variable that names the work is longer than a key that is stored and sent to other processes may be."""
+    """The idempotency key is longer than one that is stored and sent to other processes may be."""
 
     def __init__(self, variable: str, limit: int) -> None:
-        """`limit` is in characters."""
+        """`variable` is the name of the variable that carries the key; `limit` is in characters."""
         super().__init__(f"{variable} is over {limit} characters")
         self.variable, self.limit = variable, limit
--- a/marlstep/frontends/rejection_log.py
+++ b/marlstep/frontends/rejection_log.py
@@ -1,4 +1,4 @@
-"""Log lines about what clients sent wrong, limited in number: clients that misbehave come by the hundred."""
+"""Rate-limited log lines about invalid client input, since hundreds of clients may misbehave at a time."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class RejectionLog:
-    """Writes the first lines of each second, and the number of those that it left out."""
+    """Writes the first MAX_LINES_PER_SECOND lines of each second, and then how many it left out."""
 
     def __init__(self, now: datetime) -> None:
-        """Begin the first period now."""
+        """Initialize the log; the first period starts at `now`."""
         self._period_start = now
         self._in_period = 0
 
     def write(self, event: str, reason: str, now: datetime) -> None:
-        """Log a rejection, unless too many were logged in this second."""
+        """Log a rejection, unless the limit of the current second is reached."""
         if now - self._period_start >= PERIOD:
             self._begin_period(now)
         self._in_period += 1
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -1,7 +1,7 @@
-"""The platform's frontend: commands to requests, responses to frames, on connections that carry many at a time.
+"""The platform's frontend: RESP connections that carry many requests at a time.
 
-`resp_wire.py` and `resp_commands.py` read the bytes, `resp_fields.py` the fields, and `resp_policy.py` states when a
-connection is read no further and closed. This module has the connections and what they keep.
+`resp_wire.py` and `resp_commands.py` parse frames and commands, `resp_fields.py` the fields, and `resp_policy.py` has
+the rules for when reading stops and a connection closes. This module has the connections and their state.
 """
 
 from __future__ import annotations
@@ -37,32 +37,32 @@
 from marlstep.frontends.resp_wire import FrameReader, write_fields, write_frame, write_response_frame
 from marlstep.timer_queue import TimerQueue
 
-RING_SIZE = 4 * 1024  # bytes; a frame is read word by word, and the longest word has 2 KiB
+RING_SIZE = 4 * 1024  # bytes; frames are read word by word, and the longest word has 2 KiB
 ERROR_WORD = STATUS_WORDS[ResponseStatus.FAILED]
-CLOSING_FRAME = write_frame(b"0", b"closing")  # the peer is to send nothing more on this connection
+CLOSING_FRAME = write_frame(b"0", b"closing")  # asks the peer to send no more requests on this connection
 
 
 class RespConnection(RequestConnection):
-    """A connection of the platform. The number of a request is its tag."""
+    """A RESP connection of the platform. A request's number on the connection is its tag."""
 
     def __init__(self, frontend: RespFrontend) -> None:
-        """Start before the first frame."""
+        """Create a connection that has not been opened yet."""
         super().__init__(frontend, RING_SIZE)
         self.frontend = frontend
         self._frames = FrameReader()
         self._tags = TagTracker()
-        self._closing_announced = False  # the peer was asked to send nothing more here
-        self._malformed = False  # the stream can't be divided into frames any more
+        self._closing_announced = False  # CLOSING_FRAME was sent
+        self._malformed = False  # no more frames are read from the stream
         self._invalid_requests = 0
 
     def opened(self) -> None:
-        """Take a slot in the table; announce the closing at once where the frontend accepts nothing new."""
+        """Occupy a slot in the table; drain at once if the frontend is draining."""
         super().opened()
         if self.frontend.draining:
             self.drain()
 
     def data_received(self) -> None:
-        """Serve all frames that are complete."""
+        """Handle all complete frames."""
         has_read_frame = False
         while not self._malformed and not self.send_blocked:
             try:
@@ -90,7 +90,7 @@
         )
 
     def _update_progress(self, has_read_frame: bool) -> None:
-        """Restart the progress timer where a frame has come, and note whether the connection is idle."""
+        """Restart the read timeout if a frame was read, and mark the connection as busy or idle."""
         if has_read_frame:
             self.frontend.connections.mark_proven(self)
         waits_for_peer = self._waits_for_peer
@@ -103,10 +103,10 @@
         elif has_read_frame:
             self.frontend.mark_idle(self)
 
-    # Commands.
+    # Handling of commands.
 
     def _handle(self, command: Command) -> None:
-        """Carry out a command. Raises MalformedFrameError where its tag was used before."""
+        """Execute a command. Raises MalformedFrameError if its tag was used before."""
         if isinstance(command, ForgetCommand):
             self._forget(command)
             return
@@ -122,10 +122,10 @@
                 self._reject_request(tag, "unknown command")
 
     def _exec(self, command: ExecCommand) -> None:
-        """Submit a request; one that the intake rejects gets `error` at once, and counts as invalid.
+        """Submit a request; a request that the intake rejects gets `error` at once and counts as invalid.
 
-        That holds for PROCESS_AT_CAPACITY too, which is the node's own state and no fault of the peer: the connection
-        closes after MAX_INVALID_REQUESTS of them as well.
+        PROCESS_AT_CAPACITY counts as well, although it is the node's own state and not the peer's fault: the connection
+        closes after MAX_INVALID_REQUESTS of these too.
         """
         if not resp_policy.accepts_another_request(len(self._request_handles)):
             self._reject_request(command.tag, f"over {resp_policy.MAX_OPEN_REQUESTS} open requests")
@@ -136,7 +136,7 @@
             self._reject_request(command.tag, str(error))
 
     def _forget(self, command: ForgetCommand) -> None:
-        """Cancel a request whose client stopped waiting. The command may have crossed the response."""
+        """Cancel a request whose client stopped waiting. It may be closed already if FORGET crossed the response."""
         was_open = self.cancel_request(command.tag)
         if not was_open and not self._tags.is_used(command.tag):
             self._count_invalid_request("FORGET of a tag that was never used")
@@ -152,7 +152,7 @@
             self._reject_stream(MalformedFrameError(FrameFault.INVALID_REQUESTS, str(self._invalid_requests)))
 
     def _reject_stream(self, error: MalformedFrameError) -> None:
-        """Read no more here, and drain: close at once where no request is open, else after the last response."""
+        """Stop reading and drain: close at once if no request is open, else after the last response."""
         self.frontend.log_rejection("malformed frame", str(error))
         if error.tag is not None and self._tags.take(error.tag):
             self._reject_request(error.tag, str(error))
@@ -160,10 +160,10 @@
         self.inbox.skip(self.inbox.used)
         self.drain()
 
-    # Responses.
+    # Sending of responses.
 
     def send_response(self, number: int, response: Response) -> None:
-        """Send the response on its tag; close after the last one where nothing more can be read."""
+        """Send the response on its tag, and close after the last one if nothing more can be read."""
         self._request_handles.pop(number, None)
         fields = response_fields(response, self.frontend.core.advertised_value)
         self._send_frame(number, STATUS_WORDS[response.status], fields, response.body)
@@ -178,25 +178,24 @@
     def _send_frame(self, tag: int, word: bytes, fields: Mapping[str, str], body: bytes) -> None:
         self.send(write_response_frame(tag, word, write_fields(fields), body))
 
-    # How a connection ends.
+    # Closing of the connection.
 
     def timed_out(self) -> None:
-        """Treat a frame that is not complete in time as a malformed one.
+        """Treat a frame that is not complete in time as malformed.
 
-        The connection closes by `drain`, which `_reject_stream` calls: at once where no request is open, else after
-        the last response.
+        `_reject_stream` drains the connection: it closes at once if no request is open, else after the last response.
         """
         if self._waits_for_peer:
             self._reject_stream(MalformedFrameError(FrameFault.TIMEOUT, None))
 
     def close_idle(self) -> None:
-        """Announce the closing, unless a request has come. It is done once for each time that it is idle."""
+        """Announce the closing unless a request is open. Leaves the idle list, to do so once per idle period."""
         self.frontend.connections.mark_busy(self)
         if not self._request_handles:
             self.drain()
 
     def drain(self) -> None:
-        """Ask the peer to send nothing more here; close when all is responded to."""
+        """Ask the peer to send no more requests, and close once all open ones have their responses."""
         if not self._closing_announced:
             self.send(CLOSING_FRAME)
         if resp_policy.drains_at_once(self._malformed, len(self._request_handles)):
@@ -211,7 +210,7 @@
         timeline.at(due, lambda: timeline.after_reading(self._close_unless_postponed))
 
     def _close_unless_postponed(self) -> None:
-        """Close; by now the peer should have done so."""
+        """Close the connection, which the peer should have done by now, or wait for another CLOSE_DELAY."""
         if resp_policy.postpones_close(
             self.connected,
             len(self._request_handles),
@@ -225,19 +224,19 @@
 
 
 class RespFrontend(RequestListener):
-    """The frontend for the platform."""
+    """The frontend that the platform connects to by RESP."""
 
     def __init__(
         self, core: Core, timeline: TimerQueue, backend: Backend, limit: int, idle_timeout: timedelta
     ) -> None:
-        """Make a frontend that does not listen yet; `limit` bounds its connections."""
+        """Create a frontend that does not listen yet; for the arguments see `Listener`."""
         super().__init__(core, timeline, backend, limit, resp_policy.READ_TIMEOUT, idle_timeout)
         self._rejection_log = RejectionLog(timeline.now())
 
     def make(self) -> RespConnection:
-        """Make a connection for a peer that has connected."""
+        """Create the connection object for a peer that has connected."""
         return RespConnection(self)
 
     def log_rejection(self, event: str, reason: str) -> None:
-        """Log what a client sent wrong; only the first few lines of a second are written."""
+        """Log invalid client input, rate-limited by `RejectionLog`."""
         self._rejection_log.write(event, reason, self.timeline.now())
--- a/marlstep/frontends/resp_commands.py
+++ b/marlstep/frontends/resp_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the platform's wire as types, out of the words of a frame. Pure."""
+"""Parses the words of a RESP frame into typed commands. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class ExecCommand:
-    """Run a request and respond on its tag. Its parts are not checked yet."""
+    """Run a request and respond on its tag. The other attributes are not validated yet."""
 
     tag: int
     request_class: bytes
@@ -20,21 +20,21 @@
 
 @dataclass(slots=True)
 class AliveCommand:
-    """Respond on the tag whether this node is healthy."""
+    """Health check: respond on the tag whether this node is healthy."""
 
     tag: int
 
 
 @dataclass(slots=True)
 class ForgetCommand:
-    """Cancel the request with this tag: its client stopped waiting. The tag is no new one."""
+    """Cancel the request with this tag, for which the client no longer waits. The tag is one used before."""
 
     tag: int
 
 
 @dataclass(slots=True)
 class UnknownCommand:
-    """A command that this frontend does not know, or one with too few or too many words."""
+    """A command with an unknown verb or a wrong number of words."""
 
     tag: int
 
@@ -46,7 +46,7 @@
     """Return the command of a frame.
 
     Raises:
-        MalformedFrameError: the frame has no tag, so that nothing can be responded to it.
+        MalformedFrameError: the frame has no valid tag, so no response can be sent to it.
     """
     count = len(words)
     tag_word = words[TAG_WORD] if count > TAG_WORD else None
@@ -54,7 +54,7 @@
     if tag is None:
         raise MalformedFrameError(FrameFault.TAG, tag_word)
     verb = words[0]
-    if verb == b"EXEC" and count in (4, 5):  # the hot path comes first
+    if verb == b"EXEC" and count in (4, 5):  # checked first because it is the hot path
         return ExecCommand(tag, words[2], words[3], words[4] if count == 5 else b"")
     if verb == b"ALIVE" and count in (2, 3):
         return AliveCommand(tag)
--- a/marlstep/frontends/resp_fields.py
+++ b/marlstep/frontends/resp_fields.py
@@ -1,6 +1,6 @@
-"""The fields of frames on the platform's wire, each mapped once: wire name, field in this program, reader, bounds.
+"""The table of RESP frame fields: for each its name on the wire, the attribute it maps to, its reader and bounds.
 
-The names on the wire stay on the wire. Behind `read_request` and `response_fields` there are only the names of
+Names of the wire are used in this module only: callers of `read_request` and `response_fields` see the attributes of
 `InboundRequest` and `Response`.
 """
 
@@ -18,15 +18,16 @@
 from marlstep.frontends.resp_wire import read_fields
 from marlstep.units import EPOCH, MILLISECOND, whole_ms
 
-MAX_TIME_DIGITS = 14  # of a time in milliseconds since the Unix epoch
+MAX_TIME_DIGITS = 14  # digits of a time in milliseconds since the Unix epoch
 MAX_MEMORY_KB = 2000.0  # exclusive
 MAX_COST_MS = 1e9  # exclusive
 MAX_CALLER = 1e9  # exclusive
 MAX_RANK = 1.0  # exclusive
-ENTITY_SHIFT_BITS = 11  # the lower bits of a key number the parts of one entity
+ENTITY_SHIFT_BITS = 11  # the lower 11 bits of a key number the parts of one entity
 REQUEST_ID = re.compile("[0-9a-f]{16}")
 
-FieldReader = Callable[[str, str], object]  # wire name and text to value; raises InvalidFieldError
+# Converts the wire name and the text of a field to its value. Raises InvalidFieldError.
+FieldReader = Callable[[str, str], object]
 
 
 def _read_id(name: str, text: str) -> str:
@@ -42,7 +43,7 @@
 
 
 def _number(below: float, above: float = -1.0) -> Callable[[str, str], float]:
-    """Make a reader of numbers that are at least 0, over `above` and under `below`."""
+    """Return a reader of numbers that are at least 0, greater than `above` and less than `below`."""
     expected = f"a number from {max(above, 0.0):g} to {below:g}"
 
     def read(name: str, text: str) -> float:
@@ -50,7 +51,7 @@
             value = float(text)
         except ValueError:
             raise InvalidFieldError(name, "a number", text) from None
-        if above < value < below and value >= 0:  # NaN is in no range
+        if above < value < below and value >= 0:  # false for NaN
             return value
         raise InvalidFieldError(name, expected, text)
 
@@ -78,7 +79,7 @@
 
 
 def _read_entity(name: str, text: str) -> int | None:
-    """Read the entity that a hexadecimal key belongs to; an empty key belongs to none."""
+    """Return the entity that a hexadecimal key belongs to; None for an empty key."""
     try:
         return int(text, 16) >> ENTITY_SHIFT_BITS if text else None
     except ValueError:
@@ -87,10 +88,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestField:
-    """One field of a request on the wire."""
+    """A field of a request on the wire."""
 
     wire_name: str
-    field: str  # of InboundRequest
+    field: str  # name of the attribute of InboundRequest
     read: FieldReader
     required: bool = False
 
@@ -112,7 +113,7 @@
 
 
 def _write_milliseconds(delay: timedelta) -> str:
-    return str(whole_ms(delay))  # rounded up: a client must not come back too soon
+    return str(whole_ms(delay))  # rounded up, so that no client retries too early
 
 
 def _write_flag(_flag: bool) -> str:
@@ -121,10 +122,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseField:
-    """One field of a response on the wire. It is left out where the value is zero or false."""
+    """A field of a response on the wire. It is left out if the value is zero or false."""
 
     wire_name: str
-    field: str  # of Response
+    field: str  # name of the attribute of Response
     write: Callable[[Any], str]
 
 
@@ -132,7 +133,7 @@
     ResponseField("after", "retry_after", _write_milliseconds),
     ResponseField("last", "no_failover", _write_flag),
 )
-ADVERTISED_VALUE_FIELD = "say"  # Core.advertised_value, on every response
+ADVERTISED_VALUE_FIELD = "say"  # carries Core.advertised_value on every response
 
 STATUS_WORDS = {
     ResponseStatus.DONE: b"done",
@@ -144,12 +145,12 @@
 
 
 def read_request(request_class: bytes, fields: bytes, body: bytes) -> InboundRequest:
-    """Return the request of an EXEC command; fields that are not in the table are ignored.
+    """Return the request of an EXEC command. Fields that are not in the table are ignored.
 
     Raises:
-        InvalidFieldError: the class or a field is malformed or out of its bounds, or a required field is missing.
+        InvalidFieldError: the class or a field is malformed or out of bounds, or a required field is missing.
     """
-    values: dict[str, Any] = {}  # by field of InboundRequest
+    values: dict[str, Any] = {}  # by attribute of InboundRequest
     for name, text in read_fields(fields).items():
         row = READERS.get(name)
         if row is not None:
@@ -167,7 +168,7 @@
 
 
 def response_fields(response: Response, advertised_value: float | None) -> Mapping[str, str]:
-    """Return the fields of a response frame; those of a rejection come only with one."""
+    """Return the fields of a response frame. Only rejections have the fields in REJECTION_FIELDS."""
     fields = advertised_fields(advertised_value)
     if response.status is ResponseStatus.REJECTED:
         for row in REJECTION_FIELDS:
@@ -178,5 +179,5 @@
 
 
 def advertised_fields(advertised_value: float | None) -> dict[str, str]:
-    """Return the field that every response carries while the node advertises a value of its load."""
+    """Return the field with the advertised value, which every response carries; no field if the value is None."""
     return {} if advertised_value is None else {ADVERTISED_VALUE_FIELD: f"{advertised_value:.4f}"}
--- a/marlstep/frontends/resp_tags.py
+++ b/marlstep/frontends/resp_tags.py
@@ -1,20 +1,20 @@
-"""The tags that one connection has used. Pure."""
+"""Tracks the tags that were used on one connection. Pure."""
 
 from __future__ import annotations
 
-MAX_TAGS_AHEAD = 1024  # tags out of order on one connection; a peer that skips more breaks the protocol
+MAX_TAGS_AHEAD = 1024  # tags remembered beyond a gap; a peer that uses more out of order breaks the protocol
 
 
 class TagTracker:
-    """Remembers used tags in bounded memory: all up to one, and a few beyond it."""
+    """Remembers used tags in bounded memory: the end of the contiguous range from 1, and the tags beyond a gap."""
 
     def __init__(self) -> None:
-        """Start with no tag used."""
+        """Initialize the tracker with no tag used."""
         self._all_used_to = 0
         self._used_beyond: set[int] = set()
 
     def take(self, tag: int) -> bool:
-        """Mark a tag as used; False where it was used before, or where too many are out of order."""
+        """Mark a tag as used; False if it was used before, or if too many are out of order."""
         if tag == self._all_used_to + 1 and not self._used_beyond:  # in order, as clients usually number them
             self._all_used_to = tag
             return True
@@ -27,5 +27,5 @@
         return True
 
     def is_used(self, tag: int) -> bool:
-        """Whether `take` has accepted this tag."""
+        """Whether the tag was marked as used."""
         return tag <= self._all_used_to or tag in self._used_beyond
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -1,7 +1,7 @@
-"""The frames of the platform's wire: RESP arrays of bulk strings, read from a ring and written as bytes.
+"""Reads and writes the frames of the platform's protocol: RESP arrays of bulk strings. Pure.
 
-Pure: no connection is known here. A frame's words are the verb, the tag and, for a request, its class, fields and
-body (`resp_commands.py` gives them their types).
+The words (bulk strings) of a frame are the verb, the tag and, for a request, its class, fields and body.
+`resp_commands.py` parses them into commands.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from marlstep.frontends.errors import FrameFault, InvalidFieldError, MalformedFrameError
 from marlstep.net.ring import LineTooLongError, Ring
 
-MAX_HEAD_BYTES = 16  # of a line that holds a count or a length
-MAX_WORD_BYTES = (16, 20, 128, 1024, 2048)  # of each word: verb, tag, class, fields, body
-TAG_WORD = 1  # the tag's place among the words
+MAX_HEAD_BYTES = 16  # length of a line with a count or a length
+MAX_WORD_BYTES = (16, 20, 128, 1024, 2048)  # by position: verb, tag, class, fields, body
+TAG_WORD = 1  # index of the tag among the words
 MAX_TAG_BYTES = MAX_WORD_BYTES[TAG_WORD]
-VERBS_WITH_RESPONSE = (b"EXEC", b"ALIVE")  # a malformed frame of these can get `error` on its tag
+VERBS_WITH_RESPONSE = (b"EXEC", b"ALIVE")  # a malformed frame with one of these gets `error` on its tag
 UNKNOWN = -1
 WORD_END = b"\r\n"
 RESPONSE_FRAME = b"*4\r\n" + 4 * b"$%d\r\n%b\r\n"  # tag, status, fields, body
-# A request as clients usually send it, up to its body. What does not match is read word by word.
+# The head of a request in the form that clients usually send, up to its body. Other frames are read word by word.
 WHOLE_REQUEST = re.compile(
     rb"\*5\r\n\$4\r\nEXEC\r\n\$(\d{1,2})\r\n(\d{1,20})\r\n"
     rb"\$(\d{1,3})\r\n([^\r]{0,128})\r\n\$(\d{1,4})\r\n([^\r]{0,1024})\r\n\$(\d{1,4})\r\n"
@@ -28,19 +28,19 @@
 
 
 def read_tag(word: bytes) -> int | None:
-    """Return the tag, a decimal number from 1 up without leading zeros; None where the word is none."""
+    """Return the tag, a decimal number from 1 up without leading zeros; None if the word is not a tag."""
     is_tag = word.isdigit() and len(word) <= MAX_TAG_BYTES and not word.startswith(b"0")
     return int(word) if is_tag else None
 
 
 class FrameReader:
-    """Divides a stream into frames; keeps its place in a frame from one read to the next."""
+    """Divides a stream into frames, and keeps the state of an incomplete frame between reads."""
 
     def __init__(self) -> None:
-        """Start between two frames."""
+        """Initialize the reader at the start of a frame."""
         self._words: list[bytes] = []
-        self._count = UNKNOWN  # of the words of the frame that is being read
-        self._length = UNKNOWN  # of the word that is being read, in bytes
+        self._count = UNKNOWN  # number of words in the frame being read
+        self._length = UNKNOWN  # bytes in the word being read
 
     @property
     def inside(self) -> bool:
@@ -51,7 +51,7 @@
         """Return the words of the next frame; None until it is complete.
 
         Raises:
-            MalformedFrameError: what came is no frame. Nothing after it can be read.
+            MalformedFrameError: the input is not a valid frame. Nothing after it can be read.
         """
         if self._count < 0 and ring.used and (words := _read_whole_request(ring)) is not None:
             return words
@@ -67,7 +67,7 @@
             if word is None:
                 return None
             self._words.append(word)
-        # Nothing of a complete frame stays: a fault in what follows must not be attributed to its tag.
+        # Reset the state, so that a fault in the next frame is not attributed to the tag of this one.
         words, self._words, self._count = self._words, [], UNKNOWN
         return words
 
@@ -102,13 +102,13 @@
         return int(line[1:])
 
     def _malformed(self, fault: FrameFault, found: str | bytes | None) -> MalformedFrameError:
-        """Make the error, with the frame's tag if that has been read and can be responded to."""
+        """Create the error, with the frame's tag if it was read and the verb gets a response."""
         has_tag = len(self._words) > TAG_WORD and self._words[0] in VERBS_WITH_RESPONSE
         return MalformedFrameError(fault, found, read_tag(self._words[TAG_WORD]) if has_tag else None)
 
 
 def _read_whole_request(ring: Ring) -> list[bytes] | None:
-    """Read a request that lies complete in the ring, as nearly all do; None where it has to be read by words."""
+    """Fast path: read a request that is complete in the ring; None if it must be read word by word."""
     data = ring.peek(ring.used)
     match = WHOLE_REQUEST.match(data)
     if match is None:
@@ -125,20 +125,24 @@
 
 
 def write_frame(*words: bytes) -> bytes:
-    """Return the frame of these words."""
+    """Return the frame with these words."""
     parts = [b"*%d\r\n" % len(words)]
     parts += [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
     return b"".join(parts)
 
 
 def write_response_frame(tag: int, word: bytes, fields: bytes, body: bytes) -> bytes:
-    """Return the frame of a response: the same bytes as `write_frame` of its four words, in one step."""
+    """Return the frame of a response; a faster equivalent of `write_frame` with its four words."""
     tag_word = b"%d" % tag
     return RESPONSE_FRAME % (len(tag_word), tag_word, len(word), word, len(fields), fields, len(body), body)
 
 
 def read_fields(word: bytes) -> dict[str, str]:
-    """Read `name=value,...`, each name once. Raises InvalidFieldError."""
+    """Parse `name=value,...`.
+
+    Raises:
+        InvalidFieldError: the word is not ASCII, a part is not `name=value`, or a name is empty or repeated.
+    """
     try:
         text = word.decode("ascii")
     except UnicodeDecodeError:
@@ -154,5 +158,5 @@
 
 
 def write_fields(fields: Mapping[str, str]) -> bytes:
-    """Return `name=value,...`."""
+    """Return the fields as `name=value,...`."""
     return ",".join([f"{name}={value}" for name, value in fields.items()]).encode("ascii")
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -1,7 +1,7 @@
-"""The frontend for the uwsgi protocol: one packet to a connection, one HTTP response, then the close.
+"""The frontend for the uwsgi protocol: a connection carries one packet and one HTTP response, then it closes.
 
-A response is the upstream's own, unchanged. A rejection is 503 with Retry-After, a failure 502, an expired deadline
-504. A packet that can't be read, or names no class that there is, gets 400; one whose body is too large 413.
+The response of the upstream is forwarded unchanged. A rejection is 503 with Retry-After, a failure 502, an expired
+deadline 504. A malformed packet, or one with an unknown class, gets 400; one with a body over the limit gets 413.
 """
 
 from __future__ import annotations
@@ -25,21 +25,21 @@
 log = logging.getLogger(__name__)
 
 RING_SIZE = 16 * 1024  # bytes
-ONLY_REQUEST = 1  # the number of the one request of a connection
+ONLY_REQUEST = 1  # request number; each connection has only one request
 
 
 class UwsgiConnection(RequestConnection):
     """A connection of a gateway, which carries one request."""
 
     def __init__(self, frontend: UwsgiFrontend) -> None:
-        """Start before the packet."""
+        """Create a connection that has not been opened yet."""
         super().__init__(frontend, RING_SIZE)
         self.frontend = frontend
         self._packets = PacketReader(frontend.body_limit)
         self._packet_done = False  # the packet is complete, or rejected
 
     def data_received(self) -> None:
-        """Submit the request once its packet is complete; ignore what follows it."""
+        """Submit the request once its packet is complete, and discard all input after the packet."""
         if not self._packet_done:
             try:
                 packet = self._packets.next(self.inbox)
@@ -57,14 +57,14 @@
             self.stop_progress_timer()
             self._submit(packet)
         elif self.at_eof:
-            self.finish()  # the client left inside its packet: there is no request to respond to
+            self.finish()  # the client ended its stream within the packet, so there is no request to respond to
 
     def _submit(self, packet: Packet) -> None:
         """Submit the request, or respond with the status of its rejection.
 
-        A request whose id or key is in use, by work that may have run, gets 502, as a failure does. All other
-        rejections of the intake get 400, also PROCESS_AT_CAPACITY, which is the node's own state and no fault of the
-        request.
+        A request whose id or idempotency key is in use by work that may have run gets 502, like a failure. All other
+        rejections of the intake get 400, including PROCESS_AT_CAPACITY, although it is the node's own state and not
+        the client's fault.
         """
         try:
             self.submit(ONLY_REQUEST, self.frontend.read_request(packet))
@@ -90,18 +90,18 @@
         self._respond(http_response(response, self.frontend.max_retry_after))
 
     def timed_out(self) -> None:
-        """Close without a response: the packet was not complete in time."""
+        """Close without a response if the packet was not complete in time."""
         if uwsgi_policy.closes_at_timeout(len(self._request_handles)):
             self.finish()
 
     def drain(self) -> None:
-        """Close, unless a request is open or its packet has begun; that is read to its end and responded to."""
+        """Close, unless a request is open or its packet is partly read, which is then read to its end and served."""
         if uwsgi_policy.closes_at_drain(len(self._request_handles), self._packets.inside):
             self.finish()
 
 
 def no_pool(_request_class: str) -> str:
-    """Assign no request to a pool."""
+    """Return the empty pool name for every class: no upstream pools are configured."""
     return ""
 
 
@@ -119,17 +119,17 @@
         body_limit: int,
         pool_of: Callable[[str], str] = no_pool,
     ) -> None:
-        """Make a frontend that does not listen yet.
+        """Create a frontend that does not listen yet.
 
         Args:
-            core: takes the requests.
-            timeline: the timers of all connections.
+            core: processes the requests.
+            timeline: runs the timers of all connections.
             backend: runs the requests.
-            limit: of the connections at a time.
-            read_timeout: for a packet to be complete.
-            mapping: which variables carry which field.
-            body_limit: in bytes; a packet with a larger body gets 413.
-            pool_of: the name of the pool of servers for a class.
+            limit: maximum number of connections at a time.
+            read_timeout: time for a packet to be complete.
+            mapping: which variables carry which fields of a request.
+            body_limit: maximum size of a body in bytes; a packet with a larger one gets 413.
+            pool_of: returns the name of the upstream pool for a class.
         """
         super().__init__(core, timeline, backend, limit, read_timeout)
         self.pool_of = pool_of
@@ -138,11 +138,11 @@
         self._request_count = 0
 
     def make(self) -> UwsgiConnection:
-        """Make a connection for a peer that has connected."""
+        """Create the connection object for a peer that has connected."""
         return UwsgiConnection(self)
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Ignore the limit: gateways open a connection for each request, and the read timeout bounds it."""
+        """Ignore the limit: gateways open a connection per request, and the read timeout bounds its idle time."""
 
     @property
     def max_retry_after(self) -> timedelta:
@@ -150,7 +150,7 @@
         return span(self.core.settings.max_retry_after_us)
 
     def read_request(self, packet: Packet) -> InboundRequest:
-        """Return the request of a packet. Raises InvalidPacketError."""
+        """Return the request of a packet. Raises InvalidPacketError if its idempotency key is too long."""
         number = self._request_count + 1
         inbound = read_request(
             packet,
--- a/marlstep/frontends/uwsgi_mapping.py
+++ b/marlstep/frontends/uwsgi_mapping.py
@@ -1,4 +1,4 @@
-"""Which variables of a uwsgi request carry the fields of a request, as the operator's file says."""
+"""The configured mapping from uwsgi variables to the fields of a request."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass(slots=True, frozen=True)
 class UwsgiMapping:
-    """The names of variables, by the field that they carry; None where no variable does.
+    """The names of the variables that carry each field; None for a field without a variable.
 
-    `class_names` maps values of the class variable to names of classes; a value that is not in it is the name itself.
-    `default_class` applies where the variable names no class that there is. `memory_kb` is reserved for each queued
-    request at the least.
+    `class_names` maps values of the class variable to class names; a value that is not in it is the class name itself.
+    `default_class` is used if the variable does not name a configured class. `memory_kb` is the minimum memory, in kB,
+    that is reserved for each queued request.
     """
 
     class_variable: str
--- a/marlstep/frontends/uwsgi_requests.py
+++ b/marlstep/frontends/uwsgi_requests.py
@@ -1,4 +1,4 @@
-"""Requests out of uwsgi packets, and HTTP responses to them. Pure."""
+"""Converts uwsgi packets to requests, and responses to HTTP. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from marlstep.frontends.uwsgi_wire import Packet, write_response
 from marlstep.units import MILLISECOND, SECOND
 
-MAX_IDEMPOTENCY_KEY_CHARACTERS = 256  # a key is stored, and sent to other processes
+MAX_IDEMPOTENCY_KEY_CHARACTERS = 256  # bounded because keys are stored and sent to other processes
 MAX_COST_MS = 3_600_000.0
 FALSE_TEXTS = ("", "0", "no", "false", "off")
 BYTES_PER_KB = 1024
@@ -28,11 +28,11 @@
     """Return the request of a packet.
 
     Args:
-        packet: its bytes go to the upstream unchanged.
-        mapping: which variables carry which field.
-        class_names: the classes that there are.
-        pool_of: the name of the pool of servers for a class.
-        id: of this attempt; what the client names is the work.
+        packet: the packet, whose bytes are forwarded to the upstream unchanged.
+        mapping: which variables carry which fields of the request.
+        class_names: the configured classes.
+        pool_of: returns the name of the upstream pool for a class.
+        id: identifies this attempt; the client's idempotency key identifies the work.
         arrived_at: when the packet was complete.
 
     Raises:
@@ -55,7 +55,7 @@
 
 
 def _class_of(variables: Mapping[str, str], mapping: UwsgiMapping, class_names: Collection[str]) -> str:
-    """Return the class that the client names; where there is none of that name, the default if there is one."""
+    """Return the class that the client names, or the default class if one is configured and the name is unknown."""
     value = variables.get(mapping.class_variable, "")
     named = mapping.class_names.get(value, value)
     if mapping.default_class and named not in class_names:
@@ -80,27 +80,27 @@
 
 
 def read_cost(text: str) -> timedelta | None:
-    """Return the run time that the client expects; None where the text is no number of milliseconds.
+    """Return the run time that the client expects; None if the text is not a valid number of milliseconds.
 
-    The cost is a hint: one that can't be used is as good as none, and no reason to reject the request.
+    The cost is only a hint, so an invalid one is ignored instead of rejecting the request.
     """
     try:
         value = float(text)
     except ValueError:
         return None
-    return value * MILLISECOND if 0 <= value <= MAX_COST_MS else None  # NaN is in no range
+    return value * MILLISECOND if 0 <= value <= MAX_COST_MS else None  # false for NaN
 
 
 def retry_after_seconds(retry_after: timedelta, max_retry_after: timedelta) -> int:
     """Return the Retry-After of a rejection in whole seconds.
 
-    Rounded up, since the client must not come back too soon, but never over the longest that callers respect.
+    It is rounded up, so that the client does not retry too early, but never above the maximum that callers respect.
     """
     return min(-(-retry_after // SECOND), max_retry_after // SECOND)
 
 
 def http_response(response: Response, max_retry_after: timedelta) -> bytes:
-    """Return the bytes of a response: the upstream's own where the work was done, and a short text otherwise."""
+    """Return the bytes of a response: the upstream's response if the work was done, else a status and a short text."""
     match response.status:
         case ResponseStatus.DONE:
             return response.body
--- a/marlstep/frontends/uwsgi_wire.py
+++ b/marlstep/frontends/uwsgi_wire.py
@@ -1,7 +1,7 @@
-"""The uwsgi protocol: packets read from a ring, and packets and HTTP responses written as bytes. Pure.
+"""Reads uwsgi packets from a ring, and writes packets and HTTP responses as bytes. Pure.
 
-A packet is 4 bytes (modifier1, the size of the variables as 16 bits little-endian, modifier2), the variables (each a
-size of 16 bits and that many bytes, name and value in turn), and CONTENT_LENGTH bytes of body.
+A packet is a header of 4 bytes (modifier1, the size of the block of variables as 16 bits little-endian, modifier2), the
+variables (names and values in turn, each a 16-bit size and that many bytes), and a body of CONTENT_LENGTH bytes.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 )
 from marlstep.net.ring import Ring
 
-HEAD = 4  # bytes before the variables
-SIZE_BYTES = 2  # of the size of a variable's name or value
+HEAD = 4  # bytes of the header
+SIZE_BYTES = 2  # bytes of the size before each name and value
 MAX_CONTENT_LENGTH_DIGITS = 15
 
 
 @dataclass(slots=True, frozen=True)
 class Packet:
-    """A complete packet."""
+    """A complete uwsgi packet."""
 
-    raw: bytes  # all of it, to be forwarded unchanged
+    raw: bytes  # the whole packet, to be forwarded unchanged
     variables: Mapping[str, str]
 
 
 def read_variables(block: bytes) -> dict[str, str]:
-    """Read the variables of a packet; of a name that comes twice the last value counts.
+    """Parse the variables of a packet; if a name is repeated, its last value counts.
 
     Raises:
-        InvalidPacketError: the sizes inside do not add up.
+        InvalidPacketError: a size exceeds the block, or the last name has no value.
     """
     words: list[str] = []
     position = 0
@@ -60,14 +60,14 @@
 
 
 class PacketReader:
-    """Reads packets one after the other, however the stream is divided."""
+    """Reads consecutive packets from a stream that arrives in pieces of any size."""
 
     def __init__(self, body_limit: int) -> None:
-        """`body_limit` is in bytes."""
+        """`body_limit` is the maximum size of a body in bytes."""
         self._body_limit = body_limit
         self._raw = bytearray()
         self._variables: dict[str, str] | None = None
-        self._size = HEAD  # of the packet in bytes, as far as it is known
+        self._size = HEAD  # bytes of the packet up to the end of the part whose size is known
 
     @property
     def inside(self) -> bool:
@@ -78,7 +78,7 @@
         """Return the next packet; None until it is complete.
 
         Raises:
-            InvalidPacketError: what came is no packet that is accepted here.
+            InvalidPacketError: the packet is malformed, or its body is larger than the limit.
         """
         while True:
             self._raw += ring.take(self._size - len(self._raw))
@@ -122,7 +122,7 @@
 
 
 def write_response(status: int, headers: Mapping[str, str], text: str) -> bytes:
-    """Return the bytes of an HTTP response with a plain text, after which the connection closes."""
+    """Return the bytes of an HTTP response with a plain-text body and `Connection: close`."""
     body = text.encode() + b"\n"
     lines = [f"HTTP/1.1 {status} {REASONS[status]}", "Content-Type: text/plain; charset=utf-8"]
     lines += [f"Content-Length: {len(body)}", "Connection: close"]
--- a/marlstep/net/__init__.py
+++ b/marlstep/net/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes in and out: the event loop, streams, ring buffers, framing and the codec of messages."""
+"""Network I/O: the event loop, streams, ring buffers, framing and the message codec."""
--- a/marlstep/net/codec.py
+++ b/marlstep/net/codec.py
@@ -1,7 +1,7 @@
-"""Typed messages as JSON, under wire names that stand beside the types and do not follow Python's names.
+"""Encodes typed messages as JSON, with wire names that are declared apart from the Python names.
 
-A message is written as `[tag, {key: value, ...}]`. The tag is the class's `wire_tag`; the key of each field, and how
-its value is checked and written, stand in the field's metadata:
+A message is written as `[tag, {key: value, ...}]`. The tag is the class's `wire_tag`. The field's metadata declares its
+key and how its value is validated and written:
 
     @dataclass(slots=True, frozen=True)
     class TimeoutNow:
@@ -9,11 +9,11 @@
 
         term: int = field(metadata=wire("term", INTEGER))
 
-A class may therefore be renamed, and so may its fields, without a change on the wire. Parts of messages and of
-snapshots are written the same way, without a tag (`write_fields`, `read_fields`).
+Classes and fields can therefore be renamed without a change on the wire. Parts of messages and of snapshots are written
+the same way, without a tag (`write_fields`, `read_fields`).
 
-Values that can't be read raise ValueError or TypeError themselves, not subclasses: state machines read commands with
-these functions, and the `repr` of the error is part of a command's replicated result.
+Invalid values raise exactly ValueError or TypeError, not subclasses: state machines read commands with these functions,
+and the `repr` of the error is part of a command's replicated result.
 """
 
 from __future__ import annotations
@@ -37,18 +37,18 @@
 
 
 class MalformedMessageError(CorruptError):
-    """A message can't be read: it is no JSON, has an unknown tag, or a field has a wrong value."""
+    """A message cannot be read: it is not JSON, has an unknown tag, or a field is missing, unknown or invalid."""
 
     def __init__(self, part: str, problem: object) -> None:
-        """Name the part that can't be read, and what is wrong with it: text, or the error that reading it raised."""
+        """`part` names what cannot be read; `problem` is a text, or the error that was raised on reading it."""
         super().__init__(f"malformed {part}: {problem if isinstance(problem, str) else repr(problem)}")
 
 
 class MissingWireNameError(MarlstepError, TypeError):
-    """A message class is declared wrongly: one of its fields has no wire name."""
+    """A message class is declared with a field that has no wire name."""
 
     def __init__(self, message_class: type, field_name: str) -> None:
-        """Name the field by its class and its Python name."""
+        """`field_name` is the Python name of the field of `message_class`."""
         super().__init__(f"{message_class.__name__}.{field_name} has no wire name")
 
 
@@ -56,7 +56,7 @@
     """Two message classes of one codec are declared with the same wire tag."""
 
     def __init__(self, tag: str) -> None:
-        """`tag` is the one that both have."""
+        """`tag` is the wire tag of both classes."""
         super().__init__(f"two message classes have the wire tag {tag!r}")
 
 
@@ -68,13 +68,13 @@
 
 
 def unchanged(value: object) -> object:
-    """Return a value as it is: the writer of those that JSON can hold."""
+    """Return the value itself; the writer for types that JSON can represent."""
     return value
 
 
 @dataclass(slots=True, frozen=True)
 class ValueType:
-    """How a field's value is read from JSON and written to it.
+    """How the values of a field are converted from and to JSON.
 
     `read` raises ValueError, KeyError, TypeError or AttributeError for a value that is not of this type.
     """
@@ -85,14 +85,14 @@
 
 @dataclass(slots=True, frozen=True)
 class WireField:
-    """The name of a field on the wire, and the type of its values there."""
+    """The key of a field on the wire, and the type of its values."""
 
     key: str
     value_type: ValueType
 
 
 def wire(key: str, value_type: ValueType) -> Mapping[str, WireField]:
-    """Make the `metadata` of a dataclass field that is written under `key`."""
+    """Return the `metadata` for a dataclass field that is written under `key`."""
     return {METADATA_KEY: WireField(key, value_type)}
 
 
@@ -119,7 +119,7 @@
 
 
 def list_of(item_type: ValueType) -> ValueType:
-    """Lists whose items are all of that type."""
+    """Return the type of lists whose items are all of `item_type`."""
 
     def read(value: object) -> list[object]:
         if not isinstance(value, list):
@@ -130,7 +130,7 @@
 
 
 def optional(value_type: ValueType) -> ValueType:
-    """That type, or null."""
+    """Return the type whose values are null or of `value_type`."""
     return ValueType(
         lambda value: None if value is None else value_type.read(value),
         lambda value: None if value is None else value_type.write(value),
@@ -138,20 +138,20 @@
 
 
 def member_of(enum_class: type[enum.Enum]) -> ValueType:
-    """The members of an enumeration, by their values."""
+    """Return the type of an enumeration's members, written as their values."""
     return ValueType(enum_class, lambda member: member.value)
 
 
 def nested(part_class: type) -> ValueType:
-    """A dataclass whose fields all have `wire` metadata, as an object by wire keys."""
+    """Return the type of a dataclass with `wire` metadata, written as an object with wire keys."""
     return ValueType(lambda value: read_fields(part_class, value), write_fields)
 
 
-_wire_fields: dict[type, dict[str, WireField]] = {}  # a cache: of each class, by the fields' Python names
+_wire_fields: dict[type, dict[str, WireField]] = {}  # cache: class to its wire fields by Python name
 
 
 def wire_fields(message_class: type) -> dict[str, WireField]:
-    """Return the wire form of each field, by its Python name. Raises TypeError where a field has none."""
+    """Return the wire field of each field by its Python name. Raises MissingWireNameError if a field has none."""
     found = _wire_fields.get(message_class)
     if found is None:
         found = {}
@@ -165,7 +165,7 @@
 
 
 def write_fields(message: object) -> dict[str, object]:
-    """Return the fields of a message or of a part of one as JSON values, by their wire keys."""
+    """Return the fields of a message, or of a part of a message, as JSON values by wire key."""
     return {
         wire_field.key: wire_field.value_type.write(getattr(message, name))
         for name, wire_field in wire_fields(type(message)).items()
@@ -173,12 +173,12 @@
 
 
 def read_fields(part_class: type[Part], values: object) -> Part:
-    """Make a message or a part of one from what `write_fields` returned.
+    """Create a message, or a part of a message, from JSON values by wire key; the inverse of `write_fields`.
 
-    A key that is left out has its field's default. Raises ValueError, KeyError, TypeError or AttributeError for a wrong
-    value, an unknown key, or one that is left out and has no default.
+    A field whose key is missing gets its default. Raises ValueError, KeyError, TypeError or AttributeError for an
+    invalid value, an unknown key, or a missing key whose field has no default.
     """
-    keyed_values = cast(Mapping[str, object], values)  # another type raises one of these errors below
+    keyed_values = cast(Mapping[str, object], values)  # otherwise the code below raises
     known = {wire_field.key for wire_field in wire_fields(part_class).values()}
     if unknown := dict(keyed_values).keys() - known:
         message = f"{part_class.__name__} has no {sorted(unknown)}"
@@ -187,7 +187,7 @@
 
 
 def _build(part_class: type[Part], values: Mapping[str, object]) -> Part:
-    # A field that is left out and has no default makes the constructor raise TypeError.
+    # The constructor raises TypeError for a missing field without a default.
     arguments = {
         name: _read_value(part_class, wire_field, values[wire_field.key])
         for name, wire_field in wire_fields(part_class).items()
@@ -197,10 +197,19 @@
 
 
 class Codec(Generic[MessageT]):
-    """Reads and writes a fixed set of message classes; every value that is read is checked."""
+    """Reads and writes a fixed set of message classes, and validates every value that is read."""
 
     def __init__(self, message_classes: Iterable[type[MessageT]], ignore_unknown_keys: bool = False) -> None:
-        """`ignore_unknown_keys`: take fields that are not known for those of a newer program, and ignore them."""
+        """Initialize the codec.
+
+        Args:
+            message_classes: the classes, each with a `wire_tag` of its own.
+            ignore_unknown_keys: ignore unknown fields, which a newer version of the program may send.
+
+        Raises:
+            DuplicateTagError: two classes have the same tag.
+            MissingWireNameError: a field has no wire name.
+        """
         self._ignore_unknown_keys = ignore_unknown_keys
         self._classes: dict[str, type[MessageT]] = {}
         for message_class in message_classes:
@@ -208,15 +217,15 @@
             if tag in self._classes:
                 raise DuplicateTagError(tag)
             self._classes[tag] = message_class
-            wire_fields(message_class)  # raises here, at import, rather than with the first message
+            wire_fields(message_class)  # raises at import instead of at the first message
 
     @property
     def message_classes(self) -> Mapping[str, type[MessageT]]:
-        """All classes that this codec knows, by wire tag."""
+        """The message classes of this codec by wire tag."""
         return MappingProxyType(self._classes)
 
     def dump(self, message: MessageT) -> list[object]:
-        """Return a message as JSON values: its tag and its fields."""
+        """Return a message as JSON values: its tag and an object with its fields."""
         return [cast(Message, message).wire_tag, write_fields(message)]
 
     def write(self, message: MessageT) -> bytes:
@@ -224,7 +233,7 @@
         return orjson.dumps(self.dump(message))
 
     def read(self, body: bytes) -> MessageT:
-        """Return the message that JSON text holds. Raises MalformedMessageError."""
+        """Parse a message from JSON text. Raises MalformedMessageError if it is malformed."""
         try:
             dumped = orjson.loads(body)
         except ValueError as fault:
@@ -232,9 +241,9 @@
         return self.load(dumped)
 
     def load(self, dumped: object) -> MessageT:
-        """Return the message that JSON values hold. Raises MalformedMessageError."""
+        """Parse a message from JSON values. Raises MalformedMessageError if it is malformed."""
         try:
-            # Values of another shape raise one of the errors that are caught here.
+            # Values of any other structure raise one of the errors that are caught below.
             tag, values = cast(tuple[str, Mapping[str, object]], dumped)
             message_class = self._classes[tag]
             if self._ignore_unknown_keys:
--- a/marlstep/net/eventloop.py
+++ b/marlstep/net/eventloop.py
@@ -1,4 +1,4 @@
-"""The running event loop as the waker of a timer queue, and as the means to open connections."""
+"""Adapts the asyncio event loop to timer queues, and opens outgoing connections on it."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 Address = tuple[str, int]
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
-DialCallback = Callable[[OSError | None], None]  # called once: with None once connected
+DialCallback = Callable[[OSError | None], None]  # called once: with None on success, else with the error
 Cancel = Callable[[], object]
-# The caller keeps what it is given until the callback was called: nothing else holds the attempt.
+# The caller must keep the returned `Cancel` until the callback is called: nothing else references the task.
 Dial = Callable[[ProtocolFactory, Address, DialCallback], Cancel]
 
 
 def dial(protocol_factory: ProtocolFactory, address: Address, on_dialed: DialCallback) -> Cancel:
-    """Begin to connect to an address, and return what cancels the attempt; the callback is not called then."""
+    """Start to connect to an address. Return a function that cancels the attempt without calling the callback."""
     loop = asyncio.get_running_loop()
 
     async def connect() -> None:
@@ -32,21 +32,21 @@
 
 
 class LoopWaker:
-    """The clock and the one alarm of a timer queue, on an asyncio event loop."""
+    """The clock and the wake-up timer of a timer queue, on an asyncio event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, now: Callable[[], datetime] | None = None) -> None:
-        """`now` is the clock that deadlines are counted by; by default the system's Unix clock."""
+        """`now` is the clock for deadlines; the default is the system's Unix clock."""
         self._loop = loop
         self._alarm: asyncio.TimerHandle | None = None
         self.now = now or SystemClock().now
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
-        """Set the alarm; it replaces the one before."""
+        """Schedule `callback` at `when`, in place of the callback that was scheduled before."""
         if self._alarm is not None:
             self._alarm.cancel()
         delay = max(ZERO, when - self.now()).total_seconds()
         self._alarm = self._loop.call_later(delay, callback)
 
     def soon(self, callback: Callable[[], None]) -> None:
-        """Call back in the loop's next turn."""
+        """Schedule `callback` for the next iteration of the loop."""
         self._loop.call_soon(callback)
--- a/marlstep/net/framing.py
+++ b/marlstep/net/framing.py
@@ -1,6 +1,6 @@
-"""Frames on a stream between processes of this program: a header, and a body that holds one message.
+"""Frames between processes of this program: a header, and a body with one message.
 
-4 bytes    magic: which protocol, and its version
+4 bytes    magic: identifies the protocol and its version
 4 bytes    length of the body in bytes, big-endian
 n bytes    checksum of the body; its length depends on the protocol
            the body
@@ -16,18 +16,18 @@
 from marlstep.net.ring import Ring
 
 LENGTH_BYTES = 4
-KEYED_BYTES = 16  # of a keyed checksum
+KEYED_BYTES = 16  # size of a keyed checksum
 
 
 class CorruptError(RemoteProtocolError, ValueError):
-    """What another process wrote can't be read. On a stream, nothing after it can be read either."""
+    """Data from another process cannot be read. On a stream, nothing after it can be read either."""
 
 
 class UnknownMagicError(CorruptError):
-    """A frame begins with the magic of another protocol or version."""
+    """A frame does not begin with the magic of this protocol and version."""
 
     def __init__(self, found: bytes) -> None:
-        """`found` stands where the magic should."""
+        """`found` are the bytes in place of the magic, as many as have arrived."""
         super().__init__(f"no frame of this version: {found!r}")
         self.found = found
 
@@ -36,36 +36,36 @@
     """A frame's header announces a body that is larger than the protocol allows."""
 
     def __init__(self, size: int, limit: int) -> None:
-        """Sizes are in bytes."""
-        super().__init__(f"a message of {size} bytes, {limit} at the most")
+        """`size` is the announced size and `limit` the largest allowed one, both in bytes."""
+        super().__init__(f"expected a message of at most {limit} bytes, header announces {size} bytes")
         self.size, self.limit = size, limit
 
 
 class ChecksumError(CorruptError):
-    """A frame's body does not have the checksum that its header gives: it was damaged, or has another key."""
+    """A frame's body does not match the checksum in its header: it was damaged, or the sender has another key."""
 
     def __init__(self, expected: bytes, found: bytes) -> None:
-        """`expected` stands in the header, `found` is that of the body."""
-        super().__init__(f"the checksum is wrong: expected {expected.hex()}, found {found.hex()}")
+        """`expected` is the checksum in the header, `found` that of the body."""
+        super().__init__(f"wrong checksum in frame: expected {expected.hex()}, found {found.hex()}")
         self.expected, self.found = expected, found
 
 
 class FrameTooLargeError(LocalProtocolError, ValueError):
-    """A body is larger than the protocol allows; the other side would refuse it."""
+    """A body to be written is larger than the protocol allows, so the receiver would reject it."""
 
     def __init__(self, size: int, limit: int) -> None:
-        """Sizes are in bytes."""
-        super().__init__(f"a message of {size} bytes, {limit} at the most")
+        """`size` is the size of the body and `limit` the largest allowed one, both in bytes."""
+        super().__init__(f"expected a message of at most {limit} bytes to write, got {size} bytes")
         self.size, self.limit = size, limit
 
 
 def crc(body: bytes) -> bytes:
-    """Return the CRC-32 of a body, for connections that only this node's own processes can open."""
+    """Return the CRC-32 of a body; sufficient for connections that only processes of this node can open."""
     return zlib.crc32(body).to_bytes(4, "big")
 
 
 def keyed(key: bytes) -> Callable[[bytes], bytes]:
-    """Make a checksum that only holders of the key (up to 64 bytes) can compute: BLAKE2b, 16 bytes."""
+    """Return a checksum function that only holders of `key` (up to 64 bytes) can compute: BLAKE2b, 16 bytes."""
 
     def check(body: bytes) -> bytes:
         return hashlib.blake2b(body, digest_size=KEYED_BYTES, key=key).digest()
@@ -77,22 +77,32 @@
     """Writes and reads the frames of one protocol."""
 
     def __init__(self, magic: bytes, max_body_bytes: int, checksum: Callable[[bytes], bytes]) -> None:
-        """`checksum` returns the same number of bytes for every body."""
+        """Initialize the framing.
+
+        Args:
+            magic: the first bytes of every frame.
+            max_body_bytes: size of the largest body that is written or read.
+            checksum: returns the checksum of a body, which always has the same number of bytes.
+        """
         self._magic, self._max_body_bytes, self._checksum = magic, max_body_bytes, checksum
         self._length_end = len(magic) + LENGTH_BYTES
         self._header_bytes = self._length_end + len(checksum(b""))
 
     def write(self, body: bytes) -> bytes:
-        """Return the frame of a body. Raises FrameTooLargeError."""
+        """Return the frame of a body. Raises FrameTooLargeError if the body exceeds the limit."""
         if len(body) > self._max_body_bytes:
             raise FrameTooLargeError(len(body), self._max_body_bytes)
         return self._magic + len(body).to_bytes(LENGTH_BYTES, "big") + self._checksum(body) + body
 
     def read(self, ring: Ring) -> bytes | None:
-        """Take the next body out of the ring; None until a whole frame is there. Raises CorruptError."""
+        """Remove the next frame from the ring and return its body; None until the frame is complete.
+
+        Raises:
+            CorruptError: the magic, the length or the checksum is wrong.
+        """
         header = ring.peek(self._header_bytes)
         magic = header[: len(self._magic)]
-        if not self._magic.startswith(magic):  # checked as soon as the first byte is there
+        if not self._magic.startswith(magic):  # checked from the first byte on
             raise UnknownMagicError(magic)
         if len(header) < self._length_end:
             return None
--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -1,4 +1,4 @@
-"""Connections whose messages are lines of words; some lines are followed by a body, whose length they give."""
+"""Base class of line-based protocols: a message is a line of words, optionally followed by a body of given length."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 log = logging.getLogger(__name__)
 
 MAX_LENGTH_DIGITS = 9
-MAX_SHOWN_CHARACTERS = 32  # of a wrong word, in the log
+MAX_SHOWN_CHARACTERS = 32  # of an invalid word, in the log
 BODY_END = b"\r\n"
 BODY_END_BYTES = len(BODY_END)
 
 
 class LineProtocolError(RemoteProtocolError):
-    """The peer broke the protocol, so that it is not known where its next message begins."""
+    """The peer broke the protocol, so the start of its next message is unknown."""
 
 
 class InvalidLengthError(LineProtocolError):
-    """A word that gives a body's length is no number, or is over the limit."""
+    """The word with the length of a body is not a number, or exceeds the limit."""
 
     def __init__(self, word: str, limit: int) -> None:
-        """`word` is what was found, `limit` the longest body in bytes."""
+        """`word` is the invalid word, `limit` the maximum length of a body in bytes."""
         super().__init__(f"expected a length of 0 to {limit}, got {word[:MAX_SHOWN_CHARACTERS]!r}")
         self.word, self.limit = word, limit
 
@@ -33,13 +33,13 @@
     """A body is not followed by a line end."""
 
     def __init__(self, found: bytes) -> None:
-        """`found` are the bytes in its place."""
+        """`found` are the bytes in place of the line end."""
         super().__init__(f"expected {BODY_END!r} after a body, found {found!r}")
         self.found = found
 
 
 def parse_length(word: str, limit: int) -> int:
-    """Return a body's length in bytes. Raises InvalidLengthError."""
+    """Return the length of a body in bytes. Raises InvalidLengthError if it is not a number from 0 to `limit`."""
     is_number = word.isascii() and word.isdigit() and len(word) <= MAX_LENGTH_DIGITS
     if not is_number or int(word) > limit:
         raise InvalidLengthError(word, limit)
@@ -47,16 +47,16 @@
 
 
 class LineStream(RingStream):
-    """Divides the stream into messages.
+    """A connection that divides its stream into messages.
 
-    A fault in the protocol ends the connection, and so does the end of the peer's stream.
+    It is aborted when the peer breaks the protocol or ends its stream.
     """
 
     def __init__(self, ring_size: int, line_limit: int) -> None:
-        """Both are in bytes; a body with its line end must fit into the ring."""
+        """`ring_size` and `line_limit` are in bytes; a body with its line end must fit into the ring."""
         super().__init__(ring_size)
         self._line_limit = line_limit
-        self._words: list[str] | None = None  # of a message whose body is incomplete
+        self._words: list[str] | None = None  # the line of a message whose body is incomplete
         self._length = 0
 
     @property
@@ -65,7 +65,7 @@
         return self._words is not None or self.inbox.used > 0
 
     def body_length(self, words: list[str]) -> int | None:
-        """Return the length of the body after this line; None where none follows. May raise LineProtocolError."""
+        """Return the length in bytes of the body after this line; None if it has none. May raise LineProtocolError."""
         raise NotImplementedError
 
     def message(self, words: list[str], body: bytes) -> None:
@@ -73,7 +73,7 @@
         raise NotImplementedError
 
     def data_received(self) -> None:
-        """Handle all messages that are complete."""
+        """Handle all complete messages."""
         try:
             while self._read_message():
                 pass
@@ -89,7 +89,7 @@
         self.abort()
 
     def _read_message(self) -> bool:
-        """Read and handle the next message; False until it is complete."""
+        """Read and handle the next message; False if it is incomplete."""
         inbox = self.inbox
         if self._words is None:
             line = inbox.line(self._line_limit)
--- a/marlstep/net/ring.py
+++ b/marlstep/net/ring.py
@@ -1,6 +1,6 @@
-"""A ring buffer of bytes, of fixed size: one for each direction of a connection.
+"""A ring buffer of bytes with a fixed size; each connection has one per direction.
 
-Its memory is allocated with the first byte, so that a connection that never carries any costs none.
+The memory is allocated on first use, so that connections without traffic need none.
 """
 
 from __future__ import annotations
@@ -9,30 +9,30 @@
 
 
 class LineTooLongError(RemoteProtocolError):
-    """A peer sent no line end within the bytes that a line may take."""
+    """A peer sent a line that is longer than the limit."""
 
     def __init__(self, limit: int) -> None:
-        """`limit` is in bytes, without the line end."""
+        """`limit` is the maximum length of a line in bytes, without the line end."""
         super().__init__(f"no line end within {limit} bytes")
         self.limit = limit
 
 
 class RingRangeError(LocalProtocolError):
-    """More bytes were to be written or skipped than there is space for, or than there are."""
+    """The number of bytes to commit or skip is negative, or exceeds the free or used bytes of the ring."""
 
     def __init__(self, count: int, limit: int) -> None:
-        """`count` is not between 0 and `limit`."""
+        """`count` is the number of bytes, `limit` the largest allowed one."""
         super().__init__(f"expected 0 to {limit} bytes, got {count}")
         self.count, self.limit = count, limit
 
 
 class Ring:
-    """A first-in first-out buffer of up to `size` bytes, of which `used` are in it."""
+    """A first-in first-out buffer with space for `size` bytes, of which `used` are occupied."""
 
     __slots__ = ("_data", "_start", "_view", "size", "used")
 
     def __init__(self, size: int) -> None:
-        """`size` is in bytes; none are allocated yet."""
+        """`size` is in bytes. The memory is allocated on first use."""
         self.size = size
         self.used = 0
         self._start = 0
@@ -41,11 +41,11 @@
 
     @property
     def free(self) -> int:
-        """The bytes that can be written until something is taken."""
+        """The number of bytes that can be written."""
         return self.size - self.used
 
     def space(self) -> memoryview:
-        """Return the contiguous free bytes, to be written in place; call `wrote` after that."""
+        """Return contiguous free bytes to write into; call `wrote` after that."""
         if not self._view:
             self._data = bytearray(self.size)
             self._view = memoryview(self._data)
@@ -56,13 +56,13 @@
         return min(self.size - end, self.free)
 
     def wrote(self, count: int) -> None:
-        """Take in the first `count` bytes of `space()`. Raises RingRangeError."""
+        """Commit the first `count` bytes of `space()`. Raises RingRangeError if `count` exceeds the free bytes."""
         if not 0 <= count <= self.free:
             raise RingRangeError(count, self.free)
         self.used += count
 
     def put(self, data: bytes | memoryview) -> int:
-        """Copy in as much as there is space for, and return how much that was."""
+        """Copy as many bytes of `data` into the ring as fit, and return their number."""
         copied = 0
         while copied < len(data) and self.free:
             space = self.space()
@@ -73,21 +73,21 @@
         return copied
 
     def peek(self, count: int) -> bytes:
-        """Return the first `count` bytes, or as many as there are, and leave them in the ring."""
+        """Return the first `count` bytes, or all if there are fewer, without removing them."""
         count = min(count, self.used)
         first = min(count, self.size - self._start)
         data = bytes(self._view[self._start : self._start + first])
         return data + bytes(self._view[: count - first]) if count > first else data
 
     def skip(self, count: int) -> None:
-        """Remove the first `count` bytes. Raises RingRangeError."""
+        """Remove the first `count` bytes. Raises RingRangeError if there are fewer."""
         if not 0 <= count <= self.used:
             raise RingRangeError(count, self.used)
         self.used -= count
         self._start = (self._start + count) % self.size if self.used else 0
 
     def take(self, count: int) -> bytes:
-        """Remove and return the first `count` bytes, or as many as there are."""
+        """Remove and return the first `count` bytes, or all if there are fewer."""
         if count >= self.used or self._start + count > self.size:
             data = self.peek(count)
             self.skip(len(data))
@@ -97,7 +97,11 @@
         return bytes(self._view[start : start + count])
 
     def line(self, limit: int) -> bytes | None:
-        """Remove and return the next line, without its CR LF; None until it is complete. Raises LineTooLongError."""
+        """Remove and return the next line, without its CR LF; None if it is incomplete.
+
+        Raises:
+            LineTooLongError: there is no line end after up to `limit` bytes.
+        """
         if self._start + self.used <= self.size:  # contiguous: searched in place
             searched = min(self.used, limit + 2)
             end = self._data.find(b"\r\n", self._start, self._start + searched)
--- a/marlstep/net/stream.py
+++ b/marlstep/net/stream.py
@@ -1,8 +1,8 @@
-"""The base of every TCP connection: an asyncio protocol with one ring buffer per direction.
+"""The base class of all TCP connections: an asyncio protocol with one ring buffer per direction.
 
-What is read goes into the inbox without a copy. What is written goes to the loop's transport as long as the peer reads,
-and uvloop sends out all of one pass together. Else it waits in the outbox, and what does not fit there in an overflow
-queue; no more is read from the peer until that queue is empty (backpressure).
+Input is read into the inbox without a copy. Output is written to the loop's transport as long as the peer reads; uvloop
+sends all writes of one loop iteration together. While the peer does not read, output is queued in the outbox, and in an
+overflow queue once the outbox is full. Nothing is read from the peer until the overflow queue is empty (backpressure).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class RingStream(asyncio.BufferedProtocol):
-    """A connection. Its life is `opened`, `data_received` any number of times, `closed`.
+    """A connection: `opened` is called first, then `data_received` any number of times, then `closed`.
 
     Subclasses implement `data_received` and `closed`, consume `inbox` and call `send`.
     """
@@ -33,43 +33,43 @@
         self._writable = True
         self._reading = True
         self._finishing = False
-        self.at_eof = False  # the peer will send no more
+        self.at_eof = False  # the peer has ended its stream
 
-    # For subclasses to implement.
+    # Methods that subclasses implement.
 
     def opened(self) -> None:
-        """Handle the connection's opening."""
+        """Handle the opening of the connection."""
 
     def data_received(self) -> None:
-        """Consume `inbox`: there is more in it, the peer has ended its stream, or it reads again."""
+        """Consume `inbox`. Called when data has arrived, when the peer ended its stream, and when it reads again."""
         raise NotImplementedError
 
     def closed(self) -> None:
-        """Handle the end of the connection, however it ended. Called once."""
+        """Handle the end of the connection, whatever its cause. Called once."""
         raise NotImplementedError
 
-    # For subclasses and owners to call.
+    # Methods that subclasses and owners call.
 
     @property
     def connected(self) -> bool:
-        """Whether the connection is open, and not being closed."""
+        """Whether the connection is open and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     @property
     def send_blocked(self) -> bool:
-        """Whether the peer does not read what was sent, so that nothing more is read from it.
+        """Whether output is in the overflow queue because the peer does not read; reading from it is paused then.
 
-        That bounds the memory of a connection: a request that is not read needs no queued response.
+        This bounds the memory of a connection: a request that is not read needs no queued response.
         """
         return bool(self._overflow)
 
     def send(self, data: bytes) -> None:
-        """Send data, or queue it where the peer does not read; ignored where there is no connection."""
+        """Send data, or queue it while the peer does not read. Ignored if the connection is closed."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         if self._writable and not self._outbox.used:
-            transport.write(data)  # nothing is queued before it, and the peer reads
+            transport.write(data)  # no earlier output is queued, and the peer reads
             return
         queued = 0 if self._overflow else self._outbox.put(data)
         if queued < len(data):
@@ -77,12 +77,12 @@
         self._flush()
 
     def finish(self) -> None:
-        """Read no more, and close once all that was sent is written out."""
+        """Stop reading, and close once all output is written."""
         self._finishing = True
         self._flush()
 
     def abort(self) -> None:
-        """Close at once; what is queued is lost."""
+        """Close at once and discard queued output."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -100,7 +100,7 @@
             transport.close()
 
     def _update_reading(self) -> None:
-        """Read only while there is space in the inbox and the peer reads what it is sent."""
+        """Pause or resume reading: it requires space in the inbox and an empty overflow queue."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -112,28 +112,28 @@
             transport.pause_reading()
         self._reading = wanted
 
-    # For asyncio to call.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport that asyncio has connected."""
+        """Store the transport, and set its buffer limits."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=WRITE_BUFFER_LIMIT, low=0)
         self.opened()
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Return where asyncio is to read into. Reading is paused while there is no space."""
+        """Return the buffer for asyncio to read into. Reading is paused while the inbox is full."""
         return self.inbox.space()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take in what asyncio has read."""
+        """Handle data that asyncio has read into the buffer."""
         self.inbox.wrote(nbytes)
         self._handle_data()
 
     def eof_received(self) -> bool:
-        """Note the end of the peer's stream."""
+        """Handle the end of the peer's stream."""
         self.at_eof = True
         self._handle_data()
-        return True  # asyncio leaves it open: responses are still owed, and the subclass closes
+        return True  # keep the transport open for pending responses; the subclass closes it
 
     def _handle_data(self) -> None:
         if self._finishing:
@@ -142,26 +142,26 @@
         try:
             self.data_received()
         except Exception:
-            # A fault in the handling of one connection must end no other.
+            # An error in handling one connection must not affect the others.
             log.exception("connection aborted: reason=unhandled_error connection=%s", type(self).__name__)
             self.abort()
             return
         self._update_reading()
 
     def pause_writing(self) -> None:
-        """Queue from now on: the peer does not read."""
+        """Queue output from now on, because the peer does not read."""
         self._writable = False
 
     def resume_writing(self) -> None:
-        """Write out what is queued, and read again."""
+        """Write the queued output, and resume reading."""
         self._writable = True
         was_send_blocked = self.send_blocked
         self._flush()
         if was_send_blocked and not self.send_blocked and not self._finishing:
-            self._handle_data()  # what is in the inbox was held back until now
+            self._handle_data()  # handle the input that was held back in the inbox
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Drop what is queued, and tell the subclass."""
+        """Discard queued output and call `closed`."""
         self._transport = None
         self._overflow.clear()
         self.closed()
