--- a/marlstep/frontends/connection_policy.py
+++ b/marlstep/frontends/connection_policy.py
@@ -38,8 +38,8 @@
     """
     share_is_full = unproven_count >= UNPROVEN_SHARE * capacity
     takes_last_slot = open_count >= capacity - 1
-    had_its_time = oldest_unproven_age >= MIN_UNPROVEN_AGE
-    return share_is_full and (takes_last_slot or had_its_time)
+    is_old_enough = oldest_unproven_age >= MIN_UNPROVEN_AGE
+    return share_is_full and (takes_last_slot or is_old_enough)
 
 
 def has_free_slot(open_count: int, capacity: int) -> bool:
--- a/marlstep/frontends/errors.py
+++ b/marlstep/frontends/errors.py
@@ -10,7 +10,7 @@
 MAX_SHOWN_CHARACTERS = 32  # of the peer's input, in the text of an error and thus in the log
 
 
-def shown(found: str | bytes | None) -> str:
+def printable_excerpt(found: str | bytes | None) -> str:
     """Return the beginning of the peer's input in printable form; `nothing` for None."""
     return "nothing" if found is None else repr(found[:MAX_SHOWN_CHARACTERS])
 
@@ -39,7 +39,7 @@
             found: the input that broke it; None if there is none.
             tag: tag of the malformed frame, if it was read before the fault; `error` can be sent on it.
         """
-        super().__init__(f"expected {fault.value}, got {shown(found)}")
+        super().__init__(f"expected {fault.value}, got {printable_excerpt(found)}")
         self.fault, self.found, self.tag = fault, found, tag
 
 
@@ -48,7 +48,7 @@
 
     def __init__(self, name: str, expected: str, found: str | bytes | None) -> None:
         """`name` is the field's name on the wire; `found` is its value, or None if the field is missing."""
-        super().__init__(f"field {name}: expected {expected}, got {shown(found)}")
+        super().__init__(f"field {name}: expected {expected}, got {printable_excerpt(found)}")
         self.name, self.expected, self.found = name, expected, found
 
 
--- a/marlstep/frontends/rejection_log.py
+++ b/marlstep/frontends/rejection_log.py
@@ -19,18 +19,18 @@
     def __init__(self, now: datetime) -> None:
         """Initialize the log; the first period starts at `now`."""
         self._period_start = now
-        self._in_period = 0
+        self._count_in_period = 0
 
     def write(self, event: str, reason: str, now: datetime) -> None:
         """Log a rejection, unless the limit of the current second is reached."""
         if now - self._period_start >= PERIOD:
             self._begin_period(now)
-        self._in_period += 1
-        if self._in_period <= MAX_LINES_PER_SECOND:
+        self._count_in_period += 1
+        if self._count_in_period <= MAX_LINES_PER_SECOND:
             log.warning("%s: reason=%s", event, reason)
 
     def _begin_period(self, now: datetime) -> None:
-        left_out = self._in_period - MAX_LINES_PER_SECOND
-        if left_out > 0:
-            log.warning("rejections not logged: count=%d", left_out)
-        self._in_period, self._period_start = 0, now
+        suppressed_count = self._count_in_period - MAX_LINES_PER_SECOND
+        if suppressed_count > 0:
+            log.warning("rejections not logged: count=%d", suppressed_count)
+        self._count_in_period, self._period_start = 0, now
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -110,7 +110,7 @@
         if isinstance(command, ForgetCommand):
             self._forget(command)
             return
-        if not self._tags.take(command.tag):
+        if not self._tags.mark_used(command.tag):
             raise MalformedFrameError(FrameFault.REPEATED_TAG, str(command.tag))
         match command:
             case ExecCommand():
@@ -148,13 +148,13 @@
     def _count_invalid_request(self, reason: str) -> None:
         self.frontend.log_rejection("request rejected", reason)
         self._invalid_requests += 1
-        if resp_policy.is_misused(self._invalid_requests) and not self._malformed:
+        if resp_policy.has_too_many_invalid_requests(self._invalid_requests) and not self._malformed:
             self._reject_stream(MalformedFrameError(FrameFault.INVALID_REQUESTS, str(self._invalid_requests)))
 
     def _reject_stream(self, error: MalformedFrameError) -> None:
         """Stop reading and drain: close at once if no request is open, else after the last response."""
         self.frontend.log_rejection("malformed frame", str(error))
-        if error.tag is not None and self._tags.take(error.tag):
+        if error.tag is not None and self._tags.mark_used(error.tag):
             self._reject_request(error.tag, str(error))
         self._malformed = True
         self.inbox.skip(self.inbox.used)
--- a/marlstep/frontends/resp_fields.py
+++ b/marlstep/frontends/resp_fields.py
@@ -42,7 +42,7 @@
     return EPOCH + int(text) * MILLISECOND
 
 
-def _number(below: float, above: float = -1.0) -> Callable[[str, str], float]:
+def _number_reader(below: float, above: float = -1.0) -> Callable[[str, str], float]:
     """Return a reader of numbers that are at least 0, greater than `above` and less than `below`."""
     expected = f"a number from {max(above, 0.0):g} to {below:g}"
 
@@ -58,8 +58,8 @@
     return read
 
 
-_read_caller_number = _number(below=MAX_CALLER)
-_read_cost_ms = _number(below=MAX_COST_MS)
+_read_caller_number = _number_reader(below=MAX_CALLER)
+_read_cost_ms = _number_reader(below=MAX_COST_MS)
 
 
 def _read_caller(name: str, text: str) -> int:
@@ -99,16 +99,16 @@
 REQUEST_FIELDS = (
     RequestField("id", "id", _read_id, required=True),
     RequestField("at", "arrived_at", _read_time, required=True),
-    RequestField("kb", "memory_kb", _number(below=MAX_MEMORY_KB, above=0.0), required=True),
+    RequestField("kb", "memory_kb", _number_reader(below=MAX_MEMORY_KB, above=0.0), required=True),
     RequestField("from", "caller", _read_caller),
     RequestField("retry", "is_retry", _read_flag),
     RequestField("cost", "cost_hint", _read_cost),
-    RequestField("rank", "rank", _number(below=MAX_RANK)),
+    RequestField("rank", "rank", _number_reader(below=MAX_RANK)),
     RequestField("tenant", "tenant", _read_text),
     RequestField("key", "entity", _read_entity),
     RequestField("once", "idempotency_key", _read_text),
 )
-READERS = {row.wire_name: (row.field, row.read) for row in REQUEST_FIELDS}
+FIELD_READERS = {row.wire_name: (row.field, row.read) for row in REQUEST_FIELDS}
 REQUIRED_FIELDS = tuple((row.field, row.wire_name) for row in REQUEST_FIELDS if row.required)
 
 
@@ -152,7 +152,7 @@
     """
     values: dict[str, Any] = {}  # by attribute of InboundRequest
     for name, text in read_fields(fields).items():
-        row = READERS.get(name)
+        row = FIELD_READERS.get(name)
         if row is not None:
             field, read = row
             values[field] = read(name, text)
--- a/marlstep/frontends/resp_policy.py
+++ b/marlstep/frontends/resp_policy.py
@@ -22,7 +22,7 @@
     return open_requests < MAX_OPEN_REQUESTS
 
 
-def is_misused(invalid_requests: int) -> bool:
+def has_too_many_invalid_requests(invalid_requests: int) -> bool:
     """Whether a connection closes for its invalid requests, each of which costs parsing, a response and a log line."""
     return invalid_requests == MAX_INVALID_REQUESTS
 
--- a/marlstep/frontends/resp_tags.py
+++ b/marlstep/frontends/resp_tags.py
@@ -10,22 +10,22 @@
 
     def __init__(self) -> None:
         """Initialize the tracker with no tag used."""
-        self._all_used_to = 0
-        self._used_beyond: set[int] = set()
+        self._contiguous_end = 0
+        self._used_beyond_gap: set[int] = set()
 
-    def take(self, tag: int) -> bool:
+    def mark_used(self, tag: int) -> bool:
         """Mark a tag as used; False if it was used before, or if too many are out of order."""
-        if tag == self._all_used_to + 1 and not self._used_beyond:  # in order, as clients usually number them
-            self._all_used_to = tag
+        if tag == self._contiguous_end + 1 and not self._used_beyond_gap:  # tags in order, the usual case
+            self._contiguous_end = tag
             return True
-        if self.is_used(tag) or len(self._used_beyond) >= MAX_TAGS_AHEAD:
+        if self.is_used(tag) or len(self._used_beyond_gap) >= MAX_TAGS_AHEAD:
             return False
-        self._used_beyond.add(tag)
-        while self._all_used_to + 1 in self._used_beyond:
-            self._all_used_to += 1
-            self._used_beyond.remove(self._all_used_to)
+        self._used_beyond_gap.add(tag)
+        while self._contiguous_end + 1 in self._used_beyond_gap:
+            self._contiguous_end += 1
+            self._used_beyond_gap.remove(self._contiguous_end)
         return True
 
     def is_used(self, tag: int) -> bool:
         """Whether the tag was marked as used."""
-        return tag <= self._all_used_to or tag in self._used_beyond
+        return tag <= self._contiguous_end or tag in self._used_beyond_gap
--- a/marlstep/frontends/uwsgi_requests.py
+++ b/marlstep/frontends/uwsgi_requests.py
@@ -13,7 +13,7 @@
 
 MAX_IDEMPOTENCY_KEY_CHARACTERS = 256  # bounded because keys are stored and sent to other processes
 MAX_COST_MS = 3_600_000.0
-FALSE_TEXTS = ("", "0", "no", "false", "off")
+FALSE_VALUES = ("", "0", "no", "false", "off")
 BYTES_PER_KB = 1024
 
 
@@ -57,10 +57,10 @@
 def _class_of(variables: Mapping[str, str], mapping: UwsgiMapping, class_names: Collection[str]) -> str:
     """Return the class that the client names, or the default class if one is configured and the name is unknown."""
     value = variables.get(mapping.class_variable, "")
-    named = mapping.class_names.get(value, value)
-    if mapping.default_class and named not in class_names:
+    class_name = mapping.class_names.get(value, value)
+    if mapping.default_class and class_name not in class_names:
         return mapping.default_class
-    return named
+    return class_name
 
 
 def _variable(variables: Mapping[str, str], name: str | None) -> str:
@@ -76,7 +76,7 @@
 
 
 def _read_flag(text: str) -> bool:
-    return text.lower() not in FALSE_TEXTS
+    return text.lower() not in FALSE_VALUES
 
 
 def read_cost(text: str) -> timedelta | None:
--- a/marlstep/frontends/uwsgi_wire.py
+++ b/marlstep/frontends/uwsgi_wire.py
@@ -38,24 +38,24 @@
     Raises:
         InvalidPacketError: a size exceeds the block, or the last name has no value.
     """
-    words: list[str] = []
+    strings: list[str] = []
     position = 0
     while position < len(block):
         start = position + SIZE_BYTES
         end = start + int.from_bytes(block[position:start], "little")
         if start > len(block) or end > len(block):
             raise VariableSizeError(end, len(block))
-        words.append(block[start:end].decode("latin-1"))
+        strings.append(block[start:end].decode("latin-1"))
         position = end
-    if len(words) % 2:
+    if len(strings) % 2:
         raise UnpairedVariableError
-    return dict(zip(words[::2], words[1::2], strict=True))
+    return dict(zip(strings[::2], strings[1::2], strict=True))
 
 
 def write_packet(variables: Mapping[str, str], body: bytes = b"") -> bytes:
     """Return the bytes of a request's packet."""
-    words = [word.encode("latin-1") for pair in variables.items() for word in pair]
-    block = b"".join(len(word).to_bytes(2, "little") + word for word in words)
+    strings = [string.encode("latin-1") for pair in variables.items() for string in pair]
+    block = b"".join(len(string).to_bytes(2, "little") + string for string in strings)
     return b"\0" + len(block).to_bytes(2, "little") + b"\0" + block + body
 
 
@@ -85,7 +85,7 @@
             if len(self._raw) < self._size:
                 return None
             if self._size == HEAD:
-                self._read_head()
+                self._read_header()
             elif self._variables is None:
                 self._variables = read_variables(bytes(self._raw[HEAD:]))
                 self._size += self._body_length(self._variables)
@@ -94,7 +94,7 @@
                 self._raw, self._variables, self._size = bytearray(), None, HEAD
                 return packet
 
-    def _read_head(self) -> None:
+    def _read_header(self) -> None:
         if self._raw[0] != 0:
             raise InvalidModifierError(self._raw[0])
         size = int.from_bytes(self._raw[1:3], "little")
@@ -111,7 +111,7 @@
         return int(text)
 
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     413: "Content Too Large",
@@ -124,7 +124,7 @@
 def write_response(status: int, headers: Mapping[str, str], text: str) -> bytes:
     """Return the bytes of an HTTP response with a plain-text body and `Connection: close`."""
     body = text.encode() + b"\n"
-    lines = [f"HTTP/1.1 {status} {REASONS[status]}", "Content-Type: text/plain; charset=utf-8"]
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}", "Content-Type: text/plain; charset=utf-8"]
     lines += [f"Content-Length: {len(body)}", "Connection: close"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
--- a/marlstep/net/codec.py
+++ b/marlstep/net/codec.py
@@ -102,8 +102,8 @@
 
 def _instance_reader(expected: str, *types: type) -> Reader:
     def read(value: object) -> object:
-        is_bool_by_mistake = isinstance(value, bool) and bool not in types
-        if is_bool_by_mistake or not isinstance(value, types):
+        is_unexpected_bool = isinstance(value, bool) and bool not in types
+        if is_unexpected_bool or not isinstance(value, types):
             raise ValueError(_mismatch(expected, value))
         return value
 
@@ -152,16 +152,16 @@
 
 def wire_fields(message_class: type) -> dict[str, WireField]:
     """Return the wire field of each field by its Python name. Raises MissingWireNameError if a field has none."""
-    found = _wire_fields.get(message_class)
-    if found is None:
-        found = {}
-        for part in fields(message_class):
-            wire_field = part.metadata.get(METADATA_KEY)
+    by_name = _wire_fields.get(message_class)
+    if by_name is None:
+        by_name = {}
+        for dataclass_field in fields(message_class):
+            wire_field = dataclass_field.metadata.get(METADATA_KEY)
             if not isinstance(wire_field, WireField):
-                raise MissingWireNameError(message_class, part.name)
-            found[part.name] = wire_field
-        _wire_fields[message_class] = found
-    return found
+                raise MissingWireNameError(message_class, dataclass_field.name)
+            by_name[dataclass_field.name] = wire_field
+        _wire_fields[message_class] = by_name
+    return by_name
 
 
 def write_fields(message: object) -> dict[str, object]:
@@ -179,8 +179,8 @@
     invalid value, an unknown key, or a missing key whose field has no default.
     """
     keyed_values = cast(Mapping[str, object], values)  # otherwise the code below raises
-    known = {wire_field.key for wire_field in wire_fields(part_class).values()}
-    if unknown := dict(keyed_values).keys() - known:
+    known_keys = {wire_field.key for wire_field in wire_fields(part_class).values()}
+    if unknown := dict(keyed_values).keys() - known_keys:
         message = f"{part_class.__name__} has no {sorted(unknown)}"
         raise ValueError(message)
     return _build(part_class, keyed_values)
--- a/marlstep/net/eventloop.py
+++ b/marlstep/net/eventloop.py
@@ -37,15 +37,15 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, now: Callable[[], datetime] | None = None) -> None:
         """`now` is the clock for deadlines; the default is the system's Unix clock."""
         self._loop = loop
-        self._alarm: asyncio.TimerHandle | None = None
+        self._wakeup_timer: asyncio.TimerHandle | None = None
         self.now = now or SystemClock().now
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
         """Schedule `callback` at `when`, in place of the callback that was scheduled before."""
-        if self._alarm is not None:
-            self._alarm.cancel()
+        if self._wakeup_timer is not None:
+            self._wakeup_timer.cancel()
         delay = max(ZERO, when - self.now()).total_seconds()
-        self._alarm = self._loop.call_later(delay, callback)
+        self._wakeup_timer = self._loop.call_later(delay, callback)
 
     def soon(self, callback: Callable[[], None]) -> None:
         """Schedule `callback` for the next iteration of the loop."""
--- a/marlstep/net/ring.py
+++ b/marlstep/net/ring.py
@@ -45,17 +45,21 @@
         return self.size - self.used
 
     def space(self) -> memoryview:
-        """Return contiguous free bytes to write into; call `wrote` after that."""
+        """Return contiguous free bytes to write into; call `commit_write` after that."""
         if not self._view:
             self._data = bytearray(self.size)
             self._view = memoryview(self._data)
         end = (self._start + self.used) % self.size
-        return self._view[end : self._start] if end < self._start else self._view[end : end + self._run(end)]
+        return (
+            self._view[end : self._start]
+            if end < self._start
+            else self._view[end : end + self._contiguous_free(end)]
+        )
 
-    def _run(self, end: int) -> int:
+    def _contiguous_free(self, end: int) -> int:
         return min(self.size - end, self.free)
 
-    def wrote(self, count: int) -> None:
+    def commit_write(self, count: int) -> None:
         """Commit the first `count` bytes of `space()`. Raises RingRangeError if `count` exceeds the free bytes."""
         if not 0 <= count <= self.free:
             raise RingRangeError(count, self.free)
@@ -68,7 +72,7 @@
             space = self.space()
             count = min(len(space), len(data) - copied)
             space[:count] = data[copied : copied + count]
-            self.wrote(count)
+            self.commit_write(count)
             copied += count
         return copied
 
@@ -96,7 +100,7 @@
         self.used -= count
         return bytes(self._view[start : start + count])
 
-    def line(self, limit: int) -> bytes | None:
+    def read_line(self, limit: int) -> bytes | None:
         """Remove and return the next line, without its CR LF; None if it is incomplete.
 
         Raises:
--- a/marlstep/net/stream.py
+++ b/marlstep/net/stream.py
@@ -105,12 +105,12 @@
         if transport is None or transport.is_closing():
             return
         has_space = self.inbox.used < self.inbox.size
-        wanted = has_space and not self._finishing and not self._overflow
-        if wanted and not self._reading:
+        should_read = has_space and not self._finishing and not self._overflow
+        if should_read and not self._reading:
             transport.resume_reading()
-        elif not wanted and self._reading:
+        elif not should_read and self._reading:
             transport.pause_reading()
-        self._reading = wanted
+        self._reading = should_read
 
     # Callbacks of asyncio.
 
@@ -126,7 +126,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Handle data that asyncio has read into the buffer."""
-        self.inbox.wrote(nbytes)
+        self.inbox.commit_write(nbytes)
         self._handle_data()
 
     def eof_received(self) -> bool:
--- a/tests/frontends/test_resp_policy.py
+++ b/tests/frontends/test_resp_policy.py
@@ -13,8 +13,8 @@
 
 
 def test_a_connection_is_misused_at_the_last_allowed_invalid_request() -> None:
-    assert not resp_policy.is_misused(resp_policy.MAX_INVALID_REQUESTS - 1)
-    assert resp_policy.is_misused(resp_policy.MAX_INVALID_REQUESTS)
+    assert not resp_policy.has_too_many_invalid_requests(resp_policy.MAX_INVALID_REQUESTS - 1)
+    assert resp_policy.has_too_many_invalid_requests(resp_policy.MAX_INVALID_REQUESTS)
 
 
 @pytest.mark.parametrize(
--- a/tests/frontends/test_resp_tags.py
+++ b/tests/frontends/test_resp_tags.py
@@ -13,11 +13,11 @@
 @given(st.permutations(range(1, 30)))
 def test_each_tag_is_accepted_once_in_any_order(order: list[int]) -> None:
     tags = TagTracker()
-    assert all(tags.take(tag) for tag in order)
-    assert not any(tags.take(tag) for tag in order)
+    assert all(tags.mark_used(tag) for tag in order)
+    assert not any(tags.mark_used(tag) for tag in order)
 
 
 def test_tags_out_of_order_are_remembered_up_to_a_limit() -> None:
     tags = TagTracker()
-    assert all(tags.take(tag) for tag in range(2, MAX_TAGS_AHEAD + 2))
-    assert not tags.take(MAX_TAGS_AHEAD + 2) and not tags.is_used(MAX_TAGS_AHEAD + 2)
+    assert all(tags.mark_used(tag) for tag in range(2, MAX_TAGS_AHEAD + 2))
+    assert not tags.mark_used(MAX_TAGS_AHEAD + 2) and not tags.is_used(MAX_TAGS_AHEAD + 2)
--- a/tests/net/test_ring.py
+++ b/tests/net/test_ring.py
@@ -29,12 +29,12 @@
         assert (ring.used, ring.peek(99)) == (len(model), model)
     end = model[:6].find(b"\r\n")
     if end >= 0:
-        assert ring.line(4) == model[:end] and ring.used == len(model) - end - 2
+        assert ring.read_line(4) == model[:end] and ring.used == len(model) - end - 2
     elif len(model) >= 6:
         with pytest.raises(LineTooLongError):
-            ring.line(4)
+            ring.read_line(4)
     else:
-        assert ring.line(4) is None and ring.used == len(model)
+        assert ring.read_line(4) is None and ring.used == len(model)
 
 
 @pytest.mark.parametrize("count", [-1, 3])
