--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -85,7 +85,7 @@
         return resp_policy.waits_for_peer(
             self.send_blocked,
             self.inbox.used,
-            self._frames.inside,
+            self._frames.inside_frame,
             self.frontend.connections.is_unproven(self),
         )
 
@@ -216,7 +216,7 @@
             len(self._request_handles),
             self._malformed,
             self.send_blocked,
-            incomplete_input=self.inbox.used > 0 or self._frames.inside,
+            incomplete_input=self.inbox.used > 0 or self._frames.inside_frame,
         ):
             self._schedule_close()
         else:
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -43,7 +43,7 @@
         self._length = UNKNOWN  # bytes in the word being read
 
     @property
-    def inside(self) -> bool:
+    def inside_frame(self) -> bool:
         """Whether a part of a frame has been read."""
         return self._count >= 0
 
--- a/marlstep/frontends/uwsgi_wire.py
+++ b/marlstep/frontends/uwsgi_wire.py
@@ -19,7 +19,7 @@
 )
 from marlstep.net.ring import Ring
 
-HEAD = 4  # bytes of the header
+HEADER_BYTES = 4  # before the block of variables
 SIZE_BYTES = 2  # bytes of the size before each name and value
 MAX_CONTENT_LENGTH_DIGITS = 15
 
@@ -67,10 +67,10 @@
         self._body_limit = body_limit
         self._raw = bytearray()
         self._variables: dict[str, str] | None = None
-        self._size = HEAD  # bytes of the packet up to the end of the part whose size is known
+        self._size = HEADER_BYTES  # bytes of the packet up to the end of the part whose size is known
 
     @property
-    def inside(self) -> bool:
+    def inside_packet(self) -> bool:
         """Whether a part of a packet has been read."""
         return bool(self._raw)
 
@@ -84,14 +84,14 @@
             self._raw += ring.take(self._size - len(self._raw))
             if len(self._raw) < self._size:
                 return None
-            if self._size == HEAD:
+            if self._size == HEADER_BYTES:
                 self._read_header()
             elif self._variables is None:
-                self._variables = read_variables(bytes(self._raw[HEAD:]))
+                self._variables = read_variables(bytes(self._raw[HEADER_BYTES:]))
                 self._size += self._body_length(self._variables)
             if self._variables is not None and len(self._raw) == self._size:
                 packet = Packet(bytes(self._raw), self._variables)
-                self._raw, self._variables, self._size = bytearray(), None, HEAD
+                self._raw, self._variables, self._size = bytearray(), None, HEADER_BYTES
                 return packet
 
     def _read_header(self) -> None:
--- a/marlstep/upstreams/attempt.py
+++ b/marlstep/upstreams/attempt.py
@@ -7,7 +7,7 @@
 from datetime import datetime, timedelta
 from typing import Protocol
 
-from marlstep.frontends.uwsgi_wire import HEAD, read_variables
+from marlstep.frontends.uwsgi_wire import HEADER_BYTES, read_variables
 from marlstep.load_balancing.retry_policy import AttemptOutcome
 from marlstep.net.eventloop import Address, Cancel, Dial
 from marlstep.net.stream import RingStream
@@ -139,4 +139,6 @@
 
     def _is_head_request(self) -> bool:
         size = int.from_bytes(self._packet[1:3], "little")
-        return read_variables(self._packet[HEAD : HEAD + size]).get("REQUEST_METHOD") == "HEAD"
+        return (
+            read_variables(self._packet[HEADER_BYTES : HEADER_BYTES + size]).get("REQUEST_METHOD") == "HEAD"
+        )
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -50,7 +50,7 @@
         whole = caller.frame(1, "list")
         caller.send(whole[:cut])
         connection = harness.only_connection
-        await until(lambda: connection.inbox.used or connection._frames.inside)
+        await until(lambda: connection.inbox.used or connection._frames.inside_frame)
         await harness.send_sigterm()
         await harness.advance(420)
         await caller.closing_frame()
@@ -511,7 +511,7 @@
         whole = caller.frame(1, "open")
         caller.send(whole[:20])
         connection = harness.only_connection
-        await until(lambda: connection._frames.inside)
+        await until(lambda: connection._frames.inside_frame)
         os.write(caller.writer.get_extra_info("socket").fileno(), whole[20:])
         harness.advance_unread(1_600 * MILLISECOND)
         assert await caller.status_word(1) == "later"  # past its deadline by then, but read and responded to
