--- a/tests/frontends/support.py
+++ b/tests/frontends/support.py
@@ -1,4 +1,4 @@
-"""Frontends on a clock that is moved by hand, with connections that need no socket."""
+"""Test harnesses of the frontends: a manually advanced clock, and connections without sockets."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RespHarness:
-    """The platform's frontend and its clients."""
+    """A RESP frontend and connections of its clients."""
 
     def __init__(self, cores: int = 2, limit: int = 8) -> None:
         self.desk = Desk(cores)
@@ -60,7 +60,7 @@
 
 
 class UwsgiHarness:
-    """The uwsgi frontend and its clients."""
+    """A uwsgi frontend and connections of its clients."""
 
     def __init__(self, cores: int = 2) -> None:
         self.desk = Desk(cores)
--- a/tests/frontends/test_connection_policy.py
+++ b/tests/frontends/test_connection_policy.py
@@ -1,4 +1,4 @@
-"""When a connection closes for another, and when for its idle time."""
+"""When connections are evicted for new ones, and when idle ones time out."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 @pytest.mark.parametrize(
     ("open_count", "unproven_count", "age", "expected"),
     [
-        (20, 9, SECOND, False),  # unproven connections do not fill their share
+        (20, 9, SECOND, False),  # unproven connections do not fill their share of the table
         (20, 10, SECOND, True),
         (20, 10, MIN_UNPROVEN_AGE, True),
-        (20, 10, MIN_UNPROVEN_AGE - MILLISECOND, False),  # it may still send its message
-        (39, 10, ZERO, True),  # but not where the new connection would take the last slot
+        (20, 10, MIN_UNPROVEN_AGE - MILLISECOND, False),  # it may still send its first message
+        (39, 10, ZERO, True),  # evicted at any age if the new connection would take the last slot
     ],
 )
 def test_an_unproven_connection_closes_once_they_fill_a_quarter_of_the_table(
--- a/tests/frontends/test_connection_table.py
+++ b/tests/frontends/test_connection_table.py
@@ -1,4 +1,4 @@
-"""The order in which connections make room for others."""
+"""The order in which unproven and idle connections are evicted."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -1,4 +1,4 @@
-"""Every parser of a peer's bytes against valid messages divided at random and against garbage."""
+"""Every parser of peer input, tested with valid messages divided at random and with garbage."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_rejection_log.py
+++ b/tests/frontends/test_rejection_log.py
@@ -1,4 +1,4 @@
-"""How many rejections of clients reach the log."""
+"""The rate limit of log lines about rejected client input."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_resp.py
+++ b/tests/frontends/test_resp.py
@@ -1,4 +1,4 @@
-"""The platform's frontend: responses on their tags, invalid requests, and when connections close."""
+"""The RESP frontend: responses by tag, invalid requests, and when connections close."""
 
 from datetime import datetime
 
@@ -19,7 +19,7 @@
 
 
 class UnsureSibling:
-    """Another process that may have run the work, and can't say."""
+    """A sibling process that answers every claim with UNSURE: the work may have run there."""
 
     def claim(
         self, request_class: str, key: str, label: str, now: datetime, on_decided: ClaimCallback, /
@@ -29,7 +29,8 @@
 
 
 def test_an_immediate_rejection_leaves_no_request_open_on_its_connection() -> None:
-    # Guards against a response that is sent before the frontend has noted its request: the connection never closed.
+    # Guards against a response that is sent before the frontend has recorded the request as open. The request then
+    # stayed open, and its connection was never closed.
     harness = RespHarness()
     wire = harness.connect()
     harness.desk.core.siblings = UnsureSibling()
@@ -51,7 +52,7 @@
         b"9", b"sick", b"say=2.5000", b""
     )
     other = harness.connect()
-    for good, word in ((False, b"sick"), (True, b"healthy")):  # on connections old and new
+    for good, word in ((False, b"sick"), (True, b"healthy")):  # on an existing and on a new connection
         (harness.desk.core.serving_state.resume if good else harness.desk.core.serving_state.quiesce)()
         for number, one in enumerate((wire, other), 10 + 2 * good):
             harness.feed(one, write_frame(b"ALIVE", b"%d" % number, b""))
@@ -104,7 +105,7 @@
         (b"*5\r\n$-1\r\n", b""),
         (b"*5\r\n$4\r\nEXEC\r\n$1\r\n0\r\n$1\r\nx\r\n$0\r\n\r\n$0\r\n\r\n", b""),
         (b"x" * 100, b""),
-        (exec_frame(1), b""),  # a tag that comes again
+        (exec_frame(1), b""),  # a tag that was used before
         (exec_frame(2, body=b"x" * 2049), b"2"),
         (b"*5\r\n$4\r\nEXEC\r\n$1\r\n2\r\n$3\r\ntemp-history\r\n", b"2"),
     ],
@@ -173,7 +174,7 @@
 
 
 def test_a_draining_frontend_closes_peers_that_stay_inside_a_frame_or_do_not_read() -> None:
-    # Guards against connections, and with them descriptors, that are never released.
+    # Guards against connections that never close and whose descriptors are never released.
     harness = RespHarness()
     stalled, not_reading = harness.connect(), harness.connect()
     stalled.feed(exec_frame(1)[:20])
@@ -186,7 +187,7 @@
 
 
 def test_a_peer_that_does_not_read_is_disconnected_after_the_read_timeout() -> None:
-    # Guards against responses that pile up, over many connections, until the node is out of memory.
+    # Guards against queued responses on many such connections that use up the memory of the node.
     harness = RespHarness(cores=6)
     wire = harness.connect()
     wire.stream.pause_writing()
@@ -201,7 +202,7 @@
 
 @pytest.mark.parametrize("part", [b"", b"*", exec_frame(1)[:40], exec_frame(1, body=b"x" * 2000)[:-9]])
 def test_a_connection_without_a_complete_frame_is_closed_after_the_read_timeout(part: bytes) -> None:
-    # Guards against silent connections and incomplete requests, which held their descriptors for 15 s and longer.
+    # Guards against silent connections and incomplete requests that hold their descriptors for 15 s and longer.
     harness = RespHarness()
     silent, served = harness.connect(), harness.connect()
     harness.feed(served, exec_frame(9))
@@ -230,7 +231,7 @@
 
 
 def test_hundreds_of_silent_connections_leave_slots_for_others() -> None:
-    # Guards against a table full of connections that never send anything: 758 were rejected in one run.
+    # Guards against connections that send nothing and fill the table, so that others are rejected (758 in one run).
     harness = RespHarness(limit=40)
     active = harness.connect()
     harness.feed(active, write_frame(b"ALIVE", b"1"))
@@ -244,7 +245,7 @@
 
 
 def test_idle_connections_close_for_new_ones_the_longest_idle_first() -> None:
-    # Guards against descriptors that clients never release: 505 of 512 were in use in one run.
+    # Guards against clients whose idle connections use up the descriptors (505 of 512 in one run).
     harness = RespHarness(limit=40)
     active, busy = harness.connect(), harness.connect()
     harness.feed(busy, exec_frame(1))
@@ -272,7 +273,7 @@
 
 
 def test_a_connection_with_eight_invalid_requests_is_closed() -> None:
-    # Guards against a client that costs a parse, a response and a log line for every frame it can send.
+    # Guards against a client whose endless invalid requests each cost parsing, a response and a log line.
     harness = RespHarness()
     wire = harness.connect()
     harness.feed(wire, b"".join(exec_frame(tag, request_class=b"no-such") for tag in range(1, 100)))
--- a/tests/frontends/test_resp_commands.py
+++ b/tests/frontends/test_resp_commands.py
@@ -1,4 +1,4 @@
-"""Commands out of the words of a frame."""
+"""Parsing of the words of a frame into commands."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_resp_fields.py
+++ b/tests/frontends/test_resp_fields.py
@@ -1,4 +1,4 @@
-"""The table of wire fields: what each is read as, its bounds, and what a response carries."""
+"""The table of RESP fields: values and bounds of request fields, and the fields of responses."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_resp_over_time.py
+++ b/tests/frontends/test_resp_over_time.py
@@ -1,4 +1,4 @@
-"""The RESP frontend over a long time: memory stays bounded, and a shutdown under load responds once each."""
+"""The RESP frontend over many requests: bounded tables, and a shutdown under load."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def test_no_table_grows_with_request_ids_callers_and_connections_seen() -> None:
-    # Guards against tables, deadlines or ledgers that keep something of every request on a long day.
+    # Guards against memory leaks: tables and timers that keep an entry for every request served.
     platform = RespHarness(limit=40)
     core, sizes = platform.desk.core, []
     for number in range(1, 1_201):
--- a/tests/frontends/test_resp_policy.py
+++ b/tests/frontends/test_resp_policy.py
@@ -1,4 +1,4 @@
-"""When a RESP connection is read no further, and when it closes."""
+"""When a RESP connection rejects requests, stops reading, and closes."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
         (True, 0, False, True, False, True),
         (True, 0, False, False, True, True),
         (True, 0, False, False, False, False),
-        (True, 0, True, True, True, False),  # of a malformed stream nothing more is read
+        (True, 0, True, True, True, False),  # nothing more is read from a malformed stream
         (False, 1, False, True, True, False),
     ],
 )
--- a/tests/frontends/test_resp_tags.py
+++ b/tests/frontends/test_resp_tags.py
@@ -1,4 +1,4 @@
-"""Which tags of a connection are new."""
+"""Which tags of a connection are accepted as unused."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_resp_wire.py
+++ b/tests/frontends/test_resp_wire.py
@@ -1,4 +1,4 @@
-"""Frames read from streams that are divided anywhere, and their fields."""
+"""Reading of RESP frames from streams divided at any byte, and of their fields."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 
 @FIXED
 @given(WORDS, st.integers(0, 200), st.binary(min_size=1, max_size=2), st.integers(0, 40))
-@example((b"EXEC", b"1", b"", b"", b""), 39, b"\r\n", 0)  # a fault behind a frame was attributed to its tag
+@example((b"EXEC", b"1", b"", b"", b""), 39, b"\r\n", 0)  # the fault after a frame was attributed to its tag
 def test_a_request_in_one_piece_is_read_as_one_in_many(
     words: tuple[bytes, ...], at: int, noise: bytes, before: int
 ) -> None:
-    # Guards against a request that is read otherwise when it comes in one piece than when it comes in many.
+    # Guards against differences between the fast path, for a request that arrives in one piece, and reading by words.
     frame = write_frame(b"EXEC", *words[1:])
     damaged = frame[:at] + noise + frame[at + len(noise) :]
     for stream in (frame, damaged):
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -1,4 +1,4 @@
-"""The uwsgi frontend: divided packets, responses by outcome, and when connections close."""
+"""The uwsgi frontend: packets that arrive in parts, responses by outcome, and when connections close."""
 
 import pytest
 
--- a/tests/frontends/test_uwsgi_policy.py
+++ b/tests/frontends/test_uwsgi_policy.py
@@ -1,4 +1,4 @@
-"""When a uwsgi connection closes without a response."""
+"""When a uwsgi connection closes without a response: at its read timeout and in a drain."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_uwsgi_requests.py
+++ b/tests/frontends/test_uwsgi_requests.py
@@ -1,4 +1,4 @@
-"""Requests out of packets, and responses as HTTP."""
+"""Conversion of uwsgi packets to requests, and of responses to HTTP."""
 
 from __future__ import annotations
 
--- a/tests/frontends/test_uwsgi_wire.py
+++ b/tests/frontends/test_uwsgi_wire.py
@@ -1,4 +1,4 @@
-"""Packets read from streams that are divided anywhere."""
+"""Reading of uwsgi packets from streams divided at any byte."""
 
 from __future__ import annotations
 
--- a/tests/net/test_backoff.py
+++ b/tests/net/test_backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts to connect."""
+"""Backoff delays between attempts to connect."""
 
 from __future__ import annotations
 
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -1,4 +1,4 @@
-"""Wire names stand beside the types: what the codec takes, and what it refuses when it is made or when it reads."""
+"""The message codec: wire names, and errors in declarations and in messages."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
     with pytest.raises(TypeError, match=r"Nameless\.number has no wire name"):
         Codec((Nameless,))
     with pytest.raises(TypeError, match=r"Nameless\.number has no wire name"):
-        Codec((Nameless,))  # nothing half made was kept from the first attempt
+        Codec((Nameless,))  # the failed first attempt left no incomplete cache entry
 
 
 def test_a_tag_that_two_classes_have_is_refused_when_the_codec_is_made() -> None:
--- a/tests/net/test_framing.py
+++ b/tests/net/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames: what is written is read again, in any pieces, and each kind of corruption has its error."""
+"""Framing: round trips of frames that arrive in pieces, and the error for each kind of corruption."""
 
 from __future__ import annotations
 
--- a/tests/net/test_lines.py
+++ b/tests/net/test_lines.py
@@ -1,4 +1,4 @@
-"""Messages of lines, with and without a body."""
+"""Line-based messages with and without a body."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Recorder(LineStream):
-    """Lines that begin with `body` have one, whose length is their second word."""
+    """Records messages. The second word of a line that begins with `body` is the length of its body."""
 
     def __init__(self) -> None:
         super().__init__(64, 16)
--- a/tests/net/test_ring.py
+++ b/tests/net/test_ring.py
@@ -1,4 +1,4 @@
-"""The ring buffer against a model: a plain string of bytes."""
+"""The ring buffer, compared with a model that is a plain bytes object."""
 
 from __future__ import annotations
 
