--- a/tests/frontends/support.py
+++ b/tests/frontends/support.py
@@ -11,8 +11,8 @@
 from marlstep.units import SECOND, instant_us
 from tests.support.node import START, Desk, Wire
 
-AT = instant_us(START) // 1000
-FIELDS = b"at=%d,from=4,kb=24.5,rank=0.6250,cost=12.50" % AT
+START_MS = instant_us(START) // 1000
+FIELDS = b"at=%d,from=4,kb=24.5,rank=0.6250,cost=12.50" % START_MS
 
 
 def exec_frame(
@@ -25,26 +25,26 @@
     """A RESP frontend and connections of its clients."""
 
     def __init__(self, cores: int = 2, limit: int = 8) -> None:
-        self.desk = Desk(cores)
-        clock = self.desk.clock
-        self.frontend = RespFrontend(self.desk.core, clock.timeline, self.desk.backend, limit, 15 * SECOND)
-        self.desk.core.add_frontend(self.frontend)
-        self.desk.core._signals.advertised_value = None
+        self.node = Desk(cores)
+        clock = self.node.clock
+        self.frontend = RespFrontend(self.node.core, clock.timeline, self.node.backend, limit, 15 * SECOND)
+        self.node.core.add_frontend(self.frontend)
+        self.node.core._signals.advertised_value = None
 
     def connect(self) -> Wire:
         return Wire(RespConnection(self.frontend))
 
-    def feed(self, wire: Wire, data: bytes) -> None:
-        wire.feed(data)
-        self.desk.clock.settle()
+    def feed(self, connection: Wire, data: bytes) -> None:
+        connection.feed(data)
+        self.node.clock.settle()
 
-    def end(self, tag: int, result: bytes = b"result") -> None:
-        self.desk.core.run_ended(f"{tag:016x}", Outcome.OK, SECOND, result)
-        self.desk.clock.settle()
+    def end_run(self, tag: int, result: bytes = b"result") -> None:
+        self.node.core.run_ended(f"{tag:016x}", Outcome.OK, SECOND, result)
+        self.node.clock.settle()
 
 
 def instant_ms(harness: RespHarness) -> int:
-    return instant_us(harness.desk.clock.now()) // 1000
+    return instant_us(harness.node.clock.now()) // 1000
 
 
 MAPPING = UwsgiMapping(
@@ -55,7 +55,7 @@
     cost_variable="X_COST",
     tenant_variable="X_TENANT",
 )
-READ = {"REQUEST_METHOD": "GET", "X_CLASS": "temp-history"}
+READ_VARIABLES = {"REQUEST_METHOD": "GET", "X_CLASS": "temp-history"}
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
@@ -63,22 +63,22 @@
     """A uwsgi frontend and connections of its clients."""
 
     def __init__(self, cores: int = 2) -> None:
-        self.desk = Desk(cores)
+        self.node = Desk(cores)
         self.frontend = UwsgiFrontend(
-            self.desk.core, self.desk.clock.timeline, self.desk.backend, 8, 2 * SECOND, MAPPING, 100
+            self.node.core, self.node.clock.timeline, self.node.backend, 8, 2 * SECOND, MAPPING, 100
         )
-        self.desk.core.add_frontend(self.frontend)
+        self.node.core.add_frontend(self.frontend)
         self.number = 0
 
     def connect(self) -> Wire:
         return Wire(UwsgiConnection(self.frontend))
 
     def send(self, variables: dict[str, str], body: bytes = b"", step: int = 1 << 16) -> Wire:
-        wire = self.connect()
-        wire.feed(write_packet(variables, body), step)
-        self.desk.clock.settle()
-        return wire
-
-    def end(self, outcome: Outcome = Outcome.OK, result: bytes = RESPONSE, number: int = 1) -> None:
-        self.desk.core.run_ended(f"uwsgi-{number}", outcome, SECOND, result)
-        self.desk.clock.settle()
+        connection = self.connect()
+        connection.feed(write_packet(variables, body), step)
+        self.node.clock.settle()
+        return connection
+
+    def end_run(self, outcome: Outcome = Outcome.OK, result: bytes = RESPONSE, number: int = 1) -> None:
+        self.node.core.run_ended(f"uwsgi-{number}", outcome, SECOND, result)
+        self.node.clock.settle()
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -32,61 +32,61 @@
 REPLIES = (b"r1 ROWS 4\r\n\r\n\r\n\r\n", b"r1 FULL\r\n", b"r1 TIMEOUT\r\n", b"r1 FAIL\r\n", b"r1 NONE\r\n")
 
 
-def kernel_connection() -> tuple[Wire, Notes]:
+def connect_to_kernel() -> tuple[Wire, Notes]:
     clock, notes = HandClock(), Notes()
     dial = HandDial()
     kernel.KernelClient(("127.0.0.1", 1), ("cpu",), clock.timeline, lambda: notes, dial).open()
     return dial.accept(), notes
 
 
-def database_connection() -> tuple[Wire, Notes]:
+def connect_to_database() -> tuple[Wire, Notes]:
     harness = DatabaseHarness()
     return harness.open(), harness.notes
 
 
 @FIXED
 @given(CUTS)
-def test_kernel_and_database_are_read_the_same_however_the_stream_is_divided(cuts: list[int]) -> None:
-    kernel_wire, notes = kernel_connection()
+def test_kernel_and_database_messages_are_read_alike_however_the_stream_is_divided(cuts: list[int]) -> None:
+    kernel_connection, notes = connect_to_kernel()
     for part in pieces(NOTICES, cuts):
-        kernel_wire.feed(part)
+        kernel_connection.feed(part)
     assert [(event, id) for event, id, *_ in notes.told] == [
         ("ended", "a"),
         ("needs", "b"),
         ("ended", "b"),
         ("gauges", {"cpu": 0.5}),
     ]
-    assert not kernel_wire.closed
+    assert not kernel_connection.closed
     for reply, expected in zip(REPLIES, OUTCOMES, strict=True):
-        database_wire, notes = database_connection()
+        database_connection, notes = connect_to_database()
         for part in pieces(reply, cuts):
-            database_wire.feed(part)
+            database_connection.feed(part)
         assert [(id, outcome) for _, id, outcome, _ in notes.told] == [("r1", expected)]
-        assert not database_wire.closed
+        assert not database_connection.closed
 
 
 @FIXED
 @given(GARBAGE, CUTS)
 def test_garbage_closes_at_most_its_own_connection(garbage: bytes, cuts: list[int]) -> None:
     resp, uwsgi = RespHarness(), UwsgiHarness()
-    good, bad, packets = resp.connect(), resp.connect(), uwsgi.connect()
-    resp.feed(good, exec_frame(1))
+    served, malformed, uwsgi_connection = resp.connect(), resp.connect(), uwsgi.connect()
+    resp.feed(served, exec_frame(1))
     for part in pieces(garbage, cuts):
-        for wire in (bad, packets, kernel_connection()[0], database_connection()[0]):
-            wire.feed(part)
-    resp.desk.clock.settle()
-    resp.end(1)
-    assert b"done" in good.take()
+        for connection in (malformed, uwsgi_connection, connect_to_kernel()[0], connect_to_database()[0]):
+            connection.feed(part)
+    resp.node.clock.settle()
+    resp.end_run(1)
+    assert b"done" in served.take()
 
 
 @FIXED
 @given(st.binary(max_size=200), st.text(max_size=20))
-def test_readers_of_parts_raise_only_what_their_callers_catch(data: bytes, text: str) -> None:
+def test_parsers_of_message_parts_raise_only_errors_that_their_callers_catch(data: bytes, text: str) -> None:
     for read in (read_variables, read_fields, lambda word: read_request(b"x", word, b"")):
         with contextlib.suppress(RemoteProtocolError):
             read(data)
     read_cost(text)
     try:
         read_all(FrameReader().next, [data])
-    except MalformedFrameError as fault:
-        assert fault.tag is None or fault.tag > 0
+    except MalformedFrameError as error:
+        assert error.tag is None or error.tag > 0
--- a/tests/frontends/test_resp.py
+++ b/tests/frontends/test_resp.py
@@ -7,15 +7,15 @@
 from marlstep.core.interfaces import ClaimCallback, ClaimResult
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import SECOND
-from tests.frontends.support import AT, FIELDS, RespHarness, exec_frame, instant_ms
+from tests.frontends.support import FIELDS, START_MS, RespHarness, exec_frame, instant_ms
 
 
 def test_a_response_carries_the_tag_and_the_result_unchanged() -> None:
     harness = RespHarness()
-    wire = harness.connect()
-    harness.feed(wire, exec_frame(7))
-    harness.end(7, b"a\r\n\0b")
-    assert wire.take() == write_frame(b"7", b"done", b"", b"a\r\n\0b")
+    connection = harness.connect()
+    harness.feed(connection, exec_frame(7))
+    harness.end_run(7, b"a\r\n\0b")
+    assert connection.take() == write_frame(b"7", b"done", b"", b"a\r\n\0b")
 
 
 class UnsureSibling:
@@ -32,43 +32,43 @@
     # Guards against a response that is sent before the frontend has recorded the request as open. The request then
     # stayed open, and its connection was never closed.
     harness = RespHarness()
-    wire = harness.connect()
-    harness.desk.core.siblings = UnsureSibling()
-    harness.feed(wire, exec_frame(1, b"setpoint-cmd", fields=FIELDS + b",once=k"))
-    assert wire.take() == write_frame(b"1", b"later", b"after=1000", b"")
+    connection = harness.connect()
+    harness.node.core.siblings = UnsureSibling()
+    harness.feed(connection, exec_frame(1, b"setpoint-cmd", fields=FIELDS + b",once=k"))
+    assert connection.take() == write_frame(b"1", b"later", b"after=1000", b"")
     harness.frontend.stop_accepting()
-    harness.desk.clock.advance(500)
-    assert wire.closed and harness.desk.core.in_flight == 0
+    harness.node.clock.advance(500)
+    assert connection.closed and harness.node.core.in_flight == 0
 
 
 def test_health_checks_get_responses_and_each_carries_the_advertised_value() -> None:
     harness = RespHarness()
-    wire = harness.connect()
-    harness.desk.core._signals.advertised_value = 2.5
-    harness.feed(wire, write_frame(b"ALIVE", b"8", b""))
-    harness.desk.core.serving_state.quiesce()
-    harness.feed(wire, write_frame(b"ALIVE", b"9"))
-    assert wire.take() == write_frame(b"8", b"healthy", b"say=2.5000", b"") + write_frame(
+    connection = harness.connect()
+    harness.node.core._signals.advertised_value = 2.5
+    harness.feed(connection, write_frame(b"ALIVE", b"8", b""))
+    harness.node.core.serving_state.quiesce()
+    harness.feed(connection, write_frame(b"ALIVE", b"9"))
+    assert connection.take() == write_frame(b"8", b"healthy", b"say=2.5000", b"") + write_frame(
         b"9", b"sick", b"say=2.5000", b""
     )
     other = harness.connect()
-    for good, word in ((False, b"sick"), (True, b"healthy")):  # on an existing and on a new connection
-        (harness.desk.core.serving_state.resume if good else harness.desk.core.serving_state.quiesce)()
-        for number, one in enumerate((wire, other), 10 + 2 * good):
-            harness.feed(one, write_frame(b"ALIVE", b"%d" % number, b""))
-            assert one.take() == write_frame(b"%d" % number, word, b"say=2.5000", b"")
+    for is_healthy, word in ((False, b"sick"), (True, b"healthy")):  # on an existing and on a new connection
+        (harness.node.core.serving_state.resume if is_healthy else harness.node.core.serving_state.quiesce)()
+        for number, checked in enumerate((connection, other), 10 + 2 * is_healthy):
+            harness.feed(checked, write_frame(b"ALIVE", b"%d" % number, b""))
+            assert checked.take() == write_frame(b"%d" % number, word, b"say=2.5000", b"")
 
 
 def test_a_rejection_carries_retry_after() -> None:
     harness = RespHarness()
-    harness.desk.core.drain(harness.desk.clock.now() + 3 * SECOND)
-    harness.desk.clock.advance(2490)
-    wire = harness.connect()
-    harness.desk.clock.advance(110)
-    wire.take()
-    late = b"at=%d,from=4,kb=24.5,rank=0.6250" % (AT + 2600)
-    harness.feed(wire, exec_frame(1, fields=late))
-    assert wire.take() == write_frame(b"1", b"later", b"after=1000", b"")
+    harness.node.core.drain(harness.node.clock.now() + 3 * SECOND)
+    harness.node.clock.advance(2490)
+    connection = harness.connect()
+    harness.node.clock.advance(110)
+    connection.take()
+    late_fields = b"at=%d,from=4,kb=24.5,rank=0.6250" % (START_MS + 2600)
+    harness.feed(connection, exec_frame(1, fields=late_fields))
+    assert connection.take() == write_frame(b"1", b"later", b"after=1000", b"")
 
 
 @pytest.mark.parametrize(
@@ -76,9 +76,9 @@
     [
         exec_frame(2, request_class=b"no-such"),
         exec_frame(2, fields=b"at=,kb=1"),
-        exec_frame(2, fields=b"at=%d,kb=0" % AT),
-        exec_frame(2, fields=b"at=%d,kb=nan" % AT),
-        exec_frame(2, fields=b"at=%d,kb=1,kb=1" % AT),
+        exec_frame(2, fields=b"at=%d,kb=0" % START_MS),
+        exec_frame(2, fields=b"at=%d,kb=nan" % START_MS),
+        exec_frame(2, fields=b"at=%d,kb=1,kb=1" % START_MS),
         exec_frame(2, fields=b"at=99999999999999,kb=1,cost=inf"),
         exec_frame(2, request_class=b"\xff\xfe"),
         write_frame(b"EXEC", b"2", b"temp-history", FIELDS, b""),
@@ -87,18 +87,18 @@
         exec_frame(2).replace(b"%016x" % 2, b"%016x" % 1),
     ],
 )
-def test_an_invalid_request_gets_an_error_and_the_connection_goes_on(frame: bytes) -> None:
+def test_an_invalid_request_gets_an_error_and_the_connection_stays_open(frame: bytes) -> None:
     harness = RespHarness()
-    wire = harness.connect()
-    harness.feed(wire, exec_frame(1) + frame + exec_frame(3))
-    assert wire.take() == write_frame(b"2", b"error", b"", b"")
-    harness.end(1)
-    harness.end(3)
-    assert wire.take() == b"".join(write_frame(tag, b"done", b"", b"result") for tag in (b"1", b"3"))
+    connection = harness.connect()
+    harness.feed(connection, exec_frame(1) + frame + exec_frame(3))
+    assert connection.take() == write_frame(b"2", b"error", b"", b"")
+    harness.end_run(1)
+    harness.end_run(3)
+    assert connection.take() == b"".join(write_frame(tag, b"done", b"", b"result") for tag in (b"1", b"3"))
 
 
 @pytest.mark.parametrize(
-    ("bad", "failed"),
+    ("malformed", "failed_tag"),
     [
         (b"garbage\r\n", b""),
         (b"*9\r\n", b""),
@@ -111,69 +111,69 @@
     ],
 )
 def test_after_a_malformed_frame_open_requests_get_responses_and_the_connection_closes(
-    bad: bytes, failed: bytes
+    malformed: bytes, failed_tag: bytes
 ) -> None:
     harness = RespHarness()
-    wire, other = harness.connect(), harness.connect()
-    harness.feed(wire, exec_frame(1))
-    harness.feed(wire, bad + exec_frame(5))
-    expected = write_frame(failed, b"error", b"", b"") if failed else b""
-    assert wire.take() == expected + write_frame(b"0", b"closing") and not wire.closed
-    harness.end(1)
-    assert wire.take() == write_frame(b"1", b"done", b"", b"result") and wire.closed
+    connection, other = harness.connect(), harness.connect()
+    harness.feed(connection, exec_frame(1))
+    harness.feed(connection, malformed + exec_frame(5))
+    expected = write_frame(failed_tag, b"error", b"", b"") if failed_tag else b""
+    assert connection.take() == expected + write_frame(b"0", b"closing") and not connection.closed
+    harness.end_run(1)
+    assert connection.take() == write_frame(b"1", b"done", b"", b"result") and connection.closed
     harness.feed(other, write_frame(b"ALIVE", b"1"))
-    assert other.take() and harness.desk.core.counts["read"] == 1
+    assert other.take() and harness.node.core.counts["read"] == 1
 
 
-def test_requests_over_32_open_get_errors_and_the_32_are_served() -> None:
+def test_a_request_beyond_32_open_ones_gets_an_error_and_the_32_are_accepted() -> None:
     harness = RespHarness()
-    wire = harness.connect()
-    harness.feed(wire, b"".join(exec_frame(tag) for tag in range(1, 34)))
-    assert wire.take() == write_frame(b"33", b"error", b"", b"")
-    assert harness.desk.core.unanswered == 32
+    connection = harness.connect()
+    harness.feed(connection, b"".join(exec_frame(tag) for tag in range(1, 34)))
+    assert connection.take() == write_frame(b"33", b"error", b"", b"")
+    assert harness.node.core.unanswered == 32
 
 
 def test_an_idle_connection_gets_a_closing_frame_before_it_is_closed() -> None:
     harness = RespHarness()
-    wire = harness.connect()
-    harness.feed(wire, write_frame(b"ALIVE", b"9"))
-    wire.take()
-    harness.desk.clock.advance(15_000)
-    assert wire.take() == write_frame(b"0", b"closing") and not wire.closed
-    crossed = b"at=%d,from=4,kb=24.5,rank=0.6250" % (AT + 15_000)
-    harness.feed(wire, exec_frame(1, fields=crossed))
-    harness.desk.clock.advance(100)
-    harness.end(1)
-    assert b"done" in wire.take()
-    harness.desk.clock.advance(2_000)
-    assert wire.closed and len(harness.frontend.connections) == 0
-
-
-def test_a_peer_that_does_not_read_is_read_no_further_and_loses_no_response() -> None:
+    connection = harness.connect()
+    harness.feed(connection, write_frame(b"ALIVE", b"9"))
+    connection.take()
+    harness.node.clock.advance(15_000)
+    assert connection.take() == write_frame(b"0", b"closing") and not connection.closed
+    crossing_fields = b"at=%d,from=4,kb=24.5,rank=0.6250" % (START_MS + 15_000)
+    harness.feed(connection, exec_frame(1, fields=crossing_fields))
+    harness.node.clock.advance(100)
+    harness.end_run(1)
+    assert b"done" in connection.take()
+    harness.node.clock.advance(2_000)
+    assert connection.closed and len(harness.frontend.connections) == 0
+
+
+def test_reading_pauses_while_the_peer_does_not_read_and_no_response_is_lost() -> None:
     harness = RespHarness(cores=6)
-    wire = harness.connect()
-    wire.stream.pause_writing()
-    harness.feed(wire, b"".join(exec_frame(tag) for tag in range(1, 7)))
+    connection = harness.connect()
+    connection.stream.pause_writing()
+    harness.feed(connection, b"".join(exec_frame(tag) for tag in range(1, 7)))
     for tag in range(1, 7):
-        harness.end(tag, b"x" * 4096)
-    assert wire.paused and not wire.written
-    wire.stream.resume_writing()
-    assert wire.take().count(b"done") == 6 and not wire.paused
+        harness.end_run(tag, b"x" * 4096)
+    assert connection.paused and not connection.written
+    connection.stream.resume_writing()
+    assert connection.take().count(b"done") == 6 and not connection.paused
 
 
 def test_a_closed_connection_cancels_its_own_requests_and_no_others() -> None:
     harness = RespHarness()
-    wire, other = harness.connect(), harness.connect()
-    harness.feed(wire, exec_frame(1))
+    connection, other = harness.connect(), harness.connect()
+    harness.feed(connection, exec_frame(1))
     harness.feed(other, exec_frame(2))
-    wire.close()
-    harness.desk.clock.settle()
-    harness.end(2)
-    assert harness.desk.core.unanswered == 0
+    connection.close()
+    harness.node.clock.settle()
+    harness.end_run(2)
+    assert harness.node.core.unanswered == 0
     assert other.take() == write_frame(b"2", b"done", b"", b"result")
 
 
-def test_a_draining_frontend_closes_peers_that_stay_inside_a_frame_or_do_not_read() -> None:
+def test_a_draining_frontend_closes_peers_with_an_incomplete_frame_or_that_do_not_read() -> None:
     # Guards against connections that never close and whose descriptors are never released.
     harness = RespHarness()
     stalled, not_reading = harness.connect(), harness.connect()
@@ -182,22 +182,22 @@
     harness.feed(not_reading, write_frame(b"ALIVE", b"1") + b"garbage\r\n")
     assert not not_reading.closed
     harness.frontend.stop_accepting()
-    harness.desk.clock.advance(5_000)
+    harness.node.clock.advance(5_000)
     assert stalled.closed and not_reading.closed and len(harness.frontend.connections) == 0
 
 
 def test_a_peer_that_does_not_read_is_disconnected_after_the_read_timeout() -> None:
     # Guards against queued responses on many such connections that use up the memory of the node.
     harness = RespHarness(cores=6)
-    wire = harness.connect()
-    wire.stream.pause_writing()
-    harness.feed(wire, b"".join(exec_frame(tag) for tag in range(1, 7)))
+    connection = harness.connect()
+    connection.stream.pause_writing()
+    harness.feed(connection, b"".join(exec_frame(tag) for tag in range(1, 7)))
     for tag in range(1, 7):
-        harness.end(tag, b"x" * 4096)
-    harness.desk.clock.advance(1_400)
-    assert not wire.closed
-    harness.desk.clock.advance(101)
-    assert wire.closed and len(harness.frontend.connections) == 0
+        harness.end_run(tag, b"x" * 4096)
+    harness.node.clock.advance(1_400)
+    assert not connection.closed
+    harness.node.clock.advance(101)
+    assert connection.closed and len(harness.frontend.connections) == 0
 
 
 @pytest.mark.parametrize("part", [b"", b"*", exec_frame(1)[:40], exec_frame(1, body=b"x" * 2000)[:-9]])
@@ -208,26 +208,26 @@
     harness.feed(served, exec_frame(9))
     served.feed(part)
     silent.feed(part)
-    harness.desk.clock.advance(1_501)
+    harness.node.clock.advance(1_501)
     assert silent.closed and not served.closed
-    harness.end(9)
+    harness.end_run(9)
     assert b"done" in served.take() and served.closed == bool(part)
 
 
-def test_a_frame_that_comes_slowly_but_in_time_is_served_and_the_connection_stays() -> None:
+def test_a_frame_that_arrives_slowly_but_in_time_is_served_and_the_connection_stays_open() -> None:
     harness = RespHarness()
-    wire = harness.connect()
+    connection = harness.connect()
     for tag in (1, 2):
         fields = b"at=%d,from=4,kb=1" % instant_ms(harness)
         frame = exec_frame(tag, fields=fields)
-        harness.feed(wire, frame[:30])
-        harness.desk.clock.advance(1_000)
-        harness.feed(wire, frame[30:])
-        harness.desk.clock.advance(600)
-        harness.end(tag)
-    assert wire.take().count(b"done") == 2
-    harness.desk.clock.advance(5_000)
-    assert not wire.closed
+        harness.feed(connection, frame[:30])
+        harness.node.clock.advance(1_000)
+        harness.feed(connection, frame[30:])
+        harness.node.clock.advance(600)
+        harness.end_run(tag)
+    assert connection.take().count(b"done") == 2
+    harness.node.clock.advance(5_000)
+    assert not connection.closed
 
 
 def test_hundreds_of_silent_connections_leave_slots_for_others() -> None:
@@ -237,45 +237,45 @@
     harness.feed(active, write_frame(b"ALIVE", b"1"))
     for _ in range(300):
         harness.connect()
-        harness.desk.clock.advance(11)
+        harness.node.clock.advance(11)
         assert len(harness.frontend.connections) <= 12
     other = harness.connect()
     harness.feed(other, write_frame(b"ALIVE", b"1"))
     assert b"healthy" in other.take() and not active.closed
 
 
-def test_idle_connections_close_for_new_ones_the_longest_idle_first() -> None:
+def test_the_longest_idle_connections_are_evicted_first_for_new_ones() -> None:
     # Guards against clients whose idle connections use up the descriptors (505 of 512 in one run).
     harness = RespHarness(limit=40)
     active, busy = harness.connect(), harness.connect()
     harness.feed(busy, exec_frame(1))
-    stayed = []
+    idle_connections = []
     for number in range(100):
-        stayed.append(harness.connect())
-        harness.feed(stayed[-1], write_frame(b"ALIVE", b"1"))
+        idle_connections.append(harness.connect())
+        harness.feed(idle_connections[-1], write_frame(b"ALIVE", b"1"))
         harness.feed(active, write_frame(b"ALIVE", b"%d" % (number + 1)))
-        harness.desk.clock.advance(10)
-    assert stayed[0].take().endswith(write_frame(b"0", b"closing"))
-    harness.desk.clock.advance(1_000)
+        harness.node.clock.advance(10)
+    assert idle_connections[0].take().endswith(write_frame(b"0", b"closing"))
+    harness.node.clock.advance(1_000)
     assert len(harness.frontend.connections) <= 40
-    assert not active.closed and not busy.closed and not stayed[-1].closed
+    assert not active.closed and not busy.closed and not idle_connections[-1].closed
 
 
 def test_a_lowered_idle_limit_closes_idle_connections_and_not_busy_ones() -> None:
     harness = RespHarness()
-    wires = [harness.connect() for _ in range(2)]
-    for wire in wires:
-        harness.feed(wire, write_frame(b"ALIVE", b"1"))
-    harness.feed(wires[0], exec_frame(2))
+    connections = [harness.connect() for _ in range(2)]
+    for connection in connections:
+        harness.feed(connection, write_frame(b"ALIVE", b"1"))
+    harness.feed(connections[0], exec_frame(2))
     harness.frontend.limit_idle_time(SECOND)
-    harness.desk.clock.advance(1_100)
-    assert b"closing" not in wires[0].take() and b"closing" in wires[1].take()
+    harness.node.clock.advance(1_100)
+    assert b"closing" not in connections[0].take() and b"closing" in connections[1].take()
 
 
 def test_a_connection_with_eight_invalid_requests_is_closed() -> None:
     # Guards against a client whose endless invalid requests each cost parsing, a response and a log line.
     harness = RespHarness()
-    wire = harness.connect()
-    harness.feed(wire, b"".join(exec_frame(tag, request_class=b"no-such") for tag in range(1, 100)))
-    responses = wire.take()
-    assert wire.closed and responses.count(b"error") == 8 and b"closing" in responses
+    connection = harness.connect()
+    harness.feed(connection, b"".join(exec_frame(tag, request_class=b"no-such") for tag in range(1, 100)))
+    responses = connection.take()
+    assert connection.closed and responses.count(b"error") == 8 and b"closing" in responses
--- a/tests/frontends/test_resp_commands.py
+++ b/tests/frontends/test_resp_commands.py
@@ -29,7 +29,9 @@
         ([b"WHAT", b"7"], UnknownCommand(7)),
     ],
 )
-def test_a_command_is_known_by_its_verb_and_its_number_of_words(words: list[bytes], command: Command) -> None:
+def test_a_command_is_recognised_by_its_verb_and_its_number_of_words(
+    words: list[bytes], command: Command
+) -> None:
     assert parse_command(words) == command
 
 
--- a/tests/frontends/test_resp_fields.py
+++ b/tests/frontends/test_resp_fields.py
@@ -20,12 +20,12 @@
 REQUIRED = b"id=0123456789abcdef,at=5,kb=1.5"
 
 
-def test_each_wire_field_has_a_field_of_the_request() -> None:
+def test_each_request_field_maps_to_an_attribute_of_inbound_request() -> None:
     fields = {field.name for field in dataclasses.fields(InboundRequest)}
     assert {row.field for row in REQUEST_FIELDS} <= fields
 
 
-def test_each_written_field_is_one_of_the_response_and_each_status_has_a_word() -> None:
+def test_each_response_field_maps_to_an_attribute_of_response_and_each_status_has_a_word() -> None:
     fields = {field.name for field in dataclasses.fields(Response)}
     assert {row.field for row in REJECTION_FIELDS} <= fields
     assert set(STATUS_WORDS) == set(ResponseStatus)
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("fields", [b"id", b"=1", b"a=1,a=2", b"a=1,", b"\xff=1"])
-def test_fields_that_are_no_list_of_names_and_values_are_rejected(fields: bytes) -> None:
+def test_fields_that_are_not_unique_names_with_values_are_rejected(fields: bytes) -> None:
     with pytest.raises(InvalidFieldError):
         read_request(b"class", fields, b"")
 
@@ -90,7 +90,7 @@
         (Response(ResponseStatus.REJECTED, no_failover=True), 0.5, {"say": "0.5000", "last": "1"}),
     ],
 )
-def test_a_rejection_alone_carries_retry_after_and_every_response_the_advertised_value(
+def test_only_rejections_carry_retry_after_and_every_response_carries_the_advertised_value(
     response: Response, advertised: float | None, expected: dict[str, str]
 ) -> None:
     assert response_fields(response, advertised) == expected
--- a/tests/frontends/test_resp_policy.py
+++ b/tests/frontends/test_resp_policy.py
@@ -7,12 +7,12 @@
 from marlstep.frontends import resp_policy
 
 
-def test_requests_are_accepted_up_to_the_limit_of_open_ones() -> None:
+def test_requests_are_accepted_up_to_the_limit_of_open_requests() -> None:
     assert resp_policy.accepts_another_request(resp_policy.MAX_OPEN_REQUESTS - 1)
     assert not resp_policy.accepts_another_request(resp_policy.MAX_OPEN_REQUESTS)
 
 
-def test_a_connection_is_misused_at_the_last_allowed_invalid_request() -> None:
+def test_a_connection_has_too_many_invalid_requests_once_the_limit_is_reached() -> None:
     assert not resp_policy.has_too_many_invalid_requests(resp_policy.MAX_INVALID_REQUESTS - 1)
     assert resp_policy.has_too_many_invalid_requests(resp_policy.MAX_INVALID_REQUESTS)
 
@@ -33,7 +33,7 @@
     ("send_blocked", "unparsed_bytes", "inside_frame", "is_unproven"),
     [(True, 0, False, False), (False, 1, False, False), (False, 0, True, False), (False, 0, False, True)],
 )
-def test_the_peer_has_to_act_where_anything_is_incomplete(
+def test_the_read_timeout_runs_while_input_or_output_is_pending(
     send_blocked: bool, unparsed_bytes: int, inside_frame: bool, is_unproven: bool
 ) -> None:
     assert resp_policy.waits_for_peer(send_blocked, unparsed_bytes, inside_frame, is_unproven)
@@ -42,13 +42,13 @@
 @pytest.mark.parametrize(
     ("is_malformed", "open_requests", "expected"), [(True, 0, True), (True, 1, False), (False, 0, False)]
 )
-def test_a_drain_closes_at_once_only_a_malformed_stream_without_open_requests(
+def test_a_drain_closes_at_once_only_if_the_stream_is_malformed_and_no_request_is_open(
     is_malformed: bool, open_requests: int, expected: bool
 ) -> None:
     assert resp_policy.drains_at_once(is_malformed, open_requests) is expected
 
 
-def test_the_peer_need_not_act_while_nothing_is_incomplete() -> None:
+def test_the_read_timeout_does_not_run_while_nothing_is_pending() -> None:
     assert not resp_policy.waits_for_peer(False, 0, False, False)
 
 
@@ -63,7 +63,7 @@
         (False, 1, False, True, True, False),
     ],
 )
-def test_an_announced_close_waits_for_open_requests_and_for_what_is_still_to_be_read(
+def test_an_announced_close_waits_for_open_requests_and_unread_input(
     connected: bool,
     open_requests: int,
     is_malformed: bool,
@@ -71,7 +71,7 @@
     incomplete_input: bool,
     expected: bool,
 ) -> None:
-    decided = resp_policy.postpones_close(
+    postponed = resp_policy.postpones_close(
         connected, open_requests, is_malformed, send_blocked, incomplete_input
     )
-    assert decided is expected
+    assert postponed is expected
--- a/tests/frontends/test_resp_tags.py
+++ b/tests/frontends/test_resp_tags.py
@@ -12,12 +12,12 @@
 @FIXED
 @given(st.permutations(range(1, 30)))
 def test_each_tag_is_accepted_once_in_any_order(order: list[int]) -> None:
-    tags = TagTracker()
-    assert all(tags.mark_used(tag) for tag in order)
-    assert not any(tags.mark_used(tag) for tag in order)
+    tracker = TagTracker()
+    assert all(tracker.mark_used(tag) for tag in order)
+    assert not any(tracker.mark_used(tag) for tag in order)
 
 
 def test_tags_out_of_order_are_remembered_up_to_a_limit() -> None:
-    tags = TagTracker()
-    assert all(tags.mark_used(tag) for tag in range(2, MAX_TAGS_AHEAD + 2))
-    assert not tags.mark_used(MAX_TAGS_AHEAD + 2) and not tags.is_used(MAX_TAGS_AHEAD + 2)
+    tracker = TagTracker()
+    assert all(tracker.mark_used(tag) for tag in range(2, MAX_TAGS_AHEAD + 2))
+    assert not tracker.mark_used(MAX_TAGS_AHEAD + 2) and not tracker.is_used(MAX_TAGS_AHEAD + 2)
--- a/tests/frontends/test_uwsgi_policy.py
+++ b/tests/frontends/test_uwsgi_policy.py
@@ -16,7 +16,7 @@
     ("open_requests", "inside_packet", "closes"),
     [(0, False, True), (0, True, False), (1, False, False), (1, True, False)],
 )
-def test_a_drain_closes_a_connection_that_has_no_open_request_and_no_packet_begun(
+def test_a_drain_closes_a_connection_without_an_open_request_or_a_partly_read_packet(
     open_requests: int, inside_packet: bool, closes: bool
 ) -> None:
     assert uwsgi_policy.closes_at_drain(open_requests, inside_packet) is closes
--- a/tests/frontends/test_uwsgi_requests.py
+++ b/tests/frontends/test_uwsgi_requests.py
@@ -38,7 +38,7 @@
         ("", None, ""),
     ],
 )
-def test_a_class_that_there_is_not_becomes_the_default_if_one_is_configured(
+def test_an_unknown_class_becomes_the_default_class_if_one_is_configured(
     value: str, default_class: str | None, expected: str
 ) -> None:
     mapping = UwsgiMapping("CLASS", {"mapped": "slow"}, default_class)
@@ -46,7 +46,7 @@
     assert (request.request_class, request.pool) == (expected, f"pool-{expected}")
 
 
-def test_an_idempotency_key_is_bounded() -> None:
+def test_an_idempotency_key_over_the_limit_is_rejected() -> None:
     mapping = UwsgiMapping("CLASS", idempotency_key_variable="KEY")
     longest = "k" * MAX_IDEMPOTENCY_KEY_CHARACTERS
     assert read(mapping, KEY=longest).idempotency_key == longest
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(("text", "expected"), [("", False), ("0", False), ("Off", False), ("1", True)])
-def test_a_retry_is_marked_by_any_text_that_does_not_deny_it(text: str, expected: bool) -> None:
+def test_the_retry_variable_marks_a_retry_unless_its_text_means_false(text: str, expected: bool) -> None:
     assert read(UwsgiMapping("CLASS", retry_variable="RETRY"), RETRY=text).is_retry is expected
 
 
@@ -64,7 +64,9 @@
     ("text", "expected"),
     [("12.5", 12.5 * MILLISECOND), ("", None), ("x", None), ("-1", None), ("nan", None), ("3600001", None)],
 )
-def test_a_cost_that_is_no_number_of_milliseconds_is_none(text: str, expected: timedelta | None) -> None:
+def test_a_cost_that_is_not_a_valid_number_of_milliseconds_is_none(
+    text: str, expected: timedelta | None
+) -> None:
     assert read_cost(text) == expected
 
 
--- a/tests/frontends/test_uwsgi_wire.py
+++ b/tests/frontends/test_uwsgi_wire.py
@@ -15,10 +15,10 @@
     st.binary(max_size=50),
     CUTS,
 )
-def test_packets_are_complete_however_the_stream_is_divided(
+def test_packets_are_reassembled_however_the_stream_is_divided(
     variables: dict[str, str], body: bytes, cuts: list[int]
 ) -> None:
     packet = write_packet({**variables, "CONTENT_LENGTH": str(len(body))}, body)
-    found, again = read_all(PacketReader(50).next, pieces(packet * 2, cuts))
-    assert found == again and found.raw == packet
-    assert found.variables == {**variables, "CONTENT_LENGTH": str(len(body))}
+    first, second = read_all(PacketReader(50).next, pieces(packet * 2, cuts))
+    assert first == second and first.raw == packet
+    assert first.variables == {**variables, "CONTENT_LENGTH": str(len(body))}
--- a/tests/net/test_codec.py
+++ b/tests/net/test_codec.py
@@ -48,14 +48,14 @@
 WRITTEN = b'["Draw",{"p":[{"a":1,"b":""},{"a":2,"b":"two"}],"c":"r","o":{"a":0,"b":"zero"},"f":true}]'
 
 
-def test_tags_and_keys_follow_the_wire_names_not_those_of_python() -> None:
+def test_tags_and_keys_follow_the_wire_names_not_the_python_names() -> None:
     codec = Codec((Drawing,))
     assert codec.write(DRAWING) == WRITTEN
     assert codec.read(WRITTEN) == DRAWING
     assert codec.message_classes == {"Draw": Drawing}
 
 
-def test_a_field_without_a_wire_name_is_refused_when_the_codec_is_made() -> None:
+def test_a_field_without_a_wire_name_is_rejected_when_the_codec_is_created() -> None:
     @dataclass(slots=True, frozen=True)
     class Nameless:
         wire_tag: ClassVar[str] = "Nameless"
@@ -68,7 +68,7 @@
         Codec((Nameless,))  # the failed first attempt left no incomplete cache entry
 
 
-def test_a_tag_that_two_classes_have_is_refused_when_the_codec_is_made() -> None:
+def test_a_tag_shared_by_two_classes_is_rejected_when_the_codec_is_created() -> None:
     @dataclass(slots=True, frozen=True)
     class Twin:
         wire_tag: ClassVar[str] = "Draw"
@@ -77,7 +77,7 @@
         Codec((Drawing, Twin))
 
 
-def test_a_class_without_a_tag_is_refused_when_the_codec_is_made() -> None:
+def test_a_class_without_a_tag_is_rejected_when_the_codec_is_created() -> None:
     with pytest.raises(AttributeError, match="wire_tag"):
         Codec((Point,))
 
@@ -104,7 +104,7 @@
         Codec((Drawing,), ignore_unknown_keys).read(body)
 
 
-def test_unknown_keys_are_refused_unless_the_codec_ignores_them() -> None:
+def test_unknown_keys_are_rejected_unless_the_codec_ignores_them() -> None:
     body = b'["Draw",{"p":[],"c":"r","new":1}]'
     assert Codec((Drawing,), ignore_unknown_keys=True).read(body) == Drawing([], Colour.RED)
     with pytest.raises(CorruptError, match="new"):
--- a/tests/net/test_framing.py
+++ b/tests/net/test_framing.py
@@ -26,7 +26,7 @@
     return ring
 
 
-def test_the_layout_of_a_frame() -> None:
+def test_a_frame_has_magic_length_checksum_and_body() -> None:
     assert FRAMING.write(b"body") == b"TST1" + b"\0\0\0\x04" + crc(b"body") + b"body"
 
 
@@ -47,7 +47,7 @@
         FRAMING.read(ring_with(data))
 
 
-def test_a_length_over_the_limit_is_an_error_before_the_body_comes() -> None:
+def test_a_length_over_the_limit_is_an_error_before_the_body_arrives() -> None:
     with pytest.raises(FrameLengthError, match="at most 100 bytes, header announces 101 bytes"):
         FRAMING.read(ring_with(b"TST1" + (101).to_bytes(4, "big")))
 
@@ -61,7 +61,7 @@
         ours.read(ring_with(theirs.write(b"body")))
 
 
-def test_all_errors_of_reading_are_corrupt_errors() -> None:
+def test_all_read_errors_are_corrupt_errors() -> None:
     assert issubclass(UnknownMagicError, CorruptError)
     assert issubclass(FrameLengthError, CorruptError)
     assert issubclass(ChecksumError, CorruptError)
--- a/tests/net/test_lines.py
+++ b/tests/net/test_lines.py
@@ -26,30 +26,32 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 64])
-def test_messages_are_complete_however_the_stream_is_divided(step: int) -> None:
+def test_messages_are_reassembled_however_the_stream_is_divided(step: int) -> None:
     stream = Recorder()
-    wire = Wire(stream)
-    wire.feed(b"one two\r\nbody 4\r\n\r\n\r\n\r\nthree\r\n", step)
+    transport = Wire(stream)
+    transport.feed(b"one two\r\nbody 4\r\n\r\n\r\n\r\nthree\r\n", step)
     assert stream.messages == [(["one", "two"], b""), (["body", "4"], b"\r\n\r\n"), (["three"], b"")]
-    assert not wire.closed and not stream.partial
+    assert not transport.closed and not stream.partial
 
 
-@pytest.mark.parametrize("bad", [b"body 9\r\n", b"body x\r\n", b"body -1\r\n", b"body 1\r\nabc", b"x" * 18])
-def test_a_malformed_message_closes_the_connection(bad: bytes) -> None:
+@pytest.mark.parametrize(
+    "malformed", [b"body 9\r\n", b"body x\r\n", b"body -1\r\n", b"body 1\r\nabc", b"x" * 18]
+)
+def test_a_malformed_message_closes_the_connection(malformed: bytes) -> None:
     stream = Recorder()
-    wire = Wire(stream)
-    wire.feed(b"one\r\n" + bad)
-    assert wire.closed and stream.messages == [(["one"], b"")]
+    transport = Wire(stream)
+    transport.feed(b"one\r\n" + malformed)
+    assert transport.closed and stream.messages == [(["one"], b"")]
 
 
 def test_the_end_of_the_stream_closes_the_connection() -> None:
     stream = Recorder()
-    wire = Wire(stream)
+    transport = Wire(stream)
     stream.eof_received()
-    assert wire.closed
+    assert transport.closed
 
 
-def test_an_invalid_length_names_what_came_and_the_limit() -> None:
+def test_an_invalid_length_error_has_the_word_and_the_limit() -> None:
     with pytest.raises(InvalidLengthError) as raised:
         parse_length("9", 8)
     assert (raised.value.word, raised.value.limit) == ("9", 8)
--- a/tests/net/test_ring.py
+++ b/tests/net/test_ring.py
@@ -16,20 +16,20 @@
 @example([b"0123456789abc", 13, b"ab\r\ncd"])
 @example([b"abcde\r\n"])
 @example([b"\r\n"])
-def test_a_ring_returns_what_was_put_in(steps: list[bytes | int]) -> None:
+def test_a_ring_returns_bytes_in_the_order_they_were_put_in(steps: list[bytes | int]) -> None:
     ring, model = Ring(16), b""
     for step in steps:
         if isinstance(step, bytes):
-            done = ring.put(step)
-            assert done == min(len(step), 16 - len(model))
-            model += step[:done]
+            accepted = ring.put(step)
+            assert accepted == min(len(step), 16 - len(model))
+            model += step[:accepted]
         else:
             assert ring.take(step) == model[:step]
             model = model[step:]
         assert (ring.used, ring.peek(99)) == (len(model), model)
-    end = model[:6].find(b"\r\n")
-    if end >= 0:
-        assert ring.read_line(4) == model[:end] and ring.used == len(model) - end - 2
+    line_length = model[:6].find(b"\r\n")
+    if line_length >= 0:
+        assert ring.read_line(4) == model[:line_length] and ring.used == len(model) - line_length - 2
     elif len(model) >= 6:
         with pytest.raises(LineTooLongError):
             ring.read_line(4)
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("count", [-1, 3])
-def test_skipping_more_than_there_is_is_an_error_of_this_program(count: int) -> None:
+def test_skipping_a_negative_count_or_more_than_is_used_raises(count: int) -> None:
     ring = Ring(4)
     ring.put(b"ab")
     with pytest.raises(RingRangeError) as raised:
