--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -54,7 +54,7 @@
         self._close_timer: Timer | None = None
 
     def opened(self) -> None:
-        """Occupy a slot in the table, or abort the connection where none is free."""
+        """Occupy a slot in the table, or abort the connection if none is free."""
         if self.listener.accept(self):
             self.start_progress_timer()
         else:
@@ -135,7 +135,7 @@
         self._request_handles: dict[int, int] = {}  # open requests: number to core handle
 
     def submit(self, number: int, inbound: InboundRequest) -> None:
-        """Submit a request under `number`. Raises RequestRejectedError where the intake rejects it."""
+        """Submit a request under `number`. Raises RequestRejectedError if the intake rejects it."""
         self._request_handles[number] = self._core.submit(
             self.listener, (self.handle, number), self._backend, inbound
         )
@@ -253,7 +253,7 @@
             oldest.abort()
 
     def mark_idle(self, connection: Connection) -> None:
-        """Mark a connection as idle from now on, and schedule the idle sweep."""
+        """Mark a connection as idle from now on, and schedule an idle sweep if none is due."""
         self.connections.mark_idle(connection, self.timeline.now())
         if self._idle_sweep is None:
             self._schedule_idle_sweep()
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -189,7 +189,7 @@
             self._reject_stream(MalformedFrameError(FrameFault.TIMEOUT, None))
 
     def close_idle(self) -> None:
-        """Announce the closing unless a request is open. Leaves the idle list, to do so once per idle period."""
+        """Announce the closing unless a request is open, and leave the idle list, so that it is announced only once."""
         self.frontend.connections.mark_busy(self)
         if not self._request_handles:
             self.drain()
--- a/marlstep/frontends/resp_policy.py
+++ b/marlstep/frontends/resp_policy.py
@@ -8,8 +8,8 @@
 
 from marlstep.units import MILLISECOND, SECOND
 
-READ_TIMEOUT = 1.5 * SECOND  # for a frame to be complete; the first one counts from the opening
-MAX_INVALID_REQUESTS = 8  # on one connection; the eighth closes it
+READ_TIMEOUT = 1.5 * SECOND  # to receive a complete frame; for the first one, from the opening on
+MAX_INVALID_REQUESTS = 8  # on one connection; the last of them closes it
 MAX_OPEN_REQUESTS = 32  # on one connection
 CLOSE_DELAY = 200 * MILLISECOND  # from the frame `0 closing` until a connection without open requests closes
 
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -92,7 +92,7 @@
     def _read_head(self, ring: Ring, mark: bytes) -> int | None:
         """Return the number on a line that begins with `mark`; None until the line is complete."""
         try:
-            line = ring.read_line(MAX_HEAD_BYTES)
+            line = ring.line(MAX_HEAD_BYTES)
         except LineTooLongError:
             raise self._malformed(FrameFault.HEAD, ring.peek(MAX_HEAD_BYTES)) from None
         if line is None:
--- a/marlstep/frontends/uwsgi.py
+++ b/marlstep/frontends/uwsgi.py
@@ -95,7 +95,7 @@
             self.finish()
 
     def drain(self) -> None:
-        """Close, unless a request is open or its packet is partly read, which is then read to its end and served."""
+        """Close, unless a request is open or its packet is partly read; such a packet is still completed and served."""
         if uwsgi_policy.closes_at_drain(len(self._request_handles), self._packets.inside_packet):
             self.finish()
 
--- a/marlstep/frontends/uwsgi_policy.py
+++ b/marlstep/frontends/uwsgi_policy.py
@@ -7,7 +7,10 @@
 
 
 def closes_at_timeout(open_requests: int) -> bool:
-    """Whether a connection closes at its read timeout: it does if no request is open, its packet being incomplete."""
+    """Whether a connection closes at its read timeout.
+
+    It closes if no request is open, which is the case as long as its packet is incomplete.
+    """
     return open_requests == 0
 
 
--- a/marlstep/net/framing.py
+++ b/marlstep/net/framing.py
@@ -37,7 +37,7 @@
 
     def __init__(self, size: int, limit: int) -> None:
         """`size` is the announced size and `limit` the largest allowed one, both in bytes."""
-        super().__init__(f"expected a message of at most {limit} bytes, header announces {size} bytes")
+        super().__init__(f"message of {size} bytes exceeds the limit of {limit} bytes")
         self.size, self.limit = size, limit
 
 
@@ -55,7 +55,7 @@
 
     def __init__(self, size: int, limit: int) -> None:
         """`size` is the size of the body and `limit` the largest allowed one, both in bytes."""
-        super().__init__(f"expected a message of at most {limit} bytes to write, got {size} bytes")
+        super().__init__(f"message to write of {size} bytes exceeds the limit of {limit} bytes")
         self.size, self.limit = size, limit
 
 
--- a/marlstep/net/lines.py
+++ b/marlstep/net/lines.py
@@ -92,7 +92,7 @@
         """Read and handle the next message; False if it is incomplete."""
         inbox = self.inbox
         if self._words is None:
-            line = inbox.read_line(self._line_limit)
+            line = inbox.line(self._line_limit)
             if line is None:
                 return False
             words = line.decode("ascii", "replace").split(" ")
--- a/marlstep/net/ring.py
+++ b/marlstep/net/ring.py
@@ -100,7 +100,7 @@
         self.used -= count
         return bytes(self._view[start : start + count])
 
-    def read_line(self, limit: int) -> bytes | None:
+    def line(self, limit: int) -> bytes | None:
         """Remove and return the next line, without its CR LF; None if it is incomplete.
 
         Raises:
--- a/tests/frontends/test_resp_over_time.py
+++ b/tests/frontends/test_resp_over_time.py
@@ -24,11 +24,11 @@
             connection.close()  # while its request runs
             harness.node.clock.settle()
             harness.end_run(number)
-        state = core._controller.state
+        controller_state = core._controller.state
         sizes.append(
             len(core._requests._handles) + len(core.idempotency_keys) + len(harness.node.clock.timeline._heap)
             + core.in_flight
-            + len(state.entries.by_id) + len(state.callers.last_seen) + len(state.wakeups)
+            + len(controller_state.entries.by_id) + len(controller_state.callers.last_seen) + len(controller_state.wakeups)
             + harness.frontend.connections.idle_count + harness.frontend.connections.unproven_count
             + len(harness.frontend.connections)
         )  # fmt: skip
--- a/tests/net/test_framing.py
+++ b/tests/net/test_framing.py
@@ -48,7 +48,7 @@
 
 
 def test_a_length_over_the_limit_is_an_error_before_the_body_arrives() -> None:
-    with pytest.raises(FrameLengthError, match="at most 100 bytes, header announces 101 bytes"):
+    with pytest.raises(FrameLengthError, match="message of 101 bytes exceeds the limit of 100 bytes"):
         FRAMING.read(ring_with(b"TST1" + (101).to_bytes(4, "big")))
 
 
--- a/tests/net/test_ring.py
+++ b/tests/net/test_ring.py
@@ -29,12 +29,12 @@
         assert (ring.used, ring.peek(99)) == (len(model), model)
     line_length = model[:6].find(b"\r\n")
     if line_length >= 0:
-        assert ring.read_line(4) == model[:line_length] and ring.used == len(model) - line_length - 2
+        assert ring.line(4) == model[:line_length] and ring.used == len(model) - line_length - 2
     elif len(model) >= 6:
         with pytest.raises(LineTooLongError):
-            ring.read_line(4)
+            ring.line(4)
     else:
-        assert ring.read_line(4) is None and ring.used == len(model)
+        assert ring.line(4) is None and ring.used == len(model)
 
 
 @pytest.mark.parametrize("count", [-1, 3])
