--- a/tests/frontends/test_resp_over_time.py
+++ b/tests/frontends/test_resp_over_time.py
@@ -28,7 +28,8 @@
         sizes.append(
             len(core._requests._handles) + len(core.idempotency_keys) + len(harness.node.clock.timeline._heap)
             + core.in_flight
-            + len(controller_state.entries.by_id) + len(controller_state.callers.last_seen) + len(controller_state.wakeups)
+            + len(controller_state.entries.by_id) + len(controller_state.callers.last_seen)
+            + len(controller_state.wakeups)
             + harness.frontend.connections.idle_count + harness.frontend.connections.unproven_count
             + len(harness.frontend.connections)
         )  # fmt: skip
