--- a/marlstep/frontends/uwsgi_wire.py
+++ b/marlstep/frontends/uwsgi_wire.py
@@ -1,7 +1,7 @@
-"""The uwsgi protocol: packets read from a ring, and packets and HTTP responses written as bytes. Pure.
+"""Reads uwsgi packets from a ring, and writes packets and HTTP responses as bytes. Pure.
 
-A packet is 4 bytes (modifier1, the size of the variables as 16 bits little-endian, modifier2), the variables (each a
-size of 16 bits and that many bytes, name and value in turn), and CONTENT_LENGTH bytes of body.
+A packet is a header of 4 bytes (modifier1, the size of the block of variables as 16 bits little-endian, modifier2), the
+variables (names and values in turn, each a 16-bit size and that many bytes), and a body of CONTENT_LENGTH bytes.
 """
 
 from __future__ import annotations
@@ -19,58 +19,58 @@
 )
 from marlstep.net.ring import Ring
 
-HEAD = 4  # bytes before the variables
-SIZE_BYTES = 2  # of the size of a variable's name or value
+HEADER_BYTES = 4  # before the block of variables
+SIZE_BYTES = 2  # bytes of the size before each name and value
 MAX_CONTENT_LENGTH_DIGITS = 15
 
 
 @dataclass(slots=True, frozen=True)
 class Packet:
-    """A complete packet."""
+    """A complete uwsgi packet."""
 
-    raw: bytes  # all of it, to be forwarded unchanged
+    raw: bytes  # the whole packet, to be forwarded unchanged
     variables: Mapping[str, str]
 
 
 def read_variables(block: bytes) -> dict[str, str]:
-    """Read the variables of a packet; of a name that comes twice the last value counts.
+    """Parse the variables of a packet; if a name is repeated, its last value counts.
 
     Raises:
-        InvalidPacketError: the sizes inside do not add up.
+        InvalidPacketError: a size exceeds the block, or the last name has no value.
     """
-    words: list[str] = []
+    strings: list[str] = []
     position = 0
     while position < len(block):
         start = position + SIZE_BYTES
         end = start + int.from_bytes(block[position:start], "little")
         if start > len(block) or end > len(block):
             raise VariableSizeError(end, len(block))
-        words.append(block[start:end].decode("latin-1"))
+        strings.append(block[start:end].decode("latin-1"))
         position = end
-    if len(words) % 2:
+    if len(strings) % 2:
         raise UnpairedVariableError
-    return dict(zip(words[::2], words[1::2], strict=True))
+    return dict(zip(strings[::2], strings[1::2], strict=True))
 
 
 def write_packet(variables: Mapping[str, str], body: bytes = b"") -> bytes:
     """Return the bytes of a request's packet."""
-    words = [word.encode("latin-1") for pair in variables.items() for word in pair]
-    block = b"".join(len(word).to_bytes(2, "little") + word for word in words)
+    strings = [string.encode("latin-1") for pair in variables.items() for string in pair]
+    block = b"".join(len(string).to_bytes(2, "little") + string for string in strings)
     return b"\0" + len(block).to_bytes(2, "little") + b"\0" + block + body
 
 
 class PacketReader:
-    """Reads packets one after the other, however the stream is divided."""
+    """Reads consecutive packets from a stream that arrives in pieces of any size."""
 
     def __init__(self, body_limit: int) -> None:
-        """`body_limit` is in bytes."""
+        """`body_limit` is the maximum size of a body in bytes."""
         self._body_limit = body_limit
         self._raw = bytearray()
         self._variables: dict[str, str] | None = None
-        self._size = HEAD  # of the packet in bytes, as far as it is known
+        self._size = HEADER_BYTES  # bytes of the packet up to the end of the part whose size is known
 
     @property
-    def inside(self) -> bool:
+    def inside_packet(self) -> bool:
         """Whether a part of a packet has been read."""
         return bool(self._raw)
 
@@ -78,23 +78,23 @@
         """Return the next packet; None until it is complete.
 
         Raises:
-            InvalidPacketError: what came is no packet that is accepted here.
+            InvalidPacketError: the packet is malformed, or its body is larger than the limit.
         """
         while True:
             self._raw += ring.take(self._size - len(self._raw))
             if len(self._raw) < self._size:
                 return None
-            if self._size == HEAD:
-                self._read_head()
+            if self._size == HEADER_BYTES:
+                self._read_header()
             elif self._variables is None:
-                self._variables = read_variables(bytes(self._raw[HEAD:]))
+                self._variables = read_variables(bytes(self._raw[HEADER_BYTES:]))
                 self._size += self._body_length(self._variables)
             if self._variables is not None and len(self._raw) == self._size:
                 packet = Packet(bytes(self._raw), self._variables)
-                self._raw, self._variables, self._size = bytearray(), None, HEAD
+                self._raw, self._variables, self._size = bytearray(), None, HEADER_BYTES
                 return packet
 
-    def _read_head(self) -> None:
+    def _read_header(self) -> None:
         if self._raw[0] != 0:
             raise InvalidModifierError(self._raw[0])
         size = int.from_bytes(self._raw[1:3], "little")
@@ -111,7 +111,7 @@
         return int(text)
 
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     413: "Content Too Large",
@@ -122,9 +122,9 @@
 
 
 def write_response(status: int, headers: Mapping[str, str], text: str) -> bytes:
-    """Return the bytes of an HTTP response with a plain text, after which the connection closes."""
+    """Return the bytes of an HTTP response with a plain-text body and `Connection: close`."""
     body = text.encode() + b"\n"
-    lines = [f"HTTP/1.1 {status} {REASONS[status]}", "Content-Type: text/plain; charset=utf-8"]
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}", "Content-Type: text/plain; charset=utf-8"]
     lines += [f"Content-Length: {len(body)}", "Connection: close"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -51,7 +51,7 @@
         frame = caller.frame(1, "list")
         caller.send(frame[:cut_at])
         connection = harness.only_connection
-        await until(lambda: connection.inbox.used or connection._frames.inside)
+        await until(lambda: connection.inbox.used or connection._frames.inside_frame)
         await harness.send_sigterm()
         await harness.advance(420)
         await caller.closing_frame()
@@ -514,7 +514,7 @@
         frame = caller.frame(1, "open")
         caller.send(frame[:20])
         connection = harness.only_connection
-        await until(lambda: connection._frames.inside)
+        await until(lambda: connection._frames.inside_frame)
         os.write(caller.writer.get_extra_info("socket").fileno(), frame[20:])
         harness.advance_unread(1_600 * MILLISECOND)
         assert await caller.status_word(1) == "later"  # read, although its deadline has passed
