--- a/marlstep/leases/__init__.py
+++ b/marlstep/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases: one holder at a time, with a fencing token that grows with each grant. No I/O."""
+"""Leases with one holder at a time and a fencing token that increases with each grant. Does no I/O."""
--- a/marlstep/leases/client.py
+++ b/marlstep/leases/client.py
@@ -1,7 +1,7 @@
-"""A process's link to its consensus group: heartbeats, leases, and commands for the log.
+"""A process's client of its consensus group: sends heartbeats, holds leases and proposes commands for the log.
 
-It works the same on voters and on other nodes, and does no I/O: it is given the time and messages, and returns what to
-send to which voter.
+It works the same on voters and on other nodes. It does no I/O: the caller passes in the time and the received messages,
+and sends the messages that it returns.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from marlstep.leases.settings import LeaseSettings
 
 MAX_LATENCY_SAMPLES = 200
-MAX_OUTBOUND_COMMANDS = 32  # without a result; the group remembers twice as many results of each process
-TARGET_SWITCHES_PER_TIMEOUT = 4  # where no voter knows the leader
+MAX_OUTBOUND_COMMANDS = 32  # commands without a result; the group keeps twice as many results per process
+TARGET_SWITCHES_PER_TIMEOUT = 4  # voters tried per response timeout while no voter knows the leader
 
 GroupMessage = Heartbeat | CommandRequest
 GroupResponse = HeartbeatResponse | CommandResponse
@@ -31,15 +31,15 @@
 
 @dataclass(slots=True)
 class OutboundCommand:
-    """A command that has no result yet."""
+    """A proposed command that has no result yet."""
 
     request: CommandRequest
-    sent_at: datetime | None  # the last time; None where it is to be sent at once
+    sent_at: datetime | None  # when it was last sent; None if it must be sent at the next tick
     created_at: datetime
 
 
 class GroupClient:
-    """Sends heartbeats and commands to the voter that is taken for the leader, and to another if it doesn't respond."""
+    """Sends heartbeats and commands to the presumed leader, and to another voter if it does not respond."""
 
     def __init__(
         self,
@@ -49,13 +49,21 @@
         settings: LeaseSettings,
         random_source: RandomSource,
     ) -> None:
-        """`voters` are the nodes that may vote; `process_id` is of this process alone, and never used again."""
+        """Initialize the client of one process.
+
+        Args:
+            node: name of this process's node.
+            process_id: identifier of this process; no other process of the node ever has the same one.
+            voters: names of the voting nodes.
+            settings: lease terms and limits, the same on all nodes.
+            random_source: selects the first voter to contact if this node is not a voter.
+        """
         self.holder = LeaseHolder(node, process_id, settings)
         self.voters, self.settings = voters, settings
         self.target = node if node in voters else self._random_voter(random_source)
         self.results: OrderedDict[int, ResultJson] = OrderedDict()
-        self.last_response_at: datetime | None = None  # of the leader, to a heartbeat
-        self.command_latencies: deque[timedelta] = deque(maxlen=MAX_LATENCY_SAMPLES)  # from `propose` on
+        self.last_response_at: datetime | None = None  # when the leader last responded to a heartbeat
+        self.command_latencies: deque[timedelta] = deque(maxlen=MAX_LATENCY_SAMPLES)  # from `propose`
         self._command_number = 0
         self._outbound: OrderedDict[int, OutboundCommand] = OrderedDict()
         self._next_heartbeat: datetime | None = None
@@ -64,10 +72,10 @@
     def _random_voter(self, random_source: RandomSource) -> str:
         return self.voters[int(random_source.random() * len(self.voters)) % len(self.voters)]
 
-    # Commands.
+    # Proposing commands.
 
     def propose(self, now: datetime, command: Command) -> int | None:
-        """Ask the group for a command. Returns its number, or None where too many wait for results already."""
+        """Propose a command to the group. Returns its number, or None if too many commands have no result yet."""
         if len(self._outbound) >= MAX_OUTBOUND_COMMANDS:
             return None
         self._command_number += 1
@@ -77,22 +85,22 @@
         return self._command_number
 
     def abandon(self, number: int) -> None:
-        """Wait for that command's result no longer. The command may still be applied."""
+        """Stop waiting for the result of the given command, which may still be applied."""
         self._outbound.pop(number, None)
         self.results.pop(number, None)
 
     def take_result(self, number: int) -> ResultJson | None:
-        """Remove and return that command's result; None before it came."""
+        """Remove and return the result of the given command; None if it has not arrived."""
         return self.results.pop(number, None)
 
-    # Time.
+    # Scheduling and sending.
 
     def schedule_heartbeat(self, now: datetime) -> None:
-        """Send the next heartbeat at `now`, before its time."""
+        """Schedule the next heartbeat for `now` instead of its regular time."""
         self._next_heartbeat = now
 
     def tick(self, now: datetime) -> tuple[list[tuple[str, GroupMessage]], list[LeaseEvent]]:
-        """Return the messages to send now, each with its voter, and the leases that have expired."""
+        """Return the messages to send now, each with its target voter, and events of the leases that have expired."""
         events = self.holder.tick(now)
         timeout = self.settings.response_timeout
         if self._unanswered_since is not None and now >= self._unanswered_since + timeout:
@@ -113,7 +121,7 @@
         return self.holder.make_heartbeat(now)
 
     def next_due(self, now: datetime) -> datetime:
-        """When `tick` has something to do next."""
+        """Return the time at which `tick` must be called next."""
         timeout = self.settings.response_timeout
         due = [self._next_heartbeat or now]
         due += [
@@ -127,7 +135,7 @@
         return min(due)
 
     def _switch_target(self, now: datetime, leader: str) -> None:
-        """Turn to the leader where one is named, and otherwise to the next voter."""
+        """Switch to `leader` if it is a voter other than the current target, otherwise to the next voter."""
         if leader in self.voters and leader != self.target:
             self.target = leader
         else:
@@ -137,10 +145,10 @@
         delay = self.settings.response_timeout / TARGET_SWITCHES_PER_TIMEOUT
         self._next_heartbeat = now if leader else now + delay
 
-    # Responses.
+    # Handling responses.
 
     def handle_response(self, now: datetime, sender: str, message: GroupResponse) -> list[LeaseEvent]:
-        """Take in a response of the node `sender`. Returns the leases that changed by it."""
+        """Handle a response from the node `sender`. Returns the resulting lease events."""
         match message:
             case CommandResponse():
                 self._handle_command_response(now, sender, message)
@@ -159,7 +167,8 @@
         self.target = sender
         events = self.holder.handle_response(now, message)
         if any(event.event is LeaseEventKind.GAINED for event in events):
-            # A grant that was waited for is counted from an old heartbeat, so little of its term may be left.
+            # The term of a grant is counted from the heartbeat that it responds to. If the lease became free only
+            # after that heartbeat, little of the term may be left, so renew at once.
             self.schedule_heartbeat(now)
         return events
 
@@ -180,17 +189,17 @@
     # Shutdown.
 
     def release_leases(self, now: datetime, keep: Iterable[str] = ()) -> list[LeaseEvent]:
-        """Give back all leases but those in `keep`, at once."""
+        """Release all leases except those in `keep`, and schedule a heartbeat for `now` that returns them."""
         events = self.holder.release_all(keep)
         self.schedule_heartbeat(now)
         return events
 
     @property
     def is_idle(self) -> bool:
-        """Whether no task's lease is held, none is being returned, and no command waits for its result."""
+        """Whether no task lease is held, no lease is being returned, and every command has its result."""
         holds_tasks = any(not is_config_lease(name) for name in self.holder.held)
         return not holds_tasks and not self.holder.returning and not self._outbound
 
     def time_since_response(self, now: datetime) -> timedelta | None:
-        """The time since the leader's last response to a heartbeat; None before the first."""
+        """Return the time since the leader's last response to a heartbeat; None before the first."""
         return None if self.last_response_at is None else now - self.last_response_at
--- a/marlstep/leases/clock_drift.py
+++ b/marlstep/leases/clock_drift.py
@@ -1,8 +1,8 @@
-"""Detection, on the leader, of node clocks that drift by more than the settings guard against.
+"""Detection, on the leader, of node clocks whose drift exceeds the configured bound.
 
-Each heartbeat carries its sender's clock. Over windows of some seconds both clocks should advance by the same time,
-within twice the drift and the delay of a message. A late heartbeat makes one window long and the next one short, so an
-error is believed only when two windows in a row err in the same direction.
+Each heartbeat carries its sender's clock reading. Over a window of a few seconds both clocks should advance by the same
+amount, within twice the drift bound plus the allowed message delay. A late heartbeat makes one window appear long and
+the next one short, so drift is reported only if two consecutive windows are off in the same direction.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 from marlstep.units import MILLISECOND, SECOND, ZERO
 
 MEASUREMENT_WINDOW = 3 * SECOND
-MESSAGE_DELAY_ALLOWANCE = 100 * MILLISECOND  # a message's delay that does not count as drift
+MESSAGE_DELAY_ALLOWANCE = 100 * MILLISECOND  # message delay that does not count as drift
 
 
 @dataclass(slots=True)
 class ClockObservation:
-    """The start of the current window of one process, and the result of the window before."""
+    """Start of the current window of one process, and the result of its previous window."""
 
-    remote_time: datetime
-    local_time: datetime
-    previous_sign: int = 0  # direction of the previous window's error; 0 where it was within bounds
+    remote_time: datetime  # the process's clock at the start of the window
+    local_time: datetime  # the leader's clock at the start of the window
+    previous_sign: int = 0  # sign of the previous window's error; 0 if it was within the bound
     exceeds_bound: bool = False
 
 
 class ClockDriftMonitor:
-    """Compares the clocks of processes with the leader's own."""
+    """Compares the clocks of processes with the leader's clock."""
 
     def __init__(self, max_drift: float) -> None:
-        """`max_drift` is the largest error of a clock that is allowed, as a share of true time."""
+        """Initialize the monitor; `max_drift` is the largest allowed clock error, as a fraction of elapsed time."""
         self._max_drift = max_drift
         self._observations: dict[str, ClockObservation] = {}
 
     def observe(self, process: str, remote_time: datetime, local_time: datetime) -> float | None:
-        """Record the clock that a heartbeat of `process` carried.
+        """Record the clock reading in a heartbeat of `process`, which arrived at `local_time`.
 
-        Returns its relative error once, when it is first believed to exceed the bound; None otherwise.
+        Returns the relative clock error when it is first found to exceed the bound, and None otherwise.
         """
         known = self._observations.get(process)
         if known is None or remote_time < known.remote_time:
@@ -60,11 +60,11 @@
         return 1 if error > ZERO else -1
 
     def exceeds_bound(self, process: str) -> bool:
-        """Whether its clock errs by more than leases guard against, so that only fencing tokens protect from it."""
+        """Return whether the process's clock drift exceeds the bound; then only fencing tokens protect its leases."""
         known = self._observations.get(process)
         return known is not None and known.exceeds_bound
 
     def retain_only(self, processes: set[str]) -> None:
-        """Forget all other processes."""
+        """Remove the observations of all processes not in `processes`."""
         for process in self._observations.keys() - processes:
             del self._observations[process]
--- a/marlstep/leases/commands.py
+++ b/marlstep/leases/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the lease table in the replicated log, and their results."""
+"""Commands of the replicated lease table, as stored in the log, and their results."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 MACHINE_NAME = "leases"
 MAX_NAME_LENGTH = 128  # characters
-INVALID_NAME = "a lease's name"  # a replicated text
+INVALID_NAME = "a lease's name"  # part of replicated results: must not change
 
 
 class UnknownLeaseActionError(InvalidCommandError):
-    """A command that is neither to grant nor to end a lease."""
+    """Raised for a command whose action neither grants nor ends a lease."""
 
     def __init__(self, action: object) -> None:
-        """`action` is the command's, as the log has it. The text is replicated."""
+        """Initialize with the action as stored in the log. The text is part of replicated results: must not change."""
         super().__init__(f"nothing that is done to a lease: {action!r}")
 
 
 @dataclass(slots=True, frozen=True)
 class GrantLease:
-    """Give a free lease to a process."""
+    """Grants a free lease to a process."""
 
     name: str
     holder: str  # node/process
-    max_held: int  # not if that process holds as many already; 0: any number
+    max_held: int  # refused if the process already holds this many; 0: no limit
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {
             "m": MACHINE_NAME,
             "do": "grant",
@@ -40,22 +40,22 @@
 
 
 class EndReason(enum.Enum):
-    """Why a lease ends; the values are those of the log."""
+    """Why a lease ends; the values are stored in the log."""
 
-    EXPIRED = "expire"  # its holder did not renew it in time
-    RETURNED = "return"  # its holder gave it back
+    EXPIRED = "expire"  # the holder did not renew it in time
+    RETURNED = "return"  # the holder returned it
 
 
 @dataclass(slots=True, frozen=True)
 class EndLease:
-    """Take a lease from its holder, if it still has that token."""
+    """Ends a lease if it is still held under the given token."""
 
     name: str
     token: int
     reason: EndReason
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {"m": MACHINE_NAME, "do": self.reason.value, "name": self.name, "token": self.token}
 
 
@@ -63,10 +63,16 @@
 
 
 def parse_lease_command(stored: CommandJson) -> LeaseCommand:
-    """The command that the log holds.
+    """Parse a command as stored in the log.
 
-    Raises InvalidCommandError, ValueError, KeyError or TypeError where it is none. These texts are part of replicated
-    results: they, and the order of the checks, stay the same in all versions.
+    The error texts are part of replicated results: the texts and the order of the checks must be the same in all
+    versions.
+
+    Raises:
+        InvalidCommandError: the lease name or the action is invalid.
+        KeyError: a field is missing.
+        ValueError: the limit or the token is not a number.
+        TypeError: the limit or the token has a type that cannot be converted to a number.
     """
     name = stored["name"]
     if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
@@ -82,56 +88,56 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseGranted:
-    """The lease is now its new holder's."""
+    """The lease was granted to `holder` under `token`."""
 
     holder: str
     token: int
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"granted": self.holder, "token": self.token}
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseAlreadyHeld:
-    """The lease was not free, and stays with its holder."""
+    """The lease was not granted because `holder` already holds it."""
 
     holder: str
     token: int
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"held": self.holder, "token": self.token}
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseLimitReached:
-    """The process, or the whole table, has as many leases as it may."""
+    """The lease was not granted because the process or the whole table is at its lease limit."""
 
-    limited: str  # the process, or "table"
+    limited: str  # the process at its limit, or "table"
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"full": self.limited}
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseEnded:
-    """The lease is free."""
+    """The lease was ended and is free."""
 
     previous_holder: str
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"ended": True, "holder": self.previous_holder}
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseNotHeld:
-    """The lease was free already, or has another token by now."""
+    """The lease was not ended because it is free or held under another token."""
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"ended": False}
 
 
--- a/marlstep/leases/holder.py
+++ b/marlstep/leases/holder.py
@@ -1,6 +1,7 @@
-"""A process's side of leases: which it wants, which it holds, and until when it may act on each.
+"""The holder's side of leases: which leases a process wants and holds, and until when it may act on each.
 
-It acts on a lease only until a time that it counts from before it sent the heartbeat, by its own clock less the drift.
+The process counts the term of a lease from the time at which it sent the heartbeat, by its own clock, less the allowed
+drift. It does not act on the lease after that.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 from marlstep.leases.settings import LeaseSettings
 from marlstep.units import ZERO, instant_us
 
-MAX_UNANSWERED_HEARTBEATS = 32  # whose responses may still come
+MAX_UNANSWERED_HEARTBEATS = 32  # responses to older heartbeats are ignored
 NO_TOKEN = 0
 
 
 @dataclass(slots=True, frozen=True)
 class HeartbeatReport:
-    """What a heartbeat carries beside leases."""
+    """Data that a heartbeat carries in addition to leases."""
 
     document_states: tuple[DocumentState, ...] = ()
     request_counts: RequestCounts = NO_REQUESTS
@@ -40,37 +41,37 @@
 
 
 def empty_report(_now: datetime) -> HeartbeatReport:
-    """The report of a process without replicated configuration."""
+    """Return the report of a process without replicated configuration."""
     return HeartbeatReport()
 
 
 def no_failed_nodes() -> tuple[str, ...]:
-    """The failed nodes, where there is no failure detector."""
+    """Return no failed nodes; for a process without a failure detector."""
     return ()
 
 
 @dataclass(slots=True)
 class HeldLease:
-    """A lease that this process was granted."""
+    """A lease that was granted to this process."""
 
     token: int
     expires_at: datetime  # by this process's clock
     held_since: datetime
-    lapsed: bool = False  # it expired here, and an event said so
+    lapsed: bool = False  # it expired by this process's clock, and the LAPSED event was emitted
 
 
 class LeaseEventKind(enum.StrEnum):
-    """What became of a lease, as logs and metrics have it."""
+    """How a lease changed; the values are written to logs and metrics."""
 
     GAINED = "gained"
-    LAPSED = "lapsed"  # not renewed in time: it is not acted on, and may still come back
+    LAPSED = "lapsed"  # not renewed in time: not acted on, but the group may still renew it
     LOST = "lost"
     REGAINED = "regained"  # renewed under the same token after it lapsed
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseEvent:
-    """A change that the process is to act on and to log."""
+    """A change of a lease, for the caller to act on and to log."""
 
     name: str
     token: int
@@ -79,20 +80,20 @@
 
 
 class LeaseHolder:
-    """The leases of one process. It does no I/O: it makes heartbeats and takes in their responses."""
+    """The leases of one process. Builds heartbeats and handles their responses; does no I/O."""
 
     def __init__(self, node: str, process_id: str, settings: LeaseSettings) -> None:
-        """`process_id` tells this process from all others that this node ever had."""
+        """Initialize a holder with no leases; `process_id` is unique among all processes that `node` ever had."""
         self.node, self.process_id, self.settings = node, process_id, settings
-        self.wanted: dict[str, None] = {}  # names, in the order of the last `set_wanted`
+        self.wanted: dict[str, None] = {}  # lease names, in the order of the last `set_wanted`
         self.held: dict[str, HeldLease] = {}
-        self.leaving = False
-        self.documents: tuple[DocumentStatus, ...] | None = None  # of the last response
-        self.quota_shares: tuple[QuotaShareRow, ...] = ()  # of the last response
+        self.leaving = False  # `release_all` was called
+        self.documents: tuple[DocumentStatus, ...] | None = None  # from the last response
+        self.quota_shares: tuple[QuotaShareRow, ...] = ()  # from the last response
         self.report: Callable[[datetime], HeartbeatReport] = empty_report
         self.failed_nodes: Callable[[], tuple[str, ...]] = no_failed_nodes
-        self.clock_drifts = False  # the leader finds that this clock drifts by more than the settings allow
-        self._returned_tokens: dict[str, int] = {}  # given back, and not yet known to be taken back
+        self.clock_drifts = False  # the leader reports that this clock drifts by more than the bound
+        self._returned_tokens: dict[str, int] = {}  # returned, but not yet confirmed by the leader
         self._heartbeat_number = 0
         self._sent_heartbeats: OrderedDict[int, datetime] = OrderedDict()
         self._last_response = (0, 0)  # term and sequence
@@ -102,34 +103,34 @@
         """The process as lease holder: `node/process`."""
         return str(ProcessName(self.node, self.process_id))
 
-    # State of leases.
+    # Lease state.
 
     def time_left(self, name: str, now: datetime) -> timedelta:
-        """How long the process may still act on that lease; zero where it may not."""
+        """Return how long the process may still act on the lease; zero if it may not."""
         lease = self.held.get(name)
         return ZERO if lease is None else max(ZERO, lease.expires_at - now)
 
     def token(self, name: str) -> int:
-        """The lease's fencing token; 0 where it is not held."""
+        """Return the fencing token of the lease; 0 if it is not held."""
         lease = self.held.get(name)
         return NO_TOKEN if lease is None else lease.token
 
     @property
     def returning(self) -> bool:
-        """Whether leases were given back that the group has not yet confirmed to have."""
+        """Whether the leader has yet to confirm the return of some leases."""
         return bool(self._returned_tokens)
 
     # Wanted leases.
 
     def set_wanted(self, names: Iterable[str]) -> list[LeaseEvent]:
-        """Want these leases and no others from now on; give back what is held beyond them."""
+        """Replace the wanted leases, and release the held ones that are no longer wanted. Returns an event for each."""
         self.wanted = dict.fromkeys(names)
         return [
             self._release(name, "not wanted any more") for name in list(self.held) if name not in self.wanted
         ]
 
     def release_all(self, keep: Iterable[str] = ()) -> list[LeaseEvent]:
-        """Give back all leases but those in `keep`, and want no others any more."""
+        """Release all leases except those in `keep`, and stop wanting any others. Returns an event for each."""
         self.leaving = True
         return self.set_wanted(keep)
 
@@ -141,7 +142,7 @@
     # Heartbeats.
 
     def make_heartbeat(self, now: datetime) -> Heartbeat:
-        """Make a heartbeat, to be sent at once: its response's leases are counted from `now`."""
+        """Build a heartbeat to send at `now`, from which the terms of the leases in its response are counted."""
         self._heartbeat_number += 1
         self._sent_heartbeats[self._heartbeat_number] = now
         while len(self._sent_heartbeats) > MAX_UNANSWERED_HEARTBEATS:
@@ -162,7 +163,7 @@
         )
 
     def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
-        """Take in a response, which may be late, a duplicate or out of order."""
+        """Handle a response, which may be late, duplicated or out of order. Returns the resulting events."""
         sent_at = self._sent_heartbeats.get(response.number)
         sequence = (response.term, response.sequence)
         if not response.from_leader or sent_at is None or sequence <= self._last_response:
@@ -181,7 +182,7 @@
         return events
 
     def _drop_revoked(self, granted: dict[str, int]) -> list[LeaseEvent]:
-        """Drop the leases that the group no longer has under this process's token."""
+        """Remove the held leases that the leader did not name under the same token."""
         revoked = [name for name, lease in self.held.items() if granted.get(name) != lease.token]
         return [
             LeaseEvent(name, self.held.pop(name).token, LeaseEventKind.LOST, "the group has it no more")
@@ -195,7 +196,7 @@
                 self._returned_tokens[name] = token
             return []
         if self._returned_tokens.get(name) == token or expires_at <= now:
-            return []  # given back already, or the response came too late to be of use
+            return []  # the lease was already returned, or its term is over
         if lease is None:
             self.held[name] = HeldLease(token, expires_at, now)
             reason = f"for {(expires_at - now).total_seconds():.2f} s"
@@ -206,14 +207,14 @@
             return [LeaseEvent(name, token, LeaseEventKind.REGAINED, "the group has it still")]
         return []
 
-    # Time.
+    # Expiry.
 
     def next_due(self) -> datetime | None:
-        """When the next lease expires here; None where none does."""
+        """Return when the next lease expires by this process's clock; None if there is none."""
         return min((lease.expires_at for lease in self.held.values() if not lease.lapsed), default=None)
 
     def tick(self, now: datetime) -> list[LeaseEvent]:
-        """Mark the leases that have expired."""
+        """Mark expired leases as lapsed, and return their events."""
         events = []
         for name, lease in self.held.items():
             if not lease.lapsed and now >= lease.expires_at:
--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -1,8 +1,8 @@
-"""The leader's side of leases: when one expires, and which process is granted it next.
+"""The leader's side of leases: when each lease expires, and which process is granted it next.
 
-None of this is in the log. A voter that becomes leader counts all terms anew, in full, from that moment. A renewal is
-answered only after a majority has confirmed, after the heartbeat came, that this voter leads: then no other leader can
-have begun to count before the holder sent its heartbeat.
+This state is not in the log. A new leader restarts the full term of every held lease when it is elected. It responds to
+a heartbeat only after a majority has confirmed its leadership since the heartbeat arrived. So no other leader can have
+started to count a lease's term before the holder sent that heartbeat.
 """
 
 from __future__ import annotations
@@ -23,51 +23,51 @@
 
 @dataclass(slots=True)
 class HolderState:
-    """One process, as its last heartbeat has it."""
+    """State of one process, from its last heartbeat."""
 
     heartbeat: Heartbeat
     received_at: datetime
-    wanted_since: dict[str, datetime]  # by lease: since when it has wanted each without a break
+    wanted_since: dict[str, datetime]  # by lease: start of its current uninterrupted request
 
 
 @dataclass(slots=True, frozen=True)
 class PendingResponse:
-    """A heartbeat to be answered once a majority has confirmed the leader in `heartbeat_round` or later."""
+    """A response that can be sent once a majority has confirmed the leader in `heartbeat_round` or a later one."""
 
     heartbeat: Heartbeat
     heartbeat_round: int
-    is_push: bool = False  # the heartbeat was answered before: it renews nothing again
+    is_push: bool = False  # the heartbeat already had a response, so this one renews no leases
 
 
 def no_quota_shares(_holder: str) -> tuple[QuotaShareRow, ...]:
-    """The quota shares of a process where quotas are not shared."""
+    """Return no quota shares; for a group that does not share quotas."""
     return ()
 
 
 class LeaseManager:
-    """Grants, renews and ends the leases of one table while its voter leads."""
+    """Grants, renews and ends the leases of one table while this voter is the leader."""
 
     def __init__(self, table: LeaseTable, settings: LeaseSettings) -> None:
-        """`table` is this voter's state machine of leases, as far as the log is applied to it."""
+        """Initialize a manager that is not leading; `table` is this voter's replicated lease table."""
         self.table, self.settings = table, settings
         self._leader_since: datetime | None = None
-        self._expiries: dict[str, datetime] = {}
-        self._ending_tokens: dict[str, int] = {}  # of leases whose end is proposed: not renewed any more
+        self._expiries: dict[str, datetime] = {}  # by lease, on this voter's clock
+        self._ending_tokens: dict[str, int] = {}  # by lease: its end is proposed, so it is no longer renewed
         self._proposed_grants: dict[str, str] = {}  # holder by lease
         self._holders: dict[str, HolderState] = {}
         self._pending_responses: dict[str, PendingResponse] = {}  # by holder
         self._response_sequence = 0
         self._drift_monitor = ClockDriftMonitor(settings.drift)
-        self._eligible_nodes: frozenset[str] | None = None  # that may hold leases of tasks; None: all
+        self._eligible_nodes: frozenset[str] | None = None  # nodes that may hold task leases; None: all
         self.detected_drifts: list[
             tuple[str, float]
-        ] = []  # holder and error, for the caller to take and clear
+        ] = []  # holder and relative clock error; the caller reads and clears the list
         self._grants_due = False  # something changed that may allow a grant
 
     # Leadership.
 
     def become_leader(self, now: datetime) -> None:
-        """Lead from now on: each held lease gets a whole term."""
+        """Start leading at `now`: each held lease gets a full term."""
         self._leader_since = now
         held = (name for name, lease in self.table.leases.items() if lease.holder)
         self._expiries = {name: self.settings.leader_expiry(now, name) for name in held}
@@ -77,12 +77,12 @@
         self._grants_due = True
 
     def step_down(self) -> None:
-        """Lead no longer."""
+        """Stop leading, and discard the pending responses."""
         self._leader_since = None
         self._pending_responses.clear()
 
     def set_eligible_nodes(self, nodes: frozenset[str] | None) -> None:
-        """Grant and renew leases of tasks only to these nodes; None: to all."""
+        """Restrict the grants and renewals of task leases to these nodes; None: no restriction."""
         if nodes != self._eligible_nodes:
             self._eligible_nodes, self._grants_due = nodes, True
 
@@ -92,24 +92,24 @@
     # Heartbeats.
 
     def heartbeats(self) -> Iterable[tuple[str, Heartbeat, datetime]]:
-        """Each process's last heartbeat, and when it came."""
+        """Return the last heartbeat of each process, with its holder name and time of arrival."""
         return ((holder, state.heartbeat, state.received_at) for holder, state in self._holders.items())
 
     def expiry_of(self, name: str) -> datetime | None:
-        """When that lease expires, by this voter's clock; None where it is not held."""
+        """Return when the lease expires by this voter's clock; None if it is not held."""
         return self._expiries.get(name)
 
     def handle_heartbeat(
         self, now: datetime, heartbeat: Heartbeat, heartbeat_round: int
     ) -> list[LeaseCommand]:
-        """Take in a heartbeat, to be answered once a majority has confirmed the leader in `heartbeat_round`.
+        """Handle a heartbeat, whose response waits until a majority has confirmed the leader in `heartbeat_round`.
 
         Returns the commands to propose.
         """
         holder = str(ProcessName(heartbeat.node, heartbeat.process_id))
         previous = self._holders.get(holder)
         if previous is not None and heartbeat.number < previous.heartbeat.number:
-            return []  # overtaken by a later one
+            return []  # a later heartbeat arrived before it
         self._record_holder(now, holder, heartbeat, previous)
         self._measure_drift(now, holder, heartbeat)
         self._pending_responses[holder] = PendingResponse(heartbeat, heartbeat_round)
@@ -141,7 +141,7 @@
 
     def _propose_end(self, name: str, token: int, reason: EndReason) -> list[LeaseCommand]:
         if self._ending_tokens.get(name) == token:
-            return []  # proposed already
+            return []  # already proposed
         self._ending_tokens[name] = token
         return [EndLease(name, token, reason)]
 
@@ -156,10 +156,17 @@
         documents: tuple[DocumentStatus, ...] = (),
         quota_shares: Callable[[str], tuple[QuotaShareRow, ...]] = no_quota_shares,
     ) -> list[tuple[str, HeartbeatResponse]]:
-        """Return the responses that can be given now, each with its holder.
+        """Return the responses that can be sent now, each with its holder.
 
-        A majority has confirmed this leader up to `confirmed_round`. A response renews the leases in it, unless it is
-        a push.
+        A response renews the leases that it names, unless it is a push.
+
+        Args:
+            now: time from which the renewed terms are counted.
+            confirmed_round: last heartbeat round in which a majority has confirmed this leader.
+            leader: node of this leader.
+            term: consensus term of this leader.
+            documents: status of the replicated documents, the same in each response.
+            quota_shares: returns the quota shares of a holder.
         """
         responses = []
         for holder, pending in list(self._pending_responses.items()):
@@ -183,7 +190,7 @@
         return responses
 
     def _renewable(self, holder: str) -> list[LeaseToken]:
-        """The leases to name to their holder. What is not named is not acted on, and ends by its term."""
+        """Return the leases to name in a response. The holder stops acting on the others, and they expire."""
         held = self.table.leases_of(holder)
         if self._is_eligible(holder):
             return held
@@ -201,21 +208,21 @@
             yield lease
 
     def push_to_all(self, heartbeat_round: int) -> None:
-        """Answer all processes under a config lease once more, as there is news for them."""
+        """Push a response to each process with a config lease, so that changes of documents reach it early."""
         for name, lease in self.table.leases.items():
             if is_config_lease(name) and lease.holder:
                 self.push_to(lease.holder, heartbeat_round)
 
     def push_to(self, holder: str, heartbeat_round: int) -> None:
-        """Answer that holder's last heartbeat once more, so that it need not wait for its next one."""
+        """Push another response to the holder's last heartbeat, so that it gets changes before its next one."""
         state = self._holders.get(holder)
         if state is not None and holder not in self._pending_responses:
             self._pending_responses[holder] = PendingResponse(state.heartbeat, heartbeat_round, is_push=True)
 
-    # Time.
+    # Expiry.
 
     def next_due(self) -> datetime | None:
-        """When `tick` has something to do; None where nothing is due by time alone."""
+        """Return when `tick` must be called next; None if no expiry or grant is pending."""
         if self._leader_since is None:
             return None
         due = [min(self._expiries.values())] if self._expiries else []
@@ -225,11 +232,11 @@
 
     @property
     def _grants_start_at(self) -> datetime | None:
-        """Until then not all waiting processes have been heard, and the first would be granted everything."""
+        """When a new leader starts to grant; earlier, the first processes to send a heartbeat would get all leases."""
         return None if self._leader_since is None else self._leader_since + self.settings.renewal_interval
 
     def tick(self, now: datetime) -> list[LeaseCommand]:
-        """Return the commands to propose: ends of expired leases, and grants."""
+        """Return the commands to propose: those that end expired leases, and grants."""
         if self._leader_since is None:
             return []
         commands = self._propose_expiries(now)
@@ -273,14 +280,14 @@
         self._drift_monitor.retain_only(set(self._holders))
 
     def _held_counts(self) -> dict[str, int]:
-        """How many leases each process holds or is about to be granted."""
+        """Return how many task leases each process holds, plus the grants proposed to it."""
         counts = {holder: self.table.held_counts[holder] for holder in self._holders}
         for holder in self._proposed_grants.values():
             counts[holder] = counts.get(holder, 0) + 1
         return counts
 
     def _waiting_holders(self) -> dict[str, list[str]]:
-        """The processes that want each of the free leases."""
+        """Return the processes that want each free lease, by lease name."""
         waiting: dict[str, list[str]] = {}
         for holder, state in self._holders.items():
             for name in state.wanted_since:
@@ -295,7 +302,10 @@
         return self._is_eligible(holder) and (not limit or counts[holder] < limit)
 
     def _grant_priority(self, name: str, holder: str, counts: dict[str, int]) -> tuple[int, datetime, str]:
-        """The least is granted first: fewest leases, then longest wait. The previous node counts as having one less."""
+        """Return the sort key of a candidate: fewest leases first, then longest wait.
+
+        A candidate on the node that last held the lease counts as holding one lease less.
+        """
         lease = self.table.leases.get(name)
         had_it_last = lease is not None and lease.previous_node == node_of(holder)
         return counts[holder] - had_it_last, self._holders[holder].wanted_since[name], holder
@@ -305,7 +315,10 @@
     def on_applied(
         self, now: datetime, command: CommandJson, result: ResultJson, heartbeat_round: int
     ) -> None:
-        """Follow a committed command, valid or not. `heartbeat_round` is one that begins after now."""
+        """Update the leader's state after a committed command, valid or not.
+
+        `heartbeat_round` is one that starts after `now`; the response to a new holder waits for it.
+        """
         if self._leader_since is None:
             return
         name = str(command.get("name"))
--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -1,4 +1,4 @@
-"""Messages between lease holders, their group's leader and each other."""
+"""Messages between lease holders and the group's leader, and among lease holders."""
 
 from __future__ import annotations
 
@@ -12,51 +12,51 @@
 
 
 class InvalidValueError(MarlstepError, ValueError):
-    """A field of a message that is not of the expected form."""
+    """Raised for a message field that does not have the expected form."""
 
     def __init__(self, value: object, expected: str) -> None:
-        """`value` is what came; `expected` is the form, as a noun phrase."""
+        """Initialize with the received value and the expected form, as a noun phrase."""
         super().__init__(f"expected {expected}, got {value!r:.80}")
 
 
 class LeaseToken(NamedTuple):
-    """A lease under one of its grants. It is written as a list, as are the other rows below."""
+    """A lease and the fencing token of one of its grants. This and the other rows below are written as lists."""
 
     name: str
     token: int
 
 
 class TenantDemand(NamedTuple):
-    """How much work of one tenant comes to a process."""
+    """Rate of one tenant's requests at a process."""
 
     tenant: str
     millirequests_per_s: int
 
 
 class DocumentState(NamedTuple):
-    """What a process does with one replicated document."""
+    """State of one replicated document on a process."""
 
     document: str
     version: int
     state: str
-    for_ms: int  # since when it has been in that state
-    reason: str  # why it acts on no newer version; empty where there is none
+    for_ms: int  # how long it has been in that state
+    reason: str  # why the process does not use a newer version; empty if there is no newer one
 
 
 class QuotaShareRow(NamedTuple):
-    """The part of a tenant's allowance that one process may use."""
+    """The portion of a tenant's allowance that one process may use."""
 
     tenant: str
     granted: int  # millionths of the allowance
-    target: int  # millionths that it is asked to come down to; the same where nothing is asked
+    target: int  # millionths to which the process should reduce its portion; otherwise equal to `granted`
 
 
 class RequestCounts(NamedTuple):
-    """Requests of one process since it began."""
+    """Counts of the requests of one process since it started."""
 
     read: int = 0
-    refused: int = 0  # of those that were read
-    failed: int = 0  # of those that were read: failed or late
+    refused: int = 0  # requests read and then rejected
+    failed: int = 0  # requests read that failed or got a late response
 
 
 NO_REQUESTS = RequestCounts()
@@ -69,7 +69,7 @@
 
 
 def _read_rows(value: object, *column_types: type) -> list[list[Any]]:
-    """A list of rows that have a value of each of these types, and no other. A boolean is no integer."""
+    """Return a list of rows, each with exactly one value per column type. A boolean is not an integer here."""
     rows = _read_list(value)
     for row in rows:
         if not isinstance(row, list) or tuple(map(type, row)) != column_types:
@@ -78,17 +78,17 @@
 
 
 def read_lease_tokens(value: object) -> tuple[LeaseToken, ...]:
-    """Rows of a name and a token. Raises InvalidValueError."""
+    """Read rows of a lease name and a token. Raises InvalidValueError if the value has another form."""
     return tuple(starmap(LeaseToken, _read_rows(value, str, int)))
 
 
 def read_tenant_demand(value: object) -> tuple[TenantDemand, ...]:
-    """Rows of a tenant and its demand. Raises InvalidValueError."""
+    """Read rows of a tenant and its demand. Raises InvalidValueError if the value has another form."""
     return tuple(starmap(TenantDemand, _read_rows(value, str, int)))
 
 
 def read_names(value: object) -> tuple[str, ...]:
-    """A list of names. Raises InvalidValueError."""
+    """Read a list of names. Raises InvalidValueError if the value has another form."""
     names = _read_list(value)
     if not all(isinstance(name, str) for name in names):
         raise InvalidValueError(value, "a list of strings")
@@ -96,23 +96,23 @@
 
 
 def read_document_states(value: object) -> tuple[DocumentState, ...]:
-    """Rows of five columns, one for each document. Raises InvalidValueError."""
+    """Read the fields of `DocumentState` as rows. Raises InvalidValueError if the value has another form."""
     return tuple(starmap(DocumentState, _read_rows(value, str, int, str, int, str)))
 
 
 def read_request_counts(value: object) -> RequestCounts:
-    """One row of three counts. Raises InvalidValueError."""
+    """Read one row of three counts. Raises InvalidValueError if the value has another form."""
     [counts] = _read_rows([value], int, int, int)
     return RequestCounts(*counts)
 
 
 def read_quota_shares(value: object) -> tuple[QuotaShareRow, ...]:
-    """Rows of a tenant, its part and the part's target. Raises InvalidValueError."""
+    """Read the fields of `QuotaShareRow` as rows. Raises InvalidValueError if the value has another form."""
     return tuple(starmap(QuotaShareRow, _read_rows(value, str, int, int)))
 
 
 def _write_rows(rows: Iterable[tuple[object, ...]]) -> list[list[object]]:
-    """As lists: the JSON writer takes no subclass of tuple."""
+    """Convert the rows to lists, as orjson does not serialize subclasses of tuple."""
     return list(map(list, rows))
 
 
@@ -126,32 +126,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Heartbeat:
-    """From a process to its group: it is alive, wants these leases, and gives those back.
+    """Sent by a process to its group: reports that it is alive, and names the leases that it wants and returns.
 
-    It renews a lease that it holds by wanting it.
+    A process renews a held lease by naming it as wanted.
     """
 
     wire_tag: ClassVar[str] = "Beat"
 
     node: str = field(metadata=wire("node", TEXT))
-    process_id: str = field(metadata=wire("boot", TEXT))  # never used again, also by the same node
-    number: int = field(metadata=wire("number", INTEGER))  # grows by one with each heartbeat of the process
+    process_id: str = field(metadata=wire("boot", TEXT))  # never reused, not even by the same node
+    number: int = field(metadata=wire("number", INTEGER))  # incremented with each heartbeat of the process
     wanted_leases: tuple[str, ...] = field(metadata=wire("wants", NAMES))
     returned_leases: tuple[LeaseToken, ...] = field(metadata=wire("returns", LEASE_TOKENS), default=())
-    # The most leases of tasks that it takes; 0: any number.
+    # Maximum number of task leases that the process may hold; 0: no limit.
     max_leases: int = field(metadata=wire("most", INTEGER), default=0)
-    # Its clock, for the leader to measure its drift; 0: not sent.
+    # The process's clock, from which the leader measures its drift; 0: not sent.
     clock_us: int = field(metadata=wire("clock_us", INTEGER), default=0)
     document_states: tuple[DocumentState, ...] = field(metadata=wire("acts", DOCUMENT_STATES), default=())
     request_counts: RequestCounts = field(metadata=wire("figures", REQUEST_COUNTS), default=NO_REQUESTS)
-    # Nodes that its failure detector takes for failed.
+    # Nodes that the process's failure detector considers failed.
     failed_nodes: tuple[str, ...] = field(metadata=wire("failed", NAMES), default=())
     tenant_demand: tuple[TenantDemand, ...] = field(metadata=wire("demand", TENANT_DEMAND), default=())
 
 
 @dataclass(slots=True, frozen=True)
 class DocumentStatus:
-    """One replicated document: its version in force, and the one that is being prepared, if any."""
+    """Status of a replicated document: its version in force, and the version being prepared, if any."""
 
     name: str = field(metadata=wire("name", TEXT))
     version: int = field(metadata=wire("version", INTEGER))
@@ -159,17 +159,22 @@
     prepared_version: int = field(metadata=wire("pending", INTEGER), default=0)  # 0: none
     prepared_digest: str = field(metadata=wire("pending_digest", TEXT), default="")
     strict: bool = field(metadata=wire("strict", BOOLEAN), default=False)
-    # Nodes that act on the prepared version already: a stage of its rollout.
+    # Nodes that already use the prepared version, as a stage of its rollout.
     rollout_nodes: tuple[str, ...] = field(metadata=wire("on", NAMES), default=())
 
 
 def read_document_statuses(value: object) -> tuple[DocumentStatus, ...]:
-    """Objects, one for each document. Raises ValueError, KeyError, TypeError or AttributeError."""
+    """Read a list of objects, one per document.
+
+    Raises:
+        InvalidValueError: the value is not a list.
+        ValueError, KeyError, TypeError, AttributeError: an element is not a valid `DocumentStatus`.
+    """
     return tuple(read_fields(DocumentStatus, status) for status in _read_list(value))
 
 
 def write_document_statuses(statuses: Iterable[DocumentStatus]) -> list[object]:
-    """The statuses as JSON values."""
+    """Return the statuses as JSON values."""
     return [write_fields(status) for status in statuses]
 
 
@@ -178,9 +183,9 @@
 
 @dataclass(slots=True, frozen=True)
 class RelayAnnouncement:
-    """From a successor process to its node's present one, which has the node's address.
+    """Sent by a successor process to its node's current process, which owns the node's address.
 
-    Messages for the successor are to be forwarded to this port.
+    It asks the current process to forward messages for the successor to this port.
     """
 
     wire_tag: ClassVar[str] = "Relay"
@@ -191,20 +196,20 @@
 
 @dataclass(slots=True, frozen=True)
 class HeartbeatResponse:
-    """The leader's response to a heartbeat: all leases that are the process's.
+    """The response to a heartbeat; the leader's response names all leases that the process holds.
 
-    Term and sequence order the responses: one that was overtaken by a later one is void.
+    Responses are ordered by term and sequence. One that arrives after a later one is ignored.
     """
 
     wire_tag: ClassVar[str] = "Beaten"
 
     number: int = field(metadata=wire("number", INTEGER))
     from_leader: bool = field(metadata=wire("good", BOOLEAN))
-    leader: str = field(metadata=wire("leader", TEXT))  # its node; empty where it is not known
+    leader: str = field(metadata=wire("leader", TEXT))  # the leader's node; empty if unknown
     term: int = field(metadata=wire("term", INTEGER), default=0)
-    sequence: int = field(metadata=wire("count", INTEGER), default=0)  # grows with each response
+    sequence: int = field(metadata=wire("count", INTEGER), default=0)  # incremented with each response
     leases: tuple[LeaseToken, ...] = field(metadata=wire("leases", LEASE_TOKENS), default=())
-    # The process's clock drifts by more than leases guard against.
+    # The process's clock drifts by more than the bound that leases allow for.
     clock_drifts: bool = field(metadata=wire("drifts", BOOLEAN), default=False)
     documents: tuple[DocumentStatus, ...] = field(metadata=wire("news", DOCUMENT_STATUSES), default=())
     quota_shares: tuple[QuotaShareRow, ...] = field(metadata=wire("shares", QUOTA_SHARES), default=())
@@ -212,7 +217,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerRecovered:
-    """From the holder of a pool's lease to all nodes: it could connect to this server again."""
+    """Sent by the holder of a pool's lease to all nodes when it could connect to the server again."""
 
     wire_tag: ClassVar[str] = "Probed"
 
--- a/marlstep/leases/names.py
+++ b/marlstep/leases/names.py
@@ -5,25 +5,26 @@
 from typing import NamedTuple
 
 SEPARATOR = "/"
-CONFIG_LEASE_PREFIX = "rules/"  # of leases under which processes act on replicated configuration
+# A process may use replicated configuration only while it holds a lease with this prefix (a config lease).
+CONFIG_LEASE_PREFIX = "rules/"
 
 
 class ProcessName(NamedTuple):
-    """One process of a node; a restarted node has a new one. `str()` gives the form that logs and stores hold."""
+    """A process of a node; a restarted node has a new one. `str()` returns the form used in logs and stores."""
 
     node: str
     process_id: str
 
     def __str__(self) -> str:
-        """The name as it is stored: `node/process`."""
+        """Return the name in its stored form: `node/process`."""
         return f"{self.node}{SEPARATOR}{self.process_id}"
 
 
 def node_of(holder: str) -> str:
-    """The node of a lease holder that is named `node/process`; empty where `holder` is."""
+    """Return the node of a lease holder named `node/process`; empty if `holder` is empty."""
     return holder.partition(SEPARATOR)[0]
 
 
 def is_config_lease(lease_name: str) -> bool:
-    """Whether a process holds that lease to act on replicated configuration, rather than to do a task."""
+    """Return whether the lease permits a process to use replicated configuration, rather than to run a task."""
     return lease_name.startswith(CONFIG_LEASE_PREFIX)
--- a/marlstep/leases/settings.py
+++ b/marlstep/leases/settings.py
@@ -1,8 +1,9 @@
-"""Clock rules of leases: from when each side counts a lease's term, and with which margin.
+"""Lease settings, and the clock rules that make a lease expire on its holder before it expires on the leader.
 
-A holder counts from before it sent its request, the leader from after it granted or renewed the lease. Both clocks run
-true to within the drift. With T the term and d the drift, the holder's clock shows T(1-d) when at most T of true time
-has passed, and the leader's shows T(1+d) when at least T has passed: so the holder has always stopped first.
+The holder counts a lease's term from before it sent its request, the leader from after it granted or renewed the lease.
+Both clocks are accurate to within the drift. With a term of T and a drift of d, at most T of true time has passed when
+the holder's clock has advanced by T(1-d), and at least T has passed when the leader's has advanced by T(1+d). So the
+holder always stops first.
 """
 
 from __future__ import annotations
@@ -21,15 +22,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseSettings:
-    """Terms and limits, the same on all nodes."""
+    """Lease terms and limits, which must be the same on all nodes."""
 
     term: timedelta = 3 * SECOND
-    drift: float = 0.01  # largest error of any clock, as a share of true time, that is guarded against
-    max_per_node: int = 0  # leases that one node may hold; 0: any number
-    config_term: timedelta = ZERO  # term of the leases on replicated configuration; zero: there are none
+    drift: float = 0.01  # largest tolerated error of any clock, as a fraction of true time
+    max_per_node: int = 0  # maximum number of task leases of one node; 0: no limit
+    config_term: timedelta = ZERO  # term of config leases; zero: there are none
 
     def term_of(self, name: str) -> timedelta:
-        """The term of the lease of that name."""
+        """Return the term of the named lease."""
         return self.config_term if self.config_term and is_config_lease(name) else self.term
 
     @property
@@ -39,18 +40,18 @@
 
     @property
     def renewal_interval(self) -> timedelta:
-        """The time from one heartbeat of a holder to the next."""
+        """The time between two heartbeats of a holder."""
         return self.shortest_term / RENEWALS_PER_TERM
 
     @property
     def response_timeout(self) -> timedelta:
-        """How long one voter may leave a request unanswered before another is asked."""
+        """How long a client waits for a voter's response before it switches to another voter."""
         return min(self.shortest_term / RESPONSE_TIMEOUTS_PER_TERM, MAX_RESPONSE_TIMEOUT)
 
     def holder_expiry(self, requested_at: datetime, name: str = "") -> datetime:
-        """When the holder stops, by its own clock: before the leader's expiry."""
+        """Return when the holder must stop acting on the lease, by its own clock: before the leader's expiry."""
         return requested_at + self.term_of(name) * (1 - self.drift)
 
     def leader_expiry(self, granted_at: datetime, name: str = "") -> datetime:
-        """When the leader may end the lease, by the leader's clock."""
+        """Return when the leader may end the lease, by the leader's clock."""
         return granted_at + self.term_of(name) * (1 + self.drift)
--- a/marlstep/leases/table.py
+++ b/marlstep/leases/table.py
@@ -1,6 +1,6 @@
-"""The replicated table of leases: who holds which, under which token.
+"""The replicated lease table: the holder and fencing token of each lease.
 
-The table knows no time: the leader proposes when a lease is over.
+The table does not track time: the leader proposes a command when a lease expires.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 from marlstep.leases.names import is_config_lease, node_of
 
 MAX_LEASES = 10_000
-TABLE_LIMIT = "table"  # as results name the limit of the whole table
+TABLE_LIMIT = "table"  # `LeaseLimitReached.limited` if the whole table is full
 
 
-LeaseRow = tuple[str, str, int, str, int]  # name and the fields of `Lease`; JSON has a list
+LeaseRow = tuple[str, str, int, str, int]  # name and the fields of `Lease`; a list in JSON
 
 
 class LeaseTableSnapshot(TypedDict):
-    """The lease table as JSON."""
+    """JSON form of the lease table."""
 
     token: int
     leases: list[LeaseRow]
@@ -42,39 +42,42 @@
 class Lease:
     """One lease, held or free."""
 
-    holder: str  # node/process; empty where it is free
+    holder: str  # `node/process`; empty if it is free
     token: int  # of the last grant
-    previous_node: str = ""  # node that had it before it became free
+    previous_node: str = ""  # node of the last holder before the lease became free
     grant_count: int = 0
 
     @property
     def node(self) -> str:
-        """The node that holds it; empty where it is free."""
+        """The node that holds the lease; empty if it is free."""
         return node_of(self.holder)
 
 
 class LeaseTable:
-    """The state machine of leases. Tokens are counted for all leases together, and only grow."""
+    """The replicated state machine of leases. All leases share one token counter, which only increases."""
 
     def __init__(self) -> None:
-        """An empty table."""
+        """Initialize an empty table."""
         self.leases: dict[str, Lease] = {}
-        self.last_token = 0  # the last that was given out, for any lease
-        self.held_counts: Counter[str] = Counter()  # leases of tasks that each process holds
+        self.last_token = 0  # last token granted for any lease
+        self.held_counts: Counter[str] = Counter()  # number of task leases by process
 
     def holder(self, name: str) -> str:
-        """The process that holds that lease; empty where it is free."""
+        """Return the process that holds the lease; empty if it is free."""
         lease = self.leases.get(name)
         return lease.holder if lease is not None else ""
 
     def leases_of(self, holder: str) -> list[LeaseToken]:
-        """All leases that one process holds."""
+        """Return all leases that the process holds."""
         return [
             LeaseToken(name, lease.token) for name, lease in self.leases.items() if lease.holder == holder
         ]
 
     def apply(self, command: CommandJson) -> ResultJson:
-        """Apply one command of the log. Raises as `parse_lease_command` does, and has changed nothing then."""
+        """Apply a command of the log.
+
+        Raises the errors of `parse_lease_command` for an invalid command, which changes nothing.
+        """
         return self._execute(parse_lease_command(command)).to_json()
 
     def _execute(self, command: GrantLease | EndLease) -> LeaseResult:
@@ -101,7 +104,7 @@
         return LeaseGranted(command.holder, lease.token)
 
     def _evict_free_lease(self) -> bool:
-        """Make place for one lease. Nothing is lost, as tokens are counted for all leases together."""
+        """Remove one free lease, if any. Tokens stay unique, as all leases share one token counter."""
         free = next((name for name, lease in self.leases.items() if not lease.holder), None)
         if free is not None:
             del self.leases[free]
@@ -115,18 +118,18 @@
         self._adjust_count(command.name, previous_holder, -1)
         lease.previous_node, lease.holder = lease.node, ""
         if is_config_lease(command.name):
-            del self.leases[command.name]  # of one process, that will not want it again
+            del self.leases[command.name]  # its only holder does not want it again
         return LeaseEnded(previous_holder)
 
     def _adjust_count(self, name: str, holder: str, change: int) -> None:
-        """Leases on replicated configuration are no tasks, and don't count."""
+        """Adjust the holder's number of task leases; config leases are not counted."""
         if not is_config_lease(name):
             self.held_counts[holder] += change
             if not self.held_counts[holder]:
                 del self.held_counts[holder]
 
     def snapshot(self) -> LeaseTableSnapshot:
-        """The whole table as JSON."""
+        """Return the whole table in its JSON form."""
         rows = [
             (name, lease.holder, lease.token, lease.previous_node, lease.grant_count)
             for name, lease in self.leases.items()
@@ -134,7 +137,7 @@
         return {"token": self.last_token, "leases": rows}
 
     def restore(self, stored: LeaseTableSnapshot) -> None:
-        """Replace the table with what `snapshot` gave."""
+        """Replace the table with one from `snapshot`."""
         self.last_token = int(stored["token"])
         self.leases = {
             name: Lease(holder, token, previous_node, grant_count)
--- a/marlstep/scheduled_tasks/__init__.py
+++ b/marlstep/scheduled_tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks that one process of the group executes on a schedule, at most once at a time. No I/O."""
+"""Scheduled tasks, each run by one process of the group at a time. Does no I/O."""
--- a/marlstep/scheduled_tasks/actions.py
+++ b/marlstep/scheduled_tasks/actions.py
@@ -1,4 +1,4 @@
-"""What a task runner asks its node to do."""
+"""Actions that a task runner asks its node to perform."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class ActionKind(enum.StrEnum):
-    """The values are those of log commands, of request identifiers and of log lines."""
+    """Kind of a runner action; the values are used in log commands, request identifiers and log lines."""
 
     INSPECT = "look"
-    FENCE = "fence"  # a request to the server: it takes no older token from now on
+    FENCE = "fence"  # a request to the server to reject older tokens from now on
     RECORD_FENCE = "fenced"
     BEGIN = "begin"
-    EXECUTE = "act"  # a request to the server: it does the task
+    EXECUTE = "act"  # a request to the server to run the task
     END = "end"
 
 
 @dataclass(slots=True, frozen=True)
 class RunnerAction:
-    """To be done at once; `TaskRunner.handle_result` is to be given how it went."""
+    """An action to perform at once, and then to report to `TaskRunner.handle_result`."""
 
     kind: ActionKind
     token: int
@@ -33,11 +33,11 @@
 
     @property
     def is_request(self) -> bool:
-        """Whether it is a request to the pool's servers, rather than a command for the log."""
+        """Whether the action is a request to the pool's servers rather than a command for the log."""
         return self.kind in (ActionKind.FENCE, ActionKind.EXECUTE)
 
     def command(self, task: str) -> TaskCommand:
-        """The command for the log. Raises ValueError for an action that is a request."""
+        """Return the command for the log. Raises NoLogCommandError if the action is a request."""
         match self.kind:
             case ActionKind.INSPECT:
                 return InspectTask(task, self.token)
@@ -52,8 +52,8 @@
 
 
 class NoLogCommandError(MarlstepError, ValueError):
-    """An action that is a request has no command for the log."""
+    """Raised when a log command is asked for an action that is a request to a server."""
 
     def __init__(self, kind: ActionKind) -> None:
-        """`kind` is the action's."""
-        super().__init__(f"expected an action on the log, got the request {kind.value!r}")
+        """Initialize with the kind of the action."""
+        super().__init__(f"expected an action with a log command, got a server request: kind={kind.value!r}")
--- a/marlstep/scheduled_tasks/commands.py
+++ b/marlstep/scheduled_tasks/commands.py
@@ -1,7 +1,7 @@
 """Commands on tasks in the replicated log.
 
-Each carries the token of the task's lease. The log checks the token before it reads the rest of a command, so that
-every version of the program refuses the same commands with the same text.
+Each command carries the fencing token of the task's lease. The run log checks the token before it parses the rest of
+the command, so that all versions of the program refuse the same commands with the same text.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from marlstep.scheduled_tasks.outcomes import Outcome
 
 MACHINE_NAME = "tasks"
-INVALID_NAME = "a task's name"  # a replicated text
+INVALID_NAME = "a task's name"  # part of replicated results: must not change
 
 
 class UnknownTaskActionError(InvalidCommandError):
-    """A command that does nothing which is known to a task."""
+    """Raised for a command whose action is unknown."""
 
     def __init__(self, action: object) -> None:
-        """`action` is the command's, as the log has it. The text is replicated."""
+        """Initialize with the action as stored in the log. The text is part of replicated results: must not change."""
         super().__init__(f"nothing that is done to a task: {action!r}")
 
 
@@ -29,45 +29,45 @@
 
 @dataclass(slots=True, frozen=True)
 class InspectTask:
-    """Read the state of a task's last run."""
+    """Reads the state of a task's last run."""
 
     task: str
     token: int
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return _stored("look", self.task, self.token)
 
 
 @dataclass(slots=True, frozen=True)
 class RecordFence:
-    """Record that nothing which was sent under an earlier token can take effect any more."""
+    """Records that requests sent under earlier tokens can no longer take effect."""
 
     task: str
     token: int
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return _stored("fenced", self.task, self.token)
 
 
 @dataclass(slots=True, frozen=True)
 class BeginRun:
-    """Open a run before it is executed."""
+    """Opens a run before it is executed."""
 
     task: str
     token: int
     run: int
-    is_repeat: bool  # of a run that was begun before and may have run
+    is_repeat: bool  # the run was begun before and may have run
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {**_stored("begin", self.task, self.token), "run": self.run, "again": self.is_repeat}
 
 
 @dataclass(slots=True, frozen=True)
 class EndRun:
-    """Close the open run with its outcome."""
+    """Closes the open run with its outcome."""
 
     task: str
     token: int
@@ -75,7 +75,7 @@
     outcome: Outcome
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {**_stored("end", self.task, self.token), "run": self.run, "outcome": self.outcome.value}
 
 
@@ -83,9 +83,13 @@
 
 
 def parse_task_and_token(stored: CommandJson) -> tuple[str, int]:
-    """The task of a stored command, and the token that it claims.
+    """Return the task name and the claimed token of a stored command.
 
-    Raises InvalidCommandError, ValueError, KeyError or TypeError.
+    Raises:
+        InvalidCommandError: the task name is not a string.
+        KeyError: the task or the token is missing.
+        ValueError: the token is not a number.
+        TypeError: the token has a type that cannot be converted to a number.
     """
     task, token = stored["task"], int(stored["token"])
     if not isinstance(task, str):
@@ -94,10 +98,16 @@
 
 
 def parse_task_command(stored: CommandJson) -> TaskCommand:
-    """The command that the log holds.
+    """Parse a command as stored in the log.
 
-    Raises InvalidCommandError, ValueError, KeyError or TypeError where it is none. These texts are part of replicated
-    results: they, and the order of the checks, stay the same in all versions.
+    The error texts are part of replicated results: the texts and the order of the checks must be the same in all
+    versions.
+
+    Raises:
+        InvalidCommandError: the task name or the action is invalid.
+        KeyError: a field is missing.
+        ValueError: the token or the run is not a number, or the outcome is unknown.
+        TypeError: the token or the run has a type that cannot be converted to a number.
     """
     task, token = parse_task_and_token(stored)
     match stored["do"]:
--- a/marlstep/scheduled_tasks/results.py
+++ b/marlstep/scheduled_tasks/results.py
@@ -1,4 +1,4 @@
-"""Results of the commands on tasks, as the log gives them to the process that asked."""
+"""Results of commands on tasks, as the replicated log returns them to the proposing process."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskStatus:
-    """A task's last run."""
+    """Status of a task's last run."""
 
     run: int
-    token: int  # under which it was begun
+    token: int  # token under which the run was begun
     outcome: Outcome
     attempts: int
-    may_be_in_flight: bool  # a request for it, or for a run before it, may still take effect
+    may_be_in_flight: bool  # a request for this run or an earlier one may still take effect
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as sent to the proposing process."""
         return {
             "run": self.run,
             "token": self.token,
@@ -31,44 +31,44 @@
 
 @dataclass(slots=True, frozen=True)
 class FenceRecorded:
-    """Nothing of an earlier token is in flight any more."""
+    """It is recorded that no request with an earlier token can still take effect."""
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as sent to the proposing process."""
         return {"fenced": True}
 
 
 @dataclass(slots=True, frozen=True)
 class RunBegun:
-    """The run is open."""
+    """The run was opened."""
 
     run: int
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as sent to the proposing process."""
         return {"begun": self.run}
 
 
 @dataclass(slots=True, frozen=True)
 class RunEnded:
-    """The run is closed."""
+    """The run was closed."""
 
     run: int
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as sent to the proposing process."""
         return {"ended": self.run}
 
 
 @dataclass(slots=True, frozen=True)
 class TaskCommandRefused:
-    """The command changed nothing."""
+    """The command was refused and changed nothing."""
 
     reason: str
-    status: TaskStatus | None = None  # why: the run that is in its way
+    status: TaskStatus | None = None  # the existing run because of which the command was refused
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots and clients have it."""
+        """Return the result as sent to the proposing process."""
         status = {} if self.status is None else self.status.to_json()
         return {"refused": self.reason, **status}
 
@@ -77,7 +77,7 @@
 
 
 def parse_task_result(stored: ResultJson) -> TaskResult:
-    """The result that came from the log; an error of the log counts as a refusal."""
+    """Parse a result from the log. An error of the log is returned as a refusal."""
     match stored:
         case {"refused": reason}:
             return TaskCommandRefused(str(reason), _parse_status(stored) if "run" in stored else None)
--- a/marlstep/scheduled_tasks/run_log.py
+++ b/marlstep/scheduled_tasks/run_log.py
@@ -1,8 +1,8 @@
-"""The replicated log of task runs: intent is recorded before a run is executed, and its outcome after.
+"""The replicated log of task runs: records a run before it is executed, and its outcome afterwards.
 
-Only the holder of the task's lease, under the token of its present grant, may begin a run. A run whose end is known is
-over. While the end of one is not known (it is open, or ended without a response of the server), a request for it may
-still be in flight, until a later holder has fenced it off at the server.
+Only the holder of the task's lease may begin a run, under the token of its current grant. While a run is open, or if it
+ended without a response from the server, a request for it may still be in flight. This lasts until a later holder has
+fenced it off at the server.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
     TaskStatus,
 )
 
-TASK_LEASE_PREFIX = "task/"  # of the names of tasks' leases
+TASK_LEASE_PREFIX = "task/"  # prefix of the names of task leases
 MAX_TASKS = 1_000
 REPEATABLE_OUTCOMES = (Outcome.NOT_RUN, Outcome.FENCED_OFF)  # the same run may be begun again
-SETTLED_OUTCOMES = (Outcome.DONE, Outcome.NOT_RUN, Outcome.FENCED_OFF)  # nothing of the run is in flight
+SETTLED_OUTCOMES = (Outcome.DONE, Outcome.NOT_RUN, Outcome.FENCED_OFF)  # no request for the run is in flight
 
 
-# Task, and the fields of `TaskRun`; JSON has a list.
+# Task name and the fields of `TaskRun`; a list in JSON.
 TaskRunRow = tuple[str, int, int, str, int, bool, bool]
 
 
@@ -48,31 +48,34 @@
     token: int = 0
     outcome: Outcome = Outcome.NOT_RUN
     attempts: int = 0
-    may_be_in_flight: bool = False  # a request for this run or for one before it may still take effect
-    was_in_flight: bool = False  # the same, when the run was begun
+    may_be_in_flight: bool = False  # a request for this run or an earlier one may still take effect
+    was_in_flight: bool = False  # value of `may_be_in_flight` when the run was begun
 
     @property
     def status(self) -> TaskStatus:
-        """The run as results have it."""
+        """The run in the form used in results."""
         return TaskStatus(self.number, self.token, self.outcome, self.attempts, self.may_be_in_flight)
 
     def may_begin(self, command: BeginRun) -> bool:
-        """Whether that run may be begun, where none is open: a later one, or this one anew."""
+        """Return whether the command may begin its run if none is open: a later run, or this one again."""
         if command.run == self.number:
             return command.is_repeat or self.outcome in REPEATABLE_OUTCOMES
         return command.run > self.number
 
 
 class RunLog:
-    """The state machine of tasks."""
+    """The replicated state machine of scheduled tasks."""
 
     def __init__(self, table: LeaseTable) -> None:
-        """`table` has the leases of the tasks."""
+        """Initialize an empty log; `table` contains the leases of the tasks."""
         self._table = table
         self.runs: dict[str, TaskRun] = {}  # by task
 
     def apply(self, command: CommandJson) -> ResultJson:
-        """Apply one command of the log. Raises as `parse_task_command` does, and has begun or ended nothing then."""
+        """Apply a command of the log.
+
+        Raises the errors of `parse_task_command` for an invalid command, which begins and ends no run.
+        """
         return self._apply(command).to_json()
 
     def _apply(self, stored: CommandJson) -> TaskResult:
@@ -84,9 +87,8 @@
         if run is None:
             if len(self.runs) >= MAX_TASKS:
                 return TaskCommandRefused("too many tasks")
-            run = self.runs[task] = (
-                TaskRun()
-            )  # before the rest is read, as all versions do: it is in snapshots
+            # Created before the rest of the command is parsed, as in all versions, because it is in snapshots.
+            run = self.runs[task] = TaskRun()
         return self._execute(run, parse_task_command(stored))
 
     def _execute(self, run: TaskRun, command: TaskCommand) -> TaskResult:
@@ -125,11 +127,12 @@
             return TaskCommandRefused("no such run is open", run.status)
         run.outcome = command.outcome
         if command.outcome in SETTLED_OUTCOMES:
-            run.may_be_in_flight = run.was_in_flight  # this run is over; one before it may not be
+            # This run is over, but an earlier one may still be in flight.
+            run.may_be_in_flight = run.was_in_flight
         return RunEnded(command.run)
 
     def snapshot(self) -> list[TaskRunRow]:
-        """The last runs of all tasks as JSON."""
+        """Return the last runs of all tasks in their JSON form."""
         return [
             (
                 task,
@@ -144,7 +147,7 @@
         ]
 
     def restore(self, stored: list[TaskRunRow]) -> None:
-        """Replace all runs with what `snapshot` gave."""
+        """Replace all runs with those from `snapshot`."""
         self.runs = {
             task: TaskRun(number, token, Outcome(outcome), attempts, may_be_in_flight, was_in_flight)
             for task, number, token, outcome, attempts, may_be_in_flight, was_in_flight in stored
--- a/marlstep/scheduled_tasks/runner.py
+++ b/marlstep/scheduled_tasks/runner.py
@@ -1,11 +1,11 @@
-"""One task on the process that holds its lease: what to do next, and when.
+"""State machine of one task on the process that holds its lease: decides on the next action and its time.
 
     inspect ──▶ (may be in flight) ──▶ fence ──▶ settle ──▶ record the fence ──▶ repeat an open idempotent run
       └──────▶ idle ──due──▶ begin ──▶ execute ──▶ end ──▶ idle ◀──────────────────┘ (or leave it as "may have run")
 
-A fence gives the server the new token, so that the server refuses whatever may still come under an old one; what it
-had begun before then has ended once the task's timeout has passed. A run is executed only while its whole timeout is
-left of the lease.
+A fence request gives the server the new token, so that it refuses requests that arrive later with an older one. Once
+the task's timeout has passed, the requests that it started before the fence have ended too. A run is executed only if
+its whole timeout, and a margin, remain of the lease.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 from marlstep.scheduled_tasks.schedule import Schedule
 from marlstep.units import MILLISECOND, SECOND, ZERO
 
-LEASE_MARGIN = 50 * MILLISECOND  # of the lease that is left beyond a run's timeout
-RETRY_DELAY = 500 * MILLISECOND  # before what failed is tried again
-NOT_RUN_RETRY_DELAY = SECOND  # before a run that was refused is begun again
-POLL_INTERVAL = 100 * MILLISECOND  # while something waits for the lease or for a result
+LEASE_MARGIN = 50 * MILLISECOND  # required remaining time of the lease beyond a run's timeout
+RETRY_DELAY = 500 * MILLISECOND  # before a failed action is retried
+NOT_RUN_RETRY_DELAY = SECOND  # before a refused run is begun again
+POLL_INTERVAL = 100 * MILLISECOND  # between attempts to start an action, such as while the lease is too short
 
 
 class RunnerState(enum.Enum):
-    """What comes next; the values are those of the administration API."""
+    """State of a runner; the administration API shows the values."""
 
     NOT_HELD = "not held"
     INSPECTING = "looks what is open"
@@ -49,56 +49,62 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskPlan:
-    """One task, as the operator's file has it."""
+    """Configuration of one task from the operator's file."""
 
     name: str
     schedule: Schedule
     request_class: str
-    idempotent: bool  # a run that may have run may be executed again
-    timeout: timedelta  # a request that takes longer is abandoned
+    idempotent: bool  # a run that may have taken effect may be executed again
+    timeout: timedelta  # a request is abandoned after this time
 
 
 class TaskRunner:
-    """The state of one task on one process. It does no I/O: its node does the actions and reports their results."""
+    """The state of one task on one process. Does no I/O: the node performs the actions and reports their results."""
 
     def __init__(self, plan: TaskPlan) -> None:
-        """A runner without the task's lease."""
+        """Initialize a runner that does not hold the task's lease."""
         self.plan = plan
         self.state = RunnerState.NOT_HELD
         self.token = 0
-        self.draining = False  # begins no run any more
-        self._action_in_flight = False  # an action was returned, and its result has not come
+        self.draining = False  # begins no more runs
+        self._action_in_flight = False  # an action was returned whose result is not reported yet
         self._last_run = NO_RUN
         self._current_run, self._is_repeat = NO_RUN, False
         self._outcome = Outcome.OPEN
-        self._run_was_open = False  # at the last inspection
-        self._begin_unconfirmed = False  # the log may have the run, and nothing was executed for it
+        self._run_was_open = False  # when last inspected
+        self._begin_unconfirmed = False  # the run may be in the log, but it was not executed
         self._not_before: datetime | None = None
         outcomes = (outcome.value for outcome in Outcome if outcome is not Outcome.OPEN)
         self.counts = dict.fromkeys(("acts", *outcomes), 0)
 
-    # The lease.
+    # Lease changes.
 
     def lease_gained(self, token: int) -> None:
-        """Start over under a new token."""
+        """Restart with an inspection under a new token; no effect if the token is already in use."""
         if token == self.token and self.state is not RunnerState.NOT_HELD:
             return
         self.state, self.token = RunnerState.INSPECTING, token
         self._action_in_flight, self._not_before, self._begin_unconfirmed = False, None, False
 
     def lease_lost(self) -> None:
-        """Stop. A request in flight goes on until its timeout; its outcome can't be recorded under this token."""
+        """Stop. A request in flight continues until its timeout, but its outcome can no longer be recorded."""
         self.state, self.token, self._action_in_flight = RunnerState.NOT_HELD, 0, False
 
     @property
     def busy(self) -> bool:
-        """Whether a run is open: the lease is not given back before it ends."""
+        """Whether a run is open, so that the lease must not be returned yet."""
         return self.state in (RunnerState.BEGINNING, RunnerState.EXECUTING, RunnerState.ENDING)
 
-    # Actions.
+    # Choosing actions.
 
     def next_action(self, now: datetime, wall: datetime, time_left: timedelta) -> RunnerAction | None:
-        """The action to do now, with `time_left` of the lease; None where there is none."""
+        """Return the next action, or None if there is none to perform now.
+
+        Args:
+            now: current time on the clock that retries are scheduled by.
+            wall: wall-clock time, which determines the runs that are due.
+            time_left: remaining time of the lease.
+        """
         if self.state is RunnerState.NOT_HELD or self._action_in_flight or self._is_waiting(now):
             return None
         if self.state is RunnerState.SETTLING:
@@ -124,7 +130,7 @@
             self.state, self._current_run, self._is_repeat = RunnerState.BEGINNING, run, False
 
     def _needs_renewal(self, time_left: timedelta) -> bool:
-        """Whether too little of the lease is left for what comes next."""
+        """Return whether the remaining time of the lease is too short for the next action."""
         if self.state in (RunnerState.BEGINNING, RunnerState.EXECUTING):
             return time_left <= ZERO or time_left < self.plan.timeout + LEASE_MARGIN
         return time_left <= ZERO
@@ -146,7 +152,7 @@
         return action
 
     def next_due(self, now: datetime, wall: datetime) -> datetime | None:
-        """When `next_action` is to be asked again; None where a lease or a result comes first."""
+        """Return when to call `next_action` again; None if it first needs the lease or a result."""
         if self.state is RunnerState.NOT_HELD or self._action_in_flight:
             return None
         if self._not_before is not None:
@@ -155,10 +161,10 @@
             return now + max(MILLISECOND, self.plan.schedule.next_check(wall, self._last_run) - wall)
         return now + POLL_INTERVAL
 
-    # Results.
+    # Handling results.
 
     def handle_result(self, now: datetime, action: RunnerAction, result: ResultJson | Outcome | None) -> None:
-        """Take in how an action went: the log's result, or a request's outcome. None: it is not known."""
+        """Handle the result of an action: the log's result or a request's outcome; None if it is unknown."""
         if action.token != self.token or not self._action_in_flight:
             return
         self._action_in_flight = False
@@ -192,12 +198,12 @@
         elif not self._run_was_open:
             self.state = RunnerState.IDLE
         elif unconfirmed and self._last_run == self._current_run:
-            self.state = RunnerState.EXECUTING  # its begin was applied, and only the response was lost
+            self.state = RunnerState.EXECUTING  # the begin was applied; only its response was lost
         else:
             self.state, self._current_run, self._outcome = RunnerState.ENDING, self._last_run, Outcome.UNKNOWN
 
     def _take_over(self, status: TaskStatus) -> None:
-        """Go on from a run that was begun under an earlier token."""
+        """Continue from a run that was begun under an earlier token."""
         if status.may_be_in_flight:
             self.state, self._current_run = RunnerState.FENCING, status.run
         else:
@@ -208,7 +214,7 @@
             case Outcome.DONE:
                 self.state, self._not_before = RunnerState.SETTLING, now + self.plan.timeout
             case Outcome.FENCED_OFF:
-                self.lease_lost()  # the server has seen a later token: this lease is over
+                self.lease_lost()  # the server has seen a later token, so this lease has ended
             case _:
                 self._retry_later(now)
 
@@ -231,7 +237,7 @@
                 self.state, self._begin_unconfirmed = RunnerState.INSPECTING, True
                 self._retry_later(now)
             case _:
-                self.state = RunnerState.INSPECTING  # the log's runs are not what they were taken for
+                self.state = RunnerState.INSPECTING  # the runs in the log differ from the expected ones
 
     def _handle_executed(self, answer: TaskResult | Outcome | None) -> None:
         self.state = RunnerState.ENDING
@@ -243,6 +249,6 @@
             self._retry_later(now)
             return
         if self._outcome is Outcome.NOT_RUN:
-            self._last_run = self._current_run - 1  # it may be begun again, as long as it is due
+            self._last_run = self._current_run - 1  # the run may be begun again while it is due
             self._not_before = now + NOT_RUN_RETRY_DELAY
         self.state = RunnerState.IDLE
