--- a/marlstep/scheduled_tasks/results.py
+++ b/marlstep/scheduled_tasks/results.py
@@ -19,7 +19,7 @@
     may_be_in_flight: bool  # a request for this run or an earlier one may still take effect
 
     def to_json(self) -> ResultJson:
-        """Return the result as sent to the proposing process."""
+        """Return the result as stored in snapshots and sent to the proposing process."""
         return {
             "run": self.run,
             "token": self.token,
@@ -34,7 +34,7 @@
     """It is recorded that no request with an earlier token can still take effect."""
 
     def to_json(self) -> ResultJson:
-        """Return the result as sent to the proposing process."""
+        """Return the result as stored in snapshots and sent to the proposing process."""
         return {"fenced": True}
 
 
@@ -45,7 +45,7 @@
     run: int
 
     def to_json(self) -> ResultJson:
-        """Return the result as sent to the proposing process."""
+        """Return the result as stored in snapshots and sent to the proposing process."""
         return {"begun": self.run}
 
 
@@ -56,7 +56,7 @@
     run: int
 
     def to_json(self) -> ResultJson:
-        """Return the result as sent to the proposing process."""
+        """Return the result as stored in snapshots and sent to the proposing process."""
         return {"ended": self.run}
 
 
@@ -68,7 +68,7 @@
     status: TaskStatus | None = None  # the existing run because of which the command was refused
 
     def to_json(self) -> ResultJson:
-        """Return the result as sent to the proposing process."""
+        """Return the result as stored in snapshots and sent to the proposing process."""
         status = {} if self.status is None else self.status.to_json()
         return {"refused": self.reason, **status}
 
