--- a/marlstep/leases/client.py
+++ b/marlstep/leases/client.py
@@ -197,8 +197,8 @@
     @property
     def is_idle(self) -> bool:
         """Whether no task lease is held, no lease is being returned, and every command has its result."""
-        holds_tasks = any(not is_config_lease(name) for name in self.holder.held)
-        return not holds_tasks and not self.holder.returning and not self._outbound
+        holds_task_leases = any(not is_config_lease(name) for name in self.holder.held)
+        return not holds_task_leases and not self.holder.returning and not self._outbound
 
     def time_since_response(self, now: datetime) -> timedelta | None:
         """Return the time since the leader's last response to a heartbeat; None before the first."""
--- a/marlstep/leases/clock_drift.py
+++ b/marlstep/leases/clock_drift.py
@@ -39,17 +39,17 @@
 
         Returns the relative clock error when it is first found to exceed the bound, and None otherwise.
         """
-        known = self._observations.get(process)
-        if known is None or remote_time < known.remote_time:
+        previous = self._observations.get(process)
+        if previous is None or remote_time < previous.remote_time:
             self._observations[process] = ClockObservation(remote_time, local_time)
             return None
-        elapsed = local_time - known.local_time
+        elapsed = local_time - previous.local_time
         if elapsed < MEASUREMENT_WINDOW:
             return None
-        error = (remote_time - known.remote_time) - elapsed
+        error = (remote_time - previous.remote_time) - elapsed
         sign = self._sign_beyond_bound(error, elapsed)
-        exceeds = sign != 0 and sign == known.previous_sign
-        newly_exceeds = exceeds and not known.exceeds_bound
+        exceeds = sign != 0 and sign == previous.previous_sign
+        newly_exceeds = exceeds and not previous.exceeds_bound
         self._observations[process] = ClockObservation(remote_time, local_time, sign, exceeds)
         return error / elapsed if newly_exceeds else None
 
@@ -61,8 +61,8 @@
 
     def exceeds_bound(self, process: str) -> bool:
         """Return whether the process's clock drift exceeds the bound; then only fencing tokens protect its leases."""
-        known = self._observations.get(process)
-        return known is not None and known.exceeds_bound
+        observation = self._observations.get(process)
+        return observation is not None and observation.exceeds_bound
 
     def retain_only(self, processes: set[str]) -> None:
         """Remove the observations of all processes not in `processes`."""
--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -118,9 +118,9 @@
     def _record_holder(
         self, now: datetime, holder: str, heartbeat: Heartbeat, previous: HolderState | None
     ) -> None:
-        since = previous.wanted_since if previous is not None else {}
-        wanted_since = {name: since.get(name, now) for name in heartbeat.wanted_leases}
-        if previous is None or wanted_since.keys() != since.keys():
+        previously_wanted = previous.wanted_since if previous is not None else {}
+        wanted_since = {name: previously_wanted.get(name, now) for name in heartbeat.wanted_leases}
+        if previous is None or wanted_since.keys() != previously_wanted.keys():
             self._grants_due = True
         self._holders[holder] = HolderState(heartbeat, now, wanted_since)
 
@@ -240,8 +240,8 @@
         if self._leader_since is None:
             return []
         commands = self._propose_expiries(now)
-        settled = self._grants_start_at is not None and now >= self._grants_start_at
-        if self._grants_due and settled:
+        grants_allowed = self._grants_start_at is not None and now >= self._grants_start_at
+        if self._grants_due and grants_allowed:
             self._grants_due = False
             commands += self._propose_grants(now)
         return commands
@@ -307,8 +307,8 @@
         A candidate on the node that last held the lease counts as holding one lease less.
         """
         lease = self.table.leases.get(name)
-        had_it_last = lease is not None and lease.previous_node == node_of(holder)
-        return counts[holder] - had_it_last, self._holders[holder].wanted_since[name], holder
+        held_last = lease is not None and lease.previous_node == node_of(holder)
+        return counts[holder] - held_last, self._holders[holder].wanted_since[name], holder
 
     # Applied commands.
 
--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -73,7 +73,9 @@
     rows = _read_list(value)
     for row in rows:
         if not isinstance(row, list) or tuple(map(type, row)) != column_types:
-            raise InvalidValueError(row, f"a row of {', '.join(kind.__name__ for kind in column_types)}")
+            raise InvalidValueError(
+                row, f"a row of {', '.join(column_type.__name__ for column_type in column_types)}"
+            )
     return rows
 
 
--- a/marlstep/scheduled_tasks/runner.py
+++ b/marlstep/scheduled_tasks/runner.py
@@ -168,33 +168,33 @@
         if action.token != self.token or not self._action_in_flight:
             return
         self._action_in_flight = False
-        answer = parse_task_result(result) if isinstance(result, dict) else result
+        parsed = parse_task_result(result) if isinstance(result, dict) else result
         match action.kind:
             case ActionKind.INSPECT:
-                self._handle_inspection(now, answer)
+                self._handle_inspection(now, parsed)
             case ActionKind.FENCE:
-                self._handle_fenced(now, answer)
+                self._handle_fenced(now, parsed)
             case ActionKind.RECORD_FENCE:
-                self._handle_fence_recorded(now, answer)
+                self._handle_fence_recorded(now, parsed)
             case ActionKind.BEGIN:
-                self._handle_begun(now, answer)
+                self._handle_begun(now, parsed)
             case ActionKind.EXECUTE:
-                self._handle_executed(answer)
+                self._handle_executed(parsed)
             case ActionKind.END:
-                self._handle_ended(now, answer)
+                self._handle_ended(now, parsed)
 
     def _retry_later(self, now: datetime) -> None:
         self._not_before = now + RETRY_DELAY
 
-    def _handle_inspection(self, now: datetime, answer: TaskResult | Outcome | None) -> None:
-        if not isinstance(answer, TaskStatus):
+    def _handle_inspection(self, now: datetime, result: TaskResult | Outcome | None) -> None:
+        if not isinstance(result, TaskStatus):
             self._retry_later(now)
             return
-        self._last_run = answer.run
+        self._last_run = result.run
         unconfirmed, self._begin_unconfirmed = self._begin_unconfirmed, False
-        self._run_was_open = answer.outcome is Outcome.OPEN
-        if answer.token != self.token:
-            self._take_over(answer)
+        self._run_was_open = result.outcome is Outcome.OPEN
+        if result.token != self.token:
+            self._take_over(result)
         elif not self._run_was_open:
             self.state = RunnerState.IDLE
         elif unconfirmed and self._last_run == self._current_run:
@@ -209,8 +209,8 @@
         else:
             self.state, self._current_run = RunnerState.IDLE, NO_RUN
 
-    def _handle_fenced(self, now: datetime, answer: TaskResult | Outcome | None) -> None:
-        match answer:
+    def _handle_fenced(self, now: datetime, result: TaskResult | Outcome | None) -> None:
+        match result:
             case Outcome.DONE:
                 self.state, self._not_before = RunnerState.SETTLING, now + self.plan.timeout
             case Outcome.FENCED_OFF:
@@ -218,8 +218,8 @@
             case _:
                 self._retry_later(now)
 
-    def _handle_fence_recorded(self, now: datetime, answer: TaskResult | Outcome | None) -> None:
-        match answer:
+    def _handle_fence_recorded(self, now: datetime, result: TaskResult | Outcome | None) -> None:
+        match result:
             case FenceRecorded() if self._run_was_open and self.plan.idempotent and not self.draining:
                 self.state, self._is_repeat = RunnerState.BEGINNING, True
             case FenceRecorded():
@@ -229,8 +229,8 @@
             case _:
                 self.state = RunnerState.INSPECTING
 
-    def _handle_begun(self, now: datetime, answer: TaskResult | Outcome | None) -> None:
-        match answer:
+    def _handle_begun(self, now: datetime, result: TaskResult | Outcome | None) -> None:
+        match result:
             case RunBegun():
                 self.state, self._last_run = RunnerState.EXECUTING, self._current_run
             case None | Outcome():
@@ -239,13 +239,13 @@
             case _:
                 self.state = RunnerState.INSPECTING  # the runs in the log differ from the expected ones
 
-    def _handle_executed(self, answer: TaskResult | Outcome | None) -> None:
+    def _handle_executed(self, result: TaskResult | Outcome | None) -> None:
         self.state = RunnerState.ENDING
-        self._outcome = answer if isinstance(answer, Outcome) else Outcome.UNKNOWN
+        self._outcome = result if isinstance(result, Outcome) else Outcome.UNKNOWN
         self.counts[self._outcome.value] += 1
 
-    def _handle_ended(self, now: datetime, answer: TaskResult | Outcome | None) -> None:
-        if answer is None or isinstance(answer, Outcome):
+    def _handle_ended(self, now: datetime, result: TaskResult | Outcome | None) -> None:
+        if result is None or isinstance(result, Outcome):
             self._retry_later(now)
             return
         if self._outcome is Outcome.NOT_RUN:
