--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -1,4 +1,4 @@
-"""A leader of leases without a log, and the settings of these tests."""
+"""Test support for leases: a lease leader without a replicated log, and default settings."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Group:
-    """A leader whose proposals are applied at once, on a clock that the test moves."""
+    """A lease leader whose proposals are applied immediately. The test advances its clock."""
 
     def __init__(self, settings: LeaseSettings = SETTINGS) -> None:
         self.table = LeaseTable()
--- a/tests/leases/test_clock_drift.py
+++ b/tests/leases/test_clock_drift.py
@@ -1,4 +1,4 @@
-"""Clocks that err beyond the drift are found from heartbeats."""
+"""Clock drift beyond the bound is detected from heartbeats."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     monitor = ClockDriftMonitor(0.01)
     observed = []
     for second in range(60):
-        late = 900 * MILLISECOND if second in (5, 20, 21, 40) else ZERO  # a stopped process, a slow line
+        late = 900 * MILLISECOND if second in (5, 20, 21, 40) else ZERO  # a suspended process, a slow link
         observed.append(monitor.observe("a", NOW + second * rate * SECOND, NOW + second * SECOND + late))
     errors = [error for error in observed if error is not None]
     assert bool(errors) is found and monitor.exceeds_bound("a") is found
--- a/tests/leases/test_commands.py
+++ b/tests/leases/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the lease table: their stored form, and what is refused with which replicated text."""
+"""Lease commands: their stored form, and the replicated error texts of invalid ones."""
 
 from __future__ import annotations
 
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -1,4 +1,4 @@
-"""The holder: what it may act on, and until when."""
+"""The lease holder: which leases it may act on, and until when."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
     holder = holder_with_lease()
     until = holder.held["x"].expires_at
     holder.make_heartbeat(NOW + SECOND)
-    holder.handle_response(NOW + 2 * SECOND, response(1, 2, ("x", 7)))  # again to the first beat
+    holder.handle_response(NOW + 2 * SECOND, response(1, 2, ("x", 7)))  # second response to heartbeat 1
     assert holder.held["x"].expires_at == until
-    holder.handle_response(NOW + 2 * SECOND, response(2, 4))  # it was ended meanwhile
+    holder.handle_response(NOW + 2 * SECOND, response(2, 4))  # the lease was ended in the meantime
     assert not holder.held
     for late in (response(2, 3, ("x", 7)), response(2, 4, ("x", 7)), response(99, 9, ("x", 7))):
         assert holder.handle_response(NOW + 2 * SECOND, late) == [] and not holder.held
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -1,4 +1,4 @@
-"""The manager: grants, renewals, expiries and returns on the voter that leads."""
+"""The lease manager: grants, renewals, expiries and returns on the leader."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     names = [f"t{number}" for number in range(12)]
     for node in ("a", "b", "c"):
         group.heartbeat(node, *names, max_leases=3 if node == "c" else 0)
-    assert not group.table.held_counts  # not before all had the time to be heard
+    assert not group.table.held_counts  # no grants until all processes could send a heartbeat
     group.advance(SETTINGS.renewal_interval)
     assert sorted(group.table.held_counts.values()) == [3, 4, 5]
     assert group.table.held_counts["c/b"] == 3
@@ -29,7 +29,7 @@
     group.heartbeat("b", "x")
     assert group.table.holder("x") == "a/b"
     group.advance(SETTINGS.term * 0.0002)
-    group.advance(ZERO)  # its end is committed, and then it is granted
+    group.advance(ZERO)  # its end is committed first, then the lease is granted
     assert group.table.holder("x") == "b/b" and group.table.leases["x"].token == 2
 
 
@@ -56,7 +56,7 @@
 
 
 def test_a_pushed_response_renews_nothing_for_a_dead_holder() -> None:
-    """Pushes follow each change of a document: if they renewed, a dead process would keep its leases."""
+    """A push follows each document change. If pushes renewed leases, a dead process would keep them."""
     group = Group()
     group.heartbeat("a", "x", "rules/a/b")
     group.advance(SETTINGS.renewal_interval)
@@ -114,7 +114,7 @@
 
 
 def test_an_end_without_a_token_changes_nothing_on_the_leader() -> None:
-    """Any client may put such a command into the log; it once raised KeyError here, outside the state machine."""
+    """Any client may propose such a command. It raised KeyError in the leader, outside the state machine."""
     group = Group()
     group.heartbeat("a", "x")
     group.advance(SETTINGS.renewal_interval)
--- a/tests/leases/test_messages.py
+++ b/tests/leases/test_messages.py
@@ -1,4 +1,4 @@
-"""Rows of lease messages: lists on the wire, named fields in the program."""
+"""Rows of lease messages: lists on the wire, named tuples in the program."""
 
 from __future__ import annotations
 
--- a/tests/leases/test_settings.py
+++ b/tests/leases/test_settings.py
@@ -1,4 +1,4 @@
-"""The clock rules of leases."""
+"""The clock rules of lease expiry."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ) -> None:
     settings = LeaseSettings(term * SECOND, drift)
     holder_rate, leader_rate = 1 + holder_error * drift, 1 + leader_error * drift
-    # In true seconds from the moment when the holder sent its heartbeat; the leader answers at `delay`.
+    # Both times are true seconds since the holder sent its heartbeat. The leader responds after `delay`.
     holder_ends = (settings.holder_expiry(NOW) - NOW) / SECOND / holder_rate
     leader_ends = delay + (settings.leader_expiry(NOW) - NOW) / SECOND / leader_rate
     assert holder_ends <= leader_ends + 2e-6  # datetimes have whole microseconds
--- a/tests/leases/test_table.py
+++ b/tests/leases/test_table.py
@@ -1,4 +1,4 @@
-"""The table of leases, as the log has it."""
+"""The replicated lease table."""
 
 from __future__ import annotations
 
--- a/tests/scheduled_tasks/support.py
+++ b/tests/scheduled_tasks/support.py
@@ -1,4 +1,4 @@
-"""A task's lease and its run log, as the group has them."""
+"""Test support for scheduled tasks: a lease table and a run log for one task."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Group:
-    """The lease and the run log of the task "t", as the group has them."""
+    """The group's replicated state: the lease and the run log of the task "t"."""
 
     def __init__(self) -> None:
         self.table = LeaseTable()
@@ -37,7 +37,7 @@
     def run(
         self, runner: TaskRunner, now: datetime, until: ActionKind | None, outcome: Outcome = Outcome.DONE
     ) -> list[ActionKind]:
-        """Do the runner's actions, until the next is `until` or for thirty rounds. Returns those that were done."""
+        """Perform up to 30 steps of the runner, stopping before the action `until`. Returns the performed actions."""
         done: list[ActionKind] = []
         for _ in range(30):
             action = runner.next_action(now, now, 2 * SECOND)
--- a/tests/scheduled_tasks/test_commands.py
+++ b/tests/scheduled_tasks/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands on tasks and their results: their stored forms, and what is refused with which replicated text."""
+"""Task commands and their results: their stored forms, and the replicated error texts of invalid commands."""
 
 from __future__ import annotations
 
--- a/tests/scheduled_tasks/test_run_log.py
+++ b/tests/scheduled_tasks/test_run_log.py
@@ -1,4 +1,4 @@
-"""The run log: who may change a task's runs, and what a snapshot keeps."""
+"""The run log: which commands may change a task's runs, and what a snapshot contains."""
 
 from __future__ import annotations
 
--- a/tests/scheduled_tasks/test_runner.py
+++ b/tests/scheduled_tasks/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner of one task against its lease and its run log."""
+"""The task runner with a lease table and a run log."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     steps = group.run(second, NOW, until=ActionKind.EXECUTE)
     assert steps[:3] == [ActionKind.INSPECT, ActionKind.FENCE, ActionKind.RECORD_FENCE]
     assert group.run_log.runs["t"].number == run if idempotent else group.run_log.runs["t"].number > run
-    # The first goes on, late: the log refuses its outcome.
+    # The first process ends its run late, and the log refuses the outcome.
     ended = RunnerAction(ActionKind.END, 1, run, outcome=Outcome.DONE).command("t").to_json()
     assert "refused" in group.run_log.apply(ended)
 
--- a/tests/scheduled_tasks/test_schedule.py
+++ b/tests/scheduled_tasks/test_schedule.py
@@ -1,4 +1,4 @@
-"""When runs of a task are due."""
+"""Due times of the runs of a task."""
 
 from __future__ import annotations
 
