--- a/tests/leases/support.py
+++ b/tests/leases/support.py
@@ -22,7 +22,7 @@
         self.table = LeaseTable()
         self.manager = LeaseManager(self.table, settings)
         self.now = NOW
-        self.numbers: dict[str, int] = {}
+        self.heartbeat_numbers: dict[str, int] = {}
         self.manager.become_leader(self.now)
 
     def apply(self, commands: list[LeaseCommand]) -> None:
@@ -31,17 +31,17 @@
             self.manager.on_applied(self.now, stored, self.table.apply(stored), 0)
 
     def heartbeat(
-        self, node: str, *wants: str, returns: tuple[LeaseToken, ...] = (), max_leases: int = 0
+        self, node: str, *wanted: str, returned: tuple[LeaseToken, ...] = (), max_leases: int = 0
     ) -> dict[str, HeartbeatResponse]:
-        self.numbers[node] = number = self.numbers.get(node, 0) + 1
+        self.heartbeat_numbers[node] = number = self.heartbeat_numbers.get(node, 0) + 1
         self.apply(
             self.manager.handle_heartbeat(
-                self.now, Heartbeat(node, "b", number, wants, returns, max_leases), 0
+                self.now, Heartbeat(node, "b", number, wanted, returned, max_leases), 0
             )
         )
         self.apply(self.manager.tick(self.now))
         return dict(self.manager.take_responses(self.now, 1, "n1", 1))
 
-    def advance(self, span: timedelta) -> None:
-        self.now += span
+    def advance(self, duration: timedelta) -> None:
+        self.now += duration
         self.apply(self.manager.tick(self.now))
--- a/tests/leases/test_clock_drift.py
+++ b/tests/leases/test_clock_drift.py
@@ -10,14 +10,16 @@
 
 
 @pytest.mark.parametrize(
-    ("rate", "found"), [(1.0, False), (1.01, False), (0.99, False), (1.2, True), (0.8, True)]
+    ("rate", "detected"), [(1.0, False), (1.01, False), (0.99, False), (1.2, True), (0.8, True)]
 )
-def test_a_clock_beyond_the_drift_is_found_and_a_late_heartbeat_is_not(rate: float, found: bool) -> None:
+def test_a_clock_beyond_the_drift_bound_is_detected_and_late_heartbeats_are_tolerated(
+    rate: float, detected: bool
+) -> None:
     monitor = ClockDriftMonitor(0.01)
     observed = []
     for second in range(60):
-        late = 900 * MILLISECOND if second in (5, 20, 21, 40) else ZERO  # a suspended process, a slow link
-        observed.append(monitor.observe("a", NOW + second * rate * SECOND, NOW + second * SECOND + late))
+        delay = 900 * MILLISECOND if second in (5, 20, 21, 40) else ZERO  # a suspended process, a slow link
+        observed.append(monitor.observe("a", NOW + second * rate * SECOND, NOW + second * SECOND + delay))
     errors = [error for error in observed if error is not None]
-    assert bool(errors) is found and monitor.exceeds_bound("a") is found
+    assert bool(errors) is detected and monitor.exceeds_bound("a") is detected
     assert all(abs(error - (rate - 1)) < 0.25 for error in errors)
--- a/tests/leases/test_commands.py
+++ b/tests/leases/test_commands.py
@@ -17,7 +17,7 @@
         EndLease("task/t", 7, EndReason.RETURNED),
     ],
 )
-def test_a_command_is_read_from_its_stored_form(command: LeaseCommand) -> None:
+def test_a_command_is_parsed_from_its_stored_form(command: LeaseCommand) -> None:
     assert parse_lease_command(command.to_json()) == command
 
 
@@ -34,7 +34,9 @@
         ({}, "KeyError('name')"),
     ],
 )
-def test_a_wrong_command_is_refused_with_its_replicated_text(stored: dict[str, Any], error: str) -> None:
+def test_an_invalid_command_raises_an_error_with_its_replicated_text(
+    stored: dict[str, Any], error: str
+) -> None:
     with pytest.raises((ValueError, KeyError)) as raised:
         parse_lease_command(stored)
     assert repr(raised.value) == error
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -19,7 +19,7 @@
     assert group.table.held_counts["c/b"] == 3
 
 
-def test_a_lease_is_granted_anew_only_after_its_whole_term_and_the_drift_margin() -> None:
+def test_a_lease_is_granted_to_another_process_only_after_its_term_and_the_drift_margin() -> None:
     group = Group()
     group.heartbeat("a", "x")
     group.advance(SETTINGS.renewal_interval)
@@ -33,7 +33,7 @@
     assert group.table.holder("x") == "b/b" and group.table.leases["x"].token == 2
 
 
-def test_a_new_leader_counts_all_terms_anew() -> None:
+def test_a_new_leader_restarts_all_lease_terms() -> None:
     group = Group()
     group.heartbeat("a", "x")
     group.advance(SETTINGS.renewal_interval)
@@ -81,17 +81,19 @@
     assert dict(group.manager.take_responses(group.now, 1, "n1", 1))["a/b"].leases == ()
 
 
-def test_a_returned_lease_is_granted_at_once_and_may_come_back_to_its_previous_node() -> None:
+def test_a_returned_lease_is_granted_immediately_and_may_return_to_its_previous_node() -> None:
     group = Group()
     for node in ("a", "b"):
         group.heartbeat(node, "x", "y")
     group.advance(SETTINGS.renewal_interval)
-    before = {name: group.table.holder(name) for name in ("x", "y")}
-    mine = [name for name, holder in before.items() if holder == "a/b"]
-    group.heartbeat("a", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in mine))
-    assert all(group.table.holder(name) == "b/b" for name in mine)
+    holders_before = {name: group.table.holder(name) for name in ("x", "y")}
+    returned_names = [name for name, holder in holders_before.items() if holder == "a/b"]
     group.heartbeat(
-        "b", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in ("x", "y"))
+        "a", returned=tuple(LeaseToken(name, group.table.leases[name].token) for name in returned_names)
+    )
+    assert all(group.table.holder(name) == "b/b" for name in returned_names)
+    group.heartbeat(
+        "b", returned=tuple(LeaseToken(name, group.table.leases[name].token) for name in ("x", "y"))
     )
     group.heartbeat("b", "x", "y")
     group.heartbeat("a", "x", "y")
--- a/tests/leases/test_messages.py
+++ b/tests/leases/test_messages.py
@@ -32,7 +32,7 @@
         (REQUEST_COUNTS, RequestCounts(9, 2, 1), [9, 2, 1]),
     ],
 )
-def test_rows_are_plain_lists_on_the_wire_and_typed_when_read(
+def test_rows_are_plain_lists_on_the_wire_and_named_tuples_when_read(
     value_type: ValueType, value: Any, written: list[Any]
 ) -> None:
     assert value_type.write(value) == written
@@ -58,6 +58,6 @@
         (REQUEST_COUNTS, "921"),
     ],
 )
-def test_rows_of_another_form_are_refused(value_type: ValueType, value: object) -> None:
+def test_malformed_rows_are_rejected(value_type: ValueType, value: object) -> None:
     with pytest.raises(InvalidValueError):
         value_type.read(value)
--- a/tests/leases/test_names.py
+++ b/tests/leases/test_names.py
@@ -5,7 +5,7 @@
 from marlstep.leases.names import ProcessName, is_config_lease, node_of
 
 
-def test_a_holder_names_its_node_and_process() -> None:
+def test_a_holder_name_contains_its_node_and_process() -> None:
     assert str(ProcessName("n1", "b7")) == "n1/b7"
     assert node_of("n1/b7") == "n1" and node_of("") == ""
 
--- a/tests/leases/test_settings.py
+++ b/tests/leases/test_settings.py
@@ -17,12 +17,12 @@
     st.floats(-1, 1),
     st.floats(0, 1),
 )
-def test_the_holder_stops_before_the_leader_whatever_both_clocks_do_within_the_drift(
+def test_a_lease_expires_on_its_holder_first_for_any_clock_errors_within_the_drift(
     term: float, drift: float, holder_error: float, leader_error: float, delay: float
 ) -> None:
     settings = LeaseSettings(term * SECOND, drift)
     holder_rate, leader_rate = 1 + holder_error * drift, 1 + leader_error * drift
     # Both times are true seconds since the holder sent its heartbeat. The leader responds after `delay`.
-    holder_ends = (settings.holder_expiry(NOW) - NOW) / SECOND / holder_rate
-    leader_ends = delay + (settings.leader_expiry(NOW) - NOW) / SECOND / leader_rate
-    assert holder_ends <= leader_ends + 2e-6  # datetimes have whole microseconds
+    holder_expiry_s = (settings.holder_expiry(NOW) - NOW) / SECOND / holder_rate
+    leader_expiry_s = delay + (settings.leader_expiry(NOW) - NOW) / SECOND / leader_rate
+    assert holder_expiry_s <= leader_expiry_s + 2e-6  # datetimes have whole microseconds
--- a/tests/scheduled_tasks/support.py
+++ b/tests/scheduled_tasks/support.py
@@ -38,15 +38,15 @@
         self, runner: TaskRunner, now: datetime, until: ActionKind | None, outcome: Outcome = Outcome.DONE
     ) -> list[ActionKind]:
         """Perform up to 30 steps of the runner, stopping before the action `until`. Returns the performed actions."""
-        done: list[ActionKind] = []
+        performed: list[ActionKind] = []
         for _ in range(30):
             action = runner.next_action(now, now, 2 * SECOND)
             if action is None:
                 now += 100 * MILLISECOND
                 continue
             if action.kind is until:
-                return done
-            done.append(action.kind)
+                return performed
+            performed.append(action.kind)
             result = outcome if action.is_request else self.run_log.apply(action.command("t").to_json())
             runner.handle_result(now, action, result)
-        return done
+        return performed
--- a/tests/scheduled_tasks/test_commands.py
+++ b/tests/scheduled_tasks/test_commands.py
@@ -38,7 +38,7 @@
         EndRun("t", 7, 4, Outcome.FAILED),
     ],
 )
-def test_a_command_is_read_from_its_stored_form(command: TaskCommand) -> None:
+def test_a_command_is_parsed_from_its_stored_form(command: TaskCommand) -> None:
     assert parse_task_command(command.to_json()) == command
 
 
@@ -56,7 +56,9 @@
         ({"task": "t", "token": 1}, "KeyError('do')"),
     ],
 )
-def test_a_wrong_command_is_refused_with_its_replicated_text(stored: dict[str, Any], error: str) -> None:
+def test_an_invalid_command_raises_an_error_with_its_replicated_text(
+    stored: dict[str, Any], error: str
+) -> None:
     with pytest.raises((ValueError, KeyError)) as raised:
         parse_task_command(stored)
     assert repr(raised.value) == error
@@ -73,16 +75,16 @@
         TaskCommandRefused("a run is open", STATUS),
     ],
 )
-def test_a_result_is_read_from_its_stored_form(result: TaskResult) -> None:
+def test_a_result_is_parsed_from_its_stored_form(result: TaskResult) -> None:
     assert parse_task_result(result.to_json()) == result
 
 
-def test_an_error_of_the_log_is_read_as_a_refusal() -> None:
+def test_an_error_of_the_log_is_parsed_as_a_refusal() -> None:
     assert parse_task_result({"error": "no command"}) == TaskCommandRefused("no command")
 
 
 @pytest.mark.parametrize("kind", ActionKind)
-def test_an_action_is_either_a_request_or_a_command_under_its_own_word(kind: ActionKind) -> None:
+def test_an_action_is_either_a_request_or_a_command_named_by_its_kind(kind: ActionKind) -> None:
     action = RunnerAction(kind, 7, 4)
     if action.is_request:
         with pytest.raises(NoLogCommandError):
--- a/tests/scheduled_tasks/test_run_log.py
+++ b/tests/scheduled_tasks/test_run_log.py
@@ -10,7 +10,7 @@
 from tests.scheduled_tasks.support import Group
 
 
-def test_the_token_is_checked_before_the_rest_of_a_command_is_read() -> None:
+def test_the_token_is_checked_before_the_rest_of_a_command_is_parsed() -> None:
     group = Group()
     token = group.grant("a/1")
     stored = {"m": "tasks", "do": "other", "task": "t", "token": token + 1}
@@ -18,7 +18,7 @@
     assert group.run_log.runs == {}
 
 
-def test_a_run_is_begun_again_only_where_it_never_ran_or_as_a_repeat() -> None:
+def test_a_run_is_begun_again_only_if_it_never_ran_or_as_a_repeat() -> None:
     group = Group()
     token = group.grant("a/1")
     begin = BeginRun("t", token, 4, is_repeat=False).to_json()
--- a/tests/scheduled_tasks/test_runner.py
+++ b/tests/scheduled_tasks/test_runner.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("idempotent", [True, False])
-def test_a_run_left_open_is_fenced_and_repeated_only_where_it_is_idempotent(
+def test_a_run_left_open_is_fenced_and_repeated_only_if_it_is_idempotent(
     idempotent: bool,
 ) -> None:
     group, first, second = Group(), TaskRunner(task_plan(idempotent)), TaskRunner(task_plan(idempotent))
@@ -20,15 +20,15 @@
     assert group.run(first, NOW, until=ActionKind.EXECUTE) == [ActionKind.INSPECT, ActionKind.BEGIN]
     run = group.run_log.runs["t"].number
     second.lease_gained(group.grant("b/1"))
-    steps = group.run(second, NOW, until=ActionKind.EXECUTE)
-    assert steps[:3] == [ActionKind.INSPECT, ActionKind.FENCE, ActionKind.RECORD_FENCE]
+    actions = group.run(second, NOW, until=ActionKind.EXECUTE)
+    assert actions[:3] == [ActionKind.INSPECT, ActionKind.FENCE, ActionKind.RECORD_FENCE]
     assert group.run_log.runs["t"].number == run if idempotent else group.run_log.runs["t"].number > run
     # The first process ends its run late, and the log refuses the outcome.
-    ended = RunnerAction(ActionKind.END, 1, run, outcome=Outcome.DONE).command("t").to_json()
-    assert "refused" in group.run_log.apply(ended)
+    end_command = RunnerAction(ActionKind.END, 1, run, outcome=Outcome.DONE).command("t").to_json()
+    assert "refused" in group.run_log.apply(end_command)
 
 
-def test_a_run_with_a_known_end_needs_no_fence() -> None:
+def test_a_run_with_a_known_outcome_needs_no_fence() -> None:
     group, first, second = (
         Group(),
         TaskRunner(task_plan(idempotent=False)),
@@ -58,7 +58,7 @@
     ]
 
 
-def test_no_run_is_executed_without_its_timeout_left_of_the_lease() -> None:
+def test_a_run_is_executed_only_if_its_whole_timeout_remains_of_the_lease() -> None:
     group, runner = Group(), TaskRunner(task_plan(idempotent=False))
     runner.lease_gained(group.grant("a/1"))
     group.run(runner, NOW, until=ActionKind.EXECUTE)
@@ -89,5 +89,5 @@
 def test_a_run_refused_before_it_ran_is_begun_again() -> None:
     group, runner = Group(), TaskRunner(task_plan(idempotent=False))
     runner.lease_gained(group.grant("a/1"))
-    steps = group.run(runner, NOW, until=None, outcome=Outcome.NOT_RUN)
-    assert steps.count(ActionKind.EXECUTE) >= 2 and not group.run_log.runs["t"].may_be_in_flight
+    actions = group.run(runner, NOW, until=None, outcome=Outcome.NOT_RUN)
+    assert actions.count(ActionKind.EXECUTE) >= 2 and not group.run_log.runs["t"].may_be_in_flight
