--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -208,7 +208,7 @@
             yield lease
 
     def push_to_all(self, heartbeat_round: int) -> None:
-        """Push a response to each process with a config lease, so that changes of documents reach it early."""
+        """Push a response to each process with a config lease, to deliver changes before its next heartbeat."""
         for name, lease in self.table.leases.items():
             if is_config_lease(name) and lease.holder:
                 self.push_to(lease.holder, heartbeat_round)
--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -40,7 +40,7 @@
     version: int
     state: str
     for_ms: int  # how long it has been in that state
-    reason: str  # why the process does not use a newer version; empty if there is no newer one
+    reason: str  # why the process does not use a newer version; empty if there is no reason
 
 
 class QuotaShareRow(NamedTuple):
