--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -1,4 +1,4 @@
-"""The manager: grants, renewals, expiries and returns on the voter that leads."""
+"""The lease manager: grants, renewals, expiries and returns on the leader."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     names = [f"t{number}" for number in range(12)]
     for node in ("a", "b", "c"):
         group.heartbeat(node, *names, max_leases=3 if node == "c" else 0)
-    assert not group.table.held_counts  # not before all had the time to be heard
+    assert not group.table.held_counts  # no grants until all processes could send a heartbeat
     group.advance(SETTINGS.renewal_interval)
     assert sorted(group.table.held_counts.values()) == [3, 4, 5]
     assert group.table.held_counts["c/b"] == 3
 
 
-def test_a_lease_is_granted_anew_only_after_its_whole_term_and_the_drift_margin() -> None:
+def test_a_lease_is_granted_to_another_process_only_after_its_term_and_the_drift_margin() -> None:
     group = Group()
     group.heartbeat("a", "x")
     group.advance(SETTINGS.renewal_interval)
@@ -29,11 +29,11 @@
     group.heartbeat("b", "x")
     assert group.table.holder("x") == "a/b"
     group.advance(SETTINGS.term * 0.0002)
-    group.advance(ZERO)  # its end is committed, and then it is granted
+    group.advance(ZERO)  # its end is committed first, then the lease is granted
     assert group.table.holder("x") == "b/b" and group.table.leases["x"].token == 2
 
 
-def test_a_new_leader_counts_all_terms_anew() -> None:
+def test_a_new_leader_restarts_all_lease_terms() -> None:
     group = Group()
     group.heartbeat("a", "x")
     group.advance(SETTINGS.renewal_interval)
@@ -56,7 +56,7 @@
 
 
 def test_a_pushed_response_renews_nothing_for_a_dead_holder() -> None:
-    """Pushes follow each change of a document: if they renewed, a dead process would keep its leases."""
+    """A push follows each document change. If pushes renewed leases, a dead process would keep them."""
     group = Group()
     group.heartbeat("a", "x", "rules/a/b")
     group.advance(SETTINGS.renewal_interval)
@@ -81,17 +81,19 @@
     assert dict(group.manager.take_responses(group.now, 1, "n1", 1))["a/b"].leases == ()
 
 
-def test_a_returned_lease_is_granted_at_once_and_may_come_back_to_its_previous_node() -> None:
+def test_a_returned_lease_is_granted_immediately_and_may_return_to_its_previous_node() -> None:
     group = Group()
     for node in ("a", "b"):
         group.heartbeat(node, "x", "y")
     group.advance(SETTINGS.renewal_interval)
-    before = {name: group.table.holder(name) for name in ("x", "y")}
-    mine = [name for name, holder in before.items() if holder == "a/b"]
-    group.heartbeat("a", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in mine))
-    assert all(group.table.holder(name) == "b/b" for name in mine)
+    holders_before = {name: group.table.holder(name) for name in ("x", "y")}
+    returned_names = [name for name, holder in holders_before.items() if holder == "a/b"]
     group.heartbeat(
-        "b", returns=tuple(LeaseToken(name, group.table.leases[name].token) for name in ("x", "y"))
+        "a", returned=tuple(LeaseToken(name, group.table.leases[name].token) for name in returned_names)
+    )
+    assert all(group.table.holder(name) == "b/b" for name in returned_names)
+    group.heartbeat(
+        "b", returned=tuple(LeaseToken(name, group.table.leases[name].token) for name in ("x", "y"))
     )
     group.heartbeat("b", "x", "y")
     group.heartbeat("a", "x", "y")
@@ -114,7 +116,7 @@
 
 
 def test_an_end_without_a_token_changes_nothing_on_the_leader() -> None:
-    """Any client may put such a command into the log; it once raised KeyError here, outside the state machine."""
+    """Any client may propose such a command. It raised KeyError in the leader, outside the state machine."""
     group = Group()
     group.heartbeat("a", "x")
     group.advance(SETTINGS.renewal_interval)
