--- a/marlstep/consensus/__init__.py
+++ b/marlstep/consensus/__init__.py
@@ -1,5 +1,6 @@
-"""Consensus of a group of replicas on one log, after Raft; no I/O, and the time and randomness are passed in.
+"""Raft consensus of a group of replicas on one log. It does no I/O; the caller passes in the time and randomness.
 
-`raft` is the protocol's core, over `log`, `election`, `replication`, `snapshot_transfer` and `ready`. `state_machine`
-applies the log's commands. `replica` puts both together, with `group_membership` and `leader_duties` for the leader.
+`raft` is the core of the protocol and uses `log`, `election`, `replication`, `snapshot_transfer` and `ready`.
+`state_machine` applies the committed commands. `replica` combines both and, on the leader, runs `group_membership` and
+`leader_duties`.
 """
--- a/marlstep/consensus/configuration_change.py
+++ b/marlstep/consensus/configuration_change.py
@@ -1,4 +1,4 @@
-"""The rules for changing a group's configuration by one voter at a time (section 4.1 of Ongaro's dissertation)."""
+"""Rules for changing the group's configuration by one voter at a time (section 4.1 of Ongaro's dissertation)."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class ConfigurationChangeRejectedError(MarlstepError):
-    """A configuration change was not proposed; `rejection` is the reason."""
+    """A configuration change was rejected before it was proposed; `rejection` is the reason."""
 
     def __init__(self, rejection: ConfigurationChangeRejection) -> None:
-        """Keep the reason, and show it as the text."""
+        """Initialize the error with the rejection, whose value is the message."""
         super().__init__(rejection.value)
         self.rejection = rejection
 
@@ -31,10 +31,10 @@
 ) -> None:
     """Check that the proposed configuration may follow the current one.
 
-    A change is pending while the entry of the current configuration is not committed.
+    `change_pending` states that the entry of the current configuration is not committed yet.
 
     Raises:
-        ConfigurationChangeRejectedError: It may not.
+        ConfigurationChangeRejectedError: A change is pending, several voters change, or no voter remains.
     """
     if change_pending:
         raise ConfigurationChangeRejectedError(ConfigurationChangeRejection.CHANGE_PENDING)
--- a/marlstep/consensus/election.py
+++ b/marlstep/consensus/election.py
@@ -1,7 +1,7 @@
 """Leader election: roles, terms, votes and the election timer (section 5.2 of the Raft paper).
 
-A member that loses its leader first asks for a pre-vote, without a new term, so that one that was partitioned away
-does not depose a working leader when it comes back (section 9.6 of Ongaro's dissertation):
+A member that loses contact with its leader first asks for pre-votes without incrementing its term, so that a member
+that rejoins after a partition does not depose a working leader (section 9.6 of Ongaro's dissertation):
 
     follower ──election timeout──▶ pre-candidate ──majority of pre-votes──▶ candidate ──majority of votes──▶ leader
         ▲                                                                                                       │
@@ -22,14 +22,14 @@
 
 
 class RandomSource(Protocol):
-    """A seeded source of randomness that the caller passes in."""
+    """A source of random numbers, seeded by the caller."""
 
     def random(self) -> float:
-        """Return a number from 0 up to, but not including, 1."""
+        """Return a number in the half-open interval [0, 1)."""
 
 
 class Role(enum.Enum):
-    """The role of a member. The values are shown to operators."""
+    """The role of a member. Operators see the values."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asking"
@@ -39,9 +39,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RaftTiming:
-    """The intervals of heartbeats and elections.
+    """The heartbeat interval and the minimum election timeout.
 
-    An election starts after a random time between `election_timeout` and twice that without contact from a leader.
+    A member without contact from a leader starts an election after a random time between `election_timeout` and twice
+    `election_timeout`.
     """
 
     heartbeat_interval: timedelta = 100 * MILLISECOND
@@ -49,37 +50,38 @@
 
 
 class ElectionTimer:
-    """The randomized time after which a member without a leader starts an election."""
+    """The randomized election timeout of one member."""
 
     def __init__(self, timing: RaftTiming, random_source: RandomSource, now: datetime) -> None:
         """Start the timer at `now`."""
         self._timing = timing
         self._random = random_source
         self.last_leader_contact: datetime | None = None
-        self.deferred = False  # the deadline was missed by far and has been moved once
+        self.deferred = False  # the deadline was missed by far and has been postponed once
         self.deadline = now
         self.reset(now)
 
     def reset(self, now: datetime) -> None:
-        """Start again with a new random timeout."""
+        """Restart the timer with a new random timeout."""
         self.deferred = False
         self.deadline = now + self._timing.election_timeout * (1 + self._random.random())
 
     def record_leader_contact(self, now: datetime) -> None:
-        """Note a message from the leader, and start again."""
+        """Record a message from the leader at `now` and restart the timer."""
         self.last_leader_contact = now
         self.reset(now)
 
     def has_recent_leader_contact(self, now: datetime) -> bool:
-        """Tell whether the leader was heard within the minimum election timeout."""
+        """Tell whether a message from the leader arrived within the minimum election timeout before `now`."""
         last = self.last_leader_contact
         return last is not None and now < last + self._timing.election_timeout
 
     def has_expired(self, now: datetime) -> bool:
         """Tell whether an election is due.
 
-        A process that wakes late, without CPU time for a while, reads its timers before the messages that wait in its
-        sockets. It defers once by a heartbeat interval, or it would start elections that nobody needs.
+        A process that had no CPU time for a while runs its overdue timers before it reads the messages in its socket
+        buffers. It therefore postpones an overdue election once, by one heartbeat interval: the leader's messages may
+        already have arrived, and the election would be unnecessary.
         """
         if now >= self.deadline + self._timing.heartbeat_interval and not self.deferred:
             self.deferred = True
@@ -89,7 +91,7 @@
 
 
 class Election:
-    """One member's term, vote and role, and the campaigns that it runs."""
+    """One member's term, vote and role, and its election campaigns."""
 
     def __init__(
         self,
@@ -100,19 +102,19 @@
         timer: ElectionTimer,
         now: datetime,
     ) -> None:
-        """Start as a follower with the stored term and vote."""
+        """Initialize a follower with the term and vote in `saved`."""
         self.identity = identity
         self.term, self.voted_for = saved.term, saved.voted_for
         self.role = Role.FOLLOWER
         self.role_since = now
-        self.leader = ""  # empty where none is known
+        self.leader = ""  # empty if unknown
         self.votes_received: set[str] = set()
         self.timer = timer
         self._log = log
         self._outbox = outbox
 
     def become_follower(self, now: datetime, term: int, leader: str) -> None:
-        """Follow `leader`, or nobody known yet, in that term."""
+        """Become a follower in `term`; `leader` is empty while the leader of that term is unknown."""
         if term > self.term:
             self.term, self.voted_for = term, ""
         if self.role is not Role.FOLLOWER:
@@ -121,7 +123,7 @@
         self.leader = leader
 
     def become_leader(self, now: datetime) -> None:
-        """Lead the current term."""
+        """Become the leader of the current term."""
         self.role, self.role_since, self.leader = Role.LEADER, now, self.identity
 
     def leave(self) -> None:
@@ -129,7 +131,7 @@
         self.role, self.leader = Role.FOLLOWER, ""
 
     def campaign(self, now: datetime, *, leadership_transfer: bool) -> None:
-        """Ask for pre-votes, or at once for votes where the leader itself ordered the election."""
+        """Request pre-votes, or votes without a pre-vote round if the leader itself ordered the election."""
         self.leader, self.role_since = "", now
         if leadership_transfer:
             self._become_candidate(now, leadership_transfer=True)
@@ -145,17 +147,17 @@
 
     def _request_votes(self, term: int, *, pre_vote: bool, leadership_transfer: bool) -> None:
         request = RequestVote(term, pre_vote, leadership_transfer, self._log.last_index, self._log.last_term)
-        # The candidate's own vote counts only when it is durable, so it too is sent as a message.
+        # The candidate's own vote counts only once it is durable, so it is sent as a message like any other vote.
         own_vote = RequestVoteResponse(self.term, term, pre_vote, granted=True)
         for voter in self._log.configuration.voters:
             self._outbox.send_after_sync(voter, own_vote if voter == self.identity else request)
 
     def may_grant_pre_vote(self, request: RequestVote) -> bool:
-        """Tell whether the candidate could win this member's vote in the term that it asks about."""
+        """Tell whether this member would vote for the candidate in the requested term."""
         return self._is_up_to_date(request) and request.term > self.term
 
     def grant_vote(self, now: datetime, candidate: str, request: RequestVote) -> bool:
-        """Vote for the candidate where the rules of sections 5.2 and 5.4.1 allow it; return whether they did."""
+        """Vote for the candidate if sections 5.2 and 5.4.1 allow it; return whether the vote was granted."""
         granted = (
             self._is_up_to_date(request)
             and request.term == self.term
@@ -168,11 +170,11 @@
         return granted
 
     def _is_up_to_date(self, request: RequestVote) -> bool:
-        """Compare the candidate's log with this member's by last term, then by length (section 5.4.1)."""
+        """Tell whether the candidate's log is at least as up to date as this member's (section 5.4.1)."""
         return (request.last_log_term, request.last_log_index) >= (self._log.last_term, self._log.last_index)
 
     def record_vote(self, now: datetime, voter: str, response: RequestVoteResponse) -> bool:
-        """Count a response to this member's campaign; return whether it has won the election."""
+        """Count a response to this member's campaign; return whether the member has now won the election."""
         if not response.granted or voter not in self._log.configuration.voters:
             return False
         if self.role is Role.PRE_CANDIDATE and response.pre_vote and response.requested_term == self.term + 1:
--- a/marlstep/consensus/group_membership.py
+++ b/marlstep/consensus/group_membership.py
@@ -1,7 +1,8 @@
-"""Changes of the group's configuration: joins, promotion of learners, and removal of members.
+"""Changes of the group's configuration: joins, promotion of learners and removal of members.
 
-The leader takes one step at a time (section 4 of Ongaro's dissertation). A node whose store was lost joins with a new
-identity, first as a learner; once it has caught up, the voter with its former identity is removed, and it is promoted.
+The leader makes one change at a time (section 4 of Ongaro's dissertation). A node that lost its store joins under a new
+identity, first as a learner. Once the learner has caught up, the leader removes the voter with the node's former
+identity and then promotes the learner.
 """
 
 from __future__ import annotations
@@ -18,33 +19,33 @@
 from marlstep.consensus.replica_status import ReplicaEvent
 from marlstep.units import SECOND
 
-MAX_LAG_TO_VOTE = 32  # entries that a learner may be behind when it is promoted
-JOIN_REQUEST_EXPIRY = 5 * SECOND  # a request that is not repeated for so long is dropped
+MAX_LAG_TO_VOTE = 32  # entries that a learner's log may be behind when it is promoted
+JOIN_REQUEST_EXPIRY = 5 * SECOND  # a request that was not repeated within this time is dropped
 
 
 class GroupMembership:
-    """The leader's reconciliation of the group's configuration with the eligible nodes and the join requests."""
+    """Adapts the group's configuration to the eligible nodes and the join requests while this replica leads."""
 
     def __init__(self, raft: Raft, events: deque[ReplicaEvent]) -> None:
-        """Propose changes to `raft`, and append each to `events`."""
+        """Initialize without join requests; changes are proposed to `raft` and reported in `events`."""
         self._raft = raft
         self._events = events
-        self._join_requests: dict[str, datetime] = {}  # identity, and when it last asked
+        self._join_requests: dict[str, datetime] = {}  # time of the last request by identity
 
     def handle_join_request(
         self, now: datetime, sender: str, request: JoinRequest, eligible_nodes: tuple[str, ...]
     ) -> None:
-        """Note the request of an eligible node's replica that asks for itself."""
+        """Record a join request if the replica asks for itself and its node is eligible."""
         is_eligible = request.node in eligible_nodes
         if is_eligible and node_of(request.identity) == request.node and sender == request.identity:
             self._join_requests[request.identity] = now
 
     def clear(self) -> None:
-        """Drop all requests, as this replica no longer leads."""
+        """Drop all join requests, after this replica lost the leadership."""
         self._join_requests.clear()
 
     def reconcile(self, now: datetime, eligible_nodes: tuple[str, ...]) -> None:
-        """Propose the next change, where one is due and none is pending."""
+        """Propose the next change if one is due and none is pending."""
         raft = self._raft
         if not raft.is_established_leader or raft.log.configuration_index > raft.commit_index:
             return
@@ -57,7 +58,11 @@
                 return
 
     def _remove_ineligible_member(self, now: datetime, eligible_nodes: tuple[str, ...]) -> bool:
-        """Propose the removal of a member that the others can do without; return whether there is one."""
+        """Propose to remove one ineligible member, if a majority of the other voters responds.
+
+        Returns:
+            Whether there was such a member.
+        """
         configuration = self._raft.configuration
         for identity in configuration.members:
             if node_of(identity) in eligible_nodes:
@@ -71,7 +76,7 @@
         return False
 
     def _advance_join(self, now: datetime, identity: str) -> bool:
-        """Take a joining replica's next step; return False where it first has to catch up."""
+        """Propose the next step of a joining replica; return False if it first has to catch up."""
         configuration = self._raft.configuration
         if identity not in configuration.learners:
             self._add_learner(configuration, identity)
@@ -98,7 +103,7 @@
     def _remove_predecessors(
         self, now: datetime, configuration: Configuration, predecessors: list[str], identity: str
     ) -> None:
-        """Remove a node's former voter, once it is silent and the others can do without it."""
+        """Propose to remove a node's former voters once they are unresponsive and most other voters respond."""
         remaining = tuple(voter for voter in configuration.voters if voter not in predecessors)
         if len(configuration.voters) == 1 or not all(self._is_silent(now, voter) for voter in predecessors):
             return
@@ -120,7 +125,7 @@
         )
 
     def _is_silent(self, now: datetime, identity: str) -> bool:
-        """Tell whether another member has not answered for twice the election timeout."""
+        """Tell whether another member has not responded for twice the election timeout."""
         if identity == self._raft.identity:
             return False
         peer = self._raft.progress.get(identity)
@@ -128,6 +133,6 @@
         return peer is None or peer.last_contact is None or peer.last_contact < oldest
 
     def _majority_is_alive(self, now: datetime, voters: tuple[str, ...]) -> bool:
-        """Tell whether a majority of these voters has answered of late, so that they can commit by themselves."""
+        """Tell whether a majority of these voters has responded recently, so that they can commit on their own."""
         alive = sum(not self._is_silent(now, voter) for voter in voters)
         return alive >= Configuration(voters).quorum
--- a/marlstep/consensus/leader_duties.py
+++ b/marlstep/consensus/leader_duties.py
@@ -1,7 +1,7 @@
-"""What the leader does for the cluster's nodes: leases, configuration documents, the roster and quotas.
+"""The leader's controllers for the cluster's nodes: leases, configuration documents, the roster and quotas.
 
-It decides by what processes report in their heartbeats and proposes commands; their results come from the log. None of
-its own state is replicated: a new leader starts anew.
+They decide from the reports in the processes' heartbeats and propose commands, whose results they receive when the log
+entries are applied. Their own state is not replicated: a new leader starts without it.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND
 
-TENANT_DEMAND_SCALE = 1000  # heartbeats report a tenant's requests by this many seconds
+TENANT_DEMAND_SCALE = 1000  # heartbeats report the demand of a tenant in requests per 1000 s
 
 
 class MachineName:
-    """The state machines' names, as the key `m` of commands and the keys of snapshots have them."""
+    """The names of the state machines in the key `m` of commands and in the keys of snapshots."""
 
     LEASES: Final = "leases"
     CONFIG_STORE: Final = "rules"
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicatedState:
-    """The state machines that the duties read; None where the log drives no such machine."""
+    """The state machines that the duties read; None if the group has no such machine."""
 
     leases: LeaseTable
     config_store: ConfigStore | None
@@ -54,7 +54,7 @@
 
     @staticmethod
     def of(leases: LeaseTable, machines: StateMachines) -> ReplicatedState:
-        """Pick the machines by their names."""
+        """Return the state machines in `machines` by their names, with the lease table."""
         config_store = machines.machines.get(MachineName.CONFIG_STORE)
         roster = machines.machines.get(MachineName.ROSTER)
         quotas = machines.machines.get(MachineName.QUOTAS)
@@ -67,7 +67,7 @@
 
 
 class LeaderDuties:
-    """The leader's controllers, driven by time, heartbeats and applied commands."""
+    """The leader's controllers, driven by timers, heartbeats and applied commands."""
 
     def __init__(
         self,
@@ -77,33 +77,33 @@
         settings: ReplicaSettings,
         events: deque[ReplicaEvent],
     ) -> None:
-        """Propose commands to `raft`, and append what operators should know to `events`."""
+        """Initialize inactive duties that propose commands to `raft` and report to operators in `events`."""
         self._node = node
         self._raft = raft
         self._state = state
         self._settings = settings
         self._events = events
-        self._term = 0  # the term in which these duties were taken up; 0 where they were not
+        self._term = 0  # the term in which these duties were started; 0 while they are inactive
         self.lease_manager = LeaseManager(state.leases, settings.leases)
         self.rollout = RolloutMonitor()
         self.roster_controller = RosterController(settings.roster or RosterSettings())
         self.quota_balancer = QuotaBalancer()
-        self.proposed_decisions: set[tuple[str, int]] = set()  # commits and withdrawals not yet applied
+        self.proposed_decisions: set[tuple[str, int]] = set()  # document and version, until applied
 
-    # Terms.
+    # Start and end of a term
 
     @property
     def is_active(self) -> bool:
-        """Whether the duties were taken up and not given up since."""
+        """Whether the duties were started and not stopped since."""
         return self._term > 0
 
     @property
     def is_current(self) -> bool:
-        """Whether the duties were taken up in the current term."""
+        """Whether the duties were started in the current term."""
         return self._term == self._raft.term
 
     def start_term(self, now: datetime) -> None:
-        """Take the duties up as the established leader of the current term."""
+        """Start the duties as the established leader of the current term."""
         self._term = self._raft.term
         self.lease_manager.become_leader(now)
         self.rollout.become_leader()
@@ -113,27 +113,27 @@
         self.proposed_decisions.clear()
 
     def step_down(self) -> None:
-        """Give the duties up."""
+        """Stop the duties after the leadership was lost."""
         self._term = 0
         self.lease_manager.step_down()
 
-    # Leases.
+    # Leases and heartbeats
 
     def next_due(self) -> datetime | None:
-        """Return when `expire_and_grant_leases` has something to do; None where nothing is due by time alone."""
+        """Return the time at which `expire_and_grant_leases` should be called next; None if no lease timer is set."""
         return self.lease_manager.next_due()
 
     def handle_heartbeat(self, now: datetime, heartbeat: Heartbeat) -> None:
-        """Take in a process's heartbeat; the response follows once a majority has confirmed this leader."""
+        """Handle a process's heartbeat; the response follows once a majority has confirmed this leader."""
         commands = self.lease_manager.handle_heartbeat(now, heartbeat, self._raft.heartbeat_round + 1)
         self._propose_all(commands)
 
     def expire_and_grant_leases(self, now: datetime) -> None:
-        """End the leases that have expired, and grant those that are free and wanted."""
+        """Propose to end expired leases and to grant free leases to processes that want them."""
         self._propose_all(self.lease_manager.tick(now))
 
     def take_heartbeat_responses(self, now: datetime) -> list[tuple[str, HeartbeatResponse]]:
-        """Return the responses that a majority has confirmed, by process."""
+        """Return and remove the responses for which a majority has confirmed this leader, each with its process."""
         statuses = () if self._state.config_store is None else self._state.config_store.statuses()
         shares_of = no_quota_shares if self._state.quotas is None else self._state.quotas.shares_of
         return self.lease_manager.take_responses(
@@ -141,7 +141,7 @@
         )
 
     def report_drifting_clocks(self) -> int:
-        """Append an event for each clock found to drift since the last call; return their number."""
+        """Append an event for each clock newly found to drift; return their number."""
         drifts = self.lease_manager.detected_drifts
         for holder, error in drifts:
             summary = f"the clock of {holder} errs by {error:+.1%} against this one"
@@ -152,7 +152,7 @@
         return count
 
     def process_standings(self, now: datetime) -> list[ProcessStanding]:
-        """Return what each process has reported, by process."""
+        """Return the last report of each process, sorted by process name."""
         standings = [
             ProcessStanding(
                 process=holder,
@@ -169,10 +169,10 @@
         expiry = self.lease_manager.expiry_of(lease)
         return 0 if expiry is None else max(0, (expiry - now) // MILLISECOND)
 
-    # Configuration documents.
+    # Configuration documents
 
     def activate_config_versions(self, now: datetime) -> None:
-        """Commit the versions that all processes have acknowledged, and promote or withdraw canary rollouts."""
+        """Propose to commit versions that all processes acknowledged, and to promote or withdraw canary rollouts."""
         store = self._state.config_store
         if store is None:
             return
@@ -199,16 +199,16 @@
         self._events.append(ReplicaEvent(summary, decision.reason))
 
     def _may_decide(self, name: str, version: int) -> bool:
-        """Mark a version as decided; return False where a decision was already proposed."""
+        """Mark a version as decided; return False if a decision on it was already proposed."""
         if (name, version) in self.proposed_decisions:
             return False
         self.proposed_decisions.add((name, version))
         return True
 
-    # Roster and quotas.
+    # Roster and quotas
 
     def reconcile_roster(self, now: datetime) -> None:
-        """Admit the nodes that are healthy, and remove those that a majority reports as failed."""
+        """Propose to admit healthy nodes and to remove nodes that a majority reports as failed."""
         roster = self._state.roster
         if self._settings.roster is None or roster is None:
             return
@@ -225,12 +225,12 @@
             self._propose(command)
 
     def _update_eligible_nodes(self) -> None:
-        """Let the roster's nodes have task leases; all nodes while the roster is empty, as the first join late."""
+        """Restrict task leases to the nodes in the roster; allow all while it is empty, as the first join late."""
         if self._settings.roster is not None and self._state.roster is not None:
             self.lease_manager.set_eligible_nodes(self._state.roster.members() or None)
 
     def rebalance_quotas(self, now: datetime) -> None:
-        """Share each tenant's allowance out by the demand that processes report."""
+        """Propose to divide each tenant's allowance among the processes by their reported demand."""
         quotas, store = self._state.quotas, self._state.config_store
         if not self._settings.quotas or quotas is None or store is None:
             return
@@ -240,10 +240,10 @@
         }
         self._propose_all(self.quota_balancer.rebalance(now, quotas, store.allowances(), demands))
 
-    # The log.
+    # Applied commands and proposals
 
     def handle_applied(self, now: datetime, command: CommandJson, result: ResultJson) -> None:
-        """Follow up on an applied command, by the state machine that it was for."""
+        """Update the controller to which an applied command is relevant."""
         next_round = self._raft.heartbeat_round + 1
         match command.get("m"):
             case MachineName.LEASES if self.is_current:
--- a/marlstep/consensus/log.py
+++ b/marlstep/consensus/log.py
@@ -1,7 +1,7 @@
-"""The replicated log in memory: the entries behind a snapshot, and the configurations that they name.
+"""The replicated log in memory: the latest snapshot, the entries after it, and the configurations in these entries.
 
-Terms and rules are those of the Raft paper, section 5.3 (log replication), section 6 (cluster membership) and section
-7 (log compaction).
+The terminology and rules follow the Raft paper: section 5.3 (log replication), section 6 (cluster membership) and
+section 7 (log compaction).
 """
 
 from __future__ import annotations
@@ -17,40 +17,42 @@
 
 
 class InvalidConfigurationError(MarlstepError, ValueError):
-    """The text of a configuration entry does not name each member once."""
+    """The text of a configuration entry does not name each member exactly once as a string."""
 
     def __init__(self, text: str) -> None:
-        """Quote the text that was read."""
-        super().__init__(f"a configuration must name each member once, as text: {text[:200]}")
+        """Initialize the error with the text that was read."""
+        super().__init__(
+            f"expected a configuration that names each member once, as a string; found {text[:200]}"
+        )
 
 
 class LogGapError(MarlstepError, ValueError):
-    """The entries that a store gave back do not follow on each other or on the snapshot."""
+    """The stored entries are not contiguous, or do not continue the snapshot."""
 
     def __init__(self, expected: int, found: int) -> None:
-        """Name the index that should have followed and the one that does."""
-        super().__init__(f"the log has entry {found} where entry {expected} was expected")
+        """Initialize the error with the expected index and the index that was found in its place."""
+        super().__init__(f"stored log is not contiguous: expected entry {expected}, found entry {found}")
 
 
 class EntryNotFoundError(MarlstepError, LookupError):
     """The entry was compacted into the snapshot, or was never appended."""
 
     def __init__(self, index: int, first: int, last: int) -> None:
-        """Name the index that was asked for and the bounds of the log."""
+        """Initialize the error with the requested index and the bounds of the log."""
         super().__init__(f"entry {index} is not in the log, which has entries {first} to {last}")
 
 
 class EntryType(enum.StrEnum):
-    """What an entry is for. The values stand in messages and in stores."""
+    """The type of an entry. Messages and stores contain the values."""
 
-    NOOP = "empty"  # the first entry of a leader's term
-    COMMAND = "command"  # for a state machine
-    CONFIGURATION = "group"  # the voters and learners from here on
+    NOOP = "empty"  # a leader appends it at the start of its term
+    COMMAND = "command"  # applied to a state machine
+    CONFIGURATION = "group"  # the voters and learners from this entry on
 
 
 @dataclass(slots=True, frozen=True)
 class LogEntry:
-    """One entry of the log. Indexes count from 1."""
+    """One entry of the log. Indexes start at 1."""
 
     index: int
     term: int
@@ -76,15 +78,16 @@
         return len(self.voters) // 2 + 1
 
     def encode(self) -> str:
-        """Write the configuration as the body of a log entry."""
+        """Return the configuration as the body of a log entry."""
         return orjson.dumps([self.voters, self.learners]).decode()
 
     @staticmethod
     def decode(text: str) -> Configuration:
-        """Read what `encode` wrote.
+        """Return the configuration in the text that `encode` returned.
 
         Raises:
-            ValueError: The text is not JSON, or a member is not text or is named twice.
+            ValueError: The text is not a JSON array of two elements.
+            InvalidConfigurationError: A member is not a string or is named twice.
         """
         voters, learners = orjson.loads(text)
         names = [*voters, *learners]
@@ -95,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """The state machines after the entry at `index`, and the configuration as of that entry."""
+    """The state of the state machines after the entry at `index`, and the configuration at that entry."""
 
     index: int = 0
     term: int = 0
@@ -105,7 +108,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """All that was durable, as a replica's store gives it back at a start (figure 2 of the paper)."""
+    """The durable state that a replica's store returns at startup (figure 2 of the paper)."""
 
     term: int = 0
     voted_for: str = ""
@@ -114,15 +117,20 @@
 
 
 class RaftLog:
-    """The entries that were not yet discarded, the latest snapshot, and the configurations in force by index.
+    """The latest snapshot, the entries that were not compacted away, and the configurations by index.
 
-    Methods that take an index raise LookupError for an entry that was compacted away or that is not there.
+    Methods that take an index raise EntryNotFoundError if the entry was compacted away or never appended.
     """
 
     def __init__(self, saved: PersistentState) -> None:
-        """Start from what the store gave back; raise ValueError where its entries leave a gap."""
+        """Initialize the log from the stored snapshot and entries.
+
+        Raises:
+            LogGapError: The stored entries are not contiguous, or do not continue the snapshot.
+            ValueError: The body of a configuration entry is invalid.
+        """
         self.snapshot = saved.snapshot
-        # The entry before the first one kept. It lies before the snapshot where entries were kept for slow members.
+        # The entry before the first one kept; it is older than the snapshot if entries were kept for slow members.
         self._base_index, self._base_term = saved.snapshot.index, saved.snapshot.term
         self._entries = list(saved.entries)
         for expected, entry in enumerate(self._entries, self._base_index + 1):
@@ -138,7 +146,7 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or of the snapshot where no entry follows it."""
+        """The index of the last entry, or of the snapshot if no entry follows it."""
         return self._base_index + len(self._entries)
 
     @property
@@ -148,7 +156,7 @@
 
     @property
     def first_index(self) -> int:
-        """The index of the first entry that is still kept; what is before it is in the snapshot."""
+        """The index of the first entry that is still kept; the snapshot covers all earlier ones."""
         return self._base_index + 1
 
     @property
@@ -168,11 +176,11 @@
         )
 
     def matches(self, index: int, term: int) -> bool:
-        """Tell whether the log holds that entry, or held it before it was compacted."""
+        """Tell whether the log holds the entry with that index and term, or has compacted that index away."""
         return index < self._base_index or (index <= self.last_index and self.term_at(index) == term)
 
     def term_at(self, index: int) -> int:
-        """Return the term of the entry `index`, which may be the last one compacted away."""
+        """Return the term of the entry `index`, which may also be the last entry that was compacted away."""
         if index == self._base_index:
             return self._base_term
         return self[index].term
@@ -184,22 +192,22 @@
         return self._entries[index - self._base_index - 1]
 
     def slice(self, first: int, last: int) -> list[LogEntry]:
-        """Return the entries from `first` to `last`, both included."""
+        """Return the entries from `first` to `last`, both inclusive."""
         if first <= self._base_index:
             raise EntryNotFoundError(first, self.first_index, self.last_index)
         return list(islice(self._entries, first - self._base_index - 1, max(0, last - self._base_index)))
 
     def append(self, entry: LogEntry) -> None:
-        """Add the entry behind the last one."""
+        """Append the entry, whose index must follow the last one."""
         assert entry.index == self.last_index + 1
         self._entries.append(entry)
         self._record_configuration(entry)
 
     def append_from_leader(self, entries: Sequence[LogEntry], commit_index: int) -> int | None:
-        """Append the leader's entries that are missing, and replace those that conflict (section 5.3).
+        """Append the leader's missing entries and replace conflicting ones (section 5.3).
 
         Returns:
-            The index of the first entry that was overwritten; None where none was.
+            The index of the first entry that was overwritten; None if no entry was.
         """
         overwritten = None
         for entry in entries:
@@ -213,9 +221,9 @@
         return overwritten
 
     def conflict_hint(self, index: int, commit_index: int) -> int:
-        """Return the entry before all of the term found at `index`, from where the leader should try again.
+        """Return the index before the first entry of the conflicting term at `index`, for the leader to retry from.
 
-        Skipping the whole term saves a round trip for each of its entries (end of section 5.3).
+        Skipping the whole term saves one round trip per entry of the term (end of section 5.3).
         """
         term = self.term_at(index)
         while index > max(commit_index, self._base_index) and self.term_at(index) == term:
@@ -223,7 +231,7 @@
         return index
 
     def truncate_from(self, first: int) -> None:
-        """Drop the entry `first` and all after it."""
+        """Delete the entry `first` and all later ones."""
         del self._entries[first - self._base_index - 1 :]
         self._configurations = [
             self._configurations[0],
@@ -231,7 +239,7 @@
         ]
 
     def compact(self, snapshot: Snapshot, keep: int) -> None:
-        """Discard the entries that the snapshot covers, except the last `keep`, which serve slow members."""
+        """Discard the entries that the snapshot covers, except the last `keep`, which are sent to slow members."""
         base = max(self._base_index, snapshot.index - keep)
         term = self.term_at(base)
         configuration = self.configuration_at(base)
@@ -241,7 +249,7 @@
         self._base_index, self._base_term, self.snapshot = base, term, snapshot
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace the whole log by a snapshot that the leader sent."""
+        """Replace the whole log by a snapshot from the leader."""
         self._entries.clear()
         self._base_index, self._base_term, self.snapshot = snapshot.index, snapshot.term, snapshot
         self._configurations = [(snapshot.index, snapshot.configuration)]
--- a/marlstep/consensus/messages.py
+++ b/marlstep/consensus/messages.py
@@ -1,7 +1,7 @@
 """The messages of the Raft protocol between members of a group.
 
-Each carries the term of its sender. The wire tags and keys beside the fields are the stored form; field names follow
-the paper's figures 2 (RequestVote, AppendEntries) and 13 (InstallSnapshot).
+Each message carries the term of its sender. `wire_tag` and the keys given to `wire` are the encoded form; field names
+follow figures 2 (RequestVote, AppendEntries) and 13 (InstallSnapshot) of the paper.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from marlstep.errors import MarlstepError
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, ValueType, wire
 
-# The bodies of the entries of one AppendEntries, or the data of one InstallSnapshotChunk.
+# Applies to the entries of one AppendEntries and to the data of one InstallSnapshotChunk.
 MAX_CHARACTERS_PER_MESSAGE = 12 * 1024
 
 
 class MalformedMessageError(MarlstepError, ValueError):
-    """A value inside a message has another form than its field requires."""
+    """A value in a message does not have the form that its field requires."""
 
     def __init__(self, key: str, expected: str, found: object) -> None:
-        """Name the wire key, the form that was expected of its value, and the value."""
+        """Initialize the error with the wire key, the expected form of its value, and the value found."""
         super().__init__(f"{key}: expected {expected}, found {repr(found)[:200]}")
 
 
@@ -66,12 +66,12 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendEntries:
-    """The leader's entries after `prev_log_index`, perhaps none, and its commit index (section 5.3)."""
+    """The leader's entries after `prev_log_index`, none in a heartbeat or probe, and its commit index (section 5.3)."""
 
     wire_tag: ClassVar[str] = "Append"
 
     term: int = field(metadata=wire("term", INTEGER))
-    # Grows with every broadcast of a leader, so a response proves that it still led after that broadcast was sent.
+    # Incremented with every broadcast: a response proves that the sender still led after it sent that broadcast.
     heartbeat_round: int = field(metadata=wire("round", INTEGER))
     prev_log_index: int = field(metadata=wire("prev", INTEGER))
     prev_log_term: int = field(metadata=wire("prev_term", INTEGER))
@@ -81,10 +81,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendEntriesResponse:
-    """The answer to AppendEntries.
+    """The response to AppendEntries.
 
-    On success `match_index` is the last entry that is durable and equal to the leader's; on a rejection it is the
-    index from which the leader should try again.
+    On success, `match_index` is the last entry that is durable and matches the leader's log. On rejection, it is the
+    index from which the leader should retry.
     """
 
     wire_tag: ClassVar[str] = "Appended"
@@ -99,8 +99,9 @@
 class RequestVote:
     """A candidate's request for a vote (section 5.2).
 
-    `pre_vote` asks whether the vote would be granted in `term`, without entering it (section 9.6 of the
-    dissertation). `leadership_transfer` marks an election that the leader itself started (section 3.10 there).
+    `pre_vote` asks whether the vote would be granted in `term`, without starting that term (section 9.6 of Ongaro's
+    dissertation). `leadership_transfer` marks an election that the leader itself ordered (section 3.10 of the
+    dissertation).
     """
 
     wire_tag: ClassVar[str] = "VoteAsk"
@@ -114,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestVoteResponse:
-    """The answer to RequestVote: `term` is the voter's own, `requested_term` the one that was asked for."""
+    """The response to RequestVote: `term` is the voter's current term, `requested_term` the term of the request."""
 
     wire_tag: ClassVar[str] = "Vote"
 
@@ -126,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstallSnapshotChunk:
-    """A part of the leader's snapshot that starts `offset` characters into its data (section 7)."""
+    """A part of the leader's snapshot, starting at character `offset` of its data (section 7)."""
 
     wire_tag: ClassVar[str] = "SnapshotPart"
 
@@ -142,7 +143,10 @@
 
 @dataclass(slots=True, frozen=True)
 class InstallSnapshotResponse:
-    """The answer to a chunk: how many characters were received; `done` once the snapshot is installed and durable."""
+    """The response to a chunk.
+
+    `offset` is the number of characters received. `done` is set once the snapshot is installed and durable.
+    """
 
     wire_tag: ClassVar[str] = "SnapshotTaken"
 
@@ -155,7 +159,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimeoutNow:
-    """A leader's order to start an election at once (leadership transfer, section 3.10 of the dissertation)."""
+    """A leader's order to start an election immediately (leadership transfer, section 3.10 of the dissertation)."""
 
     wire_tag: ClassVar[str] = "ElectNow"
 
@@ -164,9 +168,9 @@
 
 @dataclass(slots=True, frozen=True)
 class LogRegressed:
-    """A leader's notice that the member had acknowledged more entries than its log has now.
+    """A leader's notice that the member has acknowledged more entries than its log now contains.
 
-    Such a member has lost durable state and must rejoin under a new identity.
+    Such a member has lost durable state and must rejoin the group under a new identity.
     """
 
     wire_tag: ClassVar[str] = "Forgot"
--- a/marlstep/consensus/raft.py
+++ b/marlstep/consensus/raft.py
@@ -1,9 +1,10 @@
-"""The core of Raft for one member of a group, after the Raft paper and Ongaro's dissertation.
+"""The Raft core of one member of a group, after the Raft paper and Ongaro's dissertation.
 
-It does no I/O: the caller passes in messages, the time and a source of randomness, stores what `take_ready` returns,
-and sends messages. Messages of `take_immediate_messages` may be sent at once; those of a `Ready` only after its state
-is durable. Elections, replication, snapshot transfer and the bookkeeping of `Ready` have modules of their own; here is
-where they meet, as one rule often concerns the term, the log and the commit index together.
+It does no I/O: the caller passes in messages, the time and a source of randomness, stores the state and sends the
+messages that the core returns. Messages of `take_immediate_messages` may be sent immediately; those of a `Ready` only
+after its state is durable. Elections, replication, snapshot transfer and the tracking of `Ready` have their own
+modules. This module holds the rules that involve several of them, as many concern the term, the log and the commit
+index together.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 
 class Raft:
-    """One member's state and the rules by which messages and time change it."""
+    """One member's state, and the rules by which messages and timers change it."""
 
     def __init__(
         self,
@@ -54,13 +55,21 @@
         random_source: RandomSource,
         now: datetime,
     ) -> None:
-        """Start as a follower from what the store gave back; `identity` belongs to that store."""
+        """Initialize a follower from its stored state.
+
+        Args:
+            identity: The identity of this member. A new store needs a new identity.
+            saved: The durable state that the store returned.
+            timing: The heartbeat interval and election timeout.
+            random_source: The source of randomness of the election timeout.
+            now: The current time.
+        """
         self.identity = identity
         self.timing = timing
         self.log = RaftLog(saved)
         self.commit_index = saved.snapshot.index
         self.last_applied = saved.snapshot.index
-        self.log_regressed = False  # durable state was lost: this member must not go on under its identity
+        self.log_regressed = False  # durable state was lost: this member must not continue under its identity
         self._outbox = Outbox()
         timer = ElectionTimer(timing, random_source, now)
         self.election = Election(identity, saved, self.log, self._outbox, timer, now)
@@ -68,10 +77,10 @@
         self._ready_tracker = ReadyTracker(saved, self.log)
         self._incoming_snapshot = SnapshotAssembler()
         self._snapshot_to_apply: Snapshot | None = None
-        self._term_start_index = 0  # of the no-op entry with which this leader's term began
+        self._term_start_index = 0  # index of the no-op entry that starts this leader's term
         self._durable_index = self.log.last_index
 
-    # State that others read.
+    # Read-only state
 
     @property
     def term(self) -> int:
@@ -80,7 +89,7 @@
 
     @property
     def voted_for(self) -> str:
-        """The candidate that got this member's vote in the current term; empty where none did."""
+        """The candidate that received this member's vote in the current term; empty if none did."""
         return self.election.voted_for
 
     @property
@@ -90,7 +99,7 @@
 
     @property
     def leader(self) -> str:
-        """The leader of the current term; empty where it is not known."""
+        """The leader of the current term; empty if unknown."""
         return self.election.leader
 
     @property
@@ -100,12 +109,12 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads the current term, as far as it knows."""
+        """Whether this member is the leader of the current term; a newer term may exist without its knowledge."""
         return self.election.role is Role.LEADER
 
     @property
     def is_established_leader(self) -> bool:
-        """Whether it leads and has applied all that was committed before its term (section 8)."""
+        """Whether this member leads and has applied the first entry of its term and all before it (section 8)."""
         return self.is_leader and self.last_applied >= self._term_start_index
 
     @property
@@ -120,21 +129,21 @@
 
     @property
     def confirmed_round(self) -> int:
-        """The highest heartbeat round that a majority has answered."""
+        """The highest heartbeat round that a majority has responded to."""
         return self.replication.confirmed_round
 
     def replication_lag(self, member: str) -> int:
-        """Return the number of entries that a member is behind this leader's log."""
+        """Return the number of entries by which a member is behind this leader's log."""
         return self.replication.lag_of(member)
 
-    # Time.
+    # Heartbeat and election timers
 
     def next_due(self) -> datetime:
-        """Return the time at which `tick` has something to do."""
+        """Return the time at which `tick` should be called next."""
         return self.replication.next_heartbeat if self.is_leader else self.election.timer.deadline
 
     def tick(self, now: datetime) -> None:
-        """Send a heartbeat, step down or start an election where that is due."""
+        """Send a heartbeat, step down or start an election if one is due."""
         if self.is_leader:
             if now >= self.replication.next_heartbeat:
                 self._heartbeat_or_step_down(now)
@@ -148,10 +157,10 @@
             self.election.become_follower(now, self.term, leader="")
 
     def _hears_majority(self, now: datetime) -> bool:
-        """Check the leader's quorum (section 6.2 of the dissertation)."""
+        """Tell whether a majority has responded to this leader recently (section 6.2 of the dissertation)."""
         since = now - 2 * self.timing.election_timeout
         if since < self.election.role_since:
-            return True  # the term is too young for all to have answered
+            return True  # the term is too new for all members to have responded
         return self.replication.hears_majority_since(since)
 
     def _hears_leader(self, now: datetime) -> bool:
@@ -159,10 +168,10 @@
             return self._hears_majority(now)
         return bool(self.leader) and self.election.timer.has_recent_leader_contact(now)
 
-    # Messages.
+    # Message dispatch and term checks
 
     def step(self, now: datetime, sender: str, message: RaftMessage) -> None:
-        """Handle a message of another member, or of this one to itself."""
+        """Handle a message from another member, or from this member to itself."""
         if not self._observe_term(now, sender, message):
             return
         if message.term < self.term:
@@ -185,14 +194,14 @@
                 self._handle_log_regressed(sender, message)
 
     def _observe_term(self, now: datetime, sender: str, message: RaftMessage) -> bool:
-        """Enter the message's term where it is newer; return whether the message may be handled."""
+        """Adopt the message's term if it is newer; return whether the message may be handled."""
         if message.term <= self.term:
             return True
         match message:
             case RequestVote(pre_vote=True) | RequestVoteResponse(pre_vote=True, granted=True):
-                pass  # a pre-vote changes no term
+                pass  # a pre-vote does not change the term
             case RequestVote(leadership_transfer=False) if self._hears_leader(now):
-                return False  # a member that was removed or cut off must not depose a leader (section 6)
+                return False  # a removed or partitioned member must not depose a leader (section 6)
             case AppendEntries() | InstallSnapshotChunk():
                 self.election.become_follower(now, message.term, leader=sender)
             case _:
@@ -200,7 +209,7 @@
         return True
 
     def _reject_stale_term(self, sender: str, message: RaftMessage) -> None:
-        """Answer a request of an older term, so that its sender learns of the current one."""
+        """Respond to a request of an older term, so that its sender learns the current term."""
         response: RaftMessage
         match message:
             case AppendEntries():
@@ -217,7 +226,7 @@
                 return
         self._outbox.send_after_sync(sender, response)
 
-    # Elections.
+    # Elections
 
     def _start_election(self, now: datetime, *, leadership_transfer: bool) -> None:
         self.election.timer.reset(now)
@@ -247,13 +256,13 @@
         if not self.is_leader:
             self._start_election(now, leadership_transfer=True)
 
-    # Following a leader.
+    # Follower: messages from the leader
 
     def _handle_leader_message(
         self, now: datetime, sender: str, message: AppendEntries | InstallSnapshotChunk
     ) -> None:
         if self.is_leader:
-            return  # a term has one leader, so this is no message of its leader
+            return  # a term has only one leader, so the sender is not the leader of this term
         self.election.become_follower(now, self.term, leader=sender)
         self.election.timer.record_leader_contact(now)
         match message:
@@ -273,7 +282,7 @@
         self._outbox.send_after_sync(sender, response)
 
     def _append_from_leader(self, request: AppendEntries) -> int:
-        """Take over the leader's entries and commit index; return the last entry that matches the leader's log."""
+        """Append the leader's entries and update the commit index; return the last index that matches its log."""
         overwritten = self.log.append_from_leader(request.entries, self.commit_index)
         if overwritten is not None:
             self._durable_index = min(self._durable_index, overwritten - 1)
@@ -284,7 +293,7 @@
 
     def _handle_snapshot_chunk(self, sender: str, chunk: InstallSnapshotChunk) -> None:
         if chunk.last_included_index <= self.commit_index:
-            offset, done = 0, True  # the log already has all that the snapshot covers
+            offset, done = 0, True  # the log already contains everything that the snapshot covers
         elif (snapshot := self._incoming_snapshot.add(chunk)) is not None:
             self._install_snapshot(snapshot)
             offset, done = len(snapshot.data), True
@@ -305,13 +314,14 @@
         if sender == self.leader and self._durable_index < message.acknowledged_index:
             self.log_regressed = True
 
-    # Leading.
+    # Leader: proposals, responses and commitment
 
     def propose(self, body: str, entry_type: EntryType = EntryType.COMMAND) -> int | None:
-        """Append an entry; return its index, at which it commits if this member still leads then.
+        """Append an entry to the leader's log and request its replication.
 
         Returns:
-            None where this member does not lead.
+            The index of the entry, which is lost if this member loses the leadership before it commits; None if this
+            member does not lead.
         """
         if not self.is_leader:
             return None
@@ -325,10 +335,11 @@
         return entry.index
 
     def change_configuration(self, configuration: Configuration) -> None:
-        """Propose another configuration, in which at most one voter is added or removed (section 4.1, dissertation).
+        """Propose a configuration that adds or removes at most one voter (section 4.1 of the dissertation).
 
         Raises:
-            ConfigurationChangeRejectedError: The change breaks a rule, or this member may not propose it now.
+            ConfigurationChangeRejectedError: This member is not the established leader, a change is pending, several
+                voters change, or no voter remains.
         """
         if not self.is_established_leader:
             raise ConfigurationChangeRejectedError(ConfigurationChangeRejection.NOT_ESTABLISHED_LEADER)
@@ -340,7 +351,7 @@
         """Order the voter with the longest matching log to start an election.
 
         Returns:
-            The identity of that voter; None where this member does not lead or no voter has all entries.
+            The identity of that voter; None if this member does not lead or no voter has all entries.
         """
         return self.replication.transfer_leadership() if self.is_leader else None
 
@@ -372,7 +383,7 @@
         return self.is_leader and member in self.configuration.members
 
     def _advance_commit_index(self) -> None:
-        """Commit what a majority has, if its last entry is of the current term (section 5.4.2, figure 8)."""
+        """Commit the entries that a majority has, if the last one is of the current term (section 5.4.2, figure 8)."""
         index = self.replication.quorum_match_index(self._durable_index)
         if index <= self.commit_index or self.log.term_at(index) != self.term:
             return
@@ -381,30 +392,30 @@
         if self.log.configuration_index <= index and self.identity not in self.configuration.voters:
             self.election.leave()
 
-    # Output for the driver.
+    # Messages, state and entries for the driver
 
     def take_immediate_messages(self, now: datetime) -> list[AddressedMessage]:
-        """Return the messages that may be sent at once, each once."""
+        """Return and remove the messages that may be sent immediately."""
         if self.is_leader:
             self.replication.broadcast_if_requested(now)
         return self._outbox.take_immediate()
 
     def take_ready(self) -> Ready | None:
-        """Return the state to make durable and the messages to send after that; None where there is neither.
+        """Return the state to make durable and the messages to send after that; None if there is neither.
 
-        The values must be made durable one after the other, each then passed to `acknowledge_durable`.
+        The driver must make each Ready durable in the order returned, and then pass it to `acknowledge_durable`.
         """
         return self._ready_tracker.next_ready(self.term, self.voted_for, self.log, self._outbox)
 
     def acknowledge_durable(self, ready: Ready) -> None:
-        """Note that the state of `ready` is durable."""
+        """Record that the state of `ready` is durable."""
         if self.log.matches(ready.last_index, ready.last_term) and ready.last_index <= self.log.last_index:
             self._durable_index = max(self._durable_index, ready.last_index)
         if self.is_leader:
             self._advance_commit_index()
 
     def take_committed(self) -> list[LogEntry | Snapshot]:
-        """Return what the state machines have to apply now, in order, each once."""
+        """Return the snapshot and the entries to apply next, in order; mark them as applied."""
         committed: list[LogEntry | Snapshot] = []
         if self._snapshot_to_apply is not None:
             committed.append(self._snapshot_to_apply)
@@ -415,7 +426,12 @@
         return committed
 
     def compact(self, data: Callable[[], str], keep: int) -> None:
-        """Cover all applied entries by a snapshot of `data()`, and keep the last `keep` of them for slow members."""
+        """Replace applied entries by a snapshot.
+
+        Args:
+            data: Returns the data of the snapshot; not called if nothing was applied since the last snapshot.
+            keep: The number of covered entries that stay in the log for slow members.
+        """
         index = self.last_applied
         if index > self.log.snapshot.index:
             configuration = self.log.configuration_at(index)
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -1,6 +1,6 @@
 """A replica: one member of the Raft group, with its state machines and, while it leads, the leader's duties.
 
-It does no I/O: its driver stores and sends what it returns, on sockets or on a simulated network.
+It does no I/O: its driver stores the state and sends the messages that it returns, over sockets or a simulated network.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 __all__ = ["COMPACTION_THRESHOLD", "AppliedCommand", "Replica", "ReplicaEvent", "ReplicaSettings", "node_of"]
 
-COMPACTION_THRESHOLD = 2_000  # applied entries after the snapshot, at which the log is compacted
-ENTRIES_KEPT_AFTER_COMPACTION = 500  # of them, for members that lag a little
+COMPACTION_THRESHOLD = 2_000  # compact the log after this many applied entries since the last snapshot
+ENTRIES_KEPT_AFTER_COMPACTION = 500  # for members that lag a little, which then need no snapshot
 APPLIED_HISTORY_LENGTH = 256
-STANDINGS_PER_PAGE = 50  # processes in one answer, as a message's size is limited
-MISSING_DOCUMENT_LENGTH = -1  # the length that a chunk of an unknown document version states
+STANDINGS_PER_PAGE = 50  # processes in one response, as the size of a message is limited
+MISSING_DOCUMENT_LENGTH = -1  # the length in a chunk of an unknown document version
 
 
 class AppliedCommand(NamedTuple):
-    """A command that the state machines have applied, with its entry's index."""
+    """A command that the state machines have applied, with the index of its log entry."""
 
     log_index: int
     command: CommandJson
@@ -49,7 +49,7 @@
 
 
 class Replica:
-    """One member of the group, as its driver sees it."""
+    """One member of the group and its state machines; the interface for its driver."""
 
     def __init__(
         self,
@@ -60,12 +60,18 @@
         random_source: RandomSource,
         now: datetime,
     ) -> None:
-        """Start from what the store gave back.
+        """Initialize a follower from its stored state.
 
-        `machines` makes the state machines beside the lease table, which they may read.
+        Args:
+            identity: The identity of this replica (`node#store`).
+            saved: The durable state that the store returned.
+            settings: The settings of the replica.
+            machines: Creates the state machines other than the lease table, which it gets and they may read.
+            random_source: The source of randomness of the election timeout.
+            now: The current time.
 
         Raises:
-            ValueError: The state machines cannot read the stored snapshot.
+            ValueError: The stored entries are not contiguous, or the stored snapshot cannot be restored.
         """
         self.identity, self.node, self.settings = identity, node_of(identity), settings
         self.raft = Raft(identity, saved, settings.timing, random_source, now)
@@ -75,22 +81,22 @@
             self.machines.restore(saved.snapshot.data)
         state = ReplicatedState.of(self.leases, self.machines)
         self.config_store, self.roster, self.quotas = state.config_store, state.roster, state.quotas
-        self.events: deque[ReplicaEvent] = deque()  # for the driver to log and to remove
+        self.events: deque[ReplicaEvent] = deque()  # the driver logs and removes them
         self.duties = LeaderDuties(self.node, self.raft, state, settings, self.events)
         self.lease_manager, self.rollout = self.duties.lease_manager, self.duties.rollout
         self.roster_controller = self.duties.roster_controller
         self.group = GroupMembership(self.raft, self.events)
         self.applied: deque[AppliedCommand] = deque(maxlen=APPLIED_HISTORY_LENGTH)
         self.counts = dict.fromkeys(COUNTERS, 0)
-        self._pending_requests: dict[tuple[str, int], str] = {}  # sender by client and number
+        self._pending_requests: dict[tuple[str, int], str] = {}  # sender by client and command number
         self._outbox: list[tuple[str, Message]] = []
         self._next_reconcile = now
         self._last_known_leader = ""
 
-    # Input.
+    # Messages and timers
 
     def step(self, now: datetime, sender: str, message: Message) -> None:
-        """Handle a message of another member or of a node."""
+        """Handle a message from a member of the group or from a node."""
         match message:
             case Heartbeat():
                 self._handle_heartbeat(now, sender, message)
@@ -107,24 +113,24 @@
                 | DocumentChunk()
                 | RelayAnnouncement()
             ):
-                pass  # for the node's client of the group
+                pass  # handled by the node's client of the group
             case _:
                 self.raft.step(now, sender, message)
         self._advance(now)
 
     def tick(self, now: datetime) -> None:
-        """Do what is due by time."""
+        """Run the timers that are due."""
         self.raft.tick(now)
         self._advance(now)
 
     def next_due(self) -> datetime:
-        """Return the time at which `tick` has something to do."""
+        """Return the time at which `tick` should be called next."""
         raft_due = self.raft.next_due()
         duties_due = self.duties.next_due() if self.raft.is_established_leader else None
         return raft_due if duties_due is None else min(raft_due, duties_due)
 
     def transfer_leadership(self) -> str | None:
-        """Hand the leadership over; return the identity of the next leader, None where no voter is ready."""
+        """Transfer the leadership; return the identity of the target, or None if no voter has all entries."""
         return self.raft.transfer_leadership()
 
     def _handle_heartbeat(self, now: datetime, sender: str, heartbeat: Heartbeat) -> None:
@@ -136,7 +142,7 @@
         self.duties.handle_heartbeat(now, heartbeat)
 
     def _handle_fetch_chunk(self, sender: str, request: FetchChunk) -> None:
-        """Send a chunk of a document to a node that has no log."""
+        """Send a chunk of a configuration document to a node that holds no log."""
         if self.config_store is None or not self.raft.is_established_leader:
             return
         content = self.config_store.content(request.name, request.version)
@@ -149,7 +155,7 @@
         chunk = DocumentChunk(request.name, request.version, request.offset, length, data)
         self._outbox.append((sender, chunk))
 
-    # Commands of clients.
+    # Commands of clients
 
     def _handle_command_request(self, now: datetime, sender: str, request: CommandRequest) -> None:
         if not self.raft.is_established_leader:
@@ -181,7 +187,7 @@
     def _respond(self, to: str, number: int, result: ResultJson) -> None:
         self._outbox.append((to, CommandResponse(number, True, self.node, _to_json_text(result))))
 
-    # Progress after each input.
+    # Processing after each message, timer and durable write
 
     def _advance(self, now: datetime) -> None:
         self._apply_committed(now)
@@ -248,25 +254,25 @@
             self.events.append(ReplicaEvent(f"leader is {leader or 'unknown'}", reason))
             self._last_known_leader = leader
 
-    # Output for the driver.
+    # Messages, state and status for the driver
 
     def take_immediate_messages(self, now: datetime) -> list[tuple[str, Message]]:
-        """Return the messages that may be sent at once, each once."""
+        """Return and remove the messages that may be sent immediately."""
         messages, self._outbox = self._outbox, []
         messages += self.raft.take_immediate_messages(now)
         return messages
 
     def take_ready(self) -> Ready | None:
-        """Return state to make durable and messages to send after that; then call `acknowledge_durable`."""
+        """Return the state to make durable and the messages to send after that; then call `acknowledge_durable`."""
         return self.raft.take_ready()
 
     def acknowledge_durable(self, now: datetime, ready: Ready) -> None:
-        """Note that the state of `ready` is durable."""
+        """Record that the state of `ready` is durable."""
         self.raft.acknowledge_durable(ready)
         self._advance(now)
 
     def status(self) -> ReplicaStatus:
-        """Return the state that operators are shown."""
+        """Return the state to show to operators."""
         raft = self.raft
         return ReplicaStatus(
             identity=self.identity,
--- a/marlstep/consensus/replica_messages.py
+++ b/marlstep/consensus/replica_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes and replicas, and the union of all messages that a replica receives or sends."""
+"""Messages between nodes and replicas, and the union of all messages that a replica sends or receives."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandRequest:
-    """A command of a client, which sends it again until it gets a response (section 8 of the paper)."""
+    """A command of a client, which resends it until it receives a response (section 8 of the paper)."""
 
     wire_tag: ClassVar[str] = "Ask"
 
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandResponse:
-    """The answer to a command: its result as JSON if it was applied, otherwise the node to ask next."""
+    """The response to a command: its result as JSON if it was applied, otherwise the node of the leader to retry at."""
 
     wire_tag: ClassVar[str] = "Told"
 
@@ -35,23 +35,23 @@
     result: str = field(metadata=wire("result", TEXT), default="")
 
 
-STANDINGS_QUERY = "standings"  # a request's machine name that the leader answers without the log
+STANDINGS_QUERY = "standings"  # in place of a state machine's name: the leader answers without a log entry
 
 
 @dataclass(slots=True, frozen=True)
 class ReadStandings:
-    """Ask the leader what each process has reported, from one row on. It is answered without the log."""
+    """A query for the last reports of all processes, from row `start` on; the leader answers without a log entry."""
 
     start: int = 0
 
     def to_json(self) -> CommandJson:
-        """Return the form in which a `CommandRequest` carries it."""
+        """Return the query as the command of a `CommandRequest`."""
         return {"m": STANDINGS_QUERY, "from": self.start}
 
 
 @dataclass(slots=True, frozen=True)
 class JoinRequest:
-    """A replica with an empty store asks to join the group, first as a learner."""
+    """A request of a replica with an empty store to join the group, first as a learner."""
 
     wire_tag: ClassVar[str] = "Join"
 
--- a/marlstep/consensus/replica_status.py
+++ b/marlstep/consensus/replica_status.py
@@ -1,24 +1,24 @@
-"""What a replica shows to operators: its state, counters and events, in the JSON keys of the administration API."""
+"""The state, counters and events that a replica shows to operators, with the keys of the administration API."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-# What a replica counts since its start, by the words in metric names and in the status.
+# Counters since the start of the replica, by their names in metrics and in the status.
 COUNTERS = (
     "commands",  # applied to the state machines
     "elections",  # won and established
-    "beats",  # heartbeats of processes, received as the leader
-    "asks",  # commands of clients, received as the leader and not answered from the cache
+    "beats",  # heartbeats of processes, received while leading
+    "asks",  # commands of clients, received while leading and not answered from the cached results
     "snapshots",  # installed from the leader
-    "drifting",  # clocks found to drift, as the leader
+    "drifting",  # clocks found to drift, while leading
 )
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicaEvent:
-    """A change of leadership, membership or configuration, with its reason, for the log and the admin history."""
+    """A change of leadership, membership or configuration, for the log and the administration API's history."""
 
     summary: str
     reason: str
@@ -26,22 +26,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaStatus:
-    """A replica's place in the group and in the log."""
+    """The state of a replica in the group and in the log."""
 
     identity: str
     role: str
     term: int
-    leader: str  # empty where it is not known
+    leader: str  # empty if unknown
     last_index: int
     commit_index: int
     snapshot_index: int
     voters: tuple[str, ...]
     learners: tuple[str, ...]
-    lag: dict[str, int]  # entries that each other member is behind; empty on a follower
-    counts: dict[str, int]  # by the words of `COUNTERS`
+    lag: dict[str, int]  # entries by which each other member is behind; empty on a follower
+    counts: dict[str, int]  # by the names in `COUNTERS`
 
     def to_json(self) -> dict[str, Any]:
-        """Return the status by its keys in the administration API."""
+        """Return the status with the keys of the administration API."""
         return {
             "identity": self.identity,
             "role": self.role,
@@ -59,16 +59,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessStanding:
-    """What one process has reported in its last heartbeat to the leader."""
+    """The report of one process in its last heartbeat to the leader."""
 
     process: str
-    heard_ms: int  # since that heartbeat
-    lease_ms: int  # left of its configuration lease
+    heard_ms: int  # time since that heartbeat
+    lease_ms: int  # time left until its configuration lease expires
     document_states: list[list[Any]]
     request_counts: list[int]
 
     def to_json(self) -> dict[str, Any]:
-        """Return the standing as the answer to a `standings` query has it."""
+        """Return the row of this process in the response to a `standings` query."""
         return {
             "process": self.process,
             "heard_ms": self.heard_ms,
--- a/marlstep/consensus/replication.py
+++ b/marlstep/consensus/replication.py
@@ -1,7 +1,7 @@
 """The leader's side of replication: which entries, heartbeats and snapshot chunks to send to which member.
 
-Section 5.3 of the paper, with pipelining (section 10.2.1 of the dissertation): entries are sent ahead of responses,
-within a limit for each member.
+It follows section 5.3 of the paper and adds pipelining (section 10.2.1 of the dissertation): entries are sent before
+earlier ones are acknowledged, up to a limit for each member.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from marlstep.units import EPOCH
 
 MAX_ENTRIES_PER_MESSAGE = 64
-MAX_IN_FLIGHT_ENTRIES = 1024  # sent to one member and not acknowledged
-ENTRY_OVERHEAD_CHARACTERS = 32  # of an entry in a message, beside its body
+MAX_IN_FLIGHT_ENTRIES = 1024  # sent to one member and not yet acknowledged
+ENTRY_OVERHEAD_CHARACTERS = 32  # counted for each entry in a message in addition to its body
 
 
 class LeaderState(Protocol):
-    """What replication reads of the Raft core."""
+    """The state of the Raft core that replication reads."""
 
     @property
     def identity(self) -> str:
@@ -54,7 +54,7 @@
     """The progress of all members in the term that this member leads, and the messages that advance it."""
 
     def __init__(self, leader: LeaderState, outbox: Outbox, timing: RaftTiming, now: datetime) -> None:
-        """Start without any progress; `start_term` begins a term."""
+        """Initialize without progress of any member; call `start_term` when this member becomes leader."""
         self._leader = leader
         self._outbox = outbox
         self._timing = timing
@@ -65,7 +65,7 @@
         self.next_heartbeat = now
 
     def start_term(self) -> None:
-        """Forget what earlier terms knew: every member is probed anew from the end of the leader's log."""
+        """Discard the progress of earlier terms and probe every member from the end of the leader's log."""
         log = self._leader.log
         self.heartbeat_round = 0
         self.progress = {
@@ -75,21 +75,21 @@
         }
 
     def progress_of(self, member: str) -> PeerProgress:
-        """Return the progress of a member, which may have joined in this term."""
+        """Return the progress of a member; create it if the member joined during this term."""
         peer = self.progress.get(member)
         if peer is None:
             peer = self.progress[member] = PeerProgress(self._leader.log.last_index + 1)
         return peer
 
-    # What a majority has reached.
+    # Progress of the majority
 
     def quorum_match_index(self, durable_index: int) -> int:
-        """Return the last entry that a majority of the voters has durably; `durable_index` is the leader's own."""
+        """Return the last entry that is durable on a majority; `durable_index` is that of the leader itself."""
         return self._reached_by_quorum(durable_index, lambda peer: peer.match_index)
 
     @property
     def confirmed_round(self) -> int:
-        """The highest heartbeat round that a majority has answered, which proves this member led after sending it."""
+        """The highest round that a majority has responded to, which proves that this member led after sending it."""
         return self._reached_by_quorum(self.heartbeat_round, lambda peer: peer.acknowledged_round)
 
     def _reached_by_quorum(self, own: int, value_of: Callable[[PeerProgress], int]) -> int:
@@ -104,7 +104,7 @@
         return values[configuration.quorum - 1] if values else 0
 
     def hears_majority_since(self, since: datetime) -> bool:
-        """Tell whether a majority of the voters, this member included, has answered since then."""
+        """Tell whether a majority of the voters, including this member, has responded at or after `since`."""
         configuration = self._leader.log.configuration
         heard = [
             voter == self._leader.identity or (self.progress_of(voter).last_contact or EPOCH) >= since
@@ -113,24 +113,24 @@
         return sum(heard) >= configuration.quorum
 
     def lag_of(self, member: str) -> int:
-        """Return the number of entries that a member is behind the leader's log."""
+        """Return the number of entries by which a member is behind the leader's log."""
         if member == self._leader.identity:
             return 0
         return self._leader.log.last_index - self.progress_of(member).match_index
 
-    # Messages to members.
+    # Messages to members
 
     def request_broadcast(self) -> None:
-        """Send to all members with the next messages, without waiting for the heartbeat interval."""
+        """Request a broadcast with the next messages, without waiting for the heartbeat interval."""
         self._broadcast_requested = True
 
     def broadcast_if_requested(self, now: datetime) -> None:
-        """Send to all members where that was requested since the last broadcast."""
+        """Broadcast if that was requested since the last broadcast."""
         if self._broadcast_requested:
             self.broadcast(now)
 
     def broadcast(self, now: datetime) -> None:
-        """Send a heartbeat with the missing entries to every other member, as a new round."""
+        """Start a new round: send a heartbeat with the missing entries to every other member."""
         self.heartbeat_round += 1
         self.next_heartbeat = now + self._timing.heartbeat_interval
         self._broadcast_requested = False
@@ -139,7 +139,7 @@
                 self.replicate_to(member, heartbeat=True)
 
     def replicate_to(self, member: str, *, heartbeat: bool) -> None:
-        """Send what the member lacks, within the limit of entries in flight; a heartbeat also where that is nothing."""
+        """Send the next entries or snapshot chunk; `heartbeat` sends a message even if the member lacks nothing."""
         peer = self.progress_of(member)
         if peer.next_index < self._leader.log.first_index:
             self._send_snapshot_chunk(member, peer)
@@ -151,12 +151,12 @@
             self._send_pipelined(member, peer)
 
     def replicate_missing(self, member: str) -> None:
-        """Send what the member lacks, if anything."""
+        """Send the next entries or snapshot chunk if the member lacks any entry."""
         if self.progress_of(member).next_index <= self._leader.log.last_index:
             self.replicate_to(member, heartbeat=False)
 
     def _send_pipelined(self, member: str, peer: PeerProgress) -> None:
-        """Send at least one message, and more while entries are left and allowed."""
+        """Send at least one message, and more until no entries remain or the in-flight limit is reached."""
         self._send_entries(member, peer, self._next_entries(peer))
         while (
             peer.next_index <= self._leader.log.last_index
@@ -165,7 +165,7 @@
             self._send_entries(member, peer, self._next_entries(peer))
 
     def _next_entries(self, peer: PeerProgress) -> list[LogEntry]:
-        """Return the entries for one message: at least one where one is left, and no more than fit."""
+        """Return the entries for one message: at least one if any remains, and no more than fit into the message."""
         log, first = self._leader.log, peer.next_index
         entries: list[LogEntry] = []
         size = 0
@@ -195,19 +195,19 @@
         )
         self._outbox.send_now(member, chunk)
 
-    # Responses of members.
+    # Responses from members
 
     def record_contact(self, now: datetime, member: str, heartbeat_round: int) -> PeerProgress:
-        """Note a member's response; return its progress."""
+        """Record a response from a member; return the member's progress."""
         peer = self.progress_of(member)
         peer.record_contact(now, min(heartbeat_round, self.heartbeat_round))
         return peer
 
     def handle_rejection(self, member: str, response: AppendEntriesResponse) -> None:
-        """Probe from further back after AppendEntries found no matching entry.
+        """Probe from an earlier entry after a member rejected AppendEntries.
 
-        A member whose log ends before what it had acknowledged in an earlier round has lost durable state, and is
-        notified of that.
+        A member whose log ends before an entry that it acknowledged in an earlier round has lost durable state, and is
+        sent LogRegressed.
         """
         peer = self.progress_of(member)
         if response.match_index < peer.match_index:
@@ -216,12 +216,12 @@
                 peer.next_index = peer.match_index + 1
             return
         if peer.probing and not peer.probe_in_flight:
-            return  # a late response to a message sent before the probe
+            return  # a delayed response to a message sent before the probe
         peer.record_rejection(response.match_index)
         self.replicate_to(member, heartbeat=False)
 
     def handle_snapshot_progress(self, member: str, response: InstallSnapshotResponse) -> None:
-        """Continue the transfer of a snapshot where the member is."""
+        """Continue a snapshot transfer from the offset that the member reports."""
         peer = self.progress_of(member)
         if response.last_included_index != self._leader.log.snapshot.index:
             peer.snapshot_offset = None  # a newer snapshot has replaced the one in transfer
@@ -232,15 +232,15 @@
         peer.snapshot_offset = response.offset
         if response.offset > previous_offset:
             self.replicate_to(member, heartbeat=False)
-        # Otherwise the member began anew: the next heartbeat sends from there.
+        # Otherwise the member restarted the transfer: the next heartbeat continues from its offset.
 
-    # Leadership transfer.
+    # Leadership transfer
 
     def transfer_leadership(self) -> str | None:
         """Order the voter with the longest matching log to start an election, if it has all entries.
 
         Returns:
-            The identity of that voter; None where no voter has all entries.
+            The identity of that voter; None if no other voter has all entries.
         """
         leader = self._leader
         candidates = [voter for voter in leader.log.configuration.voters if voter != leader.identity]
--- a/marlstep/consensus/snapshot_transfer.py
+++ b/marlstep/consensus/snapshot_transfer.py
@@ -7,7 +7,7 @@
 
 
 def snapshot_chunk(snapshot: Snapshot, offset: int, term: int, heartbeat_round: int) -> InstallSnapshotChunk:
-    """Return the chunk of the snapshot that starts at `offset`, for a leader of that term to send."""
+    """Return the chunk that starts at character `offset` of the snapshot's data, with the leader's term and round."""
     data = snapshot.data[offset : offset + MAX_CHARACTERS_PER_MESSAGE]
     return InstallSnapshotChunk(
         term=term,
@@ -22,22 +22,23 @@
 
 
 class SnapshotAssembler:
-    """Puts a snapshot together from the chunks that a follower receives."""
+    """Assembles a snapshot from the chunks that a follower receives."""
 
     def __init__(self) -> None:
-        """Start with no chunk of any snapshot."""
+        """Initialize the assembler without chunks."""
         self._chunks: list[str] = []
         self._last_included = (0, 0)  # index and term of the snapshot that is being received
 
     @property
     def received_characters(self) -> int:
-        """The offset of the next chunk that is needed."""
+        """The number of characters received, which is the offset of the next chunk."""
         return sum(map(len, self._chunks))
 
     def add(self, chunk: InstallSnapshotChunk) -> Snapshot | None:
-        """Take in a chunk; return the whole snapshot with its last one.
+        """Add a chunk; return the snapshot if it is now complete.
 
-        A chunk at offset 0 or of another snapshot starts anew; one that does not follow the last one is ignored.
+        A chunk at offset 0 or of another snapshot discards the chunks received so far. A chunk whose offset is not
+        `received_characters` is ignored.
         """
         last_included = (chunk.last_included_index, chunk.last_included_term)
         if self._last_included != last_included or chunk.offset == 0:
--- a/marlstep/consensus/state_machine.py
+++ b/marlstep/consensus/state_machine.py
@@ -1,8 +1,8 @@
-"""The state machines that a log drives, and the results of commands that clients may send again.
+"""The state machines to which log entries are applied, and the cached results of commands that clients may resend.
 
-A command is a JSON object. Its key `m` names the state machine. A command that may be sent again also carries `by`,
-the client, and `no`, the client's number for it: it is applied once, and a repetition gets the cached result (client
-sessions, section 8 of the paper).
+A command is a JSON object whose key `m` names the state machine. A command that may be resent also carries `by`, the
+client, and `no`, the number that the client gave it: it is applied once, and a repetition returns the cached result
+(client sessions, section 8 of the paper).
 """
 
 from __future__ import annotations
@@ -17,80 +17,80 @@
 from marlstep.errors import MarlstepError
 
 CommandJson = Mapping[str, Any]  # a command as the log stores it
-SnapshotJson = Any  # the state of one state machine, in the form that it has itself written
-ResultJson = dict[str, Any]  # the result of a command, as snapshots store it and clients read it
+SnapshotJson = Any  # the state of one state machine, as its `snapshot` method returned it
+ResultJson = dict[str, Any]  # the result of a command, as snapshots store it and clients receive it
 MAX_RESULTS_PER_CLIENT = 64  # a client never has more commands in flight
-MAX_CLIENTS = 4_096  # the least recently active client is forgotten first
-MAX_NAME_IN_ERROR = 32  # characters of an unknown state machine's name
+MAX_CLIENTS = 4_096  # results of the least recently active client are dropped first
+MAX_NAME_IN_ERROR = 32  # characters of an unknown state machine's name in an error
 
 
 class Command(Protocol):
     """A typed command of one state machine."""
 
     def to_json(self) -> CommandJson:
-        """Return the command as the log stores it, its keys in the order that the log has."""
+        """Return the command as the log stores it, with its keys in the stored order."""
 
 
 @dataclass(slots=True, frozen=True)
 class StoredCommand:
-    """A command given in its stored form, as fault injection and measurements write it."""
+    """A command in its stored form, for fault injection and benchmarks."""
 
     stored: CommandJson
 
     def to_json(self) -> CommandJson:
-        """Return the stored form."""
+        """Return the command as the log stores it."""
         return self.stored
 
 
 class InvalidCommandError(MarlstepError, ValueError):
-    """A command that a state machine cannot apply. It has changed nothing."""
+    """A command that a state machine cannot apply. It has not changed the state."""
 
     def __repr__(self) -> str:
-        """As ValueError: this text is part of replicated results, so it must not follow the class's name."""
+        """Return the text of a ValueError: it is part of replicated results and must not depend on the class name."""
         return f"ValueError({str(self)!r})"
 
 
 class CommandNotAnObjectError(InvalidCommandError):
-    """The body of a command entry is JSON, but no object."""
+    """The body of a command entry is valid JSON, but not an object."""
 
     def __init__(self) -> None:
-        """Keep the text: it is part of replicated results."""
+        """Initialize the error with its text, which must not change as it is part of replicated results."""
         super().__init__("a command is an object")
 
 
 class StateMachine(Protocol):
-    """A deterministic machine: its state depends on the commands and their order alone."""
+    """A deterministic state machine: its state depends only on the commands and their order."""
 
     def apply(self, command: CommandJson) -> ResultJson:
         """Apply a command and return its result.
 
         Raises:
-            ValueError, KeyError, TypeError: The command is malformed; nothing has changed.
+            ValueError, KeyError, TypeError: The command is malformed; the state has not changed.
         """
 
     def snapshot(self) -> object:
         """Return the whole state as a JSON value."""
 
     def restore(self, snapshot: SnapshotJson) -> None:
-        """Replace the state by what `snapshot` returned, here or on another replica."""
+        """Replace the state by a value that `snapshot` returned on this or another replica."""
 
 
 class StateMachines:
-    """All state machines on one log, by name, and the cached results of their clients' commands."""
+    """All state machines of one log, by name, and the cached results of the clients' commands."""
 
     def __init__(self, machines: Mapping[str, StateMachine]) -> None:
-        """Route commands to these state machines by their name."""
+        """Initialize with the state machines by name, and no cached results."""
         self.machines = dict(machines)
         self._results_by_client: OrderedDict[str, dict[int, ResultJson]] = OrderedDict()
 
     def cached_result(self, client: str, number: int) -> ResultJson | None:
-        """Return the result of a client's command that was applied before."""
+        """Return the result of a client's command if it was already applied and is still cached."""
         return self._results_by_client.get(client, {}).get(number)
 
     def apply(self, body: str) -> tuple[CommandJson, ResultJson]:
-        """Apply a committed entry's body; return the command and its result.
+        """Apply the body of a committed entry; return the command and its result.
 
-        A malformed command has a result with the key `error`, the same on every replica.
+        The result of a malformed command has the key `error` and is the same on every replica.
         """
         try:
             command = _parse_command(body)
@@ -131,10 +131,10 @@
         return orjson.dumps({"asked": results, "machines": states}, option=orjson.OPT_SORT_KEYS).decode()
 
     def restore(self, data: str) -> None:
-        """Replace all state by a snapshot's; a machine that the snapshot does not name keeps its own.
+        """Replace the state of the machines that the snapshot names, and all cached results.
 
         Raises:
-            ValueError: The data is no JSON.
+            ValueError: The data is not valid JSON.
         """
         stored = orjson.loads(data)
         self._results_by_client = OrderedDict((client, dict(results)) for client, results in stored["asked"])
