--- a/marlstep/consensus/election.py
+++ b/marlstep/consensus/election.py
@@ -126,7 +126,7 @@
         """Become the leader of the current term."""
         self.role, self.role_since, self.leader = Role.LEADER, now, self.identity
 
-    def leave(self) -> None:
+    def step_down_after_removal(self) -> None:
         """Stop leading after this member's own removal is committed (section 6)."""
         self.role, self.leader = Role.FOLLOWER, ""
 
--- a/marlstep/consensus/group_membership.py
+++ b/marlstep/consensus/group_membership.py
@@ -19,7 +19,7 @@
 from marlstep.consensus.replica_status import ReplicaEvent
 from marlstep.units import SECOND
 
-MAX_LAG_TO_VOTE = 32  # entries that a learner's log may be behind when it is promoted
+MAX_PROMOTION_LAG = 32  # entries that a learner's log may be behind when it is promoted
 JOIN_REQUEST_EXPIRY = 5 * SECOND  # a request that was not repeated within this time is dropped
 
 
@@ -83,9 +83,9 @@
             return True
         if not self._is_caught_up(identity):
             return False
-        predecessors = [voter for voter in configuration.voters if node_of(voter) == node_of(identity)]
-        if predecessors:
-            self._remove_predecessors(now, configuration, predecessors, identity)
+        former_voters = [voter for voter in configuration.voters if node_of(voter) == node_of(identity)]
+        if former_voters:
+            self._remove_former_voters(now, configuration, former_voters, identity)
         else:
             self._promote(configuration, identity)
         return True
@@ -100,15 +100,17 @@
         change = f"{identity} is promoted to voter"
         self._propose(Configuration((*configuration.voters, identity), learners), change)
 
-    def _remove_predecessors(
-        self, now: datetime, configuration: Configuration, predecessors: list[str], identity: str
+    def _remove_former_voters(
+        self, now: datetime, configuration: Configuration, former_voters: list[str], identity: str
     ) -> None:
         """Propose to remove a node's former voters once they are unresponsive and most other voters respond."""
-        remaining = tuple(voter for voter in configuration.voters if voter not in predecessors)
-        if len(configuration.voters) == 1 or not all(self._is_silent(now, voter) for voter in predecessors):
+        remaining = tuple(voter for voter in configuration.voters if voter not in former_voters)
+        if len(configuration.voters) == 1 or not all(
+            self._is_unresponsive(now, voter) for voter in former_voters
+        ):
             return
         if self._majority_is_alive(now, remaining):
-            change = f"{predecessors[0]} is replaced by {identity}"
+            change = f"{former_voters[0]} is replaced by {identity}"
             self._propose(Configuration(remaining, configuration.learners), change)
 
     def _propose(self, configuration: Configuration, change: str) -> None:
@@ -121,10 +123,10 @@
         return (
             peer is not None
             and peer.match_index > 0
-            and self._raft.replication_lag(identity) <= MAX_LAG_TO_VOTE
+            and self._raft.replication_lag(identity) <= MAX_PROMOTION_LAG
         )
 
-    def _is_silent(self, now: datetime, identity: str) -> bool:
+    def _is_unresponsive(self, now: datetime, identity: str) -> bool:
         """Tell whether another member has not responded for twice the election timeout."""
         if identity == self._raft.identity:
             return False
@@ -134,5 +136,5 @@
 
     def _majority_is_alive(self, now: datetime, voters: tuple[str, ...]) -> bool:
         """Tell whether a majority of these voters has responded recently, so that they can commit on their own."""
-        alive = sum(not self._is_silent(now, voter) for voter in voters)
+        alive = sum(not self._is_unresponsive(now, voter) for voter in voters)
         return alive >= Configuration(voters).quorum
--- a/marlstep/consensus/leader_duties.py
+++ b/marlstep/consensus/leader_duties.py
@@ -53,7 +53,7 @@
     quotas: QuotaTable | None
 
     @staticmethod
-    def of(leases: LeaseTable, machines: StateMachines) -> ReplicatedState:
+    def from_machines(leases: LeaseTable, machines: StateMachines) -> ReplicatedState:
         """Return the state machines in `machines` by their names, with the lease table."""
         config_store = machines.machines.get(MachineName.CONFIG_STORE)
         roster = machines.machines.get(MachineName.ROSTER)
@@ -156,8 +156,8 @@
         standings = [
             ProcessStanding(
                 process=holder,
-                heard_ms=(now - received_at) // MILLISECOND,
-                lease_ms=self._lease_ms_left(now, CONFIG_LEASE_PREFIX + holder),
+                heartbeat_age_ms=(now - received_at) // MILLISECOND,
+                lease_remaining_ms=self._lease_remaining_ms(now, CONFIG_LEASE_PREFIX + holder),
                 document_states=[list(row) for row in heartbeat.document_states],
                 request_counts=list(heartbeat.request_counts),
             )
@@ -165,7 +165,7 @@
         ]
         return sorted(standings, key=lambda standing: standing.process)
 
-    def _lease_ms_left(self, now: datetime, lease: str) -> int:
+    def _lease_remaining_ms(self, now: datetime, lease: str) -> int:
         expiry = self.lease_manager.expiry_of(lease)
         return 0 if expiry is None else max(0, (expiry - now) // MILLISECOND)
 
@@ -177,7 +177,7 @@
         if store is None:
             return
         for name, version in store.ready_to_commit():
-            if self._may_decide(name, version):
+            if self._mark_decided(name, version):
                 self._propose(CommitVersion(name, version))
         if store.active_rollouts():
             self._evaluate_rollouts(now, store)
@@ -189,7 +189,7 @@
         }
         lease_term = self._settings.leases.term_of(CONFIG_LEASE_PREFIX)
         for decision in self.rollout.evaluate(now, store, heartbeats, lease_term):
-            if self._may_decide(decision.name, decision.version):
+            if self._mark_decided(decision.name, decision.version):
                 self._propose_rollout_decision(decision)
 
     def _propose_rollout_decision(self, decision: RolloutDecision) -> None:
@@ -198,7 +198,7 @@
         summary = f"staged version {decision.version} of {decision.name} {outcome}"
         self._events.append(ReplicaEvent(summary, decision.reason))
 
-    def _may_decide(self, name: str, version: int) -> bool:
+    def _mark_decided(self, name: str, version: int) -> bool:
         """Mark a version as decided; return False if a decision on it was already proposed."""
         if (name, version) in self.proposed_decisions:
             return False
--- a/marlstep/consensus/raft.py
+++ b/marlstep/consensus/raft.py
@@ -356,7 +356,7 @@
         return self.replication.transfer_leadership() if self.is_leader else None
 
     def _handle_append_response(self, now: datetime, sender: str, response: AppendEntriesResponse) -> None:
-        if not self._is_led(sender):
+        if not self._leads_member(sender):
             return
         peer = self.replication.record_contact(now, sender, response.heartbeat_round)
         if not response.success:
@@ -369,7 +369,7 @@
     def _handle_snapshot_response(
         self, now: datetime, sender: str, response: InstallSnapshotResponse
     ) -> None:
-        if not self._is_led(sender):
+        if not self._leads_member(sender):
             return
         peer = self.replication.record_contact(now, sender, response.heartbeat_round)
         if not response.done:
@@ -379,7 +379,7 @@
         self._advance_commit_index()
         self.replication.replicate_to(sender, heartbeat=False)
 
-    def _is_led(self, member: str) -> bool:
+    def _leads_member(self, member: str) -> bool:
         return self.is_leader and member in self.configuration.members
 
     def _advance_commit_index(self) -> None:
@@ -390,7 +390,7 @@
         self.commit_index = index
         self.replication.request_broadcast()
         if self.log.configuration_index <= index and self.identity not in self.configuration.voters:
-            self.election.leave()
+            self.election.step_down_after_removal()
 
     # Messages, state and entries for the driver
 
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -79,7 +79,7 @@
         self.machines = StateMachines({MachineName.LEASES: self.leases, **machines(self.leases)})
         if saved.snapshot.data:
             self.machines.restore(saved.snapshot.data)
-        state = ReplicatedState.of(self.leases, self.machines)
+        state = ReplicatedState.from_machines(self.leases, self.machines)
         self.config_store, self.roster, self.quotas = state.config_store, state.roster, state.quotas
         self.events: deque[ReplicaEvent] = deque()  # the driver logs and removes them
         self.duties = LeaderDuties(self.node, self.raft, state, settings, self.events)
@@ -193,7 +193,7 @@
         self._apply_committed(now)
         self._observe_leadership(now)
         if self.raft.is_established_leader:
-            self._lead(now)
+            self._run_leader_duties(now)
         self._compact_if_needed()
         self._report_leader_change()
 
@@ -232,7 +232,7 @@
             self._pending_requests.clear()
             self.group.clear()
 
-    def _lead(self, now: datetime) -> None:
+    def _run_leader_duties(self, now: datetime) -> None:
         self.duties.expire_and_grant_leases(now)
         self.duties.activate_config_versions(now)
         self._outbox += self.duties.take_heartbeat_responses(now)
--- a/marlstep/consensus/replica_status.py
+++ b/marlstep/consensus/replica_status.py
@@ -62,8 +62,8 @@
     """The report of one process in its last heartbeat to the leader."""
 
     process: str
-    heard_ms: int  # time since that heartbeat
-    lease_ms: int  # time left until its configuration lease expires
+    heartbeat_age_ms: int  # time since that heartbeat
+    lease_remaining_ms: int  # time left until its configuration lease expires
     document_states: list[list[Any]]
     request_counts: list[int]
 
@@ -71,8 +71,8 @@
         """Return the row of this process in the response to a `standings` query."""
         return {
             "process": self.process,
-            "heard_ms": self.heard_ms,
-            "lease_ms": self.lease_ms,
+            "heard_ms": self.heartbeat_age_ms,
+            "lease_ms": self.lease_remaining_ms,
             "acts": self.document_states,
             "figures": self.request_counts,
         }
--- a/marlstep/consensus/replication.py
+++ b/marlstep/consensus/replication.py
@@ -85,18 +85,18 @@
 
     def quorum_match_index(self, durable_index: int) -> int:
         """Return the last entry that is durable on a majority; `durable_index` is that of the leader itself."""
-        return self._reached_by_quorum(durable_index, lambda peer: peer.match_index)
+        return self._quorum_value(durable_index, lambda peer: peer.match_index)
 
     @property
     def confirmed_round(self) -> int:
         """The highest round that a majority has responded to, which proves that this member led after sending it."""
-        return self._reached_by_quorum(self.heartbeat_round, lambda peer: peer.acknowledged_round)
+        return self._quorum_value(self.heartbeat_round, lambda peer: peer.acknowledged_round)
 
-    def _reached_by_quorum(self, own: int, value_of: Callable[[PeerProgress], int]) -> int:
+    def _quorum_value(self, own_value: int, value_of: Callable[[PeerProgress], int]) -> int:
         configuration = self._leader.log.configuration
         values = sorted(
             (
-                own if voter == self._leader.identity else value_of(self.progress_of(voter))
+                own_value if voter == self._leader.identity else value_of(self.progress_of(voter))
                 for voter in configuration.voters
             ),
             reverse=True,
--- a/marlstep/consensus/state_machine.py
+++ b/marlstep/consensus/state_machine.py
@@ -21,7 +21,7 @@
 ResultJson = dict[str, Any]  # the result of a command, as snapshots store it and clients receive it
 MAX_RESULTS_PER_CLIENT = 64  # a client never has more commands in flight
 MAX_CLIENTS = 4_096  # results of the least recently active client are dropped first
-MAX_NAME_IN_ERROR = 32  # characters of an unknown state machine's name in an error
+MAX_QUOTED_NAME_CHARS = 32  # characters of an unknown state machine's name in an error
 
 
 class Command(Protocol):
@@ -109,7 +109,7 @@
         name = str(command.get("m"))
         machine = self.machines.get(name)
         if machine is None:
-            return {"error": f"no machine {name[:MAX_NAME_IN_ERROR]!r} here"}
+            return {"error": f"no machine {name[:MAX_QUOTED_NAME_CHARS]!r} here"}
         try:
             return machine.apply(command)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
