--- a/tests/consensus/support.py
+++ b/tests/consensus/support.py
@@ -16,7 +16,7 @@
 TIMING = RaftTiming()
 
 
-class Counter:
+class CounterMachine:
     def __init__(self) -> None:
         self.value = 0
 
@@ -31,7 +31,7 @@
         self.value = snapshot
 
 
-def persisted(disk: PersistentState, ready: Ready) -> PersistentState:
+def apply_ready(disk: PersistentState, ready: Ready) -> PersistentState:
     """What the store would give back once `ready` is durable."""
     store = SimulatedDisk("", disk)
     store.write(ready)
@@ -65,7 +65,7 @@
                 messages = raft.take_immediate_messages(self.now)
                 ready = raft.take_ready()
                 if ready is not None:
-                    self.disks[name] = persisted(self.disks[name], ready)
+                    self.disks[name] = apply_ready(self.disks[name], ready)
                     raft.acknowledge_durable(ready)
                     messages += ready.messages
                 self.applied[name] += raft.take_committed()
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -41,11 +41,13 @@
 
 @given(MESSAGES, st.integers(0, 1 << 16), st.binary(min_size=1, max_size=4))
 @settings(max_examples=150)
-def test_a_damaged_message_is_corrupt_or_another_message(message: object, at: int, junk: bytes) -> None:
+def test_a_damaged_message_is_rejected_as_corrupt_or_read_as_a_message(
+    message: object, position: int, replacement: bytes
+) -> None:
     body = write_envelope(Envelope("f", "1.a", "a#1", "b#1", message))  # type: ignore[arg-type]
-    at %= len(body)
+    position %= len(body)
     with contextlib.suppress(CorruptError):
-        read_envelope(body[:at] + junk + body[at + 1 :])
+        read_envelope(body[:position] + replacement + body[position + 1 :])
 
 
 @pytest.mark.parametrize(
--- a/tests/consensus/test_raft_election.py
+++ b/tests/consensus/test_raft_election.py
@@ -14,7 +14,7 @@
 )
 from marlstep.consensus.raft import Raft, Role
 from marlstep.units import EPOCH, MILLISECOND
-from tests.consensus.support import TIMING, RaftCluster, persisted
+from tests.consensus.support import TIMING, RaftCluster, apply_ready
 
 
 @pytest.mark.parametrize("count", [1, 3, 5, 7])
@@ -62,10 +62,10 @@
     ready = raft.take_ready()
     assert ready is not None and ready.needs_sync and (ready.term, ready.voted_for) == (1, "v1#1")
     assert [(to, message.granted) for to, message in ready.messages] == [("v1#1", True), ("v2#1", False)]  # type: ignore[union-attr]
-    restarted = Raft("v0#1", persisted(cluster.disks["v0#1"], ready), TIMING, random.Random(1), cluster.now)
+    restarted = Raft("v0#1", apply_ready(cluster.disks["v0#1"], ready), TIMING, random.Random(1), cluster.now)
     restarted.step(cluster.now, "v2#1", RequestVote(1, False, True, 9, 9))
-    answer = restarted.take_ready()
-    assert answer is not None and not answer.messages[0][1].granted  # type: ignore[union-attr]
+    second_response = restarted.take_ready()
+    assert second_response is not None and not second_response.messages[0][1].granted  # type: ignore[union-attr]
 
 
 def test_leadership_transfer_elects_the_target_at_once() -> None:
@@ -80,16 +80,20 @@
     now = EPOCH + timedelta(days=1)
     saved = PersistentState(snapshot=Snapshot(configuration=Configuration(("a#1", "b#1", "c#1"))))
     raft = Raft("a#1", saved, TIMING, random.Random(1), now)
-    late = raft.next_due() + 3 * TIMING.heartbeat_interval
-    raft.tick(late)
-    assert not raft.is_leader and raft.next_due() == late + TIMING.heartbeat_interval
-    raft.step(late, "b#1", AppendEntries(1, 1, 0, 0, 0, ()))  # the leader's message was waiting all the time
-    assert raft.leader == "b#1" and raft.next_due() > late + TIMING.heartbeat_interval
+    wakeup_at = raft.next_due() + 3 * TIMING.heartbeat_interval
+    raft.tick(wakeup_at)
+    assert not raft.is_leader and raft.next_due() == wakeup_at + TIMING.heartbeat_interval
+    raft.step(
+        wakeup_at, "b#1", AppendEntries(1, 1, 0, 0, 0, ())
+    )  # the leader's message was waiting all the time
+    assert raft.leader == "b#1" and raft.next_due() > wakeup_at + TIMING.heartbeat_interval
     # Without a message it campaigns a heartbeat interval later, and is not deferred again, however late that is.
-    again = raft.next_due() + 3 * TIMING.heartbeat_interval
-    raft.tick(again)
+    second_wakeup_at = raft.next_due() + 3 * TIMING.heartbeat_interval
+    raft.tick(second_wakeup_at)
     assert [
-        message for _, message in raft.take_immediate_messages(again) if isinstance(message, RequestVote)
+        message
+        for _, message in raft.take_immediate_messages(second_wakeup_at)
+        if isinstance(message, RequestVote)
     ] == []
-    raft.tick(again + 9 * TIMING.heartbeat_interval)
+    raft.tick(second_wakeup_at + 9 * TIMING.heartbeat_interval)
     assert raft.role is Role.PRE_CANDIDATE
--- a/tests/consensus/test_raft_replication.py
+++ b/tests/consensus/test_raft_replication.py
@@ -16,14 +16,14 @@
 
 def test_committed_entries_survive_the_loss_of_the_leader_and_uncommitted_ones_do_not() -> None:
     cluster = RaftCluster()
-    first = cluster.leader()
-    first.propose("kept")
+    first_leader = cluster.leader()
+    first_leader.propose("kept")
     cluster.settle()
-    cluster.partitioned.add(first.identity)
-    first.propose("lost")
-    second = cluster.leader()
-    assert second is not first
-    second.propose("after")
+    cluster.partitioned.add(first_leader.identity)
+    first_leader.propose("lost")
+    second_leader = cluster.leader()
+    assert second_leader is not first_leader
+    second_leader.propose("after")
     cluster.settle()
     cluster.partitioned.clear()
     cluster.pass_time(timedelta(seconds=2))
@@ -33,27 +33,30 @@
 def test_a_member_whose_log_regressed_is_notified_and_stops_campaigning() -> None:
     cluster = RaftCluster()
     leader = cluster.leader()
-    old = next(name for name in cluster.members if name != leader.identity)
-    before = PersistentState(
-        cluster.disks[old].term, cluster.disks[old].voted_for, cluster.disks[old].snapshot, []
+    regressed = next(name for name in cluster.members if name != leader.identity)
+    earlier_state = PersistentState(
+        cluster.disks[regressed].term,
+        cluster.disks[regressed].voted_for,
+        cluster.disks[regressed].snapshot,
+        [],
     )
     leader.propose("durable there")
     cluster.settle()
-    restarted = cluster.add(old, before, 5)
+    restarted = cluster.add(regressed, earlier_state, 5)
     cluster.pass_time(timedelta(milliseconds=500))
     assert restarted.log_regressed
     restarted.step(cluster.now, leader.identity, TimeoutNow(leader.term))
     assert not restarted.is_leader and restarted.role is Role.FOLLOWER  # it does not campaign any more
 
 
-def test_a_late_response_is_not_taken_for_a_regressed_log() -> None:
+def test_a_late_response_is_not_mistaken_for_a_regressed_log() -> None:
     cluster = RaftCluster()
     leader = cluster.leader()
-    other = cluster.members[next(name for name in cluster.members if name != leader.identity)]
+    follower = cluster.members[next(name for name in cluster.members if name != leader.identity)]
     stale = AppendEntriesResponse(leader.term, 1, False, 0)
     leader.propose("more")
     cluster.settle()
-    leader.step(cluster.now, other.identity, stale)
+    leader.step(cluster.now, follower.identity, stale)
     cluster.settle()
-    other.step(cluster.now, leader.identity, LogRegressed(leader.term, 1))
-    assert not other.log_regressed
+    follower.step(cluster.now, leader.identity, LogRegressed(leader.term, 1))
+    assert not follower.log_regressed
--- a/tests/consensus/test_ready.py
+++ b/tests/consensus/test_ready.py
@@ -26,11 +26,11 @@
     return [entry.index for entry in ready.entries]
 
 
-def test_nothing_new_gives_no_ready() -> None:
+def test_without_changes_there_is_no_ready() -> None:
     assert Member().ready() is None
 
 
-def test_entries_are_handed_out_once_and_again_from_where_they_were_overwritten() -> None:
+def test_entries_are_returned_once_and_again_from_the_first_overwritten_one() -> None:
     member = Member()
     for index in (1, 2, 3):
         member.append(index)
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -10,7 +10,7 @@
 from marlstep.consensus.replica_messages import CommandRequest, CommandResponse
 from marlstep.leases.settings import LeaseSettings
 from marlstep.units import EPOCH
-from tests.consensus.support import TIMING, Counter, persisted
+from tests.consensus.support import TIMING, CounterMachine, apply_ready
 
 
 def test_a_log_is_compacted_and_a_replica_restarts_from_its_store() -> None:
@@ -18,7 +18,7 @@
     group = Configuration(("v#1",))
     disk = PersistentState(snapshot=Snapshot(configuration=group))
     settings = ReplicaSettings(TIMING, LeaseSettings(), ("v",))
-    replica = Replica("v#1", disk, settings, lambda table: {"n": Counter()}, random.Random(1), now)
+    replica = Replica("v#1", disk, settings, lambda table: {"n": CounterMachine()}, random.Random(1), now)
 
     def settle() -> list[object]:
         nonlocal disk
@@ -26,7 +26,7 @@
         for _ in range(6):
             messages += [message for _, message in replica.take_immediate_messages(now)]
             while (ready := replica.take_ready()) is not None:
-                disk = persisted(disk, ready)
+                disk = apply_ready(disk, ready)
                 replica.acknowledge_durable(now, ready)
                 for to, message in ready.messages:
                     if to == replica.identity:
@@ -42,10 +42,10 @@
             settle()
     settle()
     assert disk.snapshot.index >= COMPACTION_THRESHOLD - 100 and len(disk.entries) < COMPACTION_THRESHOLD
-    replica = Replica("v#1", disk, settings, lambda table: {"n": Counter()}, random.Random(1), now)
+    replica = Replica("v#1", disk, settings, lambda table: {"n": CounterMachine()}, random.Random(1), now)
     now = replica.next_due()
     replica.tick(now)
     settle()
     replica.step(now, "a", CommandRequest("a/1", 99_999, '{"m":"n","add":1}'))
-    done = [message for message in settle() if isinstance(message, CommandResponse)]
-    assert done == [CommandResponse(99_999, True, "v", f'{{"value":{COMPACTION_THRESHOLD + 11}}}')]
+    responses = [message for message in settle() if isinstance(message, CommandResponse)]
+    assert responses == [CommandResponse(99_999, True, "v", f'{{"value":{COMPACTION_THRESHOLD + 11}}}')]
--- a/tests/consensus/test_snapshots.py
+++ b/tests/consensus/test_snapshots.py
@@ -12,7 +12,7 @@
 from tests.consensus.support import RaftCluster
 
 
-def test_a_lagging_member_gets_the_snapshot_in_chunks_though_some_are_lost() -> None:
+def test_a_lagging_member_installs_the_snapshot_although_some_chunks_are_lost() -> None:
     cluster = RaftCluster()
     leader = cluster.leader()
     lagging = next(name for name in cluster.members if name != leader.identity)
