--- a/marlstep/consensus/group_membership.py
+++ b/marlstep/consensus/group_membership.py
@@ -58,10 +58,10 @@
                 return
 
     def _remove_ineligible_member(self, now: datetime, eligible_nodes: tuple[str, ...]) -> bool:
-        """Propose to remove one ineligible member, if a majority of the other voters responds.
+        """Propose to remove one ineligible member, provided that a majority of the other voters responds.
 
         Returns:
-            Whether there was such a member.
+            Whether such a member was found.
         """
         configuration = self._raft.configuration
         for identity in configuration.members:
@@ -103,7 +103,7 @@
     def _remove_former_voters(
         self, now: datetime, configuration: Configuration, former_voters: list[str], identity: str
     ) -> None:
-        """Propose to remove a node's former voters once they are unresponsive and most other voters respond."""
+        """Propose to remove unresponsive former voters of a node if a majority of the remaining voters responds."""
         remaining = tuple(voter for voter in configuration.voters if voter not in former_voters)
         if len(configuration.voters) == 1 or not all(
             self._is_unresponsive(now, voter) for voter in former_voters
--- a/marlstep/consensus/messages.py
+++ b/marlstep/consensus/messages.py
@@ -71,7 +71,7 @@
     wire_tag: ClassVar[str] = "Append"
 
     term: int = field(metadata=wire("term", INTEGER))
-    # Incremented with every broadcast: a response proves that the sender still led after it sent that broadcast.
+    # Incremented with every broadcast: a response proves that the leader still led after sending it.
     heartbeat_round: int = field(metadata=wire("round", INTEGER))
     prev_log_index: int = field(metadata=wire("prev", INTEGER))
     prev_log_term: int = field(metadata=wire("prev_term", INTEGER))
--- a/marlstep/consensus/raft.py
+++ b/marlstep/consensus/raft.py
@@ -320,8 +320,8 @@
         """Append an entry to the leader's log and request its replication.
 
         Returns:
-            The index of the entry, which is lost if this member loses the leadership before it commits; None if this
-            member does not lead.
+            The index of the entry, which may be lost if this member loses the leadership before it commits; None if
+            this member does not lead.
         """
         if not self.is_leader:
             return None
--- a/tests/consensus/support.py
+++ b/tests/consensus/support.py
@@ -1,4 +1,4 @@
-"""Members of a Raft group and replicas on a network without delay, for the tests of this package."""
+"""Simulated Raft members and replicas on a network without delay, for the tests of the consensus package."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 def apply_ready(disk: PersistentState, ready: Ready) -> PersistentState:
-    """What the store would give back once `ready` is durable."""
+    """Return the state that the store contains once `ready` is durable."""
     store = SimulatedDisk("", disk)
     store.write(ready)
     return store.saved
 
 
 class RaftCluster:
-    """Raft cores on a network that delivers every message at once, except to and from `partitioned` members."""
+    """Raft cores on a network that delivers messages immediately, except to and from `partitioned` members."""
 
     def __init__(self, count: int = 3) -> None:
         self.now = EPOCH + timedelta(days=1)
@@ -100,7 +100,7 @@
 
 
 class ReplicaCluster:
-    """Replicas on a network that delivers every message at once."""
+    """Replicas on a network that delivers messages immediately."""
 
     def __init__(self, eligible_nodes: tuple[str, ...]) -> None:
         self.now = EPOCH + timedelta(days=1)
--- a/tests/consensus/test_configuration_change.py
+++ b/tests/consensus/test_configuration_change.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration by one voter at a time."""
+"""Configuration changes by one voter at a time."""
 
 from __future__ import annotations
 
@@ -28,5 +28,5 @@
     remaining = tuple(name for name in four_voters if name != leader.identity)
     leader.change_configuration(Configuration(remaining))
     cluster.pass_time(timedelta(milliseconds=300))
-    assert not leader.is_leader  # it led until its own removal was committed
+    assert not leader.is_leader  # it stepped down once its own removal was committed
     assert cluster.leader().identity in remaining
--- a/tests/consensus/test_group_membership.py
+++ b/tests/consensus/test_group_membership.py
@@ -1,4 +1,4 @@
-"""Joins, promotion, replacement and removal of replicas."""
+"""Joining, promotion, replacement and removal of replicas."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     cluster.pass_time(3)
     assert cluster.voters() == {"a#1", "b#1", "c#1"}
     del cluster.members["c#1"]
-    cluster.start("c#2", PersistentState())  # its disk was lost
+    cluster.start("c#2", PersistentState())  # the node lost its disk and has a new identity
     cluster.pass_time(4)
     assert cluster.voters() == {"a#1", "b#1", "c#2"}
     for replica in cluster.members.values():
@@ -24,4 +24,4 @@
     cluster.eligible_nodes = ("b", "c", "d")
     cluster.start("d#1", PersistentState())
     cluster.pass_time(5)
-    assert cluster.voters() == {"b#1", "c#2", "d#1"}  # the leader itself may be removed
+    assert cluster.voters() == {"b#1", "c#2", "d#1"}  # the leader itself is removed as well
--- a/tests/consensus/test_log.py
+++ b/tests/consensus/test_log.py
@@ -1,4 +1,4 @@
-"""The log in memory."""
+"""The in-memory log, compared with a list of terms."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_messages.py
+++ b/tests/consensus/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages on the wire: round trips, and what is not a message."""
+"""Encoding of messages: round trips, and rejection of malformed messages."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_progress.py
+++ b/tests/consensus/test_progress.py
@@ -1,4 +1,4 @@
-"""A member's progress as the leader keeps it."""
+"""The leader's view of the replication progress of a member."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     peer.record_rejection(hint=11)
     assert (peer.next_index, peer.probing, peer.snapshot_offset) == (12, True, None)
     peer.record_rejection(hint=50)
-    assert peer.next_index == 11  # one further back at least
+    assert peer.next_index == 11  # at least one entry before the previous probe
     peer.record_rejection(hint=0)
     assert peer.next_index == 5
 
--- a/tests/consensus/test_raft_election.py
+++ b/tests/consensus/test_raft_election.py
@@ -34,7 +34,7 @@
     leader = cluster.leader()
     partitioned_member = next(name for name in cluster.members if name != leader.identity)
     cluster.partitioned.add(partitioned_member)
-    for _ in range(40):  # its election timeout expires again and again
+    for _ in range(40):  # its election timeout expires repeatedly
         cluster.now += 200 * MILLISECOND
         cluster.members[partitioned_member].tick(cluster.now)
         leader.tick(cluster.now)
@@ -83,11 +83,9 @@
     wakeup_at = raft.next_due() + 3 * TIMING.heartbeat_interval
     raft.tick(wakeup_at)
     assert not raft.is_leader and raft.next_due() == wakeup_at + TIMING.heartbeat_interval
-    raft.step(
-        wakeup_at, "b#1", AppendEntries(1, 1, 0, 0, 0, ())
-    )  # the leader's message was waiting all the time
+    raft.step(wakeup_at, "b#1", AppendEntries(1, 1, 0, 0, 0, ()))  # this message was waiting in the socket
     assert raft.leader == "b#1" and raft.next_due() > wakeup_at + TIMING.heartbeat_interval
-    # Without a message it campaigns a heartbeat interval later, and is not deferred again, however late that is.
+    # Without a message it campaigns one heartbeat interval later; a second late wakeup does not postpone it again.
     second_wakeup_at = raft.next_due() + 3 * TIMING.heartbeat_interval
     raft.tick(second_wakeup_at)
     assert [
--- a/tests/consensus/test_raft_replication.py
+++ b/tests/consensus/test_raft_replication.py
@@ -46,7 +46,7 @@
     cluster.pass_time(timedelta(milliseconds=500))
     assert restarted.log_regressed
     restarted.step(cluster.now, leader.identity, TimeoutNow(leader.term))
-    assert not restarted.is_leader and restarted.role is Role.FOLLOWER  # it does not campaign any more
+    assert not restarted.is_leader and restarted.role is Role.FOLLOWER  # it no longer campaigns
 
 
 def test_a_late_response_is_not_mistaken_for_a_regressed_log() -> None:
--- a/tests/consensus/test_ready.py
+++ b/tests/consensus/test_ready.py
@@ -1,4 +1,4 @@
-"""Each Ready holds what changed since the one before."""
+"""Each Ready contains only the changes since the previous one."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_replica.py
+++ b/tests/consensus/test_replica.py
@@ -1,4 +1,4 @@
-"""A replica as its driver sees it."""
+"""Compaction and restart of a replica, through the interface for its driver."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots cut into chunks and put together again."""
+"""Splitting a snapshot into chunks and assembling it from them."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_snapshots.py
+++ b/tests/consensus/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Transfer of snapshots to members that lag behind."""
+"""Transfer of snapshots to lagging members."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         cluster.now, leader.identity, AppendEntries(leader.term, leader.heartbeat_round, 40, leader.term, 0)
     )
     for _ in range(3):
-        leader.take_immediate_messages(cluster.now)  # a broadcast that is lost
+        leader.take_immediate_messages(cluster.now)  # the messages of this broadcast are lost
         cluster.pass_time(timedelta(milliseconds=150))
     installed = [item for item in cluster.applied[lagging] if isinstance(item, Snapshot)]
     assert [snapshot.data for snapshot in installed] == [data]
--- a/tests/consensus/test_state_machine.py
+++ b/tests/consensus/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Commands: at most once per client and number, and malformed ones."""
+"""Commands: applied at most once per client and number; malformed commands return an error."""
 
 from __future__ import annotations
 
