--- a/marlstep/consensus/log.py
+++ b/marlstep/consensus/log.py
@@ -31,7 +31,7 @@
 
     def __init__(self, expected: int, found: int) -> None:
         """Initialize the error with the expected index and the index that was found in its place."""
-        super().__init__(f"stored log is not contiguous: expected entry {expected}, found entry {found}")
+        super().__init__(f"stored log is not contiguous: found entry {found} in place of entry {expected}")
 
 
 class EntryNotFoundError(MarlstepError, LookupError):
