--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -35,7 +35,7 @@
 REQUEST_TIMEOUT = 10 * SECOND  # for a complete request
 MAX_QUOTA_PER_S = 1e6
 QUOTA_KEY = "allowance_per_s"
-SHOWN_CHARACTERS = 64  # of a name or a path that a client sent, in an error
+MAX_SHOWN_CHARACTERS = 64  # of a name or a path that a client sent, in an error
 VARIABLE = "*"  # a segment of a route's path that is passed to its handler
 
 
@@ -67,8 +67,8 @@
         response = self._serve_component(request, path)
         if response is not None:
             return response
-        if any(route.matches(path) for route in ROUTES if route.names_its_methods):
-            raise HttpError(405, f"{request.method} is not for {request.path[:SHOWN_CHARACTERS]}")
+        if any(route.matches(path) for route in ROUTES if route.rejects_other_methods):
+            raise HttpError(405, f"{request.method} is not for {request.path[:MAX_SHOWN_CHARACTERS]}")
         raise HttpError(404, "no such thing")
 
     def _serve_component(self, request: HttpRequest, path: tuple[str, ...]) -> HttpResponse | None:
@@ -91,7 +91,7 @@
 
     def _execute_order(self, name: str, body: bytes) -> dict[str, object] | None:
         try:
-            arguments = _json_object(body or b"{}")
+            arguments = _parse_json_object(body or b"{}")
             for component in self._components():
                 result = component.execute_order(name, arguments)
                 if result is not None:
@@ -155,7 +155,7 @@
     def _tenant_json(self, name: str) -> dict[str, object]:
         tenant = self.core.tenants.get(name)
         if tenant is None:
-            raise HttpError(404, f"no tenant {name[:SHOWN_CHARACTERS]}")
+            raise HttpError(404, f"no tenant {name[:MAX_SHOWN_CHARACTERS]}")
         return {
             "name": name,
             "share": tenant.portion,
@@ -172,23 +172,23 @@
         method: of HTTP.
         path: segments; `*` stands for one that is passed to the handler.
         handle: called with the API, the request and the variable segments.
-        names_its_methods: whether other methods on the path get 405; else they are looked up like unknown paths.
+        rejects_other_methods: whether other methods on the path get 405; else they are looked up like unknown paths.
     """
 
     method: str
     path: tuple[str, ...]
     handle: Callable[..., HttpResponse]
-    names_its_methods: bool = True
+    rejects_other_methods: bool = True
 
     def matches(self, path: tuple[str, ...]) -> bool:
         """Return whether the path is this route's."""
         if len(path) != len(self.path):
             return False
-        return all(wanted in (VARIABLE, segment) for wanted, segment in zip(self.path, path, strict=True))
+        return all(expected in (VARIABLE, segment) for expected, segment in zip(self.path, path, strict=True))
 
     def variables(self, path: tuple[str, ...]) -> list[str]:
         """Return the variable segments of a path that matches."""
-        return [segment for wanted, segment in zip(self.path, path, strict=True) if wanted == VARIABLE]
+        return [segment for expected, segment in zip(self.path, path, strict=True) if expected == VARIABLE]
 
 
 ROUTES = (
@@ -198,12 +198,12 @@
     Route("GET", (API_VERSION, "tenants", VARIABLE), AdminApi.get_tenant),
     Route("PUT", (API_VERSION, "tenants", VARIABLE), AdminApi.put_tenant),
     Route("POST", (API_VERSION, "drain"), AdminApi.post_drain),
-    Route("GET", (API_VERSION, "parts"), AdminApi.get_components, names_its_methods=False),
-    Route("GET", (API_VERSION, "metrics"), AdminApi.get_metrics, names_its_methods=False),
+    Route("GET", (API_VERSION, "parts"), AdminApi.get_components, rejects_other_methods=False),
+    Route("GET", (API_VERSION, "metrics"), AdminApi.get_metrics, rejects_other_methods=False),
 )
 
 
-def _json_object(body: bytes) -> dict[str, object]:
+def _parse_json_object(body: bytes) -> dict[str, object]:
     value = json.loads(body)
     if not isinstance(value, dict):
         raise HttpError(400, "no order: the body must be an object")
--- a/marlstep/config/admin.py
+++ b/marlstep/config/admin.py
@@ -5,7 +5,7 @@
 import ipaddress
 from pathlib import Path
 
-from marlstep.config.readers import ConfigError, Table, address, known, table, word
+from marlstep.config.readers import ConfigError, Table, check_known_keys, read_address, read_table, read_word
 from marlstep.config.schema import AdminConfig
 
 KEYS = ("listen", "token_file")
@@ -14,12 +14,12 @@
 
 def read_admin(operator: Table) -> AdminConfig:
     """Read the section. Raises ConfigError; the token is read from its file."""
-    section = table(operator, "admin", "admin")
-    known(section, "admin", KEYS)
-    listen = address(section, "listen", "admin.listen")
+    section = read_table(operator, "admin", "admin")
+    check_known_keys(section, "admin", KEYS)
+    listen = read_address(section, "listen", "admin.listen")
     if not ipaddress.ip_address(listen[0]).is_loopback:
         raise ConfigError.unmet("admin.listen", "must be a loopback address")
-    return AdminConfig(listen, _read_token(word(section, "token_file", "admin.token_file")))
+    return AdminConfig(listen, _read_token(read_word(section, "token_file", "admin.token_file")))
 
 
 def _read_token(path: str) -> str:
--- a/marlstep/config/checking.py
+++ b/marlstep/config/checking.py
@@ -7,7 +7,16 @@
 from marlstep.admission.settings import Effect, Settings
 from marlstep.config.operator_overrides import OVERRIDE_KEYS, apply_overrides
 from marlstep.config.platform_settings import read_gauge_names, read_platform_settings, read_seed
-from marlstep.config.readers import Address, Table, address, known, number, table, whole, word
+from marlstep.config.readers import (
+    Address,
+    Table,
+    check_known_keys,
+    read_address,
+    read_int,
+    read_number,
+    read_table,
+    read_word,
+)
 from marlstep.config.schema import AdminConfig, Config, UwsgiConfig
 from marlstep.units import MILLISECOND
 
@@ -35,30 +44,32 @@
         ConfigError: a key is missing, unknown or has a wrong value; the message names it.
     """
     operator = operator_table or {}
-    known(operator, "", OPERATOR_KEYS)
-    limits = table(platform_table, "limits", "limits", {})
-    settings_table = table(platform_table, "settings", "settings")
+    check_known_keys(operator, "", OPERATOR_KEYS)
+    limits = read_table(platform_table, "limits", "limits", {})
+    settings_table = read_table(platform_table, "settings", "settings")
     settings = apply_overrides(read_platform_settings(settings_table), operator)
-    memory_mb = whole(
+    memory_mb = read_int(
         limits, "memory_mb", "limits.memory_mb", MIN_MEMORY_MB, MAX_MEMORY_MB, DEFAULT_MEMORY_MB
     )
     memory_bytes = memory_mb * BYTES_PER_MB
-    name = word(platform_table, "name", "name")
+    name = read_word(platform_table, "name", "name")
     uwsgi = _read_uwsgi(operator, settings, memory_bytes)
     return Config(
         name=name,
-        listen=address(platform_table, "listen", "listen"),
-        kernel=address(platform_table, "kernel", "kernel"),
+        listen=read_address(platform_table, "listen", "listen"),
+        kernel=read_address(platform_table, "kernel", "kernel"),
         name_service=_optional_address(platform_table, "naming"),
         database=_optional_address(platform_table, "db"),
         seed=read_seed(platform_table.get("seed", "0")),
-        shutdown_timeout=whole(platform_table, "stop_ms", "stop_ms", 1, MAX_SHUTDOWN_MS, DEFAULT_SHUTDOWN_MS)
+        shutdown_timeout=read_int(
+            platform_table, "stop_ms", "stop_ms", 1, MAX_SHUTDOWN_MS, DEFAULT_SHUTDOWN_MS
+        )
         * MILLISECOND,
-        max_descriptors=whole(
+        max_descriptors=read_int(
             limits, "sockets", "limits.sockets", MIN_DESCRIPTORS, MAX_DESCRIPTORS, DEFAULT_DESCRIPTORS
         ),
         memory_bytes=memory_bytes,
-        cores=number(limits, "cores", "limits.cores", MIN_CORES, MAX_CORES, 1.0),
+        cores=read_number(limits, "cores", "limits.cores", MIN_CORES, MAX_CORES, 1.0),
         settings=settings,
         gauge_names=read_gauge_names(settings_table),
         uwsgi=uwsgi,
@@ -71,7 +82,7 @@
 
 
 def _optional_address(platform_table: Table, key: str) -> Address | None:
-    return address(platform_table, key, key) if platform_table.get(key) else None
+    return read_address(platform_table, key, key) if platform_table.get(key) else None
 
 
 def _read_uwsgi(operator: Table, settings: Settings, memory_bytes: int) -> UwsgiConfig | None:
@@ -96,7 +107,7 @@
         return None
     from marlstep.config.cluster import read_cluster
 
-    is_idempotent = {
+    idempotent_by_class = {
         request_class.name: request_class.effect is Effect.IDEMPOTENT for request_class in settings.classes
     }
-    return read_cluster(operator, name, is_idempotent, has_uwsgi)
+    return read_cluster(operator, name, idempotent_by_class, has_uwsgi)
--- a/marlstep/config/cluster.py
+++ b/marlstep/config/cluster.py
@@ -20,14 +20,14 @@
     Address,
     ConfigError,
     Table,
-    address,
-    flag,
-    known,
-    number,
-    table,
-    whole,
-    word,
-    words,
+    check_known_keys,
+    read_address,
+    read_bool,
+    read_int,
+    read_number,
+    read_table,
+    read_word,
+    read_words,
 )
 from marlstep.leases.settings import LeaseSettings
 from marlstep.units import MILLISECOND
@@ -55,36 +55,36 @@
 
 
 def read_cluster(
-    operator: Table, node: str, classes: Mapping[str, bool], uwsgi: bool
+    operator: Table, node: str, idempotent_by_class: Mapping[str, bool], has_uwsgi: bool
 ) -> ClusterConfig | None:
     """Read the section, if it is there. Raises ConfigError.
 
     Args:
         operator: the whole of the operator's file.
         node: the name of this node.
-        classes: for each request class, whether its requests are safe to repeat.
-        uwsgi: whether the file turns on the uwsgi frontend, which some of the section needs.
+        idempotent_by_class: for each request class, whether its requests are safe to repeat.
+        has_uwsgi: whether the file turns on the uwsgi frontend, which some of the section needs.
     """
     if "fleet" not in operator:
         return None
-    raw = table(operator, "fleet", "fleet")
-    known(raw, "fleet", KEYS)
-    name = word(raw, "name", "fleet.name")
+    raw = read_table(operator, "fleet", "fleet")
+    check_known_keys(raw, "fleet", KEYS)
+    name = read_word(raw, "name", "fleet.name")
     nodes = _read_nodes(raw, node)
     voters = _read_voters(raw, nodes)
-    store = Path(word(raw, "store", "fleet.store")) if node in voters else None
+    store = Path(read_word(raw, "store", "fleet.store")) if node in voters else None
     timings = _read_timings(raw)
     leases = _read_leases(raw, timings)
     replicated_config = None
     if "rules" in raw:
         from marlstep.config.cluster_documents import read_documents
 
-        replicated_config, config_term = read_documents(raw, timings.heartbeat_interval, uwsgi)
+        replicated_config, config_term = read_documents(raw, timings.heartbeat_interval, has_uwsgi)
         leases = _with_config_term(leases, config_term, timings)
     # In the order in which their faults are named; a dataclass takes them in any.
-    listen = address(raw, "listen", "fleet.listen") if "listen" in raw else nodes[node]
-    tasks = _read_tasks(raw, classes, uwsgi, timings)
-    shared_health_checks = _read_shared_health_checks(raw, uwsgi)
+    listen = read_address(raw, "listen", "fleet.listen") if "listen" in raw else nodes[node]
+    tasks = _read_tasks(raw, idempotent_by_class, has_uwsgi, timings)
+    shared_health_checks = _read_shared_health_checks(raw, has_uwsgi)
     key = _read_key(raw)
     return ClusterConfig(
         name=name,
@@ -105,20 +105,20 @@
 
 
 def _read_nodes(raw: Table, this_node: str) -> dict[str, Address]:
-    rows = table(raw, "nodes", "fleet.nodes")
+    rows = read_table(raw, "nodes", "fleet.nodes")
     if not 1 <= len(rows) <= MAX_NODES:
         raise ConfigError.unmet("fleet.nodes", f"must name 1 to {MAX_NODES} nodes")
     for name in rows:
         if any(mark in name for mark in "#/ ") or not name.isprintable():
             raise ConfigError.found(f"fleet.nodes.{name}", "a node's name has no #, / or blank")
-    nodes = {name: address(rows, name, f"fleet.nodes.{name}") for name in rows}
+    nodes = {name: read_address(rows, name, f"fleet.nodes.{name}") for name in rows}
     if this_node not in nodes:
         raise ConfigError.unmet("fleet.nodes", f"must name this node, {this_node}")
     return nodes
 
 
 def _read_voters(raw: Table, nodes: Mapping[str, Address]) -> tuple[str, ...]:
-    voters = tuple(words(raw, "voters", "fleet.voters"))
+    voters = tuple(read_words(raw, "voters", "fleet.voters"))
     if len(voters) not in VOTER_COUNTS or len(set(voters)) < len(voters):
         raise ConfigError.unmet("fleet.voters", "must name 1, 3, 5 or 7 nodes, each once")
     for name in voters:
@@ -129,9 +129,9 @@
 
 def _read_timings(raw: Table) -> Timings:
     timings = Timings(
-        lease_term=whole(raw, "term_ms", "fleet.term_ms", 500, 600_000, 3_000) * MILLISECOND,
-        heartbeat_interval=whole(raw, "beat_ms", "fleet.beat_ms", 10, 10_000, 100) * MILLISECOND,
-        election_timeout=whole(raw, "patience_ms", "fleet.patience_ms", 50, 60_000, 500) * MILLISECOND,
+        lease_term=read_int(raw, "term_ms", "fleet.term_ms", 500, 600_000, 3_000) * MILLISECOND,
+        heartbeat_interval=read_int(raw, "beat_ms", "fleet.beat_ms", 10, 10_000, 100) * MILLISECOND,
+        election_timeout=read_int(raw, "patience_ms", "fleet.patience_ms", 50, 60_000, 500) * MILLISECOND,
     )
     if timings.election_timeout < MIN_HEARTBEATS_PER_ELECTION_TIMEOUT * timings.heartbeat_interval:
         raise ConfigError.unmet("fleet.patience_ms", "must be at least three times fleet.beat_ms")
@@ -145,8 +145,8 @@
 def _read_leases(raw: Table, timings: Timings) -> LeaseSettings:
     return LeaseSettings(
         term=timings.lease_term,
-        drift=number(raw, "drift", "fleet.drift", 0.0001, 0.2, 0.01),
-        max_per_node=whole(raw, "most_leases", "fleet.most_leases", 0, 10_000, 0),
+        drift=read_number(raw, "drift", "fleet.drift", 0.0001, 0.2, 0.01),
+        max_per_node=read_int(raw, "most_leases", "fleet.most_leases", 0, 10_000, 0),
     )
 
 
@@ -157,27 +157,27 @@
 
 
 def _read_tasks(
-    raw: Table, classes: Mapping[str, bool], uwsgi: bool, timings: Timings
+    raw: Table, idempotent_by_class: Mapping[str, bool], has_uwsgi: bool, timings: Timings
 ) -> tuple[TaskConfig, ...]:
-    rows = table(raw, "tasks", "fleet.tasks", {})
+    rows = read_table(raw, "tasks", "fleet.tasks", {})
     if not rows:
         return ()
-    if not uwsgi:
+    if not has_uwsgi:
         raise ConfigError.unmet("fleet.tasks", "needs [uwsgi]: a task is a request to its servers")
     from marlstep.config.cluster_tasks import read_task
 
-    return tuple(read_task(rows, name, classes, timings.lease_term) for name in rows)
+    return tuple(read_task(rows, name, idempotent_by_class, timings.lease_term) for name in rows)
 
 
-def _read_shared_health_checks(raw: Table, uwsgi: bool) -> bool:
-    shared = flag(raw, "probes", "fleet.probes")
-    if shared and not uwsgi:
+def _read_shared_health_checks(raw: Table, has_uwsgi: bool) -> bool:
+    shared = read_bool(raw, "probes", "fleet.probes")
+    if shared and not has_uwsgi:
         raise ConfigError.unmet("fleet.probes", "needs [uwsgi]: it is about the servers of its pools")
     return shared
 
 
 def _read_key(raw: Table) -> bytes:
-    path = word(raw, "key_file", "fleet.key_file")
+    path = read_word(raw, "key_file", "fleet.key_file")
     try:
         key = Path(path).read_bytes().strip()
     except OSError as error:
--- a/marlstep/config/cluster_documents.py
+++ b/marlstep/config/cluster_documents.py
@@ -8,7 +8,15 @@
 from typing import NamedTuple, TypeVar
 
 from marlstep.config.cluster_settings import ReplicatedConfigSettings
-from marlstep.config.readers import ConfigError, Table, flag, known, table, whole, word
+from marlstep.config.readers import (
+    ConfigError,
+    Table,
+    check_known_keys,
+    read_bool,
+    read_int,
+    read_table,
+    read_word,
+)
 from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind
 from marlstep.units import MILLISECOND
 
@@ -28,20 +36,20 @@
     lease_term: timedelta  # of the leases under which nodes act on documents
 
 
-def read_documents(raw: Table, heartbeat_interval: timedelta, uwsgi: bool) -> DocumentsSection:
+def read_documents(raw: Table, heartbeat_interval: timedelta, has_uwsgi: bool) -> DocumentsSection:
     """Read the section, which has to be there, from `[fleet]`. Raises ConfigError.
 
     Args:
         raw: the table `[fleet]`.
         heartbeat_interval: between two heartbeats of the leader.
-        uwsgi: whether there is a uwsgi frontend, whose servers a document may list.
+        has_uwsgi: whether there is a uwsgi frontend, whose servers a document may list.
     """
-    section = table(raw, "rules", PATH)
-    known(section, PATH, KEYS)
-    lease_term = whole(section, "lease_ms", f"{PATH}.lease_ms", 500, 60_000, 2_000) * MILLISECOND
+    section = read_table(raw, "rules", PATH)
+    check_known_keys(section, PATH, KEYS)
+    lease_term = read_int(section, "lease_ms", f"{PATH}.lease_ms", 500, 60_000, 2_000) * MILLISECOND
     agree_within = _read_agree_within(section, lease_term + 2 * heartbeat_interval + MAX_LOOP_DELAY)
-    rows = table(section, "documents", f"{PATH}.documents")
-    documents = tuple(_read_document(rows, name, uwsgi) for name in rows)
+    rows = read_table(section, "documents", f"{PATH}.documents")
+    documents = tuple(_read_document(rows, name, has_uwsgi) for name in rows)
     if len({document.kind for document in documents}) < len(documents):
         raise ConfigError.found(f"{PATH}.documents", "there is one document of a kind at the most")
     quotas_shared = _read_quotas_shared(section, documents)
@@ -50,7 +58,7 @@
 
 def _read_agree_within(section: Table, minimum: timedelta) -> timedelta:
     path = f"{PATH}.agree_within_ms"
-    agree_within = whole(section, "agree_within_ms", path, 500, 120_000, 3_000) * MILLISECOND
+    agree_within = read_int(section, "agree_within_ms", path, 500, 120_000, 3_000) * MILLISECOND
     if agree_within < minimum:
         raise ConfigError.unmet(
             path,
@@ -60,24 +68,24 @@
     return agree_within
 
 
-def _read_document(rows: Table, name: str, uwsgi: bool) -> DocumentDefinition:
+def _read_document(rows: Table, name: str, has_uwsgi: bool) -> DocumentDefinition:
     path = f"{PATH}.documents.{name}"
-    row = table(rows, name, path)
-    known(row, path, DOCUMENT_KEYS)
-    kind = _member(Kind, word(row, "kind", f"{path}.kind"), path)
+    row = read_table(rows, name, path)
+    check_known_keys(row, path, DOCUMENT_KEYS)
+    kind = _read_enum_member(Kind, read_word(row, "kind", f"{path}.kind"), path)
     strict = row.get("strict", kind is Kind.TENANTS)
-    policy_name = word(row, "cut_off", f"{path}.cut_off", "stop" if strict else "keep")
-    policy = _member(DisconnectPolicy, policy_name, path)
+    policy_name = read_word(row, "cut_off", f"{path}.cut_off", "stop" if strict else "keep")
+    policy = _read_enum_member(DisconnectPolicy, policy_name, path)
     if not isinstance(strict, bool):
         raise ConfigError.unmet(f"{path}.strict", "must be true or false")
     if policy is DisconnectPolicy.NARROW and kind is not Kind.TENANTS:
         raise ConfigError.found(f"{path}.cut_off", "narrow is for tenants alone")
-    if kind is Kind.SERVERS and not uwsgi:
+    if kind is Kind.SERVERS and not has_uwsgi:
         raise ConfigError.found(f"{path}.kind", "servers needs [uwsgi]")
     return DocumentDefinition(name, kind, strict, policy)
 
 
-def _member(enumeration: type[AnyEnum], value: str, path: str) -> AnyEnum:
+def _read_enum_member(enumeration: type[AnyEnum], value: str, path: str) -> AnyEnum:
     try:
         return enumeration(value)
     except ValueError as error:
@@ -85,7 +93,7 @@
 
 
 def _read_quotas_shared(section: Table, documents: Iterable[DocumentDefinition]) -> bool:
-    shared = flag(section, "shares", f"{PATH}.shares")
+    shared = read_bool(section, "shares", f"{PATH}.shares")
     if shared and not any(document.kind is Kind.TENANTS for document in documents):
         raise ConfigError.unmet(f"{PATH}.shares", "needs a document of kind tenants: it has the allowances")
     return shared
--- a/marlstep/config/cluster_membership.py
+++ b/marlstep/config/cluster_membership.py
@@ -6,7 +6,17 @@
 from datetime import timedelta
 
 from marlstep.config.cluster_settings import MembershipConfig
-from marlstep.config.readers import Address, ConfigError, Table, known, number, table, whole, word, words
+from marlstep.config.readers import (
+    Address,
+    ConfigError,
+    Table,
+    check_known_keys,
+    read_int,
+    read_number,
+    read_table,
+    read_word,
+    read_words,
+)
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.records import MAX_NAME_LENGTH
 from marlstep.membership.roster_controller import RosterSettings
@@ -15,26 +25,26 @@
 PATH = "fleet.members"
 KEYS = ("period_ms", "answer_ms", "probation_ms", "guard", "zone", "seeds")
 MIN_TIMEOUTS_PER_INTERVAL = 3  # the rest of a probe interval is for indirect probes
-SHOWN_NAME_LENGTH = 80  # characters of a name that is too long
+MAX_SHOWN_CHARACTERS = 80  # characters of a name that is too long
 
 
 def read_membership(raw: Table, nodes: Mapping[str, Address], voters: tuple[str, ...]) -> MembershipConfig:
     """Read the section, which has to be there, from `[fleet]`; voters are the seeds by default. Raises ConfigError."""
-    section = table(raw, "members", PATH)
-    known(section, PATH, KEYS)
+    section = read_table(raw, "members", PATH)
+    check_known_keys(section, PATH, KEYS)
     detector = _read_detector(section)
     probation = _read_ms(section, "probation_ms", 0, 600_000, 2_000)
     seeds = _read_seeds(section, nodes) if "seeds" in section else voters
     _check_names(nodes)
     zone = _read_zone(section)
-    max_failed_share = number(section, "guard", f"{PATH}.guard", 0.05, 1.0, 0.3)
+    max_failed_share = read_number(section, "guard", f"{PATH}.guard", 0.05, 1.0, 0.3)
     return MembershipConfig(
         detector, RosterSettings(probation=probation, max_failed_share=max_failed_share), zone, seeds
     )
 
 
 def _read_ms(section: Table, key: str, minimum: int, maximum: int, default: int) -> timedelta:
-    return whole(section, key, f"{PATH}.{key}", minimum, maximum, default) * MILLISECOND
+    return read_int(section, key, f"{PATH}.{key}", minimum, maximum, default) * MILLISECOND
 
 
 def _read_detector(section: Table) -> DetectorSettings:
@@ -48,7 +58,7 @@
 
 
 def _read_seeds(section: Table, nodes: Mapping[str, Address]) -> tuple[str, ...]:
-    seeds = tuple(words(section, "seeds", f"{PATH}.seeds"))
+    seeds = tuple(read_words(section, "seeds", f"{PATH}.seeds"))
     for name in seeds:
         if name not in nodes:
             raise ConfigError.found(f"{PATH}.seeds", f"{name} is not in fleet.nodes")
@@ -59,13 +69,13 @@
     for name in nodes:
         if len(name) > MAX_NAME_LENGTH:
             raise ConfigError.found(
-                f"fleet.nodes.{name[:SHOWN_NAME_LENGTH]}",
+                f"fleet.nodes.{name[:MAX_SHOWN_CHARACTERS]}",
                 f"with {PATH} a node's name has {MAX_NAME_LENGTH} characters at most",
             )
 
 
 def _read_zone(section: Table) -> str:
-    zone = word(section, "zone", f"{PATH}.zone") if "zone" in section else ""
+    zone = read_word(section, "zone", f"{PATH}.zone") if "zone" in section else ""
     if len(zone) > MAX_NAME_LENGTH:
         raise ConfigError.unmet(f"{PATH}.zone", f"has {MAX_NAME_LENGTH} characters at the most")
     return zone
--- a/marlstep/config/cluster_tasks.py
+++ b/marlstep/config/cluster_tasks.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from marlstep.config.cluster_settings import TaskConfig
-from marlstep.config.readers import ConfigError, Table, known, table, whole, word
+from marlstep.config.readers import ConfigError, Table, check_known_keys, read_int, read_table, read_word
 from marlstep.scheduled_tasks.runner import TaskPlan
 from marlstep.scheduled_tasks.schedule import MissedRunPolicy, Schedule
 from marlstep.units import MILLISECOND, SECOND, ZERO
@@ -16,32 +16,36 @@
 DAY = timedelta(days=1)
 
 
-def read_task(rows: Table, name: str, classes: Mapping[str, bool], lease_term: timedelta) -> TaskConfig:
+def read_task(
+    rows: Table, name: str, idempotent_by_class: Mapping[str, bool], lease_term: timedelta
+) -> TaskConfig:
     """Read one task. Raises ConfigError.
 
     Args:
         rows: the table `[fleet.tasks]`.
         name: the task's key in it.
-        classes: for each request class, whether its requests are safe to repeat.
+        idempotent_by_class: for each request class, whether its requests are safe to repeat.
         lease_term: of the lease under which the task runs; a run has to end well within it.
     """
     path = f"fleet.tasks.{name}"
-    row = table(rows, name, path)
-    known(row, path, KEYS)
+    row = read_table(rows, name, path)
+    check_known_keys(row, path, KEYS)
     if len(name) > MAX_NAME_LENGTH or not name.isprintable():
         raise ConfigError.found(path, f"a task's name has {MAX_NAME_LENGTH} characters at the most")
-    request_class = _read_class(row, path, classes)
+    request_class = _read_class(row, path, idempotent_by_class)
     interval, time_of_day = _read_times(row, path)
     timeout = _read_timeout(row, path, lease_term)
     schedule = Schedule(interval, time_of_day, _read_missed(row, path))
     variables = _read_variables(row, path)
-    return TaskConfig(TaskPlan(name, schedule, request_class, classes[request_class], timeout), variables)
+    return TaskConfig(
+        TaskPlan(name, schedule, request_class, idempotent_by_class[request_class], timeout), variables
+    )
 
 
-def _read_class(row: Table, path: str, classes: Mapping[str, bool]) -> str:
-    request_class = word(row, "class", f"{path}.class")
-    if request_class not in classes:
-        raise ConfigError.unmet(f"{path}.class", f"must be one of {', '.join(sorted(classes))}")
+def _read_class(row: Table, path: str, idempotent_by_class: Mapping[str, bool]) -> str:
+    request_class = read_word(row, "class", f"{path}.class")
+    if request_class not in idempotent_by_class:
+        raise ConfigError.unmet(f"{path}.class", f"must be one of {', '.join(sorted(idempotent_by_class))}")
     return request_class
 
 
@@ -50,8 +54,8 @@
     if ("every_ms" in row) == ("at" in row):
         raise ConfigError.unmet(path, "must have either every_ms or at")
     if "at" in row:
-        return DAY, _time_of_day(word(row, "at", f"{path}.at"), f"{path}.at")
-    return whole(row, "every_ms", f"{path}.every_ms", 100, 86_400_000) * MILLISECOND, ZERO
+        return DAY, _time_of_day(read_word(row, "at", f"{path}.at"), f"{path}.at")
+    return read_int(row, "every_ms", f"{path}.every_ms", 100, 86_400_000) * MILLISECOND, ZERO
 
 
 def _time_of_day(text: str, path: str) -> timedelta:
@@ -62,7 +66,7 @@
 
 
 def _read_timeout(row: Table, path: str, lease_term: timedelta) -> timedelta:
-    timeout = whole(row, "longest_ms", f"{path}.longest_ms", 10, 600_000, 1_000) * MILLISECOND
+    timeout = read_int(row, "longest_ms", f"{path}.longest_ms", 10, 600_000, 1_000) * MILLISECOND
     if timeout > lease_term / 2:
         raise ConfigError.unmet(
             f"{path}.longest_ms", "must be at most half of fleet.term_ms: an act has to end within it"
@@ -72,14 +76,14 @@
 
 def _read_missed(row: Table, path: str) -> MissedRunPolicy:
     try:
-        return MissedRunPolicy(word(row, "missed", f"{path}.missed", "skip"))
+        return MissedRunPolicy(read_word(row, "missed", f"{path}.missed", "skip"))
     except ValueError as error:
         raise ConfigError.unmet(f"{path}.missed", "must be skip or once") from error
 
 
 def _read_variables(row: Table, path: str) -> dict[str, str]:
     variables: dict[str, str] = {}
-    for key, value in table(row, "vars", f"{path}.vars", {}).items():
+    for key, value in read_table(row, "vars", f"{path}.vars", {}).items():
         if not isinstance(value, str):
             raise ConfigError.unmet(f"{path}.vars.{key}", "must be text")
         variables[key] = value
--- a/marlstep/config/document_overrides.py
+++ b/marlstep/config/document_overrides.py
@@ -77,9 +77,11 @@
         for kind, content in self._contents.items():
             local = local_content(config, kind) or {}
             differing = sorted(
-                key for key in {*local, *content} if _text(local.get(key)) != _text(content.get(key))
+                key
+                for key in {*local, *content}
+                if _canonical_json(local.get(key)) != _canonical_json(content.get(key))
             )
-            if _text(local_content(config, kind)) != _text(content):
+            if _canonical_json(local_content(config, kind)) != _canonical_json(content):
                 keys = ", ".join(differing)
                 yield f"{kind} of the files differ from the document in force, which stays: {keys}"
 
@@ -105,6 +107,6 @@
     return {**uwsgi, "pool": rows}
 
 
-def _text(value: JsonContent) -> str:
+def _canonical_json(value: JsonContent) -> str:
     """Return a text by which two contents are equal or not, whatever the order of their keys."""
     return json.dumps(value, sort_keys=True)
--- a/marlstep/config/loading.py
+++ b/marlstep/config/loading.py
@@ -21,7 +21,7 @@
 PASSED_SOCKET_VARIABLE = "PROXY_PASSED_SOCKET"
 RUNTIME_DIRECTORY_VARIABLE = "TMPDIR"
 OVERRIDING_VARIABLES = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN", "mgmt": "PROXY_MGMT"}
-LONGEST_SHOWN_VALUE = 32  # characters of a faulty value in a message
+MAX_SHOWN_CHARACTERS = 32  # characters of a faulty value in a message
 
 
 def load(environ: Mapping[str, str] = os.environ, operator: str | None = None) -> Config:
@@ -37,7 +37,7 @@
     path = environ.get(CONFIG_VARIABLE)
     if not path:
         raise ConfigError.unmet(CONFIG_VARIABLE, "is not set: it names the configuration file")
-    platform_table = _with_overrides(read_file(path, CONFIG_VARIABLE, json.loads), environ)
+    platform_table = _with_environment(read_file(path, CONFIG_VARIABLE, json.loads), environ)
     try:
         config = check(platform_table)
         passed_socket = _read_passed_socket(environ.get(PASSED_SOCKET_VARIABLE, ""))
@@ -69,7 +69,7 @@
     return Path(directory)
 
 
-def _with_overrides(platform_table: Table, environ: Mapping[str, str]) -> Table:
+def _with_environment(platform_table: Table, environ: Mapping[str, str]) -> Table:
     overrides = {key: environ[name] for key, name in OVERRIDING_VARIABLES.items() if environ.get(name)}
     return {**platform_table, **overrides}
 
@@ -80,7 +80,7 @@
         return None
     descriptor = _open_socket_descriptor(text)
     if descriptor is None:
-        shown = text[:LONGEST_SHOWN_VALUE]
+        shown = text[:MAX_SHOWN_CHARACTERS]
         raise ConfigError.unmet(
             PASSED_SOCKET_VARIABLE, f"must be the number of an open socket, not {shown!r}"
         )
@@ -94,11 +94,11 @@
 def _open_socket_descriptor(text: str) -> int | None:
     """Return the number if it is that of an open socket."""
     try:
-        number = int(text)
-        is_socket = number >= 0 and stat.S_ISSOCK(os.fstat(number).st_mode)
+        descriptor = int(text)
+        is_socket = descriptor >= 0 and stat.S_ISSOCK(os.fstat(descriptor).st_mode)
     except (ValueError, OSError, OverflowError):
         return None
-    return number if is_socket else None
+    return descriptor if is_socket else None
 
 
 def _is_listening_tcp(descriptor: int) -> bool:
--- a/marlstep/config/operator_overrides.py
+++ b/marlstep/config/operator_overrides.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from marlstep.admission.settings import ClassSettings, Settings, TenantSettings
-from marlstep.config.readers import ConfigError, Table, known, number, table
+from marlstep.config.readers import ConfigError, Table, check_known_keys, read_number, read_table
 
 OVERRIDE_KEYS = ("tenants", "classes", "over_share_worth")
 MAX_PRIORITY_WEIGHT = 1e6
@@ -16,7 +16,7 @@
 def apply_overrides(settings: Settings, operator: Table) -> Settings:
     """Return the settings with what the operator's file puts in their place. Raises ConfigError."""
     if "over_share_worth" in operator:
-        factor = number(operator, "over_share_worth", "over_share_worth", 0, 1)
+        factor = read_number(operator, "over_share_worth", "over_share_worth", 0, 1)
         settings = replace(settings, over_quota_factor=factor)
     if "tenants" in operator:
         settings = replace(settings, tenants=_read_tenants(operator))
@@ -27,7 +27,7 @@
 
 
 def _read_tenants(operator: Table) -> tuple[TenantSettings, ...]:
-    rows = table(operator, "tenants", "tenants")
+    rows = read_table(operator, "tenants", "tenants")
     tenants = tuple(_read_tenant(rows, name) for name in rows)
     if sum(tenant.portion for tenant in tenants) > MAX_SUM_OF_PORTIONS:
         raise ConfigError.found("tenants", "their shares come to more than 1")
@@ -36,24 +36,24 @@
 
 def _read_tenant(rows: Table, name: str) -> TenantSettings:
     path = f"tenants.{name}"
-    row = table(rows, name, path)
-    known(row, path, ("share", "allowance_per_s"))
-    portion = number(row, "share", f"{path}.share", 0, 1)
-    quota_per_s = number(row, "allowance_per_s", f"{path}.allowance_per_s", 0, MAX_QUOTA_PER_S)
+    row = read_table(rows, name, path)
+    check_known_keys(row, path, ("share", "allowance_per_s"))
+    portion = read_number(row, "share", f"{path}.share", 0, 1)
+    quota_per_s = read_number(row, "allowance_per_s", f"{path}.allowance_per_s", 0, MAX_QUOTA_PER_S)
     return TenantSettings(name, portion, quota_per_s)
 
 
 def _read_priority_weights(operator: Table, settings: Settings) -> dict[str, float]:
-    rows = table(operator, "classes", "classes", {})
+    rows = read_table(operator, "classes", "classes", {})
     names = sorted(request_class.name for request_class in settings.classes)
     weights: dict[str, float] = {}
     for name in rows:
         path = f"classes.{name}"
         if name not in names:
             raise ConfigError.unmet(path, f"must be one of {', '.join(names)}")
-        row = table(rows, name, path)
-        known(row, path, ("worth",))
-        weights[name] = number(row, "worth", f"{path}.worth", 0, MAX_PRIORITY_WEIGHT)
+        row = read_table(rows, name, path)
+        check_known_keys(row, path, ("worth",))
+        weights[name] = read_number(row, "worth", f"{path}.worth", 0, MAX_PRIORITY_WEIGHT)
     return weights
 
 
--- a/marlstep/config/platform_settings.py
+++ b/marlstep/config/platform_settings.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from marlstep.admission.settings import Settings
-from marlstep.config.readers import ConfigError, Table, table
+from marlstep.config.readers import ConfigError, Table, read_table
 from marlstep.simulator.configuration import read_settings
 
 MAX_CLASS_TIME_US = 1e12  # eleven days
@@ -45,7 +45,7 @@
 
 def read_gauge_names(raw: Table) -> tuple[str, ...]:
     """Read the names of the kernel's gauges, in the order in which it sends them. Raises ConfigError."""
-    names = table(raw, "familyInfo", "settings.familyInfo").get("ownStats") or []
+    names = read_table(raw, "familyInfo", "settings.familyInfo").get("ownStats") or []
     if not isinstance(names, list):
         raise ConfigError.unmet("settings.familyInfo.ownStats", "must be a list")
     return tuple(GAUGE_NAMES.get(str(name), str(name)) for name in names)
--- a/marlstep/config/readers.py
+++ b/marlstep/config/readers.py
@@ -41,14 +41,14 @@
     return raw
 
 
-def known(raw: Table, path: str, keys: tuple[str, ...]) -> None:
+def check_known_keys(raw: Table, path: str, keys: tuple[str, ...]) -> None:
     """Check that the table has no other keys. Raises ConfigError."""
     for key in raw:
         if key not in keys:
             raise ConfigError.unmet(f"{path}.{key}".lstrip("."), "is not known")
 
 
-def take(raw: Table, key: str, path: str, default: object = MISSING) -> object:
+def read_value(raw: Table, key: str, path: str, default: object = MISSING) -> object:
     """Read any value. Raises ConfigError where there is none, and no default."""
     value = raw.get(key)
     if value is None:
@@ -58,49 +58,49 @@
     return value
 
 
-def table(raw: Table, key: str, path: str, default: object = MISSING) -> Table:
+def read_table(raw: Table, key: str, path: str, default: object = MISSING) -> Table:
     """Read a table. Raises ConfigError."""
-    value = take(raw, key, path, default)
+    value = read_value(raw, key, path, default)
     if not isinstance(value, Mapping):
         raise ConfigError.unmet(path, "must be a table")
     return value
 
 
-def word(raw: Table, key: str, path: str, default: object = MISSING) -> str:
+def read_word(raw: Table, key: str, path: str, default: object = MISSING) -> str:
     """Read a printable text without blanks. Raises ConfigError."""
-    value = take(raw, key, path, default)
+    value = read_value(raw, key, path, default)
     if not isinstance(value, str) or not value or not value.isprintable() or " " in value:
         raise ConfigError.unmet(path, "must be a word")
     return value
 
 
-def words(raw: Table, key: str, path: str, default: object = MISSING) -> list[str]:
+def read_words(raw: Table, key: str, path: str, default: object = MISSING) -> list[str]:
     """Read a list of words. Raises ConfigError."""
-    value = take(raw, key, path, default)
+    value = read_value(raw, key, path, default)
     if not isinstance(value, list):
         raise ConfigError.unmet(path, "must be a list of words")
-    return [word({"at": item}, "at", f"{path}[{index}]") for index, item in enumerate(value)]
+    return [read_word({"at": item}, "at", f"{path}[{index}]") for index, item in enumerate(value)]
 
 
-def whole(raw: Table, key: str, path: str, minimum: int, maximum: int, default: object = MISSING) -> int:
+def read_int(raw: Table, key: str, path: str, minimum: int, maximum: int, default: object = MISSING) -> int:
     """Read a whole number within the bounds. Raises ConfigError."""
-    value = take(raw, key, path, default)
+    value = read_value(raw, key, path, default)
     if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
         raise ConfigError.unmet(path, f"must be a whole number from {minimum} to {maximum}")
     return value
 
 
-def number(
+def read_number(
     raw: Table, key: str, path: str, minimum: float, maximum: float, default: object = MISSING
 ) -> float:
     """Read a number within the bounds. Raises ConfigError."""
-    value = take(raw, key, path, default)
+    value = read_value(raw, key, path, default)
     if not isinstance(value, int | float) or isinstance(value, bool) or not minimum <= value <= maximum:
         raise ConfigError.unmet(path, f"must be a number from {minimum} to {maximum}")
     return float(value)
 
 
-def flag(raw: Table, key: str, path: str) -> bool:
+def read_bool(raw: Table, key: str, path: str) -> bool:
     """Read a boolean, which is false by default. Raises ConfigError."""
     value = raw.get(key, False)
     if not isinstance(value, bool):
@@ -108,9 +108,9 @@
     return value
 
 
-def address(raw: Table, key: str, path: str, default: object = MISSING) -> Address:
+def read_address(raw: Table, key: str, path: str, default: object = MISSING) -> Address:
     """Read an address such as `1.2.3.4:90`; there are no names to look up. Raises ConfigError."""
-    host, _, port = str(take(raw, key, path, default)).rpartition(":")
+    host, _, port = str(read_value(raw, key, path, default)).rpartition(":")
     host = host.strip("[]")
     try:
         ipaddress.ip_address(host)
--- a/marlstep/config/reloading.py
+++ b/marlstep/config/reloading.py
@@ -45,11 +45,11 @@
         platform_table=loaded.platform_table,
         operator_table=loaded.operator_table,
     )
-    wanted = replace(loaded, settings=settings)
+    requested = replace(loaded, settings=settings)
     restart_keys = [
-        config_key(part)
-        for part in fields(Config)
-        if getattr(merged, part.name) != getattr(wanted, part.name)
+        config_key(config_field)
+        for config_field in fields(Config)
+        if getattr(merged, config_field.name) != getattr(requested, config_field.name)
     ]
     return merged, restart_keys
 
@@ -64,11 +64,11 @@
     """Yield the keys that are gone. Rows of a list must have the keys that all the running rows share."""
     if isinstance(running, Mapping) and isinstance(loaded, Mapping):
         for key, value in running.items():
-            inner = f"{path}.{key}".lstrip(".")
+            key_path = f"{path}.{key}".lstrip(".")
             if loaded.get(key) is not None:
-                yield from _missing_keys(value, loaded[key], inner)
+                yield from _missing_keys(value, loaded[key], key_path)
             elif value is not None and key not in OPTIONAL_KEYS:
-                yield inner
+                yield key_path
     elif isinstance(running, list) and isinstance(loaded, list):
         shared = _shared_keys([row for row in running if isinstance(row, Mapping)])
         for index, row in enumerate(loaded):
@@ -98,7 +98,7 @@
 
 
 def _differing_fields(old: Settings | ClassSettings, new: Settings | ClassSettings) -> Iterator[str]:
-    for part in fields(old):
-        before, after = getattr(old, part.name), getattr(new, part.name)
+    for config_field in fields(old):
+        before, after = getattr(old, config_field.name), getattr(new, config_field.name)
         if before != after:
-            yield f"{stored_key(part)} {before} is now {after}"
+            yield f"{stored_key(config_field)} {before} is now {after}"
--- a/marlstep/config/schema.py
+++ b/marlstep/config/schema.py
@@ -93,6 +93,6 @@
     source: str = field(default="", compare=False)
 
 
-def config_key(part: Field[Any]) -> str:
+def config_key(config_field: Field[Any]) -> str:
     """Return the key by which operators know a field of the configuration."""
-    return stored_key(part)
+    return stored_key(config_field)
--- a/marlstep/config/traces.py
+++ b/marlstep/config/traces.py
@@ -19,7 +19,16 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-from marlstep.config.readers import ConfigError, Table, known, number, read_file, table, take, word
+from marlstep.config.readers import (
+    ConfigError,
+    Table,
+    check_known_keys,
+    read_file,
+    read_number,
+    read_table,
+    read_value,
+    read_word,
+)
 from marlstep.traces.default_mappings import CLASS_WORK, DEFAULT_MAPPINGS
 from marlstep.traces.formats import MODULES
 from marlstep.traces.formats.generic import UNITS, Columns
@@ -64,14 +73,14 @@
         return read_trace({}, format_name)
     document = read_file(path, "--map", tomllib.loads)
     try:
-        return read_trace(table(document, "trace", "trace"), format_name)
+        return read_trace(read_table(document, "trace", "trace"), format_name)
     except ConfigError as error:
         raise ConfigError.found("--map", f"{path}: {error}") from error
 
 
 def read_trace(section: Table, format_name: str) -> TraceConfig:
     """Read the section. Raises ConfigError where a key is unknown, missing or has a wrong value."""
-    known(section, "trace", KEYS)
+    check_known_keys(section, "trace", KEYS)
     _check_format(section, format_name)
     mapping = DEFAULT_MAPPINGS[format_name]
     if "rules" in section:
@@ -88,19 +97,19 @@
 
 
 def _check_format(section: Table, format_name: str) -> None:
-    named = section.get("format", format_name)
-    if named not in MODULES:
+    configured_format = section.get("format", format_name)
+    if configured_format not in MODULES:
         raise _not_one_of("trace.format", sorted(MODULES))
-    if named != format_name:
-        raise ConfigError.unmet("trace.format", f"is {named}, but the call says {format_name}")
+    if configured_format != format_name:
+        raise ConfigError.unmet("trace.format", f"is {configured_format}, but the call says {format_name}")
 
 
 def _not_one_of(path: str, choices: Iterable[str]) -> ConfigError:
     return ConfigError.unmet(path, f"must be one of {', '.join(choices)}")
 
 
-def _read_class(holder: Table, key: str, path: str) -> str:
-    return _check_class(word(holder, key, path), path)
+def _read_class(parent: Table, key: str, path: str) -> str:
+    return _check_class(read_word(parent, key, path), path)
 
 
 def _check_class(name: str, path: str) -> str:
@@ -109,9 +118,9 @@
     return name
 
 
-def _read_names(holder: Table, key: str, path: str) -> tuple[str, ...]:
+def _read_names(parent: Table, key: str, path: str) -> tuple[str, ...]:
     """Read a list of names, which may be written as numbers."""
-    names = take(holder, key, path, [])
+    names = read_value(parent, key, path, [])
     if not isinstance(names, list) or not all(isinstance(name, str | int) for name in names):
         raise ConfigError.unmet(path, "must be a list of words")
     return tuple(str(name) for name in names)
@@ -132,46 +141,46 @@
 
 
 def _read_rule(row: Table, path: str) -> Rule:
-    known(row, path, RULE_KEYS)
+    check_known_keys(row, path, RULE_KEYS)
     return Rule(
         request_class=_read_class(row, "class", f"{path}.class"),
         categories=frozenset(_read_names(row, "kinds", f"{path}.kinds")),
         tenants=frozenset(_read_names(row, "tenants", f"{path}.tenants")),
-        min_hint=number(row, "hint_from", f"{path}.hint_from", 0, MAX_HINT, 0.0),
-        max_hint=number(row, "hint_under", f"{path}.hint_under", 0, MAX_HINT, MAX_HINT),
+        min_hint=read_number(row, "hint_from", f"{path}.hint_from", 0, MAX_HINT, 0.0),
+        max_hint=read_number(row, "hint_under", f"{path}.hint_under", 0, MAX_HINT, MAX_HINT),
     )
 
 
 def _read_work(section: Table) -> dict[str, WorkRange]:
-    rows = table(section, "work", "trace.work")
+    rows = read_table(section, "work", "trace.work")
     return {name: _read_work_range(rows, name) for name in rows}
 
 
 def _read_work_range(rows: Table, name: str) -> WorkRange:
     path = f"trace.work.{name}"
     _check_class(name, path)
-    row = table(rows, name, path)
-    known(row, path, WORK_KEYS)
-    min_ms = number(row, "least_ms", f"{path}.least_ms", MIN_WORK_MS, MAX_WORK_MS)
-    max_ms = number(row, "most_ms", f"{path}.most_ms", MIN_WORK_MS, MAX_WORK_MS)
+    row = read_table(rows, name, path)
+    check_known_keys(row, path, WORK_KEYS)
+    min_ms = read_number(row, "least_ms", f"{path}.least_ms", MIN_WORK_MS, MAX_WORK_MS)
+    max_ms = read_number(row, "most_ms", f"{path}.most_ms", MIN_WORK_MS, MAX_WORK_MS)
     if max_ms < min_ms:
         raise ConfigError.unmet(f"{path}.most_ms", f"must not be under {path}.least_ms")
     return WorkRange(round(min_ms * 1000), round(max_ms * 1000))
 
 
 def _read_scale(section: Table) -> HintScale:
-    row = table(section, "scale", "trace.scale")
-    known(row, "trace.scale", SCALE_KEYS)
-    low = number(row, "low", "trace.scale.low", 0, MAX_HINT)
-    high = number(row, "high", "trace.scale.high", 0, MAX_HINT)
+    row = read_table(section, "scale", "trace.scale")
+    check_known_keys(row, "trace.scale", SCALE_KEYS)
+    low = read_number(row, "low", "trace.scale.low", 0, MAX_HINT)
+    high = read_number(row, "high", "trace.scale.high", 0, MAX_HINT)
     if high <= low:
         raise ConfigError.unmet("trace.scale.high", "must be above trace.scale.low")
     return HintScale(low, high)
 
 
 def _with_tenants(section: Table, mapping: MappingSettings) -> MappingSettings:
-    row = table(section, "tenants", "trace.tenants")
-    known(row, "trace.tenants", TENANT_KEYS)
+    row = read_table(section, "tenants", "trace.tenants")
+    check_known_keys(row, "trace.tenants", TENANT_KEYS)
     modes = [mode.value for mode in TenantMode]
     mode = row.get("mode", TenantMode.BUCKETS.value)
     if mode not in modes:
@@ -180,7 +189,7 @@
         mapping,
         tenant_mode=TenantMode(str(mode)),
         tenant_names=_read_names(row, "names", "trace.tenants.names") or mapping.tenant_names,
-        default_tenant=word(row, "rest", "trace.tenants.rest", "others"),
+        default_tenant=read_word(row, "rest", "trace.tenants.rest", "others"),
     )
 
 
@@ -195,8 +204,8 @@
 
 
 def _read_columns(section: Table) -> Columns:
-    row = table(section, "columns", "trace.columns")
-    known(row, "trace.columns", COLUMN_KEYS)
+    row = read_table(section, "columns", "trace.columns")
+    check_known_keys(row, "trace.columns", COLUMN_KEYS)
     time = _read_column(row, "time")
     if time is None:
         raise ConfigError.unmet("trace.columns.time", "is missing")
@@ -206,7 +215,7 @@
     has_header = row.get("header", True)
     if not isinstance(has_header, bool):
         raise ConfigError.unmet("trace.columns.header", "must be true or false")
-    selected = table(row, "only", "trace.columns.only", {})
+    selected = read_table(row, "only", "trace.columns.only", {})
     return Columns(
         time=time,
         unit_us=UNITS[str(unit)],
