--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -1,15 +1,15 @@
-"""The administration API: JSON over HTTP on a loopback address, behind a bearer token. Off by default.
-
-GET  /v1/health              whether health checks pass, whether the node drains, requests in flight
-GET  /v1/counters            responses by status, runs and calls since the start
-GET  /v1/tenants             each with its share, quota and counters
-GET  /v1/tenants/NAME        one of them
-PUT  /v1/tenants/NAME        {"allowance_per_s": 25.0}
-POST /v1/drain               the same as SIGTERM
+"""The administration API: JSON over HTTP on a loopback address, authorized by a bearer token. Off by default.
+
+GET  /v1/health              whether health checks pass, whether the node is draining, number of requests in flight
+GET  /v1/counters            responses by status, runs and calls since the start of the process
+GET  /v1/tenants             all tenants, each with its share, quota and counters
+GET  /v1/tenants/NAME        one tenant
+PUT  /v1/tenants/NAME        set the quota of a tenant: {"allowance_per_s": 25.0}
+POST /v1/drain               begin the graceful shutdown, as on SIGTERM
 GET  /v1/metrics             all metrics, in the text format of Prometheus
 GET  /v1/parts               the optional components of this node, each with its status
 GET  /v1/NAME                resources of components, such as /v1/fleet, /v1/fleet/leases, /v1/fleet/rules/NAME
-POST /v1/fleet/NAME          orders to components, such as /v1/fleet/rules/put
+POST /v1/fleet/NAME          orders to components, such as /v1/fleet/rules/put, with arguments as a JSON object
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 REQUEST_TIMEOUT = 10 * SECOND  # for a complete request
 MAX_QUOTA_PER_S = 1e6
 QUOTA_KEY = "allowance_per_s"
-MAX_SHOWN_CHARACTERS = 64  # of a name or a path that a client sent, in an error
-VARIABLE = "*"  # a segment of a route's path that is passed to its handler
+MAX_SHOWN_CHARACTERS = 64  # of a name or path from a client, in an error
+VARIABLE = "*"  # in the path of a route: matches any segment, which is passed to the handler
 
 
 class AdminApi(HttpService):
-    """Routes requests to their handlers, and those of components to the component that knows the path."""
+    """Dispatches requests to the handlers of ROUTES, and all others to the components."""
 
     def __init__(
         self,
@@ -50,14 +50,22 @@
         drain: Callable[[], None],
         components: Callable[[], Iterable[Component]] = tuple,
     ) -> None:
-        """Serve clients that know the token; `drain` begins the graceful shutdown."""
+        """Initialize the API without a listening socket.
+
+        Args:
+            core: the core of the node.
+            timeline: the timers of the connections.
+            token: bearer token that every request must carry.
+            drain: begins the graceful shutdown of the node.
+            components: returns the optional components of the node.
+        """
         super().__init__(core, timeline, MAX_CONNECTIONS, REQUEST_TIMEOUT)
         self._components = components
         self._token = token.encode()
         self._drain = drain
 
     def serve(self, request: HttpRequest) -> HttpResponse:
-        """Carry out a request. Raises HttpError."""
+        """Handle a request. Raises HttpError if it lacks the token, is invalid or has an unknown path or method."""
         if not hmac.compare_digest(request.authorization, b"Bearer " + self._token):
             raise HttpError(401, "a bearer token is needed", WWW_Authenticate="Bearer")
         path = tuple(unquote(segment) for segment in request.path.split("/")[1:])
@@ -72,7 +80,7 @@
         raise HttpError(404, "no such thing")
 
     def _serve_component(self, request: HttpRequest, path: tuple[str, ...]) -> HttpResponse | None:
-        """Return the response of the component that knows the path; None if no component does."""
+        """Return the response of the first component that has the resource or order; None if no component has it."""
         match request.method, path:
             case "GET", (version, *name) if version == API_VERSION:
                 resource = self._read_resource("/".join(name))
@@ -101,7 +109,7 @@
         return None
 
     def get_health(self, _request: HttpRequest) -> HttpResponse:
-        """Show whether health checks pass and how much is in flight."""
+        """Return whether health checks pass and how many requests are in flight."""
         core = self.core
         return HttpResponse(
             200,
@@ -114,20 +122,20 @@
         )
 
     def get_counters(self, _request: HttpRequest) -> HttpResponse:
-        """Show the counters since the start."""
+        """Return the counters since the start of the process."""
         return HttpResponse(200, dict(sorted(self.core.counts.items())))
 
     def get_tenants(self, _request: HttpRequest) -> HttpResponse:
-        """Show all tenants."""
+        """Return all tenants."""
         return HttpResponse(200, [self._tenant_json(name) for name in self.core.tenants])
 
     def get_tenant(self, _request: HttpRequest, name: str) -> HttpResponse:
-        """Show one tenant."""
+        """Return one tenant. Raises HttpError if it is unknown."""
         return HttpResponse(200, self._tenant_json(name))
 
     def put_tenant(self, request: HttpRequest, name: str) -> HttpResponse:
-        """Change a tenant's quota."""
-        self._tenant_json(name)  # raises where there is no such tenant
+        """Change a tenant's quota. Raises HttpError if the tenant is unknown or the quota is invalid."""
+        self._tenant_json(name)  # raises HttpError if the tenant is unknown
         self.core.set_quota(name, _read_quota_per_s(request.body))
         return HttpResponse(200, self._tenant_json(name))
 
@@ -138,12 +146,14 @@
         return HttpResponse(202, {"draining": True})
 
     def get_components(self, _request: HttpRequest) -> HttpResponse:
-        """Show the status of each component."""
+        """Return the status of each component."""
         return HttpResponse(200, {component.name: component.status() for component in self._components()})
 
     def get_metrics(self, _request: HttpRequest) -> HttpResponse:
-        """Show all metrics as text."""
-        from marlstep.admin.metrics import render_metrics  # its library is loaded with the first request
+        """Return all metrics in the text format of Prometheus."""
+        from marlstep.admin.metrics import (
+            render_metrics,
+        )  # imported here so that prometheus_client is only loaded on use
 
         values = {f"requests_{name}_total": float(count) for name, count in self.core.counts.items()}
         values["in_hand"] = float(self.core.in_flight)
@@ -166,13 +176,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """One method on one path.
+    """A handler for one HTTP method on one path.
 
     Attributes:
-        method: of HTTP.
-        path: segments; `*` stands for one that is passed to the handler.
-        handle: called with the API, the request and the variable segments.
-        rejects_other_methods: whether other methods on the path get 405; else they are looked up like unknown paths.
+        method: the HTTP method.
+        path: segments of the path; `*` matches any segment, which is passed to the handler.
+        handle: handler, called with the API, the request and the variable segments.
+        rejects_other_methods: whether another method on the path gets 405; if not, it is handled like an unknown path.
     """
 
     method: str
@@ -181,13 +191,13 @@
     rejects_other_methods: bool = True
 
     def matches(self, path: tuple[str, ...]) -> bool:
-        """Return whether the path is this route's."""
+        """Return whether the path matches that of the route."""
         if len(path) != len(self.path):
             return False
         return all(expected in (VARIABLE, segment) for expected, segment in zip(self.path, path, strict=True))
 
     def variables(self, path: tuple[str, ...]) -> list[str]:
-        """Return the variable segments of a path that matches."""
+        """Return the variable segments of a path that matches the route."""
         return [segment for expected, segment in zip(self.path, path, strict=True) if expected == VARIABLE]
 
 
--- a/marlstep/admin/health_endpoint.py
+++ b/marlstep/admin/health_endpoint.py
@@ -1,8 +1,8 @@
-"""The health endpoint: is this process ready, take the node out of service, put it back. Its address is `mgmt`.
+"""The health endpoint: reports readiness, takes the node out of service and returns it. Its address is `mgmt`.
 
-GET  /admin/health     200 once requests can be run here, else 503
-POST /admin/quiesce    every health check fails from now on; requests that still come are served
-POST /admin/resume     back to service; 409 after SIGTERM
+GET  /admin/health     200 if this process can run requests, else 503
+POST /admin/quiesce    make protocol health checks fail; arriving requests are still served; 409 after SIGTERM
+POST /admin/resume     undo a quiesce; 409 after SIGTERM
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class HealthEndpoint(HttpService):
-    """Shows the serving state of the node, and lets the platform change it."""
+    """Reports the serving state of the node and lets the platform change it."""
 
     def __init__(
         self,
@@ -30,12 +30,19 @@
         on_serving_state_changed: Callable[[], None],
         max_connections: int,
     ) -> None:
-        """Call `on_serving_state_changed` after each quiesce and resume that was carried out."""
+        """Initialize the endpoint without a listening socket.
+
+        Args:
+            core: the core of the node, which holds the serving state.
+            timeline: the timers of the connections.
+            on_serving_state_changed: called after each accepted quiesce or resume, also if it changed nothing.
+            max_connections: limit of the connections at a time.
+        """
         super().__init__(core, timeline, max_connections, REQUEST_TIMEOUT)
         self._on_serving_state_changed = on_serving_state_changed
 
     def serve(self, request: HttpRequest) -> HttpResponse:
-        """Carry out a request. Raises HttpError."""
+        """Handle a request. Raises HttpError for an unknown path, a wrong method, or a change during a shutdown."""
         state = self.core.serving_state
         match request.path:
             case "/admin/health":
--- a/marlstep/admin/http.py
+++ b/marlstep/admin/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 for operators, one request to a connection: what the administration API and the health endpoint share.
+"""HTTP/1.1 server with one request per connection, for the administration API and the health endpoint.
 
-A connection without a complete request is closed after a timeout, or as soon as such connections fill a quarter of
-the table, the oldest first. So a complete request waits for none of them.
+A connection that has not sent a complete request is closed after a timeout, or earlier if such connections fill a
+quarter of the connection table, the oldest first. So clients that send nothing can't block complete requests.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 log = logging.getLogger(__name__)
 
-RING_SIZE = 2 * 1024  # bytes; the parser keeps its place from one read to the next
+RING_SIZE = 2 * 1024  # bytes; may be smaller than a request, as the parser is incremental
 MAX_HEAD_BYTES = 8 * 1024
 MAX_BODY_BYTES = 4 * 1024
-TEXT_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"  # of metrics
+TEXT_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"  # Prometheus text format
 JSON_CONTENT_TYPE = "application/json"
 REASONS = {
     200: "OK",
@@ -44,46 +44,52 @@
 
 
 class HttpError(MarlstepError):
-    """An error response to one request."""
+    """A request is answered with an error response; the message is sent as `error` in its body."""
 
     def __init__(self, status: int, reason: str, **headers: str) -> None:
-        """Respond with the status and the reason; `_` in the name of a header stands for `-`."""
+        """Initialize the error.
+
+        Args:
+            status: HTTP status of the response.
+            reason: error text in the body.
+            **headers: additional headers; `_` in a name stands for `-`.
+        """
         super().__init__(reason)
         self.status, self.headers = status, headers
 
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """One complete request, as it was read."""
+    """A complete request."""
 
     method: str
     path: str  # without the query
-    authorization: bytes  # value of that header; empty without one
+    authorization: bytes  # value of the Authorization header; empty without one
     body: bytes
 
 
 class HttpResponse(NamedTuple):
-    """What a request is responded with: bytes as they are, anything else as JSON."""
+    """The response to a request. A body of bytes is sent as text, anything else as JSON."""
 
     status: int
     body: object
 
 
 class HttpConnection(Connection):
-    """One request, one response, then the close."""
+    """A connection that is closed after one request and its response."""
 
     def __init__(self, service: HttpService) -> None:
-        """Read a request for the service."""
+        """Initialize the connection of a client of the service, with no data read."""
         super().__init__(service, RING_SIZE)
         self._service = service
         self._parser = httptools.HttpRequestParser(self)
-        self._head_bytes = 0  # read before the head was complete
+        self._head_bytes = 0  # bytes received until the head was complete
         self._in_body = False
         self._url, self._authorization, self._body = b"", b"", b""
         self._responded = False
 
     def data_received(self) -> None:
-        """Read what has come; reject what is too long or malformed."""
+        """Parse the received bytes; reject a request that is too long or malformed."""
         data = self.inbox.take(self.inbox.used)
         if not self._in_body:
             self._head_bytes += len(data)
@@ -99,31 +105,31 @@
         if self.at_eof:
             self.finish()
 
-    # What httptools calls.
+    # Callbacks of the httptools parser.
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the request's target."""
+        """Append a piece of the request target, which may arrive in several."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Note the header that holds the token."""
+        """Store the Authorization header; ignore all others."""
         if name.lower() == b"authorization":
             self._authorization = value
 
     def on_headers_complete(self) -> None:
-        """Count no more bytes of the head."""
+        """Stop counting bytes for the limit of the head."""
         self._in_body = True
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body; reject one that is too long."""
+        """Append a piece of the body; reject the request if the body is too long."""
         self._body += body
         if len(self._body) > MAX_BODY_BYTES:
             self._reject(HttpError(413, f"the body is over {MAX_BODY_BYTES} bytes"))
 
     def on_message_complete(self) -> None:
-        """Serve the request, unless it was rejected or another was served before it."""
+        """Serve the request, unless the connection has already responded."""
         if self._responded:
-            return  # rejected, or a second request behind the first: there is one to a connection
+            return  # the request was rejected, or it is a second one on the connection
         self._service.connections.mark_proven(self)
         method = self._parser.get_method().decode("latin-1")
         path = self._url.decode("latin-1").split("?", 1)[0]
@@ -147,44 +153,51 @@
         self.send(_write_response(response, headers))
         self.finish()
 
-    # What the listener asks for.
+    # Methods of Connection that the listener calls.
 
     def send_response(self, number: int, response: Response) -> None:
-        """Do nothing: no request of the core comes from here."""
+        """Do nothing: this connection submits no requests to the core."""
 
     def cancel_requests(self) -> None:
-        """Do nothing: a response is sent as soon as its request is complete."""
+        """Do nothing: a request is served as soon as it is complete, so none is ever open."""
 
     def timed_out(self) -> None:
-        """Respond to a request that was not completed in time."""
+        """Reject a request that was not complete within the timeout."""
         self._reject(HttpError(408, "no whole call came in time"))
         self.finish()
 
     def drain(self) -> None:
-        """Close: the node shuts down."""
+        """Close the connection, as the node shuts down."""
         self.finish()
 
 
 class HttpService(Listener):
-    """One address for operators. Subclasses give `serve`."""
+    """An HTTP listener. Subclasses implement `serve`."""
 
     def __init__(
         self, core: Core, timeline: TimerQueue, max_connections: int, request_timeout: timedelta
     ) -> None:
-        """Close connections that have not sent a complete request within the timeout."""
+        """Initialize the service without a listening socket.
+
+        Args:
+            core: the core of the node.
+            timeline: the timers of the connections.
+            max_connections: limit of the connections at a time.
+            request_timeout: time within which a connection must send a complete request.
+        """
         super().__init__(core, timeline, max_connections, request_timeout)
 
     def make(self) -> HttpConnection:
-        """Make the connection of a client that was accepted."""
+        """Create the connection for a client that has connected."""
         return HttpConnection(self)
 
     def serve(self, request: HttpRequest) -> HttpResponse:
-        """Carry out a request. Raises HttpError."""
+        """Return the response to a request. Raises HttpError to respond with an error."""
         raise NotImplementedError
 
 
 def require_method(request: HttpRequest, *allowed: str) -> None:
-    """Check the method of a request. Raises HttpError, which names those allowed."""
+    """Check the method of a request. Raises HttpError 405 with the allowed methods for any other."""
     if request.method not in allowed:
         reason = f"{request.method[:16]} is not for {request.path[:64]}"
         raise HttpError(405, reason, Allow=", ".join(allowed))
--- a/marlstep/admin/metrics.py
+++ b/marlstep/admin/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format of Prometheus, written by its own library."""
+"""Renders metrics in the text format of Prometheus, with prometheus_client."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 PREFIX = "marlstep_"
 COUNTER_SUFFIX = "_total"
-METRIC_NAME = re.compile(r'([a-zA-Z0-9_]+)(?:\{([a-z_]+)="(.*)"\})?')  # one label at most, in braces
+METRIC_NAME = re.compile(r'([a-zA-Z0-9_]+)(?:\{([a-z_]+)="(.*)"\})?')  # at most one label
 
 
 class MetricsCollector(Collector):
-    """Gives values to the library as families: a name that ends in `_total` is a counter, any other a gauge."""
+    """Collects values as metric families: a name that ends in `_total` is a counter, any other a gauge."""
 
     def __init__(self, values: Mapping[str, float]) -> None:
-        """Collect these values, by metric name without its prefix."""
+        """Initialize the collector with the values, by metric name without the prefix."""
         self._values = values
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the families; a name that is no metric's is left out."""
+        """Yield the metric families; values with an invalid metric name are skipped."""
         families: dict[str, CounterMetricFamily | GaugeMetricFamily] = {}
         for text, value in self._values.items():
             match = METRIC_NAME.fullmatch(text)
@@ -41,7 +41,7 @@
 
 
 def render_metrics(values: Mapping[str, float]) -> bytes:
-    """Write values, by metric name without its prefix, in the text format."""
+    """Return the values, given by metric name without the prefix, in the text format."""
     registry = CollectorRegistry()
     registry.register(MetricsCollector(values))
     return generate_latest(registry)
--- a/marlstep/config/__init__.py
+++ b/marlstep/config/__init__.py
@@ -1,6 +1,6 @@
-"""The one place where configuration is read, checked and given its defaults.
+"""Reads and validates all configuration, and fills in its defaults.
 
-What is wrong raises ConfigError with a message that names the key.
+An invalid configuration raises ConfigError; its message names the key.
 """
 
 from marlstep.config.checking import check
--- a/marlstep/config/admin.py
+++ b/marlstep/config/admin.py
@@ -1,4 +1,4 @@
-"""Reader of `[admin]` of the operator's file: the administration API."""
+"""Reads `[admin]` of the operator's file: the administration API."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 def read_admin(operator: Table) -> AdminConfig:
-    """Read the section. Raises ConfigError; the token is read from its file."""
+    """Read the section, and the token from the file that it names.
+
+    Raises:
+        ConfigError: a key is missing, unknown or has a wrong value, or the token file can't be read or used.
+    """
     section = read_table(operator, "admin", "admin")
     check_known_keys(section, "admin", KEYS)
     listen = read_address(section, "listen", "admin.listen")
@@ -28,6 +32,6 @@
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError.found("admin.token_file", f"{path} can't be read: {error}") from error
     if len(token) < MIN_TOKEN_LENGTH or not token.isascii() or not token.isprintable():
-        requirement = f"must hold at least {MIN_TOKEN_LENGTH} plain characters"
+        requirement = f"must hold at least {MIN_TOKEN_LENGTH} printable ASCII characters"
         raise ConfigError.found("admin.token_file", f"{path} {requirement}")
     return token
--- a/marlstep/config/checking.py
+++ b/marlstep/config/checking.py
@@ -1,4 +1,4 @@
-"""Checks a configuration as it was read and gives it its types and defaults."""
+"""Validates configuration tables and converts them to the typed `Config`, with its defaults."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from marlstep.config.schema import AdminConfig, Config, UwsgiConfig
 from marlstep.units import MILLISECOND
 
-if TYPE_CHECKING:  # the readers of the operator's sections are loaded only where a section is there
+if TYPE_CHECKING:  # the reader of an operator section is imported only if the section is present
     from marlstep.config.cluster_settings import ClusterConfig
 
 BYTES_PER_MB = 1 << 20
-MIN_MEMORY_MB = 24  # the interpreter and the program alone take 16
+MIN_MEMORY_MB = 24  # the interpreter and the program alone use 16 MB
 MAX_MEMORY_MB = 1 << 20
 DEFAULT_MEMORY_MB = 192
 MIN_DESCRIPTORS = 64
@@ -38,7 +38,11 @@
 
 
 def check(platform_table: Table, operator_table: Table | None = None) -> Config:
-    """Check the platform's file and, where there is one, the operator's.
+    """Validate the platform's configuration and, if there is one, the operator's.
+
+    Args:
+        platform_table: the parsed platform file.
+        operator_table: the parsed operator file; None without one.
 
     Raises:
         ConfigError: a key is missing, unknown or has a wrong value; the message names it.
--- a/marlstep/config/cluster.py
+++ b/marlstep/config/cluster.py
@@ -1,6 +1,6 @@
-"""Reader of `[fleet]` of the operator's file: the nodes of a cluster, its voters, timings, leases and duties.
+"""Reads `[fleet]` of the operator's file: the nodes, voters, timings, leases and scheduled tasks of a cluster.
 
-Sections that a cluster may do without have readers of their own, which are loaded only where the section is there.
+Optional subsections have modules of their own, which are imported only if the subsection is present.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Timings:
-    """Times that have to fit each other for an election not to end leases."""
+    """Timings whose ratios are checked: a late heartbeat must not cause an election, nor an election end a lease."""
 
     lease_term: timedelta
     heartbeat_interval: timedelta
@@ -57,13 +57,16 @@
 def read_cluster(
     operator: Table, node: str, idempotent_by_class: Mapping[str, bool], has_uwsgi: bool
 ) -> ClusterConfig | None:
-    """Read the section, if it is there. Raises ConfigError.
+    """Read the section; return None if it is absent.
 
     Args:
-        operator: the whole of the operator's file.
+        operator: the parsed operator file.
         node: the name of this node.
         idempotent_by_class: for each request class, whether its requests are safe to repeat.
-        has_uwsgi: whether the file turns on the uwsgi frontend, which some of the section needs.
+        has_uwsgi: whether the file turns on the uwsgi frontend, which some keys of the section require.
+
+    Raises:
+        ConfigError: a key is missing, unknown or has a wrong value, or the key file can't be read or is too short.
     """
     if "fleet" not in operator:
         return None
@@ -81,7 +84,7 @@
 
         replicated_config, config_term = read_documents(raw, timings.heartbeat_interval, has_uwsgi)
         leases = _with_config_term(leases, config_term, timings)
-    # In the order in which their faults are named; a dataclass takes them in any.
+    # The order of these calls decides which error is reported if there are several.
     listen = read_address(raw, "listen", "fleet.listen") if "listen" in raw else nodes[node]
     tasks = _read_tasks(raw, idempotent_by_class, has_uwsgi, timings)
     shared_health_checks = _read_shared_health_checks(raw, has_uwsgi)
@@ -110,7 +113,7 @@
         raise ConfigError.unmet("fleet.nodes", f"must name 1 to {MAX_NODES} nodes")
     for name in rows:
         if any(mark in name for mark in "#/ ") or not name.isprintable():
-            raise ConfigError.found(f"fleet.nodes.{name}", "a node's name has no #, / or blank")
+            raise ConfigError.found(f"fleet.nodes.{name}", "a node's name must not contain #, / or a space")
     nodes = {name: read_address(rows, name, f"fleet.nodes.{name}") for name in rows}
     if this_node not in nodes:
         raise ConfigError.unmet("fleet.nodes", f"must name this node, {this_node}")
@@ -137,7 +140,7 @@
         raise ConfigError.unmet("fleet.patience_ms", "must be at least three times fleet.beat_ms")
     if timings.lease_term < MIN_ELECTION_TIMEOUTS_PER_LEASE * timings.election_timeout:
         raise ConfigError.unmet(
-            "fleet.term_ms", "must be at least twice fleet.patience_ms: an election must not end it"
+            "fleet.term_ms", "must be at least twice fleet.patience_ms: a lease must outlast an election"
         )
     return timings
 
@@ -163,7 +166,7 @@
     if not rows:
         return ()
     if not has_uwsgi:
-        raise ConfigError.unmet("fleet.tasks", "needs [uwsgi]: a task is a request to its servers")
+        raise ConfigError.unmet("fleet.tasks", "needs [uwsgi], to whose servers tasks are sent")
     from marlstep.config.cluster_tasks import read_task
 
     return tuple(read_task(rows, name, idempotent_by_class, timings.lease_term) for name in rows)
@@ -172,7 +175,7 @@
 def _read_shared_health_checks(raw: Table, has_uwsgi: bool) -> bool:
     shared = read_bool(raw, "probes", "fleet.probes")
     if shared and not has_uwsgi:
-        raise ConfigError.unmet("fleet.probes", "needs [uwsgi]: it is about the servers of its pools")
+        raise ConfigError.unmet("fleet.probes", "needs [uwsgi], whose servers are checked")
     return shared
 
 
--- a/marlstep/config/cluster_documents.py
+++ b/marlstep/config/cluster_documents.py
@@ -1,4 +1,4 @@
-"""Reader of `[fleet.rules]`: the documents on which the nodes of a cluster agree."""
+"""Reads `[fleet.rules]`: the configuration documents that are replicated to all nodes of a cluster."""
 
 from __future__ import annotations
 
@@ -23,26 +23,28 @@
 PATH = "fleet.rules"
 KEYS = ("lease_ms", "agree_within_ms", "documents", "shares")
 DOCUMENT_KEYS = ("kind", "strict", "cut_off")
-MAX_LOOP_DELAY = (
-    500 * MILLISECOND
-)  # that a node's loop may be late, from the message to the turn that acts on it
+# Longest time from the arrival of a message until the node's event loop has acted on it.
+MAX_LOOP_DELAY = 500 * MILLISECOND
 AnyEnum = TypeVar("AnyEnum", bound=Enum)
 
 
 class DocumentsSection(NamedTuple):
-    """The section, as read."""
+    """The parsed section."""
 
     settings: ReplicatedConfigSettings
-    lease_term: timedelta  # of the leases under which nodes act on documents
+    lease_term: timedelta  # term of the leases that allow a node to act on documents
 
 
 def read_documents(raw: Table, heartbeat_interval: timedelta, has_uwsgi: bool) -> DocumentsSection:
-    """Read the section, which has to be there, from `[fleet]`. Raises ConfigError.
+    """Read the section, which must be present, from `[fleet]`.
 
     Args:
         raw: the table `[fleet]`.
-        heartbeat_interval: between two heartbeats of the leader.
+        heartbeat_interval: interval of the leader's heartbeats.
         has_uwsgi: whether there is a uwsgi frontend, whose servers a document may list.
+
+    Raises:
+        ConfigError: a key is missing, unknown or has a wrong value.
     """
     section = read_table(raw, "rules", PATH)
     check_known_keys(section, PATH, KEYS)
@@ -51,7 +53,7 @@
     rows = read_table(section, "documents", f"{PATH}.documents")
     documents = tuple(_read_document(rows, name, has_uwsgi) for name in rows)
     if len({document.kind for document in documents}) < len(documents):
-        raise ConfigError.found(f"{PATH}.documents", "there is one document of a kind at the most")
+        raise ConfigError.found(f"{PATH}.documents", "expected at most one document of a kind")
     quotas_shared = _read_quotas_shared(section, documents)
     return DocumentsSection(ReplicatedConfigSettings(documents, agree_within, quotas_shared), lease_term)
 
@@ -62,8 +64,8 @@
     if agree_within < minimum:
         raise ConfigError.unmet(
             path,
-            f"must be at least {minimum // MILLISECOND}: the lease, two beats of the leader, "
-            f"and {MAX_LOOP_DELAY // MILLISECOND} ms that a node may be late",
+            f"must be at least {minimum // MILLISECOND}: the lease, two heartbeats "
+            f"and {MAX_LOOP_DELAY // MILLISECOND} ms of event loop delay",
         )
     return agree_within
 
@@ -95,5 +97,7 @@
 def _read_quotas_shared(section: Table, documents: Iterable[DocumentDefinition]) -> bool:
     shared = read_bool(section, "shares", f"{PATH}.shares")
     if shared and not any(document.kind is Kind.TENANTS for document in documents):
-        raise ConfigError.unmet(f"{PATH}.shares", "needs a document of kind tenants: it has the allowances")
+        raise ConfigError.unmet(
+            f"{PATH}.shares", "needs a document of kind tenants, which holds the allowances"
+        )
     return shared
--- a/marlstep/config/cluster_membership.py
+++ b/marlstep/config/cluster_membership.py
@@ -1,4 +1,4 @@
-"""Reader of `[fleet.members]`: how a node detects which others are alive."""
+"""Reads `[fleet.members]`: settings of the failure detector and the roster."""
 
 from __future__ import annotations
 
@@ -24,12 +24,21 @@
 
 PATH = "fleet.members"
 KEYS = ("period_ms", "answer_ms", "probation_ms", "guard", "zone", "seeds")
-MIN_TIMEOUTS_PER_INTERVAL = 3  # the rest of a probe interval is for indirect probes
-MAX_SHOWN_CHARACTERS = 80  # characters of a name that is too long
+MIN_TIMEOUTS_PER_INTERVAL = 3  # the time after a probe timeout is for indirect probes
+MAX_SHOWN_CHARACTERS = 80  # of a node name that is too long, in an error
 
 
 def read_membership(raw: Table, nodes: Mapping[str, Address], voters: tuple[str, ...]) -> MembershipConfig:
-    """Read the section, which has to be there, from `[fleet]`; voters are the seeds by default. Raises ConfigError."""
+    """Read the section, which must be present, from `[fleet]`.
+
+    Args:
+        raw: the table `[fleet]`.
+        nodes: address of each node, by name.
+        voters: names of the voters, which are the default for the seeds.
+
+    Raises:
+        ConfigError: a key is missing, unknown or has a wrong value, or a node's name is too long.
+    """
     section = read_table(raw, "members", PATH)
     check_known_keys(section, PATH, KEYS)
     detector = _read_detector(section)
@@ -52,7 +61,7 @@
     probe_timeout = _read_ms(section, "answer_ms", 10, 20_000, 150)
     if probe_timeout * MIN_TIMEOUTS_PER_INTERVAL > probe_interval:
         raise ConfigError.unmet(
-            f"{PATH}.answer_ms", "must be at most a third of period_ms: others are asked in the rest"
+            f"{PATH}.answer_ms", "must be at most a third of period_ms: the rest is for indirect probes"
         )
     return DetectorSettings(probe_interval=probe_interval, probe_timeout=probe_timeout)
 
@@ -70,12 +79,12 @@
         if len(name) > MAX_NAME_LENGTH:
             raise ConfigError.found(
                 f"fleet.nodes.{name[:MAX_SHOWN_CHARACTERS]}",
-                f"with {PATH} a node's name has {MAX_NAME_LENGTH} characters at most",
+                f"with {PATH} a node's name must have at most {MAX_NAME_LENGTH} characters",
             )
 
 
 def _read_zone(section: Table) -> str:
     zone = read_word(section, "zone", f"{PATH}.zone") if "zone" in section else ""
     if len(zone) > MAX_NAME_LENGTH:
-        raise ConfigError.unmet(f"{PATH}.zone", f"has {MAX_NAME_LENGTH} characters at the most")
+        raise ConfigError.unmet(f"{PATH}.zone", f"has {MAX_NAME_LENGTH} characters at most")
     return zone
--- a/marlstep/config/cluster_settings.py
+++ b/marlstep/config/cluster_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node's part in a cluster, as `cluster` reads them from `[fleet]` of the operator's file."""
+"""Typed settings of a cluster, which `marlstep.config.cluster` reads from `[fleet]` of the operator's file."""
 
 from __future__ import annotations
 
@@ -20,34 +20,51 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskConfig:
-    """One scheduled task, and the request that it sends."""
+    """One scheduled task and the request that it sends."""
 
     plan: TaskPlan
-    variables: Mapping[str, str]  # of its uwsgi request
+    variables: Mapping[str, str]  # additional variables of its uwsgi request
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicatedConfigSettings:
-    """Documents on which the nodes agree."""
+    """Settings of the configuration documents that are replicated to all nodes."""
 
     documents: tuple[DocumentDefinition, ...]
-    agree_within: timedelta  # no two nodes act on contradicting versions for longer
-    quotas_shared: bool = False  # a tenant's allowance is for the whole service, divided into quotas
+    agree_within: timedelta  # longest time for which two nodes may act on contradicting versions
+    quotas_shared: bool = False  # whether a tenant's allowance is for all nodes, divided into quotas per node
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipConfig:
-    """How this node detects which others are alive."""
+    """Settings of the failure detector and the roster on this node."""
 
     detector: DetectorSettings
     roster: RosterSettings
     zone: str
-    seeds: tuple[str, ...]  # nodes that are asked first
+    seeds: tuple[str, ...]  # names of the nodes that are contacted first
 
 
 @dataclass(slots=True, frozen=True)
 class ClusterConfig:
-    """The cluster as each of its nodes has it, and this node's place in it."""
+    """The settings of the cluster, and those of this node as a member.
+
+    Attributes:
+        name: of the cluster.
+        node: name of this node.
+        listen: address of this node for the other nodes.
+        nodes: address of each node, by name.
+        voters: names of the voters.
+        key: shared secret of the nodes.
+        store: directory of the voter's store; None on a node that is not a voter.
+        leases: settings of the leases.
+        heartbeat_interval: interval of the leader's heartbeats.
+        election_timeout: minimum time without contact from a leader after which a voter starts an election.
+        tasks: the scheduled tasks.
+        replicated_config: settings of replicated configuration; None if it is off.
+        membership: settings of the failure detector and the roster; None if they are off.
+        shared_health_checks: whether one node checks for all nodes if an ejected server has recovered.
+    """
 
     name: str
     node: str
@@ -62,7 +79,7 @@
     tasks: tuple[TaskConfig, ...]
     replicated_config: ReplicatedConfigSettings | None = None
     membership: MembershipConfig | None = None
-    shared_health_checks: bool = False  # one node checks for all whether an ejected server is back
+    shared_health_checks: bool = False
 
     @property
     def votes(self) -> bool:
--- a/marlstep/config/cluster_tasks.py
+++ b/marlstep/config/cluster_tasks.py
@@ -1,4 +1,4 @@
-"""Reader of `[fleet.tasks]`: the scheduled tasks that a cluster runs once."""
+"""Reads `[fleet.tasks]`: scheduled tasks, each run of which happens on one node of the cluster."""
 
 from __future__ import annotations
 
@@ -19,23 +19,28 @@
 def read_task(
     rows: Table, name: str, idempotent_by_class: Mapping[str, bool], lease_term: timedelta
 ) -> TaskConfig:
-    """Read one task. Raises ConfigError.
+    """Read one task.
 
     Args:
         rows: the table `[fleet.tasks]`.
-        name: the task's key in it.
+        name: the task's name, its key in `rows`.
         idempotent_by_class: for each request class, whether its requests are safe to repeat.
-        lease_term: of the lease under which the task runs; a run has to end well within it.
+        lease_term: term of the lease under which the task runs; the timeout of a run must be at most half of it.
+
+    Raises:
+        ConfigError: a key is missing, unknown or has a wrong value.
     """
     path = f"fleet.tasks.{name}"
     row = read_table(rows, name, path)
     check_known_keys(row, path, KEYS)
     if len(name) > MAX_NAME_LENGTH or not name.isprintable():
-        raise ConfigError.found(path, f"a task's name has {MAX_NAME_LENGTH} characters at the most")
+        raise ConfigError.found(
+            path, f"a task's name must be printable and have at most {MAX_NAME_LENGTH} characters"
+        )
     request_class = _read_class(row, path, idempotent_by_class)
-    interval, time_of_day = _read_times(row, path)
+    interval, offset = _read_times(row, path)
     timeout = _read_timeout(row, path, lease_term)
-    schedule = Schedule(interval, time_of_day, _read_missed(row, path))
+    schedule = Schedule(interval, offset, _read_missed(row, path))
     variables = _read_variables(row, path)
     return TaskConfig(
         TaskPlan(name, schedule, request_class, idempotent_by_class[request_class], timeout), variables
@@ -50,7 +55,7 @@
 
 
 def _read_times(row: Table, path: str) -> tuple[timedelta, timedelta]:
-    """Read the interval between two runs, and the time of day of the first."""
+    """Return the interval between two runs and their offset: the UTC time of day for `at`, zero for `every_ms`."""
     if ("every_ms" in row) == ("at" in row):
         raise ConfigError.unmet(path, "must have either every_ms or at")
     if "at" in row:
@@ -61,7 +66,7 @@
 def _time_of_day(text: str, path: str) -> timedelta:
     hours, _, minutes = text.partition(":")
     if not (hours.isdigit() and minutes.isdigit() and int(hours) < 24 and int(minutes) < 60):
-        raise ConfigError.unmet(path, "must be a time of day in UTC, as 03:30")
+        raise ConfigError.unmet(path, "must be a time of day in UTC, such as 03:30")
     return int(hours) * 3_600 * SECOND + int(minutes) * 60 * SECOND
 
 
@@ -69,7 +74,7 @@
     timeout = read_int(row, "longest_ms", f"{path}.longest_ms", 10, 600_000, 1_000) * MILLISECOND
     if timeout > lease_term / 2:
         raise ConfigError.unmet(
-            f"{path}.longest_ms", "must be at most half of fleet.term_ms: an act has to end within it"
+            f"{path}.longest_ms", "must be at most half of fleet.term_ms: a run must end within its lease"
         )
     return timeout
 
--- a/marlstep/config/document_overrides.py
+++ b/marlstep/config/document_overrides.py
@@ -1,4 +1,4 @@
-"""Documents on which the cluster agreed, in the place of what a node's own files say."""
+"""Replicated configuration documents, which override the corresponding parts of a node's own files."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from marlstep.config.readers import ConfigError
 from marlstep.config.schema import Config
 
-JsonContent = Any  # of a document: what its author wrote, checked only when it is applied
+JsonContent = Any  # content of a document; it is not validated before it is applied
 
 
 class DocumentKind(enum.StrEnum):
-    """Which part of the configuration a document replaces."""
+    """The part of the configuration that a document replaces."""
 
     SETTINGS = "settings"  # the platform's settings
     TENANTS = "tenants"  # the operator's tenants and priority weights
-    SERVERS = "servers"  # the servers of the pools, by pool
+    SERVERS = "servers"  # the servers of each pool, by the name of the pool
 
 
 def local_content(config: Config, kind: str) -> JsonContent:
-    """Return the part of the configuration that a document of this kind replaces, in the form of a document."""
+    """Return the part of a node's own configuration that a document of this kind replaces, in document form."""
     if kind == DocumentKind.SETTINGS:
         return config.platform_table.get("settings")
     if kind == DocumentKind.TENANTS:
@@ -35,17 +35,21 @@
 
 
 class DocumentOverrides:
-    """The documents in force on this node, by kind. Without any, configurations stay as they are."""
+    """The documents in force on this node, by kind."""
 
     def __init__(self) -> None:
-        """Start without a document."""
+        """Initialize the overrides with no document in force."""
         self._contents: dict[str, JsonContent] = {}
 
     def apply_to(self, config: Config, **added: JsonContent) -> Config:
-        """Return the configuration with the documents in force, and those added, in the place of its own.
+        """Return the configuration with the parts replaced that documents override; without documents, unchanged.
+
+        Args:
+            config: the configuration from the node's own files.
+            **added: contents by kind, which take precedence over the documents in force.
 
         Raises:
-            ConfigError: the result is no valid configuration.
+            ConfigError: the result is not a valid configuration.
         """
         contents = {**self._contents, **added}
         if not contents:
@@ -69,11 +73,11 @@
         )
 
     def put(self, kind: str, content: JsonContent) -> None:
-        """Have a document in force from now on."""
+        """Put a document in force; it replaces the previous one of its kind."""
         self._contents[kind] = content
 
     def describe_differences(self, config: Config) -> Iterator[str]:
-        """Yield a line for each kind in which a file says something else than the document in force."""
+        """Yield a log line for each document in force that differs from the node's own files."""
         for kind, content in self._contents.items():
             local = local_content(config, kind) or {}
             differing = sorted(
@@ -108,5 +112,5 @@
 
 
 def _canonical_json(value: JsonContent) -> str:
-    """Return a text by which two contents are equal or not, whatever the order of their keys."""
+    """Return the value as JSON with sorted keys, to compare two values regardless of the order of their keys."""
     return json.dumps(value, sort_keys=True)
--- a/marlstep/config/loading.py
+++ b/marlstep/config/loading.py
@@ -1,4 +1,4 @@
-"""Reads a node's configuration: the platform's JSON file, the environment, and the operator's TOML file."""
+"""Loads a node's configuration from the platform's JSON file, the environment and the operator's TOML file."""
 
 from __future__ import annotations
 
@@ -21,22 +21,24 @@
 PASSED_SOCKET_VARIABLE = "PROXY_PASSED_SOCKET"
 RUNTIME_DIRECTORY_VARIABLE = "TMPDIR"
 OVERRIDING_VARIABLES = {"name": "PROXY_NAME", "listen": "PROXY_LISTEN", "mgmt": "PROXY_MGMT"}
-MAX_SHOWN_CHARACTERS = 32  # characters of a faulty value in a message
+MAX_SHOWN_CHARACTERS = 32  # of an invalid value, in an error
 
 
 def load(environ: Mapping[str, str] = os.environ, operator: str | None = None) -> Config:
     """Read and check the configuration of this process.
 
     Args:
-        environ: PROXY_CONFIG names the platform's file; PROXY_NAME, PROXY_LISTEN and PROXY_MGMT replace its keys.
-        operator: path of the operator's file, which turns on what the platform does not set.
+        environ: the environment variables. PROXY_CONFIG is the path of the platform's file, PROXY_NAME, PROXY_LISTEN
+            and PROXY_MGMT override keys of it, PROXY_PASSED_SOCKET is the descriptor of a listening socket, and TMPDIR
+            is the runtime directory.
+        operator: path of the operator's file, which turns on optional features; None without one.
 
     Raises:
-        ConfigError: a file can't be read or a value is wrong; the message names file and key.
+        ConfigError: a file can't be read or a value is wrong; the message names the file and the key.
     """
     path = environ.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError.unmet(CONFIG_VARIABLE, "is not set: it names the configuration file")
+        raise ConfigError.unmet(CONFIG_VARIABLE, "is not set: it must be the path of the configuration file")
     platform_table = _with_environment(read_file(path, CONFIG_VARIABLE, json.loads), environ)
     try:
         config = check(platform_table)
@@ -51,7 +53,7 @@
 
 
 def _check_with_operator(platform_table: Table, operator: str) -> Config:
-    import tomllib  # not loaded by a node without an operator's file, for the memory that it takes
+    import tomllib  # imported here to save memory on nodes without an operator file
 
     operator_table = read_file(operator, "--operator", tomllib.loads)
     try:
@@ -64,7 +66,7 @@
     directory = environ.get(RUNTIME_DIRECTORY_VARIABLE)
     if not directory:
         return None
-    from pathlib import Path  # likewise
+    from pathlib import Path  # imported here to save memory on nodes without a runtime directory
 
     return Path(directory)
 
@@ -75,7 +77,7 @@
 
 
 def _read_passed_socket(text: str) -> int | None:
-    """Read the descriptor of a TCP socket that listens; None where none is passed."""
+    """Return the descriptor of the listening TCP socket that was passed; None if there is none."""
     if not text:
         return None
     descriptor = _open_socket_descriptor(text)
@@ -92,7 +94,7 @@
 
 
 def _open_socket_descriptor(text: str) -> int | None:
-    """Return the number if it is that of an open socket."""
+    """Parse the number of a descriptor; return None if it is not that of an open socket."""
     try:
         descriptor = int(text)
         is_socket = descriptor >= 0 and stat.S_ISSOCK(os.fstat(descriptor).st_mode)
--- a/marlstep/config/operator_overrides.py
+++ b/marlstep/config/operator_overrides.py
@@ -1,4 +1,4 @@
-"""The operator's tenants and priority weights, in the place of the platform's."""
+"""The operator's tenants and priority weights, which override those of the platform."""
 
 from __future__ import annotations
 
@@ -10,11 +10,15 @@
 OVERRIDE_KEYS = ("tenants", "classes", "over_share_worth")
 MAX_PRIORITY_WEIGHT = 1e6
 MAX_QUOTA_PER_S = 1e6
-MAX_SUM_OF_PORTIONS = 1.001  # 1, with room for rounding in the file
+MAX_SUM_OF_PORTIONS = 1.001  # above 1 because the portions in the file may be rounded
 
 
 def apply_overrides(settings: Settings, operator: Table) -> Settings:
-    """Return the settings with what the operator's file puts in their place. Raises ConfigError."""
+    """Return the settings with the tenants, weights and factor that the operator's file overrides.
+
+    Raises:
+        ConfigError: a key is missing, unknown or has a wrong value.
+    """
     if "over_share_worth" in operator:
         factor = read_number(operator, "over_share_worth", "over_share_worth", 0, 1)
         settings = replace(settings, over_quota_factor=factor)
--- a/marlstep/config/platform_settings.py
+++ b/marlstep/config/platform_settings.py
@@ -1,4 +1,4 @@
-"""Reader of the platform's `settings`: what the admission controller, and the client of the kernel, go by."""
+"""Reads `settings` of the platform's file, for the admission controller and the client of the kernel."""
 
 from __future__ import annotations
 
@@ -8,13 +8,17 @@
 from marlstep.config.readers import ConfigError, Table, read_table
 from marlstep.simulator.configuration import read_settings
 
-MAX_CLASS_TIME_US = 1e12  # eleven days
+MAX_CLASS_TIME_US = 1e12  # 11.6 days
 CLASS_TIME_KEYS = ("aimUs", "hardLimitUs")
 GAUGE_NAMES = {"cpu_busy": "cpu", "runnable": "runq", "mem_used": "memory", "sockets": "conns"}
 
 
 def read_platform_settings(raw: Table) -> Settings:
-    """Read the settings of the admission controller. Raises ConfigError."""
+    """Read the settings of the admission controller.
+
+    Raises:
+        ConfigError: a key is missing or has a wrong value.
+    """
     _check_class_times(raw)
     try:
         return read_settings(raw)
@@ -25,7 +29,7 @@
 
 
 def _check_class_times(raw: Table) -> None:
-    """Bound the times of each class that is there: they are added to the clock."""
+    """Check that the configured times of each class are within their limits, as they are added to the clock."""
     rows = raw.get("classes")
     for index, row in enumerate(rows if isinstance(rows, list) else []):
         if not isinstance(row, Mapping):
@@ -44,7 +48,11 @@
 
 
 def read_gauge_names(raw: Table) -> tuple[str, ...]:
-    """Read the names of the kernel's gauges, in the order in which it sends them. Raises ConfigError."""
+    """Read the names of the kernel's gauges, in the order in which the kernel sends them.
+
+    Raises:
+        ConfigError: the names are not a list, or `familyInfo` is missing or not a table.
+    """
     names = read_table(raw, "familyInfo", "settings.familyInfo").get("ownStats") or []
     if not isinstance(names, list):
         raise ConfigError.unmet("settings.familyInfo.ownStats", "must be a list")
@@ -52,7 +60,11 @@
 
 
 def read_seed(value: object) -> int:
-    """Read the seed of the node's random choices, hexadecimal where it is text. Raises ConfigError."""
+    """Read the seed of the node's random number generators; a string is parsed as hexadecimal.
+
+    Raises:
+        ConfigError: the value is not a number.
+    """
     try:
         return int(value, 16) if isinstance(value, str) else int(str(value))
     except ValueError as error:
--- a/marlstep/config/readers.py
+++ b/marlstep/config/readers.py
@@ -1,4 +1,11 @@
-"""Readers of single values. Each takes a table, the key and the path that messages name."""
+"""Readers of single values of a configuration table.
+
+Common parameters:
+    raw: the table.
+    key: key of the value in the table.
+    path: full path of the value, for error messages.
+    default: the value if the key is absent; without a default, an absent key is an error.
+"""
 
 from __future__ import annotations
 
@@ -14,21 +21,30 @@
 
 
 class ConfigError(MarlstepError):
-    """What is wrong with the configuration, in one line that names the key."""
+    """The configuration is invalid. The message is one line that names the key."""
 
     @classmethod
     def unmet(cls, path: str, requirement: str) -> ConfigError:
-        """Name the key and what it must be: `fleet.voters must name 1, 3, 5 or 7 nodes`."""
+        """Return an error with the key and its unmet requirement: `fleet.voters must name 1, 3, 5 or 7 nodes`."""
         return cls(f"{path} {requirement}")
 
     @classmethod
     def found(cls, path: str, problem: str) -> ConfigError:
-        """Name the key and what is wrong with its value: `fleet.voters: n9 is not in fleet.nodes`."""
+        """Return an error with the key and the problem that was found: `fleet.voters: n9 is not in fleet.nodes`."""
         return cls(f"{path}: {problem}")
 
 
 def read_file(path: str, named_by: str, parse: Callable[[str], object]) -> Table:
-    """Read and parse a file that holds a table. Raises ConfigError, which tells what named the file."""
+    """Read and parse a file that holds a table.
+
+    Args:
+        path: of the file.
+        named_by: the option or variable that gave the path, for error messages.
+        parse: converts the text of the file; it raises ValueError for invalid text.
+
+    Raises:
+        ConfigError: the file can't be read or parsed, or does not hold a table.
+    """
     try:
         with open(path, encoding="utf-8") as file:
             raw = parse(file.read())
@@ -42,14 +58,14 @@
 
 
 def check_known_keys(raw: Table, path: str, keys: tuple[str, ...]) -> None:
-    """Check that the table has no other keys. Raises ConfigError."""
+    """Check that the table has no keys other than these. Raises ConfigError for the first unknown key."""
     for key in raw:
         if key not in keys:
             raise ConfigError.unmet(f"{path}.{key}".lstrip("."), "is not known")
 
 
 def read_value(raw: Table, key: str, path: str, default: object = MISSING) -> object:
-    """Read any value. Raises ConfigError where there is none, and no default."""
+    """Read a value of any type. Raises ConfigError if it is absent and there is no default."""
     value = raw.get(key)
     if value is None:
         if default is MISSING:
@@ -59,7 +75,7 @@
 
 
 def read_table(raw: Table, key: str, path: str, default: object = MISSING) -> Table:
-    """Read a table. Raises ConfigError."""
+    """Read a table. Raises ConfigError if it is missing or of another type."""
     value = read_value(raw, key, path, default)
     if not isinstance(value, Mapping):
         raise ConfigError.unmet(path, "must be a table")
@@ -67,7 +83,7 @@
 
 
 def read_word(raw: Table, key: str, path: str, default: object = MISSING) -> str:
-    """Read a printable text without blanks. Raises ConfigError."""
+    """Read a non-empty, printable string without spaces. Raises ConfigError if it is missing or invalid."""
     value = read_value(raw, key, path, default)
     if not isinstance(value, str) or not value or not value.isprintable() or " " in value:
         raise ConfigError.unmet(path, "must be a word")
@@ -75,7 +91,7 @@
 
 
 def read_words(raw: Table, key: str, path: str, default: object = MISSING) -> list[str]:
-    """Read a list of words. Raises ConfigError."""
+    """Read a list of strings as of `read_word`. Raises ConfigError if it is missing or invalid."""
     value = read_value(raw, key, path, default)
     if not isinstance(value, list):
         raise ConfigError.unmet(path, "must be a list of words")
@@ -83,7 +99,7 @@
 
 
 def read_int(raw: Table, key: str, path: str, minimum: int, maximum: int, default: object = MISSING) -> int:
-    """Read a whole number within the bounds. Raises ConfigError."""
+    """Read an integer from `minimum` to `maximum`. Raises ConfigError if it is missing, invalid or out of range."""
     value = read_value(raw, key, path, default)
     if not isinstance(value, int) or isinstance(value, bool) or not minimum <= value <= maximum:
         raise ConfigError.unmet(path, f"must be a whole number from {minimum} to {maximum}")
@@ -93,7 +109,7 @@
 def read_number(
     raw: Table, key: str, path: str, minimum: float, maximum: float, default: object = MISSING
 ) -> float:
-    """Read a number within the bounds. Raises ConfigError."""
+    """Read a number from `minimum` to `maximum`. Raises ConfigError if it is missing, invalid or out of range."""
     value = read_value(raw, key, path, default)
     if not isinstance(value, int | float) or isinstance(value, bool) or not minimum <= value <= maximum:
         raise ConfigError.unmet(path, f"must be a number from {minimum} to {maximum}")
@@ -101,7 +117,7 @@
 
 
 def read_bool(raw: Table, key: str, path: str) -> bool:
-    """Read a boolean, which is false by default. Raises ConfigError."""
+    """Read a boolean, False by default. Raises ConfigError if it is of another type."""
     value = raw.get(key, False)
     if not isinstance(value, bool):
         raise ConfigError.unmet(path, "must be true or false")
@@ -109,7 +125,7 @@
 
 
 def read_address(raw: Table, key: str, path: str, default: object = MISSING) -> Address:
-    """Read an address such as `1.2.3.4:90`; there are no names to look up. Raises ConfigError."""
+    """Read a numeric IP address and a port, such as `1.2.3.4:90`. Raises ConfigError if it is missing or invalid."""
     host, _, port = str(read_value(raw, key, path, default)).rpartition(":")
     host = host.strip("[]")
     try:
--- a/marlstep/config/reloading.py
+++ b/marlstep/config/reloading.py
@@ -1,4 +1,4 @@
-"""What a running node takes over of a new configuration, and how two settings differ."""
+"""Merges a reloaded configuration into the running one, and describes how settings changed."""
 
 from __future__ import annotations
 
@@ -9,21 +9,26 @@
 from marlstep.config.readers import ConfigError
 from marlstep.config.schema import Config, UwsgiConfig, config_key
 
-# Keys of the platform's file that a reloaded one may lack, whatever the configuration in force has. The node reads none
-# of them: `aimStretch`, `passesDeadline` and `prices.fleet`. They are matched by name, in any table.
+# Keys that a reloaded platform file may lack although the running configuration has them, as the node does not read
+# them: `aimStretch`, `passesDeadline` and `prices.fleet`. They are matched by name in any table.
 OPTIONAL_KEYS = {"aimStretch", "passesDeadline", "fleet"}
 
 
 def merge_reloaded(running: Config, loaded: Config) -> tuple[Config, list[str]]:
     """Return the configuration to put in force, and the keys whose change needs a restart.
 
-    Addresses of clients, the shutdown timeout, the settings, the gauges and the pools of servers change while the node
-    runs. Two settings do not, and a change of them is not reported: whether the node warms up, which describes its
-    start, and the number of servers, as it was at the start. Nor does a changed seed have an effect or a report: it is
-    taken over, but its users read it once, when they are made.
+    A reload changes the addresses of the kernel, the name service and the database, the shutdown timeout, the settings,
+    the gauge names, and the pools and the request mapping of uwsgi. Two settings keep their values from the start, and
+    a change of them is not reported: whether the node warms up, which concerns only its start, and the number of
+    servers. A changed seed is stored without a report but has no effect, as its users read it only when they are
+    created.
+
+    Args:
+        running: the configuration in force.
+        loaded: the configuration that was loaded for the reload.
 
     Raises:
-        ConfigError: a key is missing that the running configuration has. Nothing is taken over then.
+        ConfigError: a key of the running configuration is missing from the loaded one, which is rejected as a whole.
     """
     for path in _missing_keys(running.platform_table, loaded.platform_table, ""):
         raise ConfigError.found(loaded.source, f"{path} is missing, and the configuration in use has it")
@@ -61,7 +66,10 @@
 
 
 def _missing_keys(running: object, loaded: object, path: str) -> Iterator[str]:
-    """Yield the keys that are gone. Rows of a list must have the keys that all the running rows share."""
+    """Yield the paths of keys that the running configuration has and the loaded one lacks.
+
+    Tables in a list are not compared one by one: each loaded table must have the keys that all running tables share.
+    """
     if isinstance(running, Mapping) and isinstance(loaded, Mapping):
         for key, value in running.items():
             key_path = f"{path}.{key}".lstrip(".")
@@ -83,7 +91,7 @@
 
 
 def describe_changes(old: Settings, new: Settings) -> list[str]:
-    """Describe what differs between two settings, a line each, for the log; keys are the stored ones."""
+    """Return a line for the log for each difference between two settings; fields are named by their stored keys."""
     old_classes = {request_class.name: request_class for request_class in old.classes}
     new_names = {request_class.name for request_class in new.classes}
     lines = [f"class {name} is gone" for name in old_classes if name not in new_names]
--- a/marlstep/config/schema.py
+++ b/marlstep/config/schema.py
@@ -1,7 +1,6 @@
-"""The typed configuration of one node, as it was read and checked.
+"""The typed and validated configuration of one node.
 
-Keys of the platform's file and of the operator's file have words of their own; where a field's name differs, its key
-stands beside it.
+A field whose name differs from its key in the platform's or the operator's file has that key in its metadata.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 from marlstep.admission.settings import Settings, stored_as, stored_key
 from marlstep.config.readers import Address, Table
 
-if TYPE_CHECKING:  # loaded only by nodes whose configuration has need of them
+if TYPE_CHECKING:  # imported only by nodes whose configuration uses them
     from pathlib import Path
 
     from marlstep.config.cluster_settings import ClusterConfig
@@ -44,29 +43,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that one node is configured with.
+    """The configuration of one node.
 
     Attributes:
         name: of the node.
         listen: address of the platform's frontend.
         kernel: address of the kernel that runs requests.
-        name_service: address of the name service; None where nothing is reported.
-        database: address of the database that calls go to; None where there is none.
-        seed: of the node's random choices.
-        shutdown_timeout: from SIGTERM to the moment at which the platform stops the process.
-        max_descriptors: file descriptors that the process may have open.
-        memory_bytes: that the process may take.
-        cores: share of the machine's cores that the node has.
-        settings: of the admission controller.
-        gauge_names: names of the kernel's gauges, in the order in which it sends them.
-        uwsgi: the uwsgi frontend; None where it is off.
-        admin: the administration API; None where it is off.
-        cluster: the cluster of nodes; None where it is off.
-        health_listen: address of the health endpoint; None where it is off.
-        passed_socket: descriptor of the listening socket that the platform passes; None where it passes none.
-        runtime_directory: shared by the processes of this node; None where there is none.
-        platform_table: the platform's file as it was read.
-        operator_table: the operator's file as it was read; empty without one.
+        name_service: address of the name service; None if the node does not report to one.
+        database: address of the database for downstream calls; None if there is none.
+        seed: of the node's random number generators.
+        shutdown_timeout: time from SIGTERM until the platform stops the process.
+        max_descriptors: limit of the open file descriptors of the process.
+        memory_bytes: limit of the memory of the process.
+        cores: number of CPU cores that the node may use; may be a fraction.
+        settings: settings of the admission controller.
+        gauge_names: names of the kernel's gauges, in the order in which the kernel sends them.
+        uwsgi: the uwsgi frontend; None if it is off.
+        admin: the administration API; None if it is off.
+        cluster: the cluster of nodes; None if it is off.
+        health_listen: address of the health endpoint; None if it is off.
+        passed_socket: descriptor of the listening socket that the platform passed; None if it passed none.
+        runtime_directory: directory that the processes of this node share; None if there is none.
+        platform_table: the parsed platform file.
+        operator_table: the parsed operator file; empty without one.
         source: path of the platform's file.
     """
 
@@ -94,5 +93,5 @@
 
 
 def config_key(config_field: Field[Any]) -> str:
-    """Return the key by which operators know a field of the configuration."""
+    """Return the key of a field in the files, which operators know; its name unless the metadata has another."""
     return stored_key(config_field)
--- a/marlstep/config/traces.py
+++ b/marlstep/config/traces.py
@@ -1,16 +1,16 @@
-"""Reader of `[trace]` of an operator's file: how the rows of a trace become requests.
+"""Reads `[trace]` of an operator's file: the mapping from rows of a trace to requests.
 
     [trace]
     format = "google-2011"
-    rest = "temp-history"            # or left out: what no rule fits is dropped
-    [[trace.rules]]                  # the first that fits counts
+    rest = "temp-history"            # class of rows that match no rule; if absent, they are dropped
+    [[trace.rules]]                  # the first rule that matches a row applies
     class = "setpoint-cmd"
     kinds = ["2", "3"]
     [trace.work.setpoint-cmd]
     least_ms = 120
     most_ms = 210
 
-Keys that are left out have the format's defaults.
+Absent keys have the defaults of the format.
 """
 
 from __future__ import annotations
@@ -48,11 +48,11 @@
 
 @dataclass(slots=True, frozen=True)
 class TraceConfig:
-    """How a trace is read.
+    """Settings with which a trace is read.
 
     Attributes:
-        mapping: how its rows become requests.
-        columns: its columns, for the format `generic`; the other formats have their own.
+        mapping: how rows are mapped to requests.
+        columns: the columns of the format `generic`; None for other formats, whose columns are fixed.
     """
 
     mapping: MappingSettings
@@ -60,11 +60,11 @@
 
 
 def load_trace(path: str | None, format_name: str) -> TraceConfig:
-    """Read the section from a file; without a path, the format's defaults.
+    """Read the section from a file, or return the defaults of the format without a path.
 
     Args:
-        path: of an operator's file.
-        format_name: the format that the trace is read in.
+        path: path of the operator's file; None for the defaults.
+        format_name: the format of the trace.
 
     Raises:
         ConfigError: the file can't be read, or a key is unknown, missing or has a wrong value.
@@ -79,7 +79,7 @@
 
 
 def read_trace(section: Table, format_name: str) -> TraceConfig:
-    """Read the section. Raises ConfigError where a key is unknown, missing or has a wrong value."""
+    """Read the section. Raises ConfigError if a key is unknown, missing or has a wrong value."""
     check_known_keys(section, "trace", KEYS)
     _check_format(section, format_name)
     mapping = DEFAULT_MAPPINGS[format_name]
@@ -119,7 +119,7 @@
 
 
 def _read_names(parent: Table, key: str, path: str) -> tuple[str, ...]:
-    """Read a list of names, which may be written as numbers."""
+    """Read a list of names; integers are accepted and converted."""
     names = read_value(parent, key, path, [])
     if not isinstance(names, list) or not all(isinstance(name, str | int) for name in names):
         raise ConfigError.unmet(path, "must be a list of words")
@@ -194,7 +194,7 @@
 
 
 def _read_format_columns(section: Table, format_name: str) -> Columns | None:
-    """Read the columns, which the format `generic` must have and no other may."""
+    """Read the columns, which are required for the format `generic` and not allowed for any other."""
     columns = _read_columns(section) if "columns" in section else None
     if format_name == GENERIC and columns is None:
         raise ConfigError.unmet("trace.columns", "is missing: the format generic needs it")
@@ -233,7 +233,7 @@
 
 
 def _read_column(row: Table, key: str) -> str | None:
-    """Read a column's name in the header, or its number from 0."""
+    """Read a column: its name in the header, or its number, which counts from 0. None if the key is absent."""
     value = row.get(key)
     if value is None:
         return None
--- a/marlstep/config/uwsgi.py
+++ b/marlstep/config/uwsgi.py
@@ -1,4 +1,4 @@
-"""Reader of `[uwsgi]` of the operator's file: the uwsgi frontend and its pools of servers."""
+"""Reads `[uwsgi]` of the operator's file: the uwsgi frontend and its pools of servers."""
 
 from __future__ import annotations
 
@@ -46,16 +46,16 @@
     """Read the section.
 
     Args:
-        operator: the whole of the operator's file.
-        class_names: request classes of the platform's settings.
-        max_buffer_bytes: what all connections together may buffer of bodies and responses.
+        operator: the parsed operator file.
+        class_names: names of the request classes in the platform's settings.
+        max_buffer_bytes: limit of the bodies and responses that all connections together buffer.
 
     Raises:
         ConfigError: a key is missing, unknown or has a wrong value.
     """
     section = read_table(operator, "uwsgi", "uwsgi")
     check_known_keys(section, "uwsgi", KEYS)
-    # In the order in which faults are named; a dataclass takes the fields in any.
+    # The order of these calls decides which error is reported if there are several.
     variables = read_table(section, "vars", "uwsgi.vars")
     check_known_keys(variables, "uwsgi.vars", VARIABLE_KEYS)
     values = read_table(section, "classes", "uwsgi.classes", {})
@@ -108,7 +108,7 @@
 
 
 def _read_pools(section: Table, class_names: set[str]) -> tuple[PoolConfig, ...]:
-    """Read the pools of servers; `upstream` is a pool of one server, without limits."""
+    """Read the pools of servers. `upstream` defines a single pool of one server, without limits."""
     if "pool" not in section:
         return (PoolConfig("", (read_address(section, "upstream", "uwsgi.upstream"),), has_limits=False),)
     if "upstream" in section:
@@ -120,7 +120,7 @@
 
 
 def _check_classes(pools: tuple[PoolConfig, ...]) -> None:
-    """Check that each request class has exactly one pool: the one that lists it, else the one that lists none."""
+    """Check that each class has exactly one pool: the one that lists it, else the pool that lists no classes."""
     defaults = [pool.name for pool in pools if not pool.request_classes]
     if len(defaults) != 1:
         raise ConfigError.found("uwsgi.pool", "exactly one pool must be without classes: it takes the rest")
@@ -158,7 +158,7 @@
 
 
 def _read_rejecting_statuses(row: Table, path: str) -> tuple[int, ...]:
-    """Read the statuses by which a server says that nothing ran."""
+    """Read the statuses with which a server rejects a request that it did not run."""
     statuses = read_value(row, "refuses", path, [])
     if not isinstance(statuses, list) or not all(_is_error_status(status) for status in statuses):
         raise ConfigError.unmet(
--- a/tests/config/test_cluster.py
+++ b/tests/config/test_cluster.py
@@ -34,7 +34,7 @@
         (
             "nodes",
             {"n1": "127.0.0.1:1", "a/b": "127.0.0.1:2"},
-            "fleet.nodes.a/b: a node's name has no #, / or blank",
+            "fleet.nodes.a/b: a node's name must not contain #, / or a space",
         ),
         ("nodes", {"n2": "127.0.0.1:1"}, "fleet.nodes must name this node, n1"),
         ("voters", ["n1", "n2"], "fleet.voters must name 1, 3, 5 or 7 nodes, each once"),
@@ -44,14 +44,14 @@
         (
             "term_ms",
             899,
-            "fleet.term_ms must be at least twice fleet.patience_ms: an election must not end it",
+            "fleet.term_ms must be at least twice fleet.patience_ms: a lease must outlast an election",
         ),
         ("rules.lease_ms", 899, "fleet.rules.lease_ms must be at least twice fleet.patience_ms"),
         (
             "rules.agree_within_ms",
             2479,
-            "fleet.rules.agree_within_ms must be at least 2480: the lease, two beats of the leader, "
-            "and 500 ms that a node may be late",
+            "fleet.rules.agree_within_ms must be at least 2480: the lease, two heartbeats "
+            "and 500 ms of event loop delay",
         ),
         (
             "rules.documents.settings.kind",
@@ -61,7 +61,7 @@
         (
             "rules.documents.settings.kind",
             "tenants",
-            "fleet.rules.documents: there is one document of a kind at the most",
+            "fleet.rules.documents: expected at most one document of a kind",
         ),
         (
             "rules.documents.settings.cut_off",
@@ -76,19 +76,19 @@
         (
             "rules.documents",
             {},
-            "fleet.rules.shares needs a document of kind tenants: it has the allowances",
+            "fleet.rules.shares needs a document of kind tenants, which holds the allowances",
         ),
         (
             "members.answer_ms",
             201,
-            "fleet.members.answer_ms must be at most a third of period_ms: others are asked in the rest",
+            "fleet.members.answer_ms must be at most a third of period_ms: the rest is for indirect probes",
         ),
         ("members.seeds", ["n9"], "fleet.members.seeds: n9 is not in fleet.nodes"),
-        ("members.zone", LONG, "fleet.members.zone has 64 characters at the most"),
+        ("members.zone", LONG, "fleet.members.zone has 64 characters at most"),
         (
             "nodes",
             {**NAMED, LONG: "127.0.0.1:1"},
-            f"fleet.nodes.{LONG}: with fleet.members a node's name has 64 characters at most",
+            f"fleet.nodes.{LONG}: with fleet.members a node's name must have at most 64 characters",
         ),
         (
             "tasks.sweep.class",
@@ -96,11 +96,11 @@
             "fleet.tasks.sweep.class must be one of schedule-save, setpoint-cmd, temp-history",
         ),
         ("tasks.sweep.at", "03:30", "fleet.tasks.sweep must have either every_ms or at"),
-        ("tasks.nightly.at", "24:00", "fleet.tasks.nightly.at must be a time of day in UTC, as 03:30"),
+        ("tasks.nightly.at", "24:00", "fleet.tasks.nightly.at must be a time of day in UTC, such as 03:30"),
         (
             "tasks.sweep.longest_ms",
             1001,
-            "fleet.tasks.sweep.longest_ms must be at most half of fleet.term_ms: an act has to end within it",
+            "fleet.tasks.sweep.longest_ms must be at most half of fleet.term_ms: a run must end within its lease",
         ),
         ("tasks.sweep.missed", "late", "fleet.tasks.sweep.missed must be skip or once"),
         ("tasks.sweep.vars", {"A": 1}, "fleet.tasks.sweep.vars.A must be text"),
@@ -121,9 +121,9 @@
         ),
         (
             {"tasks": {"sweep": {"every_ms": 1000, "class": "schedule-save"}}},
-            "fleet.tasks needs [uwsgi]: a task is a request to its servers",
+            "fleet.tasks needs [uwsgi], to whose servers tasks are sent",
         ),
-        ({"probes": True}, "fleet.probes needs [uwsgi]: it is about the servers of its pools"),
+        ({"probes": True}, "fleet.probes needs [uwsgi], whose servers are checked"),
     ],
 )
 def test_what_needs_servers_is_rejected_without_the_uwsgi_frontend(
