--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -75,12 +75,12 @@
         ("GET", "/v1/drain", 405),
     ],
 )
-def test_a_path_and_a_method_give_their_status(method: str, path: str, status: int) -> None:
+def test_known_and_unknown_paths_and_methods_get_their_status(method: str, path: str, status: int) -> None:
     assert ApiHarness().request(method, path)[0] == status
 
 
 @pytest.mark.parametrize("token", ["", "wrong", TOKEN + "x"])
-def test_a_request_without_the_token_is_rejected_and_does_nothing(token: str) -> None:
+def test_a_request_with_a_wrong_token_is_rejected_and_does_nothing(token: str) -> None:
     harness = ApiHarness()
     assert harness.request("POST", "/v1/drain", token=token)[0] == 401 and harness.drain_requests == 0
 
--- a/tests/admin/test_health_endpoint.py
+++ b/tests/admin/test_health_endpoint.py
@@ -20,7 +20,7 @@
 from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
 from tests.support.node import Desk, Wire, raw_config
 
-CONNECTIONS = 48
+MAX_CONNECTIONS = 48
 
 
 class EndpointHarness:
@@ -32,7 +32,7 @@
             core,
             self.desk.clock.timeline,
             lambda: self.reported_states.append(core.serving_state.wants_traffic),
-            CONNECTIONS,
+            MAX_CONNECTIONS,
         )
 
     def connect(self) -> Wire:
@@ -52,7 +52,7 @@
     return int(head.split()[1])
 
 
-def test_health_is_good_once_the_backend_is_ready() -> None:
+def test_health_returns_200_once_the_backend_is_ready() -> None:
     harness = EndpointHarness()
     assert harness.request("GET", "/admin/health") == 503
     harness.desk.core.backend_ready()
@@ -73,7 +73,7 @@
     assert harness.reported_states == [False, False, True, True]
 
 
-def test_a_drain_ends_a_quiesce_and_no_resume_undoes_it() -> None:
+def test_a_drain_ends_a_quiesce_and_rejects_later_changes() -> None:
     harness = EndpointHarness()
     harness.desk.core.backend_ready()
     harness.request("POST", "/admin/quiesce")
@@ -110,7 +110,7 @@
     )
 
 
-def test_an_endless_head_and_a_second_request_on_the_connection_do_nothing() -> None:
+def test_an_oversized_head_and_a_second_request_on_a_connection_are_not_served() -> None:
     harness = EndpointHarness()
     wire = harness.connect()
     wire.feed(b"GET /admin/health HTTP/1.1\r\n" + b"X: y\r\n" * MAX_HEAD_BYTES)
@@ -120,12 +120,12 @@
     assert status(wire) == 503 and harness.desk.core.healthy
 
 
-def test_a_complete_request_is_served_beside_clients_that_send_none() -> None:
+def test_a_complete_request_is_served_while_other_clients_send_incomplete_ones() -> None:
     # Guards against an endpoint blocked by clients that connect and send nothing, or half a request.
     harness = EndpointHarness()
     harness.desk.core.backend_ready()
     incomplete: list[Wire] = []
-    for number in range(5 * CONNECTIONS):
+    for number in range(5 * MAX_CONNECTIONS):
         incomplete.append(harness.connect())
         incomplete[-1].feed(
             [b"", b"GET /admin/he", b"POST /admin/quiesce HTTP/1.1\r\nContent-Length: 9\r\n\r\n"][number % 3]
@@ -134,7 +134,7 @@
             assert harness.request("GET", "/admin/health") == 200
         if number % 50 == 0:
             harness.desk.clock.advance(MIN_UNPROVEN_AGE / MILLISECOND)
-    assert len(harness.endpoint.connections) <= CONNECTIONS
+    assert len(harness.endpoint.connections) <= MAX_CONNECTIONS
     harness.desk.clock.advance(REQUEST_TIMEOUT / MILLISECOND)
     assert all(wire.closed for wire in incomplete) and len(harness.endpoint.connections) == 0
     timed_out = [status(wire) for wire in incomplete if wire.written]
@@ -153,7 +153,7 @@
     assert len(harness.endpoint.connections) == 0 and harness.desk.core.healthy
 
 
-ORDERS: dict[str, Callable[[ServingState], Any]] = {
+TRANSITIONS: dict[str, Callable[[ServingState], Any]] = {
     "ready": ServingState.mark_ready,
     "quiesce": ServingState.quiesce,
     "resume": ServingState.resume,
@@ -162,15 +162,15 @@
 
 
 @FIXED
-@given(st.lists(st.sampled_from(sorted(ORDERS)), max_size=8))
-def test_the_state_follows_the_last_order_and_a_drain_is_final(words: list[str]) -> None:
+@given(st.lists(st.sampled_from(sorted(TRANSITIONS)), max_size=8))
+def test_the_state_follows_the_last_transition_and_a_drain_is_final(names: list[str]) -> None:
     state, ready, quiesced, draining = ServingState(), False, False, False
-    for word in words:
-        accepted = ORDERS[word](state)
-        if word in ("quiesce", "resume"):
+    for name in names:
+        accepted = TRANSITIONS[name](state)
+        if name in ("quiesce", "resume"):
             assert accepted is not draining
-            quiesced = quiesced if draining else word == "quiesce"
-        ready, draining = ready or word == "ready", draining or word == "drain"
+            quiesced = quiesced if draining else name == "quiesce"
+        ready, draining = ready or name == "ready", draining or name == "drain"
         assert state.wants_traffic is (not draining and not quiesced) and state.can_serve is (
             ready and not draining
         )
@@ -180,7 +180,7 @@
         assert state.phase is (expected if ready or draining else ServingPhase.STARTING)
 
 
-def test_the_address_comes_from_the_file_or_the_environment(tmp_path: Any) -> None:
+def test_the_health_address_is_read_from_the_file_or_the_environment(tmp_path: Any) -> None:
     assert check(raw_config()).health_listen is None
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(mgmt="127.0.0.1:9901")))
--- a/tests/config/test_checking.py
+++ b/tests/config/test_checking.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("limits", [{"memory_mb": 1}, {"cores": 0}, {"cores": "half"}])
-def test_impossible_limits_are_named(limits: dict[str, object]) -> None:
+def test_the_error_for_an_invalid_limit_names_its_key(limits: dict[str, object]) -> None:
     with pytest.raises(ConfigError, match=r"limits\.(memory_mb|cores) must be"):
         check(raw_config(limits=limits))
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "key"),
+    ("change", "message"),
     [
         ({"kernel": None}, "kernel is missing"),
         ({"kernel": "cores.example:6100"}, "kernel must be a numeric address"),
@@ -71,13 +71,13 @@
         ),
     ],
 )
-def test_an_error_in_the_platforms_file_names_its_key(change: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigError, match=key):
+def test_an_error_in_the_platforms_file_names_its_key(change: dict[str, Any], message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
         check(raw_config(**change))
 
 
 @pytest.mark.parametrize(
-    ("change", "key"),
+    ("change", "message"),
     [
         ({"upstream": "localhost:1"}, "uwsgi.upstream must be a numeric address"),
         ({"vars": {}}, "uwsgi.vars.class is missing"),
@@ -90,8 +90,8 @@
         ({"max_bodies": 1}, "uwsgi.max_bodies is not known"),
     ],
 )
-def test_an_error_in_the_uwsgi_section_names_its_key(change: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigError, match=key):
+def test_an_error_in_the_uwsgi_section_names_its_key(change: dict[str, Any], message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
         check(raw_config(), {"uwsgi": UWSGI | change})
 
 
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pools", "key"),
+    ("pools", "message"),
     [
         ({"a": {"servers": []}}, "uwsgi.pool.a.servers must name 1 to"),
         ({"a": {"servers": ["127.0.0.1:1"] * 2}}, "uwsgi.pool.a.servers must name 1 to"),
@@ -118,9 +118,9 @@
         ),
     ],
 )
-def test_an_error_in_a_pool_names_its_key(pools: dict[str, Any], key: str) -> None:
+def test_an_error_in_a_pool_names_its_key(pools: dict[str, Any], message: str) -> None:
     without_upstream = {name: value for name, value in UWSGI.items() if name != "upstream"}
-    with pytest.raises(ConfigError, match=key):
+    with pytest.raises(ConfigError, match=message):
         check(raw_config(), {"uwsgi": without_upstream | {"pool": pools}})
     with pytest.raises(ConfigError, match="can't both be there"):
         check(raw_config(), {"uwsgi": UWSGI | {"pool": pools}})
@@ -138,7 +138,7 @@
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_the_deploy_file_names_what_the_platform_needs() -> None:
+def test_the_deploy_file_has_all_sections_and_names_existing_paths() -> None:
     deploy = tomllib.loads((DEPLOY / "balancer.toml").read_text())
     assert {"build", "run", "sim", "policy", "node", "packages"} <= set(deploy)
     for path in [*deploy["policy"], *deploy["node"]]:
--- a/tests/config/test_cluster.py
+++ b/tests/config/test_cluster.py
@@ -10,18 +10,18 @@
 from marlstep.config import ConfigError, check
 from tests.golden.everything import NODES, operator_config, platform_config
 
-LONG = "z" * 65
-NAMED = {name: f"127.0.0.1:{7000 + number}" for number, name in enumerate(NODES, 1)}
+LONG_NAME = "z" * 65
+NODE_ADDRESSES = {name: f"127.0.0.1:{7000 + number}" for number, name in enumerate(NODES, 1)}
 
 
-def fault(folder: Path, path: str, value: object) -> str:
+def error_message(folder: Path, path: str, value: object) -> str:
     """What is said of a complete section with this value at this path."""
     operator = operator_config(folder)
-    row: dict[str, Any] = operator["fleet"]
-    *above, key = path.split(".")
-    for name in above:
-        row = row[name]
-    row[key] = value
+    table: dict[str, Any] = operator["fleet"]
+    *parents, key = path.split(".")
+    for name in parents:
+        table = table[name]
+    table[key] = value
     with pytest.raises(ConfigError) as raised:
         check(platform_config(), operator)
     return str(raised.value)
@@ -84,11 +84,11 @@
             "fleet.members.answer_ms must be at most a third of period_ms: the rest is for indirect probes",
         ),
         ("members.seeds", ["n9"], "fleet.members.seeds: n9 is not in fleet.nodes"),
-        ("members.zone", LONG, "fleet.members.zone has 64 characters at most"),
+        ("members.zone", LONG_NAME, "fleet.members.zone has 64 characters at most"),
         (
             "nodes",
-            {**NAMED, LONG: "127.0.0.1:1"},
-            f"fleet.nodes.{LONG}: with fleet.members a node's name must have at most 64 characters",
+            {**NODE_ADDRESSES, LONG_NAME: "127.0.0.1:1"},
+            f"fleet.nodes.{LONG_NAME}: with fleet.members a node's name must have at most 64 characters",
         ),
         (
             "tasks.sweep.class",
@@ -106,14 +106,14 @@
         ("tasks.sweep.vars", {"A": 1}, "fleet.tasks.sweep.vars.A must be text"),
     ],
 )
-def test_values_that_do_not_fit_are_named_by_their_key(
+def test_the_error_for_a_wrong_value_names_its_key(
     path: str, value: object, message: str, tmp_path: Path
 ) -> None:
-    assert fault(tmp_path, path, value) == message
+    assert error_message(tmp_path, path, value) == message
 
 
 @pytest.mark.parametrize(
-    ("needing", "message"),
+    ("section", "message"),
     [
         (
             {"rules": {"documents": {"pools": {"kind": "servers"}}}},
@@ -126,28 +126,31 @@
         ({"probes": True}, "fleet.probes needs [uwsgi], whose servers are checked"),
     ],
 )
-def test_what_needs_servers_is_rejected_without_the_uwsgi_frontend(
-    needing: dict[str, Any], message: str, tmp_path: Path
+def test_sections_that_need_servers_are_rejected_without_the_uwsgi_frontend(
+    section: dict[str, Any], message: str, tmp_path: Path
 ) -> None:
-    without: dict[str, Any] = {"rules": {"documents": {}}, "tasks": {}, "probes": False}
-    operator = operator_config(tmp_path, **without)
+    sections: dict[str, Any] = {"rules": {"documents": {}}, "tasks": {}, "probes": False}
+    operator = operator_config(tmp_path, **sections)
     del operator["uwsgi"]
     check(platform_config(), operator)
-    operator["fleet"] |= needing
+    operator["fleet"] |= section
     with pytest.raises(ConfigError) as raised:
         check(platform_config(), operator)
     assert str(raised.value) == message
 
 
-def test_a_key_that_is_too_short_is_rejected(tmp_path: Path) -> None:
+def test_a_cluster_key_that_is_too_short_is_rejected(tmp_path: Path) -> None:
     short = tmp_path / "short"
     short.write_text(" 31 bytes and blanks around them ")
-    assert fault(tmp_path, "key_file", str(short)) == f"fleet.key_file: {short} must hold at least 32 bytes"
+    assert (
+        error_message(tmp_path, "key_file", str(short))
+        == f"fleet.key_file: {short} must hold at least 32 bytes"
+    )
 
 
-def test_a_key_that_cannot_be_read_is_named_with_the_reason(tmp_path: Path) -> None:
+def test_the_error_for_an_unreadable_cluster_key_names_its_file_and_the_reason(tmp_path: Path) -> None:
     path = tmp_path / "none"
     assert (
-        fault(tmp_path, "key_file", str(path))
+        error_message(tmp_path, "key_file", str(path))
         == f"fleet.key_file: {path} can't be read: No such file or directory"
     )
--- a/tests/config/test_operator_overrides.py
+++ b/tests/config/test_operator_overrides.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("operator", "key"),
+    ("operator", "message"),
     [
         ({"tenants": {"a": {"share": 2, "allowance_per_s": 1}}}, "tenants.a.share must be"),
         ({"tenants": {"a": {"share": 0.5}}}, "tenants.a.allowance_per_s is missing"),
@@ -22,6 +22,6 @@
         ({"colour": 1}, "^colour is not known"),
     ],
 )
-def test_an_error_in_the_operators_file_names_its_key(operator: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigError, match=key):
+def test_an_error_in_the_operators_file_names_its_key(operator: dict[str, Any], message: str) -> None:
+    with pytest.raises(ConfigError, match=message):
         check(raw_config(), operator)
--- a/tests/config/test_reloading.py
+++ b/tests/config/test_reloading.py
@@ -31,30 +31,30 @@
 def with_value(path: str, value: Any) -> Callable[[dict[str, Any]], str]:
     """Return what writes a file with this value at a path, or without the path."""
 
-    def change(raw: dict[str, Any]) -> str:
+    def write_file(raw: dict[str, Any]) -> str:
         *parents, last = path.split(".")
         table: Any = raw
-        for part in parents:
-            table = table[int(part) if part.isdigit() else part]
+        for name in parents:
+            table = table[int(name) if name.isdigit() else name]
         if value is MISSING:
             del table[last]
         else:
             table[last] = value
         return json.dumps(raw)
 
-    return change
+    return write_file
 
 
 MISSING = object()
 
-COMPLETE = json.dumps(raw_config(kernel="127.0.0.1:9"))
+COMPLETE_FILE = json.dumps(raw_config(kernel="127.0.0.1:9"))
 
-VALUES: list[Any] = [0, -5, -0.0, math.nan, math.inf, "8600000", True, [], {}]
+INVALID_TIMES: list[Any] = [0, -5, -0.0, math.nan, math.inf, "8600000", True, [], {}]
 
 INVALID_FILES: list[tuple[Callable[[dict[str, Any]], str], str]] = [
     (lambda raw: "", "can't be read"),
-    (lambda raw: COMPLETE[: len(COMPLETE) // 2], "can't be read"),
-    (lambda raw: COMPLETE[:-1], "can't be read"),
+    (lambda raw: COMPLETE_FILE[: len(COMPLETE_FILE) // 2], "can't be read"),
+    (lambda raw: COMPLETE_FILE[:-1], "can't be read"),
     (lambda raw: "[]", "does not hold a table"),
     (lambda raw: "\x00" * 40, "can't be read"),
     *((with_value(key, MISSING), f"{key} is missing") for key in ("settings", "kernel", "db", "stop_ms", "seed")),
@@ -65,7 +65,7 @@
     (with_value("settings.classes.0.hardLimitUs", MISSING), r"classes\[0\].hardLimitUs is missing"),
     *(
         (with_value("settings.classes.0.hardLimitUs", value), r"settings.classes\[0\].hardLimitUs must be a number")
-        for value in VALUES
+        for value in INVALID_TIMES
     ),
     (with_value("settings.classes.2.aimUs", math.nan), r"settings.classes\[2\].aimUs must be a number above 0"),
     (with_value("settings.classes.0.hardLimitUs", 0.5), "settings: classes"),
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize(("write_file", "message"), INVALID_FILES)
-def test_an_invalid_file_is_rejected_whole(
+def test_an_invalid_file_changes_nothing(
     write_file: Callable[[dict[str, Any]], str],
     message: str,
     tmp_path: Path,
@@ -103,19 +103,19 @@
         merge_reloaded(before, read())
 
 
-def test_changed_settings_are_described_and_what_holds_from_the_start_stays(tmp_path: Path) -> None:
+def test_changed_settings_are_described_and_the_server_count_is_kept(tmp_path: Path) -> None:
     running = check(raw_config())
-    settings = check(raw_config(settings={**changed_settings(replace_setpoint_class), "peersTotal": 7}))
-    config, restart_keys = merge_reloaded(running, settings)
-    assert restart_keys == [] and config.settings.server_count == running.settings.server_count
-    lines = describe_changes(running.settings, config.settings)
+    loaded = check(raw_config(settings={**changed_settings(replace_setpoint_class), "peersTotal": 7}))
+    merged, restart_keys = merge_reloaded(running, loaded)
+    assert restart_keys == [] and merged.settings.server_count == running.settings.server_count
+    lines = describe_changes(running.settings, merged.settings)
     assert lines == ["class setpoint-cmd is gone", "class boiler-cmd is new"]
-    slower = changed_settings(lambda settings: settings["classes"][0].update(aimUs=9))
-    lines = describe_changes(running.settings, check(raw_config(settings=slower)).settings)
+    changed = changed_settings(lambda settings: settings["classes"][0].update(aimUs=9))
+    lines = describe_changes(running.settings, check(raw_config(settings=changed)).settings)
     assert lines == ["class temp-history: aim_us 2600000 is now 9"]
 
 
-def test_client_addresses_are_taken_over_and_a_changed_listen_address_needs_a_restart() -> None:
+def test_changed_client_addresses_apply_and_a_changed_listen_address_needs_a_restart() -> None:
     running = check(raw_config(db="127.0.0.1:5"))
     changed = {
         "kernel": "127.0.0.1:2",
@@ -123,11 +123,11 @@
         "db": "127.0.0.1:6",
         "listen": "127.0.0.1:77",
     }
-    settings = check(raw_config(**changed, stop_ms=900))
-    config, restart_keys = merge_reloaded(running, settings)
-    assert (config.kernel[1], config.name_service, config.database) == (2, ("127.0.0.1", 3), ("127.0.0.1", 6))
+    loaded = check(raw_config(**changed, stop_ms=900))
+    merged, restart_keys = merge_reloaded(running, loaded)
+    assert (merged.kernel[1], merged.name_service, merged.database) == (2, ("127.0.0.1", 3), ("127.0.0.1", 6))
     assert (
-        config.shutdown_timeout == 900 * MILLISECOND
-        and config.listen == running.listen
+        merged.shutdown_timeout == 900 * MILLISECOND
+        and merged.listen == running.listen
         and restart_keys == ["listen"]
     )
--- a/tests/config/test_traces.py
+++ b/tests/config/test_traces.py
@@ -57,7 +57,7 @@
         ({"columns": {"time": "t", "unit": "s"}}, "trace.columns is for the format generic"),
     ],
 )
-def test_an_invalid_section_is_reported_by_its_key(raw: dict[str, Any], message: str) -> None:
+def test_the_error_for_an_invalid_section_names_its_key(raw: dict[str, Any], message: str) -> None:
     with pytest.raises(ConfigError, match=message):
         read_trace(raw, "google-2011")
     with pytest.raises(ConfigError, match=r"trace\.columns is missing"):
