--- a/marlstep/config/cluster.py
+++ b/marlstep/config/cluster.py
@@ -113,7 +113,9 @@
         raise ConfigError.unmet("fleet.nodes", f"must name 1 to {MAX_NODES} nodes")
     for name in rows:
         if any(mark in name for mark in "#/ ") or not name.isprintable():
-            raise ConfigError.found(f"fleet.nodes.{name}", "a node's name must not contain #, / or a space")
+            raise ConfigError.found(
+                f"fleet.nodes.{name}", "a node's name must be printable, without #, / or spaces"
+            )
     nodes = {name: read_address(rows, name, f"fleet.nodes.{name}") for name in rows}
     if this_node not in nodes:
         raise ConfigError.unmet("fleet.nodes", f"must name this node, {this_node}")
--- a/marlstep/config/reloading.py
+++ b/marlstep/config/reloading.py
@@ -106,7 +106,7 @@
 
 
 def _differing_fields(old: Settings | ClassSettings, new: Settings | ClassSettings) -> Iterator[str]:
-    for config_field in fields(old):
-        before, after = getattr(old, config_field.name), getattr(new, config_field.name)
+    for settings_field in fields(old):
+        before, after = getattr(old, settings_field.name), getattr(new, settings_field.name)
         if before != after:
-            yield f"{stored_key(config_field)} {before} is now {after}"
+            yield f"{stored_key(settings_field)} {before} is now {after}"
--- a/marlstep/config/traces.py
+++ b/marlstep/config/traces.py
@@ -101,7 +101,9 @@
     if configured_format not in MODULES:
         raise _not_one_of("trace.format", sorted(MODULES))
     if configured_format != format_name:
-        raise ConfigError.unmet("trace.format", f"is {configured_format}, but the call says {format_name}")
+        raise ConfigError.unmet(
+            "trace.format", f"is {configured_format}, but the trace is read as {format_name}"
+        )
 
 
 def _not_one_of(path: str, choices: Iterable[str]) -> ConfigError:
@@ -135,7 +137,7 @@
         path = f"trace.rules[{index}]"
         rule = _read_rule(row, path)
         if any(earlier.covers(rule) for earlier in rules):
-            raise ConfigError.unmet(path, "is never reached: an earlier rule takes all that fits it")
+            raise ConfigError.unmet(path, "is never reached: an earlier rule matches all its rows")
         rules.append(rule)
     return tuple(rules)
 
--- a/tests/admin/test_api.py
+++ b/tests/admin/test_api.py
@@ -1,4 +1,4 @@
-"""The administration API: routes, tenants' quotas, the token, and malformed input."""
+"""Tests of the administration API: routes, tenants' quotas, the token, and malformed input."""
 
 from __future__ import annotations
 
--- a/tests/admin/test_health_endpoint.py
+++ b/tests/admin/test_health_endpoint.py
@@ -1,4 +1,4 @@
-"""The health endpoint, and the serving state that it changes."""
+"""Tests of the health endpoint and of the serving state that it changes."""
 
 from __future__ import annotations
 
@@ -62,9 +62,10 @@
 def test_a_quiesced_node_fails_health_checks_and_serves_until_it_is_resumed() -> None:
     harness = EndpointHarness()
     harness.desk.core.backend_ready()
-    for _ in range(2):  # a repeat changes nothing
+    for _ in range(2):  # a repeated quiesce is accepted and changes nothing
         assert harness.request("POST", "/admin/quiesce") == 200 and not harness.desk.core.healthy
-    assert harness.request("GET", "/admin/health") == 200  # the process itself is ready
+    # This path reports whether the process can serve, which a quiesce does not change.
+    assert harness.request("GET", "/admin/health") == 200
     harness.desk.submit(1)
     harness.desk.end(1)
     assert harness.desk.verdicts(1) == [ResponseStatus.DONE]
@@ -121,7 +122,7 @@
 
 
 def test_a_complete_request_is_served_while_other_clients_send_incomplete_ones() -> None:
-    # Guards against an endpoint blocked by clients that connect and send nothing, or half a request.
+    # Guards against clients that fill the connection table by sending nothing, or only a part of a request.
     harness = EndpointHarness()
     harness.desk.core.backend_ready()
     incomplete: list[Wire] = []
--- a/tests/config/test_admin.py
+++ b/tests/config/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration API's section of the operator's file."""
+"""Tests of `[admin]` in the operator's file."""
 
 from __future__ import annotations
 
--- a/tests/config/test_checking.py
+++ b/tests/config/test_checking.py
@@ -1,4 +1,4 @@
-"""Checks of the platform's and the operator's files: what is wrong is named by its key."""
+"""Tests of validation of the platform's and the operator's files: errors name the key of the invalid value."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def test_buffers_of_uwsgi_connections_must_fit_half_of_the_memory() -> None:
-    # Guards against bodies and responses that are allowed more memory than a platform_table machine has.
+    # Guards against limits that let the buffers of all connections together exceed the memory limit.
     uwsgi = {"listen": "127.0.0.1:0", "upstream": "127.0.0.1:1", "vars": {"class": "C"}}
     platform_table = raw_config(limits={"memory_mb": 64})
     with pytest.raises(ConfigError, match=r"uwsgi\.max_connections .* 32 MiB, half of limits\.memory_mb"):
--- a/tests/config/test_cluster.py
+++ b/tests/config/test_cluster.py
@@ -1,4 +1,4 @@
-"""`[fleet]` of the operator's file: values that don't fit each other are named by their key, byte for byte."""
+"""Tests of the exact error texts for invalid values, and values that contradict each other, in `[fleet]`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def error_message(folder: Path, path: str, value: object) -> str:
-    """What is said of a complete section with this value at this path."""
+    """Return the error text for a complete `[fleet]` section with this value at this path."""
     operator = operator_config(folder)
     table: dict[str, Any] = operator["fleet"]
     *parents, key = path.split(".")
@@ -34,7 +34,7 @@
         (
             "nodes",
             {"n1": "127.0.0.1:1", "a/b": "127.0.0.1:2"},
-            "fleet.nodes.a/b: a node's name must not contain #, / or a space",
+            "fleet.nodes.a/b: a node's name must be printable, without #, / or spaces",
         ),
         ("nodes", {"n2": "127.0.0.1:1"}, "fleet.nodes must name this node, n1"),
         ("voters", ["n1", "n2"], "fleet.voters must name 1, 3, 5 or 7 nodes, each once"),
--- a/tests/config/test_operator_overrides.py
+++ b/tests/config/test_operator_overrides.py
@@ -1,4 +1,4 @@
-"""The operator's tenants and priority weights, and the sections beside them: errors name the key."""
+"""Tests of the operator's tenants, priority weights and `[admin]`: errors name the key of the invalid value."""
 
 from __future__ import annotations
 
--- a/tests/config/test_reloading.py
+++ b/tests/config/test_reloading.py
@@ -1,4 +1,4 @@
-"""A reload puts a configuration in force whole or not at all, and names what needs a restart."""
+"""Tests of reloads: a configuration is applied as a whole or not at all, and keys that need a restart are named."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 def replace_setpoint_class(settings: dict[str, Any]) -> None:
-    """Replace setpoint-cmd by boiler-cmd, with half the deadline."""
+    """Rename the class setpoint-cmd to boiler-cmd, with other times and another weight."""
     settings["classes"][2].update(name="boiler-cmd", aimUs=400_000, hardLimitUs=2_000_000.0, worth=5.0)
 
 
 def with_value(path: str, value: Any) -> Callable[[dict[str, Any]], str]:
-    """Return what writes a file with this value at a path, or without the path."""
+    """Return a function that writes the file with this value at the path, or without its key for MISSING."""
 
     def write_file(raw: dict[str, Any]) -> str:
         *parents, last = path.split(".")
@@ -84,7 +84,7 @@
     tmp_path: Path,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # Guards against half a file in force: each names another kernel as well, which must not be connected to.
+    # Guards against applying a part of an invalid file: the file also changes the kernel address, which must not apply.
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(db="127.0.0.1:5")))
 
--- a/tests/config/test_traces.py
+++ b/tests/config/test_traces.py
@@ -1,4 +1,4 @@
-"""`[trace]` of an operator's file: each key is read, and a wrong value is named by its key."""
+"""Tests of `[trace]` in an operator's file: each key is read, and errors name the key of the wrong value."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     ("raw", "message"),
     [
         ({"colour": 1}, "trace.colour is not known"),
-        ({"format": "google-2019"}, "trace.format is google-2019, but the call says google-2011"),
+        ({"format": "google-2019"}, "trace.format is google-2019, but the trace is read as google-2011"),
         ({"rules": [{"kinds": ["1"]}]}, r"trace.rules\[0\].class is missing"),
         ({"rules": [{"class": "x"}]}, r"trace.rules\[0\].class must be one of"),
         (
