--- a/marlstep/replicated_config/__init__.py
+++ b/marlstep/replicated_config/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned configuration documents on which a cluster agrees: settings, tenants, server lists. Decisions, no I/O."""
+"""Replicated, versioned configuration documents: settings, tenants and server lists. This package does no I/O."""
--- a/marlstep/replicated_config/commands.py
+++ b/marlstep/replicated_config/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the replicated configuration, with the form in which the log stores them."""
+"""The commands of the replicated configuration, and their JSON form in the log."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 )
 
 MACHINE = "rules"  # the state machine's name in the log
-MAX_NAME_CHARACTERS = 64  # of a document or an upload
+MAX_NAME_CHARACTERS = 64  # of the name of a document or an upload
 
 Number = TypeVar("Number", int, float)
 
 
 @dataclass(slots=True, frozen=True)
 class UploadChunk:
-    """Append a chunk to an upload, as one log entry is too small for a whole document."""
+    """Append a chunk to an upload. A document is uploaded in chunks as it may be too large for one log entry."""
 
     upload: str
-    offset: int  # characters; 0 starts the upload anew
+    offset: int  # in characters; 0 restarts the upload
     data: str
 
     def to_json(self) -> CommandJson:
@@ -36,17 +36,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutRequest:
-    """The canary rollout that an operator asks for: on named nodes, or on a share of all.
+    """The canary rollout that an operator requests, on named nodes or on a share of all nodes.
 
-    A value is None where the stored form lacks it. That is an error only once the version itself is admissible, so
-    it is raised when the rollout is planned.
+    A value is None if the stored form lacks it. Whether the version itself is admissible is checked first, so a
+    missing value is reported only when the rollout is planned.
     """
 
     duration_ms: int | None
-    max_degradation: float | None
-    min_requests: int | None
+    max_degradation: float | None  # as in `Rollout`
+    min_requests: int | None  # as in `Rollout`
     nodes: tuple[str, ...] = ()
-    share: float | None = None  # between 0 and 1; counts where no nodes are named
+    share: float | None = None  # of the nodes, between 0 and 1 (exclusive); used if `nodes` is empty
 
     def to_json(self) -> CommandJson:
         """Return the stored form."""
@@ -59,32 +59,32 @@
 
 @dataclass(slots=True, frozen=True)
 class PrepareOptions:
-    """What an operator may choose for a change, beyond its content."""
+    """The options of a change that an operator proposes."""
 
-    may_exclude: bool = False  # commit without the nodes that reject it
-    force: bool = False  # also where a pool shrinks too much
+    may_exclude: bool = False  # commit although nodes reject the version, without them
+    force: bool = False  # accept the change even if a pool shrinks too much
     rollout: RolloutRequest | None = None
 
     def to_json(self) -> CommandJson:
-        """Return the part of the stored form that these options are."""
+        """Return the keys that these options add to the stored form of `PrepareVersion`."""
         stored: dict[str, object] = {"hold_out": self.may_exclude, "force": self.force}
         return stored if self.rollout is None else {**stored, "stage": self.rollout.to_json()}
 
 
 @dataclass(slots=True, frozen=True)
 class PrepareVersion:
-    """Make an uploaded content the next version, if the active one is as expected (compare-and-set)."""
+    """Prepare an uploaded content as the next version if the active version is the expected one (compare-and-set)."""
 
     document: str
     kind: Kind
     strict: bool
     upload: str
     digest: str
-    expected_version: int  # 0: there is none yet
+    expected_version: int  # 0: no version is active yet
     author: str
     note: str
     at: str  # the proposer's wall clock, for display only
-    options: PrepareOptions | None = None  # None for a node that proposes a first version by itself
+    options: PrepareOptions | None = None  # None if a node proposes the first version from its own files
 
     def to_json(self) -> CommandJson:
         """Return the stored form."""
@@ -96,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadDocument:
-    """Read a document's state at this place of the log, for a linearizable read."""
+    """Read a document's state at the position of this command in the log, which makes the read linearizable."""
 
     document: str
 
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RecordAcknowledgement:
-    """Record that a process can activate the prepared version, or why it can't."""
+    """Record that a process can activate the prepared version, or why it rejects it."""
 
     document: str
     version: int
@@ -123,11 +123,11 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitVersion:
-    """Activate the prepared version: first on the nodes of its rollout, if it has one."""
+    """Activate the prepared version. If it has a rollout, the first commit activates it only on the rollout's nodes."""
 
     document: str
     version: int
-    promote: bool = False  # activate on all nodes, although its rollout has started
+    promote: bool = False  # ends the rollout by activating the version on all nodes
 
     def to_json(self) -> CommandJson:
         """Return the stored form."""
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WithdrawVersion:
-    """Withdraw the prepared version; nodes of a started rollout return to the active one."""
+    """Withdraw the prepared version. The nodes of a started rollout return to the active version."""
 
     document: str
     version: int
@@ -156,10 +156,11 @@
 
 
 def parse_config_command(stored: CommandJson) -> ConfigCommand:
-    """Parse a command of the log, with all of its fields, before any state is changed by it.
+    """Parse a command from the log, including all of its fields, so that a malformed command changes no state.
 
     Raises:
-        ValueError, KeyError, TypeError: A field is missing or has no meaning.
+        KeyError: A field is missing.
+        ValueError, TypeError: A field has an invalid value or type, or the command is unknown.
     """
     match stored["do"]:
         case "part":
@@ -205,7 +206,7 @@
 
 
 def _parse_acknowledgement(stored: CommandJson) -> RecordAcknowledgement:
-    holder = str(stored["holder"])  # first, as the first key that is missing is named in the result
+    holder = str(stored["holder"])  # read first: the replicated error names the first missing key
     return RecordAcknowledgement(
         document=stored["doc"],
         version=int(stored["version"]),
@@ -227,7 +228,11 @@
 
 
 def parse_rollout_request(stored: CommandJson) -> RolloutRequest:
-    """Parse the stored form of a rollout, which may lack values. Raises ValueError or TypeError."""
+    """Parse the stored form of a rollout; missing values become None.
+
+    Raises:
+        ValueError, TypeError: A value has the wrong type.
+    """
     return RolloutRequest(
         duration_ms=_optional_number(stored, "for_ms", int),
         max_degradation=_optional_number(stored, "worse", float),
--- a/marlstep/replicated_config/comparison.py
+++ b/marlstep/replicated_config/comparison.py
@@ -1,4 +1,4 @@
-"""Comparison of two contents of a document: readable differences, and server lists that shrink too much."""
+"""Comparison of two contents of a document: differences as text, and detection of pools that shrink too much."""
 
 from __future__ import annotations
 
@@ -9,27 +9,32 @@
 
 from marlstep.replicated_config.documents import canonical_json
 
-SHOWN_CHARACTERS = 60  # of a value in a line of differences
+SHOWN_CHARACTERS = 60  # of the JSON of a value in a line of differences
 
 
 @dataclass(slots=True, frozen=True)
 class PoolShrinkage:
-    """A pool that a change would empty, or deprive of over half of its servers."""
+    """A pool that a change would leave empty, or from which it would remove over half of the servers."""
 
     pool: str
-    before: int  # servers
-    kept: int  # of them
-    emptied: bool
+    before: int  # number of servers before the change
+    kept: int  # how many of those the change keeps
+    emptied: bool  # whether no server at all would be left
 
     def describe(self) -> str:
-        """Return the text for operators; it is part of replicated results."""
+        """Return a text for operators. It is part of replicated results, so it must stay the same in all versions."""
         if self.emptied:
             return f"pool {self.pool} would be empty"
         return f"pool {self.pool} would lose {self.before - self.kept} of {self.before} servers"
 
 
 def find_unsafe_shrinkage(before: str, after: str) -> PoolShrinkage | None:
-    """Return the first pool that shrinks too much for a change without force, if there is one."""
+    """Return the first pool that shrinks too much for a change without force, or None.
+
+    Args:
+        before: JSON object of the active version: the servers of each pool.
+        after: The same of the new version.
+    """
     old, new = orjson.loads(before), orjson.loads(after)
     for pool, servers in old.items():
         kept = len(set(servers) & set(new.get(pool, ())))
@@ -40,7 +45,13 @@
 
 
 def differences(before: object, after: object, path: str = "") -> Iterator[str]:
-    """Yield a line for each value or list that differs; rows with a name are matched by it."""
+    """Yield a line for each value or list that differs; list items that have a `name` are matched by it.
+
+    Args:
+        before: Parsed JSON value.
+        after: Parsed JSON value to compare it with.
+        path: Path of both values in the document, as keys separated by dots.
+    """
     if isinstance(before, dict) and isinstance(after, dict):
         for key in sorted({*before, *after}):
             yield from differences(before.get(key), after.get(key), f"{path}.{key}".lstrip("."))
@@ -65,7 +76,7 @@
 
 
 def _rows_by_name(value: object) -> dict[str, object] | None:
-    """The rows of a non-empty list by their names; None for anything else."""
+    """Return the items of a non-empty list of named objects by their names; None for any other value."""
     if not isinstance(value, list) or not value:
         return None
     if not all(isinstance(row, dict) and "name" in row for row in value):
--- a/marlstep/replicated_config/errors.py
+++ b/marlstep/replicated_config/errors.py
@@ -1,6 +1,7 @@
-"""Commands that are malformed, and commands that the state of a document does not permit.
+"""Errors of malformed commands, and of commands that the state of a document does not permit.
 
-The texts are part of replicated results, so every replica has to produce the same ones, whatever its version.
+The texts are part of replicated results: every replica, whatever its version, has to produce the same ones. So they
+must never be reworded.
 """
 
 from __future__ import annotations
@@ -14,72 +15,72 @@
 
 
 class MalformedConfigCommandError(InvalidCommandError):
-    """A command whose fields make no sense, whatever the state is."""
+    """A command with an invalid field, which no state of the document would permit."""
 
     text: ClassVar[str]
 
     def __init__(self) -> None:
-        """Take the message from the class."""
+        """Initialize the error with the message of its class."""
         super().__init__(self.text)
 
 
 class InvalidChunkError(MalformedConfigCommandError):
-    """A chunk of an upload that is no text, or whose upload has no valid name."""
+    """The data of a chunk is not text, or the name of its upload is empty or too long."""
 
     text = "a piece of a document"
 
 
 class InvalidDocumentNameError(MalformedConfigCommandError):
-    """A document's name that is no text, or is empty or too long."""
+    """A document name is not text, is empty or is too long."""
 
     text = "a document's name"
 
 
 class UnknownConfigCommandError(InvalidCommandError):
-    """A command that this state machine does not have."""
+    """A command is unknown to this state machine."""
 
     def __init__(self, name: object) -> None:
-        """Name the command as the log has it."""
+        """Initialize the error with the unknown value of the command's `do` key."""
         super().__init__(f"nothing that is done to a document: {name!r}")
 
 
 class InvalidRolloutShareError(MalformedConfigCommandError):
-    """A share of the nodes that is not between 0 and 1."""
+    """The share of the nodes for a rollout is not between 0 and 1 (exclusive)."""
 
     text = "a share is between 0 and 1"
 
 
 class InvalidRolloutBoundsError(MalformedConfigCommandError):
-    """A rollout's duration, minimum of requests or permitted degradation that is out of bounds."""
+    """The duration, the minimum number of requests or the permitted degradation of a rollout is out of bounds."""
 
     text = "a stage's time, least or worse"
 
 
 class CommandRejectedError(MarlstepError):
-    """A well-formed command that the current state does not permit. The proposer may correct it and try again."""
+    """A well-formed command is not permitted in the current state. The proposer may correct it and retry."""
 
     text: ClassVar[str]
 
     def __init__(self, text: str = "") -> None:
-        """Take the message from the class, unless it depends on the state."""
+        """Initialize the error; an empty `text` selects the message of its class."""
         super().__init__(text or self.text)
 
     def to_json(self) -> ResultJson:
-        """Return the result as the log's clients read it."""
+        """Return the result in the form that the log stores and the proposer receives."""
         return {"refused": str(self)}
 
 
 class UnknownDocumentError(CommandRejectedError):
-    """There is no document of that name."""
+    """The command names a document that does not exist."""
 
     text = "no such document"
 
 
 class ChunkOffsetError(CommandRejectedError):
-    """A chunk does not continue its upload; the proposer has to go on at the expected offset."""
+    """A chunk does not continue its upload; the proposer has to continue at the expected offset."""
 
     def __init__(self, expected_offset: int) -> None:
-        """Name the offset at which the upload continues, in characters."""
+        """Initialize the error with the expected offset, in characters."""
         super().__init__(f"the next piece begins at {expected_offset}")
 
 
@@ -87,47 +88,52 @@
     """An upload exceeds the size limit of a document."""
 
     def __init__(self, max_bytes: int) -> None:
-        """Name the limit."""
+        """Initialize the error with the limit, in bytes."""
         super().__init__(f"a document has {max_bytes} bytes at the most")
 
 
 class IncompleteUploadError(CommandRejectedError):
-    """The uploaded content is missing, or does not have the digest that was announced."""
+    """The uploaded content is missing, or its digest differs from the one in the command."""
 
     text = "its content did not come whole"
 
 
 class VersionConflictError(CommandRejectedError):
-    """Compare-and-set failed: another version is active than the proposer expected."""
+    """The compare-and-set failed: the active version is not the one that the proposer expected."""
 
     def __init__(self, active: int, expected: int) -> None:
-        """Name the active version and the expected one."""
+        """Initialize the error with the numbers of the active and the expected version."""
         super().__init__(f"version {active} is in force, and {expected} was expected")
         self.active = active
 
     def to_json(self) -> ResultJson:
-        """Return the result, with the number of the active version."""
+        """Return the result, extended by the number of the active version."""
         return {**super().to_json(), "version": self.active}
 
 
 class ChangeInProgressError(CommandRejectedError):
-    """Another version is being prepared already."""
+    """Another version of the document is already being prepared."""
 
     def __init__(self, active: int, waits_for: Sequence[str]) -> None:
-        """Keep the active version and the processes that have not acknowledged the change."""
+        """Initialize the error.
+
+        Args:
+            active: Number of the active version.
+            waits_for: Processes that have neither acknowledged nor rejected the prepared version.
+        """
         super().__init__("a change is on its way")
         self.active, self.waits_for = active, waits_for
 
     def to_json(self) -> ResultJson:
-        """Return the result, with the active version and the processes that the change waits for."""
+        """Return the result, extended by the active version and the processes whose acknowledgement is missing."""
         return {**super().to_json(), "version": self.active, "waits_for": list(self.waits_for)}
 
 
 class KindMismatchError(CommandRejectedError):
-    """The document exists with another kind."""
+    """The document exists and is of another kind than the command says."""
 
     def __init__(self, kind: str) -> None:
-        """Name the document's kind."""
+        """Initialize the error with the kind of the existing document."""
         super().__init__(f"it is of kind {kind}")
 
 
@@ -135,7 +141,7 @@
     """The limit on the number of documents is reached."""
 
     def __init__(self, max_documents: int) -> None:
-        """Name the limit."""
+        """Initialize the error with the limit."""
         super().__init__(f"a fleet has {max_documents} documents at the most")
 
 
@@ -143,22 +149,22 @@
     """A pool would lose too many servers; the proposer may force the change."""
 
     def __init__(self, shrinkage: PoolShrinkage) -> None:
-        """Describe the pool that shrinks."""
+        """Initialize the error with the pool that would shrink too much."""
         super().__init__(f"{shrinkage.describe()}: say so with force")
 
 
 class RolloutRejectedError(CommandRejectedError):
-    """A canary rollout that this document or the present nodes do not permit."""
+    """A canary rollout is not possible for this document or with the live nodes."""
 
 
 class StrictRolloutError(RolloutRejectedError):
-    """A strict document never has two versions active side by side."""
+    """A strict document can't have a rollout, as it never has two versions active at the same time."""
 
     text = "a strict document can't be staged: two versions of it never stand side by side"
 
 
 class FirstVersionRolloutError(RolloutRejectedError):
-    """A first version has no active one to be compared with."""
+    """The first version can't have a rollout, as there is no active version to compare it with."""
 
     text = "the first version can't be staged: there is nothing to compare it with"
 
@@ -167,35 +173,35 @@
     """Some of the requested nodes have no live configuration lease."""
 
     def __init__(self, nodes: Iterable[str]) -> None:
-        """Name the nodes."""
+        """Initialize the error with the names of those nodes."""
         super().__init__(f"{', '.join(nodes)} does not act on documents now")
 
 
 class NoControlGroupError(RolloutRejectedError):
-    """The rollout covers all nodes, so that none is left to compare with."""
+    """The rollout covers all live nodes, so that none is left to compare with."""
 
     text = "a stage on all nodes is none: at least one has to stay as it is"
 
 
 class NotPreparedError(CommandRejectedError):
-    """The version that the command names is not the one that is being prepared."""
+    """The version in the command is not the prepared one."""
 
     text = "that change is not being prepared"
 
 
 class DigestMismatchError(CommandRejectedError):
-    """A process acknowledged another content than the one that is being prepared."""
+    """A process acknowledged a content other than the prepared one."""
 
     text = "the content is another"
 
 
 class NoConfigLeaseError(CommandRejectedError):
-    """An acknowledgement of a process without a live configuration lease does not count."""
+    """The acknowledgement was sent by a process that has no live configuration lease."""
 
     text = "that process has no lease on the rules"
 
 
 class RolloutInProgressError(CommandRejectedError):
-    """A version in canary rollout can be committed only by promoting it."""
+    """The version is in canary rollout and can be committed only by promoting it."""
 
     text = "it is staged: it goes on once its time is over"
--- a/marlstep/replicated_config/followed_document.py
+++ b/marlstep/replicated_config/followed_document.py
@@ -1,4 +1,4 @@
-"""The state of one document on a node: the version it has activated, and the contents it has fetched."""
+"""The state of one document on a node: its active version, and the contents that the node has fetched."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.units import MILLISECOND, ZERO
 
-FETCH_RETRY_INTERVAL = 300 * MILLISECOND
-MAX_REJECTION_CHARACTERS = 128  # of a rejection in a heartbeat
+FETCH_RETRY_INTERVAL = 300 * MILLISECOND  # a chunk that has not arrived by then is requested again
+MAX_REJECTION_CHARACTERS = 128  # of the reason for a rejection in a heartbeat
 
 
 class FollowerState(enum.Enum):
-    """What a node does with one document. Heartbeats and status pages carry the wire word."""
+    """The state of one document on a node. Heartbeats and status pages contain `wire_word`."""
 
     UNKNOWN = ("unknown", "has not heard of a version yet")
     ACTIVE = ("acting", "acts on it")
@@ -27,40 +27,46 @@
     PINNED = ("fixed", "an operator's fixed version is in force")
 
     def __init__(self, wire_word: str, description: str) -> None:
-        """Keep the word of heartbeats, and the text for operators."""
+        """Initialize a state.
+
+        Args:
+            wire_word: Name of the state in heartbeats and on status pages.
+            description: Text for operators in the same places.
+        """
         self.wire_word = wire_word
         self.description = description
 
 
 @dataclass(slots=True)
 class FollowedDocument:
-    """One document, as this node follows it."""
+    """One document that this node follows."""
 
     definition: DocumentDefinition
     state: FollowerState = FollowerState.UNKNOWN
-    version: int = 0  # that is active here, or was last
-    content: str = ""
+    version: int = 0  # active on this node, or the last that was; 0: none yet
+    content: str = ""  # of that version
     active_since: datetime | None = None
-    target: DocumentStatus | None = None  # what the group said last
+    # From the last heartbeat response; None if that did not contain the document.
+    target: DocumentStatus | None = None
     fetching_version: int = 0  # 0: none
-    fetched_text: str = ""  # of that version, so far
-    fetch_sent_at: datetime | None = None
-    prepared_contents: dict[int, str] = field(default_factory=dict)  # fetched completely, by version
-    check_results: dict[int, str] = field(default_factory=dict)  # rejections by version; empty: valid
-    acknowledged_version: int = 0
-    proposed_at: datetime | None = None  # when a first version was proposed, as the group had none
+    fetched_text: str = ""  # the part of that version received so far
+    fetch_sent_at: datetime | None = None  # None: no request for a chunk is outstanding
+    prepared_contents: dict[int, str] = field(default_factory=dict)  # completely fetched, by version
+    check_results: dict[int, str] = field(default_factory=dict)  # reason to reject, by version; empty: valid
+    acknowledged_version: int = 0  # the last one that was acknowledged or rejected; 0: none
+    proposed_at: datetime | None = None  # when this node last proposed a first version, as the group had none
 
     def is_active_on(self, version: int) -> bool:
-        """Whether that version is active here."""
+        """Return whether `version` is active on this node."""
         return self.state is FollowerState.ACTIVE and self.version == version
 
     def content_of(self, version: int, digest: str) -> str | None:
-        """Return the content of a version; None where it has not been fetched, or is another one."""
+        """Return the content of a version; None if it was not fetched completely or has another digest."""
         content = self.prepared_contents.get(version)
         return content if content is not None and content_digest(content) == digest else None
 
     def fetch(self, now: datetime, version: int) -> list[FetchChunk]:
-        """Return the request for the next chunk, unless one was sent within the retry interval."""
+        """Return the request for the next chunk of a version, or none if one was sent within the retry interval."""
         if self.fetching_version != version:
             self.fetching_version, self.fetched_text, self.fetch_sent_at = version, "", None
         if self.fetch_sent_at is not None and now < self.fetch_sent_at + FETCH_RETRY_INTERVAL:
@@ -69,12 +75,12 @@
         return [FetchChunk(self.definition.name, version, len(self.fetched_text))]
 
     def expects(self, chunk: DocumentChunk) -> bool:
-        """Whether the chunk continues the content that is being fetched."""
+        """Return whether the chunk is the next one of the content that is being fetched."""
         continues = self.fetching_version == chunk.version and chunk.offset == len(self.fetched_text)
         return continues and chunk.size >= 0
 
     def add_chunk(self, chunk: DocumentChunk) -> bool:
-        """Append a chunk; return whether the content is complete."""
+        """Append the next chunk, and return whether the content is complete."""
         self.fetched_text += chunk.data
         self.fetch_sent_at = None
         if len(self.fetched_text) < chunk.size:
@@ -84,7 +90,11 @@
         return True
 
     def activate(self, now: datetime, version: int, content: str) -> None:
-        """Make a version active, and discard what is older than all versions that may still be needed."""
+        """Make a version active, and discard the contents and check results of versions that are no longer needed.
+
+        Those of the group's active version are kept even if a newer one is activated here, as in a canary rollout:
+        the node returns to it if the rollout is withdrawn.
+        """
         self.version, self.content, self.active_since = version, content, now
         self.state = FollowerState.ACTIVE
         oldest = min(version, self.target.version if self.target is not None else version)
@@ -96,7 +106,7 @@
         }
 
     def accepts_work(self, lease_left: timedelta) -> bool:
-        """Whether new work may start under this document."""
+        """Return whether this document permits new work, with `lease_left` of the configuration lease remaining."""
         match self.state:
             case FollowerState.PINNED:
                 return True
@@ -109,14 +119,14 @@
         return self.definition.disconnect_policy is not DisconnectPolicy.STOP
 
     def report(self, now: datetime) -> DocumentState:
-        """Return the row of this document in heartbeats and on status pages."""
+        """Return the state of this document for heartbeats and status pages."""
         active_ms = 0 if self.active_since is None else max(0, (now - self.active_since) // MILLISECOND)
         return DocumentState(
             self.definition.name, self.version, self.state.wire_word, active_ms, self._reason()
         )
 
     def _reason(self) -> str:
-        """Why no newer version is active here; empty where the group's version is."""
+        """Return why the group's active version is not active on this node; empty if it is."""
         target = self.target
         if target is not None and self.is_active_on(target.version):
             return ""
--- a/marlstep/replicated_config/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -1,8 +1,9 @@
-"""A node's side of versioned documents: which version is active here, until when, and what happens without a group.
+"""A node's side of versioned documents: which version it activates, until when, and what it does without a group.
 
-A version is active only under the node's own configuration lease. The heartbeat response that renews the lease also
-names the active version: a node that renewed after a commit knows of the new version, and one that did not stops when
-its lease expires. So no node acts on an old version for longer than the term of the lease.
+A version is active only while the node holds its own configuration lease. The heartbeat response that renews the lease
+also contains the number of the active version. So a node that renews its lease after a commit knows the new version,
+and a node that does not renew it stops using the old version when the lease expires: no node uses an old version for
+longer than the duration of the lease.
 """
 
 from __future__ import annotations
@@ -23,30 +24,41 @@
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from marlstep.units import MILLISECOND, ZERO
 
-PROPOSE_RETRY_INTERVAL = 3_000 * MILLISECOND
-PINNED_VERSION = -1  # the number that a pinned content has
+PROPOSE_RETRY_INTERVAL = 3_000 * MILLISECOND  # a first version that is not prepared by then is proposed again
+PINNED_VERSION = -1  # stands for the version number of a pinned content
 
 _STATES_UNDER_LEASE = (FollowerState.ACTIVE, FollowerState.SUSPENDED, FollowerState.CATCHING_UP)
 
 
 class ConfigFollower:
-    """All documents that a node follows. Its methods return actions for the driver, in order."""
+    """All documents that a node follows. Its methods return actions that the driver carries out in order."""
 
     def __init__(self, definitions: tuple[DocumentDefinition, ...], node: str = "") -> None:
-        """Follow no version yet; `node` is this node's name, as canary rollouts name it."""
+        """Initialize the follower with no version of any document.
+
+        Args:
+            definitions: The documents to follow.
+            node: Name of this node, as the lists of nodes in canary rollouts contain it.
+        """
         self.node = node
         self.documents = {definition.name: FollowedDocument(definition) for definition in definitions}
 
     def start(self) -> list[FollowerAction]:
-        """Suspend all documents: nothing is active before the group has named a version."""
+        """Suspend all documents: none is active until a heartbeat response has named a version."""
         return [_suspend_by_policy(document, "not heard of yet") for document in self.documents.values()]
 
-    # Messages.
+    # Heartbeat responses, chunks and results of actions.
 
     def handle_statuses(
         self, now: datetime, statuses: tuple[DocumentStatus, ...], lease_left: timedelta
     ) -> list[FollowerAction]:
-        """Follow the statuses of a heartbeat response; `lease_left` is what it left of the configuration lease."""
+        """Record the document statuses of a heartbeat response, and take the next step for each document.
+
+        Args:
+            now: This node's clock.
+            statuses: The statuses in the response; a document that is missing there does not exist in the group.
+            lease_left: Remaining time of the configuration lease after the response; zero or less if it expired.
+        """
         status_by_name = {status.name: status for status in statuses}
         actions: list[FollowerAction] = []
         for name, document in self.documents.items():
@@ -62,7 +74,7 @@
     def handle_chunk(
         self, now: datetime, chunk: DocumentChunk, lease_left: timedelta
     ) -> list[FollowerAction]:
-        """Take the next part of a content that is being fetched; any other part is ignored."""
+        """Append a chunk to the content that is being fetched; a chunk that is not the next one is ignored."""
         document = self.documents.get(chunk.name)
         if document is None or not document.expects(chunk):
             return []
@@ -73,21 +85,21 @@
     def handle_check_result(
         self, now: datetime, check: CheckVersion, rejection: str, lease_left: timedelta
     ) -> list[FollowerAction]:
-        """Take the result of a validation; an empty rejection says that the version can be activated."""
+        """Record the result of a validation; `rejection` is empty if the version can be activated."""
         document = self.documents[check.name]
         document.check_results[check.version] = rejection
         return self._follow_under_lease(now, document, lease_left)
 
     def acknowledgement_lost(self, name: str, version: int) -> None:
-        """Acknowledge again: the log did not take it."""
+        """Acknowledge a prepared version again, as the command that acknowledged it was not committed to the log."""
         document = self.documents[name]
         if document.acknowledged_version == version:
             document.acknowledged_version = 0
 
-    # Time.
+    # Lease expiry and status.
 
     def tick(self, now: datetime, lease_left: timedelta) -> list[FollowerAction]:
-        """Let time pass: follow while there is a lease, and suspend what is active without one."""
+        """Take the next steps for all documents: follow the group under the lease, suspend once it has expired."""
         actions: list[FollowerAction] = []
         for document in self.documents.values():
             if lease_left > ZERO:
@@ -98,38 +110,38 @@
         return actions
 
     def accepts_work(self, lease_left: timedelta) -> bool:
-        """Whether new work may start now; requests in flight continue in any case."""
+        """Return whether new work may start now; requests in flight always continue."""
         return all(document.accepts_work(lease_left) for document in self.documents.values())
 
     def document_states(self, now: datetime) -> tuple[DocumentState, ...]:
-        """Return what is active here, for how long, and why nothing newer is, for heartbeats and operators."""
+        """Return the state of each document on this node, for heartbeats and operators."""
         return tuple(document.report(now) for document in self.documents.values())
 
     def group_content(self, name: str) -> str | None:
-        """Return the content that is active in the group, for comparison with a pinned one; None if not known."""
+        """Return the content that is active in the group, for comparison with a pinned one; None if it is not known."""
         document = self.documents[name]
         if document.target is None:
             return None
         return document.content_of(document.target.version, document.target.digest)
 
-    # Operators.
+    # Operator commands.
 
     def pin(self, now: datetime, name: str, content: str) -> list[FollowerAction]:
-        """Activate a content by an operator's order, until `unpin`: for a group that has lost its majority."""
+        """Activate a content on an operator's order until `unpin`, for use when the group has lost its majority."""
         document = self.documents[name]
         document.state, document.content = FollowerState.PINNED, content
         document.version, document.active_since = PINNED_VERSION, now
         return [ActivateVersion(name, PINNED_VERSION, content)]
 
     def unpin(self, name: str) -> list[FollowerAction]:
-        """Suspend a pinned document until the group names a version."""
+        """Suspend a pinned document until the group's active version is activated."""
         document = self.documents[name]
         if document.state is not FollowerState.PINNED:
             return []
         document.state, document.version = FollowerState.UNKNOWN, 0
         return [_suspend_by_policy(document, "the fixed version was taken back")]
 
-    # Steps towards the version that the group names.
+    # Steps towards activating the version that is active in the group.
 
     @staticmethod
     def _propose_first_version(now: datetime, document: FollowedDocument) -> list[FollowerAction]:
@@ -154,12 +166,12 @@
             return self._fetch_for_comparison(now, document, target)
         version, digest, prepared_version = target.version, target.digest, target.prepared_version
         if prepared_version and self.node in target.rollout_nodes:
-            # In a canary rollout, the prepared version is the active one for this node.
+            # This node takes part in the canary rollout, so the prepared version is the one to activate here.
             version, digest, prepared_version = target.prepared_version, target.prepared_digest, 0
         actions: list[FollowerAction] = []
         if version:
             actions += self._reach_version(now, document, version, digest, prepared_version)
-        # One content at a time: the active version comes first, the prepared one once that is here.
+        # One content is fetched or checked at a time: the active version first, then the prepared one.
         is_busy = 0 < document.fetching_version == version or any(
             isinstance(action, FetchChunk | CheckVersion) for action in actions
         )
@@ -171,7 +183,7 @@
     def _fetch_for_comparison(
         now: datetime, document: FollowedDocument, target: DocumentStatus
     ) -> list[FollowerAction]:
-        """Fetch the group's content beside a pinned one, to show how they differ."""
+        """Fetch the content that is active in the group, to show how a pinned one differs from it."""
         if not target.version or document.content_of(target.version, target.digest) is not None:
             return []
         return [*document.fetch(now, target.version)]
@@ -185,7 +197,8 @@
             and prepared_version
             and document.acknowledged_version == prepared_version
         ):
-            # It has acknowledged that it stopped, so it stays so until it hears how that change ended.
+            # The acknowledgement promised that this node has stopped using the old version, so the document stays
+            # suspended until the prepared version is committed or withdrawn.
             if document.state is not FollowerState.EXCLUDED:
                 document.state = FollowerState.SUSPENDED
             return []
@@ -201,8 +214,8 @@
         fetches = document.fetch(now, version)
         if document.state is not FollowerState.ACTIVE:
             return [*fetches]
-        # Its lease had expired for a while, and the change was committed without it: with a new lease it must not
-        # continue with the old version, however long the new one takes to arrive.
+        # This node's lease had expired, and the change was committed without its acknowledgement. With a new lease
+        # it must not continue with the old version, however long it takes to fetch the new one.
         document.state = FollowerState.CATCHING_UP
         reason = f"version {version} is in force, and not here yet"
         return [_suspend_by_policy(document, reason), *fetches]
@@ -226,7 +239,10 @@
     def _prepare(
         self, now: datetime, document: FollowedDocument, target: DocumentStatus
     ) -> list[FollowerAction]:
-        """Acknowledge or reject the prepared version; a strict document is suspended before that."""
+        """Take the next step towards acknowledging or rejecting the prepared version.
+
+        A strict document is suspended before the acknowledgement.
+        """
         name, version = document.definition.name, target.prepared_version
         if document.acknowledged_version == version:
             return []
--- a/marlstep/replicated_config/follower_actions.py
+++ b/marlstep/replicated_config/follower_actions.py
@@ -1,4 +1,4 @@
-"""What a follower asks its driver to do; the follower itself does no I/O."""
+"""The actions that a follower, which does no I/O itself, returns to its driver."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AcknowledgeVersion:
-    """Propose the acknowledgement, or the rejection, of a prepared version to the log."""
+    """Propose a command to the log that acknowledges or rejects a prepared version."""
 
     name: str
     version: int
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ActivateVersion:
-    """Apply a content from now on, between two turns of the event loop."""
+    """Apply a content completely within one turn of the event loop."""
 
     name: str
     version: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SuspendDocument:
-    """Accept no new work under the document, as far as the policy demands it; the reason is for the log."""
+    """Stop using the document as its disconnect policy requires. The reason is for operators."""
 
     name: str
     policy: DisconnectPolicy
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposeFirstVersion:
-    """Propose the content of this node's own files: the group has no such document yet."""
+    """Propose the content of this node's own files as the first version, as the group does not have the document."""
 
     name: str
 
--- a/marlstep/replicated_config/messages.py
+++ b/marlstep/replicated_config/messages.py
@@ -1,4 +1,4 @@
-"""The messages by which nodes fetch the contents of documents from the leader, chunk by chunk."""
+"""The messages by which nodes fetch the contents of documents from the leader in chunks."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FetchChunk:
-    """A request of a node to the leader: the chunk of a version that begins at `offset` characters."""
+    """A node's request to the leader for the chunk of a version that starts at `offset`, in characters."""
 
     wire_tag: ClassVar[str] = "Fetch"
 
@@ -21,7 +21,10 @@
 
 @dataclass(slots=True, frozen=True)
 class DocumentChunk:
-    """A chunk of a version whose content has `size` characters; a size of -1 says that the version is not kept."""
+    """The leader's response: a chunk of a version whose whole content has `size` characters.
+
+    A size of -1 means that the leader does not keep the version.
+    """
 
     wire_tag: ClassVar[str] = "Piece"
 
--- a/marlstep/replicated_config/results.py
+++ b/marlstep/replicated_config/results.py
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ChunkStored:
-    """An upload has so many characters by now."""
+    """A chunk was appended to an upload, which now has `size` characters."""
 
     size: int
 
@@ -21,11 +21,11 @@
 
 @dataclass(slots=True, frozen=True)
 class VersionPrepared:
-    """A version is being prepared."""
+    """The uploaded content was accepted as the prepared version."""
 
     number: int
     digest: str
-    waits_for: list[str]  # processes that have to acknowledge it
+    waits_for: list[str]  # processes that have yet to acknowledge or reject it
     rollout_nodes: list[str] | None  # None without a canary rollout
 
     def to_json(self) -> ResultJson:
@@ -36,9 +36,9 @@
 
 @dataclass(slots=True, frozen=True)
 class DocumentSummary:
-    """A document's state at one place of the log."""
+    """A document's state at the log position of a `ReadDocument` command."""
 
-    version: int  # 0: none is active yet
+    version: int  # the active one; 0: none yet
     digest: str
     prepared_version: int  # 0: none
     rollout_started: bool
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AcknowledgementRecorded:
-    """A process can activate the prepared version."""
+    """The acknowledgement of the prepared version by a process was recorded."""
 
     holder: str
 
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectionRecorded:
-    """A process can't activate the prepared version."""
+    """The rejection of the prepared version by a process was recorded."""
 
     holder: str
 
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommitDelayed:
-    """A process that started meanwhile has to acknowledge the version before it can be committed."""
+    """The commit has to wait for processes that have neither acknowledged nor rejected the version yet."""
 
     waits_for: list[str]
 
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutStarted:
-    """The nodes of a canary rollout activate the prepared version."""
+    """The canary rollout has started: its nodes activate the prepared version."""
 
     version: int
     nodes: list[str]
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VersionCommitted:
-    """The version is active."""
+    """The version was committed and is now active."""
 
     version: int
 
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VersionWithdrawn:
-    """The version is withdrawn, and its number is not given again."""
+    """The version was withdrawn; its number is not reused."""
 
     version: int
 
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -1,8 +1,9 @@
-"""Evaluation of a canary rollout: compare the nodes that activated a version first with the others.
+"""Evaluation of a canary rollout: the nodes that activated the version first are compared with the others.
 
-The leader evaluates the request counts of heartbeats; the log has only its decision, so a new leader observes the
-whole duration anew. A version is withdrawn as soon as its nodes do significantly worse, or one of their processes
-ends. It is promoted when its duration is over, enough requests were observed, and its nodes did no worse.
+The leader evaluates the request counts in heartbeats. Only its decision is replicated, so a new leader starts the
+observation again and observes for the whole duration. A version is withdrawn as soon as its nodes perform
+significantly worse or one of their processes ends. It is promoted at the end of its duration if enough requests were
+observed and its nodes performed no worse.
 """
 
 from __future__ import annotations
@@ -21,14 +22,15 @@
 from marlstep.replicated_config.store import ConfigStore
 from marlstep.units import MILLISECOND, SECOND
 
-# Standard errors by which two shares must differ; chance alone does that once in several hundred evaluations.
+# Number of standard errors by which two shares must differ to be significant. By chance alone, they differ by that
+# much once in several hundred evaluations.
 SIGNIFICANCE = 3.0
-ADOPTION_TIMEOUT = 10 * SECOND  # beyond the rollout's duration, for its nodes to activate the version
+ADOPTION_TIMEOUT = 10 * SECOND  # beyond the rollout's duration, for all its nodes to activate the version
 
 
 @dataclass(slots=True, frozen=True)
 class ReceivedHeartbeat:
-    """The last heartbeat of one process, and when it arrived."""
+    """The last heartbeat of a process, and when it was received."""
 
     heartbeat: Heartbeat
     received_at: datetime
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutDecision:
-    """A command to promote a version in canary rollout to all nodes, or to withdraw it."""
+    """A command that promotes a version in canary rollout to all nodes, or withdraws it."""
 
     name: str
     version: int
@@ -44,7 +46,7 @@
     reason: str
 
     def to_json(self) -> CommandJson:
-        """Return the command as the log stores it."""
+        """Return the stored form."""
         stored: dict[str, object] = {"m": MACHINE, "doc": self.name, "version": self.version}
         stored["why"] = self.reason
         return stored | ({"do": "commit", "whole": True} if self.promote else {"do": "withdraw"})
@@ -52,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutVerdict:
-    """The outcome of an evaluation."""
+    """The verdict on a rollout, and the reason for it."""
 
     promote: bool
     reason: str
@@ -60,7 +62,7 @@
 
 @dataclass(slots=True)
 class CountRange:
-    """The request counts of one process at the start of its observation, and now."""
+    """The cumulative request counts of one process when its observation started, and in its last heartbeat."""
 
     first: RequestCounts
     last: RequestCounts
@@ -68,12 +70,12 @@
 
 @dataclass(slots=True)
 class RolloutObservation:
-    """What this leader has observed of one rollout."""
+    """The observations of one rollout by this leader."""
 
     started_at: datetime
-    adopted_at: datetime | None = None  # since when all of its nodes have the version active
-    canaries: dict[str, CountRange] = field(default_factory=dict)  # by process of its nodes
-    controls: dict[str, CountRange] = field(default_factory=dict)  # by process of the other nodes
+    adopted_at: datetime | None = None  # when all of its nodes had activated the version
+    canaries: dict[str, CountRange] = field(default_factory=dict)  # by process on its nodes
+    controls: dict[str, CountRange] = field(default_factory=dict)  # by process on the other nodes
 
     def count(
         self,
@@ -82,7 +84,7 @@
         live: set[str],
         heartbeats: Mapping[str, ReceivedHeartbeat],
     ) -> None:
-        """Take the request counts of all live processes; those of a canary count once it has the version active."""
+        """Update the request counts of all live processes; a canary is included once it has activated the version."""
         assert prepared.rollout is not None
         for process, received in heartbeats.items():
             if process not in live:
@@ -97,19 +99,19 @@
             group.setdefault(process, CountRange(counts, counts)).last = counts
 
     def missing_nodes(self, rollout: Rollout) -> set[str]:
-        """Return the rollout's nodes that have not activated the version yet."""
+        """Return the nodes of the rollout that have not activated the version yet."""
         return set(rollout.nodes) - {node_of_process(process) for process in self.canaries}
 
 
 class RolloutMonitor:
-    """The leader's evaluation of all rollouts that have started."""
+    """The leader's evaluation of all started rollouts."""
 
     def __init__(self) -> None:
-        """Observe nothing yet."""
+        """Initialize the monitor with no observations."""
         self._observations: dict[tuple[str, int], RolloutObservation] = {}
 
     def become_leader(self) -> None:
-        """Discard all observations: this replica leads from now on, and has to observe by itself."""
+        """Discard all observations, as those of an earlier term as leader are outdated."""
         self._observations.clear()
 
     def evaluate(
@@ -119,13 +121,14 @@
         heartbeats: Mapping[str, ReceivedHeartbeat],
         lease_term: timedelta,
     ) -> list[RolloutDecision]:
-        """Return what is decided about the rollouts that have started.
+        """Evaluate all started rollouts, and return the decisions to propose.
 
         Args:
             now: The leader's clock.
-            store: The documents as applied here.
-            heartbeats: The last one of each process.
-            lease_term: Term of the configuration leases: a process that is silent for as long may have ended.
+            store: The state of the documents on this replica.
+            heartbeats: The last heartbeat of each process.
+            lease_term: Duration of a configuration lease. A process that has sent no heartbeat for that long may have
+                ended.
         """
         rollouts = {(name, prepared.version.number): prepared for name, prepared in store.active_rollouts()}
         for key in [key for key in self._observations if key not in rollouts]:
@@ -141,7 +144,7 @@
             if verdict is None:
                 continue
             if verdict.promote and store.missing_acknowledgements(store.documents[name]):
-                continue  # a process started meanwhile, and has not acknowledged the version yet
+                continue  # a process that started during the rollout has not acknowledged the version yet
             decisions.append(RolloutDecision(name, number, verdict.promote, verdict.reason))
         return decisions
 
@@ -154,7 +157,7 @@
         heartbeats: Mapping[str, ReceivedHeartbeat],
         lease_term: timedelta,
     ) -> RolloutVerdict | None:
-        """Return the verdict on one rollout; None while it is open."""
+        """Return the verdict on one rollout, or None if it is not decided yet."""
         rollout = prepared.rollout
         assert rollout is not None
         for process in observation.canaries:
@@ -172,15 +175,21 @@
             heartbeats[process].received_at for process in observation.canaries if process in heartbeats
         ]
         if any(received_at < now - lease_term for received_at in received):
-            return None  # a silent process: its lease will tell whether it has ended
+            return None  # a canary sends no heartbeats: wait until it does again or its lease expires
         return _final_verdict(rollout, canaries, controls)
 
     def is_degraded(
         self, canaries: RequestCounts, controls: RequestCounts, max_degradation: float, min_requests: int
     ) -> bool:
-        """Whether the canaries fail more requests than permitted, and more than chance explains.
+        """Return whether the canaries fail more requests than permitted, and more than chance explains.
 
-        Compares two proportions, by the standard error of their difference under the pooled proportion.
+        This is a two-proportion z-test with the pooled proportion.
+
+        Args:
+            canaries: Counts of the rollout's nodes.
+            controls: Counts of the other nodes.
+            max_degradation: Permitted difference of their shares of failed requests, between 0 and 1.
+            min_requests: Number of requests on the rollout's nodes below which there is no degradation.
         """
         observed, compared = canaries.read, controls.read
         if observed < max(min_requests, 1):
@@ -194,7 +203,7 @@
 
 
 def _active_version(heartbeat: Heartbeat, document: str) -> int | None:
-    """The version of a document that the sender has active."""
+    """Return the version of a document that is active on the sender, or None."""
     active = {
         name: version
         for name, version, state, _, _ in heartbeat.document_states
@@ -206,7 +215,10 @@
 def _await_adoption(
     now: datetime, rollout: Rollout, observation: RolloutObservation
 ) -> RolloutVerdict | None:
-    """Start the rollout's duration once all of its nodes have activated the version."""
+    """Start the rollout's duration once all of its nodes have activated the version.
+
+    Return a verdict only if they do not activate it in time.
+    """
     missing = observation.missing_nodes(rollout)
     if not missing:
         observation.adopted_at = now
@@ -223,18 +235,19 @@
 
 
 def failures(counts: RequestCounts) -> int:
-    """Return how many requests were rejected, failed or late."""
+    """Return the number of requests that were rejected, failed or late."""
     return counts.refused + counts.failed
 
 
 def total_counts(ranges: Iterable[CountRange]) -> RequestCounts:
-    """Return the counts of all processes together since their observation began."""
+    """Return the total counts of several processes since the observation of each started."""
     read = rejected = failed = 0
     for counted in ranges:
         read += counted.last.read - counted.first.read
         rejected += counted.last.refused - counted.first.refused
         failed += counted.last.failed - counted.first.failed
-    rejected = min(rejected, read)  # requests that were read before the observation began may end within it
+    # Requests that were read before the observation started may be rejected or fail after it.
+    rejected = min(rejected, read)
     return RequestCounts(read, rejected, min(failed, read - rejected))
 
 
--- a/marlstep/replicated_config/rollout_plan.py
+++ b/marlstep/replicated_config/rollout_plan.py
@@ -1,4 +1,4 @@
-"""Planning of a canary rollout: which nodes activate a version first, within which bounds."""
+"""Planning of a canary rollout: the choice of its nodes, and the validation of its criteria."""
 
 from __future__ import annotations
 
@@ -21,18 +21,25 @@
 
 
 def node_of_process(process: str) -> str:
-    """Return the node of a process that is named `node/process generation`."""
+    """Return the node of a process whose name has the form `node/process generation`."""
     return process.partition("/")[0]
 
 
 def plan_rollout(
     change: PrepareVersion, request: RolloutRequest, active_version: int, live_processes: Iterable[str]
 ) -> Rollout:
-    """Choose the nodes that activate the change first.
+    """Plan the canary rollout of a change.
+
+    Args:
+        change: The new version; its document must not be strict.
+        request: The nodes, or the share of the nodes, and the criteria that the operator requests.
+        active_version: Number of the active version, with which the new one is compared; 0: none.
+        live_processes: Processes with a live configuration lease, as `node/process generation`.
 
     Raises:
-        RolloutRejectedError: The document or the present nodes do not permit it.
-        ValueError, KeyError: A value of the request is out of bounds or missing.
+        RolloutRejectedError: A rollout is not possible for this document or with the live nodes.
+        InvalidRolloutShareError, InvalidRolloutBoundsError: A value of the request is out of bounds.
+        KeyError: A value of the request is missing.
     """
     if change.strict:
         raise StrictRolloutError
@@ -50,7 +57,7 @@
 
 
 def _sample_nodes(live_nodes: Sequence[str], share: float | None, seed: str) -> list[str]:
-    """Draw a share of the nodes, the same ones on every replica, and others for each version."""
+    """Choose a share of the nodes by a hash, so that all replicas choose the same ones, and others for each version."""
     wanted_share = _required("share", share)
     if not 0 < wanted_share < 1:
         raise InvalidRolloutShareError
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -3,11 +3,12 @@
     prepare (compare-and-set) ──▶ prepared ──acknowledged by every live process──▶ committed: active
                                      └──rejected by a process, or withdrawn──▶ withdrawn
 
-A version with a canary rollout is active on the nodes of the rollout alone, once all processes have acknowledged it,
-until it is promoted to all nodes or withdrawn.
+If a version has a canary rollout, then once all processes have acknowledged it, it is active only on the nodes of the
+rollout until it is promoted to all nodes or withdrawn.
 
-Which processes are live is read from the lease table on the same log: a process that starts while a version is being
-prepared has to acknowledge it as well, and one whose configuration lease has expired no longer acts on any version.
+The lease table on the same log determines which processes are live. A process that starts while a version is prepared
+has to acknowledge it as well. A process whose configuration lease has expired does not, as it no longer uses any
+version.
 """
 
 from __future__ import annotations
@@ -74,25 +75,25 @@
 from marlstep.replicated_config.rollout_plan import plan_rollout
 
 MAX_DOCUMENTS = 32
-MAX_UPLOADS = 8
+MAX_UPLOADS = 8  # kept at a time; a further one evicts the oldest
 MAX_AUTHOR_CHARACTERS = 64
 MAX_REASON_CHARACTERS = 256  # of notes, rejections and withdrawals
-MAX_TIME_CHARACTERS = 40
-COMMANDS_WITHOUT_DOCUMENT = ("part", "put")  # the others are about a document that exists
+MAX_TIME_CHARACTERS = 40  # of the time of a change
+COMMANDS_WITHOUT_DOCUMENT = ("part", "put")  # all others need an existing document
 
 
 class ConfigStore:
-    """All documents, as the log's commands have made them."""
+    """The state machine that holds all documents; only commands of the log change it."""
 
     def __init__(self, table: LeaseTable) -> None:
-        """Create an empty store; `table` tells which processes have a live configuration lease."""
+        """Initialize an empty store; `table` holds the leases, by which a process is live or not."""
         self._table = table
         self.documents: dict[str, Document] = {}
         self._uploads: OrderedDict[str, str] = OrderedDict()
-        self._statuses: tuple[DocumentStatus, ...] | None = None  # cached until the next command
-        self._allowances: dict[str, float] | None = None  # likewise
+        self._statuses: tuple[DocumentStatus, ...] | None = None  # cached until the next command is applied
+        self._allowances: dict[str, float] | None = None  # cached as well
 
-    # Reads.
+    # Queries of the state.
 
     def live_processes(self) -> list[str]:
         """Return the processes with a live configuration lease, as `node/process generation`."""
@@ -114,7 +115,7 @@
         ]
 
     def ready_to_commit(self) -> list[tuple[str, int]]:
-        """Return the documents, with their prepared versions, that can be committed or start their rollout."""
+        """Return name and prepared version of each document whose version can be committed or start its rollout."""
         return [
             (name, document.prepared.version.number)
             for name, document in self.documents.items()
@@ -124,7 +125,7 @@
         ]
 
     def active_rollouts(self) -> list[tuple[str, PreparedVersion]]:
-        """Return the documents, with their prepared versions, whose canary rollout has started."""
+        """Return name and prepared version of each document with a started canary rollout."""
         return [
             (name, document.prepared)
             for name, document in self.documents.items()
@@ -157,7 +158,7 @@
         )
 
     def allowances(self) -> dict[str, float]:
-        """Return each tenant's allowance in requests per second; a tenant without one is not limited."""
+        """Return the allowance of each tenant in requests per second; tenants without an allowance are missing."""
         if self._allowances is None:
             self._allowances = {}
             for document in self.documents.values():
@@ -166,7 +167,7 @@
         return self._allowances
 
     def content(self, name: str, version: int) -> str | None:
-        """Return the content of a version; None where it is not kept."""
+        """Return the content of a committed or prepared version; None if it is not kept."""
         document = self.documents.get(name)
         if document is None:
             return None
@@ -175,13 +176,18 @@
             return prepared.version.content
         return next((kept.content for kept in document.versions if kept.number == version), None)
 
-    # Commands.
+    # Application of commands.
 
     def apply(self, command: CommandJson) -> ResultJson:
-        """Apply a command of the log. Raises ValueError, KeyError or TypeError for a malformed one."""
+        """Apply a command of the log, and return its result.
+
+        Raises:
+            ValueError, KeyError, TypeError: The command is malformed; the state is unchanged.
+        """
         self._statuses = self._allowances = None
         try:
-            # Before the rest is parsed: this answer takes precedence, on every replica of any version.
+            # Checked before the rest is parsed: replicas of all versions must return this result also for a command
+            # that is malformed otherwise.
             if command["do"] not in COMMANDS_WITHOUT_DOCUMENT and command["doc"] not in self.documents:
                 raise UnknownDocumentError
             return self._dispatch(parse_config_command(command)).to_json()
@@ -227,7 +233,7 @@
         rollout = None
         if options.rollout is not None:
             rollout = plan_rollout(command, options.rollout, active_number, self.live_processes())
-        # Nothing is rejected from here on, and so nothing was changed by a command that is.
+        # All checks have passed. The state is changed only from here on, so a rejected command leaves it unchanged.
         del self._uploads[command.upload]
         if document is None:
             document = self.documents[command.document] = Document(command.kind, command.strict)
@@ -290,7 +296,7 @@
         document = self.documents[command.document]
         prepared = _prepared_version(document, command.version)
         if waits_for := self.missing_acknowledgements(document):
-            return CommitDelayed(waits_for)  # a process started after the commit was proposed
+            return CommitDelayed(waits_for)  # processes that started after the commit was proposed
         rollout = prepared.rollout
         if rollout is not None and not rollout.started:
             rollout.started = True
@@ -306,17 +312,21 @@
         document.withdraw_prepared(command.reason[:MAX_REASON_CHARACTERS])
         return VersionWithdrawn(command.version)
 
-    # Snapshots.
+    # Snapshots of the state.
 
     def snapshot(self) -> object:
-        """Return the whole state as JSON."""
+        """Return the whole state in a form that can be written as JSON."""
         return {
             "documents": [[name, write_fields(document)] for name, document in self.documents.items()],
             "uploads": list(self._uploads.items()),
         }
 
     def restore(self, stored: Mapping[str, Any]) -> None:
-        """Replace the state by what `snapshot` returned. Raises ValueError, KeyError or TypeError."""
+        """Replace the state by one that `snapshot` returned.
+
+        Raises:
+            ValueError, KeyError, TypeError: The snapshot is malformed.
+        """
         self._statuses = self._allowances = None
         self._uploads = OrderedDict((upload, data) for upload, data in stored["uploads"])
         self.documents = {name: read_fields(Document, values) for name, values in stored["documents"]}
@@ -348,7 +358,11 @@
 
 
 def _prepared_version(document: Document, version: int) -> PreparedVersion:
-    """Return what is being prepared. Raises NotPreparedError where that is another version, or none."""
+    """Return the prepared version.
+
+    Raises:
+        NotPreparedError: No version is prepared, or another one than `version`.
+    """
     prepared = document.prepared
     if prepared is None or prepared.version.number != version:
         raise NotPreparedError
