--- a/marlstep/replicated_config/comparison.py
+++ b/marlstep/replicated_config/comparison.py
@@ -9,7 +9,7 @@
 
 from marlstep.replicated_config.documents import canonical_json
 
-SHOWN_CHARACTERS = 60  # of the JSON of a value in a line of differences
+MAX_SHOWN_CHARACTERS = 60  # of the JSON of a value in a line of differences
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,19 +60,19 @@
     if rows_before is not None and rows_after is not None:
         yield from differences(rows_before, rows_after, path)
     elif before is None:
-        yield f"{path} is new: {_shortened(after)}"
+        yield f"{path} is new: {_abbreviate(after)}"
     elif after is None:
-        yield f"{path} is gone, was {_shortened(before)}"
+        yield f"{path} is gone, was {_abbreviate(before)}"
     elif before != after:
-        yield _changed_value(before, after, path)
+        yield _describe_change(before, after, path)
 
 
-def _changed_value(before: object, after: object, path: str) -> str:
+def _describe_change(before: object, after: object, path: str) -> str:
     if not isinstance(before, list) or not isinstance(after, list):
-        return f"{path} {_shortened(before)} is now {_shortened(after)}"
+        return f"{path} {_abbreviate(before)} is now {_abbreviate(after)}"
     added = [item for item in after if item not in before]
     removed = [item for item in before if item not in after]
-    return f"{path}: {len(added)} come ({_shortened(added)}), {len(removed)} go ({_shortened(removed)})"
+    return f"{path}: {len(added)} come ({_abbreviate(added)}), {len(removed)} go ({_abbreviate(removed)})"
 
 
 def _rows_by_name(value: object) -> dict[str, object] | None:
@@ -84,6 +84,6 @@
     return {row["name"]: row for row in value}
 
 
-def _shortened(value: object) -> str:
+def _abbreviate(value: object) -> str:
     text = canonical_json(value)
-    return text if len(text) <= SHOWN_CHARACTERS else text[: SHOWN_CHARACTERS - 3] + "..."
+    return text if len(text) <= MAX_SHOWN_CHARACTERS else text[: MAX_SHOWN_CHARACTERS - 3] + "..."
--- a/marlstep/replicated_config/followed_document.py
+++ b/marlstep/replicated_config/followed_document.py
@@ -74,7 +74,7 @@
         self.fetch_sent_at = now
         return [FetchChunk(self.definition.name, version, len(self.fetched_text))]
 
-    def expects(self, chunk: DocumentChunk) -> bool:
+    def is_next_chunk(self, chunk: DocumentChunk) -> bool:
         """Return whether the chunk is the next one of the content that is being fetched."""
         continues = self.fetching_version == chunk.version and chunk.offset == len(self.fetched_text)
         return continues and chunk.size >= 0
--- a/marlstep/replicated_config/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -76,7 +76,7 @@
     ) -> list[FollowerAction]:
         """Append a chunk to the content that is being fetched; a chunk that is not the next one is ignored."""
         document = self.documents.get(chunk.name)
-        if document is None or not document.expects(chunk):
+        if document is None or not document.is_next_chunk(chunk):
             return []
         if not document.add_chunk(chunk):
             return [*document.fetch(now, chunk.version)]
--- a/marlstep/replicated_config/rollout.py
+++ b/marlstep/replicated_config/rollout.py
@@ -77,7 +77,7 @@
     canaries: dict[str, CountRange] = field(default_factory=dict)  # by process on its nodes
     controls: dict[str, CountRange] = field(default_factory=dict)  # by process on the other nodes
 
-    def count(
+    def update_counts(
         self,
         name: str,
         prepared: PreparedVersion,
@@ -139,8 +139,8 @@
         decisions = []
         for (name, number), prepared in rollouts.items():
             observation = self._observations.setdefault((name, number), RolloutObservation(now))
-            observation.count(name, prepared, live, heartbeats)
-            verdict = self._evaluate_one(now, prepared, observation, live, heartbeats, lease_term)
+            observation.update_counts(name, prepared, live, heartbeats)
+            verdict = self._evaluate_rollout(now, prepared, observation, live, heartbeats, lease_term)
             if verdict is None:
                 continue
             if verdict.promote and store.missing_acknowledgements(store.documents[name]):
@@ -148,7 +148,7 @@
             decisions.append(RolloutDecision(name, number, verdict.promote, verdict.reason))
         return decisions
 
-    def _evaluate_one(
+    def _evaluate_rollout(
         self,
         now: datetime,
         prepared: PreparedVersion,
@@ -168,7 +168,7 @@
         canaries = total_counts(observation.canaries.values())
         controls = total_counts(observation.controls.values())
         if self.is_degraded(canaries, controls, rollout.max_degradation, rollout.min_requests):
-            return RolloutVerdict(False, f"its nodes do worse: {_compared(canaries, controls)}")
+            return RolloutVerdict(False, f"its nodes do worse: {_format_comparison(canaries, controls)}")
         if now < observation.adopted_at + rollout.duration_ms * MILLISECOND:
             return None
         received = [
@@ -191,13 +191,17 @@
             max_degradation: Permitted difference of their shares of failed requests, between 0 and 1.
             min_requests: Number of requests on the rollout's nodes below which there is no degradation.
         """
-        observed, compared = canaries.read, controls.read
-        if observed < max(min_requests, 1):
+        canary_requests, control_requests = canaries.read, controls.read
+        if canary_requests < max(min_requests, 1):
             return False
-        canary_share = failures(canaries) / observed
-        control_share = failures(controls) / compared if compared else 0.0
-        pooled = (failures(canaries) + failures(controls)) / (observed + compared)
-        variance = pooled * (1 - pooled) * (1 / observed + (1 / compared if compared else 0.0))
+        canary_share = count_failures(canaries) / canary_requests
+        control_share = count_failures(controls) / control_requests if control_requests else 0.0
+        pooled = (count_failures(canaries) + count_failures(controls)) / (canary_requests + control_requests)
+        variance = (
+            pooled
+            * (1 - pooled)
+            * (1 / canary_requests + (1 / control_requests if control_requests else 0.0))
+        )
         degradation = canary_share - control_share
         return not (degradation <= max_degradation or degradation <= SIGNIFICANCE * math.sqrt(variance))
 
@@ -231,10 +235,10 @@
     if canaries.read < rollout.min_requests:
         reason = f"only {canaries.read} requests were seen on its nodes, {rollout.min_requests} are wanted"
         return RolloutVerdict(False, reason)
-    return RolloutVerdict(True, f"its nodes did no worse: {_compared(canaries, controls)}")
+    return RolloutVerdict(True, f"its nodes did no worse: {_format_comparison(canaries, controls)}")
 
 
-def failures(counts: RequestCounts) -> int:
+def count_failures(counts: RequestCounts) -> int:
     """Return the number of requests that were rejected, failed or late."""
     return counts.refused + counts.failed
 
@@ -242,18 +246,18 @@
 def total_counts(ranges: Iterable[CountRange]) -> RequestCounts:
     """Return the total counts of several processes since the observation of each started."""
     read = rejected = failed = 0
-    for counted in ranges:
-        read += counted.last.read - counted.first.read
-        rejected += counted.last.refused - counted.first.refused
-        failed += counted.last.failed - counted.first.failed
+    for count_range in ranges:
+        read += count_range.last.read - count_range.first.read
+        rejected += count_range.last.refused - count_range.first.refused
+        failed += count_range.last.failed - count_range.first.failed
     # Requests that were read before the observation started may be rejected or fail after it.
     rejected = min(rejected, read)
     return RequestCounts(read, rejected, min(failed, read - rejected))
 
 
-def _compared(canaries: RequestCounts, controls: RequestCounts) -> str:
-    return f"{_described(canaries)} there, {_described(controls)} elsewhere"
+def _format_comparison(canaries: RequestCounts, controls: RequestCounts) -> str:
+    return f"{_format_counts(canaries)} there, {_format_counts(controls)} elsewhere"
 
 
-def _described(counts: RequestCounts) -> str:
+def _format_counts(counts: RequestCounts) -> str:
     return f"{counts.refused} refused and {counts.failed} failed of {counts.read}"
--- a/marlstep/replicated_config/rollout_plan.py
+++ b/marlstep/replicated_config/rollout_plan.py
@@ -53,19 +53,19 @@
         raise NodesNotActiveError(missing)
     if len(nodes) >= len(live_nodes):
         raise NoControlGroupError
-    return _with_bounds(nodes, request)
+    return _build_rollout(nodes, request)
 
 
 def _sample_nodes(live_nodes: Sequence[str], share: float | None, seed: str) -> list[str]:
     """Choose a share of the nodes by a hash, so that all replicas choose the same ones, and others for each version."""
-    wanted_share = _required("share", share)
-    if not 0 < wanted_share < 1:
+    required_share = _required("share", share)
+    if not 0 < required_share < 1:
         raise InvalidRolloutShareError
     shuffled = sorted(live_nodes, key=lambda node: hashlib.blake2b(f"{node} {seed}".encode()).digest())
-    return sorted(shuffled[: max(1, math.ceil(wanted_share * len(live_nodes)))])
+    return sorted(shuffled[: max(1, math.ceil(required_share * len(live_nodes)))])
 
 
-def _with_bounds(nodes: list[str], request: RolloutRequest) -> Rollout:
+def _build_rollout(nodes: list[str], request: RolloutRequest) -> Rollout:
     duration_ms = _required("for_ms", request.duration_ms)
     min_requests = _required("least", request.min_requests)
     max_degradation = _required("worse", request.max_degradation)
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -334,8 +334,8 @@
 
 def _tenant_allowances(content: str) -> dict[str, float]:
     tenants = orjson.loads(content).get("tenants", {})
-    per_s = {name: tenant.get("allowance_per_s") for name, tenant in tenants.items()}
-    return {name: float(allowance) for name, allowance in per_s.items() if allowance}
+    allowance_by_tenant = {name: tenant.get("allowance_per_s") for name, tenant in tenants.items()}
+    return {name: float(allowance) for name, allowance in allowance_by_tenant.items() if allowance}
 
 
 def _check_shrinkage(kind: Kind, document: Document | None, content: str) -> None:
