--- a/marlstep/fault_injection/document_model.py
+++ b/marlstep/fault_injection/document_model.py
@@ -260,7 +260,7 @@
 
 def node_key(one: DocumentNode) -> tuple[Any, ...]:
     at = one.follower.documents[DOCUMENT]
-    held, checks = tuple((at.prepared_contents or {}).items()), tuple(at.check_results.items())
+    held, checks = tuple((at.fetched_contents or {}).items()), tuple(at.check_results.items())
     mine = (
         at.state,
         at.version,
--- a/marlstep/replicated_config/followed_document.py
+++ b/marlstep/replicated_config/followed_document.py
@@ -51,7 +51,7 @@
     fetching_version: int = 0  # 0: none
     fetched_text: str = ""  # the part of that version received so far
     fetch_sent_at: datetime | None = None  # None: no request for a chunk is outstanding
-    prepared_contents: dict[int, str] = field(default_factory=dict)  # completely fetched, by version
+    fetched_contents: dict[int, str] = field(default_factory=dict)  # complete, by version
     check_results: dict[int, str] = field(default_factory=dict)  # reason to reject, by version; empty: valid
     acknowledged_version: int = 0  # the last one that was acknowledged or rejected; 0: none
     proposed_at: datetime | None = None  # when this node last proposed a first version, as the group had none
@@ -62,7 +62,7 @@
 
     def content_of(self, version: int, digest: str) -> str | None:
         """Return the content of a version; None if it was not fetched completely or has another digest."""
-        content = self.prepared_contents.get(version)
+        content = self.fetched_contents.get(version)
         return content if content is not None and content_digest(content) == digest else None
 
     def fetch(self, now: datetime, version: int) -> list[FetchChunk]:
@@ -85,7 +85,7 @@
         self.fetch_sent_at = None
         if len(self.fetched_text) < chunk.size:
             return False
-        self.prepared_contents[chunk.version] = self.fetched_text
+        self.fetched_contents[chunk.version] = self.fetched_text
         self.fetching_version, self.fetched_text = 0, ""
         return True
 
@@ -98,8 +98,8 @@
         self.version, self.content, self.active_since = version, content, now
         self.state = FollowerState.ACTIVE
         oldest = min(version, self.target.version if self.target is not None else version)
-        self.prepared_contents = {
-            number: text for number, text in self.prepared_contents.items() if number >= oldest
+        self.fetched_contents = {
+            number: text for number, text in self.fetched_contents.items() if number >= oldest
         }
         self.check_results = {
             number: rejection for number, rejection in self.check_results.items() if number >= oldest
