--- a/tests/replicated_config/support.py
+++ b/tests/replicated_config/support.py
@@ -1,4 +1,4 @@
-"""Helpers of the tests of replicated configuration: a log, a follower with its driver, a rollout."""
+"""Helpers for the tests of replicated configuration: a log, a follower with its driver, and a rollout."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ConfigLog:
-    """A store whose commands are applied at once, and processes with a configuration lease."""
+    """A store that applies each command immediately, and the lease table with the live processes."""
 
     def __init__(self, *processes: str) -> None:
         self.table = LeaseTable()
@@ -79,13 +79,13 @@
 
 
 class FollowerHarness:
-    """A follower whose fetches are answered at once; later versions than the first are validated as told."""
+    """A follower whose fetches are answered immediately. Versions after the first fail validation with `rejection`."""
 
     def __init__(self, definition: DocumentDefinition, rejection: str = "") -> None:
         self.follower = ConfigFollower((definition,))
         self.contents = {1: "[1]", 2: "[2]", 3: "[3]"}
         self.rejection = rejection
-        self.actions: list[Any] = []  # of the last status, but for fetches and validations
+        self.actions: list[Any] = []  # returned for the last status, without fetches and validations
 
     @property
     def document(self) -> FollowedDocument:
@@ -98,7 +98,7 @@
         lease_left: timedelta = SECOND,
         rollout_nodes: tuple[str, ...] = (),
     ) -> list[str]:
-        """Receive a status of the document; return the names of the actions."""
+        """Pass a status of the document to the follower, and return the names of its actions."""
         status = DocumentStatus(
             "d",
             version,
@@ -124,14 +124,14 @@
                     self.actions.append(action)
 
     def _chunk(self, fetch: FetchChunk) -> DocumentChunk:
-        """Half of the content, so that it takes two chunks."""
+        """Return about half of the content, so that fetching it takes two chunks."""
         content = self.contents[fetch.version]
         data = content[fetch.offset : fetch.offset + len(content) // 2 + 1]
         return DocumentChunk("d", fetch.version, fetch.offset, len(content), data)
 
 
 class RolloutHarness:
-    """A rollout of version 2 on node b that a leader evaluates, with the heartbeats of all processes."""
+    """A started rollout of version 2 on node b, and the leader's evaluation of the heartbeats of all processes."""
 
     def __init__(self, min_requests: int = 100) -> None:
         self.log = ConfigLog("a/1", "b/1", "c/1")
@@ -151,7 +151,16 @@
     def evaluate(
         self, after_ms: int, adopted: bool = True, **new_counts: tuple[int, int, int]
     ) -> list[tuple[bool, str]]:
-        """Let time pass in which each node reads, rejects and fails so many more requests, and evaluate."""
+        """Advance the clock and evaluate the rollout.
+
+        Args:
+            after_ms: By how much to advance the clock, in milliseconds.
+            adopted: Whether node b reports version 2 as active.
+            **new_counts: By node, how many more requests it has read, rejected and failed.
+
+        Returns:
+            The decisions, as pairs of `promote` and the reason.
+        """
         self.now += after_ms * MILLISECOND
         heartbeats = {}
         for process, counts in self.counts.items():
--- a/tests/replicated_config/test_command_line.py
+++ b/tests/replicated_config/test_command_line.py
@@ -1,4 +1,4 @@
-"""Options of the command line that make no sense."""
+"""Validation of the options of the `rules` and `drill rules` commands."""
 
 from __future__ import annotations
 
--- a/tests/replicated_config/test_commands.py
+++ b/tests/replicated_config/test_commands.py
@@ -1,4 +1,4 @@
-"""The typed commands against the stored ones that the program's proposers wrote."""
+"""The typed commands compared with the stored form that proposers have written to the log."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def stored_commands() -> list[dict[str, Any]]:
-    """The golden commands of this machine that it accepted."""
+    """Return the golden commands of this state machine whose results are not errors."""
     found = []
     for row in ROWS:
         if "error" in json.loads(row["result"]):
--- a/tests/replicated_config/test_follower.py
+++ b/tests/replicated_config/test_follower.py
@@ -1,4 +1,4 @@
-"""What one node does with the versions that the group names."""
+"""How a node follows the versions that are active or prepared in the group."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     node = FollowerHarness(PLAIN)
     assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1
     assert node.receive(1, 2) == ["AcknowledgeVersion"] and node.document.state is FollowerState.ACTIVE
-    assert node.receive(1, 2) == []  # said once
+    assert node.receive(1, 2) == []  # acknowledged only once
     assert node.receive(2) == ["ActivateVersion"] and node.document.content == "[2]"
 
 
@@ -37,10 +37,9 @@
         and node.document.state is FollowerState.SUSPENDED
     )
     assert node.receive(1, 2) == [] and node.document.state is FollowerState.SUSPENDED
+    # Also after its lease has expired in between.
     node.follower.tick(NOW, ZERO)
-    assert (
-        node.receive(1, 2) == [] and node.document.state is FollowerState.SUSPENDED
-    )  # also after its lease lapsed meanwhile
+    assert node.receive(1, 2) == [] and node.document.state is FollowerState.SUSPENDED
     assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1
     node.receive(1, 3)
     assert node.receive(3) == ["ActivateVersion"] and node.document.version == 3
@@ -93,7 +92,7 @@
     node = FollowerHarness(STRICT if strict else PLAIN)
     version = 1
     for committed, pending, left in steps:
-        version = max(version, committed)  # the group's versions only increase
+        version = max(version, committed)  # the active version of the group never decreases
         node.receive(version, pending if pending > version else 0, SECOND if left else ZERO)
         if not left:
             node.follower.tick(NOW, ZERO)
@@ -116,16 +115,15 @@
         harness.receive(1, 2, rollout_nodes=("b",))
     assert node.document.version == 2 and other.document.version == 1
     assert node.follower.document_states(NOW)[0][4] == "a stage: it is among the first"
-    assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1  # what is in force was kept
+    assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1  # its content was kept
 
 
 def test_a_node_with_a_regained_lease_suspends_an_outdated_version() -> None:
     node = FollowerHarness(STRICT)
     node.receive(1)
     status = DocumentStatus("d", 2, content_digest("[2]"), strict=True)
-    actions = node.follower.handle_statuses(
-        NOW, (status,), SECOND
-    )  # without a look between: its lease was over, and is there again
+    # The lease expired and was renewed between two ticks, so the follower has not suspended the document.
+    actions = node.follower.handle_statuses(NOW, (status,), SECOND)
     assert [type(action) for action in actions] == [
         SuspendDocument,
         FetchChunk,
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -1,4 +1,4 @@
-"""A node whose settings, tenants and servers come from documents."""
+"""A node that reads its settings, tenants and servers from documents."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class GovernedNode(Desk):
-    """A node as documents see one: its files, its core, and the way that SIGHUP takes."""
+    """A node as `NodeConfigDocuments` uses it: its configuration, its core, and the reload that SIGHUP triggers."""
 
     def __init__(self, tenants: dict[str, Any]) -> None:
         self.config = check(raw_config(settings=SETTINGS), tenants)
@@ -73,7 +73,7 @@
         node.submit(number, tenant="riad")
     assert node.core.tenants["riad"].quota_per_s == 5.0 and node.core.config_versions == "tenants=2"
     node.documents.activate("tenants", 3, tenants(20.0))
-    node.documents.restrict()  # cut off: the least that it knows of
+    node.documents.restrict()  # the lease has expired: the smallest known allowance applies
     assert node.core.tenants["riad"].quota_per_s == 5.0
     for number in range(24):
         node.end(number)
@@ -82,7 +82,8 @@
     read, refused, failed = node.documents.request_counts()
     done = sum(node.verdicts(number) == [ResponseStatus.DONE] for number in range(24))
     assert read == 24 and refused + failed == read - done
-    # The module takes an allowance for that of all peers: a part of the whole service's is so much for this node.
+    # The core takes a quota as that of all servers together, so the quota of this node (a quarter of 8 per second) is
+    # multiplied by their number.
     node.documents.activate("tenants", 4, tenants(8.0))
     node.documents.set_quota_share("riad", 0.25)
     assert node.core.tenants["riad"].quota_per_s == 2.0 * node.core.settings.server_count
@@ -101,10 +102,10 @@
     node.core.serving_state.quiesce()
     node.documents.activate("settings", 2, json.dumps(swapped))
     assert not node.core.healthy and node.core.config_versions == "settings=2"
-    assert node.core.in_flight > 50  # taken under the version before, and still its own
+    assert node.core.in_flight > 50  # submitted under the version before, and continued
     node.core.serving_state.resume()
     node.submit(60, "boiler-cmd")
-    node.submit(61, "setpoint-cmd")  # gone, but its front end has not heard of it
+    node.submit(61, "setpoint-cmd")  # this class was removed, but the frontend does not know that yet
     for _ in range(3):
         for number in range(62):
             node.end(number)
--- a/tests/replicated_config/test_messages.py
+++ b/tests/replicated_config/test_messages.py
@@ -1,4 +1,4 @@
-"""Compatibility of heartbeats and their responses with older and newer programs."""
+"""Compatibility of heartbeats and their responses with older and newer versions of the program."""
 
 from __future__ import annotations
 
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -1,4 +1,4 @@
-"""Drills with real processes, under faults of the network and of the disk."""
+"""Drills with real processes while the network, the disks or processes fail."""
 
 from __future__ import annotations
 
@@ -37,7 +37,8 @@
         Arrival("a", 1, 19, 21),
         Arrival("b", 1, 31, 33),
     ]
-    assert judge(good, [0, 1]) == (0, [])  # what was sent before the first of the newer may come later
+    # Requests sent before the first one with the newer list may still arrive with the old list after it.
+    assert judge(good, [0, 1]) == (0, [])
     longest, found = judge([*good, Arrival("c", 0, 50, 52)], [0, 1])
     assert longest == 50 - 21 and found[0][1].node == "c"
 
@@ -77,8 +78,8 @@
 }  # fmt: skip
 
 
-# A version is committed without all acknowledgements: a node that is isolated for less than the term of its lease
-# still has the old one active.
+# For a mutation that commits a version without all acknowledgements: a node that is isolated for less than its lease
+# duration still uses the old version then.
 MISSED = Plan(
     37, NODES, NODES[:3], 15_000, (1.0,) * 5,
     tuple(Fault(3_000 + at * 1_500, 1_100, "isolate", node) for at, node in enumerate(("n4", "n5") * 3)),
@@ -86,8 +87,8 @@
 
 
 def test_the_active_list_is_not_put_again_however_many_attempts_get_no_answer() -> None:
-    # Guards against a drill that called its own start a contradiction: on a slow machine 36 tries had no answer, which
-    # pushed the first list out of sight while the nodes still acted on it, and a later version got it again.
+    # Guards against a false contradiction in a drill: on a slow machine, 36 attempts got no answer. That pushed the
+    # first list out of the recent ones while the nodes still used it, and a later version was given the same list.
     operators = Operators(None, None, 1)  # type: ignore[arg-type]
     for number in range(1, 200):
         operators._recent.append(number % SERVERS or 1)
@@ -113,7 +114,7 @@
 def test_processes_agree_within_the_configured_time(name: str, drilled: dict[str, dict[str, Any]]) -> None:
     report = drilled[name]
     summary = {key: value for key, value in report.items() if key not in ("plan", "answers")}
-    assert report["verdict"] == "held", json.dumps(summary)  # a dict would be cut short
+    assert report["verdict"] == "held", json.dumps(summary)  # pytest abbreviates a dict
     assert report["changes"] >= 3 and not report["strict_contradictions"] and not report["lost"]
     assert report["calls"] > 20 and not report["disorder"]
 
@@ -121,7 +122,7 @@
 def test_a_server_list_is_rolled_out_on_one_node_first(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """By an operator's commands, under load: a failing list is withdrawn, a good one promoted."""
+    """An operator's commands under load: a list with failing servers is withdrawn, a working one is promoted."""
     ports = Ports()
     servers = ListServers()
 
--- a/tests/replicated_config/test_rollout.py
+++ b/tests/replicated_config/test_rollout.py
@@ -1,4 +1,4 @@
-"""The evaluation of canary rollouts by the leader."""
+"""The leader's evaluation of canary rollouts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def test_a_rollout_is_promoted_after_its_duration_when_it_did_no_worse() -> None:
     harness = RolloutHarness()
     assert not harness.evaluate(0, adopted=False) and not harness.evaluate(1500, adopted=False)
-    assert not harness.evaluate(500)  # its time counts from here
+    assert not harness.evaluate(500)  # all of its nodes have activated it: its duration starts here
     assert not harness.evaluate(1900, a=(200, 4, 0), b=(150, 3, 1), c=(100, 2, 0))
     [(promote, reason)] = harness.evaluate(200)
     assert (
@@ -20,7 +20,7 @@
     harness = RolloutHarness(min_requests=0)
     harness.evaluate(0)
     harness.log.grant_lease("d/1")
-    # Else it would be proposed at every turn.
+    # Otherwise, the leader would propose the promotion at every evaluation.
     assert not harness.evaluate(2_100) and not harness.evaluate(100)
     harness.log.acknowledge("d/1")
     assert harness.evaluate(100)[0][0]
@@ -29,12 +29,13 @@
 def test_a_rollout_is_withdrawn_at_once_when_it_does_worse_than_chance_explains() -> None:
     harness = RolloutHarness()
     harness.evaluate(0)
-    assert not harness.evaluate(100, a=(500, 5, 0), b=(60, 30, 0))  # too little was seen
+    assert not harness.evaluate(100, a=(500, 5, 0), b=(60, 30, 0))  # too few requests were observed
     [(promote, reason)] = harness.evaluate(100, a=(500, 5, 0), b=(60, 20, 10))
     assert not promote and "do worse" in reason
     few = RolloutHarness(min_requests=20)
     few.evaluate(0)
-    assert not few.evaluate(100, a=(40, 1, 0), b=(20, 2, 0))  # 10% beside 2.5%: chance does that
+    # 10% against 2.5%: with so few requests, this may be chance.
+    assert not few.evaluate(100, a=(40, 1, 0), b=(20, 2, 0))
 
 
 def test_a_rollout_is_withdrawn_when_a_process_ends_or_requests_or_adoption_are_missing() -> None:
@@ -48,5 +49,5 @@
     unadopted = RolloutHarness()
     unadopted.evaluate(0, adopted=False)
     assert "b did not act" in unadopted.evaluate(12_100, adopted=False)[0][1]
-    unadopted.monitor.become_leader()  # who comes to lead counts anew
+    unadopted.monitor.become_leader()  # a new leader starts the observation again
     assert not unadopted.evaluate(100, adopted=False)
--- a/tests/replicated_config/test_settings.py
+++ b/tests/replicated_config/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings of replicated configuration."""
+"""Validation of the settings of replicated configuration."""
 
 from __future__ import annotations
 
--- a/tests/replicated_config/test_store.py
+++ b/tests/replicated_config/test_store.py
@@ -23,7 +23,7 @@
     log.grant_lease("c/1")
     log.acknowledge("b/1")
     assert log.store.apply({"do": "commit", "doc": "d", "version": 1}) == {"waits_for": ["c/1"]}
-    log.expire_lease("c/1")  # its lease has run out: it acts on nothing
+    log.expire_lease("c/1")  # without a lease, it uses no version
     assert log.commit() == [{"in_force": 1}] and log.active_version == 1
 
 
@@ -57,7 +57,7 @@
     assert log.put("[2]", 0)["version"] == 1
     assert log.put("[2]", 1)["prepares"] == 2
     assert "withdrawn" in log.store.apply({"do": "withdraw", "doc": "d", "version": 2, "why": "x"})
-    assert log.put("[3]", 1)["prepares"] == 3  # a number is never given again
+    assert log.put("[3]", 1)["prepares"] == 3  # version numbers are never reused
     assert log.store.documents["d"].rejected_versions[0]["version"] == 2
 
 
@@ -81,7 +81,7 @@
     log.store.apply({"do": "part", "upload": "u", "offset": 0, "data": '{"p":'})
     put = {"do": "put", "doc": "d", "kind": "settings", "strict": False, "upload": "u", "expect": 0}
     put |= {"digest": content_digest('{"p":["a"]}'), "author": "", "note": "", "at": ""}
-    assert "did not come whole" in log.store.apply(put)["refused"]  # its second piece was overtaken
+    assert "did not come whole" in log.store.apply(put)["refused"]  # its second chunk was overtaken
     log.store.apply({"do": "part", "upload": "u", "offset": 5, "data": '["a"]}'})
     assert "prepares" in log.store.apply(put)
 
@@ -146,7 +146,7 @@
     assert log.store.documents["d"].prepared is not None
     log.store.apply({"do": "withdraw", "doc": "d", "version": 2, "why": "x"})
     assert log.put("[3]", 1, stage={**criteria, "nodes": ["b"]})["first_on"] == ["b"]
-    assert not log.store.statuses()[0].rollout_nodes  # not before all have said that they can take it
+    assert not log.store.statuses()[0].rollout_nodes  # not before all processes have acknowledged
     log.acknowledge_by_all()
     assert log.commit() == [{"staged": 3, "first_on": ["b"]}] and not log.commit()
     assert log.store.statuses()[0].rollout_nodes == ("b",) and log.active_version == 1
@@ -155,7 +155,7 @@
     assert restored.snapshot() == log.store.snapshot() and restored.statuses() == log.store.statuses()
     commit = {"do": "commit", "doc": "d", "version": 3}
     assert "staged" in log.store.apply(commit)["refused"]
-    log.grant_lease("e/1")  # one that comes meanwhile has to say so as well
+    log.grant_lease("e/1")  # a process that starts during the rollout has to acknowledge as well
     assert log.store.apply({**commit, "whole": True}) == {"waits_for": ["e/1"]}
     log.acknowledge("e/1")
     assert (
