--- a/tests/replicated_config/test_commands.py
+++ b/tests/replicated_config/test_commands.py
@@ -20,14 +20,14 @@
 
 def stored_commands() -> list[dict[str, Any]]:
     """Return the golden commands of this state machine whose results are not errors."""
-    found = []
+    commands = []
     for row in ROWS:
         if "error" in json.loads(row["result"]):
             continue
         command = json.loads(row["body"])
         if command.get("m") == MACHINE:
-            found.append({key: value for key, value in command.items() if key not in CLIENT_KEYS})
-    return found
+            commands.append({key: value for key, value in command.items() if key not in CLIENT_KEYS})
+    return commands
 
 
 def test_commands_are_written_as_they_were_parsed_byte_by_byte() -> None:
--- a/tests/replicated_config/test_follower.py
+++ b/tests/replicated_config/test_follower.py
@@ -91,16 +91,16 @@
 ) -> None:
     node = FollowerHarness(STRICT if strict else PLAIN)
     version = 1
-    for committed, pending, left in steps:
+    for committed, prepared, has_lease in steps:
         version = max(version, committed)  # the active version of the group never decreases
-        node.receive(version, pending if pending > version else 0, SECOND if left else ZERO)
-        if not left:
+        node.receive(version, prepared if prepared > version else 0, SECOND if has_lease else ZERO)
+        if not has_lease:
             node.follower.tick(NOW, ZERO)
             assert node.document.state is not FollowerState.ACTIVE
-        elif strict and pending > version:
+        elif strict and prepared > version:
             assert (
                 node.document.state is FollowerState.SUSPENDED
-                and node.document.acknowledged_version == pending
+                and node.document.acknowledged_version == prepared
             )
         else:
             assert node.document.state is FollowerState.ACTIVE and node.document.version == version
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -29,23 +29,23 @@
 
 def test_a_document_is_validated_like_a_file_and_a_differing_file_is_reported() -> None:
     config = check(raw_config(settings=SETTINGS), {"tenants": {"a": {"share": 0.5, "allowance_per_s": 5.0}}})
-    governed = DocumentOverrides()
-    assert governed.apply_to(config) is config
-    other = {"tenants": {"a": {"share": 0.5, "allowance_per_s": 9.0}}}
-    assert governed.apply_to(config, tenants=other).settings.tenants[0].quota_per_s == 9.0
-    wrongs: list[Any] = [{"tenants": {"a": {"share": 2}}}, {"more": 1}, []]
-    for wrong in wrongs:
+    overrides = DocumentOverrides()
+    assert overrides.apply_to(config) is config
+    changed = {"tenants": {"a": {"share": 0.5, "allowance_per_s": 9.0}}}
+    assert overrides.apply_to(config, tenants=changed).settings.tenants[0].quota_per_s == 9.0
+    invalid_tenants: list[Any] = [{"tenants": {"a": {"share": 2}}}, {"more": 1}, []]
+    for tenants in invalid_tenants:
         with pytest.raises(ConfigError):
-            governed.apply_to(config, tenants=wrong)
+            overrides.apply_to(config, tenants=tenants)
     with pytest.raises(ConfigError, match="there is no pool"):
-        governed.apply_to(config, servers={"p": []})
+        overrides.apply_to(config, servers={"p": []})
     assert local_content(config, "settings") == SETTINGS
-    governed.put("tenants", other)
-    assert "the files differ" in next(governed.describe_differences(config)).replace("tenants of ", "")
-    assert governed.apply_to(config).settings.tenants[0].quota_per_s == 9.0
+    overrides.put("tenants", changed)
+    assert "the files differ" in next(overrides.describe_differences(config)).replace("tenants of ", "")
+    assert overrides.apply_to(config).settings.tenants[0].quota_per_s == 9.0
 
 
-class GovernedNode(Desk):
+class NodeWithDocuments(Desk):
     """A node as `NodeConfigDocuments` uses it: its configuration, its core, and the reload that SIGHUP triggers."""
 
     def __init__(self, tenants: dict[str, Any]) -> None:
@@ -55,16 +55,16 @@
         self.core.apply_settings(self.config.settings)
         self.documents = NodeConfigDocuments(self, self.core)
 
-    def apply_config(self, told: Any) -> None:
-        self.config = told
-        self.core.apply_settings(told.settings)
+    def apply_config(self, config: Any) -> None:
+        self.config = config
+        self.core.apply_settings(config.settings)
 
 
 def test_a_halved_allowance_applies_at_once_and_narrow_takes_the_smallest() -> None:
     def tenants(per_s: float) -> str:
         return json.dumps({"tenants": {"riad": {"share": 0.5, "allowance_per_s": per_s}}})
 
-    node = GovernedNode(json.loads(tenants(10.0)))
+    node = NodeWithDocuments(json.loads(tenants(10.0)))
     assert not node.documents.check("tenants", tenants(5.0)) and node.documents.check("tenants", "[]")
     for number in range(12):
         node.submit(number, tenant="riad")
@@ -91,7 +91,7 @@
 
 
 def test_a_request_class_can_be_removed_while_its_requests_are_in_flight() -> None:
-    node = GovernedNode({})
+    node = NodeWithDocuments({})
     for number in range(40):
         node.submit(number, "temp-history")
     for number in range(40, 60):
--- a/tests/replicated_config/test_messages.py
+++ b/tests/replicated_config/test_messages.py
@@ -9,9 +9,17 @@
 
 
 def test_heartbeats_of_older_and_responses_of_newer_programs_are_read() -> None:
-    beat = CODEC.dump(Heartbeat("a", "1", 2, ("x",)))
-    old = [beat[0], {key: value for key, value in dict(beat[1]).items() if key not in ("acts", "figures")}]  # type: ignore[call-overload]
-    assert CODEC.load(json.loads(json.dumps(old))) == Heartbeat("a", "1", 2, ("x",))
-    news = {"name": "d", "version": 1, "digest": "", "pending": 0, "pending_digest": "", "strict": False}
-    told = ["Beaten", {"number": 1, "good": True, "leader": "a", "news": [news], "of_tomorrow": [1]}]
-    assert CODEC.load(told) == HeartbeatResponse(1, True, "a", documents=(DocumentStatus("d", 1, ""),))
+    heartbeat = CODEC.dump(Heartbeat("a", "1", 2, ("x",)))
+    older_heartbeat = [
+        heartbeat[0],
+        {key: value for key, value in dict(heartbeat[1]).items() if key not in ("acts", "figures")},  # type: ignore[call-overload]
+    ]
+    assert CODEC.load(json.loads(json.dumps(older_heartbeat))) == Heartbeat("a", "1", 2, ("x",))
+    status = {"name": "d", "version": 1, "digest": "", "pending": 0, "pending_digest": "", "strict": False}
+    newer_response = [
+        "Beaten",
+        {"number": 1, "good": True, "leader": "a", "news": [status], "of_tomorrow": [1]},
+    ]
+    assert CODEC.load(newer_response) == HeartbeatResponse(
+        1, True, "a", documents=(DocumentStatus("d", 1, ""),)
+    )
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -31,16 +31,16 @@
 
 
 def test_the_checker_detects_an_old_list_used_after_a_newer_one() -> None:
-    good = [
+    valid_arrivals = [
         Arrival("a", 0, 10, 12),
         Arrival("b", 0, 18, 30),
         Arrival("a", 1, 19, 21),
         Arrival("b", 1, 31, 33),
     ]
     # Requests sent before the first one with the newer list may still arrive with the old list after it.
-    assert judge(good, [0, 1]) == (0, [])
-    longest, found = judge([*good, Arrival("c", 0, 50, 52)], [0, 1])
-    assert longest == 50 - 21 and found[0][1].node == "c"
+    assert judge(valid_arrivals, [0, 1]) == (0, [])
+    longest_us, contradictions = judge([*valid_arrivals, Arrival("c", 0, 50, 52)], [0, 1])
+    assert longest_us == 50 - 21 and contradictions[0][1].node == "c"
 
 
 NODES = ("n1", "n2", "n3", "n4", "n5")
@@ -80,7 +80,7 @@
 
 # For a mutation that commits a version without all acknowledgements: a node that is isolated for less than its lease
 # duration still uses the old version then.
-MISSED = Plan(
+MUTATION_PLAN = Plan(
     37, NODES, NODES[:3], 15_000, (1.0,) * 5,
     tuple(Fault(3_000 + at * 1_500, 1_100, "isolate", node) for at, node in enumerate(("n4", "n5") * 3)),
 )  # fmt: skip
@@ -97,22 +97,22 @@
 
 
 @pytest.fixture(scope="module")
-def drilled() -> dict[str, dict[str, Any]]:
+def reports() -> dict[str, dict[str, Any]]:
     work = [((plan, str(CONFIG), "", ""), number != 1) for number, plan in enumerate(PLANS.values())]
-    work.append(((MISSED, str(CONFIG), "", "acts-before-all-said-so"), True))
+    work.append(((MUTATION_PLAN, str(CONFIG), "", "acts-before-all-said-so"), True))
     with ProcessPoolExecutor(4) as pool:
         return dict(zip([*PLANS, "missed"], pool.map(rules_one, work), strict=True))
 
 
-def test_the_servers_detect_a_mutation_of_real_processes(drilled: dict[str, Any]) -> None:
-    report = drilled["missed"]
+def test_the_servers_detect_a_mutation_of_real_processes(reports: dict[str, Any]) -> None:
+    report = reports["missed"]
     assert report["verdict"] == "broken" and report["strict_contradictions"], report["answers"]
     assert not report["lost"] and not report["answered_twice"]
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_processes_agree_within_the_configured_time(name: str, drilled: dict[str, dict[str, Any]]) -> None:
-    report = drilled[name]
+def test_processes_agree_within_the_configured_time(name: str, reports: dict[str, dict[str, Any]]) -> None:
+    report = reports[name]
     summary = {key: value for key, value in report.items() if key not in ("plan", "answers")}
     assert report["verdict"] == "held", json.dumps(summary)  # pytest abbreviates a dict
     assert report["changes"] >= 3 and not report["strict_contradictions"] and not report["lost"]
@@ -131,26 +131,31 @@
         rules: dict[str, dict[str, Any]] = {"servers": {"kind": "servers", "cut_off": "keep"}}
         pool = (f"127.0.0.1:{servers.ports[0]}",)
         settings = Settings(json.loads(CONFIG.read_text()), tasks={}, pool=pool, rules=rules)
-        async with ProcessCluster(Plan(40, NODES, NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as rig:
-            load = Load(rig)
+        async with ProcessCluster(
+            Plan(40, NODES, NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path
+        ) as cluster:
+            load = Load(cluster)
             running = asyncio.create_task(load.run())
             await asyncio.sleep(2.0)
-            operator = str(rig.nodes["n2"].folder / "operator.toml")
+            operator = str(cluster.nodes["n2"].folder / "operator.toml")
 
             async def run_command(*arguments: str) -> int:
                 return await asyncio.to_thread(call, ["rules", *arguments, "--operator", operator])
 
             def write_list(port: int) -> str:
                 path = tmp_path / f"{port}.json"
-                main = [f"127.0.0.1:{rig.effect_recorder.port}"]
+                main = [f"127.0.0.1:{cluster.effect_recorder.port}"]
                 path.write_text(json.dumps({"main": main, "more": [f"127.0.0.1:{port}"]}))
                 return str(path)
 
             stage = ("--node", "n5", "--least", "20", "--wait", "25", "--force")
-            bad, good = write_list(ports.take()), write_list(servers.ports[1])
-            assert await run_command("stage", "servers", bad, "--expect", "1", "--for", "20s", *stage) == 2
+            failing, working = write_list(ports.take()), write_list(servers.ports[1])
             assert (
-                await run_command("stage", "servers", good, "--expect", "1", "--for", "1500ms", *stage) == 0
+                await run_command("stage", "servers", failing, "--expect", "1", "--for", "20s", *stage) == 2
+            )
+            assert (
+                await run_command("stage", "servers", working, "--expect", "1", "--for", "1500ms", *stage)
+                == 0
             )
             assert await run_command("status") == 0 and await run_command("status", "--here") == 0
             assert (
--- a/tests/replicated_config/test_settings.py
+++ b/tests/replicated_config/test_settings.py
@@ -27,9 +27,14 @@
 ) -> None:
     (tmp_path / "key").write_text("k" * 32)
     rules = {"documents": {"d": {"kind": "settings"}}}
-    told = {"name": "f", "voters": ["n1"], "nodes": {"n1": "127.0.0.1:1"}, "key_file": str(tmp_path / "key")}
-    told |= {"store": str(tmp_path), "rules": rules}
-    fleet = check(raw_config(settings=SETTINGS), {"fleet": told}).cluster
+    fleet_section = {
+        "name": "f",
+        "voters": ["n1"],
+        "nodes": {"n1": "127.0.0.1:1"},
+        "key_file": str(tmp_path / "key"),
+    }
+    fleet_section |= {"store": str(tmp_path), "rules": rules}
+    fleet = check(raw_config(settings=SETTINGS), {"fleet": fleet_section}).cluster
     assert fleet is not None and fleet.replicated_config is not None
     with pytest.raises(ConfigError, match=message):
-        check(raw_config(settings=SETTINGS), {"fleet": {**told, "rules": {**rules, **changes}}})
+        check(raw_config(settings=SETTINGS), {"fleet": {**fleet_section, "rules": {**rules, **changes}}})
