--- a/tests/replicated_config/test_commands.py
+++ b/tests/replicated_config/test_commands.py
@@ -30,14 +30,14 @@
     return commands
 
 
-def test_commands_are_written_as_they_were_parsed_byte_by_byte() -> None:
+def test_parsing_and_writing_a_command_returns_the_same_bytes() -> None:
     commands = [command for command in stored_commands() if list(command)[1] == "do"]
     assert {command["do"] for command in commands} == {"part", "put", "get", "ack", "commit", "withdraw"}
     for command in commands:
         assert json.dumps(parse_config_command(command).to_json()) == json.dumps(command)
 
 
-def test_decisions_on_a_rollout_are_written_byte_by_byte_and_parsed_as_commands() -> None:
+def test_rollout_decisions_have_the_stored_bytes_and_are_parsed_as_commands() -> None:
     commands = [
         command for command in stored_commands() if list(command)[:4] == ["m", "doc", "version", "why"]
     ]
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("command", [{"do": "other"}, {"do": "part", "upload": "", "offset": 0, "data": "x"}])
-def test_a_malformed_command_is_an_error_with_the_replicated_text_of_a_value_error(
+def test_the_error_of_a_malformed_command_has_the_repr_of_a_value_error(
     command: dict[str, Any],
 ) -> None:
     with pytest.raises(InvalidCommandError) as raised:
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("missing", ["kind", "strict", "upload", "digest", "expect", "author", "note", "at"])
-def test_a_change_that_lacks_a_field_changes_nothing(missing: str) -> None:
+def test_a_put_command_without_a_required_field_leaves_the_state_unchanged(missing: str) -> None:
     log = ConfigLog()
     log.store.apply({"do": "part", "upload": "u", "offset": 0, "data": "[1]"})
     before = log.store.snapshot()
--- a/tests/replicated_config/test_comparison.py
+++ b/tests/replicated_config/test_comparison.py
@@ -26,7 +26,7 @@
         ('{"p":["a","b","c"]}', '{"p":["a","x","y"]}', "pool p would lose 2 of 3 servers"),
     ],
 )
-def test_a_pool_that_empties_or_loses_over_half_is_described(
+def test_a_pool_that_would_be_empty_or_lose_over_half_of_its_servers_is_described(
     before: str, after: str, text: str | None
 ) -> None:
     shrinkage = find_unsafe_shrinkage(before, after)
--- a/tests/replicated_config/test_follower.py
+++ b/tests/replicated_config/test_follower.py
@@ -65,7 +65,9 @@
     assert node.receive(2, 3) == ["AcknowledgeVersion"] and node.document.state is FollowerState.EXCLUDED
 
 
-def test_a_document_that_the_group_lacks_is_proposed_from_the_files_and_again_later() -> None:
+def test_a_document_missing_in_the_group_is_proposed_from_the_files_and_again_after_the_retry_interval() -> (
+    None
+):
     node = FollowerHarness(PLAIN)
     assert [type(action) for action in node.follower.handle_statuses(NOW, (), SECOND)] == [
         ProposeFirstVersion
@@ -106,7 +108,7 @@
             assert node.document.state is FollowerState.ACTIVE and node.document.version == version
 
 
-def test_a_node_of_a_rollout_activates_first_and_returns_on_withdrawal() -> None:
+def test_a_node_of_a_rollout_activates_the_version_first_and_returns_to_the_old_one_on_withdrawal() -> None:
     node, other = FollowerHarness(PLAIN), FollowerHarness(PLAIN)
     node.follower.node = "b"
     for harness in (node, other):
@@ -131,7 +133,7 @@
     assert "fetches version 2" in node.follower.document_states(NOW)[0][4]
 
 
-def test_the_group_content_is_known_beside_a_pinned_one() -> None:
+def test_the_content_of_the_group_is_fetched_while_another_one_is_pinned() -> None:
     node = FollowerHarness(PLAIN)
     node.receive(1)
     node.follower.pin(NOW, "d", "[9]")
@@ -140,7 +142,7 @@
     assert node.follower.group_content("d") == "[3]" and node.document.content == "[9]"
 
 
-def test_each_state_has_the_word_that_heartbeats_and_status_pages_carry() -> None:
+def test_each_state_has_its_wire_word_in_heartbeats_and_status_pages() -> None:
     assert {state: state.wire_word for state in FollowerState} == {
         FollowerState.UNKNOWN: "unknown",
         FollowerState.ACTIVE: "acting",
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -60,7 +60,7 @@
         self.core.apply_settings(config.settings)
 
 
-def test_a_halved_allowance_applies_at_once_and_narrow_takes_the_smallest() -> None:
+def test_a_changed_allowance_applies_immediately_and_restricting_applies_the_smallest_known_one() -> None:
     def tenants(per_s: float) -> str:
         return json.dumps({"tenants": {"riad": {"share": 0.5, "allowance_per_s": per_s}}})
 
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -86,7 +86,7 @@
 )  # fmt: skip
 
 
-def test_the_active_list_is_not_put_again_however_many_attempts_get_no_answer() -> None:
+def test_the_active_list_is_not_put_again_after_many_unanswered_attempts() -> None:
     # Guards against a false contradiction in a drill: on a slow machine, 36 attempts got no answer. That pushed the
     # first list out of the recent ones while the nodes still used it, and a later version was given the same list.
     operators = Operators(None, None, 1)  # type: ignore[arg-type]
@@ -104,7 +104,7 @@
         return dict(zip([*PLANS, "missed"], pool.map(rules_one, work), strict=True))
 
 
-def test_the_servers_detect_a_mutation_of_real_processes(reports: dict[str, Any]) -> None:
+def test_commits_without_all_acknowledgements_are_detected_at_the_servers(reports: dict[str, Any]) -> None:
     report = reports["missed"]
     assert report["verdict"] == "broken" and report["strict_contradictions"], report["answers"]
     assert not report["lost"] and not report["answered_twice"]
--- a/tests/replicated_config/test_rollout.py
+++ b/tests/replicated_config/test_rollout.py
@@ -5,7 +5,7 @@
 from tests.replicated_config.support import RolloutHarness
 
 
-def test_a_rollout_is_promoted_after_its_duration_when_it_did_no_worse() -> None:
+def test_a_rollout_is_promoted_after_its_duration_if_its_nodes_performed_no_worse() -> None:
     harness = RolloutHarness()
     assert not harness.evaluate(0, adopted=False) and not harness.evaluate(1500, adopted=False)
     assert not harness.evaluate(500)  # all of its nodes have activated it: its duration starts here
@@ -16,7 +16,7 @@
     )
 
 
-def test_a_finished_rollout_waits_for_a_process_that_started_meanwhile_without_a_proposal() -> None:
+def test_a_finished_rollout_is_not_proposed_until_a_process_that_started_meanwhile_acknowledges() -> None:
     harness = RolloutHarness(min_requests=0)
     harness.evaluate(0)
     harness.log.grant_lease("d/1")
@@ -26,7 +26,7 @@
     assert harness.evaluate(100)[0][0]
 
 
-def test_a_rollout_is_withdrawn_at_once_when_it_does_worse_than_chance_explains() -> None:
+def test_a_rollout_is_withdrawn_immediately_if_it_performs_worse_than_chance_explains() -> None:
     harness = RolloutHarness()
     harness.evaluate(0)
     assert not harness.evaluate(100, a=(500, 5, 0), b=(60, 30, 0))  # too few requests were observed
@@ -38,7 +38,9 @@
     assert not few.evaluate(100, a=(40, 1, 0), b=(20, 2, 0))
 
 
-def test_a_rollout_is_withdrawn_when_a_process_ends_or_requests_or_adoption_are_missing() -> None:
+def test_a_rollout_is_withdrawn_if_a_process_ends_too_few_requests_are_seen_or_a_node_does_not_activate_it() -> (
+    None
+):
     harness = RolloutHarness()
     harness.evaluate(0)
     harness.log.expire_lease("b/1")
--- a/tests/replicated_config/test_settings.py
+++ b/tests/replicated_config/test_settings.py
@@ -22,7 +22,7 @@
         ({"documents": {"d": {"kind": "settings"}, "e": {"kind": "settings"}}}, "one document of a kind"),
     ],
 )
-def test_settings_that_contradict_each_other_are_rejected(
+def test_invalid_or_contradictory_settings_are_rejected(
     changes: dict[str, Any], message: str, tmp_path: Path
 ) -> None:
     (tmp_path / "key").write_text("k" * 32)
--- a/tests/replicated_config/test_store.py
+++ b/tests/replicated_config/test_store.py
@@ -61,7 +61,7 @@
     assert log.store.documents["d"].rejected_versions[0]["version"] == 2
 
 
-def test_a_process_that_rejects_a_version_withdraws_it_or_is_excluded() -> None:
+def test_a_rejection_withdraws_the_version_or_excludes_the_process() -> None:
     log = ConfigLog("a/1", "b/1")
     log.put("[1]", 0)
     log.acknowledge("a/1")
@@ -86,7 +86,7 @@
     assert "prepares" in log.store.apply(put)
 
 
-def test_a_server_list_that_empties_or_loses_over_half_needs_force() -> None:
+def test_a_server_list_that_empties_a_pool_or_removes_over_half_of_it_needs_force() -> None:
     log = ConfigLog()
     log.put('{"p":["a","b","c"]}', 0, "servers")
     log.commit()
@@ -100,7 +100,7 @@
     assert "prepares" in other.put('{"p":["x"]}', 1, "servers", force=True)
 
 
-def test_kept_versions_stay_bounded_and_survive_a_snapshot() -> None:
+def test_kept_versions_are_bounded_and_restored_from_a_snapshot() -> None:
     log = ConfigLog()
     for number in range(10_000):
         log.put(f"[{number}]", number)
@@ -129,7 +129,7 @@
     assert restored.snapshot() == log.store.snapshot()
 
 
-def test_a_rollout_is_planned_started_promoted_and_survives_a_snapshot() -> None:
+def test_a_rollout_is_planned_started_promoted_and_restored_from_a_snapshot() -> None:
     log = ConfigLog("a/1", "b/1", "c/1", "d/1")
     criteria: dict[str, Any] = {"for_ms": 1000, "worse": 0.02, "least": 10}
     assert "first version" in log.put("[1]", 0, stage={**criteria, "nodes": ["a"]})["refused"]
