--- a/marlstep/replicated_config/follower.py
+++ b/marlstep/replicated_config/follower.py
@@ -91,7 +91,7 @@
         return self._follow_under_lease(now, document, lease_left)
 
     def acknowledgement_lost(self, name: str, version: int) -> None:
-        """Acknowledge a prepared version again, as the command that acknowledged it was not committed to the log."""
+        """Acknowledge a prepared version again, as its acknowledgement could not be proposed or was rejected."""
         document = self.documents[name]
         if document.acknowledged_version == version:
             document.acknowledged_version = 0
