--- a/tests/replicated_config/test_follower.py
+++ b/tests/replicated_config/test_follower.py
@@ -1,4 +1,4 @@
-"""What one node does with the versions that the group names."""
+"""How a node follows the versions that are active or prepared in the group."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     node = FollowerHarness(PLAIN)
     assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1
     assert node.receive(1, 2) == ["AcknowledgeVersion"] and node.document.state is FollowerState.ACTIVE
-    assert node.receive(1, 2) == []  # said once
+    assert node.receive(1, 2) == []  # acknowledged only once
     assert node.receive(2) == ["ActivateVersion"] and node.document.content == "[2]"
 
 
@@ -37,10 +37,9 @@
         and node.document.state is FollowerState.SUSPENDED
     )
     assert node.receive(1, 2) == [] and node.document.state is FollowerState.SUSPENDED
+    # Also after its lease has expired in between.
     node.follower.tick(NOW, ZERO)
-    assert (
-        node.receive(1, 2) == [] and node.document.state is FollowerState.SUSPENDED
-    )  # also after its lease lapsed meanwhile
+    assert node.receive(1, 2) == [] and node.document.state is FollowerState.SUSPENDED
     assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1
     node.receive(1, 3)
     assert node.receive(3) == ["ActivateVersion"] and node.document.version == 3
@@ -66,7 +65,9 @@
     assert node.receive(2, 3) == ["AcknowledgeVersion"] and node.document.state is FollowerState.EXCLUDED
 
 
-def test_a_document_that_the_group_lacks_is_proposed_from_the_files_and_again_later() -> None:
+def test_a_document_missing_in_the_group_is_proposed_from_the_files_and_again_after_the_retry_interval() -> (
+    None
+):
     node = FollowerHarness(PLAIN)
     assert [type(action) for action in node.follower.handle_statuses(NOW, (), SECOND)] == [
         ProposeFirstVersion
@@ -92,22 +93,22 @@
 ) -> None:
     node = FollowerHarness(STRICT if strict else PLAIN)
     version = 1
-    for committed, pending, left in steps:
-        version = max(version, committed)  # the group's versions only increase
-        node.receive(version, pending if pending > version else 0, SECOND if left else ZERO)
-        if not left:
+    for committed, prepared, has_lease in steps:
+        version = max(version, committed)  # the active version of the group never decreases
+        node.receive(version, prepared if prepared > version else 0, SECOND if has_lease else ZERO)
+        if not has_lease:
             node.follower.tick(NOW, ZERO)
             assert node.document.state is not FollowerState.ACTIVE
-        elif strict and pending > version:
+        elif strict and prepared > version:
             assert (
                 node.document.state is FollowerState.SUSPENDED
-                and node.document.acknowledged_version == pending
+                and node.document.acknowledged_version == prepared
             )
         else:
             assert node.document.state is FollowerState.ACTIVE and node.document.version == version
 
 
-def test_a_node_of_a_rollout_activates_first_and_returns_on_withdrawal() -> None:
+def test_a_node_of_a_rollout_activates_the_version_first_and_returns_to_the_old_one_on_withdrawal() -> None:
     node, other = FollowerHarness(PLAIN), FollowerHarness(PLAIN)
     node.follower.node = "b"
     for harness in (node, other):
@@ -116,16 +117,15 @@
         harness.receive(1, 2, rollout_nodes=("b",))
     assert node.document.version == 2 and other.document.version == 1
     assert node.follower.document_states(NOW)[0][4] == "a stage: it is among the first"
-    assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1  # what is in force was kept
+    assert node.receive(1) == ["ActivateVersion"] and node.document.version == 1  # its content was kept
 
 
 def test_a_node_with_a_regained_lease_suspends_an_outdated_version() -> None:
     node = FollowerHarness(STRICT)
     node.receive(1)
     status = DocumentStatus("d", 2, content_digest("[2]"), strict=True)
-    actions = node.follower.handle_statuses(
-        NOW, (status,), SECOND
-    )  # without a look between: its lease was over, and is there again
+    # The lease expired and was renewed between two ticks, so the follower has not suspended the document.
+    actions = node.follower.handle_statuses(NOW, (status,), SECOND)
     assert [type(action) for action in actions] == [
         SuspendDocument,
         FetchChunk,
@@ -133,7 +133,7 @@
     assert "fetches version 2" in node.follower.document_states(NOW)[0][4]
 
 
-def test_the_group_content_is_known_beside_a_pinned_one() -> None:
+def test_the_content_of_the_group_is_fetched_while_another_one_is_pinned() -> None:
     node = FollowerHarness(PLAIN)
     node.receive(1)
     node.follower.pin(NOW, "d", "[9]")
@@ -142,7 +142,7 @@
     assert node.follower.group_content("d") == "[3]" and node.document.content == "[9]"
 
 
-def test_each_state_has_the_word_that_heartbeats_and_status_pages_carry() -> None:
+def test_each_state_has_its_wire_word_in_heartbeats_and_status_pages() -> None:
     assert {state: state.wire_word for state in FollowerState} == {
         FollowerState.UNKNOWN: "unknown",
         FollowerState.ACTIVE: "acting",
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -1,4 +1,4 @@
-"""A node whose settings, tenants and servers come from documents."""
+"""A node that reads its settings, tenants and servers from documents."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 
 def test_a_document_is_validated_like_a_file_and_a_differing_file_is_reported() -> None:
     config = check(raw_config(settings=SETTINGS), {"tenants": {"a": {"share": 0.5, "allowance_per_s": 5.0}}})
-    governed = DocumentOverrides()
-    assert governed.apply_to(config) is config
-    other = {"tenants": {"a": {"share": 0.5, "allowance_per_s": 9.0}}}
-    assert governed.apply_to(config, tenants=other).settings.tenants[0].quota_per_s == 9.0
-    wrongs: list[Any] = [{"tenants": {"a": {"share": 2}}}, {"more": 1}, []]
-    for wrong in wrongs:
+    overrides = DocumentOverrides()
+    assert overrides.apply_to(config) is config
+    changed = {"tenants": {"a": {"share": 0.5, "allowance_per_s": 9.0}}}
+    assert overrides.apply_to(config, tenants=changed).settings.tenants[0].quota_per_s == 9.0
+    invalid_tenants: list[Any] = [{"tenants": {"a": {"share": 2}}}, {"more": 1}, []]
+    for tenants in invalid_tenants:
         with pytest.raises(ConfigError):
-            governed.apply_to(config, tenants=wrong)
+            overrides.apply_to(config, tenants=tenants)
     with pytest.raises(ConfigError, match="there is no pool"):
-        governed.apply_to(config, servers={"p": []})
+        overrides.apply_to(config, servers={"p": []})
     assert local_content(config, "settings") == SETTINGS
-    governed.put("tenants", other)
-    assert "the files differ" in next(governed.describe_differences(config)).replace("tenants of ", "")
-    assert governed.apply_to(config).settings.tenants[0].quota_per_s == 9.0
+    overrides.put("tenants", changed)
+    assert "the files differ" in next(overrides.describe_differences(config)).replace("tenants of ", "")
+    assert overrides.apply_to(config).settings.tenants[0].quota_per_s == 9.0
 
 
-class GovernedNode(Desk):
-    """A node as documents see one: its files, its core, and the way that SIGHUP takes."""
+class NodeWithDocuments(Desk):
+    """A node as `NodeConfigDocuments` uses it: its configuration, its core, and the reload that SIGHUP triggers."""
 
     def __init__(self, tenants: dict[str, Any]) -> None:
         self.config = check(raw_config(settings=SETTINGS), tenants)
@@ -55,16 +55,16 @@
         self.core.apply_settings(self.config.settings)
         self.documents = NodeConfigDocuments(self, self.core)
 
-    def apply_config(self, told: Any) -> None:
-        self.config = told
-        self.core.apply_settings(told.settings)
+    def apply_config(self, config: Any) -> None:
+        self.config = config
+        self.core.apply_settings(config.settings)
 
 
-def test_a_halved_allowance_applies_at_once_and_narrow_takes_the_smallest() -> None:
+def test_a_changed_allowance_applies_immediately_and_restricting_applies_the_smallest_known_one() -> None:
     def tenants(per_s: float) -> str:
         return json.dumps({"tenants": {"riad": {"share": 0.5, "allowance_per_s": per_s}}})
 
-    node = GovernedNode(json.loads(tenants(10.0)))
+    node = NodeWithDocuments(json.loads(tenants(10.0)))
     assert not node.documents.check("tenants", tenants(5.0)) and node.documents.check("tenants", "[]")
     for number in range(12):
         node.submit(number, tenant="riad")
@@ -73,7 +73,7 @@
         node.submit(number, tenant="riad")
     assert node.core.tenants["riad"].quota_per_s == 5.0 and node.core.config_versions == "tenants=2"
     node.documents.activate("tenants", 3, tenants(20.0))
-    node.documents.restrict()  # cut off: the least that it knows of
+    node.documents.restrict()  # the lease has expired: the smallest known allowance applies
     assert node.core.tenants["riad"].quota_per_s == 5.0
     for number in range(24):
         node.end(number)
@@ -82,7 +82,8 @@
     read, refused, failed = node.documents.request_counts()
     done = sum(node.verdicts(number) == [ResponseStatus.DONE] for number in range(24))
     assert read == 24 and refused + failed == read - done
-    # The module takes an allowance for that of all peers: a part of the whole service's is so much for this node.
+    # The core takes a quota as that of all servers together, so the quota of this node (a quarter of 8 per second) is
+    # multiplied by their number.
     node.documents.activate("tenants", 4, tenants(8.0))
     node.documents.set_quota_share("riad", 0.25)
     assert node.core.tenants["riad"].quota_per_s == 2.0 * node.core.settings.server_count
@@ -90,7 +91,7 @@
 
 
 def test_a_request_class_can_be_removed_while_its_requests_are_in_flight() -> None:
-    node = GovernedNode({})
+    node = NodeWithDocuments({})
     for number in range(40):
         node.submit(number, "temp-history")
     for number in range(40, 60):
@@ -101,10 +102,10 @@
     node.core.serving_state.quiesce()
     node.documents.activate("settings", 2, json.dumps(swapped))
     assert not node.core.healthy and node.core.config_versions == "settings=2"
-    assert node.core.in_flight > 50  # taken under the version before, and still its own
+    assert node.core.in_flight > 50  # submitted under the version before, and continued
     node.core.serving_state.resume()
     node.submit(60, "boiler-cmd")
-    node.submit(61, "setpoint-cmd")  # gone, but its front end has not heard of it
+    node.submit(61, "setpoint-cmd")  # this class was removed, but the frontend does not know that yet
     for _ in range(3):
         for number in range(62):
             node.end(number)
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -1,4 +1,4 @@
-"""Drills with real processes, under faults of the network and of the disk."""
+"""Drills with real processes while the network, the disks or processes fail."""
 
 from __future__ import annotations
 
@@ -31,15 +31,16 @@
 
 
 def test_the_checker_detects_an_old_list_used_after_a_newer_one() -> None:
-    good = [
+    valid_arrivals = [
         Arrival("a", 0, 10, 12),
         Arrival("b", 0, 18, 30),
         Arrival("a", 1, 19, 21),
         Arrival("b", 1, 31, 33),
     ]
-    assert judge(good, [0, 1]) == (0, [])  # what was sent before the first of the newer may come later
-    longest, found = judge([*good, Arrival("c", 0, 50, 52)], [0, 1])
-    assert longest == 50 - 21 and found[0][1].node == "c"
+    # Requests sent before the first one with the newer list may still arrive with the old list after it.
+    assert judge(valid_arrivals, [0, 1]) == (0, [])
+    longest_us, contradictions = judge([*valid_arrivals, Arrival("c", 0, 50, 52)], [0, 1])
+    assert longest_us == 50 - 21 and contradictions[0][1].node == "c"
 
 
 NODES = ("n1", "n2", "n3", "n4", "n5")
@@ -77,17 +78,17 @@
 }  # fmt: skip
 
 
-# A version is committed without all acknowledgements: a node that is isolated for less than the term of its lease
-# still has the old one active.
-MISSED = Plan(
+# For a mutation that commits a version without all acknowledgements: a node that is isolated for less than its lease
+# duration still uses the old version then.
+MUTATION_PLAN = Plan(
     37, NODES, NODES[:3], 15_000, (1.0,) * 5,
     tuple(Fault(3_000 + at * 1_500, 1_100, "isolate", node) for at, node in enumerate(("n4", "n5") * 3)),
 )  # fmt: skip
 
 
-def test_the_active_list_is_not_put_again_however_many_attempts_get_no_answer() -> None:
-    # Guards against a drill that called its own start a contradiction: on a slow machine 36 tries had no answer, which
-    # pushed the first list out of sight while the nodes still acted on it, and a later version got it again.
+def test_the_active_list_is_not_put_again_after_many_unanswered_attempts() -> None:
+    # Guards against a false contradiction in a drill: on a slow machine, 36 attempts got no answer. That pushed the
+    # first list out of the recent ones while the nodes still used it, and a later version was given the same list.
     operators = Operators(None, None, 1)  # type: ignore[arg-type]
     for number in range(1, 200):
         operators._recent.append(number % SERVERS or 1)
@@ -96,24 +97,24 @@
 
 
 @pytest.fixture(scope="module")
-def drilled() -> dict[str, dict[str, Any]]:
+def reports() -> dict[str, dict[str, Any]]:
     work = [((plan, str(CONFIG), "", ""), number != 1) for number, plan in enumerate(PLANS.values())]
-    work.append(((MISSED, str(CONFIG), "", "acts-before-all-said-so"), True))
+    work.append(((MUTATION_PLAN, str(CONFIG), "", "acts-before-all-said-so"), True))
     with ProcessPoolExecutor(4) as pool:
         return dict(zip([*PLANS, "missed"], pool.map(rules_one, work), strict=True))
 
 
-def test_the_servers_detect_a_mutation_of_real_processes(drilled: dict[str, Any]) -> None:
-    report = drilled["missed"]
+def test_commits_without_all_acknowledgements_are_detected_at_the_servers(reports: dict[str, Any]) -> None:
+    report = reports["missed"]
     assert report["verdict"] == "broken" and report["strict_contradictions"], report["answers"]
     assert not report["lost"] and not report["answered_twice"]
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_processes_agree_within_the_configured_time(name: str, drilled: dict[str, dict[str, Any]]) -> None:
-    report = drilled[name]
+def test_processes_agree_within_the_configured_time(name: str, reports: dict[str, dict[str, Any]]) -> None:
+    report = reports[name]
     summary = {key: value for key, value in report.items() if key not in ("plan", "answers")}
-    assert report["verdict"] == "held", json.dumps(summary)  # a dict would be cut short
+    assert report["verdict"] == "held", json.dumps(summary)  # pytest abbreviates a dict
     assert report["changes"] >= 3 and not report["strict_contradictions"] and not report["lost"]
     assert report["calls"] > 20 and not report["disorder"]
 
@@ -121,7 +122,7 @@
 def test_a_server_list_is_rolled_out_on_one_node_first(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """By an operator's commands, under load: a failing list is withdrawn, a good one promoted."""
+    """An operator's commands under load: a list with failing servers is withdrawn, a working one is promoted."""
     ports = Ports()
     servers = ListServers()
 
@@ -130,26 +131,31 @@
         rules: dict[str, dict[str, Any]] = {"servers": {"kind": "servers", "cut_off": "keep"}}
         pool = (f"127.0.0.1:{servers.ports[0]}",)
         settings = Settings(json.loads(CONFIG.read_text()), tasks={}, pool=pool, rules=rules)
-        async with ProcessCluster(Plan(40, NODES, NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path) as rig:
-            load = Load(rig)
+        async with ProcessCluster(
+            Plan(40, NODES, NODES[:3], 0, (1.0,) * 5, ()), settings, tmp_path
+        ) as cluster:
+            load = Load(cluster)
             running = asyncio.create_task(load.run())
             await asyncio.sleep(2.0)
-            operator = str(rig.nodes["n2"].folder / "operator.toml")
+            operator = str(cluster.nodes["n2"].folder / "operator.toml")
 
             async def run_command(*arguments: str) -> int:
                 return await asyncio.to_thread(call, ["rules", *arguments, "--operator", operator])
 
             def write_list(port: int) -> str:
                 path = tmp_path / f"{port}.json"
-                main = [f"127.0.0.1:{rig.effect_recorder.port}"]
+                main = [f"127.0.0.1:{cluster.effect_recorder.port}"]
                 path.write_text(json.dumps({"main": main, "more": [f"127.0.0.1:{port}"]}))
                 return str(path)
 
             stage = ("--node", "n5", "--least", "20", "--wait", "25", "--force")
-            bad, good = write_list(ports.take()), write_list(servers.ports[1])
-            assert await run_command("stage", "servers", bad, "--expect", "1", "--for", "20s", *stage) == 2
+            failing, working = write_list(ports.take()), write_list(servers.ports[1])
             assert (
-                await run_command("stage", "servers", good, "--expect", "1", "--for", "1500ms", *stage) == 0
+                await run_command("stage", "servers", failing, "--expect", "1", "--for", "20s", *stage) == 2
+            )
+            assert (
+                await run_command("stage", "servers", working, "--expect", "1", "--for", "1500ms", *stage)
+                == 0
             )
             assert await run_command("status") == 0 and await run_command("status", "--here") == 0
             assert (
