--- a/marlstep/membership/broadcast_queue.py
+++ b/marlstep/membership/broadcast_queue.py
@@ -1,4 +1,4 @@
-"""Dissemination of records by piggybacking them on other messages (SWIM, section 4.1)."""
+"""Dissemination of membership records by piggybacking them on other messages (SWIM, section 4.1)."""
 
 from __future__ import annotations
 
@@ -9,30 +9,38 @@
 
 
 class BroadcastQueue:
-    """The nodes whose records are still to be sent, and how often each was.
+    """The nodes whose records are still to be sent, with the number of transmissions of each.
 
-    A record is sent `retransmit_multiplier` times the logarithm of the group's size, the least often sent ones first.
+    The transmission limit of a record is `retransmit_multiplier` times the logarithm of the group size. Records with
+    the fewest transmissions are sent first.
     """
 
     def __init__(self, members: MemberList, retransmit_multiplier: float, records_per_message: int) -> None:
-        """Start with an empty queue."""
+        """Initialize an empty queue.
+
+        Args:
+            members: the records to send, looked up at the time of each transmission.
+            retransmit_multiplier: factor on the logarithm of the group size.
+            records_per_message: the maximum number of records in one message.
+        """
         self._members = members
         self._retransmit_multiplier = retransmit_multiplier
         self._records_per_message = records_per_message
         self._transmissions: dict[str, int] = {}
 
     def enqueue(self, node: str) -> None:
-        """Send that node's record, from the first transmission on."""
+        """Queue the node's record, and reset its number of transmissions."""
         self._transmissions[node] = 0
 
     def discard(self, node: str) -> None:
-        """Send nothing more of that node."""
+        """Remove the node from the queue."""
         self._transmissions.pop(node, None)
 
     def take(self, first: MemberRecord | None = None) -> tuple[MemberRecord, ...]:
         """Return the records for one message, and count their transmission.
 
-        `first` is in the message in any case: the receiver's own record, where it has to refute that.
+        Args:
+            first: a record to place first whether or not it is queued: that of a node that has to refute it.
         """
         chosen = [] if first is None else [first]
         limit = math.ceil(self._retransmit_multiplier * self._members.log_size)
--- a/marlstep/membership/failure_detector.py
+++ b/marlstep/membership/failure_detector.py
@@ -1,10 +1,11 @@
-"""Failure detection and dissemination after SWIM, with Lifeguard's local health awareness.
+"""SWIM failure detection and dissemination, with Lifeguard's local health awareness.
 
-Each probe interval one member is pinged. Without an ack some others are asked to ping it; without any ack it is
-suspected, and after a timeout, which shrinks as others suspect it too, it is declared failed. A node that hears that it
-is suspected refutes with a higher incarnation number. All records are piggybacked on pings and acks.
+In each probe interval one member is pinged. If it does not acknowledge in time, some other members are asked to ping
+it. If there is still no ack, it is suspected, and it is declared failed after a timeout that shrinks as other members
+suspect it too. A node that learns that it is suspected refutes with a higher incarnation number. Membership records are
+piggybacked on all messages.
 
-The detector does no I/O: the time and the source of randomness are passed in, and messages to send are returned.
+The detector does no I/O: the time and the source of randomness are passed in, and the messages to send are returned.
 
 SWIM: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002.
 Lifeguard: Dadgar, Phillips, Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018.
@@ -43,16 +44,16 @@
 
 
 class FailureDetector:
-    """The failure detector of one node: call `tick` at `next_due`, and `receive` for each message."""
+    """The failure detector of one node. The caller calls `tick` at `next_due`, and `receive` for each message."""
 
     def __init__(
         self, local: MemberRecord, settings: DetectorSettings, random: RandomSource, now: datetime
     ) -> None:
-        """Start alone, with the record that this node has of itself."""
+        """Initialize a detector that knows only the local node, whose record is `local`."""
         self.settings = settings
         self.counts: Counter[str] = Counter()
         self.last_received_at: datetime | None = None
-        self.last_acknowledged_at: datetime | None = None  # the last ack of a probe of this node
+        self.last_acknowledged_at: datetime | None = None  # last ack of a probe that this node sent
         self._random = random
         self._members = MemberList(local)
         self._broadcasts = BroadcastQueue(
@@ -85,7 +86,7 @@
         )
         self._due = now
 
-    # Queries.
+    # Queries of the current membership.
 
     @property
     def local(self) -> MemberRecord:
@@ -98,12 +99,12 @@
 
     @property
     def events(self) -> deque[MembershipEvent]:
-        """Changes for operators; the caller takes them out."""
+        """Membership changes to report to operators; the caller removes those that it has reported."""
         return self.state.events
 
     @property
     def name_conflict(self) -> bool:
-        """Another live process uses this node's name."""
+        """Whether another live process uses this node's name."""
         return self.state.name_conflict
 
     @property
@@ -113,11 +114,11 @@
 
     @property
     def local_health(self) -> int:
-        """Lifeguard's local health score; 0 is healthy."""
+        """Lifeguard's local health score; 0 means healthy."""
         return self._health.score
 
     def alive(self) -> set[str]:
-        """Return the nodes that are not known to have failed or left, the local one included."""
+        """Return the nodes that are not known to have failed or left, including the local node."""
         return self._members.alive()
 
     def in_state(self, state: MemberState) -> set[str]:
@@ -125,11 +126,11 @@
         return self._members.in_state(state)
 
     def view(self) -> dict[str, tuple[str, str]]:
-        """Return process and state of the nodes that are alive, for comparison between nodes."""
+        """Return process and state of each node that is alive, by name, to compare the views of nodes."""
         return self._members.view()
 
     def next_due(self) -> datetime:
-        """Return when `tick` is to be called; a call that comes much later counts against the local health."""
+        """Return when to call `tick` next; a much later call degrades the local health score."""
         due = [*self._prober.due_times(), self._exchanger.next_due, *self._indirect_probes.due_times()]
         due += [
             member.suspicion_ends_at
@@ -139,24 +140,24 @@
         self._due = min(due)
         return self._due
 
-    # Joining and leaving.
+    # Joining and leaving the group.
 
     def join(self, seeds: Iterable[str]) -> list[OutboundMessage]:
-        """Request the state of the nodes at these addresses."""
+        """Return requests for the state of some of the nodes at the `seeds` addresses."""
         return self._exchanger.join(seeds)
 
     def leave(self) -> list[OutboundMessage]:
-        """Announce the shutdown of this node, so that it is not suspected."""
+        """Return messages that announce the shutdown of this node, so that it is not suspected."""
         self.state.has_left = True
         self.local = replace(self.local, state=MemberState.LEFT)
         ack = Ack(self._pings.next_number(), (self.local,))
         addresses = sample(self._random, self._members.reachable_addresses(), LEAVE_FANOUT)
         return [OutboundMessage(address, ack) for address in addresses]
 
-    # Time.
+    # Work that is due at a time.
 
     def tick(self, now: datetime) -> list[OutboundMessage]:
-        """Do what is due, and return the messages to send."""
+        """Advance probes, suspicions and exchanges that are due, and return the messages to send."""
         lateness = now - self._due
         if lateness > self.settings.probe_interval / 2:
             self._handle_late_wakeup(now, lateness)
@@ -170,7 +171,7 @@
         return sends
 
     def _handle_late_wakeup(self, now: datetime, lateness: timedelta) -> None:
-        """Draw no conclusion from what did not arrive meanwhile: it may wait in the socket's buffer."""
+        """Abandon the current probe and extend suspicions: acks and refutations may wait in the socket's buffer."""
         self.counts["late"] += 1
         if not self.settings.local_health_enabled:
             return
@@ -198,12 +199,18 @@
         reason = f"no answer, also not through {probe.indirect_requests} others"
         self.state.suspect(now, probe.node, reason)
 
-    # Messages.
+    # Handling of received messages.
 
     def receive(
         self, now: datetime, sender: MemberRecord, message: MembershipMessage
     ) -> list[OutboundMessage]:
-        """Take a message with the sender's record of itself, and return the messages to send."""
+        """Handle a message, and return the messages to send.
+
+        Args:
+            now: the current time.
+            sender: the sender's record of itself, which each message carries.
+            message: the message.
+        """
         if sender.node == self.local.node and sender.process_id == self.local.process_id:
             return []
         self.last_received_at = now
@@ -225,7 +232,10 @@
                 return self._handle_exchange(sender, message, overriding)
 
     def _record_overriding(self, sender: MemberRecord) -> MemberRecord | None:
-        """Return the record that overrides a sender's own: it is suspected, failed, or of an earlier process."""
+        """Return the local record of the sender if it overrides the sender's own record.
+
+        That is so if the sender is suspected or declared failed here, or if a later process has used its name.
+        """
         member = self.members.get(sender.node)
         if member is None or member.record.precedence <= sender.precedence:
             return None
@@ -240,7 +250,7 @@
         self, sender: MemberRecord, ping: Ping, overriding: MemberRecord | None
     ) -> list[OutboundMessage]:
         if ping.node != self.local.node:
-            return []  # another node had this address before
+            return []  # the ping is for a node that used this address earlier
         return [OutboundMessage(sender.address, Ack(ping.number, self._broadcasts.take(overriding)))]
 
     def _handle_ack(
--- a/marlstep/membership/indirect_probes.py
+++ b/marlstep/membership/indirect_probes.py
@@ -1,4 +1,4 @@
-"""Indirect probes on behalf of other nodes (SWIM's ping-req, section 3.1, with Lifeguard's nack, section IV-A)."""
+"""Indirect probes on behalf of other nodes: SWIM's ping-req (section 3.1) with Lifeguard's nack (section IV-A)."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from marlstep.membership.messages import Ack, Nack, OutboundMessage, PingRequest
 from marlstep.membership.pings import PingFactory
 
-MAX_INDIRECT_PROBES = 256  # unanswered at the same time
+MAX_INDIRECT_PROBES = 256  # maximum number of unanswered indirect probes
 
 
 @dataclass(slots=True)
 class IndirectProbe:
-    """A probe that another node asked for."""
+    """A probe that another node has requested."""
 
     requester_address: str
     requester_number: int
@@ -23,12 +23,12 @@
 
 
 class IndirectProbes:
-    """All unanswered probes on behalf of others, by the number of this node's ping."""
+    """The unanswered probes on behalf of other nodes, by the number of the ping that this node sent."""
 
     def __init__(
         self, broadcasts: BroadcastQueue, pings: PingFactory, probe_timeout: timedelta, counts: Counter[str]
     ) -> None:
-        """A probe without an answer within `probe_timeout` is reported to its requester by a nack."""
+        """Initialize without open probes; after `probe_timeout` without an ack the requester is sent a nack."""
         self._broadcasts = broadcasts
         self._pings = pings
         self._probe_timeout = probe_timeout
@@ -36,11 +36,11 @@
         self._probes: dict[int, IndirectProbe] = {}
 
     def due_times(self) -> list[datetime]:
-        """Return when `expire` has something to do."""
+        """Return the times at which nacks are due."""
         return [probe.nack_at for probe in self._probes.values()]
 
     def start(self, now: datetime, requester_address: str, request: PingRequest) -> list[OutboundMessage]:
-        """Ping the requested node, unless too many probes are open."""
+        """Return a ping of the requested node, or nothing if too many probes are open."""
         if len(self._probes) >= MAX_INDIRECT_PROBES:
             self._counts["relays refused"] += 1
             return []
@@ -51,14 +51,14 @@
         return [OutboundMessage(request.address, ping)]
 
     def acknowledge(self, number: int) -> OutboundMessage | None:
-        """Return the ack to forward, or None where that number is of no probe for others."""
+        """Return the ack to forward, or None if no indirect probe has that number."""
         probe = self._probes.pop(number, None)
         if probe is None:
             return None
         return OutboundMessage(probe.requester_address, Ack(probe.requester_number, self._broadcasts.take()))
 
     def expire(self, now: datetime) -> list[OutboundMessage]:
-        """Return the nacks that are due. A later ack is ignored."""
+        """Return the nacks that are due. An ack that arrives after the nack is ignored."""
         expired = [number for number, probe in self._probes.items() if now >= probe.nack_at]
         return [self._nack(self._probes.pop(number)) for number in expired]
 
--- a/marlstep/membership/local_health.py
+++ b/marlstep/membership/local_health.py
@@ -1,4 +1,7 @@
-"""Lifeguard's local health multiplier: a node that processes messages late doubts itself first (section IV-A)."""
+"""Lifeguard's local health multiplier (section IV-A).
+
+A node that processes messages late lengthens its own timeouts before it suspects others.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +9,13 @@
 
 
 class LocalHealth:
-    """A saturating score. At 0 the node is healthy; each point lengthens its own timeouts by their base value."""
+    """A score between 0 (healthy) and `MAX_LOCAL_HEALTH`.
+
+    Each point lengthens the probe interval and timeout of this node by their base value.
+    """
 
     def __init__(self, enabled: bool) -> None:
-        """Start healthy; where it is not enabled the score stays 0."""
+        """Initialize with the score 0, which stays 0 unless `enabled`."""
         self.score = 0
         self._enabled = enabled
 
@@ -19,11 +25,11 @@
         return 1 + self.score
 
     def degrade(self) -> None:
-        """Count one sign that this node is slow or cut off."""
+        """Raise the score by one, on a sign that this node is slow or cut off."""
         self._adjust(1)
 
     def recover(self) -> None:
-        """Count an acknowledged probe: the score is halved, so that probes return soon to their usual rate."""
+        """Halve the score after an acknowledged probe, so that probing soon returns to its usual rate."""
         self._adjust(-max(1, self.score // 2))
 
     def _adjust(self, change: int) -> None:
--- a/marlstep/membership/member_list.py
+++ b/marlstep/membership/member_list.py
@@ -1,4 +1,4 @@
-"""The members that one node knows, with the local time of their changes."""
+"""The members that one node knows, with the local times at which their states changed."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 @dataclass(slots=True)
 class Member:
-    """Another node, as this one knows it."""
+    """What the local node knows about another node."""
 
     record: MemberRecord
     state_since: datetime
-    suspected_by: set[str] = field(default_factory=set)  # the nodes that reported it, while it is suspected
+    suspected_by: set[str] = field(default_factory=set)  # nodes that reported the current suspicion
     suspicion_ends_at: datetime | None = None
-    last_probe_sent: bool = False  # the probe before a suspicion that is only others' times out
+    last_probe_sent: bool = False  # whether a suspicion reported only by other nodes got a last probe
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipEvent:
-    """A change that operators are shown."""
+    """A membership change that is reported to operators."""
 
     at: datetime
     node: str
@@ -34,15 +34,15 @@
 
 
 class MemberList:
-    """The local node's record, and all other nodes by name."""
+    """The local node's record, and what is known about all other nodes, by name."""
 
     def __init__(self, local: MemberRecord) -> None:
-        """Start with the local node alone."""
+        """Initialize with `local`, the record of the local node, and no others."""
         self.local = local
         self.others: dict[str, Member] = {}
 
     def alive(self) -> set[str]:
-        """Return the nodes that are not known to have failed or left, the local one included."""
+        """Return the nodes that are not known to have failed or left, including the local node."""
         return {self.local.node, *self.reachable_names()}
 
     def in_state(self, state: MemberState) -> set[str]:
@@ -62,9 +62,9 @@
         ]
 
     def view(self) -> dict[str, tuple[str, str]]:
-        """Return process and state of the nodes that are alive, for comparison between nodes.
+        """Return process and state of each node that is alive, by name, to compare the views of nodes.
 
-        A suspected node counts as alive, as suspicions differ between nodes for a while.
+        A suspected node counts as alive, since nodes may temporarily differ in whom they suspect.
         """
         rows = {self.local.node: (self.local.process_id, MemberState.ALIVE.value)}
         for name, member in self.others.items():
@@ -74,16 +74,16 @@
 
     @property
     def size(self) -> int:
-        """The number of nodes that are alive, the local one included."""
+        """The number of nodes that are alive, including the local node."""
         return len(self.alive())
 
     @property
     def log_size(self) -> float:
-        """The logarithm by which timeouts and retransmissions grow with the group, at least 1."""
+        """The logarithm of the group size, at least 1, with which timeouts and retransmissions scale."""
         return max(1.0, math.log10(self.size + 1))
 
     def reclaim(self, now: datetime, after: timedelta) -> list[str]:
-        """Forget the nodes that failed or left so long ago, and return their names."""
+        """Forget the nodes that failed or left at least `after` ago, and return their names."""
         gone = [
             name
             for name, member in self.others.items()
--- a/marlstep/membership/membership_state.py
+++ b/marlstep/membership/membership_state.py
@@ -1,4 +1,7 @@
-"""The state machine of members: alive, suspected, failed or left, by the precedence of records (SWIM, section 4.2)."""
+"""The state machine of members: alive, suspected, failed or left.
+
+The precedence of records decides which of two records of a member is kept (SWIM, section 4.2).
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,14 @@
 from marlstep.membership.state_exchange import StateExchanger
 from marlstep.membership.suspicion import SuspicionTimeouts
 
-MAX_GENERATION_RAISES = 5  # above another process of the name, before that is taken for a conflict of names
+# An earlier process of the same name is overridden by one raise of the generation. Repeated raises mean that another
+# live process uses the name.
+MAX_GENERATION_RAISES = 5
 MAX_EVENTS_KEPT = 256
 
 
 class MembershipState:
-    """Merges records into the member list, and refutes those that are wrong about the local node."""
+    """Merges records into the member list, and refutes wrong records of the local node."""
 
     def __init__(
         self,
@@ -33,11 +38,11 @@
         settings: DetectorSettings,
         counts: Counter[str],
     ) -> None:
-        """Start with the local node's record to be disseminated."""
+        """Initialize, and queue the local node's record for dissemination."""
         self.members = members
         self.events: deque[MembershipEvent] = deque(maxlen=MAX_EVENTS_KEPT)
         self.name_conflict = False  # another live process uses this node's name
-        self.has_left = False  # this node has announced its shutdown, and refutes nothing more
+        self.has_left = False  # this node has announced its shutdown, and no longer refutes suspicions
         self._broadcasts = broadcasts
         self._pings = pings
         self._local_health = local_health
@@ -49,17 +54,17 @@
         broadcasts.enqueue(members.local.node)
 
     def suspect(self, now: datetime, node: str, reason: str) -> None:
-        """Take a node whose probe was not acknowledged as suspected by this one (SWIM, section 4.2)."""
+        """Mark a node that did not acknowledge its probe as suspected by the local node (SWIM, section 4.2)."""
         member = self.members.others.get(node)
         if member is None or member.record.state not in REACHABLE_STATES:
             return
-        # Where others suspect it already, this is an independent confirmation.
+        # If other nodes suspect it already, this counts as an independent confirmation.
         if self.members.local.node not in member.suspected_by:
             suspect = member.record.with_state(MemberState.SUSPECT, self.members.local.node)
             self.merge_record(now, suspect, reason)
 
     def expire_suspicions(self, now: datetime) -> list[OutboundMessage]:
-        """Declare failed whom nobody cleared in time; return pings to those that only others suspect."""
+        """Declare members failed that did not refute in time; return pings to those that only others suspect."""
         sends = []
         for member in list(self.members.others.values()):
             if member.suspicion_ends_at is None or now < member.suspicion_ends_at:
@@ -73,14 +78,20 @@
         return sends
 
     def _probe_before_failing(self, now: datetime, member: Member) -> OutboundMessage:
-        """Ping a member that only others suspect, perhaps long ago: it may have refuted since."""
+        """Ping a member that only other nodes suspect: their suspicion may be old and refuted since."""
         member.last_probe_sent = True
         timeout = 2 * self._settings.probe_timeout * self._local_health.timeout_factor
         member.suspicion_ends_at = now + timeout
         return self._pings.correcting(member.record, member.record.address)
 
     def merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
-        """Take a record if it overrides what is known (SWIM, section 4.2); return whether it did."""
+        """Apply a record if it overrides the known one (SWIM, section 4.2); return whether it was applied.
+
+        Args:
+            now: the current time.
+            record: the record; one of the local node is never applied but refuted where it is wrong.
+            reason: how this node learned it, for operators.
+        """
         if record.node == self.members.local.node:
             self._refute(now, record)
             return False
@@ -95,7 +106,7 @@
 
     def _add_member(self, now: datetime, record: MemberRecord, reason: str) -> bool:
         if record.state not in REACHABLE_STATES:
-            return False  # a name that is forgotten here: else its record would circulate for ever
+            return False  # the name was reclaimed here; adding it again would keep its record circulating for ever
         if len(self.members.others) >= MAX_MEMBERS:
             self._counts["crowded"] += 1
             return False
@@ -105,7 +116,7 @@
         return True
 
     def _confirm_suspicion(self, member: Member, record: MemberRecord) -> None:
-        """Count the suspicion of another node, and pass it on (Lifeguard, section IV-B)."""
+        """Count another node's suspicion of the same member, and disseminate it (Lifeguard, section IV-B)."""
         known = member.record
         if (
             record.state is MemberState.SUSPECT is known.state
@@ -130,7 +141,7 @@
         self._restart_suspicion(member)
 
     def _restart_suspicion(self, member: Member) -> None:
-        """Start or end the suspicion, by the member's new record, and disseminate that record."""
+        """Start or end the suspicion according to the member's new record, and disseminate that record."""
         is_suspect = member.record.state is MemberState.SUSPECT
         member.suspected_by = {member.record.reported_by} if is_suspect else set()
         member.suspicion_ends_at = self._suspicions.deadline(member) if is_suspect else None
@@ -143,14 +154,17 @@
         self.events.append(MembershipEvent(now, record.node, event, record.reported_by, reason))
 
     def _refute(self, now: datetime, record: MemberRecord) -> None:
-        """Answer a record of this node's name: a suspicion of this process, or an earlier process."""
+        """Handle a record with this node's name: of this process, or of another process with the name."""
         if record.process_id == self.members.local.process_id:
             self._refute_suspicion(record)
         elif record.process_generation >= self.members.local.process_generation:
             self._raise_generation(now, record)
 
     def _refute_suspicion(self, record: MemberRecord) -> None:
-        """Override a suspicion with a higher incarnation (SWIM, section 4.2); it also is a sign of slowness here."""
+        """Override a suspicion with a higher incarnation (SWIM, section 4.2).
+
+        Being suspected also is a sign that this node is slow, so the local health score is degraded.
+        """
         local = self.members.local
         is_current = (record.generation, record.incarnation) >= (local.generation, local.incarnation)
         if record.state is MemberState.ALIVE or self.has_left or not is_current:
@@ -161,7 +175,7 @@
         self._broadcasts.enqueue(local.node)
 
     def _raise_generation(self, now: datetime, record: MemberRecord) -> None:
-        """Override another process of this name; one that keeps coming back is alive, and a conflict."""
+        """Override another process with this name; one that keeps returning is alive, which is a name conflict."""
         local = self.members.local
         self.members.local = replace(local, generation=record.generation + 1, incarnation=0)
         self._generation_raises += 1
--- a/marlstep/membership/messages.py
+++ b/marlstep/membership/messages.py
@@ -1,6 +1,6 @@
-"""Messages between failure detectors, after SWIM and Lifeguard.
+"""Messages between failure detectors, as in SWIM and Lifeguard.
 
-Each message piggybacks membership records (SWIM, section 4.1). None is retransmitted.
+Each message piggybacks membership records (SWIM, section 4.1). Lost messages are not retransmitted.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ping:
-    """Probe of `node`, which is named since another node may have taken its address (SWIM, section 3.1)."""
+    """Probe of `node` (SWIM, section 3.1). The name is sent since another node may have taken over the address."""
 
     wire_tag: ClassVar[str] = "Ping"
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ack:
-    """Acknowledgement of the ping with that number."""
+    """Acknowledgement of the ping with this number."""
 
     wire_tag: ClassVar[str] = "Ack"
 
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Nack:
-    """An indirect probe had no answer in time, but this request did arrive (Lifeguard, section IV-A)."""
+    """Notice that an indirect probe got no ack in time, although its request arrived (Lifeguard, section IV-A)."""
 
     wire_tag: ClassVar[str] = "Nack"
 
@@ -59,9 +59,9 @@
 
 @dataclass(slots=True, frozen=True)
 class StateExchange:
-    """One page of all records that a node has, over a stream: memberlist's push-pull anti-entropy."""
+    """One page of all records of a node, sent over a stream: memberlist's push-pull anti-entropy."""
 
-    answer: bool  # the receiver is to send its own records; set on the last page alone
+    answer: bool  # whether the receiver has to send its own records; set only on the last page
     records: tuple[MemberRecord, ...] = ()
 
 
@@ -71,8 +71,8 @@
 
 @dataclass(slots=True, frozen=True)
 class OutboundMessage:
-    """A message that the failure detector's caller is to send."""
+    """A message that the failure detector's caller has to send to `address`."""
 
     address: str
     message: MembershipMessage
-    over_stream: bool = False  # too large for a datagram
+    over_stream: bool = False  # send over a stream, since the message may be too large for a datagram
