--- a/marlstep/membership/__init__.py
+++ b/marlstep/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: failure detection by gossip, the agreed roster, shares of quotas, and behaviour in a partition."""
+"""Membership: failure detection by gossip, the replicated roster, quota shares, and behaviour in a partition."""
--- a/marlstep/membership/partition_state.py
+++ b/marlstep/membership/partition_state.py
@@ -1,10 +1,10 @@
-"""Classify this node's side of a network partition, and state which activities it permits.
+"""Classification of this node's side of a network partition, and of the activities that it permits.
 
-`classify` turns one observation into a state without memory. `PartitionTracker` adds hysteresis: a state for the worse
-is entered after a short delay, one for the better after a longer one, and a node that reconnects passes through
-`RECOVERING` first. `CAPABILITIES` is the single table of what a node may do in each state; no component decides that
-for itself. A state that lasts longer than its bound in `OVERDUE_AFTER` is flagged for operators and has no other
-effect, as the node can learn nothing more by itself.
+`classify` maps a single observation to a state. `PartitionTracker` adds hysteresis: a worse state is entered after a
+short delay, a better one after a longer delay, and a node that reconnects passes through `RECOVERING` first.
+`CAPABILITIES` is the only table of what a node may do in each state; no component decides that for itself. A state that
+lasts longer than its bound in `OVERDUE_AFTER` is flagged for operators. That has no other effect, since the node cannot
+learn more by itself.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
     HEALTHY = "all well"
     SUSPICION = "some are suspected"
-    MAJORITY = "on the majority's side"  # the quorum responds, and members are unreachable
-    MINORITY = "on the minority's side"
+    MAJORITY = "on the majority's side"  # the quorum responds, but some members are unreachable
+    MINORITY = "on the minority's side"  # no quorum responds, and at most half of the voters are alive
     ISOLATED = "alone"  # nothing is received
-    UNHEARD = "hears, and is not heard"  # messages are received, and no probe is acknowledged
-    QUORUM_LOST = "the group is lost"  # most voters are alive, and the quorum does not respond
-    RECOVERING = "coming back"
+    UNHEARD = "hears, and is not heard"  # messages are received, but no probe is acknowledged
+    QUORUM_LOST = "the group is lost"  # most voters are alive, but the quorum does not respond
+    RECOVERING = "coming back"  # connected again, but not yet for the settle time
 
 
 CONNECTED_STATES = frozenset((PartitionState.HEALTHY, PartitionState.SUSPICION, PartitionState.MAJORITY))
@@ -40,15 +40,15 @@
 class Capabilities:
     """What the components of a node may do. The JSON keys are those of the `situation` admin page."""
 
-    # acquire leases of tasks that this node does not hold
+    # acquire task leases that this node does not hold
     requests_leases: bool = field(metadata=wire("wants_leases", BOOLEAN))
     # start runs under a lease that this node holds
     starts_tasks: bool = field(metadata=wire("begins_tasks", BOOLEAN))
     # propose the first version of a document from a local file
     proposes_documents: bool = field(metadata=wire("proposes", BOOLEAN))
-    # probe ejected servers itself, as results of the elected prober can't reach it
+    # probe ejected servers itself, since results of the elected prober cannot reach this node
     checks_servers_itself: bool = field(metadata=wire("knocks_for_itself", BOOLEAN))
-    # transfer leadership and leases before a shutdown, instead of stopping at once
+    # transfer leadership and leases before a shutdown, instead of stopping immediately
     transfers_leases: bool = field(metadata=wire("hands_over", BOOLEAN))
     # ask for a larger share of a tenant's quota
     requests_quota: bool = field(metadata=wire("grows", BOOLEAN))
@@ -88,7 +88,7 @@
     PartitionState.UNHEARD: _CUT_OFF_CAPABILITIES,
     PartitionState.QUORUM_LOST: _CUT_OFF_CAPABILITIES,
 }
-# How long a state may last before operators are alerted; None: without limit.
+# How long a state may last before operators are alerted; None means without limit.
 OVERDUE_AFTER: dict[PartitionState, timedelta | None] = {
     PartitionState.HEALTHY: None,
     PartitionState.SUSPICION: 60 * SECOND,
@@ -103,19 +103,19 @@
 
 @dataclass(slots=True, frozen=True)
 class PartitionObservation:
-    """What this node knows of the others at one moment, by source."""
+    """What this node knows about the other nodes at one moment."""
 
-    quorum_responds: bool  # the consensus group has answered within a lease's term
+    quorum_responds: bool  # the consensus group has responded within the term of a lease
     voters: frozenset[str]
-    alive: frozenset[str]  # by the failure detector, this node included
-    suspected: frozenset[str]  # by the failure detector
-    roster: frozenset[str]  # by the replicated log; empty where this node has no replica
-    receives: bool  # a message came from any node recently
-    is_acknowledged: bool  # a probe of this node was acknowledged recently
+    alive: frozenset[str]  # according to the failure detector, including this node
+    suspected: frozenset[str]  # according to the failure detector
+    roster: frozenset[str]  # according to the replicated log; empty if this node has no replica
+    receives: bool  # this node has recently received a message from any other node
+    is_acknowledged: bool  # a probe that this node sent was recently acknowledged
 
 
 def classify(observation: PartitionObservation) -> PartitionState:
-    """Return the state that one observation shows, without regard to earlier ones."""
+    """Return the state that an observation shows, regardless of earlier observations."""
     if observation.quorum_responds:
         return _classify_connected(observation)
     if not observation.receives:
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Transition:
-    """A change of state, kept for operators."""
+    """A state change, kept to be shown to operators."""
 
     at: datetime
     state: PartitionState
@@ -143,7 +143,7 @@
 
 
 class PartitionTracker:
-    """The state machine over observations. It does no I/O; the clock's time is passed in."""
+    """The state machine that is driven by observations. It does no I/O; the current time is passed in."""
 
     def __init__(
         self,
@@ -152,7 +152,14 @@
         improve_after: timedelta = 1 * SECOND,
         settle_time: timedelta = 2 * SECOND,
     ) -> None:
-        """Start in `RECOVERING`; `settle_time` is how long that state lasts once observations are connected."""
+        """Initialize in `RECOVERING`.
+
+        Args:
+            now: the current time.
+            degrade_after: how long a worse state must be observed before it is entered.
+            improve_after: how long `HEALTHY` must be observed before another connected state is left for it.
+            settle_time: how long connected states must be observed before `RECOVERING` is left for one of them.
+        """
         self.state = PartitionState.RECOVERING
         self.since = now
         self.overdue = False
@@ -163,15 +170,15 @@
         self._observed: PartitionState | None = None
         self._observed_since = now
         self._connected_since: datetime | None = None
-        self._disconnected_since: datetime | None = None  # across changes between disconnected states
+        self._disconnected_since: datetime | None = None  # kept across changes between disconnected states
 
     @property
     def capabilities(self) -> Capabilities:
-        """What this node may do in the present state."""
+        """What this node may do in the current state."""
         return CAPABILITIES[self.state]
 
     def observe(self, now: datetime, observation: PartitionObservation) -> bool:
-        """Take one observation; return whether the state changed."""
+        """Update the state from an observation; return whether it changed."""
         observed = classify(observation)
         self._track_durations(now, observed)
         following = self._next_state(now, observed)
@@ -207,7 +214,7 @@
         return observed if may_change else self.state
 
     def _has_settled(self, now: datetime) -> bool:
-        """Flapping between connected states does not prolong `RECOVERING`."""
+        """Return whether connected states were observed for the settle time, also if they alternated."""
         connected_since = self._connected_since
         return connected_since is not None and now >= max(connected_since, self.since) + self._settle_time
 
@@ -218,11 +225,11 @@
         return now >= self._observed_since + delay
 
     def _disconnected_long_enough(self, now: datetime) -> bool:
-        """Counts from the first disconnected observation, also where one such state followed another."""
+        """Return whether disconnected states were observed long enough, also if they alternated."""
         return self._disconnected_since is not None and now >= self._disconnected_since + self._degrade_after
 
     def next_due(self) -> datetime | None:
-        """Return when the state may change without a new observation; None if it can't."""
+        """Return when the state may change if the observed state stays the same, or None if it cannot."""
         if self._observed is self.state:
             return None
         due = [self._observed_since + self._degrade_after, self._observed_since + self._improve_after]
--- a/marlstep/membership/probing.py
+++ b/marlstep/membership/probing.py
@@ -16,31 +16,31 @@
 from marlstep.membership.records import REACHABLE_STATES, MemberRecord, MemberState
 from marlstep.membership.sampling import sample
 
-# A probe ends before the next interval begins, so that each interval can start one.
+# A probe ends before the next interval starts, so that each interval can start a new one.
 PROBE_SHARE_OF_INTERVAL = 0.95
-# How often a suspected member is probed out of turn: the ping tells it of the suspicion, so that it can refute.
+# Probability of probing a suspected member out of turn: the ping carries the suspicion, so that it can be refuted.
 SUSPECT_PROBE_PROBABILITY = 0.5
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe of this interval."""
+    """The probe of the current interval."""
 
     node: str
     number: int
-    indirect_at: datetime  # when other members are asked, without an ack
-    ends_at: datetime
-    indirect_requests: int = 0
+    indirect_at: datetime  # when other members are asked to ping the node
+    ends_at: datetime  # when the node is suspected
+    indirect_requests: int = 0  # members asked for an indirect probe; 1 if there were none to ask
     nacks: int = 0
 
     @property
     def expected_nacks_missing(self) -> bool:
-        """Fewer than half of the asked members answered at all: the fault is as likely at this node."""
+        """Whether fewer than half of the asked members sent a nack, so that the fault may be at this node."""
         return self.nacks * 2 < self.indirect_requests
 
 
 class Prober:
-    """Probes one member per interval: directly, then through others."""
+    """Probes one member per interval: directly, then through other members."""
 
     def __init__(
         self,
@@ -53,7 +53,11 @@
         counts: Counter[str],
         now: datetime,
     ) -> None:
-        """Start within one interval, at a random time, so that nodes that start together don't probe together."""
+        """Initialize without a probe.
+
+        The first interval starts at a random time within one probe interval, so that nodes that are started together
+        do not probe at the same times.
+        """
         self._members = members
         self._broadcasts = broadcasts
         self._pings = pings
@@ -66,35 +70,35 @@
         self._probe_order: list[str] = []
 
     def due_times(self) -> list[datetime]:
-        """Return when something is to be done."""
+        """Return the times at which the probe or the interval has to be advanced."""
         if self._current is None:
             return [self._next_probe_at]
         probe = self._current
         return [self._next_probe_at, probe.ends_at if probe.indirect_requests else probe.indirect_at]
 
     def is_due(self, now: datetime) -> bool:
-        """Return whether the next interval has begun."""
+        """Return whether the next interval has to be started."""
         return now >= self._next_probe_at
 
     def abandon(self, now: datetime) -> None:
-        """Give up the current probe without a conclusion, and start the next at once."""
+        """Abandon the current probe without suspecting its node, and make the next interval due at once."""
         self._current = None
         self._next_probe_at = min(self._next_probe_at, now)
 
     def acknowledge(self, number: int) -> bool:
-        """Take an ack, direct or forwarded; return whether it is that of the current probe."""
+        """Handle a direct or forwarded ack; return whether it belongs to the current probe."""
         if self._current is None or self._current.number != number:
             return False
         self._current = None
         return True
 
     def count_nack(self, number: int) -> None:
-        """Take a nack of a member that was asked for an indirect probe."""
+        """Count a nack from a member that was asked for an indirect probe."""
         if self._current is not None and self._current.number == number:
             self._current.nacks += 1
 
     def take_unanswered(self, now: datetime) -> Probe | None:
-        """Return the current probe if its time is over, and forget it."""
+        """Return and remove the current probe if it has timed out."""
         probe = self._current
         if probe is None or now < probe.ends_at:
             return None
@@ -102,7 +106,7 @@
         return probe
 
     def request_indirect_probes(self, now: datetime) -> list[OutboundMessage]:
-        """Ask other members to probe, once the direct probe has timed out."""
+        """Return requests to other members to ping the node, once the direct probe has timed out."""
         probe = self._current
         if probe is None or now < probe.indirect_at or probe.indirect_requests:
             return []
@@ -115,7 +119,10 @@
         return [OutboundMessage(helper.address, request) for helper in helpers]
 
     def _choose_helpers(self, target: str) -> list[MemberRecord]:
-        """Prefer other zones: a member that is cut off together with this node would find the same."""
+        """Choose members for indirect probes, those of other zones first.
+
+        A member that is cut off together with this node could not reach the target either.
+        """
         candidates = [
             member.record
             for name, member in self._members.others.items()
@@ -127,7 +134,7 @@
         return candidates[: self._settings.indirect_probes]
 
     def start_interval(self, now: datetime) -> list[OutboundMessage]:
-        """Begin an interval, and probe a member unless the last probe is still open."""
+        """Start an interval, and probe a member unless the last probe is still open."""
         self._next_probe_at = now + self._settings.probe_interval * self._local_health.timeout_factor
         if self._current is not None:
             return []
@@ -135,7 +142,7 @@
         return [] if target is None else [self._start_probe(now, target)]
 
     def _next_target(self) -> str | None:
-        """Follow an order that is drawn anew for each round, with suspected members in between."""
+        """Return the next member of the round, which has a new random order, or sometimes a suspected member."""
         reachable = self._members.reachable_names()
         suspects = self._members.in_state(MemberState.SUSPECT)
         if suspects and self._random.random() < SUSPECT_PROBE_PROBABILITY:
@@ -162,7 +169,7 @@
         return OutboundMessage(record.address, ping)
 
     def ping_failed_member(self) -> list[OutboundMessage]:
-        """Ping one failed member, without a probe: a partition may have healed."""
+        """Ping a random failed member, without starting a probe, in case a partition has healed."""
         failed = self._members.in_state(MemberState.FAILED)
         if not failed:
             return []
--- a/marlstep/membership/quota_balancer.py
+++ b/marlstep/membership/quota_balancer.py
@@ -1,4 +1,4 @@
-"""Leader's side of quota shares: move shares of each tenant's allowance to the processes with demand."""
+"""The leader's part of quota sharing: move shares of each tenant's allowance to the processes with demand."""
 
 from __future__ import annotations
 
@@ -10,18 +10,23 @@
 from marlstep.units import MILLISECOND
 
 BALANCE_INTERVAL = 300 * MILLISECOND
-RESERVED_SHARE = 0.04  # split evenly, so that a process without demand can serve its first requests
+# Share of each allowance that is split evenly, so that a process without demand can serve its first requests.
+RESERVED_SHARE = 0.04
 DEMAND_HEADROOM = 1.25  # factor on the measured demand, which may grow before the next run
-MIN_TRANSFER = FULL_QUOTA // 100  # a smaller change is not worth a log entry
-MAX_TRANSFERS = 16  # per run
+MIN_TRANSFER = FULL_QUOTA // 100  # in millionths; a smaller change is not worth a log entry
+MAX_TRANSFERS = 16  # commands proposed per run
 
 
 def target_shares(live: list[str], demand: Mapping[str, float], allowance: float) -> dict[str, int]:
-    """Return the share that each live process should have, by max-min fairness.
+    """Return the share in millionths that each live process should have, by max-min fairness.
 
-    Each gets a reserve, then what its demand needs. Where that exceeds the allowance, the smallest demands are met
-    first and the others get equal parts. What nobody asks for is split evenly. `demand` by process and `allowance` are
-    requests a second.
+    Each process gets a reserve, and then what its demand needs. If the demands exceed the allowance, the smallest ones
+    are met first and the other processes get equal parts. A remainder without demand is split evenly.
+
+    Args:
+        live: the processes that may have a share.
+        demand: requests per second, by process.
+        allowance: requests per second of the whole service.
     """
     if not live:
         return {}
@@ -47,14 +52,14 @@
 
 
 class QuotaBalancer:
-    """Propose changes of shares, a few per run. A new leader needs nothing of its predecessor."""
+    """Proposes changes of shares, a few per run. A new leader needs no state of the previous leader."""
 
     def __init__(self) -> None:
-        """Run with the first call of `rebalance`."""
+        """Initialize a balancer whose first run is the first call of `rebalance`."""
         self._last_run: datetime | None = None
 
     def become_leader(self) -> None:
-        """Forget what an earlier leadership of this node did."""
+        """Make the next call of `rebalance` a run, regardless of an earlier leadership of this node."""
         self._last_run = None
 
     def rebalance(
@@ -65,9 +70,14 @@
         demands: Mapping[str, Mapping[str, float]],
         interval: timedelta = BALANCE_INTERVAL,
     ) -> list[QuotaCommand]:
-        """Return the commands to propose.
-
-        `allowances` by tenant, and `demands` by process and tenant, are requests a second.
+        """Return the commands to propose, or none if the last run was less than `interval` ago.
+
+        Args:
+            now: the current time.
+            table: the replicated table of shares.
+            allowances: requests per second of the whole service, by tenant.
+            demands: requests per second, by process and tenant.
+            interval: the minimum time between two runs.
         """
         if self._last_run is not None and now < self._last_run + interval:
             return []
@@ -86,7 +96,7 @@
 def _propose_transfers(
     tenant: str, shares: Mapping[str, QuotaShare], targets: Mapping[str, int], free: int
 ) -> list[QuotaCommand]:
-    """Grow shares out of what is free, and shrink others by as much as is still missing."""
+    """Grow shares out of the free part, and shrink other shares to make up for the shortfall."""
     current = {holder: shares.get(holder, QuotaShare(0, 0)) for holder in targets}
     shortfalls = {
         holder: targets[holder] - share.granted
@@ -110,7 +120,7 @@
 def _propose_shrinks(
     tenant: str, current: Mapping[str, QuotaShare], targets: Mapping[str, int], missing: int
 ) -> list[QuotaCommand]:
-    """Shrink the shares that exceed their targets the most, until what is asked back covers `missing`."""
+    """Shrink the shares that exceed their targets most, until the requested reductions cover the shortfall."""
     commands: list[QuotaCommand] = []
     asked_back = sum(share.granted - share.target for share in current.values())
     for holder in sorted(current, key=lambda holder: (targets[holder] - current[holder].granted, holder)):
--- a/marlstep/membership/quota_commands.py
+++ b/marlstep/membership/quota_commands.py
@@ -1,6 +1,6 @@
-"""Log commands that change quota shares, and their results.
+"""Replicated log commands that change quota shares, and their results.
 
-The keys and their order are those of the log. A share is given in millionths of a tenant's allowance.
+The JSON keys and their order are part of the log format. Shares are in millionths of a tenant's allowance.
 """
 
 from __future__ import annotations
@@ -10,20 +10,21 @@
 from marlstep.consensus.state_machine import CommandJson, InvalidCommandError, ResultJson
 
 MACHINE = "shares"  # name of the state machine in the log
-MAX_TENANTS = 200  # with a shared allowance: each heartbeat's response lists the shares of all of them
+# Maximum number of tenants with a shared allowance: the response to each heartbeat lists the shares of all of them.
+MAX_TENANTS = 200
 
 
 class UnknownQuotaCommandError(InvalidCommandError):
     """A quota command that this version does not know."""
 
     def __init__(self, action: object) -> None:
-        """Name the action; the text is part of replicated results."""
+        """Initialize with the unknown action. The text is part of replicated results."""
         super().__init__(f"nothing that is done to a part: {action!r}")
 
 
 @dataclass(slots=True, frozen=True)
 class SetTenants:
-    """Replace the set of tenants whose allowance is shared; remaining ones keep their shares."""
+    """Replace the set of tenants with a shared allowance; tenants in both sets keep their shares."""
 
     names: tuple[str, ...]
 
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GrowShare:
-    """Grant a process a larger share, out of what no process has."""
+    """Grant a process a larger share, out of the free part of the allowance."""
 
     tenant: str
     holder: str
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShrinkShare:
-    """Ask a process to use no more than this share. It keeps the old one until it confirms."""
+    """Ask a process to use no more than this share. Its old share counts as used until it confirms."""
 
     tenant: str
     holder: str
@@ -91,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UnknownShareChange:
-    """A change of a share that is not known; its arguments are checked before it is rejected."""
+    """A share change with an unknown action; its arguments are checked before it is rejected."""
 
     tenant: str
     holder: str
@@ -104,12 +105,18 @@
 
 
 def parse_quota_command(command: CommandJson) -> SetTenants | ShareChange:
-    """Read a command from the log. Raises ValueError, KeyError or TypeError."""
+    """Parse a command from the log.
+
+    Raises:
+        KeyError: a key is missing.
+        TypeError: a value has a wrong type.
+        ValueError: a share is not a number.
+    """
     action = command["do"]
     if action == "tenants":
         return SetTenants(tuple(str(name) for name in command["names"])[:MAX_TENANTS])
     tenant = command["tenant"]
-    hash(tenant)  # a list or an object is rejected here, with the error text that replicated results hold
+    hash(tenant)  # raises for a list or an object, with the error text that replicated results contain
     holder, share = str(command["holder"]), int(command["to"])
     match action:
         case "grow":
@@ -123,7 +130,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantsSet:
-    """The number of tenants that now share their allowance."""
+    """The set of tenants was replaced; `count` is its size."""
 
     count: int
 
@@ -134,7 +141,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ShareChanged:
-    """The change was applied."""
+    """The change of a share was applied."""
 
     holder: str
     share: int
@@ -146,10 +153,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ShareChangeRejected:
-    """Nothing was changed."""
+    """The change of a share was rejected."""
 
     reason: str
-    holder: str = ""  # empty where the process has no share of that tenant to change
+    holder: str = ""  # empty if the tenant, the process or the share was invalid
 
     def to_json(self) -> ResultJson:
         """The result as snapshots store it."""
--- a/marlstep/membership/quota_lease.py
+++ b/marlstep/membership/quota_lease.py
@@ -1,4 +1,4 @@
-"""A process's side of quota shares: its demand, and the shares that it may use under its configuration lease."""
+"""A process's part of quota sharing: its demand, and the shares that it may use under its configuration lease."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from marlstep.membership.quota_table import FULL_QUOTA
 from marlstep.units import MILLISECOND, SECOND
 
-SMOOTHING_TIME = 1_500 * MILLISECOND  # some heartbeats long
+SMOOTHING_TIME = 1_500 * MILLISECOND  # spans several heartbeats
 
 
 @dataclass(slots=True, frozen=True)
 class _Sample:
     at: datetime
-    count: int  # requests since the process began
-    rate: float  # requests a second, smoothed
+    count: int  # requests since the process started
+    rate: float  # smoothed requests per second
 
 
 class DemandEstimator:
-    """Estimate the demand of each tenant at one process, as an exponentially weighted moving average."""
+    """Estimates the demand of each tenant at one process as an exponentially weighted moving average."""
 
     def __init__(self, smoothing_time: timedelta = SMOOTHING_TIME) -> None:
-        """`smoothing_time` is the time after which a sample has replaced all earlier ones."""
+        """Initialize without samples; one taken `smoothing_time` after the last replaces the average entirely."""
         self._smoothing_time = smoothing_time
         self._samples: dict[str, _Sample] = {}
 
     def estimate(self, now: datetime, counts: Mapping[str, int]) -> tuple[TenantDemand, ...]:
-        """Return the demand by tenant. `counts` are all requests of each since the process began."""
+        """Return the demand of each tenant in `counts`, the number of requests by tenant since the process started."""
         for tenant in [tenant for tenant in self._samples if tenant not in counts]:
             del self._samples[tenant]
         for tenant, count in counts.items():
@@ -46,24 +46,24 @@
 
 
 class ShrunkShare(NamedTuple):
-    """A share that this process has shrunk, and has to confirm in the log."""
+    """A share that this process has reduced and has to confirm in the log."""
 
     tenant: str
     share: int  # millionths
 
 
 class QuotaLease:
-    """The shares that one process may use. They hold as long as its lease on the configuration."""
+    """The shares that one process may use, valid as long as its lease on the configuration."""
 
     def __init__(self) -> None:
-        """Start without any share."""
+        """Initialize without shares."""
         self.shares: dict[str, int] = {}
         self._reported: dict[str, int] = {}
 
     def update(self, rows: tuple[QuotaShareRow, ...]) -> list[ShrunkShare]:
-        """Take the shares of a heartbeat's response; return those to confirm, each once.
+        """Apply the shares of a heartbeat response; return the reduced shares to confirm, each only once.
 
-        Where a smaller share is asked for, it is used from now on, before the confirmation.
+        A reduced share applies from now on, before it is confirmed.
         """
         self.shares = {tenant: min(granted, target) for tenant, granted, target in rows}
         shrunk = {tenant: target for tenant, granted, target in rows if target < granted}
@@ -79,9 +79,9 @@
         return unreported
 
     def report_lost(self, tenant: str) -> None:
-        """Return that tenant's share with the next `update` again, as the log did not take its confirmation."""
+        """Make the next `update` return the tenant's share again, since its confirmation was lost or rejected."""
         self._reported.pop(tenant, None)
 
     def share_of(self, tenant: str) -> float:
-        """Return the share of the whole allowance, from 0 to 1; 0 before the leader has granted any."""
+        """Return the share of the tenant's allowance, from 0 to 1; 0 until the leader has granted one."""
         return self.shares.get(tenant, 0) / FULL_QUOTA
--- a/marlstep/membership/quota_table.py
+++ b/marlstep/membership/quota_table.py
@@ -1,9 +1,9 @@
 """State machine of quota shares: how much of each tenant's allowance every process may use.
 
-A tenant's allowance holds for the whole service. Shares are millionths of it, whatever it is by the document version in
-force, and never sum to more than all of it. A share grows out of the free remainder alone. It shrinks when its process
-confirms that it uses less, or when the process's lease on the configuration ends: until then the old share counts as
-used.
+A tenant's allowance applies to the whole service. Shares are millionths of the allowance in the document version in
+force, and their sum never exceeds the whole allowance. A share grows only out of the free part. It shrinks when its
+process confirms that it uses less, or when the process's lease on the configuration ends. Until then the old share
+counts as used.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 )
 from marlstep.membership.records import MAX_NAME_LENGTH
 
-FULL_QUOTA = 1_000_000
-MAX_NAME_SHOWN = 80  # characters, in an error text
+FULL_QUOTA = 1_000_000  # the whole allowance, in millionths
+MAX_NAME_SHOWN = 80  # characters of a tenant's name in an error text
 
 QuotaSnapshot = Mapping[str, list[list[Any]]]  # rows of holder, granted, target, by tenant
 
 
 def quota_limit_violation(tenants: Mapping[str, Mapping[str, Any]]) -> str:
-    """Return why a document's tenants can't all have a shared allowance; empty if they can."""
+    """Return why a document's tenants cannot all have a shared allowance, or an empty text if they can."""
     names = [name for name, row in tenants.items() if row.get("allowance_per_s")]
     if len(names) > MAX_TENANTS:
         return f"shares: {MAX_TENANTS} tenants with an allowance at the most, {len(names)} are named"
@@ -55,15 +55,15 @@
 class QuotaShare:
     """One process's share of one tenant's allowance."""
 
-    granted: int  # that the process may use
-    target: int  # that it is asked to shrink to; equal to `granted` where nothing is asked
+    granted: int  # millionths that count as used by the process
+    target: int  # millionths that it is asked to shrink to; equal to `granted` if no reduction is requested
 
 
 class QuotaTable:
-    """The replicated table of shares. Its clock is the log: shares end with the leases of their holders."""
+    """The replicated table of shares. It uses no clock: shares end with the leases of their holders, as in the log."""
 
     def __init__(self, leases: LeaseTable) -> None:
-        """`leases` is the state machine of leases on the same log."""
+        """Initialize without tenants; `leases` is the state machine of leases on the same log."""
         self._leases = leases
         self.tenants: dict[str, dict[str, QuotaShare]] = {}  # shares by process
 
@@ -76,14 +76,14 @@
         ]
 
     def free(self, tenant: str) -> int:
-        """Return what no live process may use."""
+        """Return the part of the tenant's allowance that no live process holds, in millionths."""
         live = set(self.live_processes())
         return FULL_QUOTA - sum(
             share.granted for holder, share in self.tenants.get(tenant, {}).items() if holder in live
         )
 
     def shares_of(self, holder: str) -> tuple[QuotaShareRow, ...]:
-        """Return the rows for one process's heartbeat response: tenant, granted share, target."""
+        """Return the shares of one process, as rows of the response to its heartbeat."""
         return tuple(
             QuotaShareRow(tenant, share.granted, share.target)
             for tenant, shares in self.tenants.items()
@@ -91,9 +91,16 @@
         )
 
     def apply(self, command: CommandJson) -> ResultJson:
-        """Apply one committed command. Raises ValueError, KeyError or TypeError for an invalid one."""
+        """Apply one committed command.
+
+        Raises:
+            KeyError: a key of the command is missing.
+            TypeError: a value of the command has a wrong type.
+            ValueError: a share is not a number, or the action is unknown.
+        """
         live = set(self.live_processes())
-        self._drop_expired_shares(live)  # whatever the command: each replica drops them at the same entry
+        # For every command, also an invalid one, so that all replicas drop expired shares at the same log entry.
+        self._drop_expired_shares(live)
         return self._execute(parse_quota_command(command), live).to_json()
 
     def _drop_expired_shares(self, live: set[str]) -> None:
@@ -129,14 +136,14 @@
         return ShareChanged(command.holder, command.share)
 
     def snapshot(self) -> QuotaSnapshot:
-        """Return all shares, as JSON."""
+        """Return all shares in JSON form."""
         return {
             tenant: [[holder, share.granted, share.target] for holder, share in shares.items()]
             for tenant, shares in self.tenants.items()
         }
 
     def restore(self, snapshot: QuotaSnapshot) -> None:
-        """Replace all shares by those of a snapshot."""
+        """Replace all shares with those of a snapshot."""
         self.tenants = {
             tenant: {holder: QuotaShare(granted, target) for holder, granted, target in rows}
             for tenant, rows in snapshot.items()
--- a/marlstep/membership/records.py
+++ b/marlstep/membership/records.py
@@ -1,9 +1,9 @@
-"""Membership records: the state of one node, and the order that decides between two records of it.
+"""Membership records: the state of one node, and the order of precedence between records of the same node.
 
-A node name is reused by successive processes. `generation` orders the processes of a name: it is the wall clock's time
-at the start of the process, raised above that of any earlier process that is heard of, so that a clock set back does
-no harm. Within one process the incarnation number orders (SWIM, section 4.2); only the node itself raises it, to refute
-a suspicion.
+Successive processes use the same node name. `generation` orders them: it is the wall-clock time at the start of the
+process, raised above the generation of any earlier process that this process learns of, so that a clock that was set
+back does no harm. Records of one process are ordered by the incarnation number (SWIM, section 4.2), which only the node
+itself raises, to refute a suspicion.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 from marlstep.errors import MarlstepError
 
-MAX_NAME_LENGTH = 64
+MAX_NAME_LENGTH = 64  # characters
 MAX_PORT = 65_535
 
 
 class MemberState(enum.StrEnum):
-    """The state of a member; the values are those on the wire."""
+    """The state of a member. The values are part of the wire format."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"  # did not acknowledge a probe, and may still refute that
-    FAILED = "failed"  # the suspicion timed out: SWIM's "confirm"
+    FAILED = "failed"  # did not refute the suspicion in time: SWIM's "confirm"
     LEFT = "left"  # announced its shutdown
 
 
@@ -35,44 +35,44 @@
 
 
 class InvalidRecordError(MarlstepError, ValueError):
-    """A record of a peer that can't be read; the message that carries it is to be dropped."""
+    """A record of a peer is invalid; the message that carries it has to be dropped."""
 
     def __init__(self, part: str, expected: str) -> None:
-        """Name the part of the record that is wrong, and what was expected there."""
+        """Initialize with the invalid part of the record, and what was expected there."""
         super().__init__(f"membership records, {part}: expected {expected}")
 
 
 @dataclass(slots=True, frozen=True)
 class MemberRecord:
-    """What one node states about itself or another."""
+    """A statement of one node about itself or another node."""
 
     node: str
     process_id: str
-    generation: int  # milliseconds since the epoch; see above
+    generation: int  # milliseconds since the epoch; see the module's docstring
     incarnation: int
     state: MemberState
-    address: str  # of streams and datagrams, as 127.0.0.1:7001
+    address: str  # host and port of both streams and datagrams, such as 127.0.0.1:7001
     zone: str = ""
-    reported_by: str = ""  # the node that suspects it, or that declared it failed
+    reported_by: str = ""  # the node that suspects `node` or that declared it failed
 
     @property
     def process_generation(self) -> tuple[int, str]:
-        """Identify the process, ordered by age among the processes of one name."""
+        """Identifies the process; a later process of the same name has a greater value."""
         return self.generation, self.process_id
 
     @property
     def precedence(self) -> tuple[int, str, int, int]:
-        """Order the records of one node: the greatest overrides the others (SWIM, section 4.2)."""
+        """Orders the records of one node: the one with the greatest value overrides the others (SWIM, section 4.2)."""
         return self.generation, self.process_id, self.incarnation, STATE_PRECEDENCE[self.state]
 
     def with_state(self, state: MemberState, reported_by: str = "") -> MemberRecord:
-        """Return a copy in another state."""
+        """Return a copy with another state and reporter."""
         return replace(self, state=state, reported_by=reported_by)
 
 
 @lru_cache(4_096)
 def is_address(text: str) -> bool:
-    """Check for a numeric host and a port; names are never looked up."""
+    """Return whether the text is an IP address and a port; host names are never resolved."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -82,7 +82,7 @@
 
 
 def write_records(records: Sequence[MemberRecord]) -> list[list[Any]]:
-    """Return the wire form: rows without keys, as datagrams are small."""
+    """Return the wire form: rows without keys, to save space in datagrams."""
     return [
         [
             record.node,
@@ -99,9 +99,14 @@
 
 
 def read_records(value: object) -> tuple[MemberRecord, ...]:
-    """Read what `write_records` gave. Raises ValueError or TypeError."""
+    """Parse the wire form that `write_records` returns.
+
+    Raises:
+        TypeError: a row is not a sequence.
+        ValueError: a value, or the number of values in a row, is invalid.
+    """
     if not isinstance(value, list):
-        raise InvalidRecordError("rows", "a list")
+        raise InvalidRecordError("rows", f"a list, got {type(value).__name__}")
     return tuple(_read_record(row) for row in value)
 
 
@@ -109,11 +114,11 @@
     node, process_id, generation, incarnation, state, address, zone, reported_by = row
     texts = (node, process_id, address, zone, reported_by)
     if not all(isinstance(text, str) and len(text) <= MAX_NAME_LENGTH for text in texts) or not node:
-        raise InvalidRecordError("names", f"texts of at most {MAX_NAME_LENGTH} characters")
+        raise InvalidRecordError("names", f"texts of at most {MAX_NAME_LENGTH} characters and a node name")
     if not is_address(address):
-        raise InvalidRecordError("address", "a numeric host with a port")
+        raise InvalidRecordError("address", f"an IP address with a port, got {address!r}")
     if type(generation) is not int or type(incarnation) is not int or generation < 0 or incarnation < 0:
-        raise InvalidRecordError("generation/incarnation", "integers from 0")
+        raise InvalidRecordError("generation/incarnation", "non-negative integers")
     return MemberRecord(
         node, process_id, generation, incarnation, MemberState(state), address, zone, reported_by
     )
--- a/marlstep/membership/roster.py
+++ b/marlstep/membership/roster.py
@@ -1,4 +1,4 @@
-"""State machine of the agreed membership: the nodes that belong to the cluster, as the replicated log has them."""
+"""State machine of the roster: the members of the cluster, as agreed in the replicated log."""
 
 from __future__ import annotations
 
@@ -23,41 +23,48 @@
 )
 from marlstep.net.codec import BOOLEAN, INTEGER, TEXT, read_fields, wire, write_fields
 
-MAX_REMOVED_KEPT = 500  # the entries of removed nodes that are kept, the latest
+MAX_REMOVED_KEPT = 500  # maximum number of entries of removed nodes; older ones are evicted
 
 
 class RosterSnapshot(TypedDict):
     """The stored form of a roster."""
 
-    nodes: list[list[Any]]  # pairs of a name and an entry's fields
-    believed: list[str]
+    nodes: list[list[Any]]  # pairs of a node name and the fields of its entry
+    believed: list[str]  # confirmed failures
 
 
 @dataclass(slots=True)
 class RosterEntry:
-    """One node that is or was a member."""
+    """A node that is or was a member."""
 
     is_member: bool = field(metadata=wire("there", BOOLEAN))
     removal_count: int = field(metadata=wire("taken_out", INTEGER), default=0)
     reason: str = field(metadata=wire("why", TEXT), default="")  # of the last removal
-    # not admitted before an operator readmits it
+    # removed by an operator, and not admitted until an operator readmits it
     blocked_by_operator: bool = field(metadata=wire("held_off", BOOLEAN), default=False)
 
 
 class Roster:
-    """The replicated list of members. The leader's RosterController and operators propose its commands."""
+    """The replicated list of members. Its commands are proposed by the leader's RosterController and by operators."""
 
     def __init__(self) -> None:
-        """Start without members."""
+        """Initialize without members."""
         self.nodes: dict[str, RosterEntry] = {}
-        self.confirmed_failures: list[str] = []  # by operators: the guard does not withhold their removal
+        # Nodes whose failure an operator has confirmed: the guard does not withhold their removal.
+        self.confirmed_failures: list[str] = []
 
     def members(self) -> frozenset[str]:
         """Return the names of all members."""
         return frozenset(name for name, entry in self.nodes.items() if entry.is_member)
 
     def apply(self, command: CommandJson) -> ResultJson:
-        """Apply one committed command. Raises ValueError, KeyError or TypeError for an invalid one."""
+        """Apply one committed command.
+
+        Raises:
+            KeyError: a key of the command is missing.
+            TypeError: a value of the command has a wrong type.
+            ValueError: the action or the node's name is invalid.
+        """
         return self._execute(parse_roster_command(command)).to_json()
 
     def _execute(self, command: RosterCommand) -> RosterResult:
@@ -100,7 +107,7 @@
         return NodeRemoved(command.node)
 
     def _evict_removed(self) -> None:
-        """Bound the entries of nodes that are gone; one that an operator blocks is never evicted."""
+        """Bound the number of entries of removed nodes. A node blocked by an operator is never evicted."""
         removed = [
             name
             for name, entry in self.nodes.items()
@@ -117,13 +124,13 @@
         return NodeReadmitted(node)
 
     def snapshot(self) -> RosterSnapshot:
-        """Return the whole roster, as JSON."""
+        """Return the whole roster in JSON form."""
         return {
             "nodes": [[name, write_fields(entry)] for name, entry in self.nodes.items()],
             "believed": self.confirmed_failures,
         }
 
     def restore(self, snapshot: RosterSnapshot) -> None:
-        """Replace the whole roster by that of a snapshot."""
+        """Replace the whole roster with that of a snapshot."""
         self.nodes = {name: read_fields(RosterEntry, fields) for name, fields in snapshot["nodes"]}
         self.confirmed_failures = list(snapshot["believed"])
--- a/marlstep/membership/roster_commands.py
+++ b/marlstep/membership/roster_commands.py
@@ -1,6 +1,6 @@
-"""Log commands that change the agreed membership, and their results.
+"""Replicated log commands that change the roster, and their results.
 
-The keys and their order are those of the log.
+The JSON keys and their order are part of the log format.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from marlstep.membership.records import MAX_NAME_LENGTH
 
 MACHINE = "members"  # name of the state machine in the log
-MAX_NODES = 2_000
+MAX_NODES = 2_000  # maximum number of members
 MAX_REASON_LENGTH = 200  # characters
 
 
 class InvalidNodeNameError(InvalidCommandError):
-    """A command that names no node."""
+    """The node name of a command is missing, empty or too long."""
 
     def __init__(self) -> None:
-        """The text is part of replicated results."""
+        """Initialize with a fixed text, which is part of replicated results."""
         super().__init__("a node's name")
 
 
@@ -27,7 +27,7 @@
     """A roster command that this version does not know."""
 
     def __init__(self, action: object) -> None:
-        """Name the action; the text is part of replicated results."""
+        """Initialize with the unknown action. The text is part of replicated results."""
         super().__init__(f"nothing that is done to a member: {action!r}")
 
 
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RemoveNode:
-    """Remove a member; one that an operator blocks is not admitted again before `ReadmitNode`."""
+    """Remove a member; one that is blocked by an operator is not admitted again before `ReadmitNode`."""
 
     node: str
     reason: str
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadmitNode:
-    """Let a node that an operator blocked be admitted again, as if it had never been removed."""
+    """Allow a node that an operator blocked to be admitted again, and reset its number of removals."""
 
     node: str
 
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfirmFailures:
-    """An operator confirms that these nodes have failed, so that the guard does not withhold their removal."""
+    """Confirm as an operator that these nodes have failed, so that the guard does not withhold their removal."""
 
     nodes: tuple[str, ...]
 
@@ -83,7 +83,13 @@
 
 
 def parse_roster_command(command: CommandJson) -> RosterCommand:
-    """Read a command from the log. Raises ValueError, KeyError or TypeError."""
+    """Parse a command from the log.
+
+    Raises:
+        KeyError: a key is missing.
+        TypeError: a value has a wrong type.
+        ValueError: the action or the node's name is invalid.
+    """
     action = command["do"]
     if action == "believe":
         names = sorted({str(node)[:MAX_NAME_LENGTH] for node in command["nodes"]})
@@ -104,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeAdmitted:
-    """The node is a member now."""
+    """The node is now a member."""
 
     node: str
 
@@ -115,7 +121,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NodeRemoved:
-    """The node is no member any more."""
+    """The node is no longer a member."""
 
     node: str
 
@@ -137,7 +143,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailuresConfirmed:
-    """These failures are confirmed; earlier confirmations are replaced."""
+    """The failures of these nodes are confirmed; earlier confirmations are replaced."""
 
     nodes: tuple[str, ...]
 
@@ -148,7 +154,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RosterChangeRejected:
-    """Nothing was changed."""
+    """The change was rejected, and the roster is unchanged."""
 
     reason: str
 
--- a/marlstep/membership/roster_controller.py
+++ b/marlstep/membership/roster_controller.py
@@ -1,8 +1,8 @@
-"""Leader's side of the agreed membership: decide which nodes to admit and which to remove.
+"""The leader's part of the roster: decide which nodes to admit and which to remove.
 
-A node is removed only when a majority of those heard from report it as failed and it holds no lease any more. It is
-admitted again after a probation, which doubles with each recent removal. Where too many nodes seem to fail at once the
-leader's own view is the likelier fault: removals are withheld until operators confirm them.
+A node is removed only when a majority of the reporting nodes report it as failed and it no longer holds a lease. It is
+admitted again after a probation, which doubles with each recent removal. If too many nodes seem to fail at once, a
+wrong view of the leader is more likely, so removals are withheld until operators confirm them.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RosterSettings:
-    """Limits on changes of the membership."""
+    """Limits on changes of the roster."""
 
-    probation: timedelta = 2 * SECOND
-    removal_memory: timedelta = 600 * SECOND  # an earlier removal does not lengthen the probation
-    max_failed_share: float = 0.3  # of the members; more than that don't fail at once
-    guard_window: timedelta = 30 * SECOND  # what counts as at once
+    probation: timedelta = 2 * SECOND  # without removals; a node has to be healthy for so long to be admitted
+    removal_memory: timedelta = 600 * SECOND  # a removal longer ago does not lengthen the probation
+    max_failed_share: float = 0.3  # of the members; the guard withholds removals if more seem to fail at once
+    guard_window: timedelta = 30 * SECOND  # removals within this time count as failures at once
 
 
 @dataclass(slots=True, frozen=True)
 class FailureReport:
-    """The nodes that one process reports as failed, by its last heartbeat."""
+    """The nodes that one process reported as failed in its last heartbeat."""
 
     node: str
     received_at: datetime
@@ -40,12 +40,12 @@
 
 
 class RosterController:
-    """Propose admissions and removals. A new leader gathers all evidence anew."""
+    """Proposes admissions and removals. A new leader collects all evidence anew."""
 
     def __init__(self, settings: RosterSettings) -> None:
-        """Propose nothing before `become_leader`."""
+        """Initialize a controller that proposes nothing before `become_leader`."""
         self.settings = settings
-        self.withheld_removals: list[str] = []  # nodes that the guard keeps, until operators confirm
+        self.withheld_removals: list[str] = []  # kept until operators confirm their failure
         self._leader_since: datetime | None = None
         self._healthy_since: dict[str, datetime] = {}
         self._last_removed: dict[str, datetime] = {}
@@ -53,7 +53,7 @@
         self._proposed_removals: dict[str, datetime] = {}
 
     def become_leader(self, now: datetime) -> None:
-        """Start a leadership."""
+        """Discard the state of an earlier leadership of this node, and start a new one at `now`."""
         self._leader_since = now
         self._healthy_since.clear()
         self._recently_removed.clear()
@@ -70,8 +70,13 @@
     ) -> list[RosterChange]:
         """Return the commands to propose.
 
-        `reports` are by process, `lease_holders` are the nodes that hold any lease, and `longest_term` is that of the
-        leases: a report counts for so long, and a new leader waits for so long to hear from all.
+        Args:
+            now: the current time.
+            roster: the replicated roster.
+            reports: the last report of each process, by process.
+            lease_holders: the nodes that hold any lease.
+            longest_term: the longest term of a lease. Reports are valid for this time, and a new leader waits for this
+                time, so that all processes can report to it.
         """
         if self._leader_since is None or now < self._leader_since + longest_term:
             return []
@@ -93,7 +98,7 @@
         self._recently_removed = _since(self._recently_removed, now - self.settings.guard_window)
 
     def _withhold_removals(self, roster: Roster, failed: list[str], removable: list[str]) -> None:
-        """Apply the guard against a view in which too many fail at once."""
+        """Withhold unconfirmed removals if too many nodes seem to have failed at once."""
         limit = max(1, int(self.settings.max_failed_share * len(roster.members())))
         if len({*failed, *self._recently_removed}) > limit:
             self.withheld_removals = [name for name in removable if name not in roster.confirmed_failures]
@@ -112,7 +117,7 @@
     def _propose_admissions(
         self, now: datetime, roster: Roster, heard: set[str], recent: list[FailureReport]
     ) -> list[AdmitNode]:
-        """Admit nodes that were healthy without a break for their probation."""
+        """Propose to admit nodes that were continuously healthy for the time of their probation."""
         suspected = {name for report in recent for name in report.failed_nodes}
         for name in [name for name in self._healthy_since if name not in heard or name in suspected]:
             del self._healthy_since[name]
@@ -142,7 +147,10 @@
 
 
 def _failed_members(roster: Roster, heard: set[str], recent: list[FailureReport]) -> list[str]:
-    """Return the silent members that a majority of the nodes heard from, and at least two, report as failed."""
+    """Return the silent members that a majority of the reporting nodes report as failed.
+
+    At least two nodes must report a member, unless only one node reports at all.
+    """
     failed = []
     for name in roster.members() - heard:
         reporters = {report.node for report in recent if name in report.failed_nodes}
--- a/marlstep/membership/state_exchange.py
+++ b/marlstep/membership/state_exchange.py
@@ -1,4 +1,4 @@
-"""Anti-entropy over streams: full state exchanges, as memberlist's push-pull, and joining through seeds."""
+"""Anti-entropy over streams: full state exchanges like memberlist's push-pull, and joining through seeds."""
 
 from __future__ import annotations
 
@@ -12,51 +12,55 @@
 from marlstep.membership.records import MemberRecord
 from marlstep.membership.sampling import sample
 
-RECORDS_PER_PAGE = 100  # so that a page with long names stays below the limit of a message
+RECORDS_PER_PAGE = 100  # keeps a page with long names below the maximum message size
 SEEDS_PER_JOIN = 2
-SEED_PROBABILITY = 0.1  # per probe interval, of a request to a seed that is not a member
+SEED_PROBABILITY = 0.1  # of a request per probe interval to a seed that is not a reachable member
 
 
 class StateExchanger:
-    """Schedules exchanges of all records with one member at a time."""
+    """Schedules full state exchanges with one member at a time."""
 
     def __init__(
         self, members: MemberList, settings: DetectorSettings, random: RandomSource, now: datetime
     ) -> None:
-        """Start within one interval, at a random time."""
+        """Initialize with the first exchange due at a random time within one exchange interval."""
         self._members = members
         self._settings = settings
         self._random = random
         self._next_exchange_at = now + settings.exchange_interval * random.random()
         self._seeds: tuple[str, ...] = ()
         self._state_received = False
-        self._reconnected_address = ""  # of a member from the other side of a healed partition
+        self._reconnected_address = ""  # address of a member on the other side of a healed partition
 
     @property
     def next_due(self) -> datetime:
-        """When the next exchange is due."""
+        """The time at which the next exchange is due."""
         return self._next_exchange_at
 
     def join(self, seeds: Iterable[str]) -> list[OutboundMessage]:
-        """Request the state of some seeds; the others are tried while this node knows no member."""
+        """Request the state of some of the seeds. Other ones are tried as long as this node knows no member."""
         self._seeds = tuple(seed for seed in seeds if seed != self._members.local.address)
         return self._request_state(self._seeds, SEEDS_PER_JOIN)
 
     def handle_state(self) -> None:
-        """Note that a member has sent its whole state."""
+        """Record that a member has sent its state."""
         self._state_received = True
 
     def handle_reconnection(self, now: datetime, record: MemberRecord) -> None:
-        """Exchange soon with a member that was taken for failed: its side of a partition may have others."""
+        """Schedule an early exchange with a member that was declared failed and is alive.
+
+        It may know further nodes on its side of a partition.
+        """
         soon = now + self._settings.probe_interval * self._random.random()
         self._next_exchange_at = min(self._next_exchange_at, soon)
         self._reconnected_address = record.address
 
     def request_missing_state(self) -> list[OutboundMessage]:
-        """Request the state of one node, where this one may not know all others. Call it once per probe interval.
+        """Request the state of one node if this node may not know all members. Called once per probe interval.
 
-        A node that has just started knows nobody until a member has sent its state, as pings carry only what is new.
-        Two halves that started apart know nobody of each other: a seed that is not a member may be on the other side.
+        A node that has just started knows no members until one has sent its state, since pings carry only recent
+        changes. Two halves of a cluster that started without contact do not know each other's members: a seed that is
+        not a reachable member may be in the other half.
         """
         if not self._state_received:
             candidates = dict.fromkeys((*self._seeds, *self._members.reachable_addresses()))
@@ -74,7 +78,7 @@
         ]
 
     def start_exchange(self, now: datetime) -> list[OutboundMessage]:
-        """Send the whole state to one member and request its own, and schedule the next exchange."""
+        """Send the whole state to one member, request its state, and schedule the next exchange."""
         interval = self._settings.exchange_interval
         self._next_exchange_at = now + interval * (0.5 + self._random.random())
         if self._reconnected_address:
@@ -86,7 +90,7 @@
         return self.pages(sample(self._random, addresses, 1)[0], answer=True)
 
     def pages(self, address: str, answer: bool) -> list[OutboundMessage]:
-        """Return all records as messages to that address; `answer` requests the receiver's own, by the last page."""
+        """Return all records as messages to `address`; with `answer` the last page requests the receiver's records."""
         records = [self._members.local, *(member.record for member in self._members.others.values())]
         pages = [
             tuple(records[start : start + RECORDS_PER_PAGE])
--- a/marlstep/membership/suspicion.py
+++ b/marlstep/membership/suspicion.py
@@ -8,19 +8,20 @@
 from marlstep.membership.detector_settings import DetectorSettings
 from marlstep.membership.member_list import Member, MemberList
 
-UNCONFIRMABLE_SIZE = 3  # in a group of that size nobody else is left to confirm a suspicion
+# In a group of at most this size the minimum timeout applies, since too few members are left to confirm a suspicion.
+UNCONFIRMABLE_SIZE = 3
 
 
 class SuspicionTimeouts:
-    """How long a suspected member has to refute, in this group at this moment."""
+    """Computes how long a suspected member may take to refute, given the current group size and confirmations."""
 
     def __init__(self, members: MemberList, settings: DetectorSettings) -> None:
-        """Timeouts grow with the size of `members`."""
+        """Initialize timeouts that scale with the current size of `members`."""
         self._members = members
         self._settings = settings
 
     def deadline(self, member: Member) -> datetime:
-        """Return when a suspected member is declared failed, by the nodes that suspect it so far."""
+        """Return when a suspected member is declared failed, given the nodes that suspect it so far."""
         minimum = self._minimum_timeout()
         if self._members.size <= UNCONFIRMABLE_SIZE:
             return member.state_since + minimum
