--- a/marlstep/membership/failure_detector.py
+++ b/marlstep/membership/failure_detector.py
@@ -84,7 +84,7 @@
             settings,
             self.counts,
         )
-        self._due = now
+        self._tick_due_at = now
 
     # Queries of the current membership.
 
@@ -137,8 +137,8 @@
             for member in self.members.values()
             if member.suspicion_ends_at is not None
         ]
-        self._due = min(due)
-        return self._due
+        self._tick_due_at = min(due)
+        return self._tick_due_at
 
     # Joining and leaving the group.
 
@@ -158,7 +158,7 @@
 
     def tick(self, now: datetime) -> list[OutboundMessage]:
         """Advance probes, suspicions and exchanges that are due, and return the messages to send."""
-        lateness = now - self._due
+        lateness = now - self._tick_due_at
         if lateness > self.settings.probe_interval / 2:
             self._handle_late_wakeup(now, lateness)
         sends = self._indirect_probes.expire(now)
@@ -215,7 +215,7 @@
             return []
         self.last_received_at = now
         self.state.merge_record(now, sender, "it said so itself")
-        overriding = self._record_overriding(sender)
+        overriding = self._overriding_record(sender)
         for record in message.records:
             self.state.merge_record(now, record, f"heard from {sender.node}")
         match message:
@@ -231,7 +231,7 @@
             case StateExchange():
                 return self._handle_exchange(sender, message, overriding)
 
-    def _record_overriding(self, sender: MemberRecord) -> MemberRecord | None:
+    def _overriding_record(self, sender: MemberRecord) -> MemberRecord | None:
         """Return the local record of the sender if it overrides the sender's own record.
 
         That is so if the sender is suspected or declared failed here, or if a later process has used its name.
@@ -244,7 +244,7 @@
     def _correct_sender(self, sender: MemberRecord, overriding: MemberRecord | None) -> list[OutboundMessage]:
         if overriding is None:
             return []
-        return [self._pings.correcting(overriding, sender.address)]
+        return [self._pings.make_correction(overriding, sender.address)]
 
     def _handle_ping(
         self, sender: MemberRecord, ping: Ping, overriding: MemberRecord | None
@@ -269,5 +269,5 @@
     ) -> list[OutboundMessage]:
         if exchange.answer:
             return self._exchanger.pages(sender.address, answer=False)
-        self._exchanger.handle_state()
+        self._exchanger.mark_state_received()
         return self._correct_sender(sender, overriding)
--- a/marlstep/membership/member_list.py
+++ b/marlstep/membership/member_list.py
@@ -84,11 +84,11 @@
 
     def reclaim(self, now: datetime, after: timedelta) -> list[str]:
         """Forget the nodes that failed or left at least `after` ago, and return their names."""
-        gone = [
+        reclaimed = [
             name
             for name, member in self.others.items()
             if member.record.state not in REACHABLE_STATES and now >= member.state_since + after
         ]
-        for name in gone:
+        for name in reclaimed:
             del self.others[name]
-        return gone
+        return reclaimed
--- a/marlstep/membership/membership_state.py
+++ b/marlstep/membership/membership_state.py
@@ -82,7 +82,7 @@
         member.last_probe_sent = True
         timeout = 2 * self._settings.probe_timeout * self._local_health.timeout_factor
         member.suspicion_ends_at = now + timeout
-        return self._pings.correcting(member.record, member.record.address)
+        return self._pings.make_correction(member.record, member.record.address)
 
     def merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
         """Apply a record if it overrides the known one (SWIM, section 4.2); return whether it was applied.
--- a/marlstep/membership/partition_state.py
+++ b/marlstep/membership/partition_state.py
@@ -181,13 +181,13 @@
         """Update the state from an observation; return whether it changed."""
         observed = classify(observation)
         self._track_durations(now, observed)
-        following = self._next_state(now, observed)
-        if following is self.state:
+        next_state = self._next_state(now, observed)
+        if next_state is self.state:
             limit = OVERDUE_AFTER[self.state]
             self.overdue = limit is not None and now >= self.since + limit
             return False
-        self.transitions.append(Transition(now, following, self.state))
-        self.state, self.since, self.overdue = following, now, False
+        self.transitions.append(Transition(now, next_state, self.state))
+        self.state, self.since, self.overdue = next_state, now, False
         return True
 
     def _track_durations(self, now: datetime, observed: PartitionState) -> None:
--- a/marlstep/membership/pings.py
+++ b/marlstep/membership/pings.py
@@ -25,6 +25,6 @@
         """Return a ping of the node that carries the record `first`, if given, and queued records."""
         return Ping(self.next_number(), node, self._broadcasts.take(first))
 
-    def correcting(self, record: MemberRecord, address: str) -> OutboundMessage:
+    def make_correction(self, record: MemberRecord, address: str) -> OutboundMessage:
         """Return a ping that carries a node's record to that node, which alone can refute it (SWIM, section 4.2)."""
         return OutboundMessage(address, self.make(record.node, record))
--- a/marlstep/membership/probing.py
+++ b/marlstep/membership/probing.py
@@ -175,7 +175,7 @@
             return []
         name = sample(self._random, sorted(failed), 1)[0]
         record = self._members.others[name].record
-        return [self._pings.correcting(record, record.address)]
+        return [self._pings.make_correction(record, record.address)]
 
 
 def _record_to_refute(record: MemberRecord) -> MemberRecord | None:
--- a/marlstep/membership/quota_balancer.py
+++ b/marlstep/membership/quota_balancer.py
@@ -113,20 +113,20 @@
         if increase >= min(MIN_TRANSFER, shortfalls[holder]):
             free -= increase
             commands.append(GrowShare(tenant, holder, current[holder].granted + increase))
-    missing = sum(shortfalls[holder] for holder in growing) - max(0, free)
-    return commands + _propose_shrinks(tenant, current, targets, missing)
+    total_shortfall = sum(shortfalls[holder] for holder in growing) - max(0, free)
+    return commands + _propose_shrinks(tenant, current, targets, total_shortfall)
 
 
 def _propose_shrinks(
-    tenant: str, current: Mapping[str, QuotaShare], targets: Mapping[str, int], missing: int
+    tenant: str, current: Mapping[str, QuotaShare], targets: Mapping[str, int], total_shortfall: int
 ) -> list[QuotaCommand]:
     """Shrink the shares that exceed their targets most, until the requested reductions cover the shortfall."""
     commands: list[QuotaCommand] = []
-    asked_back = sum(share.granted - share.target for share in current.values())
+    pending_reductions = sum(share.granted - share.target for share in current.values())
     for holder in sorted(current, key=lambda holder: (targets[holder] - current[holder].granted, holder)):
-        spare = current[holder].target - targets[holder]
-        if missing <= asked_back or spare < MIN_TRANSFER:
+        excess = current[holder].target - targets[holder]
+        if total_shortfall <= pending_reductions or excess < MIN_TRANSFER:
             break
-        asked_back += spare
+        pending_reductions += excess
         commands.append(ShrinkShare(tenant, holder, targets[holder]))
     return commands
--- a/marlstep/membership/roster_controller.py
+++ b/marlstep/membership/roster_controller.py
@@ -25,7 +25,7 @@
     """Limits on changes of the roster."""
 
     probation: timedelta = 2 * SECOND  # without removals; a node has to be healthy for so long to be admitted
-    removal_memory: timedelta = 600 * SECOND  # a removal longer ago does not lengthen the probation
+    probation_reset_after: timedelta = 600 * SECOND  # a removal longer ago does not lengthen the probation
     max_failed_share: float = 0.3  # of the members; the guard withholds removals if more seem to fail at once
     guard_window: timedelta = 30 * SECOND  # removals within this time count as failures at once
 
@@ -81,11 +81,13 @@
         if self._leader_since is None or now < self._leader_since + longest_term:
             return []
         recent = [report for report in reports.values() if report.received_at >= now - longest_term]
-        heard = {report.node for report in recent}
-        changes: list[RosterChange] = [*self._propose_admissions(now, roster, heard, recent)]
+        reporting_nodes = {report.node for report in recent}
+        changes: list[RosterChange] = [*self._propose_admissions(now, roster, reporting_nodes, recent)]
         self._expire_history(now, longest_term)
         failed = [
-            name for name in _failed_members(roster, heard, recent) if name not in self._proposed_removals
+            name
+            for name in _failed_members(roster, reporting_nodes, recent)
+            if name not in self._proposed_removals
         ]
         removable = sorted(name for name in failed if name not in lease_holders)
         self._withhold_removals(roster, failed, removable)
@@ -94,8 +96,8 @@
         return changes
 
     def _expire_history(self, now: datetime, longest_term: timedelta) -> None:
-        self._proposed_removals = _since(self._proposed_removals, now - longest_term)
-        self._recently_removed = _since(self._recently_removed, now - self.settings.guard_window)
+        self._proposed_removals = _entries_since(self._proposed_removals, now - longest_term)
+        self._recently_removed = _entries_since(self._recently_removed, now - self.settings.guard_window)
 
     def _withhold_removals(self, roster: Roster, failed: list[str], removable: list[str]) -> None:
         """Withhold unconfirmed removals if too many nodes seem to have failed at once."""
@@ -115,14 +117,16 @@
         return RemoveNode(name, reason)
 
     def _propose_admissions(
-        self, now: datetime, roster: Roster, heard: set[str], recent: list[FailureReport]
+        self, now: datetime, roster: Roster, reporting_nodes: set[str], recent: list[FailureReport]
     ) -> list[AdmitNode]:
         """Propose to admit nodes that were continuously healthy for the time of their probation."""
         suspected = {name for report in recent for name in report.failed_nodes}
-        for name in [name for name in self._healthy_since if name not in heard or name in suspected]:
+        for name in [
+            name for name in self._healthy_since if name not in reporting_nodes or name in suspected
+        ]:
             del self._healthy_since[name]
         admissions: list[AdmitNode] = []
-        for name in sorted(heard - roster.members() - suspected):
+        for name in sorted(reporting_nodes - roster.members() - suspected):
             healthy_since = self._healthy_since.setdefault(name, now)
             entry = roster.nodes.get(name)
             if entry is not None and entry.blocked_by_operator:
@@ -136,24 +140,24 @@
         entry = roster.nodes.get(name)
         removal_count = entry.removal_count if entry is not None else 0
         last_removed = self._last_removed.get(name)
-        if last_removed is None or now >= last_removed + self.settings.removal_memory:
+        if last_removed is None or now >= last_removed + self.settings.probation_reset_after:
             removal_count = min(removal_count, 1)
         factor: int = 2 ** min(removal_count, MAX_PROBATION_DOUBLINGS)
         return self.settings.probation * factor
 
 
-def _since(times: Mapping[str, datetime], earliest: datetime) -> dict[str, datetime]:
+def _entries_since(times: Mapping[str, datetime], earliest: datetime) -> dict[str, datetime]:
     return {name: at for name, at in times.items() if at >= earliest}
 
 
-def _failed_members(roster: Roster, heard: set[str], recent: list[FailureReport]) -> list[str]:
+def _failed_members(roster: Roster, reporting_nodes: set[str], recent: list[FailureReport]) -> list[str]:
     """Return the silent members that a majority of the reporting nodes report as failed.
 
     At least two nodes must report a member, unless only one node reports at all.
     """
     failed = []
-    for name in roster.members() - heard:
+    for name in roster.members() - reporting_nodes:
         reporters = {report.node for report in recent if name in report.failed_nodes}
-        if 2 * len(reporters) > len(heard) and (len(reporters) >= 2 or len(heard) == 1):
+        if 2 * len(reporters) > len(reporting_nodes) and (len(reporters) >= 2 or len(reporting_nodes) == 1):
             failed.append(name)
     return failed
--- a/marlstep/membership/state_exchange.py
+++ b/marlstep/membership/state_exchange.py
@@ -42,7 +42,7 @@
         self._seeds = tuple(seed for seed in seeds if seed != self._members.local.address)
         return self._request_state(self._seeds, SEEDS_PER_JOIN)
 
-    def handle_state(self) -> None:
+    def mark_state_received(self) -> None:
         """Record that a member has sent its state."""
         self._state_received = True
 
--- a/marlstep/membership/suspicion.py
+++ b/marlstep/membership/suspicion.py
@@ -9,7 +9,7 @@
 from marlstep.membership.member_list import Member, MemberList
 
 # In a group of at most this size the minimum timeout applies, since too few members are left to confirm a suspicion.
-UNCONFIRMABLE_SIZE = 3
+MAX_UNCONFIRMABLE_SIZE = 3
 
 
 class SuspicionTimeouts:
@@ -23,7 +23,7 @@
     def deadline(self, member: Member) -> datetime:
         """Return when a suspected member is declared failed, given the nodes that suspect it so far."""
         minimum = self._minimum_timeout()
-        if self._members.size <= UNCONFIRMABLE_SIZE:
+        if self._members.size <= MAX_UNCONFIRMABLE_SIZE:
             return member.state_since + minimum
         maximum = minimum * self._settings.max_suspicion_multiplier
         needed = self._settings.suspicion_confirmations
