--- a/tests/membership/support.py
+++ b/tests/membership/support.py
@@ -1,4 +1,4 @@
-"""Records and detectors that several test modules of this package use."""
+"""Helpers that several test modules of this package share."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -1,4 +1,4 @@
-"""Dissemination of records by piggybacking."""
+"""Dissemination of membership records by piggybacking."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_commands.py
+++ b/tests/membership/test_commands.py
@@ -1,4 +1,4 @@
-"""Log commands of the roster and of quotas: what is written is read as the same command."""
+"""Replicated log commands of the roster and of quotas."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Membership messages as datagrams and over streams."""
+"""Encoding of membership messages as datagrams and over streams, and opening of the datagram socket."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector alone: probes, suspicions, refutations, generations and exchanges."""
+"""The failure detector without I/O: probes, suspicions, refutations, generations and state exchanges."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         request.address for request in requests
     ]
     probe = ping.message.number
-    for send in requests:  # they received the request, and had no ack either
+    for send in requests:  # the asked members received the request, but got no ack either
         observer.receive(now, record(send.address), Nack(probe))
     while observer.members[name].record.state is MemberState.ALIVE:
         now = observer.next_due()
@@ -39,7 +39,7 @@
         and name in observer.alive()
     )
     for other in ("b", "c", "d", "e"):
-        if other != name:  # a confirmation, which shortens the timeout
+        if other != name:  # another node's suspicion is a confirmation, which shortens the timeout
             before = observer.members[name].suspicion_ends_at
             suspect = replace(record(name, MemberState.SUSPECT), reported_by=other)
             observer.receive(now, record(other), Ack(0, (suspect,)))
@@ -58,7 +58,7 @@
 
 
 def tick_until_sending(observer: FailureDetector, now: datetime) -> list[OutboundMessage]:
-    """Tick until there is something to send."""
+    """Tick until there are messages to send, and return them."""
     for _ in range(50):
         now = max(now, observer.next_due())
         if sends := observer.tick(now):
@@ -75,7 +75,7 @@
     other = with_members(detector("b"), "a")
     other.receive(NOW, record("c"), Ack(0, (record("a", MemberState.FAILED),)))
     assert "a" not in other.alive()
-    # The failed node is sent that record, as only itself can refute it.
+    # The node is sent the record that declares it failed, since only the node itself can refute it.
     [correction] = other.receive(NOW, record("a"), Ack(3))
     assert isinstance(correction.message, Ping) and correction.message.records[0].state is MemberState.FAILED
     other.receive(NOW, observer.local, Ack(0))
@@ -85,9 +85,11 @@
 def test_an_earlier_process_of_a_name_does_not_return_and_an_old_clock_does_no_harm() -> None:
     observer = with_members(detector(), "b")
     observer.receive(NOW, record("b", process_id="b2", generation=9), Ack(0))
-    observer.receive(NOW, record("c"), Ack(0, (record("b", incarnation=7),)))  # delayed, of the first process
+    observer.receive(
+        NOW, record("c"), Ack(0, (record("b", incarnation=7),))
+    )  # a delayed record of the first process
     assert observer.members["b"].record.process_id == "b2"
-    # Restarted with a clock that is behind: it receives the record of its earlier process, and exceeds it.
+    # A process restarted with a clock set back receives the record of the earlier process, and raises its generation.
     restarted = detector("b")
     restarted.local = replace(restarted.local, process_id="b3", generation=1)
     [reply] = observer.receive(NOW, restarted.local, Ack(0))
@@ -169,7 +171,7 @@
 def test_records_converge_in_any_order_and_precedence_only_rises(
     records: list[MemberRecord], shuffler: Any
 ) -> None:
-    """Precedence alone decides, whatever the order of arrival."""
+    """Only the precedence of records matters, not the order in which they arrive."""
     first, second = detector(), detector()
     shuffled = list(records)
     shuffler.shuffle(shuffled)
--- a/tests/membership/test_partition_state.py
+++ b/tests/membership/test_partition_state.py
@@ -1,4 +1,4 @@
-"""Classification of partitions, and the tracker's hysteresis."""
+"""Classification of partition states, and the hysteresis of the tracker."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     assert (
         tracker.state is PartitionState.HEALTHY and (PartitionState.RECOVERING in entered) is was_disconnected
     )
-    observe_for(OBSERVATIONS[state], 0.2)  # too short to count
+    observe_for(OBSERVATIONS[state], 0.2)  # shorter than the delay for worse states
     assert tracker.state is PartitionState.HEALTHY
 
 
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -1,4 +1,4 @@
-"""Membership and quotas among processes on loopback."""
+"""Membership and quotas of clusters of processes on the loopback interface."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 def test_processes_share_an_allowance_by_demand(tmp_path: Path) -> None:
-    """One tenant's requests come to one node, which then dies: the sum of all shares stays within the allowance."""
+    """A tenant sends to one node, and to another after the first is killed: each gets most of the allowance in turn.
+
+    The sum of all shares stays within the allowance.
+    """
     rules: dict[str, dict[str, Any]] = {"tenants": {"kind": "tenants"}}
     ports, servers = Ports(), ListServers()
     polls: list[dict[str, int]] = []
@@ -73,7 +76,7 @@
     servers.close()
     ports.close()
     assert first >= 0.9 and second >= 0.9
-    # Nodes are polled one after another, so a share that moves may be counted twice.
+    # Nodes are polled one after another, so a share that moves during a poll may be counted twice.
     assert sum(sum(shares.values()) > 1.02 * FULL_QUOTA for shares in polls) <= len(polls) / 4
 
 
@@ -102,7 +105,7 @@
 
 
 def test_the_drill_detects_effects_that_a_partition_state_forbids() -> None:
-    """Nodes do what their partition state forbids, and the first lease holder is isolated."""
+    """A mutation makes nodes ignore their partition state, and the holder of the first lease is isolated."""
     plan = Plan(64, NODES[:5], NODES[:3], 11_000, (1.0,) * 5, (Fault(3_000, 7_000, "isolate", "@holder"),))
     result = members_one((plan, str(CONFIG), "", "acts-in-any-situation"))
     assert result["verdict"] == "broken" and result["forbidden_acts"], result["situations"]
--- a/tests/membership/test_quota_balancer.py
+++ b/tests/membership/test_quota_balancer.py
@@ -46,5 +46,5 @@
         assert commands <= 4 * nodes + 8
     assert not balancer.rebalance(
         now + BALANCE_INTERVAL / 2, table, {"t": 100.0}, {}
-    )  # before the interval is over
+    )  # the interval since the last run is not over
     assert balancer.rebalance(now + BALANCE_INTERVAL, table, {"u": 1.0}, {}) == [SetTenants(("u",))]
--- a/tests/membership/test_quota_lease.py
+++ b/tests/membership/test_quota_lease.py
@@ -14,7 +14,7 @@
         count += 20
         rates = dict(estimator.estimate(now, {"t": count}))
     assert 38_000 < rates["t"] <= 40_000
-    assert estimator.estimate(now, {"t": count}) == tuple(rates.items())  # no time passed
+    assert estimator.estimate(now, {"t": count}) == tuple(rates.items())  # no time has passed
     for _ in range(20):
         now += 500 * MILLISECOND
         rates = dict(estimator.estimate(now, {"t": count}))
--- a/tests/membership/test_quota_table.py
+++ b/tests/membership/test_quota_table.py
@@ -57,7 +57,7 @@
         {"do": "grow", "tenant": "t", "holder": "b/1", "to": 10}
     )  # not confirmed yet
     leases.apply({"do": "expire", "name": "rules/a/1", "token": leases.leases["rules/a/1"].token})
-    # The leader sees that at once, though no quota command was applied since.
+    # The leader sees the free share immediately, although no quota command was applied since.
     [grow] = QuotaBalancer().rebalance(NOW, quotas, {"t": 100.0}, {"b/1": {"t": 100.0}})
     assert isinstance(grow, GrowShare) and grow.holder == "b/1" and grow.share >= 0.95 * FULL_QUOTA
     assert "part" in quotas.apply(grow.to_json())
--- a/tests/membership/test_roster_controller.py
+++ b/tests/membership/test_roster_controller.py
@@ -1,4 +1,4 @@
-"""Admission to the agreed roster and removal from it."""
+"""Admission of nodes to the roster and their removal."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.changes: list[str] = []
 
     def run(self, seconds: float, heard: str, failed: str = "", lease_holders: str = "") -> list[str]:
-        """Reconcile while the nodes of `heard` report those of `failed`; return the changes that were made."""
+        """Reconcile for `seconds` while the nodes of `heard` report those of `failed`; return the applied changes."""
         self.changes = []
         for _ in range(int(seconds * 10)):
             self.now += 100 * MILLISECOND
@@ -45,7 +45,7 @@
 
 def test_a_node_is_removed_once_a_majority_reports_it_and_its_leases_have_ended() -> None:
     group = RosterGroup(*"abcde")
-    assert not group.run(1.5, "abcd", "e")  # a new leader has not heard from all
+    assert not group.run(1.5, "abcd", "e")  # a new leader waits until all processes can have reported
     assert not group.run(3, "abcd", "e", lease_holders="e")
     assert group.run(1, "abcd", "e") == ["remove e"] and group.roster.members() == frozenset("abcd")
     assert not group.run(1, "abcde") and group.run(5, "abcde") == ["admit e"]  # after its probation
@@ -75,7 +75,7 @@
         "task/t"
     ) == "b/1"
     renew(later + 2 * SECOND, "a")
-    assert table.holder("task/t") == "b/1"  # it may still rely on its earlier grant
+    assert table.holder("task/t") == "b/1"  # b may still rely on its earlier grant
     expiry = later + 4 * SECOND
     renew(expiry, "a")
     assert table.holder("task/t") in ("", "a/1")
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The membership section of the operator's file."""
+"""Validation of the `members` section in the configuration file of the cluster."""
 
 from __future__ import annotations
 
--- a/tests/membership/test_suspicion.py
+++ b/tests/membership/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion timeouts and their confirmations."""
+"""Suspicion timeouts, and how confirmations shorten them."""
 
 from __future__ import annotations
 
