--- a/tests/membership/test_broadcast_queue.py
+++ b/tests/membership/test_broadcast_queue.py
@@ -31,7 +31,7 @@
     assert queue.take()[0] == record("d")
 
 
-def test_the_receiver_s_own_record_comes_first_and_unknown_or_discarded_nodes_are_left_out() -> None:
+def test_the_given_record_comes_first_and_unknown_or_discarded_nodes_are_omitted() -> None:
     queue = queue_with("b", "c")
     queue.enqueue("unknown")
     queue.discard("c")
--- a/tests/membership/test_commands.py
+++ b/tests/membership/test_commands.py
@@ -62,7 +62,7 @@
         ({"do": "other", "node": "a"}, "nothing that is done to a member: 'other'"),
     ],
 )
-def test_an_invalid_roster_command_has_the_error_text_that_results_hold(
+def test_an_invalid_roster_command_raises_the_error_text_of_replicated_results(
     command: CommandJson, text: str
 ) -> None:
     with pytest.raises(InvalidCommandError) as caught:
@@ -70,7 +70,7 @@
     assert repr(caught.value) == f"ValueError({text!r})"
 
 
-def test_an_unknown_share_change_is_rejected_by_its_arguments_before_its_action() -> None:
+def test_the_arguments_of_an_unknown_share_change_are_checked_before_its_action() -> None:
     table: QuotaTable = leases_and_quotas("a/1")[1]
     change = {"do": "other", "tenant": "t", "holder": "a/1", "to": 5}
     assert "refused" in table.apply({**change, "holder": "nobody/1"})
--- a/tests/membership/test_datagrams.py
+++ b/tests/membership/test_datagrams.py
@@ -68,17 +68,17 @@
 
 
 def test_opening_the_datagram_socket_is_retried_until_the_predecessor_has_closed_its_own() -> None:
-    class AddressInUse:
-        tries = 0
+    class AddressInUseEndpoint:
+        attempts = 0
 
         async def open(self) -> None:
-            self.tries += 1
-            if self.tries < 3:
+            self.attempts += 1
+            if self.attempts < 3:
                 raise OSError(98, "Address already in use")
 
-    members: Any = AddressInUse()
+    members: Any = AddressInUseEndpoint()
     lifecycle = object.__new__(Lifecycle)
     config = SimpleNamespace(listen=("127.0.0.1", 1))
     lifecycle._context = SimpleNamespace(process=ProcessState(), config=config)  # type: ignore[assignment]
     asyncio.run(lifecycle._open_datagrams(members))
-    assert members.tries == 3
+    assert members.attempts == 3
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -82,7 +82,7 @@
     assert "a" in other.alive()
 
 
-def test_an_earlier_process_of_a_name_does_not_return_and_an_old_clock_does_no_harm() -> None:
+def test_records_of_an_earlier_process_are_ignored_and_a_restart_with_a_clock_set_back_is_not() -> None:
     observer = with_members(detector(), "b")
     observer.receive(NOW, record("b", process_id="b2", generation=9), Ack(0))
     observer.receive(
@@ -141,7 +141,7 @@
     assert len(observer.members) < 5
 
 
-def test_a_state_exchange_is_paged_and_an_answer_requests_none() -> None:
+def test_a_state_exchange_is_paged_and_its_response_requests_no_state() -> None:
     observer = detector()
     for number in range(450):
         observer.receive(NOW, record("x"), Ack(0, (record(f"n{number}"),)))
@@ -175,13 +175,13 @@
     first, second = detector(), detector()
     shuffled = list(records)
     shuffler.shuffle(shuffled)
-    for observer, rows in ((first, records), (second, shuffled)):
+    for observer, arrivals in ((first, records), (second, shuffled)):
         for node in "bcd":
             observer.receive(NOW, record(node, generation=0, process_id=""), Ack(0))
-        for row in rows:
-            before = observer.members[row.node].record.precedence
-            observer.receive(NOW, record("e"), Ack(0, (row,)))
-            assert observer.members[row.node].record.precedence >= before
+        for arrival in arrivals:
+            before = observer.members[arrival.node].record.precedence
+            observer.receive(NOW, record("e"), Ack(0, (arrival,)))
+            assert observer.members[arrival.node].record.precedence >= before
     assert {name: member.record.precedence for name, member in first.members.items()} == {
         name: member.record.precedence for name, member in second.members.items()
     }
--- a/tests/membership/test_local_health.py
+++ b/tests/membership/test_local_health.py
@@ -23,7 +23,7 @@
     assert scores == [4, 2, 1, 0, 0]
 
 
-def test_the_score_stays_zero_where_it_is_not_enabled() -> None:
+def test_the_score_stays_zero_if_local_health_is_disabled() -> None:
     health = LocalHealth(enabled=False)
     health.degrade()
     assert health.score == 0 and health.timeout_factor == 1
--- a/tests/membership/test_partition_state.py
+++ b/tests/membership/test_partition_state.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("state", OBSERVATIONS)
-def test_each_state_is_entered_by_its_observation_and_left_through_recovering(
+def test_each_state_is_entered_by_its_observation_and_left_through_recovering_if_disconnected(
     state: PartitionState,
 ) -> None:
     assert classify(OBSERVATIONS[state]) is state
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -58,10 +58,10 @@
             async def await_share(name: str, expected_share: float) -> float:
                 for _ in range(400):
                     shares = {}
-                    for polled, node in cluster.nodes.items():
+                    for polled_name, node in cluster.nodes.items():
                         with contextlib.suppress(OSError, ValueError):
                             status = await node.call("/v1/fleet/rules")
-                            shares[polled] = status["parts"].get("riad", 0) if status["lease_ms"] else 0
+                            shares[polled_name] = status["parts"].get("riad", 0) if status["lease_ms"] else 0
                     polls.append(shares)
                     if shares.get(name, 0) >= expected_share * FULL_QUOTA:
                         break
@@ -135,14 +135,14 @@
 
             await await_members(set(NODES[:5]))
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender:
-                for junk in (
+                for invalid_datagram in (
                     b"",
                     b"x",
                     b"MSD1" + b"\0" * 40,
                     b"MSD1" + (9).to_bytes(4, "big") * 9,
                     b"\xff" * 1_400,
                 ):
-                    unknown_sender.sendto(junk, ("127.0.0.1", cluster.nodes["n1"].fleet))
+                    unknown_sender.sendto(invalid_datagram, ("127.0.0.1", cluster.nodes["n1"].fleet))
             assert await run_command("remove", "n5", "--why", "its disk is replaced") == 0
             await await_members(set(NODES[:4]))
             assert await run_command("readmit", "n5") == 0
--- a/tests/membership/test_quota_balancer.py
+++ b/tests/membership/test_quota_balancer.py
@@ -26,12 +26,12 @@
 
 
 @pytest.mark.parametrize("nodes", [2, 5, 40])
-def test_shares_follow_the_demand_and_return_within_a_few_runs(nodes: int) -> None:
-    names = [f"n{number}/1" for number in range(nodes)]
-    _, table = leases_and_quotas(*names)
+def test_shares_move_to_the_process_with_demand_within_a_few_runs(nodes: int) -> None:
+    processes = [f"n{number}/1" for number in range(nodes)]
+    _, table = leases_and_quotas(*processes)
     balancer, now = QuotaBalancer(), NOW
-    quota_leases = {holder: QuotaLease() for holder in names}
-    for demanding in (names[0], names[-1]):
+    quota_leases = {holder: QuotaLease() for holder in processes}
+    for demanding in (processes[0], processes[-1]):
         runs = commands = 0
         while quota_leases[demanding].share_of("t") < 0.95:
             now += BALANCE_INTERVAL
@@ -40,7 +40,7 @@
             for command in balancer.rebalance(now, table, {"t": 100.0}, {demanding: {"t": 100.0}}):
                 table.apply(command.to_json())
                 commands += 1
-            for holder in names:
+            for holder in processes:
                 for tenant, share in quota_leases[holder].update(table.shares_of(holder)):
                     table.apply(ConfirmShrink(tenant, holder, share).to_json())
         assert commands <= 4 * nodes + 8
--- a/tests/membership/test_roster_controller.py
+++ b/tests/membership/test_roster_controller.py
@@ -28,12 +28,12 @@
             self.roster.apply({"do": "admit", "node": node})
         self.changes: list[str] = []
 
-    def run(self, seconds: float, heard: str, failed: str = "", lease_holders: str = "") -> list[str]:
-        """Reconcile for `seconds` while the nodes of `heard` report those of `failed`; return the applied changes."""
+    def run(self, seconds: float, reporting: str, failed: str = "", lease_holders: str = "") -> list[str]:
+        """Reconcile for `seconds` while `reporting` nodes report `failed` nodes; return the applied changes."""
         self.changes = []
         for _ in range(int(seconds * 10)):
             self.now += 100 * MILLISECOND
-            reports = {f"{node}/1": FailureReport(node, self.now, frozenset(failed)) for node in heard}
+            reports = {f"{node}/1": FailureReport(node, self.now, frozenset(failed)) for node in reporting}
             for change in self.controller.reconcile(
                 self.now, self.roster, reports, frozenset(lease_holders), 2 * SECOND
             ):
@@ -104,7 +104,7 @@
     assert not group.roster.confirmed_failures and group.roster.members() >= frozenset("ij")
 
 
-def test_one_report_removes_nobody_and_an_operator_s_removal_blocks_admission() -> None:
+def test_a_single_report_removes_no_node_and_a_removal_by_an_operator_blocks_admission() -> None:
     group = RosterGroup(*"abcd")
     group.run(3, "abcd")
     # Only the leader's own node reports d as failed.
