--- a/marlstep/membership/roster_controller.py
+++ b/marlstep/membership/roster_controller.py
@@ -1,8 +1,8 @@
-"""Leader's side of the agreed membership: decide which nodes to admit and which to remove.
+"""The leader's part of the roster: decide which nodes to admit and which to remove.
 
-A node is removed only when a majority of those heard from report it as failed and it holds no lease any more. It is
-admitted again after a probation, which doubles with each recent removal. Where too many nodes seem to fail at once the
-leader's own view is the likelier fault: removals are withheld until operators confirm them.
+A node is removed only when a majority of the reporting nodes report it as failed and it no longer holds a lease. It is
+admitted again after a probation, which doubles with each recent removal. If too many nodes seem to fail at once, a
+wrong view of the leader is more likely, so removals are withheld until operators confirm them.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RosterSettings:
-    """Limits on changes of the membership."""
+    """Limits on changes of the roster."""
 
-    probation: timedelta = 2 * SECOND
-    removal_memory: timedelta = 600 * SECOND  # an earlier removal does not lengthen the probation
-    max_failed_share: float = 0.3  # of the members; more than that don't fail at once
-    guard_window: timedelta = 30 * SECOND  # what counts as at once
+    probation: timedelta = 2 * SECOND  # without removals; a node has to be healthy for so long to be admitted
+    probation_reset_after: timedelta = 600 * SECOND  # a removal longer ago does not lengthen the probation
+    max_failed_share: float = 0.3  # of the members; the guard withholds removals if more seem to fail at once
+    guard_window: timedelta = 30 * SECOND  # removals within this time count as failures at once
 
 
 @dataclass(slots=True, frozen=True)
 class FailureReport:
-    """The nodes that one process reports as failed, by its last heartbeat."""
+    """The nodes that one process reported as failed in its last heartbeat."""
 
     node: str
     received_at: datetime
@@ -40,12 +40,12 @@
 
 
 class RosterController:
-    """Propose admissions and removals. A new leader gathers all evidence anew."""
+    """Proposes admissions and removals. A new leader collects all evidence anew."""
 
     def __init__(self, settings: RosterSettings) -> None:
-        """Propose nothing before `become_leader`."""
+        """Initialize a controller that proposes nothing before `become_leader`."""
         self.settings = settings
-        self.withheld_removals: list[str] = []  # nodes that the guard keeps, until operators confirm
+        self.withheld_removals: list[str] = []  # kept until operators confirm their failure
         self._leader_since: datetime | None = None
         self._healthy_since: dict[str, datetime] = {}
         self._last_removed: dict[str, datetime] = {}
@@ -53,7 +53,7 @@
         self._proposed_removals: dict[str, datetime] = {}
 
     def become_leader(self, now: datetime) -> None:
-        """Start a leadership."""
+        """Discard the state of an earlier leadership of this node, and start a new one at `now`."""
         self._leader_since = now
         self._healthy_since.clear()
         self._recently_removed.clear()
@@ -70,17 +70,24 @@
     ) -> list[RosterChange]:
         """Return the commands to propose.
 
-        `reports` are by process, `lease_holders` are the nodes that hold any lease, and `longest_term` is that of the
-        leases: a report counts for so long, and a new leader waits for so long to hear from all.
+        Args:
+            now: the current time.
+            roster: the replicated roster.
+            reports: the last report of each process, by process.
+            lease_holders: the nodes that hold any lease.
+            longest_term: the longest term of a lease. Reports are valid for this time, and a new leader waits for this
+                time, so that all processes can report to it.
         """
         if self._leader_since is None or now < self._leader_since + longest_term:
             return []
         recent = [report for report in reports.values() if report.received_at >= now - longest_term]
-        heard = {report.node for report in recent}
-        changes: list[RosterChange] = [*self._propose_admissions(now, roster, heard, recent)]
+        reporting_nodes = {report.node for report in recent}
+        changes: list[RosterChange] = [*self._propose_admissions(now, roster, reporting_nodes, recent)]
         self._expire_history(now, longest_term)
         failed = [
-            name for name in _failed_members(roster, heard, recent) if name not in self._proposed_removals
+            name
+            for name in _failed_members(roster, reporting_nodes, recent)
+            if name not in self._proposed_removals
         ]
         removable = sorted(name for name in failed if name not in lease_holders)
         self._withhold_removals(roster, failed, removable)
@@ -89,11 +96,11 @@
         return changes
 
     def _expire_history(self, now: datetime, longest_term: timedelta) -> None:
-        self._proposed_removals = _since(self._proposed_removals, now - longest_term)
-        self._recently_removed = _since(self._recently_removed, now - self.settings.guard_window)
+        self._proposed_removals = _entries_since(self._proposed_removals, now - longest_term)
+        self._recently_removed = _entries_since(self._recently_removed, now - self.settings.guard_window)
 
     def _withhold_removals(self, roster: Roster, failed: list[str], removable: list[str]) -> None:
-        """Apply the guard against a view in which too many fail at once."""
+        """Withhold unconfirmed removals if too many nodes seem to have failed at once."""
         limit = max(1, int(self.settings.max_failed_share * len(roster.members())))
         if len({*failed, *self._recently_removed}) > limit:
             self.withheld_removals = [name for name in removable if name not in roster.confirmed_failures]
@@ -110,14 +117,16 @@
         return RemoveNode(name, reason)
 
     def _propose_admissions(
-        self, now: datetime, roster: Roster, heard: set[str], recent: list[FailureReport]
+        self, now: datetime, roster: Roster, reporting_nodes: set[str], recent: list[FailureReport]
     ) -> list[AdmitNode]:
-        """Admit nodes that were healthy without a break for their probation."""
+        """Propose to admit nodes that were continuously healthy for the time of their probation."""
         suspected = {name for report in recent for name in report.failed_nodes}
-        for name in [name for name in self._healthy_since if name not in heard or name in suspected]:
+        for name in [
+            name for name in self._healthy_since if name not in reporting_nodes or name in suspected
+        ]:
             del self._healthy_since[name]
         admissions: list[AdmitNode] = []
-        for name in sorted(heard - roster.members() - suspected):
+        for name in sorted(reporting_nodes - roster.members() - suspected):
             healthy_since = self._healthy_since.setdefault(name, now)
             entry = roster.nodes.get(name)
             if entry is not None and entry.blocked_by_operator:
@@ -131,21 +140,24 @@
         entry = roster.nodes.get(name)
         removal_count = entry.removal_count if entry is not None else 0
         last_removed = self._last_removed.get(name)
-        if last_removed is None or now >= last_removed + self.settings.removal_memory:
+        if last_removed is None or now >= last_removed + self.settings.probation_reset_after:
             removal_count = min(removal_count, 1)
         factor: int = 2 ** min(removal_count, MAX_PROBATION_DOUBLINGS)
         return self.settings.probation * factor
 
 
-def _since(times: Mapping[str, datetime], earliest: datetime) -> dict[str, datetime]:
+def _entries_since(times: Mapping[str, datetime], earliest: datetime) -> dict[str, datetime]:
     return {name: at for name, at in times.items() if at >= earliest}
 
 
-def _failed_members(roster: Roster, heard: set[str], recent: list[FailureReport]) -> list[str]:
-    """Return the silent members that a majority of the nodes heard from, and at least two, report as failed."""
+def _failed_members(roster: Roster, reporting_nodes: set[str], recent: list[FailureReport]) -> list[str]:
+    """Return the silent members that a majority of the reporting nodes report as failed.
+
+    At least two nodes must report a member, unless only one node reports at all.
+    """
     failed = []
-    for name in roster.members() - heard:
+    for name in roster.members() - reporting_nodes:
         reporters = {report.node for report in recent if name in report.failed_nodes}
-        if 2 * len(reporters) > len(heard) and (len(reporters) >= 2 or len(heard) == 1):
+        if 2 * len(reporters) > len(reporting_nodes) and (len(reporters) >= 2 or len(reporting_nodes) == 1):
             failed.append(name)
     return failed
