--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -265,7 +265,7 @@
     return round(rows[min(len(rows) - 1, int(len(rows) * share))] / 1000, 1) if rows else None
 
 
-def members_one(work: Work) -> dict[str, Any]:
+def run_membership_plan(work: Work) -> dict[str, Any]:
     from marlstep.fault_injection.errors import ProcessClusterError
     from marlstep.fault_injection.membership_drill import run
 
@@ -279,9 +279,9 @@
 def members_on_processes(work: list[Work], jobs: int) -> dict[str, Any]:
     began = time.monotonic()
     if len(work) == 1:
-        return members_one(work[0])
+        return run_membership_plan(work[0])
     with ProcessPoolExecutor(min(jobs, len(work))) as pool:
-        reports = list(pool.map(members_one, work))
+        reports = list(pool.map(run_membership_plan, work))
     ran = [one for one in reports if one["verdict"] != "not run"]
     agree = sorted(one["views_agree_ms"] * 1000 for one in ran if one["views_agree_ms"] is not None)
     return {
@@ -344,9 +344,9 @@
     began = time.monotonic()
     told = [(one, one[0].seed % 2 == 1 if strict is None else strict) for one in work]
     if len(told) == 1:
-        return rules_one(told[0])
+        return run_document_plan(told[0])
     with ProcessPoolExecutor(min(jobs, len(work))) as pool:
-        reports = list(pool.map(rules_one, told))
+        reports = list(pool.map(run_document_plan, told))
     ran = [one for one in reports if one["verdict"] != "not run"]
     return {
         "kind": "processes",
@@ -367,7 +367,7 @@
     }
 
 
-def rules_one(work: tuple[Work, bool]) -> dict[str, Any]:
+def run_document_plan(work: tuple[Work, bool]) -> dict[str, Any]:
     from marlstep.fault_injection.document_drill import run
     from marlstep.fault_injection.errors import ProcessClusterError
 
@@ -449,9 +449,9 @@
     began = time.monotonic()
     try:
         if len(work) == 1:
-            return process_one(work[0])
+            return run_lease_plan(work[0])
         with ProcessPoolExecutor(min(jobs, len(work))) as pool:
-            reports = list(pool.map(process_one, work))
+            reports = list(pool.map(run_lease_plan, work))
     except (ProcessClusterError, OSError) as fault:
         return {"kind": "processes", "verdict": "not run", "fault": str(fault)}
     held = all(one["verdict"] == "held" for one in reports)
@@ -489,7 +489,7 @@
     return plan, Settings(told, logs=Path(logs) if logs else None, broken=broken)
 
 
-def process_one(work: Work) -> dict[str, Any]:
+def run_lease_plan(work: Work) -> dict[str, Any]:
     from marlstep.fault_injection.errors import ProcessClusterError
     from marlstep.fault_injection.lease_drill import run
 
--- a/tests/cluster/test_process_drills.py
+++ b/tests/cluster/test_process_drills.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from marlstep.cli.drill import process_one
+from marlstep.cli.drill import run_lease_plan
 from marlstep.fault_injection.plan import PlanSettings, draw
 from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from tests.cluster.support import CONFIG, NODES, make_plan
@@ -70,7 +70,7 @@
     work = [(plan, str(CONFIG), "", "") for plan in PLANS.values()]
     work.append((MISSED, str(CONFIG), "", "token-reused"))
     with ProcessPoolExecutor(4) as pool:
-        return dict(zip([*PLANS, "missed"], pool.map(process_one, work), strict=True))
+        return dict(zip([*PLANS, "missed"], pool.map(run_lease_plan, work), strict=True))
 
 
 @pytest.mark.parametrize("name", PLANS)
--- a/tests/membership/test_process_drills.py
+++ b/tests/membership/test_process_drills.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from marlstep.cli.drill import members_one
+from marlstep.cli.drill import run_membership_plan
 from marlstep.cli.main import call
 from marlstep.fault_injection.document_drill import ListServers
 from marlstep.fault_injection.faults import Fault
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("name", PLANS)
 def test_processes_converge_after_faults(name: str) -> None:
-    result = members_one((PLANS[name], str(CONFIG), "", ""))
+    result = run_membership_plan((PLANS[name], str(CONFIG), "", ""))
     result.pop("plan", None)
     assert result["verdict"] == "held", result
     assert result["acts"] > 10 and result["situations"] > 12 and not result["wrongly_removed"]
@@ -104,7 +104,7 @@
 def test_the_drill_detects_effects_that_a_partition_state_forbids() -> None:
     """Nodes do what their partition state forbids, and the first lease holder is isolated."""
     plan = Plan(64, NODES[:5], NODES[:3], 11_000, (1.0,) * 5, (Fault(3_000, 7_000, "isolate", "@holder"),))
-    result = members_one((plan, str(CONFIG), "", "acts-in-any-situation"))
+    result = run_membership_plan((plan, str(CONFIG), "", "acts-in-any-situation"))
     assert result["verdict"] == "broken" and result["forbidden_acts"], result["situations"]
 
 
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from marlstep.cli.drill import rules_one
+from marlstep.cli.drill import run_document_plan
 from marlstep.cli.main import call
 from marlstep.fault_injection.document_drill import (
     CLIENTS,
@@ -100,7 +100,7 @@
     work = [((plan, str(CONFIG), "", ""), number != 1) for number, plan in enumerate(PLANS.values())]
     work.append(((MISSED, str(CONFIG), "", "acts-before-all-said-so"), True))
     with ProcessPoolExecutor(4) as pool:
-        return dict(zip([*PLANS, "missed"], pool.map(rules_one, work), strict=True))
+        return dict(zip([*PLANS, "missed"], pool.map(run_document_plan, work), strict=True))
 
 
 def test_the_servers_detect_a_mutation_of_real_processes(drilled: dict[str, Any]) -> None:
