--- a/marlstep/cli/admin_client.py
+++ b/marlstep/cli/admin_client.py
@@ -103,7 +103,7 @@
         try:
             document = tomllib.loads(Path(self.operator).read_text("utf-8"))
         except (OSError, ValueError) as error:
-            raise OptionError.found("--operator", f"{self.operator}: {error}") from error
+            raise OptionError.from_problem("--operator", f"{self.operator}: {error}") from error
         section: dict[str, Any] = document.get("admin", {})
         return section
 
--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -632,22 +632,22 @@
 
 
 def _print_results_and_exit(ctx: click.Context, results: list[dict[str, Any]], as_json: bool) -> None:
-    broken_results = [result for result in results if result["broken"]]
-    is_complete = all(result["complete"] for result in results)
+    broken_results = [row for row in results if row["broken"]]
+    is_complete = all(row["complete"] for row in results)
     verdict = "broken" if broken_results else "held" if is_complete else "not complete"
     report = {"verdict": verdict, "walks": results}
     if as_json:
         click.echo(json.dumps(report))
     else:
         click.echo(verdict)
-        for result in results:
+        for row in results:
             click.echo(
-                f"  {result['start']}: {result['states']} states to depth {result['depth']} in {result['seconds']:.1f} s"
-                + (", to the end of its bounds" if result["complete"] else "")
+                f"  {row['start']}: {row['states']} states to depth {row['depth']} in {row['seconds']:.1f} s"
+                + (", to the end of its bounds" if row["complete"] else "")
             )
-            if result["broken"]:
-                click.echo(f"    {result['broken']}")
-                for step in result["trace"]:
+            if row["broken"]:
+                click.echo(f"    {row['broken']}")
+                for step in row["trace"]:
                     click.echo(f"      {step}")
     ctx.exit(EXIT_BROKEN if broken_results else EXIT_HELD if is_complete else EXIT_INCONCLUSIVE)
 
--- a/marlstep/cli/errors.py
+++ b/marlstep/cli/errors.py
@@ -16,7 +16,7 @@
         return cls(f"{option} {requirement}")
 
     @classmethod
-    def found(cls, option: str, problem: object) -> OptionError:
+    def from_problem(cls, option: str, problem: object) -> OptionError:
         """Name the option or file and what is wrong with it: `--operator: n1.toml: no such file`."""
         return cls(f"{option}: {problem}")
 
--- a/marlstep/cli/fleet/group_store.py
+++ b/marlstep/cli/fleet/group_store.py
@@ -91,5 +91,5 @@
     except ConfigError as error:
         raise OptionError(str(error)) from error
     if cluster is None or cluster.store is None:
-        raise OptionError.found(operator, "this node is no voter of a [fleet]")
+        raise OptionError.from_problem(operator, "this node is no voter of a [fleet]")
     return cluster, cluster.store
--- a/marlstep/cli/fleet/situation.py
+++ b/marlstep/cli/fleet/situation.py
@@ -22,17 +22,17 @@
     click.echo(f"{page['node']}: {page['situation']}, for {page['for_ms'] / 1000:.1f} s{overdue}")
     click.echo(_render_conduct(page["conduct"]))
     for key, value in page["sees"].items():
-        click.echo(f"  {_spaced(key)}: {', '.join(value) if isinstance(value, list) else value}")
+        click.echo(f"  {_with_spaces(key)}: {', '.join(value) if isinstance(value, list) else value}")
     for transition in page["turns"][-MAX_TRANSITIONS:]:
         age_s = transition["ago_ms"] / 1000
         click.echo(f"  {age_s:.1f} s ago: {transition['now']}, before: {transition['before']}")
 
 
 def _render_conduct(conduct: JsonObject) -> str:
-    allowed = [_spaced(name) for name, is_allowed in conduct.items() if is_allowed]
-    forbidden = [_spaced(name) for name, is_allowed in conduct.items() if not is_allowed]
+    allowed = [_with_spaces(name) for name, is_allowed in conduct.items() if is_allowed]
+    forbidden = [_with_spaces(name) for name, is_allowed in conduct.items() if not is_allowed]
     return f"does: {', '.join(allowed) or 'nothing of it'}; does not: {', '.join(forbidden) or 'nothing'}"
 
 
-def _spaced(name: str) -> str:
+def _with_spaces(name: str) -> str:
     return name.replace("_", " ")
--- a/marlstep/cli/logs.py
+++ b/marlstep/cli/logs.py
@@ -53,8 +53,8 @@
 
 def _replace_handler(handler: CommandLogHandler, level: int) -> None:
     root = logging.getLogger()
-    for present in list(root.handlers):
-        if isinstance(present, CommandLogHandler):
-            root.removeHandler(present)
+    for existing in list(root.handlers):
+        if isinstance(existing, CommandLogHandler):
+            root.removeHandler(existing)
     root.addHandler(handler)
     root.setLevel(level)
--- a/marlstep/cli/main.py
+++ b/marlstep/cli/main.py
@@ -76,16 +76,16 @@
     ctx.exit(run(operator))
 
 
-def call(words: list[str]) -> int:
+def call(arguments: list[str]) -> int:
     """Run one command line, and return its exit code.
 
     Args:
-        words: the arguments, without the program's name.
+        arguments: the arguments, without the program's name.
     """
     try:
-        code = marlstep.main(args=words, prog_name="marlstep", standalone_mode=False)
-    except click.exceptions.Exit as end:
-        return end.exit_code
+        code = marlstep.main(args=arguments, prog_name="marlstep", standalone_mode=False)
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.ClickException as error:
         error.show()
         return exit_codes.UNUSABLE
--- a/marlstep/cli/rules/documents.py
+++ b/marlstep/cli/rules/documents.py
@@ -38,5 +38,5 @@
     try:
         content: object = json.loads(Path(path).read_text("utf-8"))
     except (OSError, ValueError) as error:
-        raise OptionError.found(path, error) from error
+        raise OptionError.from_problem(path, error) from error
     return content
--- a/marlstep/cli/rules/status.py
+++ b/marlstep/cli/rules/status.py
@@ -22,8 +22,8 @@
         print_json({**page, "nodes": processes})
         return
     click.echo(_render_node(page))
-    shown = [_own_process(page)] if processes is None else processes
-    rows = [row for process in shown for row in _process_rows(process)]
+    listed = [_own_process(page)] if processes is None else processes
+    rows = [row for process in listed for row in _process_rows(process)]
     click.echo(render_table(HEADERS, rows))
     if processes is None and not is_local:
         click.echo("the group did not answer: only this node is shown")
@@ -61,9 +61,9 @@
 
 
 def _process_rows(process: JsonObject) -> list[Row]:
-    holder = (process["process"], process["lease_ms"], process["heard_ms"])
+    process_cells = (process["process"], process["lease_ms"], process["heard_ms"])
     return [
-        (*holder, name, version, f"{age_ms / 1000:.1f}", state, reason)
+        (*process_cells, name, version, f"{age_ms / 1000:.1f}", state, reason)
         for name, version, state, age_ms, reason in process["acts"]
     ]
 
--- a/marlstep/cli/spans.py
+++ b/marlstep/cli/spans.py
@@ -19,10 +19,10 @@
         """Return microseconds; a default that is a number already stays as it is."""
         if isinstance(value, int):
             return value
-        found = SPAN.fullmatch(str(value))
-        if found is None:
+        match = SPAN.fullmatch(str(value))
+        if match is None:
             self.fail(f"{value!r} is no span: a number and us, ms, s, m, h or d, as 20s", param, ctx)
-        return round(float(found[1]) * UNITS_US[found[2]])
+        return round(float(match[1]) * UNITS_US[match[2]])
 
 
 SPAN_TYPE = Span()
--- a/marlstep/cli/trace/compile.py
+++ b/marlstep/cli/trace/compile.py
@@ -16,8 +16,8 @@
     ReadingOptions,
     exit_on_error,
     reading_options,
-    reported_rejects,
-    shown_progress,
+    report_rejects,
+    show_progress,
 )
 from marlstep.traces.account import Account
 from marlstep.traces.compiling import Compiled, Cut, compile_trace
@@ -52,15 +52,15 @@
         function(cut=cut, **others)
 
     decorated: Callable[..., None] = command
-    above_zero = click.FloatRange(0, min_open=True)
+    positive = click.FloatRange(0, min_open=True)
     for option in (
-        click.option("--cores", type=above_zero, default=DEFAULT_CORES, show_default=True),
-        click.option("--load", type=above_zero, help="Compress to this share of --cores."),
-        click.option("--compress", type=above_zero, default=1.0, help="Time runs so much faster."),
+        click.option("--cores", type=positive, default=DEFAULT_CORES, show_default=True),
+        click.option("--load", type=positive, help="Compress to this share of --cores."),
+        click.option("--compress", type=positive, default=1.0, help="Time runs so much faster."),
         click.option(
             "--keep", type=click.FloatRange(0, 1, min_open=True), default=1.0, help="Share of the senders."
         ),
-        click.option("--rate", type=above_zero, help="Thin to so many arrivals a second."),
+        click.option("--rate", type=positive, help="Thin to so many arrivals a second."),
         click.option(
             "--peaks",
             type=click.IntRange(1, MAX_PEAKS),
@@ -92,7 +92,7 @@
 def compile_schedule(ctx: click.Context, options: ReadingOptions, out_path: str, cut: Cut) -> None:
     """Write the requests of a part of a trace as a schedule, for `replay`."""
     _check(options, cut)
-    with exit_on_error(ctx), shown_progress(options.parts):
+    with exit_on_error(ctx), show_progress(options.parts):
         trace_format, mapping = options.load_format(options.format_name)
         compiled, account = _compile(options, trace_format, mapping, cut, out_path)
     print_report(_report(compiled, account, out_path), options.as_json)
@@ -102,8 +102,8 @@
     """Check that the options go together. Raises OptionError."""
     if STANDARD_INPUT in options.parts:
         raise OptionError(NEEDS_FILES)
-    has_bounds = bool(cut.from_us) or cut.for_us is not None
-    if cut.busiest_us is not None and has_bounds:
+    has_range = bool(cut.from_us) or cut.for_us is not None
+    if cut.busiest_us is not None and has_range:
         raise OptionError(BUSIEST_EXCLUDES)
 
 
@@ -117,7 +117,7 @@
     def make_reading() -> Reading:
         return unused.pop() if unused else options.make_reading(trace_format)
 
-    with reported_rejects(first, options.rejects_path):
+    with report_rejects(first, options.rejects_path):
         compiled, reading = compile_trace(make_reading, mapping, options.seed, cut, out_path)
     return compiled, reading.account
 
--- a/marlstep/cli/trace/inspect.py
+++ b/marlstep/cli/trace/inspect.py
@@ -8,11 +8,11 @@
 from marlstep.cli.trace.output import print_report
 from marlstep.cli.trace.reading import (
     ReadingOptions,
-    end_unusable,
     exit_on_error,
+    exit_unusable,
     reading_options,
-    reported_rejects,
-    shown_progress,
+    report_rejects,
+    show_progress,
 )
 from marlstep.traces.account import Account
 from marlstep.traces.cutting import Counts
@@ -32,16 +32,16 @@
 )
 def inspect(ctx: click.Context, options: ReadingOptions) -> None:
     """Say what a trace holds and what is wrong with it."""
-    with exit_on_error(ctx), shown_progress(options.parts) as progress:
+    with exit_on_error(ctx), show_progress(options.parts) as progress:
         trace_format, mapping = options.load_format(options.format_name)
         reading = options.make_reading(trace_format)
         reading.on_raw = progress
         mapper = Mapper(mapping, options.seed)
-        with reported_rejects(reading, options.rejects_path):
+        with report_rejects(reading, options.rejects_path):
             counts = _read_all(reading, mapper)
     print_report(_report(reading.account, mapper, counts), options.as_json)
     if not reading.account.arrivals:
-        end_unusable(ctx, "no arrival in it")
+        exit_unusable(ctx, "no arrival in it")
 
 
 def _read_all(reading: Reading, mapper: Mapper) -> Counts:
--- a/marlstep/cli/trace/reading.py
+++ b/marlstep/cli/trace/reading.py
@@ -138,28 +138,28 @@
         if self._count <= MAX_LOGGED_REJECTS:
             log.warning("trace_row_rejected", place=place, reason=reject.describe())
 
-    def end(self) -> None:
+    def log_suppressed_count(self) -> None:
         """Log how many bad rows were not logged by themselves."""
         if self._count > MAX_LOGGED_REJECTS:
             log.warning("trace_rows_rejected_without_log", count=self._count - MAX_LOGGED_REJECTS)
 
 
 @contextmanager
-def reported_rejects(reading: Reading, path: str | None) -> Iterator[None]:
+def report_rejects(reading: Reading, path: str | None) -> Iterator[None]:
     """Report the bad rows of a reading, and write them to the file where there is a path."""
     if path is None:
         report = RejectReport(reading, None)
         yield
-        report.end()
+        report.log_suppressed_count()
         return
     with open(path, "w", newline="") as sink:
         report = RejectReport(reading, sink)
         yield
-        report.end()
+        report.log_suppressed_count()
 
 
 @contextmanager
-def shown_progress(parts: tuple[str, ...]) -> Iterator[Callable[[bytes], None]]:
+def show_progress(parts: tuple[str, ...]) -> Iterator[Callable[[bytes], None]]:
     """Show a progress bar on a terminal, and nothing elsewhere; yield what is given the bytes that were read."""
     size = sum(Path(part).stat().st_size for part in parts if part != STANDARD_INPUT and Path(part).exists())
     if not size or not sys.stderr.isatty():
@@ -175,17 +175,17 @@
     try:
         yield
     except StrictReadingError as error:
-        _end_strict(ctx, error)
+        _exit_strict(ctx, error)
     except (ConfigError, SourceError, ScheduleError, NoArrivalsError, OSError) as error:
-        end_unusable(ctx, error)
+        exit_unusable(ctx, error)
 
 
-def _end_strict(ctx: click.Context, error: StrictReadingError) -> NoReturn:
+def _exit_strict(ctx: click.Context, error: StrictReadingError) -> NoReturn:
     log.error("trace_strict_reading_failed", error=str(error))
     ctx.exit(exit_codes.STRICT_REJECT)
 
 
-def end_unusable(ctx: click.Context, problem: object) -> NoReturn:
+def exit_unusable(ctx: click.Context, problem: object) -> NoReturn:
     """Print the problem, and end the command as one whose input is unusable."""
     click.echo(f"marlstep: {problem}", err=True)
     ctx.exit(exit_codes.UNUSABLE)
--- a/marlstep/cli/trace/replay.py
+++ b/marlstep/cli/trace/replay.py
@@ -10,7 +10,7 @@
 from marlstep.cli.output import unwrapped_help
 from marlstep.cli.spans import SPAN_TYPE
 from marlstep.cli.trace.output import print_report
-from marlstep.cli.trace.reading import MAX_SEED, end_unusable, exit_on_error
+from marlstep.cli.trace.reading import MAX_SEED, exit_on_error, exit_unusable
 from marlstep.config.readers import read_file
 from marlstep.traces.retries import Retries
 from marlstep.traces.schedule import Schedule
@@ -96,10 +96,10 @@
             settings = Settings(document, frontend, speed, call_us, nodes=nodes, late_us=max_late_us)
             report = run(opened, ReplayPlan(settings, is_virtual, Retries(retries), seed, load, for_us))
     except ReplayError as error:
-        end_unusable(ctx, error)
+        exit_unusable(ctx, error)
     if out_path is not None:
         Path(out_path).write_text(json.dumps(report) + "\n")
     brief = {name: value for name, value in report.items() if name not in LONG_VALUES}
     print_report(report if as_json else brief, as_json)
     if not report["counts"]:
-        end_unusable(ctx, "the senders fell behind: this run does not count")
+        exit_unusable(ctx, "the senders fell behind: this run does not count")
--- a/marlstep/cli/trace/report.py
+++ b/marlstep/cli/trace/report.py
@@ -5,7 +5,7 @@
 import click
 
 from marlstep.cli.output import print_json, unwrapped_help
-from marlstep.cli.trace.reading import end_unusable
+from marlstep.cli.trace.reading import exit_unusable
 
 
 @click.command()
@@ -24,7 +24,7 @@
         if plot_path is not None:
             reports.plot(*runs, (first, second), plot_path)
     except (reports.ReportError, OSError) as error:
-        end_unusable(ctx, error)
+        exit_unusable(ctx, error)
     if as_json:
         rows = reports.compared(*runs)
         print_json({name: {"first": value, "second": other} for name, value, other in rows})
--- a/marlstep/cli/trace/tenants.py
+++ b/marlstep/cli/trace/tenants.py
@@ -12,8 +12,8 @@
     ReadingOptions,
     exit_on_error,
     reading_options,
-    reported_rejects,
-    shown_progress,
+    report_rejects,
+    show_progress,
 )
 from marlstep.traces.compiling import NoArrivalsError
 from marlstep.traces.formats.base import Format
@@ -64,7 +64,7 @@
     """Print an operator's file with the tenants and classes of a trace."""
     if not all("=" in name for name in names) or not math.isfinite(headroom):
         raise OptionError(WRONG_NAMES_OR_HEADROOM)
-    with exit_on_error(ctx), shown_progress(options.parts) as progress:
+    with exit_on_error(ctx), show_progress(options.parts) as progress:
         if tenant and category and time:
             columns = Columns(time, UNITS[unit], tenant, category, has_header=not lacks_header)
             trace_format: Format = Generic(columns)
@@ -79,7 +79,7 @@
 
 def _read_all(reading: Reading) -> None:
     """Read the trace for its account. Raises NoArrivalsError."""
-    with reported_rejects(reading, None):
+    with report_rejects(reading, None):
         for _ in reading.batches():
             pass
     if not reading.account.arrivals:
--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -35,10 +35,10 @@
 
 def help_texts() -> dict[str, str]:
     """The help text of every command, by its words."""
-    found = {}
-    for context in _walk(_root_context()):
-        found[context.command_path] = context.get_help()
-    return found
+    texts = {}
+    for context in _walk_commands(_root_context()):
+        texts[context.command_path] = context.get_help()
+    return texts
 
 
 def _root_context() -> click.Context:
@@ -46,14 +46,14 @@
     return click.Context(marlstep, info_name="marlstep", **marlstep.context_settings, **_width())
 
 
-def _walk(context: click.Context) -> Iterator[click.Context]:
+def _walk_commands(context: click.Context) -> Iterator[click.Context]:
     yield context
     command = context.command
     if isinstance(command, click.Group):
         for name in command.list_commands(context):
             inner = command.get_command(context, name)
             assert inner is not None
-            yield from _walk(click.Context(inner, parent=context, info_name=name, **_width()))
+            yield from _walk_commands(click.Context(inner, parent=context, info_name=name, **_width()))
 
 
 def _width() -> dict[str, Any]:
@@ -63,13 +63,15 @@
 def parameters() -> dict[str, list[dict[str, Any]]]:
     """Names, types and defaults of every command's options and arguments, in order."""
     return {
-        context.command_path: [_described(parameter) for parameter in context.command.get_params(context)]
-        for context in _walk(_root_context())
+        context.command_path: [
+            _describe_parameter(parameter) for parameter in context.command.get_params(context)
+        ]
+        for context in _walk_commands(_root_context())
     }
 
 
-def _described(parameter: click.Parameter) -> dict[str, Any]:
-    described = parameter.to_info_dict()
+def _describe_parameter(parameter: click.Parameter) -> dict[str, Any]:
+    info = parameter.to_info_dict()
     keys = (
         "param_type_name",
         "opts",
@@ -80,23 +82,23 @@
         "default",
         "is_flag",
     )
-    return {"type": parameter.type.name, **{key: _plain(described[key]) for key in keys if key in described}}
+    return {"type": parameter.type.name, **{key: _to_json_value(info[key]) for key in keys if key in info}}
 
 
-def _plain(value: object) -> Any:
+def _to_json_value(value: object) -> Any:
     return value if isinstance(value, str | int | float | bool | list | None) else str(value)
 
 
-def run(words: list[str]) -> dict[str, Any]:
+def run_cli(words: list[str]) -> dict[str, Any]:
     """Run one command line; return its exit code and what it wrote to each stream."""
     out, err = io.StringIO(), io.StringIO()
     streams = contextlib.redirect_stdout(out), contextlib.redirect_stderr(err)
     with patch.dict("os.environ", COLUMNS=str(HELP_WIDTH)), streams[0], streams[1]:
         code = call(words)
-    return {"code": code, "out": out.getvalue(), "err": _without_log(err.getvalue())}
+    return {"code": code, "out": out.getvalue(), "err": _remove_log_lines(err.getvalue())}
 
 
-def _without_log(text: str) -> str:
+def _remove_log_lines(text: str) -> str:
     """Leave out log lines: they begin with the time, and their words are not the command line's."""
     return "".join(line for line in text.splitlines(keepends=True) if not line.startswith("timestamp="))
 
@@ -104,34 +106,34 @@
 def node_reports(folder: Path) -> dict[str, Any]:
     """What the commands of `fleet` and `rules` print for a reader, asked of a node without sockets."""
 
-    async def course() -> dict[str, Any]:
+    async def run_all() -> dict[str, Any]:
         with counted_names(), patch("http.client.HTTPConnection", Connection):
-            Connection.shown = shown = Shown(folder)
-            shown.live()
-            where = ["--admin", "127.0.0.1:1", "--token-file", str(folder / "token")]
-            return {" ".join(words): run([*words, *where]) for words in lines(folder)}
+            Connection.shown = fleet = Shown(folder)
+            fleet.live()
+            client_options = ["--admin", "127.0.0.1:1", "--token-file", str(folder / "token")]
+            return {" ".join(words): run_cli([*words, *client_options]) for words in lines(folder)}
 
-    return _without(folder, asyncio.run(course()))
+    return _replace_paths(folder, asyncio.run(run_all()))
 
 
-def _without(folder: Path, reports: dict[str, Any]) -> dict[str, Any]:
+def _replace_paths(folder: Path, reports: dict[str, Any]) -> dict[str, Any]:
     """Put words in the place of paths, which differ from run to run and from machine to machine."""
     text = json.dumps(reports).replace(str(folder), "FOLDER").replace(str(ROOT), "ROOT")
-    found: dict[str, Any] = json.loads(text)
-    return found
+    replaced: dict[str, Any] = json.loads(text)
+    return replaced
 
 
 def config_reports(folder: Path) -> dict[str, Any]:
     """What `config check` prints for a reader."""
-    wrong = folder / "wrong.toml"
-    wrong.write_text("colour = 1\n")
-    missing = ["--operator", str(folder / "none.toml")]
-    return _without(
+    invalid_file = folder / "wrong.toml"
+    invalid_file.write_text("colour = 1\n")
+    missing_file_options = ["--operator", str(folder / "none.toml")]
+    return _replace_paths(
         folder,
         {
-            "good": run(["config", "check", *PLATFORM]),
-            "wrong": run(["config", "check", *PLATFORM, "--operator", str(wrong)]),
-            "missing": run(["config", "check", *PLATFORM, *missing]),
+            "good": run_cli(["config", "check", *PLATFORM]),
+            "wrong": run_cli(["config", "check", *PLATFORM, "--operator", str(invalid_file)]),
+            "missing": run_cli(["config", "check", *PLATFORM, *missing_file_options]),
         },
     )
 
@@ -141,23 +143,23 @@
     (folder / "x.json").write_text("{}")
     (folder / "bad.json").write_text("{")
     (folder / "bad.toml").write_text("= 1")
-    path, key = str(folder / "x.json"), str(folder / "x.json")
-    where = ["--admin", "127.0.0.1:9", "--token-file", key]
+    path, token_file = str(folder / "x.json"), str(folder / "x.json")
+    client_options = ["--admin", "127.0.0.1:9", "--token-file", token_file]
     calls: tuple[list[str], ...] = (
         [],
         ["nothing"],
         ["fleet", "status"],
         ["fleet", "status", "--operator", str(folder / "none.toml")],
         ["fleet", "status", "--operator", str(folder / "bad.toml")],
-        ["fleet", "status", "--admin", "127.0.0.1:x", "--token-file", key],
+        ["fleet", "status", "--admin", "127.0.0.1:x", "--token-file", token_file],
         ["fleet", "status", "--admin", "127.0.0.1:9", "--token-file", str(folder / "none")],
         ["fleet", "init", *PLATFORM, "--operator", str(folder / "bad.toml")],
         ["fleet", "recover", *PLATFORM, "--operator", path, "--epoch", "2"],
-        ["rules", "put", "d", path, *where],
-        ["rules", "put", "d", str(folder / "bad.json"), "--expect", "1", *where],
-        ["rules", "fix", "d", path, *where],
-        ["rules", "stage", "d", path, "--expect", "1", *where],
-        ["rules", "stage", "d", path, "--expect", "1", "--for", "3x", "--node", "n", *where],
+        ["rules", "put", "d", path, *client_options],
+        ["rules", "put", "d", str(folder / "bad.json"), "--expect", "1", *client_options],
+        ["rules", "fix", "d", path, *client_options],
+        ["rules", "stage", "d", path, "--expect", "1", *client_options],
+        ["rules", "stage", "d", path, "--expect", "1", "--for", "3x", "--node", "n", *client_options],
         ["drill", "rules", "--voters", "5", "--nodes", "3"],
         ["drill", "leases", "--for", "1s"],
         ["drill", "leases", "--broken", "vote-not-synced"],
@@ -171,7 +173,7 @@
         ["trace", "replay", path],
         ["trace", "report", path, path],
     )  # fmt: skip
-    return _without(folder, {" ".join(words): run(list(words)) for words in calls})
+    return _replace_paths(folder, {" ".join(words): run_cli(list(words)) for words in calls})
 
 
 def trace_reports(folder: Path) -> dict[str, Any]:
@@ -182,26 +184,32 @@
 
 def _trace_reports(folder: Path) -> dict[str, Any]:
     schedule, first, rejects = Path("a.sched"), Path("a.json"), Path("rejects.csv")
-    reading = ["--format", "google-2011"]
-    quiet = ["--log-level", "error"]
-    compiling = [*quiet, "trace", "compile", *reading, "--out", str(schedule)]
-    replaying = ["trace", "replay", "--virtual", "--config", PLATFORM[1], "--for", "4s", "--speed", "5"]
-    found = {
-        "inspect": run([*quiet, "trace", "inspect", *reading, "--rejects", str(rejects), TRACE]),
-        "inspect, as JSON": run([*quiet, "trace", "inspect", *reading, "--json", TRACE]),
-        "tenants": run([*quiet, "trace", "tenants", *reading, "--as", "0=temp-history", TRACE]),
-        "compile": run([*compiling, TRACE]),
-        "compile, cut": run([*compiling, "--from", "60s", "--for", "15s", "--rate", "4", "--json", TRACE]),
-        "compile, loaded": run(
-            [*compiling, "--busiest", "10s", "--peaks", "2", "--load", "1.2", "--json", TRACE]
+    format_options = ["--format", "google-2011"]
+    quiet_options = ["--log-level", "error"]
+    compile_command = [*quiet_options, "trace", "compile", *format_options, "--out", str(schedule)]
+    replay_command = ["trace", "replay", "--virtual", "--config", PLATFORM[1], "--for", "4s", "--speed", "5"]
+    reports = {
+        "inspect": run_cli(
+            [*quiet_options, "trace", "inspect", *format_options, "--rejects", str(rejects), TRACE]
         ),
-        "replay": run([*replaying, "--out", str(first), str(schedule)]),
-        "replay, as JSON": run([*replaying, "--retries", "polite", "--json", str(schedule)]),
-        "report": run(["trace", "report", str(first), str(first)]),
-        "report, as JSON": run(["trace", "report", str(first), str(first), "--json"]),
+        "inspect, as JSON": run_cli([*quiet_options, "trace", "inspect", *format_options, "--json", TRACE]),
+        "tenants": run_cli(
+            [*quiet_options, "trace", "tenants", *format_options, "--as", "0=temp-history", TRACE]
+        ),
+        "compile": run_cli([*compile_command, TRACE]),
+        "compile, cut": run_cli(
+            [*compile_command, "--from", "60s", "--for", "15s", "--rate", "4", "--json", TRACE]
+        ),
+        "compile, loaded": run_cli(
+            [*compile_command, "--busiest", "10s", "--peaks", "2", "--load", "1.2", "--json", TRACE]
+        ),
+        "replay": run_cli([*replay_command, "--out", str(first), str(schedule)]),
+        "replay, as JSON": run_cli([*replay_command, "--retries", "polite", "--json", str(schedule)]),
+        "report": run_cli(["trace", "report", str(first), str(first)]),
+        "report, as JSON": run_cli(["trace", "report", str(first), str(first), "--json"]),
     }
     digests = {path.name: _digest(path) for path in (schedule, first, rejects)}
-    return {**_without(folder, found), "digests": digests}
+    return {**_replace_paths(folder, reports), "digests": digests}
 
 
 def _digest(path: Path) -> str:
@@ -222,12 +230,12 @@
 def record() -> None:
     """Write the golden files anew, from the program as it stands. No test runs it."""
     GOLDEN.mkdir(parents=True, exist_ok=True)
-    described: dict[str, Any] = {"help.json": help_texts(), "parameters.json": parameters()}
-    described["trace_settings.json"] = trace_settings()
-    for name, make in REPORTS.items():
+    golden: dict[str, Any] = {"help.json": help_texts(), "parameters.json": parameters()}
+    golden["trace_settings.json"] = trace_settings()
+    for name, create_report in REPORTS.items():
         with tempfile.TemporaryDirectory() as folder:
-            described[f"{name}.json"] = make(Path(folder))
-    for name, value in described.items():
+            golden[f"{name}.json"] = create_report(Path(folder))
+    for name, value in golden.items():
         (GOLDEN / name).write_text(json.dumps(value, indent=1, ensure_ascii=False) + "\n", "utf-8")
 
 
--- a/tests/cli/test_help.py
+++ b/tests/cli/test_help.py
@@ -12,7 +12,7 @@
 PARAMETERS: dict[str, Any] = read_golden("parameters.json")
 
 
-def test_the_commands_are_the_recorded_ones() -> None:
+def test_the_list_of_commands_matches_the_golden_files() -> None:
     assert list(help_texts()) == list(HELP) == list(PARAMETERS)
 
 
--- a/tests/cli/test_printed_reports.py
+++ b/tests/cli/test_printed_reports.py
@@ -10,5 +10,5 @@
 
 
 @pytest.mark.parametrize("name", REPORTS)
-def test_commands_print_what_is_recorded_and_return_its_exit_code(name: str, tmp_path: Path) -> None:
+def test_output_and_exit_codes_match_the_golden_file(name: str, tmp_path: Path) -> None:
     assert REPORTS[name](tmp_path) == read_golden(f"{name}.json")
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -20,29 +20,31 @@
 ) -> None:
     source = str(EXAMPLES / "google-2011.csv")
     rejects = tmp_path / "rejects.csv"
-    words = ["trace", "inspect", "--format", "google-2011", "--json", "--rejects", str(rejects)]
-    assert call([*words, source]) == 0
+    arguments = ["trace", "inspect", "--format", "google-2011", "--json", "--rejects", str(rejects)]
+    assert call([*arguments, source]) == 0
     report = json.loads(capsys.readouterr().out)
     assert (report["rows"], report["good"], report["bad"]) == (833, 826, 7)
     assert report["bad_by_reason"]["open-quote"] == 1 and report["duplicates"] == 1
     assert set(report["classes"]) == {"temp-history", "schedule-save", "setpoint-cmd"}
     assert len(rejects.read_text().splitlines()) == 8
-    assert call([*words[:4], "--strict", source]) == 3
-    assert call([*words[:4], str(tmp_path / "none")]) == 2
+    assert call([*arguments[:4], "--strict", source]) == 3
+    assert call([*arguments[:4], str(tmp_path / "none")]) == 2
     empty = tmp_path / "empty"
     empty.write_text("")
-    assert call([*words[:4], str(empty)]) == 2
-    assert call([*words[:2], source]) == 2
-    assert call([*words[:2], "--format", "none", source]) == 2
+    assert call([*arguments[:4], str(empty)]) == 2
+    assert call([*arguments[:2], source]) == 2
+    assert call([*arguments[:2], "--format", "none", source]) == 2
 
 
 ROOT = Path(__file__).parent.parent.parent
 
 
-def compiled(folder: Path, capsys: pytest.CaptureFixture[str], *more: str) -> tuple[str, dict[str, Any]]:
+def compile_example(
+    folder: Path, capsys: pytest.CaptureFixture[str], *options: str
+) -> tuple[str, dict[str, Any]]:
     out = str(folder / "a.sched")
     source = str(ROOT / "examples" / "traces" / "google-2011.csv")
-    code = call(["trace", "compile", "--format", "google-2011", "--json", "--out", out, *more, source])
+    code = call(["trace", "compile", "--format", "google-2011", "--json", "--out", out, *options, source])
     assert code == 0
     return out, json.loads(capsys.readouterr().out)
 
@@ -50,7 +52,7 @@
 def test_a_trace_is_compiled_replayed_and_compared(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    out, report = compiled(tmp_path, capsys, "--busiest", "10s", "--load", "1.2", "--cores", "6")
+    out, report = compile_example(tmp_path, capsys, "--busiest", "10s", "--load", "1.2", "--cores", "6")
     [[start, length]] = report["sections"]
     assert 55 <= start <= 70 and length == 10 and report["dispersion_trace"] > 1.5
     assert report["work_s"] / report["seconds"] == pytest.approx(1.2 * 6, rel=1e-6)
@@ -58,7 +60,7 @@
     reports = []
     for number in (1, 2):
         path = tmp_path / f"{number}.json"
-        words = [
+        arguments = [
             "trace",
             "replay",
             "--virtual",
@@ -71,7 +73,7 @@
             "--json",
             out,
         ]
-        assert call(words) == 0
+        assert call(arguments) == 0
         reports.append(json.loads(capsys.readouterr().out))
     assert reports[0] == reports[1] and reports[0]["lost"] == 0 == reports[0]["ran_twice"]
     page = tmp_path / "change.html"
@@ -90,7 +92,7 @@
 def test_only_the_requested_part_of_a_trace_is_compiled(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    out, report = compiled(
+    out, report = compile_example(
         tmp_path, capsys, "--from", "60s", "--for", "15s", "--rate", "4", "--compress", "2"
     )
     with Schedule(out) as schedule:
--- a/tests/cli/trace_sections.py
+++ b/tests/cli/trace_sections.py
@@ -44,12 +44,12 @@
     """The complete section with another value at the path."""
     section = json.loads(json.dumps(COMPLETE))
     *outer, last = path
-    holder = section
+    table = section
     for key in outer:
-        holder = holder[key]
-    holder[last] = value
-    found: dict[str, Any] = section
-    return found
+        table = table[key]
+    table[last] = value
+    changed: dict[str, Any] = section
+    return changed
 
 
 def error_of(section: dict[str, Any]) -> str:
