--- a/marlstep/cli/admin_client.py
+++ b/marlstep/cli/admin_client.py
@@ -35,7 +35,7 @@
     """Requests to the administration API of one node.
 
     Attributes:
-        operator: path of the node's operator file, whose section `[admin]` gives what the others leave out.
+        operator: path of the node's operator file; its section `[admin]` supplies an address or token file not given here.
         address: the administration listener, as `127.0.0.1:9099`.
         token_file: path of the file that holds the bearer token.
     """
@@ -45,18 +45,29 @@
     token_file: str | None
 
     def get(self, path: str) -> JsonObject:
-        """GET a page. Raises OptionError where no node is named, NodeRequestError where it gives no page."""
+        """Fetch a page.
+
+        Raises:
+            OptionError: the options do not name the node's address and token file.
+            NodeRequestError: the node could not be reached, or answered with an error.
+        """
         return self._request("GET", path, None)
 
     def post(self, path: str, body: JsonObject) -> JsonObject:
-        """POST an order. Raises OptionError where no node is named, NodeRequestError where it takes none."""
+        """Submit an order to the node, and return its answer.
+
+        Raises:
+            OptionError: the options do not name the node's address and token file.
+            NodeRequestError: the node could not be reached, or rejected the order.
+        """
         return self._request("POST", path, json.dumps(body))
 
     def order(self, path: str, body: JsonObject) -> JsonObject:
-        """Submit an order to the group, and return its outcome.
+        """Submit an order to the group, and wait for its outcome.
 
         Raises:
-            NodeRequestError: the node could not be reached, or did not take the order.
+            OptionError: the options do not name the node's address and token file.
+            NodeRequestError: the node could not be reached, or rejected the order.
             OrderTimeoutError: the group did not report an outcome in time.
         """
         number = str(self.post(f"/v1/fleet/{path}", body)["asked"])
@@ -89,7 +100,7 @@
         return page
 
     def _endpoint(self) -> tuple[str, str]:
-        """Return the listener's address and the token's file; options come before the operator's file."""
+        """Return the address of the listener and the path of the token file; options override the operator file."""
         section = self._operator_section()
         address = self.address or section.get("listen")
         token_file = self.token_file or section.get("token_file")
@@ -109,13 +120,17 @@
 
 
 def check_accepted(outcome: JsonObject) -> None:
-    """Check the outcome of an order. Raises OrderRejectedError with the group's reason."""
+    """Check that the group accepted an order.
+
+    Raises:
+        OrderRejectedError: the group rejected it; the message is the group's reason.
+    """
     if "refused" in outcome or "error" in outcome:
         raise OrderRejectedError(str(outcome.get("refused", outcome.get("error"))))
 
 
 def node_options(function: Callable[..., None]) -> Callable[..., None]:
-    """Add the options that name a running node; the command gets an `AdminClient`, and `as_json`."""
+    """Add the options that name a running node, passed to the command as an `AdminClient`, and `--json`."""
 
     @wraps(function)
     def command(
@@ -127,14 +142,14 @@
 
 
 def node_order_options(function: Callable[..., None]) -> Callable[..., None]:
-    """Add the same options to a command that prints JSON whether `--json` is there or not."""
+    """Add the options of `node_options` to a command that always prints JSON, so that `--json` has no effect."""
 
     @wraps(function)
     def command(
         operator: str | None,
         admin: str | None,
         token_file: str | None,
-        as_json: bool,  # noqa: ARG001  (taken, as of every command that asks a node, and without effect)
+        as_json: bool,  # noqa: ARG001  (unused: the output is always JSON)
         **others: object,
     ) -> None:
         function(AdminClient(operator, admin, token_file), **others)
--- a/marlstep/cli/config.py
+++ b/marlstep/cli/config.py
@@ -1,4 +1,4 @@
-"""`marlstep config`: checks of configuration files."""
+"""`marlstep config`: check configuration files."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -1,4 +1,4 @@
-"""`marlstep drill`: faults between processes, or between the same cores on a virtual network. `marlstep explore`."""
+"""`marlstep drill`: fault injection on node processes or a simulated network. `marlstep explore`: model checking."""
 
 from __future__ import annotations
 
@@ -29,12 +29,18 @@
 if TYPE_CHECKING:
     from marlstep.fault_injection.process_cluster import Settings
 
+# Exit codes by verdict. Inconclusive: a drill could not be run, or a search ended before it covered its bounds.
 EXIT_HELD, EXIT_BROKEN, EXIT_INCONCLUSIVE = 0, 1, 2
 MAX_JOBS = 16
-DOCUMENT_STARTS = ("strict", "plain", "lapsed", "lapsed plain", "three")
+DOCUMENT_STARTS = ("strict", "plain", "lapsed", "lapsed plain", "three")  # start states of the document model
 
 
 def load_plan(path: str) -> Plan:
+    """Read a plan from a JSON file that holds the plan itself, or a report with the key `plan`.
+
+    Raises:
+        click.BadParameter: the file can't be read, or holds no valid plan.
+    """
     try:
         document = json.loads(Path(path).read_text("utf-8"))
         return read_plan(document.get("plan", document) if isinstance(document, dict) else document)
@@ -44,7 +50,22 @@
 
 @dataclass(slots=True, frozen=True)
 class DrillOptions:
-    """What every drill is told: which plans, and where they run."""
+    """Options of every drill: which plans to run, and where.
+
+    Attributes:
+        nodes: number of nodes.
+        voters: number of voters, as the text of the option.
+        seed: seed of the first plan.
+        seeds: number of plans, with consecutive seeds.
+        length_us: length of each plan, in microseconds.
+        path: JSON file of a plan to replay; None to draw plans from seeds.
+        calm: run the plans without faults.
+        virtual: run on the simulated network instead of node processes.
+        jobs: number of plans to run at once; None for the default of the command.
+        config: path of the platform's JSON configuration.
+        logs: directory to keep the nodes' logs in; None to discard them.
+        as_json: print the report as JSON.
+    """
 
     nodes: int
     voters: str
@@ -62,7 +83,16 @@
     def plans(
         self, mutation: Mutation | None, min_length_ms: int, shape: Callable[[int, int, int], PlanSettings]
     ) -> list[Plan]:
-        """`shape` is given nodes, voters and milliseconds. Raises click.UsageError for what does not go together."""
+        """Return the plans to run, read from the plan file or drawn from the seeds.
+
+        Args:
+            mutation: the deliberate defect that the nodes run with, or None.
+            min_length_ms: the shortest plan that the drill accepts, in milliseconds.
+            shape: returns the settings of a plan for a number of nodes, of voters, and a length in milliseconds.
+
+        Raises:
+            click.UsageError: the options conflict, or the plans are too short.
+        """
         if mutation is not None and not self.virtual and not mutation.runs_on_processes:
             raise click.UsageError(f"--broken {mutation.name} needs --virtual")
         if mutation is not None and self.virtual and mutation.ignores_capabilities:
@@ -87,10 +117,11 @@
 
     @property
     def worker_count(self) -> int:
+        """Number of plans to run at once on the simulated network; by default the number of CPUs."""
         return self.jobs or os.cpu_count() or 1
 
     def process_runs(self, plans: list[Plan], mutation_name: str) -> list[ProcessRun]:
-        """For processes."""
+        """Return the arguments of each plan's run on node processes, with a log directory per seed if logs are kept."""
         return [
             (
                 plan,
@@ -102,17 +133,18 @@
         ]
 
     def print_report_and_exit(self, report: dict[str, Any]) -> NoReturn:
+        """Print the report, and exit with the code of its verdict."""
         click.echo(json.dumps(report) if self.as_json else render_report(report))
         click.get_current_context().exit(
             {"held": EXIT_HELD, "broken": EXIT_BROKEN}.get(report["verdict"], EXIT_INCONCLUSIVE)
         )
 
 
-ProcessRun = tuple[Plan, str, str, str]  # the platform's file, where logs go, the breakage
+ProcessRun = tuple[Plan, str, str, str]  # plan, platform's configuration file, log directory, mutation's name
 
 
 def drill_options(function: Any) -> Any:
-    """The options of every drill, given to the command as one `Drawn`."""
+    """Add the options of every drill, passed to the command as one `DrillOptions`."""
 
     @wraps(function)
     def command(**arguments: Any) -> Any:
@@ -241,15 +273,21 @@
 
 
 def run_virtual_membership_plan(arguments: tuple[Plan, str, float, float, bool]) -> dict[str, Any]:
+    """Run one plan of the membership drill on the simulated network, and return the row of its results.
+
+    Args:
+        arguments: plan, name of the mutation or an empty text, share of datagrams that are lost, share of slow
+            nodes, and whether nodes adapt their timeouts to their own health.
+    """
     from dataclasses import asdict
 
     from marlstep.fault_injection.simulated_detectors import run_members
     from marlstep.membership.detector_settings import DetectorSettings
 
-    plan, mutation_name, loss, slow, local_health = arguments
+    plan, mutation_name, loss, slow, uses_local_health = arguments
     mutation = MEMBERSHIP_MUTATIONS[mutation_name] if mutation_name else Mutation()
     cluster, violation = run_members(
-        plan, mutation, DetectorSettings(local_health_enabled=local_health), loss, slow
+        plan, mutation, DetectorSettings(local_health_enabled=uses_local_health), loss, slow
     )
     return {"seed": plan.seed, "why": violation, **asdict(cluster.measured)}
 
@@ -257,6 +295,7 @@
 def run_virtual_membership_plans(
     runs: list[tuple[Plan, str, float, float, bool]], jobs: int
 ) -> dict[str, Any]:
+    """Run plans of the membership drill on the simulated network, `jobs` at once, and return the report."""
     started = time.monotonic()
     with ProcessPoolExecutor(min(jobs, len(runs))) as pool:
         rows = list(pool.map(run_virtual_membership_plan, runs))
@@ -298,6 +337,7 @@
 
 
 def _quantile_ms(samples_us: list[int], quantile: float) -> float | None:
+    """Return a quantile, from 0 to 1, of sorted times in microseconds; None if there are none."""
     return (
         round(samples_us[min(len(samples_us) - 1, int(len(samples_us) * quantile))] / 1000, 1)
         if samples_us
@@ -306,6 +346,7 @@
 
 
 def run_membership_plan(process_run: ProcessRun) -> dict[str, Any]:
+    """Run one plan of the membership drill on node processes, and return its report."""
     from marlstep.fault_injection.errors import ProcessClusterError
     from marlstep.fault_injection.membership_drill import run
 
@@ -317,6 +358,10 @@
 
 
 def run_membership_plans(process_runs: list[ProcessRun], jobs: int) -> dict[str, Any]:
+    """Run plans of the membership drill on node processes, `jobs` at once, and return the report.
+
+    The report of a single plan is returned as it is.
+    """
     started = time.monotonic()
     if len(process_runs) == 1:
         return run_membership_plan(process_runs[0])
@@ -348,6 +393,7 @@
 
 
 def run_virtual_document_plan(arguments: tuple[Plan, str]) -> dict[str, Any]:
+    """Run one plan, with the named mutation if any, of the document drill on the simulated network."""
     from marlstep.fault_injection.linearizability import CallOutcome
     from marlstep.fault_injection.simulated_documents import run_rules
 
@@ -367,6 +413,10 @@
 
 
 def run_virtual_document_plans(plans: list[Plan], mutation_name: str, jobs: int) -> dict[str, Any]:
+    """Run plans of the document drill on the simulated network, `jobs` at once, and return the report.
+
+    The report holds the first plan that broke a property, or the only plan, for a replay.
+    """
     started = time.monotonic()
     with ProcessPoolExecutor(min(jobs, len(plans))) as pool:
         rows = list(
@@ -397,6 +447,15 @@
 
 
 def run_document_plans(process_runs: list[ProcessRun], strict: bool | None, jobs: int) -> dict[str, Any]:
+    """Run plans of the document drill on node processes, `jobs` at once, and return the report.
+
+    The report of a single plan is returned as it is.
+
+    Args:
+        process_runs: the arguments of each run.
+        strict: whether the document is strict; None to use a strict one in plans with an odd seed only.
+        jobs: number of plans to run at once.
+    """
     started = time.monotonic()
     runs = [(entry, entry[0].seed % 2 == 1 if strict is None else strict) for entry in process_runs]
     if len(runs) == 1:
@@ -426,6 +485,11 @@
 
 
 def run_document_plan(arguments: tuple[ProcessRun, bool]) -> dict[str, Any]:
+    """Run one plan of the document drill on node processes, and return its report.
+
+    Args:
+        arguments: the arguments of the run, and whether the document is strict.
+    """
     from marlstep.fault_injection.document_drill import run
     from marlstep.fault_injection.errors import ProcessClusterError
 
@@ -437,10 +501,8 @@
         return {"seed": plan.seed, "plan": plan.write(), "verdict": "not run", "fault": str(error)}
 
 
-# The virtual network.
-
-
 def run_virtual_lease_plan(arguments: tuple[Plan, str]) -> dict[str, Any]:
+    """Run one plan, with the named mutation if any, of the lease drill on the simulated network."""
     from marlstep.fault_injection.simulated_cluster import run
 
     plan, mutation_name = arguments
@@ -459,6 +521,11 @@
 
 
 def run_virtual_lease_plans(plans: list[Plan], mutation_name: str, jobs: int) -> dict[str, Any]:
+    """Run plans of the lease drill on the simulated network, `jobs` at once, and return the report.
+
+    A plan in which no task acted shows nothing about leases, so it counts as broken. The report holds the first broken
+    plan, with as few faults as still break a property, or the only plan, for a replay.
+    """
     from marlstep.fault_injection.simulated_cluster import shrink
 
     started = time.monotonic()
@@ -470,7 +537,7 @@
             if row["why"]:
                 broken_rows.append(row)
                 if mutation_name:
-                    pool.shutdown(cancel_futures=True)  # one is enough
+                    pool.shutdown(cancel_futures=True)  # one broken plan shows that the mutation is found
                     break
     idle_seeds = [row["seed"] for row in rows if not row["acts"]]
     report: dict[str, Any] = {
@@ -498,10 +565,11 @@
     return report
 
 
-# Processes.
-
-
 def run_lease_plans(process_runs: list[ProcessRun], jobs: int) -> dict[str, Any]:
+    """Run plans of the lease drill on node processes, `jobs` at once, and return the report.
+
+    The report of a single plan is returned as it is.
+    """
     from marlstep.fault_injection.errors import ProcessClusterError
 
     started = time.monotonic()
@@ -534,11 +602,12 @@
 
 
 def hide_asyncio_warnings() -> None:
-    """Links that are broken on purpose are no news."""
+    """Log only errors of asyncio: it would warn about each connection that a fault breaks on purpose."""
     logging.getLogger("asyncio").setLevel(logging.ERROR)
 
 
 def prepare_run(process_run: ProcessRun) -> tuple[Plan, Settings]:
+    """Return the plan of a run on node processes, and the settings of the cluster to start."""
     from marlstep.fault_injection.process_cluster import Settings
 
     plan, config, logs, broken = process_run
@@ -548,6 +617,10 @@
 
 
 def run_lease_plan(process_run: ProcessRun) -> dict[str, Any]:
+    """Run one plan of the lease drill on node processes, and return its report.
+
+    If the drill can't be run, the report has the verdict `not run` and zero for every count.
+    """
     from marlstep.fault_injection.errors import ProcessClusterError
     from marlstep.fault_injection.lease_drill import run
 
@@ -562,6 +635,7 @@
 
 
 def render_report(report: dict[str, Any]) -> str:
+    """Render a report as text: the verdict, a line for each fault of the plan, and one for each other value."""
     lines = [f"{report['verdict']}"]
     for key, value in report.items():
         if key == "plan":
@@ -632,6 +706,7 @@
 
 
 def _print_results_and_exit(ctx: click.Context, results: list[dict[str, Any]], as_json: bool) -> None:
+    """Print the result of the search from each start state, and exit with the code of the verdict."""
     broken_results = [row for row in results if row["broken"]]
     is_complete = all(row["complete"] for row in results)
     verdict = "broken" if broken_results else "held" if is_complete else "not complete"
@@ -653,6 +728,12 @@
 
 
 def _search_documents(arguments: tuple[str, str, int | None, float]) -> dict[str, Any]:
+    """Search the document model from one start state.
+
+    Args:
+        arguments: start state, name of the mutation or an empty text, the most steps in which time advances or None
+            for the default of the start state, and the time limit in seconds.
+    """
     from dataclasses import asdict, replace
 
     from marlstep.fault_injection.document_model import STARTS, search_document_states
@@ -668,6 +749,11 @@
 
 
 def _search_leases(arguments: tuple[str, str, float]) -> dict[str, Any]:
+    """Search the lease model from one start state.
+
+    Args:
+        arguments: start state, name of the mutation or an empty text, and the time limit in seconds.
+    """
     from dataclasses import asdict
 
     from marlstep.fault_injection.lease_model import walk
--- a/marlstep/cli/errors.py
+++ b/marlstep/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command with exit code 2; click prints their message, and the usage for an `OptionError`."""
+"""Errors that end a command with exit code 2. Click prints the message, and the usage before that of an `OptionError`."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class OptionError(click.UsageError):
-    """The options of a call do not go together, or one of them names something unusable."""
+    """Options conflict, a required one is missing, or the value of one is unusable."""
 
     @classmethod
     def unmet(cls, option: str, requirement: str) -> OptionError:
-        """Name the option and what it must be: `--voters can't be more than --nodes`."""
+        """Create the error for an option that fails a requirement: `--voters can't be more than --nodes`."""
         return cls(f"{option} {requirement}")
 
     @classmethod
     def from_problem(cls, option: str, problem: object) -> OptionError:
-        """Name the option or file and what is wrong with it: `--operator: n1.toml: no such file`."""
+        """Create the error for a problem with an option or file: `--operator: n1.toml: no such file`."""
         return cls(f"{option}: {problem}")
 
 
 class CommandError(click.ClickException):
-    """The call was right, but the command could not do what it asked for."""
+    """The command line was valid, but the command failed."""
 
 
 class NodeRequestError(CommandError):
@@ -33,33 +33,47 @@
     """
 
     def __init__(self, address: str, problem: object) -> None:
-        """Report the problem under the node's address."""
+        """Initialize the error.
+
+        Args:
+            address: the node's administration listener.
+            problem: what went wrong; its text follows the address in the message.
+        """
         super().__init__(f"{address}: {problem}")
         self.address = address
 
 
 class MissingEndpointError(NodeRequestError):
-    """The node's operator file does not turn on what was asked for.
+    """The node does not serve a path, since its operator file does not enable that feature.
 
     Attributes:
         path: the path that the node does not serve.
     """
 
     def __init__(self, address: str, path: str) -> None:
-        """Name the path that the node does not serve."""
+        """Initialize the error.
+
+        Args:
+            address: the node's administration listener.
+            path: the path that the node does not serve.
+        """
         super().__init__(address, f"no {path}: the operator's file of that node does not turn it on")
         self.path = path
 
 
 class OrderTimeoutError(CommandError):
-    """The group did not report the outcome of an order in time; the order may still take effect.
+    """The group did not report the outcome of an order before the timeout; the order may still take effect.
 
     Attributes:
         timeout_s: how long the command waited, in seconds.
     """
 
     def __init__(self, timeout_s: float) -> None:
-        """Say how long the command waited."""
+        """Initialize the error.
+
+        Args:
+            timeout_s: how long the command waited, in seconds.
+        """
         super().__init__(
             f"the group did not answer in {timeout_s:.0f} s: nothing is known of what became of it"
         )
@@ -74,41 +88,52 @@
     """A document has no version yet.
 
     Attributes:
-        document: its name.
+        document: name of the document.
     """
 
     def __init__(self, document: str) -> None:
-        """Name the document."""
+        """Initialize the error with the name of the document."""
         super().__init__(f"{document} has no version yet")
         self.document = document
 
 
 class VersionNotFoundError(CommandError):
-    """A version of a document is not among those that the node keeps.
+    """The node does not keep the requested version of a document.
 
     Attributes:
-        number: the version that was asked for.
-        kept: the versions that are there.
+        number: the requested version.
+        kept: the versions that the node keeps.
     """
 
     def __init__(self, number: int, kept: Sequence[int]) -> None:
-        """Name the version, and those that are there."""
+        """Initialize the error.
+
+        Args:
+            number: the requested version.
+            kept: the versions that the node keeps.
+        """
         super().__init__(f"version {number} is not kept: {', '.join(map(str, kept))}")
         self.number = number
         self.kept = kept
 
 
 class ChangeTimeoutError(CommandError):
-    """A change is neither in force nor rejected yet; it goes on without the command.
+    """A change was neither in force nor rejected before the timeout; it continues after the command has ended.
 
     Attributes:
         document: name of the document.
-        version: the version that is in preparation.
+        version: the version that is being prepared.
         timeout_s: how long the command waited, in seconds.
     """
 
     def __init__(self, document: str, version: int, timeout_s: float) -> None:
-        """Say how long the command waited for which version."""
+        """Initialize the error.
+
+        Args:
+            document: name of the document.
+            version: the version that is being prepared.
+            timeout_s: how long the command waited, in seconds.
+        """
         super().__init__(
             f"version {version} is still on its way after {timeout_s:g} s: see `rules log {document}`"
         )
@@ -118,13 +143,13 @@
 
 
 class ChangeBlockedError(CommandError):
-    """A change can't begin before others have come to their end.
+    """A change can't begin before another one has completed.
 
     Attributes:
-        waits_for: the nodes that it waits for.
+        waits_for: the nodes that the other change waits for.
     """
 
     def __init__(self, waits_for: Sequence[str]) -> None:
-        """Name the nodes that the change waits for."""
+        """Initialize the error with the nodes that the other change waits for."""
         super().__init__(f"it waits for {', '.join(waits_for)}: try again")
         self.waits_for = waits_for
--- a/marlstep/cli/logs.py
+++ b/marlstep/cli/logs.py
@@ -1,4 +1,4 @@
-"""Logs of commands, on structlog. The node's own lines, which use logging, go through the same renderer."""
+"""Logging of commands with structlog. Lines that the node writes with `logging` use the same renderer."""
 
 from __future__ import annotations
 
@@ -8,24 +8,29 @@
 import structlog
 
 JSON_FORMAT = "json"
-FIRST_KEYS = ("timestamp", "level", "logger", "event")  # of a line of text, in this order
+FIRST_KEYS = (
+    "timestamp",
+    "level",
+    "logger",
+    "event",
+)  # the first keys of a line in text format, in this order
 
 
 class CommandLogHandler(logging.StreamHandler):  # type: ignore[type-arg]
-    """Writes to standard error, as standard output is for what a command prints."""
+    """Writes to standard error; standard output is reserved for the output of commands."""
 
     def __init__(self, formatter: logging.Formatter) -> None:
-        """Bind the handler to the standard error of this moment."""
+        """Initialize the handler with the current `sys.stderr` and a formatter."""
         super().__init__(sys.stderr)
         self.setFormatter(formatter)
 
 
 def configure_logging(log_format: str, level: int) -> None:
-    """Make one handler of the root logger, in place of that of an earlier call in this process.
+    """Install the handler of the root logger, and remove the one that an earlier call in this process installed.
 
     Args:
-        log_format: `json` for one object a line, `text` for `key=value` pairs.
-        level: the lowest level that is written, as of `logging`.
+        log_format: `json` for one object per line, `text` for `key=value` pairs.
+        level: the lowest level that is written, as a level of `logging`.
     """
     shared: list[structlog.typing.Processor] = [
         structlog.stdlib.add_log_level,
--- a/marlstep/cli/main.py
+++ b/marlstep/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line. Each group loads what it needs when it is called."""
+"""Entry point of the command line. Modules of commands are imported only when a command needs them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
   2  wrong call, wrong configuration, or nothing usable in what was read
   3  --strict, and something was wrong with the input
 """
-COMMAND_LOCATIONS = {  # a command by its name: its module, and its name there
+COMMAND_LOCATIONS = {  # command name: module and attribute
     "rules": ("marlstep.cli.rules.group", "group"),
     "trace": ("marlstep.cli.trace.group", "group"),
     "config": ("marlstep.cli.config", "group"),
@@ -29,14 +29,14 @@
 
 
 class LazyGroup(click.Group):
-    """Loads the module of a command only when that command is called, or asked for help."""
+    """Imports the module of a command only when that command is run or its help is shown."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands, loaded or not."""
         return sorted([*super().list_commands(ctx), *COMMAND_LOCATIONS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command; None where there is none of that name."""
+        """Return the command with that name, or None if there is none."""
         if cmd_name not in COMMAND_LOCATIONS:
             return super().get_command(ctx, cmd_name)
         module_name, attribute = COMMAND_LOCATIONS[cmd_name]
--- a/marlstep/cli/output.py
+++ b/marlstep/cli/output.py
@@ -1,4 +1,4 @@
-"""Output of commands: JSON, and tables of text."""
+"""Output of commands: JSON and text tables."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def render_table(headers: Sequence[str], rows: Sequence[Row]) -> str:
-    """Render rows under their headers, each column as wide as its widest cell; `-` stands for None and ""."""
+    """Render a text table with each column as wide as its widest cell; None and an empty text are shown as `-`."""
     cells = [list(headers), *([_cell(value) for value in row] for row in rows)]
     widths = [max(len(row[index]) for row in cells) for index in range(len(headers))]
     return "\n".join(_render_row(row, widths) for row in cells)
@@ -39,10 +39,10 @@
 
 
 def unwrapped_help(*lines: str) -> Callable[[Command], Command]:
-    r"""Append lines to a command's help text that click prints as they stand.
+    r"""Append lines to a command's help text that click does not wrap.
 
-    Click reads a backspace (`\b`) alone on a line as "do not wrap this paragraph"; a docstring with that character
-    would be hard to read.
+    Click does not wrap a paragraph that begins with a backspace (`\b`) alone on a line. The decorator adds it, since
+    a docstring with that character is hard to read.
     """
 
     def append(command: Command) -> Command:
--- a/marlstep/cli/spans.py
+++ b/marlstep/cli/spans.py
@@ -11,12 +11,12 @@
 
 
 class Span(click.ParamType[int]):
-    """A duration with its unit, read as microseconds."""
+    """A duration with a unit, converted to microseconds."""
 
     name = "span"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Return microseconds; a default that is a number already stays as it is."""
+        """Return the duration in microseconds; a default that is an int already is in microseconds, and is kept."""
         if isinstance(value, int):
             return value
         match = SPAN.fullmatch(str(value))
