--- a/marlstep/cli/admin_client.py
+++ b/marlstep/cli/admin_client.py
@@ -35,7 +35,7 @@
     """Requests to the administration API of one node.
 
     Attributes:
-        operator: path of the node's operator file; its section `[admin]` supplies an address or token file not given here.
+        operator: path of the node's operator file; `[admin]` there supplies an address or token file not given here.
         address: the administration listener, as `127.0.0.1:9099`.
         token_file: path of the file that holds the bearer token.
     """
@@ -48,7 +48,7 @@
         """Fetch a page.
 
         Raises:
-            OptionError: the options do not name the node's address and token file.
+            OptionError: the address or token file is not given, or the operator file can't be read.
             NodeRequestError: the node could not be reached, or answered with an error.
         """
         return self._request("GET", path, None)
@@ -57,7 +57,7 @@
         """Submit an order to the node, and return its answer.
 
         Raises:
-            OptionError: the options do not name the node's address and token file.
+            OptionError: the address or token file is not given, or the operator file can't be read.
             NodeRequestError: the node could not be reached, or rejected the order.
         """
         return self._request("POST", path, json.dumps(body))
@@ -66,7 +66,7 @@
         """Submit an order to the group, and wait for its outcome.
 
         Raises:
-            OptionError: the options do not name the node's address and token file.
+            OptionError: the address or token file is not given, or the operator file can't be read.
             NodeRequestError: the node could not be reached, or rejected the order.
             OrderTimeoutError: the group did not report an outcome in time.
         """
@@ -100,7 +100,11 @@
         return page
 
     def _endpoint(self) -> tuple[str, str]:
-        """Return the address of the listener and the path of the token file; options override the operator file."""
+        """Return the listener's address and the token file's path; options override the operator file.
+
+        Raises:
+            OptionError: one of them is not given, or the operator file can't be read.
+        """
         section = self._operator_section()
         address = self.address or section.get("listen")
         token_file = self.token_file or section.get("token_file")
--- a/marlstep/cli/errors.py
+++ b/marlstep/cli/errors.py
@@ -1,4 +1,4 @@
-"""Errors that end a command with exit code 2. Click prints the message, and the usage before that of an `OptionError`."""
+"""Errors that end a command with exit code 2. Click prints the message, for an `OptionError` after the usage."""
 
 from __future__ import annotations
 
@@ -143,13 +143,13 @@
 
 
 class ChangeBlockedError(CommandError):
-    """A change can't begin before another one has completed.
+    """A change can't be committed yet, since processes have not acknowledged it.
 
     Attributes:
-        waits_for: the nodes that the other change waits for.
+        waits_for: the processes whose acknowledgement is missing.
     """
 
     def __init__(self, waits_for: Sequence[str]) -> None:
-        """Initialize the error with the nodes that the other change waits for."""
+        """Initialize the error with the processes whose acknowledgement is missing."""
         super().__init__(f"it waits for {', '.join(waits_for)}: try again")
         self.waits_for = waits_for
--- a/marlstep/cli/fleet/__init__.py
+++ b/marlstep/cli/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""`marlstep fleet`: what a node knows of its fleet, changes of its members, and how a group begins or goes on."""
+"""`marlstep fleet`: show a node's view of its fleet, change members, and create or recover the group."""
--- a/marlstep/cli/fleet/group_store.py
+++ b/marlstep/cli/fleet/group_store.py
@@ -1,4 +1,4 @@
-"""`marlstep fleet init` and `recover`: a voter's store, made or repaired while its node is stopped."""
+"""`marlstep fleet init` and `recover`: create or recover the store of a voter whose node is stopped."""
 
 from __future__ import annotations
 
@@ -78,10 +78,10 @@
 
 
 def _read_voter(config: str | None, operator: str) -> tuple[ClusterConfig, Path]:
-    """Return the cluster section of a node that votes, and the path of its store.
+    """Return the cluster configuration of a voter, and the path of its store.
 
     Raises:
-        OptionError: the configuration is wrong, or the node does not vote.
+        OptionError: the configuration is invalid, or the node is not a voter.
     """
     environ = dict(os.environ)
     if config is not None:
--- a/marlstep/cli/fleet/leases.py
+++ b/marlstep/cli/fleet/leases.py
@@ -1,4 +1,4 @@
-"""`marlstep fleet leases`: leases as the group has granted them, and as one node holds them."""
+"""`marlstep fleet leases`: show the leases that the group granted, and those that one node holds."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/fleet/log.py
+++ b/marlstep/cli/fleet/log.py
@@ -1,4 +1,4 @@
-"""`marlstep fleet log`: the last entries of the replicated log, and the events of one node."""
+"""`marlstep fleet log`: print the last entries of the replicated log, and the events of one node."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/fleet/member_changes.py
+++ b/marlstep/cli/fleet/member_changes.py
@@ -1,4 +1,4 @@
-"""`marlstep fleet remove`, `readmit` and `believe`: an operator's changes of the members."""
+"""`marlstep fleet remove`, `readmit` and `believe`: change the members of the fleet."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/fleet/members.py
+++ b/marlstep/cli/fleet/members.py
@@ -1,4 +1,4 @@
-"""`marlstep fleet members`: the members as one node hears of them and as the group has agreed."""
+"""`marlstep fleet members`: show the members as one node's failure detector sees them and as the group agreed."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/fleet/situation.py
+++ b/marlstep/cli/fleet/situation.py
@@ -1,4 +1,4 @@
-"""`marlstep fleet situation`: whether one node is partitioned from the others, and what it does about it."""
+"""`marlstep fleet situation`: show the partition state of one node, and what it may do in it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from marlstep.cli.admin_client import AdminClient, node_options
 from marlstep.cli.output import JsonObject, print_json
 
-MAX_TRANSITIONS = 8  # the newest that are printed
+MAX_TRANSITIONS = 8  # the newest ones, which are printed
 
 
 @click.command()
--- a/marlstep/cli/fleet/status.py
+++ b/marlstep/cli/fleet/status.py
@@ -1,4 +1,4 @@
-"""`marlstep fleet status`: the group as one node knows it, and what the node counted."""
+"""`marlstep fleet status`: show the group as one node knows it, and the node's counters."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/rules/__init__.py
+++ b/marlstep/cli/rules/__init__.py
@@ -1,1 +1,1 @@
-"""`marlstep rules`: documents on which the nodes of a fleet agree."""
+"""`marlstep rules`: manage the replicated documents of a fleet."""
--- a/marlstep/cli/rules/diff.py
+++ b/marlstep/cli/rules/diff.py
@@ -1,4 +1,4 @@
-"""`marlstep rules diff`: what differs between two versions, or between a version and a file."""
+"""`marlstep rules diff`: compare two versions of a document, or a version and a file."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def _content(document: JsonObject, source: str | None) -> object:
-    """Return the content of a version by its number, of a file by its path, or of the newest version."""
+    """Return the content of the newest version if `source` is None, else of the version or file that it names."""
     if source is not None and not source.isdigit():
         return read_content(source)
     version = find_version(document, int(source) if source else None)
--- a/marlstep/cli/rules/documents.py
+++ b/marlstep/cli/rules/documents.py
@@ -1,4 +1,4 @@
-"""Documents as a node serves them, and contents as an operator's JSON files hold them."""
+"""Access to documents: their versions on a node, and contents in JSON files."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def fetch_document(client: AdminClient, name: str) -> JsonObject:
-    """Return the node's page of a document: the versions that it keeps, and the change in preparation."""
+    """Fetch a document from the node: the versions that it keeps, and the change that is being prepared."""
     return client.get(f"/v1/fleet/rules/{name}")
 
 
 def find_version(document: JsonObject, number: int | None) -> JsonObject:
-    """Return a version of a document; the newest where no number is given.
+    """Return a version of a document; the newest one if no number is given.
 
     Raises:
-        NoVersionError: there is no version yet.
-        VersionNotFoundError: that version is not kept.
+        NoVersionError: the document has no version yet.
+        VersionNotFoundError: the node does not keep that version.
     """
     versions: list[JsonObject] = document["versions"]
     if not versions:
@@ -34,7 +34,11 @@
 
 
 def read_content(path: str) -> object:
-    """Read a document's content from a JSON file. Raises OptionError."""
+    """Read a document's content from a JSON file.
+
+    Raises:
+        OptionError: the file can't be read, or is not valid JSON.
+    """
     try:
         content: object = json.loads(Path(path).read_text("utf-8"))
     except (OSError, ValueError) as error:
--- a/marlstep/cli/rules/get.py
+++ b/marlstep/cli/rules/get.py
@@ -1,4 +1,4 @@
-"""`marlstep rules get`: the content of a version."""
+"""`marlstep rules get`: print the content of a version."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/rules/go.py
+++ b/marlstep/cli/rules/go.py
@@ -1,4 +1,4 @@
-"""`marlstep rules go`: end the stage of a change, and activate it on all nodes."""
+"""`marlstep rules go`: end the canary rollout of a staged change, and activate it on all nodes."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/rules/log.py
+++ b/marlstep/cli/rules/log.py
@@ -1,4 +1,4 @@
-"""`marlstep rules log`: the history of a document."""
+"""`marlstep rules log`: print the history of a document."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/rules/orders.py
+++ b/marlstep/cli/rules/orders.py
@@ -1,4 +1,4 @@
-"""Orders that change a document: how a new version is uploaded, proposed and followed to its end."""
+"""Orders that change a document: upload and propose a new version, and follow it until it is in force or rejected."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from marlstep.cli.output import JsonObject, print_json
 from marlstep.replicated_config.documents import canonical_json, content_digest
 
-MAX_PART_LENGTH = 1_200  # characters; the administration API takes bodies of 4 KiB
+MAX_PART_LENGTH = 1_200  # characters; the administration API accepts bodies of up to 4 KiB
 UPLOAD_ID_BYTES = 8
 POLL_INTERVAL_S = 0.1
 MAX_WAIT_S = 3600
@@ -24,13 +24,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """What an operator states with every new version.
+    """Options of a proposed version.
 
     Attributes:
-        expected_version: the version that must be in force for the change to be taken.
-        note: the reason, for the history.
-        is_forced: also take a content that empties a list, or drops over half of it.
-        wait_s: how long to follow the change, in seconds; 0 to return once it is in preparation.
+        expected_version: the version that must be in force for the group to accept the change.
+        note: the reason, which the history keeps.
+        is_forced: also accept a content that empties a list, or removes over half of its entries.
+        wait_s: how long to follow the change, in seconds; 0 to return once it is being prepared.
     """
 
     expected_version: int
@@ -39,7 +39,7 @@
     wait_s: float
 
     def body(self, note: str | None = None) -> JsonObject:
-        """Return the keys of the order."""
+        """Return the proposal as keys of the order; `note` replaces the proposal's own."""
         return {
             "expect": self.expected_version,
             "note": self.note if note is None else note,
@@ -48,7 +48,7 @@
 
 
 def proposal_options(function: Callable[..., None]) -> Callable[..., None]:
-    """Add the options of every new version, given to the command as one `Proposal`."""
+    """Add the options of a new version, passed to the command as one `Proposal`."""
 
     @wraps(function)
     def command(expect: int, note: str, force: bool, wait: float, **others: object) -> None:
@@ -68,14 +68,18 @@
 
 
 def order(client: AdminClient, name: str, body: JsonObject) -> JsonObject:
-    """Submit an order about a document. Raises click.ClickException where it has no outcome."""
+    """Submit an order about a document, and return its outcome.
+
+    Raises:
+        click.ClickException: the node or the group did not answer, or the node rejected the order.
+    """
     return client.order(f"rules/{name}", body)
 
 
 def propose(
     client: AdminClient, name: str, content: object, body: JsonObject, wait_s: float, as_json: bool
 ) -> None:
-    """Propose a version; where there is time to wait, follow it until it is in force or rejected.
+    """Propose a version; if `wait_s` is not 0, follow it until it is in force or rejected.
 
     Raises:
         OrderRejectedError: the group rejected the version.
@@ -89,7 +93,7 @@
 
 
 def _upload_and_put(client: AdminClient, name: str, content: object, body: JsonObject) -> JsonObject:
-    """Upload the content in parts, then put it under its digest."""
+    """Upload the content in parts, then propose it by its digest."""
     text = canonical_json(content)
     upload = secrets.token_hex(UPLOAD_ID_BYTES)
     for offset in range(0, len(text), MAX_PART_LENGTH):
@@ -124,11 +128,11 @@
 
 
 def report_outcome(outcome: JsonObject, as_json: bool) -> None:
-    """Print what became of a change.
+    """Print the outcome of an order about a change.
 
     Raises:
         OrderRejectedError: the group rejected it.
-        ChangeBlockedError: it could not be taken yet, as another one has not come to its end.
+        ChangeBlockedError: processes have not acknowledged the version.
     """
     if as_json:
         print_json(outcome)
--- a/marlstep/cli/rules/pin.py
+++ b/marlstep/cli/rules/pin.py
@@ -1,4 +1,4 @@
-"""`marlstep rules fix` and `unfix`: pin a document on one node, without the group."""
+"""`marlstep rules fix` and `unfix`: pin a version of a document on one node, and unpin it."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/rules/rollback.py
+++ b/marlstep/cli/rules/rollback.py
@@ -1,4 +1,4 @@
-"""`marlstep rules rollback`: propose the content of an old version again."""
+"""`marlstep rules rollback`: propose a new version with the content of an old one."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/rules/stage.py
+++ b/marlstep/cli/rules/stage.py
@@ -1,4 +1,4 @@
-"""`marlstep rules stage`: propose a new version that a part of the nodes acts on first."""
+"""`marlstep rules stage`: propose a new version, and roll it out to some nodes first."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/rules/status.py
+++ b/marlstep/cli/rules/status.py
@@ -1,4 +1,4 @@
-"""`marlstep rules status`: which version each process acts on, and why one is behind."""
+"""`marlstep rules status`: show the version that each process acts on, and why a process is behind."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _fetch_processes(client: AdminClient) -> list[JsonObject] | None:
-    """Return what the group knows of every process, page by page; None where the group does not answer."""
+    """Fetch the status of all processes from the group, page by page; None if the group does not answer."""
     try:
         page = order(client, "standings", {})
         processes: list[JsonObject] = page["standings"]
@@ -40,7 +40,7 @@
             page = order(client, "standings", {"from": len(processes)})
             processes += page["standings"]
     except click.ClickException:
-        return None  # what the node itself knows is still shown
+        return None  # the node's own status is still shown
     return processes
 
 
--- a/marlstep/cli/rules/withdraw.py
+++ b/marlstep/cli/rules/withdraw.py
@@ -1,4 +1,4 @@
-"""`marlstep rules withdraw`: cancel a change that is in preparation."""
+"""`marlstep rules withdraw`: cancel a change that is being prepared."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/trace/__init__.py
+++ b/marlstep/cli/trace/__init__.py
@@ -1,1 +1,1 @@
-"""`marlstep trace`: public cluster traces, and schedules that are compiled from them."""
+"""`marlstep trace`: read public cluster traces, and compile and replay schedules."""
--- a/marlstep/cli/trace/compile.py
+++ b/marlstep/cli/trace/compile.py
@@ -1,4 +1,4 @@
-"""`marlstep trace compile`: a part of a trace as a schedule."""
+"""`marlstep trace compile`: compile a part of a trace into a schedule."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def cut_options(function: Callable[..., None]) -> Callable[..., None]:
-    """Add the options that choose a part of a trace, given to the command as one `Cut`."""
+    """Add the options that select a part of a trace, passed to the command as one `Cut`."""
 
     @wraps(function)
     def command(
@@ -99,7 +99,11 @@
 
 
 def _check(options: ReadingOptions, cut: Cut) -> None:
-    """Check that the options go together. Raises OptionError."""
+    """Check that the options do not conflict.
+
+    Raises:
+        OptionError: the trace is read from standard input, or `--busiest` is combined with `--from` or `--for`.
+    """
     if STANDARD_INPUT in options.parts:
         raise OptionError(NEEDS_FILES)
     has_range = bool(cut.from_us) or cut.for_us is not None
@@ -110,7 +114,7 @@
 def _compile(
     options: ReadingOptions, trace_format: Format, mapping: MappingSettings, cut: Cut, out_path: str
 ) -> tuple[Compiled, Account]:
-    """Compile the schedule; the first reading reports bad rows, and later ones pass over the same rows."""
+    """Compile the schedule. Only the first reading of the trace reports bad rows; later ones read the same rows."""
     first = options.make_reading(trace_format)
     unused = [first]
 
--- a/marlstep/cli/trace/inspect.py
+++ b/marlstep/cli/trace/inspect.py
@@ -1,4 +1,4 @@
-"""`marlstep trace inspect`: what a trace holds, and what is wrong with it."""
+"""`marlstep trace inspect`: summarize the contents of a trace, and its bad rows."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from marlstep.traces.mapping import Mapper
 from marlstep.traces.reading import Reading
 
-MAX_LISTED_NAMES = 50  # tenants and categories
+MAX_LISTED_NAMES = 50  # of tenants, and of categories
 
 
 @click.command()
--- a/marlstep/cli/trace/output.py
+++ b/marlstep/cli/trace/output.py
@@ -1,4 +1,4 @@
-"""How the commands of `marlstep trace` print a report."""
+"""Output of reports by the commands of `marlstep trace`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def print_report(report: JsonObject, as_json: bool) -> None:
-    """Print a report as JSON, or a line for each of its values."""
+    """Print a report as JSON, or as text with one line per value."""
     if as_json:
         print_json(report)
         return
--- a/marlstep/cli/trace/reading.py
+++ b/marlstep/cli/trace/reading.py
@@ -1,4 +1,4 @@
-"""What the commands that read a trace share: their options, the report of bad rows, and a progress bar."""
+"""Shared code of the commands that read a trace: options, the report of bad rows, and a progress bar."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadingOptions:
-    """What every command that reads a trace is given.
+    """Options of the commands that read a trace.
 
     Attributes:
         parts: paths of the trace; `-` is standard input.
-        format_name: the trace's format.
-        map_path: an operator's file with `[trace]`.
-        seed: sets what the trace leaves open, and keys hashes.
-        reorder_us: how late a row may come, in microseconds; None for what the format needs.
-        rejects_path: where every bad row is written.
-        is_strict: end at the first bad row.
-        as_json: print JSON.
+        format_name: name of the trace's format; None if it is not given.
+        map_path: path of an operator's file with a section `[trace]`, or None.
+        seed: seed of the values that the trace does not determine, and key of hashes.
+        reorder_us: how far a row may lag behind the latest row, in microseconds; None for the format's default.
+        rejects_path: path of the CSV file that bad rows are written to, or None.
+        is_strict: fail at the first bad row.
+        as_json: print the report as JSON.
     """
 
     parts: tuple[str, ...]
@@ -61,11 +61,11 @@
     as_json: bool
 
     def load_format(self, format_name: str | None) -> tuple[Format, MappingSettings]:
-        """Return the format of that name, and how its rows become requests.
+        """Return a format by its name, and the mapping of its rows to requests.
 
         Raises:
-            OptionError: no format is named.
-            ConfigError: the operator's file is wrong.
+            OptionError: no name is given.
+            ConfigError: the operator's file is invalid.
         """
         if format_name is None:
             raise OptionError.unmet("--format", f"is missing: one of {', '.join(sorted(MODULES))}")
@@ -74,14 +74,14 @@
         return trace_format, config.mapping
 
     def make_reading(self, trace_format: Format) -> Reading:
-        """Return a new reading of the trace."""
+        """Create a new reading of the trace."""
         return Reading(
             trace_format, self.parts, self.seed, window_us=self.reorder_us, is_strict=self.is_strict
         )
 
 
 def reading_options(function: Callable[..., None]) -> Callable[..., None]:
-    """Add the options of every command that reads a trace, given to it as one `ReadingOptions`."""
+    """Add the options of the commands that read a trace, passed to the command as one `ReadingOptions`."""
 
     @wraps(function)
     def command(
@@ -118,10 +118,15 @@
 
 
 class RejectReport:
-    """Logs the first bad rows of a reading, and writes all of them where a file is given."""
+    """Logs the first bad rows of a reading, and writes all of them to a CSV file if one is given."""
 
     def __init__(self, reading: Reading, sink: TextIO | None) -> None:
-        """Report the bad rows of the reading from now on."""
+        """Initialize the report, and register it with the reading.
+
+        Args:
+            reading: the reading whose bad rows are reported.
+            sink: the open CSV file, or None.
+        """
         self._reading = reading
         self._writer = None if sink is None else csv.writer(sink)
         self._count = 0
@@ -139,14 +144,14 @@
             log.warning("trace_row_rejected", place=place, reason=reject.describe())
 
     def log_suppressed_count(self) -> None:
-        """Log how many bad rows were not logged by themselves."""
+        """Log the number of bad rows beyond `MAX_LOGGED_REJECTS`, which were not logged one by one."""
         if self._count > MAX_LOGGED_REJECTS:
             log.warning("trace_rows_rejected_without_log", count=self._count - MAX_LOGGED_REJECTS)
 
 
 @contextmanager
 def report_rejects(reading: Reading, path: str | None) -> Iterator[None]:
-    """Report the bad rows of a reading, and write them to the file where there is a path."""
+    """Report the bad rows of a reading, and write them to a CSV file if a path is given."""
     if path is None:
         report = RejectReport(reading, None)
         yield
@@ -160,7 +165,7 @@
 
 @contextmanager
 def show_progress(parts: tuple[str, ...]) -> Iterator[Callable[[bytes], None]]:
-    """Show a progress bar on a terminal, and nothing elsewhere; yield what is given the bytes that were read."""
+    """Show a progress bar if standard error is a terminal; yield the function to call with each block of bytes read."""
     size = sum(Path(part).stat().st_size for part in parts if part != STANDARD_INPUT and Path(part).exists())
     if not size or not sys.stderr.isatty():
         yield lambda _: None
@@ -171,7 +176,7 @@
 
 @contextmanager
 def exit_on_error(ctx: click.Context) -> Iterator[None]:
-    """End the command with one line and its exit code where a trace, a mapping or a schedule is at fault."""
+    """On an invalid trace, mapping or schedule, print or log one line and exit with the code of the error."""
     try:
         yield
     except StrictReadingError as error:
@@ -186,6 +191,6 @@
 
 
 def exit_unusable(ctx: click.Context, problem: object) -> NoReturn:
-    """Print the problem, and end the command as one whose input is unusable."""
+    """Print the problem, and exit with the code for unusable input."""
     click.echo(f"marlstep: {problem}", err=True)
     ctx.exit(exit_codes.UNUSABLE)
--- a/marlstep/cli/trace/replay.py
+++ b/marlstep/cli/trace/replay.py
@@ -1,4 +1,4 @@
-"""`marlstep trace replay`: a schedule sent to a node, and the service that it gave."""
+"""`marlstep trace replay`: send a schedule to a node, and report the service that it gave."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 MAX_SPEED = 1000
 DEFAULT_CALL_US = 30_000
 DEFAULT_MAX_LATE_US = 50_000
-LONG_VALUES = ("histograms", "by_second", "schedule")  # printed as JSON alone
+LONG_VALUES = ("histograms", "by_second", "schedule")  # omitted from the text output
 
 
 @click.command()
--- a/marlstep/cli/trace/report.py
+++ b/marlstep/cli/trace/report.py
@@ -1,4 +1,4 @@
-"""`marlstep trace report`: two replays side by side."""
+"""`marlstep trace report`: compare the reports of two replays."""
 
 from __future__ import annotations
 
--- a/marlstep/cli/trace/tenants.py
+++ b/marlstep/cli/trace/tenants.py
@@ -1,4 +1,4 @@
-"""`marlstep trace tenants`: tables of an operator's file for the tenants and classes of a trace."""
+"""`marlstep trace tenants`: generate an operator's file with the tenants and classes of a trace."""
 
 from __future__ import annotations
 
@@ -78,7 +78,11 @@
 
 
 def _read_all(reading: Reading) -> None:
-    """Read the trace for its account. Raises NoArrivalsError."""
+    """Read the whole trace to complete its account.
+
+    Raises:
+        NoArrivalsError: the trace has no arrival.
+    """
     with report_rejects(reading, None):
         for _ in reading.batches():
             pass
--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -1,4 +1,4 @@
-"""What a user of the command line sees: help texts, and the reports that commands print."""
+"""Collect the help texts and the output of commands, and compare or record them as golden files."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def help_texts() -> dict[str, str]:
-    """The help text of every command, by its words."""
+    """Return the help text of every command by its command path."""
     texts = {}
     for context in _walk_commands(_root_context()):
         texts[context.command_path] = context.get_help()
@@ -42,7 +42,7 @@
 
 
 def _root_context() -> click.Context:
-    """Make the context of the program itself, with its names of the help option: click keeps the first that it sees."""
+    """Create the root context with the program's names of the help option, since click keeps the first ones that it sees."""
     return click.Context(marlstep, info_name="marlstep", **marlstep.context_settings, **_width())
 
 
@@ -61,7 +61,7 @@
 
 
 def parameters() -> dict[str, list[dict[str, Any]]]:
-    """Names, types and defaults of every command's options and arguments, in order."""
+    """Return the names, types and defaults of the options and arguments of every command, in order."""
     return {
         context.command_path: [
             _describe_parameter(parameter) for parameter in context.command.get_params(context)
@@ -90,7 +90,7 @@
 
 
 def run_cli(words: list[str]) -> dict[str, Any]:
-    """Run one command line; return its exit code and what it wrote to each stream."""
+    """Run one command line, and return its exit code and its output on each stream."""
     out, err = io.StringIO(), io.StringIO()
     streams = contextlib.redirect_stdout(out), contextlib.redirect_stderr(err)
     with patch.dict("os.environ", COLUMNS=str(HELP_WIDTH)), streams[0], streams[1]:
@@ -99,12 +99,12 @@
 
 
 def _remove_log_lines(text: str) -> str:
-    """Leave out log lines: they begin with the time, and their words are not the command line's."""
+    """Remove log lines: they begin with the time, and their texts are not part of the output of commands."""
     return "".join(line for line in text.splitlines(keepends=True) if not line.startswith("timestamp="))
 
 
 def node_reports(folder: Path) -> dict[str, Any]:
-    """What the commands of `fleet` and `rules` print for a reader, asked of a node without sockets."""
+    """Return the text output of the commands of `fleet` and `rules`, run against a node without sockets."""
 
     async def run_all() -> dict[str, Any]:
         with counted_names(), patch("http.client.HTTPConnection", Connection):
@@ -117,14 +117,14 @@
 
 
 def _replace_paths(folder: Path, reports: dict[str, Any]) -> dict[str, Any]:
-    """Put words in the place of paths, which differ from run to run and from machine to machine."""
+    """Replace paths, which differ between runs and machines, by placeholders."""
     text = json.dumps(reports).replace(str(folder), "FOLDER").replace(str(ROOT), "ROOT")
     replaced: dict[str, Any] = json.loads(text)
     return replaced
 
 
 def config_reports(folder: Path) -> dict[str, Any]:
-    """What `config check` prints for a reader."""
+    """Return the text output of `config check`."""
     invalid_file = folder / "wrong.toml"
     invalid_file.write_text("colour = 1\n")
     missing_file_options = ["--operator", str(folder / "none.toml")]
@@ -139,7 +139,7 @@
 
 
 def wrong_calls(folder: Path) -> dict[str, Any]:
-    """Wrong calls, each with its exit code and its message."""
+    """Return the exit code and message of invalid command lines."""
     (folder / "x.json").write_text("{}")
     (folder / "bad.json").write_text("{")
     (folder / "bad.toml").write_text("= 1")
@@ -177,8 +177,8 @@
 
 
 def trace_reports(folder: Path) -> dict[str, Any]:
-    """What the commands of `trace` print, for a reader and as JSON, and the digests of what they write."""
-    with contextlib.chdir(folder):  # a report shows the ends of long paths
+    """Return the text and JSON output of the commands of `trace`, and the digests of the files that they write."""
+    with contextlib.chdir(folder):  # short relative paths: a report abbreviates long ones
         return _trace_reports(folder)
 
 
@@ -218,7 +218,7 @@
 
 
 def trace_settings() -> dict[str, Any]:
-    """How `[trace]` is read: the errors of wrong sections, and the digests that schedules store of settings."""
+    """Return the errors of invalid `[trace]` sections, and the digests of settings that schedules store."""
     settings = {**DEFAULT_MAPPINGS, "complete": read_trace(COMPLETE, "generic").mapping}
     return {
         "digests": {name: settings_digest(value) for name, value in settings.items()},
@@ -228,7 +228,7 @@
 
 
 def record() -> None:
-    """Write the golden files anew, from the program as it stands. No test runs it."""
+    """Write the golden files from the current program. No test calls this."""
     GOLDEN.mkdir(parents=True, exist_ok=True)
     golden: dict[str, Any] = {"help.json": help_texts(), "parameters.json": parameters()}
     golden["trace_settings.json"] = trace_settings()
--- a/tests/cli/test_help.py
+++ b/tests/cli/test_help.py
@@ -1,4 +1,4 @@
-"""Every command keeps its help text, and its options keep their names, types and defaults, to the letter."""
+"""Help texts of all commands, and names, types and defaults of their options, match the golden files."""
 
 from __future__ import annotations
 
--- a/tests/cli/test_printed_reports.py
+++ b/tests/cli/test_printed_reports.py
@@ -1,4 +1,4 @@
-"""What commands print and return stays as recorded: reports, messages of wrong calls and exit codes."""
+"""Reports, messages of invalid command lines, and exit codes match the golden files."""
 
 from __future__ import annotations
 
--- a/tests/cli/trace_sections.py
+++ b/tests/cli/trace_sections.py
@@ -1,4 +1,4 @@
-"""Sections `[trace]` of an operator's file: a complete one, and the same with one key wrong."""
+"""A complete section `[trace]` of an operator's file, and variants of it with one invalid key."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
     ("columns",),
 )
 WRONG_VALUES: tuple[object, ...] = (-1, "", "two words", None, True, 1.5, [], {}, [1.5])
-NOT_LOOKED_UP = ("format", "columns.unit")  # a value that can't be hashed ends in a TypeError there
+NOT_LOOKED_UP = ("format", "columns.unit")  # an unhashable value raises a TypeError there
 
 
 def with_value(path: tuple[str | int, ...], value: object) -> dict[str, Any]:
-    """The complete section with another value at the path."""
+    """Return the complete section with another value at the path."""
     section = json.loads(json.dumps(COMPLETE))
     *outer, last = path
     table = section
@@ -53,7 +53,7 @@
 
 
 def error_of(section: dict[str, Any]) -> str:
-    """The error's text; empty where the section is accepted."""
+    """Return the text of the error, or an empty text if the section is accepted."""
     try:
         read_trace(section, "generic")
     except ConfigError as error:
@@ -62,7 +62,7 @@
 
 
 def errors_of_wrong_values() -> dict[str, dict[str, str]]:
-    """The error for each key and each wrong value, by the key's path and the value's JSON."""
+    """Return the error for each key and each wrong value, by the key's path and the value's JSON."""
     return {
         dotted(path): {
             json.dumps(value): error_of(with_value(path, value))
