--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -42,7 +42,7 @@
 
 
 def _root_context() -> click.Context:
-    """Create the root context with the program's names of the help option, since click keeps the first ones that it sees."""
+    """Create the root context with the program's names of the help option; click keeps the first ones that it sees."""
     return click.Context(marlstep, info_name="marlstep", **marlstep.context_settings, **_width())
 
 
@@ -178,7 +178,9 @@
 
 def trace_reports(folder: Path) -> dict[str, Any]:
     """Return the text and JSON output of the commands of `trace`, and the digests of the files that they write."""
-    with contextlib.chdir(folder):  # short relative paths: a report abbreviates long ones
+    with contextlib.chdir(
+        folder
+    ):  # so that paths are short: the table of `report` shows only the end of long ones
         return _trace_reports(folder)
 
 
--- a/tests/cli/trace_sections.py
+++ b/tests/cli/trace_sections.py
@@ -37,7 +37,7 @@
     ("columns",),
 )
 WRONG_VALUES: tuple[object, ...] = (-1, "", "two words", None, True, 1.5, [], {}, [1.5])
-NOT_LOOKED_UP = ("format", "columns.unit")  # an unhashable value raises a TypeError there
+KEYS_WITH_HASHED_VALUES = ("format", "columns.unit")  # an unhashable value raises a TypeError there
 
 
 def with_value(path: tuple[str | int, ...], value: object) -> dict[str, Any]:
@@ -67,7 +67,7 @@
         dotted(path): {
             json.dumps(value): error_of(with_value(path, value))
             for value in WRONG_VALUES
-            if not (dotted(path) in NOT_LOOKED_UP and isinstance(value, list | dict))
+            if not (dotted(path) in KEYS_WITH_HASHED_VALUES and isinstance(value, list | dict))
         }
         for path in _paths(COMPLETE, ())
     }
