--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -108,8 +108,8 @@
 
     async def run_all() -> dict[str, Any]:
         with counted_names(), patch("http.client.HTTPConnection", Connection):
-            Connection.shown = fleet = Shown(folder)
-            fleet.live()
+            Connection.shown = shown = Shown(folder)
+            shown.live()
             client_options = ["--admin", "127.0.0.1:1", "--token-file", str(folder / "token")]
             return {" ".join(words): run_cli([*words, *client_options]) for words in lines(folder)}
 
