--- a/marlstep/cli/rules/status.py
+++ b/marlstep/cli/rules/status.py
@@ -1,4 +1,4 @@
-"""`marlstep rules status`: which version each process acts on, and why one is behind."""
+"""`marlstep rules status`: show the version that each process acts on, and why a process is behind."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
         print_json({**page, "nodes": processes})
         return
     click.echo(_render_node(page))
-    shown = [_own_process(page)] if processes is None else processes
-    rows = [row for process in shown for row in _process_rows(process)]
+    listed = [_own_process(page)] if processes is None else processes
+    rows = [row for process in listed for row in _process_rows(process)]
     click.echo(render_table(HEADERS, rows))
     if processes is None and not is_local:
         click.echo("the group did not answer: only this node is shown")
@@ -32,7 +32,7 @@
 
 
 def _fetch_processes(client: AdminClient) -> list[JsonObject] | None:
-    """Return what the group knows of every process, page by page; None where the group does not answer."""
+    """Fetch the status of all processes from the group, page by page; None if the group does not answer."""
     try:
         page = order(client, "standings", {})
         processes: list[JsonObject] = page["standings"]
@@ -40,7 +40,7 @@
             page = order(client, "standings", {"from": len(processes)})
             processes += page["standings"]
     except click.ClickException:
-        return None  # what the node itself knows is still shown
+        return None  # the node's own status is still shown
     return processes
 
 
@@ -61,9 +61,9 @@
 
 
 def _process_rows(process: JsonObject) -> list[Row]:
-    holder = (process["process"], process["lease_ms"], process["heard_ms"])
+    process_cells = (process["process"], process["lease_ms"], process["heard_ms"])
     return [
-        (*holder, name, version, f"{age_ms / 1000:.1f}", state, reason)
+        (*process_cells, name, version, f"{age_ms / 1000:.1f}", state, reason)
         for name, version, state, age_ms, reason in process["acts"]
     ]
 
--- a/marlstep/cli/spans.py
+++ b/marlstep/cli/spans.py
@@ -11,18 +11,18 @@
 
 
 class Span(click.ParamType[int]):
-    """A duration with its unit, read as microseconds."""
+    """A duration with a unit, converted to microseconds."""
 
     name = "span"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
-        """Return microseconds; a default that is a number already stays as it is."""
+        """Return the duration in microseconds; a default that is an int already is in microseconds, and is kept."""
         if isinstance(value, int):
             return value
-        found = SPAN.fullmatch(str(value))
-        if found is None:
+        match = SPAN.fullmatch(str(value))
+        if match is None:
             self.fail(f"{value!r} is no span: a number and us, ms, s, m, h or d, as 20s", param, ctx)
-        return round(float(found[1]) * UNITS_US[found[2]])
+        return round(float(match[1]) * UNITS_US[match[2]])
 
 
 SPAN_TYPE = Span()
