--- a/marlstep/components/__init__.py
+++ b/marlstep/components/__init__.py
@@ -1,1 +1,1 @@
-"""Optional components of a node. `registry` names them, and what turns each on."""
+"""Optional components of a node. `registry` lists them with the configuration that enables each."""
--- a/marlstep/components/admin.py
+++ b/marlstep/components/admin.py
@@ -22,13 +22,17 @@
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_FRONTENDS
 
     def __init__(self, host: AdminHost, config: AdminConfig) -> None:
-        """Make the service; it shows all components that the host has by the time of a request."""
+        """Create the API. Each request is served with the components that the host has at that time."""
         self.service = AdminApi(
             host.core, host.timeline, config.token, host.drain, lambda: host.components.values()
         )
 
     async def open(self, config: Config, reuse_address: bool, /) -> None:
-        """Listen. Raises OSError."""
+        """Listen at the configured address.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
         assert config.admin is not None
         await self.service.listen(config.admin.listen, shared=reuse_address)
         log.info("listening: component=admin address=%s:%d", *config.admin.listen)
@@ -39,6 +43,6 @@
 
 
 def make(host: AdminHost) -> AdminComponent:
-    """Make the component of a node whose configuration turns it on."""
+    """Create the component for a node whose configuration enables it."""
     assert host.config.admin is not None
     return AdminComponent(host, host.config.admin)
--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -1,7 +1,7 @@
 """The base of all optional components of a node.
 
-Which there are, and what turns each on, is the table in `registry`: a new component is one line there, and none in
-the wiring.
+The table in `registry` lists the components and what enables each. A new component is one line there, and needs no
+change in the wiring of the node.
 """
 
 from __future__ import annotations
@@ -16,83 +16,98 @@
 
 
 class StartPhase(enum.Enum):
-    """When a component takes its address."""
+    """When a component binds its address."""
 
-    BEFORE_SERVING = "before serving"  # before the node serves, to say that it does not yet
-    WITH_CLIENTS = "with clients"  # with the clients of kernel and database, in standby as well
-    WITH_FRONTENDS = "with frontends"  # with the platform's frontend
+    BEFORE_SERVING = (
+        "before serving"  # before the node serves, so that it can report that it does not serve yet
+    )
+    WITH_CLIENTS = "with clients"  # with the clients of the kernel and the database, also in standby
+    WITH_FRONTENDS = "with frontends"  # with the frontend for the platform
 
 
 class ShutdownMode(enum.Enum):
-    """What a SIGTERM means for this process; `marlstep.drain.DrainController.drain` acts on it."""
+    """How this process reacts to SIGTERM; `marlstep.drain.DrainController.drain` implements it."""
 
-    DRAIN = "drain"  # no other process serves in this one's place: the node drains
+    DRAIN = "drain"  # no other process takes over: the node drains
     HAND_OVER = (
-        "hand over"  # a successor serves: this process accepts no more, and finishes what is in flight
+        "hand over"  # a successor serves: this process stops accepting and finishes requests in flight
     )
 
 
 class RestartState(Protocol):
-    """What a node has to know of its predecessor and its successor process."""
+    """The state of a node's predecessor and successor processes."""
 
     @property
     def has_predecessor(self) -> bool:
-        """Another process of this node is older than this one."""
+        """Whether an older process of this node is running."""
 
     @property
     def has_predecessor_serving(self) -> bool:
-        """At the start another process served, whose place this one is to take."""
+        """Whether another process was serving when this one started, so that this one is to replace it."""
 
     @property
     def is_standby(self) -> bool:
-        """Another process serves, and this one does not yet."""
+        """Whether another process serves and this one does not serve yet."""
 
     def begin_shutdown(self, now: datetime, /) -> ShutdownMode:
-        """Tell the other processes that this one shuts down. Return how: with or without a successor that serves."""
+        """Notify the other processes that this one shuts down; return whether it drains or hands over."""
 
     def serving_state_changed(self, ready: bool, /) -> None:
-        """Tell the others that an operator quiesced or resumed the node at this process."""
+        """Notify the other processes that an operator quiesced or resumed the node through this one."""
 
 
 class Component:
-    """An optional part of a node. A subclass overrides what it needs."""
+    """An optional part of a node. A subclass overrides the methods that it needs."""
 
     name: ClassVar[str]
     start_phase: ClassVar[StartPhase]
-    descriptors = 0  # that it may take from the node's budget for connections
-    frontend: Frontend | None = None  # the frontend that the core has to know of
-    restart_state: RestartState | None = None  # of the one component that knows the node's other processes
+    descriptors = 0  # file descriptors reserved from the node's budget for connections
+    frontend: Frontend | None = None  # the frontend to register with the core, if any
+    restart_state: RestartState | None = None  # set by the component that tracks the node's other processes
 
     async def open(self, config: Config, reuse_address: bool, /) -> None:
-        """Take its address; `reuse_address`: another process of this node may have it too. Raises OSError."""
+        """Open the component.
+
+        Args:
+            config: The configuration in force.
+            reuse_address: Whether another process of this node may have bound the same address.
+
+        Raises:
+            OSError: the address can't be bound.
+
+        """
 
     def reconfigure(self, config: Config, /) -> None:
-        """Take over another configuration, which is in force by now."""
+        """Apply a changed configuration, which is already in force."""
 
     def drain(self) -> None:
-        """Begin to leave, alone or with a successor that serves: finish what is here."""
+        """Start to drain, with or without a successor that serves."""
 
     @property
     def busy(self) -> bool:
-        """It still has something to finish before this process ends."""
+        """Whether it still has work to finish before this process exits."""
         return False
 
     def stop(self) -> None:
-        """Give back all that can be given back at once: the node ends."""
+        """Release immediately everything that needs no waiting, when the node shuts down."""
 
     async def close(self) -> None:
-        """Wait for what takes longer."""
+        """Release the remaining resources, and wait until this is complete."""
 
     def status(self) -> dict[str, Any]:
-        """Give what operators are shown, as JSON."""
+        """Return the status for operators as JSON."""
         return {}
 
     def read_resource(self, path: str, /) -> dict[str, Any] | None:
-        """Answer `GET /v1/NAME` of the administration API; None where it is not this component's."""
+        """Return the response to `GET /v1/PATH`, or None if this component has no resource at this path."""
 
     def execute_order(self, path: str, arguments: dict[str, Any], /) -> dict[str, Any] | None:
-        """Carry out `POST /v1/NAME`, likewise. Raises ValueError where the arguments make no sense."""
+        """Carry out `POST /v1/PATH` and return its response, or None if this component has no order at this path.
+
+        Raises:
+            ValueError: an argument is invalid.
+        """
 
     def metrics(self) -> dict[str, float]:
-        """Give what is counted or measured now, by the name that metrics have for it."""
+        """Return the current metrics by name."""
         return {}
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -1,4 +1,4 @@
-"""The node's part in a cluster as a component."""
+"""The cluster node as a component."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 
 
 def make(host: ClusterHost) -> ClusterNode:
-    """Make the component of a node whose configuration turns it on."""
+    """Create the component for a node whose configuration enables it."""
     config = host.config
     assert config.cluster is not None
     component = host.components.get("uwsgi")
     uwsgi = component if isinstance(component, UwsgiComponent) else None
     documents = None
     if config.cluster.replicated_config is not None:
-        from marlstep.components.config_documents import NodeConfigDocuments  # only where documents are named
+        from marlstep.components.config_documents import (
+            NodeConfigDocuments,
+        )  # loaded only if documents are configured
 
         documents = NodeConfigDocuments(host.config_reloader, host.core)
     cluster = ClusterNode(
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -1,4 +1,4 @@
-"""The node as documents of its cluster govern it, by the path that SIGHUP takes."""
+"""Applies replicated documents to the node's configuration, in the same way as a reload at SIGHUP."""
 
 from __future__ import annotations
 
@@ -16,28 +16,30 @@
 
 log = logging.getLogger("marlstep")
 
-MIN_QUOTA_CHANGE = 1 / 10_000  # of the quota of all servers: a smaller change is left out
+MIN_QUOTA_CHANGE = 1 / 10_000  # as a share of the quota of all servers; smaller changes are not applied
 
 
 class NodeConfigDocuments:
-    """Checks documents against the node's configuration, and puts them in force."""
+    """Checks documents against the node's configuration and puts them in force."""
 
     def __init__(self, governed_config: GovernedConfig, core: Core) -> None:
-        """Apply documents to the configuration from now on; there is none yet."""
+        """Start without documents; from now on documents override the configuration of the files."""
         self._config, self._core = governed_config, core
         self._governed = governed_config.governed = DocumentOverrides()
-        self._own = governed_config.config  # as the files have it
+        self._own = governed_config.config  # as in the configuration files
         self._versions: dict[str, int] = {}
-        self._lowest_quotas_per_s: dict[str, float] = {}  # that any version in force here gave, by tenant
+        self._lowest_quotas_per_s: dict[
+            str, float
+        ] = {}  # by tenant, of all versions that were in force on this node
 
     def local_content(self, kind: str) -> object:
-        """Return what the node's own files say for a kind of document."""
+        """Return the content of the node's own configuration files for a kind of document, as JSON."""
         return local_content(self._own, kind)
 
     def check(self, kind: str, content: str) -> str:
-        """Return why the node can't act on this content together with all else in force; empty if it can.
+        """Return the reason why the content is invalid together with the configuration in force; empty if it is valid.
 
-        A document is checked by the same code as a file.
+        Documents are checked by the same code as configuration files.
         """
         try:
             self._governed.apply_to(self._config.config, **{kind: json.loads(content)})
@@ -46,7 +48,11 @@
         return ""
 
     def activate(self, kind: str, version: int, content: str) -> None:
-        """Put a version in force. Raises ValueError where it is no valid configuration."""
+        """Put a version in force.
+
+        Raises:
+            ValueError: the content is not a valid configuration.
+        """
         document = json.loads(content)
         try:
             self._config.apply_config(self._governed.apply_to(self._config.config, **{kind: document}))
@@ -68,19 +74,20 @@
         self._lowest_quotas_per_s = {**quotas_per_s, **lowest}
 
     def request_counts(self) -> RequestCounts:
-        """Count the requests that were read, of them rejected, and failed or late."""
+        """Return the numbers of requests that were received, rejected, and failed or late."""
         return RequestCounts(*self._core.request_counts)
 
     def tenant_counts(self) -> dict[str, int]:
-        """Count the requests that were read of each tenant that has a quota."""
+        """Return the number of requests received from each tenant that has a quota."""
         core = self._core
         with_quota = [tenant.name for tenant in core.settings.tenants if tenant.quota_per_s]
         return {name: core.accepted_count(name) for name in with_quota}
 
     def set_quota_share(self, tenant: str, share: float) -> None:
-        """Set a tenant's quota on this node to a share, 0 to 1, of the quota of all servers.
+        """Set a tenant's quota on this node to a share, from 0 to 1, of the quota of all servers.
 
-        The admission controller reads a quota as that of all servers, and takes an equal part of it.
+        The admission controller divides a configured quota evenly among all servers, so the share is multiplied by
+        their number.
         """
         core = self._core
         quotas_per_s = {settings.name: settings.quota_per_s for settings in core.settings.tenants}
@@ -92,7 +99,7 @@
             core.set_quota(tenant, per_s)
 
     def restrict(self) -> None:
-        """Narrow the quota of each tenant that is still there to the lowest that any version gave."""
+        """Reduce the quota of each current tenant to the lowest of all versions that were in force on this node."""
         core = self._core
         for name, lowest in self._lowest_quotas_per_s.items():
             tenant = core.tenants.get(name)
--- a/marlstep/components/health_endpoint.py
+++ b/marlstep/components/health_endpoint.py
@@ -17,19 +17,23 @@
 
 
 class HealthEndpointComponent(Component):
-    """Tells the platform whether requests are wanted here, from before the node serves."""
+    """Reports to the platform whether this node accepts requests, starting before the node serves."""
 
     name: ClassVar[str] = "door"
     start_phase: ClassVar[StartPhase] = StartPhase.BEFORE_SERVING
 
     def __init__(self, host: HealthEndpointHost) -> None:
-        """Make the service."""
+        """Create the health endpoint."""
         self.service = HealthEndpoint(
             host.core, host.timeline, host.serving_state_changed, HEALTH_ENDPOINT_CONNECTIONS
         )
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
-        """Listen, always on an address of this process alone. Raises OSError."""
+        """Listen at the configured address, which is never shared with another process.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
         assert config.health_listen is not None
         await self.service.listen(config.health_listen)
         log.info("listening: component=health_endpoint address=%s:%d", *config.health_listen)
@@ -40,5 +44,5 @@
 
 
 def make(host: HealthEndpointHost) -> HealthEndpointComponent:
-    """Make the component of a node whose configuration turns it on."""
+    """Create the component for a node whose configuration enables it."""
     return HealthEndpointComponent(host)
--- a/marlstep/components/host.py
+++ b/marlstep/components/host.py
@@ -1,6 +1,6 @@
-"""What components use of the node that they belong to, one narrow protocol for each.
+"""The interfaces of the node that its components use, one narrow protocol for each component.
 
-The module is imported for types alone: components don't know the node, and the node doesn't load this.
+The module is imported for type checking only: components don't depend on the node, and the node doesn't load it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class NodeServices(Protocol):
-    """What every component may use."""
+    """The interface that every component may use."""
 
     @property
     def config(self) -> Config:
@@ -25,7 +25,7 @@
 
     @property
     def core(self) -> Core:
-        """The request lifecycle."""
+        """The core, which manages the lifecycle of requests."""
 
     @property
     def timeline(self) -> TimerQueue:
@@ -33,7 +33,7 @@
 
 
 class GovernedConfig(Protocol):
-    """The configuration in force, as documents of the cluster govern it."""
+    """The configuration in force, which replicated documents can override."""
 
     governed: DocumentOverrides | None
 
@@ -42,35 +42,39 @@
         """The configuration in force."""
 
     def apply_config(self, config: Config, /) -> None:
-        """Put another configuration in force. Raises ConfigError."""
+        """Put another configuration in force.
+
+        Raises:
+            ConfigError: the configuration is invalid.
+        """
 
 
 class RestartDrain(Protocol):
-    """The node's drain, as far as a successor process decides on it."""
+    """The part of the node's drain that depends on a successor process."""
 
     def restart_timeout(self) -> timedelta:
-        """Time from SIGTERM to the end where a successor serves."""
+        """Return the time from SIGTERM to the exit of this process if a successor serves."""
 
     def successor_lost(self) -> None:
-        """Handle the loss of the successor: no other process serves in the place of this one."""
+        """Handle the loss of the successor: no other process replaces this one."""
 
     def successor_draining(self) -> None:
         """Handle the graceful shutdown of the successor."""
 
 
 class AdminHost(NodeServices, Protocol):
-    """What the administration API needs."""
+    """The interface that the administration API uses."""
 
     @property
     def components(self) -> Mapping[str, Component]:
         """All components that were made so far, by name."""
 
     def drain(self) -> None:
-        """Leave, as at SIGTERM."""
+        """Start a graceful shutdown, as SIGTERM does."""
 
 
 class ClusterHost(NodeServices, Protocol):
-    """What the node's part in a cluster needs."""
+    """The interface that the cluster node uses."""
 
     @property
     def components(self) -> Mapping[str, Component]:
@@ -78,35 +82,35 @@
 
     @property
     def config_reloader(self) -> GovernedConfig:
-        """What documents govern."""
+        """The configuration that replicated documents can override."""
 
 
 class HealthEndpointHost(NodeServices, Protocol):
-    """What the health endpoint needs."""
+    """The interface that the health endpoint uses."""
 
     def serving_state_changed(self) -> None:
-        """Handle an operator's quiesce or resume at this process."""
+        """Handle a quiesce or resume by an operator through this process."""
 
 
 class HotRestartHost(NodeServices, Protocol):
-    """What a hot restart needs."""
+    """The interface that hot restart uses."""
 
     @property
     def drain_controller(self) -> RestartDrain:
         """The node's drain."""
 
     def accept_connections(self) -> None:
-        """Accept connections from now on, in the place of the predecessor if there is one."""
+        """Start accepting connections, as replacement of the predecessor if there is one."""
 
     def limit_capacity(self, capacity_share: float, /) -> None:
-        """Bound this process to its share, 0 to 1, of the node's memory, requests and connections."""
+        """Limit this process to a share, from 0 to 1, of the node's memory, requests and connections."""
 
     def connection_share(self) -> float:
-        """Tell which share of the connections that two processes have together is in use in this one."""
+        """Return the share, from 0 to 1, that this process uses of the connections available to both processes."""
 
     def report_serving_state(self) -> None:
-        """Tell the name service whether requests are wanted here."""
+        """Report to the name service whether this node accepts requests."""
 
 
 class ComponentHost(AdminHost, ClusterHost, HealthEndpointHost, HotRestartHost, Protocol):
-    """What all components need together."""
+    """The interfaces of all components combined."""
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart as a component: the node's other processes, where the platform passes a listening socket."""
+"""Hot restart as a component, enabled if the platform passes a listening socket to the process."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class HotRestartCallbacks:
-    """Implements `NodeCallbacks` with the node."""
+    """Implements `NodeCallbacks` by calling the node."""
 
     def __init__(self, host: HotRestartHost) -> None:
-        """`host` is the node."""
+        """Bind the callbacks to methods of the node `host`."""
         self.accept_connections = host.accept_connections
         self.successor_lost = host.drain_controller.successor_lost
         self.successor_draining = host.drain_controller.successor_draining
@@ -35,20 +35,20 @@
 
 
 class HotRestartComponent(Component):
-    """Connects the node with its predecessor and its successor process, in the folder that they have in common."""
+    """Connects this process with its predecessor and successor through the runtime folder that they share."""
 
-    name: ClassVar[str] = "handover"  # as the status has it
+    name: ClassVar[str] = "handover"  # as shown in the status
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_CLIENTS
 
     def __init__(self, host: HotRestartHost) -> None:
-        """Know of no other process before `open`."""
+        """Create the component; `open` discovers other processes."""
         self._host = host
         self._channel: RestartChannel | None = None
         self.has_predecessor_serving = False
         self.restart_state = self
 
     async def open(self, config: Config, _reuse_address: bool, /) -> None:
-        """Connect to the other processes; the one that serves, if any, is known from then on."""
+        """Connect to the other processes, and determine whether one of them serves."""
         if config.runtime_directory is None:
             log.warning("hot restart disabled: reason=TMPDIR_not_set")
             return
@@ -66,10 +66,11 @@
         adapter.watch(channel.hot_restart)
 
     def _lost_process_timeouts(self) -> LostProcessTimeouts:
-        """Return how long the work of a lost process matters, by the settings in force.
+        """Return how long the work of a lost process must be considered, with the settings in force.
 
-        It ends as late as one that got SIGTERM when it was lost, and its runs by the longest deadline after that. A
-        retry comes within its class's window, of a request that came at its deadline at the latest.
+        The process exits at the latest as if it had received SIGTERM when it was lost, and its runs end at most the
+        longest deadline later. A retry arrives within the idempotency window of its class, which starts at the deadline
+        of the first request at the latest.
         """
         classes = self._host.config.settings.classes
         longest_deadline = max(span(request_class.deadline_us) for request_class in classes)
@@ -80,36 +81,36 @@
         return LostProcessTimeouts(termination=termination, retry_window=retry_window)
 
     def reconfigure(self, _config: Config, /) -> None:
-        """Take over the deadlines in force."""
+        """Apply the deadlines in force."""
         if self._channel is not None:
             self._channel.hot_restart.set_timeouts(self._lost_process_timeouts())
 
     def serving_state_changed(self, ready: bool, /) -> None:
-        """Tell the other processes that an operator quiesced or resumed the node at this one."""
+        """Notify the other processes that an operator quiesced or resumed the node through this one."""
         if self._channel is not None:
             self._channel.hot_restart.serving_state_changed(ready)
 
     @property
     def has_predecessor(self) -> bool:
-        """Whether an older process of this node is connected and has not ended."""
+        """Whether an older process of this node is connected and has not exited."""
         return self._channel is not None and self._channel.hot_restart.has_predecessor
 
     @property
     def is_standby(self) -> bool:
-        """Whether a predecessor serves, and this process does not accept connections yet."""
+        """Whether a predecessor serves and this process does not accept connections yet."""
         return self._channel is not None and self._channel.hot_restart.is_standby
 
     def begin_shutdown(self, now: datetime, /) -> ShutdownMode:
-        """Tell the other processes that this one shuts down. Return how: with or without a successor that serves."""
+        """Notify the other processes that this one shuts down; return whether it drains or hands over."""
         hands_over = self._channel is not None and self._channel.hot_restart.begin_shutdown(now)
         return ShutdownMode.HAND_OVER if hands_over else ShutdownMode.DRAIN
 
     def stop(self) -> None:
-        """Hand over the rest, and close the channel."""
+        """Hand over the remaining resources and close the channel."""
         if self._channel is not None:
             self._channel.close()
 
 
 def make(host: HotRestartHost) -> HotRestartComponent:
-    """Make the component of a node whose configuration turns it on."""
+    """Create the component for a node whose configuration enables it."""
     return HotRestartComponent(host)
--- a/marlstep/components/registry.py
+++ b/marlstep/components/registry.py
@@ -1,6 +1,6 @@
-"""Registry of the optional components: what of the configuration turns each on, and how it is made.
+"""Registry of the optional components: the configuration that enables each, and its factory.
 
-A component's modules are loaded only once it is made: a node that has none of them lives in 32 MB.
+The modules of a component are loaded only when it is created, so that a node without components fits into 32 MB.
 """
 
 from __future__ import annotations
@@ -16,10 +16,12 @@
 
 
 class Registration(NamedTuple):
-    """One component: whether a configuration turns it on, and its factory."""
+    """One component: whether a configuration enables it, and its factory."""
 
     is_enabled: Callable[[Config], bool]
-    make: Callable[[ComponentHost, int], Component]  # the number: connections that the node has capacity for
+    make: Callable[
+        [ComponentHost, int], Component
+    ]  # arguments: the host, and the maximum number of connections of the node
 
 
 def _make_uwsgi(host: ComponentHost, max_connections: int) -> Component:
@@ -52,7 +54,7 @@
     return make(host)
 
 
-# In the order in which they are made and opened: a component may use those before it.
+# In the order in which components are created and opened: a component may use the preceding ones.
 REGISTRY: tuple[Registration, ...] = (
     Registration(lambda config: config.uwsgi is not None, _make_uwsgi),
     Registration(lambda config: config.health_listen is not None, _make_health_endpoint),
--- a/marlstep/components/uwsgi.py
+++ b/marlstep/components/uwsgi.py
@@ -1,4 +1,4 @@
-"""The uwsgi frontend with its pools of servers as a component."""
+"""The uwsgi frontend and its pools of servers as a component."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 log = logging.getLogger("marlstep")
 
 DESCRIPTORS_PER_REQUEST = 2  # file descriptors: the client's connection and the one to a server
-NODE_SHARE_DIVISOR = 2  # of the node's connections at most one in so many is for this frontend
+NODE_SHARE_DIVISOR = 2  # this frontend may use at most this fraction (1/n) of the node's connections
 
 
 def connection_limit(configured: int, node_connections: int) -> int:
-    """Return how many clients may be connected over uwsgi at once.
+    """Return the maximum number of concurrent uwsgi clients.
 
-    Rule: as configured, but with their connections to servers no more than the frontend's share of the node's, so
-    that the other frontends keep theirs.
+    The configured number is limited so that the connections of clients and those to servers do not exceed this
+    frontend's share of the node's connections, and the other frontends keep theirs.
 
     Args:
         configured: `max_connections` of the operator's file.
@@ -43,7 +43,7 @@
     frontend: UwsgiFrontend
 
     def __init__(self, host: NodeServices, config: UwsgiConfig, max_connections: int) -> None:
-        """Make the frontend; `max_connections` is the capacity of the node for all its connections."""
+        """Create the frontend and its pools; `max_connections` is the limit of the whole node."""
         limit = connection_limit(config.max_connections, max_connections)
         self.descriptors = DESCRIPTORS_PER_REQUEST * limit
         self.upstream = Upstream(
@@ -61,13 +61,17 @@
         )
 
     async def open(self, config: Config, reuse_address: bool, /) -> None:
-        """Listen. Raises OSError."""
+        """Listen at the configured address.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
         assert config.uwsgi is not None
         await self.frontend.listen(config.uwsgi.listen, shared=reuse_address)
         log.info("listening: component=uwsgi address=%s:%d", *config.uwsgi.listen)
 
     def reconfigure(self, config: Config, /) -> None:
-        """Take over changed pools, and how requests are mapped to request classes."""
+        """Apply changed pools and the changed mapping of requests to request classes."""
         if config.uwsgi is not None:
             self.upstream.reconfigure(config.uwsgi.pools)
             self.frontend.pool_of = partial(pool_for, config.uwsgi.pools)
@@ -90,6 +94,6 @@
 
 
 def make(host: NodeServices, max_connections: int) -> UwsgiComponent:
-    """Make the component of a node whose configuration turns it on."""
+    """Create the component for a node whose configuration enables it."""
     assert host.config.uwsgi is not None
     return UwsgiComponent(host, host.config.uwsgi, max_connections)
