--- a/marlstep/cluster/__init__.py
+++ b/marlstep/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""A node's part in a fleet, on sockets and disk: it carries out what consensus, leases and tasks decide.
+"""Runs a cluster node on sockets and disk: carries out the decisions of consensus, leases and scheduled tasks.
 
-Loaded only where the operator's file has `[fleet]`.
+Loaded only if the operator's file has a `[fleet]` section.
 """
--- a/marlstep/cluster/admin.py
+++ b/marlstep/cluster/admin.py
@@ -1,4 +1,4 @@
-"""Operators' resources and orders of a cluster node, by their path in the administration API."""
+"""Resources and orders of a cluster node, by their paths in the administration API."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AdminCommands:
-    """Serves what operators read and order; paths start with `fleet`."""
+    """Serves the resources and carries out the orders whose paths start with `fleet`."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         config_status: ConfigStatusReporter | None,
         results: OrderResults,
     ) -> None:
-        """`results` is shared with the orders about documents."""
+        """Store the parts; `results` is shared with the tracker of orders about documents."""
         self._context, self._turns = context, turns
         self._membership = membership
         self._config_orders, self._config_status = config_orders, config_status
@@ -51,7 +51,7 @@
             self._readers["fleet/asked"] = self.order_results
 
     def read_resource(self, path: str) -> dict[str, Any] | None:
-        """Return the resource as JSON; None where it is not the cluster's."""
+        """Return the resource as JSON, or None if the cluster has no resource at this path."""
         reader = self._readers.get(path)
         if reader is not None:
             return reader()
@@ -61,17 +61,17 @@
         return None
 
     def order_results(self) -> dict[str, Any]:
-        """Return what came of the last orders, by their numbers."""
+        """Return the results of the latest orders by command number."""
         self._orders.collect()
         return {str(number): result for number, result in self._results.items()}
 
     def execute_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any] | None:
-        """Carry out an order; None where it is not the cluster's.
+        """Carry out an order and return its response, or None if the cluster has no order at this path.
 
         Raises:
-            ValueError: the order or an argument makes no sense.
+            ValueError: the order is unknown or an argument is invalid.
             KeyError: an argument is missing.
-            TypeError: an argument is of a wrong type.
+            TypeError: an argument has a wrong type.
         """
         match path.split("/"):
             case ["fleet", "rules", order] if self._config_orders is not None:
@@ -88,12 +88,12 @@
 
 
 def roster_command(order: str, arguments: dict[str, Any]) -> RosterCommand:
-    """Return the roster's command for an order.
+    """Return the roster command for an order about members.
 
     Raises:
-        UnknownOrderError: there is no such order.
+        UnknownOrderError: there is no order of this name.
         KeyError: an argument is missing.
-        TypeError: an argument is of a wrong type.
+        TypeError: an argument has a wrong type.
     """
     match order:
         case "remove":
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -1,4 +1,4 @@
-"""Replicated documents on a node: carries out what the follower decides, between two turns of the core."""
+"""Replicated documents on a node: carries out the actions of the follower, between two turns of the core."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ORDER_RESULTS = 64  # kept for operators to fetch
-MAX_DIFFERENCES = 20  # that operators are shown of two contents
-DISCONNECT_EFFECTS = {  # shown to operators
+MAX_ORDER_RESULTS = 64  # results of orders that operators can still fetch
+MAX_DIFFERENCES = 20  # lines shown to operators when two contents are compared
+DISCONNECT_EFFECTS = {  # shown to operators in the event history
     DisconnectPolicy.STOP: "new work is refused",
     DisconnectPolicy.NARROW: "the lesser of what is known counts",
     DisconnectPolicy.KEEP: "goes on, and may contradict the others",
@@ -41,7 +41,7 @@
 
 
 class ConfigDriver:
-    """Follows the cluster's documents under a lease of its own."""
+    """Follows the documents of the cluster on this node, under a lease of its own."""
 
     def __init__(
         self,
@@ -52,7 +52,10 @@
         documents: ConfigDocuments,
         results: OrderResults,
     ) -> None:
-        """`documents` is the node, as far as documents configure it; `results` is shared with other orders."""
+        """Start the follower and carry out its first actions.
+
+        `documents` applies contents to this node; `results` is shared with the tracker of other orders.
+        """
         self._context, self._leader = context, leader
         self.settings, self._documents = config, documents
         self.follower = ConfigFollower(config.documents, context.config.node)
@@ -61,31 +64,32 @@
         self.orders = OrderTracker(context.client, results, MAX_ORDER_RESULTS)
         self.uploads = ConfigUploads(context, turns, self.orders)
         self.quotas = QuotaDriver(context, documents) if config.quotas_shared else None
-        self._acknowledgements: dict[int, AcknowledgeVersion] = {}  # by the command's number
+        self._acknowledgements: dict[int, AcknowledgeVersion] = {}  # by command number
         context.client.holder.report = self._report
         self._carry_out_all(self.follower.start(), context.steady.now())
 
     def lease_time_left(self, now: datetime) -> timedelta:
-        """Return how long documents may still be acted on."""
+        """Return for how long the lease still permits acting on documents."""
         return self._context.client.holder.time_left(self.lease, now)
 
     def accepts_work(self) -> bool:
         """Return whether a new request may be admitted.
 
-        Asked for each request, by the clock: a process that was stopped may not know yet that its lease has expired.
+        The lease is compared with the clock for each request: a process that was stopped for a time may not have
+        handled the expiry of its lease yet.
         """
         return self.follower.accepts_work(self.lease_time_left(self._context.steady.now()))
 
     def _report(self, now: datetime) -> HeartbeatReport:
-        """Return what each heartbeat reports of this process."""
+        """Return the document states, request counts and demand that a heartbeat reports."""
         demand = () if self.quotas is None else self.quotas.estimate_demand(now)
         counts = self._documents.request_counts()
         return HeartbeatReport(self.follower.document_states(now), counts, demand)
 
-    # Events.
+    # Handling of events.
 
     def handle_heartbeat_response(self, now: datetime) -> None:
-        """Follow the shares and document statuses of the last response."""
+        """Apply the quota shares and document statuses of the latest heartbeat response."""
         holder = self._context.client.holder
         statuses, holder.documents = holder.documents, None
         if self.quotas is not None:
@@ -95,11 +99,11 @@
             self._carry_out_all(actions, now)
 
     def handle_chunk(self, now: datetime, chunk: DocumentChunk) -> None:
-        """Take in a part of a document that was fetched."""
+        """Handle a chunk of a document that was requested from the leader."""
         self._carry_out_all(self.follower.handle_chunk(now, chunk, self.lease_time_left(now)), now)
 
     def tick(self, now: datetime) -> None:
-        """Take in results and go on; runs in every turn, so also when the lease expires."""
+        """Handle command results and run due work. Called in every turn, so also when the lease expires."""
         self._collect_acknowledgements()
         if self.quotas is not None:
             self.quotas.collect_results()
@@ -114,7 +118,7 @@
                 if "refused" in result:
                     self.follower.acknowledgement_lost(acknowledged.name, acknowledged.version)
 
-    # Actions.
+    # Actions of the follower.
 
     def _carry_out_all(self, actions: list[FollowerAction], now: datetime) -> None:
         queue = list(actions)
@@ -122,7 +126,7 @@
             queue += self._carry_out(queue.pop(0), now)
 
     def _carry_out(self, action: FollowerAction, now: datetime) -> list[FollowerAction]:
-        """Carry out one action; return those that follow from it."""
+        """Carry out one action and return the actions that it leads to."""
         match action:
             case CheckVersion():
                 return self._check_version(action, now)
@@ -172,7 +176,7 @@
         definition = self.definitions[action.name]
         try:
             self._documents.activate(definition.kind.value, action.version, action.content)
-        except ValueError:  # it was checked before: a fault of this program
+        except ValueError:  # the content was checked before, so this is a bug
             log.exception("fleet: activation failed document=%s version=%d", action.name, action.version)
             return
         if self.quotas is not None and definition.kind is Kind.TENANTS:
@@ -194,29 +198,29 @@
         if action.policy is DisconnectPolicy.NARROW:
             self._documents.restrict()
 
-    # For operators' orders and status.
+    # Calls for operators' orders and status.
 
     def put(self, document: str, content: str, expected_version: int, author: str, note: str) -> None:
-        """Begin to put a version into the log, as the one after `expected_version`."""
+        """Start the upload of a new version that is to follow `expected_version`."""
         self.uploads.put(self.definitions[document], content, expected_version, author, note)
 
     def rejection_of(self, definition: DocumentDefinition, content: str) -> str:
-        """Return why this node can't act on that content; empty where it can."""
+        """Return the reason why this node can't act on the content, or an empty string if it can."""
         rejection = self._documents.check(definition.kind.value, content)
         if not rejection and self.quotas is not None and definition.kind is Kind.TENANTS:
             return quota_limit_violation(json.loads(content).get("tenants", {}))
         return rejection
 
     def pin(self, now: datetime, document: str, content: str) -> None:
-        """Act on that content on this node alone, until it is unpinned."""
+        """Act on the given content on this node only, until the document is unpinned."""
         self._carry_out_all(self.follower.pin(now, document, content), now)
 
     def unpin(self, now: datetime, document: str) -> None:
-        """Act on the group's version again."""
+        """Act on the group's version of the document again."""
         self._carry_out_all(self.follower.unpin(document), now)
 
     def differences_from_group(self, document: str) -> list[str] | None:
-        """Return how the group's active version differs from the one here; None where that is not known."""
+        """Return how the group's active version differs from the one in force here; None if the former is unknown."""
         group_content = self.follower.group_content(document)
         if group_content is None:
             return None
@@ -224,6 +228,6 @@
         return list(differences(json.loads(content), json.loads(group_content)))[:MAX_DIFFERENCES]
 
     def differences_from_files(self, definition: DocumentDefinition, content: str) -> list[str]:
-        """Return how this node's own files differ from that content."""
+        """Return how the configuration files of this node differ from the content."""
         local = self._documents.local_content(definition.kind.value)
         return list(differences(json.loads(content), local))[:MAX_DIFFERENCES]
--- a/marlstep/cluster/config_orders.py
+++ b/marlstep/cluster/config_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders about replicated documents: commands for the log, and versions pinned on this node alone."""
+"""Operators' orders about replicated documents: commands for the log, and versions pinned on this node only."""
 
 from __future__ import annotations
 
@@ -27,24 +27,26 @@
 
 log = logging.getLogger(__name__)
 
-GROUP_UNKNOWN = "not known, as the group was not heard"  # shown in place of the differences from its version
-Arguments = Mapping[str, Any]  # of an order, as JSON
+GROUP_UNKNOWN = (
+    "not known, as the group was not heard"  # shown if the differences from the group's version are unknown
+)
+Arguments = Mapping[str, Any]  # arguments of an order, parsed from JSON
 
 
 class ConfigOrders:
-    """Carries out the orders of `fleet/rules`."""
+    """Carries out the orders whose paths start with `fleet/rules`."""
 
     def __init__(self, context: NodeContext, turns: TurnRequester, driver: ConfigDriver) -> None:
-        """`driver` follows the documents on this node."""
+        """Store the parts; `driver` follows the documents on this node."""
         self._context, self._turns, self._driver = context, turns, driver
 
     def execute(self, order: str, arguments: Arguments) -> dict[str, Any]:
-        """Carry out an order; return its answer, or the number to fetch its result by, as JSON.
+        """Carry out an order and return its response as JSON: the result, or the number to fetch the result by.
 
         Raises:
-            ValueError: the order or an argument makes no sense.
+            ValueError: the order is unknown or an argument is invalid.
             KeyError: an argument is missing.
-            TypeError: an argument is of a wrong type.
+            TypeError: an argument has a wrong type.
         """
         now = self._context.steady.now()
         command: Command
@@ -114,7 +116,7 @@
         return {"fixed": True}
 
     def _unpin(self, definition: DocumentDefinition, now: datetime) -> dict[str, Any]:
-        """Return to the group's version, and report how the pinned one differed; nothing is merged."""
+        """Act on the group's version again and report how it differed from the pinned one; nothing is merged."""
         name = definition.name
         if self._driver.follower.documents[name].state is not FollowerState.PINNED:
             return {"fixed": False, "differed": []}
@@ -131,20 +133,20 @@
     """Return the command that adds a chunk to an upload.
 
     Raises:
-        ValueError: the offset is no number.
+        ValueError: the offset is not a number.
         KeyError: an argument is missing.
-        TypeError: an argument is of a wrong type.
+        TypeError: an argument has a wrong type.
     """
     return UploadChunk(str(arguments["upload"]), int(arguments["offset"]), str(arguments["data"]))
 
 
 def rollout_request(arguments: Arguments) -> RolloutRequest:
-    """Return the rollout that an order asks for.
+    """Return the rollout that an order requests.
 
     Raises:
-        ValueError: an argument makes no sense.
+        ValueError: an argument is not a number.
         KeyError: an argument is missing.
-        TypeError: an argument is of a wrong type.
+        TypeError: an argument has a wrong type.
     """
     duration_ms = int(arguments["for_ms"])
     max_degradation = float(arguments["worse"])
--- a/marlstep/cluster/config_quotas.py
+++ b/marlstep/cluster/config_quotas.py
@@ -1,4 +1,4 @@
-"""Quota shares on a node: the limits of tenants that the group divides among the nodes by their demand."""
+"""Quota shares on a node: the group divides the quota of each tenant among the nodes by demand."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 
 class QuotaDriver:
-    """Applies the shares that come with heartbeat responses, and reports what was given back."""
+    """Applies the shares received in heartbeat responses, and reports each reduction once it is applied."""
 
     def __init__(self, context: NodeContext, documents: ConfigDocuments) -> None:
-        """`documents` is where the shares are applied."""
+        """Start without shares; `documents` applies shares to the limits of this node."""
         self._context, self._documents = context, documents
         self._lease = QuotaLease()
         self._demand = DemandEstimator()
-        self._reports: dict[int, str] = {}  # tenant by the number of the command that reports a reduction
+        self._reports: dict[int, str] = {}  # tenant by number of the command that reports its reduction
 
     @property
     def shares(self) -> dict[str, int]:
-        """The shares that this node uses, by tenant."""
+        """The shares that this node uses, by tenant name."""
         return self._lease.shares
 
     def estimate_demand(self, now: datetime) -> tuple[TenantDemand, ...]:
-        """Return the demand that a heartbeat reports."""
+        """Return the demand of each tenant for the next heartbeat."""
         return self._demand.estimate(now, self._documents.tenant_counts())
 
     def handle_heartbeat_response(self, now: datetime) -> None:
-        """Apply the shares of the last response."""
+        """Apply the shares of the latest heartbeat response and report reductions."""
         holder = self._context.client.holder
         for tenant, reduced_to in self._lease.update(holder.quota_shares):
-            self._apply(tenant)  # before the reduction is reported: another node may use it from then on
+            self._apply(tenant)  # before the report: afterwards another node may use the released part
             self._report(now, tenant, holder.name, reduced_to)
         for tenant in self._lease.shares:
             self._apply(tenant)
 
     def apply_all(self) -> None:
-        """Apply the shares to limits that were just replaced."""
+        """Apply the shares of all tenants again after their limits were replaced."""
         for tenant in self._documents.tenant_counts():
             self._apply(tenant)
 
     def collect_results(self) -> None:
-        """Report once more what the group rejected."""
+        """Handle command results, so that a reduction whose report was rejected is reported again."""
         for number in list(self._reports):
             if (result := self._context.client.take_result(number)) is not None:
                 tenant = self._reports.pop(number)
--- a/marlstep/cluster/config_status.py
+++ b/marlstep/cluster/config_status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of replicated documents, and its JSON. Keys are those of the administration API."""
+"""Status of replicated documents for operators, and its JSON with the keys of the administration API."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FollowedDocumentStatus:
-    """One document on this node."""
+    """The status of one document on this node."""
 
     definition: DocumentDefinition
     state: FollowerState
-    version: int  # that this node acts on
-    active_version: int | None  # in the group, as far as this node knows
+    version: int  # the version that this node acts on
+    active_version: int | None  # the group's, as last reported to this node
     prepared_version: int | None
-    differences_from_group: list[str] | None  # of a pinned version
+    differences_from_group: list[str] | None  # None unless the document is pinned
     differences_from_files: list[str]
 
     def to_json(self) -> dict[str, Any]:
@@ -46,13 +46,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigStatus:
-    """All documents on this node, and the lease that it acts on them by."""
+    """The status of all documents on this node, and of the lease under which it acts on them."""
 
     node: str
     lease_time_left: timedelta
     agree_within: timedelta
     accepts_work: bool
-    reported_states: list[list[object]]  # as heartbeats report them
+    reported_states: list[list[object]]  # in the form that heartbeats report
     quota_shares: dict[str, int] | None
     documents: list[FollowedDocumentStatus]
 
@@ -70,14 +70,14 @@
 
 
 class ConfigStatusReporter:
-    """Reads the driver and the replica; changes nothing."""
+    """Builds the status from the driver and the replica without changing them."""
 
     def __init__(self, context: NodeContext, replica_holder: ReplicaHolder, driver: ConfigDriver) -> None:
-        """All are parts of one node."""
+        """Store the parts, which all belong to the same node."""
         self._context, self._replica_holder, self._driver = context, replica_holder, driver
 
     def overview(self) -> ConfigStatus:
-        """Return all documents on this node."""
+        """Return the status of all documents on this node."""
         driver, now = self._driver, self._context.steady.now()
         return ConfigStatus(
             self._context.config.node,
@@ -103,9 +103,9 @@
         )
 
     def versions(self, document: str) -> dict[str, Any] | None:
-        """Return the resource `fleet/rules/NAME`: what the log has, where this node votes; else what is active here.
+        """Return the resource `fleet/rules/NAME`, or None if there is no document of this name.
 
-        None where no document has that name.
+        A voter returns the versions in the replicated log; any other node returns the version that it acts on.
         """
         if document not in self._driver.definitions:
             return None
@@ -122,7 +122,7 @@
 
 
 def stored_versions_json(name: str, document: Document, store: ConfigStore) -> dict[str, Any]:
-    """Return a document of the log with its versions as JSON."""
+    """Return a document of the replicated log and its versions as JSON."""
     prepared = document.prepared
     rollout = None if prepared is None else prepared.rollout
     return {
--- a/marlstep/cluster/config_uploads.py
+++ b/marlstep/cluster/config_uploads.py
@@ -1,4 +1,4 @@
-"""Versions of documents on their way into the log: in chunks, and then the command that puts the whole."""
+"""Uploads of document versions to the log: first the chunks, then the command that puts the version."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 @dataclass(slots=True)
 class Upload:
-    """One version, and how far it has come."""
+    """The upload of one version and its progress."""
 
     document: str
     content: str
     upload_id: str
     put_command: PrepareVersion
-    offset: int = 0  # in characters
-    number: int | None = None  # of the command whose result is waited for
-    is_put: bool = False  # that command is the put
+    offset: int = 0  # characters already uploaded
+    number: int | None = None  # of the pending command; None if none is pending
+    is_put: bool = False  # whether the latest command was the put
 
     def next_command(self) -> UploadChunk | PrepareVersion:
-        """Return the next chunk's command, or the put once all chunks were taken."""
+        """Return the command for the next chunk, or the put once all chunks have been uploaded."""
         data = self.content[self.offset : self.offset + CHUNK_CHARACTERS]
         self.is_put = not data
         if self.is_put:
@@ -38,17 +38,17 @@
 
 
 class ConfigUploads:
-    """Proposes the commands of all uploads of this node, one at a time for each."""
+    """Proposes the commands of all uploads of this node, one command at a time for each upload."""
 
     def __init__(self, context: NodeContext, turns: TurnRequester, orders: OrderTracker) -> None:
-        """`orders` shows operators what came of an upload."""
+        """Start without uploads; `orders` records the result of each upload for operators."""
         self._context, self._turns, self._orders = context, turns, orders
         self._uploads: list[Upload] = []
 
     def put(
         self, definition: DocumentDefinition, content: str, expected_version: int, author: str, note: str
     ) -> None:
-        """Begin to put a version that is to follow `expected_version`."""
+        """Start the upload of a version that is to follow `expected_version`."""
         upload_id = secrets.token_hex(8)
         command = PrepareVersion(
             definition.name,
@@ -65,13 +65,13 @@
         self._turns.schedule()
 
     def tick(self, now: datetime) -> None:
-        """Take in results, and propose what is next."""
+        """Handle command results and propose the next command of each upload that is ready."""
         for upload in list(self._uploads):
             if self._is_ready(upload):
                 self._propose(upload, now)
 
     def _is_ready(self, upload: Upload) -> bool:
-        """Take in the result that is waited for; return whether the next command may be proposed."""
+        """Handle the result of the pending command; return whether the next command may be proposed."""
         if upload.number is None:
             return True
         result = self._context.client.take_result(upload.number)
--- a/marlstep/cluster/context.py
+++ b/marlstep/cluster/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a cluster node share: its identity, clocks, group client, counters and event history."""
+"""State shared by all parts of a cluster node: identity, clocks, group client, counters and event history."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import SteadyClock
 
-HISTORY_LENGTH = 200  # events and results of orders that operators are shown
-ALL_CAPABILITIES = CAPABILITIES[PartitionState.HEALTHY]  # of a node without membership
+HISTORY_LENGTH = 200  # number of events and of order results kept for operators
+ALL_CAPABILITIES = CAPABILITIES[PartitionState.HEALTHY]  # for a node without membership
 
 
 @dataclass(slots=True)
 class ProcessState:
-    """How far this process takes part in the cluster; only the lifecycle changes it."""
+    """How far this process takes part in the cluster. Changed by the lifecycle only."""
 
-    is_open: bool = False  # it sends and receives
+    is_open: bool = False  # whether it sends and receives messages
     is_closed: bool = False
-    relay_port: int | None = None  # it takes part through its predecessor, and listens here
-    drain_deadline: datetime | None = None  # by the steady clock; set once the process drains
+    relay_port: int | None = None  # port on which it listens while its predecessor relays; else None
+    drain_deadline: datetime | None = None  # by the steady clock; None unless the process drains
 
 
 class NodeContext:
-    """The state that every part of a node reads."""
+    """The state that all parts of a node use."""
 
     def __init__(
         self,
@@ -43,7 +43,16 @@
         observer: StepObserver,
         seed: int,
     ) -> None:
-        """Draw the identity of this process; `clock` measures leases, `wall` tells the hour."""
+        """Create the state with a random process ID.
+
+        Args:
+            config: The cluster section of the configuration.
+            wall: Returns the wall-clock time.
+            clock: The monotonic clock that leases are measured with.
+            observer: Notified of each step that the node reaches.
+            seed: Seeds the random generator, together with the process ID.
+
+        """
         self.config = config
         self.process_id = secrets.token_hex(6)
         self.steady = TimerQueue(LoopWaker(asyncio.get_running_loop(), clock.now))
@@ -58,15 +67,15 @@
 
     @property
     def process_name(self) -> str:
-        """The name under which this process holds leases."""
+        """The name with which this process holds leases."""
         return self.client.holder.name
 
     @property
     def capabilities(self) -> Capabilities:
-        """What this node may do in its partition state."""
+        """The actions that are permitted in the partition state of this node."""
         return ALL_CAPABILITIES if self.partition is None else self.partition.capabilities
 
     def record_event(self, what: str, reason: str) -> None:
-        """Add a row to the history that operators are shown."""
+        """Add an event to the history shown to operators."""
         at = self.wall().isoformat(timespec="milliseconds")
         self.history.append({"at": at, "what": what, "why": reason})
--- a/marlstep/cluster/drop_recorder.py
+++ b/marlstep/cluster/drop_recorder.py
@@ -1,4 +1,4 @@
-"""Counts what the cluster's transport drops, and logs each reason at a bounded rate."""
+"""Counts messages and connections that the cluster's transport drops, and logs them at a bounded rate."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 log = logging.getLogger(__name__)
 
-LOG_INTERVAL = 10 * SECOND  # between two lines about the same reason
+LOG_INTERVAL = 10 * SECOND  # minimum time between two log lines with the same reason
 
 
 class DropRecorder:
-    """Records dropped messages and connections, by reason. A reason is also the name of a metric."""
+    """Records dropped messages and connections by reason. A reason is also part of a metric's name."""
 
     def __init__(self, timeline: TimerQueue) -> None:
-        """`timeline` gives the time by which log lines are spaced."""
+        """Start with no drops; `timeline` gives the time for the rate limit of log lines."""
         self.counts: Counter[str] = Counter()
         self._timeline = timeline
         self._logged_at: dict[str, datetime] = {}
 
     def record(self, reason: str, detail: str) -> None:
-        """Count a drop; log it unless one for the same reason was logged in the last ten seconds."""
+        """Count a drop, and log it unless one with the same reason was logged in the last ten seconds."""
         self.counts[reason] += 1
         now = self._timeline.now()
         logged_at = self._logged_at.get(reason)
--- a/marlstep/cluster/errors.py
+++ b/marlstep/cluster/errors.py
@@ -1,4 +1,4 @@
-"""Errors of operators' orders, whose texts are part of the administration API, and of datagrams."""
+"""Errors of operators' orders and of datagrams. The texts of the former are part of the administration API."""
 
 from __future__ import annotations
 
@@ -9,52 +9,52 @@
 
 
 class OrderError(MarlstepError, ValueError):
-    """An order that can't be carried out as it stands; nothing was changed by it."""
+    """An order that can't be carried out and has changed nothing."""
 
 
 class UnknownOrderError(OrderError):
-    """An order of that name does not exist."""
+    """An order whose name is unknown."""
 
     def __init__(self, name: str) -> None:
-        """`name` is the last part of the order's path."""
+        """Create the error for `name`, the last part of the order's path."""
         super().__init__(f"there is nothing like {name[:32]}")
 
 
 class TooManyOrdersError(OrderError):
-    """Too many commands wait for their results; the order may be repeated later."""
+    """Too many commands are pending; the order may be repeated later."""
 
     def __init__(self) -> None:
-        """The limit is that of the group client."""
+        """Create the error. The limit on pending commands is that of the group client."""
         super().__init__("too much is asked for already")
 
 
 class UnknownDocumentError(OrderError):
-    """A document that the cluster's configuration does not define."""
+    """A document that is not defined in the cluster's configuration."""
 
     def __init__(self, name: str, known: Iterable[str]) -> None:
-        """`known` are the names of the defined documents."""
+        """Create the error for `name`; `known` holds the names of all defined documents."""
         super().__init__(f"no document {name[:64]!r}: {', '.join(known)}")
 
 
 class RejectedContentError(OrderError):
-    """Content of a document that this node can't act on."""
+    """A document whose content this node can't act on."""
 
     def __init__(self, reason: str) -> None:
-        """`reason` is what the check of the content found."""
+        """Create the error; `reason` is the result of checking the content."""
         super().__init__(reason)
 
 
 class OversizedDatagramError(CorruptError):
-    """A datagram that is larger than any this program sends."""
+    """A datagram that is larger than any that this program sends."""
 
     def __init__(self, size: int) -> None:
-        """`size` is in bytes."""
-        super().__init__(f"a datagram of {size} bytes")
+        """Create the error for a datagram of `size` bytes."""
+        super().__init__(f"datagram too large: {size} bytes")
 
 
 class TruncatedDatagramError(CorruptError):
-    """A datagram that ends before its frame does."""
+    """A datagram that ends before its frame is complete."""
 
     def __init__(self) -> None:
-        """What is missing is not known."""
-        super().__init__("cut short")
+        """Create the error. The number of missing bytes is unknown."""
+        super().__init__("datagram truncated: expected a complete frame")
--- a/marlstep/cluster/file_identity.py
+++ b/marlstep/cluster/file_identity.py
@@ -1,7 +1,7 @@
-"""Which file a path names on this disk, so that a copy of a file is never taken for the original.
+"""Identifies the file at a path, so that a copy of a file is never mistaken for the original.
 
-An inode number alone does not tell: it is used again once its file is removed. The generation and the time of birth
-differ then. Python has no call for either.
+The inode number is not sufficient because it is reused after its file is removed. The inode's generation and the time
+of birth differ then. Python's standard library provides neither.
 """
 
 from __future__ import annotations
@@ -12,12 +12,14 @@
 import os
 from pathlib import Path
 
-FS_IOC_GETVERSION = 0x80087601  # ioctl: the inode's generation, which grows when its number is used again
+FS_IOC_GETVERSION = (
+    0x80087601  # ioctl that returns the inode's generation, which grows when the number is reused
+)
 GENERATION_BYTES = 4
 IOCTL_ARGUMENT_BYTES = 8  # a C long
 
 AT_FDCWD = -100
-STATX_BTIME = 0x800  # bit of stx_mask: the time of birth is asked for, or was given
+STATX_BTIME = 0x800  # bit of stx_mask: the time of birth is requested (in the call) or present (in the reply)
 STATX_BYTES = 256
 STX_MASK = slice(0, 4)
 STX_BTIME_SECONDS = slice(80, 88)  # signed
@@ -26,12 +28,16 @@
 
 
 def file_identity(path: Path) -> str:
-    """The identity of an existing file: inode, generation and time of birth. Raises OSError."""
+    """Return the identity of an existing file: inode number, generation and time of birth.
+
+    Raises:
+        OSError: the file can't be opened or examined.
+    """
     return f"{path.stat().st_ino}:{_generation(path)}:{_birth_time(path)}"
 
 
 def _generation(path: Path) -> int:
-    """The inode's generation; 0 where the file system has none."""
+    """Return the inode's generation, or 0 if the file system has none."""
     with path.open("rb") as file, contextlib.suppress(OSError):
         reply = fcntl.ioctl(file, FS_IOC_GETVERSION, b"\0" * IOCTL_ARGUMENT_BYTES)
         return int.from_bytes(reply[:GENERATION_BYTES], "little")
@@ -39,7 +45,7 @@
 
 
 def _birth_time(path: Path) -> int:
-    """When the file was made, in nanoseconds since the epoch; 0 where the system does not say."""
+    """Return the file's time of birth in nanoseconds since the epoch, or 0 if the system does not provide it."""
     buffer = ctypes.create_string_buffer(STATX_BYTES)
     try:
         failed = ctypes.CDLL(None).statx(AT_FDCWD, os.fsencode(path), 0, STATX_BTIME, buffer)
--- a/marlstep/cluster/group_identity.py
+++ b/marlstep/cluster/group_identity.py
@@ -1,7 +1,7 @@
-"""Which Raft group this node takes for its own.
+"""The Raft group that this node belongs to.
 
-The name of a group is `EPOCH.RANDOM`. Two groups of one cluster exist only by an operator's mistake, or where one was
-recovered under a later epoch to take the place of a lost one.
+The name of a group is `EPOCH.RANDOM`. A cluster has two groups only by an operator's mistake, or after a lost group was
+recovered with a later epoch.
 """
 
 from __future__ import annotations
@@ -10,24 +10,24 @@
 
 
 class GroupChange(enum.Enum):
-    """What a group's name on a message means to this node."""
+    """The effect of the group name in a message on this node."""
 
     UNCHANGED = enum.auto()
-    ADOPTED = enum.auto()  # this node knew no group yet
-    REPLACED = enum.auto()  # a later epoch takes the place of the known group
-    CONFLICT = enum.auto()  # another group of the same epoch
-    OUTDATED = enum.auto()  # a group of an earlier epoch
+    ADOPTED = enum.auto()  # this node had no group before
+    REPLACED = enum.auto()  # a group with a later epoch replaces the known one
+    CONFLICT = enum.auto()  # a different group with the same epoch
+    OUTDATED = enum.auto()  # a group with an earlier epoch
 
 
 class GroupIdentity:
-    """The known group; empty until the store or a message names one."""
+    """The name of the known group; empty until the store or a message provides one."""
 
     def __init__(self, name: str = "") -> None:
-        """`name` may be empty: no group is known."""
+        """Start with the group `name`, or with no group if it is empty."""
         self.name = name
 
     def observe(self, name: str) -> GroupChange:
-        """Compare the name of a message's group with the known one; adopt it where it is newer."""
+        """Compare the group name of a message with the known one, and adopt it if its epoch is later."""
         if not name or name == self.name:
             return GroupChange.UNCHANGED
         if self.name and epoch_of(name) == epoch_of(self.name):
@@ -40,6 +40,6 @@
 
 
 def epoch_of(group: str) -> int:
-    """Return the epoch in a group's name; 0 where there is none."""
+    """Return the epoch in a group's name, or 0 if it has none."""
     first = group.partition(".")[0]
     return int(first) if first.isdigit() else 0
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of ejected servers: the holder of each pool's lease checks, and notifies all other nodes."""
+"""Health checks of ejected servers: the holder of a pool's lease runs them and notifies all other nodes."""
 
 from __future__ import annotations
 
@@ -19,31 +19,34 @@
 
 log = logging.getLogger(__name__)
 
-POOL_LEASE_PREFIX = "pool/"  # of the names of pools' leases
+POOL_LEASE_PREFIX = "pool/"  # prefix of the lease name of each pool
 CHECK_INTERVAL = 200 * MILLISECOND
 
 
 class HealthCheck(RingStream):
-    """A connection that is closed as soon as it is made: the server accepts."""
+    """A connection that is closed as soon as it is established, which proves that the server accepts."""
 
     def __init__(self) -> None:
-        """Keep the smallest buffer: nothing is read."""
+        """Create the connection with a minimal buffer, since nothing is read."""
         super().__init__(64)
 
     def data_received(self) -> None:
-        """Close; what the server sends does not matter."""
+        """Close the connection and ignore the data."""
         self.abort()
 
     def opened(self) -> None:
-        """Close; the dialler is notified of the success."""
+        """Close the connection. The caller of `dial` is notified of the success."""
         self.abort()
 
     def closed(self) -> None:
-        """Do nothing: the check is over."""
+        """Do nothing, since the check has ended."""
 
 
 class HealthCheckCoordinator:
-    """Decides when an ejected server may be tried, by the lease holder's checks or, cut off, by itself."""
+    """Decides when an ejected server may be tried again.
+
+    The checks of the lease holder decide; a node that is cut off from the group decides by itself.
+    """
 
     def __init__(
         self,
@@ -52,7 +55,16 @@
         upstream: Upstream,
         fallback_after: timedelta,
     ) -> None:
-        """A server waits `fallback_after` its ejection time for the holder; then this node decides for itself."""
+        """Start without checks.
+
+        Args:
+            context: The shared state of the node.
+            broadcaster: Notifies the other nodes of a recovery.
+            upstream: The pools whose servers are checked.
+            fallback_after: How long after the end of a server's ejection this node waits for the lease holder
+                before it decides by itself.
+
+        """
         self._context, self._broadcaster = context, broadcaster
         self._upstream, self._fallback_after = upstream, fallback_after
         self._probing: dict[str, PoolHealthChecks] = {}
@@ -60,11 +72,11 @@
         self._alarm: Timer | None = None
 
     def pools(self) -> Iterable[str]:
-        """Return the pools whose servers can be ejected."""
+        """Return the names of the pools whose servers can be ejected."""
         return [name for name, pool in self._upstream.pools.items() if pool.config.has_limits]
 
     def lease_names(self) -> list[str]:
-        """Return the names of these pools' leases."""
+        """Return the lease names of the pools whose servers can be ejected."""
         return [POOL_LEASE_PREFIX + name for name in self.pools()]
 
     def _probing_of(self, pool: str) -> PoolHealthChecks:
@@ -79,7 +91,7 @@
         return probing.may_probe(server, out_until, now) or is_alone
 
     def tick(self, now: datetime) -> None:
-        """Check the ejected servers of the pools whose leases are held here, at a bounded rate."""
+        """Check the ejected servers of the pools whose leases this process holds, at a bounded rate."""
         if self._next_check_at is not None and now < self._next_check_at:
             return
         self._next_check_at = now + CHECK_INTERVAL
@@ -107,14 +119,14 @@
         lease, holder = POOL_LEASE_PREFIX + pool, self._context.client.holder
         token = holder.token(lease)
         if not holder.time_left(lease, self._context.steady.now()):
-            return  # another node checks by now
+            return  # the lease has expired, and another node may run the checks
         self._probing_of(pool).check_finished(server, error is None)
         if error is None:
             log.info("fleet: server recovered, notifying all nodes pool=%s server=%s", pool, server)
             self._broadcaster.broadcast(ServerRecovered(pool, server, token))
 
     def handle_recovered(self, message: ServerRecovered) -> None:
-        """Take in the lease holder's notification."""
+        """Handle the lease holder's notification that a server has recovered."""
         pool = self._upstream.pools.get(message.pool)
         if pool is None:
             return
--- a/marlstep/cluster/incoming_connection.py
+++ b/marlstep/cluster/incoming_connection.py
@@ -1,4 +1,4 @@
-"""A connection that another node has opened to this one. It carries frames one way: to this node."""
+"""A connection opened by another node. It carries frames in one direction: to this node."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import SECOND
 
-RING_SIZE = 64 * 1024
-FIRST_FRAME_TIMEOUT = 2 * SECOND  # from the connection's opening to its first whole frame
+RING_SIZE = 64 * 1024  # bytes
+FIRST_FRAME_TIMEOUT = 2 * SECOND  # from the connection's opening to its first complete frame
 assert RING_SIZE >= MAX_MESSAGE_BYTES + MAX_FRAME_HEAD_BYTES
 
 
 class ConnectionTable(Protocol):
-    """Where the open incoming connections are counted and bounded."""
+    """Tracks the open incoming connections and limits their number."""
 
     def accept(self, connection: IncomingConnection) -> bool:
-        """Enter a new connection; False where there are too many already."""
+        """Add a new connection; return False if too many are open."""
 
     def remove(self, connection: IncomingConnection) -> None:
-        """Take a closed connection out; one that was not accepted is not there."""
+        """Remove a closed connection; do nothing for one that was not accepted."""
 
 
 class IncomingConnection(RingStream):
-    """Reads frames and delivers their bodies. Closes where a frame is corrupt or none comes in time."""
+    """Reads frames and delivers their bodies. Closes if a frame is corrupt or the first one is not received in time."""
 
     def __init__(
         self,
@@ -38,14 +38,14 @@
         deliver: Callable[[bytes], None],
         drops: DropRecorder,
     ) -> None:
-        """`deliver` takes a frame's body; it raises CorruptError where that can't be read."""
+        """Create a connection; `deliver` handles a frame's body and raises CorruptError if it is malformed."""
         super().__init__(RING_SIZE)
         self._table, self._framing, self._timeline = table, framing, timeline
         self._deliver, self._drops = deliver, drops
         self._first_frame_deadline: Timer | None = None
 
     def opened(self) -> None:
-        """Enter the connection in the table, and bound the time to its first frame."""
+        """Add the connection to the table and start the timeout for its first frame."""
         if not self._table.accept(self):
             self.abort()
             return
@@ -53,11 +53,11 @@
         self._first_frame_deadline = self._timeline.at(due, self._on_first_frame_timeout)
 
     def _on_first_frame_timeout(self) -> None:
-        self._drops.record("silent", "no whole frame came in time")
+        self._drops.record("silent", "expected a complete frame in time")
         self.abort()
 
     def data_received(self) -> None:
-        """Deliver all frames that have been read whole."""
+        """Deliver all frames that have been received completely."""
         try:
             while (body := self._framing.read(self.inbox)) is not None:
                 self._timeline.cancel(self._first_frame_deadline)
@@ -69,6 +69,6 @@
             self.abort()
 
     def closed(self) -> None:
-        """Take the connection out of the table."""
+        """Remove the connection from the table."""
         self._timeline.cancel(self._first_frame_deadline)
         self._table.remove(self)
--- a/marlstep/cluster/interfaces.py
+++ b/marlstep/cluster/interfaces.py
@@ -1,4 +1,4 @@
-"""What the parts of a cluster node ask of each other: narrow protocols, so that no part knows the whole node."""
+"""Narrow protocols between the parts of a cluster node, so that no part depends on the whole node."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class Step(enum.Enum):
-    """A point in the node's work at which a test rig may stop or kill the process."""
+    """A point in the node's work at which a fault injection test may stop or kill the process."""
 
-    STORE_SAVING = "storing"  # a save is about to be handed to the store
+    STORE_SAVING = "storing"  # a write is about to be passed to the store
     STORE_SAVED = "stored"
     LEASE_GAINED = "granted"
-    RUN_BEGUN = "begun"  # the log has the intent to run a task
+    RUN_BEGUN = "begun"  # the log contains the start of a task's run
     ACTION_STARTING = "acting"
     RUN_ENDING = "ending"
-    REQUEST_STARTING = "leaving"  # a task's request goes to its server
+    REQUEST_STARTING = "leaving"  # a task's request is about to be sent to its server
     CHUNK_UPLOADING = "uploading"
     VERSION_PROPOSING = "put"
     VERSION_ACKNOWLEDGED = "said"
@@ -30,62 +30,62 @@
 
 
 class StepObserver(Protocol):
-    """Is notified of each step at the moment it is reached."""
+    """Is notified of each step when the node reaches it."""
 
     def reached(self, step: Step) -> None:
-        """Handle the step before the node goes on."""
+        """Handle the step. The node continues when this returns."""
 
 
 class IgnoreSteps:
-    """The observer of a node outside of tests."""
+    """The observer used outside of tests, which does nothing."""
 
     def reached(self, step: Step) -> None:
         """Do nothing."""
 
 
 class TurnRequester(Protocol):
-    """Runs the node's turn once more, soon."""
+    """Schedules a turn of the node."""
 
     def schedule(self) -> None:
-        """Ask for a turn in the next iteration of the event loop."""
+        """Request a turn in the next iteration of the event loop."""
 
 
 class MessageSender(Protocol):
-    """Sends a message to a replica, a process or a node, wherever that is."""
+    """Sends messages to replicas, processes and nodes, including those of this node."""
 
     def send(self, sender: str, recipient: str, message: Message) -> None:
-        """Send once, without any guarantee of delivery."""
+        """Send a message once; delivery is not guaranteed."""
 
 
 class LeaderRequester(Protocol):
-    """Reaches the node that is taken for the leader."""
+    """Sends requests to the node that is presumed to be the leader."""
 
     def request_leader(self, message: FetchChunk) -> None:
-        """Send a request whose response comes as a message of its own."""
+        """Send a request. Its response arrives as a separate message."""
 
 
 class RecoveryBroadcaster(Protocol):
     """Notifies all other nodes that a server has recovered."""
 
     def broadcast(self, message: ServerRecovered) -> None:
-        """Send to each other node once; a lost message is not repeated."""
+        """Send a message to each other node once, without retry."""
 
 
 class ExchangeSender(Protocol):
-    """The stream transport, as far as membership uses it."""
+    """The part of the stream transport that membership uses."""
 
     def send_exchange(self, peer: str, message: ExchangeMessage) -> None:
-        """Send a state exchange to a node, or to a peer that was named by `set_address`."""
+        """Send a state exchange to a node, or to a peer registered by `set_address`."""
 
     def set_address(self, peer: str, address: Address) -> None:
-        """Set where a peer is to be reached."""
+        """Set the address of a peer."""
 
     def record_drop(self, reason: str, detail: str) -> None:
-        """Count a dropped message; log it at a bounded rate."""
+        """Count a dropped message, and log it at a bounded rate."""
 
 
 class ReplicaHolder(Protocol):
-    """Has the Raft replica of this node, where the node votes and its store is open."""
+    """Owns the Raft replica of this node, which exists while the node is a voter and its store is open."""
 
     @property
     def replica(self) -> Replica | None:
@@ -93,53 +93,53 @@
 
 
 class MembershipEvents(Protocol):
-    """Is notified by membership."""
+    """Is notified of membership changes."""
 
     def capabilities_changed(self) -> None:
-        """Handle a change of what this node may do in its partition state."""
+        """Handle a change of the capabilities of this node in its partition state."""
 
 
 class MembershipEndpoint(Protocol):
-    """Membership, as far as the lifecycle opens and closes it."""
+    """The part of membership that the lifecycle uses."""
 
     async def open(self) -> None:
-        """Listen for datagrams and join.
+        """Listen for datagrams and join the cluster.
 
         Raises:
-            OSError: the address can't be taken.
+            OSError: the address can't be bound.
         """
 
     def leave(self) -> None:
-        """Announce that this node leaves."""
+        """Announce that this node leaves the cluster."""
 
     def close(self) -> None:
-        """Release the address; may be called again."""
+        """Release the address. Repeated calls have no effect."""
 
 
 class ConfigDocuments(Protocol):
-    """The node, as far as replicated documents configure it."""
+    """The part of the node that replicated documents configure."""
 
     def local_content(self, kind: str) -> object:
-        """Return what the node's own files say, as JSON."""
+        """Return the content of the node's own configuration files for this kind of document, as JSON."""
 
     def check(self, kind: str, content: str) -> str:
-        """Return why the node can't take that content; empty where it can."""
+        """Return the reason why the node can't use the content, or an empty string if it can."""
 
     def activate(self, kind: str, version: int, content: str) -> None:
-        """Act on that content from now on.
+        """Put the content in force.
 
         Raises:
-            ValueError: the content can't be taken over.
+            ValueError: the content is not a valid configuration.
         """
 
     def restrict(self) -> None:
-        """Fall back to the least allowance of any version that was in force here."""
+        """Reduce each tenant's quota to the lowest of all versions that were in force on this node."""
 
     def request_counts(self) -> RequestCounts:
-        """Return how many requests were read, rejected, and failed or late."""
+        """Return the numbers of requests that were received, rejected, and failed or late."""
 
     def tenant_counts(self) -> dict[str, int]:
-        """Return how many requests were read of each tenant that has an allowance."""
+        """Return the number of requests received from each tenant that has a quota."""
 
     def set_quota_share(self, tenant: str, share: float) -> None:
-        """Set the tenant's allowance on this node to that part of the whole, from 0 to 1."""
+        """Set the tenant's quota on this node to a share, from 0 to 1, of the quota of all nodes."""
--- a/marlstep/cluster/lease_driver.py
+++ b/marlstep/cluster/lease_driver.py
@@ -1,4 +1,4 @@
-"""Leases of this process: which it wants, the heartbeats that renew them, and what changed."""
+"""The leases of this process: selects those to request, sends heartbeats, and records lease changes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LeaseDriver:
-    """Drives the group client: heartbeats, commands and their responses."""
+    """Drives the group client, which sends heartbeats and commands and handles their responses."""
 
     def __init__(
         self,
@@ -27,33 +27,42 @@
         work_leases: Callable[[], Iterable[str]],
         config_lease: str | None,
     ) -> None:
-        """`work_leases` names those of tasks and pools; `config_lease` is that of replicated documents."""
+        """Start without leases.
+
+        Args:
+            context: The shared state of the node.
+            turns: Schedules a turn of the node.
+            sender: Sends heartbeats and commands.
+            work_leases: Returns the names of the leases for tasks and pools.
+            config_lease: The name of the lease for replicated documents; None if the node follows none.
+
+        """
         self._context, self._turns, self._sender = context, turns, sender
         self._work_leases = work_leases
         self._config_leases: Sequence[str] = () if config_lease is None else (config_lease,)
         self.clock_drifts = False
 
     def update_wanted(self) -> None:
-        """Want what this process may hold as things stand; a draining process wants nothing new."""
+        """Request the leases that this process may hold now; a draining process requests no new ones."""
         process, holder = self._context.process, self._context.client.holder
         if process.drain_deadline is not None:
             return
         names: list[str] = []
-        if process.relay_port is None:  # tasks and health checks are still the predecessor's
+        if process.relay_port is None:  # else the predecessor still runs tasks and health checks
             names += self._work_leases()
         if not self._context.capabilities.requests_leases:
             names = [name for name in names if name in holder.held]
         self._record_all(holder.set_wanted([*names, *self._config_leases]))
 
     def capabilities_changed(self) -> None:
-        """Follow a change of the partition state."""
+        """Handle a change of the capabilities of this node in its partition state."""
         self.update_wanted()
         self._turns.schedule()
 
     def handle_response(
         self, now: datetime, envelope: wire.Envelope, message: HeartbeatResponse | CommandResponse
     ) -> bool:
-        """Take in a response; return whether it was for this process."""
+        """Handle a response; return whether it was addressed to this process."""
         if envelope.to != self._context.process_name:
             return False
         self._record_all(self._context.client.handle_response(now, envelope.sender, message))
@@ -61,7 +70,7 @@
         return True
 
     def tick(self, now: datetime) -> None:
-        """Let leases lapse, and send the heartbeats and commands that are due."""
+        """Expire leases, and send the heartbeats and commands that are due."""
         sends, events = self._context.client.tick(now)
         self._record_all(events)
         for recipient, message in sends:
@@ -72,10 +81,10 @@
         return self._context.client.next_due(now)
 
     def release(self, now: datetime, keep: Sequence[str]) -> None:
-        """Give back all leases but those in `keep`, as this process drains.
+        """Release all leases except those in `keep` while this process drains.
 
-        Requests that arrive in the grace period after the notice are still run, so the lease on documents is not
-        given back: it runs out by itself.
+        The lease on documents is not released but expires, because requests that arrive during the grace period
+        after the drain notice still run.
         """
         client, holder = self._context.client, self._context.client.holder
         wanted_before = len(holder.wanted)
@@ -106,4 +115,4 @@
         self.clock_drifts = not self.clock_drifts
         if self.clock_drifts:
             self._context.counts["drifts"] += 1
-            log.error("fleet: clock drift beyond the configured bound, as the leader measures it")
+            log.error("fleet: clock drift exceeds the configured bound, as measured by the leader")
--- a/marlstep/cluster/lifecycle.py
+++ b/marlstep/cluster/lifecycle.py
@@ -1,7 +1,7 @@
-"""Start, hand-over and shutdown of a node's part in the cluster.
+"""Start, hand-over and shutdown of a cluster node.
 
-Of a node's processes only the one that has the node's address takes part. A successor takes the address once its
-predecessor has drained: open runs have ended, leases are given back, and leadership went to another voter.
+Only the process that has bound the node's address takes part in the cluster. A successor binds the address once its
+predecessor has drained: open runs have ended, leases are released, and leadership is transferred to another voter.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 log = logging.getLogger(__name__)
 
-ADDRESS_RETRY_DELAY = 30 * MILLISECOND  # while another process of this node has the address
-TRANSFER_INTERVAL = 200 * MILLISECOND  # between two offers of leadership
-DRAIN_TIMEOUT = 1_500 * MILLISECOND  # for open runs to end, and for leases to be taken back
+ADDRESS_RETRY_DELAY = 30 * MILLISECOND  # while another process of this node has bound the address
+TRANSFER_INTERVAL = 200 * MILLISECOND  # between two attempts to transfer leadership
+DRAIN_TIMEOUT = 1_500 * MILLISECOND  # for open runs to end and for leases to be released
 DRAIN_CHECK_INTERVAL = 20 * MILLISECOND
 
 
 class Lifecycle:
-    """Takes the node's address and gives it back."""
+    """Opens, drains and closes the parts of the node in order."""
 
     def __init__(
         self,
@@ -43,7 +43,10 @@
         membership: MembershipEndpoint | None,
         follows_documents: bool,
     ) -> None:
-        """`follows_documents`: a successor needs the cluster's documents before it has the address."""
+        """Store the parts.
+
+        `follows_documents`: whether a successor needs the cluster's documents before it can bind the address.
+        """
         self._context, self._turns, self._router, self._relay = context, turns, router, relay
         self._replica_driver, self._leases, self._tasks = replica_driver, leases, tasks
         self._membership, self._follows_documents = membership, follows_documents
@@ -52,10 +55,10 @@
         self._closing: asyncio.Task[None] | None = None
         self._next_transfer_at = context.steady.now()
 
-    # Start.
+    # Opening of the node.
 
     def open(self) -> None:
-        """Begin to take part, once the node's address is free."""
+        """Start to join the cluster, which completes once the node's address is free."""
         self._opening = asyncio.get_running_loop().create_task(self._open())
 
     async def _open(self) -> None:
@@ -92,7 +95,7 @@
             await asyncio.sleep(ADDRESS_RETRY_DELAY.total_seconds())
 
     async def _open_datagrams(self, membership: MembershipEndpoint) -> None:
-        """Open the datagram endpoint; a predecessor may have it a moment longer than the stream address."""
+        """Open the datagram endpoint; a predecessor may release it slightly later than the stream address."""
         address, is_first_attempt = self._context.config.listen, True
         while not self._context.process.is_closed:
             try:
@@ -108,16 +111,16 @@
             await asyncio.sleep(ADDRESS_RETRY_DELAY.total_seconds())
 
     async def _open_through_predecessor(self) -> None:
-        """Follow the documents already, by way of the process that has the address.
+        """Follow the documents before the address is free, with the predecessor as relay.
 
-        Without documents to act on this process would not be healthy, and the platform waits for that before it
-        stops the predecessor. To the group this is a process like any other; only its messages are relayed.
+        Without documents this process would not be healthy, and the platform stops the predecessor only after this
+        process is healthy. For the group this is a process like any other, except that its messages are relayed.
         """
         config = self._context.config
         try:
             port = await self._router.transport.listen_on_free_port(config.listen[0])
         except OSError as error:
-            log.warning("fleet: no free port to follow documents at error=%s", error)
+            log.warning("fleet: no port to follow documents through the predecessor error=%s", error)
             return
         self._router.set_address(config.node, config.listen)
         self._context.process.relay_port = port
@@ -125,16 +128,16 @@
         self._leases.update_wanted()
         self._turns.schedule()
 
-    # Draining.
+    # Draining of the node.
 
     @property
     def is_draining(self) -> bool:
-        """Whether this process was told to leave, and still takes part."""
+        """Whether this process is draining and still takes part in the cluster."""
         process = self._context.process
         return process.drain_deadline is not None and not process.is_closed
 
     def drain(self) -> None:
-        """Give back the leases and leadership, once open runs have ended."""
+        """Release the leases and transfer leadership once open runs have ended."""
         process = self._context.process
         if process.drain_deadline is not None or process.is_closed:
             return
@@ -149,7 +152,7 @@
         self._turns.schedule()
 
     def tick(self, now: datetime) -> None:
-        """Go on draining, where this process drains."""
+        """Continue draining if this process drains."""
         deadline = self._context.process.drain_deadline
         if deadline is not None:
             self._continue_draining(now, deadline)
@@ -159,9 +162,10 @@
         self._leases.release(now, busy_leases)
         leads_others = self._replica_driver.leads_others
         if not self._context.capabilities.transfers_leases and not busy_leases:
-            self._leave()  # nobody can be reached who could take anything
+            self._leave()  # no other node can be reached to take over
             return
-        # Leadership goes last: a new leader first hears all nodes, and leases given back would wait for that.
+        # Leadership is transferred last: a new leader first waits to hear from all nodes, which would delay the
+        # release of leases.
         client = self._context.client
         is_settled = client.holder.leaving and client.is_idle
         if leads_others and is_settled and now >= self._next_transfer_at:
@@ -173,7 +177,7 @@
             self._context.steady.at(now + DRAIN_CHECK_INTERVAL, self._turns.schedule)
 
     def _leave(self) -> None:
-        """Let another process of this node take the address and the store from now on."""
+        """Leave the cluster and release the address and the store for another process of this node."""
         process = self._context.process
         if process.is_closed:
             return
@@ -182,13 +186,13 @@
             self._membership.leave()
         process.is_closed = True
         if process.relay_port is not None:
-            self._cancel_opening()  # it would still take the address
+            self._cancel_opening()  # else it would still bind the address
         self._closing = asyncio.get_running_loop().create_task(self._release_resources())
 
-    # Shutdown.
+    # Shutdown of the process.
 
     async def close(self) -> None:
-        """Release the address, the connections, the store and its thread."""
+        """Close the address, the connections, the store and its thread."""
         process = self._context.process
         if not process.is_closed:
             self._cancel_opening()
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -1,4 +1,4 @@
-"""Membership on a node: datagrams for the failure detector, and the partition state that follows from it."""
+"""Membership on a node: sends and receives the failure detector's datagrams and tracks the partition state."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 log = logging.getLogger(__name__)
 
-RECENT_PROBE_INTERVALS = 4  # within which something must have been received, or a probe been acknowledged
-MAX_FAILED_NODES_REPORTED = 200  # by one heartbeat
+RECENT_PROBE_INTERVALS = 4  # probe intervals during which a message or acknowledgement counts as recent
+MAX_FAILED_NODES_REPORTED = 200  # in one heartbeat
 MAX_DATAGRAM_BUFFER_BYTES = 4 * wire.MAX_DATAGRAM_BYTES
 
 
@@ -33,20 +33,20 @@
     """Passes datagrams on to membership."""
 
     def __init__(self, membership: ClusterMembership) -> None:
-        """Belong to one endpoint of that membership."""
+        """Create a receiver that passes datagrams to `membership`."""
         self._membership = membership
 
     def datagram_received(self, data: bytes, _address: object) -> None:
-        """Handle one datagram; senders are known by what is in it."""
+        """Handle one datagram. The sender is identified by its content, not by its address."""
         self._membership.handle_datagram(data)
 
     def error_received(self, _error: Exception) -> None:
-        """Count an address where nobody listens; the failure detector finds out by what is not acknowledged."""
+        """Count an error of an address where no process listens. The failure detector notices missing Acks itself."""
         self._membership.counts["refused"] += 1
 
 
 class ClusterMembership:
-    """A member of the cluster is a node: of its processes the one that has its address."""
+    """The membership of this node, represented by the process that has bound its address."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         events: MembershipEvents,
         config: MembershipConfig,
     ) -> None:
-        """Nothing is sent before `open`."""
+        """Create the failure detector and the partition tracker; nothing is sent before `open`."""
         self._context, self._sender = context, sender
         self._replica_holder, self._events, self.config = replica_holder, events, config
         now = context.steady.now()
@@ -66,7 +66,7 @@
         self._framing = wire.datagram_framing(context.config.key)
         self._transport: asyncio.DatagramTransport | None = None
         self._alarm: Timer | None = None
-        self._unlisted_peers: set[str] = set()  # that have an address at the transport
+        self._unlisted_peers: set[str] = set()  # peers whose address was set at the transport
         context.client.holder.failed_nodes = self._failed_nodes
 
     def _own_record(self) -> MemberRecord:
@@ -84,13 +84,13 @@
     def _failed_nodes(self) -> tuple[str, ...]:
         return tuple(sorted(self.detector.in_state(MemberState.FAILED))[:MAX_FAILED_NODES_REPORTED])
 
-    # Opening and closing.
+    # Opening and closing of the datagram endpoint.
 
     async def open(self) -> None:
-        """Listen for datagrams at the node's address, and join by the seeds.
+        """Listen for datagrams at the node's address, and join the cluster through the seeds.
 
         Raises:
-            OSError: the address can't be taken.
+            OSError: the address can't be bound.
         """
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
@@ -103,11 +103,11 @@
         self.run_detector()
 
     def leave(self) -> None:
-        """Announce that this node leaves, where no other process of it takes its place."""
+        """Announce that this node leaves the cluster. Not to be called if a successor process takes over."""
         self._send_all(self.detector.leave())
 
     def close(self) -> None:
-        """Release the address; may be called again."""
+        """Release the address. Repeated calls have no effect."""
         self._context.steady.cancel(self._alarm)
         if self._transport is not None:
             self._transport.close()
@@ -120,7 +120,7 @@
     # Inbound messages.
 
     def handle_datagram(self, data: bytes) -> None:
-        """Handle one datagram, whole or not at all."""
+        """Handle one datagram, or drop it if it is invalid."""
         try:
             cluster, sender, message = wire.read_datagram(self._datagram_body(data))
         except CorruptError as error:
@@ -145,7 +145,7 @@
         return body
 
     def handle_exchange(self, message: wire.ExchangeMessage) -> None:
-        """Handle a state exchange that came over the stream transport."""
+        """Handle a state exchange received over the stream transport."""
         if len(message.sender) == 1:
             exchange = StateExchange(message.answer, message.records)
             now = self._context.steady.now()
@@ -171,7 +171,7 @@
         self._sender.send_exchange(node if is_listed else self._unlisted_peer(send.address), message)
 
     def _unlisted_peer(self, address: str) -> str:
-        """Return the transport's name for a peer that the operator's file does not list."""
+        """Return the transport's name for a peer that is not listed in the operator's file."""
         peer = f"@{address}"
         if peer not in self._unlisted_peers:
             self._unlisted_peers.add(peer)
@@ -180,7 +180,7 @@
         return peer
 
     def _node_at(self, address: str) -> str:
-        """Return the node that advertises the address; empty where none is known to."""
+        """Return the node that advertises the address, or an empty string if none does."""
         for name, (host, port) in self._context.config.nodes.items():
             if address == f"{host}:{port}":
                 return name
@@ -190,7 +190,7 @@
         return ""
 
     def _datagram_address(self, send: OutboundMessage) -> tuple[str, int]:
-        """Return where to send; the operator's file counts more than what a node advertises."""
+        """Return the destination address; the operator's file takes precedence over the advertised address."""
         message = send.message
         node = message.node if isinstance(message, Ping) else self._node_at(send.address)
         listed = self._context.config.nodes.get(node)
@@ -199,10 +199,10 @@
         host, _, port = send.address.rpartition(":")
         return host, int(port)
 
-    # Time.
+    # Running of the failure detector.
 
     def run_detector(self) -> None:
-        """Run what is due, follow its events, and set the next alarm."""
+        """Run the failure detector's due work, handle its events, and set the next timer."""
         if self._transport is None:
             return
         now = self._context.steady.now()
@@ -249,7 +249,7 @@
         self._events.capabilities_changed()
 
     def observation(self, now: datetime) -> PartitionObservation:
-        """Return what this node sees of the others now."""
+        """Return this node's current view of the other nodes."""
         detector, config = self.detector, self._context.config
         since_response = self._context.client.time_since_response(now)
         replica = self._replica_holder.replica
@@ -269,7 +269,7 @@
         window = probe_interval * RECENT_PROBE_INTERVALS * (1 + self.detector.local_health)
         return at is not None and now < at + window
 
-    # Operators.
+    # Status for operators.
 
     def status(self) -> dict[str, Any]:
         """Return the resource `fleet/members`."""
--- a/marlstep/cluster/membership_status.py
+++ b/marlstep/cluster/membership_status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of membership, and its JSON. Keys are those of the administration API."""
+"""Status of membership for operators, and its JSON with the keys of the administration API."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberStatus:
-    """One node, as the failure detector and the roster have it."""
+    """The status of one node in the failure detector and in the roster."""
 
     node: str
-    record: MemberRecord | None  # None where the detector does not know the node
-    in_state_for: timedelta | None  # None for this node itself, too
-    has_roster: bool  # whether this node votes, and so has the roster
+    record: MemberRecord | None  # None if the detector does not know the node
+    in_state_for: timedelta | None  # None for this node, and if the detector does not know the node
+    has_roster: bool  # whether this node is a voter and therefore has the roster
     entry: RosterEntry | None
 
     def to_json(self) -> dict[str, Any]:
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipStatus:
-    """All members, and how this node sees itself among them."""
+    """The status of all members, and of this node's own failure detector."""
 
     node: str
     local_health: int
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PartitionStatus:
-    """The partition state at one moment, with what it was decided by."""
+    """The partition state at one time, and the observation that led to it."""
 
     node: str
     now: datetime
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -1,4 +1,4 @@
-"""A node's part in a cluster, composed of transport, Raft replica, leases, tasks, documents and membership."""
+"""The cluster node, composed of transport, Raft replica, leases, tasks, documents and membership."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class ClusterNode(Component):
-    """One process's part; of a node's processes only the one that has its address takes part."""
+    """One process of a node in the cluster. Only the process that has bound the node's address takes part."""
 
     name: ClassVar[str] = "fleet"
     start_phase: ClassVar[StartPhase] = StartPhase.WITH_CLIENTS
@@ -58,9 +58,20 @@
         observer: StepObserver | None = None,
         clock: SteadyClock | None = None,
     ) -> None:
-        """Make all parts; nothing is sent before `open`.
+        """Create all parts; nothing is sent before `open`.
+
+        Args:
+            config: The cluster section of the configuration.
+            core: Runs the requests of scheduled tasks.
+            timeline: The core's timers, on the wall clock.
+            upstream: The pools of servers; None on a node without uwsgi.
+            pool_of: Returns the pool of a request class.
+            class_variable: The uwsgi variable that holds the request class.
+            seed: Seeds the random generator.
+            documents: Applies replicated documents to the node; None if it follows none.
+            observer: Notified of each step, for fault injection tests.
+            clock: The monotonic clock that leases are measured with.
 
-        `timeline` is the core's; `clock` measures leases; `observer` is notified of steps, for test rigs.
         """
         self.context = NodeContext(
             config, timeline.now, clock or SteadyClock(), observer or IgnoreSteps(), seed
@@ -147,11 +158,11 @@
         return AdminCommands(self.context, self.turns, self._status, self.membership, orders, status, results)
 
     def _work_leases(self) -> list[str]:
-        """Name the leases of tasks and of pools whose servers are checked for all nodes."""
+        """Return the lease names of tasks and of pools whose servers are checked on behalf of all nodes."""
         pools = [] if self.health_checks is None else self.health_checks.lease_names()
         return [*self.task_driver.lease_names(), *pools]
 
-    # Messages.
+    # Routing of messages.
 
     def _add_handlers(self) -> None:
         router = self.router
@@ -183,7 +194,7 @@
         if self.health_checks is not None:
             self.health_checks.handle_recovered(message)
 
-    # One turn.
+    # The turn of the node.
 
     def _run_turn(self, now: datetime) -> None:
         self.replica_driver.tick(now)
@@ -203,53 +214,53 @@
         due = [self.leases.next_due(now), *(when for when in others if when is not None)]
         self.turns.wake_at(min(due), now)
 
-    # The component.
+    # The interface of `Component`.
 
     async def open(self, config: Config, reuse_address: bool) -> None:
-        """Take the node's address in the cluster; where another process still has it, once that is gone."""
-        del config, reuse_address  # the cluster's settings came with the node's start
+        """Start to join the cluster, which completes once no other process has bound the node's address."""
+        del config, reuse_address  # the settings of the cluster were passed to the constructor
         self.lifecycle.open()
 
     def reconfigure(self, config: Config) -> None:
-        """Follow changed pools; a changed `[fleet]` needs a restart, which the configuration reports."""
-        del config  # pools are read from their owner
+        """Apply changed pools. A change of `[fleet]` needs a restart, which the configuration reports."""
+        del config  # the pools are read from `Upstream`
         self.leases.update_wanted()
 
     def drain(self) -> None:
-        """Give back the leases and leadership, once open runs have ended."""
+        """Release the leases and transfer leadership once open runs have ended."""
         self.lifecycle.drain()
 
     @property
     def busy(self) -> bool:
-        """Whether this process was told to leave, and still takes part."""
+        """Whether this process is draining and still takes part in the cluster."""
         return self.lifecycle.is_draining
 
     async def close(self) -> None:
-        """Release the address, the connections, the store and its thread."""
+        """Close the address, the connections, the store and its thread."""
         if self.health_checks is not None:
             self.health_checks.close()
         await self.lifecycle.close()
 
-    # Operators.
+    # Status and orders for operators.
 
     def status(self) -> dict[str, Any]:
-        """Return this process's place in the cluster, as JSON."""
+        """Return the cluster status of this process as JSON."""
         return self._status.cluster().to_json()
 
     def metrics(self) -> dict[str, float]:
-        """Return the figures of all parts by their metric names."""
+        """Return the metrics of all parts by name."""
         return self._status.metrics()
 
     def read_resource(self, path: str) -> dict[str, Any] | None:
-        """Return the resource as JSON; None where it is not the cluster's."""
+        """Return the resource as JSON, or None if the cluster has no resource at this path."""
         return self.admin.read_resource(path)
 
     def execute_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any] | None:
-        """Carry out an operator's order; None where it is not the cluster's.
+        """Carry out an operator's order and return its response, or None if the cluster has no order at this path.
 
         Raises:
-            ValueError: the order or an argument makes no sense.
+            ValueError: the order is unknown or an argument is invalid.
             KeyError: an argument is missing.
-            TypeError: an argument is of a wrong type.
+            TypeError: an argument has a wrong type.
         """
         return self.admin.execute_order(path, arguments)
--- a/marlstep/cluster/outbound_peer.py
+++ b/marlstep/cluster/outbound_peer.py
@@ -1,6 +1,6 @@
-"""The connection to one other node: opened when there is something to send, and again after a backoff.
+"""The connection to one other node, opened when there is a frame to send and reopened after a backoff.
 
-Frames are dropped where they can't be sent soon: the protocols above repeat what matters to them.
+Frames that can't be sent soon are dropped, since the protocols above this layer retry.
 """
 
 from __future__ import annotations
@@ -16,30 +16,33 @@
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.units import MILLISECOND, SECOND
 
-RING_SIZE = 64  # nothing is read here, and what is written waits in asyncio's transport
-MAX_QUEUED_FRAMES = 64  # that wait for a connection; the oldest are dropped
+RING_SIZE = 64  # bytes; received data is discarded, and asyncio's transport buffers sent data
+MAX_QUEUED_FRAMES = 64  # while there is no connection; the oldest are dropped
 CONNECT_TIMEOUT = 1 * SECOND
-MIN_BACKOFF, MAX_BACKOFF = 20 * MILLISECOND, 500 * MILLISECOND  # between attempts to connect; it doubles
-WRITE_STALL_TIMEOUT = 1 * SECOND  # after which a peer that reads nothing is disconnected
+MIN_BACKOFF, MAX_BACKOFF = (
+    20 * MILLISECOND,
+    500 * MILLISECOND,
+)  # between connection attempts; the delay doubles
+WRITE_STALL_TIMEOUT = 1 * SECOND  # after this time a peer that does not read is disconnected
 
 
 class OutgoingConnection(RingStream):
-    """A connection that this node has opened. It carries frames one way: to the other node."""
+    """A connection opened by this node. It carries frames in one direction: to the other node."""
 
     def __init__(self, on_lost: Callable[[OutgoingConnection], None]) -> None:
-        """`on_lost` is called once, when the connection is gone."""
+        """Create a connection; `on_lost` is called once, when it is closed."""
         super().__init__(RING_SIZE)
         self._on_lost = on_lost
 
     def data_received(self) -> None:
-        """Discard what the peer sends: nothing is expected from it."""
+        """Discard the data, since the peer is not expected to send any."""
         if self.inbox.used:
             self.inbox.skip(self.inbox.used)
         if self.at_eof:
             self.abort()
 
     def closed(self) -> None:
-        """Tell the owner."""
+        """Notify the owner of the connection."""
         self._on_lost(self)
 
 
@@ -47,10 +50,18 @@
     """Sends frames to the node at one address, over at most one connection at a time."""
 
     def __init__(self, address: Address, timeline: TimerQueue, dial: Dial, drops: DropRecorder) -> None:
-        """No connection is opened before the first frame is sent."""
+        """Start without a connection; the first `send` opens one.
+
+        Args:
+            address: The address of the peer.
+            timeline: Provides the time and timers.
+            dial: Opens a connection.
+            drops: Records dropped frames.
+
+        """
         self._address, self._timeline, self._dial, self._drops = address, timeline, dial, drops
         self._connection: OutgoingConnection | None = None
-        self._cancel_dialing: Cancel | None = None  # while an attempt to connect is under way
+        self._cancel_dialing: Cancel | None = None  # None unless a connection attempt is in progress
         self._connect_deadline: Timer | None = None
         self._redial_at: datetime | None = None
         self._backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
@@ -58,7 +69,7 @@
         self._stalled_since: datetime | None = None
 
     def send(self, frame: bytes) -> None:
-        """Send a frame, or queue it until there is a connection; it may be dropped."""
+        """Send a frame, or queue it until there is a connection. The frame may be dropped."""
         now = self._timeline.now()
         if self._connection is not None and self._connection.connected:
             self._send_on(self._connection, frame, now)
@@ -84,7 +95,7 @@
     def _connect(self, now: datetime) -> None:
         connection = OutgoingConnection(self._on_lost)
         self._connect_deadline = self._timeline.at(
-            now + CONNECT_TIMEOUT, lambda: self._on_dialed(connection, TimeoutError("no connection in time"))
+            now + CONNECT_TIMEOUT, lambda: self._on_dialed(connection, TimeoutError("connect timed out"))
         )
         self._cancel_dialing = self._dial(
             lambda: connection, self._address, lambda fault: self._on_dialed(connection, fault)
@@ -92,7 +103,7 @@
 
     def _on_dialed(self, connection: OutgoingConnection, fault: OSError | None) -> None:
         if self._cancel_dialing is None:
-            return  # the attempt timed out or was cancelled before
+            return  # the attempt has timed out or was cancelled
         cancel_dialing, self._cancel_dialing = self._cancel_dialing, None
         self._timeline.cancel(self._connect_deadline)
         now = self._timeline.now()
@@ -109,7 +120,7 @@
             connection.send(self._queued.popleft())
 
     def _back_off(self, now: datetime) -> None:
-        """Put off the next attempt. What is queued would be out of date by then, and is dropped."""
+        """Delay the next attempt, and drop queued frames, which would be outdated by then."""
         self._queued.clear()
         self._redial_at = now + self._backoff.next_delay()
 
@@ -119,7 +130,7 @@
             self._back_off(self._timeline.now())
 
     def close(self) -> None:
-        """Give up an attempt to connect, and close the connection once what was sent is out."""
+        """Cancel a connection attempt, and close the connection after its buffered data is sent."""
         if self._cancel_dialing is not None:
             self._cancel_dialing()
             self._cancel_dialing = None
--- a/marlstep/cluster/recovery.py
+++ b/marlstep/cluster/recovery.py
@@ -1,4 +1,4 @@
-"""Commands on the store of a stopped replica: create a group, and recover one that has lost its majority."""
+"""Operations on the store of a stopped replica: create a group, and recover one that has lost its majority."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from marlstep.leases.table import LeaseTable
 from marlstep.scheduled_tasks.run_log import RunLog
 
-TOKEN_GAP = 1_000_000  # fencing tokens that lost entries may have given out; they are never given out again
+TOKEN_GAP = 1_000_000  # skipped fencing tokens, because lost log entries may have issued them
 
 
 @dataclass(slots=True, frozen=True)
 class RecoveredGroup:
-    """What a recovered group goes on from."""
+    """The state from which a recovered group continues."""
 
     identity: str  # of its only voter
-    group: str  # its new name
+    group: str  # the new name of the group
     last_index: int
-    last_token: int  # the next lease gets a greater one
+    last_token: int  # the next lease gets a greater fencing token
 
     def to_json(self) -> dict[str, object]:
-        """The command's output."""
+        """Return the output of the command as JSON."""
         return {
             "identity": self.identity,
             "group": self.group,
@@ -36,13 +36,17 @@
 
 
 def create_group(folder: Path, node: str, identity: str, group: str) -> None:
-    """Create a group whose only voter is the replica in `folder`; it admits the others once it runs.
+    """Create a group whose only voter is the replica in `folder`; it admits the other voters once it runs.
 
-    Raises StoreError, and StoreRefusedError where there is a store already.
+    Raises:
+        StoreError: the store can't be written.
+        StoreRefusedError: a store already exists.
     """
     store = ReplicaStore(folder)
     if store.path.exists():
-        raise StoreRefusedError(store.path, "is there already: this voter is of a group, or waits for one")
+        raise StoreRefusedError(
+            store.path, "already exists: this voter is a member of a group or waits to be admitted to one"
+        )
     store.open(node, identity)
     try:
         store.set_group(group)
@@ -53,19 +57,22 @@
 
 
 def recover_group(folder: Path, node: str, group: str) -> RecoveredGroup:
-    """Make a group of this replica alone, named `group`, from all that its store has.
+    """Create the group `group` whose only member is this replica, from the whole content of its store.
+
+    The stores of the other replicas still belong to the previous group. Fencing tokens continue far above the known
+    ones, because log entries that only the other replicas had may have issued some.
 
-    The other replicas' stores stay those of the group before. Fencing tokens go on far above those that are known:
-    entries that only the others had may have given some out. Raises StoreError, and StoreRefusedError where there is
-    nothing to recover from.
+    Raises:
+        StoreError: the store can't be read or written.
+        StoreRefusedError: there is no store to recover from.
     """
     store = ReplicaStore(folder)
     if not store.path.exists():
-        raise StoreRefusedError(store.path, "is not there: there is nothing to go on from")
+        raise StoreRefusedError(store.path, "does not exist: there is no state to recover the group from")
     opened = store.open(node, "")
     try:
         if opened.fresh:
-            raise StoreRefusedError(store.path, "had no state of this replica")
+            raise StoreRefusedError(store.path, "contained no state of this replica")
         snapshot, last_token = _merged_snapshot(opened.identity, opened.state)
         store.set_group(group)
         store.save(
@@ -84,7 +91,7 @@
 
 
 def _merged_snapshot(identity: str, state: PersistentState) -> tuple[Snapshot, int]:
-    """A snapshot that covers the whole log, committed or not, and the last fencing token in it."""
+    """Return a snapshot of the whole log, including uncommitted entries, and the last fencing token in it."""
     leases = LeaseTable()
     machines = StateMachines({"leases": leases, "tasks": RunLog(leases)})
     if state.snapshot.data:
--- a/marlstep/cluster/relay.py
+++ b/marlstep/cluster/relay.py
@@ -1,7 +1,7 @@
-"""The hand-over of a node's address between its processes: the predecessor relays for the successor.
+"""Relays messages of a successor process through its predecessor until the node's address is handed over.
 
-A successor follows documents before it has the node's address. It listens at a port of its own, announces that to the
-predecessor, and sends through it; the predecessor forwards what is addressed to or sent by the successor.
+A successor follows documents before it can bind the node's address. It listens on a port of its own, announces the port
+to the predecessor, and sends its messages through it. The predecessor forwards messages to and from the successor.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 
 class SuccessorRelay:
-    """The predecessor's side."""
+    """The predecessor's side of the relay."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Know no successor at first."""
+        """Start without a known successor."""
         self._context = context
         self._successor, self._port = "", 0
 
     @property
     def has_successor(self) -> bool:
-        """Whether another process of this node has announced itself."""
+        """Whether a successor process of this node has announced itself."""
         return bool(self._successor)
 
     def relay(self, envelope: wire.Envelope, transport: ClusterTransport) -> bool:
-        """Handle what concerns the successor; return whether the message was one of those."""
+        """Handle an announcement or forward a message of the successor; return whether the message was either."""
         if isinstance(envelope.message, RelayAnnouncement):
             self._handle_announcement(envelope.sender, envelope.message, transport)
             return True
@@ -65,15 +65,15 @@
 
 
 class RelayAnnouncer:
-    """The successor's side: repeats where it listens until it has the node's address."""
+    """The successor's side of the relay: announces its port repeatedly until it has bound the node's address."""
 
     def __init__(self, context: NodeContext, sender: MessageSender) -> None:
-        """The first announcement is due at once."""
+        """Start with an announcement due immediately."""
         self._context, self._sender = context, sender
         self._next_at = context.steady.now()
 
     def tick(self, now: datetime) -> None:
-        """Announce where it is due."""
+        """Send an announcement if one is due."""
         port = self._context.process.relay_port
         if port is None or now < self._next_at:
             return
@@ -82,5 +82,5 @@
         self._sender.send(name, self._context.config.node, RelayAnnouncement(name, port))
 
     def next_due(self) -> datetime | None:
-        """Return when the next announcement is due; None where none is needed."""
+        """Return when the next announcement is due, or None if none is needed."""
         return None if self._context.process.relay_port is None else self._next_at
--- a/marlstep/cluster/replica_driver.py
+++ b/marlstep/cluster/replica_driver.py
@@ -1,4 +1,4 @@
-"""The Raft replica of a voter on a clock, a disk and the transport; the store is used in a thread of its own."""
+"""Connects a voter's Raft replica to the clock, the store and the transport. The store runs in its own thread."""
 
 from __future__ import annotations
 
@@ -30,19 +30,24 @@
 
 log = logging.getLogger(__name__)
 
-STORE_RETRY_DELAY = 1 * SECOND  # after a fault of the disk
+STORE_RETRY_DELAY = 1 * SECOND  # after the store could not be opened or written
 STORE_CLOSE_TIMEOUT = 1 * SECOND
 JOIN_INTERVAL = 300 * MILLISECOND
-NODE_MESSAGES = (Heartbeat, CommandRequest, JoinRequest, FetchChunk)  # may be addressed to the node
+NODE_MESSAGES = (
+    Heartbeat,
+    CommandRequest,
+    JoinRequest,
+    FetchChunk,
+)  # may be addressed to a node instead of a replica
 
 
 class ReplicaDriver:
-    """Owns the replica, its store and the store's thread; idle on a node that does not vote."""
+    """Owns the replica, its store and the store's thread. Does nothing on a node that is not a voter."""
 
     def __init__(
         self, context: NodeContext, turns: TurnRequester, sender: MessageSender, group: GroupIdentity
     ) -> None:
-        """Nothing runs before `open`."""
+        """Start without a replica, which `open` creates."""
         self._context, self._turns, self._sender, self._group = context, turns, sender, group
         self.replica: Replica | None = None
         self._store: ReplicaStore | None = None
@@ -52,10 +57,10 @@
         self._next_join_at: datetime | None = None
         self._reopening: asyncio.Task[None] | None = None
 
-    # Opening.
+    # Opening of the store and the replica.
 
     async def open(self) -> None:
-        """Open the store and start the replica, where this node votes; retry while the store fails."""
+        """Open the store and start the replica if this node is a voter; retry while the store can't be opened."""
         config = self._context.config
         if config.votes and config.store is not None:
             self._executor = ThreadPoolExecutor(1, "fleet-store")
@@ -85,7 +90,7 @@
             await asyncio.sleep(STORE_RETRY_DELAY.total_seconds())
 
     def start_replica(self, opened: OpenedStore) -> None:
-        """Start the replica from what the store has."""
+        """Start the replica from the content of its store."""
         self.replica = self._make_replica(opened)
         self._is_saving = False
         self._group.name = opened.group or self._group.name
@@ -111,10 +116,10 @@
         now = self._context.steady.now()
         return Replica(opened.identity, opened.state, settings, state_machines, self._context.random, now)
 
-    # Messages.
+    # Handling of messages.
 
     def handle_message(self, now: datetime, envelope: wire.Envelope, message: Message) -> None:
-        """Give the replica what is addressed to it, or to its node where any voter may be asked."""
+        """Pass a message to the replica if it is addressed to it, or to its node and any voter may handle it."""
         replica = self.replica
         if replica is None or envelope.to not in (replica.identity, self._context.config.node):
             self._context.counts["not for this process"] += 1
@@ -124,7 +129,7 @@
             replica.step(now, envelope.sender, message)
 
     def handle_group_change(self, change: GroupChange) -> bool:
-        """Store the new group's name; return False where the replica of the old group is given up."""
+        """Save the new group's name; return False if the replica belongs to the old group and is discarded."""
         replica = self.replica
         if change is GroupChange.REPLACED and replica is not None and replica.raft.configuration.voters:
             self._discard_store("its group was given up for another")
@@ -133,19 +138,19 @@
         return True
 
     def _save_group(self) -> None:
-        """Store the group's name before anything of the group's log.
+        """Save the group's name before any entry of the group's log.
 
-        Without it a replica that restarts could not tell its own group from one that takes its place.
+        Without the name a restarted replica could not distinguish its own group from one that replaces it.
         """
         if self._store is None or self.replica is None or self._group.name == self._stored_group:
             return
         self._stored_group = self._group.name
         self._run_on_store(partial(self._store.set_group, self._group.name))
 
-    # One turn.
+    # The turn of the node.
 
     def tick(self, now: datetime) -> None:
-        """Run what is due, send, save, and ask to join where the group does not know this replica."""
+        """Run due work, send messages, save state, and ask to join if this replica is not a voter of the group."""
         replica = self.replica
         if replica is None:
             return
@@ -160,7 +165,7 @@
             self._request_join(replica, now)
 
     def next_due(self) -> datetime | None:
-        """Return when the replica next needs a turn; None where there is none."""
+        """Return when the replica next needs a turn, or None if there is no replica."""
         if self.replica is None:
             return None
         due = self.replica.next_due()
@@ -191,7 +196,7 @@
             if node != config.node:
                 self._sender.send(replica.identity, node, JoinRequest(config.node, replica.identity))
 
-    # Leadership.
+    # Leadership transfer.
 
     @property
     def leads_others(self) -> bool:
@@ -202,15 +207,15 @@
         return raft.is_leader and len(raft.configuration.voters) > 1
 
     def transfer_leadership(self) -> None:
-        """Offer leadership to the voter that is furthest."""
+        """Transfer leadership to the voter with the longest matching log."""
         if self.replica is not None and (successor := self.replica.transfer_leadership()):
             log.info("fleet: leadership offered to=%s reason=draining", successor)
             self._turns.schedule()
 
-    # The store.
+    # Work in the store's thread.
 
     def _save(self, replica: Replica) -> None:
-        """Save one batch at a time; what comes meanwhile goes into the next."""
+        """Save one batch at a time; changes that occur meanwhile are part of the next batch."""
         while not self._is_saving and (ready := replica.take_ready()) is not None:
             if not ready.needs_sync:
                 self._saved(replica, ready)
@@ -249,7 +254,7 @@
         self._turns.schedule()
 
     def _store_failed(self, error: BaseException) -> None:
-        """Restart from what is durable: nothing that was not had been sent."""
+        """Restart from the durable state. This is safe because messages are sent only after their state is durable."""
         log.error("fleet: store failed, node does not vote until it recovers error=%s", error)
         self._context.record_event("the store failed", str(error))
         self._context.counts["store faults"] += 1
@@ -272,19 +277,19 @@
         await self._open_store()
         self._turns.schedule()
 
-    # Closing.
+    # Closing of the store.
 
     def cancel_reopening(self) -> None:
-        """Stop waiting for the store, as the node ends."""
+        """Cancel the reopening of the store when the node closes."""
         if self._reopening is not None:
             self._reopening.cancel()
 
     async def close(self) -> None:
-        """Close the store within a bounded time, and give its thread back."""
+        """Close the store within a bounded time, and shut down its thread."""
         if self._store is not None and self._executor is not None:
             store, self._store = self._store, None
             if not await self._close_in_time(store, self._executor):
-                # What was sent is durable; the system closes the file with the process.
+                # State that messages depend on is durable; the operating system closes the file when the process exits.
                 log.error("fleet: store not closed, the disk hangs timeout=%s", STORE_CLOSE_TIMEOUT)
         self.replica = None
         if self._executor is not None:
@@ -301,7 +306,7 @@
 
 
 def close_store(store: ReplicaStore | None, set_aside: bool) -> None:
-    """Close a store and set its file aside where it is not to be used again; runs in the store's thread."""
+    """Close a store, and rename its file if it must not be used again. Runs in the store's thread."""
     if store is None:
         return
     store.close()
@@ -310,7 +315,7 @@
 
 
 def state_machines(table: LeaseTable) -> dict[str, StateMachine]:
-    """Return the state machines that the log drives beside the lease table."""
+    """Return the replicated state machines other than the lease table, by name."""
     return {
         "tasks": RunLog(table),
         "rules": ConfigStore(table),
--- a/marlstep/cluster/router.py
+++ b/marlstep/cluster/router.py
@@ -1,4 +1,4 @@
-"""The node's messages: envelopes out to the right place, and envelopes in to the part that handles them."""
+"""Routes messages: outgoing ones to their node or process, incoming ones to the part that handles them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 M = TypeVar("M")
-Handler = Callable[[datetime, wire.Envelope, M], None]  # steady time, the envelope and its message
+Handler = Callable[[datetime, wire.Envelope, M], None]  # arguments: steady time, the envelope and its message
 GroupChangeHandler = Callable[[GroupChange], bool]  # returns whether the message is still to be handled
 
 
@@ -32,7 +32,7 @@
     def __init__(
         self, context: NodeContext, turns: TurnRequester, group: GroupIdentity, relay: SuccessorRelay
     ) -> None:
-        """Handlers are added by `handle` before the transport listens."""
+        """Create the transport; handlers are added by `handle` before it listens."""
         self._context, self._turns, self._group, self._relay = context, turns, group, relay
         config = context.config
         self.transport = ClusterTransport(
@@ -42,20 +42,24 @@
         self._default_handler: Handler[Any] | None = None
         self._group_change_handler: GroupChangeHandler | None = None
 
-    # Handlers.
+    # Registration of handlers.
 
     def handle(self, message_type: type[M], handler: Handler[M]) -> None:
-        """Let that handler take the messages of one type."""
+        """Register the handler of one message type."""
         self._handlers[message_type] = handler
 
     def handle_others(self, handler: Handler[Message], group_change: GroupChangeHandler) -> None:
-        """Let the replica's driver take all other messages and learn of changes of the group."""
+        """Register the handlers of all other messages and of changes of the group."""
         self._default_handler, self._group_change_handler = handler, group_change
 
-    # Inbound.
+    # Inbound messages.
 
     def handle_frame(self, body: bytes) -> None:
-        """Receive one frame of another node. CorruptError closes the connection."""
+        """Handle the body of one frame from another node.
+
+        Raises:
+            CorruptError: the body is malformed; the caller closes the connection.
+        """
         envelope = wire.read_envelope(body)
         self._context.counts["received"] += 1
         if envelope.fleet != self._context.config.name:
@@ -88,10 +92,10 @@
             log.error("fleet: group replaced new=%s old=%s", envelope.group, previous)
         return self._group_change_handler is None or self._group_change_handler(change)
 
-    # Outbound.
+    # Outbound messages.
 
     def send(self, sender: str, recipient: str, message: Message) -> None:
-        """Send once; to this node itself in the next iteration of the event loop."""
+        """Send a message once. One to this node is handled in the next iteration of the event loop."""
         envelope = self._envelope(sender, recipient, message)
         node, own_node = node_of(recipient), self._context.config.node
         process = self._context.process
@@ -103,16 +107,16 @@
             self.transport.send(node, wire.write_envelope(envelope))
 
     def request_leader(self, message: FetchChunk) -> None:
-        """Send to the voter that is taken for the leader."""
+        """Send a request to the voter that is presumed to be the leader."""
         self.send(self._context.process_name, self._context.client.target, message)
 
     def send_exchange(self, peer: str, message: wire.ExchangeMessage) -> None:
-        """Send a state exchange to a node, or to a peer that was named by `set_address`."""
+        """Send a state exchange to a node, or to a peer registered by `set_address`."""
         envelope = self._envelope(self._context.process_name, peer, message)
         self.transport.send(peer, wire.write_envelope(envelope))
 
     def broadcast(self, message: ServerRecovered) -> None:
-        """Send to each other node once; a lost message is not repeated."""
+        """Send a message to each other node once, without retry."""
         for node in self._context.config.nodes:
             if node != self._context.config.node:
                 self.send(self._context.process_name, node, message)
@@ -122,12 +126,12 @@
     ) -> wire.Envelope:
         return wire.Envelope(self._context.config.name, self._group.name, sender, recipient, message)
 
-    # The transport, for parts that need no more of it.
+    # Parts of the transport's interface, for users that need no more of it.
 
     def set_address(self, peer: str, address: Address) -> None:
-        """Set where a peer is to be reached."""
+        """Set the address of a peer."""
         self.transport.set_address(peer, address)
 
     def record_drop(self, reason: str, detail: str) -> None:
-        """Count a dropped message; log it at a bounded rate."""
+        """Count a dropped message, and log it at a bounded rate."""
         self.transport.record_drop(reason, detail)
--- a/marlstep/cluster/status.py
+++ b/marlstep/cluster/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a cluster node, and its JSON. Keys are those of the administration API."""
+"""Status of a cluster node for operators, and its JSON with the keys of the administration API."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ClusterStatus:
-    """This process's place in the cluster."""
+    """The cluster status of this process."""
 
     cluster: str
     node: str
     process_id: str
     group: str
-    target: str  # the voter that is taken for the leader
+    target: str  # the voter that is presumed to be the leader
     clock_drifts: bool
     since_response: timedelta | None  # since the leader's last response
     command_latencies: tuple[timedelta, ...]
-    replica: dict[str, Any] | None  # as the replica itself shows it
+    replica: dict[str, Any] | None  # the status of the replica; None if this node is not a voter
     transport_counts: dict[str, int]
     counts: dict[str, int]
 
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GrantedLeaseStatus:
-    """A lease as the log has it."""
+    """A lease as recorded in the log."""
 
     name: str
     holder: str
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskStatus:
-    """A task's runner on this node."""
+    """The status of a task's runner on this node."""
 
     name: str
     state: str
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeasesStatus:
-    """The leases that this process holds, and those of all, where this node votes."""
+    """The leases that this process holds, and the leases of all processes if this node is a voter."""
 
     node: str
     held: list[HeldLeaseStatus]
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogStatus:
-    """The last commands of the log, where this node votes, and the last events on this node."""
+    """The latest commands of the log if this node is a voter, and the latest events on this node."""
 
     node: str
     applied: list[AppliedCommand]
--- a/marlstep/cluster/status_report.py
+++ b/marlstep/cluster/status_report.py
@@ -1,4 +1,4 @@
-"""Takes a node's status and metrics from its parts."""
+"""Builds a node's status and metrics from its parts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class StatusReporter:
-    """Reads the parts; changes nothing."""
+    """Builds status and metrics without changing the parts of the node."""
 
     def __init__(
         self,
@@ -31,12 +31,12 @@
         leases: LeaseDriver,
         tasks: TaskDriver,
     ) -> None:
-        """All parts are those of one node."""
+        """Store the parts, which all belong to the same node."""
         self._context, self._group, self._router = context, group, router
         self._replica_driver, self._leases, self._tasks = replica_driver, leases, tasks
 
     def cluster(self) -> ClusterStatus:
-        """Return this process's place in the cluster."""
+        """Return the cluster status of this process."""
         context, replica = self._context, self._replica_driver.replica
         return ClusterStatus(
             context.config.name,
@@ -53,7 +53,7 @@
         )
 
     def leases(self) -> LeasesStatus:
-        """Return the leases that are held here, those of the log, and the tasks."""
+        """Return the leases that this process holds, the leases in the log, and the status of tasks."""
         now = self._context.steady.now()
         held = [
             HeldLeaseStatus(name, lease.token, lease.expires_at - now)
@@ -75,14 +75,14 @@
         ]
 
     def log(self) -> LogStatus:
-        """Return the last commands and events."""
+        """Return the latest commands and events."""
         replica = self._replica_driver.replica
         applied = [] if replica is None else replica.applied
         commands = [AppliedCommand(index, dict(command), result) for index, command, result in applied]
         return LogStatus(self._context.config.node, commands, list(self._context.history))
 
     def metrics(self) -> dict[str, float]:
-        """Return the figures by their metric names; counters' keys are parts of these."""
+        """Return the metrics by name; the key of a counter is part of its metric's name."""
         figures: dict[str, float] = {
             "fleet_leases_held": len(self._context.client.holder.held),
             **counters("fleet_line", self._router.transport.counts),
@@ -102,5 +102,5 @@
 
 
 def counters(prefix: str, counts: dict[str, int]) -> dict[str, float]:
-    """Return counters by their metric names."""
+    """Return counters as metrics by name."""
     return {f"{prefix}_{key.replace(' ', '_')}_total": count for key, count in counts.items()}
--- a/marlstep/cluster/store.py
+++ b/marlstep/cluster/store.py
@@ -1,8 +1,8 @@
 """A replica's persistent state (term, vote, log and snapshot) in one SQLite file, through apsw.
 
-One transaction holds all that one `Ready` asks for, and is synced before `save` returns. The file records whose it
-is, its format, and which file it is on this disk: one that was restored from a backup, or copied, may lack entries and
-votes that this replica has confirmed, and is never taken for its store.
+All changes of one `Ready` are written in one transaction, which is synced before `save` returns. The file records the
+replica that it belongs to, its format version, and its identity on this disk. A file that was copied or restored from a
+backup may lack entries and votes that this replica has acknowledged, and is never used as its store.
 """
 
 from __future__ import annotations
@@ -23,34 +23,34 @@
 from marlstep.consensus.log import PersistentState
 from marlstep.consensus.raft import Ready
 
-# With the errors that opening and saving raise, so that a caller needs this module alone.
+# Includes the errors that opening and saving raise, so that callers need to import this module only.
 __all__ = ["FILE_NAME", "ForeignStoreError", "OpenedStore", "ReplicaStore", "StoreError", "StoreRefusedError"]
 
 log = logging.getLogger(__name__)
 
 FILE_NAME = "voter.sqlite"
-WAL_SUFFIX, SHARED_MEMORY_SUFFIX = "-wal", "-shm"  # of the files that SQLite keeps beside it
+WAL_SUFFIX, SHARED_MEMORY_SUFFIX = "-wal", "-shm"  # suffixes of SQLite's auxiliary files
 PRAGMAS = ("locking_mode = exclusive", "journal_mode = wal", "synchronous = full")
 
 
 @dataclass(slots=True)
 class OpenedStore:
-    """What was in the store when it was opened."""
+    """The content of the store when it was opened."""
 
-    identity: str  # of the replica, within its group
-    group: str  # the group's own name, given when it was created; empty until this replica was admitted
+    identity: str  # of the replica within its group
+    group: str  # the name of the group; empty until this replica was admitted to one
     state: PersistentState
-    fresh: bool  # there was nothing before
+    fresh: bool  # whether the store was newly created
 
 
 class ReplicaStore:
     """The store of one replica.
 
-    All calls come from one thread, one at a time. After a StoreError the object is of no use any more.
+    Not thread-safe. After a StoreError the object must not be used any more.
     """
 
     def __init__(self, folder: Path) -> None:
-        """The file is made in `folder`, which need not exist yet, when the store is opened."""
+        """Set the path of the file in `folder`. Both are created when the store is opened, if necessary."""
         self.path = folder / FILE_NAME
         self._db: apsw.Connection | None = None
         self._facts = StoreFacts({})
@@ -59,8 +59,11 @@
     def open(self, node: str, new_identity: str) -> OpenedStore:
         """Open the store of `node`, or create it with `new_identity` for its replica.
 
-        A file that is not the one this replica wrote is moved aside, and a new one is created. Raises StoreError, and
-        StoreRefusedError for a file that must be left alone.
+        A file that this replica did not write is renamed, and a new one is created.
+
+        Raises:
+            StoreError: the file can't be read or created.
+            StoreRefusedError: the file must not be used or changed.
         """
         try:
             return self._open_or_replace(node, new_identity)
@@ -88,7 +91,11 @@
         return self._open(node, new_identity)
 
     def set_aside(self) -> Path:
-        """Rename the closed file and what SQLite keeps beside it, and return the new path. Raises OSError."""
+        """Rename the closed file and SQLite's auxiliary files, and return the new path.
+
+        Raises:
+            OSError: the file can't be renamed.
+        """
         number = 1
         while (aside := self.path.with_suffix(f".aside-{number}")).exists():
             number += 1
@@ -103,7 +110,7 @@
         existed = self.path.exists()
         if not existed:
             self.path.touch()
-        # Before SQLite opens the file: closing any other descriptor of it gives up this process's locks on it.
+        # Read before SQLite opens the file, because closing another descriptor of it would release SQLite's locks.
         self._file_identity = file_identity(self.path)
         db = self._connect()
         if existed and self._lock(db):
@@ -119,7 +126,7 @@
             return db
 
     def _lock(self, db: apsw.Connection) -> bool:
-        """Take the write lock on an existing file; False where its creator died before it had a table."""
+        """Take the write lock on an existing file; return False if its creator died before creating the tables."""
         with self._faults_of_opening():
             try:
                 with db:
@@ -132,7 +139,7 @@
 
     @contextlib.contextmanager
     def _faults_of_opening(self) -> Iterator[None]:
-        """Tell a file in use and a file that is no database from other faults of SQLite."""
+        """Convert SQLite's errors for a file that is in use and for a file that is not a database."""
         try:
             yield
         except apsw.BusyError as fault:
@@ -151,7 +158,7 @@
         return OpenedStore(identity, facts.group, PersistentState(), fresh=True)
 
     def _sync_folder(self) -> None:
-        """Make the file's name durable."""
+        """Sync the folder, so that the file's name is durable."""
         folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(folder)
@@ -164,7 +171,11 @@
         return OpenedStore(facts.identity, facts.group, state, fresh=False)
 
     def save(self, ready: Ready) -> None:
-        """Write what `ready` asks for, in one transaction; it is durable on return. Raises StoreError."""
+        """Write all changes of `ready` in one transaction, which is durable on return.
+
+        Raises:
+            StoreError: the store is closed or can't be written.
+        """
         db = self._connection()
         facts = self._facts.with_progress(ready.term, ready.voted_for, self._last_index_after(ready))
         try:
@@ -190,7 +201,11 @@
         return self._facts.last_index
 
     def set_group(self, group: str) -> None:
-        """Record the group that this replica is a member of. Raises StoreError."""
+        """Record the group that this replica is a member of.
+
+        Raises:
+            StoreError: the store is closed or can't be written.
+        """
         db = self._connection()
         facts = self._facts.with_group(group)
         try:
@@ -206,7 +221,7 @@
         return self._db
 
     def size(self) -> int:
-        """The bytes of the file and of its write-ahead log."""
+        """Return the size in bytes of the file and its write-ahead log."""
         total = 0
         for suffix in ("", WAL_SUFFIX):
             with contextlib.suppress(FileNotFoundError):
@@ -214,7 +229,7 @@
         return total
 
     def close(self) -> None:
-        """Release the file and its locks. May be called again."""
+        """Release the file and its locks. Repeated calls have no effect."""
         db, self._db = self._db, None
         if db is not None:
             with contextlib.suppress(apsw.Error):
--- a/marlstep/cluster/store_errors.py
+++ b/marlstep/cluster/store_errors.py
@@ -1,4 +1,4 @@
-"""Errors of a replica's store, told apart by what the caller can do: retry, leave the file alone, or start anew."""
+"""Errors of a replica's store, one for each reaction: retry, leave the file unchanged, or create a new one."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 class StoreError(MarlstepError):
-    """The store can't be used now: the disk is full, read-only or broken. What was not synced before is lost."""
+    """The store can't be used at present: the disk is full, read-only or broken. Unsynced changes are lost."""
 
     def __init__(self, path: Path, reason: object) -> None:
-        """`reason` is the fault of SQLite or of the operating system, or says which state was expected."""
+        """Create the error; `reason` is the error of SQLite or of the operating system, or a description."""
         super().__init__(f"{path}: {reason}")
 
 
 class StoreRefusedError(MarlstepError):
-    """The file is not for this program to open: it has a newer format, another owner, or is in use.
+    """The file must not be used: it has a newer format, belongs to another node, is in use, or has unsuitable content.
 
-    The file is left as it is.
+    The file is left unchanged.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
-        """`reason` continues a sentence that begins with the path."""
+        """Create the error; `reason` is the predicate of a sentence whose subject is the path."""
         super().__init__(f"{path} {reason}")
 
 
 class ForeignStoreError(MarlstepError):
     """The file is not the store that this replica wrote: it is truncated, corrupt, or a copy.
 
-    A replica that can't read its own store must come back under a new identity.
+    A replica that can't read its own store must rejoin with a new identity.
     """
 
     def __init__(self, path: Path, part: str, expected: object, found: object) -> None:
-        """`part` of the file was expected to be one thing and was found to be another."""
+        """Create the error for `part` of the file, with its expected and its actual value."""
         self.reason = f"{part}: expected {expected}, found {found}"
         super().__init__(f"{path}: {self.reason}")
--- a/marlstep/cluster/store_reader.py
+++ b/marlstep/cluster/store_reader.py
@@ -1,4 +1,4 @@
-"""Reads a replica's store, and checks that it is the file that this replica wrote and that it is whole."""
+"""Reads a replica's store, and verifies that this replica wrote the file and that it is complete."""
 
 from __future__ import annotations
 
@@ -12,14 +12,27 @@
 
 
 class StoreReader:
-    """Reads one open database, that of `node`, in the file that is now `file_identity`."""
+    """Reads and verifies one open database."""
 
     def __init__(self, db: apsw.Connection, path: Path, node: str, file_identity: str) -> None:
-        """`path` is named in errors."""
+        """Store the arguments; nothing is read before `read`.
+
+        Args:
+            db: The open database.
+            path: The path of its file, for error messages.
+            node: The node that the store must belong to.
+            file_identity: The actual identity of the file (see `file_identity`).
+
+        """
         self._db, self._path, self._node, self._file_identity = db, path, node, file_identity
 
     def read(self) -> tuple[StoreFacts, PersistentState]:
-        """Read and check the whole file. Raises ForeignStoreError and StoreRefusedError."""
+        """Read and verify the whole file.
+
+        Raises:
+            ForeignStoreError: the file is corrupt or a copy.
+            StoreRefusedError: the file has a newer format or belongs to another node.
+        """
         try:
             facts = self._read_facts()
             snapshot = self._read_snapshot()
@@ -36,14 +49,16 @@
         values = {str(name): str(value) for name, value in rows}
         found_checksum = values.pop(FACTS_CHECKSUM, None)
         facts = StoreFacts(values)
-        # The format comes first: a newer one may count its checksum differently.
+        # The format is checked first, because a newer one may compute its checksum differently.
         if facts.format_version > FORMAT_VERSION:
-            reason = f"has format {facts.format_version}, of a newer program; this one knows {FORMAT_VERSION}"
+            reason = (
+                f"has format {facts.format_version}, of a newer program; expected at most {FORMAT_VERSION}"
+            )
             raise StoreRefusedError(self._path, reason)
         if found_checksum != facts.checksum():
             raise ForeignStoreError(self._path, "checksum of the facts", facts.checksum(), found_checksum)
         if facts.node != self._node:
-            raise StoreRefusedError(self._path, f"is of node {facts.node}, and this is {self._node}")
+            raise StoreRefusedError(self._path, f"belongs to node {facts.node}, expected node {self._node}")
         if facts.file_identity != self._file_identity:
             raise ForeignStoreError(self._path, "file identity", facts.file_identity, self._file_identity)
         return facts
--- a/marlstep/cluster/store_schema.py
+++ b/marlstep/cluster/store_schema.py
@@ -1,6 +1,6 @@
-"""The SQLite schema of a replica's store: its tables, the form of their rows, and the checksums over them.
+"""The SQLite schema of a replica's store: its tables, the format of their rows, and their checksums.
 
-The names in the tables are those of the first version of the format; `StoreFacts` maps them to Python's.
+The names in the tables are fixed by the first version of the format; `StoreFacts` maps them to properties.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 FORMAT_VERSION = 1
 CHECKSUM_BYTES = 12
-FACTS_CHECKSUM = "sum"  # the name of the fact that holds the checksum of all others
+FACTS_CHECKSUM = "sum"  # name of the fact that holds the checksum of all other facts
 SCHEMA = (
     "create table facts (name text primary key, value text not null) without rowid",
     "create table log (i integer primary key, term integer not null, kind text not null, body text not null,"
@@ -29,22 +29,22 @@
 
 
 def checksum(*values: object) -> bytes:
-    """The checksum of one row's values."""
+    """Return the checksum of one row's values."""
     return hashlib.blake2b(orjson.dumps(values), digest_size=CHECKSUM_BYTES).digest()
 
 
 @dataclass(slots=True, frozen=True)
 class StoreFacts:
-    """What the file records about itself: one value for each name, all under one checksum.
+    """Metadata of the file: one value for each name, with one checksum over all.
 
-    A property raises KeyError where the file does not have the fact, and ValueError where it is not a number.
+    A property raises KeyError if the file lacks the fact, and ValueError if a numeric fact is not a number.
     """
 
-    values: Mapping[str, str]  # by the names in the table
+    values: Mapping[str, str]  # by name in the table
 
     @classmethod
     def of_new_store(cls, node: str, identity: str, file_identity: str) -> StoreFacts:
-        """The facts of a store that holds nothing yet."""
+        """Return the facts of an empty store."""
         return cls(
             {
                 "format": str(FORMAT_VERSION),
@@ -60,7 +60,7 @@
 
     @property
     def format_version(self) -> int:
-        """The version of this schema that the file was written with."""
+        """The schema version that the file was written with."""
         return int(self.values["format"])
 
     @property
@@ -75,12 +75,12 @@
 
     @property
     def group(self) -> str:
-        """The group's own name; empty until the replica has been admitted to one."""
+        """The name of the group; empty until the replica has been admitted to one."""
         return self.values["group"]
 
     @property
     def file_identity(self) -> str:
-        """Which file this was when it was made (see `file_identity`)."""
+        """The identity of the file when it was created (see `file_identity`)."""
         return self.values["file"]
 
     @property
@@ -90,34 +90,42 @@
 
     @property
     def voted_for(self) -> str:
-        """Who got this replica's vote in the current term; empty where nobody has."""
+        """The candidate that this replica voted for in the current term; empty if none."""
         return self.values["vote"]
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry of the log, or of the snapshot where the log is empty."""
+        """The index of the last log entry, or of the snapshot if the log is empty."""
         return int(self.values["last"])
 
     def with_group(self, group: str) -> StoreFacts:
-        """These facts, with another group."""
+        """Return a copy of these facts with another group."""
         return StoreFacts({**self.values, "group": group})
 
     def with_progress(self, term: int, voted_for: str, last_index: int) -> StoreFacts:
-        """These facts, with what changes when a `Ready` is saved."""
+        """Return a copy of these facts with the values that change when a `Ready` is saved."""
         return StoreFacts({**self.values, "term": str(term), "vote": voted_for, "last": str(last_index)})
 
     def checksum(self) -> str:
-        """The checksum over all facts, in hexadecimal."""
+        """Return the checksum over all facts in hexadecimal."""
         return checksum(*sorted(self.values.items())).hex()
 
     def write(self, db: apsw.Connection) -> None:
-        """Write all facts and their checksum. Raises apsw.Error."""
+        """Write all facts and their checksum.
+
+        Raises:
+            apsw.Error: the database can't be written.
+        """
         rows = [*self.values.items(), (FACTS_CHECKSUM, self.checksum())]
         db.executemany("insert or replace into facts values (?, ?)", rows)
 
 
 def write_entries(db: apsw.Connection, entries: list[LogEntry]) -> None:
-    """Append entries to the log, in place of all from the first one's index on. Raises apsw.Error."""
+    """Append entries to the log, and remove existing ones from the first entry's index on.
+
+    Raises:
+        apsw.Error: the database can't be written.
+    """
     db.execute("delete from log where i >= ?", (entries[0].index,))
     db.executemany("insert into log values (?, ?, ?, ?, ?)", [_entry_row(entry) for entry in entries])
 
@@ -128,6 +136,10 @@
 
 
 def write_snapshot(db: apsw.Connection, snapshot: Snapshot) -> None:
-    """Replace the snapshot. Raises apsw.Error."""
+    """Replace the snapshot.
+
+    Raises:
+        apsw.Error: the database can't be written.
+    """
     row = (snapshot.index, snapshot.term, snapshot.configuration.encode(), snapshot.data)
     db.execute("insert or replace into snapshot values (1, ?, ?, ?, ?, ?)", (*row, checksum(*row)))
--- a/marlstep/cluster/task_driver.py
+++ b/marlstep/cluster/task_driver.py
@@ -1,4 +1,4 @@
-"""Scheduled tasks on the node that holds their leases: commands of the log and requests to servers."""
+"""Runs scheduled tasks whose leases this process holds, by commands of the log and requests to servers."""
 
 from __future__ import annotations
 
@@ -20,32 +20,32 @@
 
 
 class TaskDriver:
-    """Carries out what the runners of all tasks decide."""
+    """Carries out the actions of the runners of all tasks."""
 
     def __init__(self, context: NodeContext, turns: TurnRequester, frontend: TaskFrontend | None) -> None:
-        """`frontend` is None on a node without tasks."""
+        """Create a runner for each task; `frontend` is None on a node without tasks."""
         self._context, self._turns, self._frontend = context, turns, frontend
         self._tasks = {task.plan.name: task for task in context.config.tasks}
         self.runners = {name: TaskRunner(task.plan) for name, task in self._tasks.items()}
-        self._proposals: dict[int, tuple[str, RunnerAction]] = {}  # by the command's number
+        self._proposals: dict[int, tuple[str, RunnerAction]] = {}  # by command number
 
     def lease_names(self) -> list[str]:
         """Return the names of all tasks' leases."""
         return [TASK_LEASE_PREFIX + name for name in self.runners]
 
     def busy_leases(self) -> list[str]:
-        """Return the leases under which a run is open."""
+        """Return the leases of tasks with an open run."""
         return [
             TASK_LEASE_PREFIX + name for name, runner in self.runners.items() if runner.busy and runner.token
         ]
 
     def drain(self) -> None:
-        """Begin no new runs."""
+        """Stop starting new runs."""
         for runner in self.runners.values():
             runner.draining = True
 
     def tick(self, now: datetime) -> None:
-        """Take in results, follow the leases, and start what is next."""
+        """Handle command results and lease changes, and start the next action of each task."""
         self._collect_results(now)
         for name, runner in self.runners.items():
             self._follow_lease(name, runner)
@@ -57,7 +57,7 @@
                 self._start(self._tasks[name], runner, action, now)
 
     def next_due(self, now: datetime) -> datetime | None:
-        """Return when a task next needs a turn; None where none does."""
+        """Return when a task next needs a turn, or None if none does."""
         wall = self._context.wall()
         due = [runner.next_due(now, wall) for runner in self.runners.values()]
         return min((when for when in due if when is not None), default=None)
@@ -107,7 +107,9 @@
 
     def _request(self, task: TaskConfig, runner: TaskRunner, action: RunnerAction, now: datetime) -> None:
         assert self._frontend is not None
-        if not self._context.capabilities.starts_tasks:  # the partition state changed as the run was begun
+        if (
+            not self._context.capabilities.starts_tasks
+        ):  # the partition state changed while the run was being started
             runner.handle_result(now, action, Outcome.NOT_RUN)
             self._turns.schedule()
             return
@@ -120,9 +122,9 @@
         )
 
     def _time_left(self, name: str, token: int) -> timedelta:
-        """Return how long the lease may still be acted on.
+        """Return for how long the task may still act under the lease with this token.
 
-        Asked again as the request leaves this node: the admission controller may have delayed it.
+        Called again when the request is about to be sent, because admission control may have delayed it.
         """
         lease, holder = TASK_LEASE_PREFIX + name, self._context.client.holder
         if holder.token(lease) != token or not self._context.capabilities.starts_tasks:
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -1,7 +1,7 @@
-"""The frontend of scheduled tasks: a task's run is a request through the core, like those of clients.
+"""The frontend of scheduled tasks: a task's run is a request to the core, like the requests of clients.
 
-It is subject to admission control and goes to the same pool of servers. The task's lease is checked again at the moment
-the request leaves this node: it may have run out while admission control delayed the request.
+It is subject to admission control and is sent to the same pools of servers. The task's lease is checked again when the
+request is about to be sent, because it may have expired while admission control delayed the request.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 
 log = logging.getLogger(__name__)
 
-FENCED_STATUSES = (409, 412)  # HTTP: the server has seen a later fencing token
-SUCCESS_STATUSES = range(200, 300)  # HTTP
+FENCED_STATUSES = (409, 412)  # HTTP statuses of a server that has seen a later fencing token
+SUCCESS_STATUSES = range(200, 300)  # HTTP statuses
 NO_STATUS = 0
 REQUEST_MEMORY_KB = 8.0
 
@@ -48,21 +48,21 @@
     task: TaskConfig
     action: RunnerAction
     on_outcome: OutcomeCallback
-    lease_time_left: Callable[[], timedelta]  # under the token of the action
-    handle: int = 0  # the core's, to cancel it
-    started: bool = False  # it has left this node
+    lease_time_left: Callable[[], timedelta]  # of the lease with the token of the action
+    handle: int = 0  # the core's handle, for cancellation
+    started: bool = False  # whether it was sent to a server
     deadline: Timer | None = None
 
 
 class LeaseGuard:
-    """The backend of tasks' requests: that of the pool, behind a check that may refuse a start."""
+    """The backend of tasks' requests: the pool's backend, with a check of the lease before each start."""
 
     def __init__(self, backend: Backend, may_start: Callable[[Request], bool]) -> None:
-        """`may_start` is asked in the same turn in which the request would leave."""
+        """Create the guard; `may_start` is called in the same turn in which the request would be sent."""
         self._backend, self._may_start = backend, may_start
 
     def start(self, request: Request) -> None:
-        """Start a request whose lease is long enough; the other ends without a run."""
+        """Start a request if its lease lasts long enough; otherwise `may_start` ends it without a run."""
         if self._may_start(request):
             self._backend.start(request)
 
@@ -101,7 +101,19 @@
         class_variable: str,
         observer: StepObserver,
     ) -> None:
-        """`timeline` is that of the core, `steady` the monotonic one that leases are counted by."""
+        """Start without requests.
+
+        Args:
+            core: Runs the requests.
+            timeline: The core's timers, on the wall clock.
+            backend: The backend of the pools of servers.
+            steady: Timers on the monotonic clock that leases are measured with.
+            pool_of: Returns the pool of a request class.
+            holder: The name with which this process holds leases.
+            class_variable: The uwsgi variable that holds the request class.
+            observer: Notified of each step.
+
+        """
         self._core, self._timeline, self._steady = core, timeline, steady
         self._backend = LeaseGuard(backend, self.may_start)
         self.pool_of = pool_of
@@ -117,7 +129,7 @@
         lease_time_left: Callable[[], timedelta],
         on_outcome: OutcomeCallback,
     ) -> None:
-        """Submit the request of an action; `on_outcome` is called once, when it has ended."""
+        """Submit the request of an action; `on_outcome` is called once, when the request has ended."""
         self._number += 1
         number, plan = self._number, task.plan
         offer = InboundRequest(
@@ -140,7 +152,7 @@
             self._end(number, Outcome.NOT_RUN)
 
     def _variables(self, task: TaskConfig, action: RunnerAction) -> dict[str, str]:
-        """Return the variables of the uwsgi packet; the operator's may override the first four, and no others."""
+        """Return the variables of the uwsgi packet. Those of the operator can override the first four only."""
         plan = task.plan
         return {
             "REQUEST_METHOD": "POST",
@@ -157,7 +169,7 @@
         }
 
     def may_start(self, request: Request) -> bool:
-        """Check the lease in the turn in which a request would leave, and note that it leaves."""
+        """Check the lease of a request that is about to be sent, and mark the request as started if it suffices."""
         task_request = self._requests.get(request.response_handle[1])
         if (
             task_request is None
@@ -165,7 +177,7 @@
         ):
             if task_request is not None:
                 log.warning("task request not started: lease too short task=%s", task_request.task.plan.name)
-            # In a turn of its own: the core is still starting the request in this one.
+            # Reported in a later turn, because the core is still starting the request in this one.
             self._timeline.soon(lambda: self._core.run_ended(request.id, RunOutcome.REJECTED, ZERO))
             return False
         task_request.started = True
@@ -185,29 +197,32 @@
         self._core.client_disconnected(handle)
 
     def _end(self, number: int, outcome: Outcome) -> None:
-        """Report an outcome; every request ends here, and only once."""
+        """Report the outcome of a request. Each request ends here exactly once."""
         task_request = self._requests.pop(number, None)
         if task_request is not None:
             self._steady.cancel(task_request.deadline)
             task_request.on_outcome(outcome)
 
-    # For the core to call.
+    # The interface of `Frontend`, called by the core.
 
     def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
-        """Take the answer to a request, unless its deadline came before."""
+        """Handle the final response to a request, unless the request has already reached its deadline."""
         task_request = self._requests.get(ticket[1])
         if task_request is not None:
             self._end(ticket[1], outcome_of(answer, task_request.started))
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Do nothing: there are no connections here."""
+        """Do nothing, since this frontend has no connections."""
 
     def stop_accepting(self) -> None:
-        """Do nothing: the runners are draining by then, and begin nothing more."""
+        """Do nothing, since draining runners start no new runs."""
 
 
 def outcome_of(answer: Response, started: bool) -> Outcome:
-    """Return what an answer proves: only the server's response, or that the request never left, is certain."""
+    """Return the outcome that a final response proves.
+
+    Only the server's response, or the fact that the request was never sent, makes the outcome certain.
+    """
     match answer.status:
         case ResponseStatus.DONE:
             status = status_of(answer.body)
@@ -220,6 +235,6 @@
 
 
 def status_of(response: bytes) -> int:
-    """Return the HTTP status of a response; NO_STATUS where there is none."""
+    """Return the HTTP status of a response, or NO_STATUS if it has none."""
     words = response[:32].split(b" ", 2)
     return int(words[1]) if len(words) > 1 and words[1].isdigit() else NO_STATUS
--- a/marlstep/cluster/transport.py
+++ b/marlstep/cluster/transport.py
@@ -1,7 +1,7 @@
 """The transport between nodes: frames over TCP, on one connection per direction and pair of nodes.
 
-Delivery is not guaranteed: what can't be sent is dropped and counted, and the protocols above repeat what matters to
-them. A connection whose peer does not read is aborted, and one that brings a corrupt frame is closed.
+Delivery is not guaranteed: frames that can't be sent are dropped and counted, and the protocols above this layer retry.
+A connection is aborted if its peer does not read, and closed if a frame received on it is corrupt.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from marlstep.timer_queue import TimerQueue
 
 ACCEPT_BACKLOG = 128
-INCOMING_PER_NODE, INCOMING_SPARE = 4, 16  # bounds on open connections that others have opened
+INCOMING_PER_NODE, INCOMING_SPARE = 4, 16  # limits on open connections that other nodes have opened
 
 
 class ClusterTransport:
-    """Listens for other nodes and sends to them, by the names of nodes or of processes."""
+    """Receives frames from other nodes and sends frames to nodes or processes by name."""
 
     def __init__(
         self,
@@ -32,29 +32,48 @@
         deliver: Callable[[bytes], None],
         dial: Dial = dial,
     ) -> None:
-        """`deliver` takes each frame's body; a CorruptError that it raises closes the connection."""
+        """Start without connections.
+
+        Args:
+            nodes: The addresses of all nodes by name.
+            framing: Encodes and decodes frames.
+            timeline: Provides the time and timers.
+            deliver: Handles the body of a received frame; a CorruptError that it raises closes the connection.
+            dial: Opens a connection.
+
+        """
         self._framing, self._timeline, self._deliver, self._dial = framing, timeline, deliver, dial
         self._drops = DropRecorder(timeline)
         self._incoming: set[IncomingConnection] = set()
         self._max_incoming = INCOMING_PER_NODE * len(nodes) + INCOMING_SPARE
         self._peers = {name: self._peer_at(address) for name, address in nodes.items()}
         self._server: asyncio.Server | None = None
-        self._temporary_server: asyncio.Server | None = None  # while another process has the address
+        self._temporary_server: asyncio.Server | None = (
+            None  # used while another process has bound the address
+        )
 
     @property
     def counts(self) -> Counter[str]:
-        """What was sent, and what was dropped by reason; the keys are parts of metric names."""
+        """The numbers of sent frames and of drops by reason; the keys are parts of metric names."""
         return self._drops.counts
 
     async def listen(self, address: Address) -> None:
-        """Listen at the node's own address. Raises OSError, also while another process of this node has it."""
+        """Listen at the node's own address.
+
+        Raises:
+            OSError: the address can't be bound, for example because another process of this node has bound it.
+        """
         self._server = await self._listen(address)
         if self._temporary_server is not None:
-            self._temporary_server.close()  # its open connections go on
+            self._temporary_server.close()  # connections that it has accepted stay open
             self._temporary_server = None
 
     async def listen_on_free_port(self, host: str) -> int:
-        """Listen on any free port until `listen` succeeds; return the port. Raises OSError."""
+        """Listen on any free port until `listen` succeeds, and return the port.
+
+        Raises:
+            OSError: no port can be bound.
+        """
         self._temporary_server = await self._listen((host, 0))
         port: int = self._temporary_server.sockets[0].getsockname()[1]
         return port
@@ -72,19 +91,19 @@
         return OutboundPeer(address, self._timeline, self._dial, self._drops)
 
     def set_address(self, name: str, address: Address) -> None:
-        """Send to `name` at this address from now on, over a new connection."""
+        """Set the address of `name`; the next frame opens a new connection to it."""
         if name in self._peers:
             self._peers[name].close()
         self._peers[name] = self._peer_at(address)
 
     def remove_address(self, name: str) -> None:
-        """Forget the address of `name`, if there is one, and close the connection to it."""
+        """Remove the address of `name`, if there is one, and close the connection to it."""
         peer = self._peers.pop(name, None)
         if peer is not None:
             peer.close()
 
     def accept(self, connection: IncomingConnection) -> bool:
-        """Enter a new incoming connection; False where there are too many already."""
+        """Add a new incoming connection; return False if too many are open."""
         if len(self._incoming) >= self._max_incoming:
             self.record_drop("crowded", f"over {self._max_incoming} connections")
             return False
@@ -92,11 +111,11 @@
         return True
 
     def remove(self, connection: IncomingConnection) -> None:
-        """Take a closed incoming connection out; one that was not accepted is not there."""
+        """Remove a closed incoming connection; do nothing for one that was not accepted."""
         self._incoming.discard(connection)
 
     def send(self, node: str, body: bytes) -> None:
-        """Send a frame's body to the node or process of that name; it may be dropped."""
+        """Send a frame's body to the node or process of this name. The frame may be dropped."""
         peer = self._peers.get(node)
         if peer is None:
             self.counts["unknown"] += 1
@@ -110,7 +129,7 @@
         peer.send(frame)
 
     def record_drop(self, reason: str, detail: str) -> None:
-        """Count something that was dropped, under a key of `counts`, and log it at a bounded rate."""
+        """Count a drop in `counts` by its reason, and log it at a bounded rate."""
         self._drops.record(reason, detail)
 
     async def close(self) -> None:
--- a/marlstep/cluster/turns.py
+++ b/marlstep/cluster/turns.py
@@ -1,4 +1,4 @@
-"""When the node's turn runs: as soon as something happened, or when the next deadline is due."""
+"""Schedules the turns of the node: soon after an event, or when the next deadline is due."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class TurnScheduler:
-    """Runs one turn at a time, however often a turn was asked for."""
+    """Runs one turn for any number of requests made since the previous turn."""
 
     def __init__(self, context: NodeContext, run_turn: Callable[[datetime], None]) -> None:
-        """`run_turn` is called with the steady clock's time."""
+        """Start without a scheduled turn; `run_turn` is called with the time of the steady clock."""
         self._context, self._run_turn = context, run_turn
         self._is_scheduled = False
         self._alarm: Timer | None = None
 
     def schedule(self) -> None:
-        """Ask for a turn in the next iteration of the event loop."""
+        """Request a turn in the next iteration of the event loop."""
         if not self._is_scheduled and not self._context.process.is_closed:
             self._is_scheduled = True
             self._context.steady.soon(self._run)
@@ -32,7 +32,7 @@
             self._run_turn(self._context.steady.now())
 
     def wake_at(self, due: datetime, now: datetime) -> None:
-        """Run a turn at `due`, unless an earlier one is set already."""
+        """Run a turn at `due`, unless an earlier one is already scheduled."""
         steady = self._context.steady
         if self._alarm is not None and self._alarm.callback is not None:
             if now < self._alarm.when <= due:
@@ -41,5 +41,5 @@
         self._alarm = steady.at(max(due, now + MILLISECOND), self.schedule)
 
     def close(self) -> None:
-        """Cancel the alarm."""
+        """Cancel the wake-up timer."""
         self._context.steady.cancel(self._alarm)
--- a/tests/cluster/test_group_commands.py
+++ b/tests/cluster/test_group_commands.py
@@ -23,7 +23,7 @@
     words = ["--config", str(CONFIG), "--operator", str(operator)]
     assert call(["fleet", "init", *words]) == 0
     assert "n1 votes alone" in capsys.readouterr().out
-    assert call(["fleet", "init", *words]) == 2 and "is there already" in capsys.readouterr().err
+    assert call(["fleet", "init", *words]) == 2 and "already exists" in capsys.readouterr().err
     assert call(["fleet", "recover", *words, "--epoch", "2"]) == 2 and "--yes" in capsys.readouterr().err
     assert call(["fleet", "recover", *words, "--epoch", "2", "--yes"]) == 0
     assert json.loads(capsys.readouterr().out)["group"].startswith("2.")
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -16,7 +16,7 @@
 
 def test_a_group_is_created_once_and_recovers_from_one_store_with_tokens_far_above(tmp_path: Path) -> None:
     create_group(tmp_path, "n1", "n1#a", "1.g")
-    with pytest.raises(StoreRefusedError, match="there already"):
+    with pytest.raises(StoreRefusedError, match="already exists"):
         create_group(tmp_path, "n1", "n1#b", "1.h")
     opened = reopened(tmp_path)
     assert opened.state.snapshot.configuration == Configuration(("n1#a",)) and opened.group == "1.g"
@@ -38,5 +38,5 @@
         and opened.state.term == 2
     )
     assert '"task/t","n2/b",1' in opened.state.snapshot.data and not opened.state.entries
-    with pytest.raises(StoreRefusedError, match="not there"):
+    with pytest.raises(StoreRefusedError, match="does not exist"):
         recover_group(tmp_path / "other", "n1", "2.h")
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -113,7 +113,7 @@
     db = apsw.Connection(str(folder / FILE_NAME))
     db.execute("update facts set value = '1' where name = 'format'")
     db.close()
-    with pytest.raises(StoreRefusedError, match="of node n1, and this is n2"):
+    with pytest.raises(StoreRefusedError, match="belongs to node n1, expected node n2"):
         ReplicaStore(folder).open("n2", "n2#x")
 
 
