--- a/marlstep/cluster/admin.py
+++ b/marlstep/cluster/admin.py
@@ -77,10 +77,10 @@
             case ["fleet", "rules", order] if self._config_orders is not None:
                 return self._config_orders.execute(order, arguments)
             case ["fleet", "members", order] if self._membership is not None:
-                return self._order_members(order, arguments)
+                return self._execute_member_order(order, arguments)
         return None
 
-    def _order_members(self, order: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    def _execute_member_order(self, order: str, arguments: dict[str, Any]) -> dict[str, Any]:
         command = roster_command(order, arguments)
         accepted = self._orders.propose(self._context.steady.now(), order, command)
         self._turns.schedule()
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -65,8 +65,8 @@
         self.uploads = ConfigUploads(context, turns, self.orders)
         self.quotas = QuotaDriver(context, documents) if config.quotas_shared else None
         self._acknowledgements: dict[int, AcknowledgeVersion] = {}  # by command number
-        context.client.holder.report = self._report
-        self._carry_out_all(self.follower.start(), context.steady.now())
+        context.client.holder.report = self._heartbeat_report
+        self._execute_all(self.follower.start(), context.steady.now())
 
     def lease_time_left(self, now: datetime) -> timedelta:
         """Return for how long the lease still permits acting on documents."""
@@ -80,7 +80,7 @@
         """
         return self.follower.accepts_work(self.lease_time_left(self._context.steady.now()))
 
-    def _report(self, now: datetime) -> HeartbeatReport:
+    def _heartbeat_report(self, now: datetime) -> HeartbeatReport:
         """Return the document states, request counts and demand that a heartbeat reports."""
         demand = () if self.quotas is None else self.quotas.estimate_demand(now)
         counts = self._documents.request_counts()
@@ -96,11 +96,11 @@
             self.quotas.handle_heartbeat_response(now)
         if statuses is not None:
             actions = self.follower.handle_statuses(now, statuses, self.lease_time_left(now))
-            self._carry_out_all(actions, now)
+            self._execute_all(actions, now)
 
     def handle_chunk(self, now: datetime, chunk: DocumentChunk) -> None:
         """Handle a chunk of a document that was requested from the leader."""
-        self._carry_out_all(self.follower.handle_chunk(now, chunk, self.lease_time_left(now)), now)
+        self._execute_all(self.follower.handle_chunk(now, chunk, self.lease_time_left(now)), now)
 
     def tick(self, now: datetime) -> None:
         """Handle command results and run due work. Called in every turn, so also when the lease expires."""
@@ -109,7 +109,7 @@
             self.quotas.collect_results()
         self.orders.collect()
         self.uploads.tick(now)
-        self._carry_out_all(self.follower.tick(now, self.lease_time_left(now)), now)
+        self._execute_all(self.follower.tick(now, self.lease_time_left(now)), now)
 
     def _collect_acknowledgements(self) -> None:
         for number in list(self._acknowledgements):
@@ -120,12 +120,12 @@
 
     # Actions of the follower.
 
-    def _carry_out_all(self, actions: list[FollowerAction], now: datetime) -> None:
+    def _execute_all(self, actions: list[FollowerAction], now: datetime) -> None:
         queue = list(actions)
         while queue:
-            queue += self._carry_out(queue.pop(0), now)
+            queue += self._execute(queue.pop(0), now)
 
-    def _carry_out(self, action: FollowerAction, now: datetime) -> list[FollowerAction]:
+    def _execute(self, action: FollowerAction, now: datetime) -> list[FollowerAction]:
         """Carry out one action and return the actions that it leads to."""
         match action:
             case CheckVersion():
@@ -137,7 +137,7 @@
             case ActivateVersion():
                 self._activate(action)
             case SuspendDocument():
-                self._lose(action)
+                self._suspend(action)
             case ProposeFirstVersion():
                 self._propose_first_version(action)
         return []
@@ -185,7 +185,7 @@
         log.info("fleet: version activated document=%s version=%d", action.name, action.version)
         self._context.record_event(f"acts on version {action.version} of {action.name}", "it is in force")
 
-    def _lose(self, action: SuspendDocument) -> None:
+    def _suspend(self, action: SuspendDocument) -> None:
         effect = DISCONNECT_EFFECTS[action.policy]
         log.warning(
             "fleet: document lease lost document=%s policy=%s reason=%r",
@@ -213,11 +213,11 @@
 
     def pin(self, now: datetime, document: str, content: str) -> None:
         """Act on the given content on this node only, until the document is unpinned."""
-        self._carry_out_all(self.follower.pin(now, document, content), now)
+        self._execute_all(self.follower.pin(now, document, content), now)
 
     def unpin(self, now: datetime, document: str) -> None:
         """Act on the group's version of the document again."""
-        self._carry_out_all(self.follower.unpin(document), now)
+        self._execute_all(self.follower.unpin(document), now)
 
     def differences_from_group(self, document: str) -> list[str] | None:
         """Return how the group's active version differs from the one in force here; None if the former is unknown."""
--- a/marlstep/cluster/config_quotas.py
+++ b/marlstep/cluster/config_quotas.py
@@ -35,7 +35,7 @@
         holder = self._context.client.holder
         for tenant, reduced_to in self._lease.update(holder.quota_shares):
             self._apply(tenant)  # before the report: afterwards another node may use the released part
-            self._report(now, tenant, holder.name, reduced_to)
+            self._report_reduction(now, tenant, holder.name, reduced_to)
         for tenant in self._lease.shares:
             self._apply(tenant)
 
@@ -52,7 +52,7 @@
                 if "refused" in result:
                     self._lease.report_lost(tenant)
 
-    def _report(self, now: datetime, tenant: str, holder: str, reduced_to: int) -> None:
+    def _report_reduction(self, now: datetime, tenant: str, holder: str, reduced_to: int) -> None:
         number = self._context.client.propose(now, ConfirmShrink(tenant, holder, reduced_to))
         if number is None:
             self._lease.report_lost(tenant)
--- a/marlstep/cluster/config_uploads.py
+++ b/marlstep/cluster/config_uploads.py
@@ -25,7 +25,7 @@
     upload_id: str
     put_command: PrepareVersion
     offset: int = 0  # characters already uploaded
-    number: int | None = None  # of the pending command; None if none is pending
+    command_number: int | None = None  # of the pending command; None if none is pending
     is_put: bool = False  # whether the latest command was the put
 
     def next_command(self) -> UploadChunk | PrepareVersion:
@@ -72,21 +72,21 @@
 
     def _is_ready(self, upload: Upload) -> bool:
         """Handle the result of the pending command; return whether the next command may be proposed."""
-        if upload.number is None:
+        if upload.command_number is None:
             return True
-        result = self._context.client.take_result(upload.number)
+        result = self._context.client.take_result(upload.command_number)
         if result is None:
             return False
         if upload.is_put or "taken" not in result:
             self._uploads.remove(upload)
-            self._orders.record(upload.number, {"what": f"put {upload.document}", **result})
+            self._orders.record(upload.command_number, {"what": f"put {upload.document}", **result})
             log.info("fleet: upload ended document=%s result=%s", upload.document, result)
             return False
-        upload.offset, upload.number = int(result["taken"]), None
+        upload.offset, upload.command_number = int(result["taken"]), None
         return True
 
     def _propose(self, upload: Upload, now: datetime) -> None:
         command = upload.next_command()
         step = Step.VERSION_PROPOSING if upload.is_put else Step.CHUNK_UPLOADING
         self._context.observer.reached(step)
-        upload.number = self._context.client.propose(now, command)
+        upload.command_number = self._context.client.propose(now, command)
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -67,9 +67,9 @@
         """
         self._context, self._broadcaster = context, broadcaster
         self._upstream, self._fallback_after = upstream, fallback_after
-        self._probing: dict[str, PoolHealthChecks] = {}
+        self._pool_checks: dict[str, PoolHealthChecks] = {}
         self._next_check_at: datetime | None = None
-        self._alarm: Timer | None = None
+        self._wakeup_timer: Timer | None = None
 
     def pools(self) -> Iterable[str]:
         """Return the names of the pools whose servers can be ejected."""
@@ -79,16 +79,18 @@
         """Return the lease names of the pools whose servers can be ejected."""
         return [POOL_LEASE_PREFIX + name for name in self.pools()]
 
-    def _probing_of(self, pool: str) -> PoolHealthChecks:
-        probing = self._probing.get(pool)
-        if probing is None:
-            probing = self._probing[pool] = PoolHealthChecks(self._fallback_after)
-            self._upstream.pools[pool].table.may_probe = partial(self._may_probe, probing)
-        return probing
+    def _checks_of(self, pool: str) -> PoolHealthChecks:
+        pool_checks = self._pool_checks.get(pool)
+        if pool_checks is None:
+            pool_checks = self._pool_checks[pool] = PoolHealthChecks(self._fallback_after)
+            self._upstream.pools[pool].table.may_probe = partial(self._may_probe, pool_checks)
+        return pool_checks
 
-    def _may_probe(self, probing: PoolHealthChecks, server: str, out_until: datetime, now: datetime) -> bool:
-        is_alone = self._context.capabilities.checks_servers_itself and now >= out_until
-        return probing.may_probe(server, out_until, now) or is_alone
+    def _may_probe(
+        self, pool_checks: PoolHealthChecks, server: str, ejected_until: datetime, now: datetime
+    ) -> bool:
+        may_decide_alone = self._context.capabilities.checks_servers_itself and now >= ejected_until
+        return pool_checks.may_probe(server, ejected_until, now) or may_decide_alone
 
     def tick(self, now: datetime) -> None:
         """Check the ejected servers of the pools whose leases this process holds, at a bounded rate."""
@@ -99,14 +101,14 @@
         for pool in self.pools():
             self._check_pool(pool, now, wall)
         steady = self._context.steady
-        self._alarm = steady.at(self._next_check_at, lambda: self.tick(steady.now()))
+        self._wakeup_timer = steady.at(self._next_check_at, lambda: self.tick(steady.now()))
 
     def _check_pool(self, pool: str, now: datetime, wall: datetime) -> None:
-        probing = self._probing_of(pool)
+        pool_checks = self._checks_of(pool)
         ejected = self._upstream.pools[pool].table.ejected()
         if not self._context.client.holder.time_left(POOL_LEASE_PREFIX + pool, now):
             return
-        for server in probing.servers_to_check(ejected, wall):
+        for server in pool_checks.servers_to_check(ejected, wall):
             self._start_check(pool, server)
 
     def _start_check(self, pool: str, server: str) -> None:
@@ -120,7 +122,7 @@
         token = holder.token(lease)
         if not holder.time_left(lease, self._context.steady.now()):
             return  # the lease has expired, and another node may run the checks
-        self._probing_of(pool).check_finished(server, error is None)
+        self._checks_of(pool).check_finished(server, error is None)
         if error is None:
             log.info("fleet: server recovered, notifying all nodes pool=%s server=%s", pool, server)
             self._broadcaster.broadcast(ServerRecovered(pool, server, token))
@@ -130,11 +132,11 @@
         pool = self._upstream.pools.get(message.pool)
         if pool is None:
             return
-        if not self._probing_of(message.pool).peer_reported_recovery(
+        if not self._checks_of(message.pool).peer_reported_recovery(
             message.server, message.token, pool.table.ejected()
         ):
             self._context.counts["probes refused"] += 1
 
     def close(self) -> None:
         """Start no more checks."""
-        self._context.steady.cancel(self._alarm)
+        self._context.steady.cancel(self._wakeup_timer)
--- a/marlstep/cluster/incoming_connection.py
+++ b/marlstep/cluster/incoming_connection.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from marlstep.cluster.drop_recorder import DropRecorder
-from marlstep.cluster.wire import MAX_FRAME_HEAD_BYTES, MAX_MESSAGE_BYTES
+from marlstep.cluster.wire import MAX_FRAME_HEADER_BYTES, MAX_MESSAGE_BYTES
 from marlstep.net.framing import CorruptError, Framing
 from marlstep.net.stream import RingStream
 from marlstep.timer_queue import Timer, TimerQueue
@@ -14,7 +14,7 @@
 
 RING_SIZE = 64 * 1024  # bytes
 FIRST_FRAME_TIMEOUT = 2 * SECOND  # from the connection's opening to its first complete frame
-assert RING_SIZE >= MAX_MESSAGE_BYTES + MAX_FRAME_HEAD_BYTES
+assert RING_SIZE >= MAX_MESSAGE_BYTES + MAX_FRAME_HEADER_BYTES
 
 
 class ConnectionTable(Protocol):
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -65,7 +65,7 @@
         self.counts = context.counts
         self._framing = wire.datagram_framing(context.config.key)
         self._transport: asyncio.DatagramTransport | None = None
-        self._alarm: Timer | None = None
+        self._wakeup_timer: Timer | None = None
         self._unlisted_peers: set[str] = set()  # peers whose address was set at the transport
         context.client.holder.failed_nodes = self._failed_nodes
 
@@ -108,7 +108,7 @@
 
     def close(self) -> None:
         """Release the address. Repeated calls have no effect."""
-        self._context.steady.cancel(self._alarm)
+        self._context.steady.cancel(self._wakeup_timer)
         if self._transport is not None:
             self._transport.close()
             self._transport = None
@@ -210,17 +210,21 @@
             self._send_all(self.detector.tick(now))
         self._record_events()
         self._update_partition_state(now)
-        self._set_alarm(now)
+        self._set_wakeup_timer(now)
 
-    def _set_alarm(self, now: datetime) -> None:
+    def _set_wakeup_timer(self, now: datetime) -> None:
         due = self.detector.next_due()
         if (transition := self.partition.next_due()) is not None:
             due = min(due, transition)
         due = max(due, now + MILLISECOND)
-        if self._alarm is not None and self._alarm.callback is not None and now < self._alarm.when <= due:
+        if (
+            self._wakeup_timer is not None
+            and self._wakeup_timer.callback is not None
+            and now < self._wakeup_timer.when <= due
+        ):
             return
-        self._context.steady.cancel(self._alarm)
-        self._alarm = self._context.steady.at(due, self.run_detector)
+        self._context.steady.cancel(self._wakeup_timer)
+        self._wakeup_timer = self._context.steady.at(due, self.run_detector)
 
     def _record_events(self) -> None:
         events = self.detector.events
--- a/marlstep/cluster/node.py
+++ b/marlstep/cluster/node.py
@@ -113,8 +113,8 @@
         config = self.context.config
         if not config.shared_health_checks or upstream is None:
             return None
-        alone_after = config.leases.term * 2
-        return HealthCheckCoordinator(self.context, self.router, upstream, alone_after)
+        fallback_after = config.leases.term * 2
+        return HealthCheckCoordinator(self.context, self.router, upstream, fallback_after)
 
     def _make_membership(self) -> ClusterMembership | None:
         settings = self.context.config.membership
--- a/marlstep/cluster/recovery.py
+++ b/marlstep/cluster/recovery.py
@@ -73,7 +73,7 @@
     try:
         if opened.fresh:
             raise StoreRefusedError(store.path, "contained no state of this replica")
-        snapshot, last_token = _merged_snapshot(opened.identity, opened.state)
+        snapshot, last_token = _snapshot_of_whole_log(opened.identity, opened.state)
         store.set_group(group)
         store.save(
             Ready(
@@ -90,7 +90,7 @@
         store.close()
 
 
-def _merged_snapshot(identity: str, state: PersistentState) -> tuple[Snapshot, int]:
+def _snapshot_of_whole_log(identity: str, state: PersistentState) -> tuple[Snapshot, int]:
     """Return a snapshot of the whole log, including uncommitted entries, and the last fencing token in it."""
     leases = LeaseTable()
     machines = StateMachines({"leases": leases, "tasks": RunLog(leases)})
--- a/marlstep/cluster/replica_driver.py
+++ b/marlstep/cluster/replica_driver.py
@@ -145,7 +145,7 @@
         if self._store is None or self.replica is None or self._group.name == self._stored_group:
             return
         self._stored_group = self._group.name
-        self._run_on_store(partial(self._store.set_group, self._group.name))
+        self._run_in_store_thread(partial(self._store.set_group, self._group.name))
 
     # The turn of the node.
 
@@ -223,7 +223,7 @@
             assert self._store is not None
             self._is_saving = True
             self._context.observer.reached(Step.STORE_SAVING)
-            self._run_on_store(partial(self._store.save, ready), partial(self._saved, replica, ready))
+            self._run_in_store_thread(partial(self._store.save, ready), partial(self._saved, replica, ready))
 
     def _saved(self, replica: Replica, ready: Ready) -> None:
         self._context.observer.reached(Step.STORE_SAVED)
@@ -231,7 +231,9 @@
         for recipient, message in ready.messages:
             self._sender.send(replica.identity, recipient, message)
 
-    def _run_on_store(self, work: Callable[[], None], on_success: Callable[[], None] | None = None) -> None:
+    def _run_in_store_thread(
+        self, work: Callable[[], None], on_success: Callable[[], None] | None = None
+    ) -> None:
         assert self._executor is not None
         future = asyncio.get_running_loop().run_in_executor(self._executor, work)
         future.add_done_callback(partial(self._store_work_done, self.replica, on_success))
--- a/marlstep/cluster/router.py
+++ b/marlstep/cluster/router.py
@@ -21,8 +21,9 @@
 
 log = logging.getLogger(__name__)
 
-M = TypeVar("M")
-Handler = Callable[[datetime, wire.Envelope, M], None]  # arguments: steady time, the envelope and its message
+MessageT = TypeVar("MessageT")
+# Arguments: the time of the steady clock, the envelope, and its message.
+Handler = Callable[[datetime, wire.Envelope, MessageT], None]
 GroupChangeHandler = Callable[[GroupChange], bool]  # returns whether the message is still to be handled
 
 
@@ -44,7 +45,7 @@
 
     # Registration of handlers.
 
-    def handle(self, message_type: type[M], handler: Handler[M]) -> None:
+    def handle(self, message_type: type[MessageT], handler: Handler[MessageT]) -> None:
         """Register the handler of one message type."""
         self._handlers[message_type] = handler
 
--- a/marlstep/cluster/status_report.py
+++ b/marlstep/cluster/status_report.py
@@ -83,22 +83,22 @@
 
     def metrics(self) -> dict[str, float]:
         """Return the metrics by name; the key of a counter is part of its metric's name."""
-        figures: dict[str, float] = {
+        values: dict[str, float] = {
             "fleet_leases_held": len(self._context.client.holder.held),
             **counters("fleet_line", self._router.transport.counts),
             **counters("fleet", self._context.counts),
         }
         replica = self._replica_driver.replica
         if replica is not None:
-            figures |= {
+            values |= {
                 "fleet_leads": float(replica.raft.is_leader),
                 "fleet_term": float(replica.raft.term),
                 "fleet_commit_index": float(replica.raft.commit_index),
                 **counters("fleet_voter", replica.counts),
             }
         for name, runner in self._tasks.runners.items():
-            figures[f'fleet_task_acts_total{{task="{name}"}}'] = runner.counts["acts"]
-        return figures
+            values[f'fleet_task_acts_total{{task="{name}"}}'] = runner.counts["acts"]
+        return values
 
 
 def counters(prefix: str, counts: dict[str, int]) -> dict[str, float]:
--- a/marlstep/cluster/store.py
+++ b/marlstep/cluster/store.py
@@ -118,7 +118,7 @@
         return self._create(db, node, new_identity)
 
     def _connect(self) -> apsw.Connection:
-        with self._faults_of_opening():
+        with self._converted_open_errors():
             db = self._db = apsw.Connection(str(self.path))
             db.set_busy_timeout(0)
             for pragma in PRAGMAS:
@@ -127,7 +127,7 @@
 
     def _lock(self, db: apsw.Connection) -> bool:
         """Take the write lock on an existing file; return False if its creator died before creating the tables."""
-        with self._faults_of_opening():
+        with self._converted_open_errors():
             try:
                 with db:
                     db.execute("update facts set value = value where name = 'format'")
@@ -138,7 +138,7 @@
             return True
 
     @contextlib.contextmanager
-    def _faults_of_opening(self) -> Iterator[None]:
+    def _converted_open_errors(self) -> Iterator[None]:
         """Convert SQLite's errors for a file that is in use and for a file that is not a database."""
         try:
             yield
--- a/marlstep/cluster/task_driver.py
+++ b/marlstep/cluster/task_driver.py
@@ -51,8 +51,8 @@
             self._follow_lease(name, runner)
             if not self._context.capabilities.starts_tasks and not runner.busy:
                 continue
-            left = self._context.client.holder.time_left(TASK_LEASE_PREFIX + name, now)
-            action = runner.next_action(now, self._context.wall(), left)
+            lease_time_left = self._context.client.holder.time_left(TASK_LEASE_PREFIX + name, now)
+            action = runner.next_action(now, self._context.wall(), lease_time_left)
             if action is not None:
                 self._start(self._tasks[name], runner, action, now)
 
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -132,7 +132,7 @@
         """Submit the request of an action; `on_outcome` is called once, when the request has ended."""
         self._number += 1
         number, plan = self._number, task.plan
-        offer = InboundRequest(
+        inbound_request = InboundRequest(
             id=f"task-{number}",
             request_class=plan.request_class,
             body=write_packet(self._variables(task, action)),
@@ -146,10 +146,10 @@
             self._steady.now() + max(lease_time_left(), ZERO), lambda: self._on_deadline(number)
         )
         try:
-            task_request.handle = self._core.submit(self, (0, number), self._backend, offer)
+            task_request.handle = self._core.submit(self, (0, number), self._backend, inbound_request)
         except RequestRejectedError as fault:
             log.warning("task request rejected: task=%s reason=%s", plan.name, fault)
-            self._end(number, Outcome.NOT_RUN)
+            self._finish(number, Outcome.NOT_RUN)
 
     def _variables(self, task: TaskConfig, action: RunnerAction) -> dict[str, str]:
         """Return the variables of the uwsgi packet. Those of the operator can override the first four only."""
@@ -193,10 +193,10 @@
         if task_request is None:
             return
         handle, started = task_request.handle, task_request.started
-        self._end(number, Outcome.UNKNOWN if started else Outcome.NOT_RUN)
+        self._finish(number, Outcome.UNKNOWN if started else Outcome.NOT_RUN)
         self._core.client_disconnected(handle)
 
-    def _end(self, number: int, outcome: Outcome) -> None:
+    def _finish(self, number: int, outcome: Outcome) -> None:
         """Report the outcome of a request. Each request ends here exactly once."""
         task_request = self._requests.pop(number, None)
         if task_request is not None:
@@ -205,11 +205,11 @@
 
     # The interface of `Frontend`, called by the core.
 
-    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
+    def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
         """Handle the final response to a request, unless the request has already reached its deadline."""
-        task_request = self._requests.get(ticket[1])
+        task_request = self._requests.get(response_handle[1])
         if task_request is not None:
-            self._end(ticket[1], outcome_of(answer, task_request.started))
+            self._finish(response_handle[1], outcome_of(response, task_request.started))
 
     def limit_idle_time(self, after: timedelta) -> None:
         """Do nothing, since this frontend has no connections."""
@@ -218,14 +218,14 @@
         """Do nothing, since draining runners start no new runs."""
 
 
-def outcome_of(answer: Response, started: bool) -> Outcome:
+def outcome_of(response: Response, started: bool) -> Outcome:
     """Return the outcome that a final response proves.
 
     Only the server's response, or the fact that the request was never sent, makes the outcome certain.
     """
-    match answer.status:
+    match response.status:
         case ResponseStatus.DONE:
-            status = status_of(answer.body)
+            status = status_of(response.body)
             if status in FENCED_STATUSES:
                 return Outcome.FENCED_OFF
             return Outcome.DONE if status in SUCCESS_STATUSES else Outcome.FAILED
--- a/marlstep/cluster/turns.py
+++ b/marlstep/cluster/turns.py
@@ -17,7 +17,7 @@
         """Start without a scheduled turn; `run_turn` is called with the time of the steady clock."""
         self._context, self._run_turn = context, run_turn
         self._is_scheduled = False
-        self._alarm: Timer | None = None
+        self._wakeup_timer: Timer | None = None
 
     def schedule(self) -> None:
         """Request a turn in the next iteration of the event loop."""
@@ -34,12 +34,12 @@
     def wake_at(self, due: datetime, now: datetime) -> None:
         """Run a turn at `due`, unless an earlier one is already scheduled."""
         steady = self._context.steady
-        if self._alarm is not None and self._alarm.callback is not None:
-            if now < self._alarm.when <= due:
+        if self._wakeup_timer is not None and self._wakeup_timer.callback is not None:
+            if now < self._wakeup_timer.when <= due:
                 return
-            steady.cancel(self._alarm)
-        self._alarm = steady.at(max(due, now + MILLISECOND), self.schedule)
+            steady.cancel(self._wakeup_timer)
+        self._wakeup_timer = steady.at(max(due, now + MILLISECOND), self.schedule)
 
     def close(self) -> None:
         """Cancel the wake-up timer."""
-        self._context.steady.cancel(self._alarm)
+        self._context.steady.cancel(self._wakeup_timer)
--- a/marlstep/cluster/wire.py
+++ b/marlstep/cluster/wire.py
@@ -16,7 +16,7 @@
 STREAM_MAGIC = b"MSF1"
 MAX_MESSAGE_BYTES = 60 * 1024  # for one envelope
 MAX_KEY_BYTES = 64  # limit of BLAKE2b; the rest of a longer key is not used
-MAX_FRAME_HEAD_BYTES = 64  # upper bound; reserved in the size of a datagram
+MAX_FRAME_HEADER_BYTES = 64  # upper bound; reserved in the size of a datagram
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,13 +59,13 @@
 
 def write_datagram(fleet: str, sender: MemberRecord, message: MembershipMessage) -> bytes:
     """Return the body of a datagram with as many of the message's records as fit."""
-    carried = len(message.records)
+    record_count = len(message.records)
     while True:
-        fitting = replace(message, records=message.records[:carried])
-        body = orjson.dumps([fleet, write_records([sender])[0], DATAGRAMS.dump(fitting)])
-        if len(body) <= MAX_DATAGRAM_BYTES - MAX_FRAME_HEAD_BYTES or not carried:
+        truncated_message = replace(message, records=message.records[:record_count])
+        body = orjson.dumps([fleet, write_records([sender])[0], DATAGRAMS.dump(truncated_message)])
+        if len(body) <= MAX_DATAGRAM_BYTES - MAX_FRAME_HEADER_BYTES or not record_count:
             return body
-        carried -= 1
+        record_count -= 1
 
 
 def read_datagram(body: bytes) -> tuple[str, MemberRecord, MembershipMessage]:
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -25,8 +25,8 @@
     def __init__(self, governed_config: GovernedConfig, core: Core) -> None:
         """Start without documents; from now on documents override the configuration of the files."""
         self._config, self._core = governed_config, core
-        self._governed = governed_config.governed = DocumentOverrides()
-        self._own = governed_config.config  # as in the configuration files
+        self._overrides = governed_config.governed = DocumentOverrides()
+        self._file_config = governed_config.config  # as in the configuration files
         self._versions: dict[str, int] = {}
         self._lowest_quotas_per_s: dict[
             str, float
@@ -34,7 +34,7 @@
 
     def local_content(self, kind: str) -> object:
         """Return the content of the node's own configuration files for a kind of document, as JSON."""
-        return local_content(self._own, kind)
+        return local_content(self._file_config, kind)
 
     def check(self, kind: str, content: str) -> str:
         """Return the reason why the content is invalid together with the configuration in force; empty if it is valid.
@@ -42,7 +42,7 @@
         Documents are checked by the same code as configuration files.
         """
         try:
-            self._governed.apply_to(self._config.config, **{kind: json.loads(content)})
+            self._overrides.apply_to(self._config.config, **{kind: json.loads(content)})
         except (ConfigError, ValueError, KeyError, TypeError, AttributeError) as error:
             return str(error) or repr(error)
         return ""
@@ -55,11 +55,11 @@
         """
         document = json.loads(content)
         try:
-            self._config.apply_config(self._governed.apply_to(self._config.config, **{kind: document}))
+            self._config.apply_config(self._overrides.apply_to(self._config.config, **{kind: document}))
         except ConfigError as error:
             raise ValueError(str(error)) from error
         self._record_lowest_quotas()
-        self._governed.put(kind, document)
+        self._overrides.put(kind, document)
         self._versions[kind] = version
         self._core.config_versions = ",".join(
             f"{name}={number}" for name, number in sorted(self._versions.items())
@@ -80,8 +80,8 @@
     def tenant_counts(self) -> dict[str, int]:
         """Return the number of requests received from each tenant that has a quota."""
         core = self._core
-        with_quota = [tenant.name for tenant in core.settings.tenants if tenant.quota_per_s]
-        return {name: core.accepted_count(name) for name in with_quota}
+        tenants_with_quota = [tenant.name for tenant in core.settings.tenants if tenant.quota_per_s]
+        return {name: core.accepted_count(name) for name in tenants_with_quota}
 
     def set_quota_share(self, tenant: str, share: float) -> None:
         """Set a tenant's quota on this node to a share, from 0 to 1, of the quota of all servers.
