--- a/tests/cluster/stores.py
+++ b/tests/cluster/stores.py
@@ -1,4 +1,4 @@
-"""What the tests of the cluster's storage share."""
+"""Helpers for tests of the replica store."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def reopened(folder: Path, identity: str = "n1#new") -> OpenedStore:
-    """What a closed store of node `n1` gives when it is opened; it is closed again."""
+    """Open a closed store of node `n1`, close it again, and return the content that it had when it was opened."""
     store = ReplicaStore(folder)
     try:
         return store.open("n1", identity)
--- a/tests/cluster/support.py
+++ b/tests/cluster/support.py
@@ -1,4 +1,4 @@
-"""Plans of drills over real processes, and parts of a cluster node without sockets."""
+"""Fault plans for drills with real processes, and parts of a cluster node without sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RecordingTransport(ClusterTransport):
-    """Keeps what would be sent, and the addresses that were set."""
+    """Records sent envelopes and set addresses instead of using connections."""
 
     sent: list[tuple[str, wire.Envelope]]
     addresses: dict[str, Address]
@@ -50,7 +50,7 @@
 
 
 class NodeParts:
-    """The messages and turns of node n1, open, on a clock moved by hand; made within a running event loop."""
+    """The router and turns of the open node n1 on a manual clock. Must be created within a running event loop."""
 
     def __init__(self, folder: Path, run_turn: Callable[[datetime], None] = lambda now: None) -> None:
         self.clock = HandClock()
@@ -76,5 +76,5 @@
         return wire.Envelope(cluster, group, sender, recipient, message)
 
     def deliver(self, envelope: wire.Envelope) -> None:
-        """As a frame of another node."""
+        """Deliver an envelope as a frame from another node."""
         self.router.handle_frame(wire.write_envelope(envelope))
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes as its operators see it, and its port against foreign frames."""
+"""Operators' commands on a cluster of real processes, and its handling of foreign frames."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def test_operators_see_a_calm_cluster_and_foreign_frames_are_counted_and_change_nothing(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Ask as an operator does, then send to a node's port frames that no node of the cluster wrote."""
+    """Frames that no node of the cluster has sent are dropped and counted, and do not change its state."""
     settings = Settings(json.loads(CONFIG.read_text()))
 
     async def drill() -> None:
@@ -64,7 +64,7 @@
         Framing(b"MSF9", 1 << 16, keyed(key)).write(valid),  # another version
         b"GET / HTTP/1.1\r\n\r\n",
         b"\0" * 4096,
-        b"MSF1" + (3 << 30).to_bytes(4, "big") + b"\0" * 64,  # 3 GB are to come
+        b"MSF1" + (3 << 30).to_bytes(4, "big") + b"\0" * 64,  # announces a frame of 3 GB
         wire.stream_framing(key).write(
             wire.write_envelope(wire.Envelope("other", group, "n2#x", "n1", request))
         ),
@@ -72,7 +72,7 @@
             wire.write_envelope(wire.Envelope("drill", "1.feedbeef", "n2#x", "n1", request))
         ),
         wire.stream_framing(key).write(b'["drill", 1, 2]'),
-        wire.stream_framing(key).write(valid)[:-3],  # cut short
+        wire.stream_framing(key).write(valid)[:-3],  # truncated
     ]
     for frame in frames:
         with socket.create_connection(("127.0.0.1", port), timeout=3) as line, contextlib.suppress(OSError):
--- a/tests/cluster/test_config.py
+++ b/tests/cluster/test_config.py
@@ -1,4 +1,4 @@
-"""The `[fleet]` section of the operator's file."""
+"""Validation of the `[fleet]` section of the operator's file."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_file_identity.py
+++ b/tests/cluster/test_file_identity.py
@@ -1,4 +1,4 @@
-"""The identity of a file on its disk."""
+"""File identities after changes, renames and copies of a file."""
 
 from __future__ import annotations
 
@@ -25,5 +25,5 @@
     identity = file_identity(path)
     shutil.copy2(path, copy)
     assert file_identity(copy) != identity
-    os.replace(copy, path)  # as a restored backup is put in place
+    os.replace(copy, path)  # like restoring a backup
     assert file_identity(path) != identity
--- a/tests/cluster/test_group_commands.py
+++ b/tests/cluster/test_group_commands.py
@@ -1,4 +1,4 @@
-"""Commands that make and recover a group, without a running node."""
+"""Commands that create and recover a group without a running node."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_group_identity.py
+++ b/tests/cluster/test_group_identity.py
@@ -1,4 +1,4 @@
-"""Which group a node takes for its own."""
+"""Adoption of groups by the epochs in their names."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_health_checks.py
+++ b/tests/cluster/test_health_checks.py
@@ -1,4 +1,4 @@
-"""The health checks that one node does for all, among real processes."""
+"""Health checks of ejected servers by one node for all nodes, with real processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PoolServer:
-    """One server of a pool that can stop and recover; it counts requests by the node that they came through."""
+    """A server of a pool that can be stopped and reopened. Counts requests by the node that forwarded them."""
 
     def __init__(self, port: int) -> None:
         self.port, self.seen = port, Counter[str]()
@@ -44,7 +44,11 @@
 
 
 async def send(rig: ProcessCluster, seconds: float) -> None:
-    """Requests to every node, from clients that take whatever comes."""
+    """Send requests to every node from clients that ignore the responses.
+
+    Several clients per node are needed: the choice by expected completion tries a server that failed once again only
+    while the other servers are busy.
+    """
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
 
@@ -58,7 +62,6 @@
                 writer.close()
             await asyncio.sleep(0.02)
 
-    # Some at once: a choice by expected completion tries a server that failed once more only where others are busy.
     await asyncio.gather(*(client(node) for node in rig.nodes.values() for _ in range(6)))
 
 
@@ -80,7 +83,7 @@
         await steady.open()
         await other.open()
         async with ProcessCluster(make_plan(22, 0), settings, tmp_path) as rig:
-            for _ in range(10):  # the third server is not there: each node ejects it
+            for _ in range(10):  # the third server is not open, so each node ejects it
                 await send(rig, 2.0)
                 if await is_ejected_everywhere(rig):
                     break
@@ -88,13 +91,13 @@
             statuses = (await rig.statuses()).values()
             checks = [status["counts"].get("knocks", 0) for status in statuses]
             await ejected.open()
-            for _ in range(15):  # the choice of two gives a server that seems slower little at first
+            for _ in range(15):  # the choice of two sends few requests to a server that seems slower
                 await send(rig, 2.0)
                 if set(ejected.seen) == set(NODES):
                     break
         return sorted(checks)
 
     checks = asyncio.run(drill())
-    assert checks[-1] >= 2 and not any(checks[:-1])  # one node alone checks
-    assert set(ejected.seen) == set(NODES)  # and all give it work again
+    assert checks[-1] >= 2 and not any(checks[:-1])  # only one node checks
+    assert set(ejected.seen) == set(NODES)  # all nodes send requests to it again
     ports.close()
--- a/tests/cluster/test_lease_driver.py
+++ b/tests/cluster/test_lease_driver.py
@@ -1,4 +1,4 @@
-"""Which leases a process wants, and what it records of their changes."""
+"""Selection of the leases that a process requests, and recording of lease changes."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
         driver.release(now, keep=["task/sweep"])
         assert wanted(parts) == ["task/sweep", CONFIG_LEASE]
         assert not parts.context.client.holder.leaving
-        driver.update_wanted()  # wants nothing again
+        driver.update_wanted()  # does not request the released lease again
         assert wanted(parts) == ["task/sweep", CONFIG_LEASE]
         driver.release(now, keep=[])
         assert wanted(parts) == [CONFIG_LEASE]
--- a/tests/cluster/test_lifecycle.py
+++ b/tests/cluster/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Draining and shutdown of a node's part in the cluster."""
+"""Draining and shutdown of a cluster node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Membership:
-    """Keeps what it is asked for, in place of a real one."""
+    """Records calls in place of `ClusterMembership`."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -35,7 +35,7 @@
 
 
 class Process:
-    """The lifecycle of an open node with its drivers; made within a running event loop."""
+    """The lifecycle of an open node with its drivers. Must be created within a running event loop."""
 
     def __init__(self, folder: Path) -> None:
         self.parts = parts = NodeParts(folder, self.run_turn)
@@ -66,7 +66,7 @@
         return self.parts.context.process.is_closed
 
     def begin_run(self) -> None:
-        """As if a run of a task were open."""
+        """Set the state of a task to an open run."""
         runner = next(iter(self.tasks.runners.values()))
         runner.state, runner.token = RunnerState.EXECUTING, 5
 
@@ -140,7 +140,7 @@
         process = Process(tmp_path)
         process.lifecycle.drain()
         process.parts.clock.advance(500)
-        assert len(offers) == 3  # at once, and after each 200 ms
+        assert len(offers) == 3  # immediately, and every 200 ms
         assert not process.is_closed
         leads[0] = False
         process.parts.clock.advance(30)
--- a/tests/cluster/test_order_tracker.py
+++ b/tests/cluster/test_order_tracker.py
@@ -1,4 +1,4 @@
-"""Operators' orders that wait for their results."""
+"""Results of operators' orders, and the limit on pending orders."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_process_drills.py
+++ b/tests/cluster/test_process_drills.py
@@ -1,4 +1,4 @@
-"""A cluster of real processes with faults between them."""
+"""Drills of a cluster of real processes with injected faults."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from tests.cluster.support import CONFIG, NODES, make_plan
 
-# Each the cause of one of the hard cases; times in ms from the start, and how long.
+# Each plan causes one failure scenario. Faults begin with their start and duration in ms.
 PLANS = {
-    # Stopped between its last look at the lease and the act, for longer than the lease; then it acts, late.
-    # It must be well under the time after which the process gives the request up instead of sending it.
+    # The holder is stopped between the last check of its lease and its request, for longer than the lease, and then
+    # sends the request late. The stop must be clearly shorter than the time after which the process abandons the
+    # request instead of sending it.
     "stopped before its act": make_plan(1, 11_000, (1_500, 3_300, "stop at", "@holder", "", "left")),
-    # Cut off from the group, and not from the server; then it hears nothing, and is heard by nobody.
+    # A node is cut off from the group but not from the server; nodes that can't send, and nodes that can't receive.
     "holder cut off": make_plan(2, 11_000, (1_500, 3_000, "isolate", "@holder", "", "")),
     "heard by nobody": make_plan(3, 11_000, (1_500, 3_000, "mute", "@leader", "", "")),
     "hears nothing": make_plan(4, 11_000, (1_500, 3_000, "deaf", "@holder", "", "")),
@@ -58,7 +59,8 @@
 }  # fmt: skip
 
 
-# With a rule taken out of all nodes on purpose: whoever is cut off loses its lease, and its token is given again.
+# Run with a mutation of all nodes that reuses fencing tokens: a holder that is cut off loses its lease, and its token
+# is granted again.
 MISSED = make_plan(
     16, 13_000, (2_000, 4_000, "isolate", "@holder", "", ""), (7_000, 3_000, "kill", "@holder", "", "")
 )
@@ -66,7 +68,7 @@
 
 @pytest.fixture(scope="module")
 def drilled() -> dict[str, dict[str, Any]]:
-    """All plans, some at once: what is judged are properties, which hold however slow the machine is."""
+    """Return the reports of all plans, run in parallel. They must hold at any speed of the machine."""
     work = [(plan, str(CONFIG), "", "") for plan in PLANS.values()]
     work.append((MISSED, str(CONFIG), "", "token-reused"))
     with ProcessPoolExecutor(4) as pool:
@@ -127,7 +129,7 @@
     report = asyncio.run(drill())
     assert (
         report.effects["well"] > 5 and report.effects["stuck"] > 2
-    )  # each is given up after its longest time
+    )  # each run is abandoned after longest_ms
     assert report.outcomes["stuck"].get("may have run", 0) > 2
 
 
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -1,4 +1,4 @@
-"""Creating a group, and recovering one from the store of a single replica."""
+"""Creation of a group, and its recovery from the store of a single replica."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay between two processes of a node."""
+"""The relay of a successor's messages through its predecessor."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_replica_driver.py
+++ b/tests/cluster/test_replica_driver.py
@@ -1,4 +1,4 @@
-"""The replica's driver: which messages reach the replica, and what a change of the group does."""
+"""The replica's driver: routing of messages, saving of state, and changes of the group."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Steps:
-    """Keeps the steps that were reached."""
+    """Records the steps that the node reaches."""
 
     def __init__(self) -> None:
         self.reached_steps: list[Step] = []
@@ -103,7 +103,7 @@
             driver.tick(parts.clock.now())
             parts.clock.advance(100)
         joins = [(node, envelope) for node, envelope in parts.transport.sent if node != "n1"]
-        assert [node for node, _ in joins] == ["n2", "n3"] * 2  # at once, and after 300 ms
+        assert [node for node, _ in joins] == ["n2", "n3"] * 2  # immediately, and after 300 ms
         assert {envelope.message for _, envelope in joins} == {JoinRequest("n1", IDENTITY)}
 
     asyncio.run(course())
@@ -121,7 +121,7 @@
 
 
 def alone(parts: NodeParts) -> ReplicaDriver:
-    """The driver of the only voter of a group, whose store is made but not open."""
+    """Create the driver of a group's only voter, whose store exists but is not open."""
     parts.context.config = config = replace(parts.config, voters=("n1",))
     assert config.store is not None
     create_group(config.store, "n1", IDENTITY, "1.aa")
@@ -131,7 +131,7 @@
 
 
 async def pass_until(parts: NodeParts, driver: ReplicaDriver, reached: Callable[[], bool]) -> None:
-    """Turns on the hand clock, with real time between them for the store's thread."""
+    """Run turns on the manual clock, with real time between them for the store's thread, until the condition holds."""
     for _ in range(400):
         if reached():
             return
@@ -150,11 +150,11 @@
         replica = driver.replica
         assert replica is not None
         await pass_until(parts, driver, lambda: replica.raft.is_established_leader)
-        assert not driver.leads_others  # there are none
+        assert not driver.leads_others  # it is the only voter
         reached = steps.reached_steps
         assert set(reached) == {Step.STORE_SAVING, Step.STORE_SAVED}
         after_saving = {after for step, after in pairwise(reached) if step is Step.STORE_SAVING}
-        assert after_saving == {Step.STORE_SAVED}  # one at a time
+        assert after_saving == {Step.STORE_SAVED}  # saves do not overlap
         await driver.close()
         assert driver.replica is None
 
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -1,4 +1,4 @@
-"""Where the messages of a node go."""
+"""Routing of messages to handlers and to other nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Handlers:
-    """Records what the router hands over."""
+    """Records the messages and group changes that the router passes to handlers."""
 
     def __init__(self, parts: NodeParts, accepts_change: bool = True) -> None:
         self.recovered: list[ServerRecovered] = []
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -1,4 +1,4 @@
-"""A replica's store on a disk where it is truncated, corrupt, copied, full, read-only, in use or of another version."""
+"""A replica's store: truncated, corrupt and copied files, full disks, files in use, and other format versions."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A store with ten entries."""
+    """The folder of a store with ten entries."""
     store = ReplicaStore(tmp_path / "s")
     assert store.open("n1", "n1#a").fresh
     store.set_group("1.g")
@@ -41,7 +41,7 @@
     assert [entry.index for entry in opened.state.entries] == list(range(1, 11))
     store = ReplicaStore(folder)
     store.open("n1", "x")
-    store.save(ready(6, 7, term=2))  # another leader's log goes on differently from 6 on
+    store.save(ready(6, 7, term=2))  # another leader replaces the entries from index 6 on
     group = Configuration(("n1#a",))
     store.save(Ready(2, 2, "", Snapshot(5, 1, group, "data"), keep_after_index=3))
     store.close()
@@ -61,7 +61,7 @@
     shutil.copytree(tmp_path / "backup", folder)
     opened = reopened(folder)
     assert opened.fresh and opened.identity == "n1#new" and opened.state.term == 0
-    assert (folder / "voter.aside-1").exists()  # kept for a post-mortem
+    assert (folder / "voter.aside-1").exists()  # kept for analysis
 
 
 def test_a_truncated_file_or_one_with_a_flipped_bit_is_never_read_as_intact(folder: Path) -> None:
@@ -84,14 +84,14 @@
         try:
             opened = reopened(folder)
         except StoreRefusedError:
-            continue  # the format's own number was hit
+            continue  # the flipped bit raised the format version
         except StoreError:
             continue
         intact_again = [entry.body for entry in opened.state.entries] == [
             f'{{"n":{index}}}' for index in range(1, 11)
         ]
         assert opened.fresh or intact_again or path.stat().st_ino != stat.st_ino
-        if opened.fresh:  # set aside: put a file of the old identity back
+        if opened.fresh:  # the file was set aside: create a store with the old identity again
             path.unlink()
             for aside in folder.glob("*aside*"):
                 aside.unlink()
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -1,4 +1,4 @@
-"""Connections between nodes whose other end sends nothing or does not read."""
+"""Connections between nodes whose peer sends nothing or does not read."""
 
 from __future__ import annotations
 
--- a/tests/cluster/test_turns.py
+++ b/tests/cluster/test_turns.py
@@ -1,4 +1,4 @@
-"""When a node's turn runs."""
+"""Scheduling of a node's turns."""
 
 from __future__ import annotations
 
--- a/tests/components/test_registry.py
+++ b/tests/components/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry of components: each is made only where the configuration turns it on, in a fixed order."""
+"""The registry of components: each is created only if the configuration enables it, in a fixed order."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def made(config: Config) -> Node:
-    """A node that is not opened; its cluster needs a running loop."""
+    """Create a node without opening it, within an event loop, which its cluster needs."""
 
     async def make() -> Node:
         return Node(config, HandClock().timeline)
