--- a/tests/cluster/stores.py
+++ b/tests/cluster/stores.py
@@ -7,7 +7,7 @@
 from marlstep.cluster.store import OpenedStore, ReplicaStore
 
 
-def reopened(folder: Path, identity: str = "n1#new") -> OpenedStore:
+def reopen(folder: Path, identity: str = "n1#new") -> OpenedStore:
     """Open a closed store of node `n1`, close it again, and return the content that it had when it was opened."""
     store = ReplicaStore(folder)
     try:
--- a/tests/cluster/test_admin.py
+++ b/tests/cluster/test_admin.py
@@ -18,7 +18,7 @@
 from tests.cluster.support import CONFIG, make_plan
 
 
-def test_operators_see_a_calm_cluster_and_foreign_frames_are_counted_and_change_nothing(
+def test_operator_commands_succeed_and_foreign_frames_are_counted_without_effect(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     """Frames that no node of the cluster has sent are dropped and counted, and do not change its state."""
@@ -39,8 +39,8 @@
             operator = str(rig.nodes["n1"].folder / "operator.toml")
             for command in ("status", "leases", "log"):
                 for extra in ([], ["--json"]):
-                    words = ["fleet", command, "--operator", operator, *extra]
-                    assert await asyncio.to_thread(call, words) == 0
+                    arguments = ["fleet", command, "--operator", operator, *extra]
+                    assert await asyncio.to_thread(call, arguments) == 0
             metrics = await asyncio.to_thread(fetch, rig.nodes["n1"].admin, "/v1/metrics", rig.token)
             assert b"# TYPE marlstep_fleet_term gauge" in metrics
             assert b"marlstep_fleet_line_corrupt_total" in metrics
@@ -51,9 +51,9 @@
 
 
 def fetch(port: int, path: str, token: str) -> bytes:
-    with socket.create_connection(("127.0.0.1", port), timeout=3) as line:
-        line.sendall(f"GET {path} HTTP/1.1\r\nAuthorization: Bearer {token}\r\n\r\n".encode())
-        return b"".join(iter(lambda: line.recv(65536), b""))
+    with socket.create_connection(("127.0.0.1", port), timeout=3) as connection:
+        connection.sendall(f"GET {path} HTTP/1.1\r\nAuthorization: Bearer {token}\r\n\r\n".encode())
+        return b"".join(iter(lambda: connection.recv(65536), b""))
 
 
 def send_foreign_frames(port: int, key: bytes, group: str) -> None:
@@ -75,7 +75,10 @@
         wire.stream_framing(key).write(valid)[:-3],  # truncated
     ]
     for frame in frames:
-        with socket.create_connection(("127.0.0.1", port), timeout=3) as line, contextlib.suppress(OSError):
-            line.sendall(frame)
-            line.shutdown(socket.SHUT_WR)
-            line.recv(100)
+        with (
+            socket.create_connection(("127.0.0.1", port), timeout=3) as connection,
+            contextlib.suppress(OSError),
+        ):
+            connection.sendall(frame)
+            connection.shutdown(socket.SHUT_WR)
+            connection.recv(100)
--- a/tests/cluster/test_admin_orders.py
+++ b/tests/cluster/test_admin_orders.py
@@ -27,7 +27,7 @@
         ("believe", {"nodes": ["n5", "n4"]}, {"m": "members", "do": "believe", "nodes": ["n5", "n4"]}),
     ],
 )
-def test_an_order_becomes_the_command_that_the_log_stores(
+def test_an_order_is_converted_to_the_stored_form_of_its_command(
     order: str, arguments: dict[str, Any], command: dict[str, Any]
 ) -> None:
     assert list(roster_command(order, arguments).to_json().items()) == list(command.items())
--- a/tests/cluster/test_config.py
+++ b/tests/cluster/test_config.py
@@ -10,7 +10,7 @@
 from marlstep.config import ConfigError, check
 from tests.support.node import SETTINGS, raw_config
 
-GOOD: dict[str, Any] = {
+VALID_SECTION: dict[str, Any] = {
     "name": "f",
     "voters": ["n1"],
     "nodes": {"n1": "127.0.0.1:7001", "n2": "127.0.0.1:7002"},
@@ -34,11 +34,11 @@
         ({"tasks": {"t": {"every_ms": 1000, "class": "schedule-save"}}}, "fleet.tasks needs [uwsgi]"),
     ],
 )
-def test_an_error_names_the_key_of_a_wrong_cluster_section(
+def test_the_error_for_an_invalid_cluster_section_names_the_key(
     changes: dict[str, Any], message: str, tmp_path: Path
 ) -> None:
     (tmp_path / "key").write_text("k" * 32)
-    section = {**GOOD, "key_file": str(tmp_path / "key"), "store": str(tmp_path)}
+    section = {**VALID_SECTION, "key_file": str(tmp_path / "key"), "store": str(tmp_path)}
     assert check(raw_config(settings=SETTINGS), {"fleet": section}).cluster is not None
     with pytest.raises(ConfigError, match=message.replace("[", r"\[")):
         check(raw_config(settings=SETTINGS), {"fleet": {**section, **changes}})
@@ -56,9 +56,11 @@
         ({"every_ms": 1000, "class": "schedule-save", "vars": {"A": 1}}, "vars.A must be text"),
     ],
 )
-def test_an_error_names_the_key_of_a_wrong_task(task: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_the_error_for_an_invalid_task_names_the_key(
+    task: dict[str, Any], message: str, tmp_path: Path
+) -> None:
     (tmp_path / "key").write_text("k" * 32)
-    fleet = {**GOOD, "key_file": str(tmp_path / "key"), "store": str(tmp_path), "tasks": {"t": task}}
+    fleet = {**VALID_SECTION, "key_file": str(tmp_path / "key"), "store": str(tmp_path), "tasks": {"t": task}}
     uwsgi = {"listen": "127.0.0.1:0", "upstream": "127.0.0.1:1", "vars": {"class": "X"}}
     with pytest.raises(ConfigError, match=message):
         check(raw_config(settings=SETTINGS), {"fleet": fleet, "uwsgi": uwsgi})
--- a/tests/cluster/test_group_identity.py
+++ b/tests/cluster/test_group_identity.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "named", "change", "after"),
+    ("known", "observed", "change", "after"),
     [
         ("", "", GroupChange.UNCHANGED, ""),
         ("1.aa", "", GroupChange.UNCHANGED, "1.aa"),
@@ -20,11 +20,11 @@
         ("9.aa", "10.bb", GroupChange.REPLACED, "10.bb"),
     ],
 )
-def test_a_group_is_adopted_only_where_its_epoch_is_later(
-    known: str, named: str, change: GroupChange, after: str
+def test_a_group_is_adopted_only_if_its_epoch_is_later(
+    known: str, observed: str, change: GroupChange, after: str
 ) -> None:
     group = GroupIdentity(known)
-    assert group.observe(named) is change
+    assert group.observe(observed) is change
     assert group.name == after
 
 
--- a/tests/cluster/test_health_checks.py
+++ b/tests/cluster/test_health_checks.py
@@ -19,7 +19,7 @@
     """A server of a pool that can be stopped and reopened. Counts requests by the node that forwarded them."""
 
     def __init__(self, port: int) -> None:
-        self.port, self.seen = port, Counter[str]()
+        self.port, self.requests_by_node = port, Counter[str]()
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -37,13 +37,13 @@
                     break
                 ring.put(data)
             if packet is not None:
-                self.seen[packet.variables["HTTP_X_NODE"]] += 1
+                self.requests_by_node[packet.variables["HTTP_X_NODE"]] += 1
                 writer.write(write_response(200, {}, "done"))
                 await writer.drain()
         writer.close()
 
 
-async def send(rig: ProcessCluster, seconds: float) -> None:
+async def send_requests(rig: ProcessCluster, seconds: float) -> None:
     """Send requests to every node from clients that ignore the responses.
 
     Several clients per node are needed: the choice by expected completion tries a server that failed once again only
@@ -73,7 +73,9 @@
     return min(failed) >= 5
 
 
-def test_one_node_alone_checks_an_ejected_server_and_notifies_all_of_its_recovery(tmp_path: Path) -> None:
+def test_only_one_node_checks_an_ejected_server_and_it_notifies_all_nodes_of_the_recovery(
+    tmp_path: Path,
+) -> None:
     ports = Ports()
     steady, other, ejected = (PoolServer(ports.take()) for _ in range(3))
     pool = tuple(f"127.0.0.1:{server.port}" for server in (steady, other, ejected))
@@ -84,20 +86,20 @@
         await other.open()
         async with ProcessCluster(make_plan(22, 0), settings, tmp_path) as rig:
             for _ in range(10):  # the third server is not open, so each node ejects it
-                await send(rig, 2.0)
+                await send_requests(rig, 2.0)
                 if await is_ejected_everywhere(rig):
                     break
-            await send(rig, 2.0)
+            await send_requests(rig, 2.0)
             statuses = (await rig.statuses()).values()
             checks = [status["counts"].get("knocks", 0) for status in statuses]
             await ejected.open()
             for _ in range(15):  # the choice of two sends few requests to a server that seems slower
-                await send(rig, 2.0)
-                if set(ejected.seen) == set(NODES):
+                await send_requests(rig, 2.0)
+                if set(ejected.requests_by_node) == set(NODES):
                     break
         return sorted(checks)
 
     checks = asyncio.run(drill())
     assert checks[-1] >= 2 and not any(checks[:-1])  # only one node checks
-    assert set(ejected.seen) == set(NODES)  # all nodes send requests to it again
+    assert set(ejected.requests_by_node) == set(NODES)  # all nodes send requests to it again
     ports.close()
--- a/tests/cluster/test_lifecycle.py
+++ b/tests/cluster/test_lifecycle.py
@@ -18,7 +18,7 @@
 from tests.cluster.support import NodeParts
 
 
-class Membership:
+class RecordingMembership:
     """Records calls in place of `ClusterMembership`."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         self.leases = LeaseDriver(
             parts.context, parts.turns, parts.router, self.tasks.lease_names, "rules/n1/b"
         )
-        self.membership = Membership()
+        self.membership = RecordingMembership()
         self.lifecycle = Lifecycle(
             parts.context,
             parts.turns,
@@ -65,14 +65,14 @@
     def is_closed(self) -> bool:
         return self.parts.context.process.is_closed
 
-    def begin_run(self) -> None:
+    def set_open_run(self) -> None:
         """Set the state of a task to an open run."""
         runner = next(iter(self.tasks.runners.values()))
         runner.state, runner.token = RunnerState.EXECUTING, 5
 
 
-def test_an_idle_process_leaves_at_once_and_releases_its_resources(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_an_idle_process_leaves_immediately_and_releases_its_resources(tmp_path: Path) -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
         process.lifecycle.drain()
         assert process.is_closed
@@ -80,13 +80,13 @@
         await asyncio.sleep(0.01)
         assert process.membership.calls == ["leave", "close"]
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_an_open_run_is_waited_for_and_no_new_one_is_begun(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_draining_waits_for_open_runs_and_starts_no_new_ones(tmp_path: Path) -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
-        process.begin_run()
+        process.set_open_run()
         process.lifecycle.drain()
         assert process.lifecycle.is_draining
         assert all(runner.draining for runner in process.tasks.runners.values())
@@ -96,28 +96,28 @@
         process.parts.clock.advance(30)
         assert process.is_closed
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_run_that_does_not_end_is_given_up_after_the_timeout(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_draining_ends_after_the_timeout_if_a_run_does_not_end(tmp_path: Path) -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
-        process.begin_run()
+        process.set_open_run()
         process.lifecycle.drain()
         process.parts.clock.advance(DRAIN_TIMEOUT / MILLISECOND - 50)
         assert not process.is_closed
         process.parts.clock.advance(100)
         assert process.is_closed
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_process_cut_off_from_all_others_does_not_wait_to_hand_over(
+def test_a_process_cut_off_from_all_nodes_leaves_without_a_transfer(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     cut_off = next(state for state in PartitionState if not CAPABILITIES[state].transfers_leases)
 
-    async def course() -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
         monkeypatch.setattr(ReplicaDriver, "leads_others", property(lambda self: True))
         tracker = process.parts.context.partition = PartitionTracker(process.parts.clock.now())
@@ -125,10 +125,10 @@
         process.lifecycle.drain()
         assert process.is_closed
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_leader_offers_leadership_every_interval_until_it_has_lost_it(
+def test_a_leader_retries_the_leadership_transfer_every_interval_until_it_succeeds(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     offers: list[object] = []
@@ -136,7 +136,7 @@
     monkeypatch.setattr(ReplicaDriver, "leads_others", property(lambda self: leads[0]))
     monkeypatch.setattr(ReplicaDriver, "transfer_leadership", lambda self: offers.append("offer"))
 
-    async def course() -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
         process.lifecycle.drain()
         process.parts.clock.advance(500)
@@ -146,39 +146,39 @@
         process.parts.clock.advance(30)
         assert process.is_closed
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_process_with_a_successor_does_not_announce_that_its_node_leaves(
+def test_a_process_with_a_successor_does_not_announce_that_the_node_leaves(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
         monkeypatch.setattr(type(process.parts.relay), "has_successor", property(lambda self: True))
         process.lifecycle.drain()
         await asyncio.sleep(0.01)
         assert process.membership.calls == ["close"]
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_process_that_has_not_begun_to_take_part_is_closed_without_draining(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_process_that_has_not_joined_is_closed_without_draining(tmp_path: Path) -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
         process.parts.context.process.is_open = False
         process.lifecycle.drain()
         assert process.is_closed
         assert process.membership.calls == []
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_closed_process_has_no_turns_and_may_be_closed_again(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_closed_process_does_not_announce_leaving_and_can_be_closed_again(tmp_path: Path) -> None:
+    async def scenario() -> None:
         process = Process(tmp_path)
         await process.lifecycle.close()
         await process.lifecycle.close()
         assert process.is_closed
         assert "leave" not in process.membership.calls
 
-    asyncio.run(course())
+    asyncio.run(scenario())
--- a/tests/cluster/test_process_drills.py
+++ b/tests/cluster/test_process_drills.py
@@ -61,23 +61,25 @@
 
 # Run with a mutation of all nodes that reuses fencing tokens: a holder that is cut off loses its lease, and its token
 # is granted again.
-MISSED = make_plan(
+MUTATED_PLAN = make_plan(
     16, 13_000, (2_000, 4_000, "isolate", "@holder", "", ""), (7_000, 3_000, "kill", "@holder", "", "")
 )
 
 
 @pytest.fixture(scope="module")
-def drilled() -> dict[str, dict[str, Any]]:
+def drill_reports() -> dict[str, dict[str, Any]]:
     """Return the reports of all plans, run in parallel. They must hold at any speed of the machine."""
     work = [(plan, str(CONFIG), "", "") for plan in PLANS.values()]
-    work.append((MISSED, str(CONFIG), "", "token-reused"))
+    work.append((MUTATED_PLAN, str(CONFIG), "", "token-reused"))
     with ProcessPoolExecutor(4) as pool:
         return dict(zip([*PLANS, "missed"], pool.map(process_one, work), strict=True))
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_two_lease_holders_never_act_at_once(name: str, drilled: dict[str, dict[str, Any]]) -> None:
-    report = drilled[name]
+def test_two_lease_holders_never_act_concurrently(
+    name: str, drill_reports: dict[str, dict[str, Any]]
+) -> None:
+    report = drill_reports[name]
     evidence = {
         key: report.get(key)
         for key in ("fault", "overlaps", "late_accepted", "run_twice", "unexpected", "struck")
@@ -86,45 +88,49 @@
     assert report["acts"] > 10
 
 
-def test_the_checkers_find_a_rule_that_real_nodes_miss_on_purpose(drilled: dict[str, Any]) -> None:
-    report = drilled["missed"]
+def test_the_checkers_detect_a_mutation_of_all_nodes_that_reuses_tokens(
+    drill_reports: dict[str, Any],
+) -> None:
+    report = drill_reports["missed"]
     assert report["verdict"] == "broken" and report["shared_tokens"] and report["acts"] > 10
 
 
-def test_a_request_that_comes_after_its_lease_is_rejected_by_its_token(drilled: dict[str, Any]) -> None:
-    report = drilled["stopped before its act"]
+def test_a_request_that_arrives_after_its_lease_expired_is_rejected_by_its_token(
+    drill_reports: dict[str, Any],
+) -> None:
+    report = drill_reports["stopped before its act"]
     assert report["struck"]["stopped at hooks"] == 1
     assert report["refused_late"] >= 1 and report["fences"] >= 1
 
 
 def test_a_replica_that_lost_its_store_rejoins_under_a_new_identity_and_votes(
-    drilled: dict[str, Any],
+    drill_reports: dict[str, Any],
 ) -> None:
-    nodes = drilled["a voter loses its store"]["nodes"]
+    nodes = drill_reports["a voter loses its store"]["nodes"]
     assert all(nodes[name]["role"] in ("leader", "follower") for name in NODES[:3])
 
 
-def test_an_upgrade_hands_the_vote_over_without_two_voters(drilled: dict[str, Any]) -> None:
-    report = drilled["each voter upgraded in turn"]
+def test_each_upgraded_voter_is_replaced_by_its_successor(drill_reports: dict[str, Any]) -> None:
+    report = drill_reports["each voter upgraded in turn"]
     assert report["struck"]["upgraded"] == 3 and len(report["elders_gone_s"]) == 3
 
 
-def test_a_node_is_notified_that_its_clock_drifts_too_much(drilled: dict[str, Any]) -> None:
-    nodes = drilled["one clock errs by a fifth"]["nodes"].values()
+def test_a_node_counts_clock_drift_beyond_the_bound(drill_reports: dict[str, Any]) -> None:
+    nodes = drill_reports["one clock errs by a fifth"]["nodes"].values()
     assert any(node["counts"] and node["counts"].get("drifts") for node in nodes)
 
 
-def test_a_task_that_never_ends_does_not_delay_others(tmp_path: Path) -> None:
+def test_a_task_whose_runs_never_end_does_not_delay_other_tasks(tmp_path: Path) -> None:
     tasks = {
         "stuck": {"every_ms": 400, "class": "schedule-save", "longest_ms": 250},
         "well": {"every_ms": 250, "class": "schedule-save", "longest_ms": 250},
     }
     settings = Settings(json.loads(CONFIG.read_text()), tasks=tasks, hang=("stuck",))
 
-    async def drill() -> Counts:
+    async def drill() -> TaskCounts:
         async with ProcessCluster(make_plan(20, 5_000), settings, tmp_path) as rig:
             await rig.run()
-            return Counts(rig)
+            return TaskCounts(rig)
 
     report = asyncio.run(drill())
     assert (
@@ -133,7 +139,7 @@
     assert report.outcomes["stuck"].get("may have run", 0) > 2
 
 
-class Counts:
+class TaskCounts:
     def __init__(self, rig: ProcessCluster) -> None:
         acts = [act for act in rig.effect_recorder.effects if act.accepted]
         self.effects = {name: sum(act.task == name for act in acts) for name in rig.settings.tasks}
@@ -141,13 +147,15 @@
         for node in rig.nodes.values():
             with contextlib.suppress(OSError, ValueError):
                 for task in self._leases(node.admin, rig.token)["tasks"]:
-                    for what, count in task["counts"].items():
-                        own = self.outcomes[task["name"]]
-                        own[what] = own.get(what, 0) + count
+                    for outcome, count in task["counts"].items():
+                        outcome_counts = self.outcomes[task["name"]]
+                        outcome_counts[outcome] = outcome_counts.get(outcome, 0) + count
 
     @staticmethod
     def _leases(port: int, token: str) -> Any:
-        with socket.create_connection(("127.0.0.1", port), timeout=3) as line:
-            line.sendall(f"GET /v1/fleet/leases HTTP/1.1\r\nAuthorization: Bearer {token}\r\n\r\n".encode())
-            data = b"".join(iter(lambda: line.recv(65536), b""))
+        with socket.create_connection(("127.0.0.1", port), timeout=3) as connection:
+            connection.sendall(
+                f"GET /v1/fleet/leases HTTP/1.1\r\nAuthorization: Bearer {token}\r\n\r\n".encode()
+            )
+            data = b"".join(iter(lambda: connection.recv(65536), b""))
         return json.loads(data.partition(b"\r\n\r\n")[2])
--- a/tests/cluster/test_recovery.py
+++ b/tests/cluster/test_recovery.py
@@ -11,14 +11,14 @@
 from marlstep.cluster.store_errors import StoreRefusedError
 from marlstep.consensus.log import Configuration, EntryType, LogEntry
 from marlstep.consensus.raft import Ready
-from tests.cluster.stores import reopened
+from tests.cluster.stores import reopen
 
 
-def test_a_group_is_created_once_and_recovers_from_one_store_with_tokens_far_above(tmp_path: Path) -> None:
+def test_a_group_is_created_once_and_recovered_from_one_store_with_much_higher_tokens(tmp_path: Path) -> None:
     create_group(tmp_path, "n1", "n1#a", "1.g")
     with pytest.raises(StoreRefusedError, match="already exists"):
         create_group(tmp_path, "n1", "n1#b", "1.h")
-    opened = reopened(tmp_path)
+    opened = reopen(tmp_path)
     assert opened.state.snapshot.configuration == Configuration(("n1#a",)) and opened.group == "1.g"
     store = ReplicaStore(tmp_path)
     store.open("n1", "x")
@@ -31,7 +31,7 @@
     store.close()
     recovered = recover_group(tmp_path, "n1", "2.h")
     assert recovered.to_json() == {"identity": "n1#a", "group": "2.h", "entries": 2, "token": 1_000_001}
-    opened = reopened(tmp_path)
+    opened = reopen(tmp_path)
     assert (
         opened.group == "2.h"
         and opened.state.snapshot.configuration == Configuration(("n1#a",))
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -16,14 +16,14 @@
 JOIN = JoinRequest("n2", "n2#x")
 
 
-def announced(parts: NodeParts, sender: str = SUCCESSOR, holder: str = SUCCESSOR, port: int = 7999) -> None:
+def announce(parts: NodeParts, sender: str = SUCCESSOR, holder: str = SUCCESSOR, port: int = 7999) -> None:
     parts.deliver(parts.envelope(sender, "n1", RelayAnnouncement(holder, port)))
 
 
 def test_messages_to_and_from_the_successor_are_forwarded(tmp_path: Path) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
-        announced(parts)
+        announce(parts)
         assert parts.relay.has_successor
         assert parts.transport.addresses == {SUCCESSOR: (parts.config.listen[0], 7999)}
         to_successor = parts.envelope("n2", SUCCESSOR, JOIN)
@@ -32,45 +32,45 @@
         parts.deliver(from_successor)
         assert parts.transport.sent == [(SUCCESSOR, to_successor), ("n3", from_successor)]
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("sender", "holder"), [("n2/b", "n2/b"), ("n2/b", SUCCESSOR), (SUCCESSOR, "n2/b")])
-def test_an_announcement_counts_only_from_a_process_of_this_node_itself(
+def test_only_announcements_of_processes_of_this_node_about_themselves_are_accepted(
     sender: str, holder: str, tmp_path: Path
 ) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
-        announced(parts, sender, holder)
+        announce(parts, sender, holder)
         assert not parts.relay.has_successor
         assert parts.transport.addresses == {}
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_later_successor_takes_the_place_of_the_earlier(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_later_successor_replaces_the_earlier_one(tmp_path: Path) -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
-        announced(parts)
-        announced(parts, "n1/third", "n1/third", 7998)
+        announce(parts)
+        announce(parts, "n1/third", "n1/third", 7998)
         assert parts.transport.addresses == {"n1/third": (parts.config.listen[0], 7998)}
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
 def test_a_process_that_is_a_successor_itself_does_not_relay(tmp_path: Path) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
-        announced(parts)
+        announce(parts)
         parts.context.process.relay_port = 7000
         parts.deliver(parts.envelope("n2", SUCCESSOR, JOIN))
         assert parts.transport.sent == []
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_the_successor_repeats_its_announcement_until_it_has_the_address(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_successor_repeats_its_announcement_while_it_listens_on_its_own_port(tmp_path: Path) -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         announcer = RelayAnnouncer(parts.context, parts.router)
         announcer.tick(parts.clock.now())
@@ -84,4 +84,4 @@
         assert messages == [RelayAnnouncement(parts.context.process_name, 7999)] * 3
         assert announcer.next_due() is not None
 
-    asyncio.run(course())
+    asyncio.run(scenario())
--- a/tests/cluster/test_router.py
+++ b/tests/cluster/test_router.py
@@ -38,8 +38,8 @@
         return self._accepts_change
 
 
-def test_a_message_goes_to_the_handler_of_its_type_and_others_to_the_replica(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_message_is_passed_to_the_handler_of_its_type_or_to_the_default_handler(tmp_path: Path) -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         handlers = Handlers(parts)
         parts.deliver(parts.envelope("n2/b", "n1", RECOVERED))
@@ -48,22 +48,22 @@
         assert handlers.others == [JOIN]
         assert parts.context.counts["received"] == 2
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
 def test_a_message_of_another_cluster_is_dropped_and_counted(tmp_path: Path) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         handlers = Handlers(parts)
         parts.deliver(parts.envelope("n2/b", "n1", RECOVERED, cluster="other"))
         assert handlers.recovered == []
         assert parts.transport.counts["another fleet"] == 1
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_message_of_another_group_is_handled_only_where_its_epoch_is_later(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_message_of_another_group_is_handled_only_if_its_epoch_is_later(tmp_path: Path) -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         handlers = Handlers(parts)
         parts.group.name = "2.aa"
@@ -74,23 +74,23 @@
         parts.deliver(parts.envelope("n2/b", "n1", RECOVERED, group="3.bb"))
         assert (handlers.recovered, handlers.changes) == ([RECOVERED], [GroupChange.REPLACED])
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_message_is_not_handled_where_the_replica_gives_up_its_group(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_message_is_not_handled_if_the_group_change_handler_returns_false(tmp_path: Path) -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         handlers = Handlers(parts, accepts_change=False)
         parts.deliver(parts.envelope("n2/b", "n1", RECOVERED, group="1.aa"))
         assert (handlers.recovered, handlers.changes) == ([], [GroupChange.ADOPTED])
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_message_to_the_own_node_is_handled_in_the_next_iteration_unless_it_is_closed(
+def test_a_message_to_this_node_is_handled_in_the_next_iteration_unless_the_process_is_closed(
     tmp_path: Path,
 ) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         handlers = Handlers(parts)
         parts.router.send("n1#x", "n1", JOIN)
@@ -103,25 +103,25 @@
         assert handlers.others == [JOIN]
         assert parts.transport.sent == []
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_broadcast_goes_to_each_other_node_once(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_broadcast_is_sent_to_each_other_node_once(tmp_path: Path) -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         parts.router.broadcast(RECOVERED)
         assert [node for node, _ in parts.transport.sent] == ["n2", "n3", "n4", "n5", "n6"]
         assert {envelope.sender for _, envelope in parts.transport.sent} == {parts.context.process_name}
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
 def test_a_successor_sends_everything_through_its_predecessor(tmp_path: Path) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         parts = NodeParts(tmp_path)
         parts.context.process.relay_port = 7999
         parts.router.send(parts.context.process_name, "n2", JOIN)
         [(node, envelope)] = parts.transport.sent
         assert (node, envelope.to) == ("n1", "n2")
 
-    asyncio.run(course())
+    asyncio.run(scenario())
--- a/tests/cluster/test_store.py
+++ b/tests/cluster/test_store.py
@@ -15,12 +15,14 @@
 from marlstep.cluster.store_errors import StoreError, StoreRefusedError
 from marlstep.consensus.log import Configuration, EntryType, LogEntry, PersistentState, Snapshot
 from marlstep.consensus.raft import Ready
-from tests.cluster.stores import reopened
+from tests.cluster.stores import reopen
 
 
-def ready(first: int, last: int, term: int = 1, **other: object) -> Ready:
-    rows = [LogEntry(index, term, EntryType.COMMAND, f'{{"n":{index}}}') for index in range(first, last + 1)]
-    return Ready(1, term, "n1#a", entries=rows, **other)  # type: ignore[arg-type]
+def make_ready(first: int, last: int, term: int = 1, **other: object) -> Ready:
+    entries = [
+        LogEntry(index, term, EntryType.COMMAND, f'{{"n":{index}}}') for index in range(first, last + 1)
+    ]
+    return Ready(1, term, "n1#a", entries=entries, **other)  # type: ignore[arg-type]
 
 
 @pytest.fixture
@@ -29,42 +31,42 @@
     store = ReplicaStore(tmp_path / "s")
     assert store.open("n1", "n1#a").fresh
     store.set_group("1.g")
-    store.save(ready(1, 10))
+    store.save(make_ready(1, 10))
     store.close()
     return tmp_path / "s"
 
 
-def test_a_reopened_store_has_what_was_saved(folder: Path) -> None:
-    opened = reopened(folder)
+def test_a_reopened_store_contains_the_saved_state(folder: Path) -> None:
+    opened = reopen(folder)
     assert (opened.identity, opened.group, opened.fresh) == ("n1#a", "1.g", False)
     assert (opened.state.term, opened.state.voted_for) == (1, "n1#a")
     assert [entry.index for entry in opened.state.entries] == list(range(1, 11))
     store = ReplicaStore(folder)
     store.open("n1", "x")
-    store.save(ready(6, 7, term=2))  # another leader replaces the entries from index 6 on
+    store.save(make_ready(6, 7, term=2))  # another leader replaces the entries from index 6 on
     group = Configuration(("n1#a",))
     store.save(Ready(2, 2, "", Snapshot(5, 1, group, "data"), keep_after_index=3))
     store.close()
-    saved = reopened(folder).state
+    saved = reopen(folder).state
     assert saved.snapshot == Snapshot(5, 1, group, "data")
     assert [entry.index for entry in saved.entries] == [6, 7]
     store = ReplicaStore(folder)
     store.open("n1", "x")
     store.save(Ready(3, 3, "", Snapshot(90, 3, group, "far"), replaces_log=True, keep_after_index=90))
     store.close()
-    assert reopened(folder).state == PersistentState(3, "", Snapshot(90, 3, group, "far"), [])
+    assert reopen(folder).state == PersistentState(3, "", Snapshot(90, 3, group, "far"), [])
 
 
 def test_a_copy_is_set_aside_and_the_replica_gets_a_new_identity(folder: Path, tmp_path: Path) -> None:
     shutil.copytree(folder, tmp_path / "backup")
     shutil.rmtree(folder)
     shutil.copytree(tmp_path / "backup", folder)
-    opened = reopened(folder)
+    opened = reopen(folder)
     assert opened.fresh and opened.identity == "n1#new" and opened.state.term == 0
     assert (folder / "voter.aside-1").exists()  # kept for analysis
 
 
-def test_a_truncated_file_or_one_with_a_flipped_bit_is_never_read_as_intact(folder: Path) -> None:
+def test_a_truncated_file_or_a_flipped_bit_never_yields_wrong_entries(folder: Path) -> None:
     path = folder / FILE_NAME
     intact = path.read_bytes()
     stat = path.stat()
@@ -82,7 +84,7 @@
             path.touch()
         path.write_bytes(bytes(data))
         try:
-            opened = reopened(folder)
+            opened = reopen(folder)
         except StoreRefusedError:
             continue  # the flipped bit raised the format version
         except StoreError:
@@ -97,7 +99,7 @@
                 aside.unlink()
             store = ReplicaStore(folder)
             store.open("n1", "n1#a")
-            store.save(ready(1, 10))
+            store.save(make_ready(1, 10))
             store.close()
             intact, stat = path.read_bytes(), path.stat()
 
@@ -108,7 +110,7 @@
     db.close()
     before = (folder / FILE_NAME).read_bytes()
     with pytest.raises(StoreRefusedError, match="format 2, of a newer program"):
-        reopened(folder)
+        reopen(folder)
     assert (folder / FILE_NAME).read_bytes() == before
     db = apsw.Connection(str(folder / FILE_NAME))
     db.execute("update facts set value = '1' where name = 'format'")
@@ -117,7 +119,7 @@
         ReplicaStore(folder).open("n2", "n2#x")
 
 
-def test_a_store_in_use_is_refused_to_a_second_process(folder: Path) -> None:
+def test_a_second_process_cannot_open_a_store_in_use(folder: Path) -> None:
     store = ReplicaStore(folder)
     store.open("n1", "x")
     program = (
@@ -132,20 +134,20 @@
         cwd=Path(__file__).parent.parent.parent,
     )  # fmt: skip
     assert "is in use by another process" in process.stdout
-    store.save(ready(11, 12))
+    store.save(make_ready(11, 12))
     store.close()
-    assert len(reopened(folder).state.entries) == 12
+    assert len(reopen(folder).state.entries) == 12
 
 
-def test_a_full_disk_fails_the_save_and_earlier_entries_stay(folder: Path) -> None:
+def test_a_save_fails_on_a_full_disk_and_earlier_entries_are_kept(folder: Path) -> None:
     store = ReplicaStore(folder)
     store.open("n1", "x")
     assert store._db is not None
     store._db.execute("pragma max_page_count = 5").fetchall()
     with pytest.raises(StoreError, match="full"):
-        store.save(ready(11, 2_000))
+        store.save(make_ready(11, 2_000))
     store.close()
-    assert [entry.index for entry in reopened(folder).state.entries] == list(range(1, 11))
+    assert [entry.index for entry in reopen(folder).state.entries] == list(range(1, 11))
 
 
 def test_a_store_that_cannot_be_created_or_written_raises_store_error(tmp_path: Path) -> None:
@@ -156,4 +158,4 @@
     store.open("n1", "x")
     store.close()
     with pytest.raises(StoreError, match="closed"):
-        store.save(ready(1, 2))
+        store.save(make_ready(1, 2))
--- a/tests/cluster/test_transport.py
+++ b/tests/cluster/test_transport.py
@@ -15,16 +15,16 @@
 
 
 def test_connections_that_send_nothing_or_do_not_read_are_closed() -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         timeline = TimerQueue(LoopWaker(loop))
         framing = wire.stream_framing(b"k" * 32)
         ports = Ports()
-        port, deaf = ports.take(), ports.take()
-        transport = ClusterTransport({"deaf": ("127.0.0.1", deaf)}, framing, timeline, lambda body: None)
+        port, deaf_port = ports.take(), ports.take()
+        transport = ClusterTransport({"deaf": ("127.0.0.1", deaf_port)}, framing, timeline, lambda body: None)
         await transport.listen(("127.0.0.1", port))
         with (
-            socket.create_server(("127.0.0.1", deaf)),
+            socket.create_server(("127.0.0.1", deaf_port)),
             socket.create_connection(("127.0.0.1", port)) as silent,
         ):
             silent.setblocking(False)
@@ -36,4 +36,4 @@
         await transport.close()
         ports.close()
 
-    uvloop.run(course())
+    uvloop.run(scenario())
--- a/tests/cluster/test_turns.py
+++ b/tests/cluster/test_turns.py
@@ -12,8 +12,8 @@
 from tests.cluster.support import NodeParts
 
 
-def test_turns_asked_for_several_times_run_once(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_turn_requested_several_times_runs_once(tmp_path: Path) -> None:
+    async def scenario() -> None:
         turns: list[datetime] = []
         parts = NodeParts(tmp_path, turns.append)
         parts.turns.schedule()
@@ -25,14 +25,14 @@
         parts.clock.settle()
         assert len(turns) == 2
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("is_open", "is_closed"), [(False, False), (True, True), (False, True)])
 def test_no_turn_runs_before_the_node_is_open_or_after_it_is_closed(
     is_open: bool, is_closed: bool, tmp_path: Path
 ) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         turns: list[datetime] = []
         parts = NodeParts(tmp_path, turns.append)
         parts.context.process.is_open, parts.context.process.is_closed = is_open, is_closed
@@ -40,11 +40,11 @@
         parts.clock.settle()
         assert turns == []
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_of_two_deadlines_the_earlier_wakes_the_node(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_the_earlier_of_two_deadlines_wakes_the_node(tmp_path: Path) -> None:
+    async def scenario() -> None:
         turns: list[datetime] = []
         parts = NodeParts(tmp_path, turns.append)
         start = parts.clock.now()
@@ -58,11 +58,11 @@
         parts.clock.advance(100)
         assert turns[1:] == [now + 20 * MILLISECOND]
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
 def test_a_deadline_that_has_passed_wakes_the_node_after_a_millisecond(tmp_path: Path) -> None:
-    async def course() -> None:
+    async def scenario() -> None:
         turns: list[datetime] = []
         parts = NodeParts(tmp_path, turns.append)
         start = parts.clock.now()
@@ -70,11 +70,11 @@
         parts.clock.advance(10)
         assert turns == [start + MILLISECOND]
 
-    asyncio.run(course())
+    asyncio.run(scenario())
 
 
-def test_a_closed_scheduler_has_no_alarm(tmp_path: Path) -> None:
-    async def course() -> None:
+def test_a_closed_scheduler_runs_no_turn_at_its_deadline(tmp_path: Path) -> None:
+    async def scenario() -> None:
         turns: list[datetime] = []
         parts = NodeParts(tmp_path, turns.append)
         parts.turns.wake_at(parts.clock.now() + MILLISECOND, parts.clock.now())
@@ -82,4 +82,4 @@
         parts.clock.advance(10)
         assert turns == []
 
-    asyncio.run(course())
+    asyncio.run(scenario())
