--- a/marlstep/cluster/router.py
+++ b/marlstep/cluster/router.py
@@ -21,9 +21,9 @@
 
 log = logging.getLogger(__name__)
 
-MessageT = TypeVar("MessageT")
+M = TypeVar("M")
 # Arguments: the time of the steady clock, the envelope, and its message.
-Handler = Callable[[datetime, wire.Envelope, MessageT], None]
+Handler = Callable[[datetime, wire.Envelope, M], None]
 GroupChangeHandler = Callable[[GroupChange], bool]  # returns whether the message is still to be handled
 
 
@@ -45,7 +45,7 @@
 
     # Registration of handlers.
 
-    def handle(self, message_type: type[MessageT], handler: Handler[MessageT]) -> None:
+    def handle(self, message_type: type[M], handler: Handler[M]) -> None:
         """Register the handler of one message type."""
         self._handlers[message_type] = handler
 
