--- a/marlstep/cluster/admin.py
+++ b/marlstep/cluster/admin.py
@@ -31,7 +31,18 @@
         config_status: ConfigStatusReporter | None,
         results: OrderResults,
     ) -> None:
-        """Store the parts; `results` is shared with the tracker of orders about documents."""
+        """Initialize the commands.
+
+        Args:
+            context: The shared state of the node.
+            turns: Schedules a turn of the node.
+            status: Builds the cluster status.
+            membership: The membership of the node; None if it is not configured.
+            config_orders: Orders about replicated documents; None if there are none.
+            config_status: Builds the status of replicated documents; None if there are none.
+            results: The results of orders, shared with the tracker of orders about documents.
+
+        """
         self._context, self._turns = context, turns
         self._membership = membership
         self._config_orders, self._config_status = config_orders, config_status
--- a/marlstep/cluster/config_documents.py
+++ b/marlstep/cluster/config_documents.py
@@ -52,7 +52,7 @@
         documents: ConfigDocuments,
         results: OrderResults,
     ) -> None:
-        """Start the follower and carry out its first actions.
+        """Initialize the follower of the documents and carry out its first actions.
 
         `documents` applies contents to this node; `results` is shared with the tracker of other orders.
         """
--- a/marlstep/cluster/config_orders.py
+++ b/marlstep/cluster/config_orders.py
@@ -37,7 +37,14 @@
     """Carries out the orders whose paths start with `fleet/rules`."""
 
     def __init__(self, context: NodeContext, turns: TurnRequester, driver: ConfigDriver) -> None:
-        """Store the parts; `driver` follows the documents on this node."""
+        """Initialize the orders.
+
+        Args:
+            context: The shared state of the node.
+            turns: Schedules a turn of the node.
+            driver: Follows the documents on this node.
+
+        """
         self._context, self._turns, self._driver = context, turns, driver
 
     def execute(self, order: str, arguments: Arguments) -> dict[str, Any]:
--- a/marlstep/cluster/config_quotas.py
+++ b/marlstep/cluster/config_quotas.py
@@ -15,7 +15,7 @@
     """Applies the shares received in heartbeat responses, and reports each reduction once it is applied."""
 
     def __init__(self, context: NodeContext, documents: ConfigDocuments) -> None:
-        """Start without shares; `documents` applies shares to the limits of this node."""
+        """Initialize the driver with no shares; `documents` applies shares to the limits of this node."""
         self._context, self._documents = context, documents
         self._lease = QuotaLease()
         self._demand = DemandEstimator()
--- a/marlstep/cluster/config_status.py
+++ b/marlstep/cluster/config_status.py
@@ -73,7 +73,7 @@
     """Builds the status from the driver and the replica without changing them."""
 
     def __init__(self, context: NodeContext, replica_holder: ReplicaHolder, driver: ConfigDriver) -> None:
-        """Store the parts, which all belong to the same node."""
+        """Initialize the reporter with the parts of one node."""
         self._context, self._replica_holder, self._driver = context, replica_holder, driver
 
     def overview(self) -> ConfigStatus:
--- a/marlstep/cluster/config_uploads.py
+++ b/marlstep/cluster/config_uploads.py
@@ -41,7 +41,7 @@
     """Proposes the commands of all uploads of this node, one command at a time for each upload."""
 
     def __init__(self, context: NodeContext, turns: TurnRequester, orders: OrderTracker) -> None:
-        """Start without uploads; `orders` records the result of each upload for operators."""
+        """Initialize with no uploads; `orders` records the result of each upload for operators."""
         self._context, self._turns, self._orders = context, turns, orders
         self._uploads: list[Upload] = []
 
--- a/marlstep/cluster/drop_recorder.py
+++ b/marlstep/cluster/drop_recorder.py
@@ -18,7 +18,7 @@
     """Records dropped messages and connections by reason. A reason is also part of a metric's name."""
 
     def __init__(self, timeline: TimerQueue) -> None:
-        """Start with no drops; `timeline` gives the time for the rate limit of log lines."""
+        """Initialize the recorder with no drops; `timeline` provides the time for the rate limit of log lines."""
         self.counts: Counter[str] = Counter()
         self._timeline = timeline
         self._logged_at: dict[str, datetime] = {}
--- a/marlstep/cluster/group_identity.py
+++ b/marlstep/cluster/group_identity.py
@@ -23,7 +23,7 @@
     """The name of the known group; empty until the store or a message provides one."""
 
     def __init__(self, name: str = "") -> None:
-        """Start with the group `name`, or with no group if it is empty."""
+        """Initialize the known group with `name`, which is empty if no group is known."""
         self.name = name
 
     def observe(self, name: str) -> GroupChange:
--- a/marlstep/cluster/health_checks.py
+++ b/marlstep/cluster/health_checks.py
@@ -55,7 +55,7 @@
         upstream: Upstream,
         fallback_after: timedelta,
     ) -> None:
-        """Start without checks.
+        """Initialize the coordinator with no checks.
 
         Args:
             context: The shared state of the node.
--- a/marlstep/cluster/lease_driver.py
+++ b/marlstep/cluster/lease_driver.py
@@ -27,7 +27,7 @@
         work_leases: Callable[[], Iterable[str]],
         config_lease: str | None,
     ) -> None:
-        """Start without leases.
+        """Initialize the driver with no requested leases.
 
         Args:
             context: The shared state of the node.
--- a/marlstep/cluster/lifecycle.py
+++ b/marlstep/cluster/lifecycle.py
@@ -43,7 +43,7 @@
         membership: MembershipEndpoint | None,
         follows_documents: bool,
     ) -> None:
-        """Store the parts.
+        """Initialize the lifecycle with the parts of one node.
 
         `follows_documents`: whether a successor needs the cluster's documents before it can bind the address.
         """
--- a/marlstep/cluster/order_tracker.py
+++ b/marlstep/cluster/order_tracker.py
@@ -17,7 +17,7 @@
     """Proposes the commands of operators' orders, and keeps the latest results for operators to fetch."""
 
     def __init__(self, client: GroupClient, results: OrderResults, limit: int) -> None:
-        """Start without pending orders.
+        """Initialize the tracker with no pending orders.
 
         Args:
             client: Proposes the commands.
--- a/marlstep/cluster/outbound_peer.py
+++ b/marlstep/cluster/outbound_peer.py
@@ -50,7 +50,7 @@
     """Sends frames to the node at one address, over at most one connection at a time."""
 
     def __init__(self, address: Address, timeline: TimerQueue, dial: Dial, drops: DropRecorder) -> None:
-        """Start without a connection; the first `send` opens one.
+        """Initialize the peer without a connection; the first `send` opens one.
 
         Args:
             address: The address of the peer.
--- a/marlstep/cluster/relay.py
+++ b/marlstep/cluster/relay.py
@@ -26,7 +26,7 @@
     """The predecessor's side of the relay."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Start without a known successor."""
+        """Initialize the relay with no known successor."""
         self._context = context
         self._successor, self._port = "", 0
 
@@ -68,7 +68,7 @@
     """The successor's side of the relay: announces its port repeatedly until it has bound the node's address."""
 
     def __init__(self, context: NodeContext, sender: MessageSender) -> None:
-        """Start with an announcement due immediately."""
+        """Initialize the announcer with an announcement due immediately."""
         self._context, self._sender = context, sender
         self._next_at = context.steady.now()
 
--- a/marlstep/cluster/replica_driver.py
+++ b/marlstep/cluster/replica_driver.py
@@ -47,7 +47,7 @@
     def __init__(
         self, context: NodeContext, turns: TurnRequester, sender: MessageSender, group: GroupIdentity
     ) -> None:
-        """Start without a replica, which `open` creates."""
+        """Initialize the driver with no replica; `open` creates it on a voter."""
         self._context, self._turns, self._sender, self._group = context, turns, sender, group
         self.replica: Replica | None = None
         self._store: ReplicaStore | None = None
--- a/marlstep/cluster/status_report.py
+++ b/marlstep/cluster/status_report.py
@@ -31,7 +31,7 @@
         leases: LeaseDriver,
         tasks: TaskDriver,
     ) -> None:
-        """Store the parts, which all belong to the same node."""
+        """Initialize the reporter with the parts of one node."""
         self._context, self._group, self._router = context, group, router
         self._replica_driver, self._leases, self._tasks = replica_driver, leases, tasks
 
--- a/marlstep/cluster/store.py
+++ b/marlstep/cluster/store.py
@@ -50,7 +50,7 @@
     """
 
     def __init__(self, folder: Path) -> None:
-        """Set the path of the file in `folder`. Both are created when the store is opened, if necessary."""
+        """Initialize a closed store in `folder`. The folder and the file are created by `open` if necessary."""
         self.path = folder / FILE_NAME
         self._db: apsw.Connection | None = None
         self._facts = StoreFacts({})
--- a/marlstep/cluster/store_reader.py
+++ b/marlstep/cluster/store_reader.py
@@ -15,7 +15,7 @@
     """Reads and verifies one open database."""
 
     def __init__(self, db: apsw.Connection, path: Path, node: str, file_identity: str) -> None:
-        """Store the arguments; nothing is read before `read`.
+        """Initialize the reader; the database is not read before `read`.
 
         Args:
             db: The open database.
--- a/marlstep/cluster/task_frontend.py
+++ b/marlstep/cluster/task_frontend.py
@@ -101,7 +101,7 @@
         class_variable: str,
         observer: StepObserver,
     ) -> None:
-        """Start without requests.
+        """Initialize the frontend with no requests.
 
         Args:
             core: Runs the requests.
--- a/marlstep/cluster/transport.py
+++ b/marlstep/cluster/transport.py
@@ -32,7 +32,7 @@
         deliver: Callable[[bytes], None],
         dial: Dial = dial,
     ) -> None:
-        """Start without connections.
+        """Initialize the transport with no connections.
 
         Args:
             nodes: The addresses of all nodes by name.
--- a/marlstep/cluster/turns.py
+++ b/marlstep/cluster/turns.py
@@ -14,7 +14,7 @@
     """Runs one turn for any number of requests made since the previous turn."""
 
     def __init__(self, context: NodeContext, run_turn: Callable[[datetime], None]) -> None:
-        """Start without a scheduled turn; `run_turn` is called with the time of the steady clock."""
+        """Initialize the scheduler with no scheduled turn; `run_turn` is called with the time of the steady clock."""
         self._context, self._run_turn = context, run_turn
         self._is_scheduled = False
         self._wakeup_timer: Timer | None = None
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -23,7 +23,7 @@
     """Checks documents against the node's configuration and puts them in force."""
 
     def __init__(self, governed_config: GovernedConfig, core: Core) -> None:
-        """Start without documents; from now on documents override the configuration of the files."""
+        """Initialize with no documents in force, and register the overrides with `governed_config`."""
         self._config, self._core = governed_config, core
         self._overrides = governed_config.governed = DocumentOverrides()
         self._file_config = governed_config.config  # as in the configuration files
