--- a/marlstep/cluster/errors.py
+++ b/marlstep/cluster/errors.py
@@ -24,7 +24,7 @@
     """Too many commands are pending; the order may be repeated later."""
 
     def __init__(self) -> None:
-        """Create the error. The limit is MAX_OUTBOUND_COMMANDS of the group client."""
+        """Create the error. The group client limits the number of pending commands."""
         super().__init__("too much is asked for already")
 
 
