--- a/marlstep/traces/__init__.py
+++ b/marlstep/traces/__init__.py
@@ -1,1 +1,1 @@
-"""Public cluster traces: read, mapped, cut to size, replayed."""
+"""Public cluster traces: reading, mapping to requests, cutting, compiling to schedules, and replay."""
--- a/marlstep/traces/account.py
+++ b/marlstep/traces/account.py
@@ -1,4 +1,4 @@
-"""The account of one reading of a trace: every line, and what became of it; pure."""
+"""Counts of the lines, rows and arrivals of one reading of a trace; pure."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 
 from marlstep.traces.rows import Arrival
 
-MAX_COUNTED_NAMES = 100_000  # tenants and categories that are told apart: memory stays bounded
-OTHERS = "others"  # counts the names beyond that bound
+MAX_COUNTED_NAMES = 100_000  # distinct tenants, and distinct categories; bounds the memory
+OTHERS = "others"  # the key under which names beyond that bound are counted
 
 
 @dataclass(slots=True)
 class Account:
-    """What was read, and what became of it.
+    """Counts of one reading of a trace.
 
-    Each line is a header, blank or a row, and each row is good or bad. Of the good rows some are no arrivals, or
-    duplicates; a format that holds counts gives many arrivals for a row.
+    Each line is a header, blank or a row, and each row is good or bad. Some good rows are skipped or are duplicates.
+    In a format whose rows hold counts, one row yields many arrivals.
 
     Attributes:
-        lines: lines of all parts.
-        headers: lines that are headers.
-        blank: empty lines.
-        rows: all other lines.
-        bad: rows that can't be read or used.
-        bad_by_reason: the same, by reason.
-        skipped: rows that are no arrivals, by reason.
-        notes: oddities that cost nothing, such as a byte order mark.
-        arrivals: arrivals, in order of time.
-        duplicates: arrivals that were left out, as another has the same time, sender and name.
-        out_of_order: rows that came after a later one.
-        first_us: time of the first arrival on the trace's own clock, in microseconds; None where there is none.
-        last_us: time of the last arrival.
-        tenants: arrivals by tenant.
-        categories: arrivals by the trace's own class.
+        lines: Number of lines in all parts.
+        headers: Number of header lines.
+        blank: Number of empty lines.
+        rows: Number of all other lines.
+        bad: Number of rows that can't be read or used.
+        bad_by_reason: Number of bad rows by reason.
+        skipped: Number of valid rows that are not arrivals, by reason.
+        notes: Number of harmless irregularities, such as a byte order mark, by name.
+        arrivals: Number of arrivals.
+        duplicates: Number of arrivals left out because another has the same time, sender and name.
+        out_of_order: Number of rows whose time is earlier than that of a preceding row.
+        first_us: Time of the first arrival on the trace's own clock, in microseconds; None if there is none.
+        last_us: Time of the last arrival on the trace's own clock, in microseconds; None if there is none.
+        tenants: Number of arrivals by tenant.
+        categories: Number of arrivals by the trace's own category.
     """
 
     lines: int = 0
@@ -54,11 +54,11 @@
 
     @property
     def good(self) -> int:
-        """Rows that could be read and used."""
+        """Number of rows that could be read and used."""
         return self.rows - self.bad
 
     def add(self, rows: list[Arrival]) -> None:
-        """Count arrivals, which come in order of time."""
+        """Count arrivals; `rows` are in order of time, also across calls."""
         if not rows:
             return
         self.arrivals += len(rows)
--- a/marlstep/traces/compiling.py
+++ b/marlstep/traces/compiling.py
@@ -1,4 +1,4 @@
-"""From a trace to a compiled schedule: which part, how thinned and compressed, and what that did to the load."""
+"""Compilation of a trace to a schedule: cutting, thinning, time compression, and their effect on the load."""
 
 from __future__ import annotations
 
@@ -26,36 +26,36 @@
 from marlstep.traces.settings_digest import settings_digest
 
 MIN_DURATION_S = 1e-6
-NONE_MAPPED = "no arrival in it that is mapped to a class"
-NONE_IN_SECTIONS = "no arrival in that part of the trace"
+NONE_MAPPED = "expected at least one arrival that is mapped to a class, got none in the trace"
+NONE_IN_SECTIONS = "expected at least one arrival in the selected sections of the trace, got none"
 
 MakeReading = Callable[[], Reading]
 Requests = Iterator[PlannedRequest]
 
 
 class NoArrivalsError(MarlstepError):
-    """A trace, or the part of it that was asked for, holds no arrival that could be used."""
+    """A trace, or the selected part of it, contains no usable arrival."""
 
     @classmethod
     def in_parts(cls, parts: Sequence[str]) -> NoArrivalsError:
-        """Name the parts of a trace without any arrival."""
-        return cls(f"{', '.join(parts)}: no arrival in it")
+        """Return the error for a trace whose parts contain no arrival at all."""
+        return cls(f"{', '.join(parts)}: expected at least one arrival, got none")
 
 
 @dataclass(slots=True, frozen=True)
 class Cut:
-    """Which part of a trace, and how much of it. The names of the fields are keys of a schedule's head.
+    """Selection of a part of a trace, and its scaling. The field names are keys in the header of a schedule.
 
     Attributes:
-        from_us: where the part begins, in microseconds since the first arrival.
-        for_us: its length, in microseconds; None to the end of the trace.
-        busiest_us: in place of the two, the length of the busiest sections.
-        peaks: how many busiest sections, one after another.
-        rate: arrivals a second after thinning, before compression.
-        keep: the share of the senders, where no rate is given.
-        compress: how many times as fast time runs, where no load is given.
-        load: the offered work over the capacity of `cores`.
-        cores: what the load refers to.
+        from_us: Start of the part, in microseconds since the first arrival.
+        for_us: Length of the part, in microseconds; None for the rest of the trace.
+        busiest_us: Length of each of the busiest sections, in microseconds; if set, replaces `from_us` and `for_us`.
+        peaks: Number of busiest sections, which are joined in order of time.
+        rate: Target rate after thinning and before compression, in arrivals per second; None to use `keep`.
+        keep: Share of the senders that is kept, if `rate` is None.
+        compress: Factor by which time is compressed, if `load` is None.
+        load: Target ratio of the offered work to the capacity of `cores`; None to use `compress`.
+        cores: Number of cores that `load` refers to.
     """
 
     from_us: int = 0
@@ -71,21 +71,21 @@
 
 @dataclass(slots=True)
 class Compiled:
-    """What a compilation did. The names of the fields are keys of a schedule's head and of a report.
+    """Result of a compilation. The field names are keys in the header of a schedule and in a report.
 
     Attributes:
-        sections: the parts of the trace.
-        keep: the share of the senders.
-        compress: how many times as fast time runs.
-        requests: requests of the schedule.
-        seconds: its length.
-        work_s: the work of all requests, in seconds on one core.
-        by_class: requests, by class.
-        dropped: rows that no rule matched, by category of the trace.
-        dispersion_trace: the index of dispersion of the whole trace, in counts a second.
-        dispersion_cut: of the sections.
-        dispersion_thinned: of the senders that were kept.
-        dispersion: of the schedule, after compression.
+        sections: Sections of the trace that the schedule contains.
+        keep: Share of the senders that was kept.
+        compress: Factor by which time was compressed.
+        requests: Number of requests in the schedule.
+        seconds: Length of the schedule, in seconds.
+        work_s: Work of all requests, in seconds on one core.
+        by_class: Number of requests by class.
+        dropped: Number of rows that no rule matched, by category of the trace.
+        dispersion_trace: Index of dispersion of the arrivals per second of the whole trace.
+        dispersion_cut: Index of dispersion after cutting.
+        dispersion_thinned: Index of dispersion after thinning.
+        dispersion: Index of dispersion of the schedule, after compression.
     """
 
     sections: list[Section] = field(default_factory=list)
@@ -105,23 +105,23 @@
 def compile_trace(
     make_reading: MakeReading, settings: MappingSettings, seed: int, cut: Cut, path: str
 ) -> tuple[Compiled, Reading]:
-    """Compile a part of a trace; return what that did, and the first reading with its account.
+    """Compile a part of a trace; return the result, and the first reading with its account.
 
-    The trace is read once for its counts, up to twice more where a rate or a load is asked for, and once to write
-    the schedule. So its parts must be files.
+    The trace is read once to count its arrivals, once more each if a target rate or a target load is set, and once
+    to write the schedule. Its parts must therefore be files, not standard input.
 
     Args:
-        make_reading: begins a new reading.
-        settings: how rows become requests.
-        seed: keys the hashes of senders and tenants.
-        cut: which part, and how much of it.
-        path: where the schedule goes.
+        make_reading: Returns a new reading of the trace.
+        settings: How rows are mapped to requests.
+        seed: Key of the hashes of senders and tenants.
+        cut: Selection and scaling of the trace.
+        path: Path of the schedule to be written.
 
     Raises:
-        NoArrivalsError: there is nothing to compile.
-        ScheduleError: the schedule can't be written.
-        SourceError: a part can't be read.
-        StrictReadingError: a row is bad, and the reading is strict.
+        NoArrivalsError: The trace, or the selected part, has no arrival that is mapped to a class.
+        ScheduleError: The schedule can't be written.
+        SourceError: A part of the trace can't be opened or read.
+        StrictReadingError: A row is bad and the reading is strict.
     """
     source = _Source(make_reading, settings, seed)
     counts, reading, sources = source.survey()
@@ -151,7 +151,7 @@
 
 
 def choose_sections(counts: Counts, cut: Cut) -> list[Section]:
-    """Return the sections of a trace: the busiest where these are asked for, else one from start to end."""
+    """Return the busiest sections if `cut` asks for them, otherwise the one section from its start to its end."""
     if cut.busiest_us is not None:
         return busiest_sections(counts, cut.busiest_us, cut.peaks)
     length_us = cut.for_us if cut.for_us is not None else max(1, counts.duration_us - cut.from_us)
@@ -159,7 +159,7 @@
 
 
 def _sections_s(sections: list[Section], counts: Counts) -> float:
-    """Return the seconds of the trace that the sections cover."""
+    """Return how much of the trace the sections cover, in seconds."""
     covered_us = sum(
         max(0, min(section.end_us, counts.duration_us) - section.start_us) for section in sections
     )
@@ -168,7 +168,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Source:
-    """The requests of a trace, as often as they are asked for."""
+    """Mapped requests of a trace; each query reads the trace again."""
 
     make_reading: MakeReading
     settings: MappingSettings
@@ -178,7 +178,7 @@
         return Mapper(self.settings, self.seed)
 
     def survey(self) -> tuple[Counts, Reading, dict[str, object]]:
-        """Read the whole trace; return its counts, the reading, and what identifies the parts."""
+        """Read the whole trace; return its counts, the reading, and the identification of its parts."""
         reading = self.make_reading()
         tap = _Tap()
         reading.on_raw = tap
@@ -190,11 +190,11 @@
         return counts, reading, tap.identify(reading)
 
     def requests_in(self, sections: list[Section], mapper: Mapper) -> Requests:
-        """Read the sections anew."""
+        """Read the trace again and yield the requests of the sections."""
         return cut_sections(map_requests(self.make_reading(), mapper), sections)
 
     def total_in(self, sections: list[Section]) -> int:
-        """Return the requests of the sections."""
+        """Return the number of requests in the sections."""
         return sum(1 for _ in self.requests_in(sections, self.new_mapper()))
 
     def work_in(self, sections: list[Section], keep: float) -> int:
@@ -215,7 +215,7 @@
         self._size += len(data)
 
     def identify(self, reading: Reading) -> dict[str, object]:
-        """Return the part of a schedule's head that names its sources."""
+        """Return the entry of a schedule's header that identifies the sources."""
         return {
             "parts": [Path(part).name for part in reading.parts],
             "bytes": self._size,
@@ -224,7 +224,7 @@
 
 
 def map_requests(reading: Reading, mapper: Mapper) -> Requests:
-    """Yield the mapped requests of a reading, with times since the first arrival."""
+    """Yield the mapped requests of a reading; their times count from its first arrival."""
     start_us: int | None = None
     for batch in reading.batches():
         for row in batch:
@@ -236,7 +236,7 @@
 
 
 def _write_requests(writer: ScheduleWriter, source: _Source, compiled: Compiled) -> None:
-    """Write the cut, thinned and compressed requests, and fill in what they came to."""
+    """Write the cut, thinned and compressed requests, and set the totals in `compiled`."""
     mapper = source.new_mapper()
     after_cut, after_thinning, after_compression = Counts(), Counts(), Counts()
     by_class: Counter[str] = Counter()
--- a/marlstep/traces/cutting.py
+++ b/marlstep/traces/cutting.py
@@ -1,9 +1,9 @@
-"""A part of a trace, and how much of it; pure.
+"""Selection, thinning and time compression of a trace; pure.
 
-Time compression keeps the order and the shape, and raises the rate. Thinning keeps or drops a sender as a whole, by
-a keyed hash of its name, so that its bursts and its retries keep their shape. What each does to burstiness
-is shown by the index of dispersion: the variance of the counts in equal spans over their mean; 1 for a Poisson
-stream, more for bursts.
+Time compression raises the rate and keeps the order and relative spacing of requests. Thinning keeps or drops all
+requests of a sender, by a keyed hash of its name, so that the pattern of its bursts and retries is preserved. The
+index of dispersion shows how each step changes the burstiness: it is the variance of the counts in equal intervals
+divided by their mean, which is 1 for a Poisson process and higher for bursty traffic.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 
 from marlstep.traces.mapping import PlannedRequest
 
-INTERVAL_US = 1_000_000  # of the counts by which peaks are found and burstiness is measured
-MAX_INTERVALS = 8_000_000  # three months of seconds
-HASH_ONE = 1 << 64
+INTERVAL_US = 1_000_000  # interval of the counts used to find peaks and to measure burstiness
+MAX_INTERVALS = 8_000_000  # three months at one second each
+HASH_ONE = 1 << 64  # number of values of a sender's hash
 
 
 class Counts:
     """Arrivals and work in each interval of a trace.
 
     Attributes:
-        interval_us: the length of an interval, in microseconds.
-        arrivals: arrivals, by interval.
-        work_us: the work of all arrivals, in microseconds on one core.
-        total: all arrivals.
-        beyond: arrivals past the last interval that is counted by itself.
+        interval_us: Length of an interval, in microseconds.
+        arrivals: Number of arrivals in each interval.
+        work_us: Work of all arrivals, in microseconds on one core.
+        total: Number of all arrivals.
+        beyond: Number of arrivals after the first MAX_INTERVALS intervals; they are missing from `arrivals`.
     """
 
     def __init__(self, interval_us: int = INTERVAL_US) -> None:
-        """Start with no arrivals."""
+        """Initialize the counts with no arrivals."""
         self.interval_us = interval_us
         self.arrivals = array("L")
         self.work_us = 0
@@ -40,7 +40,7 @@
         self.beyond = 0
 
     def add(self, at_us: int, work_us: int = 0) -> None:
-        """Count an arrival, by its time since the start."""
+        """Count an arrival at `at_us` microseconds since the start, with its work in microseconds on one core."""
         index = at_us // self.interval_us
         self.total += 1
         self.work_us += work_us
@@ -53,21 +53,21 @@
 
     @property
     def duration_us(self) -> int:
-        """From the start to the end of the last interval with an arrival, in microseconds."""
+        """Time from the start to the end of the last interval with an arrival, in microseconds."""
         return len(self.arrivals) * self.interval_us
 
     @property
     def seconds(self) -> float:
-        """The same, in seconds."""
+        """Time from the start to the end of the last interval with an arrival, in seconds."""
         return self.duration_us / 1e6
 
     def dispersion(self) -> float:
-        """Return the index of dispersion; 0 where there is nothing to count."""
+        """Return the index of dispersion of the arrivals per interval; 0 if there are no arrivals."""
         return dispersion_index(self.arrivals)
 
 
 def dispersion_index(counts: Sequence[int]) -> float:
-    """Return the variance of the counts over their mean; 0 where there are fewer than two, or all are 0."""
+    """Return the variance of the counts divided by their mean; 0 for fewer than two counts or if all are 0."""
     size = len(counts)
     if size < 2 or not any(counts):
         return 0.0
@@ -78,19 +78,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Section:
-    """A part of the trace, in microseconds since its start."""
+    """An interval of the trace; times are in microseconds since the start of the trace."""
 
     start_us: int
     length_us: int
 
     @property
     def end_us(self) -> int:
-        """Where the next section may begin."""
+        """End of the section (exclusive), in microseconds since the start of the trace."""
         return self.start_us + self.length_us
 
 
 def busiest_sections(counts: Counts, length_us: int, number: int) -> list[Section]:
-    """Return the busiest sections of a length that don't overlap, in order of time."""
+    """Return up to `number` busiest sections of `length_us` microseconds that don't overlap, in order of time."""
     width = max(1, round(length_us / counts.interval_us))
     values = counts.arrivals
     if len(values) <= width:
@@ -103,7 +103,7 @@
 
 
 def _highest_apart(sums: Sequence[int], width: int, number: int) -> list[int]:
-    """Return the indices of the highest sums, each `width` or more from the others; of equals the first."""
+    """Return the sorted indices of the highest sums that are at least `width` apart; the first of equal sums wins."""
     found: list[int] = []
     for index in sorted(range(len(sums)), key=lambda index: (-sums[index], index)):
         if all(abs(index - other) >= width for other in found):
@@ -114,7 +114,7 @@
 
 
 def cut_sections(rows: Iterator[PlannedRequest], sections: Sequence[Section]) -> Iterator[PlannedRequest]:
-    """Yield the requests of the sections, one section after another without a gap."""
+    """Yield the requests of the sections, which are joined without gaps."""
     index = 0
     taken_us = 0
     for row in rows:
@@ -129,7 +129,7 @@
 
 
 def thin_senders(rows: Iterator[PlannedRequest], share: float) -> Iterator[PlannedRequest]:
-    """Yield the requests of this share of the senders, each sender complete; `sender` is a keyed hash already."""
+    """Yield all requests of the given share of senders; `sender` is a uniformly distributed keyed hash."""
     bound = math.ceil(share * HASH_ONE)
     for row in rows:
         if row.sender < bound:
@@ -137,7 +137,7 @@
 
 
 def compress_time(rows: Iterator[PlannedRequest], factor: float) -> Iterator[PlannedRequest]:
-    """Yield the requests with time running `factor` times as fast."""
+    """Yield the requests with their times divided by `factor`."""
     for row in rows:
         yield row._replace(at_us=int(row.at_us / factor))
 
@@ -145,7 +145,13 @@
 def repeat(
     make: Callable[[], Iterator[PlannedRequest]], period_us: int, length_us: int
 ) -> Iterator[PlannedRequest]:
-    """Yield a stream that lasts `period_us` again and again, until `length_us` is full; cut it off there."""
+    """Repeat a stream of `period_us` microseconds, and yield its requests up to `length_us` microseconds.
+
+    Args:
+        make: Returns a new iterator over the stream.
+        period_us: Length of the stream, in microseconds.
+        length_us: Length of the result, in microseconds.
+    """
     shift_us = 0
     while shift_us < length_us:
         is_empty = True
@@ -161,14 +167,14 @@
 
 
 def share_for_rate(total: int, seconds: float, rate: float) -> float:
-    """Return the share of the senders that brings a trace down to `rate` arrivals a second; 1 where it has fewer."""
+    """Return the share of senders that reduces a trace to `rate` arrivals per second; 1 if its rate is lower."""
     if rate <= 0 or total <= 0 or seconds <= 0:
         return 1.0
     return min(1.0, rate * seconds / total)
 
 
 def factor_for_load(work_us: int, seconds: float, cores: float, load: float) -> float:
-    """Return the compression at which the offered work is `load` times the capacity of `cores`."""
+    """Return the time compression factor at which the offered work is `load` times the capacity of `cores`."""
     if work_us <= 0 or seconds <= 0:
         return 1.0
     return load * cores / (work_us / 1e6 / seconds)
--- a/marlstep/traces/default_mappings.py
+++ b/marlstep/traces/default_mappings.py
@@ -1,4 +1,4 @@
-"""Default mappings, by format; docs/traces.md has the reasoning."""
+"""Default mappings by format; docs/traces.md gives the reasons."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _by_category(setpoint: str, schedule: str) -> tuple[Rule, ...]:
-    """Return rules for two lists of categories, each separated by blanks; all others are reads of history."""
+    """Return rules for two space-separated lists of categories; other categories go to the default class HISTORY."""
     return (
         Rule(SETPOINT, frozenset(setpoint.split())),
         Rule(SCHEDULE, frozenset(schedule.split())),
--- a/marlstep/traces/formats/__init__.py
+++ b/marlstep/traces/formats/__init__.py
@@ -1,4 +1,4 @@
-"""The public formats, by name. Each is loaded when it is asked for."""
+"""The supported trace formats by name. The module of a format is imported on first use."""
 
 from __future__ import annotations
 
@@ -18,16 +18,20 @@
     "generic": "generic",
 }
 
-# How late a row may come, in microseconds, where the format needs more than `reordering.WINDOW_US`.
+# Reorder windows in microseconds, for formats that need a longer one than `reordering.WINDOW_US`.
 WINDOWS_US: Mapping[str, int] = {
-    "alibaba-2018-task": 60_000_000,  # whole seconds, and neighbours by job
+    "alibaba-2018-task": 60_000_000,  # times in whole seconds, rows grouped by job
     "alibaba-2018-instance": 60_000_000,
-    "azure-2021": 600_000_000,  # in order of the end: late by as much as an invocation lasts
+    "azure-2021": 600_000_000,  # ordered by end time, so a row is late by the duration of its invocation
 }
 
 
 def named(name: str) -> Format:
-    """Return the format of that name; `generic` needs its columns as well. Raises KeyError where there is none."""
+    """Return the format with the given name; `generic` is returned with default columns.
+
+    Raises:
+        KeyError: There is no format with this name.
+    """
     module = importlib.import_module(f"marlstep.traces.formats.{MODULES[name]}")
     found: Format = module.FORMAT
     return found
--- a/marlstep/traces/formats/alibaba_2018_instance.py
+++ b/marlstep/traces/formats/alibaba_2018_instance.py
@@ -1,9 +1,8 @@
 """Alibaba cluster trace 2018: the table batch_instance. No header, 14 columns.
 
 Source: "cluster-trace-v2018", schema of batch_instance. Times are seconds from the trace's start; cpu_avg is in
-hundredths of a core. An instance arrives at its start_time. The sender and the tenant are the job, the kind the
-task type, and the work hint the time from start to end in seconds, times the cores that it used where that is
-told.
+hundredths of a core. An instance arrives at its start_time. Sender and tenant are the job, and the category is the
+task type. The work hint is the time from start to end in seconds, multiplied by the cores used if cpu_avg is given.
 """
 
 from __future__ import annotations
@@ -36,7 +35,11 @@
     first_column = "instance_name"
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if len(cells) != 14:
             check_width(cells, 14)
         run = started(cells[5], cells[6], cells[4])
--- a/marlstep/traces/formats/alibaba_2018_task.py
+++ b/marlstep/traces/formats/alibaba_2018_task.py
@@ -1,8 +1,8 @@
 """Alibaba cluster trace 2018: the table batch_task. No header, 9 columns.
 
 Source: "cluster-trace-v2018", schema of batch_task. Times are seconds from the trace's start. A task arrives at
-its start_time; one that waits has none. The sender and the tenant are the job, as users are not in the trace;
-the kind is the task type; the work hint is the time from start to end in seconds, 0 where it has no end yet.
+its start_time, which is empty while it waits. Sender and tenant are the job, because the trace has no users. The
+category is the task type, and the work hint is the time from start to end in seconds, or 0 without an end time.
 """
 
 from __future__ import annotations
@@ -25,10 +25,17 @@
 
 
 def started(start: str, end: str, status: str) -> tuple[int, float] | SkipReason:
-    """Return when a task began, in microseconds, and for how many seconds it ran; the tables of 2018 share it.
+    """Return the start time in microseconds and the run time in seconds, or the reason why the row is skipped.
+
+    Both tables of 2018 use this function.
+
+    Args:
+        start: Cell of the start time, in seconds.
+        end: Cell of the end time, in seconds; may be empty.
+        status: Cell of the status.
 
     Raises:
-        BadRowError: a time can't be read, or the end is before the start.
+        BadRowError: A time is invalid, or the end is before the start.
     """
     if not start and status in ("Waiting", "Ready"):
         return "not-started"
@@ -47,7 +54,11 @@
     first_column = "task_name"
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if len(cells) != 9:
             check_width(cells, 9)
         name, _, job, category, status, start, end, _, _ = cells
--- a/marlstep/traces/formats/alibaba_2021_calls.py
+++ b/marlstep/traces/formats/alibaba_2021_calls.py
@@ -1,10 +1,10 @@
-"""Alibaba microservices trace 2021: the table MSCallGraph, as CSV with header.
+"""Alibaba microservices trace 2021: the table MSCallGraph, as CSV with a header.
 
-Source: "cluster-trace-microservices-v2021". Columns: an index without a name (may be missing), traceid, timestamp
-(milliseconds from the trace's start), rpcid, um (the calling microservice), rpctype, dm (the called one),
-interface, rt (milliseconds). A call is an arrival at its timestamp. The sender is the trace that it belongs to, so
-that a request keeps all its calls when the trace is thinned; the tenant is the calling microservice, the kind the
-type of call, and the work hint its response time in milliseconds.
+Source: "cluster-trace-microservices-v2021". Columns: an unnamed index (may be missing), traceid, timestamp
+(milliseconds from the trace's start), rpcid, um (calling microservice), rpctype, dm (called microservice), interface,
+rt (response time in milliseconds). Each call is an arrival at its timestamp. The sender is the traceid, so that
+thinning keeps or drops all calls of a request. The tenant is the calling microservice, the category the type of the
+call, and the work hint its response time in milliseconds.
 """
 
 from __future__ import annotations
@@ -28,19 +28,27 @@
     """Reads the rows of one trace."""
 
     def __init__(self) -> None:
-        """Start before the first line."""
+        """Initialize the reader; `header` must be called before `parse`."""
         self._indices: dict[str, int] = {}
         self._width = 0
 
     def header(self, cells: list[str]) -> bool:
-        """Find the columns. Raises BadRowError where one is missing."""
+        """Find the columns in the header; always returns True.
+
+        Raises:
+            BadRowError: A required column is missing.
+        """
         self._width = 0
         self._indices = find_columns(cells, {name: (name,) for name in COLUMNS}, COLUMNS)
         self._width = len(cells)
         return True
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if not self._width:
             raise BadRowError(Reason.NO_HEADER)
         if len(cells) != self._width:
--- a/marlstep/traces/formats/azure_2019.py
+++ b/marlstep/traces/formats/azure_2019.py
@@ -1,13 +1,15 @@
-"""Azure Functions 2019: invocations_per_function_md, one row a function, with header.
+"""Azure Functions 2019: invocations_per_function_md, one row per function, with a header.
 
 Source: "Azure Functions trace 2019" (Shahrad et al.). Columns: HashOwner, HashApp, HashFunction, Trigger, then 1 to
-1440, the number of invocations in each minute of the day; a part is a day. The tenant is the owner, the kind the
-trigger, the sender the function; there is no work hint.
+1440, the number of invocations in each minute of the day; each part is one day. The tenant is the owner, the category
+the trigger, and the sender the function; there is no work hint.
 
-The trace tells how many came in a minute, not when. They are spread evenly over the minute from a first one that a
-hash of seed, function and minute sets: the same seed gives the same instants, and functions don't beat in step.
+The trace states how many invocations occurred in a minute, but not when. They are spread evenly over the minute; the
+first one is placed by a hash of seed, function and minute. The same seed therefore gives the same times, and functions
+are not synchronized with each other.
 
-A day is known only when its last row is read, so its counts are kept: eight bytes for each that is not zero.
+The rows are per function, so arrivals can be ordered by time only after the last row of a day. Until then the counts
+are kept in memory: each non-zero count takes a pair of integers.
 """
 
 from __future__ import annotations
@@ -25,16 +27,20 @@
 MINUTE_US = 60_000_000
 HEAD = ("HashOwner", "HashApp", "HashFunction", "Trigger")
 COLUMNS = (*HEAD, *(str(number) for number in range(1, MINUTES + 1)))
-MAX_FUNCTIONS = 500_000  # of one day; also the bound of a minute's share of the index
-MAX_COUNTS = 16_000_000  # of one day that are not zero, 128 MB
-MAX_PER_MINUTE = 1_000_000  # of one function; more is taken for a fault
+MAX_FUNCTIONS = 500_000  # of one day, and so also of one minute
+MAX_COUNTS = 16_000_000  # non-zero counts of one day; 128 MB
+MAX_PER_MINUTE = 1_000_000  # invocations of one function; a higher count is invalid
 
 
 class Reader(RowReaderBase):
     """Reads the rows of one trace."""
 
     def __init__(self, seed: int) -> None:
-        """Start before the first line."""
+        """Initialize the reader before the first day.
+
+        Args:
+            seed: Key of the hashes that place invocations within a minute; 0 to 2**64 - 1.
+        """
         self._seed = seed.to_bytes(8, "little", signed=False)
         self._day = -1
         self._counts = 0
@@ -48,17 +54,27 @@
         self._counts = 0
         self._functions.clear()
         self._known.clear()
-        self._minutes = [array("L") for _ in range(MINUTES)]  # function and count, in turn
+        self._minutes = [
+            array("L") for _ in range(MINUTES)
+        ]  # for each minute: function number and count, alternating
 
     def header(self, cells: list[str]) -> bool:
-        """Find the columns. Raises BadRowError where one is missing."""
-        # A spoilt header must not pass for a row: its 1, 2, 3 and so on would be a million invocations.
+        """Check the header; always returns True.
+
+        Raises:
+            BadRowError: The columns are not exactly those of the format.
+        """
+        # A corrupt header must not be read as a row: its column names 1 to 1440 would count as a million invocations.
         if tuple(cell.strip() for cell in cells) != COLUMNS:
             raise BadRowError(Reason.NO_HEADER, text=",".join(cells))
         return True
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         check_width(cells, len(COLUMNS))
         owner, app, function, trigger = cells[:4]
         read_word(owner, "HashOwner")
@@ -95,7 +111,7 @@
 
     def _minute(self, minute: int, counts: array[int]) -> Iterator[Arrival]:
         start = (self._day * MINUTES + minute) * MINUTE_US
-        # The next of each function, the soonest first; memory is that of the functions of one minute.
+        # Heap with the next invocation of each function; its size is the number of functions active in the minute.
         turns: list[tuple[int, int, int, int, float]] = []
         for number, count in zip(counts[::2], counts[1::2], strict=True):
             if count:
@@ -113,7 +129,7 @@
                 heapq.heappop(turns)
 
     def _phase(self, number: int, minute: int) -> float:
-        """Where the function's first invocation of the minute lies, as a share of the gap between two."""
+        """Return the offset of a function's first invocation in a minute, as a fraction of the interval between two."""
         owner, app, function = self._functions[number][:3]
         at = (self._day * MINUTES + minute).to_bytes(8, "little")
         digest = blake3(f"{owner}/{app}/{function}".encode() + at, key=self._seed.ljust(32, b"\0")).digest(8)
@@ -121,13 +137,13 @@
 
 
 class Azure2019:
-    """The format with counts of a minute, whose instants depend on the seed."""
+    """Format with counts per minute; the times of arrivals depend on the seed."""
 
     name = "azure-2019"
     columns = COLUMNS
 
     def make(self, seed: int) -> Reader:
-        """Return a reader that starts afresh, and spreads arrivals by the seed."""
+        """Return a new reader that places arrivals by the seed."""
         return Reader(seed)
 
 
--- a/marlstep/traces/formats/azure_2021.py
+++ b/marlstep/traces/formats/azure_2021.py
@@ -1,9 +1,9 @@
-"""Azure Functions 2021: one row an invocation, with header.
+"""Azure Functions 2021: one row per invocation, with a header.
 
 Source: "Azure Functions invocation trace 2021" (Zhang et al.). Columns: app, func, end_timestamp and duration, both
-in seconds. A row stands where its invocation ended, so that arrivals are out of order by as much as they last; they
-arrive at end less duration. The tenant is the app, the sender the function, the work hint the duration in seconds.
-There is no kind: it is `invocation`, and a mapping goes by the hint.
+in seconds. Rows are ordered by end time. The arrival time is the end time minus the duration, so arrivals are out of
+order by up to the duration. The tenant is the app, the sender the function, and the work hint the duration in seconds.
+The trace has no category, so it is always `invocation`, and mappings use the hint.
 """
 
 from __future__ import annotations
@@ -28,12 +28,16 @@
     """Reads the rows of one trace."""
 
     def __init__(self) -> None:
-        """Start before the first line."""
+        """Initialize the reader; `header` must be called before `parse`."""
         self._indices: list[int] = []
         self._width = 0
 
     def header(self, cells: list[str]) -> bool:
-        """Find the columns. Raises BadRowError where one is missing."""
+        """Find the columns in the header; always returns True.
+
+        Raises:
+            BadRowError: A required column is missing.
+        """
         self._width = 0
         found = find_columns(cells, {name: (name,) for name in COLUMNS}, COLUMNS)
         self._indices = [found[name] for name in COLUMNS]
@@ -41,7 +45,11 @@
         return True
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if not self._width:
             raise BadRowError(Reason.NO_HEADER)
         if len(cells) != self._width:
--- a/marlstep/traces/formats/base.py
+++ b/marlstep/traces/formats/base.py
@@ -1,4 +1,4 @@
-"""What a format is: its columns, and a reader that makes an arrival of a row of cells."""
+"""Interface and base classes of the formats: the columns, and a reader that turns rows of cells into arrivals."""
 
 from __future__ import annotations
 
@@ -8,82 +8,90 @@
 
 from marlstep.traces.rows import Arrival, BadRowError, Reason
 
-SkipReason = str  # why a row that can be read is no arrival
+SkipReason = str  # why a valid row is not an arrival
 
 
 class RowReader(Protocol):
-    """Reads the rows of one trace, over all its parts."""
+    """Reads the rows of one trace, with all its parts."""
 
     def header(self, cells: list[str]) -> bool:
-        """Return whether the first line of a part is a header. Raises BadRowError where a column is missing."""
+        """Return whether the first line of a part is a header.
+
+        Raises:
+            BadRowError: A required column is missing.
+        """
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
 
     def end_of_part(self) -> Iterator[Arrival]:
-        """Yield arrivals that only a complete part gives, in order of time; none for most formats."""
+        """Yield arrivals that are known only at the end of a part, in order of time; most formats have none."""
 
 
 class Format(Protocol):
-    """One public format."""
+    """A trace format."""
 
     @property
     def name(self) -> str:
-        """Its name on the command line."""
+        """Name of the format on the command line."""
 
     @property
     def columns(self) -> tuple[str, ...]:
-        """The names of its columns, in order."""
+        """Names of the columns, in order."""
 
     def make(self, seed: int) -> RowReader:
-        """Return a reader that starts afresh; `seed` sets what the trace leaves open."""
+        """Return a new reader; `seed` determines values that the trace does not state."""
 
 
 class RowReaderBase:
-    """A reader of rows that each stand for themselves, in a format without a header."""
+    """Base class of readers whose rows are independent of each other; a header is optional."""
 
-    first_column: str = ""  # its name, by which a header that was added is recognized
+    first_column: str = ""  # name of the first column, to recognize a header that was added to the file
 
     def header(self, cells: list[str]) -> bool:
-        """Return whether the line begins with the name of the first column."""
+        """Return whether the first cell is the name of the first column."""
         return bool(self.first_column) and cells[0].strip() == self.first_column
 
     def end_of_part(self) -> Iterator[Arrival]:
-        """Yield nothing."""
+        """Return an empty iterator."""
         return iter(())
 
 
 @dataclass(slots=True, frozen=True)
 class FixedFormat:
-    """A format whose columns are fixed and whose rows leave nothing open.
+    """A format with fixed columns whose arrivals don't depend on the seed.
 
     Attributes:
-        name: its name on the command line.
-        columns: the names of its columns, in order.
-        reader: makes a reader that starts afresh.
+        name: Name of the format on the command line.
+        columns: Names of the columns, in order.
+        reader: Returns a new reader.
     """
 
     name: str
     columns: tuple[str, ...]
     reader: Callable[[], RowReader]
 
-    def make(self, seed: int) -> RowReader:  # noqa: ARG002  (taken, as of every format; there is nothing to set)
-        """Return a reader that starts afresh."""
+    def make(self, seed: int) -> RowReader:  # noqa: ARG002  (parameter of the protocol)
+        """Return a new reader."""
         return self.reader()
 
 
 def find_columns(
     cells: list[str], names: Mapping[str, tuple[str, ...]], required: tuple[str, ...]
 ) -> dict[str, int]:
-    """Return the index of each column in a header, by the column's own name.
+    """Return the index in the header of each column that is present.
 
     Args:
-        cells: the header.
-        names: the spellings of each column, the preferred one first.
-        required: the columns that must be there.
+        cells: Cells of the header.
+        names: Accepted spellings in the header by column, in order of preference.
+        required: Columns that must be present.
 
     Raises:
-        BadRowError: a required column is missing.
+        BadRowError: A required column is missing.
     """
     indices = {cell.strip(): index for index, cell in reversed(list(enumerate(cells)))}
     found = {}
--- a/marlstep/traces/formats/generic.py
+++ b/marlstep/traces/formats/generic.py
@@ -1,7 +1,7 @@
-"""Any CSV, with the columns that the operator's file names.
+"""CSV files with columns that are configured in the operator's file.
 
-A column goes by its name in the header or, where there is none, by its number from 0. `time` is an instant in
-`unit_us`; `hint` is a time or any size; `selected` keeps the rows that have one of the stated values in a column.
+A column is given by its name in the header, or by its index from 0. `time` is in units of `unit_us` microseconds;
+`hint` is a duration or any other size; `selected` filters rows by the values in a column.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 UNITS: Mapping[str, float] = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000}
 NOT_SELECTED = "not-selected"
-ALL = "all"  # the tenant or category where no column names one
+ALL = "all"  # the tenant or category if no column is configured
 
 
 @dataclass(slots=True, frozen=True)
 class Columns:
-    """Where the fields of an arrival stand in a row: names of the header, or numbers from 0.
+    """Columns of the fields of an arrival, each a name in the header or an index from 0; None if there is none.
 
     Attributes:
-        time: the time of arrival.
-        unit_us: the unit of that time, in microseconds.
-        tenant: the tenant.
-        category: the trace's own class of the row.
-        hint: the work hint, in any unit.
-        key: the sender.
-        name: what tells the row from others of its sender.
-        has_header: the first line of a part is a header.
-        selected: the values that keep a row, by column.
+        time: Column of the arrival time.
+        unit_us: Unit of the arrival time, in microseconds.
+        tenant: Column of the tenant.
+        category: Column of the trace's own class of the row.
+        hint: Column of the work hint, in any unit.
+        key: Column of the sender; the tenant is the sender if None.
+        name: Column that distinguishes the rows of a sender.
+        has_header: Whether the first line of a part is a header.
+        selected: Accepted values by column; rows with other values are skipped.
     """
 
     time: str
@@ -52,23 +52,27 @@
     selected: Mapping[str, frozenset[str]] = field(default_factory=dict)
 
     def named(self) -> list[str]:
-        """Return all columns that must be there."""
+        """Return all configured columns, which each row must have."""
         fields = (self.time, self.tenant, self.category, self.hint, self.key, self.name)
         return [column for column in (*fields, *self.selected) if column is not None]
 
 
 class Reader(RowReaderBase):
-    """Reads the rows of one trace, by the columns that it is given."""
+    """Reads the rows of one trace by the configured columns."""
 
     def __init__(self, columns: Columns) -> None:
-        """Start before the first header."""
+        """Initialize the reader with its columns; `header` must be called before `parse`."""
         self.columns = columns
         self._indices: dict[str, int] = {}
         self._width = 0
-        self._min_width = 1  # columns that a row must have where there is no header
+        self._min_width = 1  # minimum number of cells of a row if there is no header
 
     def header(self, cells: list[str]) -> bool:
-        """Find the columns. Raises BadRowError where one is missing."""
+        """Find the columns in the first line of a part; return whether it is a header.
+
+        Raises:
+            BadRowError: A configured column is missing.
+        """
         self._indices, self._width = {}, 0
         names = [cell.strip() for cell in cells]
         indices = {column: self._index(column, names, cells) for column in self.columns.named()}
@@ -85,7 +89,11 @@
         raise BadRowError(Reason.NO_HEADER if has_header else Reason.MISSING, column, ",".join(cells))
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if not self._width:
             raise BadRowError(Reason.NO_HEADER)
         columns = self.columns
@@ -120,18 +128,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Generic:
-    """The format with columns of the operator's choice."""
+    """Format with configured columns.
+
+    Attributes:
+        spec: Columns of the format.
+        name: Name of the format on the command line.
+    """
 
     spec: Columns = field(default_factory=lambda: Columns(time="time"))
     name: str = "generic"
 
     @property
     def columns(self) -> tuple[str, ...]:
-        """The names or numbers of the columns that are read."""
+        """Names or indices of the columns that are read."""
         return tuple(self.spec.named())
 
-    def make(self, seed: int) -> Reader:  # noqa: ARG002  (the protocol of all formats; only azure-2019 draws)
-        """Return a reader that starts afresh."""
+    def make(self, seed: int) -> Reader:  # noqa: ARG002  (parameter of the protocol; only azure-2019 uses it)
+        """Return a new reader."""
         return Reader(self.spec)
 
 
--- a/marlstep/traces/formats/google_2011.py
+++ b/marlstep/traces/formats/google_2011.py
@@ -1,9 +1,9 @@
 """Google cluster-usage traces, version 2 (2011): the table task_events. No header, 13 columns.
 
 Source: "Google cluster-usage traces: format + schema" (Reiss, Wilkes, Hellerstein), version 2.1. Times are
-microseconds, from 600 s before the trace; 0 is "before the trace" and 2^63 - 1 "after it". An arrival is a
-SUBMIT event (0). The sender is the job, the tenant the user, the kind the scheduling class (0 to 3), and the
-work hint the requested share of a core, which tells sizes apart and is no time.
+microseconds that count from 600 s before the trace; 0 means "before the trace" and 2^63 - 1 "after the trace". An
+arrival is a SUBMIT event (0). The sender is the job, the tenant the user, the category the scheduling class (0 to 3),
+and the work hint the requested share of a core, which is a measure of size and not a time.
 """
 
 from __future__ import annotations
@@ -44,7 +44,11 @@
     first_column = "time"
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if len(cells) != 13:
             check_width(cells, 13)
         time, _, job, index, _, event, user, category, _, cpu, _, _, _ = cells
--- a/marlstep/traces/formats/google_2019.py
+++ b/marlstep/traces/formats/google_2019.py
@@ -1,10 +1,10 @@
-"""Google cluster traces, version 3 (2019): instance_events and collection_events, exported as CSV with header.
+"""Google cluster traces, version 3 (2019): instance_events and collection_events, exported as CSV with a header.
 
 Source: "Google cluster-usage traces v3" (Wilkes), tables InstanceEvents and CollectionEvents. Times are
-microseconds, from 600 s before the trace; 0 and 2^63 - 1 as in 2011. An arrival is a SUBMIT event, written as
-0 or by name. The sender is the collection, the kind the scheduling class, and the work hint the requested share
-of a core (resource_request.cpus). Only collection_events name the user; instances of collections that were read
-before get their user as tenant, and others the tenant `unknown`.
+microseconds that count from 600 s before the trace; 0 and 2^63 - 1 have the same meaning as in the traces of 2011. An
+arrival is a SUBMIT event, given as 0 or by name. The sender is the collection, the category the scheduling class, and
+the work hint the requested share of a core (resource_request.cpus). The tenant is the user, which only
+collection_events contain: an instance gets the user of its collection if that was read before, otherwise `unknown`.
 """
 
 from __future__ import annotations
@@ -44,27 +44,35 @@
     "UPDATE_RUNNING",
 } | {str(number) for number in range(11)}  # fmt: skip
 BEFORE, AFTER = "0", str((1 << 63) - 1)
-MAX_USERS = 200_000  # collections whose user is kept
+MAX_USERS = 200_000  # limit of the collections whose user is remembered
 
 
 class Reader(RowReaderBase):
     """Reads the rows of one trace."""
 
     def __init__(self) -> None:
-        """Start before the first line."""
+        """Initialize the reader; `header` must be called before `parse`."""
         self._indices: dict[str, int] = {}
         self._width = 0
         self._users: dict[str, str] = {}
 
     def header(self, cells: list[str]) -> bool:
-        """Find the columns. Raises BadRowError where one is missing."""
+        """Find the columns in the header; always returns True.
+
+        Raises:
+            BadRowError: A required column is missing.
+        """
         self._width = 0
         self._indices = find_columns(cells, NAMES, NEEDED)
         self._width = len(cells)
         return True
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if not self._width:
             raise BadRowError(Reason.NO_HEADER)
         check_width(cells, self._width)
--- a/marlstep/traces/lines.py
+++ b/marlstep/traces/lines.py
@@ -1,7 +1,7 @@
-"""Bytes to lines and lines to cells; pure.
+"""Splitting of bytes into lines and of lines into cells; pure.
 
-A record is one line. None of the formats has a line break inside a cell, so a quote that is still open at the
-end of its line costs that line alone, and what was read always adds up: each line is a row or a reject.
+A record is one line. No format has line breaks inside a cell, so an unterminated quote affects only its own line,
+and every line is accounted for as a row or a reject.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 
 from marlstep.traces.rows import BadRowError, Reason
 
-MAX_LINE_BYTES = 64 * 1024  # bytes; the longest line of a format, 1,440 counts, has about 10 KiB
+MAX_LINE_BYTES = 64 * 1024  # the longest line of any format (1,440 counts in azure-2019) has about 10 KiB
 BOM = "\ufeff"
 
 
 class LineCutter:
-    """Cuts a stream into lines, and keeps no more of one than a limit.
+    """Splits a byte stream into lines, with a limit on the bytes buffered for one line.
 
     Attributes:
-        max_line_bytes: a line that is longer comes as None, once.
+        max_line_bytes: Maximum length of a line, in bytes; a longer line is returned as a single None.
     """
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
-        """Start at the beginning of a line."""
+        """Initialize the splitter with an empty buffer."""
         self.max_line_bytes = max_line_bytes
         self._rest = b""
-        self._skipping = False  # inside a line whose start was given up
+        self._skipping = False  # inside an overlong line whose start was discarded
 
     def feed(self, data: bytes) -> list[bytes | None]:
-        """Return the lines that are complete, without their line breaks."""
+        """Return the lines that `data` completes, without their line breaks."""
         lines: list[bytes | None] = list((self._rest + data).split(b"\n"))
         self._rest = lines.pop() or b""
-        if self._skipping and lines:  # the end of the line that was given up
+        if self._skipping and lines:  # the end of the overlong line, already reported as None
             lines.pop(0)
             self._skipping = False
         elif self._skipping:
@@ -44,14 +44,14 @@
         return lines
 
     def end(self) -> bytes | None:
-        """Return what stands behind the last line break; None where nothing does."""
+        """Return the bytes after the last line break; None if there are none."""
         rest, self._rest = self._rest, b""
         skipped, self._skipping = self._skipping, False
         return rest if rest and not skipped else None
 
 
 def split_plain_lines(lines: list[bytes | None]) -> list[str] | None:
-    """Return all lines as text where none needs a closer look, as nearly all that is read; else None."""
+    """Return all lines as text if none has quotes, NUL, CR or non-ASCII bytes, which is the common case; else None."""
     if None in lines:
         return None
     block = b"\n".join(lines)  # type: ignore[arg-type]
@@ -61,7 +61,11 @@
 
 
 def split_cells(line: bytes | None) -> list[str]:
-    """Return the cells of any line. Raises BadRowError."""
+    """Return the cells of any line; None stands for an overlong line.
+
+    Raises:
+        BadRowError: The line is too long, is not UTF-8, contains NUL or has invalid quotes.
+    """
     if line is None:
         raise BadRowError(Reason.TOO_LONG)
     if b"\0" in line:
--- a/marlstep/traces/mapping.py
+++ b/marlstep/traces/mapping.py
@@ -1,9 +1,9 @@
 """Mapping of a trace's rows to requests; pure.
 
-A rule names a request class and what a row must look like for it; the first rule that matches decides. A row that no
-rule matches goes to the default class, or is dropped and counted. The work hint places a request within its class's
-range of work: between two hints in the trace's own unit, on a logarithmic scale, as sizes in these traces spread over
-decades.
+A rule consists of a request class and conditions on a row; the first rule that matches determines the class. A row
+that no rule matches gets the default class, or is dropped and counted. The work hint determines the work of a request
+within the range of its class. The scale between the lowest and the highest hint is logarithmic, because sizes in
+these traces span several orders of magnitude.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 from marlstep.traces.rows import Arrival
 
-MAX_DROPPED_CATEGORIES = 1000  # that are counted by name; the rest are counted together
+MAX_DROPPED_CATEGORIES = 1000  # counted by name; the rest are counted under OTHER_CATEGORIES
 OTHER_CATEGORIES = "others"
 MAX_CACHED_HASHES = 100_000
 HASH_BYTES = 8
@@ -27,14 +27,14 @@
 
 
 class PlannedRequest(NamedTuple):
-    """A request of a schedule. The order of the fields is the order in which equal times are put.
+    """A request of a schedule. Requests sort by the fields in this order.
 
     Attributes:
-        at_us: when it is sent, in microseconds since the start.
-        request_class: its class.
-        tenant: its tenant.
-        work_us: its work on one core, in microseconds.
-        sender: 64 bits that stand for the sender.
+        at_us: Planned send time, in microseconds since the start.
+        request_class: Name of the request class.
+        tenant: Name of the tenant.
+        work_us: Work on one core, in microseconds.
+        sender: Keyed 64-bit hash that identifies the sender.
     """
 
     at_us: int
@@ -45,24 +45,24 @@
 
 
 class TenantMode(enum.StrEnum):
-    """How the tenants of a trace become tenants of requests."""
+    """How the tenants of a trace are mapped to tenants of requests."""
 
-    AS_IS = "as-is"  # the trace's own names
-    NAMED = "named"  # the listed names stay, all others become the default tenant
-    BUCKETS = "buckets"  # one of the listed names, by a hash of the trace's name
-    ONE = "one"  # the default tenant
+    AS_IS = "as-is"  # the trace's own names are kept
+    NAMED = "named"  # the listed names are kept, all others become the default tenant
+    BUCKETS = "buckets"  # a hash of the trace's name selects one of the listed names
+    ONE = "one"  # all requests get the default tenant
 
 
 @dataclass(slots=True, frozen=True)
 class Rule:
-    """A request class, and the rows that become requests of it.
+    """A request class and the conditions on rows that are mapped to it.
 
     Attributes:
-        request_class: the class.
-        categories: the categories of the trace that match; any where there is none.
-        tenants: the tenants of the trace that match; any where there is none.
-        min_hint: the lowest work hint that matches, in the trace's unit.
-        max_hint: the work hint from which on nothing matches, in the trace's unit.
+        request_class: Name of the class.
+        categories: Categories of the trace that match; if empty, any category matches.
+        tenants: Tenants of the trace that match; if empty, any tenant matches.
+        min_hint: Lowest work hint that matches, in the trace's unit.
+        max_hint: Upper limit (exclusive) of the work hint, in the trace's unit.
     """
 
     request_class: str
@@ -80,7 +80,7 @@
         return self.min_hint <= row.hint < self.max_hint
 
     def covers(self, other: Rule) -> bool:
-        """Return whether this rule matches every row that the other one matches."""
+        """Return whether this rule matches every row that `other` matches."""
         covers_categories = not self.categories or (
             bool(other.categories) and (other.categories <= self.categories)
         )
@@ -91,25 +91,25 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkRange:
-    """The least and the most work of a class's requests, in microseconds on one core."""
+    """Minimum and maximum work of the requests of a class, in microseconds on one core."""
 
     min_us: int
     max_us: int
 
     def at(self, position: float) -> int:
-        """Return the work at a position from 0, the least, to 1, the most."""
+        """Return the work at a position between 0 (minimum) and 1 (maximum)."""
         return self.min_us + round((self.max_us - self.min_us) * position)
 
 
 @dataclass(slots=True, frozen=True)
 class HintScale:
-    """Work hints, in the trace's unit: `low` and below get the least work, `high` and above the most."""
+    """Scale of work hints in the trace's unit: up to `low` maps to the minimum work, from `high` on to the maximum."""
 
     low: float
     high: float
 
     def position(self, hint: float) -> float:
-        """Return where a hint lies, from 0 to 1; the middle where there is no hint or no scale."""
+        """Return the position of a hint on the scale, from 0 to 1; 0.5 if there is no hint or no scale."""
         if hint <= 0 or self.high <= self.low:
             return 0.5
         if self.low <= 0:
@@ -120,16 +120,16 @@
 
 @dataclass(slots=True, frozen=True)
 class MappingSettings:
-    """How the rows of a trace become requests.
+    """How the rows of a trace are mapped to requests.
 
     Attributes:
-        rules: the first that matches decides the class.
-        work: the range of work, by request class.
-        default_class: the class of rows that no rule matches; None drops them.
-        scale: the work hints that stand for the least and the most work.
-        tenant_mode: how tenants are named.
-        tenant_names: the buckets, or the names that stay.
-        default_tenant: the tenant of all others.
+        rules: Rules in order; the first that matches determines the class.
+        work: Range of work by request class.
+        default_class: Class of rows that no rule matches; None drops them.
+        scale: Work hints that correspond to the minimum and maximum work.
+        tenant_mode: How tenants are mapped.
+        tenant_names: Names of the buckets for BUCKETS, or the names that are kept for NAMED.
+        default_tenant: Tenant of all other requests.
     """
 
     rules: tuple[Rule, ...]
@@ -142,27 +142,27 @@
 
 
 class Mapper:
-    """Maps the rows of one trace, and counts what it mapped and dropped.
+    """Maps the rows of one trace, and counts the mapped and the dropped rows.
 
     Attributes:
-        settings: the rules.
-        dropped: rows that were dropped, by category of the trace.
-        mapped: requests, by class.
+        settings: Settings of the mapping.
+        dropped: Number of dropped rows by category of the trace.
+        mapped: Number of requests by class.
     """
 
     def __init__(self, settings: MappingSettings, seed: int) -> None:
-        """Start with empty counts; `seed` keys the hashes of senders and tenants."""
+        """Initialize the mapper with empty counts; `seed` is the key of the hashes of senders and tenants."""
         self.settings = settings
         self.dropped: Counter[str] = Counter()
         self.mapped: Counter[str] = Counter()
         self._hash = KeyedHash(seed)
 
     def map(self, row: Arrival, start_us: int = 0) -> PlannedRequest | None:
-        """Return the request that a row stands for; None where the row is dropped.
+        """Return the request for a row; None if the row is dropped.
 
         Args:
-            row: the arrival.
-            start_us: the trace's own time, in microseconds, that becomes 0.
+            row: Arrival to be mapped.
+            start_us: Time on the trace's own clock that becomes 0, in microseconds.
         """
         request_class = self._request_class(row)
         if request_class is None:
@@ -201,7 +201,7 @@
     """Keyed 64-bit hashes of names, with a cache of bounded size.
 
     Attributes:
-        seed: the key; the same seed gives the same hashes.
+        seed: Key of the hashes; the same seed gives the same hashes.
     """
 
     seed: int
--- a/marlstep/traces/operator_file.py
+++ b/marlstep/traces/operator_file.py
@@ -1,4 +1,4 @@
-"""Tables of tenants and classes for an operator's file, made from the account of a trace; pure."""
+"""Tables of tenants and classes for the operator's file, derived from the account of a trace; pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from marlstep.traces.account import OTHERS, Account
 
-MIN_DURATION_S = 1.0  # of a trace, so that a mean rate can be stated
+MIN_DURATION_S = 1.0  # lower limit of a trace's duration, so that its mean rate is finite
 
 
 def operator_lines(
@@ -17,10 +17,10 @@
     """Yield the lines of the tables.
 
     Args:
-        account: what the trace holds.
-        max_tenants: the largest tenants that get a table each; all others share one.
-        headroom: a tenant's quota over its mean rate.
-        class_names: the name of a request class, by the trace's category; others keep the category's name.
+        account: Counts of a reading of the trace.
+        max_tenants: Number of the largest tenants that get their own table; all others share one.
+        headroom: Ratio of a tenant's quota to its mean rate.
+        class_names: Name of the request class by category of the trace; other categories keep their name.
     """
     yield from _tenant_lines(account, max_tenants, headroom)
     yield from _class_lines(account, class_names)
@@ -39,7 +39,7 @@
 
 
 def _class_lines(account: Account, class_names: Mapping[str, str]) -> Iterator[str]:
-    """Yield a table for each class; of several categories that make one class the highest rank is its weight."""
+    """Yield a table for each class; its weight is the highest rank of the categories that are mapped to it."""
     ranked = sorted(account.categories, key=_rank)
     names = {category: class_names.get(category, category) for category in ranked}
     weights = {names[category]: rank for rank, category in enumerate(ranked, 1)}
@@ -50,13 +50,13 @@
 
 
 def _rank(category: str) -> tuple[float, str]:
-    """Order categories that are numbers as numbers, the higher the more urgent; names come last, by the alphabet."""
+    """Return a sort key: numeric categories by value, where higher is more urgent, then names in alphabetical order."""
     is_number = category.isascii() and category.isdigit()
     return (float(category) if is_number else math.inf, category)
 
 
 def toml_key(name: str) -> str:
-    """Return a quoted key of TOML, whatever the name holds."""
+    """Return a name as a quoted TOML key; special and unprintable characters are escaped."""
     escaped = name.replace("\\", "\\\\").replace('"', '\\"')
     printable = "".join(letter if letter.isprintable() else f"\\U{ord(letter):08x}" for letter in escaped)
     return f'"{printable}"'
--- a/marlstep/traces/reading.py
+++ b/marlstep/traces/reading.py
@@ -1,8 +1,8 @@
-"""A trace from its parts to arrivals in order, and the account of every line on the way.
+"""Reading of a trace: yields the arrivals of all parts in order of time, and accounts for every line.
 
-Each line that is no header and not empty is a row, and each row is good or bad: `rows == good + bad`. Of the good
-ones, some are no arrivals (`skipped`, by reason) or are duplicates; formats that count (azure-2019) give many
-arrivals for a row.
+Each line that is neither a header nor empty is a row, and each row is good or bad: `rows == good + bad`. Some good
+rows are not arrivals (`skipped`, by reason) or are duplicates. In formats whose rows hold counts (azure-2019), one
+row yields many arrivals.
 """
 
 from __future__ import annotations
@@ -19,44 +19,44 @@
 from marlstep.traces.rows import MAX_SHOWN_TEXT, Arrival, BadRowError, Reason, Reject
 from marlstep.traces.sources import STANDARD_INPUT, open_part, unpack
 
-BATCH_SIZE = 4_096  # arrivals that a part's end gives at once
+BATCH_SIZE = 4_096  # arrivals in one batch at the end of a part
 BOM_BYTES = BOM.encode()
-DUPLICATE = "duplicate"  # the reason by which formats skip rows that come twice
+DUPLICATE = "duplicate"  # the reason with which formats skip repeated rows
 WINDOW_FULL_NOTE = "reorder-window-full"
 
 
 class StrictReadingError(MarlstepError):
-    """A row is bad, where none may be.
+    """A row is bad, and the reading is strict.
 
     Attributes:
-        reject: the first bad row.
+        reject: The first bad row.
     """
 
     def __init__(self, reject: Reject, place: str) -> None:
-        """Name the place, as `part:line`, and what is wrong there."""
+        """Initialize the error for a bad row at `place`, given as `part:line`."""
         super().__init__(f"{place}: {reject.describe()}")
         self.reject = reject
 
 
 def _ignore(_: object) -> None:
-    """Take a report that nobody asked for."""
+    """Do nothing; the default of the callbacks."""
 
 
 @dataclass(slots=True)
 class Reading:
-    """One reading of a trace; `batches` may be used once.
+    """One reading of a trace; `batches` may be called only once.
 
     Attributes:
-        format: of the trace.
-        parts: paths; `-` is standard input.
-        seed: sets what the trace leaves open.
-        window_us: how late a row may come, in microseconds; None for what the format needs.
-        is_strict: end at the first bad row.
-        on_reject: is given every bad row, in the order in which they are found.
-        on_progress: is given the number of bytes that were read, after decompression.
-        on_raw: is given the bytes as they lie in the parts.
-        max_line_bytes: a longer line is a bad row.
-        account: what was read so far.
+        format: Format of the trace.
+        parts: Paths of the parts; `-` is standard input.
+        seed: Seed for values that the trace does not state, such as the times within a minute in azure-2019.
+        window_us: How far out of order a row may be, in microseconds; None for the default of the format.
+        is_strict: Whether the first bad row ends the reading.
+        on_reject: Called with each bad row, in the order in which they are found.
+        on_progress: Called with the number of bytes of each chunk, after decompression.
+        on_raw: Called with each chunk of bytes before decompression; None if not needed.
+        max_line_bytes: Maximum length of a line, in bytes; a longer line is a bad row.
+        account: Counts of what was read so far.
     """
 
     format: Format
@@ -69,11 +69,13 @@
     on_raw: Callable[[bytes], None] | None = None
     max_line_bytes: int = MAX_LINE_BYTES
     account: Account = field(default_factory=Account)
-    _starts: list[tuple[int, str]] = field(default_factory=list)  # the first line of each part, and its name
-    _is_at_start: bool = True  # no line of the part has been read yet
+    _starts: list[tuple[int, str]] = field(
+        default_factory=list
+    )  # number of the first line, and name, of each part
+    _is_at_start: bool = True  # no header or row of the current part has been read yet
 
     def place(self, line: int) -> str:
-        """Return `part:line` of a line that is counted over all parts."""
+        """Return `part:line` for a line number that counts over all parts."""
         name, start = "?", 0
         for first, part in self._starts:
             if first <= line:
@@ -81,11 +83,11 @@
         return f"{name}:{line - start + 1}"
 
     def batches(self) -> Iterator[list[Arrival]]:
-        """Yield arrivals in order of time, in batches of any size.
+        """Yield arrivals in order of time, in batches of varying size.
 
         Raises:
-            SourceError: a part can't be opened or read.
-            StrictReadingError: a row is bad, and the reading is strict.
+            SourceError: A part can't be opened or read.
+            StrictReadingError: A row is bad and the reading is strict.
         """
         window_us = self.window_us
         if window_us is None:
@@ -142,7 +144,7 @@
             rest = cutter.end()
             if rest is not None:
                 yield self._read_rows(self._after_header([rest], reader), reader)
-        except BadRowError as error:  # the stream is cut or corrupt; the line that was begun goes with it
+        except BadRowError as error:  # the stream is truncated or corrupt; an incomplete line is dropped
             account.lines += 1
             account.rows += 1
             self._reject(account.lines, error)
@@ -151,7 +153,7 @@
                 stream.close()
 
     def _after_header(self, lines: list[bytes | None], reader: RowReader) -> list[bytes | None]:
-        """Return the lines without a part's header, and without empty lines before it."""
+        """Return the lines without the header of the part and without empty lines before it."""
         while self._is_at_start and lines:
             first = lines[0]
             if first is not None and first.startswith(BOM_BYTES):
@@ -169,7 +171,7 @@
         return lines
 
     def _take_header(self, line: bytes | None, reader: RowReader) -> bool:
-        """Return whether the line is done with: a header, or a header at fault."""
+        """Return whether the line needs no further processing: it is a header, or a header that was rejected."""
         account = self.account
         try:
             is_header = reader.header(split_cells(line))
@@ -188,7 +190,7 @@
         return self._read_any(lines, reader) if texts is None else self._read_plain(texts, reader)
 
     def _read_plain(self, texts: list[str], reader: RowReader) -> list[Arrival]:
-        """Read lines of which none needs a closer look, the short way."""
+        """Read lines that `split_plain_lines` has accepted; this is the fast path."""
         account = self.account
         found: list[Arrival] = []
         append, parse, skipped = found.append, reader.parse, account.skipped
@@ -234,7 +236,11 @@
         return found
 
     def _reject(self, line: int, error: BadRowError) -> None:
-        """Count a bad row; every one passes here."""
+        """Count and report a bad row.
+
+        Raises:
+            StrictReadingError: The reading is strict.
+        """
         account = self.account
         account.bad += 1
         account.bad_by_reason[error.reason.value] += 1
--- a/marlstep/traces/reordering.py
+++ b/marlstep/traces/reordering.py
@@ -1,11 +1,11 @@
-"""Order within a bounded window; pure.
+"""Sorting of rows by time within a bounded window; pure.
 
-A row may come late by up to the window, measured against the latest time read before it. What comes later is
-given back as late. Which rows are late depends on the rows alone, not on how they were cut into batches.
+A row may be out of order by up to the window, measured against the latest time read before it. A row beyond the
+window is returned as late. Which rows are late depends on the rows alone, not on their division into batches.
 
-One wrong time far ahead must not make all that follows late. A row further ahead than the gap waits aside until it
-is known what it is: if MIN_ROWS_AFTER_GAP rows in a row are as far ahead the trace has a gap, and if one that is not
-comes first, those that waited were wrong.
+A single wrong timestamp far in the future must not make all following rows late. A row that is ahead by more than the
+gap is therefore set aside. If MIN_ROWS_AFTER_GAP consecutive rows are that far ahead, the trace has a real gap and
+they are accepted; if a row that is not that far ahead follows sooner, they are returned as jumps.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 from marlstep.traces.rows import Arrival
 
-WINDOW_US = 10_000_000  # where the format does not name a longer one
-MAX_WAITING_ROWS = 100_000  # inside the window, some 40 MB; beyond it the older half goes out early
+WINDOW_US = 10_000_000  # default; some formats need a longer window
+MAX_WAITING_ROWS = 100_000  # about 40 MB; beyond this the older half is released early
 MIN_SORTED_ROWS = 8_192
-GAP_US = 86_400_000_000  # no trace is silent for a day
-MIN_ROWS_AFTER_GAP = 64  # rows in a row that are ahead of all others by more than the gap are believed
+GAP_US = 86_400_000_000  # no trace is without rows for a day
+MIN_ROWS_AFTER_GAP = 64  # consecutive rows beyond the gap that are accepted as a real gap
 
 
 @dataclass(slots=True)
 class Reordered:
-    """What became of the rows of one batch and of those that waited.
+    """Result of adding one batch of rows; may include rows of earlier batches that were waiting.
 
     Attributes:
-        ready: arrivals in order of time.
-        late: rows that came late by more than the window.
-        jumps: rows far ahead of all that came before and after.
+        ready: Arrivals in order of time.
+        late: Rows that are out of order by more than the window.
+        jumps: Rows that are ahead of their neighbours by more than the gap.
     """
 
     ready: list[Arrival] = field(default_factory=list)
@@ -38,23 +38,23 @@
 
 
 class Reorderer:
-    """Puts the rows of one trace in order of time, within a window.
+    """Sorts the rows of one trace by time, within a window.
 
     Attributes:
-        out_of_order: rows that came after a later one, late ones among them.
-        duplicates: rows that were left out, as another of the window has the same time, sender and name.
-        forced: times that the window held too many rows.
+        out_of_order: Number of rows whose time is earlier than that of a preceding row, including late rows.
+        duplicates: Number of rows left out because another in the window has the same time, sender and name.
+        forced: Number of times that rows were released early because the window was full.
     """
 
     def __init__(
         self, window_us: int = WINDOW_US, max_waiting_rows: int = MAX_WAITING_ROWS, gap_us: int = GAP_US
     ) -> None:
-        """Start with an empty window.
+        """Initialize the reorderer with an empty window.
 
         Args:
-            window_us: how late a row may come, in microseconds.
-            max_waiting_rows: how many rows the window holds before the older half goes out early.
-            gap_us: how far ahead of all others a row must be to wait aside, in microseconds.
+            window_us: How far out of order a row may be, in microseconds.
+            max_waiting_rows: Number of waiting rows at which the older half is released early.
+            gap_us: How far ahead of the latest time a row must be to be set aside, in microseconds.
         """
         self.out_of_order = 0
         self.duplicates = 0
@@ -63,16 +63,16 @@
         self._gap_us = max(gap_us, window_us)
         self._ahead: list[Arrival] = []
         self._max_waiting_rows = max(2, max_waiting_rows)
-        self._latest_us = -1  # of the rows read so far
-        self._floor_us = -1  # nothing before it may follow: it went out already
+        self._latest_us = -1  # latest time of the accepted rows
+        self._floor_us = -1  # rows before this time are late, because later rows have been released
         self._waiting: list[Arrival] = []
         self._sort_at = MIN_SORTED_ROWS
 
     def push(self, rows: list[Arrival]) -> Reordered:
-        """Take rows as they were read; return what is in order now, and what is not taken."""
+        """Add rows in the order in which they were read; return the rows now in order and the rejected rows."""
         done = Reordered()
         waiting, latest, window, gap = self._waiting, self._latest_us, self._window_us, self._gap_us
-        for row in rows:  # of millions: the loop keeps its state in local names
+        for row in rows:  # runs for millions of rows, so the state is kept in local variables
             at = row[0]
             if at >= latest:
                 if at > latest + gap:
@@ -96,7 +96,7 @@
         return done
 
     def _set_aside(self, row: Arrival, latest_us: int) -> int:
-        """Keep a row that is far ahead; return the latest time, which jumps once enough rows agree."""
+        """Set aside a row beyond the gap; return the latest time, which advances once enough rows are set aside."""
         self._ahead.append(row)
         if len(self._ahead) < MIN_ROWS_AFTER_GAP:
             return latest_us
@@ -106,7 +106,7 @@
         return latest_us
 
     def end(self) -> list[Arrival]:
-        """Return all that still waits. Rows far ahead that nothing came after are taken for the trace's own."""
+        """Return all waiting rows. Rows that are still set aside are accepted, because no row contradicts them."""
         self._waiting += self._ahead
         self._latest_us = max([self._latest_us, *(row.at_us for row in self._ahead)])
         self._ahead.clear()
@@ -119,10 +119,10 @@
         if len(waiting) - end >= self._max_waiting_rows:
             self.forced += 1
             end = len(waiting) - self._max_waiting_rows // 2
-            # Equal times stay together, so that a duplicate is never cut off from its twin.
+            # Rows with equal times are released together, so that duplicates are always compared.
             end = bisect_left(waiting, (waiting[end][0],)) or len(waiting)
         ready, self._waiting = waiting[:end], waiting[end:]
-        # Sorted anew when as many have come as wait, so that each row is sorted a few times only.
+        # Sorting again only after about as many new rows as are waiting keeps the number of sorts of each row low.
         still_waiting = len(self._waiting)
         room = self._max_waiting_rows - still_waiting
         self._sort_at = still_waiting + max(MIN_SORTED_ROWS, min(still_waiting, room))
@@ -131,7 +131,7 @@
         return self._without_duplicates(ready)
 
     def _without_duplicates(self, rows: list[Arrival]) -> list[Arrival]:
-        """Leave out duplicates, which lie side by side, as equal times are sorted by sender and name."""
+        """Remove duplicates; they are adjacent, because rows with equal times are sorted by sender and name."""
         unique: list[Arrival] = []
         append = unique.append
         previous: tuple[object, ...] = ()
--- a/marlstep/traces/retries.py
+++ b/marlstep/traces/retries.py
@@ -1,4 +1,4 @@
-"""How senders behave after a rejection."""
+"""Retry behaviour of senders."""
 
 from __future__ import annotations
 
@@ -6,10 +6,8 @@
 
 
 class Retries(enum.StrEnum):
-    """When a sender retries a request that was rejected or failed."""
+    """When a sender retries a request that was rejected, failed or expired."""
 
     NONE = "none"
-    POLITE = (
-        "polite"  # after the Retry-After of the rejection, or BACKOFF_US if that is longer; three attempts
-    )
-    HASTY = "hasty"  # at once and without limit, while the client waits
+    POLITE = "polite"  # after the Retry-After, but at least MIN_POLITE_WAIT_US; MAX_POLITE_ATTEMPTS attempts in total
+    HASTY = "hasty"  # after HASTY_WAIT_US, without a limit on attempts, until the latency objective
--- a/marlstep/traces/rows.py
+++ b/marlstep/traces/rows.py
@@ -1,7 +1,7 @@
-"""What every format gives: arrivals, and what is wrong with the rows that are none.
+"""Rows of all formats: arrivals, rejects, and the parsing of cells.
 
-Times are whole microseconds here, not `datetime`: a trace has millions of rows, and making a `timedelta` for
-each costs a fifth of the time that reading one may take (figures in docs/traces.md).
+Times are integers in microseconds, not `datetime`: a trace has millions of rows, and creating a `timedelta` for each
+takes a fifth of the time allowed for reading a row (see docs/traces.md).
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 from marlstep.errors import MarlstepError
 
-MAX_TIME_US = 1 << 62  # some 146,000 years
-MAX_SHOWN_TEXT = 48  # characters of a faulty cell that a reject keeps
+MAX_TIME_US = 1 << 62  # about 146,000 years
+MAX_SHOWN_TEXT = 48  # characters of an invalid cell that a reject contains
 
 
 class Arrival(NamedTuple):
-    """One arrival. The order of the fields is the order in which equal times are put.
+    """One arrival. Arrivals sort by the fields in this order.
 
     Attributes:
-        at_us: microseconds on the trace's own clock.
-        key: the sender; a sender stays complete when a trace is thinned.
-        name: tells the arrival from others of its sender; equal time, key and name make a duplicate; "" where none.
-        tenant: the tenant, as the trace names it.
-        category: the trace's own class of the arrival.
-        hint: the work, in the format's unit; 0 where the trace has none.
-        line: where it stands, counted from 1 over all parts.
+        at_us: Time on the trace's own clock, in microseconds.
+        key: Identifier of the sender; thinning keeps or drops all arrivals of a sender.
+        name: Identifier among the sender's arrivals, or ""; arrivals with equal time, key and name are duplicates.
+        tenant: Tenant as named in the trace.
+        category: The trace's own class of the arrival.
+        hint: Work in the format's unit; 0 if the trace does not state it.
+        line: Line number, counted from 1 over all parts.
     """
 
     at_us: int
@@ -40,7 +40,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a row is bad."""
+    """Reasons for which a row is bad."""
 
     MISSING = "missing-columns"
     SURPLUS = "surplus-columns"
@@ -55,12 +55,12 @@
     NUL = "nul"
     NOT_UTF8 = "not-utf8"
     TOO_LONG = "line-too-long"
-    TRUNCATED = "truncated"  # the compressed stream ends inside itself
-    CORRUPT = "corrupt"  # it can't be decompressed from here on
+    TRUNCATED = "truncated"  # the compressed stream ends before its end marker
+    CORRUPT = "corrupt"  # the rest of the stream can't be decompressed
     LATE = "late"  # out of order by more than the reorder window
-    JUMP = "time-jump"  # far ahead of all before and after it
-    TOO_MANY = "too-many"  # beyond a stated bound
-    NO_HEADER = "no-header"  # a column that the format names is not in the header
+    JUMP = "time-jump"  # ahead of the rows before and after it by more than the gap
+    TOO_MANY = "too-many"  # exceeds a limit of the format's reader
+    NO_HEADER = "no-header"  # the header, or a required column of it, is missing
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,10 +68,10 @@
     """One bad row.
 
     Attributes:
-        line: where it stands, counted from 1 over all parts.
-        column: the column at fault; "" where the row as a whole is bad.
-        reason: what is wrong.
-        text: the start of what stood there.
+        line: Line number, counted from 1 over all parts.
+        column: Name of the invalid column; "" if the row as a whole is bad.
+        reason: Why the row is bad.
+        text: Start of the invalid text; "" if there is none.
     """
 
     line: int
@@ -80,29 +80,33 @@
     text: str
 
     def describe(self) -> str:
-        """Return the reason, the column and the text, as far as they are known."""
+        """Return the reason, with the column and the text if they are known."""
         column = f" in column {self.column}" if self.column else ""
         text = f": {self.text!r}" if self.text else ""
         return f"{self.reason.value}{column}{text}"
 
 
 class BadRowError(MarlstepError):
-    """A row can't be read. Formats raise it; the reader of the trace adds the line.
+    """A row can't be read. Raised by the readers of the formats; `Reading` adds the line number.
 
     Attributes:
-        reason: what is wrong.
-        column: the column at fault; "" where the row as a whole is bad.
-        text: the start of what stood there.
+        reason: Why the row is bad.
+        column: Name of the invalid column; "" if the row as a whole is bad.
+        text: The first MAX_SHOWN_TEXT characters of the invalid text.
     """
 
     def __init__(self, reason: Reason, column: str = "", text: str = "") -> None:
-        """Keep the start of the text."""
+        """Initialize the error; `text` is truncated to MAX_SHOWN_TEXT characters."""
         super().__init__(reason)
         self.reason, self.column, self.text = reason, column, text[:MAX_SHOWN_TEXT]
 
 
 def check_width(cells: list[str], width: int) -> None:
-    """Check the number of cells. Raises BadRowError."""
+    """Check that a row has `width` cells.
+
+    Raises:
+        BadRowError: The row has fewer or more cells.
+    """
     if len(cells) < width:
         raise BadRowError(Reason.MISSING, text=f"{len(cells)} of {width} columns")
     if len(cells) > width:
@@ -110,7 +114,11 @@
 
 
 def read_whole(text: str, column: str) -> int:
-    """Read a whole number from 0 to MAX_TIME_US. Raises BadRowError."""
+    """Parse an integer from 0 to MAX_TIME_US.
+
+    Raises:
+        BadRowError: The text is not such an integer.
+    """
     if not text.isdigit():
         raise number_error(text, column)
     try:
@@ -123,7 +131,11 @@
 
 
 def read_decimal(text: str, column: str) -> float:
-    """Read a finite number, 0 or more. Raises BadRowError."""
+    """Parse a number from 0 to MAX_TIME_US, with or without a fraction.
+
+    Raises:
+        BadRowError: The text is not such a number.
+    """
     try:
         value = float(text)
     except ValueError:
@@ -134,7 +146,11 @@
 
 
 def read_instant_us(text: str, column: str, unit_us: float) -> int:
-    """Read a time in units of `unit_us` microseconds, with or without a fraction. Raises BadRowError."""
+    """Parse a time in units of `unit_us` microseconds, with or without a fraction; return microseconds.
+
+    Raises:
+        BadRowError: The text is not a number, or the time is outside 0 to MAX_TIME_US.
+    """
     if text.isdigit() and unit_us == 1:
         return read_whole(text, column)
     value = read_decimal(text, column) * unit_us
@@ -144,14 +160,18 @@
 
 
 def read_word(text: str, column: str) -> str:
-    """Return the text of a cell that must not be empty. Raises BadRowError."""
+    """Return the text of a cell that must not be empty.
+
+    Raises:
+        BadRowError: The cell is empty.
+    """
     if not text:
         raise BadRowError(Reason.EMPTY, column)
     return text
 
 
 def number_error(text: str, column: str) -> BadRowError:
-    """Return the error that says why a cell is no number from 0 to MAX_TIME_US."""
+    """Return the error for a cell that is not a number from 0 to MAX_TIME_US."""
     return BadRowError(_number_reason(text), column, text)
 
 
--- a/marlstep/traces/schedule.py
+++ b/marlstep/traces/schedule.py
@@ -1,11 +1,11 @@
-"""Compiled schedules: the requests of a replay in a file that is read back with little memory.
+"""Compiled schedules: files with the requests of a replay, which are read block by block in bounded memory.
 
-    magic, version (u16), length of the head (u32), head (JSON, padded), checksum of all before it
-    block: compressed length (u32), raw length (u32), checksum (16 bytes of BLAKE3), zstd data
-    end:   0 (u32), number of requests (u64), checksum over all block checksums
+    header: magic, version (u16), length of the JSON (u32), JSON (padded), checksum of all preceding bytes
+    block:  compressed length (u32), raw length (u32), checksum (16 bytes of BLAKE3), zstd data
+    end:    0 (u32), number of requests (u64), checksum over all block checksums
 
-A block holds the names that are new in it and then its requests, each 26 bytes. The head names the sources and the
-settings by their BLAKE3, so that two schedules of the same head are the same.
+A block contains the names that are new in it, then its requests of 26 bytes each. The JSON of the header identifies
+the sources and the settings by their BLAKE3 digests, so two schedules with the same header have the same content.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 HEAD = struct.Struct("<8sHI")
 BLOCK = struct.Struct("<II16s")
 END = struct.Struct("<IQ16s")
-END_MARK = b"\0\0\0\0"  # in the place of a block's length
+END_MARK = b"\0\0\0\0"  # stands where a block has its compressed length
 RECORD = struct.Struct("<QIHIQ")  # time, work, class, tenant, sender
 NAMES = struct.Struct("<I")
 CHECKSUM_BYTES = 16
 BLOCK_ROWS = 16_384
-MAX_BLOCK_BYTES = 4 << 20  # unpacked; a larger block is corrupt
-MAX_PACKING_OVERHEAD_BYTES = 1024  # by which data that does not compress may grow
+MAX_BLOCK_BYTES = 4 << 20  # raw length; a larger block is corrupt
+MAX_PACKING_OVERHEAD_BYTES = 1024  # limit of the growth of incompressible data by compression
 MAX_HEAD_BYTES = 1 << 20
-HEAD_PADDING_BYTES = 4096  # the head is written again at the end, with what is known only then
+HEAD_PADDING_BYTES = 4096  # room for what `finish` adds when it rewrites the header
 MAX_NAMES = 1 << 20
 COMPRESSION_LEVEL = 3
 
@@ -46,37 +46,40 @@
     """A schedule can't be read or written.
 
     Attributes:
-        path: of its file.
-        problem: what is wrong with it, in one line.
+        path: Path of the file.
+        problem: What is wrong with the file, in one line.
     """
 
     def __init__(self, path: str | Path, problem: str | None) -> None:
-        """Name the file, and what is wrong with it."""
+        """Initialize the error with the path of the file and the problem."""
         super().__init__(f"{path}: {problem}")
         self.path = str(path)
         self.problem = problem
 
 
 def checksum(data: bytes) -> bytes:
-    """Return the start of the data's BLAKE3."""
+    """Return the first CHECKSUM_BYTES bytes of the BLAKE3 digest of `data`."""
     return blake3(data).digest(CHECKSUM_BYTES)
 
 
 class ScheduleWriter:
-    """Writes a schedule beside its place, and moves it there when it is complete.
+    """Writes a schedule to a temporary file, and renames it to its path once it is complete.
 
     Attributes:
-        path: where the schedule goes.
-        count: requests that were written.
-        last_us: time of the last request, in microseconds since the start.
+        path: Path of the schedule.
+        count: Number of requests in the blocks written so far.
+        last_us: Time of the last added request, in microseconds since the start.
     """
 
     def __init__(self, path: str, head: Mapping[str, object]) -> None:
-        """Begin the file with its head, which `finish` replaces.
+        """Create the temporary file and write a preliminary header, which `finish` replaces.
 
         Args:
-            path: where the schedule goes.
-            head: what is known at the start.
+            path: Path of the schedule.
+            head: JSON object of the preliminary header.
+
+        Raises:
+            OSError: The temporary file can't be created.
         """
         self.path = Path(path)
         self._part = self.path.with_name(self.path.name + ".part")
@@ -85,7 +88,7 @@
         self._compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
         self._rows: list[PlannedRequest] = []
         self._names: dict[str, int] = {}
-        self._new_names: list[str] = []  # since the last block
+        self._new_names: list[str] = []  # names first used since the last block
         self._checksums = blake3()
         self.count = 0
         self.last_us = 0
@@ -94,15 +97,23 @@
     def _write_head(self, head: Mapping[str, object]) -> None:
         text = orjson.dumps(head, option=orjson.OPT_SORT_KEYS)
         if len(text) > self._head_bytes:
-            raise ScheduleError(self.path, f"its head has grown past {self._head_bytes} bytes")
+            raise ScheduleError(
+                self.path, f"expected a header of at most {self._head_bytes} bytes, got {len(text)}"
+            )
         data = HEAD.pack(MAGIC, VERSION, self._head_bytes) + text.ljust(self._head_bytes)
         self._file.write(data + checksum(data))
 
     def add(self, rows: Iterable[PlannedRequest]) -> None:
-        """Add requests, which come in order of time. Raises ScheduleError."""
+        """Add requests in order of time.
+
+        Raises:
+            ScheduleError: A request is earlier than the one before it, or a block has too many or too long names.
+        """
         for row in rows:
             if row.at_us < self.last_us:
-                raise ScheduleError(self.path, "requests are not in order of time")
+                raise ScheduleError(
+                    self.path, "expected requests in order of time, got one earlier than the one before it"
+                )
             self.last_us = row.at_us
             self._rows.append(row)
             if len(self._rows) >= BLOCK_ROWS:
@@ -113,7 +124,10 @@
             return
         raw = self._pack_rows()
         if len(raw) > MAX_BLOCK_BYTES:
-            raise ScheduleError(self.path, f"the names of one block take over {MAX_BLOCK_BYTES} bytes")
+            raise ScheduleError(
+                self.path,
+                f"expected a block of at most {MAX_BLOCK_BYTES} bytes, got {len(raw)}; its names are too long",
+            )
         data = self._compressor.compress(raw)
         check = checksum(data)
         self._checksums.update(check)
@@ -123,7 +137,7 @@
         self._new_names.clear()
 
     def _pack_rows(self) -> bytes:
-        """Return the names that are new since the last block, and the requests that refer to them."""
+        """Return the raw data of a block: the names new since the last block, and the requests."""
         pack, index = RECORD.pack, self._index
         records = [
             pack(row.at_us, row.work_us, index(row.request_class), index(row.tenant), row.sender)
@@ -137,15 +151,20 @@
         if index is None:
             index = self._names[name] = len(self._names)
             if index >= MAX_NAMES:
-                raise ScheduleError(self.path, f"over {MAX_NAMES} names of tenants and classes")
+                raise ScheduleError(
+                    self.path, f"expected at most {MAX_NAMES} names of tenants and classes, got more"
+                )
             self._new_names.append(name)
         return index
 
     def finish(self, head: Mapping[str, object]) -> None:
-        """Write the last block, the end and the head with all that is known; then put the file in its place.
+        """Write the last block, the end record and the final header; then rename the file to its path.
+
+        Args:
+            head: JSON object of the final header.
 
         Raises:
-            ScheduleError: the head or the last block is too large.
+            ScheduleError: The header or the last block is too large.
         """
         self._write_block()
         self._file.write(END.pack(0, self.count, self._checksums.digest(CHECKSUM_BYTES)))
@@ -157,7 +176,7 @@
         os.replace(self._part, self.path)
 
     def __enter__(self) -> ScheduleWriter:
-        """Return the writer, whose part is removed on exit unless it was finished."""
+        """Return the writer; on exit its temporary file is removed unless `finish` has completed."""
         return self
 
     def __exit__(
@@ -166,22 +185,26 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Remove the part of a schedule that was not finished."""
+        """Remove the temporary file of a schedule that was not finished."""
         if not self._file.closed:
             self._file.close()
             self._part.unlink(missing_ok=True)
 
 
 class Schedule:
-    """A compiled schedule, open for reading. `rows` may be asked for again and again.
+    """A compiled schedule, open for reading; `rows` may be called repeatedly.
 
     Attributes:
-        path: of its file.
-        head: the JSON object at its start.
+        path: Path of the file.
+        head: JSON object of the header.
     """
 
     def __init__(self, path: str) -> None:
-        """Open the file and read its head. Raises ScheduleError."""
+        """Open the file and read its header.
+
+        Raises:
+            ScheduleError: The file can't be opened, is not a schedule, or has a corrupt header or a newer version.
+        """
         self.path = path
         try:
             self._file: BinaryIO = open(path, "rb")  # noqa: SIM115  (closed in close)
@@ -199,7 +222,7 @@
         self._file.close()
 
     def __enter__(self) -> Schedule:
-        """Return the schedule, which is closed on exit."""
+        """Return the schedule; its file is closed on exit."""
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -217,22 +240,27 @@
         if start[: len(MAGIC)] != MAGIC[: len(start)] or not start:
             raise ScheduleError(self.path, "not a compiled schedule")
         if len(start) != HEAD.size:
-            raise ScheduleError(self.path, "cut short inside its head")
+            raise ScheduleError(self.path, "cut short inside its header")
         _, version, size = HEAD.unpack(start)
         if version > VERSION:
             raise ScheduleError(
-                self.path, f"version {version}, written by a newer marlstep (this reads {VERSION})"
+                self.path,
+                f"version {version}, written by a newer marlstep (this one reads versions up to {VERSION})",
             )
         if version < 1 or size > MAX_HEAD_BYTES:
-            raise ScheduleError(self.path, "its head is corrupt")
-        text = self._take(size, "its head")
-        if self._take(CHECKSUM_BYTES, "its head") != checksum(start + text):
-            raise ScheduleError(self.path, "its head is corrupt (checksum)")
+            raise ScheduleError(self.path, "its header is corrupt (version or length)")
+        text = self._take(size, "its header")
+        if self._take(CHECKSUM_BYTES, "its header") != checksum(start + text):
+            raise ScheduleError(self.path, "its header is corrupt (checksum)")
         head: dict[str, Any] = orjson.loads(text)
         return head
 
     def rows(self) -> Iterator[PlannedRequest]:
-        """Yield the requests in order of time; a block at a time is in memory. Raises ScheduleError."""
+        """Yield the requests in order of time, with one block in memory at a time.
+
+        Raises:
+            ScheduleError: A block or the end record is truncated or corrupt, or data follows the end record.
+        """
         self._file.seek(self._first_block)
         decompressor = zstandard.ZstdDecompressor()
         names: list[str] = []
@@ -254,17 +282,26 @@
                 raise ScheduleError(self.path, f"{section} is corrupt ({error})") from None
 
     def _check_end(self, start: bytes, count: int, checksums: bytes) -> None:
-        data = start + self._take(END.size - len(start), "its end")
+        data = start + self._take(END.size - len(start), "its end record")
         _, stored_count, stored_checksums = END.unpack(data)
         if stored_count != count or stored_checksums != checksums:
-            raise ScheduleError(self.path, "its end is corrupt (checksum)")
+            raise ScheduleError(self.path, "its end record is corrupt (number of requests or checksum)")
         if self._file.read(1):
-            raise ScheduleError(self.path, "something follows its end")
+            raise ScheduleError(self.path, "expected no data after the end record, got at least 1 byte")
 
     def _read_block(
         self, start: bytes, section: str, decompressor: zstandard.ZstdDecompressor
     ) -> tuple[bytes, bytes]:
-        """Return the unpacked block and its checksum."""
+        """Return the raw data of a block and its checksum.
+
+        Args:
+            start: First bytes of the block, already read.
+            section: Name of the block for error messages.
+            decompressor: Decompressor for all blocks.
+
+        Raises:
+            ScheduleError: The block is truncated or corrupt.
+        """
         size, raw_size, check = BLOCK.unpack(start + self._take(BLOCK.size - len(start), section))
         if size > MAX_BLOCK_BYTES + MAX_PACKING_OVERHEAD_BYTES or raw_size > MAX_BLOCK_BYTES:
             raise ScheduleError(self.path, f"{section} is corrupt (length)")
@@ -281,7 +318,7 @@
 
 
 def _unpack_rows(raw: bytes, names: list[str]) -> Iterator[PlannedRequest]:
-    """Yield the requests of a block, after its new names are added to those of earlier blocks."""
+    """Yield the requests of a block; appends its new names to `names`, which holds those of earlier blocks."""
     (length,) = NAMES.unpack_from(raw)
     records = NAMES.size + length
     names += orjson.loads(raw[NAMES.size : records])
--- a/marlstep/traces/settings_digest.py
+++ b/marlstep/traces/settings_digest.py
@@ -1,7 +1,7 @@
-"""The digest of mapping settings that a compiled schedule stores; pure.
+"""Digest of the mapping settings, stored in compiled schedules; pure.
 
-Two schedules with the same digest were compiled by the same rules. The digest is that of a JSON object whose keys are
-part of the schedule's format, so they stand here as data, apart from the names of the fields.
+Two schedules with the same digest were compiled with the same mapping settings. The digest is computed over a JSON
+object whose keys are part of the schedule format, so the keys are literals here and independent of the field names.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def settings_digest(settings: MappingSettings) -> str:
-    """Return the BLAKE3 of the settings in their stored form, in hexadecimal."""
+    """Return the BLAKE3 digest of the settings in their stored form, in hexadecimal."""
     return blake3(orjson.dumps(_to_json(settings), option=orjson.OPT_SORT_KEYS)).hexdigest()
 
 
--- a/marlstep/traces/sources.py
+++ b/marlstep/traces/sources.py
@@ -1,4 +1,4 @@
-"""Where traces come from: files and standard input, plain, gzip or zstd by what they hold, not by their name."""
+"""Sources of traces: files and standard input; gzip and zstd are detected from the content, not from the name."""
 
 from __future__ import annotations
 
@@ -13,29 +13,37 @@
 from marlstep.errors import MarlstepError
 from marlstep.traces.rows import BadRowError, Reason
 
-CHUNK_BYTES = 64 * 1024  # bytes read at once
-MAX_UNPACKED_BYTES = 256 * 1024  # bytes that are decompressed at once, whatever a stream would unfold to
-ZSTD_CHUNK_BYTES = 1024  # bytes fed to zstd at once: at its densest they unfold to 32 MB
+CHUNK_BYTES = 64 * 1024  # bytes per read
+MAX_UNPACKED_BYTES = (
+    256 * 1024
+)  # output of one decompression step of gzip, to bound the memory for highly compressed input
+ZSTD_CHUNK_BYTES = (
+    1024  # input of one decompression step of zstd; at the highest compression it expands to 32 MB
+)
 MAX_ZSTD_WINDOW_BYTES = 8 << 20
 STANDARD_INPUT = "-"
 GZIP_MAGIC, ZSTD_MAGIC = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
 
 
 class SourceError(MarlstepError):
-    """A part can't be opened or read.
+    """A part of a trace can't be opened or read.
 
     Attributes:
-        part: its path.
+        part: Path of the part.
     """
 
     def __init__(self, part: str, reason: str | None) -> None:
-        """Name the part, and what the system says."""
+        """Initialize the error with the path of the part and the message of the operating system."""
         super().__init__(f"{part}: {reason}")
         self.part = part
 
 
 def open_part(name: str) -> BinaryIO:
-    """Open a file, or standard input for `-`. Raises SourceError."""
+    """Open a file, or standard input for `-`.
+
+    Raises:
+        SourceError: The file can't be opened.
+    """
     if name == STANDARD_INPUT:
         return sys.stdin.buffer
     try:
@@ -45,20 +53,22 @@
 
 
 def unpack(stream: BinaryIO, name: str, on_raw: Callable[[bytes], None] | None = None) -> Iterator[bytes]:
-    """Yield the bytes of a part, decompressed.
+    """Yield the decompressed bytes of a part.
 
     Args:
-        stream: the part.
-        name: its path, for errors.
-        on_raw: is given the bytes as they lie in the part.
+        stream: Open file of the part.
+        name: Path of the part, for error messages.
+        on_raw: Called with each chunk of bytes before decompression; None if not needed.
 
     Raises:
-        BadRowError: the compressed stream is cut or corrupt.
-        SourceError: the part can't be read.
+        BadRowError: The compressed stream is truncated or corrupt.
+        SourceError: The part can't be read.
     """
     chunks = _chunks(stream, name, on_raw)
     head = next(chunks, b"")
-    while 0 < len(head) < len(ZSTD_MAGIC) and (more := next(chunks, b"")):  # a pipe may bring it in drops
+    while 0 < len(head) < len(ZSTD_MAGIC) and (
+        more := next(chunks, b"")
+    ):  # a pipe may return fewer bytes than the magic
         head += more
     rest = itertools.chain((head,) if head else (), chunks)
     if head.startswith(GZIP_MAGIC):
@@ -82,14 +92,14 @@
 
 
 def _gunzip(chunks: Iterator[bytes]) -> Iterator[bytes]:
-    """Unpack one gzip member after another."""
+    """Yield the decompressed bytes of all gzip members."""
     member = zlib.decompressobj(wbits=31)
     begun = False
     for chunk in chunks:
         data = chunk
         while data:
             if member.eof:
-                data = data.lstrip(b"\0")  # members may be padded
+                data = data.lstrip(b"\0")  # members may be followed by zero padding
                 if not data:
                     break
                 member, begun = zlib.decompressobj(wbits=31), False
@@ -98,7 +108,7 @@
             if out:
                 yield out
             data = member.unused_data if member.eof else member.unconsumed_tail
-    while begun and not member.eof:  # what the last chunk unpacks to
+    while begun and not member.eof:  # the rest of the output of the last chunk
         out = _decompress(member, member.unconsumed_tail)
         if not out:
             raise BadRowError(Reason.TRUNCATED, text="the gzip stream ends inside a member")
@@ -113,7 +123,7 @@
 
 
 def _unzstd(chunks: Iterator[bytes]) -> Iterator[bytes]:
-    """Unpack one zstd frame after another."""
+    """Yield the decompressed bytes of all zstd frames."""
     maker = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES)
     frame = maker.decompressobj()
     begun = False
--- a/tests/traces/test_schedule.py
+++ b/tests/traces/test_schedule.py
@@ -46,7 +46,7 @@
         with pytest.raises(ScheduleError, match=r"b\.sched: "):
             read_back(path)
     path.write_bytes(whole + b"x")
-    with pytest.raises(ScheduleError, match="something follows"):
+    with pytest.raises(ScheduleError, match="expected no data after the end record"):
         read_back(path)
     path.write_bytes(whole[:8] + b"\x63\x00" + whole[10:])
     with pytest.raises(ScheduleError, match="version 99, written by a newer marlstep"):
