--- a/marlstep/traces/formats/azure_2019.py
+++ b/marlstep/traces/formats/azure_2019.py
@@ -9,7 +9,7 @@
 are not synchronized with each other.
 
 The rows are per function, so arrivals can be ordered by time only after the last row of a day. Until then the counts
-are kept in memory: each non-zero count takes a pair of integers.
+are kept in memory, in 16 bytes for each non-zero count.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 HEAD = ("HashOwner", "HashApp", "HashFunction", "Trigger")
 COLUMNS = (*HEAD, *(str(number) for number in range(1, MINUTES + 1)))
 MAX_FUNCTIONS = 500_000  # of one day, and so also of one minute
-MAX_COUNTS = 16_000_000  # non-zero counts of one day; 128 MB
+MAX_COUNTS = 16_000_000  # non-zero counts of one day; 256 MB
 MAX_PER_MINUTE = 1_000_000  # invocations of one function; a higher count is invalid
 
 
--- a/marlstep/traces/replay/__init__.py
+++ b/marlstep/traces/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replaying a schedule against a node: senders, the service figure, on sockets or on a clock moved by hand."""
+"""Replay of a schedule against nodes, on sockets or on a simulated clock, and the service that they gave."""
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -1,8 +1,8 @@
-"""The senders of a replay: what is sent when, and what became of it; pure, with the clock passed in.
+"""State of the senders of a replay: attempts, retries and responses; pure, times are passed in.
 
-A piece of work is one request of the schedule. Its retries count with its first attempt: the work is done when one
-attempt is, and its response is in time if it comes within the class's latency objective of the planned instant of the
-first attempt. No attempt begins once the client has stopped waiting.
+A piece of work is one request of the schedule, with all its attempts. It is done when one attempt is done, and its
+response is in time if it arrives within the latency objective of the class, counted from the planned time of the first
+attempt. No attempt is started after that objective.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 from marlstep.traces.retries import Retries
 
 RESPONSE_MARGIN_US = (
-    110_000  # past its deadline a response may still be on its way: 60 ms allowed, and 50 on sockets
+    110_000  # a response may be this late: 60 ms are allowed after the deadline, plus 50 ms on sockets
 )
-CALLS_OF_SETPOINTS = (1, 0, 2, 1)  # by the number of the work: once on average
+CALLS_OF_SETPOINTS = (1, 0, 2, 1)  # calls by the number of the work; 1 on average
 ATTEMPT_ID_BYTES = 8
 
 
@@ -32,11 +32,11 @@
     """One request of the schedule, over all its attempts.
 
     Attributes:
-        number: its place in the schedule.
-        planned: the request.
-        attempts: how many were begun.
-        open_attempt: the id of the attempt that is without a response.
-        due_us: when that attempt must have its response, in microseconds since the start.
+        number: Index in the schedule, from 0.
+        planned: Request of the schedule.
+        attempts: Number of attempts created so far.
+        open_attempt: Id of the attempt without a response; None if there is none.
+        due_us: Deadline of the response to the last attempt, in microseconds since the start.
     """
 
     number: int
@@ -48,14 +48,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """One request to be sent.
+    """One attempt at a piece of work, sent as one request.
 
     Attributes:
-        id: its name on the wire.
-        work: what it is an attempt of.
-        at_us: when it is sent, in microseconds since the start.
-        is_retry: another attempt came before it.
-        node: the number of the node that it goes to.
+        id: Id of the request on the wire.
+        work: The work that the attempt belongs to.
+        at_us: Planned send time, in microseconds since the start.
+        is_retry: Whether it is not the first attempt.
+        node: Number of the node that it is sent to.
     """
 
     id: str
@@ -67,15 +67,15 @@
 
 @dataclass(slots=True)
 class Campaign:
-    """The attempts of one replay, open and ended.
+    """The senders of one replay: creates attempts and retries, and records the responses.
 
     Attributes:
-        classes: the request classes of the nodes, by name.
-        retries: how senders behave after a rejection or a failure.
-        seed: names the attempts.
-        figures: what the responses earned.
-        nodes: how many nodes there are.
-        counts: attempts and responses, by what became of them.
+        classes: Request classes of the nodes, by name.
+        retries: When senders retry a request.
+        seed: Seed of the ids of attempts and of the jitter of retries.
+        figures: Service metrics of the responses.
+        nodes: Number of nodes.
+        counts: Number of attempts, responses and pieces of work, by event or status.
     """
 
     classes: Mapping[str, ClassSettings]
@@ -88,7 +88,12 @@
     _answered: set[str] = field(default_factory=set)
 
     def begin(self, number: int, planned: PlannedRequest) -> Attempt:
-        """Return the first attempt of a request of the schedule."""
+        """Create a piece of work; return its first attempt.
+
+        Args:
+            number: Index of the request in the schedule, from 0.
+            planned: Request of the schedule.
+        """
         self.figures.add_offered(planned, self.classes[planned.request_class].priority_weight)
         self.counts["work"] += 1
         return self._attempt(Work(number, planned), planned.at_us)
@@ -100,7 +105,7 @@
             work=work,
             at_us=at_us,
             is_retry=work.attempts > 0,
-            node=(work.number + work.attempts) % self.nodes,  # round robin, and on after a rejection
+            node=(work.number + work.attempts) % self.nodes,  # round robin; a retry goes to the next node
         )
         work.attempts += 1
         work.open_attempt = attempt.id
@@ -109,7 +114,7 @@
         return attempt
 
     def record_sent(self, attempt: Attempt, now_us: int) -> None:
-        """Record that an attempt was sent, and how late."""
+        """Record that an attempt was sent at `now_us`, in microseconds since the start."""
         self.counts["sent"] += 1
         self.figures.add_lateness(now_us - attempt.at_us)
 
@@ -121,14 +126,14 @@
         retry_after_us: int = 0,
         is_partial: bool = False,
     ) -> Attempt | None:
-        """Record a final response; return the next attempt where there is one.
+        """Record a final response; return the next attempt, or None if there is none.
 
         Args:
-            attempt_id: the attempt that it ends.
-            status: what became of the attempt.
-            now_us: when the response came, in microseconds since the start.
-            retry_after_us: the Retry-After of a rejection, in microseconds.
-            is_partial: a call was left out.
+            attempt_id: Id of the attempt.
+            status: Status of the response.
+            now_us: Time of the response, in microseconds since the start.
+            retry_after_us: Retry-After of a rejection, in microseconds; 0 if there is none.
+            is_partial: Whether a call was skipped.
         """
         work = self._open.pop(attempt_id, None)
         if work is None:
@@ -162,20 +167,25 @@
 
     @property
     def open(self) -> int:
-        """Attempts without a response."""
+        """Number of attempts without a response."""
         return len(self._open)
 
     def overdue(self, now_us: int) -> int:
-        """Return how many attempts should have had their response by now."""
+        """Return the number of open attempts whose deadline and response margin have passed at `now_us`."""
         return sum(now_us > work.due_us + RESPONSE_MARGIN_US for work in self._open.values())
 
     def last_due_us(self) -> int:
-        """Return when the last open attempt must have its response; 0 where none is open."""
+        """Return the latest deadline of the open attempts, in microseconds since the start; 0 if none is open."""
         return max((work.due_us for work in self._open.values()), default=0)
 
 
 def calls_of(request_class: ClassSettings, number: int) -> int:
-    """Return how many calls a piece of work makes: one for an idempotent class, 0 to 2 for another."""
+    """Return the number of calls of a piece of work.
+
+    Args:
+        request_class: Class of the work; 1 call if it is idempotent, 0 to 2 otherwise, 0 if it makes no calls.
+        number: Index of the work in the schedule.
+    """
     if not request_class.makes_calls:
         return 0
     if request_class.effect is Effect.IDEMPOTENT:
--- a/marlstep/traces/replay/connections.py
+++ b/marlstep/traces/replay/connections.py
@@ -1,4 +1,4 @@
-"""Connections of the senders of a replay: several requests on one to a RESP frontend, one request on one to uwsgi."""
+"""Connections of the senders of a replay: RESP with several open requests each, uwsgi with one request each."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from marlstep.net.stream import RingStream
 from marlstep.traces.replay.campaign import Attempt
 
-RING_SIZE = 64 * 1024  # bytes in each direction
-MAX_OPEN_REQUESTS = 32  # on one RESP connection
-PARTIAL_PREFIX = b"poor"  # begins the body of a response without its call
+RING_SIZE = 64 * 1024  # size of the buffer in bytes, in each direction
+MAX_OPEN_REQUESTS = 32  # limit of open requests on one RESP connection
+PARTIAL_PREFIX = b"poor"  # prefix of the body of a response whose call was skipped
 RETRY_AFTER_HEADER = b"retry-after"
-CLOSING_TAG = 0  # of the frame by which a node says that it closes the connection
+CLOSING_TAG = 0  # tag of the frame with which a node announces that it closes the connection
 STATUS_BY_WORD = {b"done": ResponseStatus.DONE, b"later": ResponseStatus.REJECTED}
 STATUS_BY_HTTP = {200: ResponseStatus.DONE, 503: ResponseStatus.REJECTED, 504: ResponseStatus.EXPIRED}
 
-# Is given the attempt's id, the status, the Retry-After in microseconds, and whether a call was left out.
+# Arguments: id of the attempt, status, Retry-After in microseconds, whether a call was skipped.
 OnResponse = Callable[[str, ResponseStatus, int, bool], None]
 
 
@@ -27,16 +27,16 @@
     """One connection to a RESP frontend.
 
     Attributes:
-        open: ids of the attempts that are without a response, by tag.
-        closing: the node takes no more requests on it.
+        open: Ids of the attempts without a response, by tag.
+        closing: Whether the node accepts no more requests on the connection, or it is closed.
     """
 
     def __init__(self, on_response: OnResponse, on_close: Callable[[RespConnection], None]) -> None:
-        """Make the connection, which is dialled elsewhere.
+        """Initialize the connection; the caller connects it.
 
         Args:
-            on_response: is given each response.
-            on_close: is called once the node takes no more requests on it.
+            on_response: Called with each response.
+            on_close: Called when the node announces that it closes the connection, and when it is closed.
         """
         super().__init__(RING_SIZE)
         self.open: dict[int, str] = {}
@@ -47,11 +47,17 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether another request may go on it."""
+        """Whether another request may be sent on the connection."""
         return not self.closing and len(self.open) < MAX_OPEN_REQUESTS and self.connected
 
     def send_request(self, attempt: Attempt, fields: str, body: bytes) -> None:
-        """Send a request."""
+        """Send a request.
+
+        Args:
+            attempt: Attempt that the request belongs to.
+            fields: Fields of the request in their form on the wire.
+            body: Body of the request.
+        """
         self._tag += 1
         self.open[self._tag] = attempt.id
         request_class = attempt.work.planned.request_class.encode()
@@ -80,21 +86,21 @@
         self._on_response(attempt_id, status, retry_after_us, body.startswith(PARTIAL_PREFIX))
 
     def closed(self) -> None:
-        """Take the connection out of use; requests that are lost stay without a response."""
+        """Stop using the connection; its open requests stay without a response."""
         self.closing = True
         self._on_close(self)
 
 
 class UwsgiConnection(RingStream):
-    """One request of a gateway, on a connection of its own."""
+    """A connection to a uwsgi frontend, with a single request."""
 
     def __init__(self, attempt_id: str, packet: bytes, on_response: OnResponse) -> None:
-        """Make the connection, which is dialled elsewhere.
+        """Initialize the connection; the caller connects it.
 
         Args:
-            attempt_id: the attempt.
-            packet: the request.
-            on_response: is given the response.
+            attempt_id: Id of the attempt.
+            packet: Encoded request, sent once the connection is open.
+            on_response: Called with the response.
         """
         super().__init__(RING_SIZE)
         self._id, self._packet, self._on_response = attempt_id, packet, on_response
@@ -107,22 +113,22 @@
         self.send(self._packet)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header of the response."""
+        """Record the Retry-After header of the response, which is in seconds."""
         if name.lower() == RETRY_AFTER_HEADER:
             self._retry_after_us = int(value) * 1_000_000
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the response's body."""
+        """Append a part of the body of the response."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Report the response, and end the connection."""
+        """Report the response and close the connection."""
         status = STATUS_BY_HTTP.get(self._parser.get_status_code(), ResponseStatus.FAILED)
         self._on_response(self._id, status, self._retry_after_us, self._body.startswith(PARTIAL_PREFIX))
         self.finish()
 
     def data_received(self) -> None:
-        """Parse what came."""
+        """Parse the received data."""
         data = self.inbox.take(self.inbox.used)
         if data:
             self._parser.feed_data(data)
@@ -130,4 +136,4 @@
             self.finish()
 
     def closed(self) -> None:
-        """Do nothing: a request that is lost stays without a response."""
+        """Do nothing; a lost request stays without a response."""
--- a/marlstep/traces/replay/figures.py
+++ b/marlstep/traces/replay/figures.py
@@ -1,8 +1,8 @@
-"""The service figure: the weighted work that was answered in time, over the weighted work that was offered.
+"""Service metrics: the service is the weighted work answered in time divided by the weighted work offered.
 
-Each unit of work weighs its class's priority weight, so a request weighs this weight times its work. A response that
-left a call out earns the class's factor for skipped calls of it; one after the latency objective earns nothing. Also
-kept: the figure of each class and tenant and of the worst ten seconds, and the time to the response in histograms.
+The weighted work of a request is its work times the priority weight of its class. A response with a skipped call earns
+it times the class's factor for skipped calls; a response after the latency objective earns nothing. The service is
+also computed by class, by tenant and for the worst ten seconds; histograms hold the times to the response.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from marlstep.admission.settings import ClassSettings
 from marlstep.traces.mapping import PlannedRequest
 
-MAX_TIME_US = 60_000_000  # longer ones are recorded as this
+MAX_TIME_US = 60_000_000  # longer times are recorded as this value
 SIGNIFICANT_DIGITS = 3
 WORST_SECONDS = 10
-MAX_TENANTS = 1_000  # that are kept apart
+MAX_TENANTS = 1_000  # number of tenants counted separately
 OTHER_TENANTS = "others"
-TOTAL_WEIGHT, WORST_WEIGHT, CLASS_WEIGHT = 0.65, 0.15, 0.20  # of the goal
+TOTAL_WEIGHT, WORST_WEIGHT, CLASS_WEIGHT = 0.65, 0.15, 0.20  # weights in the goal
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 @dataclass(slots=True)
 class Share:
-    """Weighted work, in microseconds on one core times the priority weight.
+    """Weighted work: microseconds on one core times the priority weight.
 
     Attributes:
-        offered: of all requests.
-        earned: of responses in time.
+        offered: Weighted work of all requests.
+        earned: Weighted work earned by responses in time.
     """
 
     offered: float = 0.0
@@ -40,28 +40,28 @@
 
     @property
     def service(self) -> float:
-        """What was earned of what was offered; 1 where nothing was."""
+        """Earned divided by offered weighted work; 1 if none was offered."""
         return self.earned / self.offered if self.offered else 1.0
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds."""
+    """Return an empty histogram of times in microseconds."""
     return HdrHistogram(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
 class Figures:
-    """What the responses of one replay earned.
+    """Service metrics of one replay.
 
     Attributes:
-        total: of all requests.
-        by_class: by request class.
-        by_tenant: by tenant.
-        by_second: by the second of the planned instant.
-        times: times to the response, by request class.
-        lateness: of sending.
-        partial: responses that left a call out.
-        late: responses after the latency objective.
+        total: Weighted work of all requests.
+        by_class: Weighted work by request class.
+        by_tenant: Weighted work by tenant.
+        by_second: Weighted work by the second of the planned time.
+        times: Histograms of the time to the response in microseconds, by request class.
+        lateness: Histogram of the delay of sending, in microseconds.
+        partial: Number of responses with a skipped call.
+        late: Number of responses after the latency objective.
     """
 
     total: Share = field(default_factory=Share)
@@ -74,7 +74,7 @@
     late: int = 0
 
     def add_offered(self, planned: PlannedRequest, priority_weight: float) -> None:
-        """Add a request."""
+        """Add the weighted work of a request to the offered work."""
         for share in self._shares(planned):
             share.offered += priority_weight * planned.work_us
 
@@ -84,10 +84,10 @@
         """Add the response of a request that is done.
 
         Args:
-            planned: the request.
-            request_class: the settings of its class.
-            elapsed_us: from its planned instant to the response, in microseconds.
-            is_partial: a call was left out.
+            planned: Request of the schedule.
+            request_class: Settings of its class.
+            elapsed_us: Time from the planned time of the request to the response, in microseconds.
+            is_partial: Whether a call was skipped.
         """
         _record(self.times.setdefault(planned.request_class, new_histogram()), elapsed_us)
         self.partial += is_partial
@@ -99,7 +99,7 @@
             share.earned += request_class.priority_weight * planned.work_us * factor
 
     def add_lateness(self, late_us: int) -> None:
-        """Add how late a request was sent, in microseconds."""
+        """Add the delay with which a request was sent, in microseconds."""
         _record(self.lateness, late_us)
 
     def _shares(self, planned: PlannedRequest) -> tuple[Share, ...]:
@@ -117,7 +117,7 @@
         )
 
     def worst(self) -> float:
-        """Return the service of the worst ten seconds, or the total where the replay is shorter."""
+        """Return the service of the worst ten seconds, or the total if the replay is not longer than that."""
         seconds = self.by_second
         if len(seconds) <= WORST_SECONDS:
             return self.total.service
@@ -135,7 +135,7 @@
         return TOTAL_WEIGHT * self.total.service + WORST_WEIGHT * self.worst() + CLASS_WEIGHT * worst_class
 
     def report(self) -> dict[str, Any]:
-        """Return the figures as JSON, not rounded."""
+        """Return the metrics as a JSON object, not rounded."""
         return {
             "service": self.total.service,
             "goal": self.goal(),
@@ -160,12 +160,12 @@
 
 
 def _percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """Return milliseconds by percentile, and the number of values."""
+    """Return the percentiles and the maximum in milliseconds, and the number of values."""
     values = {f"p{point:g}": histogram.get_value_at_percentile(point) / 1000 for point in PERCENTILES}
     return {**values, "max": histogram.get_max_value() / 1000, "count": histogram.get_total_count()}
 
 
 def _encoded(histogram: HdrHistogram) -> str:
-    """Return the histogram in its own format (HdrHistogram V2, base64)."""
+    """Return the histogram in its serialized form (HdrHistogram V2, base64)."""
     data = histogram.encode()
     return data.decode("ascii") if isinstance(data, bytes) else base64.b64encode(bytes(data)).decode("ascii")
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -1,7 +1,8 @@
-"""A replay over sockets: node processes between the emulators' process and the senders here.
+"""A replay over sockets: node processes between the process of the emulators and the senders in this process.
 
-Open loop: requests leave at their planned instants whatever has been answered. How late they left is measured; a
-run whose senders fell behind by more than a stated bound says nothing about the node, and does not count.
+The senders work in an open loop: requests are sent at their planned times, independent of responses. The delay of
+sending is recorded; a run whose senders fell behind by more than `Settings.late_us` is not valid, because it does not
+measure the nodes.
 """
 
 from __future__ import annotations
@@ -23,42 +24,46 @@
 from marlstep.traces.replay.settings import Settings
 from marlstep.units import SystemClock
 
-START_DELAY_US = 300_000  # from the last preparation to the first request
-LAST_RESPONSE_WAIT_US = 1_000_000  # past the last deadline
+START_DELAY_US = 300_000  # delay between the end of the setup and time 0 of the schedule
+LAST_RESPONSE_WAIT_US = 1_000_000  # wait for responses after the last deadline
 POLL_INTERVAL_S = 0.02
 
 
 @dataclass(slots=True)
 class Loopback:
-    """The senders of one replay, and the processes that they send to.
+    """The senders of one replay over sockets, and the processes that they send to.
 
     Attributes:
-        settings: of the nodes and of what they stand on.
-        campaign: what is sent, and what became of it.
-        processes: the nodes and the emulators.
+        settings: Settings of the nodes and the emulators.
+        campaign: State of the senders.
+        processes: Processes of the nodes and the emulators.
     """
 
     settings: Settings
     campaign: Campaign
     processes: ReplayProcesses = field(init=False)
-    _connections: list[list[RespConnection]] = field(default_factory=list)  # by node and caller
+    _connections: list[list[RespConnection]] = field(default_factory=list)  # connections by node and caller
     _dials: set[asyncio.Task[None]] = field(default_factory=set)
-    _start_s: float = 0.0  # of the event loop's clock
-    _node_of: dict[str, int] = field(default_factory=dict)  # of each open attempt
+    _start_s: float = 0.0  # time 0 of the schedule on the event loop's clock, in seconds
+    _node_of: dict[str, int] = field(default_factory=dict)  # number of the node, by the id of an open attempt
 
     def __post_init__(self) -> None:
-        """Prepare the processes, which start with `run`."""
+        """Create the processes object; `run` starts the processes."""
         self.processes = ReplayProcesses(self.settings)
 
     def now_us(self) -> int:
-        """Return the time since the start, in microseconds."""
+        """Return the time since time 0 of the schedule, in microseconds."""
         return int((asyncio.get_running_loop().time() - self._start_s) * 1e6)
 
     async def run(self, rows: Iterator[PlannedRequest]) -> None:
-        """Start the processes, send all requests, and end the processes.
+        """Start the processes, send all requests, and stop the processes.
+
+        Args:
+            rows: Requests of the schedule, in order of time.
 
         Raises:
-            ReplayError: a process did not start, or ended too early.
+            ReplayError: A process did not start, or exited before the first request.
+            TimeoutError: A process did not get ready or exit within its timeout.
         """
         with tempfile.TemporaryDirectory() as folder:
             try:
@@ -80,7 +85,7 @@
         await self._wait_for_responses()
 
     async def _wait_for_responses(self) -> None:
-        """Wait until no attempt is open, or the last deadline is well past."""
+        """Wait until no attempt is open, or LAST_RESPONSE_WAIT_US have passed since the last deadline."""
         while self._is_waiting():  # noqa: ASYNC110  (the deadline moves with each retry)
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -100,7 +105,7 @@
             self._send_resp(attempt, plan)
 
     def _cost_ms(self, plan: WorkPlan) -> float:
-        """Return the run time that a node is told to expect, in milliseconds."""
+        """Return the expected run time that is sent with the request, in milliseconds."""
         return plan.work_us / self.settings.speed / 1000
 
     def _send_resp(self, attempt: Attempt, plan: WorkPlan) -> None:
@@ -122,7 +127,7 @@
         self._dial(connection, port, lambda: connection.send_request(attempt, fields, body))
 
     def _resp_fields(self, attempt: Attempt, plan: WorkPlan, caller: int) -> str:
-        """Return the fields of a request, by their names on the wire."""
+        """Return the fields of a request in their form on the wire."""
         at_ms = round(SystemClock().now().timestamp() * 1000)
         tenant = attempt.work.planned.tenant
         fields = [
@@ -156,7 +161,7 @@
         self._dial(connection, self.processes.uwsgi_ports[attempt.node], lambda: None)
 
     def _dial(self, connection: RingStream, port: int, on_open: Callable[[], None]) -> None:
-        """Connect in a task of its own, so that sending does not wait."""
+        """Connect in a separate task, so that other requests are not delayed; then call `on_open`."""
         task = asyncio.get_running_loop().create_task(self._connect(connection, port, on_open))
         self._dials.add(task)
         task.add_done_callback(self._dials.discard)
@@ -165,7 +170,7 @@
         try:
             await asyncio.get_running_loop().create_connection(lambda: connection, HOST, port)
         except OSError:
-            connection.closed()  # its request stays without a response, and counts as lost
+            connection.closed()  # the request stays without a response and counts as lost
             return
         on_open()
 
--- a/marlstep/traces/replay/processes.py
+++ b/marlstep/traces/replay/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a replay on sockets: the emulators of what nodes stand on, and the nodes."""
+"""The processes of a replay on sockets: the nodes, and the emulators of the backends that they depend on."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 
 HOST = "127.0.0.1"
 REQUEST_MEMORY_KB = 20.0
-READY_TIMEOUT_S = 20.0  # for a process to start or end, and for a node to pass its first health check
+READY_TIMEOUT_S = 20.0  # for a process to start or exit, and for a node to pass its first health check
 HEALTH_CHECK_INTERVAL_S = 0.05
 MAX_HEALTH_RESPONSE_BYTES = 100
-LOG_VARIABLE = "MARLSTEP_REPLAY_LOG"  # set to see what the processes log
-NOT_STARTED = "the stand-ins did not start"
-ENDED_EARLY = "the node or the stand-ins ended before the first request"
+LOG_VARIABLE = "MARLSTEP_REPLAY_LOG"  # if set, the processes log to the standard error output
+NOT_STARTED = "expected the emulators to print their addresses, but their process exited"
+ENDED_EARLY = "a node or the emulators exited before the first request"
 
 
 @dataclass(slots=True)
 class ReplayProcesses:
-    """The processes of one replay, from their start to their end.
+    """Starts and stops the processes of one replay.
 
     Attributes:
-        settings: of the nodes and of what they stand on.
-        resp_ports: of the nodes, by number.
-        uwsgi_ports: of the nodes, by number.
-        account: what the emulators counted, once they have ended.
-        node_cpu_s: processor time of all nodes, in seconds, once they have ended.
+        settings: Settings of the nodes and the emulators.
+        resp_ports: RESP ports of the nodes, by number of the node.
+        uwsgi_ports: uwsgi ports of the nodes, by number of the node.
+        account: Counts of the emulators, set by `stop`.
+        node_cpu_s: CPU time of all nodes in seconds, set by `stop`.
     """
 
     settings: Settings
@@ -42,16 +42,19 @@
     uwsgi_ports: list[int] = field(default_factory=list)
     account: dict[str, int] = field(default_factory=dict)
     node_cpu_s: float = 0.0
-    _children: list[asyncio.subprocess.Process] = field(default_factory=list)  # the emulators first
+    _children: list[asyncio.subprocess.Process] = field(
+        default_factory=list
+    )  # the process of the emulators, then the nodes
 
     async def start(self, folder: Path) -> None:
         """Start all processes, and wait until every node is healthy.
 
         Args:
-            folder: where the nodes' configurations go.
+            folder: Directory for the configuration files of the nodes.
 
         Raises:
-            ReplayError: a process did not start, or ended too early.
+            ReplayError: A process did not start, or exited before the first request.
+            TimeoutError: The emulators or a node did not get ready within READY_TIMEOUT_S.
         """
         for number, addresses in enumerate(await self._start_emulators()):
             await self._start_node(folder, number, addresses)
@@ -59,20 +62,24 @@
             await asyncio.wait_for(self._wait_until_healthy(port), READY_TIMEOUT_S)
 
     def report_response(self, node: int, attempt_id: str) -> None:
-        """Tell the emulators that a response arrived."""
+        """Notify the emulators that the response to an attempt arrived from a node."""
         emulators = self._children[0]
         if emulators.stdin is not None:
             emulators.stdin.write(b"%d %b\n" % (node, attempt_id.encode()))
 
     async def stop(self) -> None:
-        """End the nodes by SIGTERM, as the platform does, and take the emulators' account."""
+        """Stop the nodes by SIGTERM, as the platform does, then the emulators, and read their counts.
+
+        Raises:
+            TimeoutError: A process did not exit, or the emulators did not report, within READY_TIMEOUT_S.
+        """
         emulators, *nodes = self._children
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         for node in nodes:
             node.terminate()
         for node in nodes:
             await asyncio.wait_for(node.wait(), READY_TIMEOUT_S)
-        after = resource.getrusage(resource.RUSAGE_CHILDREN)  # only the nodes have ended meanwhile
+        after = resource.getrusage(resource.RUSAGE_CHILDREN)  # only the nodes have exited in between
         self.node_cpu_s = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
         assert emulators.stdin is not None
         assert emulators.stdout is not None
@@ -82,7 +89,7 @@
         await emulators.wait()
 
     async def kill(self) -> None:
-        """End what still runs."""
+        """Kill all processes that are still running."""
         for child in self._children:
             if child.returncode is None:
                 child.kill()
@@ -102,7 +109,7 @@
         return child
 
     async def _start_emulators(self) -> list[Mapping[str, str]]:
-        """Start the emulators; return the addresses that each node is given."""
+        """Start the emulators; return the addresses of the backends for each node."""
         settings = self.settings
         options = {
             "--nodes": settings.nodes,
@@ -152,7 +159,11 @@
             await asyncio.sleep(HEALTH_CHECK_INTERVAL_S)
 
     async def _is_healthy(self, port: int) -> bool:
-        """Check a node. Raises ReplayError where a process has ended."""
+        """Return whether a node passes its health check.
+
+        Raises:
+            ReplayError: A process has exited.
+        """
         if any(child.returncode is not None for child in self._children):
             raise ReplayError(ENDED_EARLY)
         try:
--- a/marlstep/traces/replay/replaying.py
+++ b/marlstep/traces/replay/replaying.py
@@ -1,4 +1,4 @@
-"""One replay from its settings to its report, virtual or on sockets."""
+"""Runs a replay, virtual or on sockets, and builds its report."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from marlstep.traces.retries import Retries
 from marlstep.traces.schedule import Schedule
 
-LATENESS_PERCENTILE = 99.0  # by which a run counts, or its senders fell behind
+LATENESS_PERCENTILE = 99.0  # percentile of the sending delay that decides whether a run is valid
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,12 +31,12 @@
     """How a schedule is replayed.
 
     Attributes:
-        settings: of the nodes and of what they stand on.
-        is_virtual: on a clock that is moved by hand, without sockets.
-        retries: how senders behave after a rejection.
-        seed: names the attempts, and keys what the nodes draw.
-        load: the offered work over the capacity of the cores; None for the schedule's own pace.
-        for_us: the length to which the schedule is repeated or cut, in microseconds; None for its own.
+        settings: Settings of the nodes and the emulators.
+        is_virtual: Whether to replay on a simulated clock, without sockets.
+        retries: When senders retry a request.
+        seed: Seed of the ids of attempts and of the random numbers of the nodes.
+        load: Ratio of the offered work to the capacity of the cores; None for the schedule's own rate.
+        for_us: Length to which the schedule is repeated or cut, in microseconds; None for its own length.
     """
 
     settings: Settings
@@ -49,14 +49,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _Outcome:
-    """What a replay measured beside the responses."""
+    """Measurements of a replay other than its responses."""
 
-    account: dict[str, int]  # of the runs, by the emulators
-    node_cpu_s: float | None  # of all node processes; None where there are none
+    account: dict[str, int]  # counts of runs by the emulators
+    node_cpu_s: float | None  # CPU time of all node processes, in seconds; None for a virtual replay
 
 
 def scaled_requests(schedule: Schedule, plan: ReplayPlan) -> tuple[Iterator[PlannedRequest], float]:
-    """Return the requests to be sent, and how many times as fast as the schedule they go."""
+    """Return the requests to be sent, and the factor by which the schedule is sped up."""
     compiled = schedule.head["compiled"]
     period_s = float(compiled["seconds"])
     factor = 1.0
@@ -70,17 +70,18 @@
 
 
 def _cores(settings: Settings) -> float:
-    """Return the capacity of all nodes, in cores of speed 1."""
+    """Return the total capacity of all nodes, in cores of speed 1."""
     return settings.cores * settings.speed * settings.nodes
 
 
 def replay(schedule: Schedule, plan: ReplayPlan) -> dict[str, Any]:
-    """Run a replay, and return its report as JSON.
+    """Run a replay, and return its report as a JSON object.
 
     Raises:
-        ConfigError: the node's configuration is wrong.
-        ReplayError: a process did not start, or ended too early.
-        ScheduleError: the schedule is corrupt.
+        ConfigError: The node's configuration is invalid.
+        ReplayError: A process did not start, or exited before the first request.
+        ScheduleError: The schedule is corrupt.
+        TimeoutError: A process did not get ready or exit within its timeout.
     """
     config = check({**plan.settings.config, "naming": None})
     classes = {request_class.name: request_class for request_class in config.settings.classes}
--- a/marlstep/traces/replay/report.py
+++ b/marlstep/traces/replay/report.py
@@ -1,4 +1,4 @@
-"""Two replays side by side, as text and as a plot in one file."""
+"""Comparison of two replays, as a table of text and as a plot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from marlstep.errors import MarlstepError
 
-if TYPE_CHECKING:  # matplotlib is loaded only where a plot is asked for
+if TYPE_CHECKING:  # matplotlib is imported only to draw a plot
     from matplotlib.axes import Axes
 
 REQUIRED_KEYS = (
@@ -32,7 +32,7 @@
 GROUP_PREFIX = "by_"
 PERCENTILES = ("p50", "p99")
 COUNT_KEYS = ("sent", "answered", "lost", "refused", "failed", "expired", "retries", "poor", "ran_twice")
-MAX_NAME_LENGTH = 18  # characters of a path that the table shows, from its end
+MAX_NAME_LENGTH = 18  # number of trailing characters of a path shown in the table
 PLOT_STEPS = 200
 PLOT_MAX_PERCENTILE = 99.9
 PLOT_SIZE_INCHES = (11, 8)
@@ -46,19 +46,23 @@
     """A report can't be read, or a plot can't be written.
 
     Attributes:
-        path: of the file.
-        problem: what is wrong with it.
+        path: Path of the file.
+        problem: What is wrong with the file.
     """
 
     def __init__(self, path: str, problem: object) -> None:
-        """Name the file and the problem."""
+        """Initialize the error with the path of the file and the problem."""
         super().__init__(f"{path}: {problem}")
         self.path = path
         self.problem = problem
 
 
 def load(path: str) -> Report:
-    """Read the report of a replay. Raises ReportError."""
+    """Read the report of a replay.
+
+    Raises:
+        ReportError: The file can't be read, is not JSON, or lacks a required key.
+    """
     try:
         report = json.loads(Path(path).read_text("utf-8"))
     except OSError as error:
@@ -73,7 +77,7 @@
 
 
 def compared(first: Report, second: Report) -> list[Row]:
-    """Return each figure by its name, of the first and of the second replay; None where one has none."""
+    """Return rows of a metric's name and its values in the first and the second replay; None if it is missing."""
     rows: list[Row] = [(key, first.get(key), second.get(key)) for key in SERVICE_KEYS]
     for group in ("by_class", "by_tenant"):
         rows += _group_rows(group, first[group], second[group])
@@ -96,7 +100,7 @@
 
 
 def as_text(first: Report, second: Report, names: tuple[str, str]) -> str:
-    """Return a table of both replays and of the change, under the ends of their names."""
+    """Return a table of both replays and their difference; the column titles are the ends of `names`."""
     heads = [name[-MAX_NAME_LENGTH:] for name in names]
     lines = [f"{'':<28}{heads[0]:>20}{heads[1]:>20}{'change':>12}"]
     for name, value, other in compared(first, second):
@@ -115,13 +119,24 @@
 
 
 def plot(first: Report, second: Report, names: tuple[str, str], path: str) -> None:
-    """Write a PNG, or a page that holds it and the table, by the ending of the path. Raises ReportError."""
+    """Write the plot as a PNG, or as an HTML page together with the table, depending on the suffix of the path.
+
+    Args:
+        first: Report of the first replay.
+        second: Report of the second replay.
+        names: Names of the two replays.
+        path: Path of the file to be written.
+
+    Raises:
+        ReportError: The path does not end in .png, .html or .htm.
+        OSError: The file can't be written.
+    """
     image = _image(first, second, names)
     if path.endswith(".png"):
         Path(path).write_bytes(image)
         return
     if not path.endswith((".html", ".htm")):
-        raise ReportError(path, "a plot goes to a file that ends in .png or .html")
+        raise ReportError(path, "expected a path for the plot that ends in .png or .html")
     text = html.escape(as_text(first, second, names))
     data = base64.b64encode(image).decode("ascii")
     title = html.escape(f"{names[0]} and {names[1]}")
@@ -166,7 +181,7 @@
 
 
 def _draw_times(times: Axes, report: Report, name: str) -> None:
-    """Draw the percentiles of the time to the response, by request class."""
+    """Draw the percentiles of the time to the response for each request class."""
     percentiles = [PLOT_MAX_PERCENTILE * step / PLOT_STEPS for step in range(PLOT_STEPS + 1)]
     for request_class, text in sorted(report["histograms"].items()):
         histogram = HdrHistogram.decode(text)
--- a/marlstep/traces/replay/retry_rules.py
+++ b/marlstep/traces/replay/retry_rules.py
@@ -12,14 +12,14 @@
 HASTY_WAIT_US = 20_000
 MAX_POLITE_ATTEMPTS = 3
 JITTER_BYTES = 2
-JITTER_RANGE = 1 << 17  # twice the range of the jitter's hash: up to half as long again
+JITTER_RANGE = 1 << 17  # twice the range of the hash, so that the jitter is at most half of the wait
 
 
 def may_retry(status: ResponseStatus, request_class: ClassSettings) -> bool:
-    """Return whether another attempt could do good and no harm.
+    """Return whether another attempt is useful and safe.
 
-    A request that is done is over. One that was rejected never ran. One that failed or expired may have run, so only
-    an idempotent one is sent again.
+    A request that is done needs no retry. A rejected request never ran, so a retry is safe. A request that failed or
+    expired may have run, so it is retried only if its class is idempotent.
     """
     if status is ResponseStatus.DONE:
         return False
@@ -29,14 +29,14 @@
 def next_attempt_us(
     retries: Retries, attempts: int, now_us: int, retry_after_us: int, jitter_key: str
 ) -> int | None:
-    """Return when the next attempt is sent, in microseconds; None where there is none.
+    """Return the send time of the next attempt, in microseconds since the start; None if there is no retry.
 
     Args:
-        retries: how the sender behaves.
-        attempts: how many were sent.
-        now_us: when the response came, in microseconds.
-        retry_after_us: the Retry-After of the response, in microseconds; 0 where there is none.
-        jitter_key: names the attempt, so that its jitter is the same in each run.
+        retries: When the sender retries a request.
+        attempts: Number of attempts so far.
+        now_us: Time of the response, in microseconds since the start.
+        retry_after_us: Retry-After of the response, in microseconds; 0 if there is none.
+        jitter_key: Identifies the attempt, so that its jitter is the same in each run.
     """
     match retries:
         case Retries.NONE:
@@ -51,10 +51,10 @@
 
 
 def _jitter(key: str) -> int:
-    """Return a number from 0 to half of JITTER_RANGE, so that senders don't retry in step."""
+    """Return a number from 0 to half of JITTER_RANGE; the jitter keeps senders from retrying at the same time."""
     return int.from_bytes(blake3(key.encode()).digest(JITTER_BYTES), "big")
 
 
 def is_in_time(at_us: int, planned_us: int, latency_objective_us: int) -> bool:
-    """Return whether a response to an attempt sent at `at_us` could still come within the class's objective."""
+    """Return whether an attempt at `at_us` starts before the latency objective, counted from `planned_us`."""
     return at_us - planned_us < latency_objective_us
--- a/marlstep/traces/replay/settings.py
+++ b/marlstep/traces/replay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the nodes of a replay, and of what they stand on."""
+"""Settings of the nodes and the emulators of a replay."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReplayError(MarlstepError):
-    """A replay on sockets could not be run: a process did not start, or ended too early."""
+    """A replay on sockets could not be run: a process did not start, or exited before the first request."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,14 +18,14 @@
     """How the nodes of a replay are run.
 
     Attributes:
-        config: the node's configuration, as the platform writes it; the addresses are replaced.
-        front: the frontend that requests come to, `resp` or `uwsgi`.
-        speed: of an emulated core; 1 for the schedule's own.
-        call_us: how long a call to the dependency takes, in microseconds.
-        senders: connections are kept for so many callers.
-        nodes: how many nodes there are.
-        late_us: a run whose senders were later than this, at the 99th percentile, does not count; in microseconds.
-        once: the request class that must never run twice.
+        config: Configuration of a node as the platform writes it; its addresses are replaced.
+        front: Frontend that receives the requests, `resp` or `uwsgi`.
+        speed: Speed of an emulated core; 1 runs the work in the time that the schedule states.
+        call_us: Duration of a call to the dependency, in microseconds.
+        senders: Number of callers; each has its own RESP connections to each node.
+        nodes: Number of nodes.
+        late_us: Maximum 99th percentile of the sending delay of a valid run, in microseconds.
+        once: Request class that must never run twice.
     """
 
     config: Mapping[str, Any]
@@ -39,6 +39,6 @@
 
     @property
     def cores(self) -> int:
-        """The cores of one node."""
+        """Number of cores of one node."""
         cores: int = self.config["settings"]["familyInfo"]["cpus"]
         return cores
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -1,7 +1,7 @@
-"""A replay without sockets: the nodes' cores, the emulated machines and the senders on one simulated clock.
+"""A replay without sockets: the cores of the nodes, the emulated machines and the senders on one simulated clock.
 
-The clock jumps from one event to the next, in an order that is fixed, so two runs agree to the last digit. What it
-leaves out is the cost of the wires; the core and its admission controller are the node's own.
+The clock advances from one event to the next in a deterministic order, so two runs have identical results. The cost of
+network communication is not simulated; the core and its admission controller are the code that real nodes run.
 """
 
 from __future__ import annotations
@@ -24,37 +24,41 @@
 START = EPOCH + 1_800_000_000 * SECOND
 REQUEST_MEMORY_KB = 20.0
 CALLERS = 4
-PARTIAL_PREFIX = b"poor"  # begins the body of a response without its call
+PARTIAL_PREFIX = b"poor"  # prefix of the body of a response whose call was skipped
 OUTCOMES = {NoticeType.COMPLETE: Outcome.OK, NoticeType.CANCELLED: Outcome.CANCELLED}
 
 
 class SimulatedClock:
-    """A clock whose time is moved by `run`, from one alarm to the next."""
+    """A simulated clock; `run` advances it from one wake-up to the next.
+
+    Attributes:
+        time: Current time.
+    """
 
     def __init__(self) -> None:
-        """Start at START, without an alarm."""
+        """Initialize the clock to START, without a wake-up."""
         self.time = START
         self._alarm: tuple[datetime, Callable[[], None]] | None = None
-        self._callbacks: list[Callable[[], None]] = []  # due at once
+        self._callbacks: list[Callable[[], None]] = []  # run before the next wake-up
 
     def now(self) -> datetime:
-        """Return the time."""
+        """Return the current time."""
         return self.time
 
     def elapsed_us(self) -> int:
-        """Return the time since the start, in microseconds."""
+        """Return the time since START, in microseconds."""
         return (self.time - START) // MICROSECOND
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
-        """Set the one alarm, in place of an earlier one."""
+        """Schedule `callback` at `when`; replaces the wake-up that was scheduled before."""
         self._alarm = (when, callback)
 
     def soon(self, callback: Callable[[], None]) -> None:
-        """Run the callback before the next alarm."""
+        """Schedule `callback` to run before the next wake-up."""
         self._callbacks.append(callback)
 
     def run(self, done: Callable[[], bool]) -> None:
-        """Go from alarm to alarm until `done`, or until no alarm is set."""
+        """Advance from wake-up to wake-up until `done` returns True or no wake-up is scheduled."""
         while True:
             self._run_callbacks()
             if done() or self._alarm is None:
@@ -72,13 +76,13 @@
 
 
 class VirtualReplay:
-    """One replay: the senders, and the nodes on one timeline.
+    """One virtual replay: the senders, and the nodes on one timer queue.
 
     Attributes:
-        clock: the simulated time.
-        timeline: the timers of all nodes and senders.
-        campaign: the senders.
-        nodes: the nodes, by number.
+        clock: Simulated clock.
+        timeline: Timers of all nodes and senders.
+        campaign: State of the senders.
+        nodes: Nodes, by number.
     """
 
     def __init__(
@@ -90,15 +94,15 @@
         gauge_names: tuple[str, ...],
         call_us: int,
     ) -> None:
-        """Make the nodes, which start with `run`.
+        """Initialize the replay and create its nodes; `run` starts them.
 
         Args:
-            settings: of each node.
-            seed: of the first node; the others count on.
-            campaign: the senders.
-            machines: one for each node.
-            gauge_names: in the order in which a machine reports gauges.
-            call_us: how long a call to the dependency takes, in microseconds.
+            settings: Settings of each node.
+            seed: Seed of the first node; each further node has the next integer.
+            campaign: State of the senders.
+            machines: Emulated machines, one per node.
+            gauge_names: Names of the gauges, in the order in which a machine reports them.
+            call_us: Duration of a call to the dependency, in microseconds.
         """
         self.clock = SimulatedClock()
         self.timeline = TimerQueue(self.clock)
@@ -111,7 +115,11 @@
         self._all_sent = False
 
     def run(self, rows: Iterator[PlannedRequest]) -> None:
-        """Replay the requests until all have their response."""
+        """Replay the requests until all have a response.
+
+        Args:
+            rows: Requests of the schedule, in order of time.
+        """
         self._rows = enumerate(rows)
         for node in self.nodes:
             node.core.start()
@@ -137,7 +145,14 @@
     def record_response(
         self, attempt: Attempt, status: ResponseStatus, retry_after_us: int, is_partial: bool
     ) -> None:
-        """Give a response to the senders, and plan the retry where there is one."""
+        """Pass a response to the senders, and schedule the retry if there is one.
+
+        Args:
+            attempt: Attempt that the response belongs to.
+            status: Status of the response.
+            retry_after_us: Retry-After of a rejection, in microseconds; 0 if there is none.
+            is_partial: Whether a call was skipped.
+        """
         retry = self.campaign.record_response(
             attempt.id, status, self.clock.elapsed_us(), retry_after_us, is_partial
         )
@@ -146,14 +161,14 @@
 
 
 class VirtualNode:
-    """One node: its core, and the frontend, the machine, the dependency and the gauges around it, in one object.
+    """One node: a core, with this object as its frontend, kernel, dependency and source of gauges.
 
     Attributes:
-        replay: what the node is part of.
-        machine: runs the node's requests.
-        clock: the simulated time.
-        timeline: the timers of the replay.
-        core: the node itself.
+        replay: Replay that the node is part of.
+        machine: Emulated machine that runs the requests.
+        clock: Simulated clock.
+        timeline: Timers of the replay.
+        core: Core of the node.
     """
 
     def __init__(
@@ -165,7 +180,7 @@
         gauge_names: tuple[str, ...],
         call_us: int,
     ) -> None:
-        """Make the core, and join it to the replay's timeline."""
+        """Initialize the node and its core on the timers of the replay; arguments as for `VirtualReplay`."""
         self.replay, self.machine = replay, machine
         self.clock, self.timeline = replay.clock, replay.timeline
         self._gauge_names, self._call_time = gauge_names, span(call_us)
@@ -201,10 +216,10 @@
             del self._attempts[self._number]
             self.timeline.soon(lambda: self.replay.record_response(attempt, ResponseStatus.FAILED, 0, False))
 
-    # As a frontend.
+    # Frontend interface of the core.
 
     def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
-        """Hand a response to its sender."""
+        """Schedule the delivery of a response to its sender."""
         attempt = self._attempts.pop(response_handle[1])
         self.timeline.soon(lambda: self._delivered(attempt, response))
 
@@ -217,12 +232,12 @@
         self._plan_next_event()
 
     def limit_idle_time(self, after: timedelta) -> None:
-        """Do nothing: there are no connections here."""
+        """Do nothing; a virtual replay has no connections."""
 
     def stop_accepting(self) -> None:
-        """Do nothing: a replay ends before the node does."""
+        """Do nothing; a virtual replay ends before its nodes shut down."""
 
-    # As the machine.
+    # Kernel interface of the core, implemented by the emulated machine.
 
     def _advance(self) -> None:
         for notice in self.machine.advance(self.clock.elapsed_us()):
@@ -246,7 +261,7 @@
         self._plan_next_event()
 
     def _command(self, request: Request, command: Callable[[], bool]) -> None:
-        """Carry out a command in a callback of its own, as it would arrive over the connection."""
+        """Execute a command in a separate callback, as if it had arrived over the kernel connection."""
 
         def carry_out() -> None:
             self._advance()
@@ -262,7 +277,7 @@
         self._command(request, lambda: self.machine.start(inbound.id, inbound.request_class, inbound.body))
 
     def preempt(self, request: Request) -> None:
-        """Pause a run, which the machine may end instead."""
+        """Pause a run; the machine may end it instead."""
 
         def pause_run() -> bool:
             if (notice := self.machine.pause(request.id)) is not None:
@@ -275,16 +290,16 @@
         """Resume a paused run."""
         self._command(request, lambda: self.machine.resume(request.id))
 
-    def supply(self, request: Request, reply: bytes) -> None:  # noqa: ARG002  (runs here ignore the reply)
-        """Give a run the reply to its call."""
+    def supply(self, request: Request, reply: bytes) -> None:  # noqa: ARG002  (emulated runs ignore the reply)
+        """Pass the reply to its call to a run."""
         self._command(request, lambda: self.machine.end_call(request.id, skipped=False))
 
     def skip(self, request: Request) -> None:
-        """Let a run go on without its call."""
+        """Continue a run without the reply to its call."""
         self._command(request, lambda: self.machine.end_call(request.id, skipped=True))
 
     def abandon(self, request: Request) -> None:
-        """Do nothing: the machine learns of it by the response."""
+        """Do nothing; the machine is notified of the response instead."""
 
     def request_gauges(self) -> None:
         """Report the machine's gauges to the core."""
@@ -292,10 +307,10 @@
         values = dict(zip(self._gauge_names, self.machine.read_gauges(), strict=False))
         self.timeline.soon(lambda: self.core.gauges(values))
 
-    # As the dependency.
+    # Dependency interface of the core.
 
     def call(self, request: Request, until: datetime) -> None:
-        """Begin a call; it times out at `until`."""
+        """Start a call that times out at `until`."""
         reply_at = self.clock.now() + self._call_time
         outcome = Outcome.OK if reply_at <= until else Outcome.TIMEOUT
         at = min(reply_at, until)
--- a/tests/traces/replay/support.py
+++ b/tests/traces/replay/support.py
@@ -1,4 +1,4 @@
-"""A campaign of senders for the classes of a node."""
+"""Senders for replays with the request classes of a test node."""
 
 from __future__ import annotations
 
--- a/tests/traces/replay/test_campaign.py
+++ b/tests/traces/replay/test_campaign.py
@@ -1,4 +1,4 @@
-"""Senders: their retries, and the service that they count."""
+"""Tests of the retries of senders and of the service metrics."""
 
 from __future__ import annotations
 
--- a/tests/traces/replay/test_loopback.py
+++ b/tests/traces/replay/test_loopback.py
@@ -1,4 +1,4 @@
-"""Replays on sockets."""
+"""Tests of replays on sockets."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 FRONTS = ("resp", "uwsgi")
 
 
-REPLAY_SECONDS = 60  # of one replay at the most, start and end of its processes included
+REPLAY_SECONDS = 60  # time limit of one replay, including the start and the exit of its processes
 
 
 @pytest.fixture(scope="module")
 def replays(tmp_path_factory: pytest.TempPathFactory) -> dict[str, subprocess.CompletedProcess[str]]:
-    """A replay on sockets at each front. Both go on at once, as most of their time nodes start or leave."""
+    """Run a replay with each frontend, in parallel because most of the time is spent starting and stopping nodes."""
     out = str(tmp_path_factory.mktemp("replays") / "a.sched")
     source = str(ROOT / "examples" / "traces" / "google-2011.csv")
     assert call(["trace", "compile", "--format", "google-2011", "--out", out, source]) == 0
@@ -33,7 +33,7 @@
 
 
 def replayed(schedule: str, front: str) -> subprocess.CompletedProcess[str]:
-    """The command's exit code and output, by a process of its own."""
+    """Run the replay command in a separate process; return its exit code and output."""
     words = (
         f"--retries polite --front {front} --load 0.8 --for 2s --nodes 2 --speed 5 --late 1s --json".split()
     )
@@ -44,7 +44,7 @@
         text=True,
         cwd=ROOT,
         timeout=REPLAY_SECONDS,
-        check=False,  # the test judges it
+        check=False,  # the test checks the exit code
     )
 
 
--- a/tests/traces/replay/test_retry_rules.py
+++ b/tests/traces/replay/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""Whether and when a sender retries."""
+"""Tests of whether and when a sender retries."""
 
 from __future__ import annotations
 
--- a/tests/traces/replay/test_virtual.py
+++ b/tests/traces/replay/test_virtual.py
@@ -1,4 +1,4 @@
-"""Replays on a clock that is moved by hand."""
+"""Tests of replays on a simulated clock."""
 
 from __future__ import annotations
 
--- a/tests/traces/support.py
+++ b/tests/traces/support.py
@@ -1,4 +1,4 @@
-"""Traces and schedules that tests read, and what must hold of every reading."""
+"""Traces and schedules for tests, and the check of a reading's account."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def check_account(reading: Reading, rows: list[Arrival], rejects: list[Reject]) -> None:
-    """What was read is a header, empty, or a row; and a row is good or one reject."""
+    """Check that each line is a header, empty or a row, and that each row is good or has one reject."""
     account = reading.account
     assert account.lines == account.headers + account.blank + account.rows
     assert account.bad == len(rejects) == account.bad_by_reason.total()
--- a/tests/traces/test_cutting.py
+++ b/tests/traces/test_cutting.py
@@ -1,4 +1,4 @@
-"""Sections, thinning and compression of a trace, and its burstiness."""
+"""Tests of the sections, thinning, time compression and burstiness of a trace."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     kept = list(thin_senders(iter(rows), share))
     counts = Counter(row.sender for row in kept)
     assert set(counts.values()) <= {5}
-    # Five standard deviations of a binomial count: one seed in two million would miss it.
+    # Five standard deviations of a binomial count; about one seed in two million exceeds them.
     assert abs(len(counts) - 400 * share) <= 5 * math.sqrt(400 * share * (1 - share)) + 1
 
 
--- a/tests/traces/test_formats.py
+++ b/tests/traces/test_formats.py
@@ -1,4 +1,4 @@
-"""The public formats: what the examples hold, and rows that only a complete part gives."""
+"""Tests of the trace formats with the example files, and of arrivals that are known only at the end of a part."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.frontends.test_parsers import FIXED
 from tests.traces.support import EXAMPLES, check_account, read
 
-# What the examples hold: rows, bad, duplicates, arrivals.
+# Contents of the examples: rows, bad rows, duplicates, arrivals.
 EXPECTED = {
     "google-2011": (833, 7, 1, 590),
     "google-2019": (800, 4, 1, 598),
@@ -56,7 +56,7 @@
         )
     )
     cut = data.draw(st.integers(0, 60))
-    if name == "azure-2019":  # one more digit in a count is a hundred thousand arrivals
+    if name == "azure-2019":  # an extra digit in a count could add a hundred thousand arrivals
         garbage = garbage.translate(None, b"0123456789")
     path = tmp_path_factory.mktemp("t") / "t"
     path.write_bytes(whole[:at] + garbage + whole[at + cut :])
--- a/tests/traces/test_lines.py
+++ b/tests/traces/test_lines.py
@@ -1,4 +1,4 @@
-"""Streams of bytes cut into lines."""
+"""Tests of splitting a byte stream into lines."""
 
 from __future__ import annotations
 
--- a/tests/traces/test_mapping.py
+++ b/tests/traces/test_mapping.py
@@ -1,4 +1,4 @@
-"""Rows of a trace that become requests."""
+"""Tests of the mapping of a trace's rows to requests."""
 
 from __future__ import annotations
 
--- a/tests/traces/test_operator_file.py
+++ b/tests/traces/test_operator_file.py
@@ -1,4 +1,4 @@
-"""Tenants and priority weights out of a public trace."""
+"""Tests of the operator's file with tenants and priority weights derived from a trace."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 def test_classes_keep_the_rank_of_the_trace_under_other_names() -> None:
-    # Guards against ranking by the new names, and against a table that comes twice when two share a name.
+    # Guards against ranking by the new names, and against two tables with one name if two categories share it.
     account = tallied(*(("a", kind) for kind in ("0", "2", "10", "1")))
     names = {"0": "z", "10": "a", "1": "m", "2": "m"}
     operator = tomllib.loads("\n".join(operator_lines(account, 5, 1.0, names)))
--- a/tests/traces/test_reading.py
+++ b/tests/traces/test_reading.py
@@ -1,4 +1,4 @@
-"""Reading a trace: every line is accounted for, whatever it holds."""
+"""Tests of reading a trace: every line is accounted for, whatever its content."""
 
 from __future__ import annotations
 
--- a/tests/traces/test_reordering.py
+++ b/tests/traces/test_reordering.py
@@ -1,4 +1,4 @@
-"""Order within a bounded window."""
+"""Tests of sorting rows within a bounded window."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_one_row_far_ahead_does_not_make_the_others_late() -> None:
-    # Guards against one wrong timestamp that turns the rest of a trace into rejects.
+    # Guards against a single wrong timestamp causing all following rows to be rejected as late.
     day = 86_400_000_000
     for stray in (0, 5):
         times = [1_000 + number for number in range(100)]
@@ -48,7 +48,7 @@
         reordered = order.push([arrival(at) for at in times])
         assert [row.at_us for row in reordered.jumps] == [900 * day]
         assert len(reordered.ready) + len(order.end()) == 100 and reordered.late == []
-    order = Reorderer(10)  # a real gap: enough rows agree
+    order = Reorderer(10)  # a real gap, confirmed by enough consecutive rows
     times = [*range(5), *range(900 * day, 900 * day + MIN_ROWS_AFTER_GAP)]
     reordered = order.push([arrival(at) for at in times])
     assert reordered.jumps == [] and len(reordered.ready) + len(order.end()) == len(times)
--- a/tests/traces/test_schedule.py
+++ b/tests/traces/test_schedule.py
@@ -1,4 +1,4 @@
-"""Compiled schedules: written, read back, and found corrupt."""
+"""Tests of writing and reading compiled schedules, and of detecting corrupt ones."""
 
 from __future__ import annotations
 
--- a/tests/traces/test_sources.py
+++ b/tests/traces/test_sources.py
@@ -1,4 +1,4 @@
-"""Parts of a trace, compressed or not."""
+"""Tests of reading compressed parts of a trace."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 def test_compression_is_detected_from_the_content_whatever_the_name(tmp_path: Path, compression: str) -> None:
     whole = make("google-2011")
     half = whole.index(b"\n", len(whole) // 2) + 1
-    path = tmp_path / "trace.csv"  # the name says nothing
+    path = tmp_path / "trace.csv"  # the name does not indicate the compression
     path.write_bytes(
         packed(whole[:half], compression) + packed(whole[half:], compression)
-    )  # two members, as cat makes them
+    )  # two members, as if joined by cat
     reading, rows, rejects = read(path)
     check_account(reading, rows, rejects)
     assert (reading.account.rows, reading.account.bad, 1, len(rows)) == EXPECTED["google-2011"]
@@ -50,7 +50,7 @@
 
 
 def test_a_decompression_bomb_is_unpacked_in_bounded_pieces(tmp_path: Path) -> None:
-    # Guards against memory that follows what a small file unfolds to.
+    # Guards against memory use that grows with the decompressed size of a small file.
     path = tmp_path / "bomb"
     path.write_bytes(gzip.compress(bytes(50_000_000)))
     sizes: list[int] = []
