--- a/marlstep/traces/compiling.py
+++ b/marlstep/traces/compiling.py
@@ -26,8 +26,8 @@
 from marlstep.traces.settings_digest import settings_digest
 
 MIN_DURATION_S = 1e-6
-NONE_MAPPED = "expected at least one arrival that is mapped to a class, got none in the trace"
-NONE_IN_SECTIONS = "expected at least one arrival in the selected sections of the trace, got none"
+NO_MAPPED_ARRIVAL = "expected at least one arrival that is mapped to a class, got none in the trace"
+NO_ARRIVAL_IN_SECTIONS = "expected at least one arrival in the selected sections of the trace, got none"
 
 MakeReading = Callable[[], Reading]
 Requests = Iterator[PlannedRequest]
@@ -123,7 +123,7 @@
         SourceError: A part of the trace can't be opened or read.
         StrictReadingError: A row is bad and the reading is strict.
     """
-    source = _Source(make_reading, settings, seed)
+    source = _RequestSource(make_reading, settings, seed)
     counts, reading, sources = source.survey()
     compiled = Compiled(
         sections=choose_sections(counts, cut),
@@ -131,22 +131,22 @@
         compress=cut.compress,
         dispersion_trace=counts.dispersion(),
     )
-    section_s = _sections_s(compiled.sections, counts)
+    covered_s = _covered_s(compiled.sections, counts)
     if cut.rate is not None:
-        compiled.keep = share_for_rate(source.total_in(compiled.sections), section_s, cut.rate)
+        compiled.keep = share_for_rate(source.count_requests(compiled.sections), covered_s, cut.rate)
     if cut.load is not None:
-        work_us = source.work_in(compiled.sections, compiled.keep)
-        compiled.compress = factor_for_load(work_us, section_s, cut.cores, cut.load)
-    compiled.seconds = section_s / compiled.compress
-    head: dict[str, object] = {
+        work_us = source.sum_work_us(compiled.sections, compiled.keep)
+        compiled.compress = factor_for_load(work_us, covered_s, cut.cores, cut.load)
+    compiled.seconds = covered_s / compiled.compress
+    header: dict[str, object] = {
         "format": reading.format.name,
         "seed": seed,
         "sources": sources,
         "settings": settings_digest(settings),
     }
-    with ScheduleWriter(path, head) as writer:
+    with ScheduleWriter(path, header) as writer:
         _write_requests(writer, source, compiled)
-        writer.finish({**head, "compiled": asdict(compiled), "cut": asdict(cut)})
+        writer.finish({**header, "compiled": asdict(compiled), "cut": asdict(cut)})
     return compiled, reading
 
 
@@ -158,7 +158,7 @@
     return [Section(cut.from_us, length_us)]
 
 
-def _sections_s(sections: list[Section], counts: Counts) -> float:
+def _covered_s(sections: list[Section], counts: Counts) -> float:
     """Return how much of the trace the sections cover, in seconds."""
     covered_us = sum(
         max(0, min(section.end_us, counts.duration_us) - section.start_us) for section in sections
@@ -167,7 +167,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Source:
+class _RequestSource:
     """Mapped requests of a trace; each query reads the trace again."""
 
     make_reading: MakeReading
@@ -180,30 +180,30 @@
     def survey(self) -> tuple[Counts, Reading, dict[str, object]]:
         """Read the whole trace; return its counts, the reading, and the identification of its parts."""
         reading = self.make_reading()
-        tap = _Tap()
-        reading.on_raw = tap
+        source_hasher = _SourceHasher()
+        reading.on_raw = source_hasher
         counts = Counts()
         for request in map_requests(reading, self.new_mapper()):
             counts.add(request.at_us, request.work_us)
         if not counts.total:
-            raise NoArrivalsError(NONE_MAPPED)
-        return counts, reading, tap.identify(reading)
+            raise NoArrivalsError(NO_MAPPED_ARRIVAL)
+        return counts, reading, source_hasher.identify(reading)
 
     def requests_in(self, sections: list[Section], mapper: Mapper) -> Requests:
         """Read the trace again and yield the requests of the sections."""
         return cut_sections(map_requests(self.make_reading(), mapper), sections)
 
-    def total_in(self, sections: list[Section]) -> int:
+    def count_requests(self, sections: list[Section]) -> int:
         """Return the number of requests in the sections."""
         return sum(1 for _ in self.requests_in(sections, self.new_mapper()))
 
-    def work_in(self, sections: list[Section], keep: float) -> int:
+    def sum_work_us(self, sections: list[Section], keep: float) -> int:
         """Return the work of the sections after thinning, in microseconds on one core."""
         requests = self.requests_in(sections, self.new_mapper())
         return sum(request.work_us for request in thin_senders(requests, keep))
 
 
-class _Tap:
+class _SourceHasher:
     """Hashes the bytes of a trace as they are read."""
 
     def __init__(self) -> None:
@@ -235,18 +235,18 @@
                 yield request
 
 
-def _write_requests(writer: ScheduleWriter, source: _Source, compiled: Compiled) -> None:
+def _write_requests(writer: ScheduleWriter, source: _RequestSource, compiled: Compiled) -> None:
     """Write the cut, thinned and compressed requests, and set the totals in `compiled`."""
     mapper = source.new_mapper()
     after_cut, after_thinning, after_compression = Counts(), Counts(), Counts()
     by_class: Counter[str] = Counter()
-    requests = _count(source.requests_in(compiled.sections, mapper), after_cut)
-    requests = _count(thin_senders(requests, compiled.keep), after_thinning)
-    for request in _count(compress_time(requests, compiled.compress), after_compression):
+    requests = _count_while_reading(source.requests_in(compiled.sections, mapper), after_cut)
+    requests = _count_while_reading(thin_senders(requests, compiled.keep), after_thinning)
+    for request in _count_while_reading(compress_time(requests, compiled.compress), after_compression):
         by_class[request.request_class] += 1
         writer.add((request,))
     if not after_compression.total:
-        raise NoArrivalsError(NONE_IN_SECTIONS)
+        raise NoArrivalsError(NO_ARRIVAL_IN_SECTIONS)
     compiled.requests = after_compression.total
     compiled.by_class = dict(by_class)
     compiled.dropped = dict(mapper.dropped)
@@ -256,7 +256,7 @@
     compiled.dispersion = after_compression.dispersion()
 
 
-def _count(requests: Requests, counts: Counts) -> Requests:
+def _count_while_reading(requests: Requests, counts: Counts) -> Requests:
     for request in requests:
         counts.add(request.at_us, request.work_us)
         yield request
--- a/marlstep/traces/cutting.py
+++ b/marlstep/traces/cutting.py
@@ -17,7 +17,7 @@
 
 INTERVAL_US = 1_000_000  # interval of the counts used to find peaks and to measure burstiness
 MAX_INTERVALS = 8_000_000  # three months at one second each
-HASH_ONE = 1 << 64  # number of values of a sender's hash
+HASH_RANGE = 1 << 64  # number of values of a sender's hash
 
 
 class Counts:
@@ -89,8 +89,8 @@
         return self.start_us + self.length_us
 
 
-def busiest_sections(counts: Counts, length_us: int, number: int) -> list[Section]:
-    """Return up to `number` busiest sections of `length_us` microseconds that don't overlap, in order of time."""
+def busiest_sections(counts: Counts, length_us: int, max_count: int) -> list[Section]:
+    """Return up to `max_count` busiest sections of `length_us` microseconds that don't overlap, in order of time."""
     width = max(1, round(length_us / counts.interval_us))
     values = counts.arrivals
     if len(values) <= width:
@@ -98,17 +98,17 @@
     sums = array("Q", [sum(values[:width])])
     for index in range(width, len(values)):
         sums.append(sums[-1] + values[index] - values[index - width])
-    starts = _highest_apart(sums, width, number)
+    starts = _highest_sums_apart(sums, width, max_count)
     return [Section(start * counts.interval_us, length_us) for start in starts]
 
 
-def _highest_apart(sums: Sequence[int], width: int, number: int) -> list[int]:
+def _highest_sums_apart(sums: Sequence[int], width: int, max_count: int) -> list[int]:
     """Return the sorted indices of the highest sums that are at least `width` apart; the first of equal sums wins."""
     found: list[int] = []
     for index in sorted(range(len(sums)), key=lambda index: (-sums[index], index)):
         if all(abs(index - other) >= width for other in found):
             found.append(index)
-            if len(found) >= number:
+            if len(found) >= max_count:
                 break
     return sorted(found)
 
@@ -116,21 +116,21 @@
 def cut_sections(rows: Iterator[PlannedRequest], sections: Sequence[Section]) -> Iterator[PlannedRequest]:
     """Yield the requests of the sections, which are joined without gaps."""
     index = 0
-    taken_us = 0
+    joined_us = 0
     for row in rows:
         while index < len(sections) and row.at_us >= sections[index].end_us:
-            taken_us += sections[index].length_us
+            joined_us += sections[index].length_us
             index += 1
         if index >= len(sections):
             return
         section = sections[index]
         if row.at_us >= section.start_us:
-            yield row._replace(at_us=row.at_us - section.start_us + taken_us)
+            yield row._replace(at_us=row.at_us - section.start_us + joined_us)
 
 
 def thin_senders(rows: Iterator[PlannedRequest], share: float) -> Iterator[PlannedRequest]:
     """Yield all requests of the given share of senders; `sender` is a uniformly distributed keyed hash."""
-    bound = math.ceil(share * HASH_ONE)
+    bound = math.ceil(share * HASH_RANGE)
     for row in rows:
         if row.sender < bound:
             yield row
--- a/marlstep/traces/formats/alibaba_2018_instance.py
+++ b/marlstep/traces/formats/alibaba_2018_instance.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
-from marlstep.traces.formats.alibaba_2018_task import started
+from marlstep.traces.formats.alibaba_2018_task import parse_run
 from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason
-from marlstep.traces.rows import Arrival, check_width, read_decimal, read_word
+from marlstep.traces.rows import Arrival, check_width, read_decimal, read_nonempty
 
 COLUMNS = (
     "instance_name",
@@ -42,14 +42,14 @@
         """
         if len(cells) != 14:
             check_width(cells, 14)
-        run = started(cells[5], cells[6], cells[4])
+        run = parse_run(cells[5], cells[6], cells[4])
         if isinstance(run, str):
             return run
         at_us, seconds = run
-        job = read_word(cells[2], "job_name")
+        job = read_nonempty(cells[2], "job_name")
         cores = read_decimal(cells[10], "cpu_avg") / 100 if cells[10] else 1.0
         name = f"{cells[1]}/{cells[0]}/{cells[8]}"
-        return Arrival(at_us, job, name, job, read_word(cells[3], "task_type"), seconds * cores, line)
+        return Arrival(at_us, job, name, job, read_nonempty(cells[3], "task_type"), seconds * cores, line)
 
 
 FORMAT = FixedFormat("alibaba-2018-instance", COLUMNS, Reader)
--- a/marlstep/traces/formats/alibaba_2018_task.py
+++ b/marlstep/traces/formats/alibaba_2018_task.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from marlstep.traces.formats.base import FixedFormat, RowReaderBase, SkipReason
-from marlstep.traces.rows import Arrival, BadRowError, Reason, check_width, read_instant_us, read_word
+from marlstep.traces.rows import Arrival, BadRowError, Reason, check_width, read_instant_us, read_nonempty
 
 COLUMNS = (
     "task_name",
@@ -24,7 +24,7 @@
 SECOND_US = 1_000_000
 
 
-def started(start: str, end: str, status: str) -> tuple[int, float] | SkipReason:
+def parse_run(start: str, end: str, status: str) -> tuple[int, float] | SkipReason:
     """Return the start time in microseconds and the run time in seconds, or the reason why the row is skipped.
 
     Both tables of 2018 use this function.
@@ -39,13 +39,13 @@
     """
     if not start and status in ("Waiting", "Ready"):
         return "not-started"
-    at = read_instant_us(read_word(start, "start_time"), "start_time", SECOND_US)
+    start_us = read_instant_us(read_nonempty(start, "start_time"), "start_time", SECOND_US)
     if not end or (end == "0" and status != "Terminated"):
-        return at, 0.0
-    until = read_instant_us(end, "end_time", SECOND_US)
-    if until < at:
+        return start_us, 0.0
+    end_us = read_instant_us(end, "end_time", SECOND_US)
+    if end_us < start_us:
         raise BadRowError(Reason.END_BEFORE_START, "end_time", f"{start} to {end}")
-    return at, (until - at) / SECOND_US
+    return start_us, (end_us - start_us) / SECOND_US
 
 
 class Reader(RowReaderBase):
@@ -62,12 +62,12 @@
         if len(cells) != 9:
             check_width(cells, 9)
         name, _, job, category, status, start, end, _, _ = cells
-        run = started(start, end, status)
+        run = parse_run(start, end, status)
         if isinstance(run, str):
             return run
         at_us, seconds = run
-        job = read_word(job, "job_name")
-        return Arrival(at_us, job, name, job, read_word(category, "task_type"), seconds, line)
+        job = read_nonempty(job, "job_name")
+        return Arrival(at_us, job, name, job, read_nonempty(category, "task_type"), seconds, line)
 
 
 FORMAT = FixedFormat("alibaba-2018-task", COLUMNS, Reader)
--- a/marlstep/traces/formats/alibaba_2021_calls.py
+++ b/marlstep/traces/formats/alibaba_2021_calls.py
@@ -17,7 +17,7 @@
     check_width,
     read_decimal,
     read_instant_us,
-    read_word,
+    read_nonempty,
 )
 
 COLUMNS = ("traceid", "timestamp", "rpcid", "um", "rpctype", "dm", "interface", "rt")
@@ -54,14 +54,14 @@
         if len(cells) != self._width:
             check_width(cells, self._width)
         indices = self._indices
-        when = read_instant_us(
-            read_word(cells[indices["timestamp"]], "timestamp"), "timestamp", MILLISECOND_US
+        at_us = read_instant_us(
+            read_nonempty(cells[indices["timestamp"]], "timestamp"), "timestamp", MILLISECOND_US
         )
-        trace = read_word(cells[indices["traceid"]], "traceid")
+        trace_id = read_nonempty(cells[indices["traceid"]], "traceid")
         name = f"{cells[indices['rpcid']]}/{cells[indices['um']]}/{cells[indices['dm']]}/{cells[indices['interface']]}"
         hint = read_decimal(cells[indices["rt"]], "rt")
-        category = read_word(cells[indices["rpctype"]], "rpctype")
-        return Arrival(when, trace, name, read_word(cells[indices["um"]], "um"), category, hint, line)
+        category = read_nonempty(cells[indices["rpctype"]], "rpctype")
+        return Arrival(at_us, trace_id, name, read_nonempty(cells[indices["um"]], "um"), category, hint, line)
 
 
 FORMAT = FixedFormat("alibaba-2021-calls", COLUMNS, Reader)
--- a/marlstep/traces/formats/azure_2019.py
+++ b/marlstep/traces/formats/azure_2019.py
@@ -21,12 +21,12 @@
 from blake3 import blake3
 
 from marlstep.traces.formats.base import RowReaderBase, SkipReason
-from marlstep.traces.rows import Arrival, BadRowError, Reason, check_width, read_whole, read_word
+from marlstep.traces.rows import Arrival, BadRowError, Reason, check_width, read_integer, read_nonempty
 
 MINUTES = 1440
 MINUTE_US = 60_000_000
-HEAD = ("HashOwner", "HashApp", "HashFunction", "Trigger")
-COLUMNS = (*HEAD, *(str(number) for number in range(1, MINUTES + 1)))
+FUNCTION_COLUMNS = ("HashOwner", "HashApp", "HashFunction", "Trigger")
+COLUMNS = (*FUNCTION_COLUMNS, *(str(number) for number in range(1, MINUTES + 1)))
 MAX_FUNCTIONS = 500_000  # of one day, and so also of one minute
 MAX_COUNTS = 16_000_000  # non-zero counts of one day; 256 MB
 MAX_PER_MINUTE = 1_000_000  # invocations of one function; a higher count is invalid
@@ -43,18 +43,18 @@
         """
         self._seed = seed.to_bytes(8, "little", signed=False)
         self._day = -1
-        self._counts = 0
+        self._count_total = 0
         self._functions: list[tuple[str, str, str, str, int]] = []
-        self._known: set[str] = set()
-        self._minutes: list[array[int]] = []
-        self._begin()
+        self._seen_functions: set[str] = set()
+        self._counts_by_minute: list[array[int]] = []
+        self._start_day()
 
-    def _begin(self) -> None:
+    def _start_day(self) -> None:
         self._day += 1
-        self._counts = 0
+        self._count_total = 0
         self._functions.clear()
-        self._known.clear()
-        self._minutes = [
+        self._seen_functions.clear()
+        self._counts_by_minute = [
             array("L") for _ in range(MINUTES)
         ]  # for each minute: function number and count, alternating
 
@@ -77,11 +77,11 @@
         """
         check_width(cells, len(COLUMNS))
         owner, app, function, trigger = cells[:4]
-        read_word(owner, "HashOwner")
-        read_word(function, "HashFunction")
-        read_word(trigger, "Trigger")
+        read_nonempty(owner, "HashOwner")
+        read_nonempty(function, "HashFunction")
+        read_nonempty(trigger, "Trigger")
         counts = [
-            (minute, read_whole(cell, str(minute + 1)))
+            (minute, read_integer(cell, str(minute + 1)))
             for minute, cell in enumerate(cells[4:])
             if cell != "0"
         ]
@@ -89,44 +89,44 @@
             if count > MAX_PER_MINUTE:
                 raise BadRowError(Reason.OVERFLOW, str(minute + 1), str(count))
         identity = f"{owner}/{app}/{function}"
-        if identity in self._known:
+        if identity in self._seen_functions:
             return "duplicate"
-        if len(self._functions) >= MAX_FUNCTIONS or self._counts + len(counts) > MAX_COUNTS:
+        if len(self._functions) >= MAX_FUNCTIONS or self._count_total + len(counts) > MAX_COUNTS:
             raise BadRowError(
                 Reason.TOO_MANY, text=f"over {MAX_FUNCTIONS} functions or {MAX_COUNTS} counts a day"
             )
-        self._known.add(identity)
+        self._seen_functions.add(identity)
         number = len(self._functions)
         self._functions.append((owner, app, function, trigger, line))
-        self._counts += len(counts)
+        self._count_total += len(counts)
         for minute, count in counts:
-            self._minutes[minute].extend((number, count))
+            self._counts_by_minute[minute].extend((number, count))
         return "counted"
 
     def end_of_part(self) -> Iterator[Arrival]:
         """Yield the arrivals of the day, in order of time."""
-        for minute, counts in enumerate(self._minutes):
-            yield from self._minute(minute, counts)
-        self._begin()
+        for minute, counts in enumerate(self._counts_by_minute):
+            yield from self._arrivals_of_minute(minute, counts)
+        self._start_day()
 
-    def _minute(self, minute: int, counts: array[int]) -> Iterator[Arrival]:
+    def _arrivals_of_minute(self, minute: int, counts: array[int]) -> Iterator[Arrival]:
         start = (self._day * MINUTES + minute) * MINUTE_US
         # Heap with the next invocation of each function; its size is the number of functions active in the minute.
-        turns: list[tuple[int, int, int, int, float]] = []
+        next_invocations: list[tuple[int, int, int, int, float]] = []
         for number, count in zip(counts[::2], counts[1::2], strict=True):
             if count:
                 phase = self._phase(number, minute)
-                turns.append((int(phase * MINUTE_US / count), number, 0, count, phase))
-        heapq.heapify(turns)
-        while turns:
-            at, number, index, count, phase = turns[0]
+                next_invocations.append((int(phase * MINUTE_US / count), number, 0, count, phase))
+        heapq.heapify(next_invocations)
+        while next_invocations:
+            at, number, index, count, phase = next_invocations[0]
             owner, app, function, trigger, line = self._functions[number]
             yield Arrival(start + at, f"{app}/{function}", "", owner, trigger, 0.0, line)
             if index + 1 < count:
-                following = int((index + 1 + phase) * MINUTE_US / count)
-                heapq.heapreplace(turns, (following, number, index + 1, count, phase))
+                next_offset_us = int((index + 1 + phase) * MINUTE_US / count)
+                heapq.heapreplace(next_invocations, (next_offset_us, number, index + 1, count, phase))
             else:
-                heapq.heappop(turns)
+                heapq.heappop(next_invocations)
 
     def _phase(self, number: int, minute: int) -> float:
         """Return the offset of a function's first invocation in a minute, as a fraction of the interval between two."""
--- a/marlstep/traces/formats/azure_2021.py
+++ b/marlstep/traces/formats/azure_2021.py
@@ -16,12 +16,12 @@
     check_width,
     read_decimal,
     read_instant_us,
-    read_word,
+    read_nonempty,
 )
 
 COLUMNS = ("app", "func", "end_timestamp", "duration")
 SECOND_US = 1_000_000
-KIND = "invocation"
+CATEGORY = "invocation"
 
 
 class Reader(RowReaderBase):
@@ -55,15 +55,17 @@
         if len(cells) != self._width:
             check_width(cells, self._width)
         app, function, end, duration = (cells[at] for at in self._indices)
-        until = read_instant_us(read_word(end, "end_timestamp"), "end_timestamp", SECOND_US)
+        end_us = read_instant_us(read_nonempty(end, "end_timestamp"), "end_timestamp", SECOND_US)
         if duration.startswith("-"):
             read_decimal(duration[1:], "duration")
             raise BadRowError(Reason.END_BEFORE_START, "duration", duration)
         seconds = read_decimal(duration, "duration")
-        at = until - round(seconds * SECOND_US)
+        at = end_us - round(seconds * SECOND_US)
         if at < 0:
             return "before-the-trace"
-        return Arrival(at, read_word(function, "func"), duration, read_word(app, "app"), KIND, seconds, line)
+        return Arrival(
+            at, read_nonempty(function, "func"), duration, read_nonempty(app, "app"), CATEGORY, seconds, line
+        )
 
 
 FORMAT = FixedFormat("azure-2021", COLUMNS, Reader)
--- a/marlstep/traces/formats/generic.py
+++ b/marlstep/traces/formats/generic.py
@@ -17,7 +17,7 @@
     check_width,
     read_decimal,
     read_instant_us,
-    read_word,
+    read_nonempty,
 )
 
 UNITS: Mapping[str, float] = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000}
@@ -105,20 +105,20 @@
             if self._cell(cells, column) not in values:
                 return NOT_SELECTED
         at_us = read_instant_us(
-            read_word(self._cell(cells, columns.time), columns.time), columns.time, columns.unit_us
+            read_nonempty(self._cell(cells, columns.time), columns.time), columns.time, columns.unit_us
         )
-        tenant = self._word(cells, columns.tenant, ALL)
-        category = self._word(cells, columns.category, ALL)
+        tenant = self._nonempty(cells, columns.tenant, ALL)
+        category = self._nonempty(cells, columns.category, ALL)
         hint = self._hint(cells)
-        key = self._word(cells, columns.key, tenant)
+        key = self._nonempty(cells, columns.key, tenant)
         name = self._cell(cells, columns.name) if columns.name else ""
         return Arrival(at_us, key, name, tenant, category, hint, line)
 
     def _cell(self, cells: list[str], column: str) -> str:
         return cells[self._indices[column]].strip()
 
-    def _word(self, cells: list[str], column: str | None, default: str) -> str:
-        return read_word(self._cell(cells, column), column) if column else default
+    def _nonempty(self, cells: list[str], column: str | None, default: str) -> str:
+        return read_nonempty(self._cell(cells, column), column) if column else default
 
     def _hint(self, cells: list[str]) -> float:
         column = self.columns.hint
--- a/marlstep/traces/formats/google_2011.py
+++ b/marlstep/traces/formats/google_2011.py
@@ -15,8 +15,8 @@
     Reason,
     check_width,
     read_decimal,
-    read_whole,
-    read_word,
+    read_integer,
+    read_nonempty,
 )
 
 COLUMNS = (
@@ -35,7 +35,7 @@
     "different_machines",
 )
 EVENTS = frozenset("012345678")
-BEFORE, AFTER = "0", str((1 << 63) - 1)
+BEFORE_TRACE, AFTER_TRACE = "0", str((1 << 63) - 1)
 
 
 class Reader(RowReaderBase):
@@ -52,20 +52,22 @@
         if len(cells) != 13:
             check_width(cells, 13)
         time, _, job, index, _, event, user, category, _, cpu, _, _, _ = cells
-        if time == BEFORE:
+        if time == BEFORE_TRACE:
             return "before-the-trace"
-        if time == AFTER:
+        if time == AFTER_TRACE:
             return "after-the-trace"
-        at = read_whole(time, "time")
+        at_us = read_integer(time, "time")
         if event != "0":
             if event not in EVENTS:
                 raise BadRowError(Reason.NOT_A_NUMBER if event else Reason.EMPTY, "event_type", event)
             return "not-a-submission"
         if not (job and user and category):
-            read_word(job, "job_id")
-            read_word(user, "user")
-            read_word(category, "scheduling_class")
-        return Arrival(at, job, index, user, category, read_decimal(cpu, "cpu_request") if cpu else 0.0, line)
+            read_nonempty(job, "job_id")
+            read_nonempty(user, "user")
+            read_nonempty(category, "scheduling_class")
+        return Arrival(
+            at_us, job, index, user, category, read_decimal(cpu, "cpu_request") if cpu else 0.0, line
+        )
 
 
 FORMAT = FixedFormat("google-2011", COLUMNS, Reader)
--- a/marlstep/traces/formats/google_2019.py
+++ b/marlstep/traces/formats/google_2019.py
@@ -16,8 +16,8 @@
     Reason,
     check_width,
     read_decimal,
-    read_whole,
-    read_word,
+    read_integer,
+    read_nonempty,
 )
 
 COLUMNS = (
@@ -29,7 +29,7 @@
     "user",
     "resource_request.cpus",
 )
-NAMES = {
+SPELLINGS = {
     "time": ("time",),
     "type": ("type",),
     "collection": ("collection_id",),
@@ -38,12 +38,12 @@
     "user": ("user",),
     "cpus": ("resource_request.cpus", "resource_request_cpus", "resource_request__cpus"),
 }
-NEEDED = ("time", "type", "collection", "class")
+REQUIRED_COLUMNS = ("time", "type", "collection", "class")
 EVENTS = {
     "SUBMIT", "QUEUE", "ENABLE", "SCHEDULE", "EVICT", "FAIL", "FINISH", "KILL", "LOST", "UPDATE_PENDING",
     "UPDATE_RUNNING",
 } | {str(number) for number in range(11)}  # fmt: skip
-BEFORE, AFTER = "0", str((1 << 63) - 1)
+BEFORE_TRACE, AFTER_TRACE = "0", str((1 << 63) - 1)
 MAX_USERS = 200_000  # limit of the collections whose user is remembered
 
 
@@ -63,7 +63,7 @@
             BadRowError: A required column is missing.
         """
         self._width = 0
-        self._indices = find_columns(cells, NAMES, NEEDED)
+        self._indices = find_columns(cells, SPELLINGS, REQUIRED_COLUMNS)
         self._width = len(cells)
         return True
 
@@ -78,24 +78,24 @@
         check_width(cells, self._width)
         indices = self._indices
         time, event = cells[indices["time"]], cells[indices["type"]]
-        collection = read_word(cells[indices["collection"]], "collection_id")
+        collection = read_nonempty(cells[indices["collection"]], "collection_id")
         if "index" not in indices and "user" in indices and len(self._users) < MAX_USERS:
             self._users.setdefault(collection, cells[indices["user"]])
-        if time == BEFORE:
+        if time == BEFORE_TRACE:
             return "before-the-trace"
-        if time == AFTER:
+        if time == AFTER_TRACE:
             return "after-the-trace"
-        when = read_whole(time, "time")
+        at_us = read_integer(time, "time")
         if event not in EVENTS:
             raise BadRowError(Reason.NOT_A_NUMBER if event else Reason.EMPTY, "type", event)
         if event not in ("0", "SUBMIT"):
             return "not-a-submission"
-        category = read_word(cells[indices["class"]], "scheduling_class")
+        category = read_nonempty(cells[indices["class"]], "scheduling_class")
         user = cells[indices["user"]] if "user" in indices else self._users.get(collection, "")
         index = "i" + cells[indices["index"]] if "index" in indices else "c"
         cpus = cells[indices["cpus"]] if "cpus" in indices else ""
         hint = read_decimal(cpus, "resource_request.cpus") if cpus else 0.0
-        return Arrival(when, collection, index, user or "unknown", category, hint, line)
+        return Arrival(at_us, collection, index, user or "unknown", category, hint, line)
 
 
 FORMAT = FixedFormat("google-2019", COLUMNS, Reader)
--- a/marlstep/traces/lines.py
+++ b/marlstep/traces/lines.py
@@ -14,7 +14,7 @@
 BOM = "\ufeff"
 
 
-class LineCutter:
+class LineSplitter:
     """Splits a byte stream into lines, with a limit on the bytes buffered for one line.
 
     Attributes:
@@ -80,8 +80,8 @@
     try:
         [row] = csv.reader([text], strict=True)
     except csv.Error as error:
-        still_open = "unexpected end of data" in str(error)
-        raise BadRowError(Reason.OPEN_QUOTE if still_open else Reason.BAD_QUOTE, text=text) from None
+        is_unterminated = "unexpected end of data" in str(error)
+        raise BadRowError(Reason.OPEN_QUOTE if is_unterminated else Reason.BAD_QUOTE, text=text) from None
     except ValueError:  # a bare carriage return inside the line
         raise BadRowError(Reason.BAD_QUOTE, text=text) from None
     return row
--- a/marlstep/traces/operator_file.py
+++ b/marlstep/traces/operator_file.py
@@ -40,7 +40,7 @@
 
 def _class_lines(account: Account, class_names: Mapping[str, str]) -> Iterator[str]:
     """Yield a table for each class; its weight is the highest rank of the categories that are mapped to it."""
-    ranked = sorted(account.categories, key=_rank)
+    ranked = sorted(account.categories, key=_rank_key)
     names = {category: class_names.get(category, category) for category in ranked}
     weights = {names[category]: rank for rank, category in enumerate(ranked, 1)}
     for name, weight in weights.items():
@@ -49,7 +49,7 @@
         yield f"worth = {weight:.1f}"
 
 
-def _rank(category: str) -> tuple[float, str]:
+def _rank_key(category: str) -> tuple[float, str]:
     """Return a sort key: numeric categories by value, where higher is more urgent, then names in alphabetical order."""
     is_number = category.isascii() and category.isdigit()
     return (float(category) if is_number else math.inf, category)
--- a/marlstep/traces/reading.py
+++ b/marlstep/traces/reading.py
@@ -14,7 +14,7 @@
 from marlstep.traces.account import Account
 from marlstep.traces.formats import WINDOWS_US
 from marlstep.traces.formats.base import Format, RowReader
-from marlstep.traces.lines import BOM, MAX_LINE_BYTES, LineCutter, split_cells, split_plain_lines
+from marlstep.traces.lines import BOM, MAX_LINE_BYTES, LineSplitter, split_cells, split_plain_lines
 from marlstep.traces.reordering import WINDOW_US, Reorderer
 from marlstep.traces.rows import MAX_SHOWN_TEXT, Arrival, BadRowError, Reason, Reject
 from marlstep.traces.sources import STANDARD_INPUT, open_part, unpack
@@ -69,7 +69,7 @@
     on_raw: Callable[[bytes], None] | None = None
     max_line_bytes: int = MAX_LINE_BYTES
     account: Account = field(default_factory=Account)
-    _starts: list[tuple[int, str]] = field(
+    _part_starts: list[tuple[int, str]] = field(
         default_factory=list
     )  # number of the first line, and name, of each part
     _is_at_start: bool = True  # no header or row of the current part has been read yet
@@ -77,7 +77,7 @@
     def place(self, line: int) -> str:
         """Return `part:line` for a line number that counts over all parts."""
         name, start = "?", 0
-        for first, part in self._starts:
+        for first, part in self._part_starts:
             if first <= line:
                 name, start = part, first
         return f"{name}:{line - start + 1}"
@@ -103,23 +103,23 @@
             if ready:
                 yield ready
         finally:
-            self._account_order(reorderer)
+            self._record_order_counts(reorderer)
 
-    def _account_order(self, reorderer: Reorderer) -> None:
+    def _record_order_counts(self, reorderer: Reorderer) -> None:
         account = self.account
         account.out_of_order = reorderer.out_of_order
         account.duplicates = reorderer.duplicates + account.skipped[DUPLICATE]
-        if reorderer.forced:
-            account.notes[WINDOW_FULL_NOTE] = reorderer.forced
+        if reorderer.forced_releases:
+            account.notes[WINDOW_FULL_NOTE] = reorderer.forced_releases
 
     def _reorder(self, reorderer: Reorderer, found: list[Arrival]) -> Iterator[list[Arrival]]:
-        done = reorderer.push(found)
-        for reason, rows in ((Reason.LATE, done.late), (Reason.JUMP, done.jumps)):
+        reordered = reorderer.push(found)
+        for reason, rows in ((Reason.LATE, reordered.late), (Reason.JUMP, reordered.jumps)):
             for row in rows:
                 self._reject(row.line, BadRowError(reason, text=f"{row.at_us} us"))
-        self.account.add(done.ready)
-        if done.ready:
-            yield done.ready
+        self.account.add(reordered.ready)
+        if reordered.ready:
+            yield reordered.ready
 
     def _read_part(self, name: str, reader: RowReader) -> Iterator[list[Arrival]]:
         yield from self._read_lines(name, reader)
@@ -133,15 +133,15 @@
 
     def _read_lines(self, name: str, reader: RowReader) -> Iterator[list[Arrival]]:
         account = self.account
-        self._starts.append((account.lines + 1, name))
+        self._part_starts.append((account.lines + 1, name))
         self._is_at_start = True
-        cutter = LineCutter(self.max_line_bytes)
+        splitter = LineSplitter(self.max_line_bytes)
         stream = open_part(name)
         try:
             for data in unpack(stream, name, self.on_raw):
                 self.on_progress(len(data))
-                yield self._read_rows(self._after_header(cutter.feed(data), reader), reader)
-            rest = cutter.end()
+                yield self._read_rows(self._after_header(splitter.feed(data), reader), reader)
+            rest = splitter.end()
             if rest is not None:
                 yield self._read_rows(self._after_header([rest], reader), reader)
         except BadRowError as error:  # the stream is truncated or corrupt; an incomplete line is dropped
@@ -166,11 +166,11 @@
                 lines = lines[1:]
                 continue
             self._is_at_start = False
-            if self._take_header(first, reader):
+            if self._try_header(first, reader):
                 return lines[1:]
         return lines
 
-    def _take_header(self, line: bytes | None, reader: RowReader) -> bool:
+    def _try_header(self, line: bytes | None, reader: RowReader) -> bool:
         """Return whether the line needs no further processing: it is a header, or a header that was rejected."""
         account = self.account
         try:
@@ -187,7 +187,7 @@
 
     def _read_rows(self, lines: list[bytes | None], reader: RowReader) -> list[Arrival]:
         texts = split_plain_lines(lines)
-        return self._read_any(lines, reader) if texts is None else self._read_plain(texts, reader)
+        return self._read_general(lines, reader) if texts is None else self._read_plain(texts, reader)
 
     def _read_plain(self, texts: list[str], reader: RowReader) -> list[Arrival]:
         """Read lines that `split_plain_lines` has accepted; this is the fast path."""
@@ -213,7 +213,7 @@
         account.rows += len(texts) - sum(not text for text in texts)
         return found
 
-    def _read_any(self, lines: list[bytes | None], reader: RowReader) -> list[Arrival]:
+    def _read_general(self, lines: list[bytes | None], reader: RowReader) -> list[Arrival]:
         account = self.account
         found: list[Arrival] = []
         for line in lines:
--- a/marlstep/traces/reordering.py
+++ b/marlstep/traces/reordering.py
@@ -58,19 +58,19 @@
         """
         self.out_of_order = 0
         self.duplicates = 0
-        self.forced = 0
+        self.forced_releases = 0
         self._window_us = window_us
         self._gap_us = max(gap_us, window_us)
-        self._ahead: list[Arrival] = []
+        self._rows_beyond_gap: list[Arrival] = []
         self._max_waiting_rows = max(2, max_waiting_rows)
         self._latest_us = -1  # latest time of the accepted rows
-        self._floor_us = -1  # rows before this time are late, because later rows have been released
+        self._released_until_us = -1  # rows before this time are late, because later rows have been released
         self._waiting: list[Arrival] = []
         self._sort_at = MIN_SORTED_ROWS
 
     def push(self, rows: list[Arrival]) -> Reordered:
         """Add rows in the order in which they were read; return the rows now in order and the rejected rows."""
-        done = Reordered()
+        result = Reordered()
         waiting, latest, window, gap = self._waiting, self._latest_us, self._window_us, self._gap_us
         for row in rows:  # runs for millions of rows, so the state is kept in local variables
             at = row[0]
@@ -81,35 +81,35 @@
                 latest = at
             else:
                 self.out_of_order += 1
-                if at < latest - window or at < self._floor_us:
-                    done.late.append(row)
+                if at < latest - window or at < self._released_until_us:
+                    result.late.append(row)
                     continue
-            if self._ahead:
-                done.jumps += self._ahead
-                self._ahead.clear()
+            if self._rows_beyond_gap:
+                result.jumps += self._rows_beyond_gap
+                self._rows_beyond_gap.clear()
             waiting.append(row)
             if len(waiting) >= self._sort_at:
                 self._latest_us = latest
-                done.ready += self._release(latest - window)
+                result.ready += self._release(latest - window)
                 waiting = self._waiting
         self._latest_us = latest
-        return done
+        return result
 
     def _set_aside(self, row: Arrival, latest_us: int) -> int:
         """Set aside a row beyond the gap; return the latest time, which advances once enough rows are set aside."""
-        self._ahead.append(row)
-        if len(self._ahead) < MIN_ROWS_AFTER_GAP:
+        self._rows_beyond_gap.append(row)
+        if len(self._rows_beyond_gap) < MIN_ROWS_AFTER_GAP:
             return latest_us
-        self._waiting += self._ahead
-        latest_us = max(latest_us, *(ahead.at_us for ahead in self._ahead))
-        self._ahead.clear()
+        self._waiting += self._rows_beyond_gap
+        latest_us = max(latest_us, *(ahead.at_us for ahead in self._rows_beyond_gap))
+        self._rows_beyond_gap.clear()
         return latest_us
 
     def end(self) -> list[Arrival]:
         """Return all waiting rows. Rows that are still set aside are accepted, because no row contradicts them."""
-        self._waiting += self._ahead
-        self._latest_us = max([self._latest_us, *(row.at_us for row in self._ahead)])
-        self._ahead.clear()
+        self._waiting += self._rows_beyond_gap
+        self._latest_us = max([self._latest_us, *(row.at_us for row in self._rows_beyond_gap)])
+        self._rows_beyond_gap.clear()
         return self._release(self._latest_us + 1)
 
     def _release(self, before_us: int) -> list[Arrival]:
@@ -117,7 +117,7 @@
         waiting.sort()
         end = bisect_left(waiting, (before_us,))
         if len(waiting) - end >= self._max_waiting_rows:
-            self.forced += 1
+            self.forced_releases += 1
             end = len(waiting) - self._max_waiting_rows // 2
             # Rows with equal times are released together, so that duplicates are always compared.
             end = bisect_left(waiting, (waiting[end][0],)) or len(waiting)
@@ -127,7 +127,7 @@
         room = self._max_waiting_rows - still_waiting
         self._sort_at = still_waiting + max(MIN_SORTED_ROWS, min(still_waiting, room))
         if ready:
-            self._floor_us = max(self._floor_us, ready[-1].at_us + 1)
+            self._released_until_us = max(self._released_until_us, ready[-1].at_us + 1)
         return self._without_duplicates(ready)
 
     def _without_duplicates(self, rows: list[Arrival]) -> list[Arrival]:
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -16,14 +16,14 @@
 from marlstep.admission.settings import ClassSettings, Effect
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.traces.mapping import PlannedRequest
-from marlstep.traces.replay.figures import Figures
+from marlstep.traces.replay.figures import ServiceMetrics
 from marlstep.traces.replay.retry_rules import is_in_time, may_retry, next_attempt_us
 from marlstep.traces.retries import Retries
 
 RESPONSE_MARGIN_US = (
     110_000  # a response may be this late: 60 ms are allowed after the deadline, plus 50 ms on sockets
 )
-CALLS_OF_SETPOINTS = (1, 0, 2, 1)  # calls by the number of the work; 1 on average
+CALLS_IF_NOT_IDEMPOTENT = (1, 0, 2, 1)  # calls by the number of the work; 1 on average
 ATTEMPT_ID_BYTES = 8
 
 
@@ -81,24 +81,24 @@
     classes: Mapping[str, ClassSettings]
     retries: Retries
     seed: int
-    figures: Figures
+    metrics: ServiceMetrics
     nodes: int = 1
     counts: Counter[str] = field(default_factory=Counter)
-    _open: dict[str, Work] = field(default_factory=dict)
-    _answered: set[str] = field(default_factory=set)
+    _open_work: dict[str, Work] = field(default_factory=dict)
+    _answered_ids: set[str] = field(default_factory=set)
 
-    def begin(self, number: int, planned: PlannedRequest) -> Attempt:
+    def start_work(self, number: int, planned: PlannedRequest) -> Attempt:
         """Create a piece of work; return its first attempt.
 
         Args:
             number: Index of the request in the schedule, from 0.
             planned: Request of the schedule.
         """
-        self.figures.add_offered(planned, self.classes[planned.request_class].priority_weight)
+        self.metrics.add_offered(planned, self.classes[planned.request_class].priority_weight)
         self.counts["work"] += 1
-        return self._attempt(Work(number, planned), planned.at_us)
+        return self._new_attempt(Work(number, planned), planned.at_us)
 
-    def _attempt(self, work: Work, at_us: int) -> Attempt:
+    def _new_attempt(self, work: Work, at_us: int) -> Attempt:
         name = f"{self.seed}/{work.number}/{work.attempts}"
         attempt = Attempt(
             id=blake3(name.encode()).hexdigest(ATTEMPT_ID_BYTES),
@@ -110,13 +110,13 @@
         work.attempts += 1
         work.open_attempt = attempt.id
         work.due_us = at_us + self.classes[work.planned.request_class].deadline_us
-        self._open[attempt.id] = work
+        self._open_work[attempt.id] = work
         return attempt
 
     def record_sent(self, attempt: Attempt, now_us: int) -> None:
         """Record that an attempt was sent at `now_us`, in microseconds since the start."""
         self.counts["sent"] += 1
-        self.figures.add_lateness(now_us - attempt.at_us)
+        self.metrics.add_lateness(now_us - attempt.at_us)
 
     def record_response(
         self,
@@ -135,21 +135,21 @@
             retry_after_us: Retry-After of a rejection, in microseconds; 0 if there is none.
             is_partial: Whether a call was skipped.
         """
-        work = self._open.pop(attempt_id, None)
+        work = self._open_work.pop(attempt_id, None)
         if work is None:
-            self.counts["twice" if attempt_id in self._answered else "unknown"] += 1
+            self.counts["twice" if attempt_id in self._answered_ids else "unknown"] += 1
             return None
         self._count_response(attempt_id, status, is_late=now_us > work.due_us + RESPONSE_MARGIN_US)
         request_class = self.classes[work.planned.request_class]
         work.open_attempt = None
         if status is ResponseStatus.DONE:
-            self.figures.add_done(work.planned, request_class, now_us - work.planned.at_us, is_partial)
+            self.metrics.add_done(work.planned, request_class, now_us - work.planned.at_us, is_partial)
         if not may_retry(status, request_class):
             return None
         return self._retry(work, request_class, now_us, retry_after_us)
 
     def _count_response(self, attempt_id: str, status: ResponseStatus, is_late: bool) -> None:
-        self._answered.add(attempt_id)
+        self._answered_ids.add(attempt_id)
         self.counts["answered"] += 1
         self.counts[status.value] += 1
         if is_late:
@@ -163,23 +163,23 @@
         if at_us is None or not is_in_time(at_us, work.planned.at_us, request_class.latency_objective_us):
             return None
         self.counts["retries"] += 1
-        return self._attempt(work, at_us)
+        return self._new_attempt(work, at_us)
 
     @property
     def open(self) -> int:
         """Number of attempts without a response."""
-        return len(self._open)
+        return len(self._open_work)
 
     def overdue(self, now_us: int) -> int:
         """Return the number of open attempts whose deadline and response margin have passed at `now_us`."""
-        return sum(now_us > work.due_us + RESPONSE_MARGIN_US for work in self._open.values())
+        return sum(now_us > work.due_us + RESPONSE_MARGIN_US for work in self._open_work.values())
 
     def last_due_us(self) -> int:
         """Return the latest deadline of the open attempts, in microseconds since the start; 0 if none is open."""
-        return max((work.due_us for work in self._open.values()), default=0)
+        return max((work.due_us for work in self._open_work.values()), default=0)
 
 
-def calls_of(request_class: ClassSettings, number: int) -> int:
+def call_count(request_class: ClassSettings, number: int) -> int:
     """Return the number of calls of a piece of work.
 
     Args:
@@ -190,4 +190,4 @@
         return 0
     if request_class.effect is Effect.IDEMPOTENT:
         return 1
-    return CALLS_OF_SETPOINTS[number % len(CALLS_OF_SETPOINTS)]
+    return CALLS_IF_NOT_IDEMPOTENT[number % len(CALLS_IF_NOT_IDEMPOTENT)]
--- a/marlstep/traces/replay/figures.py
+++ b/marlstep/traces/replay/figures.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Share:
+class WeightedWork:
     """Weighted work: microseconds on one core times the priority weight.
 
     Attributes:
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Figures:
+class ServiceMetrics:
     """Service metrics of one replay.
 
     Attributes:
@@ -64,10 +64,10 @@
         late: Number of responses after the latency objective.
     """
 
-    total: Share = field(default_factory=Share)
-    by_class: dict[str, Share] = field(default_factory=dict)
-    by_tenant: dict[str, Share] = field(default_factory=dict)
-    by_second: list[Share] = field(default_factory=list)
+    total: WeightedWork = field(default_factory=WeightedWork)
+    by_class: dict[str, WeightedWork] = field(default_factory=dict)
+    by_tenant: dict[str, WeightedWork] = field(default_factory=dict)
+    by_second: list[WeightedWork] = field(default_factory=list)
     times: dict[str, HdrHistogram] = field(default_factory=dict)
     lateness: HdrHistogram = field(default_factory=new_histogram)
     partial: int = 0
@@ -75,8 +75,8 @@
 
     def add_offered(self, planned: PlannedRequest, priority_weight: float) -> None:
         """Add the weighted work of a request to the offered work."""
-        for share in self._shares(planned):
-            share.offered += priority_weight * planned.work_us
+        for weighted_work in self._totals_for(planned):
+            weighted_work.offered += priority_weight * planned.work_us
 
     def add_done(
         self, planned: PlannedRequest, request_class: ClassSettings, elapsed_us: int, is_partial: bool
@@ -95,58 +95,64 @@
             self.late += 1
             return
         factor = request_class.skipped_call_factor if is_partial else 1.0
-        for share in self._shares(planned):
-            share.earned += request_class.priority_weight * planned.work_us * factor
+        for weighted_work in self._totals_for(planned):
+            weighted_work.earned += request_class.priority_weight * planned.work_us * factor
 
     def add_lateness(self, late_us: int) -> None:
         """Add the delay with which a request was sent, in microseconds."""
         _record(self.lateness, late_us)
 
-    def _shares(self, planned: PlannedRequest) -> tuple[Share, ...]:
+    def _totals_for(self, planned: PlannedRequest) -> tuple[WeightedWork, ...]:
         tenant = planned.tenant
         if tenant not in self.by_tenant and len(self.by_tenant) >= MAX_TENANTS:
             tenant = OTHER_TENANTS
         second = planned.at_us // 1_000_000
         while len(self.by_second) <= second:
-            self.by_second.append(Share())
+            self.by_second.append(WeightedWork())
         return (
             self.total,
-            self.by_class.setdefault(planned.request_class, Share()),
-            self.by_tenant.setdefault(tenant, Share()),
+            self.by_class.setdefault(planned.request_class, WeightedWork()),
+            self.by_tenant.setdefault(tenant, WeightedWork()),
             self.by_second[second],
         )
 
-    def worst(self) -> float:
+    def worst_window(self) -> float:
         """Return the service of the worst ten seconds, or the total if the replay is not longer than that."""
         seconds = self.by_second
         if len(seconds) <= WORST_SECONDS:
             return self.total.service
-        worst = 1.0
+        worst_window = 1.0
         for start in range(len(seconds) - WORST_SECONDS + 1):
             window = seconds[start : start + WORST_SECONDS]
-            offered = sum(share.offered for share in window)
+            offered = sum(weighted_work.offered for weighted_work in window)
             if offered:
-                worst = min(worst, sum(share.earned for share in window) / offered)
-        return worst
+                worst_window = min(
+                    worst_window, sum(weighted_work.earned for weighted_work in window) / offered
+                )
+        return worst_window
 
     def goal(self) -> float:
         """Return the weighted mean of the total, the worst ten seconds and the worst class."""
-        worst_class = min((share.service for share in self.by_class.values()), default=1.0)
-        return TOTAL_WEIGHT * self.total.service + WORST_WEIGHT * self.worst() + CLASS_WEIGHT * worst_class
+        worst_class = min((weighted_work.service for weighted_work in self.by_class.values()), default=1.0)
+        return (
+            TOTAL_WEIGHT * self.total.service
+            + WORST_WEIGHT * self.worst_window()
+            + CLASS_WEIGHT * worst_class
+        )
 
     def report(self) -> dict[str, Any]:
         """Return the metrics as a JSON object, not rounded."""
         return {
             "service": self.total.service,
             "goal": self.goal(),
-            "worst_10s": self.worst(),
-            "by_class": _services(self.by_class),
-            "by_tenant": _services(self.by_tenant),
-            "by_second": [[share.offered, share.earned] for share in self.by_second],
+            "worst_10s": self.worst_window(),
+            "by_class": _services_by_name(self.by_class),
+            "by_tenant": _services_by_name(self.by_tenant),
+            "by_second": [[weighted_work.offered, weighted_work.earned] for weighted_work in self.by_second],
             "poor": self.partial,
             "after_aim": self.late,
             "times_ms": {name: _percentiles(self.times[name]) for name in sorted(self.times)},
-            "histograms": {name: _encoded(self.times[name]) for name in sorted(self.times)},
+            "histograms": {name: _encode(self.times[name]) for name in sorted(self.times)},
             "late_sends_ms": _percentiles(self.lateness),
         }
 
@@ -155,8 +161,8 @@
     histogram.record_value(min(MAX_TIME_US, max(1, time_us)))
 
 
-def _services(shares: Mapping[str, Share]) -> dict[str, float]:
-    return {name: shares[name].service for name in sorted(shares)}
+def _services_by_name(by_name: Mapping[str, WeightedWork]) -> dict[str, float]:
+    return {name: by_name[name].service for name in sorted(by_name)}
 
 
 def _percentiles(histogram: HdrHistogram) -> dict[str, float]:
@@ -165,7 +171,7 @@
     return {**values, "max": histogram.get_max_value() / 1000, "count": histogram.get_total_count()}
 
 
-def _encoded(histogram: HdrHistogram) -> str:
+def _encode(histogram: HdrHistogram) -> str:
     """Return the histogram in its serialized form (HdrHistogram V2, base64)."""
     data = histogram.encode()
     return data.decode("ascii") if isinstance(data, bytes) else base64.b64encode(bytes(data)).decode("ascii")
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -18,7 +18,7 @@
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.net.stream import RingStream
 from marlstep.traces.mapping import PlannedRequest
-from marlstep.traces.replay.campaign import Attempt, Campaign, calls_of
+from marlstep.traces.replay.campaign import Attempt, Campaign, call_count
 from marlstep.traces.replay.connections import RespConnection, UwsgiConnection
 from marlstep.traces.replay.processes import HOST, REQUEST_MEMORY_KB, ReplayProcesses
 from marlstep.traces.replay.settings import Settings
@@ -43,9 +43,11 @@
     campaign: Campaign
     processes: ReplayProcesses = field(init=False)
     _connections: list[list[RespConnection]] = field(default_factory=list)  # connections by node and caller
-    _dials: set[asyncio.Task[None]] = field(default_factory=set)
+    _connect_tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _start_s: float = 0.0  # time 0 of the schedule on the event loop's clock, in seconds
-    _node_of: dict[str, int] = field(default_factory=dict)  # number of the node, by the id of an open attempt
+    _node_by_attempt: dict[str, int] = field(
+        default_factory=dict
+    )  # number of the node, by the id of an open attempt
 
     def __post_init__(self) -> None:
         """Create the processes object; `run` starts the processes."""
@@ -81,7 +83,7 @@
             delay_us = planned.at_us - self.now_us()
             if delay_us > 0:
                 await asyncio.sleep(delay_us / 1e6)
-            self._send(self.campaign.begin(number, planned))
+            self._send(self.campaign.start_work(number, planned))
         await self._wait_for_responses()
 
     async def _wait_for_responses(self) -> None:
@@ -95,9 +97,9 @@
 
     def _send(self, attempt: Attempt) -> None:
         self.campaign.record_sent(attempt, self.now_us())
-        self._node_of[attempt.id] = attempt.node
+        self._node_by_attempt[attempt.id] = attempt.node
         planned, number = attempt.work.planned, attempt.work.number
-        calls = calls_of(self.campaign.classes[planned.request_class], number)
+        calls = call_count(self.campaign.classes[planned.request_class], number)
         plan = WorkPlan(number, planned.work_us, calls)
         if self.settings.front == "uwsgi":
             self._send_uwsgi(attempt, plan)
@@ -124,7 +126,7 @@
         connection = RespConnection(self._record_response, remove)
         connections.append(connection)
         port = self.processes.resp_ports[attempt.node]
-        self._dial(connection, port, lambda: connection.send_request(attempt, fields, body))
+        self._connect_in_task(connection, port, lambda: connection.send_request(attempt, fields, body))
 
     def _resp_fields(self, attempt: Attempt, plan: WorkPlan, caller: int) -> str:
         """Return the fields of a request in their form on the wire."""
@@ -158,13 +160,13 @@
             "MARLSTEP_PLAN": plan.to_body().decode(),
         }
         connection = UwsgiConnection(attempt.id, write_packet(variables), self._record_response)
-        self._dial(connection, self.processes.uwsgi_ports[attempt.node], lambda: None)
+        self._connect_in_task(connection, self.processes.uwsgi_ports[attempt.node], lambda: None)
 
-    def _dial(self, connection: RingStream, port: int, on_open: Callable[[], None]) -> None:
+    def _connect_in_task(self, connection: RingStream, port: int, on_open: Callable[[], None]) -> None:
         """Connect in a separate task, so that other requests are not delayed; then call `on_open`."""
         task = asyncio.get_running_loop().create_task(self._connect(connection, port, on_open))
-        self._dials.add(task)
-        task.add_done_callback(self._dials.discard)
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
 
     async def _connect(self, connection: RingStream, port: int, on_open: Callable[[], None]) -> None:
         try:
@@ -177,7 +179,7 @@
     def _record_response(
         self, attempt_id: str, status: ResponseStatus, retry_after_us: int, is_partial: bool
     ) -> None:
-        self.processes.report_response(self._node_of.pop(attempt_id, 0), attempt_id)
+        self.processes.report_response(self._node_by_attempt.pop(attempt_id, 0), attempt_id)
         retry = self.campaign.record_response(attempt_id, status, self.now_us(), retry_after_us, is_partial)
         if retry is not None:
             retry_at_s = self._start_s + retry.at_us / 1e6
--- a/marlstep/traces/replay/processes.py
+++ b/marlstep/traces/replay/processes.py
@@ -21,8 +21,8 @@
 HEALTH_CHECK_INTERVAL_S = 0.05
 MAX_HEALTH_RESPONSE_BYTES = 100
 LOG_VARIABLE = "MARLSTEP_REPLAY_LOG"  # if set, the processes log to the standard error output
-NOT_STARTED = "expected the emulators to print their addresses, but their process exited"
-ENDED_EARLY = "a node or the emulators exited before the first request"
+EMULATORS_NOT_STARTED = "expected the emulators to print their addresses, but their process exited"
+EXITED_EARLY = "a node or the emulators exited before the first request"
 
 
 @dataclass(slots=True)
@@ -95,11 +95,11 @@
                 child.kill()
                 await child.wait()
 
-    async def _spawn(self, *words: str, **environ: str) -> asyncio.subprocess.Process:
+    async def _spawn(self, *arguments: str, **environ: str) -> asyncio.subprocess.Process:
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            *words,
+            *arguments,
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=None if os.environ.get(LOG_VARIABLE) else asyncio.subprocess.DEVNULL,
@@ -118,12 +118,12 @@
             "--call-us": settings.call_us,
             "--once": settings.once,
         }
-        words = [str(word) for option in options.items() for word in option]
-        emulators = await self._spawn("marlstep.emulators", *words)
+        arguments = [str(word) for option in options.items() for word in option]
+        emulators = await self._spawn("marlstep.emulators", *arguments)
         assert emulators.stdout is not None
         line = await asyncio.wait_for(emulators.stdout.readline(), READY_TIMEOUT_S)
         if not line:
-            raise ReplayError(NOT_STARTED)
+            raise ReplayError(EMULATORS_NOT_STARTED)
         addresses: list[Mapping[str, str]] = json.loads(line)
         return addresses
 
@@ -165,7 +165,7 @@
             ReplayError: A process has exited.
         """
         if any(child.returncode is not None for child in self._children):
-            raise ReplayError(ENDED_EARLY)
+            raise ReplayError(EXITED_EARLY)
         try:
             reader, writer = await asyncio.open_connection(HOST, port)
         except OSError:
--- a/marlstep/traces/replay/replaying.py
+++ b/marlstep/traces/replay/replaying.py
@@ -16,7 +16,7 @@
 from marlstep.traces.cutting import compress_time, factor_for_load, repeat
 from marlstep.traces.mapping import PlannedRequest
 from marlstep.traces.replay.campaign import Campaign
-from marlstep.traces.replay.figures import Figures
+from marlstep.traces.replay.figures import ServiceMetrics
 from marlstep.traces.replay.loopback import Loopback
 from marlstep.traces.replay.settings import Settings
 from marlstep.traces.replay.virtual import VirtualReplay
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Outcome:
+class _Measurements:
     """Measurements of a replay other than its responses."""
 
     account: dict[str, int]  # counts of runs by the emulators
@@ -57,7 +57,7 @@
 
 def scaled_requests(schedule: Schedule, plan: ReplayPlan) -> tuple[Iterator[PlannedRequest], float]:
     """Return the requests to be sent, and the factor by which the schedule is sped up."""
-    compiled = schedule.head["compiled"]
+    compiled = schedule.header["compiled"]
     period_s = float(compiled["seconds"])
     factor = 1.0
     if plan.load is not None:
@@ -85,16 +85,16 @@
     """
     config = check({**plan.settings.config, "naming": None})
     classes = {request_class.name: request_class for request_class in config.settings.classes}
-    campaign = Campaign(classes, plan.retries, plan.seed, Figures(), plan.settings.nodes)
+    campaign = Campaign(classes, plan.retries, plan.seed, ServiceMetrics(), plan.settings.nodes)
     requests, factor = scaled_requests(schedule, plan)
     if plan.is_virtual:
         virtual = _new_virtual_replay(config.settings, config.gauge_names, plan, campaign)
         virtual.run(requests)
         machines = [node.machine for node in virtual.nodes]
-        outcome = _Outcome(count_runs(machines, plan.settings.once).to_json(), None)
+        measurements = _Measurements(count_runs(machines, plan.settings.once).to_json(), None)
     else:
-        outcome = _run_on_sockets(plan, campaign, requests)
-    return _report(schedule, plan, campaign, outcome, factor)
+        measurements = _run_on_sockets(plan, campaign, requests)
+    return _report(schedule, plan, campaign, measurements, factor)
 
 
 def _new_virtual_replay(
@@ -105,23 +105,25 @@
     return VirtualReplay(node_settings, plan.seed, campaign, machines, gauge_names, settings.call_us)
 
 
-def _run_on_sockets(plan: ReplayPlan, campaign: Campaign, requests: Iterator[PlannedRequest]) -> _Outcome:
+def _run_on_sockets(
+    plan: ReplayPlan, campaign: Campaign, requests: Iterator[PlannedRequest]
+) -> _Measurements:
     loopback = Loopback(plan.settings, campaign)
     uvloop.run(loopback.run(requests))
-    return _Outcome(loopback.processes.account, loopback.processes.node_cpu_s)
+    return _Measurements(loopback.processes.account, loopback.processes.node_cpu_s)
 
 
 def _report(
-    schedule: Schedule, plan: ReplayPlan, campaign: Campaign, outcome: _Outcome, factor: float
+    schedule: Schedule, plan: ReplayPlan, campaign: Campaign, measurements: _Measurements, factor: float
 ) -> dict[str, Any]:
-    settings, counts, lateness = plan.settings, campaign.counts, campaign.figures.lateness
+    settings, counts, lateness = plan.settings, campaign.counts, campaign.metrics.lateness
     late_us = lateness.get_value_at_percentile(LATENESS_PERCENTILE)
-    figures = campaign.figures.report()
+    metrics = campaign.metrics.report()
     return {
-        "service": figures.pop("service"),
-        "goal": figures.pop("goal"),
-        "by_class": figures.pop("by_class"),
-        "by_tenant": figures.pop("by_tenant"),
+        "service": metrics.pop("service"),
+        "goal": metrics.pop("goal"),
+        "by_class": metrics.pop("by_class"),
+        "by_tenant": metrics.pop("by_tenant"),
         "sent": counts["sent"],
         "answered": counts["answered"],
         "lost": campaign.open + counts["late_answers"],
@@ -133,8 +135,8 @@
         "refused": counts["refused"],
         "failed": counts["failed"],
         "expired": counts["expired"],
-        **outcome.account,
-        "node_cpu_s": outcome.node_cpu_s,
+        **measurements.account,
+        "node_cpu_s": measurements.node_cpu_s,
         "mode": "virtual" if plan.is_virtual else f"loopback-{settings.front}",
         "senders_retry": plan.retries.value,
         "speed": settings.speed,
@@ -143,6 +145,6 @@
         "load": plan.load,
         "seed": plan.seed,
         "machine": {"cores": os.cpu_count(), "python": platform.python_version()},
-        "schedule": {name: schedule.head.get(name) for name in ("format", "seed", "sources", "settings")},
-        **figures,
+        "schedule": {name: schedule.header.get(name) for name in ("format", "seed", "sources", "settings")},
+        **metrics,
     }
--- a/marlstep/traces/replay/report.py
+++ b/marlstep/traces/replay/report.py
@@ -101,8 +101,8 @@
 
 def as_text(first: Report, second: Report, names: tuple[str, str]) -> str:
     """Return a table of both replays and their difference; the column titles are the ends of `names`."""
-    heads = [name[-MAX_NAME_LENGTH:] for name in names]
-    lines = [f"{'':<28}{heads[0]:>20}{heads[1]:>20}{'change':>12}"]
+    titles = [name[-MAX_NAME_LENGTH:] for name in names]
+    lines = [f"{'':<28}{titles[0]:>20}{titles[1]:>20}{'change':>12}"]
     for name, value, other in compared(first, second):
         change = f"{other - value:+.4f}" if value is not None and other is not None else ""
         lines.append(f"{name:<28}{_render(value):>20}{_render(other):>20}{change:>12}")
@@ -131,7 +131,7 @@
         ReportError: The path does not end in .png, .html or .htm.
         OSError: The file can't be written.
     """
-    image = _image(first, second, names)
+    image = _draw_image(first, second, names)
     if path.endswith(".png"):
         Path(path).write_bytes(image)
         return
@@ -148,36 +148,36 @@
     )
 
 
-def _image(first: Report, second: Report, names: tuple[str, str]) -> bytes:
+def _draw_image(first: Report, second: Report, names: tuple[str, str]) -> bytes:
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=PLOT_SIZE_INCHES, layout="constrained")
-    service, load_, times = figure.subplots(3, 1)
+    service, load_axes, times = figure.subplots(3, 1)
     for report, name in zip((first, second), names, strict=True):
-        _draw_load(service, load_, report, name)
+        _draw_load(service, load_axes, report, name)
         _draw_times(times, report, name)
     service.set(ylabel="service", ylim=(0, 1.05), title="worth answered in time over worth asked, by second")
-    load_.set(ylabel="worth x s of work asked", xlabel="s")
+    load_axes.set(ylabel="worth x s of work asked", xlabel="s")
     times.set(xscale="log", xlabel="ms to the answer", ylabel="percentile")
-    for axes in (service, load_, times):
+    for axes in (service, load_axes, times):
         axes.grid(alpha=0.3)
         axes.legend(fontsize="small")
-    sink = io.BytesIO()
-    figure.savefig(sink, format="png", dpi=PLOT_DPI, metadata={"Software": "marlstep"})
-    return sink.getvalue()
+    buffer = io.BytesIO()
+    figure.savefig(buffer, format="png", dpi=PLOT_DPI, metadata={"Software": "marlstep"})
+    return buffer.getvalue()
 
 
-def _draw_load(service: Axes, load_: Axes, report: Report, name: str) -> None:
+def _draw_load(service: Axes, load_axes: Axes, report: Report, name: str) -> None:
     """Draw the service and the offered work of each second."""
     by_second = report["by_second"]
     seconds = range(len(by_second))
     offered_s = [offered / 1e6 for offered, _ in by_second]
     shares = [earned / offered if offered else 1.0 for offered, earned in by_second]
     service.step(seconds, shares, where="post", label=f"{name}: {report['service']:.4f}")
-    load_.step(seconds, offered_s, where="post", label=name)
+    load_axes.step(seconds, offered_s, where="post", label=name)
 
 
 def _draw_times(times: Axes, report: Report, name: str) -> None:
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -18,7 +18,7 @@
 from marlstep.emulators.work_plan import WorkPlan
 from marlstep.timer_queue import Timer, TimerQueue
 from marlstep.traces.mapping import PlannedRequest
-from marlstep.traces.replay.campaign import Attempt, Campaign, calls_of
+from marlstep.traces.replay.campaign import Attempt, Campaign, call_count
 from marlstep.units import EPOCH, MICROSECOND, SECOND, span, span_us
 
 START = EPOCH + 1_800_000_000 * SECOND
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         """Initialize the clock to START, without a wake-up."""
         self.time = START
-        self._alarm: tuple[datetime, Callable[[], None]] | None = None
+        self._wakeup: tuple[datetime, Callable[[], None]] | None = None
         self._callbacks: list[Callable[[], None]] = []  # run before the next wake-up
 
     def now(self) -> datetime:
@@ -51,7 +51,7 @@
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
         """Schedule `callback` at `when`; replaces the wake-up that was scheduled before."""
-        self._alarm = (when, callback)
+        self._wakeup = (when, callback)
 
     def soon(self, callback: Callable[[], None]) -> None:
         """Schedule `callback` to run before the next wake-up."""
@@ -61,10 +61,10 @@
         """Advance from wake-up to wake-up until `done` returns True or no wake-up is scheduled."""
         while True:
             self._run_callbacks()
-            if done() or self._alarm is None:
+            if done() or self._wakeup is None:
                 return
-            when, callback = self._alarm
-            self._alarm = None
+            when, callback = self._wakeup
+            self._wakeup = None
             self.time = max(self.time, when)
             callback()
 
@@ -111,7 +111,7 @@
             VirtualNode(self, settings, seed + number, machine, gauge_names, call_us)
             for number, machine in enumerate(machines)
         ]
-        self._rows: Iterator[tuple[int, PlannedRequest]] = iter(())
+        self._requests: Iterator[tuple[int, PlannedRequest]] = iter(())
         self._all_sent = False
 
     def run(self, rows: Iterator[PlannedRequest]) -> None:
@@ -120,27 +120,27 @@
         Args:
             rows: Requests of the schedule, in order of time.
         """
-        self._rows = enumerate(rows)
+        self._requests = enumerate(rows)
         for node in self.nodes:
             node.core.start()
-        self._next_row()
+        self._schedule_next_request()
         self.clock.run(lambda: self._all_sent and not self.campaign.open)
 
-    def _next_row(self) -> None:
-        row = next(self._rows, None)
+    def _schedule_next_request(self) -> None:
+        row = next(self._requests, None)
         if row is None:
             self._all_sent = True
             return
         number, planned = row
-        self.timeline.at(START + span(planned.at_us), lambda: self._begin(number, planned))
+        self.timeline.at(START + span(planned.at_us), lambda: self._send_first_attempt(number, planned))
 
-    def _begin(self, number: int, planned: PlannedRequest) -> None:
-        self._send(self.campaign.begin(number, planned))
-        self._next_row()
+    def _send_first_attempt(self, number: int, planned: PlannedRequest) -> None:
+        self._send(self.campaign.start_work(number, planned))
+        self._schedule_next_request()
 
     def _send(self, attempt: Attempt) -> None:
         self.campaign.record_sent(attempt, self.clock.elapsed_us())
-        self.nodes[attempt.node].take(attempt)
+        self.nodes[attempt.node].submit_attempt(attempt)
 
     def record_response(
         self, attempt: Attempt, status: ResponseStatus, retry_after_us: int, is_partial: bool
@@ -187,17 +187,17 @@
         self.core = Core(settings, seed, self.timeline, Ports(self, self))
         self.core.add_frontend(self)
         self._attempts: dict[int, Attempt] = {}
-        self._number = 0
-        self._alarm: Timer | None = None
+        self._request_number = 0
+        self._wakeup: Timer | None = None
         self._calls: dict[str, Timer] = {}
 
-    def take(self, attempt: Attempt) -> None:
+    def submit_attempt(self, attempt: Attempt) -> None:
         """Submit a request to the core."""
         planned, number = attempt.work.planned, attempt.work.number
         plan = WorkPlan(
-            number, planned.work_us, calls_of(self.replay.campaign.classes[planned.request_class], number)
+            number, planned.work_us, call_count(self.replay.campaign.classes[planned.request_class], number)
         )
-        self._number += 1
+        self._request_number += 1
         inbound = InboundRequest(
             id=attempt.id,
             request_class=planned.request_class,
@@ -209,11 +209,11 @@
             cost_hint=span(round(planned.work_us / self.machine.sharing.speed)),
             tenant=planned.tenant,
         )
-        self._attempts[self._number] = attempt
+        self._attempts[self._request_number] = attempt
         try:
-            self.core.submit(self, (0, self._number), self, inbound)
+            self.core.submit(self, (0, self._request_number), self, inbound)
         except RequestRejectedError:
-            del self._attempts[self._number]
+            del self._attempts[self._request_number]
             self.timeline.soon(lambda: self.replay.record_response(attempt, ResponseStatus.FAILED, 0, False))
 
     # Frontend interface of the core.
@@ -221,14 +221,14 @@
     def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
         """Schedule the delivery of a response to its sender."""
         attempt = self._attempts.pop(response_handle[1])
-        self.timeline.soon(lambda: self._delivered(attempt, response))
+        self.timeline.soon(lambda: self._handle_delivery(attempt, response))
 
-    def _delivered(self, attempt: Attempt, response: Response) -> None:
+    def _handle_delivery(self, attempt: Attempt, response: Response) -> None:
         is_partial = response.body.startswith(PARTIAL_PREFIX)
         self.replay.record_response(attempt, response.status, span_us(response.retry_after), is_partial)
         self._advance()
         if (notice := self.machine.response_delivered(attempt.id)) is not None:
-            self._notice(notice)
+            self._handle_notice(notice)
         self._plan_next_event()
 
     def limit_idle_time(self, after: timedelta) -> None:
@@ -241,9 +241,9 @@
 
     def _advance(self) -> None:
         for notice in self.machine.advance(self.clock.elapsed_us()):
-            self._notice(notice)
+            self._handle_notice(notice)
 
-    def _notice(self, notice: Notice) -> None:
+    def _handle_notice(self, notice: Notice) -> None:
         if notice.type is NoticeType.CALL:
             self.core.call_needed(notice.run_id, notice.body)
         else:
@@ -251,52 +251,54 @@
             self.core.run_ended(notice.run_id, OUTCOMES[notice.type], elapsed, notice.body)
 
     def _plan_next_event(self) -> None:
-        self.timeline.cancel(self._alarm)
+        self.timeline.cancel(self._wakeup)
         at = self.machine.next_event_us()
-        self._alarm = None if at is None else self.timeline.at(START + span(at), self._due)
+        self._wakeup = None if at is None else self.timeline.at(START + span(at), self._on_wakeup)
 
-    def _due(self) -> None:
-        self._alarm = None
+    def _on_wakeup(self) -> None:
+        self._wakeup = None
         self._advance()
         self._plan_next_event()
 
-    def _command(self, request: Request, command: Callable[[], bool]) -> None:
+    def _schedule_command(self, request: Request, command: Callable[[], bool]) -> None:
         """Execute a command in a separate callback, as if it had arrived over the kernel connection."""
 
-        def carry_out() -> None:
+        def execute() -> None:
             self._advance()
             if not command():
                 self.core.run_ended(request.id, Outcome.NOT_STARTED, span(0))
             self._plan_next_event()
 
-        self.timeline.soon(carry_out)
+        self.timeline.soon(execute)
 
     def start(self, request: Request) -> None:
         """Start a run."""
         inbound = request.inbound
-        self._command(request, lambda: self.machine.start(inbound.id, inbound.request_class, inbound.body))
+        self._schedule_command(
+            request, lambda: self.machine.start(inbound.id, inbound.request_class, inbound.body)
+        )
 
     def preempt(self, request: Request) -> None:
         """Pause a run; the machine may end it instead."""
 
         def pause_run() -> bool:
             if (notice := self.machine.pause(request.id)) is not None:
-                self._notice(notice)
+                self._handle_notice(notice)
             return True
 
-        self._command(request, pause_run)
+        self._schedule_command(request, pause_run)
 
     def resume(self, request: Request) -> None:
         """Resume a paused run."""
-        self._command(request, lambda: self.machine.resume(request.id))
+        self._schedule_command(request, lambda: self.machine.resume(request.id))
 
     def supply(self, request: Request, reply: bytes) -> None:  # noqa: ARG002  (emulated runs ignore the reply)
         """Pass the reply to its call to a run."""
-        self._command(request, lambda: self.machine.end_call(request.id, skipped=False))
+        self._schedule_command(request, lambda: self.machine.end_call(request.id, skipped=False))
 
     def skip(self, request: Request) -> None:
         """Continue a run without the reply to its call."""
-        self._command(request, lambda: self.machine.end_call(request.id, skipped=True))
+        self._schedule_command(request, lambda: self.machine.end_call(request.id, skipped=True))
 
     def abandon(self, request: Request) -> None:
         """Do nothing; the machine is notified of the response instead."""
@@ -314,9 +316,9 @@
         reply_at = self.clock.now() + self._call_time
         outcome = Outcome.OK if reply_at <= until else Outcome.TIMEOUT
         at = min(reply_at, until)
-        self._calls[request.id] = self.timeline.at(at, lambda: self._called(request.id, outcome))
+        self._calls[request.id] = self.timeline.at(at, lambda: self._end_call(request.id, outcome))
 
-    def _called(self, request_id: str, outcome: Outcome) -> None:
+    def _end_call(self, request_id: str, outcome: Outcome) -> None:
         del self._calls[request_id]
         self.core.call_ended(request_id, outcome, b"rows" if outcome is Outcome.OK else b"")
 
--- a/marlstep/traces/rows.py
+++ b/marlstep/traces/rows.py
@@ -113,7 +113,7 @@
         raise BadRowError(Reason.SURPLUS, text=f"{len(cells)} in place of {width} columns")
 
 
-def read_whole(text: str, column: str) -> int:
+def read_integer(text: str, column: str) -> int:
     """Parse an integer from 0 to MAX_TIME_US.
 
     Raises:
@@ -152,14 +152,14 @@
         BadRowError: The text is not a number, or the time is outside 0 to MAX_TIME_US.
     """
     if text.isdigit() and unit_us == 1:
-        return read_whole(text, column)
+        return read_integer(text, column)
     value = read_decimal(text, column) * unit_us
     if value > MAX_TIME_US:
         raise BadRowError(Reason.OVERFLOW, column, text)
     return round(value)
 
 
-def read_word(text: str, column: str) -> str:
+def read_nonempty(text: str, column: str) -> str:
     """Return the text of a cell that must not be empty.
 
     Raises:
@@ -185,8 +185,8 @@
     if "_" in text:
         return Reason.NOT_A_NUMBER
     if math.isnan(value) or math.isinf(value):
-        is_spelled = any(letter.isalpha() and letter not in "eE" for letter in text)
-        return Reason.NOT_FINITE if is_spelled else Reason.OVERFLOW
+        is_literal = any(letter.isalpha() and letter not in "eE" for letter in text)
+        return Reason.NOT_FINITE if is_literal else Reason.OVERFLOW
     if value < 0:
         return Reason.NEGATIVE
     return Reason.OVERFLOW if value > MAX_TIME_US else Reason.NOT_A_NUMBER
--- a/marlstep/traces/schedule.py
+++ b/marlstep/traces/schedule.py
@@ -26,7 +26,7 @@
 
 MAGIC = b"MARLSCH\n"
 VERSION = 1
-HEAD = struct.Struct("<8sHI")
+HEADER = struct.Struct("<8sHI")
 BLOCK = struct.Struct("<II16s")
 END = struct.Struct("<IQ16s")
 END_MARK = b"\0\0\0\0"  # stands where a block has its compressed length
@@ -36,8 +36,8 @@
 BLOCK_ROWS = 16_384
 MAX_BLOCK_BYTES = 4 << 20  # raw length; a larger block is corrupt
 MAX_PACKING_OVERHEAD_BYTES = 1024  # limit of the growth of incompressible data by compression
-MAX_HEAD_BYTES = 1 << 20
-HEAD_PADDING_BYTES = 4096  # room for what `finish` adds when it rewrites the header
+MAX_HEADER_BYTES = 1 << 20
+HEADER_PADDING_BYTES = 4096  # room for what `finish` adds when it rewrites the header
 MAX_NAMES = 1 << 20
 COMPRESSION_LEVEL = 3
 
@@ -71,36 +71,36 @@
         last_us: Time of the last added request, in microseconds since the start.
     """
 
-    def __init__(self, path: str, head: Mapping[str, object]) -> None:
+    def __init__(self, path: str, header: Mapping[str, object]) -> None:
         """Create the temporary file and write a preliminary header, which `finish` replaces.
 
         Args:
             path: Path of the schedule.
-            head: JSON object of the preliminary header.
+            header: JSON object of the preliminary header.
 
         Raises:
             OSError: The temporary file can't be created.
         """
         self.path = Path(path)
-        self._part = self.path.with_name(self.path.name + ".part")
-        self._file: BinaryIO = open(self._part, "w+b")  # noqa: SIM115  (closed in __exit__)
-        self._head_bytes = len(orjson.dumps(head)) + HEAD_PADDING_BYTES
+        self._temporary_path = self.path.with_name(self.path.name + ".part")
+        self._file: BinaryIO = open(self._temporary_path, "w+b")  # noqa: SIM115  (closed in __exit__)
+        self._max_header_bytes = len(orjson.dumps(header)) + HEADER_PADDING_BYTES
         self._compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
         self._rows: list[PlannedRequest] = []
-        self._names: dict[str, int] = {}
+        self._name_indices: dict[str, int] = {}
         self._new_names: list[str] = []  # names first used since the last block
         self._checksums = blake3()
         self.count = 0
         self.last_us = 0
-        self._write_head(head)
+        self._write_header(header)
 
-    def _write_head(self, head: Mapping[str, object]) -> None:
-        text = orjson.dumps(head, option=orjson.OPT_SORT_KEYS)
-        if len(text) > self._head_bytes:
+    def _write_header(self, header: Mapping[str, object]) -> None:
+        text = orjson.dumps(header, option=orjson.OPT_SORT_KEYS)
+        if len(text) > self._max_header_bytes:
             raise ScheduleError(
-                self.path, f"expected a header of at most {self._head_bytes} bytes, got {len(text)}"
+                self.path, f"expected a header of at most {self._max_header_bytes} bytes, got {len(text)}"
             )
-        data = HEAD.pack(MAGIC, VERSION, self._head_bytes) + text.ljust(self._head_bytes)
+        data = HEADER.pack(MAGIC, VERSION, self._max_header_bytes) + text.ljust(self._max_header_bytes)
         self._file.write(data + checksum(data))
 
     def add(self, rows: Iterable[PlannedRequest]) -> None:
@@ -138,7 +138,7 @@
 
     def _pack_rows(self) -> bytes:
         """Return the raw data of a block: the names new since the last block, and the requests."""
-        pack, index = RECORD.pack, self._index
+        pack, index = RECORD.pack, self._name_index
         records = [
             pack(row.at_us, row.work_us, index(row.request_class), index(row.tenant), row.sender)
             for row in self._rows
@@ -146,10 +146,10 @@
         names = orjson.dumps(self._new_names)
         return NAMES.pack(len(names)) + names + b"".join(records)
 
-    def _index(self, name: str) -> int:
-        index = self._names.get(name)
+    def _name_index(self, name: str) -> int:
+        index = self._name_indices.get(name)
         if index is None:
-            index = self._names[name] = len(self._names)
+            index = self._name_indices[name] = len(self._name_indices)
             if index >= MAX_NAMES:
                 raise ScheduleError(
                     self.path, f"expected at most {MAX_NAMES} names of tenants and classes, got more"
@@ -157,11 +157,11 @@
             self._new_names.append(name)
         return index
 
-    def finish(self, head: Mapping[str, object]) -> None:
+    def finish(self, header: Mapping[str, object]) -> None:
         """Write the last block, the end record and the final header; then rename the file to its path.
 
         Args:
-            head: JSON object of the final header.
+            header: JSON object of the final header.
 
         Raises:
             ScheduleError: The header or the last block is too large.
@@ -169,11 +169,11 @@
         self._write_block()
         self._file.write(END.pack(0, self.count, self._checksums.digest(CHECKSUM_BYTES)))
         self._file.seek(0)
-        self._write_head(head)
+        self._write_header(header)
         self._file.flush()
         os.fsync(self._file.fileno())
         self._file.close()
-        os.replace(self._part, self.path)
+        os.replace(self._temporary_path, self.path)
 
     def __enter__(self) -> ScheduleWriter:
         """Return the writer; on exit its temporary file is removed unless `finish` has completed."""
@@ -188,7 +188,7 @@
         """Remove the temporary file of a schedule that was not finished."""
         if not self._file.closed:
             self._file.close()
-            self._part.unlink(missing_ok=True)
+            self._temporary_path.unlink(missing_ok=True)
 
 
 class Schedule:
@@ -196,7 +196,7 @@
 
     Attributes:
         path: Path of the file.
-        head: JSON object of the header.
+        header: JSON object of the header.
     """
 
     def __init__(self, path: str) -> None:
@@ -211,7 +211,7 @@
         except OSError as error:
             raise ScheduleError(path, error.strerror) from error
         try:
-            self.head = self._read_head()
+            self.header = self._read_header()
         except BaseException:
             self._file.close()
             raise
@@ -229,31 +229,31 @@
         """Close the file."""
         self.close()
 
-    def _take(self, size: int, section: str) -> bytes:
+    def _read_exactly(self, size: int, section: str) -> bytes:
         data = self._file.read(size)
         if len(data) != size:
             raise ScheduleError(self.path, f"cut short inside {section}")
         return data
 
-    def _read_head(self) -> dict[str, Any]:
-        start = self._file.read(HEAD.size)
+    def _read_header(self) -> dict[str, Any]:
+        start = self._file.read(HEADER.size)
         if start[: len(MAGIC)] != MAGIC[: len(start)] or not start:
             raise ScheduleError(self.path, "not a compiled schedule")
-        if len(start) != HEAD.size:
+        if len(start) != HEADER.size:
             raise ScheduleError(self.path, "cut short inside its header")
-        _, version, size = HEAD.unpack(start)
+        _, version, size = HEADER.unpack(start)
         if version > VERSION:
             raise ScheduleError(
                 self.path,
                 f"version {version}, written by a newer marlstep (this one reads versions up to {VERSION})",
             )
-        if version < 1 or size > MAX_HEAD_BYTES:
+        if version < 1 or size > MAX_HEADER_BYTES:
             raise ScheduleError(self.path, "its header is corrupt (version or length)")
-        text = self._take(size, "its header")
-        if self._take(CHECKSUM_BYTES, "its header") != checksum(start + text):
+        text = self._read_exactly(size, "its header")
+        if self._read_exactly(CHECKSUM_BYTES, "its header") != checksum(start + text):
             raise ScheduleError(self.path, "its header is corrupt (checksum)")
-        head: dict[str, Any] = orjson.loads(text)
-        return head
+        header: dict[str, Any] = orjson.loads(text)
+        return header
 
     def rows(self) -> Iterator[PlannedRequest]:
         """Yield the requests in order of time, with one block in memory at a time.
@@ -268,7 +268,7 @@
         while True:
             number += 1
             section = f"block {number}"
-            start = self._take(len(END_MARK), section)
+            start = self._read_exactly(len(END_MARK), section)
             if start == END_MARK:
                 self._check_end(start, count, checksums.digest(CHECKSUM_BYTES))
                 return
@@ -282,7 +282,7 @@
                 raise ScheduleError(self.path, f"{section} is corrupt ({error})") from None
 
     def _check_end(self, start: bytes, count: int, checksums: bytes) -> None:
-        data = start + self._take(END.size - len(start), "its end record")
+        data = start + self._read_exactly(END.size - len(start), "its end record")
         _, stored_count, stored_checksums = END.unpack(data)
         if stored_count != count or stored_checksums != checksums:
             raise ScheduleError(self.path, "its end record is corrupt (number of requests or checksum)")
@@ -302,10 +302,10 @@
         Raises:
             ScheduleError: The block is truncated or corrupt.
         """
-        size, raw_size, check = BLOCK.unpack(start + self._take(BLOCK.size - len(start), section))
+        size, raw_size, check = BLOCK.unpack(start + self._read_exactly(BLOCK.size - len(start), section))
         if size > MAX_BLOCK_BYTES + MAX_PACKING_OVERHEAD_BYTES or raw_size > MAX_BLOCK_BYTES:
             raise ScheduleError(self.path, f"{section} is corrupt (length)")
-        data = self._take(size, section)
+        data = self._read_exactly(size, section)
         if checksum(data) != check:
             raise ScheduleError(self.path, f"{section} is corrupt (checksum)")
         try:
--- a/marlstep/traces/sources.py
+++ b/marlstep/traces/sources.py
@@ -64,21 +64,21 @@
         BadRowError: The compressed stream is truncated or corrupt.
         SourceError: The part can't be read.
     """
-    chunks = _chunks(stream, name, on_raw)
-    head = next(chunks, b"")
-    while 0 < len(head) < len(ZSTD_MAGIC) and (
+    chunks = _read_chunks(stream, name, on_raw)
+    start = next(chunks, b"")
+    while 0 < len(start) < len(ZSTD_MAGIC) and (
         more := next(chunks, b"")
     ):  # a pipe may return fewer bytes than the magic
-        head += more
-    rest = itertools.chain((head,) if head else (), chunks)
-    if head.startswith(GZIP_MAGIC):
+        start += more
+    rest = itertools.chain((start,) if start else (), chunks)
+    if start.startswith(GZIP_MAGIC):
         return _gunzip(rest)
-    if head.startswith(ZSTD_MAGIC):
+    if start.startswith(ZSTD_MAGIC):
         return _unzstd(rest)
     return rest
 
 
-def _chunks(stream: BinaryIO, name: str, on_raw: Callable[[bytes], None] | None) -> Iterator[bytes]:
+def _read_chunks(stream: BinaryIO, name: str, on_raw: Callable[[bytes], None] | None) -> Iterator[bytes]:
     while True:
         try:
             chunk = stream.read(CHUNK_BYTES)
@@ -94,7 +94,7 @@
 def _gunzip(chunks: Iterator[bytes]) -> Iterator[bytes]:
     """Yield the decompressed bytes of all gzip members."""
     member = zlib.decompressobj(wbits=31)
-    begun = False
+    has_started = False
     for chunk in chunks:
         data = chunk
         while data:
@@ -102,17 +102,17 @@
                 data = data.lstrip(b"\0")  # members may be followed by zero padding
                 if not data:
                     break
-                member, begun = zlib.decompressobj(wbits=31), False
-            begun = True
-            out = _decompress(member, data)
-            if out:
-                yield out
+                member, has_started = zlib.decompressobj(wbits=31), False
+            has_started = True
+            output = _decompress(member, data)
+            if output:
+                yield output
             data = member.unused_data if member.eof else member.unconsumed_tail
-    while begun and not member.eof:  # the rest of the output of the last chunk
-        out = _decompress(member, member.unconsumed_tail)
-        if not out:
+    while has_started and not member.eof:  # the rest of the output of the last chunk
+        output = _decompress(member, member.unconsumed_tail)
+        if not output:
             raise BadRowError(Reason.TRUNCATED, text="the gzip stream ends inside a member")
-        yield out
+        yield output
 
 
 def _decompress(member: zlib._Decompress, data: bytes) -> bytes:
@@ -124,22 +124,22 @@
 
 def _unzstd(chunks: Iterator[bytes]) -> Iterator[bytes]:
     """Yield the decompressed bytes of all zstd frames."""
-    maker = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES)
-    frame = maker.decompressobj()
-    begun = False
+    decompressor = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW_BYTES)
+    frame = decompressor.decompressobj()
+    has_started = False
     for chunk in chunks:
-        for at in range(0, len(chunk), ZSTD_CHUNK_BYTES):
-            data = chunk[at : at + ZSTD_CHUNK_BYTES]
+        for offset in range(0, len(chunk), ZSTD_CHUNK_BYTES):
+            data = chunk[offset : offset + ZSTD_CHUNK_BYTES]
             while data:
                 if frame.eof:
-                    frame, begun = maker.decompressobj(), False
-                begun = True
+                    frame, has_started = decompressor.decompressobj(), False
+                has_started = True
                 try:
-                    out = frame.decompress(data)
+                    output = frame.decompress(data)
                 except zstandard.ZstdError as error:
                     raise BadRowError(Reason.CORRUPT, text=str(error)) from None
-                if out:
-                    yield out
+                if output:
+                    yield output
                 data = frame.unused_data if frame.eof else b""
-    if begun and not frame.eof:
+    if has_started and not frame.eof:
         raise BadRowError(Reason.TRUNCATED, text="the zstd stream ends inside a frame")
--- a/tests/config/test_traces.py
+++ b/tests/config/test_traces.py
@@ -13,7 +13,7 @@
 from tests.cli.surface import read_golden
 from tests.cli.trace_sections import COMPLETE, errors_of_unknown_keys, errors_of_wrong_values
 from tests.traces.support import (
-    KINDS,
+    REQUEST_CLASSES,
 )
 
 GOLDEN: dict[str, Any] = read_golden("trace_settings.json")
@@ -48,10 +48,10 @@
         ({"rules": [{"kinds": ["1"]}]}, r"trace.rules\[0\].class is missing"),
         ({"rules": [{"class": "x"}]}, r"trace.rules\[0\].class must be one of"),
         (
-            {"rules": [{"class": KINDS[0]}, {"class": KINDS[1], "kinds": ["1"]}]},
+            {"rules": [{"class": REQUEST_CLASSES[0]}, {"class": REQUEST_CLASSES[1], "kinds": ["1"]}]},
             r"rules\[1\] is never reached",
         ),
-        ({"work": {KINDS[0]: {"least_ms": 5, "most_ms": 4}}}, "most_ms must not be under"),
+        ({"work": {REQUEST_CLASSES[0]: {"least_ms": 5, "most_ms": 4}}}, "most_ms must not be under"),
         ({"scale": {"low": 3, "high": 3}}, "trace.scale.high must be above"),
         ({"tenants": {"mode": "some"}}, "trace.tenants.mode must be one of"),
         ({"columns": {"time": "t", "unit": "s"}}, "trace.columns is for the format generic"),
--- a/tests/traces/replay/test_loopback.py
+++ b/tests/traces/replay/test_loopback.py
@@ -16,10 +16,10 @@
 ROOT = Path(__file__).parent.parent.parent.parent
 
 
-FRONTS = ("resp", "uwsgi")
+FRONTENDS = ("resp", "uwsgi")
 
 
-REPLAY_SECONDS = 60  # time limit of one replay, including the start and the exit of its processes
+REPLAY_TIMEOUT_S = 60  # time limit of one replay, including the start and the exit of its processes
 
 
 @pytest.fixture(scope="module")
@@ -28,33 +28,31 @@
     out = str(tmp_path_factory.mktemp("replays") / "a.sched")
     source = str(ROOT / "examples" / "traces" / "google-2011.csv")
     assert call(["trace", "compile", "--format", "google-2011", "--out", out, source]) == 0
-    with ThreadPoolExecutor(len(FRONTS)) as pool:
-        return dict(zip(FRONTS, pool.map(partial(replayed, out), FRONTS), strict=True))
+    with ThreadPoolExecutor(len(FRONTENDS)) as pool:
+        return dict(zip(FRONTENDS, pool.map(partial(run_replay, out), FRONTENDS), strict=True))
 
 
-def replayed(schedule: str, front: str) -> subprocess.CompletedProcess[str]:
+def run_replay(schedule: str, frontend: str) -> subprocess.CompletedProcess[str]:
     """Run the replay command in a separate process; return its exit code and output."""
-    words = (
-        f"--retries polite --front {front} --load 0.8 --for 2s --nodes 2 --speed 5 --late 1s --json".split()
-    )
+    options = f"--retries polite --front {frontend} --load 0.8 --for 2s --nodes 2 --speed 5 --late 1s --json".split()
     config = str(ROOT / "deploy" / "node.json")
     return subprocess.run(
-        [sys.executable, "-m", "marlstep", "trace", "replay", "--config", config, *words, schedule],
+        [sys.executable, "-m", "marlstep", "trace", "replay", "--config", config, *options, schedule],
         capture_output=True,
         text=True,
         cwd=ROOT,
-        timeout=REPLAY_SECONDS,
+        timeout=REPLAY_TIMEOUT_S,
         check=False,  # the test checks the exit code
     )
 
 
-@pytest.mark.parametrize("front", FRONTS)
+@pytest.mark.parametrize("frontend", FRONTENDS)
 def test_a_replay_on_sockets_loses_nothing_and_runs_no_setpoint_twice(
-    front: str, replays: dict[str, subprocess.CompletedProcess[str]]
+    frontend: str, replays: dict[str, subprocess.CompletedProcess[str]]
 ) -> None:
-    assert replays[front].returncode == 0, replays[front].stderr
-    report = json.loads(replays[front].stdout)
-    assert report["mode"] == f"loopback-{front}"
+    assert replays[frontend].returncode == 0, replays[frontend].stderr
+    report = json.loads(replays[frontend].stdout)
+    assert report["mode"] == f"loopback-{frontend}"
     assert (report["lost"], report["answered_twice"], report["ran_twice"]) == (0, 0, 0)
     assert report["answered"] == report["sent"] > 50 and report["runs"] <= report["sent"]
     assert report["service"] > 0.5
--- a/tests/traces/replay/test_retry_rules.py
+++ b/tests/traces/replay/test_retry_rules.py
@@ -16,13 +16,13 @@
 from marlstep.traces.retries import Retries
 from tests.traces.replay.support import CLASSES
 
-IDEMPOTENT, ONCE = CLASSES["temp-history"], CLASSES["setpoint-cmd"]
+IDEMPOTENT, NOT_IDEMPOTENT = CLASSES["temp-history"], CLASSES["setpoint-cmd"]
 
 
 @pytest.mark.parametrize("status", list(ResponseStatus))
 def test_only_an_idempotent_request_is_retried_after_it_may_have_run(status: ResponseStatus) -> None:
     assert may_retry(status, IDEMPOTENT) == (status is not ResponseStatus.DONE)
-    assert may_retry(status, ONCE) == (status is ResponseStatus.REJECTED)
+    assert may_retry(status, NOT_IDEMPOTENT) == (status is ResponseStatus.REJECTED)
 
 
 def test_a_sender_without_retries_sends_one_attempt() -> None:
--- a/tests/traces/support.py
+++ b/tests/traces/support.py
@@ -55,20 +55,20 @@
         assert account.good == account.arrivals + account.duplicates + skipped
 
 
-KINDS = ("temp-history", "schedule-save", "setpoint-cmd")
+REQUEST_CLASSES = ("temp-history", "schedule-save", "setpoint-cmd")
 
 
-PLANNED = st.builds(
+PLANNED_REQUESTS = st.builds(
     PlannedRequest,
     st.integers(0, 10**9),
-    st.sampled_from(KINDS),
+    st.sampled_from(REQUEST_CLASSES),
     st.sampled_from(["ain-sebaa", "b" * 300, "é", ""]),
     st.integers(1, 2**32 - 1),
     st.integers(0, 2**64 - 1),
 )
 
 
-def written(path: Path, rows: list[PlannedRequest], **head: Any) -> Path:
+def write_schedule(path: Path, rows: list[PlannedRequest], **head: Any) -> Path:
     with ScheduleWriter(str(path), head) as writer:
         writer.add(rows)
         writer.finish(head)
--- a/tests/traces/test_cutting.py
+++ b/tests/traces/test_cutting.py
@@ -26,8 +26,8 @@
 @FIXED
 @given(st.floats(0.05, 0.95), st.integers(0, 2**32))
 def test_thinning_keeps_complete_senders_at_the_given_share(share: float, seed: int) -> None:
-    hashing = KeyedHash(seed)
-    rows = [PlannedRequest(at, "a", "t", 1, hashing.of(f"sender-{at % 400}")) for at in range(2000)]
+    keyed_hash = KeyedHash(seed)
+    rows = [PlannedRequest(at, "a", "t", 1, keyed_hash.of(f"sender-{at % 400}")) for at in range(2000)]
     kept = list(thin_senders(iter(rows), share))
     counts = Counter(row.sender for row in kept)
     assert set(counts.values()) <= {5}
@@ -38,22 +38,22 @@
 @FIXED
 @given(st.lists(st.integers(0, 200_000_000), min_size=1, max_size=60), st.integers(1, 30), st.integers(1, 4))
 def test_the_busiest_sections_do_not_overlap_and_no_other_is_busier(
-    times: list[int], seconds: int, number: int
+    times: list[int], seconds: int, max_count: int
 ) -> None:
     counts = Counts()
     for at in times:
         counts.add(at)
-    found = busiest_sections(counts, seconds * 1_000_000, number)
-    assert all(one.end_us <= other.start_us for one, other in itertools.pairwise(found))
+    found = busiest_sections(counts, seconds * 1_000_000, max_count)
+    assert all(section.end_us <= other.start_us for section, other in itertools.pairwise(found))
 
-    def inside(start: int) -> int:
+    def count_within(start: int) -> int:
         return sum(start <= at // 1_000_000 < start + seconds for at in times)
 
-    most = max(inside(start) for start in range(max(1, len(counts.arrivals) - seconds + 1)))
-    assert max(inside(one.start_us // 1_000_000) for one in found) == most
+    most = max(count_within(start) for start in range(max(1, len(counts.arrivals) - seconds + 1)))
+    assert max(count_within(section.start_us // 1_000_000) for section in found) == most
 
 
-def test_sections_follow_each_other_without_a_gap_and_compression_keeps_the_shape() -> None:
+def test_sections_are_joined_without_gaps_and_compression_keeps_the_relative_times() -> None:
     rows = [PlannedRequest(at * 1_000_000, "a", "t", 1, at) for at in range(100)]
     sections = [Section(10_000_000, 5_000_000), Section(50_000_000, 3_000_000)]
     found = list(cut_sections(iter(rows), sections))
@@ -64,7 +64,7 @@
     assert [row.at_us // 1_000_000 for row in again] == list(range(20))
 
 
-def test_the_index_of_dispersion_separates_bursts_from_an_even_stream() -> None:
+def test_the_index_of_dispersion_is_high_for_bursts_and_0_for_an_even_stream() -> None:
     assert dispersion_index([5] * 50) == 0.0
     assert dispersion_index([0, 0, 0, 20] * 10) > 10
     assert dispersion_index([]) == dispersion_index([0, 0]) == dispersion_index([3]) == 0.0
--- a/tests/traces/test_formats.py
+++ b/tests/traces/test_formats.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(MODULES))
-def test_an_example_is_what_its_maker_writes_and_holds_the_expected_counts(name: str) -> None:
+def test_an_example_equals_the_output_of_its_maker_and_has_the_expected_counts(name: str) -> None:
     path = EXAMPLES / f"{name}.csv"
     assert path.read_bytes() == make(name)
     reading, rows, rejects = read(path, name)
@@ -41,12 +41,12 @@
 @pytest.mark.parametrize("name", sorted(MODULES))
 @FIXED
 @given(st.data())
-def test_the_account_adds_up_after_any_damage_in_any_format(
+def test_the_account_is_consistent_for_any_corruption_of_any_format(
     tmp_path_factory: pytest.TempPathFactory, name: str, data: st.DataObject
 ) -> None:
-    whole = (EXAMPLES / f"{name}.csv").read_bytes()
-    whole = b"\n".join(whole.split(b"\n")[:6]) if name == "azure-2019" else whole[:6000]
-    at = data.draw(st.integers(0, len(whole)))
+    content = (EXAMPLES / f"{name}.csv").read_bytes()
+    content = b"\n".join(content.split(b"\n")[:6]) if name == "azure-2019" else content[:6000]
+    start = data.draw(st.integers(0, len(content)))
     garbage = data.draw(
         st.one_of(
             st.binary(max_size=40),
@@ -59,11 +59,11 @@
     if name == "azure-2019":  # an extra digit in a count could add a hundred thousand arrivals
         garbage = garbage.translate(None, b"0123456789")
     path = tmp_path_factory.mktemp("t") / "t"
-    path.write_bytes(whole[:at] + garbage + whole[at + cut :])
+    path.write_bytes(content[:start] + garbage + content[start + cut :])
     check_account(*read(path, name))
 
 
-def test_counts_of_a_minute_are_spread_by_the_seed(tmp_path: Path) -> None:
+def test_arrivals_of_a_minute_are_spread_according_to_the_seed(tmp_path: Path) -> None:
     def times(seed: int) -> list[int]:
         return [row.at_us for row in read(EXAMPLES / "azure-2019.csv", "azure-2019", seed=seed)[1]]
 
--- a/tests/traces/test_lines.py
+++ b/tests/traces/test_lines.py
@@ -5,22 +5,22 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlstep.traces.lines import LineCutter
+from marlstep.traces.lines import LineSplitter
 from tests.frontends.test_parsers import FIXED
 
 
 @FIXED
 @given(st.binary(max_size=300), st.lists(st.integers(1, 40), max_size=12))
 def test_lines_are_the_same_however_the_stream_is_chunked(data: bytes, cuts: list[int]) -> None:
-    def cut_up(sizes: list[int]) -> list[bytes | None]:
-        cutter, lines, at = LineCutter(max_line_bytes=24), [], 0
+    def split_in_chunks(sizes: list[int]) -> list[bytes | None]:
+        splitter, lines, at = LineSplitter(max_line_bytes=24), [], 0
         for size in [*sizes, len(data) + 1]:
-            lines += cutter.feed(data[at : at + size])
+            lines += splitter.feed(data[at : at + size])
             at += size
-        rest = cutter.end()
+        rest = splitter.end()
         return lines if rest is None else [*lines, rest]
 
-    wanted = [line if len(line) <= 24 else None for line in data.split(b"\n")]
-    if wanted[-1] == b"":
-        wanted.pop()
-    assert cut_up(cuts) == wanted
+    expected = [line if len(line) <= 24 else None for line in data.split(b"\n")]
+    if expected[-1] == b"":
+        expected.pop()
+    assert split_in_chunks(cuts) == expected
--- a/tests/traces/test_mapping.py
+++ b/tests/traces/test_mapping.py
@@ -15,8 +15,8 @@
 from tests.frontends.test_parsers import FIXED
 
 
-def arrival(kind: str = "0", tenant: str = "u", hint: float = 0.0) -> Arrival:
-    return Arrival(1_000, "job", "", tenant, kind, hint, 1)
+def arrival(category: str = "0", tenant: str = "u", hint: float = 0.0) -> Arrival:
+    return Arrival(1_000, "job", "", tenant, category, hint, 1)
 
 
 def test_the_first_matching_rule_decides_and_unmatched_rows_are_dropped() -> None:
@@ -54,13 +54,13 @@
 
 
 @pytest.mark.parametrize("mode", list(TenantMode))
-def test_tenants_are_named_by_the_mode(mode: TenantMode) -> None:
+def test_tenants_are_mapped_according_to_the_mode(mode: TenantMode) -> None:
     settings = replace(DEFAULT_MAPPINGS["google-2011"], tenant_mode=mode, tenant_names=("a", "b"))
     found = {row.tenant for name in "abcdefgh" if (row := Mapper(settings, 1).map(arrival(tenant=name)))}
-    wanted = {
+    expected = {
         "as-is": set("abcdefgh"),
         "named": {"a", "b", "others"},
         "buckets": {"a", "b"},
         "one": {"others"},
     }
-    assert found == wanted[mode.value]
+    assert found == expected[mode.value]
--- a/tests/traces/test_reading.py
+++ b/tests/traces/test_reading.py
@@ -32,7 +32,7 @@
         (ROW_2011.format(time=5, index="1" * 70_000), "line-too-long", ""),
     ],
 )
-def test_a_bad_row_is_named_by_its_reason_and_costs_only_itself(
+def test_a_bad_row_is_reported_with_its_reason_and_affects_no_other_row(
     tmp_path: Path, row: str | bytes, reason: str, column: str
 ) -> None:
     good = [ROW_2011.format(time=600 + number, index=number) for number in range(3)]
@@ -44,7 +44,7 @@
         read_rows(tmp_path, good[0], row, is_strict=True)
 
 
-def test_byte_order_marks_and_carriage_returns_are_noted_and_cost_no_row(tmp_path: Path) -> None:
+def test_byte_order_marks_and_carriage_returns_are_noted_and_reject_no_row(tmp_path: Path) -> None:
     lines = [ROW_2011.format(time=600 + number, index=number) for number in range(3)]
     reading, rows, rejects = read_rows(
         tmp_path, "", "\ufeff" + lines[0] + "\r", '"' + lines[1].replace(",", '","') + '"'
--- a/tests/traces/test_sources.py
+++ b/tests/traces/test_sources.py
@@ -14,17 +14,17 @@
 from tests.traces.test_formats import EXPECTED
 
 
-def packed(data: bytes, compression: str) -> bytes:
+def compress_part(data: bytes, compression: str) -> bytes:
     return gzip.compress(data) if compression == "gzip" else zstandard.compress(data)
 
 
 @pytest.mark.parametrize("compression", ["gzip", "zstd"])
 def test_compression_is_detected_from_the_content_whatever_the_name(tmp_path: Path, compression: str) -> None:
-    whole = make("google-2011")
-    half = whole.index(b"\n", len(whole) // 2) + 1
+    content = make("google-2011")
+    middle = content.index(b"\n", len(content) // 2) + 1
     path = tmp_path / "trace.csv"  # the name does not indicate the compression
     path.write_bytes(
-        packed(whole[:half], compression) + packed(whole[half:], compression)
+        compress_part(content[:middle], compression) + compress_part(content[middle:], compression)
     )  # two members, as if joined by cat
     reading, rows, rejects = read(path)
     check_account(reading, rows, rejects)
@@ -36,7 +36,7 @@
     tmp_path: Path, compression: str
 ) -> None:
     lines = [ROW_2011.format(time=600 + number, index=number) for number in range(2000)]
-    data = packed("\n".join(lines).encode(), compression)
+    data = compress_part("\n".join(lines).encode(), compression)
     path = tmp_path / "trace.csv"
     for size in (5, len(data) // 3, len(data) - 5, len(data) - 1):
         path.write_bytes(data[:size])
