--- a/benchmarks/trace_reading.py
+++ b/benchmarks/trace_reading.py
@@ -39,9 +39,9 @@
 import json, resource, sys, time
 start = time.process_time()
 if sys.argv[1] == "ours":
-    from marlstep.traces.formats import named
+    from marlstep.traces.formats import format_by_name
     from marlstep.traces.reading import Reading
-    reading = Reading(named("google-2011"), ["-"])
+    reading = Reading(format_by_name("google-2011"), ["-"])
     for _ in reading.batches():
         pass
     account = reading.account
--- a/marlstep/cli/trace/reading.py
+++ b/marlstep/cli/trace/reading.py
@@ -20,7 +20,7 @@
 from marlstep.config.readers import ConfigError
 from marlstep.config.traces import load_trace
 from marlstep.traces.compiling import NoArrivalsError
-from marlstep.traces.formats import MODULES, named
+from marlstep.traces.formats import MODULES, format_by_name
 from marlstep.traces.formats.base import Format
 from marlstep.traces.formats.generic import Generic
 from marlstep.traces.mapping import MappingSettings
@@ -70,7 +70,7 @@
         if format_name is None:
             raise OptionError.unmet("--format", f"is missing: one of {', '.join(sorted(MODULES))}")
         config = load_trace(self.map_path, format_name)
-        trace_format = named(format_name) if config.columns is None else Generic(config.columns)
+        trace_format = format_by_name(format_name) if config.columns is None else Generic(config.columns)
         return trace_format, config.mapping
 
     def make_reading(self, trace_format: Format) -> Reading:
--- a/marlstep/cli/trace/report.py
+++ b/marlstep/cli/trace/report.py
@@ -26,7 +26,7 @@
     except (reports.ReportError, OSError) as error:
         end_unusable(ctx, error)
     if as_json:
-        rows = reports.compared(*runs)
+        rows = reports.compare(*runs)
         print_json({name: {"first": value, "second": other} for name, value, other in rows})
     else:
         click.echo(reports.as_text(*runs, (first, second)))
--- a/marlstep/traces/formats/__init__.py
+++ b/marlstep/traces/formats/__init__.py
@@ -26,12 +26,12 @@
 }
 
 
-def named(name: str) -> Format:
+def format_by_name(name: str) -> Format:
     """Return the format with the given name; `generic` is returned with default columns.
 
     Raises:
         KeyError: There is no format with this name.
     """
     module = importlib.import_module(f"marlstep.traces.formats.{MODULES[name]}")
-    found: Format = module.FORMAT
-    return found
+    trace_format: Format = module.FORMAT
+    return trace_format
--- a/marlstep/traces/formats/generic.py
+++ b/marlstep/traces/formats/generic.py
@@ -51,7 +51,7 @@
     has_header: bool = True
     selected: Mapping[str, frozenset[str]] = field(default_factory=dict)
 
-    def named(self) -> list[str]:
+    def all_columns(self) -> list[str]:
         """Return all configured columns, which each row must have."""
         fields = (self.time, self.tenant, self.category, self.hint, self.key, self.name)
         return [column for column in (*fields, *self.selected) if column is not None]
@@ -75,7 +75,7 @@
         """
         self._indices, self._width = {}, 0
         names = [cell.strip() for cell in cells]
-        indices = {column: self._index(column, names, cells) for column in self.columns.named()}
+        indices = {column: self._index(column, names, cells) for column in self.columns.all_columns()}
         self._indices, self._width = indices, len(cells)
         self._min_width = max(indices.values()) + 1
         return self.columns.has_header
@@ -141,7 +141,7 @@
     @property
     def columns(self) -> tuple[str, ...]:
         """Names or indices of the columns that are read."""
-        return tuple(self.spec.named())
+        return tuple(self.spec.all_columns())
 
     def make(self, seed: int) -> Reader:  # noqa: ARG002  (parameter of the protocol; only azure-2019 uses it)
         """Return a new reader."""
--- a/marlstep/traces/replay/report.py
+++ b/marlstep/traces/replay/report.py
@@ -76,7 +76,7 @@
     return loaded
 
 
-def compared(first: Report, second: Report) -> list[Row]:
+def compare(first: Report, second: Report) -> list[Row]:
     """Return rows of a metric's name and its values in the first and the second replay; None if it is missing."""
     rows: list[Row] = [(key, first.get(key), second.get(key)) for key in SERVICE_KEYS]
     for group in ("by_class", "by_tenant"):
@@ -103,7 +103,7 @@
     """Return a table of both replays and their difference; the column titles are the ends of `names`."""
     titles = [name[-MAX_NAME_LENGTH:] for name in names]
     lines = [f"{'':<28}{titles[0]:>20}{titles[1]:>20}{'change':>12}"]
-    for name, value, other in compared(first, second):
+    for name, value, other in compare(first, second):
         change = f"{other - value:+.4f}" if value is not None and other is not None else ""
         lines.append(f"{name:<28}{_render(value):>20}{_render(other):>20}{change:>12}")
     for report, name in zip((first, second), names, strict=True):
--- a/marlstep/traces/schedule.py
+++ b/marlstep/traces/schedule.py
@@ -84,7 +84,7 @@
         self.path = Path(path)
         self._temporary_path = self.path.with_name(self.path.name + ".part")
         self._file: BinaryIO = open(self._temporary_path, "w+b")  # noqa: SIM115  (closed in __exit__)
-        self._max_header_bytes = len(orjson.dumps(header)) + HEADER_PADDING_BYTES
+        self._header_bytes = len(orjson.dumps(header)) + HEADER_PADDING_BYTES
         self._compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL)
         self._rows: list[PlannedRequest] = []
         self._name_indices: dict[str, int] = {}
@@ -96,11 +96,11 @@
 
     def _write_header(self, header: Mapping[str, object]) -> None:
         text = orjson.dumps(header, option=orjson.OPT_SORT_KEYS)
-        if len(text) > self._max_header_bytes:
+        if len(text) > self._header_bytes:
             raise ScheduleError(
-                self.path, f"expected a header of at most {self._max_header_bytes} bytes, got {len(text)}"
+                self.path, f"expected a header of at most {self._header_bytes} bytes, got {len(text)}"
             )
-        data = HEADER.pack(MAGIC, VERSION, self._max_header_bytes) + text.ljust(self._max_header_bytes)
+        data = HEADER.pack(MAGIC, VERSION, self._header_bytes) + text.ljust(self._header_bytes)
         self._file.write(data + checksum(data))
 
     def add(self, rows: Iterable[PlannedRequest]) -> None:
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marlstep.cli.main import call
-from marlstep.traces.formats import named
+from marlstep.traces.formats import format_by_name
 from marlstep.traces.schedule import Schedule
 
 EXAMPLES = Path(__file__).parent.parent.parent / "examples" / "traces"
@@ -98,4 +98,4 @@
     assert report["requests"] == len(rows) and rows[-1].at_us < 7_500_000
     assert 0.1 < report["keep"] < 0.9 and report["seconds"] == 7.5
     assert call(["trace", "compile", "--format", "google-2011", "--out", out, "-"]) == 2
-    assert named("google-2011").columns[0] == "time"
+    assert format_by_name("google-2011").columns[0] == "time"
--- a/tests/config/test_traces.py
+++ b/tests/config/test_traces.py
@@ -37,7 +37,7 @@
     columns = config.columns
     assert settings_digest(config.mapping) == GOLDEN["digests"]["complete"]
     assert columns is not None and columns.unit_us == 1_000 and not columns.has_header
-    assert columns.named() == ["at", "site", "3", "work", "gateway", "id", "phase"]
+    assert columns.all_columns() == ["at", "site", "3", "work", "gateway", "id", "phase"]
 
 
 @pytest.mark.parametrize(
--- a/tests/traces/support.py
+++ b/tests/traces/support.py
@@ -7,7 +7,7 @@
 
 from hypothesis import strategies as st
 
-from marlstep.traces.formats import named
+from marlstep.traces.formats import format_by_name
 from marlstep.traces.formats.base import Format
 from marlstep.traces.formats.generic import Columns, Generic
 from marlstep.traces.mapping import PlannedRequest
@@ -25,7 +25,7 @@
 
 
 def format_of(name: str) -> Format:
-    return GENERIC if name == "generic" else named(name)
+    return GENERIC if name == "generic" else format_by_name(name)
 
 
 def read(path: Path, name: str = "google-2011", **other: Any) -> tuple[Reading, list[Arrival], list[Reject]]:
--- a/tests/traces/test_formats.py
+++ b/tests/traces/test_formats.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from examples.traces.make import MAKERS, make
-from marlstep.traces.formats import MODULES, named
+from marlstep.traces.formats import MODULES, format_by_name
 from marlstep.traces.reading import Reading
 from tests.frontends.test_parsers import FIXED
 from tests.traces.support import EXAMPLES, check_account, read
@@ -69,7 +69,7 @@
 
     assert times(1) == times(1) != times(2)
     assert len(times(1)) == len(times(2)) == 534
-    two_days = Reading(named("azure-2019"), [str(EXAMPLES / "azure-2019.csv")] * 2, seed=1)
+    two_days = Reading(format_by_name("azure-2019"), [str(EXAMPLES / "azure-2019.csv")] * 2, seed=1)
     rows = [row for batch in two_days.batches() for row in batch]
     assert len(rows) == 2 * 534 and rows[-1].at_us > 86_400_000_000
 
