--- a/marlstep/traces/compiling.py
+++ b/marlstep/traces/compiling.py
@@ -119,7 +119,8 @@
 
     Raises:
         NoArrivalsError: The trace, or the selected part, has no arrival that is mapped to a class.
-        ScheduleError: The schedule can't be written.
+        OSError: The file of the schedule can't be created or written.
+        ScheduleError: The schedule exceeds a limit of its format.
         SourceError: A part of the trace can't be opened or read.
         StrictReadingError: A row is bad and the reading is strict.
     """
--- a/marlstep/traces/cutting.py
+++ b/marlstep/traces/cutting.py
@@ -167,14 +167,27 @@
 
 
 def share_for_rate(total: int, seconds: float, rate: float) -> float:
-    """Return the share of senders that reduces a trace to `rate` arrivals per second; 1 if its rate is lower."""
+    """Return the share of senders that reduces the rate of a trace to a target; 1 if its rate is lower.
+
+    Args:
+        total: Number of arrivals.
+        seconds: Time in which they occur, in seconds.
+        rate: Target, in arrivals per second.
+    """
     if rate <= 0 or total <= 0 or seconds <= 0:
         return 1.0
     return min(1.0, rate * seconds / total)
 
 
 def factor_for_load(work_us: int, seconds: float, cores: float, load: float) -> float:
-    """Return the time compression factor at which the offered work is `load` times the capacity of `cores`."""
+    """Return the time compression factor at which the offered work is `load` times the capacity of `cores`.
+
+    Args:
+        work_us: Offered work, in microseconds on one core.
+        seconds: Time in which it is offered before compression, in seconds.
+        cores: Number of cores.
+        load: Target ratio of the offered work to the capacity.
+    """
     if work_us <= 0 or seconds <= 0:
         return 1.0
     return load * cores / (work_us / 1e6 / seconds)
--- a/marlstep/traces/formats/azure_2019.py
+++ b/marlstep/traces/formats/azure_2019.py
@@ -27,9 +27,9 @@
 MINUTE_US = 60_000_000
 FUNCTION_COLUMNS = ("HashOwner", "HashApp", "HashFunction", "Trigger")
 COLUMNS = (*FUNCTION_COLUMNS, *(str(number) for number in range(1, MINUTES + 1)))
-MAX_FUNCTIONS = 500_000  # of one day, and so also of one minute
+MAX_FUNCTIONS = 500_000  # functions of one day; also bounds the heap of one minute
 MAX_COUNTS = 16_000_000  # non-zero counts of one day; 256 MB
-MAX_PER_MINUTE = 1_000_000  # invocations of one function; a higher count is invalid
+MAX_PER_MINUTE = 1_000_000  # invocations of one function in one minute; a higher count is invalid
 
 
 class Reader(RowReaderBase):
@@ -54,9 +54,8 @@
         self._count_total = 0
         self._functions.clear()
         self._seen_functions.clear()
-        self._counts_by_minute = [
-            array("L") for _ in range(MINUTES)
-        ]  # for each minute: function number and count, alternating
+        # For each minute: function number and count, alternating.
+        self._counts_by_minute = [array("L") for _ in range(MINUTES)]
 
     def header(self, cells: list[str]) -> bool:
         """Check the header; always returns True.
--- a/marlstep/traces/reading.py
+++ b/marlstep/traces/reading.py
@@ -69,9 +69,8 @@
     on_raw: Callable[[bytes], None] | None = None
     max_line_bytes: int = MAX_LINE_BYTES
     account: Account = field(default_factory=Account)
-    _part_starts: list[tuple[int, str]] = field(
-        default_factory=list
-    )  # number of the first line, and name, of each part
+    # Number of the first line, and name, of each part.
+    _part_starts: list[tuple[int, str]] = field(default_factory=list)
     _is_at_start: bool = True  # no header or row of the current part has been read yet
 
     def place(self, line: int) -> str:
--- a/marlstep/traces/reordering.py
+++ b/marlstep/traces/reordering.py
@@ -43,7 +43,7 @@
     Attributes:
         out_of_order: Number of rows whose time is earlier than that of a preceding row, including late rows.
         duplicates: Number of rows left out because another in the window has the same time, sender and name.
-        forced: Number of times that rows were released early because the window was full.
+        forced_releases: Number of times that rows were released early because the window was full.
     """
 
     def __init__(
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -20,9 +20,8 @@
 from marlstep.traces.replay.retry_rules import is_in_time, may_retry, next_attempt_us
 from marlstep.traces.retries import Retries
 
-RESPONSE_MARGIN_US = (
-    110_000  # a response may be this late: 60 ms are allowed after the deadline, plus 50 ms on sockets
-)
+# How late after its deadline a response may arrive: 60 ms are allowed, and 50 ms are added for the sockets.
+RESPONSE_MARGIN_US = 110_000
 CALLS_IF_NOT_IDEMPOTENT = (1, 0, 2, 1)  # calls by the number of the work; 1 on average
 ATTEMPT_ID_BYTES = 8
 
@@ -73,7 +72,7 @@
         classes: Request classes of the nodes, by name.
         retries: When senders retry a request.
         seed: Seed of the ids of attempts and of the jitter of retries.
-        figures: Service metrics of the responses.
+        metrics: Service metrics of the responses.
         nodes: Number of nodes.
         counts: Number of attempts, responses and pieces of work, by event or status.
     """
--- a/marlstep/traces/replay/loopback.py
+++ b/marlstep/traces/replay/loopback.py
@@ -45,9 +45,8 @@
     _connections: list[list[RespConnection]] = field(default_factory=list)  # connections by node and caller
     _connect_tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _start_s: float = 0.0  # time 0 of the schedule on the event loop's clock, in seconds
-    _node_by_attempt: dict[str, int] = field(
-        default_factory=dict
-    )  # number of the node, by the id of an open attempt
+    # Number of the node, by the id of an open attempt.
+    _node_by_attempt: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         """Create the processes object; `run` starts the processes."""
--- a/marlstep/traces/replay/processes.py
+++ b/marlstep/traces/replay/processes.py
@@ -42,9 +42,8 @@
     uwsgi_ports: list[int] = field(default_factory=list)
     account: dict[str, int] = field(default_factory=dict)
     node_cpu_s: float = 0.0
-    _children: list[asyncio.subprocess.Process] = field(
-        default_factory=list
-    )  # the process of the emulators, then the nodes
+    # The process of the emulators, then those of the nodes.
+    _children: list[asyncio.subprocess.Process] = field(default_factory=list)
 
     async def start(self, folder: Path) -> None:
         """Start all processes, and wait until every node is healthy.
--- a/marlstep/traces/replay/virtual.py
+++ b/marlstep/traces/replay/virtual.py
@@ -180,7 +180,16 @@
         gauge_names: tuple[str, ...],
         call_us: int,
     ) -> None:
-        """Initialize the node and its core on the timers of the replay; arguments as for `VirtualReplay`."""
+        """Initialize the node and its core on the timers of the replay.
+
+        Args:
+            replay: Replay that the node is part of.
+            settings: Settings of the node.
+            seed: Seed of the random numbers of the core.
+            machine: Emulated machine that runs the requests.
+            gauge_names: Names of the gauges, in the order in which the machine reports them.
+            call_us: Duration of a call to the dependency, in microseconds.
+        """
         self.replay, self.machine = replay, machine
         self.clock, self.timeline = replay.clock, replay.timeline
         self._gauge_names, self._call_time = gauge_names, span(call_us)
--- a/marlstep/traces/schedule.py
+++ b/marlstep/traces/schedule.py
@@ -43,7 +43,7 @@
 
 
 class ScheduleError(MarlstepError):
-    """A schedule can't be read or written.
+    """A schedule can't be read, or its content exceeds a limit of the format.
 
     Attributes:
         path: Path of the file.
@@ -164,6 +164,7 @@
             header: JSON object of the final header.
 
         Raises:
+            OSError: The file can't be written or renamed.
             ScheduleError: The header or the last block is too large.
         """
         self._write_block()
--- a/marlstep/traces/sources.py
+++ b/marlstep/traces/sources.py
@@ -14,12 +14,10 @@
 from marlstep.traces.rows import BadRowError, Reason
 
 CHUNK_BYTES = 64 * 1024  # bytes per read
-MAX_UNPACKED_BYTES = (
-    256 * 1024
-)  # output of one decompression step of gzip, to bound the memory for highly compressed input
-ZSTD_CHUNK_BYTES = (
-    1024  # input of one decompression step of zstd; at the highest compression it expands to 32 MB
-)
+# Output of one decompression step of gzip; bounds the memory for highly compressed input.
+MAX_UNPACKED_BYTES = 256 * 1024
+# Input of one decompression step of zstd; at the highest compression it expands to 32 MB.
+ZSTD_CHUNK_BYTES = 1024
 MAX_ZSTD_WINDOW_BYTES = 8 << 20
 STANDARD_INPUT = "-"
 GZIP_MAGIC, ZSTD_MAGIC = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
@@ -66,9 +64,8 @@
     """
     chunks = _read_chunks(stream, name, on_raw)
     start = next(chunks, b"")
-    while 0 < len(start) < len(ZSTD_MAGIC) and (
-        more := next(chunks, b"")
-    ):  # a pipe may return fewer bytes than the magic
+    # A pipe may return fewer bytes than the magic number at once.
+    while 0 < len(start) < len(ZSTD_MAGIC) and (more := next(chunks, b"")):
         start += more
     rest = itertools.chain((start,) if start else (), chunks)
     if start.startswith(GZIP_MAGIC):
