--- a/tests/traces/replay/test_loopback.py
+++ b/tests/traces/replay/test_loopback.py
@@ -46,13 +46,13 @@
     )
 
 
-@pytest.mark.parametrize("frontend", FRONTENDS)
+@pytest.mark.parametrize("front", FRONTENDS)
 def test_a_replay_on_sockets_loses_nothing_and_runs_no_setpoint_twice(
-    frontend: str, replays: dict[str, subprocess.CompletedProcess[str]]
+    front: str, replays: dict[str, subprocess.CompletedProcess[str]]
 ) -> None:
-    assert replays[frontend].returncode == 0, replays[frontend].stderr
-    report = json.loads(replays[frontend].stdout)
-    assert report["mode"] == f"loopback-{frontend}"
+    assert replays[front].returncode == 0, replays[front].stderr
+    report = json.loads(replays[front].stdout)
+    assert report["mode"] == f"loopback-{front}"
     assert (report["lost"], report["answered_twice"], report["ran_twice"]) == (0, 0, 0)
     assert report["answered"] == report["sent"] > 50 and report["runs"] <= report["sent"]
     assert report["service"] > 0.5
