--- a/marlstep/traces/formats/generic.py
+++ b/marlstep/traces/formats/generic.py
@@ -1,7 +1,7 @@
-"""Any CSV, with the columns that the operator's file names.
+"""CSV files with columns that are configured in the operator's file.
 
-A column goes by its name in the header or, where there is none, by its number from 0. `time` is an instant in
-`unit_us`; `hint` is a time or any size; `selected` keeps the rows that have one of the stated values in a column.
+A column is given by its name in the header, or by its index from 0. `time` is in units of `unit_us` microseconds;
+`hint` is a duration or any other size; `selected` filters rows by the values in a column.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
     check_width,
     read_decimal,
     read_instant_us,
-    read_word,
+    read_nonempty,
 )
 
 UNITS: Mapping[str, float] = {"us": 1, "ms": 1_000, "s": 1_000_000, "min": 60_000_000}
 NOT_SELECTED = "not-selected"
-ALL = "all"  # the tenant or category where no column names one
+ALL = "all"  # the tenant or category if no column is configured
 
 
 @dataclass(slots=True, frozen=True)
 class Columns:
-    """Where the fields of an arrival stand in a row: names of the header, or numbers from 0.
+    """Columns of the fields of an arrival, each a name in the header or an index from 0; None if there is none.
 
     Attributes:
-        time: the time of arrival.
-        unit_us: the unit of that time, in microseconds.
-        tenant: the tenant.
-        category: the trace's own class of the row.
-        hint: the work hint, in any unit.
-        key: the sender.
-        name: what tells the row from others of its sender.
-        has_header: the first line of a part is a header.
-        selected: the values that keep a row, by column.
+        time: Column of the arrival time.
+        unit_us: Unit of the arrival time, in microseconds.
+        tenant: Column of the tenant.
+        category: Column of the trace's own class of the row.
+        hint: Column of the work hint, in any unit.
+        key: Column of the sender; the tenant is the sender if None.
+        name: Column that distinguishes the rows of a sender.
+        has_header: Whether the first line of a part is a header.
+        selected: Accepted values by column; rows with other values are skipped.
     """
 
     time: str
@@ -51,27 +51,31 @@
     has_header: bool = True
     selected: Mapping[str, frozenset[str]] = field(default_factory=dict)
 
-    def named(self) -> list[str]:
-        """Return all columns that must be there."""
+    def all_columns(self) -> list[str]:
+        """Return all configured columns, which each row must have."""
         fields = (self.time, self.tenant, self.category, self.hint, self.key, self.name)
         return [column for column in (*fields, *self.selected) if column is not None]
 
 
 class Reader(RowReaderBase):
-    """Reads the rows of one trace, by the columns that it is given."""
+    """Reads the rows of one trace by the configured columns."""
 
     def __init__(self, columns: Columns) -> None:
-        """Start before the first header."""
+        """Initialize the reader with its columns; `header` must be called before `parse`."""
         self.columns = columns
         self._indices: dict[str, int] = {}
         self._width = 0
-        self._min_width = 1  # columns that a row must have where there is no header
+        self._min_width = 1  # minimum number of cells of a row if there is no header
 
     def header(self, cells: list[str]) -> bool:
-        """Find the columns. Raises BadRowError where one is missing."""
+        """Find the columns in the first line of a part; return whether it is a header.
+
+        Raises:
+            BadRowError: A configured column is missing.
+        """
         self._indices, self._width = {}, 0
         names = [cell.strip() for cell in cells]
-        indices = {column: self._index(column, names, cells) for column in self.columns.named()}
+        indices = {column: self._index(column, names, cells) for column in self.columns.all_columns()}
         self._indices, self._width = indices, len(cells)
         self._min_width = max(indices.values()) + 1
         return self.columns.has_header
@@ -85,7 +89,11 @@
         raise BadRowError(Reason.NO_HEADER if has_header else Reason.MISSING, column, ",".join(cells))
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Read one row. Raises BadRowError."""
+        """Parse one row; return its arrival, or the reason why it is skipped.
+
+        Raises:
+            BadRowError: The row is invalid.
+        """
         if not self._width:
             raise BadRowError(Reason.NO_HEADER)
         columns = self.columns
@@ -97,20 +105,20 @@
             if self._cell(cells, column) not in values:
                 return NOT_SELECTED
         at_us = read_instant_us(
-            read_word(self._cell(cells, columns.time), columns.time), columns.time, columns.unit_us
+            read_nonempty(self._cell(cells, columns.time), columns.time), columns.time, columns.unit_us
         )
-        tenant = self._word(cells, columns.tenant, ALL)
-        category = self._word(cells, columns.category, ALL)
+        tenant = self._nonempty(cells, columns.tenant, ALL)
+        category = self._nonempty(cells, columns.category, ALL)
         hint = self._hint(cells)
-        key = self._word(cells, columns.key, tenant)
+        key = self._nonempty(cells, columns.key, tenant)
         name = self._cell(cells, columns.name) if columns.name else ""
         return Arrival(at_us, key, name, tenant, category, hint, line)
 
     def _cell(self, cells: list[str], column: str) -> str:
         return cells[self._indices[column]].strip()
 
-    def _word(self, cells: list[str], column: str | None, default: str) -> str:
-        return read_word(self._cell(cells, column), column) if column else default
+    def _nonempty(self, cells: list[str], column: str | None, default: str) -> str:
+        return read_nonempty(self._cell(cells, column), column) if column else default
 
     def _hint(self, cells: list[str]) -> float:
         column = self.columns.hint
@@ -120,18 +128,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Generic:
-    """The format with columns of the operator's choice."""
+    """Format with configured columns.
+
+    Attributes:
+        spec: Columns of the format.
+        name: Name of the format on the command line.
+    """
 
     spec: Columns = field(default_factory=lambda: Columns(time="time"))
     name: str = "generic"
 
     @property
     def columns(self) -> tuple[str, ...]:
-        """The names or numbers of the columns that are read."""
-        return tuple(self.spec.named())
+        """Names or indices of the columns that are read."""
+        return tuple(self.spec.all_columns())
 
-    def make(self, seed: int) -> Reader:  # noqa: ARG002  (the protocol of all formats; only azure-2019 draws)
-        """Return a reader that starts afresh."""
+    def make(self, seed: int) -> Reader:  # noqa: ARG002  (parameter of the protocol; only azure-2019 uses it)
+        """Return a new reader."""
         return Reader(self.spec)
 
 
--- a/marlstep/traces/replay/report.py
+++ b/marlstep/traces/replay/report.py
@@ -1,4 +1,4 @@
-"""Two replays side by side, as text and as a plot in one file."""
+"""Comparison of two replays, as a table of text and as a plot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from marlstep.errors import MarlstepError
 
-if TYPE_CHECKING:  # matplotlib is loaded only where a plot is asked for
+if TYPE_CHECKING:  # matplotlib is imported only to draw a plot
     from matplotlib.axes import Axes
 
 REQUIRED_KEYS = (
@@ -32,7 +32,7 @@
 GROUP_PREFIX = "by_"
 PERCENTILES = ("p50", "p99")
 COUNT_KEYS = ("sent", "answered", "lost", "refused", "failed", "expired", "retries", "poor", "ran_twice")
-MAX_NAME_LENGTH = 18  # characters of a path that the table shows, from its end
+MAX_NAME_LENGTH = 18  # number of trailing characters of a path shown in the table
 PLOT_STEPS = 200
 PLOT_MAX_PERCENTILE = 99.9
 PLOT_SIZE_INCHES = (11, 8)
@@ -46,19 +46,23 @@
     """A report can't be read, or a plot can't be written.
 
     Attributes:
-        path: of the file.
-        problem: what is wrong with it.
+        path: Path of the file.
+        problem: What is wrong with the file.
     """
 
     def __init__(self, path: str, problem: object) -> None:
-        """Name the file and the problem."""
+        """Initialize the error with the path of the file and the problem."""
         super().__init__(f"{path}: {problem}")
         self.path = path
         self.problem = problem
 
 
 def load(path: str) -> Report:
-    """Read the report of a replay. Raises ReportError."""
+    """Read the report of a replay.
+
+    Raises:
+        ReportError: The file can't be read, is not JSON, or lacks a required key.
+    """
     try:
         report = json.loads(Path(path).read_text("utf-8"))
     except OSError as error:
@@ -72,8 +76,8 @@
     return loaded
 
 
-def compared(first: Report, second: Report) -> list[Row]:
-    """Return each figure by its name, of the first and of the second replay; None where one has none."""
+def compare(first: Report, second: Report) -> list[Row]:
+    """Return rows of a metric's name and its values in the first and the second replay; None if it is missing."""
     rows: list[Row] = [(key, first.get(key), second.get(key)) for key in SERVICE_KEYS]
     for group in ("by_class", "by_tenant"):
         rows += _group_rows(group, first[group], second[group])
@@ -96,10 +100,10 @@
 
 
 def as_text(first: Report, second: Report, names: tuple[str, str]) -> str:
-    """Return a table of both replays and of the change, under the ends of their names."""
-    heads = [name[-MAX_NAME_LENGTH:] for name in names]
-    lines = [f"{'':<28}{heads[0]:>20}{heads[1]:>20}{'change':>12}"]
-    for name, value, other in compared(first, second):
+    """Return a table of both replays and their difference; the column titles are the ends of `names`."""
+    titles = [name[-MAX_NAME_LENGTH:] for name in names]
+    lines = [f"{'':<28}{titles[0]:>20}{titles[1]:>20}{'change':>12}"]
+    for name, value, other in compare(first, second):
         change = f"{other - value:+.4f}" if value is not None and other is not None else ""
         lines.append(f"{name:<28}{_render(value):>20}{_render(other):>20}{change:>12}")
     for report, name in zip((first, second), names, strict=True):
@@ -115,13 +119,24 @@
 
 
 def plot(first: Report, second: Report, names: tuple[str, str], path: str) -> None:
-    """Write a PNG, or a page that holds it and the table, by the ending of the path. Raises ReportError."""
-    image = _image(first, second, names)
+    """Write the plot as a PNG, or as an HTML page together with the table, depending on the suffix of the path.
+
+    Args:
+        first: Report of the first replay.
+        second: Report of the second replay.
+        names: Names of the two replays.
+        path: Path of the file to be written.
+
+    Raises:
+        ReportError: The path does not end in .png, .html or .htm.
+        OSError: The file can't be written.
+    """
+    image = _draw_image(first, second, names)
     if path.endswith(".png"):
         Path(path).write_bytes(image)
         return
     if not path.endswith((".html", ".htm")):
-        raise ReportError(path, "a plot goes to a file that ends in .png or .html")
+        raise ReportError(path, "expected a path for the plot that ends in .png or .html")
     text = html.escape(as_text(first, second, names))
     data = base64.b64encode(image).decode("ascii")
     title = html.escape(f"{names[0]} and {names[1]}")
@@ -133,40 +148,40 @@
     )
 
 
-def _image(first: Report, second: Report, names: tuple[str, str]) -> bytes:
+def _draw_image(first: Report, second: Report, names: tuple[str, str]) -> bytes:
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=PLOT_SIZE_INCHES, layout="constrained")
-    service, load_, times = figure.subplots(3, 1)
+    service, load_axes, times = figure.subplots(3, 1)
     for report, name in zip((first, second), names, strict=True):
-        _draw_load(service, load_, report, name)
+        _draw_load(service, load_axes, report, name)
         _draw_times(times, report, name)
     service.set(ylabel="service", ylim=(0, 1.05), title="worth answered in time over worth asked, by second")
-    load_.set(ylabel="worth x s of work asked", xlabel="s")
+    load_axes.set(ylabel="worth x s of work asked", xlabel="s")
     times.set(xscale="log", xlabel="ms to the answer", ylabel="percentile")
-    for axes in (service, load_, times):
+    for axes in (service, load_axes, times):
         axes.grid(alpha=0.3)
         axes.legend(fontsize="small")
-    sink = io.BytesIO()
-    figure.savefig(sink, format="png", dpi=PLOT_DPI, metadata={"Software": "marlstep"})
-    return sink.getvalue()
+    buffer = io.BytesIO()
+    figure.savefig(buffer, format="png", dpi=PLOT_DPI, metadata={"Software": "marlstep"})
+    return buffer.getvalue()
 
 
-def _draw_load(service: Axes, load_: Axes, report: Report, name: str) -> None:
+def _draw_load(service: Axes, load_axes: Axes, report: Report, name: str) -> None:
     """Draw the service and the offered work of each second."""
     by_second = report["by_second"]
     seconds = range(len(by_second))
     offered_s = [offered / 1e6 for offered, _ in by_second]
     shares = [earned / offered if offered else 1.0 for offered, earned in by_second]
     service.step(seconds, shares, where="post", label=f"{name}: {report['service']:.4f}")
-    load_.step(seconds, offered_s, where="post", label=name)
+    load_axes.step(seconds, offered_s, where="post", label=name)
 
 
 def _draw_times(times: Axes, report: Report, name: str) -> None:
-    """Draw the percentiles of the time to the response, by request class."""
+    """Draw the percentiles of the time to the response for each request class."""
     percentiles = [PLOT_MAX_PERCENTILE * step / PLOT_STEPS for step in range(PLOT_STEPS + 1)]
     for request_class, text in sorted(report["histograms"].items()):
         histogram = HdrHistogram.decode(text)
--- a/tests/traces/replay/test_loopback.py
+++ b/tests/traces/replay/test_loopback.py
@@ -1,4 +1,4 @@
-"""Replays on sockets."""
+"""Tests of replays on sockets."""
 
 from __future__ import annotations
 
@@ -16,39 +16,37 @@
 ROOT = Path(__file__).parent.parent.parent.parent
 
 
-FRONTS = ("resp", "uwsgi")
+FRONTENDS = ("resp", "uwsgi")
 
 
-REPLAY_SECONDS = 60  # of one replay at the most, start and end of its processes included
+REPLAY_TIMEOUT_S = 60  # time limit of one replay, including the start and the exit of its processes
 
 
 @pytest.fixture(scope="module")
 def replays(tmp_path_factory: pytest.TempPathFactory) -> dict[str, subprocess.CompletedProcess[str]]:
-    """A replay on sockets at each front. Both go on at once, as most of their time nodes start or leave."""
+    """Run a replay with each frontend, in parallel because most of the time is spent starting and stopping nodes."""
     out = str(tmp_path_factory.mktemp("replays") / "a.sched")
     source = str(ROOT / "examples" / "traces" / "google-2011.csv")
     assert call(["trace", "compile", "--format", "google-2011", "--out", out, source]) == 0
-    with ThreadPoolExecutor(len(FRONTS)) as pool:
-        return dict(zip(FRONTS, pool.map(partial(replayed, out), FRONTS), strict=True))
+    with ThreadPoolExecutor(len(FRONTENDS)) as pool:
+        return dict(zip(FRONTENDS, pool.map(partial(run_replay, out), FRONTENDS), strict=True))
 
 
-def replayed(schedule: str, front: str) -> subprocess.CompletedProcess[str]:
-    """The command's exit code and output, by a process of its own."""
-    words = (
-        f"--retries polite --front {front} --load 0.8 --for 2s --nodes 2 --speed 5 --late 1s --json".split()
-    )
+def run_replay(schedule: str, frontend: str) -> subprocess.CompletedProcess[str]:
+    """Run the replay command in a separate process; return its exit code and output."""
+    options = f"--retries polite --front {frontend} --load 0.8 --for 2s --nodes 2 --speed 5 --late 1s --json".split()
     config = str(ROOT / "deploy" / "node.json")
     return subprocess.run(
-        [sys.executable, "-m", "marlstep", "trace", "replay", "--config", config, *words, schedule],
+        [sys.executable, "-m", "marlstep", "trace", "replay", "--config", config, *options, schedule],
         capture_output=True,
         text=True,
         cwd=ROOT,
-        timeout=REPLAY_SECONDS,
-        check=False,  # the test judges it
+        timeout=REPLAY_TIMEOUT_S,
+        check=False,  # the test checks the exit code
     )
 
 
-@pytest.mark.parametrize("front", FRONTS)
+@pytest.mark.parametrize("front", FRONTENDS)
 def test_a_replay_on_sockets_loses_nothing_and_runs_no_setpoint_twice(
     front: str, replays: dict[str, subprocess.CompletedProcess[str]]
 ) -> None:
--- a/tests/traces/support.py
+++ b/tests/traces/support.py
@@ -1,4 +1,4 @@
-"""Traces and schedules that tests read, and what must hold of every reading."""
+"""Traces and schedules for tests, and the check of a reading's account."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from hypothesis import strategies as st
 
-from marlstep.traces.formats import named
+from marlstep.traces.formats import format_by_name
 from marlstep.traces.formats.base import Format
 from marlstep.traces.formats.generic import Columns, Generic
 from marlstep.traces.mapping import PlannedRequest
@@ -25,7 +25,7 @@
 
 
 def format_of(name: str) -> Format:
-    return GENERIC if name == "generic" else named(name)
+    return GENERIC if name == "generic" else format_by_name(name)
 
 
 def read(path: Path, name: str = "google-2011", **other: Any) -> tuple[Reading, list[Arrival], list[Reject]]:
@@ -44,7 +44,7 @@
 
 
 def check_account(reading: Reading, rows: list[Arrival], rejects: list[Reject]) -> None:
-    """What was read is a header, empty, or a row; and a row is good or one reject."""
+    """Check that each line is a header, empty or a row, and that each row is good or has one reject."""
     account = reading.account
     assert account.lines == account.headers + account.blank + account.rows
     assert account.bad == len(rejects) == account.bad_by_reason.total()
@@ -55,20 +55,20 @@
         assert account.good == account.arrivals + account.duplicates + skipped
 
 
-KINDS = ("temp-history", "schedule-save", "setpoint-cmd")
+REQUEST_CLASSES = ("temp-history", "schedule-save", "setpoint-cmd")
 
 
-PLANNED = st.builds(
+PLANNED_REQUESTS = st.builds(
     PlannedRequest,
     st.integers(0, 10**9),
-    st.sampled_from(KINDS),
+    st.sampled_from(REQUEST_CLASSES),
     st.sampled_from(["ain-sebaa", "b" * 300, "é", ""]),
     st.integers(1, 2**32 - 1),
     st.integers(0, 2**64 - 1),
 )
 
 
-def written(path: Path, rows: list[PlannedRequest], **head: Any) -> Path:
+def write_schedule(path: Path, rows: list[PlannedRequest], **head: Any) -> Path:
     with ScheduleWriter(str(path), head) as writer:
         writer.add(rows)
         writer.finish(head)
