--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,14 +36,14 @@
 from marlstep.scheduled_tasks.run_log import RunLog
 from marlstep.units import EPOCH
 
-CONFIG = Path("deploy/node.json")
+CONFIG_PATH = Path("deploy/node.json")
 TICKS_PER_SECOND = 100
 HAND_OVER_TIMEOUT_S = 30.0
 
 
 def load_config() -> dict[str, Any]:
     """Read the platform's configuration of the deployment."""
-    config: dict[str, Any] = json.loads(CONFIG.read_text())
+    config: dict[str, Any] = json.loads(CONFIG_PATH.read_text())
     return config
 
 
@@ -59,7 +59,7 @@
     }
 
 
-def store_commits(count: int, entries: int) -> dict[str, float]:
+def measure_store_commits(count: int, entries: int) -> dict[str, float]:
     """Measure one synced commit of the store, in milliseconds, with so many entries each."""
     with tempfile.TemporaryDirectory(dir=".") as folder:
         store = ReplicaStore(Path(folder))
@@ -71,14 +71,14 @@
                 LogEntry(index + offset, 1, EntryType.COMMAND, "x" * 120) for offset in range(1, entries + 1)
             ]
             index += entries
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             store.save(Ready(1, 1, "", entries=new_entries))
-            durations_ms.append((time.perf_counter() - began) * 1000)
+            durations_ms.append((time.perf_counter() - started_at) * 1000)
         store.close()
     return quantiles(durations_ms)
 
 
-def renewals(leases: int, rounds: int) -> dict[str, float]:
+def measure_renewals(leases: int, rounds: int) -> dict[str, float]:
     """Measure a leader's work for nodes that hold so many leases together, without sockets.
 
     Microseconds per heartbeat.
@@ -97,18 +97,18 @@
     for number in range(rounds):
         now += timedelta(seconds=1)
         for node, wanted in names.items():
-            began = time.perf_counter()
+            started_at = time.perf_counter()
             manager.handle_heartbeat(now, Heartbeat(f"n{node}", "b", number, wanted), 0)
             manager.tick(now)
             manager.take_responses(now, 1, "n0", 1)
-            durations_us.append((time.perf_counter() - began) * 1e6)
+            durations_us.append((time.perf_counter() - started_at) * 1e6)
     return {
         **quantiles(durations_us),
         "renewals_a_second_of_one_core": round(1e6 * len(durations_us) * leases / nodes / sum(durations_us)),
     }
 
 
-def replica_commands(count: int) -> float:
+def measure_replica_commands(count: int) -> float:
     """Return how many commands per second a single replica applies, without a store: the cost of the code."""
     group = Configuration(("v#1",))
     settings = ReplicaSettings(RaftTiming(), LeaseSettings(), ("v",))
@@ -126,9 +126,9 @@
         now,
     )
 
-    def settle() -> int:
+    def exchange_messages() -> int:
         """Exchange messages until the replica has none left; return how many commands were answered."""
-        done = sum(
+        response_count = sum(
             isinstance(message, CommandResponse) for _, message in replica.take_immediate_messages(now)
         )
         while (ready := replica.take_ready()) is not None:
@@ -136,23 +136,23 @@
             for to, message in ready.messages:
                 if to == replica.identity:
                     replica.step(now, to, message)
-            done += sum(
+            response_count += sum(
                 isinstance(message, CommandResponse) for _, message in replica.take_immediate_messages(now)
             )
-        return done
+        return response_count
 
     now = replica.next_due()
     replica.tick(now)
-    settle()
-    began, done, number = time.perf_counter(), 0, 0
-    while done < count:
+    exchange_messages()
+    started_at, response_count, number = time.perf_counter(), 0, 0
+    while response_count < count:
         for _ in range(16):
             number += 1
             replica.step(
                 now, "a", CommandRequest("a/1", number, '{"m":"leases","do":"expire","name":"x","token":1}')
             )
-        done += settle()
-    return round(count / (time.perf_counter() - began))
+        response_count += exchange_messages()
+    return round(count / (time.perf_counter() - started_at))
 
 
 # On processes.
@@ -164,7 +164,7 @@
     return Plan(1, names, names[:voters], 0, (1.0,) * nodes, ())
 
 
-def usage(node: NodeProcess) -> tuple[float, int]:
+def read_usage(node: NodeProcess) -> tuple[float, int]:
     """Return the seconds of processor time so far, and the private memory in kB."""
     assert node.process is not None
     stat = Path(f"/proc/{node.process.pid}/stat").read_text().rpartition(")")[2].split()
@@ -180,20 +180,20 @@
     operator_file.write_text(operator_file.read_text().partition("[fleet]")[0])
 
 
-async def at_rest(settings: Settings, *, fleet: bool, seconds: float) -> dict[str, float]:
+async def measure_at_rest(settings: Settings, *, fleet: bool, seconds: float) -> dict[str, float]:
     """Measure the busiest node where nothing but heartbeats goes on: share of one core, and memory."""
     with tempfile.TemporaryDirectory() as folder:
         without_tasks = replace(settings, tasks={})
-        async with ProcessCluster(plan(3, 3), without_tasks, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 3), without_tasks, Path(folder)) as cluster:
             if not fleet:
-                for node in rig.nodes.values():
+                for node in cluster.nodes.values():
                     await node.kill()
                     remove_fleet_section(node.folder / "operator.toml")
                     await node.start()
                 await asyncio.sleep(2.0)
-            before = {name: usage(node)[0] for name, node in rig.nodes.items()}
+            before = {name: read_usage(node)[0] for name, node in cluster.nodes.items()}
             await asyncio.sleep(seconds)
-            after = {name: usage(node) for name, node in rig.nodes.items()}
+            after = {name: read_usage(node) for name, node in cluster.nodes.items()}
     shares = [(after[name][0] - before[name]) / seconds for name in after]
     return {
         "core_percent": round(100 * max(shares), 2),
@@ -208,67 +208,69 @@
         tasks={"one": {"every_ms": 100, "class": "schedule-save", "longest_ms": 250}},
     )
     with tempfile.TemporaryDirectory() as folder:
-        async with ProcessCluster(plan(voters, max(3, voters)), settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(voters, max(3, voters)), settings, Path(folder)) as cluster:
             await asyncio.sleep(1.5 + count * 0.1)
             durations_ms: list[float] = []
-            for node in rig.nodes.values():
+            for node in cluster.nodes.values():
                 status = await node.call("/v1/fleet")
                 durations_ms += status["asked_ms"]
     return quantiles(durations_ms)
 
 
-async def hand_over(kills: int, drains: int, term_ms: int) -> dict[str, Any]:
+async def measure_hand_overs(kills: int, drains: int, term_ms: int) -> dict[str, Any]:
     """Measure the time from SIGKILL or SIGTERM to the next act of the task by another node, in seconds."""
     tasks = {"one": {"every_ms": 100, "class": "schedule-save", "longest_ms": 250, "missed": "once"}}
     settings = Settings(load_config(), term_ms=term_ms, patience_ms=500, beat_ms=100, tasks=tasks)
     durations_s: dict[str, list[float]] = {"kill": [], "drain": []}
     with tempfile.TemporaryDirectory() as folder:
-        async with ProcessCluster(plan(3, 5), settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), settings, Path(folder)) as cluster:
             await asyncio.sleep(3.0)
             for event, count in (("kill", kills), ("drain", drains)):
                 for _ in range(count):
-                    durations_s[event].append(await one_hand_over(rig, event))
+                    durations_s[event].append(await measure_hand_over(cluster, event))
     return {event: quantiles(durations) for event, durations in durations_s.items() if durations}
 
 
-async def one_hand_over(rig: ProcessCluster, event: str) -> float:
+async def measure_hand_over(cluster: ProcessCluster, event: str) -> float:
     """Measure one failover, in seconds, and start the node again. Raises NoNewHolderError."""
-    holder = rig._holder()
-    node = rig.nodes[holder]
-    began = clock_us()
+    holder = cluster._holder()
+    node = cluster.nodes[holder]
+    started_at_us = clock_us()
     node.signal(signal.SIGKILL if event == "kill" else signal.SIGTERM)
     while True:
         await asyncio.sleep(0.01)
-        later = [
-            act
-            for act in rig.effect_recorder.effects
-            if act.accepted and not act.fence and act.began_us > began
+        accepted_effects = [
+            effect
+            for effect in cluster.effect_recorder.effects
+            if effect.accepted and not effect.fence and effect.began_us > started_at_us
         ]
-        next_act = next((act for act in later if act.node.partition("/")[0] != holder), None)
-        if next_act is not None:
+        next_effect = next(
+            (effect for effect in accepted_effects if effect.node.partition("/")[0] != holder), None
+        )
+        if next_effect is not None:
             break
-        if clock_us() - began > HAND_OVER_TIMEOUT_S * 1e6:
+        if clock_us() - started_at_us > HAND_OVER_TIMEOUT_S * 1e6:
             raise NoNewHolderError(holder, HAND_OVER_TIMEOUT_S)
     await node.wait()
     await node.start()
     await asyncio.sleep(3.0)
-    return (next_act.began_us - began) / 1e6
+    return (next_effect.began_us - started_at_us) / 1e6
 
 
 async def calm(seconds: float) -> dict[str, Any]:
     """Count changes of holder without any fault."""
     settings = Settings(load_config(), term_ms=3_000, patience_ms=500, beat_ms=100)
     with tempfile.TemporaryDirectory() as folder:
-        async with ProcessCluster(plan(3, 5), settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), settings, Path(folder)) as cluster:
             await asyncio.sleep(seconds)
-            tokens: dict[str, set[int]] = {}
-            for act in rig.effect_recorder.effects:
-                tokens.setdefault(act.task, set()).add(act.token)
-            statuses = await rig.statuses(rig.plan.voters)
+            tokens_by_task: dict[str, set[int]] = {}
+            for effect in cluster.effect_recorder.effects:
+                tokens_by_task.setdefault(effect.task, set()).add(effect.token)
+            statuses = await cluster.statuses(cluster.plan.voters)
     return {
         "seconds": seconds,
-        "acts": sum(act.accepted for act in rig.effect_recorder.effects),
-        "changes_of_holder": sum(len(seen) - 1 for seen in tokens.values()),
+        "acts": sum(effect.accepted for effect in cluster.effect_recorder.effects),
+        "changes_of_holder": sum(len(tokens) - 1 for tokens in tokens_by_task.values()),
         "term_of_the_log": max(status["voter"]["term"] for status in statuses.values()),
     }
 
@@ -288,20 +290,22 @@
     settings = Settings(load_config(), term_ms=3_000, patience_ms=500, beat_ms=100)
     report: dict[str, Any] = {}
     if "cores" in selected:
-        report["store_ms"] = {str(entries): store_commits(400, entries) for entries in (1, 16)}
-        report["renewals_us_a_beat"] = {str(leases): renewals(leases, 300) for leases in (1, 1000)}
-        report["commands_a_second_of_one_core"] = replica_commands(5_000)
+        report["store_ms"] = {str(entries): measure_store_commits(400, entries) for entries in (1, 16)}
+        report["renewals_us_a_beat"] = {str(leases): measure_renewals(leases, 300) for leases in (1, 1000)}
+        report["commands_a_second_of_one_core"] = measure_replica_commands(5_000)
     if "commits" in selected:
         report["commit_ms"] = {
             str(voters): asyncio.run(commits(voters, options.commits)) for voters in (1, 3, 5)
         }
     if "rest" in selected:
         report["at_rest"] = {
-            "without": asyncio.run(at_rest(settings, fleet=False, seconds=options.rest)),
-            "with": asyncio.run(at_rest(settings, fleet=True, seconds=options.rest)),
+            "without": asyncio.run(measure_at_rest(settings, fleet=False, seconds=options.rest)),
+            "with": asyncio.run(measure_at_rest(settings, fleet=True, seconds=options.rest)),
         }
     if "hand-over" in selected:
-        report["hand_over_s"] = asyncio.run(hand_over(options.kills, options.drains, options.term_ms))
+        report["hand_over_s"] = asyncio.run(
+            measure_hand_overs(options.kills, options.drains, options.term_ms)
+        )
     if "calm" in selected:
         report["calm"] = asyncio.run(calm(options.calm))
     print(json.dumps(report))
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -29,7 +29,7 @@
 from marlstep.net.ring import Ring
 from marlstep.units import EPOCH
 
-SECONDS = {10: 300, 50: 120, 200: 60, 1_000: 20}  # of the virtual network's time
+SECONDS_BY_NODES = {10: 300, 50: 120, 200: 60, 1_000: 20}  # of the virtual network's time
 CASES = (  # loss, share of slow nodes, self-doubt
     (0.0, 0.0, True), (0.05, 0.0, True), (0.2, 0.0, True), (0.01, 0.1, True),
     (0.05, 0.0, False), (0.2, 0.0, False), (0.01, 0.1, False),
@@ -38,34 +38,39 @@
 
 def measure_case(case: tuple[int, float, float, bool, int]) -> dict[str, Any]:
     """Run one case: nodes, loss, share of slow nodes, local health, and seconds. Return its figures."""
-    nodes, loss, slow, doubts, seconds = case
+    nodes, loss, slow_share, local_health, seconds = case
     names = tuple(f"n{number}" for number in range(nodes))
     kills = max(1, nodes // 20)
-    dead = names[-kills:]
+    killed = names[-kills:]
     # They come back at the very end: the judge requires that all nodes hear of all.
     faults = tuple(
-        Fault(5_000 + at * 4_000 // kills, seconds * 1_000, "kill", name) for at, name in enumerate(dead)
+        Fault(5_000 + index * 4_000 // kills, seconds * 1_000, "kill", name)
+        for index, name in enumerate(killed)
     )
-    began = time.monotonic()
+    started_at = time.monotonic()
     plan = Plan(nodes, names, names[:3], seconds * 1_000, (1.0,) * nodes, faults)
-    cluster, _ = run_members(plan, None, DetectorSettings(local_health_enabled=doubts), loss, slow)
+    cluster, _ = run_members(
+        plan, None, DetectorSettings(local_health_enabled=local_health), loss, slow_share
+    )
     measured = cluster.measured
     detected_us = sorted(measured.detected_us)
-    seen = len(detected_us)
+    detection_count = len(detected_us)
     return {
         "nodes": nodes,
         "loss": loss,
-        "slow": slow,
-        "doubts": doubts,
-        "detected_ms_p50": round(detected_us[seen // 2] / 1000) if seen else None,
-        "detected_ms_p99": round(detected_us[int(seen * 0.99)] / 1000) if seen else None,
-        "detected_of": [seen, kills * (nodes - kills)],
+        "slow": slow_share,
+        "doubts": local_health,
+        "detected_ms_p50": round(detected_us[detection_count // 2] / 1000) if detection_count else None,
+        "detected_ms_p99": round(detected_us[int(detection_count * 0.99)] / 1000)
+        if detection_count
+        else None,
+        "detected_of": [detection_count, kills * (nodes - kills)],
         "false_suspicions_an_hour": round(measured.false_suspicions * 3_600 / seconds, 1),
         "false_failures_an_hour": round(measured.false_failures * 3_600 / seconds, 1),
         "datagrams_a_node_a_second": round(measured.datagrams / nodes / seconds, 2),
         "bytes_a_node_a_second": round(measured.bytes / nodes / seconds),
         "exchange_bytes_a_node_a_second": round(measured.exchange_bytes / nodes / seconds),
-        "took_s": round(time.monotonic() - began, 1),
+        "took_s": round(time.monotonic() - started_at, 1),
     }
 
 
@@ -73,8 +78,10 @@
     """Measure a detector with so many members, its datagrams written, checked and read."""
     framing = wire.datagram_framing(b"k" * 32)
     records = [
-        MemberRecord(f"n{at}", f"{at:012x}", at, 0, MemberState.ALIVE, f"10.0.0.{at % 250}:7001", "z")
-        for at in range(members)
+        MemberRecord(
+            f"n{index}", f"{index:012x}", index, 0, MemberState.ALIVE, f"10.0.0.{index % 250}:7001", "z"
+        )
+        for index in range(members)
     ]
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -83,7 +90,7 @@
         detector.receive(EPOCH, record, Ack(0))
     memory = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    rng, now, frames, elapsed_s = random.Random(2), EPOCH, 0, 0.0
+    rng, now, datagram_count, elapsed_s = random.Random(2), EPOCH, 0, 0.0
 
     def transmit(sender: MemberRecord, message: MembershipMessage) -> tuple[MemberRecord, MembershipMessage]:
         ring = Ring(4 * wire.MAX_DATAGRAM_BYTES)
@@ -97,13 +104,13 @@
         now = max(now, detector.next_due())
         other = records[rng.randrange(1, members)]
         ping = framing.write(wire.write_datagram("fleet", other, Ping(1, "n0", tuple(records[1:4]))))
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         for send in detector.tick(now):
             if isinstance(send.message, Ping):
                 framing.write(wire.write_datagram("fleet", detector.local, send.message))
                 target = next(record for record in records if record.node == send.message.node)
                 detector.receive(now, *transmit(target, Ack(send.message.number)))
-                frames += 2
+                datagram_count += 2
         # As often as it probes itself, another probes it.
         ring = Ring(4 * wire.MAX_DATAGRAM_BYTES)
         ring.put(ping)
@@ -112,12 +119,12 @@
         _, sender, message = wire.read_datagram(body)
         for send in detector.receive(now, sender, message):
             framing.write(wire.write_datagram("fleet", detector.local, send.message))
-        frames += 2
-        elapsed_s += time.perf_counter() - began
+        datagram_count += 2
+        elapsed_s += time.perf_counter() - started_at
     return {
         "members": members,
-        "us_a_datagram": round(elapsed_s / frames * 1e6, 1),
-        "percent_of_a_core_at_9_a_second": round(elapsed_s / frames * 9 * 100, 3),
+        "us_a_datagram": round(elapsed_s / datagram_count * 1e6, 1),
+        "percent_of_a_core_at_9_a_second": round(elapsed_s / datagram_count * 9 * 100, 3),
         "memory_kb": round(memory / 1024),
     }
 
@@ -125,14 +132,14 @@
 def main() -> None:
     """Run all cases and print the report."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
-    parser.add_argument("--nodes", type=int, choices=sorted(SECONDS), action="append")
+    parser.add_argument("--nodes", type=int, choices=sorted(SECONDS_BY_NODES), action="append")
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     sizes = options.nodes or [10, 50, 200, 1_000]
     cases = [
-        (nodes, loss, slow, doubts, SECONDS[nodes])
+        (nodes, loss, slow_share, local_health, SECONDS_BY_NODES[nodes])
         for nodes in sizes
-        for loss, slow, doubts in (CASES if nodes < 1_000 else CASES[:2])
+        for loss, slow_share, local_health in (CASES if nodes < 1_000 else CASES[:2])
     ]
     with ProcessPoolExecutor(options.jobs) as pool:
         report: dict[str, Any] = {"period_ms": 500, "rows": list(pool.map(measure_case, cases))}
--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -18,7 +18,7 @@
 from marlstep.fault_injection.effect_recorder import EffectRecorder
 from marlstep.fault_injection.network_links import Ports
 
-NAMES = ("n1", "n2", "n3")
+NODE_NAMES = ("n1", "n2", "n3")
 LEASE_TERM_MS = 1_500
 DOCUMENTS_LEASE_MS = 1_500
 UNSAFE_TASK = "report"  # its class must not be repeated
@@ -50,7 +50,7 @@
         self.admin = HttpAddress("127.0.0.1", admin_port, cluster.token)
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.processes: list[ServerProcess] = []
-        self.operator = self.folder / "operator.toml"
+        self.operator_file = self.folder / "operator.toml"
 
     @property
     def process(self) -> ServerProcess:
@@ -62,11 +62,11 @@
         """The version of the process that was started last."""
         return self.process.version
 
-    def write_operator(self) -> None:
+    def write_operator_file(self) -> None:
         """Write the operator's file: the same for all versions that run this node."""
-        self.operator.write_text("\n".join(self._operator_lines()) + "\n")
+        self.operator_file.write_text("\n".join(self._operator_file_lines()) + "\n")
 
-    def _operator_lines(self) -> list[str]:
+    def _operator_file_lines(self) -> list[str]:
         cluster = self.cluster
         lines = [
             "[admin]",
@@ -74,13 +74,13 @@
             f'token_file = "{cluster.folder / "token"}"',
             "[uwsgi]",
             f'listen = "127.0.0.1:{self.uwsgi_port}"',
-            f'pool.main.servers = ["127.0.0.1:{cluster.witness.port}"]',
+            f'pool.main.servers = ["127.0.0.1:{cluster.effect_recorder.port}"]',
             "[uwsgi.vars]",
             'class = "HTTP_X_CLASS"',
             'id = "HTTP_X_ID"',
             "[fleet]",
             'name = "mixed"',
-            f"voters = {json.dumps(NAMES)}",
+            f"voters = {json.dumps(NODE_NAMES)}",
             f'key_file = "{cluster.folder / "key"}"',
             f'store = "{self.store}"',
             f"term_ms = {LEASE_TERM_MS}",
@@ -97,9 +97,9 @@
         ]
         for kind in DOCUMENTS:
             lines += [f"[fleet.rules.documents.{kind}]", f'kind = "{kind}"']
-        for task, row in TASKS.items():
+        for task, settings in TASKS.items():
             lines.append(f"[fleet.tasks.{task}]")
-            lines += [f"{key} = {json.dumps(value)}" for key, value in row.items()]
+            lines += [f"{key} = {json.dumps(value)}" for key, value in settings.items()]
         for tenant, quota in TENANTS.items():
             lines += [f"[tenants.{tenant}]", "share = 0.5", f"allowance_per_s = {quota}"]
         return lines
@@ -121,15 +121,17 @@
 
         Raises CheckFailedError.
         """
-        number = len(self.processes) + 1
+        process_number = len(self.processes) + 1
         emulators = EmulatedSite(CORES, 1.0, CALL_US)
         await emulators.open()
         self.cluster.emulators.append(emulators)
         health_endpoint = HttpAddress("127.0.0.1", self.cluster.ports.take())
-        config = self.folder / f"config-{number}.json"
+        config = self.folder / f"config-{process_number}.json"
         self.write_config(emulators.addresses, health_endpoint, config)
-        log = self.folder / f"{self.name}-{number}-{version.label}.log"
-        launch = Launch(config, self.listening, self.temporary_folder, health_endpoint, log, self.operator)
+        log = self.folder / f"{self.name}-{process_number}-{version.label}.log"
+        launch = Launch(
+            config, self.listening, self.temporary_folder, health_endpoint, log, self.operator_file
+        )
         process = ServerProcess(version, launch)
         self.processes.append(process)
         await process.start()
@@ -143,7 +145,7 @@
         """
         config = self.folder / "config-0.json"
         self.write_config({"kernel": "127.0.0.1:1", "db": "127.0.0.1:1"}, HttpAddress("127.0.0.1", 1), config)
-        await version.run("fleet", "init", "--config", str(config), "--operator", str(self.operator))
+        await version.run("fleet", "init", "--config", str(config), "--operator", str(self.operator_file))
 
     async def kill(self) -> None:
         """Kill the process that was started last."""
@@ -184,7 +186,7 @@
         self.config["settings"]["rules"]["drainGraceUs"] = DRAIN_GRACE_US
         self.config["naming"] = None
         self.ports = Ports()
-        self.witness = EffectRecorder(seed)
+        self.effect_recorder = EffectRecorder(seed)
         self.emulators: list[EmulatedSite] = []
         self.nodes: dict[str, FleetNode] = {}
         self.successors: list[ServerProcess] = []  # that took over from a process that served
@@ -193,11 +195,11 @@
         """Write the files of all nodes and open the server of their tasks; no node is started."""
         (self.folder / "token").write_text(self.token)
         (self.folder / "key").write_text(secrets.token_hex(32))
-        await self.witness.open(self.ports.take())
-        for name in NAMES:
+        await self.effect_recorder.open(self.ports.take())
+        for name in NODE_NAMES:
             self.nodes[name] = FleetNode(self, name)
         for node in self.nodes.values():
-            node.write_operator()
+            node.write_operator_file()
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -205,7 +207,7 @@
         for process in self.processes:
             if process.running:
                 await process.kill()
-        await self.witness.close()
+        await self.effect_recorder.close()
         for emulators in self.emulators:
             emulators.close()
         for node in self.nodes.values():
@@ -221,7 +223,7 @@
         """Return all nodes but this."""
         return [other for other in self.nodes.values() if other is not node]
 
-    def logs(self) -> dict[str, LogFindings]:
+    def read_logs(self) -> dict[str, LogFindings]:
         """Read the logs of all processes.
 
         Only a process that took over from another may have found the store still in use.
--- a/benchmarks/mixed/errors.py
+++ b/benchmarks/mixed/errors.py
@@ -20,25 +20,25 @@
 class WaitTimeoutError(CheckFailedError):
     """A condition did not come to hold in time."""
 
-    def __init__(self, condition: str, within_s: float) -> None:
+    def __init__(self, condition: str, timeout_s: float) -> None:
         """`condition` is a statement that was to become true."""
-        super().__init__(f"not within {within_s:g} s: {condition}")
+        super().__init__(f"not within {timeout_s:g} s: {condition}")
 
 
 class StillRunningError(CheckFailedError):
     """A process did not end in time."""
 
-    def __init__(self, process: str, within_s: float) -> None:
+    def __init__(self, process: str, timeout_s: float) -> None:
         """`process` names the process or its command."""
-        super().__init__(f"{process} did not end in {within_s:g} s")
+        super().__init__(f"{process} did not end in {timeout_s:g} s")
 
 
 class NoResultError(CheckFailedError):
     """There was no result of a command in time."""
 
-    def __init__(self, node: str, command: str, within_s: float) -> None:
+    def __init__(self, node: str, command: str, timeout_s: float) -> None:
         """`node` is where the command was submitted."""
-        super().__init__(f"the group did not answer {command} asked of {node} in {within_s:g} s")
+        super().__init__(f"the group did not answer {command} asked of {node} in {timeout_s:g} s")
 
 
 class ExitCodeError(CheckFailedError):
@@ -60,9 +60,9 @@
 class NotElectedError(CheckFailedError):
     """A replica did not become leader although the leaders before it were killed."""
 
-    def __init__(self, node: str, elections: int) -> None:
+    def __init__(self, node: str, election_count: int) -> None:
         """`elections`: how many there were."""
-        super().__init__(f"{node} did not come to lead in {elections} elections")
+        super().__init__(f"{node} did not come to lead in {election_count} elections")
 
 
 class CallFailedError(MarlstepError):
--- a/benchmarks/mixed/fleet_client.py
+++ b/benchmarks/mixed/fleet_client.py
@@ -14,10 +14,10 @@
 from benchmarks.mixed.cluster import FleetNode
 from benchmarks.mixed.errors import CallFailedError, CommandRejectedError, NoResultError
 from benchmarks.mixed.http_client import JsonObject
-from benchmarks.mixed.server_process import POLL_S
+from benchmarks.mixed.server_process import POLL_INTERVAL_S
 
 CHUNK_CHARACTERS = 1_200  # of a document in one call
-COMMAND_WITHIN_S = 10.0
+COMMAND_TIMEOUT_S = 10.0
 DIGEST_BYTES = 16
 ALIVE = "alive"
 LEADER = "leader"
@@ -33,10 +33,10 @@
 
 async def fetch_all(nodes: Iterable[FleetNode], path: str) -> dict[str, JsonObject]:
     """Return the responses by node name; nodes that do not answer are missing."""
-    asked = list(nodes)
-    responses = await asyncio.gather(*(fetch(node, path) for node in asked))
+    queried = list(nodes)
+    responses = await asyncio.gather(*(fetch(node, path) for node in queried))
     return {
-        node.name: response for node, response in zip(asked, responses, strict=True) if response is not None
+        node.name: response for node, response in zip(queried, responses, strict=True) if response is not None
     }
 
 
@@ -46,14 +46,14 @@
     Raises CallFailedError, and CheckFailedError where there is no result in time.
     """
     request_id = str((await node.admin.call(f"/v1/fleet/{command}", arguments))["asked"])
-    deadline = time.monotonic() + COMMAND_WITHIN_S
+    deadline = time.monotonic() + COMMAND_TIMEOUT_S
     while time.monotonic() < deadline:
         results = await fetch(node, "/v1/fleet/asked")
         if results is not None and request_id in results:
             result: JsonObject = results[request_id]
             return result
-        await asyncio.sleep(POLL_S)
-    raise NoResultError(node.name, command, COMMAND_WITHIN_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise NoResultError(node.name, command, COMMAND_TIMEOUT_S)
 
 
 @dataclass(slots=True, frozen=True)
@@ -107,21 +107,21 @@
 
 async def all_vote(nodes: Iterable[FleetNode]) -> bool:
     """Whether all nodes name the same group of voters, which is all of them."""
-    asked = list(nodes)
-    names = {node.name for node in asked}
-    statuses = await fetch_all(asked, "/v1/fleet")
+    queried = list(nodes)
+    names = {node.name for node in queried}
+    statuses = await fetch_all(queried, "/v1/fleet")
     groups = [status["voter"]["voters"] for status in statuses.values() if status["voter"]]
-    return len(groups) == len(asked) and all(
+    return len(groups) == len(queried) and all(
         {identity.partition("#")[0] for identity in group} == names for group in groups
     )
 
 
 async def members_agree(nodes: Iterable[FleetNode]) -> bool:
     """Whether each node hears all as alive, in their present incarnations, and all are in the roster."""
-    asked = list(nodes)
-    members = await fetch_all(asked, "/v1/fleet/members")
-    statuses = await fetch_all(asked, "/v1/fleet")
-    if len(members) < len(asked) or len(statuses) < len(asked):
+    queried = list(nodes)
+    members = await fetch_all(queried, "/v1/fleet/members")
+    statuses = await fetch_all(queried, "/v1/fleet")
+    if len(members) < len(queried) or len(statuses) < len(queried):
         return False
     expected = {(name, status["boot"], ALIVE, True) for name, status in statuses.items()}
     return all(
@@ -132,19 +132,19 @@
 
 async def documents_agree(nodes: Iterable[FleetNode], versions: Mapping[str, int]) -> bool:
     """Whether all nodes act on these versions, and keep the same history of them."""
-    asked = list(nodes)
-    views = await fetch_all(asked, "/v1/fleet/rules")
+    queried = list(nodes)
+    views = await fetch_all(queried, "/v1/fleet/rules")
     acting = [
         {row["name"]: (row["version"], row["in_force"], row["preparing"]) for row in view["documents"]}
         for view in views.values()
     ]
     expected = {name: (version, version, None) for name, version in versions.items()}
-    if len(views) < len(asked) or any(documents != expected for documents in acting):
+    if len(views) < len(queried) or any(documents != expected for documents in acting):
         return False
     for name in versions:
-        responses = await fetch_all(asked, f"/v1/fleet/rules/{name}")
+        responses = await fetch_all(queried, f"/v1/fleet/rules/{name}")
         histories = [response["versions"] for response in responses.values()]
-        if len(histories) < len(asked) or any(history != histories[0] for history in histories):
+        if len(histories) < len(queried) or any(history != histories[0] for history in histories):
             return False
     return True
 
--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from benchmarks.mixed.cluster import DOCUMENTS, NAMES, TASKS, UNSAFE_TASK, Cluster, FleetNode
+from benchmarks.mixed.cluster import DOCUMENTS, NODE_NAMES, TASKS, UNSAFE_TASK, Cluster, FleetNode
 from benchmarks.mixed.errors import (
     CallFailedError,
     CheckFailedError,
@@ -32,24 +32,24 @@
 from benchmarks.mixed.http_client import JsonObject
 from benchmarks.mixed.scenario import Result, run_scenario
 from benchmarks.mixed.server_process import wait_until
-from benchmarks.mixed.task_record import count_crossings, judge_acts, latest
+from benchmarks.mixed.task_record import check_effects, count_crossings, latest_effects
 from benchmarks.mixed.versions import Version
 from marlstep.fault_injection.effect_recorder import clock_us
 
 SCENARIO_TIMEOUT_S = 100.0
-FORMS_WITHIN_S = 15.0
-AGREES_WITHIN_S = 12.0
-MOVES_WITHIN_S = 12.0
-LEADS_WITHIN_S = 8.0
+FORMATION_TIMEOUT_S = 15.0
+AGREEMENT_TIMEOUT_S = 12.0
+LEASE_MOVE_TIMEOUT_S = 12.0
+LEADER_TIMEOUT_S = 8.0
 MAX_ELECTIONS = 8  # until the wanted node leads
-FILLS_WITHIN_S = 20.0
-FILLERS = 8  # tasks at each node that write entries of the log at the same time
+COMPACTION_TIMEOUT_S = 20.0
+FILLERS_PER_NODE = 8  # tasks at each node that write entries of the log at the same time
 REJECTED_PAUSE_S = 0.01  # pause of a filler whose command was rejected
-KEPT_BEHIND_SNAPSHOT = 500  # entries of the log: one that lags by more gets the snapshot
+ENTRIES_KEPT_BEHIND_SNAPSHOT = 500  # entries of the log: one that lags by more gets the snapshot
 # A node's counters of messages that it could not read.
-UNREADABLE = ("corrupt", "corrupt datagrams", "another fleet", "another group", "too large")
+UNREADABLE_COUNTERS = ("corrupt", "corrupt datagrams", "another fleet", "another group", "too large")
 FULL_QUOTA = 1_000_000  # shares of a quota are millionths
-UNSAFE = frozenset({UNSAFE_TASK})
+UNSAFE_TASKS = frozenset({UNSAFE_TASK})
 OLD_TO_NEW, NEW_TO_OLD = "old to new", "new to old"
 
 
@@ -63,7 +63,9 @@
     odd_version: Version
     majority_version: Version
     versions: dict[str, int] = field(default_factory=dict)  # of the documents in force
-    version_of: dict[str, str] = field(default_factory=dict)  # of each process, by its name in the fleet
+    version_by_process: dict[str, str] = field(
+        default_factory=dict
+    )  # of each process, by its name in the fleet
 
     @property
     def nodes(self) -> list[FleetNode]:
@@ -79,15 +81,15 @@
         """Note which process is of which version; check that none got messages that it could not read."""
         for name, status in (await fetch_all(self.nodes, "/v1/fleet")).items():
             version = self.cluster.nodes[name].version.label
-            self.version_of[f"{name}/{status['boot']}"] = version
-            for counter in UNREADABLE:
+            self.version_by_process[f"{name}/{status['boot']}"] = version
+            for counter in UNREADABLE_COUNTERS:
                 count = status["lines"].get(counter, 0)
                 self.result.check(not count, f"{name} ({version}) counts {count} messages as {counter!r}")
 
     async def wait_converged(self) -> None:
         """Wait until all vote, all are members, and all act on the same versions. Raises CheckFailedError."""
-        await wait_until("all nodes vote", lambda: all_vote(self.nodes), FORMS_WITHIN_S)
-        await wait_until("all nodes agree on members", lambda: members_agree(self.nodes), AGREES_WITHIN_S)
+        await wait_until("all nodes vote", lambda: all_vote(self.nodes), FORMATION_TIMEOUT_S)
+        await wait_until("all nodes agree on members", lambda: members_agree(self.nodes), AGREEMENT_TIMEOUT_S)
         await self.wait_documents()
         await self.record_processes()
 
@@ -99,7 +101,7 @@
             self.result.check(fits, "the nodes use more than the whole of a quota")
             return await documents_agree(self.nodes, self.versions)
 
-        await wait_until(f"all nodes act on {self.versions}", agree, AGREES_WITHIN_S)
+        await wait_until(f"all nodes act on {self.versions}", agree, AGREEMENT_TIMEOUT_S)
 
     async def wait_holders(self, allowed: list[FleetNode]) -> None:
         """Wait until each task was done by one of these, in an act that began after now.
@@ -108,13 +110,14 @@
         """
         since, names = clock_us(), {node.name for node in allowed}
 
-        async def moved() -> bool:
-            acts = latest(self.cluster.witness.effects)
-            return set(acts) == set(TASKS) and all(
-                act.began_us > since and act.node.partition("/")[0] in names for act in acts.values()
+        async def all_tasks_ran() -> bool:
+            effects = latest_effects(self.cluster.effect_recorder.effects)
+            return set(effects) == set(TASKS) and all(
+                effect.began_us > since and effect.node.partition("/")[0] in names
+                for effect in effects.values()
             )
 
-        await wait_until(f"all tasks are done by {sorted(names)}", moved, MOVES_WITHIN_S)
+        await wait_until(f"all tasks are done by {sorted(names)}", all_tasks_ran, LEASE_MOVE_TIMEOUT_S)
         await self.record_processes()
 
 
@@ -167,11 +170,11 @@
         before = await read_document(node, "tenants")
         path = run.cluster.folder / f"tenants-{version.label}.json"
         path.write_text(json.dumps(changed_content("tenants", before.content, 1)))
-        operator_file = ("--operator", str(node.operator))
-        expect = ("--expect", str(before.version), "--wait", "8")
-        await version.run("rules", "put", "tenants", str(path), *expect, *operator_file)
+        operator_option = ("--operator", str(node.operator_file))
+        expect_options = ("--expect", str(before.version), "--wait", "8")
+        await version.run("rules", "put", "tenants", str(path), *expect_options, *operator_option)
         run.versions["tenants"] += 1
-        status = json.loads(await version.run("fleet", "status", "--json", *operator_file))
+        status = json.loads(await version.run("fleet", "status", "--json", *operator_option))
         run.result.check(status["node"] == node.name, f"{version.label}: status of {node.name} is {status}")
     await run.wait_documents()
 
@@ -208,7 +211,7 @@
         if leader is run.odd:
             break
         await leader.restart()
-        await wait_until("all nodes vote", lambda: all_vote(run.nodes), FORMS_WITHIN_S)
+        await wait_until("all nodes vote", lambda: all_vote(run.nodes), FORMATION_TIMEOUT_S)
     else:
         raise NotElectedError(run.odd.name, MAX_ELECTIONS)
     await run.wait_converged()
@@ -220,12 +223,12 @@
     """Wait for a leader and return it. Raises CheckFailedError."""
     found = await find_leader(run.nodes)
 
-    async def known() -> bool:
+    async def leader_found() -> bool:
         nonlocal found
         found = await find_leader(run.nodes)
         return found is not None
 
-    await wait_until("a voter leads", known, LEADS_WITHIN_S)
+    await wait_until("a voter leads", leader_found, LEADER_TIMEOUT_S)
     assert found is not None
     return run.cluster.nodes[found.node]
 
@@ -238,9 +241,9 @@
 
     When it is back it must install their snapshot.
     """
-    behind = int((await run.odd.admin.call("/v1/fleet"))["voter"]["last"])
+    last_index = int((await run.odd.admin.call("/v1/fleet"))["voter"]["last"])
     await run.odd.kill()
-    await fill_log(run, behind)
+    await fill_log(run, last_index)
     await run.odd.start(run.odd_version)
     await run.wait_converged()
     status = await fetch(run.odd, "/v1/fleet")
@@ -249,24 +252,26 @@
     run.result.check(installed > 0, f"{run.odd.name} came back without a snapshot")
 
 
-async def fill_log(run: Run, behind: int) -> None:
+async def fill_log(run: Run, last_index: int) -> None:
     """Write commands that change nothing, until the leader's log begins after that entry."""
 
     async def compacted() -> bool:
         leader = await find_leader(run.majority)
         status = None if leader is None else await fetch(run.cluster.nodes[leader.node], "/v1/fleet")
-        return status is not None and status["voter"]["snapshot"] > behind + KEPT_BEHIND_SNAPSHOT
+        return status is not None and status["voter"]["snapshot"] > last_index + ENTRIES_KEPT_BEHIND_SNAPSHOT
 
-    fillers = [asyncio.create_task(fill(node)) for node in run.majority for _ in range(FILLERS)]
+    fillers = [
+        asyncio.create_task(send_reads(node)) for node in run.majority for _ in range(FILLERS_PER_NODE)
+    ]
     try:
-        await wait_until("the log is compacted", compacted, FILLS_WITHIN_S)
+        await wait_until("the log is compacted", compacted, COMPACTION_TIMEOUT_S)
     finally:
         for filler in fillers:
             filler.cancel()
         await asyncio.gather(*fillers, return_exceptions=True)
 
 
-async def fill(node: FleetNode) -> None:
+async def send_reads(node: FleetNode) -> None:
     """Read through the log, one read after another, until cancelled."""
     while True:
         with contextlib.suppress(CallFailedError):
@@ -299,10 +304,12 @@
 
 async def check_store(run: Run, identity: str) -> None:
     """Check that the same replica goes on with the same file."""
-    now = await replica_identity(run.odd)
-    run.result.check(now == identity, f"{run.odd.name} votes as {now}, and was {identity}")
-    aside = [path.name for path in run.odd.store.iterdir() if "aside" in path.name]
-    run.result.check(not aside, f"{run.odd.name} set its store aside: {aside}")
+    current_identity = await replica_identity(run.odd)
+    run.result.check(
+        current_identity == identity, f"{run.odd.name} votes as {current_identity}, and was {identity}"
+    )
+    set_aside = [path.name for path in run.odd.store.iterdir() if "aside" in path.name]
+    run.result.check(not set_aside, f"{run.odd.name} set its store aside: {set_aside}")
 
 
 STEPS: tuple[Callable[[Run], Awaitable[None]], ...] = (
@@ -315,54 +322,54 @@
 )
 
 
-def judge_run(run: Run) -> None:
+def check_run(run: Run) -> None:
     """Judge the whole record at the end."""
-    acts = list(run.cluster.witness.effects)
-    run.result.failures += judge_acts(acts, UNSAFE)
-    crossings = count_crossings(acts, run.version_of)
+    effects = list(run.cluster.effect_recorder.effects)
+    run.result.failures += check_effects(effects, UNSAFE_TASKS)
+    crossings = count_crossings(effects, run.version_by_process)
     for task in TASKS:
         for direction in (OLD_TO_NEW, NEW_TO_OLD):
             run.result.check(
                 crossings[task, direction] > 0, f"the lease of {task} did not move from {direction}"
             )
     run.result.counts |= {
-        "acts": len(acts),
+        "acts": len(effects),
         "changes_of_holder": {
             f"{task}, {direction}": count for (task, direction), count in sorted(crossings.items())
         },
         "document_versions": dict(run.versions),
         "processes": len(run.cluster.processes),
     }
-    run.result.check_processes(run.cluster.processes, run.cluster.logs())
+    run.result.check_processes(run.cluster.processes, run.cluster.read_logs())
 
 
 async def run_fleet(folder: Path, odd: Version, majority: Version, seed: int) -> Result:
     """Run all steps on one cluster: its first node has the one version, the others have the other."""
 
-    async def body(result: Result) -> None:
+    async def run_steps(result: Result) -> None:
         async with asyncio.timeout(SCENARIO_TIMEOUT_S), Cluster(folder, majority.checkout, seed) as cluster:
-            run = Run(cluster, result, cluster.nodes[NAMES[0]], odd, majority)
+            run = Run(cluster, result, cluster.nodes[NODE_NAMES[0]], odd, majority)
             loop = asyncio.get_running_loop()
             durations_s: dict[str, float] = {}
             try:
                 for step in STEPS:
-                    began = loop.time()
+                    started_at = loop.time()
                     await step(run)
-                    durations_s[step.__name__] = round(loop.time() - began, 1)
+                    durations_s[step.__name__] = round(loop.time() - started_at, 1)
             except (CheckFailedError, CallFailedError) as error:
                 result.failures.append(f"{step.__name__}: {error}")
                 await run.record_processes()
             result.counts["step_s"] = durations_s
-            judge_run(run)
+            check_run(run)
 
-    return await run_scenario(f"fleet of one {odd.label} and two {majority.label}", body)
+    return await run_scenario(f"fleet of one {odd.label} and two {majority.label}", run_steps)
 
 
 async def run_fleets(folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
     """Run both clusters, one after the other. Raises CannotRunError, OSError."""
     results = []
     for odd, majority in ((old, new), (new, old)):
-        place = folder / f"fleet-{odd.label}-among-{majority.label}"
-        place.mkdir()
-        results.append(await run_fleet(place, odd, majority, seed))
+        scenario_folder = folder / f"fleet-{odd.label}-among-{majority.label}"
+        scenario_folder.mkdir()
+        results.append(await run_fleet(scenario_folder, odd, majority, seed))
     return results
--- a/benchmarks/mixed/http_client.py
+++ b/benchmarks/mixed/http_client.py
@@ -43,13 +43,13 @@
 
     async def _exchange(self, method: str, path: str, body: Mapping[str, Any] | None) -> tuple[int, bytes]:
         content = b"" if body is None else json.dumps(body).encode()
-        head = f"{method} {path} HTTP/1.1\r\n"
+        header = f"{method} {path} HTTP/1.1\r\n"
         if self.token:
-            head += f"Authorization: Bearer {self.token}\r\n"
-        head += f"Content-Length: {len(content)}\r\n\r\n"
+            header += f"Authorization: Bearer {self.token}\r\n"
+        header += f"Content-Length: {len(content)}\r\n\r\n"
         reader, writer = await asyncio.open_connection(self.host, self.port)
         try:
-            writer.write(head.encode() + content)
+            writer.write(header.encode() + content)
             response = await reader.read(-1)
         finally:
             writer.close()
--- a/benchmarks/mixed/scenario.py
+++ b/benchmarks/mixed/scenario.py
@@ -10,8 +10,8 @@
 from benchmarks.mixed.errors import CallFailedError, CheckFailedError
 from benchmarks.mixed.server_process import LogFindings, ServerProcess
 
-FAILURES_SHOWN = 20
-LOG_LINES_SHOWN = 10
+MAX_SHOWN_FAILURES = 20
+MAX_SHOWN_LOG_LINES = 10
 
 
 @dataclass(slots=True)
@@ -38,9 +38,9 @@
         """Check that no process ended by itself or logged an error; add up the warnings of their logs."""
         for process in processes:
             self.check(not process.ended_by_itself, f"{process.launch.log.stem} ended by itself")
-        for name, found in logs.items():
-            self.failures += [f"log of {name}: {line}" for line in found.errors[:LOG_LINES_SHOWN]]
-            for text, count in found.warnings.items():
+        for name, findings in logs.items():
+            self.failures += [f"log of {name}: {line}" for line in findings.errors[:MAX_SHOWN_LOG_LINES]]
+            for text, count in findings.warnings.items():
                 self.warnings[text] = self.warnings.get(text, 0) + count
 
     def to_json(self) -> dict[str, Any]:
@@ -49,7 +49,7 @@
             "name": self.name,
             "held": self.held,
             "seconds": round(self.seconds, 1),
-            "failures": self.failures[:FAILURES_SHOWN],
+            "failures": self.failures[:MAX_SHOWN_FAILURES],
             "failure_count": len(self.failures),
             "counts": self.counts,
             "warnings": self.warnings,
@@ -62,12 +62,12 @@
     Raises CannotRunError, OSError.
     """
     result = Result(name)
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         await body(result)
     except (CheckFailedError, CallFailedError) as error:
         result.failures.append(str(error))
     except TimeoutError:
         result.failures.append("the scenario's time was over")
-    result.seconds = time.monotonic() - began
+    result.seconds = time.monotonic() - started_at
     return result
--- a/benchmarks/mixed/server_process.py
+++ b/benchmarks/mixed/server_process.py
@@ -17,22 +17,22 @@
 from benchmarks.mixed.http_client import HttpAddress
 from benchmarks.mixed.versions import Version
 
-READY_WITHIN_S = 15.0
-ENDS_WITHIN_S = 8.0
-POLL_S = 0.02
-WARNING_CHARACTERS = 300  # of a line that are kept: its reason may stand at its end
+READY_TIMEOUT_S = 15.0
+EXIT_TIMEOUT_S = 8.0
+POLL_INTERVAL_S = 0.02
+MAX_WARNING_CHARACTERS = 300  # of a line that are kept: its reason may stand at its end
 LOG_LINE = re.compile(r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3} (?P<level>[A-Z]+) (?P<text>.*)")
 ORDINARY_LEVELS = ("DEBUG", "INFO")
 DIGITS = re.compile(r"\d+")
 
 
-async def wait_until(condition: str, holds: Callable[[], Awaitable[bool]], within_s: float) -> None:
+async def wait_until(condition: str, holds: Callable[[], Awaitable[bool]], timeout_s: float) -> None:
     """Poll until the condition holds. Raises CheckFailedError, with the condition, when the time is over."""
-    deadline = time.monotonic() + within_s
+    deadline = time.monotonic() + timeout_s
     while not await holds():
         if time.monotonic() > deadline:
-            raise WaitTimeoutError(condition, within_s)
-        await asyncio.sleep(POLL_S)
+            raise WaitTimeoutError(condition, timeout_s)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         if match is None:
             findings.errors.append(line)
         elif match["level"] == "WARNING" or (expected is not None and expected.search(match["text"])):
-            findings.warnings[DIGITS.sub("N", match["text"])[:WARNING_CHARACTERS]] += 1
+            findings.warnings[DIGITS.sub("N", match["text"])[:MAX_WARNING_CHARACTERS]] += 1
         elif match["level"] not in ORDINARY_LEVELS:
             findings.errors.append(line)
     return findings
@@ -68,7 +68,7 @@
     temporary_folder: Path  # holds the socket where processes of one node find each other
     health_endpoint: HttpAddress
     log: Path
-    operator: Path | None = None  # the operator's file
+    operator_file: Path | None = None  # the operator's file
 
 
 class ServerProcess:
@@ -82,13 +82,13 @@
         self._process: asyncio.subprocess.Process | None = None
 
     def _arguments(self) -> Sequence[str]:
-        return () if self.launch.operator is None else ("--operator", str(self.launch.operator))
+        return () if self.launch.operator_file is None else ("--operator", str(self.launch.operator_file))
 
     async def start(self) -> None:
         """Start the process, its standard error appended to its log. Raises OSError."""
         launch = self.launch
         descriptor = launch.listening.fileno()
-        names = {
+        variables = {
             "PROXY_CONFIG": str(launch.config),
             "PROXY_PASSED_SOCKET": str(descriptor),
             "TMPDIR": str(launch.temporary_folder),
@@ -97,7 +97,7 @@
             self._process = await asyncio.create_subprocess_exec(
                 *self.version.command(*self._arguments()),
                 cwd=self.version.checkout,
-                env=self.version.environment(names),
+                env=self.version.environment(variables),
                 pass_fds=[descriptor],
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.DEVNULL,
@@ -139,35 +139,35 @@
 
     async def wait_ready(self) -> None:
         """Wait until it serves. Raises CheckFailedError."""
-        await wait_until(f"{self._name} is ready", self.is_ready, READY_WITHIN_S)
+        await wait_until(f"{self._name} is ready", self.is_ready, READY_TIMEOUT_S)
 
-    async def wait_state(self, wanted: str, within_s: float = 3.0) -> None:
+    async def wait_state(self, wanted: str, timeout_s: float = 3.0) -> None:
         """Wait until it is in that serving state. Raises CheckFailedError."""
 
         async def reached() -> bool:
             return await self.state() == wanted
 
-        await wait_until(f"{self._name} is {wanted!r}", reached, within_s)
+        await wait_until(f"{self._name} is {wanted!r}", reached, timeout_s)
 
-    def send_signal(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal that is to end the process."""
         self.ended_on_purpose = True
         if self._process is not None:
             with contextlib.suppress(ProcessLookupError):
-                self._process.send_signal(number)
+                self._process.send_signal(signal_number)
 
-    async def wait_end(self, within_s: float = ENDS_WITHIN_S) -> int:
+    async def wait_end(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
         """Wait for the end and return the exit code. Raises CheckFailedError when the time is over."""
         assert self._process is not None
         try:
-            return await asyncio.wait_for(self._process.wait(), within_s)
+            return await asyncio.wait_for(self._process.wait(), timeout_s)
         except TimeoutError:
-            raise StillRunningError(self._name, within_s) from None
+            raise StillRunningError(self._name, timeout_s) from None
 
-    async def terminate(self, within_s: float = ENDS_WITHIN_S) -> int:
+    async def terminate(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
         """Send SIGTERM and return the exit code. Raises CheckFailedError where it does not end in time."""
         self.send_signal(signal.SIGTERM)
-        return await self.wait_end(within_s)
+        return await self.wait_end(timeout_s)
 
     async def kill(self) -> None:
         """Send SIGKILL and wait for the end."""
--- a/benchmarks/mixed/task_record.py
+++ b/benchmarks/mixed/task_record.py
@@ -14,58 +14,71 @@
 )
 
 
-def accepted(acts: Iterable[Effect]) -> list[Effect]:
+def accepted_effects(effects: Iterable[Effect]) -> list[Effect]:
     """Return the runs of tasks that the server accepted, without the fences."""
-    return [act for act in acts if act.accepted and not act.fence]
+    return [effect for effect in effects if effect.accepted and not effect.fence]
 
 
-def latest(acts: Iterable[Effect]) -> dict[str, Effect]:
+def latest_effects(effects: Iterable[Effect]) -> dict[str, Effect]:
     """Return the last accepted act of each task."""
-    return {act.task: act for act in accepted(acts)}
+    return {effect.task: effect for effect in accepted_effects(effects)}
 
 
-def changes_of_holder(acts: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
+def holder_changes(effects: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
     """Yield the last act of a holder and the first of the next, for each task."""
-    last_acts: dict[str, Effect] = {}
-    for act in accepted(acts):
-        last = last_acts.get(act.task)
-        if last is not None and last.node != act.node:
-            yield last, act
-        last_acts[act.task] = act
+    last_effects: dict[str, Effect] = {}
+    for effect in accepted_effects(effects):
+        last = last_effects.get(effect.task)
+        if last is not None and last.node != effect.node:
+            yield last, effect
+        last_effects[effect.task] = effect
 
 
-def count_crossings(acts: Iterable[Effect], version_of: Mapping[str, str]) -> Counter[tuple[str, str]]:
+def count_crossings(
+    effects: Iterable[Effect], version_by_process: Mapping[str, str]
+) -> Counter[tuple[str, str]]:
     """Count changes of holder, by task and by the versions of the two processes, as `old to new`."""
     return Counter(
-        (last.task, f"{version_of.get(last.node, 'unknown')} to {version_of.get(first.node, 'unknown')}")
-        for last, first in changes_of_holder(acts)
+        (
+            last.task,
+            f"{version_by_process.get(last.node, 'unknown')} to {version_by_process.get(first.node, 'unknown')}",
+        )
+        for last, first in holder_changes(effects)
     )
 
 
-def repeated_under_one_token(acts: Iterable[Effect]) -> Iterator[Effect]:
+def runs_repeated_under_one_token(effects: Iterable[Effect]) -> Iterator[Effect]:
     """Yield runs accepted twice under one grant.
 
     Only a later holder may repeat a run, also that of an idempotent task.
     """
     seen: set[tuple[str, int, int]] = set()
-    for act in accepted(acts):
-        if (act.task, act.run, act.token) in seen:
-            yield act
-        seen.add((act.task, act.run, act.token))
+    for effect in accepted_effects(effects):
+        if (effect.task, effect.run, effect.token) in seen:
+            yield effect
+        seen.add((effect.task, effect.run, effect.token))
 
 
-def judge_acts(acts: Sequence[Effect], unsafe: frozenset[str]) -> list[str]:
+def check_effects(effects: Sequence[Effect], unsafe_tasks: frozenset[str]) -> list[str]:
     """Return what must not be in the record."""
-    found = [f"acts of two holders overlap: {first} {second}" for first, second in overlapping_effects(acts)]
-    found += [
-        f"an older token was accepted: {first} {second}" for first, second in stale_tokens_accepted(acts)
+    failures = [
+        f"acts of two holders overlap: {first} {second}" for first, second in overlapping_effects(effects)
     ]
-    found += [f"two nodes acted under one token: {first} {second}" for first, second in shared_tokens(acts)]
-    found += [f"a run was done twice: {first} {second}" for first, second in repeated_runs(acts, unsafe)]
-    found += [f"a run was repeated under one token: {act}" for act in repeated_under_one_token(acts)]
-    found += [
+    failures += [
+        f"an older token was accepted: {first} {second}" for first, second in stale_tokens_accepted(effects)
+    ]
+    failures += [
+        f"two nodes acted under one token: {first} {second}" for first, second in shared_tokens(effects)
+    ]
+    failures += [
+        f"a run was done twice: {first} {second}" for first, second in repeated_runs(effects, unsafe_tasks)
+    ]
+    failures += [
+        f"a run was repeated under one token: {effect}" for effect in runs_repeated_under_one_token(effects)
+    ]
+    failures += [
         f"the token did not grow with the holder: {last} {first}"
-        for last, first in changes_of_holder(acts)
+        for last, first in holder_changes(effects)
         if first.token <= last.token
     ]
-    return found
+    return failures
--- a/benchmarks/mixed/upgrade_scenarios.py
+++ b/benchmarks/mixed/upgrade_scenarios.py
@@ -21,17 +21,17 @@
 from benchmarks.mixed.server_process import ServerProcess
 from benchmarks.mixed.upgrade_site import NODE, UpgradeSite, platform_config
 from benchmarks.mixed.upgrade_steps import (
-    PREDECESSOR_ENDS_WITHIN_S,
+    MAX_PREDECESSOR_EXIT_S,
     check_cancellation,
     check_repeats,
     check_serving_state_shared,
+    check_site,
     connect,
-    end_node,
-    end_predecessor,
-    judge_site,
     repeat,
     send_long_work,
+    stop_load_and_node,
     wait_more_responses,
+    wait_predecessor_end,
 )
 from benchmarks.mixed.versions import Version
 
@@ -40,11 +40,11 @@
 DRAIN_GRACE_US = 800_000
 LONGEST_DEADLINE_US = 4_000_000
 # After which the predecessor has the capacity again that a killed successor had: docs/operators/daily.md.
-CAPACITY_RETURNS_S = PREDECESSOR_ENDS_WITHIN_S + LONGEST_DEADLINE_US / 1e6 + 0.5
+CAPACITY_RETURN_DELAY_S = MAX_PREDECESSOR_EXIT_S + LONGEST_DEADLINE_US / 1e6 + 0.5
 READY_REPORT, NOT_READY_REPORT = f"renew {NODE} yes".encode(), f"renew {NODE} no".encode()
 
 
-class Moment(enum.StrEnum):
+class KillPoint(enum.StrEnum):
     """Where in the hot restart a process is killed."""
 
     BEFORE_READY = "before the successor is ready"
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pair:
+class VersionPair:
     """The versions of the two processes."""
 
     predecessor: Version
@@ -65,37 +65,37 @@
         return f"{self.predecessor.label} to {self.successor.label}"
 
 
-async def complete_upgrade(result: Result, site: UpgradeSite, pair: Pair) -> float | None:
+async def complete_upgrade(result: Result, site: UpgradeSite, pair: VersionPair) -> float | None:
     """Complete an upgrade: no request is lost, and no work with an effect runs twice."""
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
     await wait_more_responses(site, STEP_RESPONSES)
-    at_predecessor = await connect(site)
+    predecessor_connection = await connect(site)
     successor = await site.launch(pair.successor)
     await wait_more_responses(site, STEP_RESPONSES)
     await check_serving_state_shared(predecessor, successor)
-    await check_cancellation(result, site, at_predecessor)
+    await check_cancellation(result, site, predecessor_connection)
     await wait_more_responses(site, SENDERS)
-    reported = len(site.reports.received)
-    attempts = send_long_work(site, at_predecessor)
+    report_count = len(site.reports.received)
+    attempts = send_long_work(site, predecessor_connection)
     await wait_more_responses(site, SENDERS)
-    began = time.monotonic()
+    sigterm_at = time.monotonic()
     predecessor.send_signal(signal.SIGTERM)
     await predecessor.wait_state("handing over")
-    at_successor = await connect(site)
-    check_repeats(result, attempts, await repeat(at_successor, attempts))
-    await at_predecessor.close()
-    await at_successor.close()
-    await end_predecessor(result, predecessor, began)
+    successor_connection = await connect(site)
+    check_repeats(result, attempts, await repeat(successor_connection, attempts))
+    await predecessor_connection.close()
+    await successor_connection.close()
+    await wait_predecessor_end(result, predecessor, sigterm_at)
     await wait_more_responses(site, STEP_RESPONSES)
-    later = site.reports.received[reported:]
-    result.check(NOT_READY_REPORT not in later, "the node was reported as not ready during the upgrade")
+    new_reports = site.reports.received[report_count:]
+    result.check(NOT_READY_REPORT not in new_reports, "the node was reported as not ready during the upgrade")
     result.check(site.reports.received[-1:] == [READY_REPORT], "the node is not reported as ready")
-    await end_node(result, site, successor)
+    await stop_load_and_node(result, site, successor)
     return None
 
 
-async def successor_terminated(result: Result, site: UpgradeSite, pair: Pair) -> float | None:
+async def successor_terminated(result: Result, site: UpgradeSite, pair: VersionPair) -> float | None:
     """Abort the upgrade as both serve: the predecessor goes on, and no request is lost."""
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
@@ -107,19 +107,21 @@
     await wait_more_responses(site, STEP_RESPONSES)
     await predecessor.wait_state("serving")
     result.check(NOT_READY_REPORT not in site.reports.received, "the node was reported as not ready")
-    await end_node(result, site, predecessor)
+    await stop_load_and_node(result, site, predecessor)
     return None
 
 
-async def predecessor_killed(result: Result, site: UpgradeSite, pair: Pair, moment: Moment) -> float | None:
+async def predecessor_killed(
+    result: Result, site: UpgradeSite, pair: VersionPair, kill_point: KillPoint
+) -> float | None:
     """Kill the predecessor: the successor goes on alone."""
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
     await wait_more_responses(site, STEP_RESPONSES)
-    at_predecessor = await connect(site)
-    if moment is Moment.BEFORE_READY:
+    predecessor_connection = await connect(site)
+    if kill_point is KillPoint.BEFORE_READY:
         successor, kernel = await site.launch_without_kernel(pair.successor)
-        attempts = send_long_work(site, at_predecessor)
+        attempts = send_long_work(site, predecessor_connection)
         await wait_more_responses(site, SENDERS)
         await predecessor.kill()
         kernel.opened.set()
@@ -127,24 +129,26 @@
     else:
         successor = await site.launch(pair.successor)
         await wait_more_responses(site, STEP_RESPONSES)
-        attempts = send_long_work(site, at_predecessor)
+        attempts = send_long_work(site, predecessor_connection)
         await wait_more_responses(site, SENDERS)
-        if moment is Moment.HANDING_OVER:
+        if kill_point is KillPoint.HANDING_OVER:
             predecessor.send_signal(signal.SIGTERM)
             await predecessor.wait_state("handing over")
         await predecessor.kill()
-    at_successor = await connect(site)
-    for second in await repeat(at_successor, attempts):
+    successor_connection = await connect(site)
+    for second in await repeat(successor_connection, attempts):
         result.check(second.status in ("error", "later", "done"), "a repeat after the kill was not answered")
     await wait_more_responses(site, STEP_RESPONSES)
     await successor.wait_state("serving")
-    await at_predecessor.close()
-    await at_successor.close()
-    await end_node(result, site, successor)
+    await predecessor_connection.close()
+    await successor_connection.close()
+    await stop_load_and_node(result, site, successor)
     return predecessor.killed_at
 
 
-async def successor_killed(result: Result, site: UpgradeSite, pair: Pair, moment: Moment) -> float | None:
+async def successor_killed(
+    result: Result, site: UpgradeSite, pair: VersionPair, kill_point: KillPoint
+) -> float | None:
     """Kill the successor: the upgrade completes with a second one.
 
     Where the first had taken no connection yet no request may be lost.
@@ -152,40 +156,40 @@
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
     await wait_more_responses(site, STEP_RESPONSES)
-    if moment is Moment.HANDING_OVER:
+    if kill_point is KillPoint.HANDING_OVER:
         return await successor_killed_while_handing_over(result, site, pair, predecessor)
-    if moment is Moment.BEFORE_READY:
+    if kill_point is KillPoint.BEFORE_READY:
         first, _ = await site.launch_without_kernel(pair.successor)
         await wait_more_responses(site, SENDERS)
     else:
         first = await site.launch(pair.successor)
         await wait_more_responses(site, STEP_RESPONSES)
     await first.kill()
-    await asyncio.sleep(CAPACITY_RETURNS_S)
+    await asyncio.sleep(CAPACITY_RETURN_DELAY_S)
     second = await site.launch(pair.successor)
     await wait_more_responses(site, STEP_RESPONSES)
-    began = time.monotonic()
+    sigterm_at = time.monotonic()
     predecessor.send_signal(signal.SIGTERM)
-    await end_predecessor(result, predecessor, began)
+    await wait_predecessor_end(result, predecessor, sigterm_at)
     await wait_more_responses(site, STEP_RESPONSES)
     await second.wait_state("serving")
     result.check(site.reports.received[-1:] == [READY_REPORT], "the node is not reported as ready")
-    await end_node(result, site, second)
-    return None if moment is Moment.BEFORE_READY else first.killed_at
+    await stop_load_and_node(result, site, second)
+    return None if kill_point is KillPoint.BEFORE_READY else first.killed_at
 
 
 async def successor_killed_while_handing_over(
-    result: Result, site: UpgradeSite, pair: Pair, predecessor: ServerProcess
+    result: Result, site: UpgradeSite, pair: VersionPair, predecessor: ServerProcess
 ) -> float | None:
     """Kill the successor after the predecessor's SIGTERM, which then drains the node.
 
     What comes in the grace period is still answered. Then the node is started anew. It knows nothing of
     earlier work, as any new node: no idempotency key is sent again.
     """
-    at_predecessor = await connect(site)
+    predecessor_connection = await connect(site)
     first = await site.launch(pair.successor)
     await wait_more_responses(site, STEP_RESPONSES)
-    attempts = send_long_work(site, at_predecessor)
+    attempts = send_long_work(site, predecessor_connection)
     await wait_more_responses(site, SENDERS)
     predecessor.send_signal(signal.SIGTERM)
     await predecessor.wait_state("handing over")
@@ -199,11 +203,11 @@
     result.check(code == 0, f"the predecessor ended with {code}")
     result.check(NOT_READY_REPORT in site.reports.received, "the node left and was not reported so")
     second = await site.launch(pair.successor)
-    at_second = await connect(site)
-    await at_second.close()
+    second_connection = await connect(site)
+    await second_connection.close()
     await second.wait_state("serving")
     result.check(site.reports.received[-1:] == [READY_REPORT], "the node is not reported as ready")
-    await end_node(result, site, second)
+    await stop_load_and_node(result, site, second)
     return first.killed_at
 
 
@@ -216,24 +220,24 @@
 
 
 # What happens on a site. Returns when a process was killed that had connections, on the monotonic clock.
-Scenario = Callable[[Result, UpgradeSite, Pair], Awaitable[float | None]]
+Scenario = Callable[[Result, UpgradeSite, VersionPair], Awaitable[float | None]]
 
 
-def scenarios() -> dict[str, Scenario]:
+def scenarios_by_title() -> dict[str, Scenario]:
     """Return all scenarios by title."""
-    found: dict[str, Scenario] = {"complete": complete_upgrade, "aborted": successor_terminated}
-    for moment in Moment:
-        found[f"predecessor killed {moment}"] = partial(predecessor_killed, moment=moment)
-        found[f"successor killed {moment}"] = partial(successor_killed, moment=moment)
-    return found
+    scenarios: dict[str, Scenario] = {"complete": complete_upgrade, "aborted": successor_terminated}
+    for kill_point in KillPoint:
+        scenarios[f"predecessor killed {kill_point}"] = partial(predecessor_killed, kill_point=kill_point)
+        scenarios[f"successor killed {kill_point}"] = partial(successor_killed, kill_point=kill_point)
+    return scenarios
 
 
-async def run_pair(
-    folder: Path, pair: Pair, title: str, scenario: Scenario, config: JsonObject, seed: int
+async def run_upgrade(
+    folder: Path, pair: VersionPair, title: str, scenario: Scenario, config: JsonObject, seed: int
 ) -> Result:
     """Run one scenario on a site of its own."""
 
-    async def body(result: Result) -> None:
+    async def run_on_site(result: Result) -> None:
         async with asyncio.timeout(SCENARIO_TIMEOUT_S), UpgradeSite(folder, config, seed) as site:
             try:
                 killed_at = await scenario(result, site, pair)
@@ -241,9 +245,9 @@
                 result.failures.append(str(error))
                 await site.load.stop()
                 killed_at = next((process.killed_at for process in site.processes if process.killed_at), None)
-            judge_site(result, site, killed_at)
+            check_site(result, site, killed_at)
 
-    return await run_scenario(f"upgrade {pair.name}, {title}", body)
+    return await run_scenario(f"upgrade {pair.name}, {title}", run_on_site)
 
 
 async def run_upgrades(folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
@@ -251,9 +255,11 @@
     config = platform_config(new.checkout)
     shorten_times(config)
     results: list[Result] = []
-    for pair in (Pair(old, new), Pair(new, old)):
-        for title, scenario in scenarios().items():
-            place = folder / f"upgrade-{len(results)}"
-            place.mkdir()
-            results.append(await run_pair(place, pair, title, scenario, config, seed + len(results)))
+    for pair in (VersionPair(old, new), VersionPair(new, old)):
+        for title, scenario in scenarios_by_title().items():
+            scenario_folder = folder / f"upgrade-{len(results)}"
+            scenario_folder.mkdir()
+            results.append(
+                await run_upgrade(scenario_folder, pair, title, scenario, config, seed + len(results))
+            )
     return results
--- a/benchmarks/mixed/upgrade_site.py
+++ b/benchmarks/mixed/upgrade_site.py
@@ -20,7 +20,7 @@
 CALL_US = 5_000
 NODE = "n1"
 REPEAT_WINDOW_US = 5_000_000
-CONNECTS_WITHIN_S = 10.0
+CONNECT_TIMEOUT_S = 10.0
 
 
 def platform_config(checkout: Path) -> JsonObject:
@@ -38,7 +38,7 @@
     return config
 
 
-class Reports(asyncio.DatagramProtocol):
+class ReportReceiver(asyncio.DatagramProtocol):
     """The name service: keeps what the node reports."""
 
     def __init__(self) -> None:
@@ -50,14 +50,14 @@
         self.received.append(data)
 
 
-class GatedKernel:
+class GatedKernelProxy:
     """A gate before an emulated kernel: a process can connect, but no bytes pass before `opened` is set."""
 
-    def __init__(self, kernel: str) -> None:
+    def __init__(self, kernel_address: str) -> None:
         """Prepare the gate before the kernel at that address."""
         self.connected = asyncio.Event()
         self.opened = asyncio.Event()
-        self._kernel = kernel
+        self._kernel_address = kernel_address
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
@@ -71,18 +71,18 @@
         assert task is not None
         self._tasks.add(task)
         self.connected.set()
-        host, _, port = self._kernel.rpartition(":")
-        ends = [writer]
+        host, _, port = self._kernel_address.rpartition(":")
+        writers = [writer]
         try:
             await self.opened.wait()
             kernel_reader, kernel_writer = await asyncio.open_connection(host, int(port))
-            ends.append(kernel_writer)
-            await asyncio.gather(copy(reader, kernel_writer), copy(kernel_reader, writer))
+            writers.append(kernel_writer)
+            await asyncio.gather(forward(reader, kernel_writer), forward(kernel_reader, writer))
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            for end in ends:
-                end.transport.abort()
+            for open_writer in writers:
+                open_writer.transport.abort()
             self._tasks.discard(task)
 
     async def close(self) -> None:
@@ -94,7 +94,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-async def copy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """Copy all bytes until the end of the stream.
 
     Raises ConnectionResetError then, so that the other direction ends as well.
@@ -115,11 +115,11 @@
         """Open the passed socket; `seed` is that of the load."""
         self.folder = folder
         self.temporary_folder = folder / "tmp"
-        self.reports = Reports()
+        self.reports = ReportReceiver()
         self.processes: list[ServerProcess] = []
         self._config = config
         self._emulators: list[EmulatedSite] = []
-        self._gates: list[GatedKernel] = []
+        self._kernel_proxies: list[GatedKernelProxy] = []
         self.listening = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.load = Load(int(self.listening.getsockname()[1]), seed)
         self._name_service: asyncio.DatagramTransport | None = None
@@ -139,8 +139,8 @@
         for process in self.processes:
             if process.running:
                 await process.kill()
-        for gate in self._gates:
-            await gate.close()
+        for kernel_proxy in self._kernel_proxies:
+            await kernel_proxy.close()
         for emulators in self._emulators:
             emulators.close()
         if self._name_service is not None:
@@ -154,17 +154,17 @@
         await process.wait_ready()
         return process
 
-    async def launch_without_kernel(self, version: Version) -> tuple[ServerProcess, GatedKernel]:
+    async def launch_without_kernel(self, version: Version) -> tuple[ServerProcess, GatedKernelProxy]:
         """Start a process that has met its predecessor, and can't serve before its kernel's gate is opened.
 
         Raises TimeoutError.
         """
         emulators = await self._open_emulators()
-        gate = GatedKernel(emulators.addresses["kernel"])
-        self._gates.append(gate)
-        process = await self._start(version, await gate.open(), emulators.addresses["db"])
-        await asyncio.wait_for(gate.connected.wait(), CONNECTS_WITHIN_S)
-        return process, gate
+        kernel_proxy = GatedKernelProxy(emulators.addresses["kernel"])
+        self._kernel_proxies.append(kernel_proxy)
+        process = await self._start(version, await kernel_proxy.open(), emulators.addresses["db"])
+        await asyncio.wait_for(kernel_proxy.connected.wait(), CONNECT_TIMEOUT_S)
+        return process, kernel_proxy
 
     async def _open_emulators(self) -> EmulatedSite:
         emulators = EmulatedSite(CORES, 1.0, CALL_US)
@@ -173,8 +173,8 @@
         return emulators
 
     async def _start(self, version: Version, kernel: str, database: str) -> ServerProcess:
-        number = len(self.processes) + 1
-        health_endpoint = self._health_endpoint_address(number)
+        process_number = len(self.processes) + 1
+        health_endpoint = self._health_endpoint_address(process_number)
         assert self._name_service is not None
         config = {
             **self._config,
@@ -185,9 +185,9 @@
             "db": database,
             "naming": f"127.0.0.1:{self._name_service.get_extra_info('sockname')[1]}",
         }
-        path = self.folder / f"config-{number}.json"
+        path = self.folder / f"config-{process_number}.json"
         path.write_text(json.dumps(config))
-        log = self.folder / f"process-{number}-{version.label}.log"
+        log = self.folder / f"process-{process_number}-{version.label}.log"
         process = ServerProcess(
             version, Launch(path, self.listening, self.temporary_folder, health_endpoint, log)
         )
@@ -196,20 +196,20 @@
         return process
 
     @staticmethod
-    def _health_endpoint_address(number: int) -> HttpAddress:
+    def _health_endpoint_address(process_number: int) -> HttpAddress:
         """Choose a loopback address that only this process uses: nobody takes its port before it listens."""
-        host = f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.{number}"
-        with socket.socket() as free:
-            free.bind((host, 0))
-            return HttpAddress(host, int(free.getsockname()[1]))
+        host = f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.{process_number}"
+        with socket.socket() as probe:
+            probe.bind((host, 0))
+            return HttpAddress(host, int(probe.getsockname()[1]))
 
-    def runs(self) -> Counter[tuple[str, int]]:
+    def count_runs(self) -> Counter[tuple[str, int]]:
         """Count how often each piece of work was started, by class and number, over all processes."""
         started = Counter[tuple[str, int]]()
         for emulators in self._emulators:
             started.update(emulators.kernel.machine.start_counts)
         return started
 
-    def logs(self) -> dict[str, LogFindings]:
+    def read_logs(self) -> dict[str, LogFindings]:
         """Read the logs of all processes."""
         return {process.launch.log.stem: read_log(process.launch.log) for process in self.processes}
--- a/benchmarks/mixed/upgrade_steps.py
+++ b/benchmarks/mixed/upgrade_steps.py
@@ -6,17 +6,17 @@
 import os
 import time
 
-from benchmarks.mixed.front_end import CLASS_BY_NAME, Attempt, Connection, judge, wait_response
+from benchmarks.mixed.front_end import CLASS_BY_NAME, Attempt, Connection, check_record, wait_response
 from benchmarks.mixed.scenario import Result
 from benchmarks.mixed.server_process import ServerProcess, wait_until
 from benchmarks.mixed.upgrade_site import UpgradeSite
 
-RESPONSES_WITHIN_S = 10.0
-PREDECESSOR_ENDS_WITHIN_S = 3.7  # from SIGTERM, where a successor serves
+LOAD_PROGRESS_TIMEOUT_S = 10.0
+MAX_PREDECESSOR_EXIT_S = 3.7  # from SIGTERM, where a successor serves
 LONG_WORK_US = 300_000  # still runs when the predecessor hands over
-LONG_WORKS = 3  # of each class with an effect
-CROWD = 20  # more work than the cores run at once: the rest is queued
-CANCELLED = 10  # of it
+LONG_WORK_PER_CLASS = 3  # of each class with an effect
+QUEUED_REQUESTS = 20  # more work than the cores run at once: the rest is queued
+CANCELLED_REQUESTS = 10  # of it
 
 
 async def wait_more_responses(site: UpgradeSite, count: int) -> None:
@@ -26,13 +26,13 @@
     async def reached() -> bool:
         return site.load.record.response_count >= wanted
 
-    await wait_until(f"{count} more answers", reached, RESPONSES_WITHIN_S)
+    await wait_until(f"{count} more answers", reached, LOAD_PROGRESS_TIMEOUT_S)
 
 
 async def connect(site: UpgradeSite) -> Connection:
     """Open a connection that a process has accepted: it has answered a request."""
     connection = await Connection.open(site.load.record, site.load.port)
-    await wait_response(connection.send(site.load.record.new_work(CLASS_BY_NAME["schedule-save"])))
+    await wait_response(connection.send(site.load.record.add_work_item(CLASS_BY_NAME["schedule-save"])))
     return connection
 
 
@@ -40,10 +40,12 @@
     """Send work of each class with an effect that still runs when the predecessor hands over."""
     record = site.load.record
     classes = [request_class for request_class in CLASS_BY_NAME.values() if request_class.has_effect]
-    works = [
-        record.new_work(request_class, LONG_WORK_US) for request_class in classes for _ in range(LONG_WORKS)
+    work_items = [
+        record.add_work_item(request_class, LONG_WORK_US)
+        for request_class in classes
+        for _ in range(LONG_WORK_PER_CLASS)
     ]
-    return [connection.send(work) for work in works]
+    return [connection.send(work) for work in work_items]
 
 
 async def repeat(connection: Connection, attempts: list[Attempt]) -> list[Attempt]:
@@ -66,32 +68,32 @@
             result.check(second.status == "error", f"the repeat of {label} was answered {second.status!r}")
 
 
-async def end_predecessor(result: Result, predecessor: ServerProcess, began: float) -> None:
+async def wait_predecessor_end(result: Result, predecessor: ServerProcess, sigterm_at: float) -> None:
     """Wait for the end of the predecessor, whose SIGTERM was sent at `began`. Raises CheckFailedError."""
     code = await predecessor.wait_end()
-    duration_s = time.monotonic() - began
+    duration_s = time.monotonic() - sigterm_at
     result.counts["elder_gone_s"] = round(duration_s, 2)
     result.check(code == 0, f"the predecessor ended with {code}")
-    result.check(duration_s < PREDECESSOR_ENDS_WITHIN_S, f"the predecessor took {duration_s:.1f} s to end")
+    result.check(duration_s < MAX_PREDECESSOR_EXIT_S, f"the predecessor took {duration_s:.1f} s to end")
 
 
-async def end_node(result: Result, site: UpgradeSite, last: ServerProcess) -> None:
+async def stop_load_and_node(result: Result, site: UpgradeSite, last: ServerProcess) -> None:
     """Stop the load, terminate the last process, and check what it leaves. Raises CheckFailedError."""
     await site.load.stop()
-    result.check(site.load.record.no_connection == 0, "the passed socket refused a connection")
+    result.check(site.load.record.refused_connections == 0, "the passed socket refused a connection")
     code = await last.terminate()
     result.check(code == 0, f"the last process ended with {code}")
-    left = len(await asyncio.to_thread(os.listdir, site.temporary_folder))
-    killed = sum(process.killed_at is not None for process in site.processes)
-    result.check(left <= killed, "a process that was not killed left its restart socket behind")
+    socket_count = len(await asyncio.to_thread(os.listdir, site.temporary_folder))
+    killed_count = sum(process.killed_at is not None for process in site.processes)
+    result.check(socket_count <= killed_count, "a process that was not killed left its restart socket behind")
 
 
-def judge_site(result: Result, site: UpgradeSite, killed_at: float | None) -> None:
+def check_site(result: Result, site: UpgradeSite, killed_at: float | None) -> None:
     """Judge the record of the load and the logs."""
-    verdict = judge(site.load.record, site.runs(), killed_at)
+    verdict = check_record(site.load.record, site.count_runs(), killed_at)
     result.failures += verdict.failures
     result.counts |= verdict.counts
-    result.check_processes(site.processes, site.logs())
+    result.check_processes(site.processes, site.read_logs())
 
 
 async def check_serving_state_shared(predecessor: ServerProcess, successor: ServerProcess) -> None:
@@ -108,13 +110,15 @@
 async def check_cancellation(result: Result, site: UpgradeSite, connection: Connection) -> None:
     """Cancel requests at one process before they run: their work may be sent again, to any process."""
     record, request_class = site.load.record, CLASS_BY_NAME["meter-reading"]
-    attempts = [connection.send(record.new_work(request_class, LONG_WORK_US)) for _ in range(CROWD)]
-    cancelled = attempts[-CANCELLED:]
+    attempts = [
+        connection.send(record.add_work_item(request_class, LONG_WORK_US)) for _ in range(QUEUED_REQUESTS)
+    ]
+    cancelled = attempts[-CANCELLED_REQUESTS:]
     for attempt in cancelled:
         connection.cancel(attempt)
     second_connection = await connect(site)
     repeats = [second_connection.send(attempt.work) for attempt in cancelled]
-    for attempt in attempts[:-CANCELLED]:
+    for attempt in attempts[:-CANCELLED_REQUESTS]:
         await wait_response(attempt)
         result.check(
             attempt.status == "done", f"work in a crowd was answered {attempt.status or 'nothing'!r}"
--- a/benchmarks/mixed/versions.py
+++ b/benchmarks/mixed/versions.py
@@ -12,7 +12,7 @@
 from benchmarks.mixed.errors import CannotRunError, CheckFailedError, ExitCodeError, StillRunningError
 
 COMMAND_TIMEOUT_S = 15.0
-ERROR_CHARACTERS_SHOWN = 400
+MAX_SHOWN_ERROR_CHARACTERS = 400
 SHOW_PACKAGE = "import marlstep; print(marlstep.__file__)"
 PROGRAM = "marlstep"
 PROGRAM_FOLDERS = ("marlstep", "petrelcart")  # the latter in older versions only
@@ -67,7 +67,7 @@
             process.kill()
             await process.wait()
     if process.returncode:
-        last_errors = errors.decode(errors="replace").strip()[-ERROR_CHARACTERS_SHOWN:]
+        last_errors = errors.decode(errors="replace").strip()[-MAX_SHOWN_ERROR_CHARACTERS:]
         raise ExitCodeError(" ".join(arguments[1:]), process.returncode, last_errors)
     return output.decode()
 
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -25,7 +25,7 @@
 from benchmarks.mixed.upgrade_scenarios import run_upgrades
 from benchmarks.mixed.versions import Version, open_version
 
-HELD, BROKE, COULD_NOT_RUN = 0, 1, 2
+EXIT_HELD, EXIT_BROKEN, EXIT_COULD_NOT_RUN = 0, 1, 2
 NEW_CHECKOUT = Path(__file__).resolve().parent.parent
 
 
@@ -46,7 +46,7 @@
 
 async def measure(options: argparse.Namespace) -> dict[str, Any]:
     """Run all rounds and return the report. Raises CannotRunError, OSError."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     old = await open_version("old", options.old)
     new = await open_version("new", NEW_CHECKOUT)
     rounds = []
@@ -65,7 +65,7 @@
         "seed": options.seed,
         "scenarios": len(results),
         "broken": [result.name for result in results if not result.held],
-        "seconds": round(time.monotonic() - began, 1),
+        "seconds": round(time.monotonic() - started_at, 1),
         "results": [[result.to_json() for result in results] for results in rounds],
     }
 
@@ -82,12 +82,12 @@
     )
     options = parser.parse_args()
     try:
-        outcome = uvloop.run(measure(options))
+        report = uvloop.run(measure(options))
     except (CannotRunError, OSError) as error:
         print(json.dumps({"verdict": "could not run", "why": str(error)}))
-        return COULD_NOT_RUN
-    print(json.dumps(outcome))
-    return HELD if outcome["verdict"] == "held" else BROKE
+        return EXIT_COULD_NOT_RUN
+    print(json.dumps(report))
+    return EXIT_HELD if report["verdict"] == "held" else EXIT_BROKEN
 
 
 if __name__ == "__main__":
--- a/benchmarks/replay_again.py
+++ b/benchmarks/replay_again.py
@@ -50,10 +50,11 @@
             arguments += ["--speed", options.speed, "--nodes", options.nodes, "--json", schedule]
             runs = [run_command(*arguments) for _ in range(options.times)]
             virtual = [run_command(*arguments[:2], "--virtual", *arguments[2:]) for _ in range(2)]
-            figures = [run["service"] for run in runs]
+            service_values = [run["service"] for run in runs]
             report["runs"][str(load)] = {
-                "service": figures,
-                "spread": (max(figures) - min(figures)) / (sum(figures) / len(figures)),
+                "service": service_values,
+                "spread": (max(service_values) - min(service_values))
+                / (sum(service_values) / len(service_values)),
                 "virtual": virtual[0]["service"],
                 "virtual_identical": virtual[0] == virtual[1],
                 "lost": sum(run["lost"] for run in runs),
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from benchmarks.errors import VersionRejectedError
-from benchmarks.fleet import load_config, plan, quantiles, usage
+from benchmarks.fleet import load_config, plan, quantiles, read_usage
 from marlstep.consensus.state_machine import StoredCommand
 from marlstep.fault_injection.document_drill import ListServers, Load
 from marlstep.fault_injection.effect_recorder import clock_us
@@ -37,7 +37,7 @@
 ACTS_ON_VERSION = "acts on version "
 
 
-def settings(*, strict: bool, pool: tuple[str, ...] = (), rules: bool = True) -> Settings:
+def make_settings(*, strict: bool, pool: tuple[str, ...] = (), rules: bool = True) -> Settings:
     """Return the settings of a process cluster with a document of servers, or without documents."""
     documents: dict[str, dict[str, Any]] = {
         "servers": {"kind": "servers", "strict": strict, "cut_off": "stop"}
@@ -65,9 +65,9 @@
         await asyncio.sleep(0.005)
 
 
-async def put_servers(rig: ProcessCluster, node: NodeProcess, servers: list[str], expect: int) -> int:
+async def put_servers(cluster: ProcessCluster, node: NodeProcess, servers: list[str], expect: int) -> int:
     """Change the list of servers; return its new version."""
-    content = json.dumps({"main": [f"127.0.0.1:{rig.effect_recorder.port}"], "more": servers})
+    content = json.dumps({"main": [f"127.0.0.1:{cluster.effect_recorder.port}"], "more": servers})
     return await put_content(node, "servers", content, expect)
 
 
@@ -99,7 +99,7 @@
         await asyncio.sleep(0.01)
 
 
-async def acted_at(node: NodeProcess) -> dict[int, float]:
+async def read_activation_times(node: NodeProcess) -> dict[int, float]:
     """Return when the node began to act on each version, in seconds of the wall clock."""
     history = await node.call("/v1/fleet/log")
     return {
@@ -113,26 +113,26 @@
     """Measure from the first byte of a change to the last of so many processes acting on it, in ms."""
     ports = Ports()
     port = ports.take()
-    rig_settings = settings(strict=strict, pool=(f"127.0.0.1:{port}",))
+    cluster_settings = make_settings(strict=strict, pool=(f"127.0.0.1:{port}",))
     with tempfile.TemporaryDirectory() as folder:
-        async with ProcessCluster(plan(3, nodes), rig_settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, nodes), cluster_settings, Path(folder)) as cluster:
             await asyncio.sleep(4.0)
-            node = rig.nodes["n2"]
+            node = cluster.nodes["n2"]
             await wait_in_force(node, 1)
-            began: dict[int, float] = {}
+            started_at: dict[int, float] = {}
             version = 1
             for _ in range(changes):
                 start = time.time()
-                version = await put_servers(rig, node, [f"127.0.0.1:{port}"], version)
-                began[version] = start
+                version = await put_servers(cluster, node, [f"127.0.0.1:{port}"], version)
+                started_at[version] = start
                 await wait_in_force(node, version)
                 await asyncio.sleep(0.2)
             each_ms: list[float] = []
             last_ms: dict[int, float] = {}
-            for member in rig.nodes.values():
-                for number, at in (await acted_at(member)).items():
-                    if number in began:
-                        delay_ms = (at - began[number]) * 1000
+            for member in cluster.nodes.values():
+                for number, activated_at in (await read_activation_times(member)).items():
+                    if number in started_at:
+                        delay_ms = (activated_at - started_at[number]) * 1000
                         each_ms.append(delay_ms)
                         last_ms[number] = max(last_ms.get(number, 0.0), delay_ms)
     ports.close()
@@ -141,54 +141,63 @@
 
 async def measure_large_document(tenants: int) -> dict[str, Any]:
     """Measure a document of so many tenants, uploaded in chunks, until all nodes act on it, in seconds."""
-    rig_settings = replace(
-        settings(strict=False), rules={"tenants": {"kind": "tenants", "strict": False, "cut_off": "keep"}}
+    cluster_settings = replace(
+        make_settings(strict=False),
+        rules={"tenants": {"kind": "tenants", "strict": False, "cut_off": "keep"}},
     )
     names = [f"heating-site-number-{number:08d}-of-the-service" for number in range(tenants)]
     content = json.dumps(
         {"tenants": {name: {"share": 1 / tenants, "allowance_per_s": 2.5} for name in names}}
     )
     with tempfile.TemporaryDirectory() as folder:
-        async with ProcessCluster(plan(3, 5), rig_settings, Path(folder)) as rig:
+        async with ProcessCluster(plan(3, 5), cluster_settings, Path(folder)) as cluster:
             await asyncio.sleep(3.0)
-            node = rig.nodes["n2"]
+            node = cluster.nodes["n2"]
             await wait_in_force(node, 1, "tenants")
             start = time.time()
             version = await put_content(node, "tenants", content, 1)
-            put_s = time.time() - start
+            upload_s = time.time() - start
             await wait_in_force(node, version, "tenants")
             await asyncio.sleep(2.0)
-            acted = [(await acted_at(member)).get(version) for member in rig.nodes.values()]
+            activation_times = [
+                (await read_activation_times(member)).get(version) for member in cluster.nodes.values()
+            ]
     return {
         "characters": len(content),
-        "uploaded_s": round(put_s, 2),
-        "acted_by": sum(at is not None for at in acted),
-        "all_act_after_s": round(max((at - start for at in acted if at is not None), default=0.0), 2),
+        "uploaded_s": round(upload_s, 2),
+        "acted_by": sum(activated_at is not None for activated_at in activation_times),
+        "all_act_after_s": round(
+            max(
+                (activated_at - start for activated_at in activation_times if activated_at is not None),
+                default=0.0,
+            ),
+            2,
+        ),
     }
 
 
-async def under_load(changes: int, *, strict: bool) -> dict[str, Any]:
+async def measure_under_load(changes: int, *, strict: bool) -> dict[str, Any]:
     """Compare the service in the two seconds after a change with the two before it, at five loaded nodes."""
     ports = Ports()
     servers = ListServers()
     await servers.open(ports)
     with tempfile.TemporaryDirectory() as folder:
-        rig_settings = settings(strict=strict, pool=(f"127.0.0.1:{servers.ports[0]}",))
-        async with ProcessCluster(plan(3, 5), rig_settings, Path(folder)) as rig:
-            load = Load(rig, every_s=0.01)
+        cluster_settings = make_settings(strict=strict, pool=(f"127.0.0.1:{servers.ports[0]}",))
+        async with ProcessCluster(plan(3, 5), cluster_settings, Path(folder)) as cluster:
+            load = Load(cluster, every_s=0.01)
             running = asyncio.create_task(load.run())
             await asyncio.sleep(4.0)
-            version, lost = 1, []
+            version, lost_shares = 1, []
             for number in range(changes):
                 before = load.answers["200"]
                 await asyncio.sleep(2.0)
-                base = load.answers["200"] - before
+                base_answers = load.answers["200"] - before
                 before = load.answers["200"]
                 start = asyncio.get_running_loop().time()
                 server = f"127.0.0.1:{servers.ports[(number + 1) % len(servers.ports)]}"
-                version = await put_servers(rig, rig.nodes["n2"], [server], version)
+                version = await put_servers(cluster, cluster.nodes["n2"], [server], version)
                 await asyncio.sleep(max(0.0, start + 2.0 - asyncio.get_running_loop().time()))
-                lost.append(1 - (load.answers["200"] - before) / base)
+                lost_shares.append(1 - (load.answers["200"] - before) / base_answers)
             load.stop = True
             await running
     servers.close()
@@ -197,34 +206,37 @@
         "changes": changes,
         "answers": dict(load.answers),
         "lost_answers": len(load.lost),
-        "service_lost": {"mean": round(sum(lost) / len(lost), 4), "most": round(max(lost), 4)},
+        "service_lost": {
+            "mean": round(sum(lost_shares) / len(lost_shares), 4),
+            "most": round(max(lost_shares), 4),
+        },
     }
 
 
-async def sent_messages(rig: ProcessCluster) -> dict[str, int]:
+async def count_sent_messages(cluster: ProcessCluster) -> dict[str, int]:
     """Return how many messages each node has sent."""
-    return {name: status["lines"].get("sent", 0) for name, status in (await rig.statuses()).items()}
+    return {name: status["lines"].get("sent", 0) for name, status in (await cluster.statuses()).items()}
 
 
-async def at_rest(seconds: float, *, rules: bool) -> dict[str, Any]:
+async def measure_at_rest(seconds: float, *, rules: bool) -> dict[str, Any]:
     """Measure nodes without work: the share of a core, and the messages per second that each sends."""
     ports = Ports()
     port = ports.take()
     with tempfile.TemporaryDirectory() as folder:
-        rig_settings = settings(strict=False, pool=(f"127.0.0.1:{port}",), rules=rules)
-        async with ProcessCluster(plan(3, 5), rig_settings, Path(folder)) as rig:
+        cluster_settings = make_settings(strict=False, pool=(f"127.0.0.1:{port}",), rules=rules)
+        async with ProcessCluster(plan(3, 5), cluster_settings, Path(folder)) as cluster:
             await asyncio.sleep(4.0)
-            before = {name: usage(node)[0] for name, node in rig.nodes.items()}
-            sent = await sent_messages(rig)
-            began = clock_us()
+            before = {name: read_usage(node)[0] for name, node in cluster.nodes.items()}
+            sent = await count_sent_messages(cluster)
+            started_at_us = clock_us()
             await asyncio.sleep(seconds)
-            span = (clock_us() - began) / 1e6
-            after = {name: usage(node)[0] for name, node in rig.nodes.items()}
-            sent_after = await sent_messages(rig)
+            span_s = (clock_us() - started_at_us) / 1e6
+            after = {name: read_usage(node)[0] for name, node in cluster.nodes.items()}
+            sent_after = await count_sent_messages(cluster)
     ports.close()
-    shares = {name: (after[name] - before[name]) / span * 100 for name in before}
-    rates = {name: (sent_after[name] - sent[name]) / span for name in sent}
-    learners = [name for name in shares if name not in rig.plan.voters]
+    shares = {name: (after[name] - before[name]) / span_s * 100 for name in before}
+    rates = {name: (sent_after[name] - sent[name]) / span_s for name in sent}
+    learners = [name for name in shares if name not in cluster.plan.voters]
     return {
         "percent_of_a_core": {name: round(share, 2) for name, share in shares.items()},
         "percent_where_it_does_not_vote": round(sum(shares[name] for name in learners) / len(learners), 2),
@@ -232,12 +244,12 @@
     }
 
 
-class TimedRulesWorld(SimulatedDocumentCluster):
+class TimedDocumentCluster(SimulatedDocumentCluster):
     """A cluster without faults and clients that notes when each node begins to act on each version."""
 
     def __init__(self, plan: Plan) -> None:
         """Prepare the cluster of this plan."""
-        self.acted: dict[tuple[str, int], dict[str, int]] = {}
+        self.activated_us: dict[tuple[str, int], dict[str, int]] = {}
         super().__init__(plan)
         self.clients = []
         self.loss, self._heal_us = 0.0, 1 << 62
@@ -246,7 +258,7 @@
         super()._carry_out(node, done)
         for name, document in self.followers[node.name].documents.items():
             if document.state is FollowerState.ACTIVE:
-                self.acted.setdefault((name, document.version), {}).setdefault(node.name, self.true_us)
+                self.activated_us.setdefault((name, document.version), {}).setdefault(node.name, self.true_us)
 
     def watch(self) -> None:
         """Skip the checks of all nodes at every event: this world is measured, not judged."""
@@ -259,34 +271,34 @@
     """
     names = tuple(f"n{number}" for number in range(1, nodes + 1))
     length_ms = 6_000 + changes * 2_000
-    world = TimedRulesWorld(Plan(1, names, names[:5], length_ms, (1.0,) * nodes, ()))
-    began: dict[tuple[str, int], int] = {}
+    cluster = TimedDocumentCluster(Plan(1, names, names[:5], length_ms, (1.0,) * nodes, ()))
+    started_us: dict[tuple[str, int], int] = {}
     counts: list[int] = []
-    rests: list[int] = []
+    rest_counts: list[int] = []
 
     def begin_rest() -> None:
-        counts.append(-world.counts["messages"])
+        counts.append(-cluster.counts["messages"])
 
     def end_rest() -> None:
-        rests.append(world.counts["messages"] + counts.pop())
+        rest_counts.append(cluster.counts["messages"] + counts.pop())
 
-    def change(number: int) -> None:
+    def start_change(number: int) -> None:
         document = DOCUMENTS[number % 2]
-        node = world.nodes["n2"]
-        followed = world.followers["n2"].documents[document.name]
-        if followed.target is None:
+        node = cluster.nodes["n2"]
+        followed_document = cluster.followers["n2"].documents[document.name]
+        if followed_document.target is None:
             return
-        upload, expect = f"b{number}", followed.target.version
-        part: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": 0}
-        part["data"] = json.dumps({"n": number})
-        node.participant.propose(node.now, StoredCommand(part))
+        upload, expect = f"b{number}", followed_document.target.version
+        chunk: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": 0}
+        chunk["data"] = json.dumps({"n": number})
+        node.participant.propose(node.now, StoredCommand(chunk))
         node.drive()
-        counts.append(-world.counts["messages"])
-        world.after(1_000_000, lambda: counts.append(counts.pop() + world.counts["messages"]))
+        counts.append(-cluster.counts["messages"])
+        cluster.after(1_000_000, lambda: counts.append(counts.pop() + cluster.counts["messages"]))
 
-        def put() -> None:
+        def put_document() -> None:
             """The pieces are in the log: an operator's command waits for that as well."""
-            began[document.name, expect + 1] = world.true_us
+            started_us[document.name, expect + 1] = cluster.true_us
             command: dict[str, Any] = {
                 "m": "rules",
                 "do": "put",
@@ -294,36 +306,36 @@
                 "kind": document.kind.value,
                 "strict": document.strict,
             }
-            command |= {"upload": upload, "digest": content_digest(part["data"]), "expect": expect}
+            command |= {"upload": upload, "digest": content_digest(chunk["data"]), "expect": expect}
             command |= {"author": "", "note": "", "at": ""}
             node.participant.propose(node.now, StoredCommand(command))
             node.drive()
 
-        world.after(100_000, put)
+        cluster.after(100_000, put_document)
 
-    world.after(4_000_000, begin_rest)
-    world.after(5_000_000, end_rest)
+    cluster.after(4_000_000, begin_rest)
+    cluster.after(5_000_000, end_rest)
     for number in range(changes):
-        world.after(5_000_000 + number * 2_000_000, lambda number=number: change(number))  # type: ignore[misc]
-    world.run()
-    figures: dict[str, Any] = {"nodes": nodes, "changes": changes}
+        cluster.after(5_000_000 + number * 2_000_000, lambda number=number: start_change(number))  # type: ignore[misc]
+    cluster.run()
+    report: dict[str, Any] = {"nodes": nodes, "changes": changes}
     for document in DOCUMENTS:
         delays_ms = [
-            (max(acts.values()) - began[key]) / 1000
-            for key, acts in world.acted.items()
-            if key in began and key[0] == document.name and len(acts) == nodes
+            (max(activations.values()) - started_us[key]) / 1000
+            for key, activations in cluster.activated_us.items()
+            if key in started_us and key[0] == document.name and len(activations) == nodes
         ]
-        figures[f"{document.name}_all_ms"] = quantiles(delays_ms)
-    mean = sum(counts) / len(counts)
-    figures["messages_a_second_at_rest_a_node"] = round(rests[0] / nodes, 2)
-    figures["messages_more_for_a_change_a_node"] = round((mean - rests[0]) / nodes, 2)
-    return figures
+        report[f"{document.name}_all_ms"] = quantiles(delays_ms)
+    mean_per_change = sum(counts) / len(counts)
+    report["messages_a_second_at_rest_a_node"] = round(rest_counts[0] / nodes, 2)
+    report["messages_more_for_a_change_a_node"] = round((mean_per_change - rest_counts[0]) / nodes, 2)
+    return report
 
 
 def measure_versions(count: int) -> dict[str, Any]:
     """Apply so many versions to the store alone; return its rate and the size of its snapshot."""
     store = ConfigStore(LeaseTable())
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for number in range(count):
         content = json.dumps({"n": number, "x": "y" * 500})
         store.apply({"do": "part", "upload": "u", "offset": 0, "data": content})
@@ -338,7 +350,7 @@
         store.apply({**command, "digest": content_digest(content), "author": "", "note": "", "at": ""})
         for name, version in store.ready_to_commit():
             store.apply({"do": "commit", "doc": name, "version": version})
-    duration_s = time.perf_counter() - began
+    duration_s = time.perf_counter() - started_at
     return {
         "versions": store.documents["d"].active_number,
         "kept": len(store.documents["d"].versions),
@@ -368,13 +380,13 @@
         }
     if "load" in selected:
         report["under_load"] = {
-            "strict" if strict else "plain": asyncio.run(under_load(8, strict=strict))
+            "strict" if strict else "plain": asyncio.run(measure_under_load(8, strict=strict))
             for strict in (False, True)
         }
     if "rest" in selected:
         report["at_rest"] = {
-            "without": asyncio.run(at_rest(options.rest, rules=False)),
-            "with": asyncio.run(at_rest(options.rest, rules=True)),
+            "without": asyncio.run(measure_at_rest(options.rest, rules=False)),
+            "with": asyncio.run(measure_at_rest(options.rest, rules=True)),
         }
     if "virtual" in selected:
         report["virtual"] = [measure_virtual(nodes, 10) for nodes in (5, 200)]
--- a/benchmarks/trace_reading.py
+++ b/benchmarks/trace_reading.py
@@ -67,10 +67,10 @@
         check=True,
     )
     generator.wait()
-    figures: dict[str, float] = json.loads(reader.stdout)
-    assert figures["rows"] == rows
-    figures["rows_per_s"] = rows / figures["cpu_s"]
-    return figures
+    measurements: dict[str, float] = json.loads(reader.stdout)
+    assert measurements["rows"] == rows
+    measurements["rows_per_s"] = rows / measurements["cpu_s"]
+    return measurements
 
 
 def main() -> None:
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -11,10 +11,10 @@
 import pytest
 
 from benchmarks.mixed.cluster import STORE_IN_USE
-from benchmarks.mixed.front_end import CLASS_BY_NAME, Attempt, Record, Response, judge
+from benchmarks.mixed.front_end import CLASS_BY_NAME, Attempt, Record, Response, check_record
 from benchmarks.mixed.scenario import Result
 from benchmarks.mixed.server_process import read_log
-from benchmarks.mixed.task_record import count_crossings, judge_acts
+from benchmarks.mixed.task_record import check_effects, count_crossings
 from marlstep.__main__ import LOG_FORMAT
 from marlstep.cluster.store_errors import StoreRefusedError
 from marlstep.fault_injection.effects import Effect
@@ -25,8 +25,8 @@
 
 def add_work(record: Record, request_class: str, *statuses: str) -> list[Attempt]:
     """Record one piece of work with an attempt per status. An empty status stands for no response."""
-    work = record.new_work(CLASS_BY_NAME[request_class])
-    attempts = [record.new_attempt(work) for _ in statuses]
+    work = record.add_work_item(CLASS_BY_NAME[request_class])
+    attempts = [record.add_attempt(work) for _ in statuses]
     for attempt, status in zip(attempts, statuses, strict=True):
         if status:
             attempt.responses.append(Response(status, b"full %d" % work.number if status == "done" else b""))
@@ -41,7 +41,7 @@
 def test_a_load_without_a_fault_has_no_failures() -> None:
     record = Record()
     add_work(record, "setpoint-cmd", "done", "error")
-    verdict = judge(record, count_runs(setpoint_cmd=1), None)
+    verdict = check_record(record, count_runs(setpoint_cmd=1), None)
     assert verdict.failures == [] and verdict.counts["repeated_work"] == 1
 
 
@@ -49,7 +49,7 @@
 def test_work_with_an_effect_that_ran_twice_is_a_failure(request_class: str) -> None:
     record = Record()
     add_work(record, request_class, "done", "done")
-    assert judge(record, Counter({(request_class, 1): 2}), None).failures == [
+    assert check_record(record, Counter({(request_class, 1): 2}), None).failures == [
         f"{request_class} 1 ran 2 times"
     ]
 
@@ -59,7 +59,7 @@
     [attempt] = add_work(record, "schedule-save", "done")
     attempt.responses.append(attempt.responses[0])
     record.unexpected_responses.append("[b'9', b'done']")
-    failures = judge(record, count_runs(schedule_save=1), None).failures
+    failures = check_record(record, count_runs(schedule_save=1), None).failures
     assert len(failures) == 2 and "to no request" in failures[0] and "answered 2 times" in failures[1]
 
 
@@ -67,7 +67,7 @@
     record = Record()
     [attempt] = add_work(record, "schedule-save", "done")
     attempt.responses[0] = Response("done", b"full 7")
-    failures = judge(record, Counter(), None).failures
+    failures = check_record(record, Counter(), None).failures
     assert any("result of other work" in failure for failure in failures)
     assert any("never ran" in failure for failure in failures)
 
@@ -81,7 +81,9 @@
     ):
         record = Record()
         add_work(record, request_class, *statuses)
-        assert len(judge(record, Counter({(request_class, 1): 1}), None).failures) == failures, request_class
+        assert len(check_record(record, Counter({(request_class, 1): 1}), None).failures) == failures, (
+            request_class
+        )
 
 
 def test_a_lost_response_is_a_failure_unless_its_process_was_killed_just_before() -> None:
@@ -95,7 +97,7 @@
         record = Record()
         [attempt] = add_work(record, "temp-history", "")
         attempt.lost_at = lost_at
-        assert len(judge(record, Counter(), killed_at).failures) == failures, (lost_at, killed_at)
+        assert len(check_record(record, Counter(), killed_at).failures) == failures, (lost_at, killed_at)
 
 
 def test_a_cancelled_request_needs_no_response_but_its_work_may_run_only_once() -> None:
@@ -103,7 +105,7 @@
         record = Record()
         first, _ = add_work(record, "meter-reading", "", "done")
         first.cancelled = True
-        verdict = judge(record, count_runs(meter_reading=count), None)
+        verdict = check_record(record, count_runs(meter_reading=count), None)
         assert len(verdict.failures) == failures and verdict.counts["taken_back"] == 1
 
 
@@ -111,8 +113,8 @@
     record = Record()
     for _ in range(2):
         add_work(record, "temp-history", "later")
-    assert len(judge(record, Counter(), None).failures) == 1
-    assert judge(record, Counter(), KILLED_AT).failures == []
+    assert len(check_record(record, Counter(), None).failures) == 1
+    assert check_record(record, Counter(), KILLED_AT).failures == []
 
 
 def make_effect(node: str, token: int, run: int, began_us: int, task: str = "report") -> Effect:
@@ -121,7 +123,7 @@
 
 def test_effects_across_versions_are_counted_and_accepted_if_tokens_increase() -> None:
     effects = [make_effect("n1/a", 1, 1, 0), make_effect("n2/b", 2, 2, 20), make_effect("n1/a", 3, 3, 40)]
-    assert judge_acts(effects, frozenset({"report"})) == []
+    assert check_effects(effects, frozenset({"report"})) == []
     crossings = count_crossings(effects, {"n1/a": "old", "n2/b": "new"})
     assert crossings == {("report", "old to new"): 1, ("report", "new to old"): 1}
 
@@ -136,7 +138,7 @@
     ],
 )
 def test_forbidden_effects_are_failures(second: Effect) -> None:
-    assert judge_acts([make_effect("n1/a", 1, 1, 0), second], frozenset({"report"}))
+    assert check_effects([make_effect("n1/a", 1, 1, 0), second], frozenset({"report"}))
 
 
 def test_errors_and_tracebacks_in_a_log_are_failures_and_warnings_are_counted(tmp_path: Path) -> None:
