--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -111,10 +111,10 @@
         since, names = clock_us(), {node.name for node in allowed}
 
         async def all_tasks_ran() -> bool:
-            effects = latest_effects(self.cluster.effect_recorder.effects)
-            return set(effects) == set(TASKS) and all(
+            latest_by_task = latest_effects(self.cluster.effect_recorder.effects)
+            return set(latest_by_task) == set(TASKS) and all(
                 effect.began_us > since and effect.node.partition("/")[0] in names
-                for effect in effects.values()
+                for effect in latest_by_task.values()
             )
 
         await wait_until(f"all tasks are done by {sorted(names)}", all_tasks_ran, LEASE_MOVE_TIMEOUT_S)
@@ -324,16 +324,16 @@
 
 def check_run(run: Run) -> None:
     """Judge the whole record at the end."""
-    effects = list(run.cluster.effect_recorder.effects)
-    run.result.failures += check_effects(effects, UNSAFE_TASKS)
-    crossings = count_crossings(effects, run.version_by_process)
+    recorded_effects = list(run.cluster.effect_recorder.effects)
+    run.result.failures += check_effects(recorded_effects, UNSAFE_TASKS)
+    crossings = count_crossings(recorded_effects, run.version_by_process)
     for task in TASKS:
         for direction in (OLD_TO_NEW, NEW_TO_OLD):
             run.result.check(
                 crossings[task, direction] > 0, f"the lease of {task} did not move from {direction}"
             )
     run.result.counts |= {
-        "acts": len(effects),
+        "acts": len(recorded_effects),
         "changes_of_holder": {
             f"{task}, {direction}": count for (task, direction), count in sorted(crossings.items())
         },
--- a/benchmarks/mixed/task_record.py
+++ b/benchmarks/mixed/task_record.py
@@ -14,20 +14,20 @@
 )
 
 
-def accepted_effects(effects: Iterable[Effect]) -> list[Effect]:
+def accepted(effects: Iterable[Effect]) -> list[Effect]:
     """Return the runs of tasks that the server accepted, without the fences."""
     return [effect for effect in effects if effect.accepted and not effect.fence]
 
 
 def latest_effects(effects: Iterable[Effect]) -> dict[str, Effect]:
     """Return the last accepted act of each task."""
-    return {effect.task: effect for effect in accepted_effects(effects)}
+    return {effect.task: effect for effect in accepted(effects)}
 
 
 def holder_changes(effects: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
     """Yield the last act of a holder and the first of the next, for each task."""
     last_effects: dict[str, Effect] = {}
-    for effect in accepted_effects(effects):
+    for effect in accepted(effects):
         last = last_effects.get(effect.task)
         if last is not None and last.node != effect.node:
             yield last, effect
@@ -53,7 +53,7 @@
     Only a later holder may repeat a run, also that of an idempotent task.
     """
     seen: set[tuple[str, int, int]] = set()
-    for effect in accepted_effects(effects):
+    for effect in accepted(effects):
         if (effect.task, effect.run, effect.token) in seen:
             yield effect
         seen.add((effect.task, effect.run, effect.token))
--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -187,7 +187,7 @@
             load = Load(cluster, every_s=0.01)
             running = asyncio.create_task(load.run())
             await asyncio.sleep(4.0)
-            version, lost_shares = 1, []
+            version, lost = 1, []
             for number in range(changes):
                 before = load.answers["200"]
                 await asyncio.sleep(2.0)
@@ -197,7 +197,7 @@
                 server = f"127.0.0.1:{servers.ports[(number + 1) % len(servers.ports)]}"
                 version = await put_servers(cluster, cluster.nodes["n2"], [server], version)
                 await asyncio.sleep(max(0.0, start + 2.0 - asyncio.get_running_loop().time()))
-                lost_shares.append(1 - (load.answers["200"] - before) / base_answers)
+                lost.append(1 - (load.answers["200"] - before) / base_answers)
             load.stop = True
             await running
     servers.close()
@@ -207,8 +207,8 @@
         "answers": dict(load.answers),
         "lost_answers": len(load.lost),
         "service_lost": {
-            "mean": round(sum(lost_shares) / len(lost_shares), 4),
-            "most": round(max(lost_shares), 4),
+            "mean": round(sum(lost) / len(lost), 4),
+            "most": round(max(lost), 4),
         },
     }
 
