--- a/benchmarks/mixed/front_end.py
+++ b/benchmarks/mixed/front_end.py
@@ -13,7 +13,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-SENDERS = 8
+FRONT_END_COUNT = 8
 ATTEMPTS_PER_BATCH = 3  # on one connection
 BATCHES_PER_CONNECTION = 4  # of a connection, before its front end closes it
 RESPONSE_TIMEOUT_S = 12.0  # longer than any deadline of the classes
@@ -238,23 +238,23 @@
         self._random = random.Random(seed)
         self._repeats: deque[tuple[float, WorkItem]] = deque()
         self._stop = False
-        self._senders: list[asyncio.Task[None]] = []
+        self._front_end_tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
         """Start all front ends."""
         loop = asyncio.get_running_loop()
-        self._senders = [loop.create_task(self._run_front_end()) for _ in range(SENDERS)]
+        self._front_end_tasks = [loop.create_task(self._run_front_end()) for _ in range(FRONT_END_COUNT)]
 
     async def stop(self) -> None:
         """Send nothing new, wait for what is in flight, and raise what went wrong in a front end."""
         self._stop = True
-        await asyncio.gather(*self._senders)
+        await asyncio.gather(*self._front_end_tasks)
 
     async def abort(self) -> None:
         """Cancel all front ends."""
-        for sender in self._senders:
-            sender.cancel()
-        await asyncio.gather(*self._senders, return_exceptions=True)
+        for task in self._front_end_tasks:
+            task.cancel()
+        await asyncio.gather(*self._front_end_tasks, return_exceptions=True)
 
     async def _run_front_end(self) -> None:
         while not self._stop:
@@ -353,7 +353,7 @@
     if response.status == "done":
         matches = response.body.split()[-1:] == [b"%d" % attempt.work.number]
         return [] if matches else [f"{label} got the result of other work: {response.body[:40]!r}"]
-    if response.status == "error" and not _may_be_answered_error(attempt.work, killed_at):
+    if response.status == "error" and not _may_fail(attempt.work, killed_at):
         return [f"{label} failed"]
     return [] if response.status in ("later", "error") else [f"{label} was answered {response.status!r}"]
 
@@ -368,7 +368,7 @@
     return 0 <= attempt.lost_at - killed_at <= MAX_LOSS_DELAY_S
 
 
-def _may_be_answered_error(work: WorkItem, killed_at: float | None) -> bool:
+def _may_fail(work: WorkItem, killed_at: float | None) -> bool:
     """Whether it is a repeat of work that may have run, and whose result is not shared or not known."""
     repeated = len(work.attempts) > 1 and work.request_class.has_effect
     unknown = killed_at is not None or any(attempt.cancelled for attempt in work.attempts)
--- a/benchmarks/mixed/upgrade_scenarios.py
+++ b/benchmarks/mixed/upgrade_scenarios.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from benchmarks.mixed.errors import CheckFailedError
-from benchmarks.mixed.front_end import SENDERS, wait_response
+from benchmarks.mixed.front_end import FRONT_END_COUNT, wait_response
 from benchmarks.mixed.http_client import JsonObject
 from benchmarks.mixed.scenario import Result, run_scenario
 from benchmarks.mixed.server_process import ServerProcess
@@ -75,10 +75,10 @@
     await wait_more_responses(site, STEP_RESPONSES)
     await check_serving_state_shared(predecessor, successor)
     await check_cancellation(result, site, predecessor_connection)
-    await wait_more_responses(site, SENDERS)
+    await wait_more_responses(site, FRONT_END_COUNT)
     report_count = len(site.reports.received)
     attempts = send_long_work(site, predecessor_connection)
-    await wait_more_responses(site, SENDERS)
+    await wait_more_responses(site, FRONT_END_COUNT)
     sigterm_at = time.monotonic()
     predecessor.send_signal(signal.SIGTERM)
     await predecessor.wait_state("handing over")
@@ -122,7 +122,7 @@
     if kill_point is KillPoint.BEFORE_READY:
         successor, kernel = await site.launch_without_kernel(pair.successor)
         attempts = send_long_work(site, predecessor_connection)
-        await wait_more_responses(site, SENDERS)
+        await wait_more_responses(site, FRONT_END_COUNT)
         await predecessor.kill()
         kernel.opened.set()
         await successor.wait_ready()
@@ -130,7 +130,7 @@
         successor = await site.launch(pair.successor)
         await wait_more_responses(site, STEP_RESPONSES)
         attempts = send_long_work(site, predecessor_connection)
-        await wait_more_responses(site, SENDERS)
+        await wait_more_responses(site, FRONT_END_COUNT)
         if kill_point is KillPoint.HANDING_OVER:
             predecessor.send_signal(signal.SIGTERM)
             await predecessor.wait_state("handing over")
@@ -160,7 +160,7 @@
         return await successor_killed_while_handing_over(result, site, pair, predecessor)
     if kill_point is KillPoint.BEFORE_READY:
         first, _ = await site.launch_without_kernel(pair.successor)
-        await wait_more_responses(site, SENDERS)
+        await wait_more_responses(site, FRONT_END_COUNT)
     else:
         first = await site.launch(pair.successor)
         await wait_more_responses(site, STEP_RESPONSES)
@@ -190,14 +190,14 @@
     first = await site.launch(pair.successor)
     await wait_more_responses(site, STEP_RESPONSES)
     attempts = send_long_work(site, predecessor_connection)
-    await wait_more_responses(site, SENDERS)
+    await wait_more_responses(site, FRONT_END_COUNT)
     predecessor.send_signal(signal.SIGTERM)
     await predecessor.wait_state("handing over")
     await first.kill()
     for attempt in attempts:
         await wait_response(attempt)
         result.check(attempt.status == "done", f"work in flight was answered {attempt.status or 'nothing'!r}")
-    await wait_more_responses(site, SENDERS)
+    await wait_more_responses(site, FRONT_END_COUNT)
     await site.load.stop()
     code = await predecessor.wait_end()
     result.check(code == 0, f"the predecessor ended with {code}")
--- a/benchmarks/mixed/upgrade_steps.py
+++ b/benchmarks/mixed/upgrade_steps.py
@@ -15,7 +15,7 @@
 MAX_PREDECESSOR_EXIT_S = 3.7  # from SIGTERM, where a successor serves
 LONG_WORK_US = 300_000  # still runs when the predecessor hands over
 LONG_WORK_PER_CLASS = 3  # of each class with an effect
-QUEUED_REQUESTS = 20  # more work than the cores run at once: the rest is queued
+OVERLOAD_REQUESTS = 20  # more work than the cores run at once: the rest is queued
 CANCELLED_REQUESTS = 10  # of it
 
 
@@ -111,7 +111,7 @@
     """Cancel requests at one process before they run: their work may be sent again, to any process."""
     record, request_class = site.load.record, CLASS_BY_NAME["meter-reading"]
     attempts = [
-        connection.send(record.add_work_item(request_class, LONG_WORK_US)) for _ in range(QUEUED_REQUESTS)
+        connection.send(record.add_work_item(request_class, LONG_WORK_US)) for _ in range(OVERLOAD_REQUESTS)
     ]
     cancelled = attempts[-CANCELLED_REQUESTS:]
     for attempt in cancelled:
