--- a/benchmarks/mixed/__init__.py
+++ b/benchmarks/mixed/__init__.py
@@ -1,1 +1,1 @@
-"""Two versions of the program run together: real processes on loopback, and checks of what they did."""
+"""Scenarios that run two versions of the program together as real processes on loopback, and their checks."""
--- a/benchmarks/mixed/cluster.py
+++ b/benchmarks/mixed/cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of three nodes, each of a version of its own: their files, their stores and their processes."""
+"""A cluster of three nodes whose processes may be of different versions, with their files and stores."""
 
 from __future__ import annotations
 
@@ -21,26 +21,31 @@
 NODE_NAMES = ("n1", "n2", "n3")
 LEASE_TERM_MS = 1_500
 DOCUMENTS_LEASE_MS = 1_500
-UNSAFE_TASK = "report"  # its class must not be repeated
+UNSAFE_TASK = "report"  # its request class is not safe to repeat
 TASKS: dict[str, dict[str, Any]] = {
     "sweep": {"every_ms": 250, "class": "schedule-save", "longest_ms": 250},
     "rotate": {"every_ms": 400, "class": "temp-history", "longest_ms": 250},
     UNSAFE_TASK: {"every_ms": 300, "class": "setpoint-cmd", "longest_ms": 250},
 }
-DOCUMENTS = ("settings", "tenants", "servers")  # each of the kind that it is named after
-TENANTS = {"north": 40.0, "south": 20.0}  # quotas per second of the whole service
+DOCUMENTS = ("settings", "tenants", "servers")  # each document is named after its kind
+TENANTS = {"north": 40.0, "south": 20.0}  # requests per second over all nodes
 CORES, CALL_US = 2.0, 5_000
 DRAIN_GRACE_US = 300_000
-# A predecessor closes the node's address just before its store: the successor may open the store in between,
-# and retries. The text stands in the error, whatever the log line around it says in either version.
+# A predecessor closes its listening address just before its store, so a successor may find the store still in use,
+# and retries. All versions have this error text, although their log lines around it differ.
 STORE_IN_USE = re.compile(r"voter\.sqlite is in use by another process")
 
 
 class FleetNode:
-    """One node over its restarts: the processes change, addresses and store stay."""
+    """One node over all its processes: processes are replaced, the addresses and the store are kept."""
 
     def __init__(self, cluster: Cluster, name: str) -> None:
-        """Create the node's folders and reserve its addresses."""
+        """Create the node's folders and reserve its addresses.
+
+        Args:
+            cluster: The cluster that the node belongs to.
+            name: The node's name.
+        """
         self.cluster, self.name = cluster, name
         self.folder = cluster.folder / name
         self.store = self.folder / "store"
@@ -54,16 +59,16 @@
 
     @property
     def process(self) -> ServerProcess:
-        """The process that was started last."""
+        """The most recently started process."""
         return self.processes[-1]
 
     @property
     def version(self) -> Version:
-        """The version of the process that was started last."""
+        """The version of the most recently started process."""
         return self.process.version
 
     def write_operator_file(self) -> None:
-        """Write the operator's file: the same for all versions that run this node."""
+        """Write the operator's file, which all versions of this node's processes share."""
         self.operator_file.write_text("\n".join(self._operator_file_lines()) + "\n")
 
     def _operator_file_lines(self) -> list[str]:
@@ -105,7 +110,13 @@
         return lines
 
     def write_config(self, addresses: dict[str, str], health_endpoint: HttpAddress, path: Path) -> None:
-        """Write the platform's configuration of one process; `addresses` are those of its emulators."""
+        """Write the platform's configuration for one process.
+
+        Args:
+            addresses: The addresses of the emulated `kernel` and `db`.
+            health_endpoint: Where the process listens for health checks.
+            path: The file to write.
+        """
         config = {
             **self.cluster.config,
             "name": self.name,
@@ -117,9 +128,12 @@
         path.write_text(json.dumps(config))
 
     async def start(self, version: Version) -> ServerProcess:
-        """Start a process of that version, beside the running one or after it; return when it is ready.
+        """Start a process of a version, and return it when it is ready.
 
-        Raises CheckFailedError.
+        A process of this node that still runs becomes its predecessor.
+
+        Raises:
+            CheckFailedError: The process exited or was not ready in time.
         """
         process_number = len(self.processes) + 1
         emulators = EmulatedSite(CORES, 1.0, CALL_US)
@@ -139,32 +153,45 @@
         return process
 
     async def init_group(self, version: Version) -> None:
-        """Create a new group with this node as its first voter, by that version's own command.
+        """Create a new group with this node as its first voter, with that version's `fleet init` command.
 
-        Raises CheckFailedError.
+        Raises:
+            CheckFailedError: The command failed or did not exit in time.
         """
         config = self.folder / "config-0.json"
         self.write_config({"kernel": "127.0.0.1:1", "db": "127.0.0.1:1"}, HttpAddress("127.0.0.1", 1), config)
         await version.run("fleet", "init", "--config", str(config), "--operator", str(self.operator_file))
 
     async def kill(self) -> None:
-        """Kill the process that was started last."""
+        """Kill the most recently started process with SIGKILL."""
         await self.process.kill()
 
     async def drain(self) -> None:
-        """Send SIGTERM, without a successor process, and wait for the end. Raises CheckFailedError."""
+        """Send SIGTERM without having started a successor, and wait until the process exits.
+
+        Raises:
+            CheckFailedError: The process did not exit in time, or with a code other than 0.
+        """
         code = await self.process.terminate()
         if code:
             raise ExitCodeError(self.name, code, "after SIGTERM")
 
     async def restart(self) -> None:
-        """Kill the process and start another of the same version. Raises CheckFailedError."""
+        """Kill the process and start another one of the same version.
+
+        Raises:
+            CheckFailedError: The new process exited or was not ready in time.
+        """
         version = self.version
         await self.kill()
         await self.start(version)
 
     async def upgrade(self, version: Version) -> None:
-        """Let a process of that version take over from the running one. Raises CheckFailedError."""
+        """Replace the running process by a successor of the given version in a hot restart.
+
+        Raises:
+            CheckFailedError: The successor was not ready in time, or the predecessor did not exit as expected.
+        """
         predecessor = self.process
         self.cluster.successors.append(await self.start(version))
         code = await predecessor.terminate()
@@ -173,13 +200,19 @@
 
 
 class Cluster:
-    """All nodes and the server of their tasks.
+    """All nodes and the server that their tasks call.
 
-    A context manager: no process that it started outlives it.
+    Used as a context manager, it kills all processes that it started when it exits.
     """
 
     def __init__(self, folder: Path, checkout: Path, seed: int) -> None:
-        """Prepare the cluster. The platform's configuration is that of the checkout."""
+        """Prepare the cluster.
+
+        Args:
+            folder: The folder for the files of all nodes.
+            checkout: The checkout whose platform configuration is used.
+            seed: The seed of the effect recorder.
+        """
         self.folder = folder
         self.token = secrets.token_hex(16)
         self.config: dict[str, Any] = json.loads((checkout / PLATFORM_CONFIG).read_text())
@@ -189,10 +222,10 @@
         self.effect_recorder = EffectRecorder(seed)
         self.emulators: list[EmulatedSite] = []
         self.nodes: dict[str, FleetNode] = {}
-        self.successors: list[ServerProcess] = []  # that took over from a process that served
+        self.successors: list[ServerProcess] = []  # started beside a predecessor that was serving
 
     async def __aenter__(self) -> Cluster:
-        """Write the files of all nodes and open the server of their tasks; no node is started."""
+        """Write the files of all nodes and start the server that their tasks call; no node is started."""
         (self.folder / "token").write_text(self.token)
         (self.folder / "key").write_text(secrets.token_hex(32))
         await self.effect_recorder.open(self.ports.take())
@@ -216,17 +249,17 @@
 
     @property
     def processes(self) -> list[ServerProcess]:
-        """All processes that were started, by node."""
+        """All processes that were started, grouped by node."""
         return [process for node in self.nodes.values() for process in node.processes]
 
     def others(self, node: FleetNode) -> list[FleetNode]:
-        """Return all nodes but this."""
+        """Return all nodes except the given one."""
         return [other for other in self.nodes.values() if other is not node]
 
     def read_logs(self) -> dict[str, LogFindings]:
-        """Read the logs of all processes.
+        """Read the logs of all processes, by log name.
 
-        Only a process that took over from another may have found the store still in use.
+        Only a successor in a hot restart is expected to find the store in use by another process.
         """
         return {
             process.launch.log.stem: read_log(
--- a/benchmarks/mixed/errors.py
+++ b/benchmarks/mixed/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the measurement of two versions together."""
+"""Errors of the mixed-version scenarios."""
 
 from __future__ import annotations
 
@@ -6,69 +6,113 @@
 
 
 class CannotRunError(MarlstepError):
-    """The measurement could not be made. It says nothing about the versions."""
+    """The scenarios can't be run. This is not a result about either version."""
 
     def __init__(self, version_label: str, reason: str) -> None:
-        """`reason` says what is wrong with the checkout of that version."""
+        """Build the message.
+
+        Args:
+            version_label: The version that can't be run: `old` or `new`.
+            reason: What is wrong with its checkout.
+        """
         super().__init__(f"{version_label}: {reason}")
 
 
 class CheckFailedError(MarlstepError):
-    """Something that two versions must do together did not happen. The scenario can't go on."""
+    """A required step did not succeed, so the scenario can't continue."""
 
 
 class WaitTimeoutError(CheckFailedError):
-    """A condition did not come to hold in time."""
+    """A condition did not become true in time."""
 
     def __init__(self, condition: str, timeout_s: float) -> None:
-        """`condition` is a statement that was to become true."""
-        super().__init__(f"not within {timeout_s:g} s: {condition}")
+        """Build the message.
+
+        Args:
+            condition: The condition, as a statement.
+            timeout_s: How long it was waited for, in seconds.
+        """
+        super().__init__(f"condition not met within {timeout_s:g} s: {condition}")
 
 
 class StillRunningError(CheckFailedError):
-    """A process did not end in time."""
+    """A process did not exit in time."""
 
     def __init__(self, process: str, timeout_s: float) -> None:
-        """`process` names the process or its command."""
-        super().__init__(f"{process} did not end in {timeout_s:g} s")
+        """Build the message.
+
+        Args:
+            process: The process or its command.
+            timeout_s: How long its exit was waited for, in seconds.
+        """
+        super().__init__(f"{process} did not exit within {timeout_s:g} s")
 
 
 class NoResultError(CheckFailedError):
-    """There was no result of a command in time."""
+    """A command had no result in time."""
 
     def __init__(self, node: str, command: str, timeout_s: float) -> None:
-        """`node` is where the command was submitted."""
-        super().__init__(f"the group did not answer {command} asked of {node} in {timeout_s:g} s")
+        """Build the message.
+
+        Args:
+            node: The node to which the command was submitted.
+            command: The name of the command.
+            timeout_s: How long the result was waited for, in seconds.
+        """
+        super().__init__(f"no result of {command} submitted to {node} within {timeout_s:g} s")
 
 
 class ExitCodeError(CheckFailedError):
-    """A process ended with another exit code than 0, or ended although it was to run."""
+    """A process exited with a code other than 0, or exited while it was expected to run."""
 
     def __init__(self, process: str, exit_code: int | None, details: str = "") -> None:
-        """`details`: what the process wrote last, or when it ended."""
-        super().__init__(f"{process} ended with {exit_code}" + (f": {details}" if details else ""))
+        """Build the message.
+
+        Args:
+            process: The process or its command.
+            exit_code: The exit code; None if the process was not started.
+            details: The end of the process's error output, or when it exited.
+        """
+        super().__init__(f"{process} exited with code {exit_code}" + (f": {details}" if details else ""))
 
 
 class CommandRejectedError(CheckFailedError):
-    """The cluster did not take a command that it had to take."""
+    """The cluster rejected a command that it was expected to accept."""
 
     def __init__(self, node: str, command: str, response: object) -> None:
-        """`response` is what the node gave instead of the expected result."""
-        super().__init__(f"{node}: {command} was expected to be taken, and was not: {response}")
+        """Build the message.
+
+        Args:
+            node: The node to which the command was submitted.
+            command: The command.
+            response: What the node returned instead of the expected result.
+        """
+        super().__init__(f"{node}: expected {command} to be accepted, got {response}")
 
 
 class NotElectedError(CheckFailedError):
-    """A replica did not become leader although the leaders before it were killed."""
+    """A node did not become leader although each other leader was killed."""
 
     def __init__(self, node: str, election_count: int) -> None:
-        """`elections`: how many there were."""
-        super().__init__(f"{node} did not come to lead in {election_count} elections")
+        """Build the message.
+
+        Args:
+            node: The node that was expected to become leader.
+            election_count: How many leaders were elected in the meantime.
+        """
+        super().__init__(f"{node} did not become leader in {election_count} elections")
 
 
 class CallFailedError(MarlstepError):
-    """A node did not answer an HTTP call, or answered with an error status."""
+    """A node did not answer an HTTP request, or answered with an error status."""
 
     def __init__(self, call: str, reason: str, status: int | None = None) -> None:
-        """`call` is the method and path; `status` is None where there was no response."""
+        """Build the message.
+
+        Args:
+            call: The method and the path.
+            reason: The error, or the status and the start of the response.
+            status: The HTTP status; None if there was no response.
+        """
         super().__init__(f"{call}: {reason}")
         self.status = status
--- a/benchmarks/mixed/fleet_client.py
+++ b/benchmarks/mixed/fleet_client.py
@@ -1,4 +1,4 @@
-"""Status queries and commands to the nodes of a cluster by the administration API."""
+"""Status queries and commands to the nodes of a cluster through the administration API."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from benchmarks.mixed.http_client import JsonObject
 from benchmarks.mixed.server_process import POLL_INTERVAL_S
 
-CHUNK_CHARACTERS = 1_200  # of a document in one call
+CHUNK_CHARACTERS = 1_200  # of a document's content in one call
 COMMAND_TIMEOUT_S = 10.0
 DIGEST_BYTES = 16
 ALIVE = "alive"
@@ -24,7 +24,7 @@
 
 
 async def fetch(node: FleetNode, path: str) -> JsonObject | None:
-    """Return the response of a node; None where it does not answer now."""
+    """Return a node's response to GET, or None if the call fails."""
     try:
         return await node.admin.call(path)
     except CallFailedError:
@@ -32,7 +32,7 @@
 
 
 async def fetch_all(nodes: Iterable[FleetNode], path: str) -> dict[str, JsonObject]:
-    """Return the responses by node name; nodes that do not answer are missing."""
+    """Return the responses by node name, without the nodes whose call failed."""
     queried = list(nodes)
     responses = await asyncio.gather(*(fetch(node, path) for node in queried))
     return {
@@ -41,9 +41,11 @@
 
 
 async def submit_command(node: FleetNode, command: str, arguments: Mapping[str, Any]) -> JsonObject:
-    """Submit a command at a node and return the result that the group applied.
+    """Submit a command to a node and return the result after the group has applied it.
 
-    Raises CallFailedError, and CheckFailedError where there is no result in time.
+    Raises:
+        CallFailedError: The node did not accept the call.
+        NoResultError: There was no result in time.
     """
     request_id = str((await node.admin.call(f"/v1/fleet/{command}", arguments))["asked"])
     deadline = time.monotonic() + COMMAND_TIMEOUT_S
@@ -58,22 +60,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Document:
-    """The version of a document that is in force, as a node has it."""
+    """The newest version of a document, as one node reports it."""
 
     version: int
     content: JsonObject
 
 
 async def read_document(node: FleetNode, name: str) -> Document:
-    """Read the newest version of a document. Raises CallFailedError."""
+    """Read the newest version of a document.
+
+    Raises:
+        CallFailedError: The call failed.
+    """
     newest = (await node.admin.call(f"/v1/fleet/rules/{name}"))["versions"][-1]
     return Document(int(newest["version"]), json.loads(newest["content"]))
 
 
 async def put_document(node: FleetNode, name: str, content: JsonObject, expect: int) -> JsonObject:
-    """Propose a version, uploaded in chunks.
+    """Upload a document in chunks, put it, and return the result.
+
+    The result has the number of the new version as `prepares`, or the reason of a rejection as `refused`.
+
+    Args:
+        node: The node to which the commands are submitted.
+        name: The name of the document.
+        content: The new content.
+        expect: The version that the new one is to follow.
 
-    `prepares` of the result has the number of the version, or `refused` says why there is none.
+    Raises:
+        CommandRejectedError: A chunk was rejected.
+        CallFailedError: A call failed.
+        NoResultError: A command had no result in time.
     """
     text = json.dumps(content, sort_keys=True, separators=(",", ":"))
     upload = secrets.token_hex(8)
@@ -89,14 +106,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Leadership:
-    """The node that leads, and its Raft term."""
+    """A leader and its Raft term."""
 
     node: str
     term: int
 
 
 async def find_leader(nodes: Iterable[FleetNode]) -> Leadership | None:
-    """Return the leader of the highest term; None where no node says that it leads."""
+    """Return the leader with the highest term, or None if no node reports that it leads."""
     found = None
     for name, status in (await fetch_all(nodes, "/v1/fleet")).items():
         replica = status["voter"]
@@ -106,7 +123,7 @@
 
 
 async def all_vote(nodes: Iterable[FleetNode]) -> bool:
-    """Whether all nodes name the same group of voters, which is all of them."""
+    """Whether every node votes and reports a group of exactly these voters."""
     queried = list(nodes)
     names = {node.name for node in queried}
     statuses = await fetch_all(queried, "/v1/fleet")
@@ -117,7 +134,7 @@
 
 
 async def members_agree(nodes: Iterable[FleetNode]) -> bool:
-    """Whether each node hears all as alive, in their present incarnations, and all are in the roster."""
+    """Whether each node reports all nodes as alive with their current incarnations, and all in the roster."""
     queried = list(nodes)
     members = await fetch_all(queried, "/v1/fleet/members")
     statuses = await fetch_all(queried, "/v1/fleet")
@@ -131,7 +148,7 @@
 
 
 async def documents_agree(nodes: Iterable[FleetNode], versions: Mapping[str, int]) -> bool:
-    """Whether all nodes act on these versions, and keep the same history of them."""
+    """Whether all nodes act on the given versions and report the same version history."""
     queried = list(nodes)
     views = await fetch_all(queried, "/v1/fleet/rules")
     acting = [
@@ -150,7 +167,7 @@
 
 
 async def quotas_fit(nodes: Iterable[FleetNode], full_quota: int) -> bool:
-    """Whether the shares of each tenant's quota that the nodes use together are at most the full quota."""
+    """Whether the nodes' shares of each tenant's quota add up to no more than the full quota."""
     totals: dict[str, int] = {}
     for status in (await fetch_all(nodes, "/v1/fleet/rules")).values():
         for tenant, share in (status["parts"] or {}).items():
--- a/benchmarks/mixed/http_client.py
+++ b/benchmarks/mixed/http_client.py
@@ -1,4 +1,4 @@
-"""Calls to a node's health endpoint and administration API over HTTP: one call per connection."""
+"""HTTP calls to a node's health endpoint and administration API, with one connection per call."""
 
 from __future__ import annotations
 
@@ -18,16 +18,22 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpAddress:
-    """Where a node listens for HTTP, and the bearer token that it expects; none where that is empty."""
+    """Where a node listens for HTTP, and the bearer token that it expects; an empty token is not sent."""
 
     host: str
     port: int
     token: str = ""
 
     async def call(self, path: str, body: Mapping[str, Any] | None = None, method: str = "") -> JsonObject:
-        """Send GET, or POST where there is a body, and return the JSON object of the response.
+        """Send a request and return the JSON object of the response.
 
-        Raises CallFailedError.
+        Args:
+            path: The path of the URL.
+            body: The JSON body; none if None.
+            method: The HTTP method; if empty, GET without a body and POST with one.
+
+        Raises:
+            CallFailedError: There was no valid response in time, or its status is not 200 or 202.
         """
         method = method or ("GET" if body is None else "POST")
         call = f"{method} {path}"
--- a/benchmarks/mixed/scenario.py
+++ b/benchmarks/mixed/scenario.py
@@ -1,4 +1,4 @@
-"""One scenario: run within its time, and its result."""
+"""Runs one scenario within its time limit and collects its result."""
 
 from __future__ import annotations
 
@@ -16,12 +16,20 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a scenario found."""
+    """The result of one scenario.
+
+    Attributes:
+        name: The title of the scenario.
+        failures: The failed checks and steps.
+        counts: Counts and durations for the report, by JSON key.
+        warnings: How often each warning was logged; warnings are not failures.
+        seconds: How long the scenario took, in seconds.
+    """
 
     name: str
     failures: list[str] = field(default_factory=list)
     counts: dict[str, Any] = field(default_factory=dict)
-    warnings: dict[str, int] = field(default_factory=dict)  # of the logs, by text; they are no failures
+    warnings: dict[str, int] = field(default_factory=dict)
     seconds: float = 0.0
 
     @property
@@ -30,12 +38,12 @@
         return not self.failures
 
     def check(self, holds: bool, failure: str) -> None:
-        """Add the failure unless the condition holds."""
+        """Add a failure if the condition does not hold."""
         if not holds:
             self.failures.append(failure)
 
     def check_processes(self, processes: Iterable[ServerProcess], logs: Mapping[str, LogFindings]) -> None:
-        """Check that no process ended by itself or logged an error; add up the warnings of their logs."""
+        """Check that no process exited by itself or logged an error, and count the warnings in the logs."""
         for process in processes:
             self.check(not process.ended_by_itself, f"{process.launch.log.stem} ended by itself")
         for name, findings in logs.items():
@@ -44,7 +52,7 @@
                 self.warnings[text] = self.warnings.get(text, 0) + count
 
     def to_json(self) -> dict[str, Any]:
-        """Return what the report says of this scenario."""
+        """Return the result for the report."""
         return {
             "name": self.name,
             "held": self.held,
@@ -57,9 +65,11 @@
 
 
 async def run_scenario(name: str, body: Callable[[Result], Awaitable[None]]) -> Result:
-    """Run a scenario and return what it found; a step of it that fails is a failure.
+    """Run a scenario and return its result; an error of one of its steps is a failure.
 
-    Raises CannotRunError, OSError.
+    Raises:
+        CannotRunError: A version can't be run from its checkout.
+        OSError: A file, socket or process could not be created.
     """
     result = Result(name)
     started_at = time.monotonic()
@@ -68,6 +78,6 @@
     except (CheckFailedError, CallFailedError) as error:
         result.failures.append(str(error))
     except TimeoutError:
-        result.failures.append("the scenario's time was over")
+        result.failures.append("the scenario exceeded its time limit")
     result.seconds = time.monotonic() - started_at
     return result
--- a/benchmarks/replay_again.py
+++ b/benchmarks/replay_again.py
@@ -3,8 +3,8 @@
     python benchmarks/replay_again.py [--speed S] [--nodes N] [--times N] [--for SECONDS]
 
 Each run measures its own baseline: the simulated replay, whose results are identical each time. Prints one JSON
-object with the scores of all replays and their spread: (largest - smallest) / mean. There are five replays for
-each load by default.
+object with the scores of all replays and their spread: (largest - smallest) / mean. The score is the weighted work
+that was answered in time, divided by the weighted work that was offered.
 """
 
 from __future__ import annotations
