--- a/benchmarks/mixed/front_end.py
+++ b/benchmarks/mixed/front_end.py
@@ -1,8 +1,8 @@
-"""The load of an upgrade: front ends' connections to the node's passed socket, and a record of the responses.
+"""The load on a node during an upgrade: front ends that connect to the passed socket, and a record of all responses.
 
-A piece of work has a number and, where its class has an effect, an idempotency key that its attempts share.
-Each attempt is one request with an id of its own. Frames are written and read here by the wire's own rules,
-not by the program's code.
+A work item has a number and, if its class has an effect, an idempotency key that all its attempts share. Each
+attempt is one request with its own id. Frames are encoded and parsed here as the protocol specifies, not by the
+program's own code.
 """
 
 from __future__ import annotations
@@ -15,28 +15,37 @@
 
 FRONT_END_COUNT = 8
 ATTEMPTS_PER_BATCH = 3  # on one connection
-BATCHES_PER_CONNECTION = 4  # of a connection, before its front end closes it
-RESPONSE_TIMEOUT_S = 12.0  # longer than any deadline of the classes
-LATE_RESPONSE_WAIT_S = 0.01  # a connection is still read for so long after its last response
+BATCHES_PER_CONNECTION = 4  # sent before the front end closes the connection
+RESPONSE_TIMEOUT_S = 12.0  # longer than the deadlines of all classes
+LATE_RESPONSE_WAIT_S = 0.01  # for which a connection is still read after its last response
 PAUSE_S = 0.02
-DUPLICATE_SHARE = 0.1  # of the work with a key: sent a second time before the first is answered
-REPEAT_SHARE = 0.4  # of the work with a key: sent once more after its response
+DUPLICATE_SHARE = 0.1  # of the work items with a key: repeated before the first response
+REPEAT_SHARE = 0.4  # of the work items with a key: repeated after the response
 REPEAT_DELAY_RANGE_S = (0.0, 0.6)
-MAX_LOSS_DELAY_S = 1.0  # after a process was killed its connections have ended
-MAX_REJECTED_SHARE = 0.02  # of requests that a busy machine may reject while no process was killed
-MAX_REPEATS_PER_CONNECTION = 4  # on one connection: after eight rejected requests the node closes it
+MAX_LOSS_DELAY_S = 1.0  # within which connections of a killed process are lost
+MAX_REJECTED_SHARE = 0.02  # of the requests, if no process was killed; a busy machine may reject some
+MAX_REPEATS_PER_CONNECTION = 4  # the node closes a connection after eight rejected requests
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A request class of the configuration, and the work that the load sends in it."""
+    """A request class of the configuration, and the work that the load sends in it.
+
+    Attributes:
+        name: The name of the class.
+        weight: Its relative frequency in the load.
+        work_us: The processor time of a request, in microseconds.
+        calls: The number of downstream calls of a request.
+        has_effect: Whether a request has an effect that must take place at most once.
+        shares_result: Whether a repeat gets the result of the first attempt instead of an error.
+    """
 
     name: str
-    weight: int  # in the load
+    weight: int
     work_us: int
     calls: int
     has_effect: bool
-    shares_result: bool = False  # a repeat gets the result of the first attempt; else an error
+    shares_result: bool = False
 
 
 CLASSES = (
@@ -50,7 +59,7 @@
 
 @dataclass(slots=True)
 class WorkItem:
-    """A piece of work and all attempts at it."""
+    """One unit of work and all attempts at it."""
 
     number: int
     request_class: RequestClass
@@ -59,38 +68,53 @@
 
     @property
     def idempotency_key(self) -> str:
-        """Shared by all attempts; empty where the class has no effect."""
+        """The key that all attempts share; empty if the class has no effect."""
         return f"work-{self.number}" if self.request_class.has_effect else ""
 
     @property
     def body(self) -> bytes:
-        """The request's body, as the emulated kernel reads it."""
+        """The request body in the format of the emulated kernel."""
         return b"n=%d work=%d calls=%d" % (self.number, self.work_us, self.request_class.calls)
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """A response of the node to one attempt."""
+    """A response of the node to one attempt.
+
+    Attributes:
+        status: `done`, `later` or `error`.
+        body: The body of the response.
+    """
 
-    status: str  # done, later or error
+    status: str
     body: bytes
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request for a piece of work."""
+    """One request for a work item.
+
+    Attributes:
+        work: The work item.
+        id: The id of the request.
+        sent_at: When it was sent, in monotonic seconds.
+        responses: All responses to it.
+        answered: Set when there is a response, or when the connection is lost.
+        lost_at: When its connection was lost before a response, in monotonic seconds.
+        cancelled: Whether its front end cancelled it, so that it needs no response.
+    """
 
     work: WorkItem
     id: str
     sent_at: float
     responses: list[Response] = field(default_factory=list)
     answered: asyncio.Event = field(default_factory=asyncio.Event)
-    lost_at: float | None = None  # when its connection ended without a response to it
-    cancelled: bool = False  # by its front end: no response is owed
+    lost_at: float | None = None
+    cancelled: bool = False
 
     @property
     def status(self) -> str:
-        """The status of the first response; empty where there is none."""
+        """The status of the first response; empty if there is none."""
         return self.responses[0].status if self.responses else ""
 
 
@@ -101,7 +125,11 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> list[bytes]:
-    """Read one frame. Raises asyncio.IncompleteReadError at the end of the stream."""
+    """Read one frame.
+
+    Raises:
+        asyncio.IncompleteReadError: The stream ended.
+    """
     count = int((await reader.readuntil(b"\r\n"))[1:])
     words = []
     for _ in range(count):
@@ -111,10 +139,10 @@
 
 
 class Record:
-    """All work that was sent, and responses that belong to no request."""
+    """All work items that were sent, and the responses that match no request."""
 
     def __init__(self) -> None:
-        """Begin an empty record."""
+        """Initialize an empty record."""
         self.work_items: list[WorkItem] = []
         self.unexpected_responses: list[str] = []
         self.refused_connections = 0
@@ -122,22 +150,22 @@
 
     @property
     def attempts(self) -> list[Attempt]:
-        """All attempts, by work."""
+        """All attempts, grouped by work item."""
         return [attempt for work in self.work_items for attempt in work.attempts]
 
     @property
     def response_count(self) -> int:
-        """How many attempts have a response."""
+        """The number of attempts with a response."""
         return sum(bool(attempt.responses) for attempt in self.attempts)
 
     def add_work_item(self, request_class: RequestClass, work_us: int = 0) -> WorkItem:
-        """Add a piece of work; `work_us` replaces the duration that its class has."""
+        """Add a work item; `work_us`, if not 0, replaces the processor time of its class."""
         work = WorkItem(len(self.work_items) + 1, request_class, work_us or request_class.work_us)
         self.work_items.append(work)
         return work
 
     def add_attempt(self, work: WorkItem) -> Attempt:
-        """Add an attempt, sent now."""
+        """Add an attempt that is sent now."""
         self._attempt_count += 1
         attempt = Attempt(work, f"{self._attempt_count:016x}", time.monotonic())
         work.attempts.append(attempt)
@@ -145,30 +173,34 @@
 
 
 class Connection:
-    """One connection of a front end."""
+    """One connection of a front end to the node."""
 
     def __init__(self, record: Record, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Begin to read responses; `open` connects."""
+        """Start to read responses from an open connection; use `open` to connect."""
         self._record, self._reader, self._writer = record, reader, writer
-        self.closing = False  # the node asked that nothing new be sent here
+        self.closing = False  # the node asked for no new requests on this connection
         self.ended = False
-        self.repeats = 0  # that were sent here
+        self.repeats = 0  # sent on this connection
         self._attempts_by_tag: dict[int, Attempt] = {}
         self._tag = 0
         self._reading = asyncio.get_running_loop().create_task(self._read())
 
     @staticmethod
     async def open(record: Record, port: int) -> Connection:
-        """Connect to the node on loopback. Raises OSError."""
+        """Connect to the node on loopback.
+
+        Raises:
+            OSError: The connection failed.
+        """
         return Connection(record, *await asyncio.open_connection("127.0.0.1", port))
 
     @property
     def usable(self) -> bool:
-        """Whether new requests may be sent here."""
+        """Whether new requests may be sent on this connection."""
         return not (self.closing or self.ended)
 
     def send(self, work: WorkItem) -> Attempt:
-        """Send an attempt at this work."""
+        """Send an attempt at a work item."""
         self.repeats += bool(work.attempts)
         attempt = self._record.add_attempt(work)
         self._tag += 1
@@ -183,7 +215,7 @@
         return attempt
 
     def cancel(self, attempt: Attempt) -> None:
-        """Withdraw a request: the front end does not wait for it any more."""
+        """Cancel a request on behalf of its front end."""
         attempt.cancelled = True
         tag = next(tag for tag, sent in self._attempts_by_tag.items() if sent is attempt)
         self._writer.write(encode_frame(b"FORGET", b"%d" % tag))
@@ -213,7 +245,7 @@
         attempt.answered.set()
 
     async def close(self) -> None:
-        """Read late responses for a moment, then close."""
+        """Read late responses for a short time, then close the connection."""
         await asyncio.sleep(LATE_RESPONSE_WAIT_S)
         self._writer.close()
         self._reading.cancel()
@@ -221,7 +253,7 @@
 
 
 async def wait_response(attempt: Attempt) -> None:
-    """Wait until an attempt is answered or lost; one that is neither in time stays without a response."""
+    """Wait until an attempt is answered or its connection is lost, or until the timeout."""
     try:
         await asyncio.wait_for(attempt.answered.wait(), RESPONSE_TIMEOUT_S)
     except TimeoutError:
@@ -229,10 +261,15 @@
 
 
 class Load:
-    """Front ends that send all classes and repeat some of the work with a key, until they are stopped."""
+    """Front ends that send requests of all classes, and repeat some work items with a key, until they are stopped."""
 
     def __init__(self, port: int, seed: int) -> None:
-        """Prepare the front ends; `seed` is that of their random choices."""
+        """Prepare the front ends.
+
+        Args:
+            port: The port of the passed socket on loopback.
+            seed: The seed of the front ends' random choices.
+        """
         self.port = port
         self.record = Record()
         self._random = random.Random(seed)
@@ -246,7 +283,7 @@
         self._front_end_tasks = [loop.create_task(self._run_front_end()) for _ in range(FRONT_END_COUNT)]
 
     async def stop(self) -> None:
-        """Send nothing new, wait for what is in flight, and raise what went wrong in a front end."""
+        """Send no new requests, wait for those in flight, and raise the error of a front end if one failed."""
         self._stop = True
         await asyncio.gather(*self._front_end_tasks)
 
@@ -290,7 +327,7 @@
         return work
 
     def _schedule_repeat(self, attempt: Attempt) -> None:
-        """Repeat work with a key where its response was lost, and at random where it came."""
+        """Repeat a work item with a key if its response was lost, or at random if it was answered."""
         work = attempt.work
         if not work.idempotency_key or len(work.attempts) > 2:
             return
@@ -301,19 +338,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """What the record of a load proves."""
+    """The failures that were found in the record of a load, and its counts for the report."""
 
     failures: list[str]
     counts: dict[str, int]
 
 
 def check_record(record: Record, runs: Counter[tuple[str, int]], killed_at: float | None) -> Verdict:
-    """Judge a record.
+    """Check the record of a load.
 
-    `runs` is how often each piece of work was started, by class and number, over all processes. `killed_at` is
-    when a process with connections was killed, on the monotonic clock; None where none was.
+    Args:
+        record: The record.
+        runs: How often each work item was started over all processes, by class and number.
+        killed_at: When a process with connections was killed, in monotonic seconds; None if none was.
     """
-    failures = [f"an answer to no request: {response}" for response in record.unexpected_responses]
+    failures = [f"a response to no request: {response}" for response in record.unexpected_responses]
     for work in record.work_items:
         failures += _check_work_item(work, runs[work.request_class.name, work.number], killed_at)
     outcomes = Counter(attempt.status or _outcome_without_response(attempt) for attempt in record.attempts)
@@ -338,7 +377,7 @@
     if work.request_class.has_effect and runs > 1:
         failures.append(f"{label} ran {runs} times")
     if not runs and any(attempt.status == "done" for attempt in work.attempts):
-        failures.append(f"{label} was answered done and never ran")
+        failures.append(f"{label} was answered done but never ran")
     return failures
 
 
@@ -354,8 +393,12 @@
         matches = response.body.split()[-1:] == [b"%d" % attempt.work.number]
         return [] if matches else [f"{label} got the result of other work: {response.body[:40]!r}"]
     if response.status == "error" and not _may_fail(attempt.work, killed_at):
-        return [f"{label} failed"]
-    return [] if response.status in ("later", "error") else [f"{label} was answered {response.status!r}"]
+        return [f"{label} was answered with an unexpected error"]
+    return (
+        []
+        if response.status in ("later", "error")
+        else [f"{label} was answered with an unknown status: {response.status!r}"]
+    )
 
 
 def _outcome_without_response(attempt: Attempt) -> str:
@@ -369,7 +412,7 @@
 
 
 def _may_fail(work: WorkItem, killed_at: float | None) -> bool:
-    """Whether it is a repeat of work that may have run, and whose result is not shared or not known."""
+    """Whether the work item was repeated after it may have run, and its result is not shared or not known."""
     repeated = len(work.attempts) > 1 and work.request_class.has_effect
     unknown = killed_at is not None or any(attempt.cancelled for attempt in work.attempts)
     return repeated and (unknown or not work.request_class.shares_result)
--- a/benchmarks/mixed/scenario.py
+++ b/benchmarks/mixed/scenario.py
@@ -45,7 +45,7 @@
     def check_processes(self, processes: Iterable[ServerProcess], logs: Mapping[str, LogFindings]) -> None:
         """Check that no process exited by itself or logged an error, and count the warnings in the logs."""
         for process in processes:
-            self.check(not process.ended_by_itself, f"{process.launch.log.stem} ended by itself")
+            self.check(not process.ended_by_itself, f"{process.launch.log.stem} exited by itself")
         for name, findings in logs.items():
             self.failures += [f"log of {name}: {line}" for line in findings.errors[:MAX_SHOWN_LOG_LINES]]
             for text, count in findings.warnings.items():
--- a/benchmarks/mixed/server_process.py
+++ b/benchmarks/mixed/server_process.py
@@ -1,4 +1,4 @@
-"""One process of the program: its start and end, its health endpoint and its log."""
+"""One process of the program: its start, its exit, its health endpoint and its log."""
 
 from __future__ import annotations
 
@@ -20,14 +20,23 @@
 READY_TIMEOUT_S = 15.0
 EXIT_TIMEOUT_S = 8.0
 POLL_INTERVAL_S = 0.02
-MAX_WARNING_CHARACTERS = 300  # of a line that are kept: its reason may stand at its end
+MAX_WARNING_CHARACTERS = 300  # kept of each warning; the reason may be at the end of the line
 LOG_LINE = re.compile(r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3} (?P<level>[A-Z]+) (?P<text>.*)")
 ORDINARY_LEVELS = ("DEBUG", "INFO")
 DIGITS = re.compile(r"\d+")
 
 
 async def wait_until(condition: str, holds: Callable[[], Awaitable[bool]], timeout_s: float) -> None:
-    """Poll until the condition holds. Raises CheckFailedError, with the condition, when the time is over."""
+    """Poll until a condition holds.
+
+    Args:
+        condition: The condition, as a statement for the error message.
+        holds: Returns whether the condition holds.
+        timeout_s: How long to poll, in seconds.
+
+    Raises:
+        WaitTimeoutError: The condition did not become true in time.
+    """
     deadline = time.monotonic() + timeout_s
     while not await holds():
         if time.monotonic() > deadline:
@@ -37,11 +46,16 @@
 
 @dataclass(slots=True)
 class LogFindings:
-    """What a process logged besides its ordinary lines."""
+    """The errors and warnings in the log of a process.
+
+    Attributes:
+        errors: The lines of errors that were not expected, and lines that are not in the log's format, such as those
+            of a traceback.
+        warnings: How often each warning was logged. Digits are replaced, so that warnings that differ only in
+            numbers are counted together.
+    """
 
-    # Without the expected ones, and with lines that are not in the log's layout, as those of a traceback.
     errors: list[str] = field(default_factory=list)
-    # By text with its digits replaced, so that equal warnings are counted together.
     warnings: Counter[str] = field(default_factory=Counter)
 
 
@@ -61,31 +75,44 @@
 
 @dataclass(slots=True, frozen=True)
 class Launch:
-    """What a process is started with."""
-
-    config: Path  # the platform's configuration, JSON
-    listening: socket.socket  # the passed socket, which the platform holds for all versions
-    temporary_folder: Path  # holds the socket where processes of one node find each other
+    """What a process is started with.
+
+    Attributes:
+        config: The file of the platform's configuration, JSON.
+        listening: The passed socket, which the platform keeps open for all processes of the node.
+        temporary_folder: The folder of the sockets by which processes of one node find each other.
+        health_endpoint: Where the process listens for health checks.
+        log: The file to which its standard error is appended.
+        operator_file: The operator's file, if there is one.
+    """
+
+    config: Path
+    listening: socket.socket
+    temporary_folder: Path
     health_endpoint: HttpAddress
     log: Path
-    operator_file: Path | None = None  # the operator's file
+    operator_file: Path | None = None
 
 
 class ServerProcess:
-    """A process of one version, started once."""
+    """A process of one version, which is started once."""
 
     def __init__(self, version: Version, launch: Launch) -> None:
-        """Prepare the process; `start` starts it."""
+        """Prepare the process without starting it."""
         self.version, self.launch = version, launch
         self.ended_on_purpose = False
-        self.killed_at: float | None = None  # on the monotonic clock
+        self.killed_at: float | None = None  # monotonic time in seconds
         self._process: asyncio.subprocess.Process | None = None
 
     def _arguments(self) -> Sequence[str]:
         return () if self.launch.operator_file is None else ("--operator", str(self.launch.operator_file))
 
     async def start(self) -> None:
-        """Start the process, its standard error appended to its log. Raises OSError."""
+        """Start the process and append its standard error to its log.
+
+        Raises:
+            OSError: The process could not be created.
+        """
         launch = self.launch
         descriptor = launch.listening.fileno()
         variables = {
@@ -110,21 +137,21 @@
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code; None before the start and while it runs."""
+        """The exit code; None if the process was not started or still runs."""
         return None if self._process is None else self._process.returncode
 
     @property
     def running(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self._process is not None and self.exit_code is None
 
     @property
     def ended_by_itself(self) -> bool:
-        """Whether it ended without a signal from here."""
+        """Whether the process exited although none of the signals here was sent to it."""
         return self._process is not None and not self.running and not self.ended_on_purpose
 
     async def state(self) -> str:
-        """Return the serving state at its health endpoint; empty where it does not answer."""
+        """Return the serving state that the health endpoint reports; empty if it does not answer."""
         try:
             health = await self.launch.health_endpoint.call("/admin/health")
         except CallFailedError:
@@ -132,17 +159,30 @@
         return str(health["state"])
 
     async def is_ready(self) -> bool:
-        """Whether its health endpoint answers. Raises CheckFailedError where the process has ended."""
+        """Whether the health endpoint answers.
+
+        Raises:
+            ExitCodeError: The process has exited.
+        """
         if not self.running:
             raise ExitCodeError(self._name, self.exit_code, "before it was ready")
         return bool(await self.state())
 
     async def wait_ready(self) -> None:
-        """Wait until it serves. Raises CheckFailedError."""
+        """Wait until the process is ready: its health endpoint answers.
+
+        Raises:
+            ExitCodeError: The process has exited.
+            WaitTimeoutError: The process was not ready in time.
+        """
         await wait_until(f"{self._name} is ready", self.is_ready, READY_TIMEOUT_S)
 
     async def wait_state(self, wanted: str, timeout_s: float = 3.0) -> None:
-        """Wait until it is in that serving state. Raises CheckFailedError."""
+        """Wait until the health endpoint reports a serving state.
+
+        Raises:
+            WaitTimeoutError: The process did not reach the state in time.
+        """
 
         async def reached() -> bool:
             return await self.state() == wanted
@@ -150,14 +190,18 @@
         await wait_until(f"{self._name} is {wanted!r}", reached, timeout_s)
 
     def send_signal(self, signal_number: signal.Signals) -> None:
-        """Send a signal that is to end the process."""
+        """Send a signal that makes the process exit."""
         self.ended_on_purpose = True
         if self._process is not None:
             with contextlib.suppress(ProcessLookupError):
                 self._process.send_signal(signal_number)
 
     async def wait_end(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
-        """Wait for the end and return the exit code. Raises CheckFailedError when the time is over."""
+        """Wait until the process exits and return its exit code.
+
+        Raises:
+            StillRunningError: The process did not exit in time.
+        """
         assert self._process is not None
         try:
             return await asyncio.wait_for(self._process.wait(), timeout_s)
@@ -165,12 +209,16 @@
             raise StillRunningError(self._name, timeout_s) from None
 
     async def terminate(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
-        """Send SIGTERM and return the exit code. Raises CheckFailedError where it does not end in time."""
+        """Send SIGTERM, wait until the process exits and return its exit code.
+
+        Raises:
+            StillRunningError: The process did not exit in time.
+        """
         self.send_signal(signal.SIGTERM)
         return await self.wait_end(timeout_s)
 
     async def kill(self) -> None:
-        """Send SIGKILL and wait for the end."""
+        """Send SIGKILL and wait until the process exits."""
         self.killed_at = time.monotonic()
         self.send_signal(signal.SIGKILL)
         if self._process is not None:
--- a/benchmarks/mixed/task_record.py
+++ b/benchmarks/mixed/task_record.py
@@ -1,4 +1,4 @@
-"""What the record of the tasks' server proves about leases that moved between versions."""
+"""Checks of the recorded effects of tasks whose leases moved between versions."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def accepted(effects: Iterable[Effect]) -> list[Effect]:
-    """Return the runs of tasks that the server accepted, without the fences."""
+    """Return the effects of runs that the server accepted; effects that only announce a token (`fence`) are left out."""
     return [effect for effect in effects if effect.accepted and not effect.fence]
 
 
 def latest_effects(effects: Iterable[Effect]) -> dict[str, Effect]:
-    """Return the last accepted act of each task."""
+    """Return the latest accepted effect of each task, by task."""
     return {effect.task: effect for effect in accepted(effects)}
 
 
 def holder_changes(effects: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
-    """Yield the last act of a holder and the first of the next, for each task."""
+    """Yield the last effect of each holder of a task's lease and the first effect of the next holder."""
     last_effects: dict[str, Effect] = {}
     for effect in accepted(effects):
         last = last_effects.get(effect.task)
@@ -37,7 +37,12 @@
 def count_crossings(
     effects: Iterable[Effect], version_by_process: Mapping[str, str]
 ) -> Counter[tuple[str, str]]:
-    """Count changes of holder, by task and by the versions of the two processes, as `old to new`."""
+    """Count the changes of holder by task and by the versions of the two processes, as `old to new`.
+
+    Args:
+        effects: The recorded effects.
+        version_by_process: The version label of each process, by the process's name in the effects.
+    """
     return Counter(
         (
             last.task,
@@ -48,9 +53,9 @@
 
 
 def runs_repeated_under_one_token(effects: Iterable[Effect]) -> Iterator[Effect]:
-    """Yield runs accepted twice under one grant.
+    """Yield the effects of runs that were already accepted under the same token.
 
-    Only a later holder may repeat a run, also that of an idempotent task.
+    A run may only be repeated by a later holder, even if its task is idempotent.
     """
     seen: set[tuple[str, int, int]] = set()
     for effect in accepted(effects):
@@ -60,24 +65,23 @@
 
 
 def check_effects(effects: Sequence[Effect], unsafe_tasks: frozenset[str]) -> list[str]:
-    """Return what must not be in the record."""
+    """Return a failure for each contradiction in the recorded effects."""
     failures = [
-        f"acts of two holders overlap: {first} {second}" for first, second in overlapping_effects(effects)
+        f"effects of two holders overlap: {first} {second}" for first, second in overlapping_effects(effects)
     ]
     failures += [
         f"an older token was accepted: {first} {second}" for first, second in stale_tokens_accepted(effects)
     ]
+    failures += [f"two nodes used one token: {first} {second}" for first, second in shared_tokens(effects)]
     failures += [
-        f"two nodes acted under one token: {first} {second}" for first, second in shared_tokens(effects)
-    ]
-    failures += [
-        f"a run was done twice: {first} {second}" for first, second in repeated_runs(effects, unsafe_tasks)
+        f"an unsafe run took place twice: {first} {second}"
+        for first, second in repeated_runs(effects, unsafe_tasks)
     ]
     failures += [
         f"a run was repeated under one token: {effect}" for effect in runs_repeated_under_one_token(effects)
     ]
     failures += [
-        f"the token did not grow with the holder: {last} {first}"
+        f"the token did not increase with the change of holder: {last} {first}"
         for last, first in holder_changes(effects)
         if first.token <= last.token
     ]
--- a/benchmarks/mixed/versions.py
+++ b/benchmarks/mixed/versions.py
@@ -1,4 +1,4 @@
-"""A version of the program under test: its checkout, and how its commands are run there."""
+"""One version of the program under test: its checkout and how to run its commands."""
 
 from __future__ import annotations
 
@@ -15,40 +15,54 @@
 MAX_SHOWN_ERROR_CHARACTERS = 400
 SHOW_PACKAGE = "import marlstep; print(marlstep.__file__)"
 PROGRAM = "marlstep"
-PROGRAM_FOLDERS = ("marlstep", "petrelcart")  # the latter in older versions only
+PROGRAM_FOLDERS = ("marlstep", "petrelcart")  # petrelcart in older versions only
 
 
 @dataclass(slots=True, frozen=True)
 class Version:
-    """One version of the program, run from a checkout of its own."""
+    """One version of the program, which is run from its own checkout.
 
-    label: str  # "old" or "new"
+    Attributes:
+        label: `old` or `new`.
+        checkout: The absolute path of the checkout.
+        commit: The commit that is checked out.
+        modified: Whether files of the program differ from the commit.
+    """
+
+    label: str
     checkout: Path
     commit: str
-    modified: bool  # files of the program differ from the commit
+    modified: bool
 
     def environment(self, extra: Mapping[str, str] | None = None) -> dict[str, str]:
-        """Return the environment of a process of this version: only this checkout is on its path."""
+        """Return the environment for a process of this version, with only its checkout on the import path."""
         inherited = {name: value for name, value in os.environ.items() if not name.startswith("PROXY_")}
         return {**inherited, "PYTHONPATH": str(self.checkout), **(extra or {})}
 
     def command(self, *arguments: str) -> list[str]:
-        """Return the command line of the program, by the interpreter that runs this measurement."""
+        """Return the command line of the program, run by the current interpreter."""
         return [sys.executable, "-m", PROGRAM, *arguments]
 
     async def run(self, *arguments: str) -> str:
-        """Run one command of the program to its end; return its standard output. Raises CheckFailedError."""
+        """Run a command of the program and return its standard output.
+
+        Raises:
+            StillRunningError: The command did not exit in time.
+            ExitCodeError: The command exited with a code other than 0.
+        """
         return await run_program(self.command(*arguments), self.checkout, self.environment())
 
     def describe(self) -> dict[str, object]:
-        """Return what the report says of this version."""
+        """Return the description of this version for the report."""
         return {"commit": self.commit, "modified": self.modified}
 
 
 async def run_program(arguments: Sequence[str], folder: Path, environment: Mapping[str, str]) -> str:
-    """Run a program to its end and return its standard output.
+    """Run a program and return its standard output.
 
-    Raises CheckFailedError where it does not end in time, or with another exit code than 0.
+    Raises:
+        StillRunningError: The program did not exit in time.
+        ExitCodeError: The program exited with a code other than 0.
     """
     process = await asyncio.create_subprocess_exec(
         *arguments,
@@ -73,12 +87,17 @@
 
 
 async def open_version(label: str, checkout: Path) -> Version:
-    """Check that the program can be started from this folder, an absolute path, and nowhere else.
+    """Check that the program can be run from a checkout and is imported from there.
 
-    Raises CannotRunError.
+    Args:
+        label: `old` or `new`.
+        checkout: The absolute path of the checkout.
+
+    Raises:
+        CannotRunError: The folder is missing or no checkout, or the program is imported from elsewhere.
     """
     if not await asyncio.to_thread(checkout.is_dir):
-        raise CannotRunError(label, f"{checkout} is no folder")
+        raise CannotRunError(label, f"expected a folder: {checkout}")
     version = Version(label, checkout, "", modified=False)
     environment = version.environment()
     try:
@@ -90,5 +109,7 @@
     except (CheckFailedError, OSError) as error:
         raise CannotRunError(label, str(error)) from error
     if not Path(package.strip()).is_relative_to(checkout):
-        raise CannotRunError(label, f"the program would be loaded from {package.strip()}")
+        raise CannotRunError(
+            label, f"expected the program to be imported from its checkout, got {package.strip()}"
+        )
     return Version(label, checkout, commit.strip(), bool(changes.strip()))
