--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -1,4 +1,4 @@
-"""A cluster of three nodes, one of them of another version than the two others."""
+"""The scenario of a cluster of three nodes, one of which is of another version than the two others."""
 
 from __future__ import annotations
 
@@ -41,31 +41,39 @@
 AGREEMENT_TIMEOUT_S = 12.0
 LEASE_MOVE_TIMEOUT_S = 12.0
 LEADER_TIMEOUT_S = 8.0
-MAX_ELECTIONS = 8  # until the wanted node leads
+MAX_ELECTIONS = 8  # until the odd node leads
 COMPACTION_TIMEOUT_S = 20.0
-FILLERS_PER_NODE = 8  # tasks at each node that write entries of the log at the same time
-REJECTED_PAUSE_S = 0.01  # pause of a filler whose command was rejected
-ENTRIES_KEPT_BEHIND_SNAPSHOT = 500  # entries of the log: one that lags by more gets the snapshot
-# A node's counters of messages that it could not read.
+FILLERS_PER_NODE = 8  # concurrent tasks that append log entries
+REJECTED_PAUSE_S = 0.01  # after a rejected command
+ENTRIES_KEPT_BEHIND_SNAPSHOT = 500  # a replica that lags by more entries needs the snapshot
+# A node's counters of messages that it could not read; the names are those of its status response.
 UNREADABLE_COUNTERS = ("corrupt", "corrupt datagrams", "another fleet", "another group", "too large")
-FULL_QUOTA = 1_000_000  # shares of a quota are millionths
+FULL_QUOTA = 1_000_000  # shares of a quota are in millionths
 UNSAFE_TASKS = frozenset({UNSAFE_TASK})
 OLD_TO_NEW, NEW_TO_OLD = "old to new", "new to old"
 
 
 @dataclass(slots=True)
 class Run:
-    """One cluster under test. `odd` is the node whose version the two others do not have."""
+    """One run of the scenario on its cluster.
+
+    Attributes:
+        cluster: The cluster.
+        result: The result of the scenario.
+        odd: The node whose version the two other nodes do not have.
+        odd_version: The version of the odd node.
+        majority_version: The version of the two other nodes.
+        versions: The expected version number of each document.
+        version_by_process: The version label of each process, by `node/boot id`.
+    """
 
     cluster: Cluster
     result: Result
     odd: FleetNode
     odd_version: Version
     majority_version: Version
-    versions: dict[str, int] = field(default_factory=dict)  # of the documents in force
-    version_by_process: dict[str, str] = field(
-        default_factory=dict
-    )  # of each process, by its name in the fleet
+    versions: dict[str, int] = field(default_factory=dict)
+    version_by_process: dict[str, str] = field(default_factory=dict)
 
     @property
     def nodes(self) -> list[FleetNode]:
@@ -74,39 +82,50 @@
 
     @property
     def majority(self) -> list[FleetNode]:
-        """The two nodes of the same version."""
+        """The two nodes that are of the same version."""
         return self.cluster.others(self.odd)
 
     async def record_processes(self) -> None:
-        """Note which process is of which version; check that none got messages that it could not read."""
+        """Record the version of each running process, and check that none received unreadable messages."""
         for name, status in (await fetch_all(self.nodes, "/v1/fleet")).items():
             version = self.cluster.nodes[name].version.label
             self.version_by_process[f"{name}/{status['boot']}"] = version
             for counter in UNREADABLE_COUNTERS:
                 count = status["lines"].get(counter, 0)
-                self.result.check(not count, f"{name} ({version}) counts {count} messages as {counter!r}")
+                self.result.check(
+                    not count, f"{name} ({version}) counted {count} unreadable messages as {counter!r}"
+                )
 
     async def wait_converged(self) -> None:
-        """Wait until all vote, all are members, and all act on the same versions. Raises CheckFailedError."""
+        """Wait until all nodes vote, are members, and act on the expected versions of all documents.
+
+        Raises:
+            WaitTimeoutError: One of this did not happen in time.
+        """
         await wait_until("all nodes vote", lambda: all_vote(self.nodes), FORMATION_TIMEOUT_S)
         await wait_until("all nodes agree on members", lambda: members_agree(self.nodes), AGREEMENT_TIMEOUT_S)
         await self.wait_documents()
         await self.record_processes()
 
     async def wait_documents(self) -> None:
-        """Wait until all act on the expected versions. Raises CheckFailedError."""
+        """Wait until all nodes act on the expected versions of all documents.
+
+        Raises:
+            WaitTimeoutError: They did not in time.
+        """
 
         async def agree() -> bool:
             fits = await quotas_fit(self.nodes, FULL_QUOTA)
-            self.result.check(fits, "the nodes use more than the whole of a quota")
+            self.result.check(fits, "the nodes use more than the full quota of a tenant")
             return await documents_agree(self.nodes, self.versions)
 
         await wait_until(f"all nodes act on {self.versions}", agree, AGREEMENT_TIMEOUT_S)
 
     async def wait_holders(self, allowed: list[FleetNode]) -> None:
-        """Wait until each task was done by one of these, in an act that began after now.
+        """Wait until the latest effect of each task is from one of the allowed nodes and began after this call.
 
-        Raises CheckFailedError.
+        Raises:
+            WaitTimeoutError: This did not happen in time.
         """
         since, names = clock_us(), {node.name for node in allowed}
 
@@ -117,28 +136,32 @@
                 for effect in latest_by_task.values()
             )
 
-        await wait_until(f"all tasks are done by {sorted(names)}", all_tasks_ran, LEASE_MOVE_TIMEOUT_S)
+        await wait_until(
+            f"the latest effects of all tasks are from {sorted(names)}", all_tasks_ran, LEASE_MOVE_TIMEOUT_S
+        )
         await self.record_processes()
 
 
 async def form(run: Run) -> None:
-    """Create the group at the odd node and let the two others join it."""
+    """Create the group at the odd node and let the two other nodes join it."""
     await run.odd.init_group(run.odd_version)
     await run.odd.start(run.odd_version)
     for node in run.majority:
         await node.start(run.majority_version)
-    run.versions = dict.fromkeys(DOCUMENTS, 1)  # what a node's own files say is proposed as the first
+    run.versions = dict.fromkeys(
+        DOCUMENTS, 1
+    )  # the first version of each document is that of the nodes' files
     await run.wait_converged()
     await run.wait_holders(run.nodes)
 
 
-# Documents.
+# Steps that put documents.
 
 
 def changed_content(name: str, content: JsonObject, step: int) -> JsonObject:
-    """Return the document with another figure.
+    """Return a copy of a document's content with one number changed by `step`.
 
-    A list of servers stays as it is: a new version may say the same.
+    The content of `servers` is not changed: a new version may have the same content.
     """
     content = copy.deepcopy(content)
     if name == "settings":
@@ -149,7 +172,10 @@
 
 
 async def put_from_each(run: Run) -> None:
-    """Change each document at each node in turn; all must act on it. A stale expected version is rejected."""
+    """Put a new version of each document at each node in turn, and wait until all nodes act on it.
+
+    Also check that a put with a stale expected version is rejected.
+    """
     for step, node in enumerate(run.nodes, 1):
         for name in DOCUMENTS:
             before = await read_document(node, name)
@@ -161,11 +187,11 @@
             run.versions[name] += 1
             await run.wait_documents()
             stale = await put_document(node, name, before.content, before.version)
-            run.result.check("refused" in stale, f"{node.name}: a stale put of {name} was taken: {stale}")
+            run.result.check("refused" in stale, f"{node.name}: a stale put of {name} was accepted: {stale}")
 
 
 async def put_by_commands(run: Run) -> None:
-    """Change a document with each version's command line, at a node of the other version."""
+    """Put a new version of a document with each version's command line, at a node of the other version."""
     for version, node in ((run.odd_version, run.majority[0]), (run.majority_version, run.odd)):
         before = await read_document(node, "tenants")
         path = run.cluster.folder / f"tenants-{version.label}.json"
@@ -179,13 +205,13 @@
     await run.wait_documents()
 
 
-# Leases.
+# Steps that move leases and leadership.
 
 
 async def move_leases(run: Run) -> None:
-    """Move the leases away from the odd node, back to it alone, and away again.
+    """Move the leases from the odd node to the others, back to the odd node alone, and to the others again.
 
-    Nodes are removed from the roster, killed and terminated in turn.
+    The moves are caused by a removal from the roster, by a removal together with a kill, and by a drain.
     """
     killed, removed = run.majority
     await submit_command(killed, "members/remove", {"node": run.odd.name})
@@ -205,7 +231,7 @@
 
 
 async def let_odd_lead(run: Run) -> None:
-    """Kill leaders until the odd node leads, then change a document under its lead."""
+    """Kill leaders until the odd node leads, then put new versions of a document under its leadership."""
     for _ in range(MAX_ELECTIONS):
         leader = await wait_leader(run)
         if leader is run.odd:
@@ -220,7 +246,11 @@
 
 
 async def wait_leader(run: Run) -> FleetNode:
-    """Wait for a leader and return it. Raises CheckFailedError."""
+    """Wait for a leader and return its node.
+
+    Raises:
+        WaitTimeoutError: No node led in time.
+    """
     found = await find_leader(run.nodes)
 
     async def leader_found() -> bool:
@@ -233,13 +263,13 @@
     return run.cluster.nodes[found.node]
 
 
-# Snapshots.
+# The step that installs a snapshot.
 
 
 async def install_snapshot(run: Run) -> None:
-    """Keep the odd node down until the others' log is compacted beyond its own.
+    """Kill the odd node, let the leader compact its log past the odd node's log, and start the odd node again.
 
-    When it is back it must install their snapshot.
+    It must then install a snapshot, since the log entries that it lacks no longer exist.
     """
     last_index = int((await run.odd.admin.call("/v1/fleet"))["voter"]["last"])
     await run.odd.kill()
@@ -249,11 +279,11 @@
     status = await fetch(run.odd, "/v1/fleet")
     installed = 0 if status is None else status["voter"]["counts"]["snapshots"]
     run.result.counts["snapshots_installed"] = installed
-    run.result.check(installed > 0, f"{run.odd.name} came back without a snapshot")
+    run.result.check(installed > 0, f"{run.odd.name} installed no snapshot after its restart")
 
 
 async def fill_log(run: Run, last_index: int) -> None:
-    """Write commands that change nothing, until the leader's log begins after that entry."""
+    """Append entries without effect to the log until the leader's log is compacted past `last_index`."""
 
     async def compacted() -> bool:
         leader = await find_leader(run.majority)
@@ -272,19 +302,19 @@
 
 
 async def send_reads(node: FleetNode) -> None:
-    """Read through the log, one read after another, until cancelled."""
+    """Send reads that go through the log, one after another, until cancelled."""
     while True:
         with contextlib.suppress(CallFailedError):
             await node.admin.call("/v1/fleet/rules/get", {"doc": "settings"})
             continue
-        await asyncio.sleep(REJECTED_PAUSE_S)  # as many are on their way as a node may have
+        await asyncio.sleep(REJECTED_PAUSE_S)  # the node has its maximum of pending commands
 
 
-# Stores.
+# The step that exchanges stores between versions.
 
 
 async def exchange_stores(run: Run) -> None:
-    """Let the other version open the odd node's store after a kill, and its own after a hot restart."""
+    """Run the odd node's store with the other version after a kill, then with its own version after a hot restart."""
     identity = await replica_identity(run.odd)
     await run.odd.kill()
     await run.odd.start(run.majority_version)
@@ -297,16 +327,16 @@
 
 
 async def replica_identity(node: FleetNode) -> str:
-    """Return the identity under which a node votes; empty where it does not."""
+    """Return the identity under which a node votes; empty if it does not vote."""
     status = await fetch(node, "/v1/fleet")
     return "" if status is None or not status["voter"] else str(status["voter"]["identity"])
 
 
 async def check_store(run: Run, identity: str) -> None:
-    """Check that the same replica goes on with the same file."""
+    """Check that the odd node votes under the same identity and has not set its store aside."""
     current_identity = await replica_identity(run.odd)
     run.result.check(
-        current_identity == identity, f"{run.odd.name} votes as {current_identity}, and was {identity}"
+        current_identity == identity, f"{run.odd.name} votes as {current_identity}, expected {identity}"
     )
     set_aside = [path.name for path in run.odd.store.iterdir() if "aside" in path.name]
     run.result.check(not set_aside, f"{run.odd.name} set its store aside: {set_aside}")
@@ -323,7 +353,7 @@
 
 
 def check_run(run: Run) -> None:
-    """Judge the whole record at the end."""
+    """Check the recorded effects, the processes and the logs, and add their counts to the result."""
     recorded_effects = list(run.cluster.effect_recorder.effects)
     run.result.failures += check_effects(recorded_effects, UNSAFE_TASKS)
     crossings = count_crossings(recorded_effects, run.version_by_process)
@@ -344,7 +374,14 @@
 
 
 async def run_fleet(folder: Path, odd: Version, majority: Version, seed: int) -> Result:
-    """Run all steps on one cluster: its first node has the one version, the others have the other."""
+    """Run all steps of the scenario on one cluster and return the result.
+
+    Args:
+        folder: The folder for the files of the cluster.
+        odd: The version of the first node.
+        majority: The version of the two other nodes.
+        seed: The seed of the effect recorder.
+    """
 
     async def run_steps(result: Result) -> None:
         async with asyncio.timeout(SCENARIO_TIMEOUT_S), Cluster(folder, majority.checkout, seed) as cluster:
@@ -366,7 +403,12 @@
 
 
 async def run_fleets(folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
-    """Run both clusters, one after the other. Raises CannotRunError, OSError."""
+    """Run the scenario with an old node among new ones, then with a new node among old ones.
+
+    Raises:
+        CannotRunError: A version can't be run from its checkout.
+        OSError: A file, socket or process could not be created.
+    """
     results = []
     for odd, majority in ((old, new), (new, old)):
         scenario_folder = folder / f"fleet-{odd.label}-among-{majority.label}"
--- a/benchmarks/mixed/task_record.py
+++ b/benchmarks/mixed/task_record.py
@@ -15,7 +15,7 @@
 
 
 def accepted(effects: Iterable[Effect]) -> list[Effect]:
-    """Return the effects of runs that the server accepted; effects that only announce a token (`fence`) are left out."""
+    """Return the effects of runs that the server accepted, without those that only announce a token (`fence`)."""
     return [effect for effect in effects if effect.accepted and not effect.fence]
 
 
--- a/benchmarks/mixed/upgrade_scenarios.py
+++ b/benchmarks/mixed/upgrade_scenarios.py
@@ -1,6 +1,6 @@
-"""A predecessor process of one version and a successor of the other on one passed socket, under load.
+"""Scenarios of a predecessor of one version and a successor of the other on one passed socket, under load.
 
-The upgrade completes, is aborted, or one of the two is killed in the middle of it.
+The hot restart completes or is aborted, or one of the two processes is killed during it.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
 from benchmarks.mixed.versions import Version
 
 SCENARIO_TIMEOUT_S = 40.0
-STEP_RESPONSES = 60  # between two steps of a scenario
+STEP_RESPONSES = 60  # responses to wait for between two steps of a scenario
 DRAIN_GRACE_US = 800_000
 LONGEST_DEADLINE_US = 4_000_000
-# After which the predecessor has the capacity again that a killed successor had: docs/operators/daily.md.
+# After this time the predecessor has reclaimed the capacity of a killed successor: docs/operators/daily.md.
 CAPACITY_RETURN_DELAY_S = MAX_PREDECESSOR_EXIT_S + LONGEST_DEADLINE_US / 1e6 + 0.5
 READY_REPORT, NOT_READY_REPORT = f"renew {NODE} yes".encode(), f"renew {NODE} no".encode()
 
 
 class KillPoint(enum.StrEnum):
-    """Where in the hot restart a process is killed."""
+    """When during the hot restart a process is killed. The values are part of the scenarios' titles."""
 
     BEFORE_READY = "before the successor is ready"
     BOTH_SERVE = "as both serve"
@@ -61,12 +61,12 @@
 
     @property
     def name(self) -> str:
-        """The direction of the upgrade, as the report names it."""
+        """The direction of the upgrade, for the report."""
         return f"{self.predecessor.label} to {self.successor.label}"
 
 
 async def complete_upgrade(result: Result, site: UpgradeSite, pair: VersionPair) -> float | None:
-    """Complete an upgrade: no request is lost, and no work with an effect runs twice."""
+    """Complete an upgrade: no request may be lost, and no work with an effect may run twice."""
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
     await wait_more_responses(site, STEP_RESPONSES)
@@ -96,14 +96,14 @@
 
 
 async def successor_terminated(result: Result, site: UpgradeSite, pair: VersionPair) -> float | None:
-    """Abort the upgrade as both serve: the predecessor goes on, and no request is lost."""
+    """Terminate the successor while both serve: the predecessor continues, and no request may be lost."""
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
     await wait_more_responses(site, STEP_RESPONSES)
     successor = await site.launch(pair.successor)
     await wait_more_responses(site, STEP_RESPONSES)
     code = await successor.terminate()
-    result.check(code == 0, f"the successor ended with {code}")
+    result.check(code == 0, f"the successor exited with code {code}")
     await wait_more_responses(site, STEP_RESPONSES)
     await predecessor.wait_state("serving")
     result.check(NOT_READY_REPORT not in site.reports.received, "the node was reported as not ready")
@@ -114,7 +114,7 @@
 async def predecessor_killed(
     result: Result, site: UpgradeSite, pair: VersionPair, kill_point: KillPoint
 ) -> float | None:
-    """Kill the predecessor: the successor goes on alone."""
+    """Kill the predecessor: the successor continues alone."""
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
     await wait_more_responses(site, STEP_RESPONSES)
@@ -149,9 +149,9 @@
 async def successor_killed(
     result: Result, site: UpgradeSite, pair: VersionPair, kill_point: KillPoint
 ) -> float | None:
-    """Kill the successor: the upgrade completes with a second one.
+    """Kill the successor and complete the upgrade with a second one.
 
-    Where the first had taken no connection yet no request may be lost.
+    If the first one had not accepted a connection yet, no request may be lost.
     """
     predecessor = await site.launch(pair.predecessor)
     site.load.start()
@@ -181,10 +181,10 @@
 async def successor_killed_while_handing_over(
     result: Result, site: UpgradeSite, pair: VersionPair, predecessor: ServerProcess
 ) -> float | None:
-    """Kill the successor after the predecessor's SIGTERM, which then drains the node.
+    """Kill the successor after the predecessor received SIGTERM, so that the predecessor drains the node.
 
-    What comes in the grace period is still answered. Then the node is started anew. It knows nothing of
-    earlier work, as any new node: no idempotency key is sent again.
+    Requests that arrive in the grace period are still answered. The node is then started again. Like any new node it
+    knows no idempotency keys of earlier work, so no key is sent again.
     """
     predecessor_connection = await connect(site)
     first = await site.launch(pair.successor)
@@ -200,8 +200,8 @@
     await wait_more_responses(site, FRONT_END_COUNT)
     await site.load.stop()
     code = await predecessor.wait_end()
-    result.check(code == 0, f"the predecessor ended with {code}")
-    result.check(NOT_READY_REPORT in site.reports.received, "the node left and was not reported so")
+    result.check(code == 0, f"the predecessor exited with code {code}")
+    result.check(NOT_READY_REPORT in site.reports.received, "the node left and was not reported as not ready")
     second = await site.launch(pair.successor)
     second_connection = await connect(site)
     await second_connection.close()
@@ -212,14 +212,14 @@
 
 
 def shorten_times(config: JsonObject) -> None:
-    """Shorten grace period and deadlines, so that a lost process is over soon."""
+    """Shorten the grace period and the deadlines, so that the state of a lost process expires soon."""
     settings = config["settings"]
     settings["rules"]["drainGraceUs"] = DRAIN_GRACE_US
     for row in settings["classes"]:
         row["hardLimitUs"] = min(row["hardLimitUs"], LONGEST_DEADLINE_US)
 
 
-# What happens on a site. Returns when a process was killed that had connections, on the monotonic clock.
+# Runs on a site; returns when a process with connections was killed, in monotonic seconds, or None if none was.
 Scenario = Callable[[Result, UpgradeSite, VersionPair], Awaitable[float | None]]
 
 
@@ -235,7 +235,16 @@
 async def run_upgrade(
     folder: Path, pair: VersionPair, title: str, scenario: Scenario, config: JsonObject, seed: int
 ) -> Result:
-    """Run one scenario on a site of its own."""
+    """Run one scenario on its own site and return the result.
+
+    Args:
+        folder: The folder for the files of the site.
+        pair: The versions of the two processes.
+        title: The title of the scenario.
+        scenario: The scenario.
+        config: The platform's configuration.
+        seed: The seed of the load.
+    """
 
     async def run_on_site(result: Result) -> None:
         async with asyncio.timeout(SCENARIO_TIMEOUT_S), UpgradeSite(folder, config, seed) as site:
@@ -251,7 +260,12 @@
 
 
 async def run_upgrades(folder: Path, old: Version, new: Version, seed: int) -> list[Result]:
-    """Run all scenarios of both directions, one after the other. Raises CannotRunError, OSError."""
+    """Run all scenarios, first from the old to the new version, then from the new to the old one.
+
+    Raises:
+        CannotRunError: A version can't be run from its checkout.
+        OSError: A file, socket or process could not be created.
+    """
     config = platform_config(new.checkout)
     shorten_times(config)
     results: list[Result] = []
--- a/benchmarks/mixed/upgrade_site.py
+++ b/benchmarks/mixed/upgrade_site.py
@@ -1,4 +1,4 @@
-"""One node during an upgrade: the passed socket, the emulated platform beside the node, and its processes."""
+"""The environment of one node during an upgrade: the passed socket, the emulated platform and the node's processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,10 @@
 
 
 def platform_config(checkout: Path) -> JsonObject:
-    """Return the deployment's configuration with one more class: work whose repeats share its result."""
+    """Return the deployment's configuration, with the load's classes that it lacks added.
+
+    An added class is of the kind whose repeats share the result of the first attempt.
+    """
     config: JsonObject = json.loads((checkout / PLATFORM_CONFIG).read_text())
     settings = config["settings"]
     present = {row["name"] for row in settings["classes"]}
@@ -39,22 +42,22 @@
 
 
 class ReportReceiver(asyncio.DatagramProtocol):
-    """The name service: keeps what the node reports."""
+    """A stand-in for the name service, which records the node's reports."""
 
     def __init__(self) -> None:
-        """Begin without reports."""
+        """Initialize the receiver without reports."""
         self.received: list[bytes] = []
 
     def datagram_received(self, data: bytes, addr: object) -> None:  # noqa: ARG002 - asyncio passes it
-        """Keep a report."""
+        """Record a report."""
         self.received.append(data)
 
 
 class GatedKernelProxy:
-    """A gate before an emulated kernel: a process can connect, but no bytes pass before `opened` is set."""
+    """A proxy in front of an emulated kernel: accepts connections, but forwards no bytes until `opened` is set."""
 
     def __init__(self, kernel_address: str) -> None:
-        """Prepare the gate before the kernel at that address."""
+        """Create the proxy for the kernel at an address, without listening yet."""
         self.connected = asyncio.Event()
         self.opened = asyncio.Event()
         self._kernel_address = kernel_address
@@ -86,7 +89,7 @@
             self._tasks.discard(task)
 
     async def close(self) -> None:
-        """Close the gate and all connections through it."""
+        """Close the proxy and all connections through it."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -95,9 +98,10 @@
 
 
 async def forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Copy all bytes until the end of the stream.
+    """Forward all bytes from a stream to another until the first one ends.
 
-    Raises ConnectionResetError then, so that the other direction ends as well.
+    Raises:
+        ConnectionResetError: The stream ended. The error makes the caller close the other direction as well.
     """
     while data := await reader.read(1 << 16):
         writer.write(data)
@@ -106,13 +110,19 @@
 
 
 class UpgradeSite:
-    """One node and its surroundings.
+    """One node and its environment.
 
-    A context manager: no process that it started outlives it.
+    Used as a context manager, it kills all processes that it started when it exits.
     """
 
     def __init__(self, folder: Path, config: JsonObject, seed: int) -> None:
-        """Open the passed socket; `seed` is that of the load."""
+        """Open the passed socket.
+
+        Args:
+            folder: The folder for the files of all processes.
+            config: The platform's configuration.
+            seed: The seed of the load.
+        """
         self.folder = folder
         self.temporary_folder = folder / "tmp"
         self.reports = ReportReceiver()
@@ -125,7 +135,7 @@
         self._name_service: asyncio.DatagramTransport | None = None
 
     async def __aenter__(self) -> UpgradeSite:
-        """Open the name service."""
+        """Start the stand-in for the name service."""
         self.temporary_folder.mkdir(parents=True)
         loop = asyncio.get_running_loop()
         self._name_service, _ = await loop.create_datagram_endpoint(
@@ -134,7 +144,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop the load, kill all processes, close all sockets."""
+        """Stop the load, kill all processes and close all sockets."""
         await self.load.abort()
         for process in self.processes:
             if process.running:
@@ -148,16 +158,23 @@
         self.listening.close()
 
     async def launch(self, version: Version) -> ServerProcess:
-        """Start a process and wait until it serves. Raises CheckFailedError."""
+        """Start a process and wait until it is ready.
+
+        Raises:
+            CheckFailedError: The process exited or was not ready in time.
+        """
         emulators = await self._open_emulators()
         process = await self._start(version, emulators.addresses["kernel"], emulators.addresses["db"])
         await process.wait_ready()
         return process
 
     async def launch_without_kernel(self, version: Version) -> tuple[ServerProcess, GatedKernelProxy]:
-        """Start a process that has met its predecessor, and can't serve before its kernel's gate is opened.
+        """Start a process that can't serve until `opened` of the returned kernel proxy is set.
+
+        Returns when the process has connected to the proxy; by then it has connected to its predecessor.
 
-        Raises TimeoutError.
+        Raises:
+            TimeoutError: The process did not connect in time.
         """
         emulators = await self._open_emulators()
         kernel_proxy = GatedKernelProxy(emulators.addresses["kernel"])
@@ -197,19 +214,19 @@
 
     @staticmethod
     def _health_endpoint_address(process_number: int) -> HttpAddress:
-        """Choose a loopback address that only this process uses: nobody takes its port before it listens."""
+        """Choose a loopback address for one process, so that no other process can take its port before it listens."""
         host = f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.{process_number}"
         with socket.socket() as probe:
             probe.bind((host, 0))
             return HttpAddress(host, int(probe.getsockname()[1]))
 
     def count_runs(self) -> Counter[tuple[str, int]]:
-        """Count how often each piece of work was started, by class and number, over all processes."""
+        """Return how often each work item was started over all processes, by class and number."""
         started = Counter[tuple[str, int]]()
         for emulators in self._emulators:
             started.update(emulators.kernel.machine.start_counts)
         return started
 
     def read_logs(self) -> dict[str, LogFindings]:
-        """Read the logs of all processes."""
+        """Read the logs of all processes, by log name."""
         return {process.launch.log.stem: read_log(process.launch.log) for process in self.processes}
--- a/examples/traces/make.py
+++ b/examples/traces/make.py
@@ -1,10 +1,10 @@
-"""Makes the small traces beside it, one in each format, from a fixed seed.
+"""Generates the small example traces in this folder, one in each format, from a fixed seed.
 
     python examples/traces/make.py [FOLDER]
 
-Nothing in them was recorded anywhere. Each has a quiet start, a burst, rows out of order, a duplicate where the
-format can tell one, and rows that are bad in different ways; `EXPECTED` in tests/test_traces.py has the
-account of each.
+The traces are synthetic. Each has a quiet start, a burst, rows out of order, a duplicate row (if the format can
+detect duplicates) and several kinds of bad rows. `EXPECTED` in tests/traces/test_formats.py has the expected counts
+of each.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def arrival_times(rng: random.Random) -> Iterator[float]:
-    """Seconds of a Poisson stream whose rate trebles for a quarter of a minute."""
+    """Yield arrival times, in seconds, of a Poisson process whose rate triples for 15 s."""
     arrival_s = 0.0
     while True:
         rate = BURST_RATE if int(arrival_s) in BURST else QUIET_RATE
@@ -32,7 +32,7 @@
 
 
 def swap_some_rows(rows: list[str], rng: random.Random) -> list[str]:
-    """One row in twenty changes places with one a little further on."""
+    """Return the rows, with one row in twenty swapped with a row up to seven places later."""
     rows = list(rows)
     for index in range(0, len(rows) - 8, 20):
         other = index + rng.randrange(1, 8)
@@ -41,7 +41,7 @@
 
 
 def insert_bad_rows(rows: list[str], bad_rows: list[str], repeat_row: bool) -> list[str]:
-    """The bad rows spread over the others, and one row twice."""
+    """Return the rows with the bad rows spread evenly among them, and one row twice if `repeat_row` is true."""
     rows = list(rows)
     if repeat_row:
         rows.insert(31, rows[30])
@@ -218,7 +218,7 @@
 
 
 def make(name: str) -> bytes:
-    """The bytes of one example, the same at each call."""
+    """Return the bytes of one example trace, which are the same on every call."""
     return ("\n".join(MAKERS[name](random.Random(f"{SEED}/{name}"))) + "\n").encode()
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""A whole node on loopback sockets between fake servers: no request is lost, and none that may have run is repeated."""
+"""A complete node on loopback sockets with fake servers: it loses no request and repeats none that may have run."""
 
 from __future__ import annotations
 
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""The checks of the mixed-version benchmark: the failures that they have to find."""
+"""The checks of the mixed-version benchmark find each kind of failure."""
 
 from __future__ import annotations
 
