--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -150,21 +150,21 @@
         "2026-01-01 00:00:00,000 ERROR marlstep: the line is dropped\n"
         "Traceback (most recent call last):\n"
     )
-    log_summary = read_log(path)
-    assert len(log_summary.errors) == 2 and log_summary.warnings == {"marlstep: late by N ms": 2}
+    findings = read_log(path)
+    assert len(findings.errors) == 2 and findings.warnings == {"marlstep: late by N ms": 2}
     result = Result("name")
-    result.check_processes([], {"node": log_summary})
+    result.check_processes([], {"node": findings})
     assert not result.held and len(result.failures) == 2
 
 
-STORE_IN_USE_BEFORE = "fleet: this node can't vote: /s/voter.sqlite is in use by another process"
-STORE_IN_USE_NOW = (
+STORE_IN_USE_OLD_MESSAGE = "fleet: this node can't vote: /s/voter.sqlite is in use by another process"
+STORE_IN_USE_MESSAGE = (
     "fleet: store not opened, node can't vote retry_in=0:00:01 "
     "error=/s/voter.sqlite is in use by another process"
 )
 
 
-@pytest.mark.parametrize("message", [STORE_IN_USE_BEFORE, STORE_IN_USE_NOW])
+@pytest.mark.parametrize("message", [STORE_IN_USE_OLD_MESSAGE, STORE_IN_USE_MESSAGE])
 def test_a_store_in_use_is_a_warning_only_where_it_is_expected(tmp_path: Path, message: str) -> None:
     path = tmp_path / "node.log"
     path.write_text(f"2026-01-01 00:00:00,000 ERROR marlstep.fleet.part: {message}\n")
@@ -187,8 +187,8 @@
     arguments = ("marlstep.cluster", logging.ERROR, __file__, 1, "store not opened error=%s", (error,), None)
     path = tmp_path / "node.log"
     path.write_text(logging.Formatter(LOG_FORMAT).format(logging.LogRecord(*arguments)) + "\n")
-    log_summary = read_log(path, STORE_IN_USE)
-    assert log_summary.errors == [] and log_summary.warnings.total() == 1
+    findings = read_log(path, STORE_IN_USE)
+    assert findings.errors == [] and findings.warnings.total() == 1
 
 
 def test_a_folder_that_is_not_a_checkout_is_rejected(tmp_path: Path) -> None:
