--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -43,7 +43,7 @@
 LEADER_TIMEOUT_S = 8.0
 MAX_ELECTIONS = 8  # until the odd node leads
 COMPACTION_TIMEOUT_S = 20.0
-FILLERS_PER_NODE = 8  # concurrent tasks that append log entries
+READ_TASKS_PER_NODE = 8  # concurrent tasks that append log entries
 REJECTED_PAUSE_S = 0.01  # after a rejected command
 ENTRIES_KEPT_BEHIND_SNAPSHOT = 500  # a replica that lags by more entries needs the snapshot
 # A node's counters of messages that it could not read; the names are those of its status response.
@@ -290,15 +290,15 @@
         status = None if leader is None else await fetch(run.cluster.nodes[leader.node], "/v1/fleet")
         return status is not None and status["voter"]["snapshot"] > last_index + ENTRIES_KEPT_BEHIND_SNAPSHOT
 
-    fillers = [
-        asyncio.create_task(send_reads(node)) for node in run.majority for _ in range(FILLERS_PER_NODE)
+    read_tasks = [
+        asyncio.create_task(send_reads(node)) for node in run.majority for _ in range(READ_TASKS_PER_NODE)
     ]
     try:
         await wait_until("the log is compacted", compacted, COMPACTION_TIMEOUT_S)
     finally:
-        for filler in fillers:
-            filler.cancel()
-        await asyncio.gather(*fillers, return_exceptions=True)
+        for read_task in read_tasks:
+            read_task.cancel()
+        await asyncio.gather(*read_tasks, return_exceptions=True)
 
 
 async def send_reads(node: FleetNode) -> None:
