--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -24,7 +24,7 @@
 
 
 def add_work(record: Record, request_class: str, *statuses: str) -> list[Attempt]:
-    """Record one piece of work with an attempt per status. An empty status stands for no response."""
+    """Record a work item with one attempt per status; an empty status means that there is no response."""
     work = record.add_work_item(CLASS_BY_NAME[request_class])
     attempts = [record.add_attempt(work) for _ in statuses]
     for attempt, status in zip(attempts, statuses, strict=True):
@@ -34,7 +34,7 @@
 
 
 def count_runs(**counts: int) -> Counter[tuple[str, int]]:
-    """Return the run counts of the first piece of work of each class; class names have underscores for hyphens."""
+    """Return run counts of the first work item of each class; class names have underscores for hyphens."""
     return Counter({(name.replace("_", "-"), 1): count for name, count in counts.items()})
 
 
