--- a/benchmarks/mixed/upgrade_scenarios.py
+++ b/benchmarks/mixed/upgrade_scenarios.py
@@ -201,7 +201,9 @@
     await site.load.stop()
     code = await predecessor.wait_end()
     result.check(code == 0, f"the predecessor exited with code {code}")
-    result.check(NOT_READY_REPORT in site.reports.received, "the node left but was never reported as not ready")
+    result.check(
+        NOT_READY_REPORT in site.reports.received, "the node left but was never reported as not ready"
+    )
     second = await site.launch(pair.successor)
     second_connection = await connect(site)
     await second_connection.close()
