--- a/benchmarks/mixed/task_record.py
+++ b/benchmarks/mixed/task_record.py
@@ -1,4 +1,4 @@
-"""What the record of the tasks' server proves about leases that moved between versions."""
+"""Checks of the recorded effects of tasks whose leases moved between versions."""
 
 from __future__ import annotations
 
@@ -14,58 +14,75 @@
 )
 
 
-def accepted(acts: Iterable[Effect]) -> list[Effect]:
-    """Return the runs of tasks that the server accepted, without the fences."""
-    return [act for act in acts if act.accepted and not act.fence]
+def accepted(effects: Iterable[Effect]) -> list[Effect]:
+    """Return the effects of runs that the server accepted, without those that only announce a token (`fence`)."""
+    return [effect for effect in effects if effect.accepted and not effect.fence]
 
 
-def latest(acts: Iterable[Effect]) -> dict[str, Effect]:
-    """Return the last accepted act of each task."""
-    return {act.task: act for act in accepted(acts)}
+def latest_effects(effects: Iterable[Effect]) -> dict[str, Effect]:
+    """Return the latest accepted effect of each task, by task."""
+    return {effect.task: effect for effect in accepted(effects)}
 
 
-def changes_of_holder(acts: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
-    """Yield the last act of a holder and the first of the next, for each task."""
-    last_acts: dict[str, Effect] = {}
-    for act in accepted(acts):
-        last = last_acts.get(act.task)
-        if last is not None and last.node != act.node:
-            yield last, act
-        last_acts[act.task] = act
+def holder_changes(effects: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
+    """Yield the last effect of each holder of a task's lease and the first effect of the next holder."""
+    last_effects: dict[str, Effect] = {}
+    for effect in accepted(effects):
+        last = last_effects.get(effect.task)
+        if last is not None and last.node != effect.node:
+            yield last, effect
+        last_effects[effect.task] = effect
 
 
-def count_crossings(acts: Iterable[Effect], version_of: Mapping[str, str]) -> Counter[tuple[str, str]]:
-    """Count changes of holder, by task and by the versions of the two processes, as `old to new`."""
+def count_crossings(
+    effects: Iterable[Effect], version_by_process: Mapping[str, str]
+) -> Counter[tuple[str, str]]:
+    """Count the changes of holder by task and by the versions of the two processes, as `old to new`.
+
+    Args:
+        effects: The recorded effects.
+        version_by_process: The version label of each process, by the process's name in the effects.
+    """
     return Counter(
-        (last.task, f"{version_of.get(last.node, 'unknown')} to {version_of.get(first.node, 'unknown')}")
-        for last, first in changes_of_holder(acts)
+        (
+            last.task,
+            f"{version_by_process.get(last.node, 'unknown')} to {version_by_process.get(first.node, 'unknown')}",
+        )
+        for last, first in holder_changes(effects)
     )
 
 
-def repeated_under_one_token(acts: Iterable[Effect]) -> Iterator[Effect]:
-    """Yield runs accepted twice under one grant.
+def runs_repeated_under_one_token(effects: Iterable[Effect]) -> Iterator[Effect]:
+    """Yield the effects of runs that were already accepted under the same token.
 
-    Only a later holder may repeat a run, also that of an idempotent task.
+    A run may only be repeated by a later holder, even if its task is idempotent.
     """
     seen: set[tuple[str, int, int]] = set()
-    for act in accepted(acts):
-        if (act.task, act.run, act.token) in seen:
-            yield act
-        seen.add((act.task, act.run, act.token))
+    for effect in accepted(effects):
+        if (effect.task, effect.run, effect.token) in seen:
+            yield effect
+        seen.add((effect.task, effect.run, effect.token))
 
 
-def judge_acts(acts: Sequence[Effect], unsafe: frozenset[str]) -> list[str]:
-    """Return what must not be in the record."""
-    found = [f"acts of two holders overlap: {first} {second}" for first, second in overlapping_effects(acts)]
-    found += [
-        f"an older token was accepted: {first} {second}" for first, second in stale_tokens_accepted(acts)
+def check_effects(effects: Sequence[Effect], unsafe_tasks: frozenset[str]) -> list[str]:
+    """Return a failure for each contradiction in the recorded effects."""
+    failures = [
+        f"effects of two holders overlap: {first} {second}" for first, second in overlapping_effects(effects)
+    ]
+    failures += [
+        f"an older token was accepted: {first} {second}" for first, second in stale_tokens_accepted(effects)
+    ]
+    failures += [f"two nodes used one token: {first} {second}" for first, second in shared_tokens(effects)]
+    failures += [
+        f"an unsafe run took place twice: {first} {second}"
+        for first, second in repeated_runs(effects, unsafe_tasks)
+    ]
+    failures += [
+        f"a run was repeated under one token: {effect}" for effect in runs_repeated_under_one_token(effects)
     ]
-    found += [f"two nodes acted under one token: {first} {second}" for first, second in shared_tokens(acts)]
-    found += [f"a run was done twice: {first} {second}" for first, second in repeated_runs(acts, unsafe)]
-    found += [f"a run was repeated under one token: {act}" for act in repeated_under_one_token(acts)]
-    found += [
-        f"the token did not grow with the holder: {last} {first}"
-        for last, first in changes_of_holder(acts)
+    failures += [
+        f"the token did not increase with the change of holder: {last} {first}"
+        for last, first in holder_changes(effects)
         if first.token <= last.token
     ]
-    return found
+    return failures
--- a/benchmarks/replay_again.py
+++ b/benchmarks/replay_again.py
@@ -1,9 +1,10 @@
-"""Whether a replay on sockets gives the same service figure again: five times at 0.9 and at 1.3 of capacity.
+"""Measure how repeatable the service score of a replay on sockets is, at 0.9 and at 1.3 of the capacity.
 
     python benchmarks/replay_again.py [--speed S] [--nodes N] [--times N] [--for SECONDS]
 
-The baseline of the same run is the virtual replay, which is the same to the last digit. Prints one JSON object
-with the figures of each run and their spread, (largest - smallest) over their mean.
+Each run measures its own baseline: the simulated replay, whose results are identical each time. Prints one JSON
+object with the scores of all replays and their spread: (largest - smallest) / mean. The score is the weighted work
+that was answered in time, divided by the weighted work that was offered.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def run_command(*arguments: str) -> dict[str, Any]:
-    """Run a command of the program and return its JSON output; exit with its errors where it fails."""
+    """Run a command of the program and return its JSON output; exit with its error output if it fails."""
     completed = subprocess.run(
         [sys.executable, "-m", "marlstep", *arguments], capture_output=True, text=True, cwd=ROOT
     )
@@ -34,7 +35,7 @@
 
 
 def main() -> None:
-    """Run all replays and print the report."""
+    """Run all replays and print the report as JSON."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--speed", default="2")
     parser.add_argument("--nodes", default="4")
@@ -50,10 +51,11 @@
             arguments += ["--speed", options.speed, "--nodes", options.nodes, "--json", schedule]
             runs = [run_command(*arguments) for _ in range(options.times)]
             virtual = [run_command(*arguments[:2], "--virtual", *arguments[2:]) for _ in range(2)]
-            figures = [run["service"] for run in runs]
+            service_values = [run["service"] for run in runs]
             report["runs"][str(load)] = {
-                "service": figures,
-                "spread": (max(figures) - min(figures)) / (sum(figures) / len(figures)),
+                "service": service_values,
+                "spread": (max(service_values) - min(service_values))
+                / (sum(service_values) / len(service_values)),
                 "virtual": virtual[0]["service"],
                 "virtual_identical": virtual[0] == virtual[1],
                 "lost": sum(run["lost"] for run in runs),
