--- a/marlstep/fault_injection/__init__.py
+++ b/marlstep/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: real processes or a virtual network, faults by a seeded plan, witnesses, and checkers of their record."""
+"""Fault injection: seeded fault plans run on real or simulated nodes, and checkers for the recorded effects."""
--- a/marlstep/fault_injection/effect_recorder.py
+++ b/marlstep/fault_injection/effect_recorder.py
@@ -1,7 +1,7 @@
-"""The server of the tasks: a witness with one clock, which records every act as it comes and ends.
+"""The task server of a drill: records the start and end of every effect of a scheduled task, on one clock.
 
-It turns down a token that is lower than the highest it has seen, and nothing else: two acts of two holders that go on
-at once are both accepted here, and show in the record.
+It rejects only requests whose fencing token is below the highest one seen for the task. Overlapping effects of two
+holders are both accepted, so that they show in the record.
 """
 
 from __future__ import annotations
@@ -23,13 +23,23 @@
 
 
 def clock_us() -> int:
+    """Return the time of the monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class EffectRecorder:
+    """A uwsgi server that serves the requests of scheduled tasks and records them.
+
+    Attributes:
+        effects: The recorded effects, in the order of their arrival.
+        hang_tasks: The names of tasks whose requests never get a response.
+        port: The port that it listens on; 0 before `open`.
+    """
+
     def __init__(self, seed: int) -> None:
+        """Initialize a closed recorder; `seed` determines the random work times."""
         self.effects: list[Effect] = []
-        self.hang_tasks: set[str] = set()  # whose acts never end
+        self.hang_tasks: set[str] = set()
         self.port = 0
         self._receiver = FencingServer()
         self._chance = random.Random(seed)
@@ -37,6 +47,11 @@
         self._open: set[asyncio.Task[None]] = set()
 
     async def open(self, port: int) -> None:
+        """Listen on the loopback port.
+
+        Raises:
+            OSError: The port can't be bound.
+        """
         self._server = await asyncio.start_server(self._taken, "127.0.0.1", port)
         self.port = port
 
@@ -67,7 +82,7 @@
         taken = self._receiver.accepts(task, token)
         number = len(self.effects)
         work = 0.0 if fence or not taken else self._chance.uniform(*WORK_S)
-        # Written down before it is worked on: of an act whose connection breaks the end is known as well.
+        # Recorded before the work starts, so that the end is known even if the connection breaks meanwhile.
         self.effects.append(Effect(task, node, token, run, began, began + int(work * 1e6), taken, fence))
         if not taken:
             return b"HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\n\r\nlate\n"
@@ -79,6 +94,7 @@
         return write_response(200, {}, "done")
 
     async def close(self) -> None:
+        """Stop listening and cancel all open requests."""
         if self._server is not None:
             self._server.close()
         for task in list(self._open):
@@ -87,7 +103,7 @@
 
 
 async def serve(port: int) -> None:
-    """Until it is ended, with a line of JSON for each act."""
+    """Run a recorder on the port until cancelled, and print each effect as a line of JSON."""
     effect_recorder = EffectRecorder(1)
     await effect_recorder.open(port)
     print(json.dumps({"listens": port}), flush=True)
@@ -100,6 +116,7 @@
 
 
 def main() -> None:
+    """Run the task server as a program of its own."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--port", type=int, default=3040)
     with contextlib.suppress(KeyboardInterrupt):
--- a/marlstep/fault_injection/effects.py
+++ b/marlstep/fault_injection/effects.py
@@ -1,7 +1,7 @@
-"""Effects of tasks as a server recorded them, and what must be true of any such record.
+"""Effects of scheduled tasks as a server recorded them, and checkers for such a record.
 
-All times are of the server's one clock. Each checker yields pairs of effects, the earlier one first, that contradict
-one of the promises of leases and fencing tokens.
+All times are from the server's one clock. Each checker yields pairs of effects, the earlier one first, that violate a
+guarantee of leases and fencing tokens.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Effect:
-    """One request of a task. The names of the fields are those of the reports' JSON.
+    """One request of a task. The field names are the keys of the JSON reports.
 
     Attributes:
-        task: The task that it belongs to.
+        task: The name of the task.
         node: The node, or the process of a node, that sent it.
         token: The fencing token of the lease under which it was sent.
         run: The number of the task's run.
         began_us: When it arrived, in microseconds.
         ended_us: When its work was done, in microseconds.
-        accepted: Its token was not below one that the server had seen.
-        fence: It does no work: it only tells the server of its token.
+        accepted: Whether its token was at least the highest one that the server had seen for the task.
+        fence: Whether it does no work and only announces its token to the server.
     """
 
     task: str
@@ -52,13 +52,13 @@
         for position, effect in enumerate(of_task):
             for later in of_task[position + 1 :]:
                 if later.began_us >= effect.ended_us:
-                    break  # those after it began even later
+                    break  # the list is sorted: all remaining effects begin even later
                 if (later.token, later.node) != (effect.token, effect.node):
                     yield effect, later
 
 
 def stale_tokens_accepted(effects: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
-    """Yield effects whose token is below one that the server had accepted for the task, after the one with that."""
+    """Yield accepted effects whose token is below one accepted before for the task, each after that earlier effect."""
     highest: dict[str, Effect] = {}
     for effect in sorted(effects, key=lambda effect: effect.began_us):
         if not effect.accepted:
@@ -71,7 +71,7 @@
 
 
 def shared_tokens(effects: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
-    """Yield effects under one token from two nodes: a token belongs to one grant."""
+    """Yield effects of different nodes with the same token, although each token belongs to a single grant."""
     first: dict[tuple[str, int], Effect] = {}
     for effect in effects:
         if effect.accepted:
@@ -83,7 +83,7 @@
 def repeated_runs(
     effects: Iterable[Effect], non_repeatable_tasks: frozenset[str]
 ) -> Iterator[tuple[Effect, Effect]]:
-    """Yield effects of one run of a task that must not be repeated."""
+    """Yield repeated effects of one run, for the tasks that must not be repeated."""
     latest: dict[tuple[str, int], Effect] = {}
     for effect in effects:
         if effect.did_work and effect.task in non_repeatable_tasks:
@@ -93,14 +93,14 @@
 
 
 class FencingServer:
-    """The rule by which a server rejects late requests: none whose token is below the highest that it has seen."""
+    """Rejects requests whose fencing token is below the highest one seen for the task."""
 
     def __init__(self) -> None:
-        """Start without having seen any token."""
+        """Initialize the server with no tokens seen."""
         self._highest: dict[str, int] = {}
 
     def accepts(self, task: str, token: int) -> bool:
-        """Return whether a request of the task with that token is accepted; one that is counts as seen."""
+        """Return whether a request with the token is accepted, and remember the token if it is."""
         if token < self._highest.get(task, 0):
             return False
         self._highest[task] = token
--- a/marlstep/fault_injection/faults.py
+++ b/marlstep/fault_injection/faults.py
@@ -1,8 +1,7 @@
-"""The types of faults: what each does to a cluster, in terms of a few operations that every cluster offers.
+"""The fault types, each defined by operations that clusters of processes and simulated clusters both implement.
 
-A cluster of processes and a simulated one implement `FaultTarget`, each in its own way. A fault type says which of
-these operations it needs, so that one fault means the same wherever a plan is run. `FAULT_TYPES` is the table of all
-types by the name under which plans write them.
+Both kinds of cluster implement `FaultTarget`. A fault type calls its operations only, so a fault has the same meaning
+wherever a plan is run. `FAULT_TYPES` maps the names used in plans to the fault types.
 """
 
 from __future__ import annotations
@@ -14,13 +13,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One fault of a plan. The names of the fields are those of the plan's JSON.
+    """One fault of a plan. The field names are the keys of the plan's JSON.
 
     Attributes:
-        at_ms: When it is injected, in milliseconds from the start of the plan.
+        at_ms: The time of its injection, in milliseconds from the start of the plan.
         for_ms: How long it lasts, in milliseconds.
         kind: The name of its type, a key of `FAULT_TYPES`.
-        node: The node it affects, or the origin of an affected link; a role such as `@leader` until it is injected.
+        node: The affected node or the origin of the affected link; may be a role such as `@leader`, which is
+            resolved when the fault is injected.
         other: The other end of an affected link, or a node on the same side of a partition; empty where unused.
         hook: The step at which a process is killed or stopped; empty where unused.
     """
@@ -39,10 +39,10 @@
 
 
 class FaultTarget:
-    """The operations by which faults are injected into a cluster. Durations are microseconds.
+    """The operations that inject faults into a cluster. Nodes are given by name, durations in microseconds.
 
-    Nodes are given by name. Here every operation does nothing: a cluster overrides those that it can perform, and a
-    fault that needs another one has no effect on it.
+    The operations of this base class do nothing. A cluster overrides those that it supports; a fault that needs an
+    unsupported operation has no effect on that cluster.
     """
 
     def node_names(self) -> Collection[str]:
@@ -50,27 +50,27 @@
         return ()
 
     def nodes_split_along(self, node: str) -> set[str]:
-        """Return the nodes that a split of the network always leaves on the side of that node."""
+        """Return the nodes that always stay on the same side as the node when the network is split."""
         return {node}
 
     def draw_restart_delay_us(self) -> int:
-        """Return a random time for which a node stays down when all are restarted."""
+        """Return a random time for which a node stays down when all nodes are restarted."""
         return 0
 
     def kill(self, node: str, duration_us: int) -> None:
-        """Kill the node's process, and start it again with its store after that time."""
+        """Kill the node's process, and start it again with its store after the duration."""
 
     def wipe_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and remove its store, unless the group could lose its majority by it."""
+        """Kill a voter and delete its store, unless the group could lose its majority."""
 
     def restore_old_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and put an old copy in place of its store, unless the group could lose its majority by it."""
+        """Kill a voter and replace its store by an old copy, unless the group could lose its majority."""
 
     def pause(self, node: str, duration_us: int) -> None:
-        """Stop the node's process without ending it, and continue it after that time."""
+        """Suspend the node's process, and continue it after the duration."""
 
     def drain(self, node: str, duration_us: int) -> None:
-        """Shut the node down gracefully, and start it again after that time."""
+        """Shut the node down gracefully, and start it again after the duration."""
 
     def slow_disk(self, node: str, duration_us: int) -> None:
         """Delay each write of the node to its store."""
@@ -82,16 +82,16 @@
         """Kill the node's process when it next reaches the step, and start it again."""
 
     def pause_at_step(self, node: str, step: str, duration_us: int) -> None:
-        """Stop the node's process when it next reaches the step, and continue it after that time."""
+        """Suspend the node's process when it next reaches the step, and continue it after the duration."""
 
     def upgrade(self, node: str) -> None:
-        """Start a new process beside the node's running one, and end that when the new one is ready."""
+        """Start a new process beside the node's running one, and end the old one when the new one is ready."""
 
     def reload_configuration(self, node: str) -> None:
-        """Signal the node to read its files again."""
+        """Signal the node to reload its files."""
 
     def jump_clock(self, node: str, duration_us: int) -> None:
-        """Set the node's clock forward by that time."""
+        """Set the node's clock forward by the duration."""
 
     def drop_messages(self, origin: str, target: str, duration_us: int) -> None:
         """Drop every message from one node to the other."""
@@ -106,25 +106,34 @@
         """Deliver messages from one node to the other more than once."""
 
     def reset_connection(self, origin: str, target: str) -> None:
-        """Break the connection from one node to the other in the middle of its next message."""
+        """Reset the connection from one node to the other in the middle of the next message."""
 
 
 class FaultType:
-    """A type of fault: its name in plans, which parameters it takes, and how it is injected."""
+    """A type of fault: its name in plans, its parameters, and how it is injected.
+
+    Attributes:
+        name: The name in plans.
+        is_drawn: Whether random plans contain it; if not, it occurs only in plans written by hand.
+        affects_link: Whether it takes a second node.
+        affects_store: Whether it applies to voters only, since only they have a store.
+        takes_step: Whether it takes the step of the process at which it is injected.
+        max_duration_ms: The longest duration in random plans; None if the plan alone limits it.
+    """
 
     name: ClassVar[str]
-    is_drawn: ClassVar[bool] = True  # random plans contain it; others only where someone wrote them
-    affects_link: ClassVar[bool] = False  # it takes a second node
-    affects_store: ClassVar[bool] = False  # it means something for voters alone: only they have a store
-    takes_step: ClassVar[bool] = False  # it takes the step of the process at which it happens
-    max_duration_ms: ClassVar[int | None] = None  # in random plans; None leaves it to the plan
+    is_drawn: ClassVar[bool] = True
+    affects_link: ClassVar[bool] = False
+    affects_store: ClassVar[bool] = False
+    takes_step: ClassVar[bool] = False
+    max_duration_ms: ClassVar[int | None] = None
 
     def inject(self, fault: Fault, cluster: FaultTarget) -> None:
-        """Inject the fault, whose roles were replaced by names of nodes, into the cluster."""
+        """Inject the fault, whose roles have been replaced by node names, into the cluster."""
         raise NotImplementedError
 
     def disturbed_nodes(self, fault: Fault, cluster: FaultTarget) -> set[str]:
-        """Return the running nodes that others may rightly suspect while the fault lasts."""
+        """Return the running nodes that other nodes may justifiably suspect while the fault lasts."""
         del fault, cluster
         return set()
 
@@ -153,7 +162,7 @@
 
 
 class RestoreOldStore(FaultType):
-    """A voter is killed and comes back with an old copy of its store."""
+    """A voter is killed and restarted with an old copy of its store."""
 
     name = "old store"
     affects_store = True
@@ -165,7 +174,7 @@
 
 
 class Pause(FaultType):
-    """A process is stopped and continues as if no time had passed."""
+    """A process is suspended and later continued, without noticing the gap itself."""
 
     name = "stop"
     max_duration_ms = 6_000
@@ -181,7 +190,7 @@
 
 
 class CutLink(FaultType):
-    """Two nodes hear nothing of each other."""
+    """No messages pass between two nodes."""
 
     name = "cut"
     affects_link = True
@@ -193,7 +202,7 @@
 
 
 class CutOneWay(FaultType):
-    """A node no longer reaches another, which still reaches it."""
+    """Messages from one node to another are lost, but not those in the other direction."""
 
     name = "one way"
     affects_link = True
@@ -231,32 +240,32 @@
 
 
 class DropInbound(Isolate):
-    """A node hears nobody, and is heard by all."""
+    """A node receives no messages, but its own messages arrive."""
 
     name = "deaf"
     drops_outbound = False
 
 
 class DropOutbound(Isolate):
-    """A node is heard by nobody, and hears all."""
+    """A node receives all messages, but none of its own arrive."""
 
     name = "mute"
     drops_inbound = False
 
 
 class Split(Isolate):
-    """The network is split in two; a cluster with zones splits it along a zone."""
+    """The network is split in two; a cluster with zones is split along a zone boundary."""
 
     name = "split"
     affects_link = True
 
     def isolated_group(self, fault: Fault, cluster: FaultTarget) -> set[str]:
-        """Return the nodes on the side of `node`: both nodes of the fault, and its zone."""
+        """Return the nodes on the side of `node`: both nodes of the fault, and the zone of `node`."""
         return super().isolated_group(fault, cluster) | cluster.nodes_split_along(fault.node)
 
 
 class DelayMessages(FaultType):
-    """Messages from one node to another are late, each by a random time."""
+    """Messages from one node to another are delayed, each by a random time."""
 
     name = "slow"
     affects_link = True
@@ -267,7 +276,7 @@
 
 
 class TrickleMessages(FaultType):
-    """Messages from one node to another come byte by byte."""
+    """Messages from one node to another arrive byte by byte."""
 
     name = "trickle"
     affects_link = True
@@ -278,7 +287,7 @@
 
 
 class ResetConnection(FaultType):
-    """The connection from one node to another breaks in the middle of a message."""
+    """The connection from one node to another is reset in the middle of a message."""
 
     name = "reset"
     affects_link = True
@@ -289,7 +298,7 @@
 
 
 class DuplicateMessages(FaultType):
-    """Messages from one node to another come more than once, also after later ones."""
+    """Messages from one node to another arrive more than once, and also after later ones."""
 
     name = "repeat"
     affects_link = True
@@ -345,7 +354,7 @@
 
 
 class PauseAtStep(FaultType):
-    """A process is stopped between two steps of its work, and continues later."""
+    """A process is suspended between two steps of its work, and continued later."""
 
     name = "stop at"
     is_drawn = False
@@ -390,17 +399,17 @@
 
 
 class ReloadConfiguration(FaultType):
-    """A node reads its files again."""
+    """A node reloads its files."""
 
     name = "reload"
     is_drawn = False
 
     def inject(self, fault: Fault, cluster: FaultTarget) -> None:
-        """Signal the node to read its files again."""
+        """Signal the node to reload its files."""
         cluster.reload_configuration(fault.node)
 
 
-# Random plans choose by position: another order gives other plans for the same seeds.
+# Random plans select fault types by position, so a different order changes the plan of each seed.
 FAULT_TYPES: dict[str, FaultType] = {
     fault_type.name: fault_type
     for fault_type in (
