--- a/marlstep/fault_injection/document_drill.py
+++ b/marlstep/fault_injection/document_drill.py
@@ -1,8 +1,8 @@
-"""The drill of documents: nodes under load while operators change a list of servers and faults come between.
+"""The document drill: nodes under load while operators change a server list and faults are injected.
 
-The witnesses are the servers: which list a node acts on shows in where its requests arrive. Each request carries the
-moment when its client sent it, on the same clock; one that was sent after some node's request had arrived under a newer
-version, and yet went to an older one's server, is a contradiction.
+Each version of the list has a server of its own, so the server that receives a request shows which version the node
+used. Each request carries the time when its client sent it, on the clock of the servers. A request is a contradiction
+if it was sent after a request of any node had arrived under a newer version, but went to the server of an older one.
 """
 
 from __future__ import annotations
@@ -27,30 +27,47 @@
 from marlstep.net.ring import Ring
 from marlstep.replicated_config.documents import content_digest
 
-SERVERS = 64  # lists in turn; a change every second makes an old one come again only after many terms
-WINDOW = 8  # versions that are judged together: none of them has the list of another
-LOST = 40  # of the latest tries, whose answers may be lost: any of them may come into force yet
-SEND_EVERY_S = 0.04
-CLIENTS = 8
-THINKS_S = (0.3, 1.5)  # each of them between two calls
-OUT_OF_PATIENCE_S = 5.0  # with one call, whose answer is lost then
-ANSWER_S = 12.0  # longer than any deadline
-MOST_OPEN = 48  # at a node: it turns connections away, unread, beyond its own 64
-DEATH_S = 0.5  # until the end of a process is known here
+# The number of lists: at a change per second, a list is used again only after many lease durations.
+SERVERS = 64
+WINDOW = 8  # versions that are judged together; each of them has a different list
+LOST = 40  # the latest changes without a response whose lists are not reused: each may still come into force
+SEND_EVERY_S = 0.04  # the interval of requests to each node
+CLIENTS = 8  # operators' clients
+THINKS_S = (0.3, 1.5)  # the shortest and the longest pause of a client between two calls
+OUT_OF_PATIENCE_S = 5.0  # the timeout of a client's call; a later response is lost
+ANSWER_S = 12.0  # the timeout of a request of the load, longer than any response deadline
+MOST_OPEN = 48  # requests open at a node; beyond 64 connections it closes further ones unread
+DEATH_S = 0.5  # the longest time until the end of a process is noticed here
 DOCUMENT = "servers"
 
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
+    """A request that reached one of the list servers.
+
+    Attributes:
+        node: The node that forwarded it.
+        server: The number of the server, which is that of the list that the node used.
+        sent_us: When the client sent it, in microseconds.
+        arrived_us: When it reached the server, in microseconds.
+    """
+
     node: str
-    server: int  # which list it was sent by
+    server: int
     sent_us: int
     arrived_us: int
 
 
 @dataclass(slots=True, frozen=True)
 class Put:
-    """A change that got a version, and the list that it made."""
+    """A change that was accepted and got a version.
+
+    Attributes:
+        version: The version.
+        server: The number of the list that it contains.
+        called_us: When the client called, in microseconds.
+        told_us: When the client received the version, in microseconds.
+    """
 
     version: int
     server: int
@@ -59,14 +76,25 @@
 
 
 class ListServers:
-    """One server for each list; each notes what arrives."""
+    """One server for each list, all of which record their requests.
+
+    Attributes:
+        arrivals: The recorded requests, in the order of their arrival.
+        ports: The port of each server, by the number of its list.
+    """
 
     def __init__(self) -> None:
+        """Initialize the servers; `open` starts them."""
         self.arrivals: list[Arrival] = []
         self.ports: list[int] = []
         self._servers: list[asyncio.Server] = []
 
     async def open(self, ports: Ports) -> None:
+        """Start all servers on ports taken from `ports`.
+
+        Raises:
+            OSError: A port is not available.
+        """
         for number in range(SERVERS):
             port = ports.take()
             self._servers.append(await asyncio.start_server(self._maker(number), "127.0.0.1", port))
@@ -92,14 +120,25 @@
         return taken
 
     def close(self) -> None:
+        """Stop listening on all ports."""
         for server in self._servers:
             server.close()
 
 
 class Load:
-    """Clients of every node, each request with one answer or none."""
+    """Sends requests to every node at a constant rate and counts the responses.
+
+    Attributes:
+        cluster: The cluster.
+        every_s: The interval of requests to each node, in seconds.
+        answers: The number of requests by status code or by the reason why there was no response.
+        lost: The requests without a response from a node that stayed up.
+        twice: The number of requests with more than one response.
+        stop: Set to True to stop sending.
+    """
 
     def __init__(self, cluster: ProcessCluster, every_s: float = SEND_EVERY_S) -> None:
+        """Initialize the load; `every_s` is the interval of requests to each node, in seconds."""
         self.cluster, self.every_s = cluster, every_s
         self.answers: Counter[str] = Counter()
         self.lost: list[dict[str, Any]] = []
@@ -107,6 +146,7 @@
         self.stop = False
 
     async def run(self) -> None:
+        """Send requests until `stop` is set and all open requests have ended."""
         await asyncio.gather(*(self._client(node) for node in self.cluster.nodes.values()))
 
     async def _client(self, node: NodeProcess) -> None:
@@ -138,9 +178,8 @@
             data = await asyncio.wait_for(reader.read(-1), ANSWER_S)
         writer.close()
         if not data:
-            await asyncio.sleep(
-                DEATH_S
-            )  # one that killed itself at a hook is known to be dead a little later
+            # The end of a process that killed itself at a step is noticed a little later.
+            await asyncio.sleep(DEATH_S)
         if data.startswith(b"HTTP/1.1 "):
             self.answers[data[9:12].decode()] += 1
             self.twice += data.count(b"HTTP/1.1 ") > 1
@@ -156,22 +195,33 @@
 
 
 class Operators:
-    """Eight clients that read and change the list, each at some node, with the version that it saw last."""
+    """Clients that read and change the list through random nodes, each expecting the version that it read last.
+
+    Attributes:
+        cluster: The cluster.
+        servers: The servers of the lists.
+        puts: The accepted changes by version.
+        calls: The history of calls for the linearizability checker.
+        refused: The number of rejected changes and of calls without a response, by reason.
+        stop: Set to True to stop calling.
+    """
 
     def __init__(self, cluster: ProcessCluster, servers: ListServers, seed: int) -> None:
+        """Initialize the clients; `seed` determines their random choices."""
         self.cluster, self.servers = cluster, servers
-        self.puts: dict[int, Put] = {}  # by version
+        self.puts: dict[int, Put] = {}
         self.calls: list[Call] = []
         self.refused: Counter[str] = Counter()
         self.stop = False
         self._chance = random.Random(seed + 3)
-        self._placed = deque(
-            [0], maxlen=WINDOW
-        )  # lists of the latest versions; the nodes start with the first
-        self._recent = deque[int](maxlen=LOST)  # lists that may come to be in force
+        # The lists of the latest accepted versions; the nodes start with list 0.
+        self._placed = deque([0], maxlen=WINDOW)
+        # The lists of changes without a response, which may still come into force.
+        self._recent = deque[int](maxlen=LOST)
         self._trying: Counter[int] = Counter()
 
     async def run(self) -> None:
+        """Run all clients until `stop` is set."""
         await asyncio.gather(*(self._client(f"c{number}") for number in range(CLIENTS)))
 
     async def _client(self, name: str) -> None:
@@ -199,13 +249,17 @@
         try:
             return await self._change(node, call, number)
         except BaseException:
-            self._recent.append(number)  # it may come into force yet
+            self._recent.append(number)  # the change may still come into force
             raise
         finally:
             self._trying[number] -= 1
 
     def free(self) -> list[int]:
-        """Lists that no version in sight has, or may get. Tries without an answer must not push out those in force."""
+        """Return the lists that no recent version has and no pending or lost change may still bring into force.
+
+        The lists of accepted versions and of changes without a response are remembered separately, so that many lost
+        responses can't displace the lists in force.
+        """
         taken = {*self._placed, *self._recent}
         return [one for one in range(SERVERS) if one not in taken and not self._trying[one]]
 
@@ -217,7 +271,7 @@
         put = {"doc": DOCUMENT, "upload": upload, "digest": content_digest(content), "expect": call.expect}
         put |= {"author": call.client, "force": True}
         await self._asked(node, "part", {"upload": upload, "offset": 0, "data": content})
-        call.version = -1  # from here on it may have an effect
+        call.version = -1  # from here on, the call may take effect
         told = await self._asked(node, "put", put)
         call.version = 0
         if "prepares" not in told:
@@ -241,6 +295,7 @@
                 return version
 
     def list_of(self, number: int) -> list[str]:
+        """Return the addresses of the servers of a list."""
         return [f"127.0.0.1:{self.servers.ports[number]}"]
 
     async def _asked(self, node: NodeProcess, what: str, told: dict[str, Any]) -> dict[str, Any]:
@@ -254,13 +309,19 @@
 
 
 def judge(arrivals: Sequence[Arrival], order: Sequence[int]) -> tuple[int, list[tuple[Arrival, Arrival]]]:
-    """The longest span of contradiction in microseconds, and its evidence: old requests beside the newer one.
+    """Find requests that used an old list after a newer one was known to be in use.
 
-    `order` are the lists in the order in which they were in force.
+    Args:
+        arrivals: The requests to judge.
+        order: The numbers of the lists, in the order in which they were in force.
+
+    Returns:
+        The longest time between the first arrival under a newer list and the sending of a request under an older one,
+        in microseconds, and all such pairs of the first arrival and the contradicting request.
     """
     rank = {server: at for at, server in enumerate(order)}
     longest, found = 0, []
-    first: dict[int, Arrival] = {}  # the first arrival under each list
+    first: dict[int, Arrival] = {}  # the first arrival at the server of each list
     for one in sorted(arrivals, key=lambda one: one.arrived_us):
         if one.server in rank:
             first.setdefault(one.server, one)
@@ -278,7 +339,17 @@
 
 
 async def run(plan: Plan, settings: Settings, strict: bool) -> dict[str, Any]:
-    """One plan on processes; the report, whose `verdict` is `held` or `broken`. Raises RigError, OSError."""
+    """Run one plan on processes and return the report, whose `verdict` is `held` or `broken`.
+
+    Args:
+        plan: The plan.
+        settings: The settings of the cluster; its tasks, pool and documents are replaced.
+        strict: Whether the server list is a strict document.
+
+    Raises:
+        ProcessClusterError: The cluster could not be started.
+        OSError: A port, a file or a process could not be opened.
+    """
     free = Ports()
     servers = ListServers()
     await servers.open(free)
@@ -301,11 +372,11 @@
     finally:
         servers.close()
         free.close()
-    # By port: the lists in the order of the versions that came into force, the last SERVERS of them.
+    # The versions that came into force, in order, each with the number of its list, which is found by its port.
     by_port = {f"127.0.0.1:{port}": number for number, port in enumerate(servers.ports)}
     lists = [(one["version"], by_port[json.loads(one["content"])["more"][0]]) for one in document["versions"]]
     longest, found = judge_in_turn(servers.arrivals, lists, operator.puts)
-    # The first version is a node's own file; a call that may have had any effect has version -1.
+    # The first version comes from a node's own file. Version -1 marks a call that may have had any effect.
     calls = [replace(one, version=max(0, one.version)) for one in operator.calls]
     disorder = linearizability_violation([*calls, Call("a node", 0)])
     within = settings.rules_ms + 1_000
@@ -337,15 +408,23 @@
 def judge_in_turn(
     arrivals: Sequence[Arrival], lists: Sequence[tuple[int, int]], puts: Mapping[int, Put]
 ) -> tuple[int, list[tuple[Arrival, Arrival]]]:
-    """`lists` are the versions that were in force, and which list each made.
+    """Judge the requests as `judge` does, in overlapping windows of versions that all have different lists.
+
+    A window covers the requests sent between the times at which its changes were called for.
+
+    Args:
+        arrivals: The requests to judge.
+        lists: The versions that were in force, in order, each with the number of its list.
+        puts: The accepted changes by version.
 
-    In windows of as many versions as have lists of their own, cut by when their changes were asked for.
+    Returns:
+        The longest contradiction in microseconds and the contradicting pairs, over all windows.
     """
     longest, found = 0, list[tuple[Arrival, Arrival]]()
     asked = [puts[version].called_us if version in puts else None for version, _ in lists]
     for begin in range(0, len(lists), WINDOW // 2):
         part = [number for _, number in lists[begin : begin + WINDOW]]
-        # Where it is not known when a change was asked for, the window is cut shorter.
+        # The window is shortened by changes at its ends whose time of call is not known.
         from_us = 0 if not begin else next((at for at in asked[begin:] if at is not None), 1 << 62)
         until_us = 1 << 62
         if begin + WINDOW < len(lists):
@@ -357,7 +436,7 @@
 
 
 async def versions(cluster: ProcessCluster) -> dict[str, Any]:
-    """All versions, from whichever voter knows the most."""
+    """Return the document's versions from the voter that reports the most of them."""
     best: dict[str, Any] = {"versions": []}
     for name in cluster.plan.voters:
         with contextlib.suppress(OSError, ValueError):
--- a/marlstep/fault_injection/faulty_process.py
+++ b/marlstep/fault_injection/faulty_process.py
@@ -1,11 +1,15 @@
-"""The rig's own way of starting a node: the product as it is, with a clock that errs and a disk that can be slowed.
+"""Runs a node in a process with injected faults: a drifting clock, a slow or full disk, and kills at chosen steps.
 
     python -m marlstep.fault_injection.faulty_process --operator FILE --rate 1.01
 
-Orders come as JSON lines on standard input: `{"hook": "begun"}` kills this process at that step (with
-`"stop": true` it is only stopped), `{"disk_ms": 300}`
-makes each commit take so much longer, `{"disk_full": true}` lets commits fail, `{"jump_ms": 5000}` sets its clock on.
-None of this is in the product: what is altered here is altered from outside.
+Orders are read as JSON lines from standard input:
+
+- `{"hook": "begun"}` kills this process at that step; with `"stop": true` it is suspended instead.
+- `{"disk_ms": 300}` delays each commit by that many milliseconds.
+- `{"disk_full": true}` makes each commit fail.
+- `{"jump_ms": 5000}` sets the clock forward by that many milliseconds.
+
+The production code contains none of this: the faults are patched into it here.
 """
 
 from __future__ import annotations
@@ -40,7 +44,7 @@
 from marlstep.units import EPOCH, MILLISECOND, SteadyClock
 
 BROKEN = {**LEASE_MUTATIONS, **DOCUMENT_MUTATIONS, **MEMBERSHIP_MUTATIONS}
-HOOK_STEPS = {  # by the words of plans
+HOOK_STEPS = {  # by their names in fault plans
     "voted": Step.STORE_SAVING,
     "stored": Step.STORE_SAVED,
     "granted": Step.LEASE_GAINED,
@@ -56,16 +60,26 @@
 
 
 class FaultOrders:
-    """What the rig has told this process; observes its steps."""
+    """The faults ordered for this process, and the step observer that carries out kills and suspensions.
+
+    Attributes:
+        hook: The step at which this process sends itself a signal; None if no step is ordered.
+        how: The signal: SIGKILL, or SIGSTOP to suspend the process until the drill continues it.
+        disk_ms: The delay of each commit, in milliseconds.
+        disk_full: Whether each commit fails.
+        jump_ms: How far the clock has been set forward in total, in milliseconds.
+    """
 
     def __init__(self) -> None:
+        """Initialize the orders with no faults."""
         self.hook: Step | None = None
-        self.how = signal.SIGKILL  # or SIGSTOP, until the rig lets it go on
+        self.how = signal.SIGKILL
         self.disk_ms = 0
         self.disk_full = False
         self.jump_ms = 0
 
     def listen(self) -> None:
+        """Read orders from standard input until it is closed."""
         for line in sys.stdin:
             told: dict[str, Any] = json.loads(line)
             if "hook" in told:
@@ -76,27 +90,41 @@
             self.jump_ms += int(told.get("jump_ms", 0))
 
     def reached(self, step: Step) -> None:
+        """Send the ordered signal to this process if the step is the ordered one."""
         if step is self.hook:
             self.hook = None
             os.kill(os.getpid(), self.how)
 
 
 class ErringClock(SteadyClock):
-    """Goes fast or slow from the start of this process on."""
+    """A clock that drifts at a constant rate from the start of this process, and that orders can set forward.
+
+    Attributes:
+        rate: The seconds that pass on this clock for each true second.
+        orders: The orders for this process, of which `jump_ms` is added to the time.
+    """
 
     rate = 1.0
     orders = FaultOrders()
 
     def __init__(self) -> None:
+        """Start the clock; its drift counts from now."""
         self._start = super().now()
 
     def now(self) -> datetime:
+        """Return the time of the drifting clock."""
         passed = super().now() - self._start
         return EPOCH + passed * self.rate + self.orders.jump_ms * MILLISECOND
 
 
 def alter(orders: FaultOrders, rate: float, mutation: Mutation) -> None:
-    """Put clock, disk and hooks in their places, and a rule out of the code where one is to be missed."""
+    """Patch the clock, the store and the step observer of the node classes, and apply the mutation to their parts.
+
+    Args:
+        orders: The orders for this process.
+        rate: The rate of the node's clock; 1.0 is exact.
+        mutation: The rule to break on purpose; the default mutation breaks none.
+    """
     ErringClock.rate, ErringClock.orders = rate, orders
     save, begin, vote = ReplicaStore.save, ClusterNode.__init__, ReplicaDriver.start_replica
 
@@ -134,6 +162,7 @@
 
 
 def main() -> int:
+    """Run the node with the faults of the command line and return its exit code."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--operator", required=True)
     parser.add_argument("--rate", type=float, default=1.0)
--- a/marlstep/fault_injection/lease_drill.py
+++ b/marlstep/fault_injection/lease_drill.py
@@ -1,4 +1,4 @@
-"""The drill of leases: processes or the virtual network, a plan of faults, and a verdict on what the witnesses saw."""
+"""The lease drill on processes: runs a fault plan and judges the effects that the task server recorded."""
 
 from __future__ import annotations
 
@@ -19,12 +19,19 @@
 from marlstep.fault_injection.plan import Plan
 from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 
-WELL_AGAIN_S = 5.0  # before the end of a plan somebody must have acted, or else
-PATIENCE_S = 40.0  # after it: how fast a busy machine heals is measured, and whether it heals is judged
+WELL_AGAIN_S = 5.0  # the cluster counts as recovered if a task had an effect this recently
+# The longest wait for a recovery after the end of a plan. The recovery time depends on how busy the machine is and is
+# only reported; the verdict depends on whether the cluster recovers at all.
+PATIENCE_S = 40.0
 
 
 async def run(plan: Plan, settings: Settings) -> dict[str, Any]:
-    """One plan on processes; the report, whose `verdict` is `held` or `broken`. Raises RigError, OSError."""
+    """Run one plan on processes and return the report, whose `verdict` is `held` or `broken`.
+
+    Raises:
+        ProcessClusterError: The cluster could not be started.
+        OSError: A port, a file or a process could not be opened.
+    """
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
         async with ProcessCluster(plan, settings, Path(folder)) as cluster:
             began = clock_us()
@@ -49,7 +56,12 @@
 
 
 async def well_again(cluster: ProcessCluster, planned_us: int) -> int:
-    """Wait until somebody acts, where nobody did towards the end; gives the moment, or the end of all patience."""
+    """Wait for a task effect if none happened near the end of the plan.
+
+    Returns:
+        The time of the recovery, but at least `planned_us`, or the time at which the wait ended without one; in
+        microseconds.
+    """
     while True:
         now = clock_us()
         last = max(
@@ -68,7 +80,14 @@
 
 
 def judge(plan: Plan, effects: list[Effect], unsafe: frozenset[str], ended_us: int) -> dict[str, Any]:
-    """What the record of the witnesses proves."""
+    """Check the recorded effects and return the part of the report that is derived from them.
+
+    Args:
+        plan: The plan that was run.
+        effects: All effects that the task server recorded.
+        unsafe: The tasks that must not be repeated.
+        ended_us: The end of the drill on the clock of the effects, in microseconds.
+    """
     over = [[asdict(one), asdict(other)] for one, other in overlapping_effects(effects)]
     late = [[asdict(one), asdict(other)] for one, other in stale_tokens_accepted(effects)]
     shared = [[asdict(one), asdict(other)] for one, other in shared_tokens(effects)]
--- a/marlstep/fault_injection/lease_invariants.py
+++ b/marlstep/fault_injection/lease_invariants.py
@@ -1,6 +1,6 @@
-"""The invariants of the log, of elections and of leases, checked with sight of all nodes at once.
+"""Invariants of the replicated log, elections and leases, checked across all nodes of a simulated cluster.
 
-The simulated cluster reports what its voters do; whatever contradicts an earlier report is raised at that moment.
+The cluster reports the actions of its voters; an error is raised as soon as one contradicts an earlier report.
 """
 
 from __future__ import annotations
@@ -20,49 +20,56 @@
 
 
 class CommittedEntryChangedError(InvariantViolationError):
-    """Two nodes committed different entries at one index (State Machine Safety, section 5.4.3 of the Raft paper)."""
+    """Two nodes committed different entries at the same index (State Machine Safety, Raft paper, section 5.4.3)."""
 
     def __init__(self, known: LogEntry, entry: LogEntry, node: str, true_us: int) -> None:
-        """`known` was committed first, `entry` by `node` at the simulated time `true_us`, in microseconds."""
+        """Initialize the error.
+
+        Args:
+            known: The entry that was committed first.
+            entry: The different entry that was committed later.
+            node: The node that committed `entry`.
+            true_us: The simulated time at which it did, in microseconds.
+        """
         super().__init__(
             f"committed entry {entry.index} differs at {true_us} us on {node}: {known} there, {entry} here"
         )
 
 
 class TwoLeadersError(InvariantViolationError):
-    """Two voters lead in one term (Election Safety, section 5.2 of the Raft paper)."""
+    """Two voters are leaders in the same term (Election Safety, Raft paper, section 5.2)."""
 
     def __init__(self, term: int, known: str, leader: str) -> None:
-        """`known` was seen to lead in the term first."""
+        """`known` was reported first as the leader of the term, `leader` later."""
         super().__init__(f"two lead in term {term}: {known} and {leader}")
 
 
 class TokenNotIncreasedError(InvariantViolationError):
-    """A grant has a fencing token that is not above those of all grants before it."""
+    """The fencing token of a grant is not higher than those of all earlier grants."""
 
     def __init__(self, token: int, index: int) -> None:
-        """`index` is that of the grant's entry in the log."""
+        """`token` was granted by the log entry at `index`."""
         super().__init__(f"token {token} at entry {index} is not above all before it")
 
 
 class UnrequestedGrantError(InvariantViolationError):
-    """A lease was granted to a process that never asked for it."""
+    """A lease was granted to a process that never requested it."""
 
     def __init__(self, command: Mapping[str, Any]) -> None:
-        """`command` is the grant."""
+        """`command` is the command that granted the lease."""
         super().__init__(f"granted what was not asked: {command}")
 
 
 class TwoHoldersError(InvariantViolationError):
-    """Two nodes hold one lease at the same time."""
+    """Two nodes hold the same lease at the same time."""
 
     def __init__(self, lease: str, true_us: int, holders: Iterable[str]) -> None:
-        """`holders` hold it at the simulated time `true_us`, in microseconds."""
+        """`holders` all hold `lease` at the simulated time `true_us`, in microseconds."""
         super().__init__(f"two hold {lease} at {true_us} us: {', '.join(holders)}")
 
 
 class NoProgressError(InvariantViolationError):
-    """No task had an effect towards the end of a plan, when all its faults were over."""
+    """No task had an effect near the end of a plan, although all its faults were over."""
 
     def __init__(self, last_us: int) -> None:
         """`last_us` is the simulated time at which the last effect ended, in microseconds."""
@@ -70,78 +77,78 @@
 
 
 class EffectsError(InvariantViolationError):
-    """Two effects of one task contradict each other, as the server of the tasks saw them."""
+    """Two effects of one task, as recorded by the task server, contradict each other."""
 
     violation: ClassVar[str]
 
     def __init__(self, earlier: Effect, later: Effect) -> None:
-        """The server of the tasks saw `earlier` first."""
+        """`earlier` reached the task server before `later`."""
         super().__init__(f"{self.violation}: {earlier} and {later}")
         self.earlier, self.later = earlier, later
 
 
 class OverlappingEffectsError(EffectsError):
-    """Two holders had an effect at the same time."""
+    """Effects of two holders overlap in time."""
 
     violation = "acts overlap"
 
 
 class SharedTokenError(EffectsError):
-    """Two nodes had an effect under one token."""
+    """Two nodes had effects with the same fencing token."""
 
     violation = "one token, two nodes"
 
 
 class RepeatedRunError(EffectsError):
-    """A run that must not be repeated had its effect twice."""
+    """A run of a task that must not be repeated had more than one effect."""
 
     violation = "run twice"
 
 
 class StaleTokenAcceptedError(InvariantViolationError):
-    """The server of the tasks accepted a token below one that it had accepted before."""
+    """The task server accepted a token below one that it had accepted before."""
 
     def __init__(self, earlier: Effect, later: Effect) -> None:
-        """`later` has the lower token."""
+        """`later` was accepted after `earlier`, although its token is lower."""
         super().__init__(f"accepted with a falling token: {later} after {earlier}")
         self.earlier, self.later = earlier, later
 
 
 class LeaseInvariants:
-    """Watches elections, the log and the grants of leases.
+    """Checks elections, committed log entries and lease grants.
 
     Attributes:
-        grant_count: How many grants were applied.
+        grant_count: The number of distinct grants that were applied.
     """
 
     def __init__(self) -> None:
-        """Start without any observation."""
+        """Initialize the checker with no reports."""
         self.grant_count = 0
         self._committed: dict[int, LogEntry] = {}
         self._leaders: dict[int, str] = {}
-        self._tokens: dict[int, int] = {}  # of grants, by index in the log
-        self._requested: set[tuple[str, str]] = set()  # holder and lease, ever
+        self._tokens: dict[int, int] = {}  # fencing tokens of grants, by log index
+        self._requested: set[tuple[str, str]] = set()  # all (holder, lease) pairs requested so far
 
     def lease_requested(self, holder: str, leases: Iterable[str]) -> None:
-        """Note that a process asked for leases."""
+        """Record that a process requested leases."""
         self._requested |= {(holder, lease) for lease in leases}
 
     def entry_committed(self, node: str, entry: LogEntry, true_us: int) -> None:
-        """Check an entry that a node takes for committed.
+        """Check an entry that a node considers committed.
 
         Raises:
-            CommittedEntryChangedError: Another entry was committed at its index.
+            CommittedEntryChangedError: A different entry was committed at the same index before.
         """
         known = self._committed.setdefault(entry.index, entry)
         if known != entry:
             raise CommittedEntryChangedError(known, entry, node, true_us)
 
     def command_applied(self, index: int, command: Mapping[str, Any], result: Mapping[str, Any]) -> None:
-        """Check a command that a voter applied, if it grants a lease; an index is checked once.
+        """Check a command that a voter applied, if it granted a lease. Each log index is checked only once.
 
         Raises:
-            TokenNotIncreasedError: Its token is not above those of all grants before it.
-            UnrequestedGrantError: The holder never asked for the lease.
+            TokenNotIncreasedError: The token is not higher than those of all earlier grants.
+            UnrequestedGrantError: The holder never requested the lease.
         """
         if index in self._tokens or "granted" not in result:
             return
@@ -154,10 +161,10 @@
             raise UnrequestedGrantError(command)
 
     def leader_elected(self, term: int, identity: str) -> None:
-        """Check a voter that leads.
+        """Check a voter that became leader.
 
         Raises:
-            TwoLeadersError: Another voter led in its term.
+            TwoLeadersError: Another voter was the leader of the term before.
         """
         known = self._leaders.setdefault(term, identity)
         if known != identity:
@@ -165,13 +172,13 @@
 
 
 def check_effects(effects: list[Effect], non_repeatable_tasks: frozenset[str]) -> None:
-    """Check all effects of a run, as the server of the tasks recorded them.
+    """Check all effects that the task server recorded.
 
     Raises:
-        OverlappingEffectsError: Two holders had an effect at the same time.
+        OverlappingEffectsError: Effects of two holders overlap in time.
         StaleTokenAcceptedError: A token was accepted after a higher one.
-        SharedTokenError: Two nodes had an effect under one token.
-        RepeatedRunError: A task that must not be repeated ran twice.
+        SharedTokenError: Two nodes had effects with the same token.
+        RepeatedRunError: A run of a task that must not be repeated had more than one effect.
     """
     for earlier, later in overlapping_effects(effects):
         raise OverlappingEffectsError(earlier, later)
--- a/marlstep/fault_injection/linearizability.py
+++ b/marlstep/fault_injection/linearizability.py
@@ -1,8 +1,8 @@
-"""Whether a history of calls is linearizable: explained by one register that each call reached at one moment.
+"""Linearizability checker for histories of compare-and-set calls on one versioned register.
 
-The register has a version. A `get` reads it; a `put` replaces it if it still is the one that the caller expects. The
-search over all orders is that of Wing and Gong: whoever began before all calls that are still to come had ended may be
-next.
+A `get` reads the version of the register; a `put` replaces it if it still is the version that the caller expects. A
+history is linearizable if each call can be assigned one moment between its start and its end at which it took effect.
+The search over all orders follows Wing and Gong: a call may be next if it began before any other remaining call ended.
 """
 
 from __future__ import annotations
@@ -15,12 +15,10 @@
 class CallOutcome(enum.Enum):
     """The outcome of a call, as its client saw it."""
 
-    TOLD = "told"  # a get: it read the version
-    DONE = "done"  # a put: its version came into force
-    STALE = "stale"  # a put: rejected, since another version is in force, which it was told
-    UNKNOWN = (
-        "unknown"  # a put without a response: it may have an effect at any time after its begin, or none
-    )
+    TOLD = "told"  # a get that read the version
+    DONE = "done"  # a put whose version came into force
+    STALE = "stale"  # a put rejected because another version is in force, which the response names
+    UNKNOWN = "unknown"  # a put without a response: it may take effect at any time after its start, or never
 
 
 @dataclass(slots=True)
@@ -28,12 +26,12 @@
     """A call to the register.
 
     Attributes:
-        client: Who called.
-        begun_us: When, in microseconds.
-        ended_us: When the response came; None if none did.
-        expect: The version that a put expects.
+        client: The name of the client.
+        begun_us: When the call began, in microseconds.
+        ended_us: When the response arrived, in microseconds; None if there was none.
+        expect: The current version that a put expects.
         came: The outcome.
-        version: The version that was read or written; 0 of a put for which it is not known.
+        version: The version that was read or written; 0 for a put whose version is not known.
     """
 
     client: str
@@ -48,11 +46,11 @@
 
 
 def linearizability_violation(calls: Sequence[Call], first: int = 0) -> str:
-    """Return why no order of the calls explains them, or an empty text where one does.
+    """Return the first call that no order of the calls explains, as text; empty if the history is linearizable.
 
     Args:
         calls: The history, in any order.
-        first: The version of the register before all of them.
+        first: The version of the register before all calls.
     """
     rows = sorted(calls, key=lambda one: one.begun_us)
     ends = [
@@ -61,7 +59,7 @@
     wanted = sum(1 << at for at, end in enumerate(ends) if end != NEVER_US)
     claimed = {one.version for one in rows if one.came is CallOutcome.DONE}
     claimed |= {one.version for one in rows if one.came is CallOutcome.UNKNOWN and one.version}
-    # What a put without any answer may have made: versions that were seen and that nobody else made.
+    # Versions that a put without a response may have written: those that were read but that no other put wrote.
     open_versions = sorted(
         {one.version for one in rows if one.came in (CallOutcome.TOLD, CallOutcome.STALE)} - claimed - {first}
     )
@@ -73,7 +71,7 @@
         if done & wanted == wanted:
             return ""
         furthest = max(furthest, done & wanted, key=int.bit_count)
-        # Nobody may come next who began only after one that is still to come had ended.
+        # A call that began after the end of another remaining call can't be the next.
         limit = min(end for at, end in enumerate(ends) if not done >> at & 1)
         for at, one in enumerate(rows):
             if one.begun_us > limit:
@@ -90,7 +88,7 @@
 
 
 def _next(one: Call, version: int, open_versions: Sequence[int]) -> list[int]:
-    """Return the versions that the register may have after the call; none where it can't come next."""
+    """Return the versions that the register may have after the call; none if the call can't be the next."""
     match one.came:
         case CallOutcome.TOLD | CallOutcome.STALE:
             return [version] if one.version == version else []
