--- a/marlstep/fault_injection/document_model.py
+++ b/marlstep/fault_injection/document_model.py
@@ -1,8 +1,9 @@
-"""The walk in the small for documents: three voters, two nodes that act on one, and a change that is on its way.
+"""A model of replicated documents for the model checker: voters, two nodes that follow a document, and a change.
 
-Steps are as in `explore`: every order of messages, losses, wakes and crashes; a node that crashes comes back as a new
-process. For a strict document no two may act on different versions in any state that can be reached; for any other
-nobody may act on an old one for longer than a lease after the new one came into force. What is acted on was committed.
+The steps are those of the lease model: any order of message deliveries, losses, timers and crashes; a node that crashes
+restarts as a new process. Invariants: no node acts on a version that was not committed. No two nodes act on different
+versions of a strict document at the same time. No node acts on an old version of any other document for longer than a
+lease duration after the new version came into force.
 """
 
 from __future__ import annotations
@@ -55,11 +56,20 @@
 
 
 class DocumentNode:
-    """A process that acts on the document, as the product drives one."""
+    """A node process that follows the document, driven the way the production code drives it."""
 
     def __init__(
         self, node: str, boot: str, voters: tuple[str, ...], settings: LeaseSettings, strict: bool
     ) -> None:
+        """Initialize the process with no lease and no version of the document.
+
+        Args:
+            node: The name of the node.
+            boot: The boot ID of the process.
+            voters: The names of the voters.
+            settings: The settings of leases.
+            strict: Whether the document is strict.
+        """
         self.participant = GroupClient(node, boot, voters, settings, ConstantRandom(0.0))
         self.holder = self.participant.holder
         self.lease = CONFIG_LEASE_PREFIX + self.holder.name
@@ -71,9 +81,11 @@
         self._sends: list[tuple[str, Any]] = []
 
     def next_due(self, now: datetime) -> datetime:
+        """Return when the next timer is due."""
         return self.participant.next_due(now)
 
     def put(self, now: datetime, content: str, expect: int) -> None:
+        """Propose a new version with the content, if `expect` is still the current version."""
         upload = f"u{content}{self.holder.name}"
         told = {"m": "rules", "upload": upload, "doc": DOCUMENT, "kind": "settings"}
         named = self.follower.documents[DOCUMENT].definition
@@ -83,11 +95,13 @@
         self.participant.propose(now, StoredCommand(put))
 
     def tick(self, now: datetime) -> list[tuple[str, Any]]:
+        """Handle the timers that are due; return the messages to send, each with its receiver."""
         sends, _ = self.participant.tick(now)
         self._carry_out(now, self.follower.tick(now, self.holder.time_left(self.lease, now)))
         return self._out(now, sends)
 
     def told(self, now: datetime, sender: str, message: Any) -> list[tuple[str, Any]]:
+        """Handle a message; return the messages to send, each with its receiver."""
         left = self.holder.time_left
         if isinstance(message, DocumentChunk):
             self._carry_out(now, self.follower.handle_chunk(now, message, left(self.lease, now)))
@@ -104,7 +118,7 @@
         return self._out(now, [])
 
     def _out(self, now: datetime, sends: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
-        """What it has to say at once, beside `sends`; its next beat comes when it is due."""
+        """Return `sends` and the requests to send at once; the next heartbeat waits until it is due."""
         more, self._sends = self._sends, []
         out = self.participant._outbound.values()
         for one in out:
@@ -131,10 +145,10 @@
                 case ProposeFirstVersion():
                     self.put(now, "[1]", 0)
                 case ActivateVersion() | SuspendDocument():
-                    pass  # where it stands is read from the follower
+                    pass  # `acting` reads the state of the follower
 
     def acting(self, now: datetime) -> tuple[int, datetime] | None:
-        """The version that it acts on, and until when."""
+        """Return the version that the process acts on and until when it may; None if it acts on none."""
         one = self.follower.documents[DOCUMENT]
         left = self.holder.time_left(self.lease, now)
         return (one.version, now + left) if one.state is Follows.ACTIVE and left else None
@@ -142,29 +156,42 @@
 
 @dataclass(slots=True)
 class DocumentState(State):
+    """A state of the model: that of the lease model, with `DocumentNode` as the holders.
+
+    Attributes:
+        strict: Whether the document is strict.
+        acting: The version that each process acts on, and until when it may.
+        in_force: The versions that came into force, and when.
+    """
+
     strict: bool = True
     acting: dict[str, tuple[int, datetime]] = field(default_factory=dict)
-    in_force: dict[int, datetime] = field(default_factory=dict)  # versions, and since when
+    in_force: dict[int, datetime] = field(default_factory=dict)
 
     @staticmethod
     def machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
+        """Return the factory of the voters' configuration store."""
         return _book
 
     def copy(self) -> DocumentState:
+        """Return a copy whose dictionaries can be changed independently."""
         after = State.copy(self)
         assert isinstance(after, DocumentState)
         after.acting = dict(self.acting)
         return after
 
     def key(self) -> int:
+        """Return a hash that is equal for states that the search need not tell apart."""
         since = tuple(self.in_force.items())
         flying = frozenset(self.flying)
         return hash((self.now, self.crashes, self.wakes, flying, tuple(self.keys.values()), since))
 
     def node(self, name: str) -> DocumentNode:
+        """Return a fresh copy of a node process; `put` stores it again."""
         return State.holder(self, name)  # type: ignore[return-value]
 
     def put(self, name: str, part: Any) -> None:
+        """Store a voter or a node process and update its key."""
         if isinstance(part, DocumentNode):
             State.put(self, name, part.participant)
             self.parts[name] = _pickled(part)
@@ -174,6 +201,7 @@
             self.keys[name] = hash((self.keys[name], book_key(part)))
 
     def steps(self, bounds: Bounds) -> Iterator[tuple[str, State]]:
+        """Yield the steps of the lease model and the crashes of node processes."""
         yield from State.steps(self, bounds)
         if self.crashes < bounds.crashes:
             for name in self.holders:
@@ -183,7 +211,7 @@
                 yield self.doing, after
 
     def node_crashes(self, name: str) -> None:
-        """It comes back as another process, which acts on nothing yet."""
+        """Replace a node process by a new one of the same node, which does not act on any version yet."""
         old = self.node(name)
         node, boot = name.split("/")
         fresh = DocumentNode(node, str(int(boot) + 1), self.voters, old.holder.settings, self.strict)
@@ -195,6 +223,7 @@
         self.put(fresh.holder.name, fresh)
 
     def deliver(self, sender: str, to: str, message: Any, bounds: Bounds) -> None:
+        """Deliver a message to a voter or a node process; one to a process that has ended is lost."""
         if to in self.holders:
             one = self.node(to)
             sends = one.told(self.now, sender, message)
@@ -205,6 +234,7 @@
             State.deliver(self, sender, to, message, bounds)
 
     def wake(self, name: str, bounds: Bounds) -> None:
+        """Let a node process handle its timers, and send its messages."""
         one = self.node(name)
         sends = one.tick(self.now)
         self.see(name, one)
@@ -212,15 +242,18 @@
             self.send(name, target, message, bounds)
 
     def route(self, voter: Replica, to: str, message: Any, bounds: Bounds) -> None:
+        """Send a message of a voter under the sender name that its receiver expects."""
         sender = voter.identity if "#" in to else voter.node
         self.send(sender, to, message, bounds)
 
-    # Properties.
+    # Invariants.
 
     def asked_for(self, holder: str, lease: str) -> bool:
+        """Return whether the holder may have requested the lease."""
         return holder.partition("/")[0] in NODES and lease == CONFIG_LEASE_PREFIX + holder
 
     def check(self, voter: Replica) -> None:
+        """Check a voter, record the versions that it has committed, and check the versions acted on."""
         State.check(self, voter)
         assert voter.config_store is not None
         document = voter.config_store.documents.get(DOCUMENT)
@@ -230,6 +263,7 @@
             self.look()
 
     def see(self, name: str, one: DocumentNode) -> None:
+        """Store a node process, record the version that it acts on, and check the versions acted on."""
         self.put(name, one)
         self.acting.pop(name, None)
         if (acting := one.acting(self.now)) is not None:
@@ -237,6 +271,12 @@
         self.look()
 
     def look(self) -> None:
+        """Check the versions that the node processes act on now.
+
+        Raises:
+            InvariantViolationError: A version that was never in force, different versions of a strict document, or an
+                old version for longer than a lease duration after a newer one came into force.
+        """
         acting = {name: version for name, (version, until) in self.acting.items() if until > self.now}
         for name, version in acting.items():
             if version not in self.in_force:
@@ -259,6 +299,7 @@
 
 
 def node_key(one: DocumentNode) -> tuple[Any, ...]:
+    """Return the state of a node process that tells states of the model apart."""
     at = one.follower.documents[DOCUMENT]
     held, checks = tuple((at.prepared_contents or {}).items()), tuple(at.check_results.items())
     mine = (
@@ -277,11 +318,15 @@
 
 
 def book_key(voter: Replica) -> tuple[Any, ...]:
+    """Return the state of a voter that tells states apart, beyond its lease state."""
     return tuple(voter._pending_requests), tuple(sorted(voter.duties.proposed_decisions))
 
 
 def lapsed(mutation: Mutation, strict: bool, voters: tuple[str, ...]) -> DocumentState:
-    """As `change`, but no word came through until both leases were over, and then a late beat."""
+    """Return a state like that of `change`, in which both configuration leases have just expired.
+
+    No message was delivered meanwhile. Only messages of the second process are in flight, among them a late heartbeat.
+    """
     state = change(mutation, strict, voters)
     state.flying = state.flying[:0]
     late = state.holders[1]
@@ -300,7 +345,11 @@
 
 
 def change(mutation: Mutation, strict: bool, voters: tuple[str, ...]) -> DocumentState:
-    """Both nodes act on version 1, and version 2 is prepared: they are to be told. Raises Violation."""
+    """Return a state in which both nodes act on version 1, and version 2 has just been prepared.
+
+    Raises:
+        InvariantViolationError: The mutation violates an invariant before that state is reached.
+    """
     group = Configuration(tuple(f"{name}#1" for name in voters))
     disks = {name: PersistentState(snapshot=Snapshot(configuration=group)) for name in voters}
     settings = mutation.settings(SETTINGS)
@@ -344,7 +393,11 @@
 
 
 def _until(state: DocumentState, there: Callable[[], bool]) -> None:
-    """All messages in order, and whoever is due first wakes."""
+    """Run the model until the condition holds: messages are delivered in order, and the earliest timer fires next.
+
+    Raises:
+        AssertionError: The condition does not hold after 4000 steps.
+    """
     for _ in range(4_000):
         if there():
             return
@@ -364,10 +417,10 @@
             voter = state.voter(name)
             voter.tick(state.now)
             state.settle(name, voter, WIDE)
-    raise AssertionError("the walk's start is not what it should be")
+    raise AssertionError("start state not reached: its condition does not hold after 4000 steps")
 
 
-# One voter, as the walk of leases is about three; and three to a lesser depth, with elections.
+# Most start states have one voter, since the lease model covers three; `three` adds elections, to a smaller depth.
 STARTS = {
     "strict": (change, True, VOTERS[:1], Bounds(depth=14, term=2, wakes=1, crashes=1, flying=5)),
     "plain": (change, False, VOTERS[:1], Bounds(depth=14, term=2, wakes=1, crashes=1, flying=5)),
@@ -380,7 +433,14 @@
 def search_document_states(
     start: str, mutation: Mutation, bounds: Bounds | None = None, seconds: float = 240.0
 ) -> SearchResult:
-    """Breadth first, from a change that was asked for. Ends at the bounds, or when time is over."""
+    """Search breadth first from a start state, so that a violation is found with the fewest steps.
+
+    Args:
+        start: The name of the start state, a key of `STARTS`.
+        mutation: The rule to break on purpose.
+        bounds: The bounds of the search; None for those of the start state.
+        seconds: When to give up, in seconds.
+    """
     make, strict, voters, usual = STARTS[start]
     try:
         first = make(mutation, strict, voters)
--- a/marlstep/fault_injection/lease_model.py
+++ b/marlstep/fault_injection/lease_model.py
@@ -1,8 +1,8 @@
-"""An exhaustive walk in the small: three voters, two that want one lease, every order of what can happen.
+"""A model of leases for the model checker: three voters, and two nodes that want the same lease.
 
-A state is all voters, holders and messages on their way, at one true moment. From each, every message may be delivered
-(those that never are count as lost), every part may wake at its own next time, however late the others are, and a
-voter may crash and come back with what was durable. States that are the same are walked once.
+A state consists of all voters, holders and messages in flight at one moment. In each state, any message may be
+delivered (one that never is counts as lost), any voter or holder may wake at the time of its own next timer, however
+late the others are, and any voter may crash and restart with its durable state. Equal states are visited once.
 """
 
 from __future__ import annotations
@@ -35,25 +35,47 @@
 
 
 class ConstantRandom:
-    """Chance that is none: each voter has its own patience."""
+    """A random source with a constant value; each voter gets another one, and so an election timeout of its own."""
 
     def __init__(self, value: float) -> None:
+        """Initialize the source; `random` always returns `value`."""
         self.value = value
 
     def random(self) -> float:
+        """Return the constant value."""
         return self.value
 
 
-Flying = tuple[str, str, Any]  # from, to, message
+Flying = tuple[str, str, Any]  # sender, receiver, message
 
 
 @dataclass(slots=True)
 class State:
-    """Parts are kept written down, and shared between states: a step reads and writes the one that it is about."""
+    """A state of the model.
+
+    Voters and holders are kept pickled, so that states share those that a step leaves alone: a step unpickles and
+    stores only the one that it changes.
+
+    Attributes:
+        now: The true time.
+        parts: The pickled voters and holders by name.
+        keys: A hash of the relevant state of each voter and holder, by name.
+        voters: The names of the voters.
+        holders: The names of the processes that want leases.
+        disks: The durable state of each voter.
+        flying: The messages in flight, oldest first.
+        committed: The entries committed so far, by log index.
+        leaders: The leaders seen so far, by term.
+        tokens: The fencing tokens of grants, by log index.
+        until: The end of the time for which each holder considers itself the holder of the lease.
+        crashes: The number of crashes so far.
+        wakes: The number of steps so far in which time passed.
+        doing: A description of the step that is being computed from this state.
+    """
 
     now: datetime
-    parts: dict[str, bytes]  # voters and holders
-    keys: dict[str, int]  # what of each part tells states apart
+    parts: dict[str, bytes]
+    keys: dict[str, int]
     voters: tuple[str, ...]
     holders: tuple[str, ...]
     disks: dict[str, PersistentState] = field(default_factory=dict)
@@ -61,12 +83,13 @@
     committed: dict[int, LogEntry] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
     tokens: dict[int, int] = field(default_factory=dict)
-    until: dict[str, datetime] = field(default_factory=dict)  # until when each holder would act
+    until: dict[str, datetime] = field(default_factory=dict)
     crashes: int = 0
     wakes: int = 0
-    doing: str = ""  # the step that is being taken from here
+    doing: str = ""
 
     def copy(self) -> State:
+        """Return a copy whose dictionaries can be changed independently."""
         return replace(
             self,
             parts=dict(self.parts),
@@ -76,27 +99,35 @@
         )
 
     def key(self) -> int:
-        """What is the same for the walk has the same."""
+        """Return a hash that is equal for states that the search need not tell apart."""
         return hash((self.now, self.crashes, self.wakes, frozenset(self.flying), tuple(self.keys.values())))
 
     def voter(self, name: str) -> Replica:
+        """Return a fresh copy of a voter; `put` stores it again."""
         return pickle.loads(self.parts[name])  # type: ignore[no-any-return]
 
     def holder(self, name: str) -> GroupClient:
+        """Return a fresh copy of a holder; `put` stores it again."""
         return pickle.loads(self.parts[name])  # type: ignore[no-any-return]
 
     def put(self, name: str, part: Replica | GroupClient) -> None:
+        """Store a voter or a holder and update its key."""
         self.parts[name] = pickle.dumps(part, -1)
         self.keys[name] = hash(voter_key(part) if isinstance(part, Replica) else holder_key(part))
 
     @staticmethod
     def machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
-        """Those of the voters beside the leases."""
+        """Return the factory of the voters' state machines other than the lease table."""
         return _none
 
-    # Steps.
+    # Successor states: message delivery, timers, crashes.
 
     def steps(self, bounds: Bounds) -> Iterator[tuple[str, State]]:
+        """Yield each possible step as text, with the state after it.
+
+        Raises:
+            InvariantViolationError: The step that `doing` describes violates an invariant.
+        """
         for number, (sender, to, message) in enumerate(self.flying):
             after = self.copy()
             after.flying = self.flying[:number] + self.flying[number + 1 :]
@@ -139,6 +170,7 @@
                 yield self.doing, after
 
     def deliver(self, sender: str, to: str, message: Any, bounds: Bounds) -> None:
+        """Deliver a message to a voter or a holder."""
         if to in self.holders:
             if isinstance(message, HeartbeatResponse):
                 one = self.holder(to)
@@ -151,6 +183,11 @@
             self.settle(name, voter, bounds)
 
     def put_holder(self, name: str, one: GroupClient) -> None:
+        """Store a holder and check that no two hold the lease at the same time.
+
+        Raises:
+            InvariantViolationError: Two processes consider themselves holders.
+        """
         self.put(name, one)
         self.until[name] = self.now + one.holder.time_left(LEASE, self.now)
         holding = [name for name, until in self.until.items() if until > self.now]
@@ -158,6 +195,7 @@
             raise InvariantViolationError(f"two hold the lease at {self.now - START}: {', '.join(holding)}")
 
     def wake(self, name: str, bounds: Bounds) -> None:
+        """Let a holder handle its timers, and send its messages."""
         one = self.holder(name)
         sends, _ = one.tick(self.now)
         self.put_holder(name, one)
@@ -165,11 +203,13 @@
             self.send(one.holder.name, target, message, bounds)
 
     def send(self, sender: str, to: str, message: Any, bounds: Bounds) -> None:
+        """Put a message in flight unless an equal one is; the oldest is lost if there are too many."""
         one = (sender, to, message)
         if one not in self.flying:
             self.flying = (*self.flying, one)[-bounds.flying :]
 
     def crash(self, name: str) -> None:
+        """Restart a voter from its durable state; classes replaced by a mutation stay replaced."""
         self.crashes += 1
         old = self.voter(name)
         disk = self.disks[name]
@@ -187,8 +227,10 @@
         self.put(name, voter)
 
     def settle(self, name: str, voter: Replica, bounds: Bounds) -> None:
-        """Send and store what the voter says, until it says nothing more. What is stored is synced at once:
-        a crash before that is the same as the message that led to it being lost."""
+        """Send the voter's messages and persist its state until it has no more output, then check and store it.
+
+        Writes are durable at once: a crash before that has the same effect as the loss of the message that caused them.
+        """
         while True:
             for to, message in voter.take_immediate_messages(self.now):
                 self.route(voter, to, message, bounds)
@@ -211,16 +253,23 @@
         self.put(name, voter)
 
     def route(self, voter: Replica, to: str, message: Any, bounds: Bounds) -> None:
+        """Send a message of a voter under the sender name that its receiver expects."""
         sender = voter.node if isinstance(message, HeartbeatResponse) else voter.identity
         self.send(sender, to, message, bounds)
 
-    # Properties.
+    # Invariants.
 
     def asked_for(self, holder: str, lease: str) -> bool:
-        """That one may have wanted that lease."""
+        """Return whether the holder may have requested the lease."""
         return holder in self.holders and lease == LEASE
 
     def check(self, voter: Replica) -> None:
+        """Check the invariants of elections, committed entries and lease grants for a voter.
+
+        Raises:
+            InvariantViolationError: Two leaders in a term, a new leader without a committed entry, different entries
+                committed at an index, a token that did not increase, or a lease granted without a request.
+        """
         raft = voter.raft
         if raft.is_leader:
             if self.leaders.get(raft.term, voter.identity) != voter.identity:
@@ -229,7 +278,7 @@
                 )
             new = raft.term not in self.leaders
             self.leaders = {**self.leaders, raft.term: voter.identity}
-            # At the moment of its election: one that leads on in an old term knows nothing of later ones.
+            # Checked at its election only: the leader of an old term may lack entries committed in later terms.
             for index, entry in self.committed.items():
                 if new and (index > raft.log.last_index or raft.log[index] != entry):
                     raise InvariantViolationError(
@@ -256,6 +305,7 @@
 
 
 def voter_key(voter: Replica) -> tuple[Any, ...]:
+    """Return the state of a voter that tells states of the model apart."""
     raft, keeper = voter.raft, voter.lease_manager
     log = tuple((one.index, one.term, one.body) for one in raft.log.slice(1, raft.log.last_index))
     peers = tuple(
@@ -298,6 +348,7 @@
 
 
 def holder_key(one: GroupClient) -> tuple[Any, ...]:
+    """Return the state of a holder that tells states of the model apart."""
     holder = one.holder
     held = tuple((name, mine.token, mine.expires_at, mine.lapsed) for name, mine in holder.held.items())
     sent, returns = tuple(holder._sent_heartbeats.items()), tuple(holder._returned_tokens.items())
@@ -321,6 +372,16 @@
     leases: LeaseSettings,
     machines: Callable[[LeaseTable], Mapping[str, StateMachine]],
 ) -> Replica:
+    """Create a voter from its durable state.
+
+    Args:
+        name: The name of its node.
+        disk: The durable state; the voter gets a copy.
+        now: The true time.
+        timing: The timing of heartbeats and elections.
+        leases: The settings of leases.
+        machines: Creates the state machines other than the lease table.
+    """
     saved = pickle.loads(pickle.dumps(disk))
     settings = ReplicaSettings(timing, leases, VOTERS)
     return Replica(f"{name}#1", saved, settings, machines, ConstantRandom(VOTERS.index(name) / 4), now)
@@ -334,13 +395,13 @@
 
 
 def fresh(mutation: Mutation) -> State:
-    """Nobody leads, nobody holds."""
+    """Return a state without a leader and without a holder."""
     disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
     return _state(mutation, disks)
 
 
 def held(mutation: Mutation) -> State:
-    """One leads, and the first of the two that want the lease has it."""
+    """Return a state in which v1 is the leader and the first of the two processes holds the lease."""
     state = fresh(mutation)
     bounds = Bounds(99, 9, 99)
 
@@ -364,13 +425,19 @@
                 state.wake(name, bounds)
         if not state.flying:
             wake("v1")
-    raise AssertionError("the walk's start is not what it should be")
+    raise AssertionError("start state not reached: expected a/1 to hold the lease after 40 rounds")
 
 
 def divergent(mutation: Mutation) -> State:
-    """Two have led, each has an entry that no other has, and the first leads again: after (b) of figure 8."""
+    """Return the state after step (b) of figure 8 of the Raft paper.
+
+    v1 and v2 were leaders, each has an entry that no other voter has, and v1 is the leader again.
+    """
     disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
-    disks["v1"].term, disks["v1"].voted_for = 3, ""  # it has heard of term 3, and has what it wrote in term 2
+    disks["v1"].term, disks["v1"].voted_for = (
+        3,
+        "",
+    )  # it knows of term 3, and has the entry that it appended in term 2
     disks["v1"].entries = [LogEntry(1, 2, EntryType.NOOP, "")]
     disks["v2"].term, disks["v2"].voted_for = 3, "v2#1"
     disks["v2"].entries = [LogEntry(1, 3, EntryType.NOOP, "")]
@@ -423,6 +490,13 @@
 def walk(
     start: str, mutation: Mutation, bounds: Bounds | None = None, seconds: float = 240.0
 ) -> SearchResult:
-    """Breadth first, so that what is found has the fewest steps. Ends at the bounds, or when time is over."""
+    """Search breadth first from a start state, so that a violation is found with the fewest steps.
+
+    Args:
+        start: The name of the start state, a key of `STARTS`.
+        mutation: The rule to break on purpose.
+        bounds: The bounds of the search; None for those of the start state.
+        seconds: When to give up, in seconds.
+    """
     make, usual = STARTS[start]
     return search_from(start, make(mutation), bounds or usual, seconds)
