--- a/marlstep/fault_injection/lease_model.py
+++ b/marlstep/fault_injection/lease_model.py
@@ -434,10 +434,8 @@
     v1 and v2 were leaders, each has an entry that no other voter has, and v1 is the leader again.
     """
     disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
-    disks["v1"].term, disks["v1"].voted_for = (
-        3,
-        "",
-    )  # it knows of term 3, and has the entry that it appended in term 2
+    # v1 knows of term 3 and has the entry that it appended in term 2.
+    disks["v1"].term, disks["v1"].voted_for = 3, ""
     disks["v1"].entries = [LogEntry(1, 2, EntryType.NOOP, "")]
     disks["v2"].term, disks["v2"].voted_for = 3, "v2#1"
     disks["v2"].entries = [LogEntry(1, 3, EntryType.NOOP, "")]
