--- a/marlstep/fault_injection/document_drill.py
+++ b/marlstep/fault_injection/document_drill.py
@@ -29,15 +29,16 @@
 
 # The number of lists: at a change per second, a list is used again only after many lease durations.
 SERVERS = 64
-WINDOW = 8  # versions that are judged together; each of them has a different list
-LOST = 40  # the latest changes without a response whose lists are not reused: each may still come into force
-SEND_EVERY_S = 0.04  # the interval of requests to each node
+WINDOW_VERSIONS = 8  # versions that are judged together; each of them has a different list
+# The lists of this many changes without a response are not used again, since each may still come into force.
+MAX_UNANSWERED_CHANGES = 40
+SEND_INTERVAL_S = 0.04  # the interval of requests to each node
 CLIENTS = 8  # operators' clients
-THINKS_S = (0.3, 1.5)  # the shortest and the longest pause of a client between two calls
-OUT_OF_PATIENCE_S = 5.0  # the timeout of a client's call; a later response is lost
-ANSWER_S = 12.0  # the timeout of a request of the load, longer than any response deadline
-MOST_OPEN = 48  # requests open at a node; beyond 64 connections it closes further ones unread
-DEATH_S = 0.5  # the longest time until the end of a process is noticed here
+CALL_PAUSE_S = (0.3, 1.5)  # the shortest and the longest pause of a client between two calls
+CALL_TIMEOUT_S = 5.0  # the timeout of a client's call; a later response is lost
+RESPONSE_TIMEOUT_S = 12.0  # the timeout of a request of the load, longer than any response deadline
+MAX_OPEN_REQUESTS = 48  # requests open at a node; beyond 64 connections it closes further ones unread
+EXIT_DETECTION_S = 0.5  # the longest time until the end of a process is noticed here
 DOCUMENT = "servers"
 
 
@@ -59,20 +60,20 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Put:
+class AcceptedChange:
     """A change that was accepted and got a version.
 
     Attributes:
         version: The version.
         server: The number of the list that it contains.
         called_us: When the client called, in microseconds.
-        told_us: When the client received the version, in microseconds.
+        accepted_us: When the client received the version, in microseconds.
     """
 
     version: int
     server: int
     called_us: int
-    told_us: int
+    accepted_us: int
 
 
 class ListServers:
@@ -97,11 +98,13 @@
         """
         for number in range(SERVERS):
             port = ports.take()
-            self._servers.append(await asyncio.start_server(self._maker(number), "127.0.0.1", port))
+            self._servers.append(
+                await asyncio.start_server(self._connection_handler(number), "127.0.0.1", port)
+            )
             self.ports.append(port)
 
-    def _maker(self, number: int) -> Any:
-        async def taken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def _connection_handler(self, number: int) -> Any:
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             packets, ring = PacketReader(1 << 16), Ring(1 << 16)
             with contextlib.suppress(OSError):
                 while (packet := packets.next(ring)) is None:
@@ -109,15 +112,20 @@
                         break
                     ring.put(data)
                 if packet is not None:
-                    told = packet.variables
+                    uwsgi_variables = packet.variables
                     self.arrivals.append(
-                        Arrival(told["HTTP_X_NODE"], number, int(told["HTTP_X_SENT"]), clock_us())
+                        Arrival(
+                            uwsgi_variables["HTTP_X_NODE"],
+                            number,
+                            int(uwsgi_variables["HTTP_X_SENT"]),
+                            clock_us(),
+                        )
                     )
                     writer.write(write_response(200, {}, "done"))
                     await writer.drain()
             writer.close()
 
-        return taken
+        return handle_connection
 
     def close(self) -> None:
         """Stop listening on all ports."""
@@ -137,7 +145,7 @@
         stop: Set to True to stop sending.
     """
 
-    def __init__(self, cluster: ProcessCluster, every_s: float = SEND_EVERY_S) -> None:
+    def __init__(self, cluster: ProcessCluster, every_s: float = SEND_INTERVAL_S) -> None:
         """Initialize the load; `every_s` is the interval of requests to each node, in seconds."""
         self.cluster, self.every_s = cluster, every_s
         self.answers: Counter[str] = Counter()
@@ -150,18 +158,18 @@
         await asyncio.gather(*(self._client(node) for node in self.cluster.nodes.values()))
 
     async def _client(self, node: NodeProcess) -> None:
-        open_still: set[asyncio.Task[None]] = set()
+        open_requests: set[asyncio.Task[None]] = set()
         while not self.stop:
-            if node.up and len(open_still) < MOST_OPEN:
-                task = asyncio.get_running_loop().create_task(self._one(node))
-                open_still.add(task)
-                task.add_done_callback(open_still.discard)
+            if node.up and len(open_requests) < MAX_OPEN_REQUESTS:
+                task = asyncio.get_running_loop().create_task(self._send_request(node))
+                open_requests.add(task)
+                task.add_done_callback(open_requests.discard)
             await asyncio.sleep(self.every_s)
-        await asyncio.gather(*open_still)
+        await asyncio.gather(*open_requests)
 
-    async def _one(self, node: NodeProcess) -> None:
+    async def _send_request(self, node: NodeProcess) -> None:
         process, sent = node.process, clock_us()
-        told = {
+        variables = {
             "HTTP_X_CLASS": "temp-history",
             "HTTP_X_NODE": node.name,
             "HTTP_X_SENT": str(sent),
@@ -174,12 +182,12 @@
             return
         data = b""
         with contextlib.suppress(OSError, TimeoutError):
-            writer.write(write_packet(told))
-            data = await asyncio.wait_for(reader.read(-1), ANSWER_S)
+            writer.write(write_packet(variables))
+            data = await asyncio.wait_for(reader.read(-1), RESPONSE_TIMEOUT_S)
         writer.close()
         if not data:
             # The end of a process that killed itself at a step is noticed a little later.
-            await asyncio.sleep(DEATH_S)
+            await asyncio.sleep(EXIT_DETECTION_S)
         if data.startswith(b"HTTP/1.1 "):
             self.answers[data[9:12].decode()] += 1
             self.twice += data.count(b"HTTP/1.1 ") > 1
@@ -200,7 +208,7 @@
     Attributes:
         cluster: The cluster.
         servers: The servers of the lists.
-        puts: The accepted changes by version.
+        accepted_changes: The accepted changes by version.
         calls: The history of calls for the linearizability checker.
         refused: The number of rejected changes and of calls without a response, by reason.
         stop: Set to True to stop calling.
@@ -209,50 +217,54 @@
     def __init__(self, cluster: ProcessCluster, servers: ListServers, seed: int) -> None:
         """Initialize the clients; `seed` determines their random choices."""
         self.cluster, self.servers = cluster, servers
-        self.puts: dict[int, Put] = {}
+        self.accepted_changes: dict[int, AcceptedChange] = {}
         self.calls: list[Call] = []
         self.refused: Counter[str] = Counter()
         self.stop = False
-        self._chance = random.Random(seed + 3)
+        self._random = random.Random(seed + 3)
         # The lists of the latest accepted versions; the nodes start with list 0.
-        self._placed = deque([0], maxlen=WINDOW)
+        self._accepted_lists = deque([0], maxlen=WINDOW_VERSIONS)
         # The lists of changes without a response, which may still come into force.
-        self._recent = deque[int](maxlen=LOST)
-        self._trying: Counter[int] = Counter()
+        self._recent = deque[int](maxlen=MAX_UNANSWERED_CHANGES)
+        self._pending_lists: Counter[int] = Counter()
 
     async def run(self) -> None:
         """Run all clients until `stop` is set."""
         await asyncio.gather(*(self._client(f"c{number}") for number in range(CLIENTS)))
 
     async def _client(self, name: str) -> None:
-        saw = 0
+        known_version = 0
         while not self.stop:
-            await asyncio.sleep(self._chance.uniform(*THINKS_S))
-            node = self.cluster.nodes[self._chance.choice(self.cluster.plan.nodes)]
-            call = Call(name, clock_us(), expect=saw)
-            work = self._put(node, call) if saw and self._chance.random() < 0.25 else self._get(node, call)
+            await asyncio.sleep(self._random.uniform(*CALL_PAUSE_S))
+            node = self.cluster.nodes[self._random.choice(self.cluster.plan.nodes)]
+            call = Call(name, clock_us(), expect=known_version)
+            pending_call = (
+                self._put(node, call)
+                if known_version and self._random.random() < 0.25
+                else self._get(node, call)
+            )
             try:
-                saw = await asyncio.wait_for(work, OUT_OF_PATIENCE_S) or saw
+                known_version = await asyncio.wait_for(pending_call, CALL_TIMEOUT_S) or known_version
             except (OSError, ValueError, TimeoutError, KeyError, TypeError):
                 self.refused["no answer"] += 1
             if call.came is not CallOutcome.UNKNOWN or call.version:
                 self.calls.append(call)
 
     async def _get(self, node: NodeProcess, call: Call) -> int:
-        told = await self._asked(node, "get", {"doc": DOCUMENT})
-        call.ended_us, call.came, call.version = clock_us(), CallOutcome.TOLD, int(told["version"])
+        answer = await self._request(node, "get", {"doc": DOCUMENT})
+        call.ended_us, call.came, call.version = clock_us(), CallOutcome.TOLD, int(answer["version"])
         return call.version
 
     async def _put(self, node: NodeProcess, call: Call) -> int:
-        number = self._chance.choice(self.free())
-        self._trying[number] += 1
+        list_number = self._random.choice(self.free())
+        self._pending_lists[list_number] += 1
         try:
-            return await self._change(node, call, number)
+            return await self._change(node, call, list_number)
         except BaseException:
-            self._recent.append(number)  # the change may still come into force
+            self._recent.append(list_number)  # the change may still come into force
             raise
         finally:
-            self._trying[number] -= 1
+            self._pending_lists[list_number] -= 1
 
     def free(self) -> list[int]:
         """Return the lists that no recent version has and no pending or lost change may still bring into force.
@@ -260,37 +272,44 @@
         The lists of accepted versions and of changes without a response are remembered separately, so that many lost
         responses can't displace the lists in force.
         """
-        taken = {*self._placed, *self._recent}
-        return [one for one in range(SERVERS) if one not in taken and not self._trying[one]]
+        taken = {*self._accepted_lists, *self._recent}
+        return [
+            number for number in range(SERVERS) if number not in taken and not self._pending_lists[number]
+        ]
 
-    async def _change(self, node: NodeProcess, call: Call, number: int) -> int:
+    async def _change(self, node: NodeProcess, call: Call, list_number: int) -> int:
         content = json.dumps(
-            {"main": [f"127.0.0.1:{self.cluster.effect_recorder.port}"], "more": self.list_of(number)}
+            {"main": [f"127.0.0.1:{self.cluster.effect_recorder.port}"], "more": self.list_of(list_number)}
         )
-        upload = f"o{self._chance.randrange(1 << 40):x}"
-        put = {"doc": DOCUMENT, "upload": upload, "digest": content_digest(content), "expect": call.expect}
-        put |= {"author": call.client, "force": True}
-        await self._asked(node, "part", {"upload": upload, "offset": 0, "data": content})
+        upload = f"o{self._random.randrange(1 << 40):x}"
+        put_body = {
+            "doc": DOCUMENT,
+            "upload": upload,
+            "digest": content_digest(content),
+            "expect": call.expect,
+        }
+        put_body |= {"author": call.client, "force": True}
+        await self._request(node, "part", {"upload": upload, "offset": 0, "data": content})
         call.version = -1  # from here on, the call may take effect
-        told = await self._asked(node, "put", put)
+        answer = await self._request(node, "put", put_body)
         call.version = 0
-        if "prepares" not in told:
-            self.refused[str(told.get("refused", told))[:24]] += 1
-            if "version" in told and "waits_for" not in told:
-                call.ended_us, call.came, call.version = clock_us(), CallOutcome.STALE, int(told["version"])
+        if "prepares" not in answer:
+            self.refused[str(answer.get("refused", answer))[:24]] += 1
+            if "version" in answer and "waits_for" not in answer:
+                call.ended_us, call.came, call.version = clock_us(), CallOutcome.STALE, int(answer["version"])
             return call.version
-        version = call.version = int(told["prepares"])
-        self._placed.append(number)
-        self.puts[version] = Put(version, number, call.begun_us, clock_us())
+        version = call.version = int(answer["prepares"])
+        self._accepted_lists.append(list_number)
+        self.accepted_changes[version] = AcceptedChange(version, list_number, call.begun_us, clock_us())
         while True:
             await asyncio.sleep(0.05)
-            now = await self._asked(
-                self.cluster.nodes[self._chance.choice(self.cluster.plan.nodes)], "get", {"doc": DOCUMENT}
+            current = await self._request(
+                self.cluster.nodes[self._random.choice(self.cluster.plan.nodes)], "get", {"doc": DOCUMENT}
             )
-            if any(row["version"] == version for row in now["turned_down"]):
+            if any(row["version"] == version for row in current["turned_down"]):
                 call.version = 0
                 return 0
-            if now["version"] >= version:
+            if current["version"] >= version:
                 call.ended_us, call.came = clock_us(), CallOutcome.DONE
                 return version
 
@@ -298,13 +317,13 @@
         """Return the addresses of the servers of a list."""
         return [f"127.0.0.1:{self.servers.ports[number]}"]
 
-    async def _asked(self, node: NodeProcess, what: str, told: dict[str, Any]) -> dict[str, Any]:
-        number = (await node.call(f"/v1/fleet/rules/{what}", told))["asked"]
+    async def _request(self, node: NodeProcess, operation: str, body: dict[str, Any]) -> dict[str, Any]:
+        order = (await node.call(f"/v1/fleet/rules/{operation}", body))["asked"]
         while True:
             answers = await node.call("/v1/fleet/asked")
-            if str(number) in answers:
-                found: dict[str, Any] = answers[str(number)]
-                return found
+            if str(order) in answers:
+                answer: dict[str, Any] = answers[str(order)]
+                return answer
             await asyncio.sleep(0.03)
 
 
@@ -319,23 +338,27 @@
         The longest time between the first arrival under a newer list and the sending of a request under an older one,
         in microseconds, and all such pairs of the first arrival and the contradicting request.
     """
-    rank = {server: at for at, server in enumerate(order)}
-    longest, found = 0, []
+    rank = {server: position for position, server in enumerate(order)}
+    longest_us, contradictions = 0, []
     first: dict[int, Arrival] = {}  # the first arrival at the server of each list
-    for one in sorted(arrivals, key=lambda one: one.arrived_us):
-        if one.server in rank:
-            first.setdefault(one.server, one)
-    for one in arrivals:
-        if one.server not in rank:
+    for arrival in sorted(arrivals, key=lambda arrival: arrival.arrived_us):
+        if arrival.server in rank:
+            first.setdefault(arrival.server, arrival)
+    for arrival in arrivals:
+        if arrival.server not in rank:
             continue
-        newer = [first[server] for server, at in rank.items() if at > rank[one.server] and server in first]
+        newer = [
+            first[server]
+            for server, position in rank.items()
+            if position > rank[arrival.server] and server in first
+        ]
         if newer:
-            before = min(newer, key=lambda other: other.arrived_us)
-            span = one.sent_us - before.arrived_us
-            if span > 0:
-                found.append((before, one))
-                longest = max(longest, span)
-    return longest, found
+            first_newer = min(newer, key=lambda other: other.arrived_us)
+            span_us = arrival.sent_us - first_newer.arrived_us
+            if span_us > 0:
+                contradictions.append((first_newer, arrival))
+                longest_us = max(longest_us, span_us)
+    return longest_us, contradictions
 
 
 async def run(plan: Plan, settings: Settings, strict: bool) -> dict[str, Any]:
@@ -350,63 +373,69 @@
         ProcessClusterError: The cluster could not be started.
         OSError: A port, a file or a process could not be opened.
     """
-    free = Ports()
+    port_block = Ports()
     servers = ListServers()
-    await servers.open(free)
+    await servers.open(port_block)
     rules: dict[str, dict[str, Any]] = {
         DOCUMENT: {"kind": "servers", "strict": strict, "cut_off": "stop"},
         "settings": {"kind": "settings"},
     }
-    told = replace(settings, tasks={}, pool=(f"127.0.0.1:{servers.ports[0]}",), rules=rules)
+    cluster_settings = replace(settings, tasks={}, pool=(f"127.0.0.1:{servers.ports[0]}",), rules=rules)
     try:
         with tempfile.TemporaryDirectory(prefix="drill-") as folder:
-            async with ProcessCluster(plan, told, Path(folder)) as cluster:
-                load, operator = Load(cluster), Operators(cluster, servers, plan.seed)
-                tasks = [asyncio.create_task(load.run()), asyncio.create_task(operator.run())]
+            async with ProcessCluster(plan, cluster_settings, Path(folder)) as cluster:
+                load, operators = Load(cluster), Operators(cluster, servers, plan.seed)
+                tasks = [asyncio.create_task(load.run()), asyncio.create_task(operators.run())]
                 await cluster.run()
-                operator.stop = load.stop = True
+                operators.stop = load.stop = True
                 await asyncio.gather(*tasks)
-                document = await versions(cluster)
+                document = await read_versions(cluster)
                 unexpected = list(cluster.unexpected)
-                struck = dict(cluster.counts)
+                fault_counts = dict(cluster.counts)
     finally:
         servers.close()
-        free.close()
+        port_block.close()
     # The versions that came into force, in order, each with the number of its list, which is found by its port.
     by_port = {f"127.0.0.1:{port}": number for number, port in enumerate(servers.ports)}
-    lists = [(one["version"], by_port[json.loads(one["content"])["more"][0]]) for one in document["versions"]]
-    longest, found = judge_in_turn(servers.arrivals, lists, operator.puts)
+    versioned_lists = [
+        (entry["version"], by_port[json.loads(entry["content"])["more"][0]]) for entry in document["versions"]
+    ]
+    longest_us, contradictions = judge_in_windows(
+        servers.arrivals, versioned_lists, operators.accepted_changes
+    )
     # The first version comes from a node's own file. Version -1 marks a call that may have had any effect.
-    calls = [replace(one, version=max(0, one.version)) for one in operator.calls]
-    disorder = linearizability_violation([*calls, Call("a node", 0)])
-    within = settings.rules_ms + 1_000
-    happened = len(document["versions"]) >= 3 and load.answers["200"] > 50
-    held = happened and not load.lost and not load.twice and longest <= within * 1000
-    held = held and not (strict and found) and not unexpected and not disorder
+    calls = [replace(entry, version=max(0, entry.version)) for entry in operators.calls]
+    violation = linearizability_violation([*calls, Call("a node", 0)])
+    limit_ms = settings.rules_ms + 1_000
+    had_traffic = len(document["versions"]) >= 3 and load.answers["200"] > 50
+    held = had_traffic and not load.lost and not load.twice and longest_us <= limit_ms * 1000
+    held = held and not (strict and contradictions) and not unexpected and not violation
     return {
         "seed": plan.seed,
         "plan": plan.write(),
         "faults": len(plan.faults),
         "strict": strict,
         "changes": len(document["versions"]),
-        "refused": dict(operator.refused),
+        "refused": dict(operators.refused),
         "calls": len(calls),
-        "disorder": disorder,
+        "disorder": violation,
         "answers": dict(load.answers),
-        "longest_contradiction_ms": round(longest / 1000, 1),
-        "agree_within_ms": within,
-        "strict_contradictions": len(found) if strict else 0,
-        "evidence": [[repr(one), repr(other)] for one, other in found[:3]],
+        "longest_contradiction_ms": round(longest_us / 1000, 1),
+        "agree_within_ms": limit_ms,
+        "strict_contradictions": len(contradictions) if strict else 0,
+        "evidence": [[repr(entry), repr(other)] for entry, other in contradictions[:3]],
         "lost": load.lost,
         "answered_twice": load.twice,
-        "struck": struck,
+        "struck": fault_counts,
         "unexpected": unexpected,
         "verdict": "held" if held else "broken",
     }
 
 
-def judge_in_turn(
-    arrivals: Sequence[Arrival], lists: Sequence[tuple[int, int]], puts: Mapping[int, Put]
+def judge_in_windows(
+    arrivals: Sequence[Arrival],
+    lists: Sequence[tuple[int, int]],
+    accepted_changes: Mapping[int, AcceptedChange],
 ) -> tuple[int, list[tuple[Arrival, Arrival]]]:
     """Judge the requests as `judge` does, in overlapping windows of versions that all have different lists.
 
@@ -415,32 +444,45 @@
     Args:
         arrivals: The requests to judge.
         lists: The versions that were in force, in order, each with the number of its list.
-        puts: The accepted changes by version.
+        accepted_changes: The accepted changes by version.
 
     Returns:
         The longest contradiction in microseconds and the contradicting pairs, over all windows.
     """
-    longest, found = 0, list[tuple[Arrival, Arrival]]()
-    asked = [puts[version].called_us if version in puts else None for version, _ in lists]
-    for begin in range(0, len(lists), WINDOW // 2):
-        part = [number for _, number in lists[begin : begin + WINDOW]]
+    longest_us, contradictions = 0, list[tuple[Arrival, Arrival]]()
+    called_at_us = [
+        accepted_changes[version].called_us if version in accepted_changes else None for version, _ in lists
+    ]
+    for start in range(0, len(lists), WINDOW_VERSIONS // 2):
+        window_lists = [number for _, number in lists[start : start + WINDOW_VERSIONS]]
         # The window is shortened by changes at its ends whose time of call is not known.
-        from_us = 0 if not begin else next((at for at in asked[begin:] if at is not None), 1 << 62)
+        from_us = (
+            0
+            if not start
+            else next((time_us for time_us in called_at_us[start:] if time_us is not None), 1 << 62)
+        )
         until_us = 1 << 62
-        if begin + WINDOW < len(lists):
-            until_us = next((at for at in reversed(asked[: begin + WINDOW + 1]) if at is not None), 1 << 62)
-        rows = [one for one in arrivals if from_us <= one.sent_us < until_us]
-        span, pairs = judge(rows, part)
-        longest, found = max(longest, span), found + pairs
-    return longest, found
+        if start + WINDOW_VERSIONS < len(lists):
+            until_us = next(
+                (
+                    time_us
+                    for time_us in reversed(called_at_us[: start + WINDOW_VERSIONS + 1])
+                    if time_us is not None
+                ),
+                1 << 62,
+            )
+        window_arrivals = [arrival for arrival in arrivals if from_us <= arrival.sent_us < until_us]
+        span_us, window_contradictions = judge(window_arrivals, window_lists)
+        longest_us, contradictions = max(longest_us, span_us), contradictions + window_contradictions
+    return longest_us, contradictions
 
 
-async def versions(cluster: ProcessCluster) -> dict[str, Any]:
+async def read_versions(cluster: ProcessCluster) -> dict[str, Any]:
     """Return the document's versions from the voter that reports the most of them."""
     best: dict[str, Any] = {"versions": []}
     for name in cluster.plan.voters:
         with contextlib.suppress(OSError, ValueError):
-            told = await cluster.nodes[name].call(f"/v1/fleet/rules/{DOCUMENT}")
-            if "in_force" in told and len(told["versions"]) > len(best["versions"]):
-                best = told
+            document = await cluster.nodes[name].call(f"/v1/fleet/rules/{DOCUMENT}")
+            if "in_force" in document and len(document["versions"]) > len(best["versions"]):
+                best = document
     return best
--- a/marlstep/fault_injection/effect_recorder.py
+++ b/marlstep/fault_injection/effect_recorder.py
@@ -41,10 +41,10 @@
         self.effects: list[Effect] = []
         self.hang_tasks: set[str] = set()
         self.port = 0
-        self._receiver = FencingServer()
-        self._chance = random.Random(seed)
+        self._fencing_server = FencingServer()
+        self._random = random.Random(seed)
         self._server: asyncio.Server | None = None
-        self._open: set[asyncio.Task[None]] = set()
+        self._open_requests: set[asyncio.Task[None]] = set()
 
     async def open(self, port: int) -> None:
         """Listen on the loopback port.
@@ -52,13 +52,13 @@
         Raises:
             OSError: The port can't be bound.
         """
-        self._server = await asyncio.start_server(self._taken, "127.0.0.1", port)
+        self._server = await asyncio.start_server(self._handle_connection, "127.0.0.1", port)
         self.port = port
 
-    async def _taken(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._open.add(task)
+        self._open_requests.add(task)
         try:
             packets, ring = PacketReader(1 << 16), Ring(1 << 16)
             while (packet := packets.next(ring)) is None:
@@ -72,34 +72,36 @@
             pass
         finally:
             writer.close()
-            self._open.discard(task)
-
-    async def _serve(self, told: Mapping[str, str]) -> bytes:
-        task, token = told["HTTP_X_TASK"], int(told["HTTP_X_TASK_TOKEN"])
-        run, fence = int(told["HTTP_X_TASK_RUN"]), told["HTTP_X_TASK_FENCE"] == "1"
-        node = told["HTTP_X_TASK_HOLDER"]
-        began = clock_us()
-        taken = self._receiver.accepts(task, token)
-        number = len(self.effects)
-        work = 0.0 if fence or not taken else self._chance.uniform(*WORK_S)
+            self._open_requests.discard(task)
+
+    async def _serve(self, variables: Mapping[str, str]) -> bytes:
+        task, token = variables["HTTP_X_TASK"], int(variables["HTTP_X_TASK_TOKEN"])
+        run, fence = int(variables["HTTP_X_TASK_RUN"]), variables["HTTP_X_TASK_FENCE"] == "1"
+        node = variables["HTTP_X_TASK_HOLDER"]
+        arrived_us = clock_us()
+        accepted = self._fencing_server.accepts(task, token)
+        index = len(self.effects)
+        work_s = 0.0 if fence or not accepted else self._random.uniform(*WORK_S)
         # Recorded before the work starts, so that the end is known even if the connection breaks meanwhile.
-        self.effects.append(Effect(task, node, token, run, began, began + int(work * 1e6), taken, fence))
-        if not taken:
+        self.effects.append(
+            Effect(task, node, token, run, arrived_us, arrived_us + int(work_s * 1e6), accepted, fence)
+        )
+        if not accepted:
             return b"HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\n\r\nlate\n"
         if task in self.hang_tasks and not fence:
             await asyncio.sleep(3600)
-        if work:
-            await asyncio.sleep(work)
-            self.effects[number] = Effect(task, node, token, run, began, clock_us(), taken, fence)
+        if work_s:
+            await asyncio.sleep(work_s)
+            self.effects[index] = Effect(task, node, token, run, arrived_us, clock_us(), accepted, fence)
         return write_response(200, {}, "done")
 
     async def close(self) -> None:
         """Stop listening and cancel all open requests."""
         if self._server is not None:
             self._server.close()
-        for task in list(self._open):
+        for task in list(self._open_requests):
             task.cancel()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._open_requests, return_exceptions=True)
 
 
 async def serve(port: int) -> None:
@@ -107,12 +109,12 @@
     effect_recorder = EffectRecorder(1)
     await effect_recorder.open(port)
     print(json.dumps({"listens": port}), flush=True)
-    told = 0
+    printed_count = 0
     while True:
         await asyncio.sleep(0.1)
-        for effect in effect_recorder.effects[told:]:
+        for effect in effect_recorder.effects[printed_count:]:
             print(json.dumps(asdict(effect)), flush=True)
-        told = len(effect_recorder.effects)
+        printed_count = len(effect_recorder.effects)
 
 
 def main() -> None:
--- a/marlstep/fault_injection/effects.py
+++ b/marlstep/fault_injection/effects.py
@@ -47,10 +47,10 @@
     for effect in effects:
         if effect.did_work:
             by_task[effect.task].append(effect)
-    for of_task in by_task.values():
-        of_task.sort(key=lambda effect: effect.began_us)
-        for position, effect in enumerate(of_task):
-            for later in of_task[position + 1 :]:
+    for task_effects in by_task.values():
+        task_effects.sort(key=lambda effect: effect.began_us)
+        for position, effect in enumerate(task_effects):
+            for later in task_effects[position + 1 :]:
                 if later.began_us >= effect.ended_us:
                     break  # the list is sorted: all remaining effects begin even later
                 if (later.token, later.node) != (effect.token, effect.node):
@@ -63,11 +63,11 @@
     for effect in sorted(effects, key=lambda effect: effect.began_us):
         if not effect.accepted:
             continue
-        before = highest.get(effect.task)
-        if before is None or effect.token >= before.token:
+        earlier = highest.get(effect.task)
+        if earlier is None or effect.token >= earlier.token:
             highest[effect.task] = effect
         elif not effect.fence:
-            yield before, effect
+            yield earlier, effect
 
 
 def shared_tokens(effects: Iterable[Effect]) -> Iterator[tuple[Effect, Effect]]:
@@ -75,9 +75,9 @@
     first: dict[tuple[str, int], Effect] = {}
     for effect in effects:
         if effect.accepted:
-            before = first.setdefault((effect.task, effect.token), effect)
-            if before.node != effect.node:
-                yield before, effect
+            earlier = first.setdefault((effect.task, effect.token), effect)
+            if earlier.node != effect.node:
+                yield earlier, effect
 
 
 def repeated_runs(
--- a/marlstep/fault_injection/faulty_process.py
+++ b/marlstep/fault_injection/faulty_process.py
@@ -43,7 +43,7 @@
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 from marlstep.units import EPOCH, MILLISECOND, SteadyClock
 
-BROKEN = {**LEASE_MUTATIONS, **DOCUMENT_MUTATIONS, **MEMBERSHIP_MUTATIONS}
+MUTATIONS = {**LEASE_MUTATIONS, **DOCUMENT_MUTATIONS, **MEMBERSHIP_MUTATIONS}
 HOOK_STEPS = {  # by their names in fault plans
     "voted": Step.STORE_SAVING,
     "stored": Step.STORE_SAVED,
@@ -64,7 +64,7 @@
 
     Attributes:
         hook: The step at which this process sends itself a signal; None if no step is ordered.
-        how: The signal: SIGKILL, or SIGSTOP to suspend the process until the drill continues it.
+        signal_number: The signal: SIGKILL, or SIGSTOP to suspend the process until the drill continues it.
         disk_ms: The delay of each commit, in milliseconds.
         disk_full: Whether each commit fails.
         jump_ms: How far the clock has been set forward in total, in milliseconds.
@@ -73,7 +73,7 @@
     def __init__(self) -> None:
         """Initialize the orders with no faults."""
         self.hook: Step | None = None
-        self.how = signal.SIGKILL
+        self.signal_number = signal.SIGKILL
         self.disk_ms = 0
         self.disk_full = False
         self.jump_ms = 0
@@ -81,22 +81,22 @@
     def listen(self) -> None:
         """Read orders from standard input until it is closed."""
         for line in sys.stdin:
-            told: dict[str, Any] = json.loads(line)
-            if "hook" in told:
-                self.how = signal.SIGSTOP if told.get("stop") else signal.SIGKILL
-                self.hook = HOOK_STEPS.get(str(told["hook"]))
-            self.disk_ms = int(told.get("disk_ms", self.disk_ms))
-            self.disk_full = bool(told.get("disk_full", self.disk_full))
-            self.jump_ms += int(told.get("jump_ms", 0))
+            order: dict[str, Any] = json.loads(line)
+            if "hook" in order:
+                self.signal_number = signal.SIGSTOP if order.get("stop") else signal.SIGKILL
+                self.hook = HOOK_STEPS.get(str(order["hook"]))
+            self.disk_ms = int(order.get("disk_ms", self.disk_ms))
+            self.disk_full = bool(order.get("disk_full", self.disk_full))
+            self.jump_ms += int(order.get("jump_ms", 0))
 
     def reached(self, step: Step) -> None:
         """Send the ordered signal to this process if the step is the ordered one."""
         if step is self.hook:
             self.hook = None
-            os.kill(os.getpid(), self.how)
+            os.kill(os.getpid(), self.signal_number)
 
 
-class ErringClock(SteadyClock):
+class DriftingClock(SteadyClock):
     """A clock that drifts at a constant rate from the start of this process, and that orders can set forward.
 
     Attributes:
@@ -113,11 +113,11 @@
 
     def now(self) -> datetime:
         """Return the time of the drifting clock."""
-        passed = super().now() - self._start
-        return EPOCH + passed * self.rate + self.orders.jump_ms * MILLISECOND
+        elapsed = super().now() - self._start
+        return EPOCH + elapsed * self.rate + self.orders.jump_ms * MILLISECOND
 
 
-def alter(orders: FaultOrders, rate: float, mutation: Mutation) -> None:
+def inject_faults(orders: FaultOrders, rate: float, mutation: Mutation) -> None:
     """Patch the clock, the store and the step observer of the node classes, and apply the mutation to their parts.
 
     Args:
@@ -125,8 +125,8 @@
         rate: The rate of the node's clock; 1.0 is exact.
         mutation: The rule to break on purpose; the default mutation breaks none.
     """
-    ErringClock.rate, ErringClock.orders = rate, orders
-    save, begin, vote = ReplicaStore.save, ClusterNode.__init__, ReplicaDriver.start_replica
+    DriftingClock.rate, DriftingClock.orders = rate, orders
+    save, initialize, start_voter = ReplicaStore.save, ClusterNode.__init__, ReplicaDriver.start_replica
 
     def slow_save(self: ReplicaStore, ready: Ready) -> None:
         if orders.disk_ms:
@@ -135,9 +135,9 @@
             raise StoreError(self.path, apsw.FullError("database or disk is full"))
         save(self, ready)
 
-    def hooked(self: ClusterNode, *words: Any, **named: Any) -> None:
-        named |= {"observer": orders, "clock": ErringClock()}
-        begin(self, *words, **named)
+    def init_with_faults(self: ClusterNode, *args: Any, **kwargs: Any) -> None:
+        kwargs |= {"observer": orders, "clock": DriftingClock()}
+        initialize(self, *args, **kwargs)
         mutation.apply_to(self.context.client.holder)
         for runner in self.task_driver.runners.values():
             mutation.apply_to(runner)
@@ -146,19 +146,19 @@
         if self.membership is not None:
             mutation.apply_to(self.membership.detector.state)
 
-    def voting(self: ReplicaDriver, opened: OpenedStore) -> None:
-        vote(self, opened)
+    def start_mutated_replica(self: ReplicaDriver, opened: OpenedStore) -> None:
+        start_voter(self, opened)
         if self.replica is not None:
             mutation.apply_to_replica(self.replica)
             for part in (self.replica.config_store, self.replica.quotas):
                 if part is not None:
                     mutation.apply_to(part)
 
-    ReplicaDriver.start_replica = voting  # type: ignore[method-assign]
+    ReplicaDriver.start_replica = start_mutated_replica  # type: ignore[method-assign]
     if mutation.ignores_capabilities:
         NodeContext.capabilities = property(lambda self: CAPABILITIES[PartitionState.HEALTHY])  # type: ignore[method-assign,assignment]
     ReplicaStore.save = slow_save  # type: ignore[method-assign]
-    ClusterNode.__init__ = hooked  # type: ignore[method-assign]
+    ClusterNode.__init__ = init_with_faults  # type: ignore[method-assign]
 
 
 def main() -> int:
@@ -166,10 +166,10 @@
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--operator", required=True)
     parser.add_argument("--rate", type=float, default=1.0)
-    parser.add_argument("--broken", choices=sorted(BROKEN))
+    parser.add_argument("--broken", choices=sorted(MUTATIONS))
     options = parser.parse_args()
     orders = FaultOrders()
-    alter(orders, options.rate, BROKEN[options.broken] if options.broken else Mutation())
+    inject_faults(orders, options.rate, MUTATIONS[options.broken] if options.broken else Mutation())
     threading.Thread(target=orders.listen, daemon=True).start()
     logging.basicConfig(level=logging.INFO, format=LOG_FORMAT)
     from marlstep.node import run
--- a/marlstep/fault_injection/lease_drill.py
+++ b/marlstep/fault_injection/lease_drill.py
@@ -19,10 +19,10 @@
 from marlstep.fault_injection.plan import Plan
 from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 
-WELL_AGAIN_S = 5.0  # the cluster counts as recovered if a task had an effect this recently
+RECOVERY_WINDOW_S = 5.0  # the cluster counts as recovered if a task had an effect this recently
 # The longest wait for a recovery after the end of a plan. The recovery time depends on how busy the machine is and is
 # only reported; the verdict depends on whether the cluster recovers at all.
-PATIENCE_S = 40.0
+MAX_RECOVERY_S = 40.0
 
 
 async def run(plan: Plan, settings: Settings) -> dict[str, Any]:
@@ -34,37 +34,37 @@
     """
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
         async with ProcessCluster(plan, settings, Path(folder)) as cluster:
-            began = clock_us()
+            began_us = clock_us()
             await cluster.run()
-            planned = clock_us()
-            ended = await well_again(cluster, planned)
+            plan_ended_us = clock_us()
+            ended_us = await wait_for_recovery(cluster, plan_ended_us)
             statuses = await cluster.statuses()
-            unsafe = frozenset(
+            non_repeatable_tasks = frozenset(
                 name for name, task in settings.tasks.items() if task["class"] == "setpoint-cmd"
             )
-            report = judge(plan, list(cluster.effect_recorder.effects), unsafe, ended)
+            report = judge(plan, list(cluster.effect_recorder.effects), non_repeatable_tasks, ended_us)
             report["struck"] = dict(cluster.counts)
-            report["seconds"] = round((planned - began) / 1e6, 2)
-            report["well_again_s"] = round(max(0, ended - planned) / 1e6, 2)
+            report["seconds"] = round((plan_ended_us - began_us) / 1e6, 2)
+            report["well_again_s"] = round(max(0, ended_us - plan_ended_us) / 1e6, 2)
             report["unexpected"] = cluster.unexpected
-            report["elders_gone_s"] = [round(one, 2) for one in cluster.upgrade_durations_s]
-            report["changes_of_holder"] = _changes(cluster.effect_recorder.effects)
-            report["nodes"] = {name: _short(told) for name, told in statuses.items()}
+            report["elders_gone_s"] = [round(duration_s, 2) for duration_s in cluster.upgrade_durations_s]
+            report["changes_of_holder"] = _count_holder_changes(cluster.effect_recorder.effects)
+            report["nodes"] = {name: _summarize_status(status) for name, status in statuses.items()}
     if report["unexpected"]:
         report["verdict"] = "broken"
     return report
 
 
-async def well_again(cluster: ProcessCluster, planned_us: int) -> int:
+async def wait_for_recovery(cluster: ProcessCluster, plan_ended_us: int) -> int:
     """Wait for a task effect if none happened near the end of the plan.
 
     Returns:
-        The time of the recovery, but at least `planned_us`, or the time at which the wait ended without one; in
+        The time of the recovery, but at least `plan_ended_us`, or the time at which the wait ended without one; in
         microseconds.
     """
     while True:
-        now = clock_us()
-        last = max(
+        now_us = clock_us()
+        last_us = max(
             (
                 effect.began_us
                 for effect in cluster.effect_recorder.effects
@@ -72,31 +72,35 @@
             ),
             default=0,
         )
-        if last > planned_us - WELL_AGAIN_S * 1e6:
-            return max(planned_us, last)
-        if now > planned_us + PATIENCE_S * 1e6:
-            return now
+        if last_us > plan_ended_us - RECOVERY_WINDOW_S * 1e6:
+            return max(plan_ended_us, last_us)
+        if now_us > plan_ended_us + MAX_RECOVERY_S * 1e6:
+            return now_us
         await asyncio.sleep(0.1)
 
 
-def judge(plan: Plan, effects: list[Effect], unsafe: frozenset[str], ended_us: int) -> dict[str, Any]:
+def judge(
+    plan: Plan, effects: list[Effect], non_repeatable_tasks: frozenset[str], ended_us: int
+) -> dict[str, Any]:
     """Check the recorded effects and return the part of the report that is derived from them.
 
     Args:
         plan: The plan that was run.
         effects: All effects that the task server recorded.
-        unsafe: The tasks that must not be repeated.
+        non_repeatable_tasks: The tasks that must not be repeated.
         ended_us: The end of the drill on the clock of the effects, in microseconds.
     """
-    over = [[asdict(one), asdict(other)] for one, other in overlapping_effects(effects)]
-    late = [[asdict(one), asdict(other)] for one, other in stale_tokens_accepted(effects)]
-    shared = [[asdict(one), asdict(other)] for one, other in shared_tokens(effects)]
-    twice = [[asdict(one), asdict(other)] for one, other in repeated_runs(effects, unsafe)]
+    overlapping = [[asdict(earlier), asdict(later)] for earlier, later in overlapping_effects(effects)]
+    stale = [[asdict(earlier), asdict(later)] for earlier, later in stale_tokens_accepted(effects)]
+    shared = [[asdict(earlier), asdict(later)] for earlier, later in shared_tokens(effects)]
+    repeated = [
+        [asdict(earlier), asdict(later)] for earlier, later in repeated_runs(effects, non_repeatable_tasks)
+    ]
     accepted = [effect for effect in effects if effect.accepted and not effect.fence]
-    last = max((effect.began_us for effect in accepted), default=0)
-    quiet = last < ended_us - WELL_AGAIN_S * 1e6
-    happened = bool(accepted) and (bool(plan.faults) or plan.length_ms > 0)
-    held = happened and not (over or late or shared or twice or quiet)
+    last_us = max((effect.began_us for effect in accepted), default=0)
+    is_quiet = last_us < ended_us - RECOVERY_WINDOW_S * 1e6
+    had_effects = bool(accepted) and (bool(plan.faults) or plan.length_ms > 0)
+    held = had_effects and not (overlapping or stale or shared or repeated or is_quiet)
     return {
         "seed": plan.seed,
         "plan": plan.write(),
@@ -104,16 +108,16 @@
         "acts": len(accepted),
         "refused_late": sum(not effect.accepted for effect in effects),
         "fences": sum(effect.fence for effect in effects),
-        "overlaps": over,
-        "late_accepted": late,
+        "overlaps": overlapping,
+        "late_accepted": stale,
         "shared_tokens": shared,
-        "run_twice": twice,
-        "quiet_at_the_end": quiet,
+        "run_twice": repeated,
+        "quiet_at_the_end": is_quiet,
         "verdict": "held" if held else "broken",
     }
 
 
-def _changes(effects: list[Effect]) -> int:
+def _count_holder_changes(effects: list[Effect]) -> int:
     holder: dict[str, int] = {}
     changes = 0
     for effect in effects:
@@ -123,12 +127,12 @@
     return changes
 
 
-def _short(told: dict[str, Any]) -> dict[str, Any]:
-    voter = told.get("voter") or {}
+def _summarize_status(status: dict[str, Any]) -> dict[str, Any]:
+    voter = status.get("voter") or {}
     return {
-        "fault": told.get("fault"),
+        "fault": status.get("fault"),
         "role": voter.get("role"),
         "identity": voter.get("identity"),
-        "lines": told.get("lines"),
-        "counts": told.get("counts"),
+        "lines": status.get("lines"),
+        "counts": status.get("counts"),
     }
--- a/marlstep/fault_injection/linearizability.py
+++ b/marlstep/fault_injection/linearizability.py
@@ -52,48 +52,55 @@
         calls: The history, in any order.
         first: The version of the register before all calls.
     """
-    rows = sorted(calls, key=lambda one: one.begun_us)
-    ends = [
-        NEVER_US if one.came is CallOutcome.UNKNOWN or one.ended_us is None else one.ended_us for one in rows
+    history = sorted(calls, key=lambda call: call.begun_us)
+    ends_us = [
+        NEVER_US if call.came is CallOutcome.UNKNOWN or call.ended_us is None else call.ended_us
+        for call in history
     ]
-    wanted = sum(1 << at for at, end in enumerate(ends) if end != NEVER_US)
-    claimed = {one.version for one in rows if one.came is CallOutcome.DONE}
-    claimed |= {one.version for one in rows if one.came is CallOutcome.UNKNOWN and one.version}
+    required = sum(1 << index for index, end in enumerate(ends_us) if end != NEVER_US)
+    written_versions = {call.version for call in history if call.came is CallOutcome.DONE}
+    written_versions |= {
+        call.version for call in history if call.came is CallOutcome.UNKNOWN and call.version
+    }
     # Versions that a put without a response may have written: those that were read but that no other put wrote.
     open_versions = sorted(
-        {one.version for one in rows if one.came in (CallOutcome.TOLD, CallOutcome.STALE)} - claimed - {first}
+        {call.version for call in history if call.came in (CallOutcome.TOLD, CallOutcome.STALE)}
+        - written_versions
+        - {first}
     )
     seen = {(0, first)}
     stack = [(0, first)]
     furthest = 0
     while stack:
         done, version = stack.pop()
-        if done & wanted == wanted:
+        if done & required == required:
             return ""
-        furthest = max(furthest, done & wanted, key=int.bit_count)
+        furthest = max(furthest, done & required, key=int.bit_count)
         # A call that began after the end of another remaining call can't be the next.
-        limit = min(end for at, end in enumerate(ends) if not done >> at & 1)
-        for at, one in enumerate(rows):
-            if one.begun_us > limit:
+        earliest_end_us = min(end for index, end in enumerate(ends_us) if not done >> index & 1)
+        for index, call in enumerate(history):
+            if call.begun_us > earliest_end_us:
                 break
-            if done >> at & 1:
+            if done >> index & 1:
                 continue
-            for after in _next(one, version, open_versions):
-                state = (done | 1 << at, after)
+            for after in _versions_after(call, version, open_versions):
+                state = (done | 1 << index, after)
                 if state not in seen:
                     seen.add(state)
                     stack.append(state)
-    missing = next(one for at, one in enumerate(rows) if wanted >> at & 1 and not furthest >> at & 1)
-    return f"no order explains {missing}"
+    unexplained = next(
+        call for index, call in enumerate(history) if required >> index & 1 and not furthest >> index & 1
+    )
+    return f"no order explains {unexplained}"
 
 
-def _next(one: Call, version: int, open_versions: Sequence[int]) -> list[int]:
+def _versions_after(call: Call, version: int, open_versions: Sequence[int]) -> list[int]:
     """Return the versions that the register may have after the call; none if the call can't be the next."""
-    match one.came:
+    match call.came:
         case CallOutcome.TOLD | CallOutcome.STALE:
-            return [version] if one.version == version else []
+            return [version] if call.version == version else []
         case CallOutcome.DONE:
-            return [one.version] if one.expect == version else []
-    if one.expect != version:
+            return [call.version] if call.expect == version else []
+    if call.expect != version:
         return []
-    return [one.version] if one.version else [other for other in open_versions if other > version]
+    return [call.version] if call.version else [other for other in open_versions if other > version]
