--- a/marlstep/fault_injection/document_model.py
+++ b/marlstep/fault_injection/document_model.py
@@ -32,7 +32,7 @@
 from marlstep.leases.settings import CONFIG_LEASE_PREFIX, LeaseSettings
 from marlstep.leases.table import LeaseTable
 from marlstep.replicated_config.documents import DisconnectPolicy, DocumentDefinition, Kind, content_digest
-from marlstep.replicated_config.followed_document import FollowerState as Follows
+from marlstep.replicated_config.followed_document import FollowerState
 from marlstep.replicated_config.follower import ConfigFollower
 from marlstep.replicated_config.follower_actions import (
     AcknowledgeVersion,
@@ -51,7 +51,7 @@
 SETTINGS = LeaseSettings(1_500 * MILLISECOND, config_term=1_500 * MILLISECOND)
 
 
-def _book(table: LeaseTable) -> dict[str, StateMachine]:
+def _config_machines(table: LeaseTable) -> dict[str, StateMachine]:
     return {"rules": ConfigStore(table)}
 
 
@@ -70,78 +70,91 @@
             settings: The settings of leases.
             strict: Whether the document is strict.
         """
-        self.participant = GroupClient(node, boot, voters, settings, ConstantRandom(0.0))
-        self.holder = self.participant.holder
+        self.client = GroupClient(node, boot, voters, settings, ConstantRandom(0.0))
+        self.holder = self.client.holder
         self.lease = CONFIG_LEASE_PREFIX + self.holder.name
         self.holder.set_wanted([self.lease])
-        named = DocumentDefinition(DOCUMENT, Kind.SETTINGS, strict, DisconnectPolicy.STOP)
-        self.follower = ConfigFollower((named,), node)
+        definition = DocumentDefinition(DOCUMENT, Kind.SETTINGS, strict, DisconnectPolicy.STOP)
+        self.follower = ConfigFollower((definition,), node)
         self.follower.start()
         self._acks: dict[int, int] = {}
-        self._sends: list[tuple[str, Any]] = []
+        self._unsent: list[tuple[str, Any]] = []
 
     def next_due(self, now: datetime) -> datetime:
         """Return when the next timer is due."""
-        return self.participant.next_due(now)
+        return self.client.next_due(now)
 
     def put(self, now: datetime, content: str, expect: int) -> None:
         """Propose a new version with the content, if `expect` is still the current version."""
         upload = f"u{content}{self.holder.name}"
-        told = {"m": "rules", "upload": upload, "doc": DOCUMENT, "kind": "settings"}
-        named = self.follower.documents[DOCUMENT].definition
-        put: dict[str, Any] = {**told, "do": "put", "expect": expect, "strict": named.strict}
+        upload_fields = {"m": "rules", "upload": upload, "doc": DOCUMENT, "kind": "settings"}
+        document_definition = self.follower.documents[DOCUMENT].definition
+        put: dict[str, Any] = {
+            **upload_fields,
+            "do": "put",
+            "expect": expect,
+            "strict": document_definition.strict,
+        }
         put |= {"digest": content_digest(content), "author": "", "note": "", "at": ""}
-        self.participant.propose(now, StoredCommand({**told, "do": "part", "offset": 0, "data": content}))
-        self.participant.propose(now, StoredCommand(put))
+        self.client.propose(now, StoredCommand({**upload_fields, "do": "part", "offset": 0, "data": content}))
+        self.client.propose(now, StoredCommand(put))
 
     def tick(self, now: datetime) -> list[tuple[str, Any]]:
         """Handle the timers that are due; return the messages to send, each with its receiver."""
-        sends, _ = self.participant.tick(now)
+        sends, _ = self.client.tick(now)
         self._carry_out(now, self.follower.tick(now, self.holder.time_left(self.lease, now)))
-        return self._out(now, sends)
+        return self._add_new_requests(now, sends)
 
-    def told(self, now: datetime, sender: str, message: Any) -> list[tuple[str, Any]]:
+    def handle_message(self, now: datetime, sender: str, message: Any) -> list[tuple[str, Any]]:
         """Handle a message; return the messages to send, each with its receiver."""
-        left = self.holder.time_left
+        time_left_of = self.holder.time_left
         if isinstance(message, DocumentChunk):
-            self._carry_out(now, self.follower.handle_chunk(now, message, left(self.lease, now)))
+            self._carry_out(now, self.follower.handle_chunk(now, message, time_left_of(self.lease, now)))
         else:
-            self.participant.handle_response(now, sender, message)
-            news, self.holder.documents = self.holder.documents, None
-            if news is not None:
-                self._carry_out(now, self.follower.handle_statuses(now, news, left(self.lease, now)))
+            self.client.handle_response(now, sender, message)
+            statuses, self.holder.documents = self.holder.documents, None
+            if statuses is not None:
+                self._carry_out(
+                    now, self.follower.handle_statuses(now, statuses, time_left_of(self.lease, now))
+                )
             for number, version in list(self._acks.items()):
-                if (result := self.participant.take_result(number)) is not None:
+                if (result := self.client.take_result(number)) is not None:
                     del self._acks[number]
                     if "refused" in result:
                         self.follower.acknowledgement_lost(DOCUMENT, version)
-        return self._out(now, [])
+        return self._add_new_requests(now, [])
 
-    def _out(self, now: datetime, sends: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
+    def _add_new_requests(self, now: datetime, sends: list[tuple[str, Any]]) -> list[tuple[str, Any]]:
         """Return `sends` and the requests to send at once; the next heartbeat waits until it is due."""
-        more, self._sends = self._sends, []
-        out = self.participant._outbound.values()
-        for one in out:
-            if one.sent_at is None:
-                one.sent_at = now
-                more.append((self.participant.target, one.request))
-        return sends + more
-
-    def _carry_out(self, now: datetime, done: list[FollowerAction]) -> None:
-        while done:
-            match do := done.pop(0):
+        messages, self._unsent = self._unsent, []
+        outbound = self.client._outbound.values()
+        for pending in outbound:
+            if pending.sent_at is None:
+                pending.sent_at = now
+                messages.append((self.client.target, pending.request))
+        return sends + messages
+
+    def _carry_out(self, now: datetime, actions: list[FollowerAction]) -> None:
+        while actions:
+            match action := actions.pop(0):
                 case CheckVersion():
-                    done += self.follower.handle_check_result(
-                        now, do, "", self.holder.time_left(self.lease, now)
+                    actions += self.follower.handle_check_result(
+                        now, action, "", self.holder.time_left(self.lease, now)
                     )
                 case AcknowledgeVersion():
-                    told = {"m": "rules", "do": "ack", "doc": do.name, "version": do.version, "why": ""}
-                    told |= {"digest": do.digest, "holder": self.holder.name}
-                    number = self.participant.propose(now, StoredCommand(told))
+                    command = {
+                        "m": "rules",
+                        "do": "ack",
+                        "doc": action.name,
+                        "version": action.version,
+                        "why": "",
+                    }
+                    command |= {"digest": action.digest, "holder": self.holder.name}
+                    number = self.client.propose(now, StoredCommand(command))
                     assert number is not None
-                    self._acks[number] = do.version
+                    self._acks[number] = action.version
                 case FetchChunk():
-                    self._sends.append((self.participant.target, do))
+                    self._unsent.append((self.client.target, action))
                 case ProposeFirstVersion():
                     self.put(now, "[1]", 0)
                 case ActivateVersion() | SuspendDocument():
@@ -149,9 +162,9 @@
 
     def acting(self, now: datetime) -> tuple[int, datetime] | None:
         """Return the version that the process acts on and until when it may; None if it acts on none."""
-        one = self.follower.documents[DOCUMENT]
+        document = self.follower.documents[DOCUMENT]
         left = self.holder.time_left(self.lease, now)
-        return (one.version, now + left) if one.state is Follows.ACTIVE and left else None
+        return (document.version, now + left) if document.state is FollowerState.ACTIVE and left else None
 
 
 @dataclass(slots=True)
@@ -169,9 +182,9 @@
     in_force: dict[int, datetime] = field(default_factory=dict)
 
     @staticmethod
-    def machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
+    def state_machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
         """Return the factory of the voters' configuration store."""
-        return _book
+        return _config_machines
 
     def copy(self) -> DocumentState:
         """Return a copy whose dictionaries can be changed independently."""
@@ -193,12 +206,12 @@
     def put(self, name: str, part: Any) -> None:
         """Store a voter or a node process and update its key."""
         if isinstance(part, DocumentNode):
-            State.put(self, name, part.participant)
+            State.put(self, name, part.client)
             self.parts[name] = _pickled(part)
             self.keys[name] = hash((self.keys[name], node_key(part)))
         else:
             State.put(self, name, part)
-            self.keys[name] = hash((self.keys[name], book_key(part)))
+            self.keys[name] = hash((self.keys[name], replica_key(part)))
 
     def steps(self, bounds: Bounds) -> Iterator[tuple[str, State]]:
         """Yield the steps of the lease model and the crashes of node processes."""
@@ -214,41 +227,46 @@
         """Replace a node process by a new one of the same node, which does not act on any version yet."""
         old = self.node(name)
         node, boot = name.split("/")
-        fresh = DocumentNode(node, str(int(boot) + 1), self.voters, old.holder.settings, self.strict)
-        fresh.holder.__class__, fresh.follower.__class__ = old.holder.__class__, old.follower.__class__
+        restarted = DocumentNode(node, str(int(boot) + 1), self.voters, old.holder.settings, self.strict)
+        restarted.holder.__class__, restarted.follower.__class__ = (
+            old.holder.__class__,
+            old.follower.__class__,
+        )
         self.crashes += 1
         self.acting.pop(name, None)
         del self.parts[name], self.keys[name]
-        self.holders = tuple(fresh.holder.name if one == name else one for one in self.holders)
-        self.put(fresh.holder.name, fresh)
+        self.holders = tuple(
+            restarted.holder.name if holder_name == name else holder_name for holder_name in self.holders
+        )
+        self.put(restarted.holder.name, restarted)
 
-    def deliver(self, sender: str, to: str, message: Any, bounds: Bounds) -> None:
+    def deliver(self, sender: str, receiver: str, message: Any, bounds: Bounds) -> None:
         """Deliver a message to a voter or a node process; one to a process that has ended is lost."""
-        if to in self.holders:
-            one = self.node(to)
-            sends = one.told(self.now, sender, message)
-            self.see(to, one)
-            for target, more in sends:
-                self.send(to, target, more, bounds)
-        elif node_of(to) in self.voters:
-            State.deliver(self, sender, to, message, bounds)
+        if receiver in self.holders:
+            process = self.node(receiver)
+            sends = process.handle_message(self.now, sender, message)
+            self.update_process(receiver, process)
+            for target, reply in sends:
+                self.send(receiver, target, reply, bounds)
+        elif node_of(receiver) in self.voters:
+            State.deliver(self, sender, receiver, message, bounds)
 
     def wake(self, name: str, bounds: Bounds) -> None:
         """Let a node process handle its timers, and send its messages."""
-        one = self.node(name)
-        sends = one.tick(self.now)
-        self.see(name, one)
+        process = self.node(name)
+        sends = process.tick(self.now)
+        self.update_process(name, process)
         for target, message in sends:
             self.send(name, target, message, bounds)
 
-    def route(self, voter: Replica, to: str, message: Any, bounds: Bounds) -> None:
+    def route(self, voter: Replica, receiver: str, message: Any, bounds: Bounds) -> None:
         """Send a message of a voter under the sender name that its receiver expects."""
-        sender = voter.identity if "#" in to else voter.node
-        self.send(sender, to, message, bounds)
+        sender = voter.identity if "#" in receiver else voter.node
+        self.send(sender, receiver, message, bounds)
 
     # Invariants.
 
-    def asked_for(self, holder: str, lease: str) -> bool:
+    def may_request(self, holder: str, lease: str) -> bool:
         """Return whether the holder may have requested the lease."""
         return holder.partition("/")[0] in NODES and lease == CONFIG_LEASE_PREFIX + holder
 
@@ -257,20 +275,22 @@
         State.check(self, voter)
         assert voter.config_store is not None
         document = voter.config_store.documents.get(DOCUMENT)
-        new = {one.number: self.now for one in (document.versions if document else ())} | self.in_force
-        if new != self.in_force:
-            self.in_force = new
-            self.look()
-
-    def see(self, name: str, one: DocumentNode) -> None:
+        in_force_now = {
+            version.number: self.now for version in (document.versions if document else ())
+        } | self.in_force
+        if in_force_now != self.in_force:
+            self.in_force = in_force_now
+            self.check_versions()
+
+    def update_process(self, name: str, process: DocumentNode) -> None:
         """Store a node process, record the version that it acts on, and check the versions acted on."""
-        self.put(name, one)
+        self.put(name, process)
         self.acting.pop(name, None)
-        if (acting := one.acting(self.now)) is not None:
+        if (acting := process.acting(self.now)) is not None:
             self.acting[name] = acting
-        self.look()
+        self.check_versions()
 
-    def look(self) -> None:
+    def check_versions(self) -> None:
         """Check the versions that the node processes act on now.
 
         Raises:
@@ -298,26 +318,31 @@
     return pickle.dumps(part, -1)
 
 
-def node_key(one: DocumentNode) -> tuple[Any, ...]:
+def node_key(process: DocumentNode) -> tuple[Any, ...]:
     """Return the state of a node process that tells states of the model apart."""
-    at = one.follower.documents[DOCUMENT]
-    held, checks = tuple((at.prepared_contents or {}).items()), tuple(at.check_results.items())
-    mine = (
-        at.state,
-        at.version,
-        at.target,
-        at.fetching_version,
-        at.fetched_text,
-        at.fetch_sent_at,
+    document = process.follower.documents[DOCUMENT]
+    held, checks = tuple((document.prepared_contents or {}).items()), tuple(document.check_results.items())
+    own_state = (
+        document.state,
+        document.version,
+        document.target,
+        document.fetching_version,
+        document.fetched_text,
+        document.fetch_sent_at,
         held,
         checks,
-        at.acknowledged_version,
-        at.proposed_at,
+        document.acknowledged_version,
+        document.proposed_at,
+    )
+    return (
+        *own_state,
+        holder_key(process.client),
+        tuple(process.client._outbound),
+        tuple(process._acks.items()),
     )
-    return (*mine, holder_key(one.participant), tuple(one.participant._outbound), tuple(one._acks.items()))
 
 
-def book_key(voter: Replica) -> tuple[Any, ...]:
+def replica_key(voter: Replica) -> tuple[Any, ...]:
     """Return the state of a voter that tells states apart, beyond its lease state."""
     return tuple(voter._pending_requests), tuple(sorted(voter.duties.proposed_decisions))
 
@@ -329,17 +354,23 @@
     """
     state = change(mutation, strict, voters)
     state.flying = state.flying[:0]
-    late = state.holders[1]
-    state.now = state.node(late).next_due(state.now)
-    state.wake(late, WIDE)
+    late_process = state.holders[1]
+    state.now = state.node(late_process).next_due(state.now)
+    state.wake(late_process, UNBOUNDED)
     [name] = state.voters
     voter = state.voter(name)
     state.now = max(
-        filter(None, (voter.lease_manager.expiry_of(CONFIG_LEASE_PREFIX + one) for one in state.holders))
+        filter(
+            None,
+            (
+                voter.lease_manager.expiry_of(CONFIG_LEASE_PREFIX + holder_name)
+                for holder_name in state.holders
+            ),
+        )
     )
     voter.tick(state.now)
-    state.settle(name, voter, WIDE)
-    state.flying = tuple(sent for sent in state.flying if sent[0] == late)
+    state.settle(name, voter, UNBOUNDED)
+    state.flying = tuple(envelope for envelope in state.flying if envelope[0] == late_process)
     state.wakes = 0
     return state
 
@@ -356,67 +387,67 @@
     names = tuple(f"{name}/1" for name in NODES)
     state = DocumentState(START, {}, {}, voters, names, disks, strict=strict)
     for name in voters:
-        voter = make_voter(name, disks[name], START, TIMING, settings, _book)
+        voter = make_voter(name, disks[name], START, TIMING, settings, _config_machines)
         mutation.apply_to_replica(voter)
         if voter.config_store is not None:
             mutation.apply_to(voter.config_store)
         state.put(name, voter)
     for name in names:
-        one = DocumentNode(name.partition("/")[0], "1", voters, settings, strict)
-        mutation.apply_to(one.holder)
-        mutation.apply_to(one.follower)
-        state.put(name, one)
-    _until(state, lambda: len(state.acting) == len(NODES))
+        process = DocumentNode(name.partition("/")[0], "1", voters, settings, strict)
+        mutation.apply_to(process.holder)
+        mutation.apply_to(process.follower)
+        state.put(name, process)
+    _run_until(state, lambda: len(state.acting) == len(NODES))
     first = state.node(names[0])
     first.put(state.now, "[2]", 1)
-    for target, message in first._out(state.now, []):
-        state.send(names[0], target, message, WIDE)
+    for target, message in first._add_new_requests(state.now, []):
+        state.send(names[0], target, message, UNBOUNDED)
     state.put(names[0], first)
 
     def prepared() -> bool:
         for name in voters:
-            book = state.voter(name).config_store
+            store = state.voter(name).config_store
             if (
-                book is not None
-                and DOCUMENT in book.documents
-                and book.documents[DOCUMENT].prepared is not None
+                store is not None
+                and DOCUMENT in store.documents
+                and store.documents[DOCUMENT].prepared is not None
             ):
                 return True
         return bool(state.in_force.keys() - {1})
 
-    _until(state, prepared)
+    _run_until(state, prepared)
     state.crashes = state.wakes = 0
     return state
 
 
-WIDE = Bounds(99, 9, 1 << 30, flying=64)
+UNBOUNDED = Bounds(99, 9, 1 << 30, flying=64)
 
 
-def _until(state: DocumentState, there: Callable[[], bool]) -> None:
+def _run_until(state: DocumentState, is_reached: Callable[[], bool]) -> None:
     """Run the model until the condition holds: messages are delivered in order, and the earliest timer fires next.
 
     Raises:
         AssertionError: The condition does not hold after 4000 steps.
     """
     for _ in range(4_000):
-        if there():
+        if is_reached():
             return
         if state.flying:
-            (sender, to, message), *rest = state.flying
+            (sender, receiver, message), *rest = state.flying
             state.flying = tuple(rest)
             state.now += MILLISECOND
-            state.deliver(sender, to, message, WIDE)
+            state.deliver(sender, receiver, message, UNBOUNDED)
             continue
         due = {name: state.node(name).next_due(state.now) for name in state.holders}
         due |= {name: state.voter(name).next_due() for name in state.voters}
-        name = min(due, key=lambda one: due[one])
+        name = min(due, key=lambda part: due[part])
         state.now = max(state.now, due[name])
         if name in state.holders:
-            state.wake(name, WIDE)
+            state.wake(name, UNBOUNDED)
         else:
             voter = state.voter(name)
             voter.tick(state.now)
-            state.settle(name, voter, WIDE)
+            state.settle(name, voter, UNBOUNDED)
     raise AssertionError("start state not reached: its condition does not hold after 4000 steps")
 
 
@@ -441,9 +472,9 @@
         bounds: The bounds of the search; None for those of the start state.
         seconds: When to give up, in seconds.
     """
-    make, strict, voters, usual = STARTS[start]
+    make, strict, voters, default_bounds = STARTS[start]
     try:
         first = make(mutation, strict, voters)
     except InvariantViolationError as fault:
         return SearchResult(start, broken=str(fault), trace=("all messages in order",))
-    return search_from(start, first, bounds or usual, seconds)
+    return search_from(start, first, bounds or default_bounds, seconds)
--- a/marlstep/fault_injection/lease_model.py
+++ b/marlstep/fault_injection/lease_model.py
@@ -46,7 +46,7 @@
         return self.value
 
 
-Flying = tuple[str, str, Any]  # sender, receiver, message
+InFlightMessage = tuple[str, str, Any]  # sender, receiver, message
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         committed: The entries committed so far, by log index.
         leaders: The leaders seen so far, by term.
         tokens: The fencing tokens of grants, by log index.
-        until: The end of the time for which each holder considers itself the holder of the lease.
+        held_until: The end of the time for which each holder considers itself the holder of the lease.
         crashes: The number of crashes so far.
         wakes: The number of steps so far in which time passed.
         doing: A description of the step that is being computed from this state.
@@ -79,11 +79,11 @@
     voters: tuple[str, ...]
     holders: tuple[str, ...]
     disks: dict[str, PersistentState] = field(default_factory=dict)
-    flying: tuple[Flying, ...] = ()
+    flying: tuple[InFlightMessage, ...] = ()
     committed: dict[int, LogEntry] = field(default_factory=dict)
     leaders: dict[int, str] = field(default_factory=dict)
     tokens: dict[int, int] = field(default_factory=dict)
-    until: dict[str, datetime] = field(default_factory=dict)
+    held_until: dict[str, datetime] = field(default_factory=dict)
     crashes: int = 0
     wakes: int = 0
     doing: str = ""
@@ -95,7 +95,7 @@
             parts=dict(self.parts),
             keys=dict(self.keys),
             disks=dict(self.disks),
-            until=dict(self.until),
+            held_until=dict(self.held_until),
         )
 
     def key(self) -> int:
@@ -116,9 +116,9 @@
         self.keys[name] = hash(voter_key(part) if isinstance(part, Replica) else holder_key(part))
 
     @staticmethod
-    def machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
+    def state_machines() -> Callable[[LeaseTable], Mapping[str, StateMachine]]:
         """Return the factory of the voters' state machines other than the lease table."""
-        return _none
+        return _no_state_machines
 
     # Successor states: message delivery, timers, crashes.
 
@@ -128,14 +128,14 @@
         Raises:
             InvariantViolationError: The step that `doing` describes violates an invariant.
         """
-        for number, (sender, to, message) in enumerate(self.flying):
+        for number, (sender, receiver, message) in enumerate(self.flying):
             after = self.copy()
             after.flying = self.flying[:number] + self.flying[number + 1 :]
-            self.doing = f"{to} hears {message} from {sender}"
-            after.deliver(sender, to, message, bounds)
+            self.doing = f"{receiver} hears {message} from {sender}"
+            after.deliver(sender, receiver, message, bounds)
             yield self.doing, after
         if self.wakes < bounds.wakes:
-            yield from self._wakes(bounds)
+            yield from self._timer_steps(bounds)
         if self.crashes < bounds.crashes:
             for name in self.voters:
                 after = self.copy()
@@ -143,86 +143,88 @@
                 after.crash(name)
                 yield self.doing, after
 
-    def _wakes(self, bounds: Bounds) -> Iterator[tuple[str, State]]:
+    def _timer_steps(self, bounds: Bounds) -> Iterator[tuple[str, State]]:
         for name in self.voters:
             voter = self.voter(name)
             due = {voter.raft.next_due()}
             if voter.raft.is_established_leader and (expiry := voter.lease_manager.next_due()) is not None:
                 due.add(expiry)
-            for when in sorted(due):
-                at = max(self.now, when)
-                if at <= START + bounds.horizon and (voter.raft.is_leader or voter.raft.term < bounds.term):
+            for timer_due in sorted(due):
+                wake_at = max(self.now, timer_due)
+                if wake_at <= START + bounds.horizon and (
+                    voter.raft.is_leader or voter.raft.term < bounds.term
+                ):
                     after = self.copy()
-                    after.now, after.wakes = at, self.wakes + 1
-                    one = after.voter(name)
-                    self.doing = f"{name} wakes at {at - START}"
-                    one.tick(at)
-                    after.settle(name, one, bounds)
+                    after.now, after.wakes = wake_at, self.wakes + 1
+                    replica = after.voter(name)
+                    self.doing = f"{name} wakes at {wake_at - START}"
+                    replica.tick(wake_at)
+                    after.settle(name, replica, bounds)
                     yield self.doing, after
         for name in self.holders:
             holder = self.holder(name)
-            at = max(self.now, holder.next_due(self.now))
-            if at <= START + bounds.horizon:
+            wake_at = max(self.now, holder.next_due(self.now))
+            if wake_at <= START + bounds.horizon:
                 after = self.copy()
-                after.now, after.wakes = at, self.wakes + 1
-                self.doing = f"{name} wakes at {at - START}"
+                after.now, after.wakes = wake_at, self.wakes + 1
+                self.doing = f"{name} wakes at {wake_at - START}"
                 after.wake(name, bounds)
                 yield self.doing, after
 
-    def deliver(self, sender: str, to: str, message: Any, bounds: Bounds) -> None:
+    def deliver(self, sender: str, receiver: str, message: Any, bounds: Bounds) -> None:
         """Deliver a message to a voter or a holder."""
-        if to in self.holders:
+        if receiver in self.holders:
             if isinstance(message, HeartbeatResponse):
-                one = self.holder(to)
-                one.handle_response(self.now, sender, message)
-                self.put_holder(to, one)
+                client = self.holder(receiver)
+                client.handle_response(self.now, sender, message)
+                self.update_holder(receiver, client)
         else:
-            name = node_of(to)
+            name = node_of(receiver)
             voter = self.voter(name)
             voter.step(self.now, sender, message)
             self.settle(name, voter, bounds)
 
-    def put_holder(self, name: str, one: GroupClient) -> None:
+    def update_holder(self, name: str, client: GroupClient) -> None:
         """Store a holder and check that no two hold the lease at the same time.
 
         Raises:
             InvariantViolationError: Two processes consider themselves holders.
         """
-        self.put(name, one)
-        self.until[name] = self.now + one.holder.time_left(LEASE, self.now)
-        holding = [name for name, until in self.until.items() if until > self.now]
+        self.put(name, client)
+        self.held_until[name] = self.now + client.holder.time_left(LEASE, self.now)
+        holding = [name for name, held_until in self.held_until.items() if held_until > self.now]
         if len(holding) > 1:
             raise InvariantViolationError(f"two hold the lease at {self.now - START}: {', '.join(holding)}")
 
     def wake(self, name: str, bounds: Bounds) -> None:
         """Let a holder handle its timers, and send its messages."""
-        one = self.holder(name)
-        sends, _ = one.tick(self.now)
-        self.put_holder(name, one)
+        client = self.holder(name)
+        sends, _ = client.tick(self.now)
+        self.update_holder(name, client)
         for target, message in sends:
-            self.send(one.holder.name, target, message, bounds)
+            self.send(client.holder.name, target, message, bounds)
 
-    def send(self, sender: str, to: str, message: Any, bounds: Bounds) -> None:
+    def send(self, sender: str, receiver: str, message: Any, bounds: Bounds) -> None:
         """Put a message in flight unless an equal one is; the oldest is lost if there are too many."""
-        one = (sender, to, message)
-        if one not in self.flying:
-            self.flying = (*self.flying, one)[-bounds.flying :]
+        envelope = (sender, receiver, message)
+        if envelope not in self.flying:
+            self.flying = (*self.flying, envelope)[-bounds.flying :]
 
     def crash(self, name: str) -> None:
         """Restart a voter from its durable state; classes replaced by a mutation stay replaced."""
         self.crashes += 1
         old = self.voter(name)
         disk = self.disks[name]
-        voter = make_voter(name, disk, self.now, old.raft.timing, old.settings.leases, self.machines())
-        pairs: list[tuple[object, object]] = [(voter.raft, old.raft), (voter.leases, old.leases)]
-        pairs += [
+        voter = make_voter(name, disk, self.now, old.raft.timing, old.settings.leases, self.state_machines())
+        replaced_parts: list[tuple[object, object]] = [(voter.raft, old.raft), (voter.leases, old.leases)]
+        replaced_parts += [
             (voter.lease_manager, old.lease_manager),
             (voter.config_store, old.config_store),
             (voter.rollout, old.rollout),
         ]
-        for part, like in pairs:
+        for part, original in replaced_parts:
             if part is not None:
-                part.__class__ = like.__class__
+                part.__class__ = original.__class__
         voter.raft.replication.max_entries_per_message = old.raft.replication.max_entries_per_message
         self.put(name, voter)
 
@@ -232,34 +234,34 @@
         Writes are durable at once: a crash before that has the same effect as the loss of the message that caused them.
         """
         while True:
-            for to, message in voter.take_immediate_messages(self.now):
-                self.route(voter, to, message, bounds)
+            for receiver, message in voter.take_immediate_messages(self.now):
+                self.route(voter, receiver, message, bounds)
             ready = voter.take_ready()
             if ready is None:
                 break
             old = self.disks[name]
             entries = old.entries
             if ready.entries:
-                entries = [one for one in entries if one.index < ready.entries[0].index] + ready.entries
+                entries = [entry for entry in entries if entry.index < ready.entries[0].index] + ready.entries
             self.disks[name] = PersistentState(ready.term, ready.voted_for, old.snapshot, entries)
             voter.acknowledge_durable(self.now, ready)
-            for to, message in ready.messages:
-                if to == voter.identity:
+            for receiver, message in ready.messages:
+                if receiver == voter.identity:
                     voter.step(self.now, voter.identity, message)
                 else:
-                    self.route(voter, to, message, bounds)
+                    self.route(voter, receiver, message, bounds)
         voter.events.clear()
         self.check(voter)
         self.put(name, voter)
 
-    def route(self, voter: Replica, to: str, message: Any, bounds: Bounds) -> None:
+    def route(self, voter: Replica, receiver: str, message: Any, bounds: Bounds) -> None:
         """Send a message of a voter under the sender name that its receiver expects."""
         sender = voter.node if isinstance(message, HeartbeatResponse) else voter.identity
-        self.send(sender, to, message, bounds)
+        self.send(sender, receiver, message, bounds)
 
     # Invariants.
 
-    def asked_for(self, holder: str, lease: str) -> bool:
+    def may_request(self, holder: str, lease: str) -> bool:
         """Return whether the holder may have requested the lease."""
         return holder in self.holders and lease == LEASE
 
@@ -276,11 +278,11 @@
                 raise InvariantViolationError(
                     f"two lead in term {raft.term}: {self.leaders[raft.term]} and {voter.identity}"
                 )
-            new = raft.term not in self.leaders
+            is_new = raft.term not in self.leaders
             self.leaders = {**self.leaders, raft.term: voter.identity}
             # Checked at its election only: the leader of an old term may lack entries committed in later terms.
             for index, entry in self.committed.items():
-                if new and (index > raft.log.last_index or raft.log[index] != entry):
+                if is_new and (index > raft.log.last_index or raft.log[index] != entry):
                     raise InvariantViolationError(
                         f"{voter.identity} leads in term {raft.term} without committed entry {index}"
                     )
@@ -288,26 +290,26 @@
             if index not in self.committed:
                 self.committed = {**self.committed, index: raft.log[index]}
             elif self.committed[index] != raft.log[index]:
-                known = self.committed[index]
+                first = self.committed[index]
                 raise InvariantViolationError(
-                    f"committed entry {index} differs: {known} and {raft.log[index]}"
+                    f"committed entry {index} differs: {first} and {raft.log[index]}"
                 )
         for index, command, result in voter.applied:
             if "granted" in result and index not in self.tokens:
                 token = int(result["token"])
-                if any(token <= other for at, other in self.tokens.items() if at < index):
+                if any(token <= other for other_index, other in self.tokens.items() if other_index < index):
                     raise InvariantViolationError(
                         f"token {token} at entry {index} is not above all before it"
                     )
-                if not self.asked_for(str(result["granted"]), str(command["name"])):
+                if not self.may_request(str(result["granted"]), str(command["name"])):
                     raise InvariantViolationError(f"granted what was not asked: {command}")
                 self.tokens = {**self.tokens, index: token}
 
 
 def voter_key(voter: Replica) -> tuple[Any, ...]:
     """Return the state of a voter that tells states of the model apart."""
-    raft, keeper = voter.raft, voter.lease_manager
-    log = tuple((one.index, one.term, one.body) for one in raft.log.slice(1, raft.log.last_index))
+    raft, manager = voter.raft, voter.lease_manager
+    log = tuple((item.index, item.term, item.body) for item in raft.log.slice(1, raft.log.last_index))
     peers = tuple(
         (
             name,
@@ -320,8 +322,9 @@
         )
         for name, peer in raft.progress.items()
     )
-    waits = tuple(
-        (name, one.heartbeat_round, one.heartbeat.number) for name, one in keeper._pending_responses.items()
+    pending = tuple(
+        (name, item.heartbeat_round, item.heartbeat.number)
+        for name, item in manager._pending_responses.items()
     )
     return (
         (
@@ -342,25 +345,30 @@
             raft.election.role_since,
             tuple(sorted(raft.election.votes_received)),
         ),
-        (tuple(keeper._expiries.items()), tuple(keeper._ending_tokens.items()), keeper._leader_since, waits),
-        (tuple(keeper._proposed_grants.items()), tuple(keeper._holders), keeper._grants_due),
+        (
+            tuple(manager._expiries.items()),
+            tuple(manager._ending_tokens.items()),
+            manager._leader_since,
+            pending,
+        ),
+        (tuple(manager._proposed_grants.items()), tuple(manager._holders), manager._grants_due),
     )
 
 
-def holder_key(one: GroupClient) -> tuple[Any, ...]:
+def holder_key(client: GroupClient) -> tuple[Any, ...]:
     """Return the state of a holder that tells states of the model apart."""
-    holder = one.holder
-    held = tuple((name, mine.token, mine.expires_at, mine.lapsed) for name, mine in holder.held.items())
-    sent, returns = tuple(holder._sent_heartbeats.items()), tuple(holder._returned_tokens.items())
+    holder = client.holder
+    held = tuple((name, lease.token, lease.expires_at, lease.lapsed) for name, lease in holder.held.items())
+    sent, returned = tuple(holder._sent_heartbeats.items()), tuple(holder._returned_tokens.items())
     return (
-        one.target,
-        one._next_heartbeat,
-        one._unanswered_since,
+        client.target,
+        client._next_heartbeat,
+        client._unanswered_since,
         holder._heartbeat_number,
         holder._last_response,
         held,
         sent,
-        returns,
+        returned,
     )
 
 
@@ -387,7 +395,7 @@
     return Replica(f"{name}#1", saved, settings, machines, ConstantRandom(VOTERS.index(name) / 4), now)
 
 
-def _none(table: object) -> dict[str, Any]:
+def _no_state_machines(table: object) -> dict[str, Any]:
     return {}
 
 
@@ -397,7 +405,7 @@
 def fresh(mutation: Mutation) -> State:
     """Return a state without a leader and without a holder."""
     disks = {name: PersistentState(snapshot=Snapshot(configuration=GROUP)) for name in VOTERS}
-    return _state(mutation, disks)
+    return _make_state(mutation, disks)
 
 
 def held(mutation: Mutation) -> State:
@@ -414,10 +422,10 @@
     wake("v1")
     for _ in range(40):
         while state.flying:
-            (sender, to, message), *rest = state.flying
+            (sender, receiver, message), *rest = state.flying
             state.flying = tuple(rest)
             state.now += MILLISECOND
-            state.deliver(sender, to, message, bounds)
+            state.deliver(sender, receiver, message, bounds)
         if state.holder("a/1").holder.held:
             return replace(state, wakes=0)
         for name in state.holders:
@@ -440,18 +448,20 @@
     disks["v2"].term, disks["v2"].voted_for = 3, "v2#1"
     disks["v2"].entries = [LogEntry(1, 3, EntryType.NOOP, "")]
     disks["v3"].term, disks["v3"].voted_for = 3, "v2#1"
-    state = _state(mutation, disks, holders=())
+    state = _make_state(mutation, disks, holders=())
     bounds = Bounds(99, 9, 99)
     first = state.voter("v1")
     state.now = first.raft.next_due()
     first.tick(state.now)
     state.settle("v1", first, bounds)
     while not state.voter("v1").raft.is_leader:
-        one = next(one for one in state.flying if "v2#1" not in one[:2])
-        state.flying = tuple(other for other in state.flying if other is not one)
-        state.deliver(*one, bounds)
+        envelope = next(envelope for envelope in state.flying if "v2#1" not in envelope[:2])
+        state.flying = tuple(other for other in state.flying if other is not envelope)
+        state.deliver(*envelope, bounds)
     return replace(
-        state, wakes=0, flying=tuple(one for one in state.flying if isinstance(one[2], AppendEntries))
+        state,
+        wakes=0,
+        flying=tuple(envelope for envelope in state.flying if isinstance(envelope[2], AppendEntries)),
     )
 
 
@@ -465,23 +475,23 @@
 }
 
 
-def _state(
+def _make_state(
     mutation: Mutation, disks: dict[str, PersistentState], holders: tuple[str, ...] = ("a", "b")
 ) -> State:
     settings = mutation.settings(SETTINGS)
     names = tuple(f"{name}/1" for name in holders)
     state = State(START, {}, {}, tuple(disks), names, disks)
     for name, disk in disks.items():
-        voter = make_voter(name, disk, START, TIMING, settings, _none)
+        voter = make_voter(name, disk, START, TIMING, settings, _no_state_machines)
         mutation.apply_to_replica(voter)
         voter.raft.replication.max_entries_per_message = mutation.max_entries_per_message
         state.put(name, voter)
     for number, name in enumerate(holders):
-        one = GroupClient(name, "1", VOTERS, settings, ConstantRandom(0.0))
-        mutation.apply_to(one.holder)
-        one.holder.set_wanted([LEASE])
-        one._next_heartbeat = START + number * MILLISECOND
-        state.put(one.holder.name, one)
+        client = GroupClient(name, "1", VOTERS, settings, ConstantRandom(0.0))
+        mutation.apply_to(client.holder)
+        client.holder.set_wanted([LEASE])
+        client._next_heartbeat = START + number * MILLISECOND
+        state.put(client.holder.name, client)
     return state
 
 
@@ -496,5 +506,5 @@
         bounds: The bounds of the search; None for those of the start state.
         seconds: When to give up, in seconds.
     """
-    make, usual = STARTS[start]
-    return search_from(start, make(mutation), bounds or usual, seconds)
+    make, default_bounds = STARTS[start]
+    return search_from(start, make(mutation), bounds or default_bounds, seconds)
