--- a/tests/fault_injection/test_drill_command.py
+++ b/tests/fault_injection/test_drill_command.py
@@ -23,7 +23,9 @@
     path = tmp_path / "plan.json"
     path.write_text(json.dumps(told))
     assert told["verdict"] == "broken" and told["broken"][0]["why"]
-    assert call([*words, "--plan", str(path), "--broken", "token-reused"]) == 1  # replayed as printed
+    assert (
+        call([*words, "--plan", str(path), "--broken", "token-reused"]) == 1
+    )  # the printed report is replayed as a plan
     capsys.readouterr()
     assert call([*words, "--plan", str(path)]) == 0
     for wrong in (
@@ -33,4 +35,6 @@
         ["--nodes", "x"],
     ):
         assert call([*words, *wrong]) == 2
-    assert call(["drill", "leases", "--broken", "vote-not-synced"]) == 2  # of the virtual network
+    assert (
+        call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
+    )  # this mutation needs the virtual network
--- a/tests/fault_injection/test_effects.py
+++ b/tests/fault_injection/test_effects.py
@@ -1,4 +1,4 @@
-"""Checkers of recorded effects: they find what is wrong, and nothing else."""
+"""Checkers of recorded effects: they report contradictions, and no false alarms."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     bad = [*good, effect("a", 1, 29, 40)]
     assert [(one.node, other.node) for one, other in overlapping_effects(bad)] == [("b", "a")]
     assert [other.began_us for _, other in stale_tokens_accepted(bad)] == [29]
-    assert list(overlapping_effects([effect("a", 1, 0, 10), effect("b", 1, 5, 20)]))  # one token, two nodes
+    assert list(overlapping_effects([effect("a", 1, 0, 10), effect("b", 1, 5, 20)]))  # same token, two nodes
     assert list(shared_tokens([effect("a", 1, 0, 1), effect("b", 1, 9, 12)])) and not list(
         shared_tokens(good)
     )
--- a/tests/fault_injection/test_faults.py
+++ b/tests/fault_injection/test_faults.py
@@ -1,4 +1,4 @@
-"""Fault types: which operations of a cluster each of them uses, and with which nodes."""
+"""Fault types: the cluster operations that each of them calls, and the nodes that it passes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def recording_cluster() -> MagicMock:
-    """Return a cluster that notes its operations; a split leaves n1 and n4 on one side."""
+    """Return a cluster that records its operations; a split keeps n1 and n4 on the same side."""
     cluster: MagicMock = create_autospec(FaultTarget, instance=True)
     cluster.node_names.return_value = NODES
     cluster.nodes_split_along.side_effect = lambda node: {"n1", "n4"} if node in ("n1", "n4") else {node}
@@ -29,7 +29,7 @@
 
 
 def inject(name: str, node: str = "n1", other: str = "", step: str = "") -> list[tuple[object, ...]]:
-    """Inject a fault of one second into a recording cluster; return the operations."""
+    """Inject a fault of one second into a recording cluster and return the recorded operations."""
     cluster = recording_cluster()
     FAULT_TYPES[name].inject(Fault(0, 1_000, name, node, other, step), cluster)
     return [(call[0], *call.args) for call in cluster.mock_calls if call[0] not in QUERIES]
@@ -78,7 +78,7 @@
 
 
 def dropped(name: str, other: str = "") -> set[tuple[object, ...]]:
-    """Return the directed links that the fault cuts."""
+    """Return the directed links on which the fault drops messages."""
     return {operation[1:3] for operation in inject(name, other=other) if operation[0] == "drop_messages"}
 
 
@@ -115,7 +115,7 @@
 
 
 def test_random_plans_choose_among_the_same_types_in_the_same_order() -> None:
-    # A plan is printed with its seed alone in reports and bug reports: the order decides what a seed draws.
+    # Reports identify a random plan by its seed alone, and the order of the types determines the plan of a seed.
     assert tuple(name for name, fault_type in FAULT_TYPES.items() if fault_type.is_drawn) == (
         "kill", "wipe", "old store", "stop", "cut", "one way", "isolate", "slow", "trickle", "reset", "repeat",
         "slow disk", "drain", "restart all", "crash at", "deaf", "mute", "split",
--- a/tests/fault_injection/test_lease_invariants.py
+++ b/tests/fault_injection/test_lease_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of elections, the log, grants and effects: each violation is an error of its own."""
+"""Invariants of elections, the log, grants and effects: each violation raises its own error."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def invariants() -> LeaseInvariants:
-    """Return invariants that know of one process that asked for the lease."""
+    """Return invariants for which n1/b1 has requested the lease."""
     invariants = LeaseInvariants()
     invariants.lease_requested("n1/b1", [LEASE])
     return invariants
@@ -51,8 +51,8 @@
 
 def test_a_token_is_above_those_of_all_earlier_entries(invariants: LeaseInvariants) -> None:
     grant(invariants, index=4, token=7)
-    grant(invariants, index=2, token=5)  # applied later by another voter, and earlier in the log
-    grant(invariants, index=4, token=1)  # an index is checked once
+    grant(invariants, index=2, token=5)  # reported later by another voter, at an earlier log index
+    grant(invariants, index=4, token=1)  # each log index is checked only once
     assert invariants.grant_count == 2
     with pytest.raises(TokenNotIncreasedError):
         grant(invariants, index=5, token=7)
--- a/tests/fault_injection/test_lease_model.py
+++ b/tests/fault_injection/test_lease_model.py
@@ -1,4 +1,4 @@
-"""The model checker on leases, by its functions and by its command."""
+"""The model checker on the lease model, called as a function and as a command."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 @pytest.fixture(scope="module")
 def violating_search() -> Result:
-    """The walk without the rule of Figure 8, by the command: long, and so done once for what it finds and prints."""
+    """Return the result of the command with commits of old terms allowed; the search is slow, so it runs only once."""
     words = ["leases", "--start", "divergent", "--broken", "old-term-commit", "--seconds", "120"]
     return CliRunner().invoke(explore, words)
 
 
 def test_the_search_finds_the_commit_of_an_old_terms_entry(violating_search: Result) -> None:
-    """Figure 8 of the paper: the random drill hardly comes there."""
+    """Figure 8 of the Raft paper, a sequence that random drills hardly ever reach."""
     _, _, reason, *steps = violating_search.output.splitlines()
     assert "without committed entry" in reason or "differs" in reason
     assert all(step.startswith("      ") for step in steps)
--- a/tests/fault_injection/test_linearizability.py
+++ b/tests/fault_injection/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker of histories of reads and compare-and-set changes."""
+"""The linearizability checker on histories of reads and compare-and-set changes."""
 
 from __future__ import annotations
 
@@ -23,14 +23,18 @@
     assert not linearizability_violation(good, first=1)
     wrong = {
         "a stale read": [done("a", 0, 5, 1, 2), told("b", 6, 7, 1)],
-        "back and forth": [done("a", 0, 9, 1, 2), told("b", 1, 3, 2), told("c", 4, 5, 1)],
-        "two on one": [done("a", 0, 5, 1, 2), done("b", 1, 4, 1, 3)],
-        "out of nothing": [told("a", 0, 1, 7)],
-        "a refusal by what was not": [Call("a", 0, 1, 1, CallOutcome.STALE, 4)],
+        "a read of the old version after a read of the new one": [
+            done("a", 0, 9, 1, 2),
+            told("b", 1, 3, 2),
+            told("c", 4, 5, 1),
+        ],
+        "two changes that expect the same version": [done("a", 0, 5, 1, 2), done("b", 1, 4, 1, 3)],
+        "a read of a version that was never written": [told("a", 0, 1, 7)],
+        "a rejection that names a version that was never written": [Call("a", 0, 1, 1, CallOutcome.STALE, 4)],
     }
     for name, calls in wrong.items():
         assert linearizability_violation(calls, first=1), name
-    # One without an answer may have an effect at any later time, or none; but not before it began.
+    # A change without a response may take effect at any later time or never, but not before it began.
     lost = Call("a", 4, None, 1, CallOutcome.UNKNOWN, 2)
     assert not linearizability_violation([lost, told("b", 5, 6, 1), told("b", 90, 91, 2)], first=1)
     assert linearizability_violation([lost, told("b", 1, 3, 2)], first=1)
@@ -44,7 +48,7 @@
 ) -> None:
     calls, version, now = [], 1, 0
     for client, put, before, after in rows:
-        now += 10  # the moment of the call; around it it begins earlier and ends later
+        now += 10  # when the call takes effect, between its start and its end
         if put:
             calls.append(done(f"c{client}", now - before, now + after, version, version + 1))
             version += 1
