--- a/tests/fault_injection/test_faults.py
+++ b/tests/fault_injection/test_faults.py
@@ -73,7 +73,7 @@
     assert inject("stop at", step="voted") == [("pause_at_step", "n1", "voted", SECOND_US)]
 
 
-def test_all_nodes_are_killed_for_a_time_of_their_own() -> None:
+def test_restart_all_kills_each_node_for_a_random_time() -> None:
     assert inject("restart all") == [("kill", node, RESTART_DELAY_US) for node in NODES]
 
 
@@ -83,10 +83,10 @@
 
 
 def test_an_isolated_node_is_cut_off_in_both_directions() -> None:
-    out, back = {("n1", node) for node in NODES[1:]}, {(node, "n1") for node in NODES[1:]}
-    assert dropped("isolate") == out | back
-    assert dropped("deaf") == back
-    assert dropped("mute") == out
+    outbound, inbound = {("n1", node) for node in NODES[1:]}, {(node, "n1") for node in NODES[1:]}
+    assert dropped("isolate") == outbound | inbound
+    assert dropped("deaf") == inbound
+    assert dropped("mute") == outbound
 
 
 def test_two_isolated_nodes_still_reach_each_other() -> None:
@@ -99,7 +99,7 @@
     assert links == {pair for a in ("n1", "n2", "n4") for pair in ((a, "n3"), ("n3", a))}
 
 
-def test_only_a_paused_or_isolated_node_may_rightly_be_suspected() -> None:
+def test_only_paused_or_isolated_nodes_may_be_suspected() -> None:
     cluster = recording_cluster()
     disturbed = {
         name: fault_type.disturbed_nodes(Fault(0, 1, name, "n1", "n2"), cluster)
@@ -114,7 +114,7 @@
     }
 
 
-def test_random_plans_choose_among_the_same_types_in_the_same_order() -> None:
+def test_the_fault_types_of_random_plans_keep_their_order() -> None:
     # Reports identify a random plan by its seed alone, and the order of the types determines the plan of a seed.
     assert tuple(name for name, fault_type in FAULT_TYPES.items() if fault_type.is_drawn) == (
         "kill", "wipe", "old store", "stop", "cut", "one way", "isolate", "slow", "trickle", "reset", "repeat",
@@ -131,7 +131,7 @@
                 assert getattr(SimulatedCluster, operation) is not getattr(FaultTarget, operation)
 
 
-def test_a_role_of_a_link_fault_is_the_node_that_has_it_on_the_simulated_network() -> None:
+def test_a_role_in_a_link_fault_is_resolved_to_a_node_on_the_simulated_network() -> None:
     base = draw(3, PlanSettings(length_ms=14_000))
     fault = Fault(6_000, 3_000, "cut", "@leader", "n5")
     cluster, violation = run(Plan(3, base.nodes, base.voters, 14_000, base.rates, (fault,)))
--- a/tests/fault_injection/test_lease_invariants.py
+++ b/tests/fault_injection/test_lease_invariants.py
@@ -34,7 +34,7 @@
     return invariants
 
 
-def test_one_leader_a_term_is_allowed(invariants: LeaseInvariants) -> None:
+def test_only_one_leader_per_term_is_allowed(invariants: LeaseInvariants) -> None:
     for term, leader in ((1, "n1#a"), (1, "n1#a"), (2, "n2#a")):
         invariants.leader_elected(term, leader)
     with pytest.raises(TwoLeadersError):
@@ -58,7 +58,7 @@
         grant(invariants, index=5, token=7)
 
 
-def test_a_grant_to_a_process_that_did_not_ask_is_a_violation(invariants: LeaseInvariants) -> None:
+def test_a_grant_to_a_process_that_did_not_request_it_is_a_violation(invariants: LeaseInvariants) -> None:
     with pytest.raises(UnrequestedGrantError):
         grant(invariants, index=1, token=1, holder="n1/b2")
 
@@ -81,12 +81,12 @@
         ([effect("n1", 1, 0, run=9), effect("n1", 2, 20, run=9)], RepeatedRunError),
     ],
 )
-def test_contradicting_effects_are_an_error_of_their_own(
+def test_each_kind_of_contradicting_effects_raises_its_own_error(
     effects: list[Effect], error: type[Exception]
 ) -> None:
     with pytest.raises(error):
         check_effects(effects, frozenset(("sweep",)))
 
 
-def test_effects_in_turn_with_rising_tokens_are_allowed() -> None:
+def test_consecutive_effects_with_increasing_tokens_are_allowed() -> None:
     check_effects([effect("n1", 1, 0), effect("n2", 2, 10), effect("n1", 3, 20)], frozenset(("sweep",)))
--- a/tests/fault_injection/test_lease_model.py
+++ b/tests/fault_injection/test_lease_model.py
@@ -15,19 +15,21 @@
 
 @pytest.mark.parametrize("start", sorted(STARTS))
 def test_no_order_of_the_first_steps_violates_an_invariant(start: str) -> None:
-    usual = STARTS[start][1]
-    found = walk(start, Mutation(), replace(usual, depth=4 if start != "divergent" else 9), seconds=60)
-    assert found.complete and not found.broken and found.states > 50
+    default_bounds = STARTS[start][1]
+    result = walk(
+        start, Mutation(), replace(default_bounds, depth=4 if start != "divergent" else 9), seconds=60
+    )
+    assert result.complete and not result.broken and result.states > 50
 
 
 @pytest.fixture(scope="module")
 def violating_search() -> Result:
     """Return the result of the command with commits of old terms allowed; the search is slow, so it runs only once."""
-    words = ["leases", "--start", "divergent", "--broken", "old-term-commit", "--seconds", "120"]
-    return CliRunner().invoke(explore, words)
+    arguments = ["leases", "--start", "divergent", "--broken", "old-term-commit", "--seconds", "120"]
+    return CliRunner().invoke(explore, arguments)
 
 
-def test_the_search_finds_the_commit_of_an_old_terms_entry(violating_search: Result) -> None:
+def test_the_search_finds_a_commit_of_an_entry_from_an_old_term(violating_search: Result) -> None:
     """Figure 8 of the Raft paper, a sequence that random drills hardly ever reach."""
     _, _, reason, *steps = violating_search.output.splitlines()
     assert "without committed entry" in reason or "differs" in reason
@@ -37,5 +39,9 @@
 
 def test_the_command_prints_the_steps_of_a_violation(violating_search: Result) -> None:
     assert violating_search.exit_code == 1 and "hears RequestVote" in violating_search.output
-    told = CliRunner().invoke(explore, ["leases", "--start", "fresh", "--seconds", "0.2", "--json"])
-    assert told.exit_code == 2 and json.loads(told.output)["verdict"] == "not complete"
+    incomplete_search = CliRunner().invoke(
+        explore, ["leases", "--start", "fresh", "--seconds", "0.2", "--json"]
+    )
+    assert (
+        incomplete_search.exit_code == 2 and json.loads(incomplete_search.output)["verdict"] == "not complete"
+    )
