--- a/marlstep/fault_injection/document_drill.py
+++ b/marlstep/fault_injection/document_drill.py
@@ -225,7 +225,7 @@
         # The lists of the latest accepted versions; the nodes start with list 0.
         self._accepted_lists = deque([0], maxlen=WINDOW_VERSIONS)
         # The lists of changes without a response, which may still come into force.
-        self._recent = deque[int](maxlen=MAX_UNANSWERED_CHANGES)
+        self._unanswered_lists = deque[int](maxlen=MAX_UNANSWERED_CHANGES)
         self._pending_lists: Counter[int] = Counter()
 
     async def run(self) -> None:
@@ -256,23 +256,23 @@
         return call.version
 
     async def _put(self, node: NodeProcess, call: Call) -> int:
-        list_number = self._random.choice(self.free())
+        list_number = self._random.choice(self.free_lists())
         self._pending_lists[list_number] += 1
         try:
             return await self._change(node, call, list_number)
         except BaseException:
-            self._recent.append(list_number)  # the change may still come into force
+            self._unanswered_lists.append(list_number)  # the change may still come into force
             raise
         finally:
             self._pending_lists[list_number] -= 1
 
-    def free(self) -> list[int]:
+    def free_lists(self) -> list[int]:
         """Return the lists that no recent version has and no pending or lost change may still bring into force.
 
         The lists of accepted versions and of changes without a response are remembered separately, so that many lost
         responses can't displace the lists in force.
         """
-        taken = {*self._accepted_lists, *self._recent}
+        taken = {*self._accepted_lists, *self._unanswered_lists}
         return [
             number for number in range(SERVERS) if number not in taken and not self._pending_lists[number]
         ]
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -90,9 +90,9 @@
     # pushed the first list out of sight while the nodes still acted on it, and a later version got it again.
     operators = Operators(None, None, 1)  # type: ignore[arg-type]
     for number in range(1, 200):
-        operators._recent.append(number % SERVERS or 1)
-        free = operators.free()
-        assert 0 not in free and len(free) > CLIENTS
+        operators._unanswered_lists.append(number % SERVERS or 1)
+        free_lists = operators.free_lists()
+        assert 0 not in free_lists and len(free_lists) > CLIENTS
 
 
 @pytest.fixture(scope="module")
