--- a/marlstep/fault_injection/effect_recorder.py
+++ b/marlstep/fault_injection/effect_recorder.py
@@ -1,7 +1,7 @@
-"""The server of the tasks: a witness with one clock, which records every act as it comes and ends.
+"""The task server of a drill: records the start and end of every effect of a scheduled task, on one clock.
 
-It turns down a token that is lower than the highest it has seen, and nothing else: two acts of two holders that go on
-at once are both accepted here, and show in the record.
+It rejects only requests whose fencing token is below the highest one seen for the task. Overlapping effects of two
+holders are both accepted, so that they show in the record.
 """
 
 from __future__ import annotations
@@ -23,27 +23,42 @@
 
 
 def clock_us() -> int:
+    """Return the time of the monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class EffectRecorder:
+    """A uwsgi server that serves the requests of scheduled tasks and records them.
+
+    Attributes:
+        effects: The recorded effects, in the order of their arrival.
+        hang_tasks: The names of tasks whose requests never get a response.
+        port: The port that it listens on; 0 before `open`.
+    """
+
     def __init__(self, seed: int) -> None:
+        """Initialize a closed recorder; `seed` determines the random work times."""
         self.effects: list[Effect] = []
-        self.hang_tasks: set[str] = set()  # whose acts never end
+        self.hang_tasks: set[str] = set()
         self.port = 0
-        self._receiver = FencingServer()
-        self._chance = random.Random(seed)
+        self._fencing_server = FencingServer()
+        self._random = random.Random(seed)
         self._server: asyncio.Server | None = None
-        self._open: set[asyncio.Task[None]] = set()
+        self._open_requests: set[asyncio.Task[None]] = set()
 
     async def open(self, port: int) -> None:
-        self._server = await asyncio.start_server(self._taken, "127.0.0.1", port)
+        """Listen on the loopback port.
+
+        Raises:
+            OSError: The port can't be bound.
+        """
+        self._server = await asyncio.start_server(self._handle_connection, "127.0.0.1", port)
         self.port = port
 
-    async def _taken(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._open.add(task)
+        self._open_requests.add(task)
         try:
             packets, ring = PacketReader(1 << 16), Ring(1 << 16)
             while (packet := packets.next(ring)) is None:
@@ -57,49 +72,53 @@
             pass
         finally:
             writer.close()
-            self._open.discard(task)
-
-    async def _serve(self, told: Mapping[str, str]) -> bytes:
-        task, token = told["HTTP_X_TASK"], int(told["HTTP_X_TASK_TOKEN"])
-        run, fence = int(told["HTTP_X_TASK_RUN"]), told["HTTP_X_TASK_FENCE"] == "1"
-        node = told["HTTP_X_TASK_HOLDER"]
-        began = clock_us()
-        taken = self._receiver.accepts(task, token)
-        number = len(self.effects)
-        work = 0.0 if fence or not taken else self._chance.uniform(*WORK_S)
-        # Written down before it is worked on: of an act whose connection breaks the end is known as well.
-        self.effects.append(Effect(task, node, token, run, began, began + int(work * 1e6), taken, fence))
-        if not taken:
+            self._open_requests.discard(task)
+
+    async def _serve(self, variables: Mapping[str, str]) -> bytes:
+        task, token = variables["HTTP_X_TASK"], int(variables["HTTP_X_TASK_TOKEN"])
+        run, fence = int(variables["HTTP_X_TASK_RUN"]), variables["HTTP_X_TASK_FENCE"] == "1"
+        node = variables["HTTP_X_TASK_HOLDER"]
+        arrived_us = clock_us()
+        accepted = self._fencing_server.accepts(task, token)
+        index = len(self.effects)
+        work_s = 0.0 if fence or not accepted else self._random.uniform(*WORK_S)
+        # Recorded before the work starts, so that the end is known even if the connection breaks meanwhile.
+        self.effects.append(
+            Effect(task, node, token, run, arrived_us, arrived_us + int(work_s * 1e6), accepted, fence)
+        )
+        if not accepted:
             return b"HTTP/1.1 409 Conflict\r\nContent-Length: 5\r\n\r\nlate\n"
         if task in self.hang_tasks and not fence:
             await asyncio.sleep(3600)
-        if work:
-            await asyncio.sleep(work)
-            self.effects[number] = Effect(task, node, token, run, began, clock_us(), taken, fence)
+        if work_s:
+            await asyncio.sleep(work_s)
+            self.effects[index] = Effect(task, node, token, run, arrived_us, clock_us(), accepted, fence)
         return write_response(200, {}, "done")
 
     async def close(self) -> None:
+        """Stop listening and cancel all open requests."""
         if self._server is not None:
             self._server.close()
-        for task in list(self._open):
+        for task in list(self._open_requests):
             task.cancel()
-        await asyncio.gather(*self._open, return_exceptions=True)
+        await asyncio.gather(*self._open_requests, return_exceptions=True)
 
 
 async def serve(port: int) -> None:
-    """Until it is ended, with a line of JSON for each act."""
+    """Run a recorder on the port until cancelled, and print each effect as a line of JSON."""
     effect_recorder = EffectRecorder(1)
     await effect_recorder.open(port)
     print(json.dumps({"listens": port}), flush=True)
-    told = 0
+    printed_count = 0
     while True:
         await asyncio.sleep(0.1)
-        for effect in effect_recorder.effects[told:]:
+        for effect in effect_recorder.effects[printed_count:]:
             print(json.dumps(asdict(effect)), flush=True)
-        told = len(effect_recorder.effects)
+        printed_count = len(effect_recorder.effects)
 
 
 def main() -> None:
+    """Run the task server as a program of its own."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n", 1)[0])
     parser.add_argument("--port", type=int, default=3040)
     with contextlib.suppress(KeyboardInterrupt):
--- a/tests/replicated_config/test_process_drills.py
+++ b/tests/replicated_config/test_process_drills.py
@@ -91,9 +91,9 @@
     # first list out of the recent ones while the nodes still used it, and a later version was given the same list.
     operators = Operators(None, None, 1)  # type: ignore[arg-type]
     for number in range(1, 200):
-        operators._recent.append(number % SERVERS or 1)
-        free = operators.free()
-        assert 0 not in free and len(free) > CLIENTS
+        operators._unanswered_lists.append(number % SERVERS or 1)
+        free_lists = operators.free_lists()
+        assert 0 not in free_lists and len(free_lists) > CLIENTS
 
 
 @pytest.fixture(scope="module")
