--- a/marlstep/fault_injection/membership_drill.py
+++ b/marlstep/fault_injection/membership_drill.py
@@ -1,7 +1,8 @@
-"""The drill of members: real nodes that lose each other, and what each of them comes to think of the others.
+"""The membership drill: faults among real node processes, and checks of the membership views that result.
 
-Judged is what follows from it: all live nodes hear of all live ones under the processes that they are now; nobody who
-is live and can be reached is taken out of the list in the log; and no node acts where its situation forbids that.
+A run holds if after the faults every live node sees exactly the live nodes, each under its current process; if no node
+is removed from the replicated member list while it is live and reachable; and if no node performs an act that its
+partition state forbids.
 """
 
 from __future__ import annotations
@@ -20,25 +21,31 @@
 from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 
-AGREE_S = 30.0  # after the plan: how soon is measured, and whether is judged
-EVERY_S = 0.25
+AGREE_S = 30.0  # within which all views must agree after the last fault; the actual time is reported
+EVERY_S = 0.25  # between two polls of all nodes
 TROUBLED = ("kill", "stop", "isolate", "deaf", "mute", "split", "drain", "restart all", "crash at", "upgrade")
-AFTER_US = 8_000_000  # beyond a fault in which a node may still be taken for failed
-ON_ITS_WAY_US = 700_000  # of an act, from the node's decision to its server
+AFTER_US = 8_000_000  # after a fault, in which its nodes may still be declared failed
+ON_ITS_WAY_US = 700_000  # the longest time from a node's decision to act to the arrival at the task server
 FORBIDDEN = {one.value for one in PartitionState if not CAPABILITIES[one].starts_tasks}
 
 
 @dataclass(slots=True, frozen=True)
 class LogRecord:
-    """One line of a node's own record."""
+    """One membership change from the log of a node.
 
-    at_us: int  # of the rig's clock
+    Attributes:
+        at_us: When it happened, in microseconds of the drill's clock.
+        node: The node that logged it.
+        what: The change, in words.
+    """
+
+    at_us: int
     node: str
     what: str
 
 
 class LogCollector:
-    """The nodes' own records, gathered while they live."""
+    """Collects the logs of membership changes while the nodes run, since a process loses its log when it ends."""
 
     def __init__(self, cluster: ProcessCluster) -> None:
         self.cluster = cluster
@@ -47,11 +54,13 @@
         self._offset = clock_us() - time.time_ns() // 1000
 
     async def run(self) -> None:
+        """Collect the logs once per second until `stop` is set."""
         while not self.stop:
             await self.gather()
             await asyncio.sleep(1.0)
 
     async def gather(self) -> None:
+        """Collect the logs of all nodes that respond."""
         for name, node in self.cluster.nodes.items():
             with contextlib.suppress(OSError, ValueError, TimeoutError, KeyError):
                 told = await asyncio.wait_for(node.call("/v1/fleet/log"), 1.0)
@@ -63,7 +72,12 @@
 async def views(
     cluster: ProcessCluster,
 ) -> tuple[dict[str, str], dict[str, dict[str, str]], dict[str, set[str]]]:
-    """Who is live, as which process; whom each hears of as there; and who belongs, where it knows."""
+    """Query all live nodes for their membership views.
+
+    Returns:
+        The process of each live node; for each live node the processes that it regards as alive or suspect, by node;
+        and for each live node that knows the replicated member list, the nodes on that list.
+    """
     live: dict[str, str] = {}
     heard: dict[str, dict[str, str]] = {}
     agreed: dict[str, set[str]] = {}
@@ -86,7 +100,12 @@
 
 
 async def run(plan: Plan, settings: Settings) -> dict[str, Any]:
-    """One plan on processes; the report, whose `verdict` is `held` or `broken`. Raises RigError, OSError."""
+    """Run a plan on real processes and return the report, whose `verdict` is `held` or `broken`.
+
+    Raises:
+        ProcessClusterError: The cluster could not be started.
+        OSError: No port is free, or a file or process could not be created.
+    """
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
         async with ProcessCluster(plan, settings, Path(folder)) as cluster:
             records = LogCollector(cluster)
@@ -96,7 +115,7 @@
             agreeing = asyncio.create_task(agree(cluster, last))
             await cluster.run()
             agree_at, unlike = await agreeing
-            if not unlike:  # and still
+            if not unlike:  # the views must still agree after the whole plan
                 _, unlike = await agree(cluster, clock_us())
             settled = await all_belong(cluster)
             records.stop = True
@@ -128,7 +147,15 @@
 
 
 async def agree(cluster: ProcessCluster, since_us: int) -> tuple[int | None, str]:
-    """When after that all live nodes heard of each other alone; and who does not, where they never come to it."""
+    """Wait until every live node sees exactly the live nodes, for at most `AGREE_S`.
+
+    Args:
+        cluster: The cluster to query.
+        since_us: When to begin, in microseconds of the drill's clock.
+
+    Returns:
+        When the views agreed, on the same clock, and an empty text; or None and how they differ.
+    """
     await asyncio.sleep(max(0, since_us - clock_us()) / 1e6)
     end = clock_us() + int(AGREE_S * 1e6)
     why = "nobody was asked"
@@ -145,7 +172,10 @@
 
 
 async def all_belong(cluster: ProcessCluster) -> bool:
-    """Whoever was taken out comes in again, in the end: a probation may have doubled a few times."""
+    """Return whether every node is on the member list again within twice `AGREE_S`.
+
+    A removed node is admitted again after its probation, which may have doubled several times.
+    """
     end = clock_us() + int(2 * AGREE_S * 1e6)
     while clock_us() < end:
         _, _, agreed = await views(cluster)
@@ -156,7 +186,7 @@
 
 
 def troubles(cluster: ProcessCluster) -> dict[str, list[tuple[int, int]]]:
-    """When a fault of the plan struck each node, and until when it may show."""
+    """Return for each node the periods, in microseconds, in which a fault of the plan may cause its removal."""
     found: dict[str, list[tuple[int, int]]] = {name: [] for name in cluster.nodes}
     for at, fault in cluster.injected_faults:
         if fault.kind not in TROUBLED:
@@ -173,7 +203,7 @@
 
 
 def wrongly_removed(lines: set[LogRecord], troubled: dict[str, list[tuple[int, int]]]) -> list[str]:
-    """Nodes that were taken out of the list though no fault had struck them."""
+    """Return the removals of nodes from the member list that no fault of the plan explains."""
     found = []
     for one in sorted(lines, key=lambda one: one.at_us):
         if one.what.startswith("remove "):
@@ -184,7 +214,7 @@
 
 
 def forbidden_acts(lines: set[LogRecord], effects: list[Any]) -> list[str]:
-    """Acts that a node began while it was in a situation that forbids them."""
+    """Return the acts that nodes began while their partition state forbade them."""
     found = []
     turns: dict[str, list[LogRecord]] = {}
     for line in sorted(lines, key=lambda line: line.at_us):
--- a/marlstep/fault_injection/mutations.py
+++ b/marlstep/fault_injection/mutations.py
@@ -1,4 +1,7 @@
-"""Deliberate breakages: each takes one rule out of the code, and must be found by the drill. None is in the product."""
+"""Mutations: deliberate defects, each of which removes one rule from the product and must be detected by a drill.
+
+The product itself contains none of them: a mutation replaces classes or settings only in a simulation or a drill.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +38,7 @@
 
 
 class CountsFromAnswer(LeaseHolder):
-    """A lease is counted from the answer in the place of the question."""
+    """Counts the term of a lease from the response instead of from the heartbeat that requested it."""
 
     def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
         if response.number in self._sent_heartbeats:
@@ -44,7 +47,7 @@
 
 
 class NeverLapses(LeaseHolder):
-    """What it once had it acts on, however long the group is silent."""
+    """Keeps every lease that it was ever granted, however long the group does not respond."""
 
     def time_left(self, name: str, now: datetime) -> timedelta:
         return self.settings.term if name in self.held else ZERO
@@ -54,7 +57,7 @@
 
 
 class CommitsOldTerms(Raft):
-    """What a majority has is committed, whatever its term: figure 8 of the paper."""
+    """Commits entries of earlier terms once a majority stores them: figure 8 of the Raft paper."""
 
     def _advance_commit_index(self) -> None:
         index = self.replication.quorum_match_index(self._durable_index)
@@ -64,7 +67,7 @@
 
 
 class ReusesTokens(LeaseTable):
-    """A lease's next grant has the token of the one before."""
+    """Reuses the fencing token of the previous grant for the next grant of a lease."""
 
     def _grant(self, command: GrantLease) -> LeaseResult:
         before, holder = self.leases.get(command.name), command.holder
@@ -76,7 +79,7 @@
 
 
 class Unconfirmed(LeaseManager):
-    """A renewal is answered without asking whether this voter still leads."""
+    """Confirms renewals without checking with a majority that this voter is still the leader."""
 
     def take_responses(
         self,
@@ -91,14 +94,14 @@
 
 
 class NeverStepsDown(Raft):
-    """One that leads goes on, whether a majority hears it or not."""
+    """Remains leader even if a majority does not respond to it."""
 
     def _hears_majority(self, now: datetime) -> bool:
         return True
 
 
 class ShortAfterElection(LeaseManager):
-    """A voter that comes to lead takes the terms of leases for nearly over."""
+    """Lets all leases expire 200 ms after an election instead of waiting for a full term."""
 
     def become_leader(self, now: datetime) -> None:
         super().become_leader(now)
@@ -106,7 +109,7 @@
 
 
 class NeverDoubts(TaskRunner):
-    """A new holder acts at once, whatever may still be on its way from the one before."""
+    """Acts as a new lease holder without fencing off requests of the previous holder that may be in flight."""
 
     def _handle_inspection(self, now: datetime, result: Any) -> None:
         super()._handle_inspection(now, result)
@@ -115,7 +118,7 @@
 
 
 class BeginsAlone(TaskRunner):
-    """A run is begun and ended without the log: whoever holds the lease, or thinks so, acts."""
+    """Begins and ends runs without recording them in the log: every node that assumes it holds the lease acts."""
 
     def next_action(self, now: datetime, wall: datetime, left: timedelta) -> RunnerAction | None:
         do = super().next_action(now, wall, left)
@@ -126,21 +129,21 @@
 
 
 class TrustsAnyVote(Raft):
-    """A vote is given to whoever asks, also where its log is behind."""
+    """Grants its vote to every candidate, even to one whose log is behind."""
 
     def _handle_request_vote(self, now: datetime, sender: str, ask: Any) -> None:
         super()._handle_request_vote(now, sender, replace(ask, last_log_index=1 << 40, last_log_term=1 << 40))
 
 
 class CommitsAtOnce(ConfigStore):
-    """A change comes into force without the word of those who act."""
+    """Puts a change in force without the acknowledgements of the nodes that act on the document."""
 
     def missing_acknowledgements(self, document: Document) -> list[str]:
         return []
 
 
 class AnyVersion(ConfigStore):
-    """Compare-and-set without the compare."""
+    """Accepts a put whatever version it expects: compare-and-set without the comparison."""
 
     def _apply_prepare(self, command: PrepareVersion) -> VersionPrepared:
         known = self.documents.get(command.document)
@@ -151,7 +154,7 @@
 
 
 class CountsEarlierLives(ConfigStore):
-    """The word of a node's earlier process counts for the one that came after it."""
+    """Counts an acknowledgement of an earlier process of a node for its current process."""
 
     def missing_acknowledgements(self, document: Document) -> list[str]:
         waits = super().missing_acknowledgements(document)
@@ -161,7 +164,7 @@
 
 
 class SaysBeforeItStops(ConfigFollower):
-    """A strict document is still acted on after the node has said that it stopped."""
+    """Acknowledges a change of a strict document but continues to act on the previous version."""
 
     def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
         return super()._reach_version(now, one, version, digest, 0)
@@ -174,7 +177,7 @@
 
 
 class TrustsItsDisk(ConfigFollower):
-    """What it acted on before its restart counts until the group says something else."""
+    """Acts on the version from before its restart until the group reports another one."""
 
     def tick(self, now: datetime, left: timedelta) -> list[Any]:
         heard = any(one.target is not None for one in self.documents.values())
@@ -182,7 +185,7 @@
 
 
 class ActsWhileBehind(ConfigFollower):
-    """A lease that was lost and came again lets it go on with an old version until the new one is here."""
+    """Continues with an old version after it lost and regained its lease, until it has fetched the new one."""
 
     def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
         state = one.state
@@ -193,7 +196,7 @@
 
 
 class NeverLooks(RolloutMonitor):
-    """A stage goes on after its time, however its nodes do."""
+    """Completes every staged rollout after its time, however degraded its canaries are."""
 
     def is_degraded(
         self, canaries: RequestCounts, controls: RequestCounts, max_degradation: float, min_requests: int
@@ -202,7 +205,7 @@
 
 
 class GivesAtOnce(QuotaTable):
-    """A part that its process is asked to give up is another's at once."""
+    """Frees a quota share as soon as its holder is asked to give it up, before the holder has done so."""
 
     def apply(self, command: CommandJson) -> ResultJson:
         result = super().apply(command)
@@ -212,7 +215,7 @@
 
 
 class NeverRaises(MembershipState):
-    """Who hears that it is suspected says only that it is there, with the incarnation that it had."""
+    """Refutes a suspicion without raising its incarnation."""
 
     def _refute(self, now: datetime, record: MemberRecord) -> None:
         me = self.members.local
@@ -222,7 +225,7 @@
 
 
 class TakesAnyLife(MembershipState):
-    """What is heard last of a name counts, of whichever of its processes."""
+    """Accepts the last record received for a node, whichever of its processes that is from."""
 
     def merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
         member = self.members.others.get(record.node)
@@ -238,45 +241,63 @@
 
 
 def same(settings: LeaseSettings) -> LeaseSettings:
+    """Return the settings unchanged."""
     return settings
 
 
 def no_margin(settings: LeaseSettings) -> LeaseSettings:
+    """Return the settings without a margin for clock drift."""
     return replace(settings, drift=0.0)
 
 
 @dataclass(slots=True, frozen=True)
 class Mutation:
-    """By name; `classes` take the place of the product's, and the rest is of the world around."""
+    """A deliberate defect, together with the conditions under which a drill detects it.
+
+    Attributes:
+        name: The name by which a drill selects it; empty for the unchanged product.
+        classes: The mutated classes, each of which replaces its base class in the product.
+        settings: Returns the settings of leases to use instead of the given ones.
+        sends_before_sync: A voter sends its messages before the state that they depend on is synced.
+        trusts_restored_stores: A voter keeps its identity when its store was restored from an old copy.
+        ignores_capabilities: A process also performs acts that its partition state forbids.
+        loss: The share of messages that are lost; some mutations are detected only on a lossy network.
+        delay_us: The longest delay of a message, in microseconds.
+        stuck: The share of requests that are stuck in a queue on their way to the task server.
+        max_entries_per_message: The most log entries in one message.
+        shape: What the random plans of the drill are drawn from.
+        within: The number of seeds of which at least one must detect the mutation.
+    """
 
     name: str = ""
     classes: tuple[type, ...] = ()
     settings: Callable[[LeaseSettings], LeaseSettings] = same
     sends_before_sync: bool = False
     trusts_restored_stores: bool = False
-    ignores_capabilities: bool = False  # a process does what its situation forbids
-    loss: float = 0.01  # of messages: some breakages show only on a bad network
-    delay_us: int = 12_000  # of a message, at the most
-    stuck: float = 0.02  # share of acts that stick in a line on their way
-    max_entries_per_message: int = MAX_ENTRIES_PER_MESSAGE  # of one message
+    ignores_capabilities: bool = False
+    loss: float = 0.01
+    delay_us: int = 12_000
+    stuck: float = 0.02
+    max_entries_per_message: int = MAX_ENTRIES_PER_MESSAGE
     shape: PlanSettings = field(
         default_factory=lambda: PlanSettings(fault_types=RANDOM_FAULT_TYPES, mean_interval_ms=700)
     )
-    within: int = 300  # seeds
+    within: int = 300
 
     @property
     def runs_on_processes(self) -> bool:
-        """It is all in classes of the product: nothing of it is in the virtual network or in what a node is told."""
+        """Whether real processes can run it, which only replace classes and ignore capabilities."""
         told = self.settings is same and not self.sends_before_sync and not self.trusts_restored_stores
         return told and bool(self.classes or self.ignores_capabilities)
 
     def apply_to(self, part: object) -> None:
-        """Make one object of the product a broken one, where its class is among those that are broken."""
+        """Change an object of the product to its mutated class, if there is one."""
         for broken in self.classes:
             if type(part) is broken.__base__:
                 part.__class__ = broken
 
     def apply_to_replica(self, voter: Replica) -> None:
+        """Apply the mutation to the parts of a voter."""
         for part in (voter.raft, voter.leases, voter.lease_manager, voter.rollout):
             self.apply_to(part)
 
@@ -350,7 +371,7 @@
         shape=PlanSettings(fault_types=("kill",), mean_interval_ms=400, max_duration_ms=300),
     ),
     Mutation("says-before-it-stops", (SaysBeforeItStops,)),
-    Mutation("acts-while-behind", (ActsWhileBehind,)),  # the walk finds it
+    Mutation("acts-while-behind", (ActsWhileBehind,)),  # detected by the model checker
     Mutation("part-given-at-once", (GivesAtOnce,)),
     Mutation(
         "stage-not-looked-at",
@@ -361,7 +382,9 @@
 _MEMBERS = (
     Mutation("incarnation-not-raised", (NeverRaises,)),
     Mutation("old-boot-taken", (TakesAnyLife,)),
-    Mutation("acts-in-any-situation", (NeverLapses, BeginsAlone), ignores_capabilities=True),  # on processes
+    Mutation(
+        "acts-in-any-situation", (NeverLapses, BeginsAlone), ignores_capabilities=True
+    ),  # processes only
 )
 MEMBERSHIP_MUTATIONS = {one.name: one for one in _MEMBERS}
 DOCUMENT_MUTATIONS = {one.name: one for one in _RULES}
--- a/marlstep/fault_injection/network_links.py
+++ b/marlstep/fault_injection/network_links.py
@@ -1,4 +1,4 @@
-"""A link for each directed pair of nodes: a proxy on loopback that can cut, slow, trickle, reset and repeat."""
+"""Loopback proxies, one per directed pair of nodes, that can drop, delay, trickle, reset and duplicate messages."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from marlstep.cluster.wire import STREAM_MAGIC
 from marlstep.net.framing import KEYED_BYTES
 
+# Bytes before the body of a frame: magic, length and authentication.
 HEAD = len(STREAM_MAGIC) + 4 + KEYED_BYTES
 CHUNK = 64 * 1024
-TRIES = 20  # ports of the system's choice, of which both halves have to be free
+TRIES = 20  # ports from the system that are tried until one is free for both TCP and UDP
 
 
 class DatagramForwarder(asyncio.DatagramProtocol):
-    """What comes here goes on to the target, or is lost."""
+    """Receives the datagrams of a link, which forwards them to its target or drops them."""
 
     def __init__(self, link: Link) -> None:
         self._link = link
@@ -31,7 +32,18 @@
 
 
 class Link:
-    """From one node to another. All spans are seconds of the rig's loop."""
+    """A proxy for the streams and datagrams from one node to another, with faults.
+
+    Attributes:
+        target: The host and port to forward to.
+        port: The loopback port on which it accepts connections and datagrams.
+        cut_until: Until when messages are dropped, in seconds of the event loop's clock.
+        slow_until: Until when messages are delayed at random, on the same clock.
+        trickle_until: Until when frames are sent byte by byte, on the same clock.
+        repeat_until: Until when messages are duplicated, on the same clock.
+        reset_next: The next frame is sent by half, and its connection then reset.
+        loss: The share of datagrams that are lost.
+    """
 
     def __init__(self, target: tuple[str, int], chance: random.Random) -> None:
         self.target, self._chance = target, chance
@@ -41,11 +53,15 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.cut_until = self.slow_until = self.trickle_until = self.repeat_until = 0.0
         self.reset_next = False
-        self.loss = 0.0  # of datagrams
+        self.loss = 0.0
         self._datagrams: DatagramForwarder | None = None
 
     async def open(self, port: int) -> None:
-        """At that port, or at one of the system's choice: it listens for as long as the rig lives."""
+        """Listen at a port, or at one that the system chooses if it is 0, until the link is closed.
+
+        Raises:
+            OSError: The port is in use, or `TRIES` ports from the system were each in use for datagrams.
+        """
         loop = asyncio.get_running_loop()
         for left in reversed(range(TRIES)):
             self._server = await asyncio.start_server(self._taken, "127.0.0.1", port)
@@ -56,13 +72,13 @@
                     lambda: DatagramForwarder(self), local_addr=address
                 )
                 return
-            except OSError:  # one that was free for connections is another program's for datagrams
+            except OSError:  # free for TCP, but another program uses the port for UDP
                 self._server.close()
                 if port or not left:
                     raise
 
     def datagram(self, data: bytes) -> None:
-        """Cut, slowed and repeated as frames are."""
+        """Forward a datagram with the faults of the link; it may be dropped, delayed or duplicated."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         if now < self.cut_until or self._chance.random() < self.loss:
@@ -107,7 +123,7 @@
             if out.is_closing():
                 return
             if now < self.cut_until:
-                continue  # it is gone, and nobody is told
+                continue  # the frame is dropped and the connection stays open
             if self.reset_next:
                 self.reset_next = False
                 out.write(frame[: len(frame) // 2])
@@ -129,12 +145,13 @@
             await out.drain()
 
     def break_off(self) -> None:
-        """Every connection that stands ends now."""
+        """Abort all open connections."""
         for pair in list(self._pairs):
             for one in pair:
                 one.transport.abort()
 
     async def close(self) -> None:
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         if self._datagrams is not None and self._datagrams.transport is not None:
@@ -146,18 +163,22 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
-FIRST_PORT, BLOCK, BLOCKS = (
-    10_000,
-    200,
-    110,
-)  # below the ports that the system gives to connections that are made
+# All blocks lie below the ephemeral ports that the system assigns to outgoing connections.
+FIRST_PORT, BLOCK, BLOCKS = 10_000, 200, 110
 
 
 class Ports:
-    """A block of ports that no other rig of this machine has: its first is held for as long as this lives."""
+    """A block of ports that no other drill on this machine uses.
+
+    The first port of the block stays bound until `close`, which reserves the block.
+    """
 
     def __init__(self) -> None:
-        """Raises OSError where no block is free."""
+        """Reserve a block.
+
+        Raises:
+            OSError: No block is free.
+        """
         chance = random.SystemRandom()
         for number in chance.sample(range(BLOCKS), BLOCKS):
             self._first = FIRST_PORT + number * BLOCK
@@ -168,19 +189,26 @@
             except OSError:
                 self._guard.close()
         else:
-            raise OSError("no block of ports is free")
+            raise OSError(f"no free block of ports: all {BLOCKS} blocks from port {FIRST_PORT} are reserved")
         self._next = self._first
 
     def take(self) -> int:
-        """One that is free now. Raises OSError where the block is used up."""
+        """Return a port of the block that is free now.
+
+        Raises:
+            OSError: All ports of the block were taken.
+        """
         while True:
             self._next += 1
             if self._next >= self._first + BLOCK:
-                raise OSError(f"a rig takes {BLOCK - 1} ports at the most")
+                raise OSError(
+                    f"block of ports exhausted: all {BLOCK - 1} ports from {self._first + 1} were taken"
+                )
             with socket.socket() as one, contextlib.suppress(OSError):
                 one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 one.bind(("127.0.0.1", self._next))
                 return self._next
 
     def close(self) -> None:
+        """Release the block."""
         self._guard.close()
--- a/marlstep/fault_injection/process_cluster.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -1,4 +1,4 @@
-"""Real node processes on loopback, their stand-ins, the links between them, and the faults of a plan."""
+"""A cluster of real node processes on loopback, with emulated backends, faulty links and the faults of a plan."""
 
 from __future__ import annotations
 
@@ -27,22 +27,37 @@
 from marlstep.fault_injection.network_links import Link, Ports
 from marlstep.fault_injection.plan import Plan
 
-READY_S = 20.0
-LEAVE_S = 8.0
-NEVER = 1 << 62
+READY_S = 20.0  # the longest time for the group to form
+LEAVE_S = 8.0  # the longest time from SIGTERM to the exit of a process
+NEVER = 1 << 62  # later than any time, in microseconds
 SECOND_US = 1_000_000
 RESTART_DELAY_S = (0.01, 0.8)  # bounds of the time that a node stays down when all are restarted
-MIN_DISK_DELAY_MS, DISK_DELAY_RANGE_MS = (
-    150,
-    400,
-)  # of each write to a slow disk; a fault's duration picks one
+# The delay of each write to a slow disk: the minimum, and the range above it from which a fault's duration selects.
+MIN_DISK_DELAY_MS, DISK_DELAY_RANGE_MS = 150, 400
 
 
 @dataclass(slots=True)
 class Settings:
-    """Of the fleet that is started."""
-
-    config: Mapping[str, Any]  # the platform's JSON; the addresses are replaced
+    """The configuration of all nodes of a cluster.
+
+    Attributes:
+        config: The platform's JSON configuration, in which each node replaces the addresses.
+        term_ms: The term of leases, in milliseconds.
+        patience_ms: `fleet.patience_ms` of the nodes, in milliseconds.
+        beat_ms: The interval of heartbeats, in milliseconds.
+        tasks: The scheduled tasks by name, as in `[fleet.tasks]`.
+        most_leases: `fleet.most_leases` of the nodes.
+        pool: Servers of an additional pool for the class temp-history, probed by one node; empty for no such pool.
+        rules: The replicated documents by name, as in `[fleet.rules.documents]`.
+        rules_ms: The term of the leases on documents, in milliseconds.
+        members: The nodes run failure detectors and maintain the list of members.
+        tenants: The `allowance_per_s` of each tenant for the whole service, which nodes divide by quota shares.
+        broken: The name of the mutation that all nodes run with; empty for none.
+        hang: The tasks whose requests are never answered.
+        logs: The folder for the logs of the nodes; None discards them.
+    """
+
+    config: Mapping[str, Any]
     term_ms: int = 1_500
     patience_ms: int = 400
     beat_ms: int = 80
@@ -54,22 +69,33 @@
         }
     )
     most_leases: int = 0
-    pool: tuple[
-        str, ...
-    ] = ()  # servers of a pool for the class temp-history, beside the witness; probed by one node
-    rules: Mapping[str, Mapping[str, Any]] = field(
-        default_factory=dict
-    )  # documents, as [fleet.rules.documents]
-    rules_ms: int = 1_500  # term of the leases on them
-    members: bool = False  # the nodes find out who is there
-    tenants: Mapping[str, float] = field(default_factory=dict)  # allowances of the whole service, in parts
-    broken: str = ""  # a rule that all nodes miss on purpose: the witnesses have to find that
-    hang: tuple[str, ...] = ()  # tasks whose acts never end
-    logs: Path | None = None  # where the nodes' logs go; else they are thrown away
+    pool: tuple[str, ...] = ()
+    rules: Mapping[str, Mapping[str, Any]] = field(default_factory=dict)
+    rules_ms: int = 1_500
+    members: bool = False
+    tenants: Mapping[str, float] = field(default_factory=dict)
+    broken: str = ""
+    hang: tuple[str, ...] = ()
+    logs: Path | None = None
 
 
 class NodeProcess:
-    """One node of the fleet, over its lives."""
+    """One node of the cluster across restarts and upgrades of its process.
+
+    Attributes:
+        rate: How many seconds the node's clock advances in a second.
+        store: The folder of the voter's store.
+        process: The process that was started last; None before the first start.
+        uwsgi: The port of the uwsgi frontend.
+        fleet: The port for messages of other nodes.
+        admin: The port of the administration interface.
+        door: The management port of the process that was started last.
+        listening: The listening socket, which the platform keeps open across upgrades.
+        starts: How many processes were started.
+        restarting: The task that restarts the node after a kill, if there was one.
+        quiet_since: When the node was last started or continued, in microseconds of the drill's clock; `NEVER` while it
+            is stopped, and after it was killed or told to shut down.
+    """
 
     def __init__(self, cluster: ProcessCluster, name: str, rate: float) -> None:
         self.cluster, self.name, self.rate = cluster, name, rate
@@ -77,19 +103,23 @@
         self.store = self.folder / "store"
         self.process: asyncio.subprocess.Process | None = None
         self.uwsgi, self.fleet, self.admin = (cluster.ports.take() for _ in range(3))
-        self.door = 0  # of the process that was started last
-        self.listening = socket.create_server(("127.0.0.1", 0))  # what the platform holds for all versions
+        self.door = 0
+        self.listening = socket.create_server(("127.0.0.1", 0))
         self.starts = 0
         self.restarting: asyncio.Task[None] | None = None
-        self.quiet_since = (
-            0  # microseconds of the witness's clock: when it was last stopped, started or told to leave
-        )
+        self.quiet_since = 0
 
     @property
     def up(self) -> bool:
+        """Whether the process that was started last still exists, running or stopped."""
         return self.process is not None and self.process.returncode is None
 
     def write(self, addresses: Mapping[str, str]) -> None:
+        """Write the configuration files for the next process.
+
+        Args:
+            addresses: The addresses of the emulated kernel and database.
+        """
         cluster = self.cluster
         (self.folder / "tmp").mkdir(parents=True, exist_ok=True)
         self.door = self.cluster.ports.take()
@@ -105,6 +135,7 @@
         (self.folder / "operator.toml").write_text(self.operator())
 
     def operator(self) -> str:
+        """Return the operator's configuration file as TOML."""
         cluster, told = self.cluster, self.cluster.settings
         lines = [
             "[admin]",
@@ -168,6 +199,7 @@
         ]
 
     async def start(self) -> None:
+        """Start a process with the files that were written last."""
         self.starts += 1
         self.quiet_since = clock_us()
         logs: Any = asyncio.subprocess.DEVNULL
@@ -190,7 +222,7 @@
         )
 
     async def healthy(self) -> bool:
-        """The process that was started last serves."""
+        """Return whether the process that was started last reports that it serves."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.door)
             writer.write(b"GET /admin/health HTTP/1.1\r\n\r\n")
@@ -201,11 +233,13 @@
         return b" 200 " in head
 
     def order(self, **what: Any) -> None:
+        """Send an order to the fault injection in the process, as `FaultOrders` reads it."""
         if self.up and self.process is not None and self.process.stdin is not None:
             with contextlib.suppress(OSError):
                 self.process.stdin.write(json.dumps(what).encode() + b"\n")
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process, if it is up."""
         if number != signal.SIGHUP:
             self.quiet_since = clock_us() if number == signal.SIGCONT else NEVER
         if self.up and self.process is not None:
@@ -213,16 +247,23 @@
                 self.process.send_signal(number)
 
     async def wait(self) -> int:
+        """Wait until the process ends, and return its exit status."""
         assert self.process is not None
         return await self.process.wait()
 
     async def kill(self) -> None:
+        """Kill the process and wait until it has ended."""
         self.signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def call(self, path: str, told: Any = None) -> Any:
-        """One call to the administration: GET, or POST with what is told. Raises OSError."""
+        """Call the administration interface: POST with a JSON body if one is given, otherwise GET.
+
+        Raises:
+            OSError: The node can't be reached, or its response has a status other than 200 or 202.
+            ValueError: The response is not JSON.
+        """
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
         body = b"" if told is None else json.dumps(told).encode()
         line = f"{'GET' if told is None else 'POST'} {path} HTTP/1.1\r\nAuthorization: Bearer {self.cluster.token}\r\n"
@@ -233,12 +274,23 @@
             writer.close()
         head, _, body = response.partition(b"\r\n\r\n")
         if not head.startswith((b"HTTP/1.1 200", b"HTTP/1.1 202")):
-            raise OSError(f"{path}: {head[:80]!r}")
+            raise OSError(f"{self.name}: {path}: expected status 200 or 202, got {head[:80]!r}")
         return json.loads(body)
 
 
 class ProcessCluster(FaultTarget):
-    """All of one drill. Use as a context: nothing that it started outlives it."""
+    """All nodes of one drill, with the links between them, the emulated backends and the effect recorder.
+
+    An async context manager: on exit it ends everything that it started.
+
+    Attributes:
+        token: The token of the administration interfaces.
+        links: The link of each directed pair of nodes.
+        counts: How often each type of fault was injected, and what the cluster counts besides.
+        injected_faults: The faults so far, each with its time in microseconds of the drill's clock.
+        unexpected: Descriptions of processes that did not start or end in time.
+        upgrade_durations_s: The seconds from SIGTERM to the exit of the old process, for each upgrade.
+    """
 
     def __init__(self, plan: Plan, settings: Settings, folder: Path) -> None:
         self.plan, self.settings, self.folder = plan, settings, folder
@@ -249,12 +301,12 @@
         self.links: dict[tuple[str, str], Link] = {}
         self.nodes: dict[str, NodeProcess] = {}
         self.counts: Counter[str] = Counter()
-        self.injected_faults: list[tuple[int, Fault]] = []  # microseconds of the witness's clock
-        self.unexpected: list[str] = []  # processes that ended by themselves
+        self.injected_faults: list[tuple[int, Fault]] = []
+        self.unexpected: list[str] = []
         self._sites: list[EmulatedSite] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._amnesia_until = 0.0
-        self.upgrade_durations_s: list[float] = []  # seconds from SIGTERM to the end of each elder
+        self.upgrade_durations_s: list[float] = []
         self._closing = False
 
     async def __aenter__(self) -> ProcessCluster:
@@ -299,12 +351,16 @@
         self._spawn(self._back_up())
 
     async def _formed(self) -> None:
-        """All voters vote."""
+        """Wait until all voters of the plan are voters of the group.
+
+        Raises:
+            ProcessClusterError: A node ended, or the group did not form in `READY_S`.
+        """
         deadline = asyncio.get_running_loop().time() + READY_S
         while asyncio.get_running_loop().time() < deadline:
             for name, node in self.nodes.items():
                 if not node.up:
-                    raise ProcessClusterError(f"{name} ended before the drill began")
+                    raise ProcessClusterError(f"node {name} exited before the group had formed")
             voters = set()
             for name in self.plan.voters:
                 with contextlib.suppress(OSError, ValueError, TypeError, KeyError):
@@ -313,7 +369,9 @@
             if voters == set(self.plan.voters):
                 return
             await asyncio.sleep(0.1)
-        raise ProcessClusterError(f"the group did not form in {READY_S:.0f} s")
+        raise ProcessClusterError(
+            f"group not formed within {READY_S:.0f} s: expected voters {sorted(self.plan.voters)}, got {sorted(voters)}"
+        )
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -321,7 +379,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _back_up(self) -> None:
-        """Copies of the stores now and then, to be put back later."""
+        """Copy the stores of all voters periodically, for faults that restore an old copy."""
         while True:
             await asyncio.sleep(1.5)
             for name in self.plan.voters:
@@ -332,10 +390,10 @@
                     with contextlib.suppress(OSError):
                         shutil.copytree(node.store, old)
 
-    # Faults.
+    # Fault injection.
 
     async def run(self) -> None:
-        """The plan, from now to its end."""
+        """Inject the faults of the plan at their times, and return at the end of the plan."""
         loop = asyncio.get_running_loop()
         start = loop.time()
         for fault in self.plan.faults:
@@ -346,7 +404,7 @@
         await asyncio.sleep(max(0.0, start + self.plan.length_ms / 1000 - loop.time()))
 
     async def _meant(self, fault: Fault) -> Fault:
-        """The same with the nodes that its roles stand for now."""
+        """Return the fault with its roles replaced by the nodes that have them now."""
         names = {}
         for name in {fault.node, fault.other} & {"@holder", "@leader"}:
             names[name] = await self._leader() if name == "@leader" else self._holder()
@@ -355,6 +413,7 @@
         )
 
     def _holder(self) -> str:
+        """Return the node that last acted for the first task, or the first node."""
         task = next(iter(self.settings.tasks))
         effects = [
             effect for effect in self.effect_recorder.effects if effect.task == task and effect.accepted
@@ -362,6 +421,7 @@
         return effects[-1].node.partition("/")[0] if effects else self.plan.nodes[0]
 
     async def _leader(self) -> str:
+        """Return the leader with the highest term, or the first voter."""
         best, found = -1, self.plan.voters[0]
         for name, told in (await self.statuses(self.plan.voters)).items():
             voter = told.get("voter")
@@ -449,6 +509,10 @@
         return asyncio.get_running_loop().time() + duration_us / SECOND_US
 
     def _down(self, node: NodeProcess, span: float, store: str) -> None:
+        """Kill the node and restart it after `span` seconds, unless a restart is under way.
+
+        `store` is what happens to its store meanwhile: `keep`, `wipe` or `old store`.
+        """
         if node.restarting is None or node.restarting.done():
             task = asyncio.get_running_loop().create_task(self._again(node, span, store))
             node.restarting = task
@@ -468,7 +532,11 @@
             await node.start()
 
     async def _amnesia(self, node: NodeProcess, span: float, kind: str) -> None:
-        """A second voter may lose its memory only once the first is replaced: else the majority itself is gone."""
+        """Restart a voter with an empty or old store, unless the group could lose its majority.
+
+        A second voter may lose its store only after the first was replaced in the group: otherwise a majority of those
+        that stored an entry could be gone.
+        """
         now = asyncio.get_running_loop().time()
         voters: list[str] = []
         if now >= self._amnesia_until:
@@ -493,7 +561,7 @@
             node.signal(signal.SIGCONT)
 
     async def _stopped_at(self, node: NodeProcess, span: float) -> None:
-        """It stops itself at the hook; some time after that it goes on."""
+        """Wait for the node to stop itself at its step, and continue it after `span` seconds."""
         process = node.process
         for _ in range(200):
             await asyncio.sleep(0.02)
@@ -508,7 +576,7 @@
             node.signal(signal.SIGCONT)
 
     async def _upgraded(self, node: NodeProcess) -> None:
-        """A new process beside the old, as the platform does it; the old one is told to leave when it is ready."""
+        """Start a successor as the platform does, and send SIGTERM to the old one once it is ready."""
         elder = node.process
         if elder is None or elder.returncode is not None:
             return
@@ -545,7 +613,7 @@
         self._down(node, span, "keep")
 
     async def _hooked(self, node: NodeProcess) -> None:
-        """Whoever dies at the hook is started again."""
+        """Restart the node after it has died at its step; cancel the fault if it does not reach the step in 4 s."""
         process = node.process
         if process is None:
             return
@@ -558,7 +626,7 @@
             self.counts["hooks"] += 1
             self._down(node, self.chance.uniform(0.05, 1.0), "keep")
 
-    # The end.
+    # Shutdown and status.
 
     async def _close(self) -> None:
         self._closing = True
@@ -577,6 +645,7 @@
             site.close()
 
     async def statuses(self, names: Sequence[str] = ()) -> dict[str, Any]:
+        """Return the cluster status that each node reports, or the error; of all nodes if no names are given."""
         told: dict[str, Any] = {}
         for name in names or self.nodes:
             try:
--- a/marlstep/fault_injection/simulated_detectors.py
+++ b/marlstep/fault_injection/simulated_detectors.py
@@ -1,7 +1,7 @@
-"""Detectors on the virtual network, up to a thousand of them: faults from a plan, and what all hear of each other.
+"""Failure detectors on a simulated network, up to a thousand of them, under the faults of a plan.
 
-Datagrams are delayed, lost, and now and then come again much later, from a life of their sender that is over. At the
-end every live node has to hear of all live ones and of no other, under the process that each of them is now.
+Datagrams are delayed, lost, and sometimes replayed seconds later, after the process that sent them has ended. At the
+end of a plan every live node must see exactly the live nodes, each under its current process.
 """
 
 from __future__ import annotations
@@ -37,18 +37,30 @@
     "drain",
     "restart all",
 )
-HEAD = 110  # bytes of a datagram beside its records: frame, key's checksum, sender, kind
-REPLAYED = 0.002  # share of datagrams that come once more, seconds later
+HEAD = 110  # bytes of a datagram without its records: frame, authentication, sender, message kind
+REPLAYED = 0.002  # share of datagrams that are delivered again, seconds later
 ZONES = 3
-DRAIN_US = 50_000  # from the notice to leave to the end of the process
-REFUTED_US = 3_000_000  # at the most, until a wrong word of a live node is put right
+DRAIN_US = 50_000  # from the start of a drain to the end of the process
+REFUTED_US = 3_000_000  # the longest time for a live node to refute a false record of itself
 
 
 @dataclass(slots=True)
 class DetectorMeasurements:
-    detected_us: list[int] = field(default_factory=list)  # from a death to each view of it
-    views_agree_us: int = 0  # after the last fault
-    false_suspicions: int = 0  # of a node that was up, and could be reached by most
+    """What was measured in a run. The fields are named as in the report's JSON.
+
+    Attributes:
+        detected_us: The time from a process's death to each node's detection of it, in microseconds.
+        views_agree_us: The time from the end of the last fault until all views agreed, in microseconds.
+        false_suspicions: Suspicions by a probing node of a process that was up, with no fault at either node.
+        false_failures: Declared failures of such a process.
+        datagrams: How many datagrams were sent.
+        bytes: The size of all datagrams.
+        exchange_bytes: The size of all messages over streams.
+    """
+
+    detected_us: list[int] = field(default_factory=list)
+    views_agree_us: int = 0
+    false_suspicions: int = 0
     false_failures: int = 0
     datagrams: int = 0
     bytes: int = 0
@@ -56,7 +68,16 @@
 
 
 class SimulatedDetector:
-    """One process, over its lives."""
+    """One node with its failure detector, over all generations of its process.
+
+    Attributes:
+        generation: How many processes of this node were started.
+        up: Its process runs, or is stopped.
+        leaving: It announced that it leaves.
+        stopped_until: When a stopped process continues, in microseconds of simulated time.
+        troubled_until: When the last fault that affects it ends, in the same time.
+        slow: The longest delay of its event loop, in microseconds; 0 for none.
+    """
 
     def __init__(self, cluster: SimulatedDetectorCluster, name: str, number: int) -> None:
         self.cluster, self.name, self.number = cluster, name, number
@@ -64,17 +85,18 @@
         self.generation, self.up, self.leaving = 0, False, False
         self.detector: FailureDetector
         self.stopped_until = 0
-        self.troubled_until = 0  # by a fault of the plan
-        self.slow = 0  # microseconds that its loop is late, now and then
+        self.troubled_until = 0
+        self.slow = 0
         self._deferred: list[Callable[[], None]] = []
         self._tick_at: int | None = None
-        self._seen = 0  # changes that were looked at
+        self._seen = 0  # suspicions and failures that were reported to the cluster
 
     @property
     def address(self) -> str:
         return self.name
 
     def start(self) -> None:
+        """Start the node's next process."""
         cluster = self.cluster
         self.generation, self.up, self.leaving, self._deferred, self._seen = (
             self.generation + 1,
@@ -84,7 +106,7 @@
             0,
         )
         self.stopped_until, self._tick_at = 0, None
-        # An old clock: this life may seem older than the one before.
+        # Wall clocks may jump back: the start time of this process may be before that of the previous one.
         born = cluster.true_us // 1000 + cluster.chance.randrange(-20_000, 20_000) + 100_000
         me = MemberRecord(
             self.name, f"b{self.generation}", born, 0, MemberState.ALIVE, self.address, self.zone
@@ -97,6 +119,7 @@
         self.drive()
 
     def at(self, after_us: int, action: Callable[[], None]) -> None:
+        """Run an action after that time in this process; a stopped process runs it when it continues."""
         generation = self.generation
 
         def run_in_generation() -> None:
@@ -109,7 +132,7 @@
         self.cluster.after(after_us, run_in_generation)
 
     def resume(self) -> None:
-        """Timers first, as a loop does, and then what waits in the sockets."""
+        """Continue after a stop: run due timers first, as an event loop does, and then handle deferred messages."""
         if self.up and self.cluster.true_us >= self.stopped_until:
             self.drive()
             kept, self._deferred = self._deferred, []
@@ -117,10 +140,12 @@
                 deferred()
 
     def receive(self, sender: MemberRecord, send: OutboundMessage) -> None:
+        """Handle a message of another node."""
         self.cluster.send_all(self, self.detector.receive(self.cluster.now, sender, send.message))
         self.drive()
 
     def drive(self) -> None:
+        """Let the detector act on the time, and set its next timer."""
         cluster = self.cluster
         if not self.up or cluster.true_us < self.stopped_until:
             return
@@ -142,6 +167,7 @@
         cluster.after(true - cluster.true_us, tick)
 
     def _look(self) -> None:
+        """Report new suspicions and failures to the cluster."""
         detector = self.detector
         fresh = detector.counts["suspect"] + detector.counts["failed"]
         if fresh == self._seen:
@@ -153,11 +179,21 @@
 
 
 class SimulatedDetectorCluster(Simulation):
+    """All nodes, the network between them, and the measurements of their views."""
+
     def __init__(
         self, plan: Plan, mutation: Mutation | None = None, settings: DetectorSettings | None = None,
         loss: float = 0.01, slow: float = 0.0,
     ) -> None:  # fmt: skip
-        """`loss` of datagrams; `slow` is the share of nodes whose loop is late by up to a second."""
+        """Create the nodes of a plan, which start when the plan is run.
+
+        Args:
+            plan: The faults and the nodes.
+            mutation: The deliberate defect that the nodes run with, or none.
+            settings: The settings of the detectors; None for the defaults.
+            loss: The share of datagrams that are lost.
+            slow: The share of nodes whose event loop is sometimes late, by up to a second.
+        """
         super().__init__(plan, mutation, plan.seed * 6_151 + 5)
         self.settings = settings or DetectorSettings()
         self.loss = loss
@@ -173,28 +209,35 @@
 
     @property
     def now(self) -> datetime:
+        """The simulated time; the clocks of all nodes show it."""
         return START + span(self.true_us)
 
     @staticmethod
     def true_at(local: datetime) -> int:
+        """Return the simulated time, in microseconds, at which a clock shows at least `local`."""
         return -(-(local - START) // timedelta(microseconds=1))
 
     def run(self) -> None:
-        """To the end of the plan. Raises Broken."""
+        """Run the plan to its end.
+
+        Raises:
+            InvariantViolationError: The views do not agree at the end.
+        """
         for node in self.nodes.values():
             self.after(self.chance.randrange(400_000), node.start)
         self.schedule_faults()
         self.after(1_000_000, self._compare)
         end = self.plan.length_ms * 1_000
         self.run_events()
-        # What is replayed from a life that nobody remembers counts until its node has heard of it.
+        # A record replayed from a forgotten process is accepted until its node refutes it: views may differ so long.
         if (why := self.disagree()) and (self._agreed_at is None or self._agreed_at < end - REFUTED_US):
             raise InvariantViolationError(f"at the end {why}")
         self.measured.views_agree_us = max(0, (self._agreed_since or end) - self.last_fault_us)
 
-    # The network.
+    # Network.
 
     def send_all(self, node: SimulatedDetector, sends: list[OutboundMessage]) -> None:
+        """Send messages of a node over the network."""
         for send in sends:
             self._send(node, node.detector.local, send)
 
@@ -218,13 +261,14 @@
             if self.true_us < path.slow_until:
                 delay += self.chance.randrange(700_000)
         self.after(delay, lambda: target.at(0, lambda: target.receive(sender, send)))
-        if self.chance.random() < REPLAYED:  # it comes again from far too long ago
+        if self.chance.random() < REPLAYED:
             late = self.chance.randrange(1_000_000, 10_000_000)
             self.after(late, lambda: target.at(0, lambda: target.receive(sender, send)))
 
-    # Faults.
+    # Fault injection.
 
     def prepare_fault(self, fault: Fault) -> None:
+        """Record until when the fault disturbs which nodes."""
         until = self.true_us + fault.duration_us
         self.last_fault_us = max(self.last_fault_us, until)
         for name in FAULT_TYPES[fault.kind].disturbed_nodes(fault, self):
@@ -232,7 +276,7 @@
             node.troubled_until = max(node.troubled_until, until)
 
     def resolve_role(self, name: str) -> str:
-        """Return the node that a role stands for: there are no leases and no leader here, so it is the first."""
+        """Return the first node for each role: there are no leases and no leader here."""
         return name if name in self.nodes or not name else self.plan.nodes[0]
 
     def node_names(self) -> Collection[str]:
@@ -267,10 +311,17 @@
             self.after(DRAIN_US, lambda: self.kill(node, duration_us))
             self.last_fault_us = max(self.last_fault_us, self.true_us + duration_us + DRAIN_US)
 
-    # The eye.
+    # Measurements.
 
     def noted(self, node: SimulatedDetector, about: str, what: str, itself: bool) -> None:
-        """One node takes another for suspect or failed, by `itself` or as it was told."""
+        """Measure that a node regards another as suspect or failed.
+
+        Args:
+            node: The node whose view changed.
+            about: The name of the other node.
+            what: The new state and the process that it is about, as the detector logs it.
+            itself: The node found it out itself, rather than from a record of a third node.
+        """
         state, _, boot = what.partition(", process ")
         died = self._died.get((about, boot))
         if state == MemberState.FAILED and died is not None:
@@ -282,7 +333,7 @@
             self.measured.false_failures += state == MemberState.FAILED
 
     def disagree(self) -> str:
-        """Whose view is another than what is; empty where all live nodes hear of all live ones alone."""
+        """Return how the view of a live node is wrong; empty if every live node sees exactly the live nodes."""
         truth = {
             name: (f"b{node.generation}", MemberState.ALIVE.value)
             for name, node in self.nodes.items()
@@ -298,6 +349,7 @@
         return ""
 
     def _compare(self) -> None:
+        """Check periodically whether the views agree, and record since when."""
         if self.disagree():
             self._agreed_since = None
         else:
@@ -310,7 +362,7 @@
     plan: Plan, mutation: Mutation | None = None, settings: DetectorSettings | None = None,
     loss: float = 0.01, slow: float = 0.0,
 ) -> tuple[SimulatedDetectorCluster, str]:  # fmt: skip
-    """One world; gives it and what broke, or an empty text."""
+    """Run a plan on a new cluster; return the cluster, and what was violated or an empty text."""
     cluster = SimulatedDetectorCluster(plan, mutation, settings, loss, slow)
     try:
         cluster.run()
