--- a/marlstep/fault_injection/model_checker.py
+++ b/marlstep/fault_injection/model_checker.py
@@ -1,8 +1,8 @@
-"""The search of the model checker: breadth first through every state that can be reached within bounds.
+"""The search of the model checker: breadth first through every state that is reachable within bounds.
 
 A model is a state that knows its own successors (`SearchState`). States with the same key are visited once. A broken
-invariant is raised while a successor is computed; the search returns it with the steps that led there. Since the search
-is breadth first, no shorter sequence of steps breaks one.
+invariant is raised while a successor is computed; the search returns it with the steps that lead to it. Since the
+search is breadth first, no shorter sequence of steps breaks an invariant.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
         term: The highest term in which a voter may start an election.
         wakes: The number of steps in which time passes.
         crashes: The number of crashes.
-        flying: The number of messages in flight; the oldest beyond that are lost.
+        flying: The number of messages in flight; if there are more, the oldest are lost.
         horizon: The longest time from the start.
     """
 
@@ -47,7 +47,7 @@
         """The step that is being computed, in words."""
 
     def key(self) -> int:
-        """Return a value that two states share if the search need not tell them apart."""
+        """Return a value that is equal for states that the search need not distinguish."""
 
     def steps(self, bounds: Bounds) -> Iterator[tuple[str, SearchState]]:
         """Yield each possible step in words, and the state after it.
@@ -59,16 +59,16 @@
 
 @dataclass(slots=True)
 class SearchResult:
-    """What a search found. The names of the fields are those of the report's JSON.
+    """The result of a search. The fields are named as in the report's JSON.
 
     Attributes:
         start: The name of the state that the search began from.
         states: The number of states that were visited.
         depth: The most steps from the start to any of them.
-        complete: Every state within the bounds was visited.
-        seconds: How long the search took.
-        broken: The invariant that was broken; empty where none was.
-        trace: The steps that break it, in words.
+        complete: Whether every state within the bounds was visited.
+        seconds: How long the search took, in seconds.
+        broken: The invariant that was broken; empty if none was.
+        trace: The steps that lead to the broken invariant, in words.
     """
 
     start: str
@@ -80,7 +80,7 @@
     trace: tuple[str, ...] = ()
 
 
-# The steps to a state as pairs of an earlier trace and the last step: states share what they have in common.
+# The steps to a state, as a pair of the trace of the previous state and the last step, so that states share prefixes.
 _Trace = tuple[Any, ...]
 
 
@@ -91,7 +91,7 @@
         start: The name of the first state, for the report.
         first: The first state.
         bounds: How far the search goes.
-        seconds: When to give up; the result is then not complete.
+        seconds: The time after which the search stops; the result is then not complete.
     """
     began = time.monotonic()
     result = SearchResult(start)
--- a/marlstep/fault_injection/plan.py
+++ b/marlstep/fault_injection/plan.py
@@ -1,4 +1,4 @@
-"""Plans: which faults come when. They are drawn from a seed, printed, and replayed from what was printed."""
+"""Fault plans: which faults are injected when. Plans are drawn from a seed, printed as JSON and replayed from it."""
 
 from __future__ import annotations
 
@@ -16,20 +16,18 @@
 from marlstep.fault_injection.faults import FAULT_TYPES, Fault, Kill
 
 RANDOM_FAULT_TYPES = tuple(name for name, fault_type in FAULT_TYPES.items() if fault_type.is_drawn)
-ROLES = (
-    "@holder",
-    "@leader",
-)  # whoever holds the lease of the first task, or leads, when the fault is injected
+# The holder of the first task's lease, and the leader of the group, at the time at which a fault is injected.
+ROLES = ("@holder", "@leader")
 # Steps at which a process may be killed or stopped: of votes, the store, leases, runs of tasks, and requests.
 STEPS = ("voted", "stored", "granted", "begun", "acted", "ended", "left")
-# Those of a change of a document: its chunks are uploaded, it is put, acknowledged, and followed.
+# Steps of a change of a document: its chunks are uploaded, it is put, acknowledged, and followed.
 DOCUMENT_STEPS = ("uploading", "put", "said", "following")
 DEFAULT_DRIFT = 0.01
 FORMATION_MS = 3_000  # at the start of a plan, without faults: the group forms
-HEAL_MS = 6_000  # at the end of a plan, in which no fault begins: all nodes recover
+HEAL_MS = 6_000  # at the end of a plan, in which no fault begins, so that all nodes recover
 MIN_FAULT_MS = 20
-ANY_NODE_SHARE = 0.4  # of faults, which affect any node; the others affect a voter
-EXCESSIVE_RATES = (0.8, 1.2)  # of a clock beyond the drift that leases guard against
+ANY_NODE_SHARE = 0.4  # the share of faults that affect any node; the others affect a voter
+EXCESSIVE_RATES = (0.8, 1.2)  # rates of a clock that exceed the drift that leases guard against
 
 
 @dataclass(slots=True, frozen=True)
@@ -37,13 +35,13 @@
     """The faults of one run, and the cluster that they are injected into. Fields are named as in the plan's JSON.
 
     Attributes:
-        seed: The seed that it was drawn from; other random choices of a run follow from it too.
+        seed: The seed that it was drawn from, which also determines the other random choices of a run.
         nodes: The names of all nodes.
-        voters: Those that are members of the group.
+        voters: The names of the nodes that are voters of the group.
         length_ms: How long the run lasts, in milliseconds.
-        rates: How fast each node's clock runs, in seconds a second.
-        faults: The faults, by the time at which they come.
-        drift: The error of clocks that the nodes are configured to guard against.
+        rates: How many seconds each node's clock advances in a second.
+        faults: The faults, in order of time.
+        drift: The relative error of clocks that the nodes are configured to tolerate.
     """
 
     seed: int
@@ -63,7 +61,7 @@
     """Read a plan from JSON.
 
     Raises:
-        InvalidPlanError: It is no plan, or names a fault, step or node that does not exist.
+        InvalidPlanError: The JSON is not a plan, or names a fault, step or node that does not exist.
     """
     try:
         faults = tuple(Fault(**fault) for fault in row["faults"])
@@ -89,7 +87,7 @@
     """Check the type, nodes and step of a fault, whose nodes must be among `names`.
 
     Raises:
-        InvalidPlanError: One of them does not exist.
+        InvalidPlanError: The type, the step or a node does not exist.
     """
     if fault.kind not in FAULT_TYPES or fault.node not in names or fault.other not in ("", *names):
         raise UnknownFaultError(asdict(fault))
@@ -105,11 +103,11 @@
         nodes: The number of nodes.
         voters: The number of voters; they are the first of the nodes.
         length_ms: How long a run lasts, in milliseconds.
-        drift: The error within which the clocks run.
+        drift: The largest relative error of the clocks.
         fault_types: The names of the types of faults.
         mean_interval_ms: The mean time between two faults, in milliseconds.
-        max_duration_ms: The longest that a fault lasts, in milliseconds; some types have a bound of their own.
-        exceeds_drift: One clock errs by a fifth, beyond what leases guard against.
+        max_duration_ms: The longest duration of a fault, in milliseconds; some types have a limit of their own.
+        exceeds_drift: Whether one clock errs by a fifth, which is more than leases tolerate.
         steps: The steps at which a process may be killed.
     """
 
@@ -125,7 +123,7 @@
 
 
 def draw(seed: int, settings: PlanSettings) -> Plan:
-    """Draw a plan, which is the same for the same seed and settings."""
+    """Draw a plan. The same seed and settings always give the same plan."""
     chance = random.Random(seed)
     nodes = tuple(f"n{number}" for number in range(1, settings.nodes + 1))
     voters = nodes[: settings.voters]
@@ -143,7 +141,7 @@
 def _draw_fault(
     chance: random.Random, settings: PlanSettings, nodes: tuple[str, ...], at_ms: float, last_ms: int
 ) -> Fault:
-    """Draw a fault at `at_ms` that is over soon after `last_ms`, when the cluster is to recover."""
+    """Draw a fault at `at_ms` that ends soon after `last_ms`, so that the cluster can recover before the plan ends."""
     voters = nodes[: settings.voters]
     fault_type = FAULT_TYPES[chance.choice(tuple(settings.fault_types))]
     node = chance.choice(nodes if chance.random() < ANY_NODE_SHARE else voters)
--- a/marlstep/fault_injection/simulated_cluster.py
+++ b/marlstep/fault_injection/simulated_cluster.py
@@ -1,7 +1,7 @@
 """A cluster on a simulated network: voters, lease holders, task runners and stores, without sockets and processes.
 
-Each node has a clock of its own that runs fast or slow. Messages are delayed, lost, duplicated and reordered; a store
-loses what was not synced when its node dies. Invariants are checked from outside, with sight of all nodes at one time.
+Each node has its own clock, which runs fast or slow. Messages are delayed, lost, duplicated and reordered; a store
+loses its unsynced writes when its node dies. Invariants are checked from outside, across all nodes at the same time.
 """
 
 from __future__ import annotations
@@ -42,31 +42,31 @@
 TASK_TIMEOUT = 300 * MILLISECOND
 LEASE_TERM = 1_500 * MILLISECOND  # half of the default: leases change hands more often in the same time
 STORE_COPY_INTERVAL_US = 1_500_000
-DRAIN_US = 300_000  # from the notice to leave to the end of the process, beside the duration of the fault
-DRAINED_RESTART_US = 100_000  # that a drained node stays down
-RECONNECT_US = 20_000  # that messages are lost when a connection is reset
-STORE_LOSS_INTERVAL_US = 4_000_000  # between two faults that cost a voter its store
-MAX_EVENTS = 400_000  # of one run: more are a storm of messages, which is a violation of its own
-LOCAL_TRANSIT_US = 10  # of a message to another part of the same node
-MIN_TRANSIT_US = 200  # of a message between nodes; the most is the mutation's
-MAX_SLOW_LINK_US = 700_000  # that a message takes longer on a slow link
-DUPLICATED_SHARE = 0.5  # of messages, on a link that duplicates
-HEALED_LOSS = 0.005  # share of messages that are lost when the faults are over
-DRIFT_TOLERANCE = 1.001  # by which a clock within the allowed drift may seem to exceed it after rounding
-MAX_QUIET_END_MS = 2_500  # in which no task has an effect, before the end of a plan
+DRAIN_US = 300_000  # from the start of a drain to the end of the process, in addition to the fault's duration
+DRAINED_RESTART_US = 100_000  # the downtime of a drained node
+RECONNECT_US = 20_000  # for which messages are lost when a connection is reset
+STORE_LOSS_INTERVAL_US = 4_000_000  # the least time between two faults in which a voter loses its store
+MAX_EVENTS = 400_000  # in one run; more are a storm of messages, which is itself a violation
+LOCAL_TRANSIT_US = 10  # the delay of a message within a node
+MIN_TRANSIT_US = 200  # the shortest delay of a message between nodes; the longest is `Mutation.delay_us`
+MAX_SLOW_LINK_US = 700_000  # the longest additional delay of a message on a slow link
+DUPLICATED_SHARE = 0.5  # the share of messages that a duplicating link duplicates
+HEALED_LOSS = 0.005  # the share of messages that are lost after the last fault
+DRIFT_TOLERANCE = 1.001  # the factor by which a clock's error may exceed the allowed drift after rounding
+MAX_QUIET_END_MS = 2_500  # the longest time without an effect of any task before the end of a plan
 
 
 class SimulatedCluster(Simulation):
-    """All nodes, the network between them, the server of the tasks, and the invariants.
+    """All nodes, the network between them, the task server, and the invariants.
 
     Attributes:
-        settings: Those of the leases.
-        loss: The share of messages that are lost while there are faults.
+        settings: The settings of the leases.
+        loss: The share of messages that are lost until the faults are over.
         faults: How many faults were injected.
-        tasks: What the nodes run, by name.
+        tasks: The tasks that the nodes run, by name.
         nodes: All nodes, by name.
-        effects: What the server of the tasks recorded.
-        invariants: What is checked of elections, the log and grants.
+        effects: The effects that the task server recorded.
+        invariants: The invariants of elections, the log and grants.
     """
 
     def __init__(self, plan: Plan, mutation: Mutation | None = None) -> None:
@@ -88,7 +88,7 @@
         self._voter_count = 0
         self._next_store_loss_us = 0
         clocks = list(zip(plan.nodes, plan.rates, strict=True))
-        # Leases guard against clocks within the drift; no more than that is required of other nodes' leases.
+        # Leases tolerate clocks within the drift only, so two holders are no violation if one's clock exceeds it.
         self._beyond_drift = {name for name, rate in clocks if abs(rate - 1) > plan.drift * DRIFT_TOLERANCE}
         self.nodes = {name: SimulatedNode(self, name, rate) for name, rate in clocks}
 
@@ -101,7 +101,7 @@
         """Run the plan to its end.
 
         Raises:
-            InvariantViolationError: Something that must hold does not.
+            InvariantViolationError: An invariant is violated, or no task ran at the end.
         """
         group = Configuration(tuple(f"{name}#first" for name in self.plan.voters))
         for node in self.nodes.values():
@@ -114,7 +114,7 @@
         self.run_events(MAX_EVENTS)
         self._check_end()
 
-    # What a cluster with more in it replaces.
+    # Extension points for clusters with further state machines.
 
     def machines(self, table: Any) -> dict[str, Any]:  # noqa: ANN401 (table and machines of any kind, as Replica)
         """Return the state machines of a voter, by name, on top of its table of leases."""
@@ -125,35 +125,35 @@
         return ReplicaSettings(RaftTiming(), self.settings, self.plan.voters)
 
     def extra_leases(self, node: SimulatedNode) -> list[str]:
-        """Return the leases that a node wants beside those of the tasks."""
+        """Return the leases that a node wants in addition to those of the tasks."""
         del node
         return []
 
     def node_started(self, node: SimulatedNode) -> None:
-        """Note that a new generation of the node starts."""
+        """Handle the start of a new generation of the node."""
 
     def response_received(self, node: SimulatedNode) -> None:
-        """Note that the node handled a response of the group."""
+        """Handle that the node processed a response of the group."""
 
     def message_received(self, node: SimulatedNode, message: Message) -> None:
-        """Handle a message to the node's process that is no response of the group."""
+        """Handle a message to the node's process other than a response of the group."""
 
     def node_driven(self, node: SimulatedNode) -> None:
-        """Note that something happened at the node, or that time passed there."""
+        """Handle that the node's cores were driven, after an event or a timer."""
 
-    # What nodes ask of the cluster.
+    # Services for nodes: identities and the network.
 
     def new_voter_suffix(self) -> str:
-        """Return the part of a voter's identity that no store had before."""
+        """Return a suffix for a voter's identity that no store had before."""
         self._voter_count += 1
         return f"s{self._voter_count}"
 
     def send_effect(self, node: SimulatedNode, task: str, action: RunnerAction) -> None:
-        """Send a task's request to the server of the tasks."""
+        """Send a task's request to the task server."""
         self._task_server.request(node, task, action)
 
     def send(self, node: SimulatedNode, sender: str, to: str, message: Message) -> None:
-        """Send a message from a node over the network: delayed, and perhaps lost or duplicated."""
+        """Send a message from a node over the network; it is delayed, and may be lost or duplicated."""
         if isinstance(message, Heartbeat):
             self.invariants.lease_requested(sender, message.wanted_leases)
         target = self.nodes[node_of(to)]
@@ -174,11 +174,11 @@
             self.after(transit_us, lambda: self._arrive(node.name, target, sender, to, message))
 
     def _arrive(self, origin: str, target: SimulatedNode, sender: str, to: str, message: Message) -> None:
-        """Deliver a message unless its link was cut while it was on its way."""
+        """Deliver a message unless its link was cut while it was in flight."""
         if self.true_us >= self.link(origin, target.name).cut_until:
             target.at(0, lambda: target.receive(sender, to, message))
 
-    # Faults.
+    # Fault injection.
 
     def prepare_fault(self, fault: Fault) -> None:
         """Count the fault."""
@@ -186,7 +186,7 @@
         self.faults += 1
 
     def resolve_role(self, name: str) -> str:
-        """Return the node that holds the first task, or that leads in the highest term, for a role of a plan."""
+        """Return the holder of the first task for `@holder`, and the leader of the highest term for `@leader`."""
         if name == "@holder":
             accepted = [effect for effect in self.effects if effect.task == TASKS[0] and effect.accepted]
             return accepted[-1].node if accepted else self.plan.nodes[0]
@@ -221,10 +221,10 @@
             self.kill(node, duration_us)
 
     def _may_lose_store(self, node: SimulatedNode) -> bool:
-        """Return whether the group surely survives that this voter forgets what it stored.
+        """Return whether the group is certain to survive the loss of this voter's store.
 
-        A second voter may lose its store only once the first is replaced: else a majority of those that stored an
-        entry could be gone. So an established leader must know a full group whose stores all exist.
+        A second voter may lose its store only after the first was replaced: otherwise a majority of those that stored
+        an entry could be gone. So an established leader must know a full group whose stores all exist.
         """
         leaders = [voter for _, voter in self._voters() if voter.raft.is_established_leader]
         is_too_early = self.true_us < self._next_store_loss_us
@@ -245,7 +245,7 @@
         return [(node.name, node.voter) for node in nodes if node.up and node.voter is not None]
 
     def _copy_stores(self) -> None:
-        """Copy all stores, to be restored by a fault; two copies of each are kept."""
+        """Copy all stores for faults that restore an old copy; the last two copies of each are kept."""
         for node in self.nodes.values():
             if node.disk is not None:
                 node.store_copies = [*node.store_copies[-1:], node.disk.copy()]
@@ -274,7 +274,7 @@
         self.nodes[node].hook = step
 
     def trickle_messages(self, origin: str, target: str, duration_us: int) -> None:
-        """Delay messages: here one arrives as a whole, and can only be late."""
+        """Delay messages: in the simulation a message arrives as a whole, so that it can only be late."""
         self.delay_messages(origin, target, duration_us)
 
     def duplicate_messages(self, origin: str, target: str, duration_us: int) -> None:
@@ -282,16 +282,16 @@
         self.link(origin, target).repeat_until = self.true_us + duration_us
 
     def reset_connection(self, origin: str, target: str) -> None:
-        """Lose messages for the time of a reconnect: here there are no connections."""
+        """Drop messages for the time of a reconnect, since the simulation has no connections."""
         self.drop_messages(origin, target, RECONNECT_US)
 
     # Invariants.
 
     def check_holders(self) -> None:
-        """Check that no two nodes hold one lease now, each by its own clock.
+        """Check that no two nodes hold the same lease now, each by its own clock.
 
         Raises:
-            TwoHoldersError: Two do.
+            TwoHoldersError: Two nodes hold a lease.
         """
         for task in TASKS:
             lease = TASK_LEASE_PREFIX + task
@@ -333,14 +333,14 @@
 
 
 def shrink(plan: Plan, mutation: Mutation | None = None, tries: int = 200) -> Plan:
-    """Return the plan with as few of its faults as still violate an invariant.
+    """Return the plan with as few of its faults as possible that still violate an invariant.
 
-    Leaves out ever smaller groups of faults, each time that the rest still violates something.
+    Removes ever smaller groups of faults, and keeps each removal with which the plan still violates an invariant.
 
     Args:
         plan: A plan that violates an invariant.
         mutation: The deliberate defect that the nodes run with, or none.
-        tries: How many plans may be run.
+        tries: The largest number of plans to run.
     """
     faults = plan.faults
     group_size = max(1, len(faults) // 2)
--- a/marlstep/fault_injection/simulated_documents.py
+++ b/marlstep/fault_injection/simulated_documents.py
@@ -1,8 +1,9 @@
-"""Documents on the virtual network: nodes follow versions as the product does, operators change them under faults.
+"""Replicated documents on the simulated network: nodes follow their versions while clients change them under faults.
 
-The eye sees which version each node would act on at one true moment. For a strict document no two may differ; for any
-other the time in which two differ is measured, where it is no stage that an operator asked for. Eight clients read and
-change, and the history of their calls must be one that a single register could have given.
+The simulation observes which version every node would act on at the same simulated time. For a strict document all
+nodes must agree. For other documents the time in which nodes differ is measured and bounded, except during staged
+rollouts, in which they differ on purpose. Eight clients read and change the documents; the history of their calls must
+be linearizable.
 """
 
 from __future__ import annotations
@@ -47,25 +48,42 @@
 )
 TERM = 1_500 * MILLISECOND
 CLIENTS = 8
-THINKS_US = 1_500_000  # a client between two calls, on the mean
-PATIENCE_US = 5_000_000  # after which it takes an answer for lost
-CANT = "poison"  # a content that some nodes can't take
-SICK = "sick"  # a content under which a node refuses most requests: only ever staged
+THINKS_US = 1_500_000  # the mean time of a client between two calls
+PATIENCE_US = 5_000_000  # after which a client gives up waiting for a response
+CANT = "poison"  # in contents that the last node rejects, as an older program would
+SICK = "sick"  # in contents with which a node refuses most requests; they are only put as staged changes
 TENANT, ALLOWANCE = "t", 100.0
-BIG = 9_000  # characters of a document that comes in pieces
+BIG = 9_000  # characters of a document that is uploaded in several chunks
 
 
 @dataclass(slots=True)
 class DocumentObservation:
-    """What the eye sees of one document."""
+    """What the simulation observes of one document.
+
+    Attributes:
+        differ_since: Since when nodes act on different versions, in microseconds of simulated time; None if they agree.
+        longest_us: The longest time in which they differed, in microseconds.
+        acted: The digest of the content of each version that any node acted on.
+    """
 
     differ_since: int | None = None
     longest_us: int = 0
-    acted: dict[int, str] = field(default_factory=dict)  # digest by version
+    acted: dict[int, str] = field(default_factory=dict)
 
 
 class SimulatedDocumentCluster(SimulatedCluster):
+    """A simulated cluster whose nodes also follow documents and divide the allowance of a tenant.
+
+    Attributes:
+        followers: The follower of the documents in each node's current process.
+        seen: What was observed of each document.
+        clients: The clients that read and change the documents.
+        using: The quota shares of each node's current process.
+        most_used: The largest part of the tenant's allowance that all nodes could use at the same time.
+    """
+
     def __init__(self, plan: Plan, mutation: Mutation | None = None) -> None:
+        """Create the nodes of a plan and the clients, which start when the plan is run."""
         super().__init__(plan, mutation)
         self.settings = type(self.settings)(
             self.settings.term,
@@ -77,13 +95,14 @@
         self.seen = {one.name: DocumentObservation() for one in DOCUMENTS}
         self.clients = [Client(self, number) for number in range(CLIENTS)]
         self.using: dict[str, QuotaLease] = {}
-        self._given: dict[tuple[str, int, int], str] = {}
-        self.most_used = 0  # of the tenant's allowance, by all nodes together, at any moment
-        self._acks: dict[tuple[str, int, int], tuple[str, int]] = {}
+        # Pending commands by node, generation and number of the command.
+        self._given: dict[tuple[str, int, int], str] = {}  # tenants of which a share is returned
+        self.most_used = 0
+        self._acks: dict[tuple[str, int, int], tuple[str, int]] = {}  # documents and acknowledged versions
         self._uploads = 0
-        self._figures: dict[str, list[int]] = {}  # of each process
-        self._staged: dict[str, tuple[int, list[str]]] = {}  # as the voter that is furthest has them
-        self._seen_at = 0  # entry to which that one has applied
+        self._figures: dict[str, list[int]] = {}  # the request counts of each process
+        self._staged: dict[str, tuple[int, list[str]]] = {}  # version and nodes of each rollout, by document
+        self._seen_at = 0  # the index of the log entry up to which `_staged` is current
 
     def machines(self, table: Any) -> dict[str, Any]:
         return {"tasks": RunLog(table), "rules": ConfigStore(table), "shares": QuotaTable(table)}
@@ -93,6 +112,7 @@
 
     @staticmethod
     def lease(node: SimulatedNode) -> str:
+        """Return the name of the lease under which the node's process acts on documents."""
         return CONFIG_LEASE_PREFIX + node.participant.holder.name
 
     def extra_leases(self, node: SimulatedNode) -> list[str]:
@@ -110,26 +130,29 @@
         before = self.followers.get(node.name)
         self.followers[node.name] = follower
         if self.mutation.name == "version-from-disk" and before is not None:
-            for name, one in before.documents.items():  # acts on what it had, without asking
+            for (
+                name,
+                one,
+            ) in before.documents.items():  # act on the previous versions without asking the group
                 if one.version:
                     kept = follower.documents[name]
                     kept.version, kept.content, kept.state = one.version, one.content, FollowerState.ACTIVE
         follower.start()
 
     def _report(self, node: SimulatedNode, follower: ConfigFollower, now: Any) -> HeartbeatReport:
-        """A beat's figures: so many requests since the last, most of them refused under a sick content."""
+        """Return the report of a heartbeat: 20 more requests, most of them refused if a `SICK` content is active."""
         figures = self._figures.setdefault(node.participant.holder.name, [0, 0, 0])
         figures[0] += 20
         sick = any(
             one.state is FollowerState.ACTIVE and SICK in one.content for one in follower.documents.values()
         )
         figures[1] += 15 if sick else 1
-        # Demand for the tenant's allowance goes from node to node, and now and then is more than all of it.
+        # Demand for the tenant's allowance moves from node to node, and sometimes exceeds the whole allowance.
         at = (self.true_us // 3_000_000 + self.plan.nodes.index(node.name)) % len(self.plan.nodes)
         demand = TenantDemand(TENANT, (150_000, 40_000, 0)[min(at, 2)])
         return HeartbeatReport(follower.document_states(now), RequestCounts(*figures), (demand,))
 
-    # What nodes do.
+    # Events of nodes.
 
     def response_received(self, node: SimulatedNode) -> None:
         news, node.participant.holder.documents = node.participant.holder.documents, None
@@ -173,6 +196,11 @@
         self.watch()
 
     def _carry_out(self, node: SimulatedNode, done: list[Any]) -> None:
+        """Perform the actions that the node's follower asks for.
+
+        Raises:
+            InvariantViolationError: A version has two contents.
+        """
         follower, now = self.followers[node.name], node.now
         left = node.participant.holder.time_left(self.lease(node), now)
         while done:
@@ -222,7 +250,19 @@
         stage: Any = None,
         hold_out: bool = False,
     ) -> int | None:
-        """Its number at the node; None where that takes no more, or died of it."""
+        """Upload a content in chunks and propose to put it as the next version of a document.
+
+        Args:
+            node: The node that a client uses.
+            name: The name of the document.
+            expect: The version that the new one is to replace.
+            content: The content of the new version.
+            stage: The conditions of a staged rollout, as in the command; None for none.
+            hold_out: Whether nodes that reject the content may be excluded.
+
+        Returns:
+            The number of the command at the node; None if the node accepts no more commands or died at a step.
+        """
         self._uploads += 1
         upload, now = f"u{self._uploads}", node.now
         for offset in range(0, len(content), 4_000):
@@ -239,10 +279,10 @@
         node.drive()
         return None if node.reached("put") else number
 
-    # The eye.
+    # Observations and invariants.
 
     def _see_stages(self) -> None:
-        """A stage is over for the eye as soon as any voter has applied its end."""
+        """Update the staged rollouts from the voter that has applied most of the log."""
         voters = [one.voter for one in self.nodes.values() if one.up and one.voter is not None]
         best = max(voters, key=lambda voter: voter.raft.last_applied, default=None)
         if best is not None and best.config_store is not None and best.raft.last_applied > self._seen_at:
@@ -254,7 +294,11 @@
             }
 
     def _see_shares(self) -> None:
-        """What all may use of the tenant's allowance together, each under its lease by its own clock."""
+        """Check what all nodes together may use of the tenant's allowance, each under its lease by its own clock.
+
+        Raises:
+            InvariantViolationError: It is more than the whole allowance.
+        """
         used = {
             node.name: self.using[node.name].shares.get(TENANT, 0)
             for node in self.nodes.values()
@@ -270,7 +314,12 @@
             )
 
     def watch(self) -> None:
-        """Which version each would act on now, by its own clock."""
+        """Check which version of each document every node would act on now, by its own clock.
+
+        Raises:
+            InvariantViolationError: Two nodes act on different versions of a strict document, or differ on another
+                document for longer than the term of its leases.
+        """
         self._see_stages()
         self._see_shares()
         for named in DOCUMENTS:
@@ -283,10 +332,10 @@
                 one = follower.documents[named.name]
                 held = node.participant.holder.time_left(self.lease(node), node.now)
                 if self.mutation.name == "version-from-disk" and one.target is None:
-                    held = TERM  # it does not ask
+                    held = TERM  # the mutation does not check its lease
                 number, on = self._staged.get(named.name, (0, []))
                 if one.version == number and node.name in on:
-                    continue  # what an operator asked for
+                    continue  # differs on purpose: the node is in a staged rollout
                 if one.state is FollowerState.ACTIVE and held:
                     versions[one.version] = node.name
             if len(versions) > 1:
@@ -303,6 +352,7 @@
                 seen.differ_since = None
 
     def _check_end(self) -> None:
+        """Check the history of the clients' calls, and the versions that came into force."""
         super()._check_end()
         for named in DOCUMENTS:
             calls = [one for client in self.clients for one in client.calls[named.name]]
@@ -312,7 +362,7 @@
             given = [one.version for one in calls if one.came is CallOutcome.DONE]
             if len(set(given)) < len(given):
                 raise InvariantViolationError(f"a version of {named.name} was given twice")
-            # The first version came from a node's own files: a put that nobody of the clients made.
+            # A node proposed the first version from its files: add that put, which no client made.
             if why := linearizability_violation([*calls, Call("a node", 0)]):
                 raise InvariantViolationError(f"{named.name}: {why}")
             in_force = max(
@@ -348,7 +398,11 @@
 
 
 class Client:
-    """Reads and changes, one call after another, at whichever node is up."""
+    """A client that reads and changes documents, one call at a time, each at a random running node.
+
+    Attributes:
+        calls: The calls with a known effect or outcome, by document.
+    """
 
     def __init__(self, cluster: SimulatedDocumentCluster, number: int) -> None:
         self.cluster, self.name = cluster, f"c{number}"
@@ -356,11 +410,14 @@
         self._chance = random.Random(cluster.plan.seed * 31 + number)
         self._saw = {one.name: 0 for one in DOCUMENTS}
         self._call: tuple[str, Call] | None = None
-        self._waits: tuple[SimulatedNode, int, int] | None = None  # node, its life, number of what was asked
-        self._looks_after = 0  # the version whose end a put waits for
+        self._waits: tuple[SimulatedNode, int, int] | None = (
+            None  # node, its generation, number of the command
+        )
+        self._looks_after = 0  # the version that a put created, until it is in force or rejected
         cluster.after(2_000_000 + self._chance.randrange(500_000), self._next)
 
     def _next(self) -> None:
+        """Begin the next call, unless one is pending."""
         cluster, chance = self.cluster, self._chance
         up = [one for one in cluster.nodes.values() if one.up and cluster.true_us >= one.stopped_until]
         cluster.after(int(THINKS_US * (0.3 + chance.random())), self._next)
@@ -372,7 +429,7 @@
         call = Call(self.name, cluster.true_us, expect=self._saw[name])
         self._call, self._looks_after = (name, call), 0
         if not call.expect or chance.random() < 0.5:
-            call.expect = -1  # a get
+            call.expect = -1  # marks a get
             self._ask(node, name)
             return
         text = CANT if chance.random() < 0.1 else "x" * chance.choice((3, 30, BIG))
@@ -388,25 +445,27 @@
             self._waits = (node, node.generation, number)
 
     def _ask(self, node: SimulatedNode, name: str) -> None:
+        """Read the current version of a document."""
         number = node.participant.propose(node.now, StoredCommand({"m": "rules", "do": "get", "doc": name}))
         if number is not None:
             self._waits = (node, node.generation, number)
             node.drive()
 
     def _over(self, came: CallOutcome, version: int = 0) -> None:
+        """End the pending call with an outcome."""
         assert self._call is not None
         name, call = self._call
         self._call = self._waits = None
         call.ended_us, call.came, call.version = self.cluster.true_us, came, version
         if came is CallOutcome.UNKNOWN and call.expect < 0:
-            return  # a get without an answer says nothing
+            return  # a get without a response adds nothing to the history
         if came in (CallOutcome.TOLD, CallOutcome.DONE, CallOutcome.STALE):
             self._saw[name] = version
         self.calls[name].append(call)
         self.cluster.counts[came.value] += 1
 
     def look(self, node: SimulatedNode) -> None:
-        """An answer may have come there."""
+        """Handle the result of the pending command, if the node has it."""
         if self._waits is None or self._call is None:
             return
         at, generation, number = self._waits
@@ -421,7 +480,7 @@
             if call.expect >= 0 and "version" in result and "waits_for" not in result:
                 self._over(CallOutcome.STALE, int(result["version"]))
             else:
-                self._call = None  # it had no effect, and says nothing of the version
+                self._call = None  # it had no effect and returned no version
         elif "prepares" in result:
             call.version = self._looks_after = int(result["prepares"])
             self.cluster.after(60_000, lambda: self._again(call))
@@ -436,7 +495,7 @@
             self.cluster.after(60_000, lambda: self._again(call))
 
     def _again(self, call: Call) -> None:
-        """Has its put come into force?"""
+        """Read the document again, to find out whether the put of this call is in force."""
         up = [
             one for one in self.cluster.nodes.values() if one.up and self.cluster.true_us >= one.stopped_until
         ]
@@ -445,6 +504,6 @@
 
 
 def run_rules(plan: Plan, mutation: Mutation | None = None) -> tuple[SimulatedDocumentCluster, str]:
-    """One world; gives it and what broke, or an empty text."""
+    """Run a plan on a new cluster; return the cluster, and what was violated or an empty text."""
     cluster = SimulatedDocumentCluster(plan, mutation)
     return cluster, violation_of(cluster)
--- a/marlstep/fault_injection/simulated_machine.py
+++ b/marlstep/fault_injection/simulated_machine.py
@@ -1,4 +1,4 @@
-"""What a simulated node has of its own: a clock that runs fast or slow, and a disk that keeps what was synced."""
+"""The clock and the disk of a simulated node: the clock runs fast or slow, and the disk survives crashes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """A clock whose time is a linear function of simulated time.
 
     Attributes:
-        rate: How many seconds it shows in a second.
+        rate: How many seconds it advances in a second of simulated time.
         offset_us: What it shows at simulated time 0, in microseconds after `START`.
     """
 
@@ -38,9 +38,9 @@
     """The synced state of one voter, which survives a crash.
 
     Attributes:
-        identity: The voter that it belongs to, as the group knows it.
-        saved: Its term, vote, snapshot and log.
-        copied: It was restored from a copy, so the voter may have forgotten what it promised.
+        identity: The identity in the group of the voter that it belongs to.
+        saved: The term, vote, snapshot and log of the voter.
+        copied: Whether it was restored from an old copy, so that votes and entries of the voter may be missing.
     """
 
     identity: str
@@ -48,7 +48,7 @@
     copied: bool = False
 
     def copy(self) -> SimulatedDisk:
-        """Return a copy that later writes don't change."""
+        """Return a copy that is independent of later writes."""
         saved = self.saved
         state = PersistentState(saved.term, saved.voted_for, saved.snapshot, list(saved.entries))
         return SimulatedDisk(self.identity, state, self.copied)
--- a/marlstep/fault_injection/simulated_node.py
+++ b/marlstep/fault_injection/simulated_node.py
@@ -1,8 +1,8 @@
-"""One node of a simulated cluster: voter, lease holder, task runners and store as the product has them.
+"""One node of a simulated cluster: the product's voter, lease holder and task runners, with a simulated store.
 
 The node performs the I/O that the cores ask for: it sends messages over the simulated network, syncs to a simulated
-disk and drives timers by its own clock. A process that dies comes back as the next generation of the same node; what
-was scheduled for an earlier generation no longer runs.
+disk and drives timers by its own clock. A process that dies is restarted as the next generation of the same node;
+events that were scheduled for an earlier generation no longer run.
 """
 
 from __future__ import annotations
@@ -32,15 +32,12 @@
 from marlstep.scheduled_tasks.runner import TaskPlan, TaskRunner
 from marlstep.units import span
 
-SYNC_US = (300, 4_000)  # bounds of the time that a sync takes
+SYNC_US = (300, 4_000)  # bounds of the duration of a sync
 SLOW_SYNC_US = (100_000, 900_000)  # bounds of what a slow disk adds to it
-STEP_CRASH_DOWN_US = (
-    50_000,
-    2_000_000,
-)  # bounds of the time that a process stays down after it died at a step
+STEP_CRASH_DOWN_US = (50_000, 2_000_000)  # bounds of the downtime of a process that died at a step
 JOIN_INTERVAL_US = 500_000  # between two requests of a voter to join the group
-MIN_TIMER_US = 200  # to the next timer: a core that is due at once can't stop simulated time
-CHECKED_COMMANDS = 8  # the latest applied commands, which are checked after every event
+MIN_TIMER_US = 200  # the shortest timer, so that simulated time advances even if a core is always due
+CHECKED_COMMANDS = 8  # how many of the latest applied commands are checked after every event
 
 
 class NodeEnvironment(Protocol):
@@ -56,10 +53,10 @@
     invariants: LeaseInvariants
 
     def after(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Schedule an action after so many microseconds."""
+        """Schedule an action after `delay_us` microseconds of simulated time."""
 
     def new_voter_suffix(self) -> str:
-        """Return the part of a voter's identity that no store had before."""
+        """Return a suffix for a voter's identity that no store had before."""
 
     def machines(self, table: Any) -> dict[str, Any]:  # noqa: ANN401 (table and machines of any kind, as Replica)
         """Return the state machines of a voter, by name, on top of its table of leases."""
@@ -68,49 +65,49 @@
         """Return the settings of every voter."""
 
     def extra_leases(self, node: SimulatedNode) -> list[str]:
-        """Return the leases that a node wants beside those of the tasks."""
+        """Return the leases that a node wants in addition to those of the tasks."""
 
     def send(self, node: SimulatedNode, sender: str, to: str, message: Message) -> None:
         """Send a message from a node over the network."""
 
     def send_effect(self, node: SimulatedNode, task: str, action: RunnerAction) -> None:
-        """Send a task's request to the server of the tasks."""
+        """Send a task's request to the task server."""
 
     def check_holders(self) -> None:
-        """Check that no two nodes hold one lease now."""
+        """Check that no two nodes hold the same lease now."""
 
     def node_started(self, node: SimulatedNode) -> None:
-        """Note that a new generation of the node starts."""
+        """Handle the start of a new generation of the node."""
 
     def response_received(self, node: SimulatedNode) -> None:
-        """Note that the node handled a response of the group."""
+        """Handle that the node processed a response of the group."""
 
     def message_received(self, node: SimulatedNode, message: Message) -> None:
-        """Handle a message to the node's process that is no response of the group."""
+        """Handle a message to the node's process other than a response of the group."""
 
     def node_driven(self, node: SimulatedNode) -> None:
-        """Note that something happened at the node, or that time passed there."""
+        """Handle that the node's cores were driven, after an event or a timer."""
 
 
 class SimulatedNode:
     """A node over all its generations.
 
     Attributes:
-        generation: How many processes of this node there were.
-        up: Its process runs, or is stopped.
+        generation: The number of processes that were started for this node.
+        up: Whether its process exists, running or stopped.
         disk: The store of its voter, if it has one.
         store_copies: Earlier states of the store, oldest first.
         voter: The replica of the group, while its process runs.
         participant: The client of the group, which holds the leases.
         runners: The runners of the tasks, by task.
         stopped_until: When a stopped process continues, in microseconds of simulated time.
-        slow_disk_until: Until when syncs take longer, in the same time.
-        hook: The step at which the process dies; empty where it does not.
-        leaving: It was told to shut down.
+        slow_disk_until: Until when syncs take longer, in microseconds of simulated time.
+        hook: The step at which the process dies; empty for none.
+        leaving: Whether it is shutting down gracefully.
     """
 
     def __init__(self, cluster: NodeEnvironment, name: str, rate: float) -> None:
-        """Create a node that does not run yet; its clock shows `rate` seconds in a second."""
+        """Create a node that is not started; its clock advances by `rate` seconds in a second."""
         self.cluster, self.name = cluster, name
         self.clock = SimulatedClock(rate, cluster.chance.randrange(1_000_000_000))
         self.generation = 0
@@ -124,7 +121,7 @@
         self.slow_disk_until = 0
         self.hook = ""
         self.leaving = False
-        self._deferred: list[Callable[[], None]] = []  # until a stopped process continues
+        self._deferred: list[Callable[[], None]] = []  # actions to run when a stopped process continues
         self._syncing = False
         self._timer_at: int | None = None
         self._pending_commands: dict[int, tuple[str, RunnerAction]] = {}
@@ -138,10 +135,10 @@
 
     @property
     def wall(self) -> datetime:
-        """The time of day, which all nodes agree on."""
+        """The wall-clock time, which is the same on all nodes."""
         return START + span(self.cluster.true_us)
 
-    # Processes.
+    # Process lifecycle.
 
     def start(self) -> None:
         """Start the node's next generation."""
@@ -183,18 +180,18 @@
         return voter
 
     def kill(self) -> None:
-        """End the process; what was not synced is lost."""
+        """End the process; its unsynced writes are lost."""
         self.up = False
         self.voter = None
         self.cluster.counts["kills"] += 1
 
     def restart(self) -> None:
-        """Start the node unless it runs."""
+        """Start the node unless it is up."""
         if not self.up:
             self.start()
 
     def resume(self) -> None:
-        """Continue a stopped process with all that happened to it meanwhile."""
+        """Continue a stopped process: run the actions that were deferred meanwhile."""
         deferred, self._deferred = self._deferred, []
         for action in deferred:
             action()
@@ -207,7 +204,7 @@
             self.voter.transfer_leadership()
 
     def reached(self, step: str) -> bool:
-        """Die at the step if a fault says so; return whether the process is dead."""
+        """End the process if a fault kills it at this step; return whether the process is down."""
         if self.hook == step and self.up:
             self.hook = ""
             self.kill()
@@ -215,10 +212,10 @@
             self.cluster.counts["hooks"] += 1
         return not self.up
 
-    # Events.
+    # Events and timers.
 
     def at(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Run an action after that time in this generation; a stopped process runs it when it continues."""
+        """Run an action after `delay_us` in this generation; a stopped process runs it when it continues."""
         generation = self.generation
 
         def run_in_generation() -> None:
@@ -248,7 +245,7 @@
                 self.voter.step(self.now, sender, message)
 
     def drive(self) -> None:
-        """Let all cores act on what happened and on the time, and set the next timer."""
+        """Drive all cores after an event or a timer, and set the next timer."""
         if not self.up or self.cluster.true_us < self.stopped_until:
             return
         now = self.now
@@ -277,7 +274,7 @@
             due = due if runner_due is None else min(due, runner_due)
         timer_at = max(self.clock.true_at(due), cluster.true_us + MIN_TIMER_US)
         if self._timer_at is not None and cluster.true_us < self._timer_at <= timer_at:
-            return  # an earlier one is set
+            return  # an earlier timer is set
         self._timer_at = timer_at
         generation = self.generation
 
@@ -291,9 +288,10 @@
 
         cluster.after(timer_at - cluster.true_us, fire)
 
-    # The voter.
+    # Voter.
 
     def _drive_voter(self, voter: Replica, now: datetime) -> None:
+        """Drive the voter: send its messages, sync its state, check invariants, and join the group if necessary."""
         if voter.next_due() <= now:
             voter.tick(now)
         self._send_all(voter, voter.take_immediate_messages(now))
@@ -311,7 +309,7 @@
                     self.cluster.send(self, voter.identity, other, JoinRequest(self.name, voter.identity))
 
     def _send_all(self, voter: Replica, messages: Sequence[tuple[str, Message]]) -> None:
-        """Send messages of the voter; those to itself are handled as soon as this event is over."""
+        """Send messages of the voter; those to itself are handled right after this event."""
         for to, message in messages:
             if to == voter.identity:
                 self.at(0, lambda message=message: self._step_self(message))  # type: ignore[misc]
@@ -324,7 +322,7 @@
             self.voter.step(self.now, self.voter.identity, message)
 
     def _sync(self, voter: Replica) -> None:
-        """Write what the voter has to store; its messages that depend on it are sent when it is synced."""
+        """Write the voter's pending state to the disk; the messages that depend on it are sent once it is synced."""
         if self._syncing:
             return
         ready = voter.take_ready()
@@ -362,7 +360,7 @@
             self._send_all(voter, ready.messages)
 
     def _check(self, voter: Replica) -> None:
-        """Report what the voter leads, committed and applied to the invariants."""
+        """Report the voter's leadership, committed entries and applied commands to the invariants."""
         raft, cluster = voter.raft, self.cluster
         if raft.is_leader:
             cluster.invariants.leader_elected(raft.term, voter.identity)
@@ -373,10 +371,10 @@
         for index, command, result in list(voter.applied)[-CHECKED_COMMANDS:]:
             cluster.invariants.command_applied(index, command, result)
 
-    # Tasks.
+    # Scheduled tasks.
 
     def _drive_tasks(self, now: datetime) -> None:
-        """Pass results of the group to the runners, and carry out what they want to do next."""
+        """Pass results of the group to the runners, and perform their next actions."""
         self._handle_command_results(now)
         if not self.up:
             return
@@ -408,7 +406,7 @@
             self.runners[task].handle_result(now, action, result)
 
     def _carry_out(self, task: str, action: RunnerAction, now: datetime) -> None:
-        """Send a request to the server of the tasks, or propose a command to the group."""
+        """Send a request to the task server, or propose a command to the group."""
         if action.is_request:
             if action.kind is ActionKind.EXECUTE and self.reached("acted"):
                 return
@@ -423,5 +421,5 @@
             self._pending_commands[number] = (task, action)
 
     def effect_ended(self, task: str, action: RunnerAction, outcome: Outcome) -> None:
-        """Pass the outcome of a request to the server of the tasks to its runner."""
+        """Pass the outcome of a request to the task server to the task's runner."""
         self.runners[task].handle_result(self.now, action, outcome)
--- a/marlstep/fault_injection/simulated_task_server.py
+++ b/marlstep/fault_injection/simulated_task_server.py
@@ -1,4 +1,4 @@
-"""The server of the tasks in a simulated cluster: it fences off old tokens and records every effect."""
+"""The task server of a simulated cluster: it fences off old tokens and records every effect."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from marlstep.scheduled_tasks.outcomes import Outcome
 from marlstep.units import span_us
 
-TRANSIT_US = (200, 5_000)  # bounds of the time that a request or a response is on its way
-DELAYED_SHARE, MAX_DELAY_US = 0.02, 600_000  # of requests, which are late by up to that much
-MAX_STUCK_US = 4_000_000  # that a request may be stuck in a queue: longer than a lease
-WORK_US = (5_000, 150_000)  # bounds of the time that one effect takes
+TRANSIT_US = (200, 5_000)  # bounds of the network delay of a request or a response
+DELAYED_SHARE, MAX_DELAY_US = 0.02, 600_000  # the share of requests that are late, and by how much at most
+MAX_STUCK_US = 4_000_000  # the longest time that a request is stuck in a queue: longer than a lease
+WORK_US = (5_000, 150_000)  # bounds of the duration of an effect
 LOST_RESPONSE_SHARE = 0.02
 
 
 class SimulatedTaskServer:
-    """Carries out requests of tasks after random delays.
+    """Performs the requests of tasks after random delays.
 
     Attributes:
         effects: All requests that arrived, in the order of their arrival.
     """
 
     def __init__(self, simulation: Simulation, timeout: timedelta) -> None:
-        """`timeout` is how long a node waits for the response to a request."""
+        """Create a server; `timeout` is how long a node waits for the response to a request."""
         self.effects: list[Effect] = []
         self._simulation = simulation
         self._timeout = timeout
         self._fencing = FencingServer()
 
     def request(self, node: SimulatedNode, task: str, action: RunnerAction) -> None:
-        """Take a request of a task from a node, which is told the outcome, or that it is unknown, once."""
+        """Accept a request of a task from a node, and report its outcome once; it is unknown after the timeout."""
         chance = self._simulation.chance
         transit_us = chance.randrange(*TRANSIT_US)
         if chance.random() < DELAYED_SHARE:
--- a/marlstep/fault_injection/simulation.py
+++ b/marlstep/fault_injection/simulation.py
@@ -1,7 +1,7 @@
 """The core of every simulated cluster: simulated time, a queue of events, links between nodes, and faults of a plan.
 
-One run is a function of its plan: all chance comes from the plan's seed, and events at the same time run in the order
-in which they were scheduled. What the nodes are, and which faults they know, is up to the clusters built on this.
+A run is a function of its plan: all random choices follow from the plan's seed, and events at the same time run in the
+order in which they were scheduled. The clusters built on this define the nodes and the faults that affect them.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         mutation: The deliberate defect that the nodes run with, or none.
         chance: The source of all random choices.
         true_us: The simulated time, in microseconds from the start; clocks of nodes may differ from it.
-        counts: How often each type of fault was injected, and whatever a cluster counts beside.
+        counts: How often each type of fault was injected, and whatever a cluster counts besides.
     """
 
     def __init__(self, plan: Plan, mutation: Mutation | None, seed: int) -> None:
@@ -51,12 +51,12 @@
         self._links: dict[tuple[str, str], SimulatedLink] = {}
 
     def after(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Schedule an action after so many microseconds of simulated time."""
+        """Schedule an action after `delay_us` microseconds of simulated time."""
         self._event_number += 1
         heapq.heappush(self._events, (self.true_us + delay_us, self._event_number, action))
 
     def schedule_faults(self) -> None:
-        """Schedule every fault of the plan; the simulation has to be at time 0."""
+        """Schedule every fault of the plan; must be called at time 0."""
         for fault in self.plan.faults:
             self.after(fault.at_ms * 1_000, lambda fault=fault: self.inject(fault))  # type: ignore[misc]
 
@@ -64,7 +64,7 @@
         """Run all events up to the end of the plan.
 
         Raises:
-            EventStormError: There were more events than `max_events`: nodes keep each other busy.
+            EventStormError: There were more events than `max_events`, as nodes cause ever more of them.
         """
         end_us = self.plan.length_ms * 1_000
         event_count = 0
@@ -76,18 +76,18 @@
             action()
 
     def inject(self, fault: Fault) -> None:
-        """Inject a fault now, at the nodes that its roles stand for."""
+        """Inject a fault now, with its roles replaced by the nodes that have them."""
         self.counts[fault.kind] += 1
         resolved = replace(fault, node=self.resolve_role(fault.node), other=self.resolve_role(fault.other))
         self.prepare_fault(resolved)
         FAULT_TYPES[fault.kind].inject(resolved, self)
 
     def resolve_role(self, name: str) -> str:
-        """Return the node that a role of a plan stands for now; any other name is returned as it is."""
+        """Return the node that has a role of the plan now; any other name is returned unchanged."""
         return name
 
     def prepare_fault(self, fault: Fault) -> None:
-        """Note a fault that is about to be injected."""
+        """Record a fault that is about to be injected."""
 
     def draw_restart_delay_us(self) -> int:
         """Return a random time for which a node stays down when all are restarted."""
