--- a/marlstep/fault_injection/process_cluster.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -274,7 +274,7 @@
             writer.close()
         head, _, body = response.partition(b"\r\n\r\n")
         if not head.startswith((b"HTTP/1.1 200", b"HTTP/1.1 202")):
-            raise OSError(f"{self.name}: {path}: expected status 200 or 202, got {head[:80]!r}")
+            raise OSError(f"{path}: {head[:80]!r}")
         return json.loads(body)
 
 
