--- a/marlstep/fault_injection/network_links.py
+++ b/marlstep/fault_injection/network_links.py
@@ -189,7 +189,7 @@
             except OSError:
                 self._guard.close()
         else:
-            raise OSError(f"no free block of ports: all {BLOCKS} blocks from port {FIRST_PORT} are reserved")
+            raise OSError("no block of ports is free")
         self._next = self._first
 
     def take(self) -> int:
@@ -201,9 +201,7 @@
         while True:
             self._next += 1
             if self._next >= self._first + BLOCK:
-                raise OSError(
-                    f"block of ports exhausted: all {BLOCK - 1} ports from {self._first + 1} were taken"
-                )
+                raise OSError(f"a rig takes {BLOCK - 1} ports at the most")
             with socket.socket() as one, contextlib.suppress(OSError):
                 one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 one.bind(("127.0.0.1", self._next))
--- a/marlstep/fault_injection/process_cluster.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -360,7 +360,7 @@
         while asyncio.get_running_loop().time() < deadline:
             for name, node in self.nodes.items():
                 if not node.up:
-                    raise ProcessClusterError(f"node {name} exited before the group had formed")
+                    raise ProcessClusterError(f"{name} ended before the drill began")
             voters = set()
             for name in self.plan.voters:
                 with contextlib.suppress(OSError, ValueError, TypeError, KeyError):
@@ -369,9 +369,7 @@
             if voters == set(self.plan.voters):
                 return
             await asyncio.sleep(0.1)
-        raise ProcessClusterError(
-            f"group not formed within {READY_S:.0f} s: expected voters {sorted(self.plan.voters)}, got {sorted(voters)}"
-        )
+        raise ProcessClusterError(f"the group did not form in {READY_S:.0f} s")
 
     def _spawn(self, work: Any) -> None:
         task = asyncio.get_running_loop().create_task(work)
