--- a/marlstep/fault_injection/membership_drill.py
+++ b/marlstep/fault_injection/membership_drill.py
@@ -21,12 +21,23 @@
 from marlstep.fault_injection.process_cluster import ProcessCluster, Settings
 from marlstep.membership.partition_state import CAPABILITIES, PartitionState
 
-AGREE_S = 30.0  # within which all views must agree after the last fault; the actual time is reported
-EVERY_S = 0.25  # between two polls of all nodes
-TROUBLED = ("kill", "stop", "isolate", "deaf", "mute", "split", "drain", "restart all", "crash at", "upgrade")
-AFTER_US = 8_000_000  # after a fault, in which its nodes may still be declared failed
-ON_ITS_WAY_US = 700_000  # the longest time from a node's decision to act to the arrival at the task server
-FORBIDDEN = {one.value for one in PartitionState if not CAPABILITIES[one].starts_tasks}
+AGREEMENT_TIMEOUT_S = 30.0  # from the last fault until all views must agree; the actual time is reported
+POLL_INTERVAL_S = 0.25  # between two polls of all nodes
+DISRUPTIVE_FAULTS = (
+    "kill",
+    "stop",
+    "isolate",
+    "deaf",
+    "mute",
+    "split",
+    "drain",
+    "restart all",
+    "crash at",
+    "upgrade",
+)
+FAULT_AFTERMATH_US = 8_000_000  # after a fault, in which its nodes may still be declared failed
+MAX_TRANSIT_US = 700_000  # the longest time from a node's decision to act to the arrival at the task server
+FORBIDDING_STATES = {state.value for state in PartitionState if not CAPABILITIES[state].starts_tasks}
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,12 +47,12 @@
     Attributes:
         at_us: When it happened, in microseconds of the drill's clock.
         node: The node that logged it.
-        what: The change, in words.
+        change: The change, in words.
     """
 
     at_us: int
     node: str
-    what: str
+    change: str
 
 
 class LogCollector:
@@ -49,7 +60,7 @@
 
     def __init__(self, cluster: ProcessCluster) -> None:
         self.cluster = cluster
-        self.lines: set[LogRecord] = set()
+        self.records: set[LogRecord] = set()
         self.stop = False
         self._offset = clock_us() - time.time_ns() // 1000
 
@@ -63,13 +74,13 @@
         """Collect the logs of all nodes that respond."""
         for name, node in self.cluster.nodes.items():
             with contextlib.suppress(OSError, ValueError, TimeoutError, KeyError):
-                told = await asyncio.wait_for(node.call("/v1/fleet/log"), 1.0)
-                for row in told["changes"]:
-                    at = int(datetime.fromisoformat(row["at"]).timestamp() * 1e6) + self._offset
-                    self.lines.add(LogRecord(at, name, row["what"]))
+                response = await asyncio.wait_for(node.call("/v1/fleet/log"), 1.0)
+                for row in response["changes"]:
+                    at_us = int(datetime.fromisoformat(row["at"]).timestamp() * 1e6) + self._offset
+                    self.records.add(LogRecord(at_us, name, row["what"]))
 
 
-async def views(
+async def query_views(
     cluster: ProcessCluster,
 ) -> tuple[dict[str, str], dict[str, dict[str, str]], dict[str, set[str]]]:
     """Query all live nodes for their membership views.
@@ -87,13 +98,13 @@
         if not node.up:
             return
         with contextlib.suppress(OSError, ValueError, TimeoutError, KeyError):
-            told = await asyncio.wait_for(node.call("/v1/fleet/members"), 2.0)
-            rows = {one["node"]: one for one in told["members"]}
+            response = await asyncio.wait_for(node.call("/v1/fleet/members"), 2.0)
+            rows = {row["node"]: row for row in response["members"]}
             live[name] = rows[name]["process"]
-            there = ("alive", "suspect")
-            heard[name] = {one: row["process"] for one, row in rows.items() if row["heard"] in there}
+            present = ("alive", "suspect")
+            heard[name] = {member: row["process"] for member, row in rows.items() if row["heard"] in present}
             if rows[name]["agreed"] is not None:
-                agreed[name] = {one for one, row in rows.items() if row["agreed"]}
+                agreed[name] = {member for member, row in rows.items() if row["agreed"]}
 
     await asyncio.gather(*(ask(name) for name in cluster.nodes))
     return live, heard, agreed
@@ -108,46 +119,50 @@
     """
     with tempfile.TemporaryDirectory(prefix="drill-") as folder:
         async with ProcessCluster(plan, settings, Path(folder)) as cluster:
-            records = LogCollector(cluster)
-            gathering = asyncio.create_task(records.run())
-            began = clock_us()
-            last = began + 1000 * max((one.at_ms + one.for_ms for one in plan.faults), default=0)
-            agreeing = asyncio.create_task(agree(cluster, last))
+            collector = LogCollector(cluster)
+            collection = asyncio.create_task(collector.run())
+            began_us = clock_us()
+            last_fault_us = began_us + 1000 * max(
+                (fault.at_ms + fault.for_ms for fault in plan.faults), default=0
+            )
+            agreement = asyncio.create_task(wait_for_agreement(cluster, last_fault_us))
             await cluster.run()
-            agree_at, unlike = await agreeing
-            if not unlike:  # the views must still agree after the whole plan
-                _, unlike = await agree(cluster, clock_us())
-            settled = await all_belong(cluster)
-            records.stop = True
-            await gathering
-            await records.gather()
+            agreed_at_us, difference = await agreement
+            if not difference:  # the views must still agree after the whole plan
+                _, difference = await wait_for_agreement(cluster, clock_us())
+            is_complete = await wait_for_full_membership(cluster)
+            collector.stop = True
+            await collection
+            await collector.gather()
             effects = list(cluster.effect_recorder.effects)
-            troubled = troubles(cluster)
+            disturbed = disturbed_periods(cluster)
             unexpected = list(cluster.unexpected)
-            struck = dict(cluster.counts)
-    removed = wrongly_removed(records.lines, troubled)
-    forbidden = forbidden_acts(records.lines, effects)
-    held = not unlike and not removed and not forbidden and not unexpected and settled and bool(effects)
+            fault_counts = dict(cluster.counts)
+    removed = wrongly_removed(collector.records, disturbed)
+    forbidden = forbidden_acts(collector.records, effects)
+    held = (
+        not difference and not removed and not forbidden and not unexpected and is_complete and bool(effects)
+    )
     return {
         "seed": plan.seed,
         "plan": plan.write(),
         "faults": len(plan.faults),
-        "views_agree_ms": None if agree_at is None else max(0, agree_at - last) // 1000,
-        "unlike": unlike,
-        "all_belong_again": settled,
-        "removals": sum(one.what.startswith("remove ") for one in records.lines),
+        "views_agree_ms": None if agreed_at_us is None else max(0, agreed_at_us - last_fault_us) // 1000,
+        "unlike": difference,
+        "all_belong_again": is_complete,
+        "removals": sum(record.change.startswith("remove ") for record in collector.records),
         "wrongly_removed": removed,
-        "situations": sum(one.what.startswith("situation is") for one in records.lines),
+        "situations": sum(record.change.startswith("situation is") for record in collector.records),
         "acts": len(effects),
         "forbidden_acts": forbidden,
-        "struck": struck,
+        "struck": fault_counts,
         "unexpected": unexpected,
         "verdict": "held" if held else "broken",
     }
 
 
-async def agree(cluster: ProcessCluster, since_us: int) -> tuple[int | None, str]:
-    """Wait until every live node sees exactly the live nodes, for at most `AGREE_S`.
+async def wait_for_agreement(cluster: ProcessCluster, since_us: int) -> tuple[int | None, str]:
+    """Wait until every live node sees exactly the live nodes, for at most `AGREEMENT_TIMEOUT_S`.
 
     Args:
         cluster: The cluster to query.
@@ -157,39 +172,39 @@
         When the views agreed, on the same clock, and an empty text; or None and how they differ.
     """
     await asyncio.sleep(max(0, since_us - clock_us()) / 1e6)
-    end = clock_us() + int(AGREE_S * 1e6)
-    why = "nobody was asked"
-    while clock_us() < end:
-        at = clock_us()
-        live, heard, _ = await views(cluster)
-        why = next(
+    end_us = clock_us() + int(AGREEMENT_TIMEOUT_S * 1e6)
+    difference = "nobody was asked"
+    while clock_us() < end_us:
+        now_us = clock_us()
+        live, heard, _ = await query_views(cluster)
+        difference = next(
             (f"{name} hears {view}, live are {live}" for name, view in heard.items() if view != live), ""
         )
-        if not why and len(live) == len(cluster.nodes):
-            return at, ""
-        await asyncio.sleep(EVERY_S)
-    return None, why or "a node is missing"
+        if not difference and len(live) == len(cluster.nodes):
+            return now_us, ""
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return None, difference or "a node is missing"
 
 
-async def all_belong(cluster: ProcessCluster) -> bool:
-    """Return whether every node is on the member list again within twice `AGREE_S`.
+async def wait_for_full_membership(cluster: ProcessCluster) -> bool:
+    """Return whether every node is on the member list again within twice `AGREEMENT_TIMEOUT_S`.
 
     A removed node is admitted again after its probation, which may have doubled several times.
     """
-    end = clock_us() + int(2 * AGREE_S * 1e6)
-    while clock_us() < end:
-        _, _, agreed = await views(cluster)
-        if agreed and all(one == set(cluster.nodes) for one in agreed.values()):
+    end_us = clock_us() + int(2 * AGREEMENT_TIMEOUT_S * 1e6)
+    while clock_us() < end_us:
+        _, _, agreed = await query_views(cluster)
+        if agreed and all(members == set(cluster.nodes) for members in agreed.values()):
             return True
-        await asyncio.sleep(EVERY_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     return False
 
 
-def troubles(cluster: ProcessCluster) -> dict[str, list[tuple[int, int]]]:
+def disturbed_periods(cluster: ProcessCluster) -> dict[str, list[tuple[int, int]]]:
     """Return for each node the periods, in microseconds, in which a fault of the plan may cause its removal."""
-    found: dict[str, list[tuple[int, int]]] = {name: [] for name in cluster.nodes}
-    for at, fault in cluster.injected_faults:
-        if fault.kind not in TROUBLED:
+    periods: dict[str, list[tuple[int, int]]] = {name: [] for name in cluster.nodes}
+    for at_us, fault in cluster.injected_faults:
+        if fault.kind not in DISRUPTIVE_FAULTS:
             continue
         names = (
             cluster.nodes
@@ -197,37 +212,41 @@
             else (fault.node, fault.other)
         )
         for name in names:
-            if name in found:
-                found[name].append((at, at + fault.for_ms * 1000 + AFTER_US))
-    return found
+            if name in periods:
+                periods[name].append((at_us, at_us + fault.for_ms * 1000 + FAULT_AFTERMATH_US))
+    return periods
 
 
-def wrongly_removed(lines: set[LogRecord], troubled: dict[str, list[tuple[int, int]]]) -> list[str]:
+def wrongly_removed(records: set[LogRecord], disturbed: dict[str, list[tuple[int, int]]]) -> list[str]:
     """Return the removals of nodes from the member list that no fault of the plan explains."""
-    found = []
-    for one in sorted(lines, key=lambda one: one.at_us):
-        if one.what.startswith("remove "):
-            name = one.what.removeprefix("remove ")
-            if not any(since <= one.at_us <= until for since, until in troubled.get(name, ())):
-                found.append(f"{name} at {one.at_us} by {one.node}")
-    return found
+    removals = []
+    for record in sorted(records, key=lambda record: record.at_us):
+        if record.change.startswith("remove "):
+            name = record.change.removeprefix("remove ")
+            if not any(since <= record.at_us <= until for since, until in disturbed.get(name, ())):
+                removals.append(f"{name} at {record.at_us} by {record.node}")
+    return removals
 
 
-def forbidden_acts(lines: set[LogRecord], effects: list[Any]) -> list[str]:
+def forbidden_acts(records: set[LogRecord], effects: list[Any]) -> list[str]:
     """Return the acts that nodes began while their partition state forbade them."""
-    found = []
-    turns: dict[str, list[LogRecord]] = {}
-    for line in sorted(lines, key=lambda line: line.at_us):
-        if line.what.startswith("situation is "):
-            turns.setdefault(line.node, []).append(line)
+    violations = []
+    changes: dict[str, list[LogRecord]] = {}
+    for record in sorted(records, key=lambda record: record.at_us):
+        if record.change.startswith("situation is "):
+            changes.setdefault(record.node, []).append(record)
     for effect in effects:
-        before = [one for one in turns.get(effect.node.partition("/")[0], ()) if one.at_us <= effect.began_us]
-        if not before or effect.fence:
+        earlier = [
+            change
+            for change in changes.get(effect.node.partition("/")[0], ())
+            if change.at_us <= effect.began_us
+        ]
+        if not earlier or effect.fence:
             continue
-        now = before[-1]
+        current = earlier[-1]
         if (
-            now.what.removeprefix("situation is ") in FORBIDDEN
-            and effect.began_us > now.at_us + ON_ITS_WAY_US
+            current.change.removeprefix("situation is ") in FORBIDDING_STATES
+            and effect.began_us > current.at_us + MAX_TRANSIT_US
         ):
-            found.append(f"{effect.node} in {now.what.removeprefix('situation is ')}: {effect}")
-    return found
+            violations.append(f"{effect.node} in {current.change.removeprefix('situation is ')}: {effect}")
+    return violations
--- a/marlstep/fault_injection/network_links.py
+++ b/marlstep/fault_injection/network_links.py
@@ -12,9 +12,9 @@
 from marlstep.net.framing import KEYED_BYTES
 
 # Bytes before the body of a frame: magic, length and authentication.
-HEAD = len(STREAM_MAGIC) + 4 + KEYED_BYTES
+HEADER_BYTES = len(STREAM_MAGIC) + 4 + KEYED_BYTES
 CHUNK = 64 * 1024
-TRIES = 20  # ports from the system that are tried until one is free for both TCP and UDP
+MAX_PORT_TRIES = 20  # ports from the system that are tried until one is free for both TCP and UDP
 
 
 class DatagramForwarder(asyncio.DatagramProtocol):
@@ -28,7 +28,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        self._link.datagram(data)
+        self._link.forward_datagram(data)
 
 
 class Link:
@@ -54,117 +54,119 @@
         self.cut_until = self.slow_until = self.trickle_until = self.repeat_until = 0.0
         self.reset_next = False
         self.loss = 0.0
-        self._datagrams: DatagramForwarder | None = None
+        self._datagram_endpoint: DatagramForwarder | None = None
 
     async def open(self, port: int) -> None:
         """Listen at a port, or at one that the system chooses if it is 0, until the link is closed.
 
         Raises:
-            OSError: The port is in use, or `TRIES` ports from the system were each in use for datagrams.
+            OSError: The port is in use, or `MAX_PORT_TRIES` ports from the system were each in use for datagrams.
         """
         loop = asyncio.get_running_loop()
-        for left in reversed(range(TRIES)):
-            self._server = await asyncio.start_server(self._taken, "127.0.0.1", port)
+        for tries_left in reversed(range(MAX_PORT_TRIES)):
+            self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
             self.port = int(self._server.sockets[0].getsockname()[1])
             address = ("127.0.0.1", self.port)
             try:
-                _, self._datagrams = await loop.create_datagram_endpoint(
+                _, self._datagram_endpoint = await loop.create_datagram_endpoint(
                     lambda: DatagramForwarder(self), local_addr=address
                 )
                 return
             except OSError:  # free for TCP, but another program uses the port for UDP
                 self._server.close()
-                if port or not left:
+                if port or not tries_left:
                     raise
 
-    def datagram(self, data: bytes) -> None:
+    def forward_datagram(self, data: bytes) -> None:
         """Forward a datagram with the faults of the link; it may be dropped, delayed or duplicated."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         if now < self.cut_until or self._chance.random() < self.loss:
             return
-        late = self._chance.random() * 0.4 if now < self.slow_until else 0.0
+        delay_s = self._chance.random() * 0.4 if now < self.slow_until else 0.0
         for _ in range(2 if now < self.repeat_until else 1):
-            loop.call_later(late, self._pass_on, data)
+            loop.call_later(delay_s, self._send_datagram, data)
 
-    def _pass_on(self, data: bytes) -> None:
-        if self._datagrams is not None and self._datagrams.transport is not None:
-            self._datagrams.transport.sendto(data, self.target)
+    def _send_datagram(self, data: bytes) -> None:
+        if self._datagram_endpoint is not None and self._datagram_endpoint.transport is not None:
+            self._datagram_endpoint.transport.sendto(data, self.target)
 
-    async def _taken(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        out: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            _, out = await asyncio.open_connection(*self.target)
-            pair = (writer, out)
+            _, target_writer = await asyncio.open_connection(*self.target)
+            pair = (writer, target_writer)
             self._pairs.add(pair)
             try:
-                await self._carry(reader, out)
+                await self._forward_frames(reader, target_writer)
             finally:
                 self._pairs.discard(pair)
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
-            for one in (writer, out):
-                if one is not None:
-                    one.transport.abort()
+            for open_writer in (writer, target_writer):
+                if open_writer is not None:
+                    open_writer.transport.abort()
             self._tasks.discard(task)
 
-    async def _carry(self, reader: asyncio.StreamReader, out: asyncio.StreamWriter) -> None:
+    async def _forward_frames(
+        self, reader: asyncio.StreamReader, target_writer: asyncio.StreamWriter
+    ) -> None:
         loop = asyncio.get_running_loop()
-        old: list[bytes] = []
+        recent_frames: list[bytes] = []
         while True:
-            head = await reader.readexactly(HEAD)
-            size = int.from_bytes(head[len(STREAM_MAGIC) : len(STREAM_MAGIC) + 4], "big")
-            frame = head + await reader.readexactly(size)
+            header = await reader.readexactly(HEADER_BYTES)
+            size = int.from_bytes(header[len(STREAM_MAGIC) : len(STREAM_MAGIC) + 4], "big")
+            frame = header + await reader.readexactly(size)
             now = loop.time()
-            if out.is_closing():
+            if target_writer.is_closing():
                 return
             if now < self.cut_until:
                 continue  # the frame is dropped and the connection stays open
             if self.reset_next:
                 self.reset_next = False
-                out.write(frame[: len(frame) // 2])
-                await out.drain()
+                target_writer.write(frame[: len(frame) // 2])
+                await target_writer.drain()
                 raise ConnectionResetError
             if now < self.slow_until:
                 await asyncio.sleep(self._chance.random() * 0.4)
             if now < self.trickle_until:
-                for at in range(0, 0 if out.is_closing() else len(frame)):
-                    out.write(frame[at : at + 1])
+                for position in range(0, 0 if target_writer.is_closing() else len(frame)):
+                    target_writer.write(frame[position : position + 1])
                     await asyncio.sleep(0.001)
             else:
-                out.write(frame)
+                target_writer.write(frame)
             if now < self.repeat_until:
-                out.write(frame)
-                if old:
-                    out.write(self._chance.choice(old))
-            old = [*old[-20:], frame]
-            await out.drain()
+                target_writer.write(frame)
+                if recent_frames:
+                    target_writer.write(self._chance.choice(recent_frames))
+            recent_frames = [*recent_frames[-20:], frame]
+            await target_writer.drain()
 
-    def break_off(self) -> None:
+    def abort_connections(self) -> None:
         """Abort all open connections."""
         for pair in list(self._pairs):
-            for one in pair:
-                one.transport.abort()
+            for writer in pair:
+                writer.transport.abort()
 
     async def close(self) -> None:
         """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
-        if self._datagrams is not None and self._datagrams.transport is not None:
-            self._datagrams.transport.close()
-            self._datagrams = None
-        self.break_off()
+        if self._datagram_endpoint is not None and self._datagram_endpoint.transport is not None:
+            self._datagram_endpoint.transport.close()
+            self._datagram_endpoint = None
+        self.abort_connections()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 # All blocks lie below the ephemeral ports that the system assigns to outgoing connections.
-FIRST_PORT, BLOCK, BLOCKS = 10_000, 200, 110
+FIRST_PORT, BLOCK_SIZE, BLOCK_COUNT = 10_000, 200, 110
 
 
 class Ports:
@@ -180,14 +182,14 @@
             OSError: No block is free.
         """
         chance = random.SystemRandom()
-        for number in chance.sample(range(BLOCKS), BLOCKS):
-            self._first = FIRST_PORT + number * BLOCK
-            self._guard = socket.socket()
+        for number in chance.sample(range(BLOCK_COUNT), BLOCK_COUNT):
+            self._first = FIRST_PORT + number * BLOCK_SIZE
+            self._reservation = socket.socket()
             try:
-                self._guard.bind(("127.0.0.1", self._first))
+                self._reservation.bind(("127.0.0.1", self._first))
                 break
             except OSError:
-                self._guard.close()
+                self._reservation.close()
         else:
             raise OSError("no block of ports is free")
         self._next = self._first
@@ -200,13 +202,13 @@
         """
         while True:
             self._next += 1
-            if self._next >= self._first + BLOCK:
-                raise OSError(f"a rig takes {BLOCK - 1} ports at the most")
-            with socket.socket() as one, contextlib.suppress(OSError):
-                one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                one.bind(("127.0.0.1", self._next))
+            if self._next >= self._first + BLOCK_SIZE:
+                raise OSError(f"a rig takes {BLOCK_SIZE - 1} ports at the most")
+            with socket.socket() as probe, contextlib.suppress(OSError):
+                probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                probe.bind(("127.0.0.1", self._next))
                 return self._next
 
     def close(self) -> None:
         """Release the block."""
-        self._guard.close()
+        self._reservation.close()
