--- a/marlstep/fault_injection/membership_drill.py
+++ b/marlstep/fault_injection/membership_drill.py
@@ -99,7 +99,7 @@
             return
         with contextlib.suppress(OSError, ValueError, TimeoutError, KeyError):
             response = await asyncio.wait_for(node.call("/v1/fleet/members"), 2.0)
-            rows = {row["node"]: row for row in response["members"]}
+            rows = {member["node"]: member for member in response["members"]}
             live[name] = rows[name]["process"]
             present = ("alive", "suspect")
             heard[name] = {member: row["process"] for member, row in rows.items() if row["heard"] in present}
@@ -123,7 +123,7 @@
             collection = asyncio.create_task(collector.run())
             began_us = clock_us()
             last_fault_us = began_us + 1000 * max(
-                (fault.at_ms + fault.for_ms for fault in plan.faults), default=0
+                (entry.at_ms + entry.for_ms for entry in plan.faults), default=0
             )
             agreement = asyncio.create_task(wait_for_agreement(cluster, last_fault_us))
             await cluster.run()
@@ -150,9 +150,9 @@
         "views_agree_ms": None if agreed_at_us is None else max(0, agreed_at_us - last_fault_us) // 1000,
         "unlike": difference,
         "all_belong_again": is_complete,
-        "removals": sum(record.change.startswith("remove ") for record in collector.records),
+        "removals": sum(entry.change.startswith("remove ") for entry in collector.records),
         "wrongly_removed": removed,
-        "situations": sum(record.change.startswith("situation is") for record in collector.records),
+        "situations": sum(entry.change.startswith("situation is") for entry in collector.records),
         "acts": len(effects),
         "forbidden_acts": forbidden,
         "struck": fault_counts,
@@ -231,15 +231,15 @@
 def forbidden_acts(records: set[LogRecord], effects: list[Any]) -> list[str]:
     """Return the acts that nodes began while their partition state forbade them."""
     violations = []
-    changes: dict[str, list[LogRecord]] = {}
+    state_changes: dict[str, list[LogRecord]] = {}
     for record in sorted(records, key=lambda record: record.at_us):
         if record.change.startswith("situation is "):
-            changes.setdefault(record.node, []).append(record)
+            state_changes.setdefault(record.node, []).append(record)
     for effect in effects:
         earlier = [
-            change
-            for change in changes.get(effect.node.partition("/")[0], ())
-            if change.at_us <= effect.began_us
+            state_change
+            for state_change in state_changes.get(effect.node.partition("/")[0], ())
+            if state_change.at_us <= effect.began_us
         ]
         if not earlier or effect.fence:
             continue
--- a/marlstep/fault_injection/process_cluster.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -89,7 +89,7 @@
         uwsgi: The port of the uwsgi frontend.
         fleet: The port for messages of other nodes.
         admin: The port of the administration interface.
-        door: The management port of the process that was started last.
+        health_port: The port of the health endpoint of the process that was started last.
         listening: The listening socket, which the platform keeps open across upgrades.
         starts: How many processes were started.
         restarting: The task that restarts the node after a kill, if there was one.
@@ -103,7 +103,7 @@
         self.store = self.folder / "store"
         self.process: asyncio.subprocess.Process | None = None
         self.uwsgi, self.fleet, self.admin = (cluster.ports.take() for _ in range(3))
-        self.door = 0
+        self.health_port = 0
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.starts = 0
         self.restarting: asyncio.Task[None] | None = None
@@ -114,7 +114,7 @@
         """Whether the process that was started last still exists, running or stopped."""
         return self.process is not None and self.process.returncode is None
 
-    def write(self, addresses: Mapping[str, str]) -> None:
+    def write_configuration(self, addresses: Mapping[str, str]) -> None:
         """Write the configuration files for the next process.
 
         Args:
@@ -122,28 +122,28 @@
         """
         cluster = self.cluster
         (self.folder / "tmp").mkdir(parents=True, exist_ok=True)
-        self.door = self.cluster.ports.take()
+        self.health_port = self.cluster.ports.take()
         port = self.listening.getsockname()[1]
         config = {**cluster.settings.config, "name": self.name, "listen": f"127.0.0.1:{port}"}
         config |= {
             "naming": None,
-            "mgmt": f"127.0.0.1:{self.door}",
+            "mgmt": f"127.0.0.1:{self.health_port}",
             "kernel": addresses["kernel"],
             "db": addresses["db"],
         }
         (self.folder / "config.json").write_text(json.dumps(config))
-        (self.folder / "operator.toml").write_text(self.operator())
+        (self.folder / "operator.toml").write_text(self.operator_toml())
 
-    def operator(self) -> str:
+    def operator_toml(self) -> str:
         """Return the operator's configuration file as TOML."""
-        cluster, told = self.cluster, self.cluster.settings
+        cluster, options = self.cluster, self.cluster.settings
         lines = [
             "[admin]",
             f'listen = "127.0.0.1:{self.admin}"',
             f'token_file = "{cluster.folder}/token"',
             "[uwsgi]",
             f'listen = "127.0.0.1:{self.uwsgi}"',
-            *self._servers(),
+            *self._upstream_lines(),
             "max_response = 4096",
             "max_body = 4096",
             "max_connections = 64",
@@ -157,38 +157,38 @@
             f'key_file = "{cluster.folder}/key"',
             f'store = "{self.store}"',
             f'listen = "127.0.0.1:{self.fleet}"',
-            f"term_ms = {told.term_ms}",
-            f"patience_ms = {told.patience_ms}",
-            f"beat_ms = {told.beat_ms}",
-            f"most_leases = {told.most_leases}",
-            f"probes = {json.dumps(bool(told.pool) and not told.rules)}",
+            f"term_ms = {options.term_ms}",
+            f"patience_ms = {options.patience_ms}",
+            f"beat_ms = {options.beat_ms}",
+            f"most_leases = {options.most_leases}",
+            f"probes = {json.dumps(bool(options.pool) and not options.rules)}",
             "[fleet.nodes]",
         ]
         for name, node in cluster.nodes.items():
             port = node.fleet if name == self.name else cluster.links[self.name, name].port
             lines.append(f'{name} = "127.0.0.1:{port}"')
-        if told.rules:
+        if options.rules:
             lines += [
                 "[fleet.rules]",
-                f"lease_ms = {told.rules_ms}",
-                f"agree_within_ms = {told.rules_ms + 1_000}",
+                f"lease_ms = {options.rules_ms}",
+                f"agree_within_ms = {options.rules_ms + 1_000}",
             ]
-        if told.tenants:
+        if options.tenants:
             lines.append("shares = true")
-        for name, document in told.rules.items():
+        for name, document in options.rules.items():
             lines.append(f"[fleet.rules.documents.{name}]")
             lines += [f"{key} = {json.dumps(value)}" for key, value in document.items()]
-        if told.members:
+        if options.members:
             number = list(cluster.nodes).index(self.name)
             lines += ["[fleet.members]", "period_ms = 500", f'zone = "z{number % 3}"']
-        for name, task in told.tasks.items():
+        for name, task in options.tasks.items():
             lines.append(f"[fleet.tasks.{name}]")
             lines += [f"{key} = {json.dumps(value)}" for key, value in task.items()]
-        for name, per_s in told.tenants.items():
+        for name, per_s in options.tenants.items():
             lines += [f"[tenants.{name}]", "share = 0.5", f"allowance_per_s = {per_s}"]
         return "\n".join(lines) + "\n"
 
-    def _servers(self) -> list[str]:
+    def _upstream_lines(self) -> list[str]:
         effect_recorder, pool = f"127.0.0.1:{self.cluster.effect_recorder.port}", self.cluster.settings.pool
         if not pool:
             return [f'upstream = "{effect_recorder}"']
@@ -224,7 +224,7 @@
     async def healthy(self) -> bool:
         """Return whether the process that was started last reports that it serves."""
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.door)
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.health_port)
             writer.write(b"GET /admin/health HTTP/1.1\r\n\r\n")
             head = await asyncio.wait_for(reader.readline(), 1.0)
             writer.close()
@@ -232,11 +232,11 @@
             return False
         return b" 200 " in head
 
-    def order(self, **what: Any) -> None:
+    def order(self, **fields: Any) -> None:
         """Send an order to the fault injection in the process, as `FaultOrders` reads it."""
         if self.up and self.process is not None and self.process.stdin is not None:
             with contextlib.suppress(OSError):
-                self.process.stdin.write(json.dumps(what).encode() + b"\n")
+                self.process.stdin.write(json.dumps(fields).encode() + b"\n")
 
     def signal(self, number: signal.Signals) -> None:
         """Send a signal to the process, if it is up."""
@@ -257,7 +257,7 @@
         if self.process is not None:
             await self.process.wait()
 
-    async def call(self, path: str, told: Any = None) -> Any:
+    async def call(self, path: str, data: Any = None) -> Any:
         """Call the administration interface: POST with a JSON body if one is given, otherwise GET.
 
         Raises:
@@ -265,8 +265,8 @@
             ValueError: The response is not JSON.
         """
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
-        body = b"" if told is None else json.dumps(told).encode()
-        line = f"{'GET' if told is None else 'POST'} {path} HTTP/1.1\r\nAuthorization: Bearer {self.cluster.token}\r\n"
+        body = b"" if data is None else json.dumps(data).encode()
+        line = f"{'GET' if data is None else 'POST'} {path} HTTP/1.1\r\nAuthorization: Bearer {self.cluster.token}\r\n"
         try:
             writer.write(f"{line}Content-Length: {len(body)}\r\n\r\n".encode() + body)
             response = await reader.read(-1)
@@ -305,7 +305,7 @@
         self.unexpected: list[str] = []
         self._sites: list[EmulatedSite] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self._amnesia_until = 0.0
+        self._next_store_loss_at = 0.0
         self.upgrade_durations_s: list[float] = []
         self._closing = False
 
@@ -330,27 +330,27 @@
             self.nodes[name] = NodeProcess(self, name, rate)
         await self.effect_recorder.open(self.ports.take())
         self.effect_recorder.hang_tasks |= set(self.settings.hang)
-        for one in plan.nodes:
+        for origin in plan.nodes:
             for other in plan.nodes:
-                if one != other:
+                if origin != other:
                     link = Link(("127.0.0.1", self.nodes[other].fleet), self.chance)
                     await link.open(0)
-                    self.links[one, other] = link
+                    self.links[origin, other] = link
         for node in self.nodes.values():
             site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
             await site.open()
             self._sites.append(site)
-            node.write(site.addresses)
+            node.write_configuration(site.addresses)
         first = plan.voters[0]
         create_group(
             self.nodes[first].store, first, f"{first}#{secrets.token_hex(4)}", f"1.{secrets.token_hex(4)}"
         )
         for node in self.nodes.values():
             await node.start()
-        await self._formed()
-        self._spawn(self._back_up())
+        await self._wait_for_group()
+        self._spawn(self._copy_stores())
 
-    async def _formed(self) -> None:
+    async def _wait_for_group(self) -> None:
         """Wait until all voters of the plan are voters of the group.
 
         Raises:
@@ -364,8 +364,8 @@
             voters = set()
             for name in self.plan.voters:
                 with contextlib.suppress(OSError, ValueError, TypeError, KeyError):
-                    told = await self.nodes[name].call("/v1/fleet")
-                    voters |= {one.partition("#")[0] for one in told["voter"]["voters"]}
+                    status = await self.nodes[name].call("/v1/fleet")
+                    voters |= {identity.partition("#")[0] for identity in status["voter"]["voters"]}
             if voters == set(self.plan.voters):
                 return
             await asyncio.sleep(0.1)
@@ -376,17 +376,17 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _back_up(self) -> None:
+    async def _copy_stores(self) -> None:
         """Copy the stores of all voters periodically, for faults that restore an old copy."""
         while True:
             await asyncio.sleep(1.5)
             for name in self.plan.voters:
                 node = self.nodes[name]
-                old = node.folder / "old"
+                copy = node.folder / "old"
                 if node.store.exists() and not (node.folder / "keep").exists():
-                    shutil.rmtree(old, ignore_errors=True)
+                    shutil.rmtree(copy, ignore_errors=True)
                     with contextlib.suppress(OSError):
-                        shutil.copytree(node.store, old)
+                        shutil.copytree(node.store, copy)
 
     # Fault injection.
 
@@ -398,10 +398,10 @@
             await asyncio.sleep(max(0.0, start + fault.at_ms / 1000 - loop.time()))
             self.injected_faults.append((clock_us(), fault))
             self.counts[fault.kind] += 1
-            self._inject(await self._meant(fault))
+            self._inject(await self._resolve_roles(fault))
         await asyncio.sleep(max(0.0, start + self.plan.length_ms / 1000 - loop.time()))
 
-    async def _meant(self, fault: Fault) -> Fault:
+    async def _resolve_roles(self, fault: Fault) -> Fault:
         """Return the fault with its roles replaced by the nodes that have them now."""
         names = {}
         for name in {fault.node, fault.other} & {"@holder", "@leader"}:
@@ -420,12 +420,12 @@
 
     async def _leader(self) -> str:
         """Return the leader with the highest term, or the first voter."""
-        best, found = -1, self.plan.voters[0]
-        for name, told in (await self.statuses(self.plan.voters)).items():
-            voter = told.get("voter")
-            if voter and voter["role"] == "leader" and voter["term"] > best:
-                best, found = voter["term"], name
-        return found
+        highest_term, leader = -1, self.plan.voters[0]
+        for name, status in (await self.statuses(self.plan.voters)).items():
+            voter = status.get("voter")
+            if voter and voter["role"] == "leader" and voter["term"] > highest_term:
+                highest_term, leader = voter["term"], name
+        return leader
 
     def _inject(self, fault: Fault) -> None:
         FAULT_TYPES[fault.kind].inject(fault, self)
@@ -437,19 +437,19 @@
         return int(self.chance.uniform(*RESTART_DELAY_S) * SECOND_US)
 
     def kill(self, node: str, duration_us: int) -> None:
-        self._down(self.nodes[node], duration_us / SECOND_US, "keep")
+        self._schedule_restart(self.nodes[node], duration_us / SECOND_US, "keep")
 
     def wipe_store(self, node: str, duration_us: int) -> None:
-        self._spawn(self._amnesia(self.nodes[node], duration_us / SECOND_US, "wipe"))
+        self._spawn(self._lose_store(self.nodes[node], duration_us / SECOND_US, "wipe"))
 
     def restore_old_store(self, node: str, duration_us: int) -> None:
-        self._spawn(self._amnesia(self.nodes[node], duration_us / SECOND_US, "old store"))
+        self._spawn(self._lose_store(self.nodes[node], duration_us / SECOND_US, "old store"))
 
     def pause(self, node: str, duration_us: int) -> None:
-        self._spawn(self._stopped(self.nodes[node], duration_us / SECOND_US))
+        self._spawn(self._pause_process(self.nodes[node], duration_us / SECOND_US))
 
     def drain(self, node: str, duration_us: int) -> None:
-        self._spawn(self._drained(self.nodes[node], duration_us / SECOND_US))
+        self._spawn(self._drain_and_restart(self.nodes[node], duration_us / SECOND_US))
 
     def slow_disk(self, node: str, duration_us: int) -> None:
         delay_ms = MIN_DISK_DELAY_MS + duration_us // 1_000 % DISK_DELAY_RANGE_MS
@@ -466,14 +466,14 @@
 
     def kill_at_step(self, node: str, step: str) -> None:
         self.nodes[node].order(hook=step)
-        self._spawn(self._hooked(self.nodes[node]))
+        self._spawn(self._restart_after_step(self.nodes[node]))
 
     def pause_at_step(self, node: str, step: str, duration_us: int) -> None:
         self.nodes[node].order(hook=step, stop=True)
-        self._spawn(self._stopped_at(self.nodes[node], duration_us / SECOND_US))
+        self._spawn(self._continue_after_step(self.nodes[node], duration_us / SECOND_US))
 
     def upgrade(self, node: str) -> None:
-        self._spawn(self._upgraded(self.nodes[node]))
+        self._spawn(self._upgrade_process(self.nodes[node]))
 
     def reload_configuration(self, node: str) -> None:
         self.nodes[node].signal(signal.SIGHUP)
@@ -506,18 +506,18 @@
         """Return the time of the event loop, in seconds, at which a fault that begins now is over."""
         return asyncio.get_running_loop().time() + duration_us / SECOND_US
 
-    def _down(self, node: NodeProcess, span: float, store: str) -> None:
-        """Kill the node and restart it after `span` seconds, unless a restart is under way.
+    def _schedule_restart(self, node: NodeProcess, duration_s: float, store: str) -> None:
+        """Kill the node and restart it after `duration_s`, unless a restart is under way.
 
         `store` is what happens to its store meanwhile: `keep`, `wipe` or `old store`.
         """
         if node.restarting is None or node.restarting.done():
-            task = asyncio.get_running_loop().create_task(self._again(node, span, store))
+            task = asyncio.get_running_loop().create_task(self._kill_and_restart(node, duration_s, store))
             node.restarting = task
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _again(self, node: NodeProcess, span: float, store: str) -> None:
+    async def _kill_and_restart(self, node: NodeProcess, duration_s: float, store: str) -> None:
         await node.kill()
         self.counts["kills"] += 1
         if store == "wipe":
@@ -525,11 +525,11 @@
         elif store == "old store" and (node.folder / "old" / FILE_NAME).exists():
             shutil.rmtree(node.store, ignore_errors=True)
             shutil.copytree(node.folder / "old", node.store)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration_s)
         if not self._closing:
             await node.start()
 
-    async def _amnesia(self, node: NodeProcess, span: float, kind: str) -> None:
+    async def _lose_store(self, node: NodeProcess, duration_s: float, store_fault: str) -> None:
         """Restart a voter with an empty or old store, unless the group could lose its majority.
 
         A second voter may lose its store only after the first was replaced in the group: otherwise a majority of those
@@ -537,29 +537,31 @@
         """
         now = asyncio.get_running_loop().time()
         voters: list[str] = []
-        if now >= self._amnesia_until:
-            self._amnesia_until = now + 6.0
+        if now >= self._next_store_loss_at:
+            self._next_store_loss_at = now + 6.0
             for name in self.plan.voters:
                 with contextlib.suppress(OSError, ValueError, TypeError, KeyError):
-                    told = await asyncio.wait_for(self.nodes[name].call("/v1/fleet"), 1.0)
-                    if told["voter"]["role"] == "leader":
-                        voters = told["voter"]["voters"]
-        whole = {one.partition("#")[0] for one in voters} == set(self.plan.voters)
-        others = [one for name, one in self.nodes.items() if name in self.plan.voters and one is not node]
-        if not whole or not all(one.up for one in others):
+                    status = await asyncio.wait_for(self.nodes[name].call("/v1/fleet"), 1.0)
+                    if status["voter"]["role"] == "leader":
+                        voters = status["voter"]["voters"]
+        is_group_complete = {voter.partition("#")[0] for voter in voters} == set(self.plan.voters)
+        others = [
+            voter for name, voter in self.nodes.items() if name in self.plan.voters and voter is not node
+        ]
+        if not is_group_complete or not all(voter.up for voter in others):
             self.counts["spared"] += 1
             return
-        self._down(node, span, kind)
+        self._schedule_restart(node, duration_s, store_fault)
 
-    async def _stopped(self, node: NodeProcess, span: float) -> None:
+    async def _pause_process(self, node: NodeProcess, duration_s: float) -> None:
         process = node.process
         node.signal(signal.SIGSTOP)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration_s)
         if node.process is process:
             node.signal(signal.SIGCONT)
 
-    async def _stopped_at(self, node: NodeProcess, span: float) -> None:
-        """Wait for the node to stop itself at its step, and continue it after `span` seconds."""
+    async def _continue_after_step(self, node: NodeProcess, duration_s: float) -> None:
+        """Wait for the node to stop itself at its step, and continue it after `duration_s`."""
         process = node.process
         for _ in range(200):
             await asyncio.sleep(0.02)
@@ -568,20 +570,20 @@
             state = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()[0]
             if state == "T":
                 self.counts["stopped at hooks"] += 1
-                await asyncio.sleep(span)
+                await asyncio.sleep(duration_s)
                 break
         if node.process is process:
             node.signal(signal.SIGCONT)
 
-    async def _upgraded(self, node: NodeProcess) -> None:
+    async def _upgrade_process(self, node: NodeProcess) -> None:
         """Start a successor as the platform does, and send SIGTERM to the old one once it is ready."""
-        elder = node.process
-        if elder is None or elder.returncode is not None:
+        predecessor = node.process
+        if predecessor is None or predecessor.returncode is not None:
             return
         site = EmulatedSite(cores=2, speed=1.0, call_us=10_000)
         await site.open()
         self._sites.append(site)
-        node.write(site.addresses)
+        node.write_configuration(site.addresses)
         await node.start()
         for _ in range(400):
             await asyncio.sleep(0.05)
@@ -589,18 +591,18 @@
                 break
         else:
             self.unexpected.append(f"the new process of {node.name} was not ready in 20 s")
-        asked = asyncio.get_running_loop().time()
+        signalled_at = asyncio.get_running_loop().time()
         with contextlib.suppress(ProcessLookupError):
-            elder.send_signal(signal.SIGTERM)
+            predecessor.send_signal(signal.SIGTERM)
         try:
-            await asyncio.wait_for(elder.wait(), LEAVE_S)
+            await asyncio.wait_for(predecessor.wait(), LEAVE_S)
         except TimeoutError:
             self.unexpected.append(f"the elder of {node.name} did not end {LEAVE_S:.0f} s after SIGTERM")
-            elder.kill()
+            predecessor.kill()
         self.counts["upgraded"] += 1
-        self.upgrade_durations_s.append(asyncio.get_running_loop().time() - asked)
+        self.upgrade_durations_s.append(asyncio.get_running_loop().time() - signalled_at)
 
-    async def _drained(self, node: NodeProcess, span: float) -> None:
+    async def _drain_and_restart(self, node: NodeProcess, duration_s: float) -> None:
         if not node.up or (node.restarting is not None and not node.restarting.done()):
             return
         node.signal(signal.SIGTERM)
@@ -608,9 +610,9 @@
             await asyncio.wait_for(node.wait(), LEAVE_S)
         except TimeoutError:
             self.unexpected.append(f"{node.name} did not end {LEAVE_S:.0f} s after SIGTERM")
-        self._down(node, span, "keep")
+        self._schedule_restart(node, duration_s, "keep")
 
-    async def _hooked(self, node: NodeProcess) -> None:
+    async def _restart_after_step(self, node: NodeProcess) -> None:
         """Restart the node after it has died at its step; cancel the fault if it does not reach the step in 4 s."""
         process = node.process
         if process is None:
@@ -622,7 +624,7 @@
             return
         if node.process is process:
             self.counts["hooks"] += 1
-            self._down(node, self.chance.uniform(0.05, 1.0), "keep")
+            self._schedule_restart(node, self.chance.uniform(0.05, 1.0), "keep")
 
     # Shutdown and status.
 
@@ -644,10 +646,10 @@
 
     async def statuses(self, names: Sequence[str] = ()) -> dict[str, Any]:
         """Return the cluster status that each node reports, or the error; of all nodes if no names are given."""
-        told: dict[str, Any] = {}
+        responses: dict[str, Any] = {}
         for name in names or self.nodes:
             try:
-                told[name] = await asyncio.wait_for(self.nodes[name].call("/v1/fleet"), 2.0)
-            except (OSError, ValueError, TimeoutError) as fault:
-                told[name] = {"fault": repr(fault)}
-        return told
+                responses[name] = await asyncio.wait_for(self.nodes[name].call("/v1/fleet"), 2.0)
+            except (OSError, ValueError, TimeoutError) as error:
+                responses[name] = {"fault": repr(error)}
+        return responses
