--- a/marlstep/fault_injection/mutations.py
+++ b/marlstep/fault_injection/mutations.py
@@ -37,7 +37,7 @@
 from marlstep.units import MILLISECOND, ZERO
 
 
-class CountsFromAnswer(LeaseHolder):
+class CountsTermFromResponse(LeaseHolder):
     """Counts the term of a lease from the response instead of from the heartbeat that requested it."""
 
     def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
@@ -46,7 +46,7 @@
         return super().handle_response(now, response)
 
 
-class NeverLapses(LeaseHolder):
+class KeepsExpiredLeases(LeaseHolder):
     """Keeps every lease that it was ever granted, however long the group does not respond."""
 
     def time_left(self, name: str, now: datetime) -> timedelta:
@@ -56,7 +56,7 @@
         return []
 
 
-class CommitsOldTerms(Raft):
+class CommitsEntriesOfEarlierTerms(Raft):
     """Commits entries of earlier terms once a majority stores them: figure 8 of the Raft paper."""
 
     def _advance_commit_index(self) -> None:
@@ -70,15 +70,17 @@
     """Reuses the fencing token of the previous grant for the next grant of a lease."""
 
     def _grant(self, command: GrantLease) -> LeaseResult:
-        before, holder = self.leases.get(command.name), command.holder
-        if before is None or before.holder or not before.token:
+        previous, holder = self.leases.get(command.name), command.holder
+        if previous is None or previous.holder or not previous.token:
             return super()._grant(command)
         self.held_counts[holder] += 1
-        self.leases[command.name] = Lease(holder, before.token, before.previous_node, before.grant_count + 1)
-        return LeaseGranted(holder, before.token)
+        self.leases[command.name] = Lease(
+            holder, previous.token, previous.previous_node, previous.grant_count + 1
+        )
+        return LeaseGranted(holder, previous.token)
 
 
-class Unconfirmed(LeaseManager):
+class ConfirmsRenewalsWithoutQuorum(LeaseManager):
     """Confirms renewals without checking with a majority that this voter is still the leader."""
 
     def take_responses(
@@ -100,7 +102,7 @@
         return True
 
 
-class ShortAfterElection(LeaseManager):
+class ShortensLeasesAfterElection(LeaseManager):
     """Lets all leases expire 200 ms after an election instead of waiting for a full term."""
 
     def become_leader(self, now: datetime) -> None:
@@ -108,94 +110,112 @@
         self._expiries = dict.fromkeys(self._expiries, now + 200 * MILLISECOND)
 
 
-class NeverDoubts(TaskRunner):
+class SkipsFencing(TaskRunner):
     """Acts as a new lease holder without fencing off requests of the previous holder that may be in flight."""
 
-    def _handle_inspection(self, now: datetime, result: Any) -> None:
-        super()._handle_inspection(now, result)
+    def _handle_inspection(self, now: datetime, answer: Any) -> None:
+        super()._handle_inspection(now, answer)
         if self.state is RunnerState.FENCING:
             self.state = RunnerState.RECORDING_FENCE
 
 
-class BeginsAlone(TaskRunner):
+class BypassesRunLog(TaskRunner):
     """Begins and ends runs without recording them in the log: every node that assumes it holds the lease acts."""
 
-    def next_action(self, now: datetime, wall: datetime, left: timedelta) -> RunnerAction | None:
-        do = super().next_action(now, wall, left)
-        while do is not None and do.kind in (ActionKind.BEGIN, ActionKind.END):
-            self.handle_result(now, do, {"begun": do.run})
-            do = super().next_action(now, wall, left)
-        return do
+    def next_action(self, now: datetime, wall: datetime, time_left: timedelta) -> RunnerAction | None:
+        action = super().next_action(now, wall, time_left)
+        while action is not None and action.kind in (ActionKind.BEGIN, ActionKind.END):
+            self.handle_result(now, action, {"begun": action.run})
+            action = super().next_action(now, wall, time_left)
+        return action
 
 
-class TrustsAnyVote(Raft):
+class GrantsEveryVote(Raft):
     """Grants its vote to every candidate, even to one whose log is behind."""
 
-    def _handle_request_vote(self, now: datetime, sender: str, ask: Any) -> None:
-        super()._handle_request_vote(now, sender, replace(ask, last_log_index=1 << 40, last_log_term=1 << 40))
+    def _handle_request_vote(self, now: datetime, sender: str, request: Any) -> None:
+        super()._handle_request_vote(
+            now, sender, replace(request, last_log_index=1 << 40, last_log_term=1 << 40)
+        )
 
 
-class CommitsAtOnce(ConfigStore):
+class IgnoresMissingAcknowledgements(ConfigStore):
     """Puts a change in force without the acknowledgements of the nodes that act on the document."""
 
     def missing_acknowledgements(self, document: Document) -> list[str]:
         return []
 
 
-class AnyVersion(ConfigStore):
+class IgnoresExpectedVersion(ConfigStore):
     """Accepts a put whatever version it expects: compare-and-set without the comparison."""
 
     def _apply_prepare(self, command: PrepareVersion) -> VersionPrepared:
-        known = self.documents.get(command.document)
-        number = known.active_number if known is not None else 0
-        if known is not None and known.prepared is not None:
-            known.prepared = None
-        return super()._apply_prepare(replace(command, expected_version=number))
+        stored = self.documents.get(command.document)
+        active_version = stored.active_number if stored is not None else 0
+        if stored is not None and stored.prepared is not None:
+            stored.prepared = None
+        return super()._apply_prepare(replace(command, expected_version=active_version))
 
 
-class CountsEarlierLives(ConfigStore):
+class CountsEarlierProcesses(ConfigStore):
     """Counts an acknowledgement of an earlier process of a node for its current process."""
 
     def missing_acknowledgements(self, document: Document) -> list[str]:
-        waits = super().missing_acknowledgements(document)
+        missing = super().missing_acknowledgements(document)
         pending = document.prepared
-        said = {one.partition("/")[0] for one in pending.acknowledgements} if pending is not None else set()
-        return [one for one in waits if one.partition("/")[0] not in said]
-
-
-class SaysBeforeItStops(ConfigFollower):
+        acknowledged_nodes = (
+            {process_name.partition("/")[0] for process_name in pending.acknowledgements}
+            if pending is not None
+            else set()
+        )
+        return [
+            process_name
+            for process_name in missing
+            if process_name.partition("/")[0] not in acknowledged_nodes
+        ]
+
+
+class AcknowledgesBeforeSuspending(ConfigFollower):
     """Acknowledges a change of a strict document but continues to act on the previous version."""
 
-    def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
-        return super()._reach_version(now, one, version, digest, 0)
+    def _reach_version(
+        self, now: datetime, document: Any, version: int, digest: str, prepared_version: int
+    ) -> list[Any]:
+        return super()._reach_version(now, document, version, digest, 0)
 
-    def _prepare(self, now: datetime, one: Any, target: Any) -> list[Any]:
-        state = one.state
-        done = super()._prepare(now, one, target)
-        one.state = state
-        return [do for do in done if not isinstance(do, SuspendDocument)]
+    def _prepare(self, now: datetime, document: Any, target: Any) -> list[Any]:
+        state = document.state
+        actions = super()._prepare(now, document, target)
+        document.state = state
+        return [action for action in actions if not isinstance(action, SuspendDocument)]
 
 
-class TrustsItsDisk(ConfigFollower):
+class ActsOnStoredVersions(ConfigFollower):
     """Acts on the version from before its restart until the group reports another one."""
 
-    def tick(self, now: datetime, left: timedelta) -> list[Any]:
-        heard = any(one.target is not None for one in self.documents.values())
-        return super().tick(now, left) if heard else []
+    def tick(self, now: datetime, time_left: timedelta) -> list[Any]:
+        has_target = any(document.target is not None for document in self.documents.values())
+        return super().tick(now, time_left) if has_target else []
 
 
-class ActsWhileBehind(ConfigFollower):
+class ActsOnOutdatedVersion(ConfigFollower):
     """Continues with an old version after it lost and regained its lease, until it has fetched the new one."""
 
-    def _reach_version(self, now: datetime, one: Any, version: int, digest: str, pending: int) -> list[Any]:
-        state = one.state
-        done = super()._reach_version(now, one, version, digest, pending)
-        if one.state is FollowerState.CATCHING_UP:
-            one.state = state
-        return [do for do in done if not (isinstance(do, SuspendDocument) and "not here yet" in do.reason)]
-
-
-class NeverLooks(RolloutMonitor):
+    def _reach_version(
+        self, now: datetime, document: Any, version: int, digest: str, prepared_version: int
+    ) -> list[Any]:
+        state = document.state
+        actions = super()._reach_version(now, document, version, digest, prepared_version)
+        if document.state is FollowerState.CATCHING_UP:
+            document.state = state
+        return [
+            action
+            for action in actions
+            if not (isinstance(action, SuspendDocument) and "not here yet" in action.reason)
+        ]
+
+
+class NeverDetectsDegradation(RolloutMonitor):
     """Completes every staged rollout after its time, however degraded its canaries are."""
 
     def is_degraded(
@@ -204,7 +224,7 @@
         return False
 
 
-class GivesAtOnce(QuotaTable):
+class FreesQuotaImmediately(QuotaTable):
     """Frees a quota share as soon as its holder is asked to give it up, before the holder has done so."""
 
     def apply(self, command: CommandJson) -> ResultJson:
@@ -214,17 +234,17 @@
         return result
 
 
-class NeverRaises(MembershipState):
+class KeepsIncarnation(MembershipState):
     """Refutes a suspicion without raising its incarnation."""
 
     def _refute(self, now: datetime, record: MemberRecord) -> None:
-        me = self.members.local
+        local_record = self.members.local
         super()._refute(now, record)
-        if record.process_id == me.process_id:
-            self.members.local = me
+        if record.process_id == local_record.process_id:
+            self.members.local = local_record
 
 
-class TakesAnyLife(MembershipState):
+class AcceptsAnyProcess(MembershipState):
     """Accepts the last record received for a node, whichever of its processes that is from."""
 
     def merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
@@ -240,12 +260,12 @@
         return super().merge_record(now, record, reason)
 
 
-def same(settings: LeaseSettings) -> LeaseSettings:
+def unchanged_settings(settings: LeaseSettings) -> LeaseSettings:
     """Return the settings unchanged."""
     return settings
 
 
-def no_margin(settings: LeaseSettings) -> LeaseSettings:
+def without_drift_margin(settings: LeaseSettings) -> LeaseSettings:
     """Return the settings without a margin for clock drift."""
     return replace(settings, drift=0.0)
 
@@ -263,7 +283,7 @@
         ignores_capabilities: A process also performs acts that its partition state forbids.
         loss: The share of messages that are lost; some mutations are detected only on a lossy network.
         delay_us: The longest delay of a message, in microseconds.
-        stuck: The share of requests that are stuck in a queue on their way to the task server.
+        stuck_share: The share of requests that are stuck in a queue on their way to the task server.
         max_entries_per_message: The most log entries in one message.
         shape: What the random plans of the drill are drawn from.
         within: The number of seeds of which at least one must detect the mutation.
@@ -271,13 +291,13 @@
 
     name: str = ""
     classes: tuple[type, ...] = ()
-    settings: Callable[[LeaseSettings], LeaseSettings] = same
+    settings: Callable[[LeaseSettings], LeaseSettings] = unchanged_settings
     sends_before_sync: bool = False
     trusts_restored_stores: bool = False
     ignores_capabilities: bool = False
     loss: float = 0.01
     delay_us: int = 12_000
-    stuck: float = 0.02
+    stuck_share: float = 0.02
     max_entries_per_message: int = MAX_ENTRIES_PER_MESSAGE
     shape: PlanSettings = field(
         default_factory=lambda: PlanSettings(fault_types=RANDOM_FAULT_TYPES, mean_interval_ms=700)
@@ -287,14 +307,18 @@
     @property
     def runs_on_processes(self) -> bool:
         """Whether real processes can run it, which only replace classes and ignore capabilities."""
-        told = self.settings is same and not self.sends_before_sync and not self.trusts_restored_stores
-        return told and bool(self.classes or self.ignores_capabilities)
+        replaces_only_classes = (
+            self.settings is unchanged_settings
+            and not self.sends_before_sync
+            and not self.trusts_restored_stores
+        )
+        return replaces_only_classes and bool(self.classes or self.ignores_capabilities)
 
     def apply_to(self, part: object) -> None:
         """Change an object of the product to its mutated class, if there is one."""
-        for broken in self.classes:
-            if type(part) is broken.__base__:
-                part.__class__ = broken
+        for mutated_class in self.classes:
+            if type(part) is mutated_class.__base__:
+                part.__class__ = mutated_class
 
     def apply_to_replica(self, voter: Replica) -> None:
         """Apply the mutation to the parts of a voter."""
@@ -302,10 +326,10 @@
             self.apply_to(part)
 
 
-_ALL = (
+_FOR_LEASES = (
     Mutation(
         "no-drift-margin",
-        settings=no_margin,
+        settings=without_drift_margin,
         shape=PlanSettings(drift=0.1, fault_types=("isolate", "kill", "one way", "stop")),
     ),
     Mutation(
@@ -315,10 +339,10 @@
             fault_types=("crash at", "isolate", "kill", "restart all", "slow disk"), mean_interval_ms=500
         ),
     ),
-    Mutation("counted-from-answer", (CountsFromAnswer,)),
+    Mutation("counted-from-answer", (CountsTermFromResponse,)),
     Mutation(
         "old-term-commit",
-        (CommitsOldTerms,),
+        (CommitsEntriesOfEarlierTerms,),
         loss=0.05,
         max_entries_per_message=1,
         delay_us=150_000,
@@ -334,57 +358,57 @@
     ),
     Mutation(
         "renewal-unconfirmed",
-        (Unconfirmed, NeverStepsDown),
+        (ConfirmsRenewalsWithoutQuorum, NeverStepsDown),
         shape=PlanSettings(fault_types=("isolate", "cut", "kill"), mean_interval_ms=1_500),
     ),
-    Mutation("no-wait-at-election", (ShortAfterElection,)),
+    Mutation("no-wait-at-election", (ShortensLeasesAfterElection,)),
     Mutation(
         "no-fence",
-        (NeverDoubts,),
-        stuck=0.3,
+        (SkipsFencing,),
+        stuck_share=0.3,
         shape=PlanSettings(fault_types=("stop", "isolate", "kill"), mean_interval_ms=700),
         within=600,
     ),
     Mutation(
         "any-vote",
-        (TrustsAnyVote,),
+        (GrantsEveryVote,),
         shape=PlanSettings(fault_types=("isolate", "kill", "cut"), mean_interval_ms=400),
     ),
 )
-LEASE_MUTATIONS = {one.name: one for one in _ALL}
-_RULES = (
-    Mutation("acts-before-all-said-so", (CommitsAtOnce,)),
+LEASE_MUTATIONS = {one.name: one for one in _FOR_LEASES}
+_FOR_DOCUMENTS = (
+    Mutation("acts-before-all-said-so", (IgnoresMissingAcknowledgements,)),
     Mutation(
         "rules-counted-from-answer",
-        (CountsFromAnswer,),
+        (CountsTermFromResponse,),
         shape=PlanSettings(fault_types=("isolate", "slow", "cut", "kill")),
     ),
     Mutation(
         "version-from-disk",
-        (TrustsItsDisk,),
+        (ActsOnStoredVersions,),
         shape=PlanSettings(fault_types=("kill", "restart all"), mean_interval_ms=600),
     ),
-    Mutation("any-version", (AnyVersion,)),
+    Mutation("any-version", (IgnoresExpectedVersion,)),
     Mutation(
         "earlier-lives-count",
-        (CountsEarlierLives,),
+        (CountsEarlierProcesses,),
         shape=PlanSettings(fault_types=("kill",), mean_interval_ms=400, max_duration_ms=300),
     ),
-    Mutation("says-before-it-stops", (SaysBeforeItStops,)),
-    Mutation("acts-while-behind", (ActsWhileBehind,)),  # detected by the model checker
-    Mutation("part-given-at-once", (GivesAtOnce,)),
+    Mutation("says-before-it-stops", (AcknowledgesBeforeSuspending,)),
+    Mutation("acts-while-behind", (ActsOnOutdatedVersion,)),  # detected by the model checker
+    Mutation("part-given-at-once", (FreesQuotaImmediately,)),
     Mutation(
         "stage-not-looked-at",
-        (NeverLooks,),
+        (NeverDetectsDegradation,),
         shape=PlanSettings(fault_types=("crash at", "cut"), steps=DOCUMENT_STEPS),
     ),
 )
-_MEMBERS = (
-    Mutation("incarnation-not-raised", (NeverRaises,)),
-    Mutation("old-boot-taken", (TakesAnyLife,)),
+_FOR_MEMBERSHIP = (
+    Mutation("incarnation-not-raised", (KeepsIncarnation,)),
+    Mutation("old-boot-taken", (AcceptsAnyProcess,)),
     Mutation(
-        "acts-in-any-situation", (NeverLapses, BeginsAlone), ignores_capabilities=True
+        "acts-in-any-situation", (KeepsExpiredLeases, BypassesRunLog), ignores_capabilities=True
     ),  # processes only
 )
-MEMBERSHIP_MUTATIONS = {one.name: one for one in _MEMBERS}
-DOCUMENT_MUTATIONS = {one.name: one for one in _RULES}
+MEMBERSHIP_MUTATIONS = {one.name: one for one in _FOR_MEMBERSHIP}
+DOCUMENT_MUTATIONS = {one.name: one for one in _FOR_DOCUMENTS}
--- a/marlstep/fault_injection/simulated_detectors.py
+++ b/marlstep/fault_injection/simulated_detectors.py
@@ -37,11 +37,11 @@
     "drain",
     "restart all",
 )
-HEAD = 110  # bytes of a datagram without its records: frame, authentication, sender, message kind
-REPLAYED = 0.002  # share of datagrams that are delivered again, seconds later
-ZONES = 3
-DRAIN_US = 50_000  # from the start of a drain to the end of the process
-REFUTED_US = 3_000_000  # the longest time for a live node to refute a false record of itself
+DATAGRAM_OVERHEAD_BYTES = 110  # the frame, authentication, sender and message kind of a datagram
+REPLAYED_SHARE = 0.002  # the share of datagrams that are delivered again, seconds later
+ZONE_COUNT = 3
+DRAIN_DURATION_US = 50_000  # from the start of a drain to the end of the process
+MAX_REFUTATION_US = 3_000_000  # the longest time for a live node to refute a false record of itself
 
 
 @dataclass(slots=True)
@@ -75,21 +75,21 @@
         up: Its process runs, or is stopped.
         leaving: It announced that it leaves.
         stopped_until: When a stopped process continues, in microseconds of simulated time.
-        troubled_until: When the last fault that affects it ends, in the same time.
+        disturbed_until: When the last fault that affects it ends, in the same time.
         slow: The longest delay of its event loop, in microseconds; 0 for none.
     """
 
     def __init__(self, cluster: SimulatedDetectorCluster, name: str, number: int) -> None:
         self.cluster, self.name, self.number = cluster, name, number
-        self.zone = f"z{number % ZONES}"
+        self.zone = f"z{number % ZONE_COUNT}"
         self.generation, self.up, self.leaving = 0, False, False
         self.detector: FailureDetector
         self.stopped_until = 0
-        self.troubled_until = 0
+        self.disturbed_until = 0
         self.slow = 0
         self._deferred: list[Callable[[], None]] = []
         self._tick_at: int | None = None
-        self._seen = 0  # suspicions and failures that were reported to the cluster
+        self._reported_count = 0  # suspicions and failures that were reported to the cluster
 
     @property
     def address(self) -> str:
@@ -98,7 +98,7 @@
     def start(self) -> None:
         """Start the node's next process."""
         cluster = self.cluster
-        self.generation, self.up, self.leaving, self._deferred, self._seen = (
+        self.generation, self.up, self.leaving, self._deferred, self._reported_count = (
             self.generation + 1,
             True,
             False,
@@ -106,15 +106,15 @@
             0,
         )
         self.stopped_until, self._tick_at = 0, None
-        # Wall clocks may jump back: the start time of this process may be before that of the previous one.
-        born = cluster.true_us // 1000 + cluster.chance.randrange(-20_000, 20_000) + 100_000
-        me = MemberRecord(
-            self.name, f"b{self.generation}", born, 0, MemberState.ALIVE, self.address, self.zone
+        # The wall clock may be wrong, so that this process seems to have started before the previous one.
+        started_ms = cluster.true_us // 1000 + cluster.chance.randrange(-20_000, 20_000) + 100_000
+        local = MemberRecord(
+            self.name, f"b{self.generation}", started_ms, 0, MemberState.ALIVE, self.address, self.zone
         )
         chance = random.Random(cluster.chance.random())
-        self.detector = FailureDetector(me, cluster.settings, chance, cluster.now)
+        self.detector = FailureDetector(local, cluster.settings, chance, cluster.now)
         cluster.mutation.apply_to(self.detector.state)
-        seeds = [one for one in cluster.seeds if one != self.name]
+        seeds = [seed for seed in cluster.seeds if seed != self.name]
         cluster.send_all(self, self.detector.join(seeds))
         self.drive()
 
@@ -135,8 +135,8 @@
         """Continue after a stop: run due timers first, as an event loop does, and then handle deferred messages."""
         if self.up and self.cluster.true_us >= self.stopped_until:
             self.drive()
-            kept, self._deferred = self._deferred, []
-            for deferred in kept:
+            pending, self._deferred = self._deferred, []
+            for deferred in pending:
                 deferred()
 
     def receive(self, sender: MemberRecord, send: OutboundMessage) -> None:
@@ -151,31 +151,33 @@
             return
         if self.detector.next_due() <= cluster.now:
             cluster.send_all(self, self.detector.tick(cluster.now))
-        self._look()
-        true = max(cluster.true_at(self.detector.next_due()), cluster.true_us + 100)
+        self._report_changes()
+        due_us = max(cluster.true_at(self.detector.next_due()), cluster.true_us + 100)
         if self.slow and cluster.chance.random() < 0.2:
-            true += cluster.chance.randrange(self.slow)
-        if self._tick_at is not None and cluster.true_us < self._tick_at <= true:
+            due_us += cluster.chance.randrange(self.slow)
+        if self._tick_at is not None and cluster.true_us < self._tick_at <= due_us:
             return
-        self._tick_at, generation = true, self.generation
+        self._tick_at, generation = due_us, self.generation
 
         def tick() -> None:
-            if self.up and self.generation == generation and self._tick_at == true:
+            if self.up and self.generation == generation and self._tick_at == due_us:
                 self._tick_at = None
                 self.drive() if cluster.true_us >= self.stopped_until else None
 
-        cluster.after(true - cluster.true_us, tick)
+        cluster.after(due_us - cluster.true_us, tick)
 
-    def _look(self) -> None:
+    def _report_changes(self) -> None:
         """Report new suspicions and failures to the cluster."""
         detector = self.detector
-        fresh = detector.counts["suspect"] + detector.counts["failed"]
-        if fresh == self._seen:
+        change_count = detector.counts["suspect"] + detector.counts["failed"]
+        if change_count == self._reported_count:
             return
-        self._seen = fresh
+        self._reported_count = change_count
         for change in list(detector.events)[-8:]:
             if change.at == self.cluster.now:
-                self.cluster.noted(self, change.node, change.event, change.reported_by == self.name)
+                self.cluster.record_view_change(
+                    self, change.node, change.event, change.reported_by == self.name
+                )
 
 
 class SimulatedDetectorCluster(Simulation):
@@ -199,7 +201,7 @@
         self.loss = loss
         self.measured = DetectorMeasurements()
         self.last_fault_us = 0
-        self._died: dict[tuple[str, str], int] = {}
+        self._death_times: dict[tuple[str, str], int] = {}
         self._agreed_since: int | None = None
         self._agreed_at: int | None = None
         self.nodes = {name: SimulatedDetector(self, name, number) for number, name in enumerate(plan.nodes)}
@@ -226,13 +228,15 @@
         for node in self.nodes.values():
             self.after(self.chance.randrange(400_000), node.start)
         self.schedule_faults()
-        self.after(1_000_000, self._compare)
-        end = self.plan.length_ms * 1_000
+        self.after(1_000_000, self._check_agreement)
+        end_us = self.plan.length_ms * 1_000
         self.run_events()
-        # A record replayed from a forgotten process is accepted until its node refutes it: views may differ so long.
-        if (why := self.disagree()) and (self._agreed_at is None or self._agreed_at < end - REFUTED_US):
-            raise InvariantViolationError(f"at the end {why}")
-        self.measured.views_agree_us = max(0, (self._agreed_since or end) - self.last_fault_us)
+        # A record replayed from a forgotten process is accepted until its node refutes it, so views may differ.
+        if (difference := self.view_difference()) and (
+            self._agreed_at is None or self._agreed_at < end_us - MAX_REFUTATION_US
+        ):
+            raise InvariantViolationError(f"at the end {difference}")
+        self.measured.views_agree_us = max(0, (self._agreed_since or end_us) - self.last_fault_us)
 
     # Network.
 
@@ -245,7 +249,7 @@
         target = self.nodes.get(send.address)
         if target is None or target is node:
             return
-        size = HEAD + sum(len(str(row)) for row in write_records(send.message.records))
+        size = DATAGRAM_OVERHEAD_BYTES + sum(len(str(row)) for row in write_records(send.message.records))
         if send.over_stream:
             self.measured.exchange_bytes += size
         else:
@@ -253,27 +257,27 @@
             self.measured.bytes += size
             if self.chance.random() < self.loss:
                 return
-        path = self._links.get((node.name, target.name))
+        link = self._links.get((node.name, target.name))
         delay = self.chance.randrange(200, 4_000)
-        if path is not None:
-            if self.true_us < path.cut_until:
+        if link is not None:
+            if self.true_us < link.cut_until:
                 return
-            if self.true_us < path.slow_until:
+            if self.true_us < link.slow_until:
                 delay += self.chance.randrange(700_000)
         self.after(delay, lambda: target.at(0, lambda: target.receive(sender, send)))
-        if self.chance.random() < REPLAYED:
-            late = self.chance.randrange(1_000_000, 10_000_000)
-            self.after(late, lambda: target.at(0, lambda: target.receive(sender, send)))
+        if self.chance.random() < REPLAYED_SHARE:
+            replay_delay_us = self.chance.randrange(1_000_000, 10_000_000)
+            self.after(replay_delay_us, lambda: target.at(0, lambda: target.receive(sender, send)))
 
     # Fault injection.
 
     def prepare_fault(self, fault: Fault) -> None:
         """Record until when the fault disturbs which nodes."""
-        until = self.true_us + fault.duration_us
-        self.last_fault_us = max(self.last_fault_us, until)
+        until_us = self.true_us + fault.duration_us
+        self.last_fault_us = max(self.last_fault_us, until_us)
         for name in FAULT_TYPES[fault.kind].disturbed_nodes(fault, self):
             node = self.nodes[name]
-            node.troubled_until = max(node.troubled_until, until)
+            node.disturbed_until = max(node.disturbed_until, until_us)
 
     def resolve_role(self, name: str) -> str:
         """Return the first node for each role: there are no leases and no leader here."""
@@ -295,7 +299,7 @@
         if killed.up:
             killed.up = False
             if not killed.leaving:
-                self._died[node, f"b{killed.generation}"] = self.true_us
+                self._death_times[node, f"b{killed.generation}"] = self.true_us
         self.after(duration_us, lambda: None if killed.up else killed.start())
 
     def pause(self, node: str, duration_us: int) -> None:
@@ -308,31 +312,35 @@
         if draining.up:
             draining.leaving = True
             self.send_all(draining, draining.detector.leave())
-            self.after(DRAIN_US, lambda: self.kill(node, duration_us))
-            self.last_fault_us = max(self.last_fault_us, self.true_us + duration_us + DRAIN_US)
+            self.after(DRAIN_DURATION_US, lambda: self.kill(node, duration_us))
+            self.last_fault_us = max(self.last_fault_us, self.true_us + duration_us + DRAIN_DURATION_US)
 
     # Measurements.
 
-    def noted(self, node: SimulatedDetector, about: str, what: str, itself: bool) -> None:
+    def record_view_change(
+        self, node: SimulatedDetector, name: str, event: str, is_own_finding: bool
+    ) -> None:
         """Measure that a node regards another as suspect or failed.
 
         Args:
             node: The node whose view changed.
-            about: The name of the other node.
-            what: The new state and the process that it is about, as the detector logs it.
-            itself: The node found it out itself, rather than from a record of a third node.
+            name: The name of the other node.
+            event: The new state and the process that it is about, as the detector logs it.
+            is_own_finding: Whether the node detected it, rather than received it in a record of a third node.
         """
-        state, _, boot = what.partition(", process ")
-        died = self._died.get((about, boot))
-        if state == MemberState.FAILED and died is not None:
-            self.measured.detected_us.append(self.true_us - died)
-        other = self.nodes.get(about)
-        troubled = max(node.troubled_until, other.troubled_until if other else 0) + 2_000_000 >= self.true_us
-        if other is not None and other.up and f"b{other.generation}" == boot and not troubled:
-            self.measured.false_suspicions += itself and state == MemberState.SUSPECT
+        state, _, process_id = event.partition(", process ")
+        died_us = self._death_times.get((name, process_id))
+        if state == MemberState.FAILED and died_us is not None:
+            self.measured.detected_us.append(self.true_us - died_us)
+        other = self.nodes.get(name)
+        is_disturbed = (
+            max(node.disturbed_until, other.disturbed_until if other else 0) + 2_000_000 >= self.true_us
+        )
+        if other is not None and other.up and f"b{other.generation}" == process_id and not is_disturbed:
+            self.measured.false_suspicions += is_own_finding and state == MemberState.SUSPECT
             self.measured.false_failures += state == MemberState.FAILED
 
-    def disagree(self) -> str:
+    def view_difference(self) -> str:
         """Return how the view of a live node is wrong; empty if every live node sees exactly the live nodes."""
         truth = {
             name: (f"b{node.generation}", MemberState.ALIVE.value)
@@ -343,19 +351,25 @@
             view = self.nodes[name].detector.view()
             if view != truth:
                 missing = sorted(truth.keys() - view.keys())[:3]
-                more = sorted(view.keys() - truth.keys())[:3]
-                other = sorted(one for one in truth.keys() & view.keys() if truth[one] != view[one])[:3]
-                return f"{name} does not hear of {missing}, hears of {more}, of others as they were: {other}"
+                extra = sorted(view.keys() - truth.keys())[:3]
+                outdated = sorted(
+                    node_name
+                    for node_name in truth.keys() & view.keys()
+                    if truth[node_name] != view[node_name]
+                )[:3]
+                return (
+                    f"{name} does not hear of {missing}, hears of {extra}, of others as they were: {outdated}"
+                )
         return ""
 
-    def _compare(self) -> None:
+    def _check_agreement(self) -> None:
         """Check periodically whether the views agree, and record since when."""
-        if self.disagree():
+        if self.view_difference():
             self._agreed_since = None
         else:
             self._agreed_at = self.true_us
             self._agreed_since = self._agreed_since or self.true_us
-        self.after(100_000 if len(self.nodes) <= 50 else 500_000, self._compare)
+        self.after(100_000 if len(self.nodes) <= 50 else 500_000, self._check_agreement)
 
 
 def run_members(
@@ -366,6 +380,6 @@
     cluster = SimulatedDetectorCluster(plan, mutation, settings, loss, slow)
     try:
         cluster.run()
-    except InvariantViolationError as fault:
-        return cluster, str(fault)
+    except InvariantViolationError as violation:
+        return cluster, str(violation)
     return cluster, ""
--- a/marlstep/fault_injection/simulated_documents.py
+++ b/marlstep/fault_injection/simulated_documents.py
@@ -46,14 +46,16 @@
     DocumentDefinition("plain", Kind.SETTINGS, False, DisconnectPolicy.STOP),
     DocumentDefinition("strict", Kind.TENANTS, True, DisconnectPolicy.STOP),
 )
-TERM = 1_500 * MILLISECOND
-CLIENTS = 8
-THINKS_US = 1_500_000  # the mean time of a client between two calls
-PATIENCE_US = 5_000_000  # after which a client gives up waiting for a response
-CANT = "poison"  # in contents that the last node rejects, as an older program would
-SICK = "sick"  # in contents with which a node refuses most requests; they are only put as staged changes
+CONFIG_LEASE_TERM = 1_500 * MILLISECOND
+CLIENT_COUNT = 8
+MEAN_CALL_INTERVAL_US = 1_500_000  # the mean time of a client between two calls
+RESPONSE_TIMEOUT_US = 5_000_000  # after which a client gives up waiting for a response
+REJECTED_CONTENT = "poison"  # in contents that the last node rejects, as an older program would
+DEGRADING_CONTENT = (
+    "sick"  # in contents with which a node refuses most requests; they are only put as staged changes
+)
 TENANT, ALLOWANCE = "t", 100.0
-BIG = 9_000  # characters of a document that is uploaded in several chunks
+LARGE_CONTENT_LENGTH = 9_000  # characters of a document that is uploaded in several chunks
 
 
 @dataclass(slots=True)
@@ -78,7 +80,7 @@
         followers: The follower of the documents in each node's current process.
         seen: What was observed of each document.
         clients: The clients that read and change the documents.
-        using: The quota shares of each node's current process.
+        quota_state: The quota shares of each node's current process.
         most_used: The largest part of the tenant's allowance that all nodes could use at the same time.
     """
 
@@ -89,20 +91,22 @@
             self.settings.term,
             self.settings.drift,
             0,
-            self.mutation.settings(self.settings).config_term or TERM,
+            self.mutation.settings(self.settings).config_term or CONFIG_LEASE_TERM,
         )
         self.followers: dict[str, ConfigFollower] = {}
-        self.seen = {one.name: DocumentObservation() for one in DOCUMENTS}
-        self.clients = [Client(self, number) for number in range(CLIENTS)]
-        self.using: dict[str, QuotaLease] = {}
-        # Pending commands by node, generation and number of the command.
-        self._given: dict[tuple[str, int, int], str] = {}  # tenants of which a share is returned
+        self.seen = {document.name: DocumentObservation() for document in DOCUMENTS}
+        self.clients = [Client(self, number) for number in range(CLIENT_COUNT)]
+        self.quota_state: dict[str, QuotaLease] = {}
+        # Both by node, generation and number of the pending command: the tenants of which a share is returned, and
+        # the documents and versions that are acknowledged.
+        self._pending_returns: dict[tuple[str, int, int], str] = {}
         self.most_used = 0
-        self._acks: dict[tuple[str, int, int], tuple[str, int]] = {}  # documents and acknowledged versions
+        self._pending_acknowledgements: dict[tuple[str, int, int], tuple[str, int]] = {}
         self._uploads = 0
-        self._figures: dict[str, list[int]] = {}  # the request counts of each process
-        self._staged: dict[str, tuple[int, list[str]]] = {}  # version and nodes of each rollout, by document
-        self._seen_at = 0  # the index of the log entry up to which `_staged` is current
+        self._request_counts: dict[str, list[int]] = {}  # of each process, as in `RequestCounts`
+        # The version and nodes of each rollout by document, and the index of the log entry up to which they are known.
+        self._active_rollouts: dict[str, tuple[int, list[str]]] = {}
+        self._rollouts_index = 0
 
     def machines(self, table: Any) -> dict[str, Any]:
         return {"tasks": RunLog(table), "rules": ConfigStore(table), "shares": QuotaTable(table)}
@@ -122,53 +126,56 @@
         follower = ConfigFollower(DOCUMENTS, node.name)
         self.mutation.apply_to(follower)
         node.participant.holder.report = lambda now: self._report(node, follower, now)
-        self.using[node.name] = QuotaLease()
+        self.quota_state[node.name] = QuotaLease()
         if node.voter is not None and node.voter.config_store is not None:
             self.mutation.apply_to(node.voter.config_store)
         if node.voter is not None and node.voter.quotas is not None:
             self.mutation.apply_to(node.voter.quotas)
-        before = self.followers.get(node.name)
+        previous = self.followers.get(node.name)
         self.followers[node.name] = follower
-        if self.mutation.name == "version-from-disk" and before is not None:
-            for (
-                name,
-                one,
-            ) in before.documents.items():  # act on the previous versions without asking the group
-                if one.version:
-                    kept = follower.documents[name]
-                    kept.version, kept.content, kept.state = one.version, one.content, FollowerState.ACTIVE
+        if self.mutation.name == "version-from-disk" and previous is not None:
+            # The mutation: act on the versions of the previous process without asking the group.
+            for name, followed in previous.documents.items():
+                if followed.version:
+                    restored = follower.documents[name]
+                    restored.version, restored.content, restored.state = (
+                        followed.version,
+                        followed.content,
+                        FollowerState.ACTIVE,
+                    )
         follower.start()
 
     def _report(self, node: SimulatedNode, follower: ConfigFollower, now: Any) -> HeartbeatReport:
-        """Return the report of a heartbeat: 20 more requests, most of them refused if a `SICK` content is active."""
-        figures = self._figures.setdefault(node.participant.holder.name, [0, 0, 0])
-        figures[0] += 20
-        sick = any(
-            one.state is FollowerState.ACTIVE and SICK in one.content for one in follower.documents.values()
+        """Return the report of a heartbeat: 20 more requests, most of them refused under a `DEGRADING_CONTENT`."""
+        counts = self._request_counts.setdefault(node.participant.holder.name, [0, 0, 0])
+        counts[0] += 20
+        is_degraded = any(
+            followed.state is FollowerState.ACTIVE and DEGRADING_CONTENT in followed.content
+            for followed in follower.documents.values()
         )
-        figures[1] += 15 if sick else 1
+        counts[1] += 15 if is_degraded else 1
         # Demand for the tenant's allowance moves from node to node, and sometimes exceeds the whole allowance.
-        at = (self.true_us // 3_000_000 + self.plan.nodes.index(node.name)) % len(self.plan.nodes)
-        demand = TenantDemand(TENANT, (150_000, 40_000, 0)[min(at, 2)])
-        return HeartbeatReport(follower.document_states(now), RequestCounts(*figures), (demand,))
+        position = (self.true_us // 3_000_000 + self.plan.nodes.index(node.name)) % len(self.plan.nodes)
+        demand = TenantDemand(TENANT, (150_000, 40_000, 0)[min(position, 2)])
+        return HeartbeatReport(follower.document_states(now), RequestCounts(*counts), (demand,))
 
     # Events of nodes.
 
     def response_received(self, node: SimulatedNode) -> None:
-        news, node.participant.holder.documents = node.participant.holder.documents, None
-        using, now = self.using[node.name], node.now
-        for tenant, to in using.update(node.participant.holder.quota_shares):
-            told = {"m": "shares", "do": "gave", "tenant": tenant, "to": to}
+        statuses, node.participant.holder.documents = node.participant.holder.documents, None
+        quota_state, now = self.quota_state[node.name], node.now
+        for tenant, to in quota_state.update(node.participant.holder.quota_shares):
+            command = {"m": "shares", "do": "gave", "tenant": tenant, "to": to}
             number = node.participant.propose(
-                now, StoredCommand({**told, "holder": node.participant.holder.name})
+                now, StoredCommand({**command, "holder": node.participant.holder.name})
             )
             if number is None:
-                using.report_lost(tenant)
+                quota_state.report_lost(tenant)
             else:
-                self._given[node.name, node.generation, number] = tenant
-        if news is not None:
+                self._pending_returns[node.name, node.generation, number] = tenant
+        if statuses is not None:
             left = node.participant.holder.time_left(self.lease(node), node.now)
-            self._carry_out(node, self.followers[node.name].handle_statuses(node.now, news, left))
+            self._carry_out(node, self.followers[node.name].handle_statuses(node.now, statuses, left))
 
     def message_received(self, node: SimulatedNode, message: Any) -> None:
         if isinstance(message, DocumentChunk):
@@ -177,25 +184,25 @@
 
     def node_driven(self, node: SimulatedNode) -> None:
         follower, participant = self.followers[node.name], node.participant
-        for key in [key for key in self._acks if key[:2] == (node.name, node.generation)]:
+        for key in [key for key in self._pending_acknowledgements if key[:2] == (node.name, node.generation)]:
             result = participant.take_result(key[2])
             if result is not None:
-                name, version = self._acks.pop(key)
+                name, version = self._pending_acknowledgements.pop(key)
                 if "refused" in result:
                     follower.acknowledgement_lost(name, version)
-        for key in [key for key in self._given if key[:2] == (node.name, node.generation)]:
+        for key in [key for key in self._pending_returns if key[:2] == (node.name, node.generation)]:
             result = participant.take_result(key[2])
             if result is not None:
-                tenant = self._given.pop(key)
+                tenant = self._pending_returns.pop(key)
                 if "refused" in result:
-                    self.using[node.name].report_lost(tenant)
+                    self.quota_state[node.name].report_lost(tenant)
         for client in self.clients:
-            client.look(node)
+            client.handle_result(node)
         left = participant.holder.time_left(self.lease(node), node.now)
         self._carry_out(node, follower.tick(node.now, left))
-        self.watch()
+        self.check_versions()
 
-    def _carry_out(self, node: SimulatedNode, done: list[Any]) -> None:
+    def _carry_out(self, node: SimulatedNode, actions: list[Any]) -> None:
         """Perform the actions that the node's follower asks for.
 
         Raises:
@@ -203,43 +210,50 @@
         """
         follower, now = self.followers[node.name], node.now
         left = node.participant.holder.time_left(self.lease(node), now)
-        while done:
-            do = done.pop(0)
-            match do:
+        while actions:
+            action = actions.pop(0)
+            match action:
                 case CheckVersion():
-                    bad = CANT in do.content and node.name == self.plan.nodes[-1]
-                    why = "an older program" if bad else ""
-                    done += follower.handle_check_result(now, do, why, left)
+                    is_rejected = REJECTED_CONTENT in action.content and node.name == self.plan.nodes[-1]
+                    reason = "an older program" if is_rejected else ""
+                    actions += follower.handle_check_result(now, action, reason, left)
                 case AcknowledgeVersion():
-                    told = {
+                    command = {
                         "m": "rules",
                         "do": "ack",
-                        "doc": do.name,
-                        "version": do.version,
-                        "digest": do.digest,
+                        "doc": action.name,
+                        "version": action.version,
+                        "digest": action.digest,
                     }
-                    told |= {"holder": node.participant.holder.name, "why": do.rejection}
-                    number = node.participant.propose(now, StoredCommand(told))
+                    command |= {"holder": node.participant.holder.name, "why": action.rejection}
+                    number = node.participant.propose(now, StoredCommand(command))
                     if number is None:
-                        follower.acknowledgement_lost(do.name, do.version)
+                        follower.acknowledgement_lost(action.name, action.version)
                     else:
-                        self._acks[node.name, node.generation, number] = (do.name, do.version)
+                        self._pending_acknowledgements[node.name, node.generation, number] = (
+                            action.name,
+                            action.version,
+                        )
                         if node.reached("said"):
                             return
                 case FetchChunk():
-                    self.send(node, node.participant.holder.name, node.participant.target, do)
+                    self.send(node, node.participant.holder.name, node.participant.target, action)
                 case ActivateVersion():
-                    known = self.seen[do.name].acted.setdefault(do.version, content_digest(do.content))
-                    if known != content_digest(do.content):
-                        raise InvariantViolationError(f"version {do.version} of {do.name} is two contents")
+                    known_digest = self.seen[action.name].acted.setdefault(
+                        action.version, content_digest(action.content)
+                    )
+                    if known_digest != content_digest(action.content):
+                        raise InvariantViolationError(
+                            f"version {action.version} of {action.name} is two contents"
+                        )
                     self.counts["acts on a version"] += 1
                     if node.reached("following"):
                         return
                 case ProposeFirstVersion():
-                    self._put(node, do.name, 0, json.dumps({"first": 1}))
+                    self._put(node, action.name, 0, json.dumps({"first": 1}))
                 case SuspendDocument():
                     self.counts["stops"] += 1
-        self.watch()
+        self.check_versions()
 
     def _put(
         self,
@@ -266,44 +280,59 @@
         self._uploads += 1
         upload, now = f"u{self._uploads}", node.now
         for offset in range(0, len(content), 4_000):
-            piece: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": offset}
-            node.participant.propose(now, StoredCommand({**piece, "data": content[offset : offset + 4_000]}))
-        kind = next(one for one in DOCUMENTS if one.name == name)
-        put: dict[str, Any] = {"m": "rules", "do": "put", "doc": name, "kind": kind.kind.value}
-        put |= {"strict": kind.strict, "upload": upload, "digest": content_digest(content), "expect": expect}
-        put |= {"author": node.name, "note": ""}
-        put |= {"at": "", "hold_out": hold_out, "stage": stage}
+            chunk: dict[str, Any] = {"m": "rules", "do": "part", "upload": upload, "offset": offset}
+            node.participant.propose(now, StoredCommand({**chunk, "data": content[offset : offset + 4_000]}))
+        kind = next(document for document in DOCUMENTS if document.name == name)
+        command: dict[str, Any] = {"m": "rules", "do": "put", "doc": name, "kind": kind.kind.value}
+        command |= {
+            "strict": kind.strict,
+            "upload": upload,
+            "digest": content_digest(content),
+            "expect": expect,
+        }
+        command |= {"author": node.name, "note": ""}
+        command |= {"at": "", "hold_out": hold_out, "stage": stage}
         if node.reached("uploading"):
             return None
-        number = node.participant.propose(now, StoredCommand(put))
+        number = node.participant.propose(now, StoredCommand(command))
         node.drive()
         return None if node.reached("put") else number
 
     # Observations and invariants.
 
-    def _see_stages(self) -> None:
+    def _update_rollouts(self) -> None:
         """Update the staged rollouts from the voter that has applied most of the log."""
-        voters = [one.voter for one in self.nodes.values() if one.up and one.voter is not None]
-        best = max(voters, key=lambda voter: voter.raft.last_applied, default=None)
-        if best is not None and best.config_store is not None and best.raft.last_applied > self._seen_at:
-            self._seen_at = best.raft.last_applied
-            told = {name: one for name, one in best.config_store.active_rollouts() if one.rollout is not None}
-            self.counts["stages"] += len(told.keys() - self._staged.keys())
-            self._staged = {
-                name: (one.version.number, one.rollout.nodes) for name, one in told.items() if one.rollout
+        voters = [entry.voter for entry in self.nodes.values() if entry.up and entry.voter is not None]
+        most_advanced = max(voters, key=lambda voter: voter.raft.last_applied, default=None)
+        if (
+            most_advanced is not None
+            and most_advanced.config_store is not None
+            and most_advanced.raft.last_applied > self._rollouts_index
+        ):
+            self._rollouts_index = most_advanced.raft.last_applied
+            rollouts = {
+                name: entry
+                for name, entry in most_advanced.config_store.active_rollouts()
+                if entry.rollout is not None
+            }
+            self.counts["stages"] += len(rollouts.keys() - self._active_rollouts.keys())
+            self._active_rollouts = {
+                name: (entry.version.number, entry.rollout.nodes)
+                for name, entry in rollouts.items()
+                if entry.rollout
             }
 
-    def _see_shares(self) -> None:
+    def _check_quota_shares(self) -> None:
         """Check what all nodes together may use of the tenant's allowance, each under its lease by its own clock.
 
         Raises:
             InvariantViolationError: It is more than the whole allowance.
         """
         used = {
-            node.name: self.using[node.name].shares.get(TENANT, 0)
+            node.name: self.quota_state[node.name].shares.get(TENANT, 0)
             for node in self.nodes.values()
             if node.up
-            and node.name in self.using
+            and node.name in self.quota_state
             and node.name not in self._beyond_drift
             and node.participant.holder.time_left(self.lease(node), node.now)
         }
@@ -313,40 +342,42 @@
                 f"{self.most_used / FULL_QUOTA:.1%} of an allowance at {self.true_us} us: {used}"
             )
 
-    def watch(self) -> None:
+    def check_versions(self) -> None:
         """Check which version of each document every node would act on now, by its own clock.
 
         Raises:
             InvariantViolationError: Two nodes act on different versions of a strict document, or differ on another
                 document for longer than the term of its leases.
         """
-        self._see_stages()
-        self._see_shares()
-        for named in DOCUMENTS:
-            seen = self.seen[named.name]
+        self._update_rollouts()
+        self._check_quota_shares()
+        for definition in DOCUMENTS:
+            seen = self.seen[definition.name]
             versions: dict[int, str] = {}
             for node in self.nodes.values():
                 follower = self.followers.get(node.name)
                 if not node.up or follower is None or node.name in self._beyond_drift:
                     continue
-                one = follower.documents[named.name]
-                held = node.participant.holder.time_left(self.lease(node), node.now)
-                if self.mutation.name == "version-from-disk" and one.target is None:
-                    held = TERM  # the mutation does not check its lease
-                number, on = self._staged.get(named.name, (0, []))
-                if one.version == number and node.name in on:
+                followed = follower.documents[definition.name]
+                lease_left = node.participant.holder.time_left(self.lease(node), node.now)
+                if self.mutation.name == "version-from-disk" and followed.target is None:
+                    lease_left = CONFIG_LEASE_TERM  # the mutation does not check its lease
+                rollout_version, rollout_nodes = self._active_rollouts.get(definition.name, (0, []))
+                if followed.version == rollout_version and node.name in rollout_nodes:
                     continue  # differs on purpose: the node is in a staged rollout
-                if one.state is FollowerState.ACTIVE and held:
-                    versions[one.version] = node.name
+                if followed.state is FollowerState.ACTIVE and lease_left:
+                    versions[followed.version] = node.name
             if len(versions) > 1:
-                if named.strict:
-                    raise InvariantViolationError(f"two act on {named.name} at {self.true_us} us: {versions}")
+                if definition.strict:
+                    raise InvariantViolationError(
+                        f"two act on {definition.name} at {self.true_us} us: {versions}"
+                    )
                 if seen.differ_since is None:
                     seen.differ_since = self.true_us
                 seen.longest_us = max(seen.longest_us, self.true_us - seen.differ_since)
                 if seen.longest_us > span_us(self.settings.config_term):
                     raise InvariantViolationError(
-                        f"{named.name}: versions {versions} side by side for {seen.longest_us} us"
+                        f"{definition.name}: versions {versions} side by side for {seen.longest_us} us"
                     )
             else:
                 seen.differ_since = None
@@ -354,47 +385,51 @@
     def _check_end(self) -> None:
         """Check the history of the clients' calls, and the versions that came into force."""
         super()._check_end()
-        for named in DOCUMENTS:
-            calls = [one for client in self.clients for one in client.calls[named.name]]
+        for definition in DOCUMENTS:
+            calls = [entry for client in self.clients for entry in client.calls[definition.name]]
             by_version = {
-                one.version: one for one in calls if one.came in (CallOutcome.DONE, CallOutcome.UNKNOWN)
+                entry.version: entry
+                for entry in calls
+                if entry.came in (CallOutcome.DONE, CallOutcome.UNKNOWN)
             }
-            given = [one.version for one in calls if one.came is CallOutcome.DONE]
-            if len(set(given)) < len(given):
-                raise InvariantViolationError(f"a version of {named.name} was given twice")
+            completed_versions = [entry.version for entry in calls if entry.came is CallOutcome.DONE]
+            if len(set(completed_versions)) < len(completed_versions):
+                raise InvariantViolationError(f"a version of {definition.name} was given twice")
             # A node proposed the first version from its files: add that put, which no client made.
-            if why := linearizability_violation([*calls, Call("a node", 0)]):
-                raise InvariantViolationError(f"{named.name}: {why}")
+            if violation := linearizability_violation([*calls, Call("a node", 0)]):
+                raise InvariantViolationError(f"{definition.name}: {violation}")
             in_force = max(
                 (
-                    [one.number for one in node.voter.config_store.documents[named.name].versions]
+                    [entry.number for entry in node.voter.config_store.documents[definition.name].versions]
                     for node in self.nodes.values()
                     if node.voter
                     and node.voter.config_store
-                    and named.name in node.voter.config_store.documents
+                    and definition.name in node.voter.config_store.documents
                 ),
                 key=len,
                 default=[],
             )
-            for before, version in pairwise([0, *in_force]):
-                made = by_version.get(version)
-                if made is not None and before and made.expect != before:
+            for previous, version in pairwise([0, *in_force]):
+                call = by_version.get(version)
+                if call is not None and previous and call.expect != previous:
                     raise InvariantViolationError(
-                        f"{named.name}: {version} took the place of {before}, not of {made.expect}"
+                        f"{definition.name}: {version} took the place of {previous}, not of {call.expect}"
                     )
-            sick = [
-                one.number
+            degrading_versions = [
+                entry.number
                 for node in self.nodes.values()
-                if node.voter and node.voter.config_store and named.name in node.voter.config_store.documents
-                for one in node.voter.config_store.documents[named.name].versions
-                if SICK in one.content
+                if node.voter
+                and node.voter.config_store
+                and definition.name in node.voter.config_store.documents
+                for entry in node.voter.config_store.documents[definition.name].versions
+                if DEGRADING_CONTENT in entry.content
             ]
-            if sick:
+            if degrading_versions:
                 raise InvariantViolationError(
-                    f"{named.name}: version {sick[0]} went on from its stage, though it did worse"
+                    f"{definition.name}: version {degrading_versions[0]} went on from its stage, though it did worse"
                 )
-            if not self.seen[named.name].acted:
-                raise InvariantViolationError(f"nobody ever acted on {named.name}")
+            if not self.seen[definition.name].acted:
+                raise InvariantViolationError(f"nobody ever acted on {definition.name}")
 
 
 class Client:
@@ -406,101 +441,111 @@
 
     def __init__(self, cluster: SimulatedDocumentCluster, number: int) -> None:
         self.cluster, self.name = cluster, f"c{number}"
-        self.calls: dict[str, list[Call]] = {one.name: [] for one in DOCUMENTS}
+        self.calls: dict[str, list[Call]] = {document.name: [] for document in DOCUMENTS}
         self._chance = random.Random(cluster.plan.seed * 31 + number)
-        self._saw = {one.name: 0 for one in DOCUMENTS}
-        self._call: tuple[str, Call] | None = None
-        self._waits: tuple[SimulatedNode, int, int] | None = (
-            None  # node, its generation, number of the command
-        )
-        self._looks_after = 0  # the version that a put created, until it is in force or rejected
-        cluster.after(2_000_000 + self._chance.randrange(500_000), self._next)
-
-    def _next(self) -> None:
+        self._known_versions = {document.name: 0 for document in DOCUMENTS}
+        self._pending_call: tuple[str, Call] | None = None
+        # The node that received the pending command, the generation of the node, and the number of the command.
+        self._pending_command: tuple[SimulatedNode, int, int] | None = None
+        self._prepared_version = 0  # the version that a put created, until it is in force or rejected
+        cluster.after(2_000_000 + self._chance.randrange(500_000), self._begin_call)
+
+    def _begin_call(self) -> None:
         """Begin the next call, unless one is pending."""
         cluster, chance = self.cluster, self._chance
-        up = [one for one in cluster.nodes.values() if one.up and cluster.true_us >= one.stopped_until]
-        cluster.after(int(THINKS_US * (0.3 + chance.random())), self._next)
-        if self._call is not None and cluster.true_us >= self._call[1].begun_us + PATIENCE_US:
-            self._over(CallOutcome.UNKNOWN, self._call[1].version)
-        if self._call is not None or not up:
+        up = [
+            candidate
+            for candidate in cluster.nodes.values()
+            if candidate.up and cluster.true_us >= candidate.stopped_until
+        ]
+        cluster.after(int(MEAN_CALL_INTERVAL_US * (0.3 + chance.random())), self._begin_call)
+        if (
+            self._pending_call is not None
+            and cluster.true_us >= self._pending_call[1].begun_us + RESPONSE_TIMEOUT_US
+        ):
+            self._end_call(CallOutcome.UNKNOWN, self._pending_call[1].version)
+        if self._pending_call is not None or not up:
             return
         node, name = chance.choice(up), chance.choice(DOCUMENTS).name
-        call = Call(self.name, cluster.true_us, expect=self._saw[name])
-        self._call, self._looks_after = (name, call), 0
+        call = Call(self.name, cluster.true_us, expect=self._known_versions[name])
+        self._pending_call, self._prepared_version = (name, call), 0
         if not call.expect or chance.random() < 0.5:
             call.expect = -1  # marks a get
-            self._ask(node, name)
+            self._read_version(node, name)
             return
-        text = CANT if chance.random() < 0.1 else "x" * chance.choice((3, 30, BIG))
+        text = (
+            REJECTED_CONTENT if chance.random() < 0.1 else "x" * chance.choice((3, 30, LARGE_CONTENT_LENGTH))
+        )
         stage = None
         if name == "plain" and chance.random() < 0.35:
             stage = {"for_ms": chance.randrange(300, 1_500), "worse": 0.1, "least": 30, "share": 0.3}
-            text = SICK if chance.random() < 0.5 else text
+            text = DEGRADING_CONTENT if chance.random() < 0.5 else text
         tenants = {TENANT: {"share": 0.5, "allowance_per_s": ALLOWANCE}}
         content = json.dumps({"n": chance.randrange(1 << 30), "text": text, "tenants": tenants})
-        hold_out = CANT in text and chance.random() < 0.5
+        hold_out = REJECTED_CONTENT in text and chance.random() < 0.5
         number = cluster._put(node, name, call.expect, content, stage, hold_out)
         if number is not None:
-            self._waits = (node, node.generation, number)
+            self._pending_command = (node, node.generation, number)
 
-    def _ask(self, node: SimulatedNode, name: str) -> None:
+    def _read_version(self, node: SimulatedNode, name: str) -> None:
         """Read the current version of a document."""
         number = node.participant.propose(node.now, StoredCommand({"m": "rules", "do": "get", "doc": name}))
         if number is not None:
-            self._waits = (node, node.generation, number)
+            self._pending_command = (node, node.generation, number)
             node.drive()
 
-    def _over(self, came: CallOutcome, version: int = 0) -> None:
+    def _end_call(self, came: CallOutcome, version: int = 0) -> None:
         """End the pending call with an outcome."""
-        assert self._call is not None
-        name, call = self._call
-        self._call = self._waits = None
+        assert self._pending_call is not None
+        name, call = self._pending_call
+        self._pending_call = self._pending_command = None
         call.ended_us, call.came, call.version = self.cluster.true_us, came, version
         if came is CallOutcome.UNKNOWN and call.expect < 0:
             return  # a get without a response adds nothing to the history
         if came in (CallOutcome.TOLD, CallOutcome.DONE, CallOutcome.STALE):
-            self._saw[name] = version
+            self._known_versions[name] = version
         self.calls[name].append(call)
         self.cluster.counts[came.value] += 1
 
-    def look(self, node: SimulatedNode) -> None:
+    def handle_result(self, node: SimulatedNode) -> None:
         """Handle the result of the pending command, if the node has it."""
-        if self._waits is None or self._call is None:
+        if self._pending_command is None or self._pending_call is None:
             return
-        at, generation, number = self._waits
-        if at is not node or generation != node.generation or not node.up:
+        target, generation, number = self._pending_command
+        if target is not node or generation != node.generation or not node.up:
             return
         result = node.participant.take_result(number)
         if result is None:
             return
-        self._waits = None
-        call = self._call[1]
+        self._pending_command = None
+        call = self._pending_call[1]
         if "refused" in result or "error" in result:
             if call.expect >= 0 and "version" in result and "waits_for" not in result:
-                self._over(CallOutcome.STALE, int(result["version"]))
+                self._end_call(CallOutcome.STALE, int(result["version"]))
             else:
-                self._call = None  # it had no effect and returned no version
+                self._pending_call = None  # it had no effect and returned no version
         elif "prepares" in result:
-            call.version = self._looks_after = int(result["prepares"])
-            self.cluster.after(60_000, lambda: self._again(call))
+            call.version = self._prepared_version = int(result["prepares"])
+            self.cluster.after(60_000, lambda: self._check_put(call))
         elif call.expect < 0:
-            self._over(CallOutcome.TOLD, int(result["version"]))
-        elif any(row["version"] == self._looks_after for row in result["turned_down"]):
-            self._call = None
+            self._end_call(CallOutcome.TOLD, int(result["version"]))
+        elif any(row["version"] == self._prepared_version for row in result["turned_down"]):
+            self._pending_call = None
             self.cluster.counts["turned down"] += 1
-        elif result["version"] >= self._looks_after:
-            self._over(CallOutcome.DONE, self._looks_after)
+        elif result["version"] >= self._prepared_version:
+            self._end_call(CallOutcome.DONE, self._prepared_version)
         else:
-            self.cluster.after(60_000, lambda: self._again(call))
+            self.cluster.after(60_000, lambda: self._check_put(call))
 
-    def _again(self, call: Call) -> None:
+    def _check_put(self, call: Call) -> None:
         """Read the document again, to find out whether the put of this call is in force."""
         up = [
-            one for one in self.cluster.nodes.values() if one.up and self.cluster.true_us >= one.stopped_until
+            candidate
+            for candidate in self.cluster.nodes.values()
+            if candidate.up and self.cluster.true_us >= candidate.stopped_until
         ]
-        if self._call is not None and self._call[1] is call and up:
-            self._ask(self._chance.choice(up), self._call[0])
+        if self._pending_call is not None and self._pending_call[1] is call and up:
+            self._read_version(self._chance.choice(up), self._pending_call[0])
 
 
 def run_rules(plan: Plan, mutation: Mutation | None = None) -> tuple[SimulatedDocumentCluster, str]:
--- a/marlstep/fault_injection/simulated_task_server.py
+++ b/marlstep/fault_injection/simulated_task_server.py
@@ -38,7 +38,7 @@
         transit_us = chance.randrange(*TRANSIT_US)
         if chance.random() < DELAYED_SHARE:
             transit_us += chance.randrange(MAX_DELAY_US)
-        elif chance.random() < self._simulation.mutation.stuck:
+        elif chance.random() < self._simulation.mutation.stuck_share:
             transit_us += chance.randrange(MAX_STUCK_US)
         is_fence = action.kind is ActionKind.FENCE
         work_us = 0 if is_fence else chance.randrange(*WORK_US)
--- a/tests/fault_injection/test_simulated_cluster.py
+++ b/tests/fault_injection/test_simulated_cluster.py
@@ -36,7 +36,9 @@
     mutation = LEASE_MUTATIONS[name]
     plan = draw(DETECTING_SEEDS[name], mutation.shape)
     assert run(plan, mutation)[1]
-    unchanged = replace(Mutation(), loss=mutation.loss, delay_us=mutation.delay_us, stuck=mutation.stuck)
+    unchanged = replace(
+        Mutation(), loss=mutation.loss, delay_us=mutation.delay_us, stuck_share=mutation.stuck_share
+    )
     assert not run(plan, unchanged)[1]
 
 
