--- a/tests/fault_injection/test_model_checker.py
+++ b/tests/fault_injection/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The search of the model checker, on a counter as the model."""
+"""The search of the model checker, with a counter as the model."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CountingState:
-    """A counter that may be increased by one or doubled, and must not reach `forbidden`."""
+    """A counter whose steps are to add one and to double it; reaching `forbidden` is a violation."""
 
     def __init__(self, value: int, forbidden: int) -> None:
         self.value, self.forbidden = value, forbidden
@@ -33,7 +33,7 @@
 def test_a_search_within_its_bounds_is_complete_and_visits_each_state_once() -> None:
     result = search_from("one", CountingState(1, -1), bounds(2), seconds=60)
     assert result.complete and not result.broken
-    assert (result.states, result.depth) == (4, 2)  # 1, 2, 3 and 4, though 2 is reached twice
+    assert (result.states, result.depth) == (4, 2)  # 1, 2, 3 and 4, although two steps lead to 2
 
 
 def test_a_violation_is_returned_with_the_fewest_steps_that_lead_to_it() -> None:
--- a/tests/fault_injection/test_network_links.py
+++ b/tests/fault_injection/test_network_links.py
@@ -1,4 +1,4 @@
-"""Links between processes."""
+"""Network links between node processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 def test_a_link_takes_another_port_where_only_half_of_one_is_free(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against a drill that does not begin, as another program has datagrams at the port that the system chose.
+    # Guards against a drill that fails to start: the system chose a port that is free for TCP, but that another program
+    # uses for UDP.
     async def opened() -> int:
         loop, made = asyncio.get_running_loop(), 0
         create = loop.create_datagram_endpoint
@@ -34,4 +35,4 @@
             await Link(("127.0.0.1", 1), random.Random(1)).open(link.port)
         return made
 
-    assert asyncio.run(opened()) == 1  # a port that was asked for is not exchanged
+    assert asyncio.run(opened()) == 1  # an explicitly requested port is not replaced by another
--- a/tests/fault_injection/test_plan.py
+++ b/tests/fault_injection/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans: drawn from a seed, printed and read."""
+"""Plans: drawn from a seed, written to JSON and read."""
 
 from __future__ import annotations
 
--- a/tests/fault_injection/test_simulated_detectors.py
+++ b/tests/fault_injection/test_simulated_detectors.py
@@ -1,4 +1,4 @@
-"""Failure detectors on the simulated network: faults, mutations, and the drill's checkers and exit codes."""
+"""Failure detectors on the simulated network: faults, mutations, and the drill's checks and exit codes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,7 @@
 from marlstep.fault_injection.mutations import MEMBERSHIP_MUTATIONS, Mutation
 from marlstep.fault_injection.plan import Plan, PlanSettings, draw
 from marlstep.fault_injection.simulated_detectors import RANDOM_FAULT_TYPES, run_members
-from marlstep.membership.partition_state import (
-    PartitionState,
-)
+from marlstep.membership.partition_state import PartitionState
 from tests.membership.support import NODES
 
 
@@ -69,16 +67,15 @@
     )
     if not loss:
         assert not violation and not (name == "one way to each" and cluster.measured.false_failures)
-    else:  # with such a loss some node is suspected at any moment, and seldom declared failed
+    else:  # with 30% loss some node is suspected at almost any time, but failures are rarely declared
         minutes = length / 60_000
         assert cluster.measured.false_failures / len(NODES) / minutes < 12
 
 
 def test_slow_nodes_cause_no_false_failures() -> None:
     plan = Plan(7, NODES, NODES[:3], 60_000, (1.0,) * 12, ())
-    cluster, violation = run_members(
-        plan, loss=0.01, slow=0.25
-    )  # event loops that are often late, by up to a second
+    # The event loops of a quarter of the nodes are often late, by up to a second.
+    cluster, violation = run_members(plan, loss=0.01, slow=0.25)
     assert not violation and not cluster.measured.false_failures
     assert sum(node.detector.counts["late"] for node in cluster.nodes.values()) > 10
 
@@ -120,6 +117,5 @@
     faulty = ["drill", "members", "--nodes", "12", "--for", "40s", "--virtual", "--seed", "0"]
     assert call([*faulty, "--broken", "old-boot-taken"]) == 1 and call(faulty) == 0
     assert call([*arguments, "--virtual", "--broken", "acts-in-any-situation"]) == 2
-    assert (
-        call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
-    )  # that mutation is of the simulated network alone
+    # This mutation exists only on the simulated network.
+    assert call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
--- a/tests/fault_injection/test_simulated_documents.py
+++ b/tests/fault_injection/test_simulated_documents.py
@@ -1,4 +1,4 @@
-"""Nodes on the simulated network, and the exhaustive walk through the orders of messages."""
+"""Replicated documents on the simulated network, and in the model checker with all orders of messages."""
 
 from __future__ import annotations
 
--- a/tests/fault_injection/test_simulation.py
+++ b/tests/fault_injection/test_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated time, the queue of events, and faults of a plan by simulated time."""
+"""The simulation: simulated time, the event queue, and the injection of a plan's faults."""
 
 from __future__ import annotations
 
