--- a/tests/fault_injection/test_plan.py
+++ b/tests/fault_injection/test_plan.py
@@ -13,17 +13,19 @@
 
 
 @given(st.integers(0, 10_000), st.sampled_from([3, 5, 12]))
-def test_a_plan_is_the_same_for_its_seed_and_comes_back_as_it_was_printed(seed: int, nodes: int) -> None:
+def test_a_plan_is_determined_by_its_seed_and_unchanged_after_writing_and_reading(
+    seed: int, nodes: int
+) -> None:
     plan = draw(seed, PlanSettings(nodes=nodes))
     assert plan == draw(seed, PlanSettings(nodes=nodes)) == read_plan(json.loads(json.dumps(plan.write())))
     assert all(fault.at_ms + fault.for_ms <= plan.length_ms - 2_000 for fault in plan.faults)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [{}, {"seed": 1}, [], {"faults": [{"kind": "flood", "node": "n1", "at_ms": 1, "for_ms": 1}]}],
 )
-def test_json_that_is_no_plan_is_an_invalid_plan_error(spoilt: object) -> None:
-    whole = draw(1, PlanSettings()).write()
+def test_reading_json_that_is_not_a_plan_raises_invalid_plan_error(invalid: object) -> None:
+    valid = draw(1, PlanSettings()).write()
     with pytest.raises(InvalidPlanError):
-        read_plan({**whole, **spoilt} if isinstance(spoilt, dict) and "faults" in spoilt else spoilt)
+        read_plan({**valid, **invalid} if isinstance(invalid, dict) and "faults" in invalid else invalid)
--- a/tests/fault_injection/test_simulated_cluster.py
+++ b/tests/fault_injection/test_simulated_cluster.py
@@ -45,8 +45,8 @@
 def test_a_plan_is_shrunk_to_faults_that_still_violate_an_invariant() -> None:
     mutation = LEASE_MUTATIONS["no-drift-margin"]
     plan = draw(DETECTING_SEEDS["no-drift-margin"], mutation.shape)
-    short = shrink(plan, mutation, tries=25)
-    assert len(short.faults) < len(plan.faults) and run(short, mutation)[1]
+    shrunk = shrink(plan, mutation, tries=25)
+    assert len(shrunk.faults) < len(plan.faults) and run(shrunk, mutation)[1]
 
 
 def test_a_fault_of_a_role_is_injected_at_the_node_that_has_it() -> None:
--- a/tests/fault_injection/test_simulated_detectors.py
+++ b/tests/fault_injection/test_simulated_detectors.py
@@ -26,14 +26,14 @@
     assert not violation and cluster.measured.datagrams > 500
 
 
-def cuts_between(*groups: tuple[str, ...], at: int = 5_000, span: int = 8_000) -> tuple[Fault, ...]:
+def cuts_between(*groups: tuple[str, ...], at_ms: int = 5_000, duration_ms: int = 8_000) -> tuple[Fault, ...]:
     """Cut all links between the groups."""
     return tuple(
-        Fault(at, span, "cut", node, other)
+        Fault(at_ms, duration_ms, "cut", node, other)
         for number, group in enumerate(groups)
-        for opposite in groups[number + 1 :]
+        for other_group in groups[number + 1 :]
         for node in group
-        for other in opposite
+        for other in other_group
     )
 
 
@@ -60,15 +60,15 @@
 @pytest.mark.parametrize("name", HARD_CASES)
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_all_views_converge_after_a_hard_fault_case(name: str, loss: float) -> None:
-    last = max(fault.at_ms + fault.for_ms for fault in HARD_CASES[name])
-    length = last + (12_000 if not loss else 30_000)
+    last_ms = max(fault.at_ms + fault.for_ms for fault in HARD_CASES[name])
+    length_ms = last_ms + (12_000 if not loss else 30_000)
     cluster, violation = run_members(
-        Plan(5, NODES, NODES[:3], length, (1.0,) * 12, HARD_CASES[name]), loss=loss
+        Plan(5, NODES, NODES[:3], length_ms, (1.0,) * 12, HARD_CASES[name]), loss=loss
     )
     if not loss:
         assert not violation and not (name == "one way to each" and cluster.measured.false_failures)
     else:  # with 30% loss some node is suspected at almost any time, but failures are rarely declared
-        minutes = length / 60_000
+        minutes = length_ms / 60_000
         assert cluster.measured.false_failures / len(NODES) / minutes < 12
 
 
@@ -99,15 +99,15 @@
 
 
 def test_the_checkers_find_a_wrong_removal_and_a_forbidden_effect() -> None:
-    lines = {
+    records = {
         LogRecord(10, "n1", "remove n2"),
         LogRecord(10, "n1", "remove n3"),
         LogRecord(5, "n4", f"situation is {PartitionState.ISOLATED.value}"),
     }
-    assert wrongly_removed(lines, {"n2": [(5, 20)], "n3": [(11, 20)]}) == ["n3 at 10 by n1"]
-    late = Effect("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
-    assert len(forbidden_acts(lines, [late])) == 1
-    assert not forbidden_acts(lines, [replace(late, began_us=400_000), replace(late, node="n5/x")])
+    assert wrongly_removed(records, {"n2": [(5, 20)], "n3": [(11, 20)]}) == ["n3 at 10 by n1"]
+    late_act = Effect("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
+    assert len(forbidden_acts(records, [late_act])) == 1
+    assert not forbidden_acts(records, [replace(late_act, began_us=400_000), replace(late_act, node="n5/x")])
 
 
 def test_the_members_drill_has_the_exit_codes_of_the_other_drills() -> None:
--- a/tests/fault_injection/test_simulated_documents.py
+++ b/tests/fault_injection/test_simulated_documents.py
@@ -33,9 +33,9 @@
 
 
 @pytest.mark.parametrize("start", sorted(set(STARTS) - {"three"}))
-def test_the_walk_finds_no_violation_in_any_order_of_messages(start: str) -> None:
-    found = search_document_states(start, Mutation(), replace(STARTS[start][-1], depth=9), seconds=60)
-    assert found.complete and not found.broken and found.states > 300
+def test_the_model_checker_finds_no_violation_in_any_order_of_messages(start: str) -> None:
+    result = search_document_states(start, Mutation(), replace(STARTS[start][-1], depth=9), seconds=60)
+    assert result.complete and not result.broken and result.states > 300
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
         ("lapsed", "acts-while-behind", 1),
     ],
 )
-def test_the_walk_detects_each_mutation(start: str, name: str, crashes: int) -> None:
+def test_the_model_checker_detects_each_mutation(start: str, name: str, crashes: int) -> None:
     bounds = replace(STARTS[start][-1], crashes=crashes)
-    found = search_document_states(start, DOCUMENT_MUTATIONS[name], bounds, seconds=60)
-    assert "two act on different versions" in found.broken and found.trace
+    result = search_document_states(start, DOCUMENT_MUTATIONS[name], bounds, seconds=60)
+    assert "two act on different versions" in result.broken and result.trace
--- a/tests/fault_injection/test_simulation.py
+++ b/tests/fault_injection/test_simulation.py
@@ -36,10 +36,10 @@
 def test_more_events_than_allowed_are_an_error_with_their_number_and_time() -> None:
     simulated = simulation()
 
-    def again() -> None:
-        simulated.after(1, again)
+    def reschedule() -> None:
+        simulated.after(1, reschedule)
 
-    again()
+    reschedule()
     with pytest.raises(EventStormError) as raised:
         simulated.run_events(max_events=3)
     assert (raised.value.event_count, raised.value.true_us) == (4, 3)
