--- a/tests/fault_injection/test_plan.py
+++ b/tests/fault_injection/test_plan.py
@@ -22,10 +22,10 @@
 
 
 @pytest.mark.parametrize(
-    "invalid",
+    "spoilt",
     [{}, {"seed": 1}, [], {"faults": [{"kind": "flood", "node": "n1", "at_ms": 1, "for_ms": 1}]}],
 )
-def test_reading_json_that_is_not_a_plan_raises_invalid_plan_error(invalid: object) -> None:
+def test_reading_json_that_is_not_a_plan_raises_invalid_plan_error(spoilt: object) -> None:
     valid = draw(1, PlanSettings()).write()
     with pytest.raises(InvalidPlanError):
-        read_plan({**valid, **invalid} if isinstance(invalid, dict) and "faults" in invalid else invalid)
+        read_plan({**valid, **spoilt} if isinstance(spoilt, dict) and "faults" in spoilt else spoilt)
