--- a/marlstep/fault_injection/membership_drill.py
+++ b/marlstep/fault_injection/membership_drill.py
@@ -59,6 +59,7 @@
     """Collects the logs of membership changes while the nodes run, since a process loses its log when it ends."""
 
     def __init__(self, cluster: ProcessCluster) -> None:
+        """Initialize the collector with no records."""
         self.cluster = cluster
         self.records: set[LogRecord] = set()
         self.stop = False
--- a/marlstep/fault_injection/mutations.py
+++ b/marlstep/fault_injection/mutations.py
@@ -41,6 +41,7 @@
     """Counts the term of a lease from the response instead of from the heartbeat that requested it."""
 
     def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
+        """Handle a response as if its heartbeat had been sent now."""
         if response.number in self._sent_heartbeats:
             self._sent_heartbeats[response.number] = now
         return super().handle_response(now, response)
@@ -50,9 +51,11 @@
     """Keeps every lease that it was ever granted, however long the group does not respond."""
 
     def time_left(self, name: str, now: datetime) -> timedelta:
+        """Return a full term for every lease that was granted."""
         return self.settings.term if name in self.held else ZERO
 
     def tick(self, now: datetime) -> list[LeaseEvent]:
+        """Let no lease expire."""
         return []
 
 
@@ -92,6 +95,7 @@
         documents: tuple[DocumentStatus, ...] = (),
         quota_shares: Any = no_quota_shares,
     ) -> list[tuple[str, HeartbeatResponse]]:
+        """Return the responses as if every round of heartbeats were confirmed."""
         return super().take_responses(now, 1 << 60, leader, term, documents, quota_shares)
 
 
@@ -106,6 +110,7 @@
     """Lets all leases expire 200 ms after an election instead of waiting for a full term."""
 
     def become_leader(self, now: datetime) -> None:
+        """Take over leadership with leases that expire in 200 ms."""
         super().become_leader(now)
         self._expiries = dict.fromkeys(self._expiries, now + 200 * MILLISECOND)
 
@@ -123,6 +128,7 @@
     """Begins and ends runs without recording them in the log: every node that assumes it holds the lease acts."""
 
     def next_action(self, now: datetime, wall: datetime, time_left: timedelta) -> RunnerAction | None:
+        """Return the next action other than begin and end, which succeed without a command to the group."""
         action = super().next_action(now, wall, time_left)
         while action is not None and action.kind in (ActionKind.BEGIN, ActionKind.END):
             self.handle_result(now, action, {"begun": action.run})
@@ -143,6 +149,7 @@
     """Puts a change in force without the acknowledgements of the nodes that act on the document."""
 
     def missing_acknowledgements(self, document: Document) -> list[str]:
+        """Return no nodes, as if all had acknowledged the change."""
         return []
 
 
@@ -161,6 +168,7 @@
     """Counts an acknowledgement of an earlier process of a node for its current process."""
 
     def missing_acknowledgements(self, document: Document) -> list[str]:
+        """Return the processes of nodes of which no process has acknowledged the change."""
         missing = super().missing_acknowledgements(document)
         pending = document.prepared
         acknowledged_nodes = (
@@ -194,6 +202,7 @@
     """Acts on the version from before its restart until the group reports another one."""
 
     def tick(self, now: datetime, time_left: timedelta) -> list[Any]:
+        """Act on the time only after the group has reported a version."""
         has_target = any(document.target is not None for document in self.documents.values())
         return super().tick(now, time_left) if has_target else []
 
@@ -221,6 +230,7 @@
     def is_degraded(
         self, canaries: RequestCounts, controls: RequestCounts, max_degradation: float, min_requests: int
     ) -> bool:
+        """Return False for every rollout."""
         return False
 
 
@@ -228,6 +238,7 @@
     """Frees a quota share as soon as its holder is asked to give it up, before the holder has done so."""
 
     def apply(self, command: CommandJson) -> ResultJson:
+        """Apply a command; a share that is asked back is free at once."""
         result = super().apply(command)
         if command["do"] == "shrink" and "part" in result:
             self.tenants[command["tenant"]][result["holder"]] = QuotaShare(result["part"], result["part"])
@@ -248,6 +259,7 @@
     """Accepts the last record received for a node, whichever of its processes that is from."""
 
     def merge_record(self, now: datetime, record: MemberRecord, reason: str) -> bool:
+        """Merge a record even if it is of an earlier process of the node."""
         member = self.members.others.get(record.node)
         if (
             member is not None
--- a/marlstep/fault_injection/network_links.py
+++ b/marlstep/fault_injection/network_links.py
@@ -21,13 +21,16 @@
     """Receives the datagrams of a link, which forwards them to its target or drops them."""
 
     def __init__(self, link: Link) -> None:
+        """Initialize the protocol of a link."""
         self._link = link
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport, which the link uses to send."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
+        """Pass a datagram to the link."""
         self._link.forward_datagram(data)
 
 
@@ -46,6 +49,7 @@
     """
 
     def __init__(self, target: tuple[str, int], chance: random.Random) -> None:
+        """Initialize a link that is not open; its random choices are drawn from `chance`."""
         self.target, self._chance = target, chance
         self.port = 0
         self._server: asyncio.Server | None = None
--- a/marlstep/fault_injection/process_cluster.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -98,6 +98,7 @@
     """
 
     def __init__(self, cluster: ProcessCluster, name: str, rate: float) -> None:
+        """Reserve the ports of a node whose clock advances by `rate` seconds in a second."""
         self.cluster, self.name, self.rate = cluster, name, rate
         self.folder = cluster.folder / name
         self.store = self.folder / "store"
@@ -293,6 +294,7 @@
     """
 
     def __init__(self, plan: Plan, settings: Settings, folder: Path) -> None:
+        """Initialize a cluster that starts on entry; `folder` is for the files of all nodes."""
         self.plan, self.settings, self.folder = plan, settings, folder
         self.chance = random.Random(plan.seed)
         self.token = secrets.token_hex(16)
@@ -310,6 +312,7 @@
         self._closing = False
 
     async def __aenter__(self) -> ProcessCluster:
+        """Start the cluster; if that fails, end everything that was started."""
         try:
             await self._open()
         except BaseException:
@@ -318,6 +321,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
+        """End everything that the cluster started."""
         await self._close()
 
     async def _open(self) -> None:
@@ -431,31 +435,40 @@
         FAULT_TYPES[fault.kind].inject(fault, self)
 
     def node_names(self) -> Collection[str]:
+        """Return the names of all nodes, running or not."""
         return self.nodes.keys()
 
     def draw_restart_delay_us(self) -> int:
+        """Return a random time for which a node stays down when all are restarted."""
         return int(self.chance.uniform(*RESTART_DELAY_S) * SECOND_US)
 
     def kill(self, node: str, duration_us: int) -> None:
+        """Kill the node's process, and start it again with its store after that time."""
         self._schedule_restart(self.nodes[node], duration_us / SECOND_US, "keep")
 
     def wipe_store(self, node: str, duration_us: int) -> None:
+        """Kill a voter and remove its store, unless the group could lose its majority as a result."""
         self._spawn(self._lose_store(self.nodes[node], duration_us / SECOND_US, "wipe"))
 
     def restore_old_store(self, node: str, duration_us: int) -> None:
+        """Kill a voter and restore an old copy of its store, unless the group could lose its majority as a result."""
         self._spawn(self._lose_store(self.nodes[node], duration_us / SECOND_US, "old store"))
 
     def pause(self, node: str, duration_us: int) -> None:
+        """Stop the node's process without ending it, and continue it after that time."""
         self._spawn(self._pause_process(self.nodes[node], duration_us / SECOND_US))
 
     def drain(self, node: str, duration_us: int) -> None:
+        """Shut the node down gracefully, and start it again after that time."""
         self._spawn(self._drain_and_restart(self.nodes[node], duration_us / SECOND_US))
 
     def slow_disk(self, node: str, duration_us: int) -> None:
+        """Delay each write of the node to its store."""
         delay_ms = MIN_DISK_DELAY_MS + duration_us // 1_000 % DISK_DELAY_RANGE_MS
         self._order_for(self.nodes[node], duration_us, {"disk_ms": delay_ms}, {"disk_ms": 0})
 
     def fill_disk(self, node: str, duration_us: int) -> None:
+        """Fail each write of the node to its store."""
         self._order_for(self.nodes[node], duration_us, {"disk_full": True}, {"disk_full": False})
 
     def _order_for(
@@ -465,39 +478,49 @@
         asyncio.get_running_loop().call_later(duration_us / SECOND_US, lambda: node.order(**undo))
 
     def kill_at_step(self, node: str, step: str) -> None:
+        """Kill the node's process when it next reaches the step, and start it again."""
         self.nodes[node].order(hook=step)
         self._spawn(self._restart_after_step(self.nodes[node]))
 
     def pause_at_step(self, node: str, step: str, duration_us: int) -> None:
+        """Stop the node's process when it next reaches the step, and continue it after that time."""
         self.nodes[node].order(hook=step, stop=True)
         self._spawn(self._continue_after_step(self.nodes[node], duration_us / SECOND_US))
 
     def upgrade(self, node: str) -> None:
+        """Start a new process beside the node's running one, and end that when the new one is ready."""
         self._spawn(self._upgrade_process(self.nodes[node]))
 
     def reload_configuration(self, node: str) -> None:
+        """Signal the node to read its files again."""
         self.nodes[node].signal(signal.SIGHUP)
 
     def jump_clock(self, node: str, duration_us: int) -> None:
+        """Set the node's clock forward by that time."""
         self.nodes[node].order(jump_ms=duration_us // 1_000)
 
     def drop_messages(self, origin: str, target: str, duration_us: int) -> None:
+        """Drop every message from one node to the other."""
         if (link := self.links.get((origin, target))) is not None:
             link.cut_until = self._loop_time_after(duration_us)
 
     def delay_messages(self, origin: str, target: str, duration_us: int) -> None:
+        """Delay messages from one node to the other at random."""
         if (link := self.links.get((origin, target))) is not None:
             link.slow_until = self._loop_time_after(duration_us)
 
     def trickle_messages(self, origin: str, target: str, duration_us: int) -> None:
+        """Deliver messages from one node to the other byte by byte."""
         if (link := self.links.get((origin, target))) is not None:
             link.trickle_until = self._loop_time_after(duration_us)
 
     def duplicate_messages(self, origin: str, target: str, duration_us: int) -> None:
+        """Deliver messages from one node to the other more than once."""
         if (link := self.links.get((origin, target))) is not None:
             link.repeat_until = self._loop_time_after(duration_us)
 
     def reset_connection(self, origin: str, target: str) -> None:
+        """Break the connection from one node to the other in the middle of its next message."""
         if (link := self.links.get((origin, target))) is not None:
             link.reset_next = True
 
--- a/marlstep/fault_injection/simulated_cluster.py
+++ b/marlstep/fault_injection/simulated_cluster.py
@@ -207,13 +207,13 @@
         self.after(duration_us, killed.restart)
 
     def wipe_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and remove its store, unless the group could lose its majority by it."""
+        """Kill a voter and remove its store, unless the group could lose its majority as a result."""
         if self._may_lose_store(self.nodes[node]):
             self.nodes[node].disk = None
             self.kill(node, duration_us)
 
     def restore_old_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and put an old copy in place of its store, unless the group could lose its majority by it."""
+        """Kill a voter and restore an old copy of its store, unless the group could lose its majority as a result."""
         voter = self.nodes[node]
         if voter.store_copies and self._may_lose_store(voter):
             voter.disk = voter.store_copies[0].copy()
--- a/marlstep/fault_injection/simulated_detectors.py
+++ b/marlstep/fault_injection/simulated_detectors.py
@@ -80,6 +80,7 @@
     """
 
     def __init__(self, cluster: SimulatedDetectorCluster, name: str, number: int) -> None:
+        """Create a node that is not started; `number` determines its zone."""
         self.cluster, self.name, self.number = cluster, name, number
         self.zone = f"z{number % ZONE_COUNT}"
         self.generation, self.up, self.leaving = 0, False, False
@@ -93,6 +94,7 @@
 
     @property
     def address(self) -> str:
+        """The address to which other nodes send: in the simulation the node's name."""
         return self.name
 
     def start(self) -> None:
@@ -284,17 +286,21 @@
         return name if name in self.nodes or not name else self.plan.nodes[0]
 
     def node_names(self) -> Collection[str]:
+        """Return the names of all nodes, running or not."""
         return self.nodes.keys()
 
     def nodes_split_along(self, node: str) -> set[str]:
+        """Return the nodes that a split of the network always leaves on the side of that node."""
         zone = self.nodes[node].zone
         return {other.name for other in self.nodes.values() if other.zone == zone}
 
     def draw_restart_delay_us(self) -> int:
+        """Return a random time for which a node stays down when all are restarted."""
         self.last_fault_us = max(self.last_fault_us, self.true_us + RESTART_DELAY_US[1])
         return super().draw_restart_delay_us()
 
     def kill(self, node: str, duration_us: int) -> None:
+        """Kill the node's process, and start it again after that time."""
         killed = self.nodes[node]
         if killed.up:
             killed.up = False
@@ -303,11 +309,13 @@
         self.after(duration_us, lambda: None if killed.up else killed.start())
 
     def pause(self, node: str, duration_us: int) -> None:
+        """Stop the node's process without ending it, and continue it after that time."""
         paused = self.nodes[node]
         paused.stopped_until = max(paused.stopped_until, self.true_us + duration_us)
         self.after(duration_us, paused.resume)
 
     def drain(self, node: str, duration_us: int) -> None:
+        """Shut the node down gracefully, and start it again after that time."""
         draining = self.nodes[node]
         if draining.up:
             draining.leaving = True
--- a/marlstep/fault_injection/simulated_documents.py
+++ b/marlstep/fault_injection/simulated_documents.py
@@ -109,9 +109,11 @@
         self._rollouts_index = 0
 
     def machines(self, table: Any) -> dict[str, Any]:
+        """Return the state machines of a voter, by name, on top of its table of leases."""
         return {"tasks": RunLog(table), "rules": ConfigStore(table), "shares": QuotaTable(table)}
 
     def voter_settings(self) -> ReplicaSettings:
+        """Return the settings of every voter."""
         return replace(super().voter_settings(), quotas=True)
 
     @staticmethod
@@ -120,9 +122,11 @@
         return CONFIG_LEASE_PREFIX + node.participant.holder.name
 
     def extra_leases(self, node: SimulatedNode) -> list[str]:
+        """Return the leases that a node wants in addition to those of the tasks."""
         return [self.lease(node)]
 
     def node_started(self, node: SimulatedNode) -> None:
+        """Handle the start of a new generation of the node."""
         follower = ConfigFollower(DOCUMENTS, node.name)
         self.mutation.apply_to(follower)
         node.participant.holder.report = lambda now: self._report(node, follower, now)
@@ -162,6 +166,7 @@
     # Events of nodes.
 
     def response_received(self, node: SimulatedNode) -> None:
+        """Handle that the node processed a response of the group."""
         statuses, node.participant.holder.documents = node.participant.holder.documents, None
         quota_state, now = self.quota_state[node.name], node.now
         for tenant, to in quota_state.update(node.participant.holder.quota_shares):
@@ -178,11 +183,13 @@
             self._carry_out(node, self.followers[node.name].handle_statuses(node.now, statuses, left))
 
     def message_received(self, node: SimulatedNode, message: Any) -> None:
+        """Handle a message to the node's process other than a response of the group."""
         if isinstance(message, DocumentChunk):
             left = node.participant.holder.time_left(self.lease(node), node.now)
             self._carry_out(node, self.followers[node.name].handle_chunk(node.now, message, left))
 
     def node_driven(self, node: SimulatedNode) -> None:
+        """Handle that the node's cores were driven, after an event or a timer."""
         follower, participant = self.followers[node.name], node.participant
         for key in [key for key in self._pending_acknowledgements if key[:2] == (node.name, node.generation)]:
             result = participant.take_result(key[2])
@@ -440,6 +447,7 @@
     """
 
     def __init__(self, cluster: SimulatedDocumentCluster, number: int) -> None:
+        """Create a client whose random choices follow from the plan's seed and `number`."""
         self.cluster, self.name = cluster, f"c{number}"
         self.calls: dict[str, list[Call]] = {document.name: [] for document in DOCUMENTS}
         self._chance = random.Random(cluster.plan.seed * 31 + number)
