--- a/benchmarks/rules.py
+++ b/benchmarks/rules.py
@@ -304,7 +304,7 @@
             if document.state is FollowerState.ACTIVE:
                 self.activated_us.setdefault((name, document.version), {}).setdefault(node.name, self.true_us)
 
-    def watch(self) -> None:
+    def check_versions(self) -> None:
         """Skip the invariant checks at each event: this cluster is only measured."""
 
 
--- a/tests/fault_injection/test_simulated_detectors.py
+++ b/tests/fault_injection/test_simulated_detectors.py
@@ -1,4 +1,4 @@
-"""Failure detectors on the simulated network: faults, mutations, and the drill's checkers and exit codes."""
+"""Failure detectors on the simulated network: faults, mutations, and the drill's checks and exit codes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,7 @@
 from marlstep.fault_injection.mutations import MEMBERSHIP_MUTATIONS, Mutation
 from marlstep.fault_injection.plan import Plan, PlanSettings, draw
 from marlstep.fault_injection.simulated_detectors import RANDOM_FAULT_TYPES, run_members
-from marlstep.membership.partition_state import (
-    PartitionState,
-)
+from marlstep.membership.partition_state import PartitionState
 from tests.membership.support import NODES
 
 
@@ -28,14 +26,14 @@
     assert not violation and cluster.measured.datagrams > 500
 
 
-def cuts_between(*groups: tuple[str, ...], at: int = 5_000, span: int = 8_000) -> tuple[Fault, ...]:
+def cuts_between(*groups: tuple[str, ...], at_ms: int = 5_000, duration_ms: int = 8_000) -> tuple[Fault, ...]:
     """Cut all links between the groups."""
     return tuple(
-        Fault(at, span, "cut", node, other)
+        Fault(at_ms, duration_ms, "cut", node, other)
         for number, group in enumerate(groups)
-        for opposite in groups[number + 1 :]
+        for other_group in groups[number + 1 :]
         for node in group
-        for other in opposite
+        for other in other_group
     )
 
 
@@ -62,23 +60,22 @@
 @pytest.mark.parametrize("name", HARD_CASES)
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_all_views_converge_after_a_hard_fault_case(name: str, loss: float) -> None:
-    last = max(fault.at_ms + fault.for_ms for fault in HARD_CASES[name])
-    length = last + (12_000 if not loss else 30_000)
+    last_ms = max(fault.at_ms + fault.for_ms for fault in HARD_CASES[name])
+    length_ms = last_ms + (12_000 if not loss else 30_000)
     cluster, violation = run_members(
-        Plan(5, NODES, NODES[:3], length, (1.0,) * 12, HARD_CASES[name]), loss=loss
+        Plan(5, NODES, NODES[:3], length_ms, (1.0,) * 12, HARD_CASES[name]), loss=loss
     )
     if not loss:
         assert not violation and not (name == "one way to each" and cluster.measured.false_failures)
-    else:  # with such a loss some node is suspected at any moment, and seldom declared failed
-        minutes = length / 60_000
+    else:  # with 30% loss some node is suspected at almost any time, but failures are rarely declared
+        minutes = length_ms / 60_000
         assert cluster.measured.false_failures / len(NODES) / minutes < 12
 
 
 def test_slow_nodes_cause_no_false_failures() -> None:
     plan = Plan(7, NODES, NODES[:3], 60_000, (1.0,) * 12, ())
-    cluster, violation = run_members(
-        plan, loss=0.01, slow=0.25
-    )  # event loops that are often late, by up to a second
+    # The event loops of a quarter of the nodes are often late, by up to a second.
+    cluster, violation = run_members(plan, loss=0.01, slow=0.25)
     assert not violation and not cluster.measured.false_failures
     assert sum(node.detector.counts["late"] for node in cluster.nodes.values()) > 10
 
@@ -102,15 +99,15 @@
 
 
 def test_the_checkers_find_a_wrong_removal_and_a_forbidden_effect() -> None:
-    lines = {
+    records = {
         LogRecord(10, "n1", "remove n2"),
         LogRecord(10, "n1", "remove n3"),
         LogRecord(5, "n4", f"situation is {PartitionState.ISOLATED.value}"),
     }
-    assert wrongly_removed(lines, {"n2": [(5, 20)], "n3": [(11, 20)]}) == ["n3 at 10 by n1"]
-    late = Effect("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
-    assert len(forbidden_acts(lines, [late])) == 1
-    assert not forbidden_acts(lines, [replace(late, began_us=400_000), replace(late, node="n5/x")])
+    assert wrongly_removed(records, {"n2": [(5, 20)], "n3": [(11, 20)]}) == ["n3 at 10 by n1"]
+    late_act = Effect("t", "n4/x", 1, 1, 2_000_000, 2_100_000, True)
+    assert len(forbidden_acts(records, [late_act])) == 1
+    assert not forbidden_acts(records, [replace(late_act, began_us=400_000), replace(late_act, node="n5/x")])
 
 
 def test_the_members_drill_has_the_exit_codes_of_the_other_drills() -> None:
@@ -120,6 +117,5 @@
     faulty = ["drill", "members", "--nodes", "12", "--for", "40s", "--virtual", "--seed", "0"]
     assert call([*faulty, "--broken", "old-boot-taken"]) == 1 and call(faulty) == 0
     assert call([*arguments, "--virtual", "--broken", "acts-in-any-situation"]) == 2
-    assert (
-        call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
-    )  # that mutation is of the simulated network alone
+    # This mutation exists only on the simulated network.
+    assert call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
