--- a/marlstep/__main__.py
+++ b/marlstep/__main__.py
@@ -11,7 +11,7 @@
 
 LOG_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
 COMPLETION_VARIABLE = "_MARLSTEP_COMPLETE"  # set by the shell for tab completion
-EXIT_MISSING_PACKAGE = 2  # exit code
+EXIT_MISSING_PACKAGE = 2
 
 
 def main(arguments: list[str] | None = None) -> int:
--- a/marlstep/admission/caller_activity.py
+++ b/marlstep/admission/caller_activity.py
@@ -33,6 +33,6 @@
         }
 
     def count(self, since: int) -> tuple[int, int]:
-        """Return how many callers sent a request after `since`, and how many of them sent several in all."""
+        """Return how many callers were active after `since`, and how many of them sent over one request in all."""
         request_counts = [requests for seen_at, requests in self.last_seen.values() if seen_at > since]
         return len(request_counts), sum(requests > 1 for requests in request_counts)
--- a/marlstep/admission/capacity.py
+++ b/marlstep/admission/capacity.py
@@ -18,7 +18,7 @@
 
 
 def survivable_concurrency(cores: int, overload_factor: float, warm_share: float, portion: float) -> float:
-    """Return how many requests may be on the cores at once without overloading the server.
+    """Return how many requests may be on the cores at once without the server crashing from overload.
 
     A warm server survives `overload_factor` requests per core. During warm-up it survives fewer, but always
     one per core. A process that shares the server may use only its portion.
--- a/marlstep/admission/controller_state.py
+++ b/marlstep/admission/controller_state.py
@@ -121,7 +121,7 @@
         self._update_capacity()
 
     def add(self, entry: Entry, unread_us: int) -> None:
-        """Queue an arrival, and schedule a check at its objective or shortly before its deadline."""
+        """Queue an arrival; schedule a check past its objective or shortly before its deadline, the sooner one."""
         entry.deadline_at = min(entry.deadline_at, self.respond_by)
         self.callers.record(entry.caller, self.now)
         self.statistics.record_read_lag(unread_us)
@@ -188,7 +188,11 @@
         self.actions.append(KeepKey(entry.id, expires_at - self.now))
 
     def due_entries(self) -> Iterator[Entry]:
-        """Yield due requests; free their expired keys before, and drop those no longer recognised after."""
+        """Yield due requests.
+
+        Before a request is yielded, the memory of its expired key is no longer counted. Afterwards the request is
+        dropped if it has finished and its repeats are no longer recognised.
+        """
         while (entry := self.wakeups.pop_due(self.now, self.entries.is_current)) is not None:
             if 0 < entry.key_kept_until <= self.now:
                 self.entries.release_key_memory(entry)
--- a/marlstep/admission/deadlines.py
+++ b/marlstep/admission/deadlines.py
@@ -65,7 +65,7 @@
     """Return the latest arrival that a draining server without a successor may still run, in microseconds.
 
     Args:
-        noticed_at: When the drain was announced, in microseconds.
-        drain_grace_us: How long after the announcement arrivals may still be run, in microseconds.
+        noticed_at: When the shutdown notice arrived, in microseconds.
+        drain_grace_us: The grace period, in which arriving requests are still run, in microseconds.
     """
     return noticed_at + drain_grace_us
--- a/marlstep/admission/events.py
+++ b/marlstep/admission/events.py
@@ -109,7 +109,7 @@
     Attributes:
         stops_at: When its process is stopped.
         has_successor: Whether another process replaces it, so that late arrivals still run.
-        noticed_at: When the drain was announced, if that was before this event; else 0.
+        noticed_at: When the shutdown notice arrived, if that was before this event; else 0.
     """
 
     stops_at: int
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -7,8 +7,9 @@
 from marlstep.admission.controller_state import ControllerState
 from marlstep.admission.entry import Entry, State
 
-MAX_QUEUE_MEMORY_FRACTION = 0.8  # of memory, limit for queueing arrivals; the rest is for starts
-MAX_MEMORY_FRACTION = 0.95  # of memory, limit for starts; the rest is for attached repeats
+# Of memory, limit for queueing arrivals; the rest is for starts and attached repeats.
+MAX_QUEUE_MEMORY_FRACTION = 0.8
+MAX_MEMORY_FRACTION = 0.95  # of memory, limit for starts and for attaching repeats
 
 
 @dataclass(slots=True)
@@ -18,7 +19,7 @@
     state: ControllerState
 
     def fits(self, growth_kb: float) -> bool:
-        """Return whether memory allows a start that adds `growth_kb`, or a repeat to be attached."""
+        """Return whether memory allows a start that adds `growth_kb`, or with 0 the attachment of a repeat."""
         return self.state.entries.memory_kb + growth_kb <= MAX_MEMORY_FRACTION * self.state.memory_kb
 
     def could_ever_run(self, entry: Entry) -> bool:
--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -79,8 +79,8 @@
     def resume_unstopped(self) -> None:
         """Mark runs that have not stopped a tick after their preemption as running again.
 
-        Such a preemption did not take effect; until the run is counted as running, its core
-        would be left idle.
+        Such a preemption did not take effect; until the run is counted as running, its core would
+        be left idle.
         """
         for entry in self.state.entries.in_states(State.STOPPING):
             if self.state.now - entry.entered_state_at >= self.state.tick_us:
--- a/marlstep/admission/run_statistics.py
+++ b/marlstep/admission/run_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics of the time that runs take on the cores, and of the lag of reading requests."""
+"""Statistics of the time that runs take on the cores, and of the read lag of requests."""
 
 from __future__ import annotations
 
--- a/marlstep/admission/settings.py
+++ b/marlstep/admission/settings.py
@@ -141,7 +141,7 @@
         warm_up_us: Time after which a server that warms up has its full capacity.
         overload_concurrency_factor: Requests on the cores, per core, that a warm server survives.
         overload_duration_us: Time over which those requests are averaged.
-        drain_grace_us: How long after the announcement of a drain arrivals may still be run.
+        drain_grace_us: Grace period after a shutdown notice, in which arriving requests are still run.
         response_margin_us: How long after its due time a response still counts.
         tick_us: Precision of the server's timers.
         preemption_mode: What happens to a preempted run.
--- a/marlstep/admission/start_rules.py
+++ b/marlstep/admission/start_rules.py
@@ -36,7 +36,7 @@
     """Return whether the rules on draining, idempotency keys and effects allow a request to run.
 
     Requests that arrived after the drain's grace period never run. Intake rejects such arrivals; the check
-    here covers those queued before the drain was announced. Other paused runs may resume. A queued request
+    here covers those queued before the shutdown notice arrived. Other paused runs may resume. A queued request
     with an idempotency key runs only once its key is kept, so that retries find it. A queued request that has
     run before, and was dropped, may run again only if it is idempotent.
 
--- a/marlstep/core/counters.py
+++ b/marlstep/core/counters.py
@@ -11,7 +11,7 @@
 from marlstep.core.interfaces import Request, ResponseStatus
 
 ACCEPTED_COUNT = "read"  # requests that passed the intake checks and therefore get a response
-RUN_COUNT = "runs"  # requests started on their backend for the first time
+RUN_COUNT = "runs"  # runs started on their backend; the resumption of a paused run is not counted
 CALL_COUNT = "calls"  # downstream calls, each attempt counted
 DISCONNECTED_COUNT = "gone"  # requests whose client disconnected before the response
 NO_CONFIG_COUNT = "without rules"  # requests rejected because this node has no cluster configuration
@@ -42,7 +42,7 @@
         self.by_tenant = {name: self.by_tenant.get(name, Counter()) for name in tenants}
 
     def accepted_rejected_failed(self) -> tuple[int, int, int]:
-        """Return the number of requests accepted at intake, and of those how many were rejected and failed.
+        """Return how many requests were accepted at intake, how many of those were rejected, and how many failed.
 
         Expired requests count as failed.
         """
--- a/marlstep/core/drain.py
+++ b/marlstep/core/drain.py
@@ -1,4 +1,4 @@
-"""Shutdown of the core: a drain without a successor, or a hand-over to a successor in a hot restart."""
+"""Shutdown of the core: a drain without a successor, or a handover to a successor in a hot restart."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
     """Decides when the process stops, and until when arriving requests are run.
 
     A drain runs requests that arrive within a grace period, rejects those that arrive later, and responds to every
-    open request before the process is stopped. In a hand-over to a successor, all requests that still arrive at this
+    open request before the process is stopped. In a handover to a successor, all requests that still arrive at this
     process are run normally.
 
     Attributes:
         stops_at: when the process is stopped; None while no shutdown has begun.
         on_accepting_stopped: called when frontends have stopped accepting, after the grace period of a
-            drain or in a hand-over.
+            drain or in a handover.
     """
 
     def __init__(
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -156,7 +156,7 @@
     def submit(
         self, frontend: Frontend, response_handle: ResponseHandle, backend: Backend, inbound: InboundRequest
     ) -> int:
-        """Accept a request. An accepted request gets exactly one response, sent in a later turn of the event loop.
+        """Accept a request. An accepted request gets exactly one response, sent in a later iteration of the loop.
 
         Args:
             frontend: delivers the response.
@@ -174,7 +174,7 @@
         return self._intake.submit(frontend, response_handle, backend, inbound)
 
     def client_disconnected(self, handle: int) -> None:
-        """Settle a request without a response, as its client has disconnected. Ignored if it is settled already."""
+        """Settle a request without a response, as its client has disconnected. Ignored if it is settled or released."""
         request = self._requests.get(handle)
         if request is not None and not request.is_settled:
             self._counters.count(request, DISCONNECTED_COUNT)
@@ -337,7 +337,7 @@
         return self._controller.measurements().to_json()
 
     def adopt_measurements(self, measured: Mapping[str, object]) -> None:
-        """Initialize the controller from a sibling's measurements. Implausible values are ignored."""
+        """Pass a sibling's measurements to the controller, to start from. Implausible values are ignored."""
         self._events.post(Measurements.from_mapping(measured))
 
     def adopt_remote_key(self, key: IdempotencyKey, remote: KeyRecord) -> None:
@@ -380,7 +380,7 @@
 
     @property
     def on_accepting_stopped(self) -> Callable[[], None]:
-        """Callback for when frontends have stopped accepting, after a drain's grace period or in a hand-over."""
+        """Callback for when frontends have stopped accepting, after a drain's grace period or in a handover."""
         return self._shutdown.on_accepting_stopped
 
     @on_accepting_stopped.setter
--- a/marlstep/core/event_queue.py
+++ b/marlstep/core/event_queue.py
@@ -1,4 +1,4 @@
-"""A queue that batches the events for the admission controller by turn of the event loop."""
+"""A queue that batches the events for the admission controller by iteration of the event loop."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class EventQueue:
-    """Delivers all events posted in one turn of the event loop to the controller together, in order.
+    """Delivers all events posted in one iteration of the event loop to the controller together, in order.
 
-    Batching lets the controller compare all arrivals of a turn instead of deciding on the first alone, and ensures
-    that its actions never re-enter the code that posted an event.
+    Batching lets the controller compare all arrivals of an iteration instead of deciding on the first alone. It also
+    ensures that the controller's actions never re-enter the code that posted an event.
     """
 
     def __init__(self, timeline: TimerQueue, deliver: Callable[[list[Event]], None]) -> None:
@@ -20,14 +20,14 @@
 
         Args:
             timeline: schedules the delivery.
-            deliver: called in the turn after the one in which the events were posted, with all of them.
+            deliver: called in the iteration after the one in which the events were posted, with all of them.
         """
         self._timeline, self._deliver = timeline, deliver
         self._events: list[Event] = []
         self._is_scheduled = False
 
     def post(self, event: Event) -> None:
-        """Add an event to the batch of this turn."""
+        """Add an event to the batch of this iteration."""
         self._events.append(event)
         if not self._is_scheduled:
             self._is_scheduled = True
--- a/marlstep/core/idempotency.py
+++ b/marlstep/core/idempotency.py
@@ -1,6 +1,7 @@
 """Idempotency keys known to this node, which identify repeats of work whose effect must not happen twice.
 
-Entries are dropped when the work never ran, when a request whose key is not retained ends, or once they have expired.
+Entries are dropped when the work never ran, when a request whose key is not retained ends, or some time after their
+window has ended (`KeyRecord.droppable_at`).
 Three rules hold for every entry:
 
 - A key is looked up as of the time at which a request arrived, not the time at which it is read. An entry is therefore
--- a/marlstep/core/intake.py
+++ b/marlstep/core/intake.py
@@ -71,7 +71,7 @@
         self._responses.track_response(request)
         self._counters.count(request, ACCEPTED_COUNT)
         if self.accepts_work is not None and not self.accepts_work():
-            # Reject in a later turn of the event loop, as the frontend doesn't have the handle yet.
+            # Reject in a later iteration of the event loop, as the frontend doesn't have the handle yet.
             self._timeline.soon(lambda: self._reject_without_config(request))
             return request.handle
         is_new_work = key is not None and prior is None
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -67,7 +67,7 @@
         loop = asyncio.get_running_loop()
 
         def handle_signal(*_: object) -> None:
-            # Runs as soon as the signal arrives, even if the loop is blocked: the grace counts from this time.
+            # Runs as soon as the signal arrives, even if the loop is blocked: the grace period counts from then.
             if not loop.is_closed():
                 loop.call_soon_threadsafe(self.drain, self._timeline.now())
 
@@ -78,11 +78,11 @@
         """Begin the graceful shutdown that SIGTERM requests.
 
         A process in standby exits at once, because its predecessor still serves. If a successor serves, this process
-        only finishes its requests. Otherwise the node drains: it runs requests that arrive within the grace, and
-        rejects later ones.
+        only finishes its requests. Otherwise the node drains: it runs requests that arrive within the grace
+        period, and rejects later ones.
 
         Args:
-            noticed_at: when the signal arrived, from which the grace counts; now if None.
+            noticed_at: when the signal arrived, from which the grace period counts; now if None.
         """
         now = noticed_at or self._timeline.now()
         for component in self._components.values():
@@ -102,7 +102,7 @@
         """Return the time from SIGTERM to the exit of a process whose successor serves.
 
         It is the longest deadline of all classes, at most `MAX_RESTART_DEADLINE`, plus a margin. A request with a later
-        deadline that has not finished shortly before the exit gets a response that states no outcome.
+        deadline that has not finished shortly before the exit is answered as expired, or as rejected if it never ran.
         """
         longest = max(span(request_class.deadline_us) for request_class in self._config().settings.classes)
         return min(longest, MAX_RESTART_DEADLINE) + RESTART_DEADLINE_MARGIN
@@ -122,7 +122,7 @@
             self._naming.report_last()
 
     def _poll(self) -> None:
-        """Finish once all requests have responses and all connections are closed, or shortly before the stop time."""
+        """End once all responses are sent, connections closed and components idle, or shortly before the stop time."""
         core, now = self._core, self._timeline.now()
         out_of_time = core.stops_at is not None and now >= core.stops_at - EXIT_MARGIN
         if out_of_time or not self._is_busy():
--- a/marlstep/hot_restart/channel.py
+++ b/marlstep/hot_restart/channel.py
@@ -131,7 +131,7 @@
             self._schedule_tick()
 
     def unknown_process_connected(self, connection: PeerConnection) -> None:
-        """Handle an incoming connection whose first message can't be decoded: its process may be serving as well."""
+        """Handle an incoming connection without a valid Hello: its process may be serving as well."""
         if connection.role is PeerRole.SUCCESSOR:
             self.hot_restart.unknown_process_connected(self._timeline.now())
             self._schedule_tick()
--- a/marlstep/load_balancing/concurrency_limit.py
+++ b/marlstep/load_balancing/concurrency_limit.py
@@ -12,8 +12,8 @@
 from marlstep.load_balancing.latency_estimators import WindowedMinimum
 from marlstep.units import MILLISECOND, ZERO
 
-MIN_GRADIENT = 0.5  # one interval lowers the target to no less than half the limit plus the headroom
-MIN_UTILIZATION = 0.5  # peak requests in flight over the limit, from which the limit counts as in use
+MIN_GRADIENT = 0.5  # however slow the responses, the target is at least half the limit plus the headroom
+MIN_UTILIZATION = 0.5  # share of the limit that was in flight at the peak, for the limit to count as in use
 
 
 @dataclass(slots=True, frozen=True)
--- a/marlstep/load_balancing/outlier_detection.py
+++ b/marlstep/load_balancing/outlier_detection.py
@@ -58,7 +58,7 @@
     min_samples: float = 10.0  # decaying count of attempts below which the failure share is ignored
     base_ejection_time: timedelta = 2 * SECOND  # of the first ejection; doubles with each further one
     max_ejection_time: timedelta = 60 * SECOND
-    ejection_count_reset_after: timedelta = 60 * SECOND  # time in the state HEALTHY
+    ejection_count_reset_after: timedelta = 60 * SECOND  # time in the state HEALTHY that resets `ejections`
     slow_start_time: timedelta = 10 * SECOND
     min_slow_start_weight: float = 0.1  # share of its full load that a server gets when slow start begins
 
--- a/marlstep/timer_queue.py
+++ b/marlstep/timer_queue.py
@@ -80,8 +80,8 @@
     def after_reading(self, callback: Callable[[], None]) -> None:
         """Call back once all data that has arrived by now has been read.
 
-        An event loop runs its timers before it reads. A request or call that a late timer would time out may thus have
-        data waiting that arrived in time.
+        An event loop runs its timers before it reads. A late timer could thus time out a request or call whose data has
+        arrived in time, but has not been read yet.
         """
         self.soon(lambda: self.soon(callback))
 
