--- a/marlstep/admission/call_policy.py
+++ b/marlstep/admission/call_policy.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 CALL_TIMEOUT_FACTOR = 5.0  # of the call duration; an attempt that can be retried is abandoned after this time
-# Of the allowed mean of calls in flight; for the reserve's capacity and its refill each.
+# Of the allowed mean of calls in flight; the rate of the reserve, from which its capacity follows.
 CALL_RESERVE_FRACTION = 0.5
 MAX_CALL_ATTEMPTS = 3  # per step of a request
 MAX_CALL_ATTEMPTS_NEVER_RAN = 6  # per step, if the run cannot continue without the call
--- a/marlstep/admission/caller_activity.py
+++ b/marlstep/admission/caller_activity.py
@@ -4,7 +4,8 @@
 
 from marlstep.admission.timing import SECOND_US
 
-RETENTION_FACTOR = 5  # of an advertised value's lifetime plus a second; inactive callers are dropped after it
+# Inactive callers are dropped after this multiple of an advertised value's lifetime plus a second.
+RETENTION_FACTOR = 5
 
 
 class CallerActivity:
@@ -24,7 +25,7 @@
         self.last_seen.pop(caller, None)
 
     def forget_inactive(self, now: int, load_signal_lifetime_us: int) -> None:
-        """Drop callers that sent no request for `RETENTION_FACTOR` lifetimes of an advertised value."""
+        """Drop callers inactive for `RETENTION_FACTOR` times an advertised value's lifetime plus a second."""
         since = now - RETENTION_FACTOR * (load_signal_lifetime_us + SECOND_US)
         self.last_seen = {
             caller: (seen_at, requests)
@@ -33,6 +34,6 @@
         }
 
     def count(self, since: int) -> tuple[int, int]:
-        """Return how many callers were active after `since`, and how many of them sent over one request in all."""
+        """Return how many callers were active after `since`, and how many of these sent several requests."""
         request_counts = [requests for seen_at, requests in self.last_seen.values() if seen_at > since]
         return len(request_counts), sum(requests > 1 for requests in request_counts)
--- a/marlstep/admission/capacity.py
+++ b/marlstep/admission/capacity.py
@@ -1,4 +1,4 @@
-"""The concurrency that a server survives, and the part of it that one process may use."""
+"""The concurrency that a server survives, and the portion of it that one process may use."""
 
 from __future__ import annotations
 
--- a/marlstep/admission/controller_state.py
+++ b/marlstep/admission/controller_state.py
@@ -34,7 +34,7 @@
         actions: Actions of the current turn.
         portion: Portion of the server that this process uses; below 1 while another one serves beside it.
         memory_kb: Memory that this process may use.
-        max_concurrency: Requests on the cores that this process's portion of the server survives.
+        max_concurrency: How many requests on the cores this process's portion of the server survives.
         last_runnable_arrival_at: Requests that arrive later are not run; `NEVER` unless the server drains.
         respond_by: Time by which all responses must be given; `NEVER` until a `Drain`, with or without a
             successor.
@@ -121,7 +121,7 @@
         self._update_capacity()
 
     def add(self, entry: Entry, unread_us: int) -> None:
-        """Queue an arrival; schedule a check past its objective or shortly before its deadline, the sooner one."""
+        """Queue an arrival, and schedule a check past its objective or before its deadline, if that is sooner."""
         entry.deadline_at = min(entry.deadline_at, self.respond_by)
         self.callers.record(entry.caller, self.now)
         self.statistics.record_read_lag(unread_us)
@@ -190,8 +190,8 @@
     def due_entries(self) -> Iterator[Entry]:
         """Yield due requests.
 
-        Before a request is yielded, the memory of its expired key is no longer counted. Afterwards the request is
-        dropped if it has finished and its repeats are no longer recognised.
+        An expired key of a request stops counting as memory before the request is yielded. Afterwards the
+        request is dropped if it has finished and its repeats are no longer recognised.
         """
         while (entry := self.wakeups.pop_due(self.now, self.entries.is_current)) is not None:
             if 0 < entry.key_kept_until <= self.now:
--- a/marlstep/admission/downstream_calls.py
+++ b/marlstep/admission/downstream_calls.py
@@ -67,7 +67,7 @@
             self._skip_or_fail(entry)
 
     def _has_capacity(self, calls_in_flight: int) -> bool:
-        """Return whether the concurrency that the server survives and the call reserve allow one more call."""
+        """Return whether the server's maximum concurrency and the call reserve allow one more call."""
         if calls_in_flight + 1 > self.state.max_concurrency:
             return False
         reserve = self.state.call_reserve
--- a/marlstep/admission/idle_timeout.py
+++ b/marlstep/admission/idle_timeout.py
@@ -13,7 +13,7 @@
         in_use: Number of unfinished requests, each of which holds a connection.
         is_busy: Whether the cores are busy.
         cores: Number of cores of the server.
-        max_concurrency: Runs on the cores that the server survives.
+        max_concurrency: How many runs on the cores the server survives.
     """
     idle = in_use + cores if is_busy else max_concurrency
     return in_use + idle
--- a/marlstep/admission/memory_ledger.py
+++ b/marlstep/admission/memory_ledger.py
@@ -19,7 +19,7 @@
     state: ControllerState
 
     def fits(self, growth_kb: float) -> bool:
-        """Return whether memory allows a start that adds `growth_kb`, or with 0 the attachment of a repeat."""
+        """Return whether memory allows a start that adds `growth_kb`, or, with 0, attaching a repeat."""
         return self.state.entries.memory_kb + growth_kb <= MAX_MEMORY_FRACTION * self.state.memory_kb
 
     def could_ever_run(self, entry: Entry) -> bool:
--- a/marlstep/admission/retry_advisor.py
+++ b/marlstep/admission/retry_advisor.py
@@ -14,7 +14,8 @@
 MIN_CREDIT_CHANGE_FRACTION = 0.1  # of the advertised value; a smaller change is not advertised
 # Credit without overload, in requests per kilobyte of memory: more than any caller sends.
 IDLE_CREDIT_PER_KB = 0.8
-CALLER_ACTIVITY_US = 2 * SECOND_US  # after the lifetime of an advertised value; then a caller is inactive
+# Added to the lifetime of an advertised value; a caller without a request for longer is inactive.
+CALLER_ACTIVITY_US = 2 * SECOND_US
 
 
 def active_callers(seen: int, seen_again: int, expected: int) -> int:
--- a/marlstep/admission/start_rules.py
+++ b/marlstep/admission/start_rules.py
@@ -14,7 +14,7 @@
     survives. One run is always allowed, however small this process's portion of the server.
 
     Args:
-        max_concurrency: Runs on the cores that this process's portion of the server survives.
+        max_concurrency: How many runs on the cores this process's portion of the server survives.
     """
     return max(MAX_CONCURRENCY_FRACTION * max_concurrency, 1.0)
 
@@ -36,9 +36,9 @@
     """Return whether the rules on draining, idempotency keys and effects allow a request to run.
 
     Requests that arrived after the drain's grace period never run. Intake rejects such arrivals; the check
-    here covers those queued before the shutdown notice arrived. Other paused runs may resume. A queued request
-    with an idempotency key runs only once its key is kept, so that retries find it. A queued request that has
-    run before, and was dropped, may run again only if it is idempotent.
+    here covers those queued before the shutdown notice arrived. Other paused runs may resume. A queued
+    request with an idempotency key runs only once its key is kept, so that retries find it. A queued request
+    that has run before, and was dropped, may run again only if it is idempotent.
 
     Args:
         entry: The queued or paused request.
--- a/marlstep/drain.py
+++ b/marlstep/drain.py
@@ -63,7 +63,7 @@
         return next((state for state in states if state is not None), None)
 
     def handle_signals(self) -> None:
-        """Install handlers that drain the node at SIGTERM and SIGINT."""
+        """Install handlers that begin the graceful shutdown at SIGTERM and SIGINT."""
         loop = asyncio.get_running_loop()
 
         def handle_signal(*_: object) -> None:
--- a/marlstep/hot_restart/resource_sharing.py
+++ b/marlstep/hot_restart/resource_sharing.py
@@ -37,7 +37,8 @@
         """The share, 0 to 1, that this process may use.
 
         Rule: the whole share that it owns. Exceptions: with a successor at most half of the share of both, because the
-        rest is to be granted; while it hands over at most the share that its requests in flight may need.
+        rest is to be granted; while it hands over at most the share that its requests in flight may need, but
+        not less than `MIN_DRAINING_SHARE` for that reason.
         """
         combined_share = self._owned_share + self._granted_share
         limit_beside_successor = combined_share * HALF_SHARE if self._has_successor else FULL_SHARE
