--- a/marlstep/admission/controller_state.py
+++ b/marlstep/admission/controller_state.py
@@ -121,7 +121,7 @@
         self._update_capacity()
 
     def add(self, entry: Entry, unread_us: int) -> None:
-        """Queue an arrival, and schedule a check past its objective or before its deadline, if that is sooner."""
+        """Queue an arrival, and schedule a check past its objective or, if sooner, before its deadline."""
         entry.deadline_at = min(entry.deadline_at, self.respond_by)
         self.callers.record(entry.caller, self.now)
         self.statistics.record_read_lag(unread_us)
--- a/marlstep/core/engine.py
+++ b/marlstep/core/engine.py
@@ -156,7 +156,7 @@
     def submit(
         self, frontend: Frontend, response_handle: ResponseHandle, backend: Backend, inbound: InboundRequest
     ) -> int:
-        """Accept a request. An accepted request gets exactly one response, sent in a later iteration of the loop.
+        """Accept a request. An accepted request gets exactly one response, in a later iteration of the event loop.
 
         Args:
             frontend: delivers the response.
