--- a/marlstep/admission/controller_state.py
+++ b/marlstep/admission/controller_state.py
@@ -34,7 +34,7 @@
         actions: Actions of the current turn.
         portion: Portion of the server that this process uses; below 1 while another one serves beside it.
         memory_kb: Memory that this process may use.
-        max_concurrency: Requests on the cores that this process's portion of the server survives.
+        max_concurrency: How many requests on the cores this process's portion of the server survives.
         last_runnable_arrival_at: Requests that arrive later are not run; `NEVER` unless the server drains.
         respond_by: Time by which all responses must be given; `NEVER` until a `Drain`, with or without a
             successor.
@@ -121,7 +121,7 @@
         self._update_capacity()
 
     def add(self, entry: Entry, unread_us: int) -> None:
-        """Queue an arrival, and schedule a check at its objective or shortly before its deadline."""
+        """Queue an arrival, and schedule a check past its objective or, if sooner, before its deadline."""
         entry.deadline_at = min(entry.deadline_at, self.respond_by)
         self.callers.record(entry.caller, self.now)
         self.statistics.record_read_lag(unread_us)
@@ -188,7 +188,11 @@
         self.actions.append(KeepKey(entry.id, expires_at - self.now))
 
     def due_entries(self) -> Iterator[Entry]:
-        """Yield due requests; free their expired keys before, and drop those no longer recognised after."""
+        """Yield due requests.
+
+        An expired key of a request stops counting as memory before the request is yielded. Afterwards the
+        request is dropped if it has finished and its repeats are no longer recognised.
+        """
         while (entry := self.wakeups.pop_due(self.now, self.entries.is_current)) is not None:
             if 0 < entry.key_kept_until <= self.now:
                 self.entries.release_key_memory(entry)
