--- a/marlstep/cluster/config_orders.py
+++ b/marlstep/cluster/config_orders.py
@@ -27,9 +27,8 @@
 
 log = logging.getLogger(__name__)
 
-GROUP_UNKNOWN = (
-    "not known, as the group was not heard"  # shown if the differences from the group's version are unknown
-)
+# Shown if the differences from the group's version are unknown.
+GROUP_UNKNOWN = "not known, as the group was not heard"
 Arguments = Mapping[str, Any]  # arguments of an order, parsed from JSON
 
 
--- a/marlstep/cluster/config_quotas.py
+++ b/marlstep/cluster/config_quotas.py
@@ -34,7 +34,7 @@
         """Apply the shares of the latest heartbeat response and report reductions."""
         holder = self._context.client.holder
         for tenant, reduced_to in self._lease.update(holder.quota_shares):
-            self._apply(tenant)  # before the report: afterwards another node may use the released part
+            self._apply(tenant)  # before the report: afterwards another node may use the released portion
             self._report_reduction(now, tenant, holder.name, reduced_to)
         for tenant in self._lease.shares:
             self._apply(tenant)
--- a/marlstep/cluster/config_status.py
+++ b/marlstep/cluster/config_status.py
@@ -25,7 +25,7 @@
     version: int  # the version that this node acts on
     active_version: int | None  # the group's, as last reported to this node
     prepared_version: int | None
-    differences_from_group: list[str] | None  # None unless the document is pinned
+    differences_from_group: list[str] | None  # None if not pinned, or if the group's content is unknown
     differences_from_files: list[str]
 
     def to_json(self) -> dict[str, Any]:
--- a/marlstep/cluster/file_identity.py
+++ b/marlstep/cluster/file_identity.py
@@ -12,9 +12,8 @@
 import os
 from pathlib import Path
 
-FS_IOC_GETVERSION = (
-    0x80087601  # ioctl that returns the inode's generation, which grows when the number is reused
-)
+# ioctl that returns the inode's generation, which grows when the inode number is reused.
+FS_IOC_GETVERSION = 0x80087601
 GENERATION_BYTES = 4
 IOCTL_ARGUMENT_BYTES = 8  # a C long
 
--- a/marlstep/cluster/incoming_connection.py
+++ b/marlstep/cluster/incoming_connection.py
@@ -53,7 +53,7 @@
         self._first_frame_deadline = self._timeline.at(due, self._on_first_frame_timeout)
 
     def _on_first_frame_timeout(self) -> None:
-        self._drops.record("silent", "expected a complete frame in time")
+        self._drops.record("silent", "no complete frame received before the timeout")
         self.abort()
 
     def data_received(self) -> None:
--- a/marlstep/cluster/interfaces.py
+++ b/marlstep/cluster/interfaces.py
@@ -136,10 +136,10 @@
         """Reduce each tenant's quota to the lowest of all versions that were in force on this node."""
 
     def request_counts(self) -> RequestCounts:
-        """Return the numbers of requests that were received, rejected, and failed or late."""
+        """Return the numbers of requests accepted at intake, and of those: rejected, and failed or late."""
 
     def tenant_counts(self) -> dict[str, int]:
-        """Return the number of requests received from each tenant that has a quota."""
+        """Return the number of requests accepted at intake of each tenant that has a quota."""
 
     def set_quota_share(self, tenant: str, share: float) -> None:
         """Set the tenant's quota on this node to a share, from 0 to 1, of the quota of all nodes."""
--- a/marlstep/cluster/lease_driver.py
+++ b/marlstep/cluster/lease_driver.py
@@ -34,7 +34,7 @@
             turns: Schedules a turn of the node.
             sender: Sends heartbeats and commands.
             work_leases: Returns the names of the leases for tasks and pools.
-            config_lease: The name of the lease for replicated documents; None if the node follows none.
+            config_lease: The name of the configuration lease; None if the node follows no documents.
 
         """
         self._context, self._turns, self._sender = context, turns, sender
@@ -83,7 +83,7 @@
     def release(self, now: datetime, keep: Sequence[str]) -> None:
         """Release all leases except those in `keep` while this process drains.
 
-        The lease on documents is not released but expires, because requests that arrive during the grace period
+        The configuration lease is not released but expires, because requests that arrive during the grace period
         after the drain notice still run.
         """
         client, holder = self._context.client, self._context.client.holder
--- a/marlstep/cluster/lifecycle.py
+++ b/marlstep/cluster/lifecycle.py
@@ -120,7 +120,7 @@
         try:
             port = await self._router.transport.listen_on_free_port(config.listen[0])
         except OSError as error:
-            log.warning("fleet: no port to follow documents through the predecessor error=%s", error)
+            log.warning("fleet: no free port to receive documents through the predecessor error=%s", error)
             return
         self._router.set_address(config.node, config.listen)
         self._context.process.relay_port = port
@@ -164,8 +164,8 @@
         if not self._context.capabilities.transfers_leases and not busy_leases:
             self._leave()  # no other node can be reached to take over
             return
-        # Leadership is transferred last: a new leader first waits to hear from all nodes, which would delay the
-        # release of leases.
+        # Leadership is transferred last: a new leader grants no leases until all nodes had time to send a heartbeat,
+        # and the released leases would stay free for that time.
         client = self._context.client
         is_settled = client.holder.leaving and client.is_idle
         if leads_others and is_settled and now >= self._next_transfer_at:
--- a/marlstep/cluster/membership.py
+++ b/marlstep/cluster/membership.py
@@ -41,7 +41,7 @@
         self._membership.handle_datagram(data)
 
     def error_received(self, _error: Exception) -> None:
-        """Count an error of an address where no process listens. The failure detector notices missing Acks itself."""
+        """Count a datagram to an address where no process listens; the failure detector notices the missing ack."""
         self._membership.counts["refused"] += 1
 
 
--- a/marlstep/cluster/outbound_peer.py
+++ b/marlstep/cluster/outbound_peer.py
@@ -19,10 +19,8 @@
 RING_SIZE = 64  # bytes; received data is discarded, and asyncio's transport buffers sent data
 MAX_QUEUED_FRAMES = 64  # while there is no connection; the oldest are dropped
 CONNECT_TIMEOUT = 1 * SECOND
-MIN_BACKOFF, MAX_BACKOFF = (
-    20 * MILLISECOND,
-    500 * MILLISECOND,
-)  # between connection attempts; the delay doubles
+# Delay between connection attempts; it doubles with each failed attempt.
+MIN_BACKOFF, MAX_BACKOFF = 20 * MILLISECOND, 500 * MILLISECOND
 WRITE_STALL_TIMEOUT = 1 * SECOND  # after this time a peer that does not read is disconnected
 
 
--- a/marlstep/cluster/replica_driver.py
+++ b/marlstep/cluster/replica_driver.py
@@ -33,12 +33,8 @@
 STORE_RETRY_DELAY = 1 * SECOND  # after the store could not be opened or written
 STORE_CLOSE_TIMEOUT = 1 * SECOND
 JOIN_INTERVAL = 300 * MILLISECOND
-NODE_MESSAGES = (
-    Heartbeat,
-    CommandRequest,
-    JoinRequest,
-    FetchChunk,
-)  # may be addressed to a node instead of a replica
+# Messages that may be addressed to a node instead of a replica.
+NODE_MESSAGES = (Heartbeat, CommandRequest, JoinRequest, FetchChunk)
 
 
 class ReplicaDriver:
--- a/marlstep/cluster/store.py
+++ b/marlstep/cluster/store.py
@@ -46,7 +46,7 @@
 class ReplicaStore:
     """The store of one replica.
 
-    Not thread-safe. After a StoreError the object must not be used any more.
+    All calls must come from one thread, one at a time. After a StoreError the object must not be used any more.
     """
 
     def __init__(self, folder: Path) -> None:
--- a/marlstep/cluster/task_driver.py
+++ b/marlstep/cluster/task_driver.py
@@ -107,9 +107,8 @@
 
     def _request(self, task: TaskConfig, runner: TaskRunner, action: RunnerAction, now: datetime) -> None:
         assert self._frontend is not None
-        if (
-            not self._context.capabilities.starts_tasks
-        ):  # the partition state changed while the run was being started
+        # The partition state may have changed while the run was being started.
+        if not self._context.capabilities.starts_tasks:
             runner.handle_result(now, action, Outcome.NOT_RUN)
             self._turns.schedule()
             return
--- a/marlstep/cluster/transport.py
+++ b/marlstep/cluster/transport.py
@@ -48,9 +48,8 @@
         self._max_incoming = INCOMING_PER_NODE * len(nodes) + INCOMING_SPARE
         self._peers = {name: self._peer_at(address) for name, address in nodes.items()}
         self._server: asyncio.Server | None = None
-        self._temporary_server: asyncio.Server | None = (
-            None  # used while another process has bound the address
-        )
+        # Used while another process has bound the address.
+        self._temporary_server: asyncio.Server | None = None
 
     @property
     def counts(self) -> Counter[str]:
--- a/marlstep/cluster/wire.py
+++ b/marlstep/cluster/wire.py
@@ -40,9 +40,8 @@
     wire_tag: ClassVar[str] = "Exchanged"
 
     sender: tuple[MemberRecord, ...] = field(metadata=wire("me", RECORDS))  # the sender's own record
-    answer: bool = field(
-        metadata=wire("answer", BOOLEAN)
-    )  # whether the receiver must send its records in return
+    # Whether the receiver must send its records in return.
+    answer: bool = field(metadata=wire("answer", BOOLEAN))
     records: tuple[MemberRecord, ...] = field(metadata=wire("records", RECORDS))
 
 
--- a/marlstep/components/base.py
+++ b/marlstep/components/base.py
@@ -18,9 +18,7 @@
 class StartPhase(enum.Enum):
     """When a component binds its address."""
 
-    BEFORE_SERVING = (
-        "before serving"  # before the node serves, so that it can report that it does not serve yet
-    )
+    BEFORE_SERVING = "before serving"  # so that it can report that the node does not serve yet
     WITH_CLIENTS = "with clients"  # with the clients of the kernel and the database, also in standby
     WITH_FRONTENDS = "with frontends"  # with the frontend for the platform
 
@@ -29,9 +27,8 @@
     """How this process reacts to SIGTERM; `marlstep.drain.DrainController.drain` implements it."""
 
     DRAIN = "drain"  # no other process takes over: the node drains
-    HAND_OVER = (
-        "hand over"  # a successor serves: this process stops accepting and finishes requests in flight
-    )
+    # A successor serves: this process stops accepting and finishes requests in flight.
+    HAND_OVER = "hand over"
 
 
 class RestartState(Protocol):
--- a/marlstep/components/cluster.py
+++ b/marlstep/components/cluster.py
@@ -19,9 +19,8 @@
     uwsgi = component if isinstance(component, UwsgiComponent) else None
     documents = None
     if config.cluster.replicated_config is not None:
-        from marlstep.components.config_documents import (
-            NodeConfigDocuments,
-        )  # loaded only if documents are configured
+        # Loaded only if documents are configured.
+        from marlstep.components.config_documents import NodeConfigDocuments
 
         documents = NodeConfigDocuments(host.config_reloader, host.core)
     cluster = ClusterNode(
--- a/marlstep/components/config_documents.py
+++ b/marlstep/components/config_documents.py
@@ -28,9 +28,8 @@
         self._overrides = governed_config.governed = DocumentOverrides()
         self._file_config = governed_config.config  # as in the configuration files
         self._versions: dict[str, int] = {}
-        self._lowest_quotas_per_s: dict[
-            str, float
-        ] = {}  # by tenant, of all versions that were in force on this node
+        # By tenant, the lowest of all versions that were in force on this node.
+        self._lowest_quotas_per_s: dict[str, float] = {}
 
     def local_content(self, kind: str) -> object:
         """Return the content of the node's own configuration files for a kind of document, as JSON."""
@@ -74,11 +73,11 @@
         self._lowest_quotas_per_s = {**quotas_per_s, **lowest}
 
     def request_counts(self) -> RequestCounts:
-        """Return the numbers of requests that were received, rejected, and failed or late."""
+        """Return the numbers of requests accepted at intake, and of those: rejected, and failed or late."""
         return RequestCounts(*self._core.request_counts)
 
     def tenant_counts(self) -> dict[str, int]:
-        """Return the number of requests received from each tenant that has a quota."""
+        """Return the number of requests accepted at intake of each tenant that has a quota."""
         core = self._core
         tenants_with_quota = [tenant.name for tenant in core.settings.tenants if tenant.quota_per_s]
         return {name: core.accepted_count(name) for name in tenants_with_quota}
--- a/marlstep/components/host.py
+++ b/marlstep/components/host.py
@@ -67,7 +67,7 @@
 
     @property
     def components(self) -> Mapping[str, Component]:
-        """All components that were made so far, by name."""
+        """All components that were created so far, by name."""
 
     def drain(self) -> None:
         """Start a graceful shutdown, as SIGTERM does."""
@@ -78,7 +78,7 @@
 
     @property
     def components(self) -> Mapping[str, Component]:
-        """All components that were made so far, by name."""
+        """All components that were created so far, by name."""
 
     @property
     def config_reloader(self) -> GovernedConfig:
--- a/marlstep/components/registry.py
+++ b/marlstep/components/registry.py
@@ -19,9 +19,8 @@
     """One component: whether a configuration enables it, and its factory."""
 
     is_enabled: Callable[[Config], bool]
-    make: Callable[
-        [ComponentHost, int], Component
-    ]  # arguments: the host, and the maximum number of connections of the node
+    # The arguments are the host and the maximum number of connections of the node.
+    make: Callable[[ComponentHost, int], Component]
 
 
 def _make_uwsgi(host: ComponentHost, max_connections: int) -> Component:
--- a/marlstep/consensus/replica.py
+++ b/marlstep/consensus/replica.py
@@ -130,7 +130,7 @@
         return raft_due if duties_due is None else min(raft_due, duties_due)
 
     def transfer_leadership(self) -> str | None:
-        """Transfer the leadership; return the identity of the target, or None if no voter has all entries."""
+        """Transfer the leadership; return its target, or None if not leading or if no other voter is ready."""
         return self.raft.transfer_leadership()
 
     def _handle_heartbeat(self, now: datetime, sender: str, heartbeat: Heartbeat) -> None:
@@ -142,7 +142,7 @@
         self.duties.handle_heartbeat(now, heartbeat)
 
     def _handle_fetch_chunk(self, sender: str, request: FetchChunk) -> None:
-        """Send a chunk of a configuration document to a node that holds no log."""
+        """Send a chunk of a configuration document to the process that requested it, a voter's or another node's."""
         if self.config_store is None or not self.raft.is_established_leader:
             return
         content = self.config_store.content(request.name, request.version)
--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -1,8 +1,8 @@
 """The leader's side of leases: when each lease expires, and which process is granted it next.
 
-This state is not in the log. A new leader restarts the full term of every held lease when it is elected. It responds to
-a heartbeat only after a majority has confirmed its leadership since the heartbeat arrived. So no other leader can have
-started to count a lease's term before the holder sent that heartbeat.
+This state is not in the log. A new leader counts a full term of every held lease from the time at which it starts these
+duties. A leader responds to a heartbeat only after a majority has confirmed its leadership since the heartbeat arrived.
+So every later leader starts to count a lease's term only after the holder has sent that heartbeat.
 """
 
 from __future__ import annotations
@@ -59,9 +59,8 @@
         self._response_sequence = 0
         self._drift_monitor = ClockDriftMonitor(settings.drift)
         self._eligible_nodes: frozenset[str] | None = None  # nodes that may hold task leases; None: all
-        self.detected_drifts: list[
-            tuple[str, float]
-        ] = []  # holder and relative clock error; the caller reads and clears the list
+        # Holder and relative clock error; the caller reads and clears the list.
+        self.detected_drifts: list[tuple[str, float]] = []
         self._grants_due = False  # something changed that may allow a grant
 
     # Leadership.
@@ -208,7 +207,7 @@
             yield lease
 
     def push_to_all(self, heartbeat_round: int) -> None:
-        """Push a response to each process with a config lease, to deliver changes before its next heartbeat."""
+        """Push a response to each process with a configuration lease, to deliver changes before its next heartbeat."""
         for name, lease in self.table.leases.items():
             if is_config_lease(name) and lease.holder:
                 self.push_to(lease.holder, heartbeat_round)
--- a/marlstep/leases/messages.py
+++ b/marlstep/leases/messages.py
@@ -54,9 +54,9 @@
 class RequestCounts(NamedTuple):
     """Counts of the requests of one process since it started."""
 
-    read: int = 0
-    refused: int = 0  # requests read and then rejected
-    failed: int = 0  # requests read that failed or got a late response
+    read: int = 0  # requests accepted at intake
+    refused: int = 0  # of those, rejected
+    failed: int = 0  # of those, failed or late
 
 
 NO_REQUESTS = RequestCounts()
@@ -198,7 +198,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HeartbeatResponse:
-    """The response to a heartbeat; the leader's response names all leases that the process holds.
+    """The response to a heartbeat; the leader's response names the leases on which the process may continue to act.
 
     Responses are ordered by term and sequence. One that arrives after a later one is ignored.
     """
--- a/marlstep/leases/names.py
+++ b/marlstep/leases/names.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 SEPARATOR = "/"
-# A process may use replicated configuration only while it holds a lease with this prefix (a config lease).
+# A process may use replicated configuration only while it holds a lease with this prefix: its configuration lease.
 CONFIG_LEASE_PREFIX = "rules/"
 
 
--- a/marlstep/leases/settings.py
+++ b/marlstep/leases/settings.py
@@ -26,8 +26,8 @@
 
     term: timedelta = 3 * SECOND
     drift: float = 0.01  # largest tolerated error of any clock, as a fraction of true time
-    max_per_node: int = 0  # maximum number of task leases of one node; 0: no limit
-    config_term: timedelta = ZERO  # term of config leases; zero: there are none
+    max_per_node: int = 0  # maximum number of task leases of one process of a node; 0: no limit
+    config_term: timedelta = ZERO  # term of configuration leases; zero: there are none
 
     def term_of(self, name: str) -> timedelta:
         """Return the term of the named lease."""
--- a/marlstep/leases/table.py
+++ b/marlstep/leases/table.py
@@ -118,11 +118,11 @@
         self._adjust_count(command.name, previous_holder, -1)
         lease.previous_node, lease.holder = lease.node, ""
         if is_config_lease(command.name):
-            del self.leases[command.name]  # its only holder does not want it again
+            del self.leases[command.name]  # it belongs to one process, which does not want it again
         return LeaseEnded(previous_holder)
 
     def _adjust_count(self, name: str, holder: str, change: int) -> None:
-        """Adjust the holder's number of task leases; config leases are not counted."""
+        """Adjust the holder's number of task leases; configuration leases are not counted."""
         if not is_config_lease(name):
             self.held_counts[holder] += change
             if not self.held_counts[holder]:
--- a/marlstep/membership/membership_state.py
+++ b/marlstep/membership/membership_state.py
@@ -19,7 +19,7 @@
 from marlstep.membership.state_exchange import StateExchanger
 from marlstep.membership.suspicion import SuspicionTimeouts
 
-# An earlier process of the same name is overridden by one raise of the generation. Repeated raises mean that another
+# An earlier process of the same name is overridden by one raise of the generation. This many raises mean that another
 # live process uses the name.
 MAX_GENERATION_RAISES = 5
 MAX_EVENTS_KEPT = 256
--- a/marlstep/membership/partition_state.py
+++ b/marlstep/membership/partition_state.py
@@ -46,7 +46,7 @@
     starts_tasks: bool = field(metadata=wire("begins_tasks", BOOLEAN))
     # propose the first version of a document from a local file
     proposes_documents: bool = field(metadata=wire("proposes", BOOLEAN))
-    # probe ejected servers itself, since results of the elected prober cannot reach this node
+    # check ejected servers itself, since results of the pool's lease holder cannot reach this node
     checks_servers_itself: bool = field(metadata=wire("knocks_for_itself", BOOLEAN))
     # transfer leadership and leases before a shutdown, instead of stopping immediately
     transfers_leases: bool = field(metadata=wire("hands_over", BOOLEAN))
--- a/marlstep/membership/probing.py
+++ b/marlstep/membership/probing.py
@@ -28,8 +28,8 @@
 
     node: str
     number: int
-    indirect_at: datetime  # when other members are asked to ping the node
-    ends_at: datetime  # when the node is suspected
+    indirect_at: datetime  # when other members are asked to ping the node, if it has not acknowledged
+    ends_at: datetime  # when the node is suspected, if there is still no ack
     indirect_requests: int = 0  # members asked for an indirect probe; 1 if there were none to ask
     nacks: int = 0
 
--- a/marlstep/membership/quota_commands.py
+++ b/marlstep/membership/quota_commands.py
@@ -29,7 +29,7 @@
     names: tuple[str, ...]
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {"m": MACHINE, "do": "tenants", "names": list(self.names)}
 
 
@@ -42,7 +42,7 @@
     share: int
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {
             "m": MACHINE,
             "tenant": self.tenant,
@@ -61,7 +61,7 @@
     share: int
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {
             "m": MACHINE,
             "tenant": self.tenant,
@@ -80,7 +80,7 @@
     share: int
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {
             "m": MACHINE,
             "do": "gave",
@@ -135,7 +135,7 @@
     count: int
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"tenants": self.count}
 
 
@@ -147,7 +147,7 @@
     share: int
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"holder": self.holder, "part": self.share}
 
 
@@ -159,7 +159,7 @@
     holder: str = ""  # empty if the tenant, the process or the share was invalid
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         rejected: ResultJson = {"refused": self.reason}
         if self.holder:
             rejected["holder"] = self.holder
--- a/marlstep/membership/quota_lease.py
+++ b/marlstep/membership/quota_lease.py
@@ -53,7 +53,7 @@
 
 
 class QuotaLease:
-    """The shares that one process may use, valid as long as its lease on the configuration."""
+    """The shares that one process may use, valid as long as it holds its configuration lease."""
 
     def __init__(self) -> None:
         """Initialize without shares."""
--- a/marlstep/membership/quota_table.py
+++ b/marlstep/membership/quota_table.py
@@ -2,8 +2,8 @@
 
 A tenant's allowance applies to the whole service. Shares are millionths of the allowance in the document version in
 force, and their sum never exceeds the whole allowance. A share grows only out of the free part. It shrinks when its
-process confirms that it uses less, or when the process's lease on the configuration ends. Until then the old share
-counts as used.
+process confirms that it uses less, or when the process's configuration lease ends. Until then the old share counts as
+used.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
         self.tenants: dict[str, dict[str, QuotaShare]] = {}  # shares by process
 
     def live_processes(self) -> list[str]:
-        """Return the processes that may have a share: those with a lease on the configuration."""
+        """Return the processes that may have a share: those with a configuration lease."""
         return [
             lease.holder
             for name, lease in self._leases.leases.items()
--- a/marlstep/membership/roster_commands.py
+++ b/marlstep/membership/roster_commands.py
@@ -38,7 +38,7 @@
     node: str
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {"m": MACHINE, "do": "admit", "node": self.node}
 
 
@@ -51,7 +51,7 @@
     blocked_by_operator: bool = False
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         if self.blocked_by_operator:
             return {"m": MACHINE, "do": "remove", "node": self.node, "held_off": True, "why": self.reason}
         return {"m": MACHINE, "do": "remove", "node": self.node, "why": self.reason}
@@ -64,7 +64,7 @@
     node: str
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {"m": MACHINE, "do": "readmit", "node": self.node}
 
 
@@ -75,7 +75,7 @@
     nodes: tuple[str, ...]
 
     def to_json(self) -> CommandJson:
-        """The command as the log stores it."""
+        """Return the command as stored in the log."""
         return {"m": MACHINE, "do": "believe", "nodes": list(self.nodes)}
 
 
@@ -115,7 +115,7 @@
     node: str
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"admitted": self.node}
 
 
@@ -126,7 +126,7 @@
     node: str
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"removed": self.node}
 
 
@@ -137,7 +137,7 @@
     node: str
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"readmitted": self.node}
 
 
@@ -148,7 +148,7 @@
     nodes: tuple[str, ...]
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"believed": list(self.nodes)}
 
 
@@ -159,7 +159,7 @@
     reason: str
 
     def to_json(self) -> ResultJson:
-        """The result as snapshots store it."""
+        """Return the result as stored in snapshots and sent to clients."""
         return {"refused": self.reason}
 
 
--- a/marlstep/membership/roster_controller.py
+++ b/marlstep/membership/roster_controller.py
@@ -1,8 +1,9 @@
 """The leader's part of the roster: decide which nodes to admit and which to remove.
 
 A node is removed only when a majority of the reporting nodes report it as failed and it no longer holds a lease. It is
-admitted again after a probation, which doubles with each recent removal. If too many nodes seem to fail at once, a
-wrong view of the leader is more likely, so removals are withheld until operators confirm them.
+admitted again after a probation, which doubles with each removal if the last one is recent. If too many nodes seem to
+fail at once, it is more likely that the leader's own view is wrong, so removals are withheld until operators confirm
+the failures.
 """
 
 from __future__ import annotations
@@ -24,8 +25,10 @@
 class RosterSettings:
     """Limits on changes of the roster."""
 
-    probation: timedelta = 2 * SECOND  # without removals; a node has to be healthy for so long to be admitted
-    probation_reset_after: timedelta = 600 * SECOND  # a removal longer ago does not lengthen the probation
+    # How long a node that was never removed has to be healthy before it is admitted.
+    probation: timedelta = 2 * SECOND
+    # Once the last removal of a node is this long ago, its probation is at most doubled, however often it was removed.
+    probation_reset_after: timedelta = 600 * SECOND
     max_failed_share: float = 0.3  # of the members; the guard withholds removals if more seem to fail at once
     guard_window: timedelta = 30 * SECOND  # removals within this time count as failures at once
 
--- a/marlstep/replicated_config/commands.py
+++ b/marlstep/replicated_config/commands.py
@@ -112,7 +112,7 @@
     document: str
     version: int
     digest: str
-    holder: str  # the process, as `node/process generation`
+    holder: str  # the process, as `node/process`
     rejection: str = ""  # empty: it can activate the version
 
     def to_json(self) -> CommandJson:
--- a/marlstep/replicated_config/documents.py
+++ b/marlstep/replicated_config/documents.py
@@ -102,7 +102,7 @@
     # Whether a rejection excludes the process that sent it, instead of withdrawing the version.
     may_exclude: bool = field(metadata=wire("hold_out", BOOLEAN))
     rollout: Rollout | None = field(metadata=wire("stage", optional(nested(Rollout))), default=None)
-    # The processes that can activate it, as `node/process generation`.
+    # The processes that can activate it, as `node/process`.
     acknowledgements: list[str] = field(metadata=wire("acked", list_of(TEXT)), default_factory=list)
     # The reason for the rejection, by process.
     rejections: dict[str, str] = field(metadata=wire("refused", OBJECT), default_factory=dict)
--- a/marlstep/replicated_config/errors.py
+++ b/marlstep/replicated_config/errors.py
@@ -77,7 +77,10 @@
 
 
 class ChunkOffsetError(CommandRejectedError):
-    """A chunk does not continue its upload; the proposer has to continue at the expected offset."""
+    """A chunk does not continue its upload, of which the chunks received so far are discarded.
+
+    The text names the offset at which the upload would have continued; the proposer has to start again at 0.
+    """
 
     def __init__(self, expected_offset: int) -> None:
         """Initialize the error with the expected offset, in characters."""
--- a/marlstep/replicated_config/rollout_plan.py
+++ b/marlstep/replicated_config/rollout_plan.py
@@ -21,7 +21,7 @@
 
 
 def node_of_process(process: str) -> str:
-    """Return the node of a process whose name has the form `node/process generation`."""
+    """Return the node of a process whose name has the form `node/process`."""
     return process.partition("/")[0]
 
 
@@ -34,7 +34,7 @@
         change: The new version; its document must not be strict.
         request: The nodes, or the share of the nodes, and the criteria that the operator requests.
         active_version: Number of the active version, with which the new one is compared; 0: none.
-        live_processes: Processes with a live configuration lease, as `node/process generation`.
+        live_processes: Processes with a live configuration lease, as `node/process`.
 
     Raises:
         RolloutRejectedError: A rollout is not possible for this document or with the live nodes.
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -3,8 +3,8 @@
     prepare (compare-and-set) ──▶ prepared ──acknowledged by every live process──▶ committed: active
                                      └──rejected by a process, or withdrawn──▶ withdrawn
 
-If a version has a canary rollout, then once all processes have acknowledged it, it is active only on the nodes of the
-rollout until it is promoted to all nodes or withdrawn.
+A version with a canary rollout becomes active, once all processes have acknowledged it, only on the nodes of the
+rollout. Later it is promoted to all nodes or withdrawn.
 
 The lease table on the same log determines which processes are live. A process that starts while a version is prepared
 has to acknowledge it as well. A process whose configuration lease has expired does not, as it no longer uses any
@@ -96,7 +96,7 @@
     # Queries of the state.
 
     def live_processes(self) -> list[str]:
-        """Return the processes with a live configuration lease, as `node/process generation`."""
+        """Return the processes with a live configuration lease, as `node/process`."""
         return [
             lease.holder
             for name, lease in self._table.leases.items()
--- a/marlstep/scheduled_tasks/runner.py
+++ b/marlstep/scheduled_tasks/runner.py
@@ -3,9 +3,9 @@
     inspect ──▶ (may be in flight) ──▶ fence ──▶ settle ──▶ record the fence ──▶ repeat an open idempotent run
       └──────▶ idle ──due──▶ begin ──▶ execute ──▶ end ──▶ idle ◀──────────────────┘ (or leave it as "may have run")
 
-A fence request gives the server the new token, so that it refuses requests that arrive later with an older one. Once
-the task's timeout has passed, the requests that it started before the fence have ended too. A run is executed only if
-its whole timeout, and a margin, remain of the lease.
+A fence request gives the server the new token, so that the server refuses later requests with an older one. Requests
+that the server started before the fence have ended once the task's timeout has passed after it. A run is executed only
+if at least its whole timeout and a margin remain of the lease.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
         self._action_in_flight, self._not_before, self._begin_unconfirmed = False, None, False
 
     def lease_lost(self) -> None:
-        """Stop. A request in flight continues until its timeout, but its outcome can no longer be recorded."""
+        """Stop. A request in flight continues until its timeout; its outcome can't be recorded under this token."""
         self.state, self.token, self._action_in_flight = RunnerState.NOT_HELD, 0, False
 
     @property
