--- a/marlstep/cluster/recovery.py
+++ b/marlstep/cluster/recovery.py
@@ -57,10 +57,11 @@
 
 
 def recover_group(folder: Path, node: str, group: str) -> RecoveredGroup:
-    """Create the group `group` whose only member is this replica, from the whole content of its store.
+    """Create the group `group` whose only member is this replica, from the leases and task runs in its store.
 
-    The stores of the other replicas still belong to the previous group. Fencing tokens continue far above the known
-    ones, because log entries that only the other replicas had may have issued some.
+    All entries of the store's log count, committed or not. Replicated documents, the roster and quota shares are not
+    carried over. The stores of the other replicas still belong to the previous group. Fencing tokens continue far above
+    the known ones, because log entries that only the other replicas had may have issued some.
 
     Raises:
         StoreError: the store can't be read or written.
@@ -91,7 +92,10 @@
 
 
 def _snapshot_of_whole_log(identity: str, state: PersistentState) -> tuple[Snapshot, int]:
-    """Return a snapshot of the whole log, including uncommitted entries, and the last fencing token in it."""
+    """Return a snapshot of leases and task runs after the whole log, and the last fencing token in it.
+
+    Uncommitted entries are included.
+    """
     leases = LeaseTable()
     machines = StateMachines({"leases": leases, "tasks": RunLog(leases)})
     if state.snapshot.data:
--- a/marlstep/consensus/state_machine.py
+++ b/marlstep/consensus/state_machine.py
@@ -43,7 +43,10 @@
 
 
 class InvalidCommandError(MarlstepError, ValueError):
-    """A command that a state machine cannot apply. It has not changed the state."""
+    """A command that a state machine cannot apply.
+
+    It is without effect, except that the machine may have updated state that it updates for every command.
+    """
 
     def __repr__(self) -> str:
         """Return the text of a ValueError: it is part of replicated results and must not depend on the class name."""
@@ -65,7 +68,7 @@
         """Apply a command and return its result.
 
         Raises:
-            ValueError, KeyError, TypeError: The command is malformed; the state has not changed.
+            ValueError, KeyError, TypeError: The command is malformed and without effect (see `InvalidCommandError`).
         """
 
     def snapshot(self) -> object:
--- a/marlstep/replicated_config/rollout_plan.py
+++ b/marlstep/replicated_config/rollout_plan.py
@@ -57,7 +57,10 @@
 
 
 def _sample_nodes(live_nodes: Sequence[str], share: float | None, seed: str) -> list[str]:
-    """Choose a share of the nodes by a hash, so that all replicas choose the same ones, and others for each version."""
+    """Choose a share of the nodes by a hash, so that all replicas choose the same ones.
+
+    The hash contains the document's name and active version (`seed`), so the choice changes with it.
+    """
     required_share = _required("share", share)
     if not 0 < required_share < 1:
         raise InvalidRolloutShareError
