--- a/marlstep/replicated_config/rollout_plan.py
+++ b/marlstep/replicated_config/rollout_plan.py
@@ -21,7 +21,7 @@
 
 
 def node_of_process(process: str) -> str:
-    """Return the node of a process whose name has the form `node/process generation`."""
+    """Return the node of a process whose name has the form `node/process`."""
     return process.partition("/")[0]
 
 
@@ -34,7 +34,7 @@
         change: The new version; its document must not be strict.
         request: The nodes, or the share of the nodes, and the criteria that the operator requests.
         active_version: Number of the active version, with which the new one is compared; 0: none.
-        live_processes: Processes with a live configuration lease, as `node/process generation`.
+        live_processes: Processes with a live configuration lease, as `node/process`.
 
     Raises:
         RolloutRejectedError: A rollout is not possible for this document or with the live nodes.
@@ -57,7 +57,10 @@
 
 
 def _sample_nodes(live_nodes: Sequence[str], share: float | None, seed: str) -> list[str]:
-    """Choose a share of the nodes by a hash, so that all replicas choose the same ones, and others for each version."""
+    """Choose a share of the nodes by a hash, so that all replicas choose the same ones.
+
+    The hash contains the document's name and active version (`seed`), so the choice changes with it.
+    """
     required_share = _required("share", share)
     if not 0 < required_share < 1:
         raise InvalidRolloutShareError
