--- a/benchmarks/mixed/fleet_scenarios.py
+++ b/benchmarks/mixed/fleet_scenarios.py
@@ -148,9 +148,8 @@
     await run.odd.start(run.odd_version)
     for node in run.majority:
         await node.start(run.majority_version)
-    run.versions = dict.fromkeys(
-        DOCUMENTS, 1
-    )  # the first version of each document is that of the nodes' files
+    # Version 1 of each document has the content of the nodes' files.
+    run.versions = dict.fromkeys(DOCUMENTS, 1)
     await run.wait_converged()
     await run.wait_holders(run.nodes)
 
--- a/benchmarks/mixed/server_process.py
+++ b/benchmarks/mixed/server_process.py
@@ -147,7 +147,7 @@
 
     @property
     def ended_by_itself(self) -> bool:
-        """Whether the process exited although none of the signals here was sent to it."""
+        """Whether the process exited although `send_signal` was not called."""
         return self._process is not None and not self.running and not self.ended_on_purpose
 
     async def state(self) -> str:
--- a/benchmarks/mixed/upgrade_site.py
+++ b/benchmarks/mixed/upgrade_site.py
@@ -24,9 +24,9 @@
 
 
 def platform_config(checkout: Path) -> JsonObject:
-    """Return the deployment's configuration, with the load's classes that it lacks added.
+    """Return the deployment's configuration, extended by the classes of the load that it does not have.
 
-    An added class is of the kind whose repeats share the result of the first attempt.
+    In the added classes a repeat gets the result of the first attempt.
     """
     config: JsonObject = json.loads((checkout / PLATFORM_CONFIG).read_text())
     settings = config["settings"]
--- a/marlstep/admin/api.py
+++ b/marlstep/admin/api.py
@@ -151,9 +151,8 @@
 
     def get_metrics(self, _request: HttpRequest) -> HttpResponse:
         """Return all metrics in the text format of Prometheus."""
-        from marlstep.admin.metrics import (
-            render_metrics,
-        )  # imported here so that prometheus_client is only loaded on use
+        # Imported here so that prometheus_client is loaded only on use.
+        from marlstep.admin.metrics import render_metrics
 
         values = {f"requests_{name}_total": float(count) for name, count in self.core.counts.items()}
         values["in_hand"] = float(self.core.in_flight)
--- a/marlstep/admin/health_endpoint.py
+++ b/marlstep/admin/health_endpoint.py
@@ -1,6 +1,6 @@
 """The health endpoint: reports readiness, takes the node out of service and returns it. Its address is `mgmt`.
 
-GET  /admin/health     200 if this process can run requests, else 503
+GET  /admin/health     200 from the time when the process is ready until its drain begins, else 503
 POST /admin/quiesce    make protocol health checks fail; arriving requests are still served; 409 after SIGTERM
 POST /admin/resume     undo a quiesce; 409 after SIGTERM
 """
--- a/marlstep/cli/drill.py
+++ b/marlstep/cli/drill.py
@@ -108,10 +108,10 @@
             settings = shape(self.nodes, int(self.voters), plan_length_ms)
             if mutation is not None and self.virtual:
                 settings = mutation.shape
-            plans = [draw(item, settings) for item in range(self.seed, self.seed + self.seeds)]
+            plans = [draw(seed, settings) for seed in range(self.seed, self.seed + self.seeds)]
         if self.calm:
             plans = [
-                Plan(item.seed, item.nodes, item.voters, item.length_ms, item.rates, ()) for item in plans
+                Plan(plan.seed, plan.nodes, plan.voters, plan.length_ms, plan.rates, ()) for plan in plans
             ]
         return plans
 
@@ -301,9 +301,9 @@
         rows = list(pool.map(run_virtual_membership_plan, runs))
     plan = runs[0][0]
     broken_rows = [row for row in rows if row["why"]]
-    hours = sum(entry[0].length_ms for entry in runs) / 3_600_000
+    hours = sum(run[0].length_ms for run in runs) / 3_600_000
     node_seconds = hours * 3600 * len(plan.nodes)
-    detection_us = sorted(entry for row in rows for entry in row["detected_us"])
+    detection_us = sorted(time_us for row in rows for time_us in row["detected_us"])
     agreement_us = sorted(row["views_agree_us"] for row in rows)
     return {
         "kind": "virtual",
@@ -314,7 +314,7 @@
         "doubts": runs[0][4],
         "seeds": len(rows),
         "first_seed": plan.seed,
-        "faults": sum(len(entry[0].faults) for entry in runs),
+        "faults": sum(len(run[0].faults) for run in runs),
         "views_agree_ms": {
             "p50": _quantile_ms(agreement_us, 0.5),
             "p95": _quantile_ms(agreement_us, 0.95),
@@ -457,30 +457,30 @@
         jobs: number of plans to run at once.
     """
     started = time.monotonic()
-    runs = [(entry, entry[0].seed % 2 == 1 if strict is None else strict) for entry in process_runs]
+    runs = [(run, run[0].seed % 2 == 1 if strict is None else strict) for run in process_runs]
     if len(runs) == 1:
         return run_document_plan(runs[0])
     with ProcessPoolExecutor(min(jobs, len(process_runs))) as pool:
         reports = list(pool.map(run_document_plan, runs))
-    completed = [entry for entry in reports if entry["verdict"] != "not run"]
+    completed = [report for report in reports if report["verdict"] != "not run"]
     return {
         "kind": "processes",
         "plans": len(reports),
         "first_seed": process_runs[0][0].seed,
         "not_run": len(reports) - len(completed),
-        "faults": sum(entry["faults"] for entry in completed),
-        "changes": sum(entry["changes"] for entry in completed),
-        "calls": sum(entry["calls"] for entry in completed),
-        "answers": sum(sum(entry["answers"].values()) for entry in completed),
+        "faults": sum(report["faults"] for report in completed),
+        "changes": sum(report["changes"] for report in completed),
+        "calls": sum(report["calls"] for report in completed),
+        "answers": sum(sum(report["answers"].values()) for report in completed),
         "longest_contradiction_ms": max(
-            (entry["longest_contradiction_ms"] for entry in completed), default=0
+            (report["longest_contradiction_ms"] for report in completed), default=0
         ),
-        "strict_contradictions": sum(entry["strict_contradictions"] for entry in completed),
-        "lost": sum(len(entry["lost"]) for entry in completed),
-        "answered_twice": sum(entry["answered_twice"] for entry in completed),
-        "broken": [entry for entry in reports if entry["verdict"] != "held"],
+        "strict_contradictions": sum(report["strict_contradictions"] for report in completed),
+        "lost": sum(len(report["lost"]) for report in completed),
+        "answered_twice": sum(report["answered_twice"] for report in completed),
+        "broken": [report for report in reports if report["verdict"] != "held"],
         "seconds": round(time.monotonic() - started, 1),
-        "verdict": "held" if all(entry["verdict"] == "held" for entry in reports) else "broken",
+        "verdict": "held" if all(report["verdict"] == "held" for report in reports) else "broken",
     }
 
 
--- a/marlstep/cli/logs.py
+++ b/marlstep/cli/logs.py
@@ -8,12 +8,8 @@
 import structlog
 
 JSON_FORMAT = "json"
-FIRST_KEYS = (
-    "timestamp",
-    "level",
-    "logger",
-    "event",
-)  # the first keys of a line in text format, in this order
+# The first keys of a line in text format, in this order.
+FIRST_KEYS = ("timestamp", "level", "logger", "event")
 
 
 class CommandLogHandler(logging.StreamHandler):  # type: ignore[type-arg]
--- a/marlstep/config/cluster_documents.py
+++ b/marlstep/config/cluster_documents.py
@@ -23,7 +23,7 @@
 PATH = "fleet.rules"
 KEYS = ("lease_ms", "agree_within_ms", "documents", "shares")
 DOCUMENT_KEYS = ("kind", "strict", "cut_off")
-# Longest time from the arrival of a message until the node's event loop has acted on it.
+# Allowed for in `agree_within_ms`: the time from the arrival of a message until the node's event loop acts on it.
 MAX_LOOP_DELAY = 500 * MILLISECOND
 AnyEnum = TypeVar("AnyEnum", bound=Enum)
 
@@ -32,7 +32,7 @@
     """The parsed section."""
 
     settings: ReplicatedConfigSettings
-    lease_term: timedelta  # term of the leases that allow a node to act on documents
+    lease_term: timedelta  # duration of the leases that allow a node to act on documents
 
 
 def read_documents(raw: Table, heartbeat_interval: timedelta, has_uwsgi: bool) -> DocumentsSection:
--- a/marlstep/config/cluster_tasks.py
+++ b/marlstep/config/cluster_tasks.py
@@ -1,4 +1,4 @@
-"""Reads `[fleet.tasks]`: scheduled tasks, each run of which happens on one node of the cluster."""
+"""Reads `[fleet.tasks]`: the scheduled tasks of the cluster; each run takes place on one node."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         rows: the table `[fleet.tasks]`.
         name: the task's name, its key in `rows`.
         idempotent_by_class: for each request class, whether its requests are safe to repeat.
-        lease_term: term of the lease under which the task runs; the timeout of a run must be at most half of it.
+        lease_term: duration of the lease under which the task runs; the timeout of a run must be at most half of it.
 
     Raises:
         ConfigError: a key is missing, unknown or has a wrong value.
--- a/marlstep/config/readers.py
+++ b/marlstep/config/readers.py
@@ -91,7 +91,7 @@
 
 
 def read_words(raw: Table, key: str, path: str, default: object = MISSING) -> list[str]:
-    """Read a list of strings as of `read_word`. Raises ConfigError if it is missing or invalid."""
+    """Read a list of strings that are each valid for `read_word`. Raises ConfigError if it is missing or invalid."""
     value = read_value(raw, key, path, default)
     if not isinstance(value, list):
         raise ConfigError.unmet(path, "must be a list of words")
--- a/marlstep/emulators/processor_sharing.py
+++ b/marlstep/emulators/processor_sharing.py
@@ -1,4 +1,4 @@
-"""Processor-sharing model: the speed of runs that share the cores of a machine, without I/O.
+"""Processor-sharing model: the speed of runs that share the cores of a machine. No I/O.
 
 With n runs on c cores, each run advances at min(1, c / n) of the machine's speed. Above a knee, each additional run
 slows down all runs, as contention does on the machines of the platform. Times are in microseconds on the clock of the
@@ -12,7 +12,7 @@
 
 
 class _Completion(NamedTuple):
-    """When a run ends, as the value that the work per run since time 0 has by then."""
+    """A run ends at the time when `_work_per_run_us` reaches `end_work_per_run_us`."""
 
     end_work_per_run_us: float
     order: int  # in which runs were added; breaks ties between runs that end together
@@ -43,7 +43,9 @@
         self.busy_us = 0.0
         self._knee_runs, self._slowdown_per_run = knee * cores, slowdown / cores
         self._now_us = 0
-        self._work_per_run_us = 0.0  # received by a run that is on the cores since time 0
+        self._work_per_run_us = (
+            0.0  # work that a run would have received if it were on the cores since time 0
+        )
         # A heap; the entry of a removed run stays until it is the first.
         self._completions: list[_Completion] = []
         self._running: dict[str, _Completion] = {}
--- a/marlstep/emulators/work_plan.py
+++ b/marlstep/emulators/work_plan.py
@@ -1,4 +1,4 @@
-"""The work plan that a request body holds for an emulated machine, without I/O."""
+"""The work plan that a request body holds for an emulated machine. No I/O."""
 
 from __future__ import annotations
 
--- a/marlstep/frontends/connection_policy.py
+++ b/marlstep/frontends/connection_policy.py
@@ -1,4 +1,4 @@
-"""Rules for evicting and timing out connections, common to all frontends. Pure: counts and times are arguments.
+"""Rules for evicting and timing out connections, common to all frontends. No I/O: counts and times are arguments.
 
 A connection is *unproven* until it has sent one complete message, and *idle* while it has no open request and receives
 nothing. Neither kind may use up the slots that other clients need.
--- a/marlstep/frontends/errors.py
+++ b/marlstep/frontends/errors.py
@@ -113,7 +113,7 @@
 
 
 class IdempotencyKeyTooLongError(InvalidPacketError):
-    """The idempotency key is longer than one that is stored and sent to other processes may be."""
+    """The idempotency key is over the length limit, which exists as keys are stored and sent to other processes."""
 
     def __init__(self, variable: str, limit: int) -> None:
         """`variable` is the name of the variable that carries the key; `limit` is in characters."""
--- a/marlstep/frontends/resp_commands.py
+++ b/marlstep/frontends/resp_commands.py
@@ -1,4 +1,4 @@
-"""Parses the words of a RESP frame into typed commands. Pure."""
+"""Parses the words of a RESP frame into typed commands. No I/O."""
 
 from __future__ import annotations
 
--- a/marlstep/frontends/resp_policy.py
+++ b/marlstep/frontends/resp_policy.py
@@ -1,4 +1,4 @@
-"""Rules of a RESP connection: which requests are rejected, when reading stops, and when it closes. Pure.
+"""Rules of a RESP connection: which requests are rejected, when reading stops, and when it closes. No I/O.
 
 A well-formed frame that cannot be served gets `error`, and the connection stays open. If the stream can no longer be
 divided into frames, the open requests still get their responses, and then the connection closes.
@@ -8,7 +8,9 @@
 
 from marlstep.units import MILLISECOND, SECOND
 
-READ_TIMEOUT = 1.5 * SECOND  # to receive a complete frame; for the first one, from the opening on
+READ_TIMEOUT = (
+    1.5 * SECOND
+)  # to receive a complete frame; the first one is timed from the opening of the connection
 MAX_INVALID_REQUESTS = 8  # on one connection; the last of them closes it
 MAX_OPEN_REQUESTS = 32  # on one connection
 CLOSE_DELAY = 200 * MILLISECOND  # from the frame `0 closing` until a connection without open requests closes
--- a/marlstep/frontends/resp_tags.py
+++ b/marlstep/frontends/resp_tags.py
@@ -1,4 +1,4 @@
-"""Tracks the tags that were used on one connection. Pure."""
+"""Tracks the tags that were used on one connection. No I/O."""
 
 from __future__ import annotations
 
--- a/marlstep/frontends/resp_wire.py
+++ b/marlstep/frontends/resp_wire.py
@@ -1,4 +1,4 @@
-"""Reads and writes the frames of the platform's protocol: RESP arrays of bulk strings. Pure.
+"""Reads and writes the frames of the platform's protocol: RESP arrays of bulk strings. No I/O.
 
 The words (bulk strings) of a frame are the verb, the tag and, for a request, its class, fields and body.
 `resp_commands.py` parses them into commands.
--- a/marlstep/frontends/uwsgi_policy.py
+++ b/marlstep/frontends/uwsgi_policy.py
@@ -1,4 +1,4 @@
-"""Rules of a uwsgi connection: when it closes without a response. Pure.
+"""Rules of a uwsgi connection: when it closes without a response. No I/O.
 
 A connection carries one request and closes after its response. Before that it may close only while no request is open.
 """
--- a/marlstep/frontends/uwsgi_requests.py
+++ b/marlstep/frontends/uwsgi_requests.py
@@ -1,4 +1,4 @@
-"""Converts uwsgi packets to requests, and responses to HTTP. Pure."""
+"""Converts uwsgi packets to requests, and responses to HTTP. No I/O."""
 
 from __future__ import annotations
 
--- a/marlstep/frontends/uwsgi_wire.py
+++ b/marlstep/frontends/uwsgi_wire.py
@@ -1,4 +1,4 @@
-"""Reads uwsgi packets from a ring, and writes packets and HTTP responses as bytes. Pure.
+"""Reads uwsgi packets from a ring, and writes packets and HTTP responses as bytes. No I/O.
 
 A packet is a header of 4 bytes (modifier1, the size of the block of variables as 16 bits little-endian, modifier2), the
 variables (names and values in turn, each a 16-bit size and that many bytes), and a body of CONTENT_LENGTH bytes.
--- a/marlstep/net/codec.py
+++ b/marlstep/net/codec.py
@@ -12,8 +12,9 @@
 Classes and fields can therefore be renamed without a change on the wire. Parts of messages and of snapshots are written
 the same way, without a tag (`write_fields`, `read_fields`).
 
-Invalid values raise exactly ValueError or TypeError, not subclasses: state machines read commands with these functions,
-and the `repr` of the error is part of a command's replicated result.
+For invalid values the functions here raise ValueError and TypeError themselves, not subclasses of them: state machines
+read commands with these functions, and the `repr` of the error is part of a command's replicated result. Only `Codec`
+converts the errors to MalformedMessageError.
 """
 
 from __future__ import annotations
--- a/marlstep/traces/account.py
+++ b/marlstep/traces/account.py
@@ -1,4 +1,4 @@
-"""Counts of the lines, rows and arrivals of one reading of a trace; pure."""
+"""Counts of the lines, rows and arrivals of one reading of a trace. No I/O."""
 
 from __future__ import annotations
 
--- a/marlstep/traces/cutting.py
+++ b/marlstep/traces/cutting.py
@@ -1,4 +1,4 @@
-"""Selection, thinning and time compression of a trace; pure.
+"""Selection, thinning and time compression of a trace. No I/O.
 
 Time compression raises the rate and keeps the order and relative spacing of requests. Thinning keeps or drops all
 requests of a sender, by a keyed hash of its name, so that the pattern of its bursts and retries is preserved. The
--- a/marlstep/traces/lines.py
+++ b/marlstep/traces/lines.py
@@ -1,4 +1,4 @@
-"""Splitting of bytes into lines and of lines into cells; pure.
+"""Splitting of bytes into lines and of lines into cells. No I/O.
 
 A record is one line. No format has line breaks inside a cell, so an unterminated quote affects only its own line,
 and every line is accounted for as a row or a reject.
--- a/marlstep/traces/mapping.py
+++ b/marlstep/traces/mapping.py
@@ -1,4 +1,4 @@
-"""Mapping of a trace's rows to requests; pure.
+"""Mapping of a trace's rows to requests. No I/O.
 
 A rule consists of a request class and conditions on a row; the first rule that matches determines the class. A row
 that no rule matches gets the default class, or is dropped and counted. The work hint determines the work of a request
--- a/marlstep/traces/operator_file.py
+++ b/marlstep/traces/operator_file.py
@@ -1,4 +1,4 @@
-"""Tables of tenants and classes for the operator's file, derived from the account of a trace; pure."""
+"""Tables of tenants and classes for the operator's file, derived from the account of a trace. No I/O."""
 
 from __future__ import annotations
 
--- a/marlstep/traces/reordering.py
+++ b/marlstep/traces/reordering.py
@@ -1,4 +1,4 @@
-"""Sorting of rows by time within a bounded window; pure.
+"""Sorting of rows by time within a bounded window. No I/O.
 
 A row may be out of order by up to the window, measured against the latest time read before it. A row beyond the
 window is returned as late. Which rows are late depends on the rows alone, not on their division into batches.
@@ -18,7 +18,7 @@
 WINDOW_US = 10_000_000  # default; some formats need a longer window
 MAX_WAITING_ROWS = 100_000  # about 40 MB; beyond this the older half is released early
 MIN_SORTED_ROWS = 8_192
-GAP_US = 86_400_000_000  # no trace is without rows for a day
+GAP_US = 86_400_000_000  # no trace is expected to have a day without rows
 MIN_ROWS_AFTER_GAP = 64  # consecutive rows beyond the gap that are accepted as a real gap
 
 
--- a/marlstep/traces/replay/campaign.py
+++ b/marlstep/traces/replay/campaign.py
@@ -1,4 +1,4 @@
-"""State of the senders of a replay: attempts, retries and responses; pure, times are passed in.
+"""State of the senders of a replay: attempts, retries and responses. No I/O; times are passed in.
 
 A piece of work is one request of the schedule, with all its attempts. It is done when one attempt is done, and its
 response is in time if it arrives within the latency objective of the class, counted from the planned time of the first
--- a/marlstep/traces/replay/retry_rules.py
+++ b/marlstep/traces/replay/retry_rules.py
@@ -1,4 +1,4 @@
-"""Whether and when a sender retries a request; pure."""
+"""Whether and when a sender retries a request. No I/O."""
 
 from __future__ import annotations
 
--- a/marlstep/traces/schedule.py
+++ b/marlstep/traces/schedule.py
@@ -43,7 +43,7 @@
 
 
 class ScheduleError(MarlstepError):
-    """A schedule can't be read, or its content exceeds a limit of the format.
+    """A schedule can't be read, or can't be written because its requests are unordered or exceed a limit of the format.
 
     Attributes:
         path: Path of the file.
--- a/marlstep/traces/settings_digest.py
+++ b/marlstep/traces/settings_digest.py
@@ -1,4 +1,4 @@
-"""Digest of the mapping settings, stored in compiled schedules; pure.
+"""Digest of the mapping settings, stored in compiled schedules. No I/O.
 
 Two schedules with the same digest were compiled with the same mapping settings. The digest is computed over a JSON
 object whose keys are part of the schedule format, so the keys are literals here and independent of the field names.
