--- a/marlstep/cli/rules/orders.py
+++ b/marlstep/cli/rules/orders.py
@@ -132,7 +132,7 @@
 
     Raises:
         OrderRejectedError: the group rejected it.
-        ChangeBlockedError: processes have not acknowledged the version.
+        ChangeBlockedError: processes have not acknowledged the version. With `as_json` the output shows it instead.
     """
     if as_json:
         print_json(outcome)
--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -12,7 +12,7 @@
 | `drain` | a connection that must carry no new request | requests get their responses, then it closes |
 | `close_idle` | an idle connection; RESP drains it, uwsgi has no idle ones | none is open |
 | `timed_out` | the read timer only: RESP rejects the stream, uwsgi finishes | RESP: requests get their responses |
-| `RespConnection._reject_stream` | a stream that can no longer be divided into frames | as with `drain` |
+| `RespConnection._reject_stream` | a malformed stream, or a peer that broke a limit | as with `drain` |
 
 The admission controller sets how long a connection may be idle: the core passes its action `IdleLimit` on to
 `Listener.limit_idle_time`.
--- a/marlstep/traces/formats/azure_2019.py
+++ b/marlstep/traces/formats/azure_2019.py
@@ -69,10 +69,10 @@
         return True
 
     def parse(self, cells: list[str], line: int) -> Arrival | SkipReason:
-        """Parse one row; return its arrival, or the reason why it is skipped.
+        """Store the counts of one row for `end_of_part`; return the skip reason `counted`, or `duplicate`.
 
         Raises:
-            BadRowError: The row is invalid.
+            BadRowError: The row is invalid, or the day exceeds MAX_FUNCTIONS or MAX_COUNTS.
         """
         check_width(cells, len(COLUMNS))
         owner, app, function, trigger = cells[:4]
