--- a/marlstep/config/document_overrides.py
+++ b/marlstep/config/document_overrides.py
@@ -42,7 +42,7 @@
         self._contents: dict[str, JsonContent] = {}
 
     def apply_to(self, config: Config, **added: JsonContent) -> Config:
-        """Return the configuration with the parts replaced that documents override; without documents, unchanged.
+        """Return the configuration with the contents of documents in place of its own; unchanged if there are none.
 
         Args:
             config: the configuration from the node's own files.
--- a/marlstep/traces/reordering.py
+++ b/marlstep/traces/reordering.py
@@ -131,7 +131,10 @@
         return self._without_duplicates(ready)
 
     def _without_duplicates(self, rows: list[Arrival]) -> list[Arrival]:
-        """Remove duplicates; they are adjacent, because rows with equal times are sorted by sender and name."""
+        """Remove duplicates; they are adjacent, because rows with equal times are sorted by sender and name.
+
+        A row without a name is never a duplicate.
+        """
         unique: list[Arrival] = []
         append = unique.append
         previous: tuple[object, ...] = ()
--- a/marlstep/traces/rows.py
+++ b/marlstep/traces/rows.py
@@ -23,7 +23,8 @@
     Attributes:
         at_us: Time on the trace's own clock, in microseconds.
         key: Identifier of the sender; thinning keeps or drops all arrivals of a sender.
-        name: Identifier among the sender's arrivals, or ""; arrivals with equal time, key and name are duplicates.
+        name: Identifier among the sender's arrivals; "" if there is none. Arrivals with equal time, key and name are
+            duplicates unless the name is "".
         tenant: Tenant as named in the trace.
         category: The trace's own class of the arrival.
         hint: Work in the format's unit; 0 if the trace does not state it.
--- a/marlstep/traces/schedule.py
+++ b/marlstep/traces/schedule.py
@@ -107,7 +107,8 @@
         """Add requests in order of time.
 
         Raises:
-            ScheduleError: A request is earlier than the one before it, or a block has too many or too long names.
+            ScheduleError: A request is earlier than the one before it, the schedule has more than MAX_NAMES names, or
+                the names of a block are too long.
         """
         for row in rows:
             if row.at_us < self.last_us:
@@ -165,7 +166,7 @@
 
         Raises:
             OSError: The file can't be written or renamed.
-            ScheduleError: The header or the last block is too large.
+            ScheduleError: The header or the last block is too large, or there are more than MAX_NAMES names.
         """
         self._write_block()
         self._file.write(END.pack(0, self.count, self._checksums.digest(CHECKSUM_BYTES)))
