--- a/tests/admin/test_health_endpoint.py
+++ b/tests/admin/test_health_endpoint.py
@@ -18,25 +18,25 @@
 from marlstep.frontends.connection_policy import MIN_UNPROVEN_AGE
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import CUTS, FIXED, GARBAGE, pieces
-from tests.support.node import Desk, Wire, raw_config
+from tests.support.node import CoreDriver, FakeTransport, raw_config
 
 MAX_CONNECTIONS = 48
 
 
 class EndpointHarness:
     def __init__(self) -> None:
-        self.desk = Desk()
+        self.driver = CoreDriver()
         self.reported_states: list[bool] = []
-        core = self.desk.core
+        core = self.driver.core
         self.endpoint = HealthEndpoint(
             core,
-            self.desk.clock.timeline,
+            self.driver.clock.timeline,
             lambda: self.reported_states.append(core.serving_state.wants_traffic),
             MAX_CONNECTIONS,
         )
 
-    def connect(self) -> Wire:
-        return Wire(HttpConnection(self.endpoint))
+    def connect(self) -> FakeTransport:
+        return FakeTransport(HttpConnection(self.endpoint))
 
     def request(self, method: str, path: str, head: str = "", body: bytes = b"", step: int = 999) -> int:
         wire = self.connect()
@@ -46,7 +46,7 @@
         return status(wire)
 
 
-def status(wire: Wire) -> int:
+def status(wire: FakeTransport) -> int:
     head, _, body = bytes(wire.written).partition(b"\r\n\r\n")
     assert f"Content-Length: {len(body)}".encode() in head and isinstance(json.loads(body), dict)
     return int(head.split()[1])
@@ -55,34 +55,34 @@
 def test_health_returns_200_once_the_backend_is_ready() -> None:
     harness = EndpointHarness()
     assert harness.request("GET", "/admin/health") == 503
-    harness.desk.core.backend_ready()
+    harness.driver.core.backend_ready()
     assert harness.request("GET", "/admin/health?verbose=1", step=1) == 200
 
 
 def test_a_quiesced_node_fails_health_checks_and_serves_until_it_is_resumed() -> None:
     harness = EndpointHarness()
-    harness.desk.core.backend_ready()
+    harness.driver.core.backend_ready()
     for _ in range(2):  # a repeated quiesce is accepted and changes nothing
-        assert harness.request("POST", "/admin/quiesce") == 200 and not harness.desk.core.healthy
+        assert harness.request("POST", "/admin/quiesce") == 200 and not harness.driver.core.healthy
     # This path reports whether the process can serve, which a quiesce does not change.
     assert harness.request("GET", "/admin/health") == 200
-    harness.desk.submit(1)
-    harness.desk.end(1)
-    assert harness.desk.verdicts(1) == [ResponseStatus.DONE]
+    harness.driver.submit(1)
+    harness.driver.end(1)
+    assert harness.driver.statuses(1) == [ResponseStatus.DONE]
     for _ in range(2):
-        assert harness.request("POST", "/admin/resume") == 200 and harness.desk.core.healthy
+        assert harness.request("POST", "/admin/resume") == 200 and harness.driver.core.healthy
     assert harness.reported_states == [False, False, True, True]
 
 
 def test_a_drain_ends_a_quiesce_and_rejects_later_changes() -> None:
     harness = EndpointHarness()
-    harness.desk.core.backend_ready()
+    harness.driver.core.backend_ready()
     harness.request("POST", "/admin/quiesce")
-    harness.desk.core.drain(harness.desk.clock.now() + 3 * SECOND)
+    harness.driver.core.drain(harness.driver.clock.now() + 3 * SECOND)
     assert (harness.request("POST", "/admin/resume"), harness.request("GET", "/admin/health")) == (409, 503)
-    assert harness.request("POST", "/admin/quiesce") == 409 and not harness.desk.core.healthy
-    harness.desk.clock.advance(2_600)
-    assert harness.desk.stopped
+    assert harness.request("POST", "/admin/quiesce") == 409 and not harness.driver.core.healthy
+    harness.driver.clock.advance(2_600)
+    assert harness.driver.stopped_accepting
 
 
 @pytest.mark.parametrize(
@@ -103,10 +103,10 @@
     method: str, path: str, head: str, body: bytes, expected: int
 ) -> None:
     harness = EndpointHarness()
-    harness.desk.core.backend_ready()
+    harness.driver.core.backend_ready()
     assert (
         harness.request(method, path, head, body) == expected
-        and harness.desk.core.healthy
+        and harness.driver.core.healthy
         and not harness.reported_states
     )
 
@@ -118,14 +118,14 @@
     assert status(wire) == 431 and wire.closed
     wire = harness.connect()
     wire.feed(b"GET /admin/health HTTP/1.1\r\n\r\nPOST /admin/quiesce HTTP/1.1\r\n\r\n")
-    assert status(wire) == 503 and harness.desk.core.healthy
+    assert status(wire) == 503 and harness.driver.core.healthy
 
 
 def test_a_complete_request_is_served_while_other_clients_send_incomplete_ones() -> None:
     # Guards against clients that fill the connection table by sending nothing, or only a part of a request.
     harness = EndpointHarness()
-    harness.desk.core.backend_ready()
-    incomplete: list[Wire] = []
+    harness.driver.core.backend_ready()
+    incomplete: list[FakeTransport] = []
     for number in range(5 * MAX_CONNECTIONS):
         incomplete.append(harness.connect())
         incomplete[-1].feed(
@@ -134,12 +134,12 @@
         if number % 7 == 0:
             assert harness.request("GET", "/admin/health") == 200
         if number % 50 == 0:
-            harness.desk.clock.advance(MIN_UNPROVEN_AGE / MILLISECOND)
+            harness.driver.clock.advance(MIN_UNPROVEN_AGE / MILLISECOND)
     assert len(harness.endpoint.connections) <= MAX_CONNECTIONS
-    harness.desk.clock.advance(REQUEST_TIMEOUT / MILLISECOND)
+    harness.driver.clock.advance(REQUEST_TIMEOUT / MILLISECOND)
     assert all(wire.closed for wire in incomplete) and len(harness.endpoint.connections) == 0
     timed_out = [status(wire) for wire in incomplete if wire.written]
-    assert timed_out and set(timed_out) == {408} and harness.desk.core.healthy
+    assert timed_out and set(timed_out) == {408} and harness.driver.core.healthy
 
 
 @FIXED
@@ -150,8 +150,8 @@
     for part in pieces(garbage, cuts):
         wire.feed(part)
     assert not wire.written or status(wire) in (400, 404, 405, 413, 431)
-    harness.desk.clock.advance(2_000)
-    assert len(harness.endpoint.connections) == 0 and harness.desk.core.healthy
+    harness.driver.clock.advance(2_000)
+    assert len(harness.endpoint.connections) == 0 and harness.driver.core.healthy
 
 
 TRANSITIONS: dict[str, Callable[[ServingState], Any]] = {
--- a/tests/admission/test_concurrency_limit.py
+++ b/tests/admission/test_concurrency_limit.py
@@ -19,9 +19,9 @@
     server = ControllerDriver(cores=2)
     for index in range(10):
         server.arrive(f"r{index}")
-    assert sum(action == "Run" for action, _ in server.done) == 2
+    assert sum(action == "Run" for action, _ in server.actions) == 2
     server.tick(after_ms=1000, cpu=0.5)
-    assert sum(action == "Run" for action, _ in server.done) == 4
+    assert sum(action == "Run" for action, _ in server.actions) == 4
 
 
 def test_the_limit_falls_back_to_the_cores_when_latency_grows() -> None:
@@ -41,7 +41,7 @@
     server = ControllerDriver(cores=8, memory_kb=10_000.0)
     for index in range(20):
         server.arrive(f"r{index}", unread_us=1_500 * MS)
-    assert len([1 for action, _ in server.done if action == "Run"]) < 8
+    assert len([1 for action, _ in server.actions if action == "Run"]) < 8
 
 
 @pytest.mark.parametrize(("cpu_load", "is_busy"), [(0.84, False), (CPU_BUSY_THRESHOLD, True), (1.0, True)])
--- a/tests/admission/test_edges.py
+++ b/tests/admission/test_edges.py
@@ -106,7 +106,7 @@
     for index in range(4):
         server.arrive(f"r{index}")
     server.step(TimerDue(server.controller.timer.due_at, {}), after_ms=9_000)
-    assert {id for action, id in server.done if action in ("Fail", "Reject")} == {"r0", "r1", "r2", "r3"}
+    assert {id for action, id in server.actions if action in ("Fail", "Reject")} == {"r0", "r1", "r2", "r3"}
 
 
 def test_a_keyed_request_runs_once_with_one_core_and_no_memory_to_spare() -> None:
@@ -115,5 +115,5 @@
     server.arrive("k", "keyed")
     server.arrive("again", "keyed", prior="k", memory_kb=4.0)
     server.step(RunEnded("k", Outcome.OK, 0))
-    assert [id for action, id in server.done if action == "Run"].count("k") <= 1
-    assert ("Run", "again") not in server.done or ("Run", "k") not in server.done
+    assert [id for action, id in server.actions if action == "Run"].count("k") <= 1
+    assert ("Run", "again") not in server.actions or ("Run", "k") not in server.actions
--- a/tests/admission/test_run_queue.py
+++ b/tests/admission/test_run_queue.py
@@ -25,7 +25,7 @@
     server = ControllerDriver()
     for id in ("a", "b", "c"):
         server.arrive(id, "high")
-    assert ("Preempt", "a") not in server.done and ("Run", "c") not in server.done
+    assert ("Preempt", "a") not in server.actions and ("Run", "c") not in server.actions
 
 
 def test_queued_requests_start_by_priority_weight_then_by_age() -> None:
@@ -90,7 +90,7 @@
         server.end(f"done{index}", after_ms=run_ms)
     for index in range(8):
         server.arrive(f"r{index}")
-    return [id for action, id in server.done if action == "Reject"]
+    return [id for action, id in server.actions if action == "Reject"]
 
 
 def test_an_arrival_that_would_wait_past_its_objective_is_rejected_at_once() -> None:
--- a/tests/cluster/support.py
+++ b/tests/cluster/support.py
@@ -21,7 +21,7 @@
 from marlstep.net.eventloop import Address
 from marlstep.units import SteadyClock
 from tests.golden.everything import operator_config, platform_config
-from tests.support.node import HandClock
+from tests.support.node import ManualClock
 
 ROOT = Path(__file__).parent.parent.parent
 CONFIG = ROOT / "deploy" / "node.json"
@@ -53,7 +53,7 @@
     """The router and turns of the open node n1 on a manual clock. Must be created within a running event loop."""
 
     def __init__(self, folder: Path, run_turn: Callable[[datetime], None] = lambda now: None) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         config = check(platform_config("n1"), operator_config(folder)).cluster
         assert config is not None
         self.config = config
--- a/tests/components/test_registry.py
+++ b/tests/components/test_registry.py
@@ -15,14 +15,14 @@
 from marlstep.node import Node
 from marlstep.resource_budget import resource_budget
 from tests.golden.everything import operator_config, platform_config
-from tests.support.node import HandClock, raw_config
+from tests.support.node import ManualClock, raw_config
 
 
 def make_node(config: Config) -> Node:
     """Create a node without opening it, within an event loop, which its cluster needs."""
 
     async def create() -> Node:
-        return Node(config, HandClock().timeline)
+        return Node(config, ManualClock().timeline)
 
     return asyncio.run(create())
 
--- a/tests/config/test_reloading.py
+++ b/tests/config/test_reloading.py
@@ -14,7 +14,7 @@
 from marlstep.config import Config, ConfigError, check, describe_changes, load, merge_reloaded
 from marlstep.node import Node
 from marlstep.units import MILLISECOND
-from tests.support.node import SETTINGS, HandClock, raw_config
+from tests.support.node import SETTINGS, ManualClock, raw_config
 
 
 def changed_settings(change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
@@ -91,7 +91,7 @@
     def read() -> Config:
         return load({"PROXY_CONFIG": str(path)})
 
-    node = Node(read(), HandClock().timeline, read)
+    node = Node(read(), ManualClock().timeline, read)
     before, controller = node.config, node.core._controller
     path.write_text(write_file(copy.deepcopy(raw_config(db="127.0.0.1:5", kernel="127.0.0.1:9"))))
     node.config_reloader.reload()
--- a/tests/core/test_counters.py
+++ b/tests/core/test_counters.py
@@ -6,13 +6,13 @@
 from marlstep.core.counters import RequestCounters
 from marlstep.core.interfaces import InboundRequest, Request, ResponseStatus
 from marlstep.simulator.configuration import read_settings
-from tests.support.node import SETTINGS, START, Desk
+from tests.support.node import SETTINGS, START, CoreDriver
 
 
 def make_request(tenant: str | None) -> Request:
-    desk = Desk()
+    driver = CoreDriver()
     inbound = InboundRequest("r1", "temp-history", b"", START, 1.0, tenant=tenant)
-    return Request(inbound, read_settings(SETTINGS).classes[0], desk, (0, 1), desk.backend, START)
+    return Request(inbound, read_settings(SETTINGS).classes[0], driver, (0, 1), driver.backend, START)
 
 
 def test_the_names_are_those_of_the_metrics_and_the_status_json() -> None:
--- a/tests/core/test_drain.py
+++ b/tests/core/test_drain.py
@@ -5,22 +5,22 @@
 from marlstep.core.drain import STOP_MARGIN, grace_end
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.units import SECOND
-from tests.support.node import START, Desk
+from tests.support.node import START, CoreDriver
 
 
 def test_an_arrival_after_the_drain_grace_is_rejected_and_never_run() -> None:
-    desk = Desk()
-    desk.core.drain(desk.clock.now() + 3.2 * SECOND)
-    desk.clock.advance(2490)
-    desk.submit(1)
-    assert desk.backend.told == [("start", "r1")]
-    desk.clock.advance(20)
-    assert desk.stopped
-    desk.submit(2)
-    assert desk.verdicts(2) == [ResponseStatus.REJECTED]
-    desk.clock.advance(600)
-    assert desk.verdicts(1) == [ResponseStatus.EXPIRED]
-    assert desk.core.unanswered == 0
+    driver = CoreDriver()
+    driver.core.drain(driver.clock.now() + 3.2 * SECOND)
+    driver.clock.advance(2490)
+    driver.submit(1)
+    assert driver.backend.commands == [("start", "r1")]
+    driver.clock.advance(20)
+    assert driver.stopped_accepting
+    driver.submit(2)
+    assert driver.statuses(2) == [ResponseStatus.REJECTED]
+    driver.clock.advance(600)
+    assert driver.statuses(1) == [ResponseStatus.EXPIRED]
+    assert driver.core.unanswered == 0
 
 
 def test_frontends_stop_accepting_after_the_grace_or_before_the_stop_if_that_comes_first() -> None:
--- a/tests/core/test_engine_properties.py
+++ b/tests/core/test_engine_properties.py
@@ -17,7 +17,7 @@
 from marlstep.core.interfaces import Request, ResponseStatus, Stage
 from marlstep.units import MILLISECOND, SECOND
 from tests.frontends.test_parsers import FIXED
-from tests.support.node import Desk
+from tests.support.node import CoreDriver
 
 CLASSES = ("temp-history", "schedule-save", "setpoint-cmd")
 STEPS = st.one_of(
@@ -39,15 +39,15 @@
     """Applies random steps to a core, and records the facts that the expected response of each request depends on."""
 
     def __init__(self) -> None:
-        self.desk = Desk(cores=1)
-        self.settings = self.desk.core.settings
+        self.driver = CoreDriver(cores=1)
+        self.settings = self.driver.core.settings
         self.handles = dict[str, int]()  # by request id; -1 for a request rejected at intake
         self.disconnected = set[str]()
-        self.grace_ends_at = self.desk.clock.now() + 1000 * SECOND
+        self.grace_ends_at = self.driver.clock.now() + 1000 * SECOND
         self.arrived_after_grace = set[str]()
 
     def step(self, action: str, choice: object, detail: object) -> None:
-        desk, core = self.desk, self.desk.core
+        driver, core = self.driver, self.driver.core
         running = [
             request
             for request in core._requests
@@ -57,11 +57,11 @@
             case "submit", str(request_class):
                 number = len(self.handles) + 1
                 try:
-                    self.handles[f"r{number}"] = desk.submit(number, request_class, idempotency_key=detail)
+                    self.handles[f"r{number}"] = driver.submit(number, request_class, idempotency_key=detail)
                 except RequestRejectedError:
                     self.handles[f"r{number}"] = -1
                     return
-                if desk.clock.now() > self.grace_ends_at:
+                if driver.clock.now() > self.grace_ends_at:
                     self.arrived_after_grace.add(f"r{number}")
             case "end", int(index) if running and isinstance(detail, Outcome):
                 core.run_ended(running[index % len(running)].id, detail, SECOND, b"result")
@@ -73,11 +73,11 @@
                 core.call_ended(running[index % len(running)].id, detail, b"told")
             case "disconnect", int(index) if self.handles:
                 id = list(self.handles)[index % len(self.handles)]
-                if self.handles[id] >= 0 and not desk.answers.get(int(id[1:])):
+                if self.handles[id] >= 0 and not driver.responses.get(int(id[1:])):
                     self.disconnected.add(id)
                 core.client_disconnected(self.handles[id]) if self.handles[id] >= 0 else None
             case "advance", int(ms):
-                desk.clock.advance(ms)
+                driver.clock.advance(ms)
             case "quiesce", bool(quiesced):
                 assert (
                     core.serving_state.quiesce() if quiesced else core.serving_state.resume()
@@ -88,17 +88,17 @@
                 )
                 core.apply_settings(replace(self.settings, classes=classes))
             case "drain", _ if not core.is_shutting_down:
-                core.drain(desk.clock.now() + 3.2 * SECOND)
-                self.grace_ends_at = desk.clock.now() + 2.5 * SECOND
-        desk.clock.settle()
+                core.drain(driver.clock.now() + 3.2 * SECOND)
+                self.grace_ends_at = driver.clock.now() + 2.5 * SECOND
+        driver.clock.settle()
 
     def finish(self) -> None:
         """Advance past every deadline, then end all runs."""
-        self.desk.clock.advance(10_000)
-        for request in self.desk.core._requests:
+        self.driver.clock.advance(10_000)
+        for request in self.driver.core._requests:
             assert request.stage is not Stage.PAUSED  # backends don't report the end of a paused run
-            self.desk.core.run_ended(request.id, Outcome.CANCELLED, SECOND)
-        self.desk.clock.advance(10_000)
+            self.driver.core.run_ended(request.id, Outcome.CANCELLED, SECOND)
+        self.driver.clock.advance(10_000)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None, database=None)
@@ -110,8 +110,8 @@
     for step in steps:
         run.step(*step)
     run.finish()
-    core, answers = run.desk.core, run.desk.answers
-    starts = Counter(id for command, id in run.desk.backend.told if command == "start")
+    core, answers = run.driver.core, run.driver.responses
+    starts = Counter(id for command, id in run.driver.backend.commands if command == "start")
     for id, handle in run.handles.items():
         responses = answers.get(int(id[1:]), [])
         assert len(responses) == (0 if id in run.disconnected or handle < 0 else 1), id
@@ -166,9 +166,9 @@
 
 def test_the_recorder_sees_the_stage_changes_of_a_run() -> None:
     with recorded_stage_changes() as changes:
-        desk = Desk()
-        desk.submit(1)
-        desk.end(1)
+        driver = CoreDriver()
+        driver.submit(1)
+        driver.end(1)
     assert changes == {(Stage.QUEUED, Stage.RUNNING), (Stage.RUNNING, Stage.FINISHED)}
 
 
@@ -193,29 +193,29 @@
     steps: list[tuple[str, int, Any]], request_class: str
 ) -> None:
     """Faulty clients reuse the ids of other requests. An entry that only the controller still has would never end."""
-    desk = Desk(cores=1)
+    driver = CoreDriver(cores=1)
     handles: dict[int, int] = {}
     for action, number, detail in steps:
         match action:
             case "submit":
                 with contextlib.suppress(RequestRejectedError):
-                    handles[number] = desk.submit(number, request_class, late_ms=detail)
+                    handles[number] = driver.submit(number, request_class, late_ms=detail)
             case "disconnect":
-                desk.core.client_disconnected(handles.get(number, 0))
+                driver.core.client_disconnected(handles.get(number, 0))
             case "end":
-                desk.core.run_ended(f"r{number}", detail, MILLISECOND)
+                driver.core.run_ended(f"r{number}", detail, MILLISECOND)
             case "need call":
-                desk.core.call_needed(f"r{number}", b"ask")
+                driver.core.call_needed(f"r{number}", b"ask")
             case "end call":
-                desk.core.call_ended(f"r{number}", detail)
+                driver.core.call_ended(f"r{number}", detail)
             case "advance":
-                desk.clock.advance(number)
-        desk.clock.settle()
-        controller = desk.core._controller
+                driver.clock.advance(number)
+        driver.clock.settle()
+        controller = driver.core._controller
         held = {
             id: entry
             for entries in controller.state.entries.by_state.values()
             for id, entry in entries.items()
         }
         assert all(controller.state.entries.by_id.get(id) is entry for id, entry in held.items())
-        assert held.keys() <= {request.id for request in desk.core._requests}
+        assert held.keys() <= {request.id for request in driver.core._requests}
--- a/tests/core/test_gauge_timers.py
+++ b/tests/core/test_gauge_timers.py
@@ -5,7 +5,7 @@
 from marlstep.admission.events import Event, TimerDue
 from marlstep.core.gauge_timers import GAUGES_MAX_AGE, GAUGES_TIMEOUT, GaugeTimers, are_gauges_fresh
 from marlstep.units import MILLISECOND
-from tests.support.node import START, HandClock
+from tests.support.node import START, ManualClock
 
 
 class FakeGaugeSource:
@@ -18,7 +18,7 @@
 
 class TimersUnderTest:
     def __init__(self) -> None:
-        self.clock, self.source = HandClock(), FakeGaugeSource()
+        self.clock, self.source = ManualClock(), FakeGaugeSource()
         self.posted: list[Event] = []
         self.timers = GaugeTimers(self.clock.timeline, self.source, self.posted.append)
 
--- a/tests/core/test_intake.py
+++ b/tests/core/test_intake.py
@@ -5,14 +5,14 @@
 import pytest
 
 from marlstep.core.errors import RequestRejectedError
-from tests.support.node import Desk
+from tests.support.node import CoreDriver
 
 
 def test_an_unknown_class_and_an_id_in_flight_are_rejected_at_intake() -> None:
-    desk = Desk()
+    driver = CoreDriver()
     with pytest.raises(RequestRejectedError):
-        desk.submit(1, "no-such")
-    desk.submit(2)
+        driver.submit(1, "no-such")
+    driver.submit(2)
     with pytest.raises(RequestRejectedError):
-        desk.submit(2)
-    assert desk.core.unanswered == 1
+        driver.submit(2)
+    assert driver.core.unanswered == 1
--- a/tests/core/test_settings_change.py
+++ b/tests/core/test_settings_change.py
@@ -15,8 +15,8 @@
 from marlstep.core.served_settings import RETIRED_CLASS_GRACE
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import MILLISECOND
-from tests.support.alternate_settings import RespDesk, alternate_settings
-from tests.support.node import SETTINGS, Desk
+from tests.support.alternate_settings import RespDriver, alternate_settings
+from tests.support.node import SETTINGS, CoreDriver
 
 
 def changed_config(change: Callable[[dict[str, Any]], Any]) -> dict[str, Any]:
@@ -35,64 +35,64 @@
 
 
 def test_requests_in_flight_keep_their_class_and_the_new_class_runs() -> None:
-    desk = Desk(cores=2)
+    driver = CoreDriver(cores=2)
     for number in (1, 2, 3):  # the third stays queued, as both cores are busy
-        desk.submit(number, "temp-history")
-    desk.submit(4, "setpoint-cmd")  # preempts the second
-    desk.end(2, Outcome.CANCELLED)
-    assert [request_id for command, request_id in desk.backend.told if command == "start"] == [
+        driver.submit(number, "temp-history")
+    driver.submit(4, "setpoint-cmd")  # preempts the second
+    driver.end(2, Outcome.CANCELLED)
+    assert [request_id for command, request_id in driver.backend.commands if command == "start"] == [
         "r1",
         "r2",
         "r4",
     ]
-    desk.core.apply_settings(changed_settings(replace_setpoint_class))
-    desk.clock.settle()
-    assert desk.core._controller.state.statistics.mean_run_us.keys() == {
+    driver.core.apply_settings(changed_settings(replace_setpoint_class))
+    driver.clock.settle()
+    assert driver.core._controller.state.statistics.mean_run_us.keys() == {
         "temp-history",
         "schedule-save",
         "setpoint-cmd",
         "boiler-cmd",
     }
-    desk.submit(5, "boiler-cmd")  # has the highest priority weight now
-    desk.submit(6, "setpoint-cmd")  # removed, but still accepted for a grace period
+    driver.submit(5, "boiler-cmd")  # has the highest priority weight now
+    driver.submit(6, "setpoint-cmd")  # removed, but still accepted for a grace period
     for number in (4, 1, 5, 6, 2, 3):
-        desk.end(number)
-    assert all(desk.verdicts(number) == [ResponseStatus.DONE] for number in range(1, 7))
-    assert desk.core.in_flight == 0 and desk.core._controller.state.entries.count_in_flight() == 0
+        driver.end(number)
+    assert all(driver.statuses(number) == [ResponseStatus.DONE] for number in range(1, 7))
+    assert driver.core.in_flight == 0 and driver.core._controller.state.entries.count_in_flight() == 0
 
 
 def test_a_removed_class_is_accepted_for_a_grace_then_rejected_and_accepted_when_it_returns() -> None:
-    desk = Desk()
-    desk.core.apply_settings(changed_settings(replace_setpoint_class))
+    driver = CoreDriver()
+    driver.core.apply_settings(changed_settings(replace_setpoint_class))
     # Applying the same settings again must not end the grace period.
-    desk.core.apply_settings(changed_settings(replace_setpoint_class))
-    desk.submit(1, "setpoint-cmd")
-    desk.clock.advance(RETIRED_CLASS_GRACE / MILLISECOND + 1)
+    driver.core.apply_settings(changed_settings(replace_setpoint_class))
+    driver.submit(1, "setpoint-cmd")
+    driver.clock.advance(RETIRED_CLASS_GRACE / MILLISECOND + 1)
     with pytest.raises(RequestRejectedError, match="unknown class"):
-        desk.submit(2, "setpoint-cmd")
-    desk.core.apply_settings(read_settings(SETTINGS))
-    desk.submit(3, "setpoint-cmd")
-    desk.submit(4, "boiler-cmd")
+        driver.submit(2, "setpoint-cmd")
+    driver.core.apply_settings(read_settings(SETTINGS))
+    driver.submit(3, "setpoint-cmd")
+    driver.submit(4, "boiler-cmd")
 
 
 def test_a_deadline_is_that_of_the_settings_in_force_when_the_request_was_submitted() -> None:
-    desk = Desk(cores=1)
+    driver = CoreDriver(cores=1)
     for number, request_class in ((1, "setpoint-cmd"), (2, "boiler-cmd")):
-        desk.submit(number, request_class)
-        desk.core.apply_settings(changed_settings(replace_setpoint_class))
-        desk.clock.settle()
-    remaining_times = [request.deadline_at - desk.clock.now() for request in desk.core._requests]
+        driver.submit(number, request_class)
+        driver.core.apply_settings(changed_settings(replace_setpoint_class))
+        driver.clock.settle()
+    remaining_times = [request.deadline_at - driver.clock.now() for request in driver.core._requests]
     assert remaining_times == [4_300 * MILLISECOND, 2_000 * MILLISECOND]
-    entries = desk.core._controller.state.entries.by_id.values()
+    entries = driver.core._controller.state.entries.by_id.values()
     assert [entry.deadline_at - entry.arrived_at for entry in entries] == [4_300_000, 2_000_000]
 
 
 def test_measurements_stay_and_bounds_follow_the_settings() -> None:
-    desk = Desk(cores=2)
-    controller = desk.core._controller
-    desk.submit(1)
-    desk.clock.advance(300)
-    desk.end(1)
+    driver = CoreDriver(cores=2)
+    controller = driver.core._controller
+    driver.submit(1)
+    driver.clock.advance(300)
+    driver.end(1)
     controller.concurrency.limit = 9.0
     measured = (
         controller.state.statistics.mean_run_us["temp-history"],
@@ -100,65 +100,69 @@
         controller.state.callers.last_seen,
     )
     assert measured[0] > 0
-    desk.core.apply_settings(changed_settings(lambda config: config["classes"][0].update(worth=2.0)))
-    desk.clock.settle()
+    driver.core.apply_settings(changed_settings(lambda config: config["classes"][0].update(worth=2.0)))
+    driver.clock.settle()
     assert (
         controller.state.statistics.mean_run_us["temp-history"],
         controller.state.statistics.least_run_us,
         controller.state.callers.last_seen,
     ) == measured
     assert controller.concurrency.limit == 9.0
-    desk.core.apply_settings(changed_settings(lambda config: config["rules"].update(fallMultiple=2.0)))
-    desk.clock.settle()
+    driver.core.apply_settings(changed_settings(lambda config: config["rules"].update(fallMultiple=2.0)))
+    driver.clock.settle()
     assert controller.concurrency.limit == 4.0  # the bound under the new settings
 
 
 def test_a_quota_set_by_the_api_stays_until_the_file_changes_it() -> None:
     realm_rows = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
-    desk = Desk(realms=realm_rows)
-    desk.core.set_quota("riad", 7.0)
+    driver = CoreDriver(realms=realm_rows)
+    driver.core.set_quota("riad", 7.0)
     for per_s, expected_quota in ((2.0, 7.0), (3.0, 3.0)):
         changed_realms = [
             {**realm_rows[0], "allowancePerS": per_s},
             {"name": "souk", "portion": 0.1, "allowancePerS": 1.0},
         ]
-        desk.core.apply_settings(read_settings({**SETTINGS, "realms": changed_realms}))
-        desk.clock.settle()
-        assert desk.core._controller.state.quotas_per_s == {"riad": expected_quota, "souk": 1.0}
-    desk.core.apply_settings(read_settings(SETTINGS))
-    assert not desk.core.tenants and not desk.core.tenant_counts
+        driver.core.apply_settings(read_settings({**SETTINGS, "realms": changed_realms}))
+        driver.clock.settle()
+        assert driver.core._controller.state.quotas_per_s == {"riad": expected_quota, "souk": 1.0}
+    driver.core.apply_settings(read_settings(SETTINGS))
+    assert not driver.core.tenants and not driver.core.tenant_counts
 
 
 def test_booked_memory_is_counted_and_released_by_the_settings_in_force() -> None:
     # Guards against a memory account that stays full forever, because memory was booked with the factor of one version
     # of the settings and released with that of another.
-    desk = RespDesk(cpus=1, keyKb=5.0)
-    connection = desk.connect()
+    driver = RespDriver(cpus=1, keyKb=5.0)
+    connection = driver.connect()
     for tag, request_class in ((1, "list"), (2, "book"), (3, "list"), (4, "book")):
-        desk.send_request(connection, tag, request_class, once=f"k{tag}")
-    controller = desk.core._controller
+        driver.send_request(connection, tag, request_class, once=f"k{tag}")
+    controller = driver.core._controller
     for factor, key_kb in ((3.0, 50.0), (12.0, 1.0)):
-        desk.core.apply_settings(read_settings(alternate_settings(cpus=1, keyKb=key_kb, runMemFactor=factor)))
-        desk.clock.settle()
-        running = desk.start_count(1) + desk.start_count(2) + desk.start_count(3) + desk.start_count(4)
+        driver.core.apply_settings(
+            read_settings(alternate_settings(cpus=1, keyKb=key_kb, runMemFactor=factor))
+        )
+        driver.clock.settle()
+        running = (
+            driver.start_count(1) + driver.start_count(2) + driver.start_count(3) + driver.start_count(4)
+        )
         assert controller.state.entries.memory_kb == factor * running + (4 - running) + 2 * key_kb
     for _ in range(4):
         for tag in (1, 2, 3, 4):
-            desk.end_run(tag)
+            driver.end_run(tag)
     assert controller.state.entries.memory_kb == 2.0  # the two idempotency keys
-    desk.clock.advance(6_000)
+    driver.clock.advance(6_000)
     assert controller.state.entries.memory_kb == 0
 
 
 def test_a_longer_window_covers_kept_keys_and_a_shorter_one_does_not_shorten_theirs() -> None:
     config = alternate_settings()
     for window_us, wait_ms, runs in ((5_000_000, 4_000, 0), (500_000, 1_000, 0), (2_000_000, 2_500, 1)):
-        desk = RespDesk()
-        connection = desk.connect()
-        desk.send_request(connection, 1, "book", once="k")
-        desk.end_run(1)
+        driver = RespDriver()
+        connection = driver.connect()
+        driver.send_request(connection, 1, "book", once="k")
+        driver.end_run(1)
         config["classes"][2]["repeatWindowUs"] = window_us
-        desk.core.apply_settings(read_settings(config))
-        desk.clock.advance(wait_ms)
-        desk.send_request(desk.connect(), 1, "book", id=2, once="k")
-        assert desk.start_count(2) == runs
+        driver.core.apply_settings(read_settings(config))
+        driver.clock.advance(wait_ms)
+        driver.send_request(driver.connect(), 1, "book", id=2, once="k")
+        assert driver.start_count(2) == runs
--- a/tests/frontends/support.py
+++ b/tests/frontends/support.py
@@ -9,7 +9,7 @@
 from marlstep.frontends.uwsgi_mapping import UwsgiMapping
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.units import SECOND, instant_us
-from tests.support.node import START, Desk, Wire
+from tests.support.node import START, CoreDriver, FakeTransport
 
 START_MS = instant_us(START) // 1000
 FIELDS = b"at=%d,from=4,kb=24.5,rank=0.6250,cost=12.50" % START_MS
@@ -25,16 +25,16 @@
     """A RESP frontend and connections of its clients."""
 
     def __init__(self, cores: int = 2, limit: int = 8) -> None:
-        self.node = Desk(cores)
+        self.node = CoreDriver(cores)
         clock = self.node.clock
         self.frontend = RespFrontend(self.node.core, clock.timeline, self.node.backend, limit, 15 * SECOND)
         self.node.core.add_frontend(self.frontend)
         self.node.core._signals.advertised_value = None
 
-    def connect(self) -> Wire:
-        return Wire(RespConnection(self.frontend))
+    def connect(self) -> FakeTransport:
+        return FakeTransport(RespConnection(self.frontend))
 
-    def feed(self, connection: Wire, data: bytes) -> None:
+    def feed(self, connection: FakeTransport, data: bytes) -> None:
         connection.feed(data)
         self.node.clock.settle()
 
@@ -63,17 +63,17 @@
     """A uwsgi frontend and connections of its clients."""
 
     def __init__(self, cores: int = 2) -> None:
-        self.node = Desk(cores)
+        self.node = CoreDriver(cores)
         self.frontend = UwsgiFrontend(
             self.node.core, self.node.clock.timeline, self.node.backend, 8, 2 * SECOND, MAPPING, 100
         )
         self.node.core.add_frontend(self.frontend)
         self.number = 0
 
-    def connect(self) -> Wire:
-        return Wire(UwsgiConnection(self.frontend))
+    def connect(self) -> FakeTransport:
+        return FakeTransport(UwsgiConnection(self.frontend))
 
-    def send(self, variables: dict[str, str], body: bytes = b"", step: int = 1 << 16) -> Wire:
+    def send(self, variables: dict[str, str], body: bytes = b"", step: int = 1 << 16) -> FakeTransport:
         connection = self.connect()
         connection.feed(write_packet(variables, body), step)
         self.node.clock.settle()
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -17,7 +17,7 @@
 from marlstep.platform import kernel
 from tests.frontends.support import RespHarness, UwsgiHarness, exec_frame
 from tests.platform.test_database import Harness as DatabaseHarness
-from tests.support.node import HandClock, HandDial, Notes, Wire
+from tests.support.node import FakeTransport, ManualClock, ManualDialer, RecordingSink
 from tests.support.streams import CUTS as CUTS
 from tests.support.streams import FIXED as FIXED
 from tests.support.streams import GARBAGE as GARBAGE
@@ -32,14 +32,14 @@
 REPLIES = (b"r1 ROWS 4\r\n\r\n\r\n\r\n", b"r1 FULL\r\n", b"r1 TIMEOUT\r\n", b"r1 FAIL\r\n", b"r1 NONE\r\n")
 
 
-def connect_to_kernel() -> tuple[Wire, Notes]:
-    clock, notes = HandClock(), Notes()
-    dial = HandDial()
+def connect_to_kernel() -> tuple[FakeTransport, RecordingSink]:
+    clock, notes = ManualClock(), RecordingSink()
+    dial = ManualDialer()
     kernel.KernelClient(("127.0.0.1", 1), ("cpu",), clock.timeline, lambda: notes, dial).open()
     return dial.accept(), notes
 
 
-def connect_to_database() -> tuple[Wire, Notes]:
+def connect_to_database() -> tuple[FakeTransport, RecordingSink]:
     harness = DatabaseHarness()
     return harness.open(), harness.notes
 
@@ -50,7 +50,7 @@
     kernel_connection, notes = connect_to_kernel()
     for part in pieces(NOTICES, cuts):
         kernel_connection.feed(part)
-    assert [(event, id) for event, id, *_ in notes.told] == [
+    assert [(event, id) for event, id, *_ in notes.events] == [
         ("ended", "a"),
         ("needs", "b"),
         ("ended", "b"),
@@ -61,7 +61,7 @@
         database_connection, notes = connect_to_database()
         for part in pieces(reply, cuts):
             database_connection.feed(part)
-        assert [(id, outcome) for _, id, outcome, _ in notes.told] == [("r1", expected)]
+        assert [(id, outcome) for _, id, outcome, _ in notes.events] == [("r1", expected)]
         assert not database_connection.closed
 
 
--- a/tests/frontends/test_resp_over_time.py
+++ b/tests/frontends/test_resp_over_time.py
@@ -53,11 +53,11 @@
     harness.node.clock.advance(2_400)
     send(101)
     harness.node.clock.advance(101)
-    started_count = len([id for event, id in harness.node.backend.told if event == "start"])
+    started_count = len([id for event, id in harness.node.backend.commands if event == "start"])
     for tag in range(102, 120):
         send(tag)
     harness.node.clock.advance(600)
-    started = [int(id, 16) for event, id in harness.node.backend.told if event == "start"]
+    started = [int(id, 16) for event, id in harness.node.backend.commands if event == "start"]
     assert all(tag <= 101 for tag in started) and len(started) >= started_count
     assert harness.node.core.unanswered == 0
     sent = b"".join(bytes(connection.written) for connection in connections)
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -6,10 +6,10 @@
 from marlstep.frontends.uwsgi_wire import write_packet
 from marlstep.units import SECOND
 from tests.frontends.support import READ_VARIABLES, RESPONSE, UwsgiHarness
-from tests.support.node import Wire
+from tests.support.node import FakeTransport
 
 
-def status(connection: Wire) -> int:
+def status(connection: FakeTransport) -> int:
     assert connection.closed
     head = bytes(connection.written).split(b"\r\n", 1)[0]
     return int(head.split()[1])
@@ -24,7 +24,7 @@
         assert harness.node.core.in_flight == 0
         connection.feed(packet[cut:])
         harness.node.clock.settle()
-        assert harness.node.backend.told == [("start", "uwsgi-1")]
+        assert harness.node.backend.commands == [("start", "uwsgi-1")]
         harness.end_run()
         assert connection.take() == RESPONSE and connection.closed
 
@@ -102,7 +102,7 @@
     late.feed(write_packet(READ_VARIABLES)[9:])
     harness.node.clock.settle()
     assert status(late) == 503 and b"Retry-After: 1\r\n" in late.written
-    assert harness.node.backend.told == []
+    assert harness.node.backend.commands == []
 
 
 @pytest.mark.parametrize(("outcome", "expected"), [(Outcome.CONNECT_FAILED, 503), (Outcome.RESET, 502)])
@@ -114,7 +114,9 @@
     harness.end_run(outcome, b"")
     assert status(connection) == expected
     repeat = harness.send({"X_CLASS": "setpoint", "X_ID": "b7"})
-    assert [event for event, _ in harness.node.backend.told].count("start") == (2 if expected == 503 else 1)
+    assert [event for event, _ in harness.node.backend.commands].count("start") == (
+        2 if expected == 503 else 1
+    )
     assert repeat.closed == (expected == 502)
 
 
@@ -123,7 +125,7 @@
     connection = harness.send({"X_CLASS": "setpoint"})
     harness.node.clock.advance(1800)
     assert status(connection) == 504
-    assert ("abandon", "uwsgi-1") in harness.node.backend.told
+    assert ("abandon", "uwsgi-1") in harness.node.backend.commands
     harness.end_run()
     assert bytes(connection.written).count(b"HTTP/1.1") == 1
 
@@ -132,7 +134,7 @@
     harness = UwsgiHarness()
     harness.send(READ_VARIABLES).close()
     harness.node.clock.settle()
-    assert ("abandon", "uwsgi-1") in harness.node.backend.told
+    assert ("abandon", "uwsgi-1") in harness.node.backend.commands
     harness.end_run(Outcome.CANCELLED, b"")
     assert harness.node.core.in_flight == 0 and len(harness.frontend.connections) == 0
 
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -26,7 +26,7 @@
 from tests.golden.everything import KEY, TOKEN, counted_names
 from tests.golden.files import read_golden
 from tests.golden.world import Process, World, make_world
-from tests.support.node import SETTINGS, Desk
+from tests.support.node import SETTINGS, CoreDriver
 
 GETS = (
     "health", "counters", "tenants", "tenants/riad", "parts", "fleet", "fleet/leases", "fleet/log", "fleet/members",
@@ -184,19 +184,19 @@
 def counted() -> dict[str, Any]:
     """The pages that count requests, after some that came to each end that is cheap to have."""
     realms = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
-    desk = Desk(cores=1, realms=realms, overShareWorth=0.1)
-    admin = AdminApi(desk.core, desk.clock.timeline, TOKEN, lambda: None)
-    desk.core.backend_ready()
+    driver = CoreDriver(cores=1, realms=realms, overShareWorth=0.1)
+    admin = AdminApi(driver.core, driver.clock.timeline, TOKEN, lambda: None)
+    driver.core.backend_ready()
     for number in range(1, 4):
-        desk.submit(number, tenant="riad")
-    desk.end(1)
-    desk.end(2, Outcome.ERROR)
-    desk.submit(9, late_ms=60_000, tenant="riad")
-    desk.core.call_needed("r3", b"ask")
-    desk.core.client_disconnected(desk.submit(8, tenant="riad"))
-    desk.core.accepts_work = lambda: False
-    desk.submit(7, tenant="riad")
-    desk.clock.advance(60_000)
+        driver.submit(number, tenant="riad")
+    driver.end(1)
+    driver.end(2, Outcome.ERROR)
+    driver.submit(9, late_ms=60_000, tenant="riad")
+    driver.core.call_needed("r3", b"ask")
+    driver.core.client_disconnected(driver.submit(8, tenant="riad"))
+    driver.core.accepts_work = lambda: False
+    driver.submit(7, tenant="riad")
+    driver.clock.advance(60_000)
     paths = ("/v1/counters", "/v1/tenants")
     return {
         f"GET {path}": admin.serve(HttpRequest("GET", path, b"Bearer " + TOKEN.encode(), b""))[1]
--- a/tests/golden/test_restart_messages.py
+++ b/tests/golden/test_restart_messages.py
@@ -11,7 +11,7 @@
 from tests.golden import checks
 from tests.golden.conversation import classes_of, tags_of
 from tests.golden.restart_messages import CONVERSATION, LEARNT, MESSAGES
-from tests.support.alternate_settings import RespDesk
+from tests.support.alternate_settings import RespDriver
 
 each_message = pytest.mark.parametrize("name", checks.names(CONVERSATION))
 
@@ -32,7 +32,7 @@
 
 
 def test_what_a_process_has_learnt_goes_over_under_the_stored_names() -> None:
-    core = RespDesk().core
+    core = RespDriver().core
     assert list(core.measurements()) == list(LEARNT)
     assert Measurements.from_mapping(LEARNT) == Measurements(
         limit=12.5,
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -33,7 +33,7 @@
 from marlstep.node import Node
 from marlstep.replicated_config.messages import DocumentChunk, FetchChunk
 from tests.golden.everything import KEY, operator_config, platform_config
-from tests.support.node import HandClock
+from tests.support.node import ManualClock
 
 VOTER = "n1#0a0b0c"
 STEP_MS = 50
@@ -83,7 +83,7 @@
         self.kept.append(body)
 
 
-def lone_voter(config: ClusterConfig, clock: HandClock) -> Replica:
+def lone_voter(config: ClusterConfig, clock: ManualClock) -> Replica:
     """The only one of its group, so that what it proposes is committed at once."""
     members = None if config.membership is None else config.membership.roster
     timing = RaftTiming(config.heartbeat_interval, config.election_timeout)
@@ -96,7 +96,7 @@
 class World:
     """Made within a running event loop; `node` is one that does not vote."""
 
-    clock: HandClock
+    clock: ManualClock
     node: Node
     fleet: ClusterNode
     voter: Replica
@@ -189,7 +189,7 @@
 
 
 def make_world(folder: Any) -> World:
-    clock = HandClock()
+    clock = ManualClock()
     config = check(platform_config("n6"), operator_config(folder, voters=["n1"], listen="127.0.0.1:7006"))
     assert config.cluster is not None
     node = Node(config, clock.timeline)
--- a/tests/hot_restart/test_channel.py
+++ b/tests/hot_restart/test_channel.py
@@ -14,7 +14,7 @@
 from marlstep.hot_restart import discovery
 from marlstep.hot_restart.channel import RestartChannel
 from marlstep.units import MILLISECOND
-from tests.support.node import HandClock
+from tests.support.node import ManualClock
 from tests.support.restart_pair import RETRY_WINDOW, TERMINATION_TIMEOUT, SimulatedProcess
 
 
@@ -34,9 +34,9 @@
 
 
 async def open_channel(folder: Path, process: SimulatedProcess) -> RestartChannel:
-    channel = RestartChannel(folder, "n1", process.desk.clock.timeline, lambda _: process.hot_restart)
+    channel = RestartChannel(folder, "n1", process.driver.clock.timeline, lambda _: process.hot_restart)
     assert not await channel.open()
-    process.hot_restart.backend_ready(process.desk.clock.now())
+    process.hot_restart.backend_ready(process.driver.clock.now())
     return channel
 
 
@@ -46,7 +46,7 @@
 ) -> None:
     # Guards against a second run of a keyed request: the predecessor may be alive, but has sent none of its keys.
     async def run() -> None:
-        clock = HandClock()
+        clock = ManualClock()
         predecessor = RestartChannel(
             tmp_path, "n1", clock.timeline, lambda _: SimulatedProcess(clock, 1).hot_restart
         )
@@ -59,16 +59,16 @@
                 stack.enter_context(listening_with_full_backlog(tmp_path / "marlstep.n1.1.sock"))
             process = SimulatedProcess(clock, 2)
             stack.callback((await open_channel(tmp_path, process)).close)
-            process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
-            process.desk.submit(2, "setpoint-cmd")
-            assert process.desk.verdicts(1) == [ResponseStatus.REJECTED]
-            assert process.desk.backend.told == [("start", "r2")]
+            process.driver.submit(1, "setpoint-cmd", idempotency_key="k")
+            process.driver.submit(2, "setpoint-cmd")
+            assert process.driver.statuses(1) == [ResponseStatus.REJECTED]
+            assert process.driver.backend.commands == [("start", "r2")]
             assert process.hot_restart.sharing.limit == 0.5
-            process.desk.end(2)
+            process.driver.end(2)
             clock.advance(max(TERMINATION_TIMEOUT, RETRY_WINDOW) / MILLISECOND)
             process.hot_restart.tick(clock.now())
-            process.desk.submit(3, "setpoint-cmd", idempotency_key="k")
-            assert process.desk.backend.told == [("start", "r2"), ("start", "r3")]
+            process.driver.submit(3, "setpoint-cmd", idempotency_key="k")
+            assert process.driver.backend.commands == [("start", "r2"), ("start", "r3")]
             assert process.hot_restart.sharing.limit == 1.0
 
     uvloop.run(run())
@@ -79,10 +79,10 @@
         path = tmp_path / "marlstep.n1.1.sock"
         with socket.socket(socket.AF_UNIX) as dead:
             dead.bind(str(path))
-        process = SimulatedProcess(HandClock(), 2)
+        process = SimulatedProcess(ManualClock(), 2)
         channel = await open_channel(tmp_path, process)
-        process.desk.submit(1, "setpoint-cmd", idempotency_key="k")
-        assert process.desk.backend.told == [("start", "r1")] and not path.exists()
+        process.driver.submit(1, "setpoint-cmd", idempotency_key="k")
+        assert process.driver.backend.commands == [("start", "r1")] and not path.exists()
         channel.close()
 
     uvloop.run(run())
--- a/tests/hot_restart/test_key_exchange.py
+++ b/tests/hot_restart/test_key_exchange.py
@@ -39,16 +39,16 @@
         pair.submit(pair.predecessor, request_class, "m")
     pair.exchange()
     assert pair.run_counts() == {(request_class, "k"): 1, (request_class, "m"): 1}
-    pair.predecessor.desk.end(first)
-    pair.successor.desk.end(third)
+    pair.predecessor.driver.end(first)
+    pair.successor.driver.end(third)
     pair.exchange()
     fifth = pair.last_number + 1
     with contextlib.suppress(RequestRejectedError):
         pair.submit(pair.successor, request_class, "k")
     pair.exchange()
     expected, at_once = ([ResponseStatus.DONE],) * 2 if effect == "keyed" else ([ResponseStatus.FAILED], [])
-    assert [pair.successor.desk.verdicts(number) for number in (second, fifth)] == [expected, at_once]
-    assert pair.predecessor.desk.verdicts(fourth) == at_once
+    assert [pair.successor.driver.statuses(number) for number in (second, fifth)] == [expected, at_once]
+    assert pair.predecessor.driver.statuses(fourth) == at_once
     assert pair.run_counts() == {(request_class, "k"): 1, (request_class, "m"): 1}
 
 
@@ -72,11 +72,11 @@
     retry = pair.submit(pair.successor, "schedule-save", "k")  # with the same request id
     pair.submit(pair.successor, "schedule-save", "k")
     pair.run_for(100)
-    pair.predecessor.desk.end(first)
+    pair.predecessor.driver.end(first)
     pair.run_for(100)
     assert (
-        pair.successor.desk.verdicts(retry)
-        == pair.successor.desk.verdicts(retry + 1)
+        pair.successor.driver.statuses(retry)
+        == pair.successor.driver.statuses(retry + 1)
         == [ResponseStatus.DONE]
     )
 
@@ -87,25 +87,25 @@
     pair.deliver_to_predecessor()
     pair.to_successor.data[:0] = messages.write(messages.KeyStatus("schedule-save", "k", f"r{number}"))
     pair.deliver_to_successor()
-    assert pair.successor.desk.backend.told == [("start", f"r{number}")]
+    assert pair.successor.driver.backend.commands == [("start", f"r{number}")]
 
 
 def test_a_key_whose_attempt_never_ran_at_the_other_process_may_run_here() -> None:
     pair = serving_pair()
     first = pair.submit(pair.predecessor, "setpoint-cmd", "k")
     pair.exchange()
-    pair.predecessor.desk.end(first, Outcome.NOT_STARTED)
+    pair.predecessor.driver.end(first, Outcome.NOT_STARTED)
     pair.exchange()
     pair.submit(pair.successor, "setpoint-cmd", "k")
     pair.exchange()
-    assert [command for command, _ in pair.successor.desk.backend.told] == ["start"]
+    assert [command for command, _ in pair.successor.driver.backend.commands] == ["start"]
 
 
 def test_a_claim_that_is_granted_after_its_request_has_expired_is_released() -> None:
     pair = serving_pair()
     number = pair.submit(pair.successor, "setpoint-cmd", "k")
     pair.clock.advance(4_400)  # past its deadline, before any response to the claim
-    assert pair.successor.desk.verdicts(number) == [ResponseStatus.REJECTED]
+    assert pair.successor.driver.statuses(number) == [ResponseStatus.REJECTED]
     pair.exchange()
     pair.submit(pair.predecessor, "setpoint-cmd", "k")
     assert pair.run_counts()[("setpoint-cmd", "k")] == 1
@@ -116,27 +116,27 @@
     waiting = pair.submit(pair.successor, "setpoint-cmd", "k")
     pair.to_predecessor.data.clear()  # the predecessor never reads the claim
     pair.kill(pair.predecessor)
-    assert pair.successor.desk.verdicts(waiting) == [ResponseStatus.REJECTED]
+    assert pair.successor.driver.statuses(waiting) == [ResponseStatus.REJECTED]
     rejected = pair.submit(pair.successor, "setpoint-cmd", "m")
     without_key = pair.submit(pair.successor, "setpoint-cmd", None)
-    assert pair.successor.desk.verdicts(rejected) == [ResponseStatus.REJECTED]
-    assert ("start", f"r{without_key}") in pair.successor.desk.backend.told
-    pair.successor.desk.end(without_key)
+    assert pair.successor.driver.statuses(rejected) == [ResponseStatus.REJECTED]
+    assert ("start", f"r{without_key}") in pair.successor.driver.backend.commands
+    pair.successor.driver.end(without_key)
     pair.clock.advance(RETRY_WINDOW / MILLISECOND)
     later = pair.submit(pair.successor, "setpoint-cmd", "m")
-    assert ("start", f"r{later}") in pair.successor.desk.backend.told
+    assert ("start", f"r{later}") in pair.successor.driver.backend.commands
 
 
 def test_after_a_complete_hot_restart_no_outcome_is_unknown() -> None:
     pair = serving_pair()
     ran = pair.submit(pair.predecessor, "setpoint-cmd", "k")
-    pair.predecessor.desk.end(ran)
+    pair.predecessor.driver.end(ran)
     waiting = pair.submit(pair.successor, "setpoint-cmd", "m")
     pair.to_predecessor.data.clear()
     pair.predecessor.hot_restart.finish()
     pair.exchange()
     pair.kill(pair.predecessor)
-    assert ("start", f"r{waiting}") in pair.successor.desk.backend.told
+    assert ("start", f"r{waiting}") in pair.successor.driver.backend.commands
     with pytest.raises(RequestRejectedError, match="must not run twice"):
         pair.submit(pair.successor, "setpoint-cmd", "k")
 
--- a/tests/hot_restart/test_resource_sharing.py
+++ b/tests/hot_restart/test_resource_sharing.py
@@ -77,4 +77,4 @@
     pair.predecessor.hot_restart.finish()
     pair.exchange()
     assert pair.successor.hot_restart.sharing.limit == FULL_SHARE and pair.successor.hot_restart.is_idle
-    assert pair.successor.desk.core._controller.state.portion == FULL_SHARE
+    assert pair.successor.driver.core._controller.state.portion == FULL_SHARE
--- a/tests/hot_restart/test_restart.py
+++ b/tests/hot_restart/test_restart.py
@@ -60,12 +60,12 @@
         pair.to_successor.data = pair.to_successor.data[:cut_at]
         pair.kill(pair.predecessor)
         pair.successor.hot_restart.tick(pair.clock.now())
-        assert pair.successor.desk.core.serving_state.can_serve and pair.successor.accepts_connections
+        assert pair.successor.driver.core.serving_state.can_serve and pair.successor.accepts_connections
         assert 0 < pair.successor.hot_restart.sharing.limit <= HALF_SHARE
         for number in range(3):
             with contextlib.suppress(RequestRejectedError):
                 pair.submit(pair.successor, "setpoint-cmd", f"k{number}")
-        assert not pair.successor.desk.backend.told
+        assert not pair.successor.driver.backend.commands
 
 
 # The arguments of `RandomSteps.step`.
@@ -95,7 +95,7 @@
 
     def step(self, kind: str, process_index: int, choice: Any, number: int) -> None:
         process = (self.predecessor, self.successor)[process_index]
-        core = process.desk.core
+        core = process.driver.core
         match kind:
             case "connect" if not self.is_connected and not self.predecessor.is_killed:
                 self.is_connected = True
@@ -167,4 +167,4 @@
     pair.clock.advance(10_000)
     for process, number in pair.accepted:
         if not process.is_killed:
-            assert len(process.desk.verdicts(number)) == 1, number
+            assert len(process.driver.statuses(number)) == 1, number
--- a/tests/hot_restart/test_successor.py
+++ b/tests/hot_restart/test_successor.py
@@ -17,7 +17,7 @@
     may_accept_connections,
 )
 from marlstep.units import MILLISECOND
-from tests.support.node import START, HandClock
+from tests.support.node import START, ManualClock
 from tests.support.restart_pair import (
     RETRY_WINDOW,
     TERMINATION_TIMEOUT,
@@ -28,12 +28,12 @@
 
 
 def test_a_process_without_predecessor_serves_at_once_with_all_capacity() -> None:
-    process = SimulatedProcess(HandClock(), 1)
-    assert process.desk.core.serving_state.phase.value == "starting"
+    process = SimulatedProcess(ManualClock(), 1)
+    assert process.driver.core.serving_state.phase.value == "starting"
     process.hot_restart.backend_ready(START)
     assert (
         process.accepts_connections
-        and process.desk.core.serving_state.phase is ServingPhase.SERVING
+        and process.driver.core.serving_state.phase is ServingPhase.SERVING
         and process.hot_restart.is_idle
     )
     assert not process.hot_restart.begin_shutdown(START)  # no handover: SIGTERM drains the node
@@ -49,11 +49,11 @@
     # The initial sync is complete, but the successor's kernel is not connected.
     assert not pair.successor.accepts_connections
     pair.successor.hot_restart.backend_ready(pair.clock.now())
-    assert pair.successor.accepts_connections and not pair.successor.desk.core.serving_state.can_serve
+    assert pair.successor.accepts_connections and not pair.successor.driver.core.serving_state.can_serve
     assert not pair.predecessor.hot_restart.begin_shutdown(pair.clock.now())
     pair.deliver_to_predecessor()
     pair.deliver_to_successor()
-    assert pair.successor.desk.core.serving_state.can_serve
+    assert pair.successor.driver.core.serving_state.can_serve
     assert pair.predecessor.hot_restart.begin_shutdown(pair.clock.now())
 
 
@@ -61,31 +61,31 @@
     pair = ProcessPair()
     pair.connect()
     for timeout in (INITIAL_SYNC_TIMEOUT, ACKNOWLEDGE_TIMEOUT):
-        assert not pair.successor.desk.core.serving_state.can_serve
+        assert not pair.successor.driver.core.serving_state.can_serve
         pair.clock.advance(timeout / MILLISECOND)
         pair.successor.hot_restart.tick(pair.clock.now())
-    assert pair.successor.accepts_connections and pair.successor.desk.core.serving_state.can_serve
+    assert pair.successor.accepts_connections and pair.successor.driver.core.serving_state.can_serve
 
 
 def test_measurements_and_a_quiesce_reach_the_successor_and_its_resume_reaches_the_predecessor() -> None:
     pair = ProcessPair()
-    pair.predecessor.desk.core.serving_state.quiesce()
-    controller = pair.predecessor.desk.core._controller
+    pair.predecessor.driver.core.serving_state.quiesce()
+    controller = pair.predecessor.driver.core._controller
     controller.state.statistics.mean_run_us["temp-history"] = 300_000.0
     controller.state.call_latency.usual_us = 9_000.0
     controller.concurrency.limit = 4.0
     pair.connect()
     pair.run_for(40)
-    successor_controller = pair.successor.desk.core._controller
+    successor_controller = pair.successor.driver.core._controller
     assert successor_controller.state.statistics.mean_run_us["temp-history"] == 300_000.0
     assert successor_controller.state.call_latency.usual_us == 9_000.0
     assert 1.0 <= successor_controller.concurrency.limit <= successor_controller.state.max_concurrency
-    core = pair.successor.desk.core
+    core = pair.successor.driver.core
     assert not core.healthy and core.serving_state.can_serve
     core.serving_state.resume()
     pair.successor.hot_restart.serving_state_changed(True)
     pair.exchange()
-    assert pair.predecessor.desk.core.healthy
+    assert pair.predecessor.driver.core.healthy
 
 
 @pytest.mark.parametrize(
@@ -148,19 +148,19 @@
     pair.successor.hot_restart.predecessor_unreachable(pair.clock.now())
     rejected = pair.submit(pair.successor, "setpoint-cmd", "k")
     pair.exchange()
-    assert pair.successor.desk.verdicts(rejected) == [ResponseStatus.REJECTED]
+    assert pair.successor.driver.statuses(rejected) == [ResponseStatus.REJECTED]
     assert pair.successor.hot_restart.sharing.limit == limit and pair.successor.hot_restart.has_predecessor
     pair.clock.advance(RETRY_WINDOW / MILLISECOND)
     granted = pair.submit(pair.successor, "setpoint-cmd", "k")
     pair.exchange()
-    assert ("start", f"r{granted}") in pair.successor.desk.backend.told
+    assert ("start", f"r{granted}") in pair.successor.driver.backend.commands
 
 
 def test_a_sole_process_uses_half_of_the_capacity_until_an_unreachable_one_must_have_ended() -> None:
-    process = SimulatedProcess(HandClock(), 2)
+    process = SimulatedProcess(ManualClock(), 2)
     process.hot_restart.predecessor_unreachable(START)
     process.hot_restart.backend_ready(START)
-    assert process.accepts_connections and process.desk.core.serving_state.can_serve
+    assert process.accepts_connections and process.driver.core.serving_state.can_serve
     assert process.applied_limits == [HALF_SHARE] and not process.hot_restart.is_idle
     process.hot_restart.tick(START + TERMINATION_TIMEOUT)
     assert process.applied_limits == [HALF_SHARE, FULL_SHARE] and process.hot_restart.is_idle
--- a/tests/net/test_lines.py
+++ b/tests/net/test_lines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from marlstep.net.lines import InvalidLengthError, LineStream, parse_length
-from tests.support.node import Wire
+from tests.support.node import FakeTransport
 
 
 class Recorder(LineStream):
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("step", [1, 2, 64])
 def test_messages_are_reassembled_however_the_stream_is_divided(step: int) -> None:
     stream = Recorder()
-    transport = Wire(stream)
+    transport = FakeTransport(stream)
     transport.feed(b"one two\r\nbody 4\r\n\r\n\r\n\r\nthree\r\n", step)
     assert stream.messages == [(["one", "two"], b""), (["body", "4"], b"\r\n\r\n"), (["three"], b"")]
     assert not transport.closed and not stream.partial
@@ -39,14 +39,14 @@
 )
 def test_a_malformed_message_closes_the_connection(malformed: bytes) -> None:
     stream = Recorder()
-    transport = Wire(stream)
+    transport = FakeTransport(stream)
     transport.feed(b"one\r\n" + malformed)
     assert transport.closed and stream.messages == [(["one"], b"")]
 
 
 def test_the_end_of_the_stream_closes_the_connection() -> None:
     stream = Recorder()
-    transport = Wire(stream)
+    transport = FakeTransport(stream)
     stream.eof_received()
     assert transport.closed
 
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -11,7 +11,7 @@
 from marlstep.platform.call_policy import MAX_CONNECTIONS, MAX_IDLE_CONNECTIONS
 from marlstep.platform.database import DatabaseClient
 from marlstep.units import SECOND
-from tests.support.node import Desk, HandClock, HandDial, Notes, Wire
+from tests.support.node import CoreDriver, FakeTransport, ManualClock, ManualDialer, RecordingSink
 
 OLD_ADDRESS, NEW_ADDRESS = ("127.0.0.1", 1), ("127.0.0.1", 2)
 ROWS = b"%b ROWS 4\r\nrows\r\n"
@@ -19,21 +19,21 @@
 
 class Harness:
     def __init__(self) -> None:
-        self.clock, self.notes, self.dial = HandClock(), Notes(), HandDial()
+        self.clock, self.notes, self.dial = ManualClock(), RecordingSink(), ManualDialer()
         self.database = DatabaseClient(OLD_ADDRESS, self.clock.timeline, lambda: self.notes, self.dial)
-        self.desk = Desk()
+        self.driver = CoreDriver()
 
     def call(self, number: int = 1, request_class: str = "temp-history") -> Request:
         request_id = f"r{number}"
-        request = next((item for item in self.desk.core._requests if item.id == request_id), None)
+        request = next((item for item in self.driver.core._requests if item.id == request_id), None)
         if request is None:
-            self.desk.submit(number, request_class)
-            request = next(item for item in self.desk.core._requests if item.id == request_id)
+            self.driver.submit(number, request_class)
+            request = next(item for item in self.driver.core._requests if item.id == request_id)
         request.call_body = b"ask"
         self.database.call(request, self.clock.now() + SECOND / 4)
         return request
 
-    def open(self, number: int = 1, request_class: str = "temp-history") -> Wire:
+    def open(self, number: int = 1, request_class: str = "temp-history") -> FakeTransport:
         """Make a call, accept the new connection that it opens, and return that connection."""
         self.call(number, request_class)
         connection = self.dial.accept()
@@ -41,7 +41,7 @@
         return connection
 
     def outcomes(self) -> list[Outcome]:
-        return [outcome for _, _, outcome, _ in self.notes.told]
+        return [outcome for _, _, outcome, _ in self.notes.events]
 
 
 @pytest.mark.parametrize(
--- a/tests/races/test_idempotency_keys.py
+++ b/tests/races/test_idempotency_keys.py
@@ -16,65 +16,65 @@
 from marlstep.frontends.resp import RespConnection
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.units import EPOCH, MILLISECOND, SECOND, ZERO
-from tests.support.alternate_settings import RespDesk, response_frame
-from tests.support.node import START, Wire
+from tests.support.alternate_settings import RespDriver, response_frame
+from tests.support.node import START, FakeTransport
 
 ERROR_RESPONSE = response_frame(1, b"error")
 
 
-def run_first_attempt(desk: RespDesk) -> Wire:
+def run_first_attempt(driver: RespDriver) -> FakeTransport:
     """Send an attempt with the key k and start it. Returns its connection."""
-    wire = desk.connect()
-    desk.send_request(wire, 1, "book", b"mine", once="k")
-    assert desk.start_count(1) == 1
+    wire = driver.connect()
+    driver.send_request(wire, 1, "book", b"mine", once="k")
+    assert driver.start_count(1) == 1
     return wire
 
 
 @pytest.mark.parametrize("ended", [False, True])
 def test_a_key_with_another_body_gets_an_error_and_no_result_of_other_work(ended: bool) -> None:
     # Guards against a client that gets the result of another client's request by using its key.
-    desk = RespDesk()
-    owner, intruder = run_first_attempt(desk), desk.connect()
+    driver = RespDriver()
+    owner, intruder = run_first_attempt(driver), driver.connect()
     if ended:
-        desk.end_run(1)
-    desk.send_request(intruder, 1, "book", b"theirs", id=2, once="k")
-    assert intruder.take() == response_frame(1, b"error") and desk.start_count(2) == 0
+        driver.end_run(1)
+    driver.send_request(intruder, 1, "book", b"theirs", id=2, once="k")
+    assert intruder.take() == response_frame(1, b"error") and driver.start_count(2) == 0
     if not ended:
-        desk.end_run(1)
+        driver.end_run(1)
     assert owner.take() == response_frame(1, b"done", b"result")
-    repeat = desk.connect()
-    desk.send_request(
+    repeat = driver.connect()
+    driver.send_request(
         repeat, 1, "book", b"mine", id=3, once="k"
     )  # a repeat with the same body shares the result
-    assert repeat.take() == response_frame(1, b"done", b"result") and desk.start_count(3) == 0
+    assert repeat.take() == response_frame(1, b"done", b"result") and driver.start_count(3) == 0
 
 
 @pytest.mark.parametrize("end", ["unknown to the kernel", "rejected", "cancelled", "connection lost"])
 def test_a_key_used_first_by_another_client_is_free_once_its_attempt_ends_without_a_run(end: str) -> None:
     # Guards against requests that fail for a whole window because another client has used their key.
-    desk = RespDesk(cpus=1)
-    intruder = desk.connect()
+    driver = RespDriver(cpus=1)
+    intruder = driver.connect()
     if end != "unknown to the kernel":
         for number in range(50, 58):  # all cores are busy, so later requests are queued
-            desk.send_request(desk.connect(), 1, "open", id=number)
-    arrived_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) - 1_500
-    desk.send_request(intruder, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
+            driver.send_request(driver.connect(), 1, "open", id=number)
+    arrived_ms = int((driver.clock.now() - EPOCH) / MILLISECOND) - 1_500
+    driver.send_request(intruder, 1, "book", b"theirs", id=2, once="k", at=arrived_ms)
     match end:
         case "unknown to the kernel":
-            desk.end_run(2, b"", Outcome.NOT_STARTED)
+            driver.end_run(2, b"", Outcome.NOT_STARTED)
         case "rejected":
-            assert desk.start_count(2) == 0
-            desk.clock.advance(400)  # its deadline passes
+            assert driver.start_count(2) == 0
+            driver.clock.advance(400)  # its deadline passes
         case "cancelled":
-            desk.feed(intruder, write_frame(b"FORGET", b"1"))
+            driver.feed(intruder, write_frame(b"FORGET", b"1"))
         case "connection lost":
             intruder.close()
-            desk.clock.settle()
+            driver.clock.settle()
     for number in range(50, 58):
-        desk.end_run(number)
-    owner = desk.connect()
-    desk.send_request(owner, 1, "book", b"mine", id=3, once="k")
-    desk.end_run(3)
+        driver.end_run(number)
+    owner = driver.connect()
+    driver.send_request(owner, 1, "book", b"mine", id=3, once="k")
+    driver.end_run(3)
     assert owner.take() == response_frame(1, b"done", b"result")
 
 
@@ -83,26 +83,26 @@
     arrives_after_ms: int, runs: int
 ) -> None:
     # Guards against a second run of an attempt that arrived inside the window and was read after it.
-    desk = RespDesk()
-    run_first_attempt(desk)
-    desk.end_run(1)
-    desk.clock.advance(arrives_after_ms)
-    repeat = desk.connect()
-    late_frame = desk.frame(1, "book", b"mine", id=2, once="k")
-    desk.clock.advance(300)
-    desk.feed(repeat, late_frame)
-    assert desk.start_count(2) == runs
+    driver = RespDriver()
+    run_first_attempt(driver)
+    driver.end_run(1)
+    driver.clock.advance(arrives_after_ms)
+    repeat = driver.connect()
+    late_frame = driver.frame(1, "book", b"mine", id=2, once="k")
+    driver.clock.advance(300)
+    driver.feed(repeat, late_frame)
+    assert driver.start_count(2) == runs
     if not runs:
         assert repeat.take() == response_frame(1, b"done", b"result")
 
 
 def test_a_client_clock_that_runs_ahead_allows_no_second_run() -> None:
-    desk = RespDesk()
-    run_first_attempt(desk)
-    repeat = desk.connect()
-    future_ms = int((desk.clock.now() - EPOCH) / MILLISECOND) + 60_000
-    desk.send_request(repeat, 1, "book", b"mine", id=2, once="k", at=future_ms)
-    assert desk.start_count(2) == 0
+    driver = RespDriver()
+    run_first_attempt(driver)
+    repeat = driver.connect()
+    future_ms = int((driver.clock.now() - EPOCH) / MILLISECOND) + 60_000
+    driver.send_request(repeat, 1, "book", b"mine", id=2, once="k", at=future_ms)
+    assert driver.start_count(2) == 0
 
 
 def test_entries_are_dropped_once_no_unread_attempt_can_need_them() -> None:
@@ -132,67 +132,67 @@
 
 
 def test_a_request_cancelled_at_any_stage_gets_no_response_and_runs_at_most_once() -> None:
-    desk = RespDesk(cpus=1, halt="suspend")
-    wire = desk.connect()
-    desk.send_request(wire, 1, "list")
-    desk.core.call_needed(f"{1:016x}", b"ask")
-    desk.clock.settle()
-    desk.send_request(wire, 2, "ping")
-    desk.send_request(wire, 3, "open")  # preempts the second request
-    desk.end_run(2, b"", Outcome.CANCELLED)
-    desk.send_request(wire, 4, "ping")  # queued
+    driver = RespDriver(cpus=1, halt="suspend")
+    wire = driver.connect()
+    driver.send_request(wire, 1, "list")
+    driver.core.call_needed(f"{1:016x}", b"ask")
+    driver.clock.settle()
+    driver.send_request(wire, 2, "ping")
+    driver.send_request(wire, 3, "open")  # preempts the second request
+    driver.end_run(2, b"", Outcome.CANCELLED)
+    driver.send_request(wire, 4, "ping")  # queued
     wire.take()
     for tag in (4, 2, 3, 1):
-        desk.feed(wire, write_frame(b"FORGET", b"%d" % tag))
-        desk.feed(wire, write_frame(b"FORGET", b"%d" % tag))  # twice
-    desk.end_run(3)
-    desk.end_run(1, b"", Outcome.CANCELLED)
-    assert wire.take() == b"" and desk.core.in_flight == 0 and desk.core.unanswered == 0
-    assert [desk.start_count(id) for id in (1, 2, 3, 4)] == [1, 1, 1, 0]
+        driver.feed(wire, write_frame(b"FORGET", b"%d" % tag))
+        driver.feed(wire, write_frame(b"FORGET", b"%d" % tag))  # twice
+    driver.end_run(3)
+    driver.end_run(1, b"", Outcome.CANCELLED)
+    assert wire.take() == b"" and driver.core.in_flight == 0 and driver.core.unanswered == 0
+    assert [driver.start_count(id) for id in (1, 2, 3, 4)] == [1, 1, 1, 0]
     wire.close()  # the reset releases nothing a second time
-    desk.clock.settle()
-    assert desk.core.in_flight == 0 and len(desk.front.connections) == 0
+    driver.clock.settle()
+    assert driver.core.in_flight == 0 and len(driver.frontend.connections) == 0
 
 
 def test_a_cancellation_after_the_response_is_ignored_and_repeated_unknown_ones_close_the_connection() -> (
     None
 ):
     # Guards against a FORGET that closes the connection, and so drops its other open requests.
-    desk = RespDesk()
-    wire = desk.connect()
-    desk.send_request(wire, 1, "list")
-    desk.send_request(wire, 2, "list")
-    desk.end_run(1)
-    desk.feed(wire, write_frame(b"FORGET", b"1"))  # it crosses the response
-    desk.end_run(2)
+    driver = RespDriver()
+    wire = driver.connect()
+    driver.send_request(wire, 1, "list")
+    driver.send_request(wire, 2, "list")
+    driver.end_run(1)
+    driver.feed(wire, write_frame(b"FORGET", b"1"))  # it crosses the response
+    driver.end_run(2)
     assert wire.take() == response_frame(1, b"done", b"result") + response_frame(2, b"done", b"result")
     for tag in range(100, 108):
         assert not wire.closed
-        desk.feed(wire, write_frame(b"FORGET", b"%d" % tag))  # unknown
+        driver.feed(wire, write_frame(b"FORGET", b"%d" % tag))  # unknown
     assert wire.closed
 
 
 def test_keys_of_work_that_never_ran_take_no_memory() -> None:
     # Guards against clients that fill the memory with keys of work that never ran: each was kept for a window.
-    desk = RespDesk(keyKb=100.0)
-    wire = desk.connect()
+    driver = RespDriver(keyKb=100.0)
+    wire = driver.connect()
     for number in range(1, 200):
-        desk.send_request(wire, number, "book", b"theirs", once=f"k{number}")
-        desk.end_run(number, b"", Outcome.NOT_STARTED)
-    assert desk.core._controller.state.entries.memory_kb == 0
-    desk.send_request(wire, 900, "book", once="good")
-    assert desk.start_count(900) == 1
+        driver.send_request(wire, number, "book", b"theirs", once=f"k{number}")
+        driver.end_run(number, b"", Outcome.NOT_STARTED)
+    assert driver.core._controller.state.entries.memory_kb == 0
+    driver.send_request(wire, 900, "book", once="good")
+    assert driver.start_count(900) == 1
 
 
 def test_an_id_used_again_with_new_keys_frees_the_memory_of_the_older_key() -> None:
-    desk = RespDesk(keyKb=100.0)
+    driver = RespDriver(keyKb=100.0)
     for number in range(1, 100):
-        wire = desk.connect()
-        desk.send_request(wire, 1, "book", id=7, once=f"k{number}")
-        desk.end_run(7)
+        wire = driver.connect()
+        driver.send_request(wire, 1, "book", id=7, once=f"k{number}")
+        driver.end_run(7)
         assert b"done" in wire.take()
         wire.close()
-    assert desk.core._controller.state.entries.memory_kb == 100.0
+    assert driver.core._controller.state.entries.memory_kb == 100.0
 
 
 # Responses that a peer does not read.
@@ -202,27 +202,27 @@
     # Guards against requests that are received but dropped: the peer half-closes, or is asked to close, while its
     # requests wait until it reads earlier responses.
     for end in ("half-closed", "asked to close"):
-        desk = RespDesk()
-        wire = desk.connect()
+        driver = RespDriver()
+        wire = driver.connect()
         stream = wire.stream
         assert isinstance(stream, RespConnection)
         for tag in range(1, 4):
-            desk.send_request(wire, tag, "ping")
+            driver.send_request(wire, tag, "ping")
         stream.pause_writing()
         for tag in range(1, 4):
-            desk.end_run(tag, b"x" * 4_096)
+            driver.end_run(tag, b"x" * 4_096)
         assert stream.send_blocked
         wire.paused = False
-        desk.feed(wire, desk.frame(9, "ping", id=9))  # received, and not parsed yet
+        driver.feed(wire, driver.frame(9, "ping", id=9))  # received, and not parsed yet
         if end == "half-closed":
             stream.eof_received()
         else:
             stream.close_idle()
-            desk.clock.advance(500)
+            driver.clock.advance(500)
         assert not wire.closed
         stream.resume_writing()
-        desk.clock.settle()
-        desk.end_run(9, b"last")
+        driver.clock.settle()
+        driver.end_run(9, b"last")
         frames = wire.take()
         assert response_frame(9, b"done", b"last") in frames and frames.count(b"done") == 4
 
@@ -231,15 +231,15 @@
 def test_an_id_used_again_for_other_work_allows_no_second_run(stage: str) -> None:
     # Guards against a second run: the controller identifies attempts by id, and took another client's attempt, which
     # never ran, for the one that had run under this id. No result is shared either.
-    desk = RespDesk(cpus=1)
-    run_first_attempt(desk)
-    desk.end_run(1, b"", Outcome.ERROR)
+    driver = RespDriver(cpus=1)
+    run_first_attempt(driver)
+    driver.end_run(1, b"", Outcome.ERROR)
     if stage == "queued":
         for number in range(50, 58):
-            desk.send_request(desk.connect(), 1, "open", id=number)
-    intruder, repeat = desk.connect(), desk.connect()
-    desk.send_request(intruder, 1, "book", b"theirs", id=1, once="other")
+            driver.send_request(driver.connect(), 1, "open", id=number)
+    intruder, repeat = driver.connect(), driver.connect()
+    driver.send_request(intruder, 1, "book", b"theirs", id=1, once="other")
     if stage == "ended":
-        desk.end_run(1, b"", Outcome.NOT_STARTED)
-    desk.send_request(repeat, 1, "book", b"mine", id=2, once="k")
-    assert desk.start_count(2) == 0 and repeat.take() == response_frame(1, b"error")
+        driver.end_run(1, b"", Outcome.NOT_STARTED)
+    driver.send_request(repeat, 1, "book", b"mine", id=2, once="k")
+    assert driver.start_count(2) == 0 and repeat.take() == response_frame(1, b"error")
--- a/tests/replicated_config/test_governed_node.py
+++ b/tests/replicated_config/test_governed_node.py
@@ -12,19 +12,19 @@
 from marlstep.config.document_overrides import DocumentOverrides, local_content
 from marlstep.core.interfaces import ResponseStatus
 from marlstep.units import ZERO
-from tests.support.node import SETTINGS, Desk, raw_config
+from tests.support.node import SETTINGS, CoreDriver, raw_config
 
 
 def test_new_work_is_rejected_while_suspended_and_requests_in_flight_complete() -> None:
-    desk = Desk()
-    desk.core.accepts_work = lambda: True
-    desk.submit(1)
-    desk.core.accepts_work = lambda: False
-    desk.submit(2)
-    assert not desk.core.healthy
-    assert desk.verdicts(2) == [ResponseStatus.REJECTED] and desk.answers[2][0].retry_after > ZERO
-    desk.end(1)
-    assert desk.verdicts(1) == [ResponseStatus.DONE] and desk.core.in_flight == 0
+    driver = CoreDriver()
+    driver.core.accepts_work = lambda: True
+    driver.submit(1)
+    driver.core.accepts_work = lambda: False
+    driver.submit(2)
+    assert not driver.core.healthy
+    assert driver.statuses(2) == [ResponseStatus.REJECTED] and driver.responses[2][0].retry_after > ZERO
+    driver.end(1)
+    assert driver.statuses(1) == [ResponseStatus.DONE] and driver.core.in_flight == 0
 
 
 def test_a_document_is_validated_like_a_file_and_a_differing_file_is_reported() -> None:
@@ -45,7 +45,7 @@
     assert overrides.apply_to(config).settings.tenants[0].quota_per_s == 9.0
 
 
-class NodeWithDocuments(Desk):
+class NodeWithDocuments(CoreDriver):
     """A node as `NodeConfigDocuments` uses it: its configuration, its core, and the reload that SIGHUP triggers."""
 
     def __init__(self, tenants: dict[str, Any]) -> None:
@@ -78,9 +78,9 @@
     for number in range(24):
         node.end(number)
     node.clock.advance(60_000)
-    assert all(len(node.answers[number]) == 1 for number in range(24)) and not node.core.in_flight
+    assert all(len(node.responses[number]) == 1 for number in range(24)) and not node.core.in_flight
     read, refused, failed = node.documents.request_counts()
-    done = sum(node.verdicts(number) == [ResponseStatus.DONE] for number in range(24))
+    done = sum(node.statuses(number) == [ResponseStatus.DONE] for number in range(24))
     assert read == 24 and refused + failed == read - done
     # The core takes a quota as that of all servers together, so the quota of this node (a quarter of 8 per second) is
     # multiplied by their number.
@@ -110,5 +110,5 @@
         for number in range(62):
             node.end(number)
         node.clock.advance(30_000)
-    assert all(len(node.answers[number]) == 1 for number in range(62)) and not node.core.in_flight
-    assert node.verdicts(60) == [ResponseStatus.DONE]
+    assert all(len(node.responses[number]) == 1 for number in range(62)) and not node.core.in_flight
+    assert node.statuses(60) == [ResponseStatus.DONE]
--- a/tests/support/alternate_settings.py
+++ b/tests/support/alternate_settings.py
@@ -14,7 +14,7 @@
 from marlstep.frontends.resp_wire import write_frame
 from marlstep.simulator.configuration import read_settings
 from marlstep.units import SECOND, instant_us
-from tests.support.node import Desk, Wire, raw_config
+from tests.support.node import CoreDriver, FakeTransport, raw_config
 
 ALTERNATE_SETTINGS: dict[str, Any] = {
     "callers": {"marksRetry": False},
@@ -87,21 +87,21 @@
     return raw_config(**{"settings": ALTERNATE_SETTINGS, "stop_ms": 1700, **other})
 
 
-class RespDesk(Desk):
+class RespDriver(CoreDriver):
     """The platform's frontend and the core under these settings, on a clock that is advanced by hand."""
 
     def __init__(self, limit: int = 40, **info: Any) -> None:
         super().__init__()
         settings = read_settings(alternate_settings(**info))
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
-        self.front = RespFrontend(self.core, self.clock.timeline, self.backend, limit, 15 * SECOND)
-        self.core.add_frontend(self.front)
+        self.frontend = RespFrontend(self.core, self.clock.timeline, self.backend, limit, 15 * SECOND)
+        self.core.add_frontend(self.frontend)
         self.core.start()
         self.clock.settle()
 
-    def connect(self) -> Wire:
+    def connect(self) -> FakeTransport:
         """Open a connection to the frontend."""
-        return Wire(RespConnection(self.front))
+        return FakeTransport(RespConnection(self.frontend))
 
     def frame(self, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
         """Return the frame of a request, as if sent now. `fields` has the fields of the wire by their words."""
@@ -110,12 +110,18 @@
         return write_frame(b"EXEC", b"%d" % tag, request_class.encode(), text.encode(), body)
 
     def send_request(
-        self, wire: Wire, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any
+        self,
+        wire: FakeTransport,
+        tag: int,
+        request_class: str,
+        body: bytes = b"body",
+        id: int = 0,
+        **fields: Any,
     ) -> None:
         """Let a request arrive on a connection. Its id is its tag unless another is given."""
         self.feed(wire, self.frame(tag, request_class, body, id, **fields))
 
-    def feed(self, wire: Wire, data: bytes) -> None:
+    def feed(self, wire: FakeTransport, data: bytes) -> None:
         """Let bytes arrive on a connection, and run the turns of the loop that follow."""
         wire.feed(data)
         self.clock.settle()
@@ -127,7 +133,7 @@
 
     def start_count(self, id: int) -> int:
         """Count how often a request was started."""
-        return self.backend.told.count(("start", f"{id:016x}"))
+        return self.backend.commands.count(("start", f"{id:016x}"))
 
 
 def response_frame(tag: int, word: bytes, body: bytes = b"", fields: bytes = b"") -> bytes:
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -91,7 +91,7 @@
         self.settings = settings(**other)
         self.controller = Controller(self.settings, 1)
         self.now = START
-        self.done: list[tuple[str, str]] = []  # of all steps
+        self.actions: list[tuple[str, str]] = []  # of all steps
         self.step()
 
     def step(self, *events: Event, after_ms: float = 0) -> list[tuple[str, str]]:
@@ -99,7 +99,7 @@
         self.now += int(after_ms * MS)
         self.last = self.controller.decide(self.now, list(events))
         done = [(type(action).__name__, action.id) for action in self.last if hasattr(action, "id")]
-        self.done += done
+        self.actions += done
         return done
 
     def arrive(
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -60,29 +60,29 @@
     }
 
 
-class Recorder:
+class RecordingBackend:
     """A backend that writes down what it is told to do."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, str]] = []
+        self.commands: list[tuple[str, str]] = []
 
     def start(self, request: Request) -> None:
-        self.told.append(("start", request.id))
+        self.commands.append(("start", request.id))
 
     def preempt(self, request: Request) -> None:
-        self.told.append(("preempt", request.id))
+        self.commands.append(("preempt", request.id))
 
     def resume(self, request: Request) -> None:
-        self.told.append(("resume", request.id))
+        self.commands.append(("resume", request.id))
 
     def supply(self, request: Request, reply: bytes) -> None:
-        self.told.append((f"supply {reply.decode()}", request.id))
+        self.commands.append((f"supply {reply.decode()}", request.id))
 
     def skip(self, request: Request) -> None:
-        self.told.append(("skip", request.id))
+        self.commands.append(("skip", request.id))
 
     def abandon(self, request: Request) -> None:
-        self.told.append(("abandon", request.id))
+        self.commands.append(("abandon", request.id))
 
     def request_gauges(self) -> None:
         pass
@@ -90,25 +90,25 @@
     # As a store.
 
     def call(self, request: Request, until: datetime) -> None:
-        self.told.append((f"call {request.call_body.decode()}", request.id))
+        self.commands.append((f"call {request.call_body.decode()}", request.id))
 
     def abandon_call(self, request: Request) -> None:
-        self.told.append(("give up", request.id))
+        self.commands.append(("give up", request.id))
 
 
-class Desk:
+class CoreDriver:
     """A front that keeps the answers; `submit` hands in requests."""
 
-    def __init__(self, cores: int = 2, clock: HandClock | None = None, **other: Any) -> None:
-        self.clock = clock or HandClock()
-        self.backend = Recorder()
+    def __init__(self, cores: int = 2, clock: ManualClock | None = None, **other: Any) -> None:
+        self.clock = clock or ManualClock()
+        self.backend = RecordingBackend()
         info = {**SETTINGS["familyInfo"], "cpus": cores}
         settings = read_settings({**SETTINGS, "familyInfo": info, **other})
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
         self.core.add_frontend(self)
         self.core.start()
-        self.answers: dict[int, list[Response]] = {}
-        self.stopped = False
+        self.responses: dict[int, list[Response]] = {}
+        self.stopped_accepting = False
 
     def submit(self, number: int, kind: str = "temp-history", late_ms: float = 0, **other: Any) -> int:
         arrived = self.clock.now() - late_ms * MILLISECOND
@@ -121,20 +121,20 @@
         self.core.run_ended(f"r{number}", outcome, MILLISECOND, result)
         self.clock.settle()
 
-    def verdicts(self, number: int) -> list[ResponseStatus]:
-        return [answer.status for answer in self.answers.get(number, [])]
+    def statuses(self, number: int) -> list[ResponseStatus]:
+        return [response.status for response in self.responses.get(number, [])]
 
-    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
-        self.answers.setdefault(ticket[1], []).append(answer)
+    def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
+        self.responses.setdefault(response_handle[1], []).append(response)
 
     def limit_idle_time(self, after: timedelta) -> None:
         pass
 
     def stop_accepting(self) -> None:
-        self.stopped = True
+        self.stopped_accepting = True
 
 
-class HandClock:
+class ManualClock:
     """A waker whose time passes only in `advance`."""
 
     def __init__(self) -> None:
@@ -168,7 +168,7 @@
         self.time = end
 
 
-class HandDial:
+class ManualDialer:
     """Connections that are opened, or refused, by hand."""
 
     def __init__(self) -> None:
@@ -179,9 +179,9 @@
         self.waiting.append(one)
         return lambda: self.waiting.remove(one)
 
-    def accept(self) -> Wire:
+    def accept(self) -> FakeTransport:
         make, _, done = self.waiting.pop(0)
-        wire = Wire(cast(RingStream, make()))
+        wire = FakeTransport(cast(RingStream, make()))
         done(None)
         return wire
 
@@ -189,7 +189,7 @@
         self.waiting.pop(0)[2](ConnectionRefusedError())
 
 
-class Wire:
+class FakeTransport:
     """The transport of a stream under test: keeps what was written, and feeds what the peer writes."""
 
     def __init__(self, stream: RingStream) -> None:
@@ -239,26 +239,26 @@
     abort = close
 
 
-class Notes:
+class RecordingSink:
     """A sink that writes down what it is told."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[Any, ...]] = []
+        self.events: list[tuple[Any, ...]] = []
 
     def backend_ready(self) -> None:
         pass
 
     def run_ended(self, id: str, outcome: Any, elapsed: timedelta, result: bytes = b"") -> None:
-        self.told.append(("ended", id, outcome, elapsed, result))
+        self.events.append(("ended", id, outcome, elapsed, result))
 
     def call_needed(self, id: str, body: bytes) -> None:
-        self.told.append(("needs", id, body))
+        self.events.append(("needs", id, body))
 
     def call_ended(self, id: str, outcome: Any, reply: bytes = b"") -> None:
-        self.told.append(("called", id, outcome, reply))
+        self.events.append(("called", id, outcome, reply))
 
     def pool_capacity(self, pool: str, most: int) -> None:
-        self.told.append(("room", pool, most))
+        self.events.append(("room", pool, most))
 
     def gauges(self, values: Any) -> None:
-        self.told.append(("gauges", dict(values)))
+        self.events.append(("gauges", dict(values)))
--- a/tests/support/restart_pair.py
+++ b/tests/support/restart_pair.py
@@ -10,7 +10,7 @@
 from marlstep.hot_restart.timeouts import LostProcessTimeouts
 from marlstep.net.ring import Ring
 from marlstep.units import SECOND
-from tests.support.node import SETTINGS, Desk, HandClock
+from tests.support.node import SETTINGS, CoreDriver, ManualClock
 
 TERMINATION_TIMEOUT, RETRY_WINDOW = 7 * SECOND, 11 * SECOND
 TIMEOUTS = LostProcessTimeouts(termination=TERMINATION_TIMEOUT, retry_window=RETRY_WINDOW)
@@ -51,12 +51,12 @@
 class SimulatedProcess:
     """A core with its hot restart; it implements `NodeCallbacks`."""
 
-    def __init__(self, clock: HandClock, generation: int) -> None:
-        self.desk = Desk(cores=1, clock=clock, classes=CLASSES)
+    def __init__(self, clock: ManualClock, generation: int) -> None:
+        self.driver = CoreDriver(cores=1, clock=clock, classes=CLASSES)
         self.accepts_connections = self.saw_successor_lost = self.saw_successor_draining = False
         self.connections_in_use = 0.0  # share of the node's connections
         self.applied_limits: list[float] = []
-        adapter = HostAdapter(self.desk.core, clock.timeline, self)
+        adapter = HostAdapter(self.driver.core, clock.timeline, self)
         self.hot_restart = HotRestart(adapter, generation, generation, TIMEOUTS)
         adapter.watch(self.hot_restart)
         self.is_killed = False
@@ -73,7 +73,7 @@
 
     def limit_capacity(self, share: float) -> None:
         self.applied_limits.append(share)
-        self.desk.core.set_capacity_share(share, 1000)
+        self.driver.core.set_capacity_share(share, 1000)
 
     def connection_share(self) -> float:
         return self.connections_in_use
@@ -86,7 +86,7 @@
     """A predecessor that serves, and a successor that starts."""
 
     def __init__(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.predecessor = SimulatedProcess(self.clock, 1)
         self.predecessor.hot_restart.backend_ready(self.clock.now())
         self.successor = SimulatedProcess(self.clock, 2)
@@ -160,14 +160,14 @@
         self.last_number += 1
         if idempotency_key:
             process.keyed_requests[f"r{self.last_number}"] = (request_class, idempotency_key)
-        process.desk.submit(self.last_number, request_class, idempotency_key=idempotency_key)
+        process.driver.submit(self.last_number, request_class, idempotency_key=idempotency_key)
         return self.last_number
 
     def run_counts(self) -> Counter[tuple[str, str]]:
         """Count the runs of each key, at both processes together."""
         counts = Counter[tuple[str, str]]()
         for process in (self.predecessor, self.successor):
-            for command, request_id in process.desk.backend.told:
+            for command, request_id in process.driver.backend.commands:
                 if command == "start" and request_id in process.keyed_requests:
                     counts[process.keyed_requests[request_id]] += 1
         return counts
--- a/tests/test_event_loop_watchdog.py
+++ b/tests/test_event_loop_watchdog.py
@@ -9,13 +9,13 @@
 from marlstep.event_loop_watchdog import EventLoopWatchdog
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
-from tests.support.node import HandClock
+from tests.support.node import ManualClock
 
 def stuck():
     while True:
         pass
 
-clock = HandClock()
+clock = ManualClock()
 EventLoopWatchdog(clock.timeline, 50 * MILLISECOND).start()
 clock.advance(500)  # the loop runs its timers throughout, so nothing is written
 stuck()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -20,7 +20,7 @@
 from marlstep.timer_queue import TimerQueue
 from marlstep.units import MILLISECOND
 from tests.support.fake_servers import FakeDatabase, FakeKernel
-from tests.support.node import HandClock, raw_config
+from tests.support.node import ManualClock, raw_config
 from tests.test_loopback import over_resp
 
 
@@ -64,7 +64,7 @@
 
 def test_a_socket_opened_after_a_change_of_address_is_closed_and_only_one_reports() -> None:
     # Guards against reports to an old address, and against two sockets that report at the same time.
-    clock, current_address, former_address = HandClock(), ("127.0.0.1", 1), ("127.0.0.1", 2)
+    clock, current_address, former_address = ManualClock(), ("127.0.0.1", 1), ("127.0.0.1", 2)
     naming = NameServiceClient("n1", current_address, clock.timeline)
     late_socket, first_socket, second_socket = FakeSocket(), FakeSocket(), FakeSocket()
     for address, socket in (
--- a/tests/test_status_log.py
+++ b/tests/test_status_log.py
@@ -6,7 +6,7 @@
 
 from marlstep.status_log import STATUS_INTERVAL, StatusLog, format_counters
 from marlstep.units import MILLISECOND
-from tests.support.node import Desk
+from tests.support.node import CoreDriver
 
 
 def test_counters_are_sorted_by_name_and_contain_no_spaces() -> None:
@@ -18,12 +18,12 @@
 
 
 def test_each_line_counts_since_the_previous_one(caplog: pytest.LogCaptureFixture) -> None:
-    desk = Desk()
-    StatusLog(desk.core, desk.clock.timeline, lambda: 5).start()
+    driver = CoreDriver()
+    StatusLog(driver.core, driver.clock.timeline, lambda: 5).start()
     with caplog.at_level("INFO", "marlstep"):
         for count in (2, 0):
-            desk.core.counts["read"] += count
-            desk.clock.advance(STATUS_INTERVAL / MILLISECOND)
+            driver.core.counts["read"] += count
+            driver.clock.advance(STATUS_INTERVAL / MILLISECOND)
     lines = [record.getMessage() for record in caplog.records if record.getMessage().startswith("status: ")]
     assert lines == [
         "status: read=2 in_flight=0 advertised=- connections=5",
--- a/tests/upstreams/test_attempt.py
+++ b/tests/upstreams/test_attempt.py
@@ -15,7 +15,7 @@
     ServerDisconnectedError,
     TruncatedResponseError,
 )
-from tests.support.node import HandClock, HandDial, Wire
+from tests.support.node import FakeTransport, ManualClock, ManualDialer
 
 PACKET = b"\x00\x00\x00\x00"
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -27,7 +27,7 @@
     response_limit = 4096
 
     def __init__(self) -> None:
-        self.clock, self.dial = HandClock(), HandDial()
+        self.clock, self.dial = ManualClock(), ManualDialer()
         self.ends: list[tuple[AttemptOutcome, AttemptError | None]] = []
         self.attempt = Attempt(self, "r1", PACKET, self.clock.now(), (503,), "x-boot-id")
         self.attempt.open(self.dial, ("127.0.0.1", 1), self.clock.timeline, 200 * MILLISECOND)
@@ -112,7 +112,7 @@
     owner = RecordingOwner()
     make_protocol, _, _ = owner.dial.waiting[0]
     owner.attempt.cancel()
-    late_wire = Wire(make_protocol())  # type: ignore[arg-type]
+    late_wire = FakeTransport(make_protocol())  # type: ignore[arg-type]
     assert owner.end == (AttemptOutcome.CANCELLED, None) and late_wire.closed and not late_wire.written
 
 
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -22,7 +22,7 @@
 from marlstep.units import MILLISECOND, SECOND
 from marlstep.upstreams.upstream import Upstream
 from tests.frontends.test_parsers import FIXED
-from tests.support.node import Desk, HandDial, Wire
+from tests.support.node import CoreDriver, FakeTransport, ManualDialer
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 REJECTION = b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
@@ -37,38 +37,38 @@
     """A core whose backend forwards to a pool, by default of three servers. The test accepts or refuses connections."""
 
     def __init__(self, *ports: int, **pool: Any) -> None:
-        self.desk = Desk(cores=8)
-        self.dial = HandDial()
+        self.driver = CoreDriver(cores=8)
+        self.dial = ManualDialer()
         self.config = PoolConfig("p", servers(*(ports or (1, 2, 3))), rejection_statuses=(503,), **pool)
         settings = PoolSettings(ConcurrencyLimitSettings(min_limit=1, initial_limit=2), NO_SLOW_START)
-        core = self.desk.core
+        core = self.driver.core
         self.upstream = Upstream(
-            (self.config,), self.desk.clock.timeline, lambda: core, 4096, 1, settings, self.dial
+            (self.config,), self.driver.clock.timeline, lambda: core, 4096, 1, settings, self.dial
         )
-        self.desk.clock.advance(100)
+        self.driver.clock.advance(100)
 
     def send(self, number: int, request_class: str = "temp-history") -> None:
         self.submit(number, request_class)
 
     def submit(self, number: int, request_class: str) -> int:
-        recorder, self.desk.backend = self.desk.backend, self.upstream  # type: ignore[assignment]
+        recorder, self.driver.backend = self.driver.backend, self.upstream  # type: ignore[assignment]
         try:
-            return self.desk.submit(number, request_class, pool="p")
+            return self.driver.submit(number, request_class, pool="p")
         finally:
-            self.desk.backend = recorder
+            self.driver.backend = recorder
 
     @property
     def port(self) -> int:
         """The server port of the oldest connection that is being opened."""
         return self.dial.waiting[0][1][1]
 
-    def reply(self, wire: Wire, data: bytes = OK) -> None:
+    def reply(self, wire: FakeTransport, data: bytes = OK) -> None:
         wire.feed(data)
-        self.desk.clock.settle()
+        self.driver.clock.settle()
 
     def refuse_connection(self) -> None:
         self.dial.refuse()
-        self.desk.clock.settle()
+        self.driver.clock.settle()
 
     def server(self, port: int) -> Server:
         server = self.upstream.pools["p"].table.find(f"127.0.0.1:{port}")
@@ -76,7 +76,7 @@
         return server
 
     def settle(self) -> None:
-        self.desk.clock.advance(60)
+        self.driver.clock.advance(60)
 
 
 @pytest.mark.parametrize("request_class", ["temp-history", "setpoint-cmd"])
@@ -89,7 +89,7 @@
     site.reply(site.dial.accept(), REJECTION)
     ports.append(site.port)
     site.reply(site.dial.accept())
-    assert sorted(ports) == [1, 2, 3] and site.desk.verdicts(1) == [ResponseStatus.DONE]
+    assert sorted(ports) == [1, 2, 3] and site.driver.statuses(1) == [ResponseStatus.DONE]
     statistics = site.upstream.pools["p"].statistics
     assert (statistics.attempts, statistics.retries) == (3, 2)
     assert (statistics.connect_failures, statistics.rejections) == (1, 1)
@@ -100,7 +100,7 @@
     site.send(1, "setpoint-cmd")
     for _ in range(3):
         site.refuse_connection()
-    assert site.desk.verdicts(1) == [ResponseStatus.REJECTED] and not site.dial.waiting
+    assert site.driver.statuses(1) == [ResponseStatus.REJECTED] and not site.dial.waiting
 
 
 def test_a_request_that_is_not_idempotent_is_not_sent_again_once_it_may_have_run() -> None:
@@ -110,7 +110,7 @@
     assert wire.written
     wire.close()
     site.settle()
-    assert site.desk.verdicts(1) == [ResponseStatus.FAILED] and not site.dial.waiting
+    assert site.driver.statuses(1) == [ResponseStatus.FAILED] and not site.dial.waiting
 
 
 def test_an_idempotent_request_is_sent_again_once_and_then_fails_even_if_the_last_server_rejects_it() -> None:
@@ -126,18 +126,18 @@
             site.reply(wire, REJECTION)
             site.refuse_connection()
         site.settle()
-        assert site.desk.verdicts(1) == [ResponseStatus.FAILED] and not site.dial.waiting
+        assert site.driver.statuses(1) == [ResponseStatus.FAILED] and not site.dial.waiting
 
 
 def test_no_request_is_sent_on_a_connection_that_opens_after_its_timeout() -> None:
     site = UpstreamSite(connect_timeout=200 * MILLISECOND)
     site.send(1, "setpoint-cmd")
     make_protocol, _, _ = site.dial.waiting[0]
-    site.desk.clock.advance(210)
-    late_wire = Wire(make_protocol())  # type: ignore[arg-type]
+    site.driver.clock.advance(210)
+    late_wire = FakeTransport(make_protocol())  # type: ignore[arg-type]
     assert late_wire.closed and not late_wire.written
     site.reply(site.dial.accept())
-    assert site.desk.verdicts(1) == [ResponseStatus.DONE]
+    assert site.driver.statuses(1) == [ResponseStatus.DONE]
 
 
 def test_requests_beyond_the_capacity_of_the_pool_are_queued_by_priority() -> None:
@@ -146,15 +146,15 @@
     for number in range(1, 6):
         site.send(number)
     site.send(6, "setpoint-cmd")
-    site.desk.submit(7)  # belongs to no pool, so it is not queued behind the others
-    assert ("start", "r7") in site.desk.backend.told
+    site.driver.submit(7)  # belongs to no pool, so it is not queued behind the others
+    assert ("start", "r7") in site.driver.backend.commands
     assert len(site.dial.waiting) == 4 and site.upstream.pools["p"].statistics.no_capacity == 0
     wires = [site.dial.accept() for _ in range(4)]
     site.reply(wires[0])
     site.settle()
     assert len(site.dial.waiting) >= 1
     sent = site.dial.accept()
-    assert site.upstream._requests["r6"].attempt is sent.stream and not site.desk.verdicts(6)
+    assert site.upstream._requests["r6"].attempt is sent.stream and not site.driver.statuses(6)
 
 
 def test_attempts_in_flight_at_removed_servers_and_pools_are_completed() -> None:
@@ -166,12 +166,12 @@
     site.send(2, "setpoint-cmd")
     assert site.port == 2
     site.reply(wire)
-    assert site.desk.verdicts(1) == [ResponseStatus.DONE] and list(site.upstream.pools["p"].addresses) == [
+    assert site.driver.statuses(1) == [ResponseStatus.DONE] and list(site.upstream.pools["p"].addresses) == [
         "127.0.0.1:2"
     ]
     site.upstream.reconfigure((PoolConfig("q", servers(4)),))
     site.reply(site.dial.accept())
-    assert site.desk.verdicts(2) == [ResponseStatus.DONE]
+    assert site.driver.statuses(2) == [ResponseStatus.DONE]
 
 
 def test_the_statistics_of_a_server_are_discarded_when_it_restarts() -> None:
@@ -179,7 +179,7 @@
     for number, boot_id in enumerate((b"a", b"a", b"b"), 1):
         site.send(number)
         wire = site.dial.accept()
-        site.desk.clock.advance(100 - 30 * number)  # each response is faster than the one before
+        site.driver.clock.advance(100 - 30 * number)  # each response is faster than the one before
         has_latency_estimate = site.server(1).latency.value is not None
         assert has_latency_estimate is (number > 1)
         site.reply(wire, b"HTTP/1.1 200 OK\r\nX-Boot-Id: " + boot_id + OK[15:])
@@ -189,7 +189,7 @@
 
 def test_a_dead_server_is_ejected_and_returns_after_a_successful_probe() -> None:
     site = UpstreamSite()
-    accepted_wires: list[Wire] = []
+    accepted_wires: list[FakeTransport] = []
     for number in range(1, 12):  # enough to fill the other servers and to fail five times at the dead one
         site.send(number)
         while site.dial.waiting:
@@ -201,15 +201,15 @@
     assert site.server(2).health.state is ServerHealthState.EJECTED and len(accepted_wires) == 4
     for wire in accepted_wires:
         site.reply(wire)
-    statuses = [status for number in range(1, 12) for status in site.desk.verdicts(number)]
+    statuses = [status for number in range(1, 12) for status in site.driver.statuses(number)]
     # No request fails because of the dead server.
     assert Counter(statuses)[ResponseStatus.DONE] == 4 and Counter(statuses)[ResponseStatus.REJECTED] >= 3
-    site.desk.clock.advance(2_000)
+    site.driver.clock.advance(2_000)
     site.send(12)
     assert site.port == 2  # the probe
     while site.dial.waiting:
         site.reply(site.dial.accept())
-    assert site.server(2).health.state is ServerHealthState.HEALTHY and site.desk.verdicts(12) == [
+    assert site.server(2).health.state is ServerHealthState.HEALTHY and site.driver.statuses(12) == [
         ResponseStatus.DONE
     ]
 
@@ -225,7 +225,7 @@
     events: list[str],
 ) -> None:
     site = UpstreamSite()
-    open_wires: list[Wire] = []
+    open_wires: list[FakeTransport] = []
     handles: list[int] = []
     number = 0
     for event in events:
@@ -243,15 +243,15 @@
                     wire = open_wires.pop(0)
                     wire.close() if event == "cut" else site.reply(wire, OK if event == "ok" else REJECTION)
             case "wait":
-                site.desk.clock.advance(700)
+                site.driver.clock.advance(700)
             case "disconnect" if handles:
-                site.desk.core.client_disconnected(handles.pop())
-        site.desk.clock.settle()
-    site.desk.clock.advance(12_000)
+                site.driver.core.client_disconnected(handles.pop())
+        site.driver.clock.settle()
+    site.driver.clock.advance(12_000)
     disconnected = number - len(handles)
-    response_counts = [len(site.desk.verdicts(request_number)) for request_number in range(1, number + 1)]
+    response_counts = [len(site.driver.statuses(request_number)) for request_number in range(1, number + 1)]
     assert max(response_counts, default=0) <= 1 and response_counts.count(0) <= disconnected
-    assert site.desk.core.in_flight == 0 and not site.upstream._requests
+    assert site.driver.core.in_flight == 0 and not site.upstream._requests
     assert all(server.in_flight == 0 for server in site.upstream.pools["p"].table)
 
 
@@ -261,6 +261,6 @@
     server = site.server(1)
     for _ in range(5):
         table.attempt_started(server.handle)
-        table.attempt_failed(server.handle, site.desk.clock.now(), MILLISECOND)
-    assert table.capacity(site.desk.clock.now()) == 4
-    assert table.capacity(site.desk.clock.now() + 2 * SECOND) == 5  # the probe
+        table.attempt_failed(server.handle, site.driver.clock.now(), MILLISECOND)
+    assert table.capacity(site.driver.clock.now()) == 4
+    assert table.capacity(site.driver.clock.now() + 2 * SECOND) == 5  # the probe
