--- a/tests/cli/surface.py
+++ b/tests/cli/surface.py
@@ -20,8 +20,8 @@
 from marlstep.traces.default_mappings import DEFAULT_MAPPINGS
 from marlstep.traces.settings_digest import settings_digest
 from tests.cli.trace_sections import COMPLETE, errors_of_unknown_keys, errors_of_wrong_values
-from tests.golden.everything import counted_names
-from tests.golden.shown import PLATFORM, Connection, Shown, lines
+from tests.golden.everything import deterministic_tokens
+from tests.golden.shown import PLATFORM, AdminHarness, FakeHttpConnection, command_lines
 
 ROOT = Path(__file__).parent.parent.parent
 TRACE = str(ROOT / "examples" / "traces" / "google-2011.csv")
@@ -107,11 +107,11 @@
     """Return the text output of the commands of `fleet` and `rules`, run against a node without sockets."""
 
     async def run_all() -> dict[str, Any]:
-        with counted_names(), patch("http.client.HTTPConnection", Connection):
-            Connection.shown = shown = Shown(folder)
-            shown.live()
+        with deterministic_tokens(), patch("http.client.HTTPConnection", FakeHttpConnection):
+            FakeHttpConnection.harness = harness = AdminHarness(folder)
+            harness.run_scenario()
             client_options = ["--admin", "127.0.0.1:1", "--token-file", str(folder / "token")]
-            return {" ".join(words): run_cli([*words, *client_options]) for words in lines(folder)}
+            return {" ".join(words): run_cli([*words, *client_options]) for words in command_lines(folder)}
 
     return _replace_paths(folder, asyncio.run(run_all()))
 
--- a/tests/frontends/test_parsers.py
+++ b/tests/frontends/test_parsers.py
@@ -41,7 +41,7 @@
 
 def connect_to_database() -> tuple[FakeTransport, RecordingSink]:
     harness = DatabaseHarness()
-    return harness.open(), harness.notes
+    return harness.open(), harness.sink
 
 
 @FIXED
--- a/tests/golden/conversation.py
+++ b/tests/golden/conversation.py
@@ -59,11 +59,11 @@
     def path(self) -> Path:
         return DATA / self.file
 
-    def message_in(self, told: Any) -> Any:
+    def message_in(self, document: Any) -> Any:
         """The pair of a tag and fields within what a body holds."""
         for step in self.message_path:
-            told = told[step]
-        return told
+            document = document[step]
+        return document
 
     def load(self) -> dict[str, Golden]:
         return {name: Golden(**row) for name, row in json.loads(self.path.read_text()).items()}
--- a/tests/golden/datagrams.py
+++ b/tests/golden/datagrams.py
@@ -19,7 +19,7 @@
 )
 SENDER = MemberRecord("n9", "b9", 1_800_000_000_009, 9, MemberState.ALIVE, "127.0.0.9:7009", "nörth", "")
 RECORDS_KEPT = 17  # of MANY: as many as one datagram takes
-PLAIN: dict[str, MembershipMessage] = {
+DEFAULT_MESSAGES: dict[str, MembershipMessage] = {
     "Ping": Ping(number=31, node="n2"),
     "Ack": Ack(number=32),
     "PingFor": PingRequest(number=33, node="n3", address="127.0.0.3:7003"),
@@ -41,7 +41,7 @@
 
 
 def _samples() -> Iterator[tuple[str, Sample]]:
-    for tag, message in PLAIN.items():
+    for tag, message in DEFAULT_MESSAGES.items():
         yield f"{tag}/full", Sample(_datagram(message, RECORDS))
         yield f"{tag}/defaults", Sample(_datagram(message))
         for record in RECORDS:
--- a/tests/golden/everything.py
+++ b/tests/golden/everything.py
@@ -89,7 +89,7 @@
 
 
 @contextmanager
-def counted_names() -> Iterator[None]:
+def deterministic_tokens() -> Iterator[None]:
     """Names that are drawn at random elsewhere are numbered here, so that all is the same each time."""
     numbers = count(1)
     with patch("secrets.token_hex", lambda size=8: f"{next(numbers):0{2 * size}x}"):
--- a/tests/golden/machines.py
+++ b/tests/golden/machines.py
@@ -17,17 +17,17 @@
     return StateMachines({"leases": table, **state_machines(table)})
 
 
-def applied(log: StateMachines, body: str) -> str:
+def apply_command(log: StateMachines, body: str) -> str:
     """The result of one command, as JSON."""
     return orjson.dumps(log.apply(body)[1]).decode()
 
 
-def run_limit(before: tuple[str, ...], pattern: str, times: int) -> tuple[str, str]:
+def run_limit(before: tuple[str, ...], pattern: str, count: int) -> tuple[str, str]:
     """The result of the last command, and the digest of the snapshot after it."""
-    log, last = machines(), ""
+    log, last_result = machines(), ""
     for body in before:
         log.apply(body)
-    for number in range(1, times + 1):
+    for number in range(1, count + 1):
         for body in pattern.replace("@", str(number)).split("\n"):
-            last = applied(log, body)
-    return last, hashlib.blake2b(log.snapshot().encode(), digest_size=16).hexdigest()
+            last_result = apply_command(log, body)
+    return last_result, hashlib.blake2b(log.snapshot().encode(), digest_size=16).hexdigest()
--- a/tests/golden/mutations.py
+++ b/tests/golden/mutations.py
@@ -11,16 +11,16 @@
 NULLABLE: Path = (1, "result")  # of a Name between two processes of a node: the one field that may be null
 
 
-def replaced(told: Any, path: Path, value: object) -> Any:
+def replaced(document: Any, path: Path, value: object) -> Any:
     """A copy with another value at `path`."""
     if not path:
         return value
-    made = copy.deepcopy(told)
-    place = made
+    result = copy.deepcopy(document)
+    place = result
     for step in path[:-1]:
         place = place[step]
     place[path[-1]] = value
-    return made
+    return result
 
 
 def wrong_values(value: object, may_be_null: bool) -> list[object]:
@@ -38,17 +38,17 @@
     return [*null, 7]  # a list or an object
 
 
-def wrong_types(told: Any, path: Path = ()) -> Iterator[tuple[Path, object]]:
+def wrong_types(document: Any, path: Path = ()) -> Iterator[tuple[Path, object]]:
     """Each place in the JSON, with each value of a wrong type for it."""
-    for wrong in wrong_values(told, may_be_null=path == NULLABLE):
-        yield path, wrong
+    for value in wrong_values(document, may_be_null=path == NULLABLE):
+        yield path, value
     if path and path[-1] == FREE_FORM:
         yield path, ["text"]
         return
     steps: list[Any] = []
-    if isinstance(told, dict):
-        steps = list(told)
-    elif isinstance(told, list):
-        steps = list(range(len(told)))
+    if isinstance(document, dict):
+        steps = list(document)
+    elif isinstance(document, list):
+        steps = list(range(len(document)))
     for step in steps:
-        yield from wrong_types(told[step], (*path, step))
+        yield from wrong_types(document[step], (*path, step))
--- a/tests/golden/named.py
+++ b/tests/golden/named.py
@@ -11,20 +11,20 @@
 PACKAGE = Path(__file__).parent.parent.parent / "marlstep"
 
 
-def names_of(page: str) -> list[str]:
+def metric_names(page: str) -> list[str]:
     """Of each sample its name, the names of its labels, and the type of its family."""
-    kinds, found = {}, set()
+    types, found = {}, set()
     for line in page.splitlines():
         if line.startswith("# TYPE "):
-            _, _, name, kind = line.split(" ")
-            kinds[name] = kind
+            _, _, name, metric_type = line.split(" ")
+            types[name] = metric_type
         elif not line.startswith("#") and (match := SAMPLE.fullmatch(line)) is not None:
             name, labels = match.group(1), LABEL.findall(match.group(2) or "")
-            found.add(f"{name}{{{','.join(labels)}}} {kinds[name]}")
+            found.add(f"{name}{{{','.join(labels)}}} {types[name]}")
     return sorted(found)
 
 
-def counted_words() -> set[str]:
+def counter_keys() -> set[str]:
     """The keys of all counters that the program's text adds to by a word of its own."""
     found = set()
     for path in PACKAGE.rglob("*.py"):
@@ -52,7 +52,7 @@
     }
 
 
-def all_words() -> set[str]:
+def string_constants() -> set[str]:
     """All texts that stand in the program."""
     found = set()
     for path in PACKAGE.rglob("*.py"):
--- a/tests/golden/node_messages.py
+++ b/tests/golden/node_messages.py
@@ -47,7 +47,7 @@
     ),
     LogEntry(index=43, term=7, entry_type=EntryType.CONFIGURATION, body='[["n1#a","n2#b"],["n3#c"]]'),
 )
-NEWS = (
+DOCUMENT_STATUSES = (
     DocumentStatus(
         name="tenants",
         version=3,
@@ -114,7 +114,7 @@
         sequence=99,
         leases=(LeaseToken("task/a", 23), LeaseToken("pool/é", 24)),
         clock_drifts=True,
-        documents=NEWS,
+        documents=DOCUMENT_STATUSES,
         quota_shares=(QuotaShareRow("acme", 500_000, 250_000), QuotaShareRow("öst", 10_000, 10_000)),
     ),
     "Beaten/defaults": HeartbeatResponse(number=17, from_leader=False, leader=""),
--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -17,10 +17,10 @@
 
 def reads_without(conversation: Conversation, body: bytes, key: str) -> bool:
     """Whether a message is still taken without that key."""
-    told = orjson.loads(body)
-    del conversation.message_in(told)[1][key]
+    document = orjson.loads(body)
+    del conversation.message_in(document)[1][key]
     try:
-        conversation.read(orjson.dumps(told))
+        conversation.read(orjson.dumps(document))
     except CorruptError:
         return False
     return True
@@ -50,7 +50,7 @@
             for name, sample in conversation.samples.items()
         }
         save(conversation.path, rows)
-    save(snapshots.PATH, snapshots.written())
+    save(snapshots.PATH, snapshots.write_samples())
 
 
 if __name__ == "__main__":
--- a/tests/golden/record_state.py
+++ b/tests/golden/record_state.py
@@ -12,9 +12,9 @@
 from tests.golden.everything import operator_config
 from tests.golden.files import FOLDER, read_golden, write_golden
 from tests.golden.machines import machines, run_limit
-from tests.golden.named import counted_words, names_of
-from tests.golden.sections import fault_of, read_section, with_key
-from tests.golden.shapes import bare, written
+from tests.golden.named import counter_keys, metric_names
+from tests.golden.sections import config_error, read_section, with_key
+from tests.golden.shapes import empty_paths, shape_lines
 from tests.golden.shown import commands, every_counter, metrics, other_commands, pages
 from tests.golden.stored import FILE, dump, read_store, write_store
 
@@ -55,9 +55,9 @@
     rows = {}
     for name, make in (("pages", pages), ("commands", commands), ("other commands", other_commands)):
         with tempfile.TemporaryDirectory() as folder:
-            rows[name] = {what: written(told) for what, told in make(Path(folder)).items()}
+            rows[name] = {title: shape_lines(value) for title, value in make(Path(folder)).items()}
     write_golden("shapes.json", rows)
-    empty = [f"{what} {path}" for what, lines in rows["pages"].items() for path in bare(lines)]
+    empty = [f"{title} {path}" for title, lines in rows["pages"].items() for path in empty_paths(lines)]
     write_golden("empty.json", sorted(empty))
 
 
@@ -66,10 +66,10 @@
     found = {}
     for name, make in (("seen", metrics), ("every counter", every_counter)):
         with tempfile.TemporaryDirectory() as folder:
-            found[name] = names_of(make(Path(folder)))
-    found["words"] = sorted(counted_words())
-    known = {one for keys in read_golden("counters.json").values() for one in keys}
-    found["words of drills and traces"] = sorted(counted_words() - known)
+            found[name] = metric_names(make(Path(folder)))
+    found["words"] = sorted(counter_keys())
+    known = {key for keys in read_golden("counters.json").values() for key in keys}
+    found["words of drills and traces"] = sorted(counter_keys() - known)
     write_golden("metrics.json", found)
 
 
@@ -86,14 +86,18 @@
             "fleet.tasks.sweep": {**fleet["tasks"]["nightly"], **fleet["tasks"]["sweep"]},
         }
         keys = {path: sorted(table) for path, table in tables.items()}
-        unknown = {path: fault_of(with_key(operator, path, "colour", 1)) for path in keys}
+        unknown = {path: config_error(with_key(operator, path, "colour", 1)) for path in keys}
         wrong = {
-            f"{path}.{key}": fault_of(with_key(operator, path, key, []))
+            f"{path}.{key}": config_error(with_key(operator, path, key, []))
             for path, names in keys.items()
             for key in names
         }
-        told = {"keys": keys, "complete": read_section(folder), "least": read_section(folder, least=True)}
-        write_golden("sections.json", {**told, "unknown": unknown, "wrong": wrong})
+        sections = {
+            "keys": keys,
+            "complete": read_section(folder),
+            "least": read_section(folder, minimal=True),
+        }
+        write_golden("sections.json", {**sections, "unknown": unknown, "wrong": wrong})
 
 
 def main() -> None:
--- a/tests/golden/restart_messages.py
+++ b/tests/golden/restart_messages.py
@@ -7,7 +7,7 @@
 from marlstep.hot_restart import messages
 from tests.golden.conversation import Conversation, Sample
 
-LEARNT: dict[str, object] = {
+MEASUREMENTS: dict[str, object] = {
     "limit": 12.5,
     "base_us": 900.0,
     "call_usual_us": 9000.0,
@@ -16,7 +16,7 @@
 }
 MESSAGES: Mapping[str, messages.Message] = {
     "Hello/full": messages.Hello(
-        generation=3, pid=4321, wants_traffic=False, successor_generation=2, measurements=LEARNT
+        generation=3, pid=4321, wants_traffic=False, successor_generation=2, measurements=MEASUREMENTS
     ),
     "Hello/defaults": messages.Hello(generation=3, pid=4321),
     "Name/full": messages.KeyStatus(
--- a/tests/golden/sections.py
+++ b/tests/golden/sections.py
@@ -12,15 +12,15 @@
 from tests.golden.everything import KEY, fleet_section, operator_config, platform_config
 
 
-def ms(span: timedelta) -> float:
+def to_ms(span: timedelta) -> float:
     return span / MILLISECOND
 
 
-def read_section(folder: Path, least: bool = False) -> dict[str, Any]:
+def read_section(folder: Path, minimal: bool = False) -> dict[str, Any]:
     """Each value of `[fleet]`, by the key that the operator writes."""
     operator = operator_config(folder)
-    if least:
-        operator["fleet"] = least_section(folder)
+    if minimal:
+        operator["fleet"] = minimal_section(folder)
     fleet = check(platform_config(), operator).cluster
     assert fleet is not None
     members, rules = fleet.membership, fleet.replicated_config
@@ -32,19 +32,19 @@
         "votes": fleet.votes,
         "key_file is read": fleet.key == KEY.encode(),
         "store": None if fleet.store is None else fleet.store.relative_to(folder).as_posix(),
-        "term_ms": ms(fleet.leases.term),
+        "term_ms": to_ms(fleet.leases.term),
         "drift": fleet.leases.drift,
         "most_leases": fleet.leases.max_per_node,
-        "beat_ms": ms(fleet.heartbeat_interval),
-        "patience_ms": ms(fleet.election_timeout),
+        "beat_ms": to_ms(fleet.heartbeat_interval),
+        "patience_ms": to_ms(fleet.election_timeout),
         "probes": fleet.shared_health_checks,
         "nodes": {name: list(address) for name, address in fleet.nodes.items()},
         "members": None
         if members is None
         else {
-            "period_ms": ms(members.detector.probe_interval),
-            "answer_ms": ms(members.detector.probe_timeout),
-            "probation_ms": ms(members.roster.probation),
+            "period_ms": to_ms(members.detector.probe_interval),
+            "answer_ms": to_ms(members.detector.probe_timeout),
+            "probation_ms": to_ms(members.roster.probation),
             "guard": members.roster.max_failed_share,
             "zone": members.zone,
             "seeds": list(members.seeds),
@@ -52,29 +52,29 @@
         "rules": None
         if rules is None
         else {
-            "lease_ms": ms(fleet.leases.config_term),
-            "agree_within_ms": ms(rules.agree_within),
+            "lease_ms": to_ms(fleet.leases.config_term),
+            "agree_within_ms": to_ms(rules.agree_within),
             "shares": rules.quotas_shared,
             "documents": {
-                one.name: {
-                    "kind": one.kind.value,
-                    "strict": one.strict,
-                    "cut_off": one.disconnect_policy.value,
+                document.name: {
+                    "kind": document.kind.value,
+                    "strict": document.strict,
+                    "cut_off": document.disconnect_policy.value,
                 }
-                for one in rules.documents
+                for document in rules.documents
             },
         },
         "tasks": {
-            one.plan.name: {
-                "every_ms": ms(one.plan.schedule.interval),
-                "at_ms": ms(one.plan.schedule.offset),
-                "missed": one.plan.schedule.missed.value,
-                "class": one.plan.request_class,
-                "safe": one.plan.idempotent,
-                "longest_ms": ms(one.plan.timeout),
-                "vars": dict(one.variables),
+            task.plan.name: {
+                "every_ms": to_ms(task.plan.schedule.interval),
+                "at_ms": to_ms(task.plan.schedule.offset),
+                "missed": task.plan.schedule.missed.value,
+                "class": task.plan.request_class,
+                "safe": task.plan.idempotent,
+                "longest_ms": to_ms(task.plan.timeout),
+                "vars": dict(task.variables),
             }
-            for one in fleet.tasks
+            for task in fleet.tasks
         },
     }
 
@@ -89,19 +89,19 @@
     return copy
 
 
-def fault_of(operator: dict[str, Any]) -> str:
+def config_error(operator: dict[str, Any]) -> str:
     """What the program says of it; empty where it takes it."""
     try:
         check(platform_config(), operator)
-    except ConfigError as fault:
-        return str(fault)
+    except ConfigError as error:
+        return str(error)
     return ""
 
 
-def least_section(folder: Path) -> dict[str, Any]:
+def minimal_section(folder: Path) -> dict[str, Any]:
     """What a section must have, and tables whose keys are all left out."""
-    whole = fleet_section(folder)
-    needed = {key: whole[key] for key in ("name", "voters", "key_file", "store", "nodes")}
+    section = fleet_section(folder)
+    required = {key: section[key] for key in ("name", "voters", "key_file", "store", "nodes")}
     documents = {kind: {"kind": kind} for kind in ("settings", "tenants", "servers")}
     task = {"every_ms": 1000, "class": "schedule-save"}
-    return {**needed, "members": {}, "rules": {"documents": documents}, "tasks": {"sweep": task}}
+    return {**required, "members": {}, "rules": {"documents": documents}, "tasks": {"sweep": task}}
--- a/tests/golden/shapes.py
+++ b/tests/golden/shapes.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-WORDS = (
+CLOSED_LIST_KEYS = (
     "state",
     "situation",
     "role",
@@ -18,7 +18,7 @@
     "before",
     "outcome",
 )  # of closed lists
-NAMES = {str: "text", int: "integer", float: "number", bool: "truth", type(None): "null"}
+TYPE_NAMES = {str: "text", int: "integer", float: "number", bool: "truth", type(None): "null"}
 
 
 def shape_of(value: Any, path: str = "") -> set[str]:
@@ -37,17 +37,17 @@
             path.endswith("acts[][]") and value.isidentifier()
         ):  # a row without keys: its words are held
             return {f"{path}: text {value!r}"}
-        case str() if path.rpartition(".")[2] in WORDS:
+        case str() if path.rpartition(".")[2] in CLOSED_LIST_KEYS:
             return {f"{path}: text {value!r}"}
         case _:
-            return {f"{path}: {NAMES[type(value)]}"}
+            return {f"{path}: {TYPE_NAMES[type(value)]}"}
 
 
-def written(value: Any) -> list[str]:
+def shape_lines(value: Any) -> list[str]:
     return sorted(shape_of(value))
 
 
-def bare(lines: list[str]) -> list[str]:
+def empty_paths(lines: list[str]) -> list[str]:
     """Lists and objects of which nothing that they hold is known."""
     paths = [line.partition(": ") for line in lines]
     return [
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -22,10 +22,18 @@
 from marlstep.membership.partition_state import PartitionObservation
 from marlstep.membership.records import MemberRecord, MemberState
 from marlstep.replicated_config.documents import canonical_json
-from tests.golden.commands import NODES, Running, acked_by_all, at_stage, leave_open, members, put
-from tests.golden.everything import KEY, TOKEN, counted_names
+from tests.golden.commands import (
+    NODES,
+    LeasedTaskRunner,
+    acknowledge_on_all_nodes,
+    leave_changes_pending,
+    members,
+    put_document,
+    put_with_rollout,
+)
+from tests.golden.everything import KEY, TOKEN, deterministic_tokens
 from tests.golden.files import read_golden
-from tests.golden.world import Process, World, make_world
+from tests.golden.world import ClusterHarness, HeartbeatSender, make_cluster
 from tests.support.node import SETTINGS, CoreDriver
 
 GETS = (
@@ -36,36 +44,38 @@
 SERVERS = {"main": ["127.0.0.1:1", "127.0.0.1:2"], "more": ["127.0.0.1:4"]}
 
 
-class Shown:
+class AdminHarness:
     """A node that votes and follows, in the midst of what goes on in its fleet."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.world: World = make_world(folder)
+        self.cluster: ClusterHarness = make_cluster(folder)
         self.admin = self._part(AdminComponent).service
-        self.door = self._part(HealthEndpointComponent).service
+        self.health_endpoint = self._part(HealthEndpointComponent).service
 
-    def _part(self, kind: type[Any]) -> Any:
-        return next(part for part in self.world.node.components.values() if isinstance(part, kind))
+    def _part(self, component_type: type[Any]) -> Any:
+        return next(
+            part for part in self.cluster.node.components.values() if isinstance(part, component_type)
+        )
 
-    def serve(self, method: str, path: str, told: Any = None) -> tuple[int, Any]:
+    def serve(self, method: str, path: str, content: Any = None) -> tuple[int, Any]:
         """As the administration would write it and a client would read it."""
-        body = b"" if told is None else json.dumps(told).encode()
-        status, found = self.admin.serve(HttpRequest(method, path, b"Bearer " + TOKEN.encode(), body))
-        return status, found if isinstance(found, bytes) else json.loads(json.dumps(found))
+        body = b"" if content is None else json.dumps(content).encode()
+        status, response = self.admin.serve(HttpRequest(method, path, b"Bearer " + TOKEN.encode(), body))
+        return status, response if isinstance(response, bytes) else json.loads(json.dumps(response))
 
-    def live(self) -> None:
+    def run_scenario(self) -> None:
         """The course of a few seconds, which leaves something in every table."""
-        world = self.world
-        rules = world.fleet.config_driver
+        cluster = self.cluster
+        rules = cluster.fleet.config_driver
         assert rules is not None
         for node in NODES:
-            process = Process(node, wants=(f"rules/{node}/b1", "task/sweep", "task/nightly"))
-            world.processes[process.holder] = process
-        world.pass_time(2_000)
-        world.fleet.replica_driver.replica = world.voter
-        members(world)
-        self._heard_of()
+            process = HeartbeatSender(node, wanted_leases=(f"rules/{node}/b1", "task/sweep", "task/nightly"))
+            cluster.processes[process.holder] = process
+        cluster.pass_time(2_000)
+        cluster.fleet.replica_driver.replica = cluster.voter
+        members(cluster)
+        self._add_member_records()
         contents: dict[str, object] = {
             "settings": SETTINGS,
             "tenants": {"tenants": {"riad": {"share": 0.5, "allowance_per_s": 20.0}}},
@@ -73,101 +83,107 @@
         }
         for name, content in contents.items():
             rules.put(name, canonical_json(content), 0, "n6", "first")
-            world.pass_time(500)
-            acked_by_all(world, name)
-        put(world, "settings", SETTINGS, 1)
-        world.order("fleet/rules/withdraw", {"doc": "settings", "version": 2})
-        running = Running(world, "sweep", safe=True)
-        running.gained()
-        running.one()
-        world.pass_time(1_000)
-
-    def _heard_of(self) -> None:
+            cluster.pass_time(500)
+            acknowledge_on_all_nodes(cluster, name)
+        put_document(cluster, "settings", SETTINGS, 1)
+        cluster.execute_order("fleet/rules/withdraw", {"doc": "settings", "version": 2})
+        runner = LeasedTaskRunner(cluster, "sweep", safe=True)
+        runner.acquire()
+        runner.run_next_command()
+        cluster.pass_time(1_000)
+
+    def _add_member_records(self) -> None:
         """The detector hears of others, and the node's situation changes."""
-        world = self.world
-        part = world.fleet.membership
+        cluster = self.cluster
+        part = cluster.fleet.membership
         assert part is not None
-        now = world.clock.now()
+        now = cluster.clock.now()
         for number, state in enumerate(
             (MemberState.ALIVE, MemberState.SUSPECT, MemberState.FAILED, MemberState.LEFT), 2
         ):
-            by = "n2" if state in (MemberState.SUSPECT, MemberState.FAILED) else ""
-            told = MemberRecord(f"n{number}", "b1", 5, 0, state, f"127.0.0.1:{7000 + number}", "z", by)
+            observer = "n2" if state in (MemberState.SUSPECT, MemberState.FAILED) else ""
+            record = MemberRecord(
+                f"n{number}", "b1", 5, 0, state, f"127.0.0.1:{7000 + number}", "z", observer
+            )
             part.detector.receive(
-                now, MemberRecord("n2", "b1", 5, 0, MemberState.ALIVE, "127.0.0.1:7002", "z"), Ack(0, (told,))
+                now,
+                MemberRecord("n2", "b1", 5, 0, MemberState.ALIVE, "127.0.0.1:7002", "z"),
+                Ack(0, (record,)),
             )
-        some = frozenset({"n1", "n2"})
+        nodes = frozenset({"n1", "n2"})
         for _ in range(2):
-            part.partition.observe(now, PartitionObservation(True, some, some, some, frozenset(), True, True))
-            world.pass_time(3_000)
-            now = world.clock.now()
-        world.fleet.context.record_event("something changed", "as a test says so")
+            part.partition.observe(
+                now, PartitionObservation(True, nodes, nodes, nodes, frozenset(), True, True)
+            )
+            cluster.pass_time(3_000)
+            now = cluster.clock.now()
+        cluster.fleet.context.record_event("something changed", "as a test says so")
 
-    def open_changes(self) -> None:
-        leave_open(self.world)
-        self.world.pass_time(500)
+    def start_changes(self) -> None:
+        leave_changes_pending(self.cluster)
+        self.cluster.pass_time(500)
 
-    def fixed(self) -> None:
+    def pin_servers(self) -> None:
         """An operator puts a version in force here alone."""
-        world = self.world
+        cluster = self.cluster
         assert self.serve("POST", "/v1/fleet/rules/fix", {"doc": "servers", "content": SERVERS})[0] == 202
-        world.pass_time(500)
+        cluster.pass_time(500)
 
-    def strangers(self) -> None:
+    def receive_datagrams(self) -> None:
         """What comes from strangers is counted."""
-        members, framing = self.world.fleet.membership, wire.datagram_framing(KEY.encode())
+        members, framing = self.cluster.fleet.membership, wire.datagram_framing(KEY.encode())
         assert members is not None
         members.handle_datagram(b"junk")
         members.handle_datagram(framing.write(wire.write_datagram("another", members.detector.local, Ack(0))))
         members.handle_datagram(framing.write(wire.write_datagram("golden", members.detector.local, Ack(0))))
 
     def metrics(self) -> str:
-        status, told = self.serve("GET", "/v1/metrics")
-        assert status == 200 and isinstance(told, bytes)
-        return told.decode()
+        status, page = self.serve("GET", "/v1/metrics")
+        assert status == 200 and isinstance(page, bytes)
+        return page.decode()
 
 
 def pages(folder: Path) -> dict[str, Any]:
     """Each page of the administration and of the door, and each answer to an order."""
 
-    async def course() -> dict[str, Any]:
-        with counted_names():
-            shown = Shown(folder)
-            found: dict[str, list[Any]] = {}
+    async def run() -> dict[str, Any]:
+        with deterministic_tokens():
+            harness = AdminHarness(folder)
+            results: dict[str, list[Any]] = {}
 
-            def look() -> None:
+            def get_pages() -> None:
                 for path in GETS:
-                    status, told = shown.serve("GET", f"/v1/{path}")
+                    status, page = harness.serve("GET", f"/v1/{path}")
                     assert status == 200
-                    found.setdefault(f"GET /v1/{path}", []).append(told)
-
-            look()
-            shown.live()
-            look()
-            shown.open_changes()
-            look()
-            shown.fixed()
-            look()
-            for path, told in orders():
-                status, answer = shown.serve("POST", f"/v1/fleet/{path}", told)
+                    results.setdefault(f"GET /v1/{path}", []).append(page)
+
+            get_pages()
+            harness.run_scenario()
+            get_pages()
+            harness.start_changes()
+            get_pages()
+            harness.pin_servers()
+            get_pages()
+            for path, arguments in order_requests():
+                status, response = harness.serve("POST", f"/v1/fleet/{path}", arguments)
                 assert status == 202, path
-                found[f"POST /v1/fleet/{path}"] = [answer]
-                shown.world.pass_time(200)
-            look()
-            allowed = {"allowance_per_s": 7.0}
-            found["PUT /v1/tenants/riad"] = [shown.serve("PUT", "/v1/tenants/riad", allowed)[1]]
+                results[f"POST /v1/fleet/{path}"] = [response]
+                harness.cluster.pass_time(200)
+            get_pages()
+            quota = {"allowance_per_s": 7.0}
+            results["PUT /v1/tenants/riad"] = [harness.serve("PUT", "/v1/tenants/riad", quota)[1]]
             for method, path in (("GET", "health"), ("POST", "quiesce"), ("POST", "resume")):
-                told = shown.door.serve(HttpRequest(method, f"/admin/{path}", b"", b""))[1]
-                found[f"{method} /admin/{path}"] = [json.loads(json.dumps(told))]
-            for path, told in counted().items():
-                found[path].append(told)
-            found["POST /v1/drain"] = [shown.serve("POST", "/v1/drain")[1]]
-            return found
+                page = harness.health_endpoint.serve(HttpRequest(method, f"/admin/{path}", b"", b""))[1]
+                results[f"{method} /admin/{path}"] = [json.loads(json.dumps(page))]
+            for path, page in counter_pages().items():
+                results[path].append(page)
+            results["POST /v1/drain"] = [harness.serve("POST", "/v1/drain")[1]]
+            return results
 
-    return asyncio.run(course())
+    return asyncio.run(run())
 
 
-def orders() -> Iterator[tuple[str, dict[str, Any]]]:
+def order_requests() -> Iterator[tuple[str, dict[str, Any]]]:
     yield "rules/part", {"upload": "u", "offset": 0, "data": "{}"}
     yield "rules/put", {"doc": "settings", "upload": "u", "digest": "0", "expect": 9}
     yield "rules/get", {"doc": "settings"}
@@ -181,7 +197,7 @@
     yield "members/believe", {"nodes": ["n5"]}
 
 
-def counted() -> dict[str, Any]:
+def counter_pages() -> dict[str, Any]:
     """The pages that count requests, after some that came to each end that is cheap to have."""
     realms = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
     driver = CoreDriver(cores=1, realms=realms, overShareWorth=0.1)
@@ -207,7 +223,7 @@
 # The command line, whose calls go to the node without a socket.
 
 
-class Answer:
+class FakeHttpResponse:
     def __init__(self, status: int, body: bytes) -> None:
         self.status, self._body = status, body
 
@@ -215,49 +231,49 @@
         return self._body
 
 
-class Connection:
+class FakeHttpConnection:
     """In the place of the standard library's: each call is served at once, and time passes."""
 
-    shown: Shown
+    harness: AdminHarness
 
     def __init__(self, host: str, port: int, timeout: float) -> None:
-        self._answer = Answer(500, b"")
+        self._response = FakeHttpResponse(500, b"")
 
     def request(self, method: str, path: str, body: str | None, headers: dict[str, str]) -> None:
-        self.shown.world.pass_time(50)
-        told = None if body is None else json.loads(body)
-        status, found = self.shown.serve(method, path, told)
-        self.shown.world.pass_time(50)
-        self._answer = Answer(status, json.dumps(found).encode())
+        self.harness.cluster.pass_time(50)
+        content = None if body is None else json.loads(body)
+        status, response = self.harness.serve(method, path, content)
+        self.harness.cluster.pass_time(50)
+        self._response = FakeHttpResponse(status, json.dumps(response).encode())
 
-    def getresponse(self) -> Answer:
-        return self._answer
+    def getresponse(self) -> FakeHttpResponse:
+        return self._response
 
 
 def commands(folder: Path) -> dict[str, Any]:
     """What each command of `fleet` and `rules` prints as JSON."""
 
-    async def course() -> dict[str, Any]:
-        with counted_names(), patch("http.client.HTTPConnection", Connection):
-            Connection.shown = shown = Shown(folder)
-            shown.live()
-            where = ["--admin", "127.0.0.1:1", "--token-file", str(folder / "token"), "--json"]
-            found = {}
-            for words in lines(folder):
-                found[" ".join(words)] = printed([*words, *where])
-            at_stage(shown.world, "servers", SERVERS, 2, nodes=["n2"])
-            acked_by_all(shown.world, "servers")
-            for words in (["rules", "log", "servers"], ["rules", "go", "servers", "5"]):
-                found[" ".join(words)] = printed([*words, *where])
-            return {name.replace(str(folder), "FOLDER"): told for name, told in found.items()}
+    async def run() -> dict[str, Any]:
+        with deterministic_tokens(), patch("http.client.HTTPConnection", FakeHttpConnection):
+            FakeHttpConnection.harness = harness = AdminHarness(folder)
+            harness.run_scenario()
+            client_options = ["--admin", "127.0.0.1:1", "--token-file", str(folder / "token"), "--json"]
+            results = {}
+            for arguments in command_lines(folder):
+                results[" ".join(arguments)] = run_json_command([*arguments, *client_options])
+            put_with_rollout(harness.cluster, "servers", SERVERS, 2, nodes=["n2"])
+            acknowledge_on_all_nodes(harness.cluster, "servers")
+            for arguments in (["rules", "log", "servers"], ["rules", "go", "servers", "5"]):
+                results[" ".join(arguments)] = run_json_command([*arguments, *client_options])
+            return {name.replace(str(folder), "FOLDER"): output for name, output in results.items()}
 
-    return asyncio.run(course())
+    return asyncio.run(run())
 
 
-def printed(words: list[str]) -> Any:
+def run_json_command(arguments: list[str]) -> Any:
     out = io.StringIO()
     with contextlib.redirect_stdout(out):
-        call(words)
+        call(arguments)
     return json.loads(out.getvalue())
 
 
@@ -274,56 +290,60 @@
         f'[fleet]\nname = "f"\nvoters = ["n1"]\nkey_file = "{folder}/key"\nstore = "{folder}/store"\n'
         '[fleet.nodes]\nn1 = "127.0.0.1:7001"\n'
     )
-    wrong = folder / "wrong.toml"
-    wrong.write_text("colour = 1\n")
+    invalid = folder / "wrong.toml"
+    invalid.write_text("colour = 1\n")
     with contextlib.redirect_stdout(io.StringIO()):
         assert call(["fleet", "init", *PLATFORM, "--operator", str(operator)]) == 0
     trace = str(ROOT / "examples" / "traces" / "google-2011.csv")
     return {
-        "config check": printed(["config", "check", *PLATFORM, "--operator", str(operator), "--json"]),
-        "config check, alone": printed(["config", "check", *PLATFORM, "--json"]),
-        "config check, wrong": printed(["config", "check", *PLATFORM, "--operator", str(wrong), "--json"]),
-        "fleet recover": printed(
+        "config check": run_json_command(
+            ["config", "check", *PLATFORM, "--operator", str(operator), "--json"]
+        ),
+        "config check, alone": run_json_command(["config", "check", *PLATFORM, "--json"]),
+        "config check, wrong": run_json_command(
+            ["config", "check", *PLATFORM, "--operator", str(invalid), "--json"]
+        ),
+        "fleet recover": run_json_command(
             ["fleet", "recover", *PLATFORM, "--operator", str(operator), "--epoch", "2", "--yes"]
         ),
-        "trace inspect": printed(["trace", "inspect", "--format", "google-2011", "--json", trace]),
-        "drill leases": printed(["drill", "leases", "--nodes", "3", "--for", "4s", *DRILL]),
-        "drill rules": printed(["drill", "rules", "--nodes", "3", "--for", "8s", *DRILL]),
-        "drill members": printed(["drill", "members", "--nodes", "5", "--for", "8s", *DRILL]),
+        "trace inspect": run_json_command(["trace", "inspect", "--format", "google-2011", "--json", trace]),
+        "drill leases": run_json_command(["drill", "leases", "--nodes", "3", "--for", "4s", *DRILL]),
+        "drill rules": run_json_command(["drill", "rules", "--nodes", "3", "--for", "8s", *DRILL]),
+        "drill members": run_json_command(["drill", "members", "--nodes", "5", "--for", "8s", *DRILL]),
     }
 
 
 def metrics(folder: Path) -> str:
     """The page of all figures, of a node that has seen some of everything."""
 
-    async def course() -> str:
-        with counted_names():
-            shown = Shown(folder)
-            shown.live()
-            shown.strangers()
-            return shown.metrics()
+    async def run() -> str:
+        with deterministic_tokens():
+            harness = AdminHarness(folder)
+            harness.run_scenario()
+            harness.receive_datagrams()
+            return harness.metrics()
 
-    return asyncio.run(course())
+    return asyncio.run(run())
 
 
 def every_counter(folder: Path) -> str:
     """The same, after every counter that the figures of a node know has counted."""
     keys = read_golden("counters.json")
 
-    async def course() -> str:
-        with counted_names():
-            shown = Shown(folder)
-            shown.live()
-            fleet = shown.world.fleet
+    async def run() -> str:
+        with deterministic_tokens():
+            harness = AdminHarness(folder)
+            harness.run_scenario()
+            fleet = harness.cluster.fleet
             fleet.context.counts.update(dict.fromkeys(keys["fleet"], 1))
             fleet.router.transport.counts.update(dict.fromkeys(keys["lines"], 1))
-            shown.world.node.core.counts.update(dict.fromkeys(keys["core"], 1))
-            return shown.metrics()
+            harness.cluster.node.core.counts.update(dict.fromkeys(keys["core"], 1))
+            return harness.metrics()
 
-    return asyncio.run(course())
+    return asyncio.run(run())
 
 
-def lines(folder: Path) -> Iterator[list[str]]:
+def command_lines(folder: Path) -> Iterator[list[str]]:
     new = folder / "new.json"
     new.write_text(json.dumps(SERVERS))
     yield ["fleet", "status"]
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -133,7 +133,7 @@
     return machines
 
 
-def written() -> dict[str, str]:
+def write_samples() -> dict[str, str]:
     """A whole snapshot, and the group beside it, as the store and the wire have them."""
     machines = StateMachines(filled_machines())
     machines._cache_result("n2/b2", 5, {"granted": "n2/b2", "token": 24})
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -14,7 +14,7 @@
 
 FILE = "voter.sqlite"
 NODE, IDENTITY, GROUP = "n1", "n1#0a0b0c", "1.feedbeef"
-OF_THIS_DISK = ("file", "sum")  # facts that differ from one file to the next
+DISK_SPECIFIC_FACTS = ("file", "sum")  # facts that differ from one file to the next
 
 
 def write_store(folder: Path) -> None:
@@ -42,14 +42,14 @@
     """What the program gives back of it."""
     store = ReplicaStore(folder)
     try:
-        told: OpenedStore = store.open(NODE, "n1#anew")
+        opened: OpenedStore = store.open(NODE, "n1#anew")
     finally:
         store.close()
-    saved, snapshot = told.state, told.state.snapshot
+    saved, snapshot = opened.state, opened.state.snapshot
     return {
-        "identity": told.identity,
-        "group": told.group,
-        "fresh": told.fresh,
+        "identity": opened.identity,
+        "group": opened.group,
+        "fresh": opened.fresh,
         "term": saved.term,
         "vote": saved.voted_for,
         "snapshot": {
@@ -58,7 +58,7 @@
             "group": snapshot.configuration.encode(),
             "data": snapshot.data,
         },
-        "entries": [[one.index, one.term, one.entry_type.value, one.body] for one in saved.entries],
+        "entries": [[entry.index, entry.term, entry.entry_type.value, entry.body] for entry in saved.entries],
     }
 
 
@@ -76,8 +76,8 @@
     finally:
         db.close()
     rows = {
-        name: [[one.hex() if isinstance(one, bytes) else one for one in row] for row in found]
-        for name, found in tables.items()
+        name: [[cell.hex() if isinstance(cell, bytes) else cell for cell in row] for row in table]
+        for name, table in tables.items()
     }
     rows["facts"] = [["file", "*"] if name == "file" else [name, value] for name, value in rows["facts"]]
     rows["facts"] = [["sum", "*"] if name == "sum" else [name, value] for name, value in rows["facts"]]
--- a/tests/golden/test_log_commands.py
+++ b/tests/golden/test_log_commands.py
@@ -10,10 +10,10 @@
 
 from tests.golden.commands import LIMITS, record_commands
 from tests.golden.files import read_golden
-from tests.golden.machines import applied, machines, run_limit
+from tests.golden.machines import apply_command, machines, run_limit
 
 # Every word of every machine. A new one needs its entry here, and a golden one.
-WORDS = {
+COMMANDS = {
     "leases": {"grant", "expire", "return"},
     "tasks": {"look", "fenced", "begin", "end"},
     "rules": {"part", "put", "ack", "commit", "get", "withdraw"},
@@ -21,7 +21,7 @@
     "shares": {"tenants", "grow", "shrink", "gave"},
 }
 # What is proposed by the leader's own objects, without anybody's asking.
-LED = {
+LEADER_COMMANDS = {
     ("leases", "grant"), ("leases", "expire"), ("leases", "return"), ("rules", "commit"), ("rules", "withdraw"),
     ("members", "admit"), ("members", "remove"), ("shares", "tenants"), ("shares", "grow"), ("shares", "shrink"),
 }  # fmt: skip
@@ -40,10 +40,10 @@
 def test_stored_commands_give_the_stored_results() -> None:
     log = machines()
     for number, row in enumerate(ROWS):
-        assert applied(log, row["body"]) == row["result"], (number, row["body"])
+        assert apply_command(log, row["body"]) == row["result"], (number, row["body"])
 
 
-def test_proposers_write_the_stored_commands_byte_by_byte(tmp_path: Path) -> None:
+def test_proposers_write_the_stored_commands_byte_for_byte(tmp_path: Path) -> None:
     rows, _ = record_commands(tmp_path)
     for number, (row, golden) in enumerate(zip(rows, ROWS, strict=False)):
         assert row.body == golden["body"], number
@@ -51,45 +51,45 @@
     assert len(rows) == len(ROWS)
 
 
-def test_each_machine_and_each_of_its_words_is_there_with_a_success_and_an_error() -> None:
-    assert set(machines().machines) == set(WORDS)
-    for machine, words in WORDS.items():
-        for word in words:
+def test_every_command_of_every_state_machine_has_a_stored_success_and_error() -> None:
+    assert set(machines().machines) == set(COMMANDS)
+    for machine, names in COMMANDS.items():
+        for name in names:
             rows = [
-                one
-                for one in ROWS
-                if (command_of(one).get("m"), command_of(one).get("do")) == (machine, word)
+                row
+                for row in ROWS
+                if (command_of(row).get("m"), command_of(row).get("do")) == (machine, name)
             ]
-            failed = [one for one in rows if {"error", "refused"} & set(json.loads(one["result"]))]
-            assert len(rows) > len(failed), (machine, word)
-            assert failed or (machine, word) in {
+            failed = [row for row in rows if {"error", "refused"} & set(json.loads(row["result"]))]
+            assert len(rows) > len(failed), (machine, name)
+            assert failed or (machine, name) in {
                 ("leases", "expire"),
                 ("leases", "return"),
                 ("tasks", "fenced"),
             }
         known = {
-            str(command_of(one).get("do")) for one in ROWS
-            if command_of(one).get("m") == machine and "nothing that is done to" not in one["result"]
+            str(command_of(row).get("do")) for row in ROWS
+            if command_of(row).get("m") == machine and "nothing that is done to" not in row["result"]
         }  # fmt: skip
-        assert known - {"None"} == words, machine
+        assert known - {"None"} == names, machine
 
 
-def test_what_the_leader_proposes_by_itself_is_among_them() -> None:
+def test_the_stored_commands_include_all_that_the_leader_proposes_itself() -> None:
     found = {
-        (command_of(one).get("m"), command_of(one).get("do")) for one in ROWS if "by" not in command_of(one)
+        (command_of(row).get("m"), command_of(row).get("do")) for row in ROWS if "by" not in command_of(row)
     }
-    assert found >= LED
+    assert found >= LEADER_COMMANDS
 
 
-def test_a_word_that_no_machine_knows_is_turned_down() -> None:
-    for machine in WORDS:
+def test_every_state_machine_has_a_stored_rejection_of_an_unknown_command() -> None:
+    for machine in COMMANDS:
         assert any(
-            command_of(one).get("m") == machine and "nothing that is done to" in one["result"] for one in ROWS
+            command_of(row).get("m") == machine and "nothing that is done to" in row["result"] for row in ROWS
         )
 
 
 @pytest.mark.parametrize("name", LIMITS)
-def test_limits_turn_down_what_they_did(name: str) -> None:
-    before, pattern, times = LIMITS[name]
+def test_commands_beyond_a_limit_give_the_stored_result_and_snapshot(name: str) -> None:
+    before, pattern, count = LIMITS[name]
     golden = LIMIT_ROWS[name]
-    assert run_limit(before, pattern, times) == (golden["last"], golden["snapshot"])
+    assert run_limit(before, pattern, count) == (golden["last"], golden["snapshot"])
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("title", CONVERSATIONS)
-def test_full_messages_have_no_default_left(title: str) -> None:
+def test_full_messages_hold_no_default_value(title: str) -> None:
     checks.check_full(CONVERSATIONS[title])
 
 
@@ -60,8 +60,8 @@
 
 
 @each_message
-def test_a_damaged_frame_is_refused(conversation: Conversation, name: str) -> None:
-    checks.check_damaged(conversation, name)
+def test_a_corrupted_frame_is_refused(conversation: Conversation, name: str) -> None:
+    checks.check_corrupted_frame(conversation, name)
 
 
 @each_message
@@ -71,17 +71,17 @@
 
 @pytest.mark.parametrize(("conversation", "name", "key"), list(keys(optional=False)))
 def test_a_message_without_a_required_key_is_refused(conversation: Conversation, name: str, key: str) -> None:
-    checks.check_left_out_required(conversation, name, key)
+    checks.check_missing_required_key(conversation, name, key)
 
 
 @pytest.mark.parametrize(("conversation", "name", "key"), list(keys(optional=True)))
-def test_a_key_that_is_left_out_reads_as_its_default(conversation: Conversation, name: str, key: str) -> None:
-    checks.check_left_out_optional(conversation, name, key)
+def test_a_missing_optional_key_reads_as_its_default(conversation: Conversation, name: str, key: str) -> None:
+    checks.check_missing_optional_key(conversation, name, key)
 
 
 @pytest.mark.parametrize(("conversation", "name"), list(messages("/defaults")))
-def test_all_defaults_may_be_left_out_at_once(conversation: Conversation, name: str) -> None:
-    checks.check_all_optional_left_out(conversation, name)
+def test_all_optional_keys_may_be_missing_at_once(conversation: Conversation, name: str) -> None:
+    checks.check_all_optional_keys_missing(conversation, name)
 
 
 @each_message
@@ -90,8 +90,8 @@
 
 
 @each_message
-def test_a_further_element_is_refused(conversation: Conversation, name: str) -> None:
-    checks.check_further_element(conversation, name)
+def test_an_extra_list_element_is_refused(conversation: Conversation, name: str) -> None:
+    checks.check_extra_element(conversation, name)
 
 
 @pytest.mark.parametrize(("conversation", "case"), list(wrong_types()))
--- a/tests/golden/test_node_messages.py
+++ b/tests/golden/test_node_messages.py
@@ -20,15 +20,15 @@
         classes_of(wire.CODEC),
         tags_of(wire.CODEC),
     )
-    seen = {type(one) for one in MESSAGES.values()}
+    sample_classes = {type(message) for message in MESSAGES.values()}
     assert classes == {*VOTER_MESSAGES, wire.ExchangeMessage}
-    checks.check_coverage(CONVERSATION, classes, tags, seen)
+    checks.check_coverage(CONVERSATION, classes, tags, sample_classes)
 
 
 @each_message
-def test_an_unknown_key_is_passed_over(name: str) -> None:
-    told = checks.with_unknown_key(CONVERSATION, name)
-    assert checks.read_json(CONVERSATION, told) == CONVERSATION.samples[name].expected
+def test_an_unknown_key_is_ignored(name: str) -> None:
+    document = checks.with_unknown_key(CONVERSATION, name)
+    assert checks.read_json(CONVERSATION, document) == CONVERSATION.samples[name].expected
 
 
 NESTED = [
@@ -38,22 +38,24 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "path", "passed_over"), NESTED)
-def test_an_unknown_key_of_a_nested_object(name: str, path: Path, passed_over: bool) -> None:
-    told = orjson.loads(CONVERSATION.load()[name].body)
-    place = CONVERSATION.message_in(told)[1]
+@pytest.mark.parametrize(("name", "path", "is_ignored"), NESTED)
+def test_an_unknown_key_of_a_nested_object_is_ignored_or_refused(
+    name: str, path: Path, is_ignored: bool
+) -> None:
+    document = orjson.loads(CONVERSATION.load()[name].body)
+    place = CONVERSATION.message_in(document)[1]
     for step in path:
         place = place[step]
     place["of_a_newer_program"] = 1
-    if passed_over:
-        assert checks.read_json(CONVERSATION, told) == CONVERSATION.samples[name].expected
+    if is_ignored:
+        assert checks.read_json(CONVERSATION, document) == CONVERSATION.samples[name].expected
     else:
-        checks.check_refused(CONVERSATION, told)
+        checks.check_refused(CONVERSATION, document)
 
 
 @pytest.mark.parametrize("key", ["pending", "pending_digest", "strict", "on"])
-def test_news_without_a_key_that_has_a_default(key: str) -> None:
+def test_a_document_status_without_an_optional_key_reads_as_its_default(key: str) -> None:
     stored = CONVERSATION.load()["Beaten/full"]
-    told = orjson.loads(stored.body)
-    del CONVERSATION.message_in(told)[1]["news"][1][key]  # the one that has the defaults
-    assert checks.read_json(CONVERSATION, told) == CONVERSATION.samples["Beaten/full"].expected
+    document = orjson.loads(stored.body)
+    del CONVERSATION.message_in(document)[1]["news"][1][key]  # the one that has the defaults
+    assert checks.read_json(CONVERSATION, document) == CONVERSATION.samples["Beaten/full"].expected
--- a/tests/golden/test_operator_keys.py
+++ b/tests/golden/test_operator_keys.py
@@ -9,7 +9,7 @@
 
 from tests.golden.everything import fleet_section, operator_config
 from tests.golden.files import read_golden
-from tests.golden.sections import fault_of, read_section, with_key
+from tests.golden.sections import config_error, read_section, with_key
 
 GOLDEN: dict[str, Any] = read_golden("sections.json")
 KEYS: dict[str, list[str]] = GOLDEN["keys"]
@@ -19,8 +19,8 @@
     assert read_section(tmp_path) == GOLDEN["complete"]
 
 
-def test_a_section_with_what_it_must_have_alone_is_read_to_the_stored_defaults(tmp_path: Path) -> None:
-    assert read_section(tmp_path, least=True) == GOLDEN["least"]
+def test_a_section_with_only_required_keys_is_read_to_the_stored_defaults(tmp_path: Path) -> None:
+    assert read_section(tmp_path, minimal=True) == GOLDEN["least"]
 
 
 def test_the_complete_section_has_every_stored_key(tmp_path: Path) -> None:
@@ -34,13 +34,13 @@
 
 
 @pytest.mark.parametrize("path", KEYS)
-def test_a_key_that_is_not_known_is_named(path: str, tmp_path: Path) -> None:
+def test_the_error_for_an_unknown_key_names_the_key(path: str, tmp_path: Path) -> None:
     operator = with_key(operator_config(tmp_path), path, "colour", 1)
-    assert fault_of(operator) == GOLDEN["unknown"][path] != ""
+    assert config_error(operator) == GOLDEN["unknown"][path] != ""
 
 
 @pytest.mark.parametrize("path", KEYS)
-def test_a_wrong_value_of_each_key_is_named_by_its_key(path: str, tmp_path: Path) -> None:
+def test_the_error_for_an_invalid_value_names_its_key(path: str, tmp_path: Path) -> None:
     for key in KEYS[path]:
-        told = fault_of(with_key(operator_config(tmp_path), path, key, []))
-        assert told == GOLDEN["wrong"][f"{path}.{key}"], key
+        error = config_error(with_key(operator_config(tmp_path), path, key, []))
+        assert error == GOLDEN["wrong"][f"{path}.{key}"], key
--- a/tests/golden/test_snapshot_keys.py
+++ b/tests/golden/test_snapshot_keys.py
@@ -18,7 +18,7 @@
 
 
 def test_writing_gives_the_stored_snapshot_and_group() -> None:
-    assert snapshots.written() == snapshots.load()
+    assert snapshots.write_samples() == snapshots.load()
 
 
 def test_every_machine_is_in_the_stored_snapshot() -> None:
@@ -26,13 +26,13 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_machine_reads_its_part_of_the_stored_snapshot(name: str) -> None:
+def test_a_machine_restores_its_part_of_the_stored_snapshot(name: str) -> None:
     stored = json.loads(snapshots.load()["snapshot"])["machines"][name]
-    read, expected = snapshots.new_machines()[name], snapshots.filled_machines()[name]
-    read.restore(stored)
-    assert json.loads(orjson.dumps(read.snapshot())) == stored
+    restored, expected = snapshots.new_machines()[name], snapshots.filled_machines()[name]
+    restored.restore(stored)
+    assert json.loads(orjson.dumps(restored.snapshot())) == stored
     for attribute in STATE[name]:
-        assert getattr(read, attribute) == getattr(expected, attribute)
+        assert getattr(restored, attribute) == getattr(expected, attribute)
 
 
 STATE = {
@@ -44,12 +44,12 @@
 }
 
 
-def test_the_whole_stored_snapshot_is_read() -> None:
+def test_all_machines_restore_the_stored_snapshot() -> None:
     machines = StateMachines(snapshots.new_machines())
     machines.restore(snapshots.load()["snapshot"])
     assert machines.snapshot() == snapshots.load()["snapshot"]
     assert machines.cached_result("n2/b2", 5) == {"granted": "n2/b2", "token": 24}
 
 
-def test_the_stored_group_is_read() -> None:
+def test_the_stored_group_is_decoded() -> None:
     assert Configuration.decode(snapshots.load()["group"]) == snapshots.GROUP
--- a/tests/golden/test_snapshots.py
+++ b/tests/golden/test_snapshots.py
@@ -8,14 +8,14 @@
 import pytest
 
 from tests.golden.files import read_golden
-from tests.golden.machines import applied, machines
+from tests.golden.machines import apply_command, machines
 
 ROWS: list[dict[str, str]] = read_golden("log_commands.json")
 SNAPSHOTS: list[dict[str, Any]] = read_golden("snapshots.json")
 
 
 def test_the_stored_commands_give_the_stored_snapshots() -> None:
-    log, stored = machines(), {one["after"]: one["data"] for one in SNAPSHOTS}
+    log, stored = machines(), {snapshot["after"]: snapshot["data"] for snapshot in SNAPSHOTS}
     for number, row in enumerate(ROWS, 1):
         log.apply(row["body"])
         if number in stored:
@@ -23,8 +23,8 @@
     assert not stored
 
 
-@pytest.mark.parametrize("snapshot", SNAPSHOTS, ids=lambda one: str(one["after"]))
-def test_a_stored_snapshot_is_written_again_as_it_was_read_and_goes_on_alike(
+@pytest.mark.parametrize("snapshot", SNAPSHOTS, ids=lambda snapshot: str(snapshot["after"]))
+def test_a_restored_snapshot_is_written_unchanged_and_later_commands_give_the_stored_results(
     snapshot: dict[str, Any],
 ) -> None:
     log = machines()
@@ -32,13 +32,13 @@
     assert log.snapshot() == snapshot["data"]
     for number, row in enumerate(ROWS[snapshot["after"] :], snapshot["after"]):
         # As JSON objects: a snapshot sorts its keys, and with them those of the rows that a `get` tells.
-        assert json.loads(applied(log, row["body"])) == json.loads(row["result"]), (number, row["body"])
+        assert json.loads(apply_command(log, row["body"])) == json.loads(row["result"]), (number, row["body"])
     assert log.snapshot() == SNAPSHOTS[-1]["data"]
 
 
-def test_the_last_snapshot_has_every_kind_of_thing() -> None:
+def test_the_last_snapshot_holds_every_key() -> None:
     """So that no key of a snapshot is without a stored example."""
-    last = SNAPSHOTS[-1]["data"]
+    last_snapshot = SNAPSHOTS[-1]["data"]
     for key in (
         '"asked":', '"leases":', '"token":', '"tasks":', '"open"', '"rules":', '"documents":', '"uploads":[["',
         '"kind":', '"strict":', '"versions":[{', '"count":', '"pending":{', '"held_out":', '"turned_down":[{',
@@ -46,4 +46,4 @@
         '"for_ms":', '"worse":', '"least":', '"begun":true', '"acked":["', '"refused":{"', '"members":',
         '"there":true', '"taken_out":1', '"why":', '"held_off":true', '"believed":["', '"shares":',
     ):  # fmt: skip
-        assert key in last, key
+        assert key in last_snapshot, key
--- a/tests/golden/test_status_keys.py
+++ b/tests/golden/test_status_keys.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.golden.files import read_golden
-from tests.golden.shapes import bare, written
+from tests.golden.shapes import empty_paths, shape_lines
 from tests.golden.shown import GETS, commands, other_commands, pages
 
 GOLDEN: dict[str, dict[str, list[str]]] = read_golden("shapes.json")
@@ -18,22 +18,22 @@
 @pytest.mark.parametrize(
     ("name", "make"), [("pages", pages), ("commands", commands), ("other commands", other_commands)]
 )
-def test_what_is_shown_has_the_stored_shape(
+def test_json_shown_to_operators_has_the_stored_shape(
     name: str, make: Callable[[Path], dict[str, Any]], tmp_path: Path
 ) -> None:
-    found = {what: written(told) for what, told in make(tmp_path).items()}
-    assert list(found) == list(GOLDEN[name])
-    for what, lines in found.items():
-        assert lines == GOLDEN[name][what], what
+    shapes = {title: shape_lines(value) for title, value in make(tmp_path).items()}
+    assert list(shapes) == list(GOLDEN[name])
+    for title, lines in shapes.items():
+        assert lines == GOLDEN[name][title], title
 
 
-def test_every_page_is_there() -> None:
+def test_every_page_has_a_stored_shape() -> None:
     assert {f"GET /v1/{path}" for path in GETS} <= set(GOLDEN["pages"])
 
 
-def test_no_list_and_no_table_of_a_page_was_empty_when_it_was_stored() -> None:
+def test_only_the_listed_lists_and_objects_were_empty_when_the_pages_were_stored() -> None:
     """Else the shape of what it holds would be held by nothing."""
     empty = {
-        f"{what} {path}" for what, lines in GOLDEN["pages"].items() for path in bare(lines)
+        f"{title} {path}" for title, lines in GOLDEN["pages"].items() for path in empty_paths(lines)
     }  # fmt: skip
     assert empty == set(read_golden("empty.json"))
--- a/tests/golden/test_store_file.py
+++ b/tests/golden/test_store_file.py
@@ -11,12 +11,12 @@
 
 from marlstep.cluster.store import ReplicaStore
 from tests.golden.files import FOLDER, read_golden
-from tests.golden.stored import FILE, IDENTITY, NODE, OF_THIS_DISK, dump, read_store, write_store
+from tests.golden.stored import DISK_SPECIFIC_FACTS, FILE, IDENTITY, NODE, dump, read_store, write_store
 
 GOLDEN = read_golden("store.json")
 
 
-def facts_of(path: Path) -> dict[str, str]:
+def read_facts(path: Path) -> dict[str, str]:
     db = apsw.Connection(str(path))
     try:
         return {str(name): str(value) for name, value in db.execute("select name, value from facts")}
@@ -31,31 +31,31 @@
     store.open(NODE, IDENTITY)
     store.close()
     path = tmp_path / FILE
-    mark = facts_of(path)["file"]
+    file_mark = read_facts(path)["file"]
     path.write_bytes((FOLDER / FILE).read_bytes())  # written over: to the disk it is the same file
-    facts = facts_of(path) | {"file": mark}
+    facts = read_facts(path) | {"file": file_mark}
     del facts["sum"]
-    told = hashlib.blake2b(orjson.dumps(sorted(facts.items())), digest_size=12).hexdigest()
+    checksum = hashlib.blake2b(orjson.dumps(sorted(facts.items())), digest_size=12).hexdigest()
     db = apsw.Connection(str(path))
-    db.execute("update facts set value = ? where name = 'file'", (mark,))
-    db.execute("update facts set value = ? where name = 'sum'", (told,))
+    db.execute("update facts set value = ? where name = 'file'", (file_mark,))
+    db.execute("update facts set value = ? where name = 'sum'", (checksum,))
     db.close()
     return tmp_path
 
 
-def test_the_committed_file_opens_and_gives_back_the_exact_state(folder: Path) -> None:
+def test_the_committed_file_opens_with_the_exact_stored_state(folder: Path) -> None:
     assert read_store(folder) == GOLDEN["state"]
     assert dump(folder / FILE) == GOLDEN["file"]
     assert not list(folder.glob("*aside*"))
 
 
-def test_the_committed_file_goes_on_where_it_is(folder: Path) -> None:
+def test_the_committed_file_can_be_changed_and_reopened(folder: Path) -> None:
     store = ReplicaStore(folder)
-    told = store.open(NODE, "n1#anew")
+    opened = store.open(NODE, "n1#anew")
     store.set_group("1.other")
     store.close()
-    again = read_store(folder)
-    assert told.identity == IDENTITY and again == GOLDEN["state"] | {"group": "1.other"}
+    reopened = read_store(folder)
+    assert opened.identity == IDENTITY and reopened == GOLDEN["state"] | {"group": "1.other"}
 
 
 def test_the_same_state_is_written_with_the_same_schema_and_rows(tmp_path: Path) -> None:
@@ -64,11 +64,11 @@
     assert read_store(tmp_path) == GOLDEN["state"]
 
 
-def test_only_what_is_of_this_disk_is_left_out_of_the_rows() -> None:
+def test_only_disk_specific_facts_are_left_out_of_the_rows() -> None:
     left_out = {name for name, value in GOLDEN["file"]["rows"]["facts"] if value == "*"}
-    assert left_out == set(OF_THIS_DISK)
+    assert left_out == set(DISK_SPECIFIC_FACTS)
 
 
-def test_the_committed_file_is_the_one_that_the_rows_were_taken_from(tmp_path: Path) -> None:
+def test_the_committed_file_holds_the_stored_rows(tmp_path: Path) -> None:
     (tmp_path / FILE).write_bytes((FOLDER / FILE).read_bytes())
     assert dump(tmp_path / FILE) == GOLDEN["file"]
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -48,42 +48,42 @@
 
 
 @dataclass(slots=True)
-class Process:
+class HeartbeatSender:
     """A node's process as its beats have it."""
 
     node: str
-    wants: tuple[str, ...] = ()
-    returns: tuple[LeaseToken, ...] = ()
-    most: int = 0
-    acts: tuple[DocumentState, ...] = ()
-    figures: RequestCounts = NO_REQUESTS
-    failed: tuple[str, ...] = ()
-    demand: tuple[TenantDemand, ...] = ()
+    wanted_leases: tuple[str, ...] = ()
+    returned_leases: tuple[LeaseToken, ...] = ()
+    max_leases: int = 0
+    document_states: tuple[DocumentState, ...] = ()
+    request_counts: RequestCounts = NO_REQUESTS
+    failed_nodes: tuple[str, ...] = ()
+    tenant_demand: tuple[TenantDemand, ...] = ()
     silent: bool = False
-    beats: int = 0
+    heartbeat_count: int = 0
 
     @property
     def holder(self) -> str:
         return f"{self.node}/b1"
 
-    def beat(self) -> Heartbeat:
-        self.beats += 1
+    def next_heartbeat(self) -> Heartbeat:
+        self.heartbeat_count += 1
         return Heartbeat(
-            self.node, "b1", self.beats, self.wants, self.returns, self.most, 0, self.acts, self.figures,
-            self.failed, self.demand,
+            self.node, "b1", self.heartbeat_count, self.wanted_leases, self.returned_leases, self.max_leases, 0,
+            self.document_states, self.request_counts, self.failed_nodes, self.tenant_demand,
         )  # fmt: skip
 
 
-class KeptLines(ClusterTransport):
+class RecordingTransport(ClusterTransport):
     """Lines that keep what is sent."""
 
-    kept: list[bytes]
+    sent: list[bytes]
 
     def send(self, node: str, body: bytes) -> None:
-        self.kept.append(body)
+        self.sent.append(body)
 
 
-def lone_voter(config: ClusterConfig, clock: ManualClock) -> Replica:
+def single_voter(config: ClusterConfig, clock: ManualClock) -> Replica:
     """The only one of its group, so that what it proposes is committed at once."""
     members = None if config.membership is None else config.membership.roster
     timing = RaftTiming(config.heartbeat_interval, config.election_timeout)
@@ -93,28 +93,28 @@
 
 
 @dataclass(slots=True)
-class World:
+class ClusterHarness:
     """Made within a running event loop; `node` is one that does not vote."""
 
     clock: ManualClock
     node: Node
     fleet: ClusterNode
     voter: Replica
-    lines: KeptLines
+    transport: RecordingTransport
     rows: list[Row] = field(default_factory=list)
-    processes: dict[str, Process] = field(default_factory=dict)
-    asked: int = 0
-    seen: int = 0  # index of the last entry that stands in `rows`
+    processes: dict[str, HeartbeatSender] = field(default_factory=dict)
+    command_count: int = 0
+    last_recorded_index: int = 0  # index of the last entry that stands in `rows`
 
     def pass_time(self, ms: int) -> None:
         for _ in range(ms // STEP_MS):
             self.clock.advance(STEP_MS)
             for process in self.processes.values():
                 if not process.silent:
-                    self.voter.step(self.clock.now(), process.holder, process.beat())
-            self.turn()
+                    self.voter.step(self.clock.now(), process.holder, process.next_heartbeat())
+            self.process_pending()
 
-    def turn(self) -> None:
+    def process_pending(self) -> None:
         """All that can be done at this moment."""
         now = self.clock.now()
         rules = self.fleet.config_driver
@@ -127,19 +127,19 @@
                 for _, own in ready.messages:  # its own vote comes back once it is durable
                     self.voter.step(now, VOTER, own)
             for to, message in self.voter.take_immediate_messages(now):
-                self._told(to, message)
+                self._deliver(to, message)
             rules.tick(now)
-            for _, sent in self.fleet.context.client.tick(now)[0]:
-                self.voter.step(now, self.fleet.context.client.holder.name, sent)
-            kept, self.lines.kept = self.lines.kept, []
-            for body in kept:
+            for _, message in self.fleet.context.client.tick(now)[0]:
+                self.voter.step(now, self.fleet.context.client.holder.name, message)
+            sent_bodies, self.transport.sent = self.transport.sent, []
+            for body in sent_bodies:
                 envelope = wire.read_envelope(body)
                 assert isinstance(envelope.message, FetchChunk)
                 self.voter.step(now, envelope.sender, envelope.message)
             self.clock.settle()
-        self._keep()
+        self._record_applied()
 
-    def _told(self, to: str, message: Message) -> None:
+    def _deliver(self, to: str, message: Message) -> None:
         holder, rules, now = self.fleet.context.client.holder, self.fleet.config_driver, self.clock.now()
         assert rules is not None
         if to != holder.name:
@@ -151,44 +151,44 @@
             case DocumentChunk():
                 rules.handle_chunk(now, message)
 
-    def _keep(self) -> None:
+    def _record_applied(self) -> None:
         for index, _, result in self.voter.applied:
-            if index > self.seen:
-                self.seen = index
+            if index > self.last_recorded_index:
+                self.last_recorded_index = index
                 body = self.voter.raft.log[index].body
                 self.rows.append(Row(body, orjson.dumps(result).decode()))
 
-    def ask(self, by: str, command: dict[str, Any], number: int | None = None) -> dict[str, Any]:
+    def submit(self, by: str, command: dict[str, Any], number: int | None = None) -> dict[str, Any]:
         """A command that a process of another node asks for; its result."""
-        self.asked += 1
+        self.command_count += 1
         body = orjson.dumps(command).decode()
-        self.voter.step(self.clock.now(), by, CommandRequest(by, number or self.asked, body))
-        self.turn()
+        self.voter.step(self.clock.now(), by, CommandRequest(by, number or self.command_count, body))
+        self.process_pending()
         result: dict[str, Any] = orjson.loads(self.rows[-1].result)
         return result
 
-    def plain(self, body: str) -> None:
+    def append_raw(self, body: str) -> None:
         """Any text as an entry, also one that no proposer writes."""
         self.voter.raft.propose(body)
         self.voter.tick(self.clock.now())
-        self.turn()
+        self.process_pending()
 
-    def order(self, path: str, told: dict[str, Any]) -> dict[str, Any]:
+    def execute_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any]:
         """What an operator asks for at the node's administration, and what the group made of it."""
-        answer = self.fleet.execute_order(path, told)
-        assert answer is not None and "asked" in answer
-        number = str(answer["asked"])
+        accepted = self.fleet.execute_order(path, arguments)
+        assert accepted is not None and "asked" in accepted
+        number = str(accepted["asked"])
         for _ in range(10):
-            self.turn()
-            found = self.fleet.admin.order_results()
-            if number in found:
-                result: dict[str, Any] = found[number]
+            self.process_pending()
+            results = self.fleet.admin.order_results()
+            if number in results:
+                result: dict[str, Any] = results[number]
                 return result
             self.pass_time(STEP_MS)
         raise AssertionError(f"{path} has no result")
 
 
-def make_world(folder: Any) -> World:
+def make_cluster(folder: Any) -> ClusterHarness:
     clock = ManualClock()
     config = check(platform_config("n6"), operator_config(folder, voters=["n1"], listen="127.0.0.1:7006"))
     assert config.cluster is not None
@@ -196,9 +196,9 @@
     fleet = node.components["fleet"]
     assert isinstance(fleet, ClusterNode)
     fleet.context.steady = clock.timeline
-    lines = KeptLines(
+    transport = RecordingTransport(
         config.cluster.nodes, wire.stream_framing(KEY.encode()), clock.timeline, lambda body: None
     )
-    lines.kept = []
-    fleet.router.transport = lines
-    return World(clock, node, fleet, lone_voter(config.cluster, clock), lines)
+    transport.sent = []
+    fleet.router.transport = transport
+    return ClusterHarness(clock, node, fleet, single_voter(config.cluster, clock), transport)
--- a/tests/platform/test_database.py
+++ b/tests/platform/test_database.py
@@ -19,8 +19,8 @@
 
 class Harness:
     def __init__(self) -> None:
-        self.clock, self.notes, self.dial = ManualClock(), RecordingSink(), ManualDialer()
-        self.database = DatabaseClient(OLD_ADDRESS, self.clock.timeline, lambda: self.notes, self.dial)
+        self.clock, self.sink, self.dial = ManualClock(), RecordingSink(), ManualDialer()
+        self.database = DatabaseClient(OLD_ADDRESS, self.clock.timeline, lambda: self.sink, self.dial)
         self.driver = CoreDriver()
 
     def call(self, number: int = 1, request_class: str = "temp-history") -> Request:
@@ -41,7 +41,7 @@
         return connection
 
     def outcomes(self) -> list[Outcome]:
-        return [outcome for _, _, outcome, _ in self.notes.events]
+        return [outcome for _, _, outcome, _ in self.sink.events]
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_kernel.py
+++ b/tests/platform/test_kernel.py
@@ -15,9 +15,9 @@
 
 class Harness:
     def __init__(self) -> None:
-        self.clock, self.notes, self.dial = ManualClock(), RecordingSink(), ManualDialer()
+        self.clock, self.sink, self.dial = ManualClock(), RecordingSink(), ManualDialer()
         self.kernel = KernelClient(
-            OLD_ADDRESS, ("cpu", "runq"), self.clock.timeline, lambda: self.notes, self.dial
+            OLD_ADDRESS, ("cpu", "runq"), self.clock.timeline, lambda: self.sink, self.dial
         )
         self.kernel.open()
 
@@ -31,7 +31,7 @@
     harness = Harness()
     connection = harness.connect()
     connection.feed(b"BOOTED hot 12.5\r\nREAP 1 9b1f03aa5c7e2d41 complete 25.382 2\r\nok\r\n")
-    assert harness.notes.events == [("ended", "9b1f03aa5c7e2d41", Outcome.OK, 25.382 * MILLISECOND, b"ok")]
+    assert harness.sink.events == [("ended", "9b1f03aa5c7e2d41", Outcome.OK, 25.382 * MILLISECOND, b"ok")]
     assert not connection.closed
 
 
@@ -73,7 +73,7 @@
     second.feed(b"BOOTED hot 1\r\nREAP 1 a complete 1 0\r\n\r\nINFO sync 0 0\r\n")
     assert b"SCHED a" not in second.written and b"SCHED b" in second.written
     second.feed(b"REAP 1 a complete 1 0\r\n\r\n")
-    assert [note for note in harness.notes.events if note[0] == "ended"] == [
+    assert [event for event in harness.sink.events if event[0] == "ended"] == [
         ("ended", "a", Outcome.OK, MILLISECOND, b""),
     ]
 
@@ -88,7 +88,7 @@
     connection.feed(b"BOOTED hot 1\r\nINFO sync 0 0\r\n")
     start_run(harness, "a")
     connection.feed(f"EINVAL {command} a\r\n".encode())
-    ends = [note[2] for note in harness.notes.events if note[0] == "ended"]
+    ends = [event[2] for event in harness.sink.events if event[0] == "ended"]
     assert ends == ([outcome] if outcome else []) and not connection.closed
 
 
@@ -99,7 +99,7 @@
     harness = Harness()
     connection = harness.connect()
     connection.feed(malformed_notice)
-    assert connection.closed and not harness.notes.events
+    assert connection.closed and not harness.sink.events
 
 
 def test_a_lost_connection_is_reopened_immediately_and_a_failed_connect_is_retried_with_backoff() -> None:
@@ -123,7 +123,7 @@
     second_connection = harness.connect()
     assert second_connection.take() == b"OPEN 1\r\n"
     second_connection.feed(b"BOOTED hot 1\r\nREAP 2 b complete 1 4\r\nrest\r\nINFO sync 0 0\r\n")
-    assert [note[1:] for note in harness.notes.events if note[0] == "ended"] == [
+    assert [event[1:] for event in harness.sink.events if event[0] == "ended"] == [
         ("a", Outcome.OK, MILLISECOND, b""),
         ("b", Outcome.OK, MILLISECOND, b"rest"),
     ]
@@ -154,7 +154,7 @@
     second_connection = harness.connect()
     assert second_connection.take() == b"OPEN 1\r\n"
     second_connection.feed(b"BOOTED hot 1\r\nREAP 3 c complete 1 0\r\n\r\n")
-    assert not second_connection.closed and [note[1] for note in harness.notes.events] == ["a", "c"]
+    assert not second_connection.closed and [event[1] for event in harness.sink.events] == ["a", "c"]
 
 
 # Commands that are resent after a reconnect.
--- a/tests/races/test_idempotency_across_events.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -275,7 +275,7 @@
             caller.send(write_frame(b"ALIVE", b"%d" % tag))
             assert await caller.status_word(tag) == status
             report = b"renew n1 yes" if status == "healthy" else b"renew n1 no"
-            await until(lambda: harness.reports.seen[-1] == report)
+            await until(lambda: harness.reports.datagrams[-1] == report)
 
         state = harness.core.serving_state
         await check_both_report("healthy")
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -214,7 +214,7 @@
         harness.kernel.end_run(1)
         assert await caller.status_word(1) == "done"
         await harness.run_to_exit()
-        await until(lambda: b"renew n1 no" in harness.reports.seen)
+        await until(lambda: b"renew n1 no" in harness.reports.datagrams)
 
     run_with_node(tmp_path, run)
 
@@ -800,22 +800,22 @@
 
 def test_reports_continue_through_sighup_and_end_with_sigterm(tmp_path: Path) -> None:
     async def run(harness: NodeHarness) -> None:
-        await until(lambda: harness.reports.seen)
+        await until(lambda: harness.reports.datagrams)
         await harness.reload(settings=changed_settings())
-        report_count = len(harness.reports.seen)
+        report_count = len(harness.reports.datagrams)
         await harness.advance(700)
-        await until(lambda: len(harness.reports.seen) >= report_count + 2)
+        await until(lambda: len(harness.reports.datagrams) >= report_count + 2)
         harness.core.serving_state.quiesce()
         harness.node.serving_state_changed()
-        await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
+        await until(lambda: harness.reports.datagrams[-1] == b"renew n1 no")
         harness.core.serving_state.resume()
         harness.node.serving_state_changed()
-        await until(lambda: harness.reports.seen[-1] == b"renew n1 yes")
+        await until(lambda: harness.reports.datagrams[-1] == b"renew n1 yes")
         await harness.send_sigterm()
-        await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
-        report_count = len(harness.reports.seen)
+        await until(lambda: harness.reports.datagrams[-1] == b"renew n1 no")
+        report_count = len(harness.reports.datagrams)
         await harness.run_to_exit()
-        assert len(harness.reports.seen) == report_count
+        assert len(harness.reports.datagrams) == report_count
 
     run_with_node(tmp_path, run)
 
@@ -825,7 +825,7 @@
 ) -> None:
     # Guards against a node that stays off the endpoint list after it failed once to open its socket for reports.
     async def run(harness: NodeHarness) -> None:
-        await until(lambda: harness.reports.seen)
+        await until(lambda: harness.reports.datagrams)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (3, hard))
         try:
@@ -835,9 +835,9 @@
             await harness.advance(350)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        harness.reports.seen.clear()
+        harness.reports.datagrams.clear()
         await harness.advance(350)
-        await until(lambda: harness.reports.seen)
+        await until(lambda: harness.reports.datagrams)
 
     run_with_node(tmp_path, run)
 
@@ -866,7 +866,7 @@
         if meanwhile == "resume":
             serving_state.quiesce()
             harness.node.serving_state_changed()
-            await until(lambda: harness.reports.seen[-1] == b"renew n1 no")
+            await until(lambda: harness.reports.datagrams[-1] == b"renew n1 no")
         port = stop_name_service(harness)
         await harness.advance(700)  # reports in this time are lost
         match meanwhile:
@@ -882,13 +882,13 @@
             await harness.reload(naming=f"127.0.0.1:{harness.naming.get_extra_info('sockname')[1]}")
         if meanwhile == "drain":
             await harness.run_to_exit()
-            assert reports.seen == []  # the last report was sent while the name service was down
+            assert reports.datagrams == []  # the last report was sent while the name service was down
             return
         await harness.advance(350)
-        await until(lambda: reports.seen)
+        await until(lambda: reports.datagrams)
         await harness.advance(350)
-        await until(lambda: len(reports.seen) > 1)
-        assert set(reports.seen) == {b"renew n1 no" if meanwhile == "quiesce" else b"renew n1 yes"}
+        await until(lambda: len(reports.datagrams) > 1)
+        assert set(reports.datagrams) == {b"renew n1 no" if meanwhile == "quiesce" else b"renew n1 yes"}
 
     run_with_node(tmp_path, run)
 
--- a/tests/support/alternate_settings.py
+++ b/tests/support/alternate_settings.py
@@ -75,10 +75,10 @@
     _row.update(repeatWindowUs=2_000_000, lateShare=0.25)
 
 
-def alternate_settings(**info: Any) -> dict[str, Any]:
+def alternate_settings(**family_info: Any) -> dict[str, Any]:
     """Return these settings with other figures of the node itself, by their stored keys."""
     settings = copy.deepcopy(ALTERNATE_SETTINGS)
-    settings["familyInfo"].update(info)
+    settings["familyInfo"].update(family_info)
     return settings
 
 
@@ -90,9 +90,9 @@
 class RespDriver(CoreDriver):
     """The platform's frontend and the core under these settings, on a clock that is advanced by hand."""
 
-    def __init__(self, limit: int = 40, **info: Any) -> None:
+    def __init__(self, limit: int = 40, **family_info: Any) -> None:
         super().__init__()
-        settings = read_settings(alternate_settings(**info))
+        settings = read_settings(alternate_settings(**family_info))
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
         self.frontend = RespFrontend(self.core, self.clock.timeline, self.backend, limit, 15 * SECOND)
         self.core.add_frontend(self.frontend)
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -64,13 +64,13 @@
                 case ["SCHED", id, _, _] if id not in self.runs:
                     self.runs[id] += 1
                     if body.startswith(b"call"):
-                        self._note(writer, f"IOREQ %d {id} 3\r\nask\r\n")
+                        self._send_notice(writer, f"IOREQ %d {id} 3\r\nask\r\n")
                     else:
-                        self._note(writer, f"REAP %d {id} complete 1.5 4\r\ndone\r\n")
+                        self._send_notice(writer, f"REAP %d {id} complete 1.5 4\r\ndone\r\n")
                 case ["IODONE", id, _]:
-                    self._note(writer, f"REAP %d {id} complete 2.5 {len(body) - 2}\r\n{body.decode()}")
+                    self._send_notice(writer, f"REAP %d {id} complete 2.5 {len(body) - 2}\r\n{body.decode()}")
 
-    def _note(self, writer: asyncio.StreamWriter, text: str) -> None:
+    def _send_notice(self, writer: asyncio.StreamWriter, text: str) -> None:
         self.notices.append((text % (len(self.notices) + 1)).encode())
         if len(self.runs) in self._cut_at:
             self._cut_at.remove(len(self.runs))
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -23,7 +23,7 @@
 
 def request_class(name: str, effect: Effect = Effect.IDEMPOTENT, **other: Any) -> ClassSettings:
     """A class with a latency objective of 2 s, a deadline of 4 s and a window of 8 s, but for what is given."""
-    plain = ClassSettings(
+    defaults = ClassSettings(
         name=name,
         effect=effect,
         latency_objective_us=2_000 * MS,
@@ -34,7 +34,7 @@
         makes_calls=False,
         skipped_call_factor=0.0,
     )
-    return dataclasses.replace(plain, **other)
+    return dataclasses.replace(defaults, **other)
 
 
 LOW = request_class("low")
@@ -45,7 +45,7 @@
 
 
 def settings(**other: Any) -> Settings:
-    plain = Settings(
+    defaults = Settings(
         classes=CLASSES,
         tenants=(),
         over_quota_factor=1.0,
@@ -78,7 +78,7 @@
         max_retry_after_us=1_000 * MS,
         marks_retries=False,
     )
-    return dataclasses.replace(plain, **other)
+    return dataclasses.replace(defaults, **other)
 
 
 class ControllerDriver:
@@ -98,9 +98,9 @@
         """Let time pass, then give the events to the controller."""
         self.now += int(after_ms * MS)
         self.last = self.controller.decide(self.now, list(events))
-        done = [(type(action).__name__, action.id) for action in self.last if hasattr(action, "id")]
-        self.actions += done
-        return done
+        actions = [(type(action).__name__, action.id) for action in self.last if hasattr(action, "id")]
+        self.actions += actions
+        return actions
 
     def arrive(
         self, id: str, class_name: str = "low", after_ms: float = 0, **other: Any
@@ -108,9 +108,9 @@
         return self.step(self.request(id, class_name, after_ms=after_ms, **other), after_ms=after_ms)
 
     def request(self, id: str, class_name: str = "low", after_ms: float = 0, **other: Any) -> Arrival:
-        plain = Arrival(id=id, request_class=class_name, memory_kb=10.0, caller=1, unread_us=0)
-        plain.caller_deadline_at = self.now + int(after_ms * MS) + 4_000 * MS
-        return dataclasses.replace(plain, **other)
+        defaults = Arrival(id=id, request_class=class_name, memory_kb=10.0, caller=1, unread_us=0)
+        defaults.caller_deadline_at = self.now + int(after_ms * MS) + 4_000 * MS
+        return dataclasses.replace(defaults, **other)
 
     def tick(self, after_ms: float = 0, cpu: float = 1.0) -> list[tuple[str, str]]:
         return self.step(TimerDue(self.controller.timer.due_at, {"cpu": cpu}), after_ms=after_ms)
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -102,18 +102,22 @@
     def __init__(self, cores: int = 2, clock: ManualClock | None = None, **other: Any) -> None:
         self.clock = clock or ManualClock()
         self.backend = RecordingBackend()
-        info = {**SETTINGS["familyInfo"], "cpus": cores}
-        settings = read_settings({**SETTINGS, "familyInfo": info, **other})
+        family_info = {**SETTINGS["familyInfo"], "cpus": cores}
+        settings = read_settings({**SETTINGS, "familyInfo": family_info, **other})
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
         self.core.add_frontend(self)
         self.core.start()
         self.responses: dict[int, list[Response]] = {}
         self.stopped_accepting = False
 
-    def submit(self, number: int, kind: str = "temp-history", late_ms: float = 0, **other: Any) -> int:
-        arrived = self.clock.now() - late_ms * MILLISECOND
-        offer = InboundRequest(f"r{number}", kind, b"body", arrived, **{"memory_kb": 10.0, **other})
-        handle = self.core.submit(self, (0, number), self.backend, offer)
+    def submit(
+        self, number: int, request_class: str = "temp-history", late_ms: float = 0, **other: Any
+    ) -> int:
+        arrived_at = self.clock.now() - late_ms * MILLISECOND
+        inbound = InboundRequest(
+            f"r{number}", request_class, b"body", arrived_at, **{"memory_kb": 10.0, **other}
+        )
+        handle = self.core.submit(self, (0, number), self.backend, inbound)
         self.clock.settle()
         return handle
 
@@ -139,29 +143,29 @@
 
     def __init__(self) -> None:
         self.time = START
-        self._alarm: tuple[datetime, Callable[[], None]] | None = None
-        self._soon: list[Callable[[], None]] = []
+        self._wakeup: tuple[datetime, Callable[[], None]] | None = None
+        self._callbacks: list[Callable[[], None]] = []
         self.timeline = TimerQueue(self)
 
     def now(self) -> datetime:
         return self.time
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
-        self._alarm = (when, callback)
+        self._wakeup = (when, callback)
 
     def soon(self, callback: Callable[[], None]) -> None:
-        self._soon.append(callback)
+        self._callbacks.append(callback)
 
     def settle(self) -> None:
-        while self._soon:
-            self._soon.pop(0)()
+        while self._callbacks:
+            self._callbacks.pop(0)()
 
     def advance(self, ms: float) -> None:
         end = self.time + ms * MILLISECOND
         self.settle()
-        while self._alarm is not None and self._alarm[0] <= end:
-            when, callback = self._alarm
-            self._alarm = None
+        while self._wakeup is not None and self._wakeup[0] <= end:
+            when, callback = self._wakeup
+            self._wakeup = None
             self.time = max(self.time, when)
             callback()
             self.settle()
@@ -175,9 +179,9 @@
         self.waiting: list[tuple[ProtocolFactory, Address, DialCallback]] = []
 
     def __call__(self, make: ProtocolFactory, address: Address, done: DialCallback) -> Callable[[], object]:
-        one = (make, address, done)
-        self.waiting.append(one)
-        return lambda: self.waiting.remove(one)
+        attempt = (make, address, done)
+        self.waiting.append(attempt)
+        return lambda: self.waiting.remove(attempt)
 
     def accept(self) -> FakeTransport:
         make, _, done = self.waiting.pop(0)
@@ -200,14 +204,14 @@
         stream.connection_made(cast(asyncio.BaseTransport, self))
 
     def feed(self, data: bytes, step: int = 1 << 16) -> None:
-        for at in range(0, len(data), step):
-            part = data[at : at + step]
-            while part and not self.closed and not self.paused:
-                room = self.stream.get_buffer(-1)
-                taken = min(len(room), len(part))
-                room[:taken] = part[:taken]
-                self.stream.buffer_updated(taken)
-                part = part[taken:]
+        for offset in range(0, len(data), step):
+            chunk = data[offset : offset + step]
+            while chunk and not self.closed and not self.paused:
+                buffer = self.stream.get_buffer(-1)
+                copied = min(len(buffer), len(chunk))
+                buffer[:copied] = chunk[:copied]
+                self.stream.buffer_updated(copied)
+                chunk = chunk[copied:]
 
     def take(self) -> bytes:
         data = bytes(self.written)
--- a/tests/support/node_on_sockets.py
+++ b/tests/support/node_on_sockets.py
@@ -117,12 +117,12 @@
 
     def call_count(self, id: int) -> int:
         """Count the calls of a request."""
-        return [one for one, _ in self.calls].count(id)
+        return [request_id for request_id, _ in self.calls].count(id)
 
     async def call_read(self, id: int, times: int = 1) -> asyncio.StreamWriter:
         """Wait until a request has called so many times; return the connection of the last of these calls."""
         await until(lambda: self.call_count(id) >= times)
-        return [writer for one, writer in self.calls if one == id][times - 1]
+        return [writer for request_id, writer in self.calls if request_id == id][times - 1]
 
     async def reply(self, id: int, times: int = 1) -> None:
         """Reply to a request's call once it has been read."""
@@ -133,10 +133,10 @@
     """A name service that records the reports."""
 
     def __init__(self) -> None:
-        self.seen: list[bytes] = []
+        self.datagrams: list[bytes] = []
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.seen.append(data)
+        self.datagrams.append(data)
 
 
 class RespClient:
@@ -166,7 +166,7 @@
         """Send a request. Its id is its tag unless another is given."""
         self.send(self.frame(tag, request_class, body, id, **fields))
 
-    async def _more(self) -> bool:
+    async def _read_more(self) -> bool:
         try:
             data = await self._reader.read(1 << 16)
         except ConnectionError:
@@ -179,7 +179,7 @@
     async def response(self, tag: int) -> list[bytes]:
         """Wait for the response with this tag, and return its status word and its body."""
         while not (found := [frame for frame in self.frames if frame[0] == b"%d" % tag]):
-            assert await self._more(), f"closed without a response to {tag}; received: {self.frames}"
+            assert await self._read_more(), f"closed without a response to {tag}; received: {self.frames}"
         return [found[0][1], found[0][-1]]
 
     async def status_word(self, tag: int) -> str:
@@ -188,18 +188,18 @@
 
     def reset(self) -> None:
         """Reset the connection, as the system of a peer that is gone does."""
-        one = self.writer.get_extra_info("socket")
-        one.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        connection = self.writer.get_extra_info("socket")
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
     async def closing_frame(self) -> None:
         """Wait for the node to ask for the close of the connection."""
         while [b"0", b"closing"] not in self.frames:
-            assert await self._more(), "closed without a closing frame"
+            assert await self._read_more(), "closed without a closing frame"
 
     async def read_to_end(self) -> list[list[bytes]]:
         """Read until the connection ends, and return all frames since its start."""
-        while await self._more():
+        while await self._read_more():
             pass
         return self.frames
 
@@ -234,7 +234,7 @@
         self.timeline = TimerQueue(self.waker)
         self.node = Node(self._read(), self.timeline, self._read)
         await self.node.open()
-        await until(lambda: self.core.serving_state.can_serve and self.reports.seen)
+        await until(lambda: self.core.serving_state.can_serve and self.reports.datagrams)
         return self
 
     def _read(self) -> Config:
--- a/tests/support/streams.py
+++ b/tests/support/streams.py
@@ -16,24 +16,24 @@
 
 def pieces(data: bytes, cuts: list[int]) -> list[bytes]:
     parts: list[bytes] = []
-    at = 0
-    while at < len(data):
+    offset = 0
+    while offset < len(data):
         size = cuts[len(parts) % len(cuts)]
-        parts.append(data[at : at + size])
-        at += size
+        parts.append(data[offset : offset + size])
+        offset += size
     return parts
 
 
-def read_all(next_one: Callable[[Ring], Any], parts: list[bytes], size: int = 4096) -> list[Any]:
-    ring, found = Ring(size), []
+def read_all(read_next: Callable[[Ring], Any], parts: list[bytes], size: int = 4096) -> list[Any]:
+    ring, items = Ring(size), []
     for part in parts:
         assert ring.put(part) == len(part)
-        while (one := next_one(ring)) is not None:
-            found.append(one)
-    return found
+        while (item := read_next(ring)) is not None:
+            items.append(item)
+    return items
 
 
-SPICE = st.sampled_from(
+PROTOCOL_FRAGMENTS = st.sampled_from(
     [b"*5\r\n", b"$4\r\n", b"EXEC\r\n", b"\r\n", b"REAP 1 a ", b"ROWS ", b"INFO x ", b"\0\4\0\0"]
 )
-GARBAGE = st.lists(SPICE | st.binary(max_size=40), max_size=12).map(b"".join)
+GARBAGE = st.lists(PROTOCOL_FRAGMENTS | st.binary(max_size=40), max_size=12).map(b"".join)
