--- a/tests/golden/checks.py
+++ b/tests/golden/checks.py
@@ -1,4 +1,4 @@
-"""What holds of every conversation's golden messages; the test files name the cases."""
+"""Checks that apply to the golden messages of every conversation. The test files parametrize them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.golden.conversation import Conversation, Golden
 from tests.golden.mutations import Path, replaced, wrong_types
 
-Case = tuple[str, Path, object]  # a message's name, a place in its JSON, and a wrong value for it
+Case = tuple[str, Path, object]  # a message's name, a path in its JSON, and a value of a wrong type for it
 
 
 def names(conversation: Conversation) -> list[str]:
@@ -21,7 +21,7 @@
 
 
 def keys(conversation: Conversation, optional: bool) -> list[tuple[str, str]]:
-    """Each message with each key that has a default, or each that has none."""
+    """Return pairs of message name and key, for all optional or all required keys."""
     entries = conversation.load().items()
     return [
         (name, key) for name, entry in entries for key in (entry.optional if optional else entry.required)
@@ -29,7 +29,7 @@
 
 
 def wrong_type_cases(conversation: Conversation) -> Iterator[Case]:
-    """Of the messages with all fields set."""
+    """Yield a case for each value of a wrong type at each path of the messages with all fields set."""
     for name, entry in conversation.load().items():
         if name.endswith("/full"):
             for path, value in wrong_types(orjson.loads(entry.body)):
@@ -41,13 +41,13 @@
 
 
 def decode_body(conversation: Conversation, entry: Golden) -> tuple[Any, Any]:
-    """A body's JSON, and within it the pair of the message's tag and fields."""
+    """Return the JSON of a body, and within it the pair of the message's tag and fields."""
     document = orjson.loads(entry.body)
     return document, conversation.message_in(document)
 
 
 def read_json(conversation: Conversation, document: object) -> object:
-    """Reads a changed message out of a sound frame."""
+    """Write the JSON of a changed message into a valid frame, and read the message from it."""
     return conversation.read_frame(conversation.framing.write(orjson.dumps(document)))
 
 
@@ -57,7 +57,7 @@
 
 
 def check_coverage(conversation: Conversation, classes: set[type], tags: set[str], seen: set[type]) -> None:
-    """Each class has an entry with all fields set, and one with its defaults where it has any."""
+    """Check that each class has an entry with all fields set, and one with the defaults if it has optional keys."""
     entries = conversation.load()
     assert set(entries) == set(conversation.samples)
     assert seen == classes
@@ -70,7 +70,7 @@
 
 
 def check_full(conversation: Conversation) -> None:
-    """A "full" entry differs from the "defaults" one in every key that has a default."""
+    """Check that each "full" entry differs from the "defaults" entry in every optional key."""
     entries = conversation.load()
     for name, entry in entries.items():
         if name.endswith("/full") and entry.optional:
@@ -92,14 +92,14 @@
 
 
 def check_corrupted_frame(conversation: Conversation, name: str) -> None:
-    """A frame with another last byte."""
+    """Check that a frame whose last byte was changed is refused."""
     frame = conversation.load()[name].frame
     with pytest.raises(CorruptError):
         conversation.read_frame(frame[:-1] + bytes([frame[-1] ^ 1]))
 
 
 def check_keys(conversation: Conversation, name: str) -> None:
-    """The stored lists of keys are all keys of the stored message."""
+    """Check that the stored lists of required and optional keys are all keys of the stored message."""
     entry = conversation.load()[name]
     assert sorted(entry.required + entry.optional) == sorted(decode_body(conversation, entry)[1][1])
 
@@ -111,7 +111,7 @@
 
 
 def check_missing_optional_key(conversation: Conversation, name: str, key: str) -> None:
-    """It reads as if the default had been written; the other keys keep what they have."""
+    """Check that a message without the key is read like one with the default; the other keys keep their values."""
     entries = conversation.load()
     document, message = decode_body(conversation, entries[name])
     _, defaults = decode_body(conversation, entries[name.partition("/")[0] + "/defaults"])
@@ -142,7 +142,7 @@
 
 
 def check_extra_element(conversation: Conversation, name: str) -> None:
-    """One more element beside a message's tag and fields, and one more in what it stands in."""
+    """Check that an extra element is refused, both after the fields of the message and in the enclosing list."""
     document, message = decode_body(conversation, conversation.load()[name])
     check_refused(conversation, [*document, 1])
     message.append(1)
--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -1,4 +1,4 @@
-"""A fixed course of events that puts every command of every state machine into the log, with each of its results."""
+"""A fixed scenario that commits every command of every state machine, with each kind of result."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def record_commands(folder: Path) -> tuple[list[Row], str]:
-    """All rows, in the order of the log, and the snapshot after the last."""
+    """Run the scenario; return all rows in the order of the log, and the snapshot after the last one."""
 
     async def run_scenario() -> tuple[list[Row], str]:
         with deterministic_tokens():
@@ -48,11 +48,8 @@
     return asyncio.run(run_scenario())
 
 
-# Members.
-
-
 def members(cluster: ClusterHarness) -> None:
-    """The leader admits who is heard and removes who has failed; operators order the rest."""
+    """The leader admits nodes that send heartbeats and removes failed ones; operators order all other changes."""
     cluster.pass_time(3_000)
     silent_process = cluster.processes["n5/b1"]
     silent_process.silent = True
@@ -86,11 +83,8 @@
     cluster.execute_order("fleet/members/believe", {"nodes": ["n5", "n4"]})
 
 
-# Leases.
-
-
 def leases(cluster: ClusterHarness) -> None:
-    """Granted to who waits, given back, and ended where nobody renews."""
+    """Leases are granted to waiting processes, returned, and expired when their holder does not renew them."""
     first, second, third = (cluster.processes[f"{node}/b1"] for node in ("n2", "n3", "n4"))
     first.wanted_leases += ("task/sweep", "task/nightly")
     cluster.pass_time(1_000)
@@ -125,11 +119,8 @@
         cluster.submit("n2/b1", {"m": "leases", **command})
 
 
-# Tasks.
-
-
 class LeasedTaskRunner:
-    """A runner under the lease of one task, whose commands go into the log."""
+    """The runner of one scheduled task, which holds the task's lease and submits its commands to the log."""
 
     def __init__(self, cluster: ClusterHarness, task: str, safe: bool) -> None:
         self.cluster, self.task = cluster, task
@@ -138,6 +129,7 @@
         self.holder = ""
 
     def acquire(self) -> None:
+        """Start the runner in the process that holds the lease now."""
         lease = self.cluster.voter.leases.leases[f"task/{self.task}"]
         self.holder = lease.holder
         self.runner.lease_gained(lease.token)
@@ -148,10 +140,10 @@
             if (action := self.runner.next_action(now, now, 2 * SECOND)) is not None:
                 return action
             self.cluster.pass_time(50)
-        raise AssertionError("the runner wants nothing")
+        raise AssertionError(f"task {self.task}: expected an action of the runner within 5 s, got none")
 
     def run_until_outcomes(self, *outcomes: Outcome | None) -> None:
-        """Until each of these has come of an act or a fence; None: this holder is gone before its answer."""
+        """Run the runner until its requests have had these outcomes; None: the lease is lost before the response."""
         remaining = list(outcomes)
         while remaining:
             action = self.next_action()
@@ -166,7 +158,7 @@
             self.runner.handle_result(self.cluster.clock.now(), action, result)
 
     def run_next_command(self) -> None:
-        """One command more."""
+        """Submit the next command of the runner."""
         action = self.next_action()
         self.runner.handle_result(
             self.cluster.clock.now(),
@@ -175,7 +167,7 @@
         )
 
     def reassign_lease(self) -> None:
-        """The lease goes to another grant."""
+        """Return the lease, and wait until it is granted again."""
         table = self.cluster.voter.leases
         lease = table.leases[f"task/{self.task}"]
         command = {"m": "leases", "do": "return", "name": f"task/{self.task}", "token": lease.token}
@@ -191,7 +183,7 @@
     )
     runner.reassign_lease()
     runner.acquire()
-    runner.run_until_outcomes(Outcome.DONE, None)  # fenced, and the open run begun again
+    runner.run_until_outcomes(Outcome.DONE, None)  # the server is fenced, and the open run is started again
     runner.reassign_lease()
     runner.acquire()
     runner.run_until_outcomes(Outcome.DONE, Outcome.DONE)
@@ -225,11 +217,8 @@
         cluster.submit("n3/b1", command)
 
 
-# Documents.
-
-
 def upload_content(cluster: ClusterHarness, content: str, pieces: int = 2) -> dict[str, Any]:
-    """The content in pieces, as an operator's command sends it; what names it in the change itself."""
+    """Upload content in parts as the operator's command does; return the fields that refer to it in a change."""
     upload = f"upload{len(cluster.rows)}"
     size = -(-len(content) // pieces)
     for offset in range(0, len(content), size):
@@ -280,19 +269,24 @@
     assert rules is not None
     servers = {name: row["servers"] for name, row in POOLS.items()}
     contents: dict[str, object] = {"settings": SETTINGS, "tenants": ALLOWANCES, "servers": servers}
-    for name, content in contents.items():  # as a node proposes its own file's where the group has none
+    for (
+        name,
+        content,
+    ) in contents.items():  # as a node proposes the content of its own files if the fleet has no version
         rules.put(name, canonical_json(content), 0, "n6", "from the files of this node")
         cluster.pass_time(500)
         acknowledge_on_all_nodes(cluster, name)
     cluster.execute_order("fleet/rules/get", {"doc": "settings"})
     fewer = {"main": ["127.0.0.1:1", "127.0.0.1:2"], "more": ["127.0.0.1:4"]}
     put_document(cluster, "servers", fewer, 1)
-    put_document(cluster, "servers", fewer, 1)  # one is on its way
+    put_document(cluster, "servers", fewer, 1)  # rejected: another change is pending
     acknowledge(cluster, "servers", "n2/b1", digest="0" * 32)
     acknowledge(cluster, "servers", "n2/b1", version=9)
     acknowledge(cluster, "servers", "n9/b1")
     acknowledge(cluster, "servers", "n2/b1")
-    cluster.submit("n2/b1", {"m": "rules", "do": "commit", "doc": "servers", "version": 2})  # it waits
+    cluster.submit(
+        "n2/b1", {"m": "rules", "do": "commit", "doc": "servers", "version": 2}
+    )  # not committed: waits for acknowledgements
     cluster.submit("n2/b1", {"m": "rules", "do": "commit", "doc": "servers", "version": 9})
     acknowledge(cluster, "servers", "n3/b1", why="too little memory")
     put_document(cluster, "servers", fewer, 1, hold_out=True)
@@ -310,9 +304,6 @@
     cluster.execute_order("fleet/rules/part", {"upload": "new", "offset": 5, "data": "x"})
 
 
-# Stages.
-
-
 def put_with_rollout(
     cluster: ClusterHarness, doc: str, value: object, expect: int, **stage: Any
 ) -> dict[str, Any]:
@@ -322,7 +313,7 @@
 
 
 def stages(cluster: ClusterHarness) -> None:
-    """One that goes on to all, one that goes back, and those that can't be begun."""
+    """Rollouts that are completed, withdrawn, ordered to complete, and rejected at their start."""
     others = {"main": ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:5"], "more": ["127.0.0.1:4"]}
     put_with_rollout(cluster, "tenants", ALLOWANCES, 1, nodes=["n2"])
     put_with_rollout(cluster, "servers", others, 3, nodes=["n8"])
@@ -370,7 +361,10 @@
 
 
 def report_on_rollout(cluster: ClusterHarness, nodes: list[str], version: int, failed: int) -> None:
-    """These act on it, and others on the one before; all have requests, of which some fail on these."""
+    """Let these nodes report that the version is in force, and all nodes report requests.
+
+    Of 100 further requests per node, `failed` fail on these nodes and none on the others.
+    """
     for name in nodes:
         process = cluster.processes.get(f"{name}/b1")
         if process is not None:
@@ -383,11 +377,8 @@
         )
 
 
-# Shares.
-
-
 def shares(cluster: ClusterHarness) -> None:
-    """Parts of allowances move to where the demand is, and come down where others have more."""
+    """Shares of tenant quotas grow on nodes with demand and shrink on nodes with less of it."""
     cluster.pass_time(1_500)
     busy, other = cluster.processes["n2/b1"], cluster.processes["n3/b1"]
     busy.tenant_demand = (TenantDemand("riad", 60_000), TenantDemand("sade", 30_000))
@@ -413,7 +404,7 @@
 
 
 def return_granted_shares(cluster: ClusterHarness) -> None:
-    """Each process says that it uses no more than it was asked to come down to."""
+    """Let each process confirm that it uses no more than its lowered target share."""
     machine = cluster.voter.quotas
     assert machine is not None
     for tenant, parts in list(machine.tenants.items()):
@@ -430,11 +421,8 @@
     cluster.pass_time(1_000)
 
 
-# What is turned down.
-
-
 def rejected_commands(cluster: ClusterHarness) -> None:
-    """Documents that are unknown or of another kind, and commands without what they need."""
+    """Commands on documents that are unknown or of another kind, and commands without required fields."""
     base = {"m": "rules", "doc": "settings"}
     text = '{"a":1}'
     arguments = {
@@ -474,7 +462,7 @@
 
 
 def malformed_commands(cluster: ClusterHarness) -> None:
-    """What is for no machine, is no object, or was asked for before."""
+    """Log entries that name no state machine, are not JSON objects, or repeat an earlier command."""
     before = cluster.command_count
     cluster.submit("n4/b1", {"m": "members", "do": "believe", "nodes": ["n5"]}, number=900)
     cluster.submit("n4/b1", {"m": "none", "do": "look"})
@@ -493,7 +481,7 @@
 
 
 def leave_changes_pending(cluster: ClusterHarness) -> None:
-    """So that a snapshot has all that it can have: a change, a stage, an upload, an open run, a part to come down."""
+    """Leave unfinished state of each kind for a snapshot: a change, a rollout, an upload, a run, a share to shrink."""
     cluster.submit("n2/b1", {"m": "members", "do": "believe", "nodes": ["n5", "n9"]})
     cluster.submit("n2/b1", {"m": "rules", "do": "part", "upload": "half", "offset": 0, "data": '{"half":'})
     changed = {**ALLOWANCES, "over_share_worth": 0.4}
@@ -510,7 +498,8 @@
     cluster.submit("n1/b1", arguments)
 
 
-# Limits: the commands of one pattern many times, in which @ stands for a number, until the last is turned down.
+# Commands up to and beyond each limit: the commands to run first, a pattern in which @ stands for the number of the
+# repetition (from 1), and the number of repetitions, the last of which exceeds the limit.
 
 LIMITS: dict[str, tuple[tuple[str, ...], str, int]] = {
     "leases": ((), '{"m":"leases","do":"grant","name":"task/@","holder":"n2/b1","most":0}', 10_001),
--- a/tests/golden/conversation.py
+++ b/tests/golden/conversation.py
@@ -14,12 +14,12 @@
 
 DATA = Path(__file__).parent / "data"
 RING_SIZE = 128 * 1024
-KEY = bytes(range(32))  # of the fleet, for every golden frame
+KEY = bytes(range(32))  # the fleet key that authenticates every golden frame
 
 
 @dataclass(slots=True, frozen=True)
 class Sample:
-    """What is written, and what reading it gives where that differs."""
+    """A message to write, and the result of reading it if that differs from the message."""
 
     written: object
     read: object = None
@@ -31,12 +31,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Golden:
-    """One stored message. `head` is the frame's part before the body, in hex."""
+    """One stored message. `head` is the part of the frame before the body, in hexadecimal."""
 
     head: str
     body: str
     required: list[str]  # keys without which the message is refused
-    optional: list[str]  # keys that have a default
+    optional: list[str]  # keys that have a default when missing
 
     @property
     def frame(self) -> bytes:
@@ -45,7 +45,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Conversation:
-    """`message_path` leads from the body's JSON to the pair of a message's tag and its fields."""
+    """The format of one conversation, with its samples and golden file.
+
+    `message_path` leads from the JSON of a body to the pair of the message's tag and fields.
+    """
 
     file: str
     samples: Mapping[str, Sample]  # by "Tag/form"
@@ -60,7 +63,7 @@
         return DATA / self.file
 
     def message_in(self, document: Any) -> Any:
-        """The pair of a tag and fields within what a body holds."""
+        """Return the pair of tag and fields within the JSON of a body."""
         for step in self.message_path:
             document = document[step]
         return document
@@ -69,7 +72,7 @@
         return {name: Golden(**row) for name, row in json.loads(self.path.read_text()).items()}
 
     def read_frame(self, frame: bytes) -> object:
-        """The one message of a frame."""
+        """Return the message of a frame that holds exactly one."""
         ring = Ring(RING_SIZE)
         ring.put(frame)
         body = self.framing.read(ring)
--- a/tests/golden/datagrams.py
+++ b/tests/golden/datagrams.py
@@ -1,4 +1,4 @@
-"""Every datagram between nodes: with records in each state, without, and with more than it has place for."""
+"""Every datagram between nodes: with records in each state, without records, and with more records than fit."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     for number, state in enumerate([*MemberState] * 10)
 )
 SENDER = MemberRecord("n9", "b9", 1_800_000_000_009, 9, MemberState.ALIVE, "127.0.0.9:7009", "nörth", "")
-RECORDS_KEPT = 17  # of MANY: as many as one datagram takes
+RECORDS_KEPT = 17  # how many records of MANY fit into one datagram
 DEFAULT_MESSAGES: dict[str, MembershipMessage] = {
     "Ping": Ping(number=31, node="n2"),
     "Ack": Ack(number=32),
--- a/tests/golden/everything.py
+++ b/tests/golden/everything.py
@@ -30,7 +30,7 @@
 
 
 def fleet_section(folder: Path, **other: Any) -> dict[str, Any]:
-    """Every key that `[fleet]` knows; the key file is made in the folder."""
+    """Return a `[fleet]` section with every key, and write the key file to the folder."""
     (folder / "key").write_text(KEY)
     return {
         "name": "golden",
@@ -90,7 +90,7 @@
 
 @contextmanager
 def deterministic_tokens() -> Iterator[None]:
-    """Names that are drawn at random elsewhere are numbered here, so that all is the same each time."""
+    """Replace random tokens by consecutive numbers, so that every run of a scenario gives the same bytes."""
     numbers = count(1)
     with patch("secrets.token_hex", lambda size=8: f"{next(numbers):0{2 * size}x}"):
         yield
--- a/tests/golden/files.py
+++ b/tests/golden/files.py
@@ -1,4 +1,4 @@
-"""Where the golden files of stored data and outward JSON are, and how they are read and written."""
+"""Reading and writing of the golden files of stored data and outward JSON."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def write_golden(name: str, value: object) -> None:
-    """Only the recorder calls this."""
+    """Write a golden file. Only `record_state` calls this."""
     FOLDER.mkdir(parents=True, exist_ok=True)
     text = json.dumps(value, indent=1, ensure_ascii=False)
     (FOLDER / name).write_text(text + "\n", "utf-8")
--- a/tests/golden/machines.py
+++ b/tests/golden/machines.py
@@ -1,4 +1,4 @@
-"""All state machines of a voter, and commands for them by the thousand."""
+"""All state machines of a voter, and runs of commands against their limits."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 def machines() -> StateMachines:
-    """As a voter without a past has them."""
+    """Return the state machines of a voter with an empty log."""
     table = LeaseTable()
     return StateMachines({"leases": table, **state_machines(table)})
 
 
 def apply_command(log: StateMachines, body: str) -> str:
-    """The result of one command, as JSON."""
+    """Apply one command and return its result as JSON."""
     return orjson.dumps(log.apply(body)[1]).decode()
 
 
 def run_limit(before: tuple[str, ...], pattern: str, count: int) -> tuple[str, str]:
-    """The result of the last command, and the digest of the snapshot after it."""
+    """Apply the commands of one entry of `LIMITS`; return the last result and the digest of the snapshot after it."""
     log, last_result = machines(), ""
     for body in before:
         log.apply(body)
--- a/tests/golden/mutations.py
+++ b/tests/golden/mutations.py
@@ -1,4 +1,4 @@
-"""Changes of a message's JSON that its reader has to refuse, or to pass over."""
+"""Mutations of the JSON of a message that a reader must refuse."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 Path = tuple[int | str, ...]
 FREE_FORM = "learnt"  # holds any object: only its own type is checked
-NULLABLE: Path = (1, "result")  # of a Name between two processes of a node: the one field that may be null
+NULLABLE: Path = (
+    1,
+    "result",
+)  # `result` of a `Name` message between processes of a node, the only field that may be null
 
 
 def replaced(document: Any, path: Path, value: object) -> Any:
-    """A copy with another value at `path`."""
+    """Return a copy with another value at `path`."""
     if not path:
         return value
     result = copy.deepcopy(document)
@@ -24,7 +27,7 @@
 
 
 def wrong_values(value: object, may_be_null: bool) -> list[object]:
-    """Values of other types than the one that is there."""
+    """Return values of other types than that of `value`."""
     null: list[object] = [] if may_be_null else [None]
     match value:
         case bool():
@@ -39,7 +42,7 @@
 
 
 def wrong_types(document: Any, path: Path = ()) -> Iterator[tuple[Path, object]]:
-    """Each place in the JSON, with each value of a wrong type for it."""
+    """Yield each path in the JSON with each value of a wrong type for it."""
     for value in wrong_values(document, may_be_null=path == NULLABLE):
         yield path, value
     if path and path[-1] == FREE_FORM:
--- a/tests/golden/named.py
+++ b/tests/golden/named.py
@@ -1,4 +1,4 @@
-"""Names of metrics in a page of them, and the words by which the program's text counts."""
+"""Names of the metrics on a metrics page, and names in the program's source that counters are made of."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def metric_names(page: str) -> list[str]:
-    """Of each sample its name, the names of its labels, and the type of its family."""
+    """Return the name, label names and type of each metric on a page in the Prometheus text format."""
     types, found = {}, set()
     for line in page.splitlines():
         if line.startswith("# TYPE "):
@@ -25,7 +25,7 @@
 
 
 def counter_keys() -> set[str]:
-    """The keys of all counters that the program's text adds to by a word of its own."""
+    """Return the constant string keys of all counters that the source increments, as in `counts["read"] += 1`."""
     found = set()
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
@@ -41,7 +41,7 @@
 
 
 def counted_attributes() -> set[str]:
-    """The names of all attributes that the program's text adds to."""
+    """Return the names of all attributes that the source increments, as in `self.retries += 1`."""
     return {
         node.target.attr
         for path in PACKAGE.rglob("*.py")
@@ -53,7 +53,7 @@
 
 
 def string_constants() -> set[str]:
-    """All texts that stand in the program."""
+    """Return all string constants in the source."""
     found = set()
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
--- a/tests/golden/node_messages.py
+++ b/tests/golden/node_messages.py
@@ -1,4 +1,4 @@
-"""Every message between nodes of a fleet, in its envelope: with all fields set, and with its defaults."""
+"""Every message between nodes of a fleet in its envelope, with all fields set and with only the required ones."""
 
 from __future__ import annotations
 
--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -1,4 +1,7 @@
-"""Writes the golden files anew, for a deliberate change of the wire: `python -m tests.golden.record`."""
+"""Rewrites the golden files of messages after a deliberate change of the wire format.
+
+Run as `python -m tests.golden.record`.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 def reads_without(conversation: Conversation, body: bytes, key: str) -> bool:
-    """Whether a message is still taken without that key."""
+    """Return whether a message can be read without this key."""
     document = orjson.loads(body)
     del conversation.message_in(document)[1][key]
     try:
--- a/tests/golden/record_state.py
+++ b/tests/golden/record_state.py
@@ -1,6 +1,6 @@
-"""Writes the golden files of stored data and outward JSON anew, from the program as it stands.
+"""Rewrites the golden files of stored data and outward JSON with the output of the current program.
 
-Only by intent, where a format is changed on purpose: `python -m tests.golden.record_state`. No test runs it.
+Run as `python -m tests.golden.record_state`, only after a deliberate change of a format. No test runs it.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
 
 
 def record_metrics() -> None:
-    """`counters.json` is written by hand: the keys of each counter whose words become names."""
+    """Rewrite `metrics.json`. `counters.json`, the keys of each counter that metrics are made of, is edited by hand."""
     found = {}
     for name, make in (("seen", metrics), ("every counter", every_counter)):
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/golden/sections.py
+++ b/tests/golden/sections.py
@@ -1,4 +1,4 @@
-"""What the program reads from a complete operator's file, as plain JSON."""
+"""The configuration that the program reads from a complete operator's file, as plain JSON."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def read_section(folder: Path, minimal: bool = False) -> dict[str, Any]:
-    """Each value of `[fleet]`, by the key that the operator writes."""
+    """Read `[fleet]` and return each value by the key in the operator's file."""
     operator = operator_config(folder)
     if minimal:
         operator["fleet"] = minimal_section(folder)
@@ -80,7 +80,7 @@
 
 
 def with_key(operator: dict[str, Any], path: str, key: str, value: object) -> dict[str, Any]:
-    """The same with one key more, or another value, in the table at that path."""
+    """Return a copy in which a key of the table at `path`, separated by dots, has this value."""
     copy: dict[str, Any] = deepcopy(operator)
     table = copy
     for name in path.split("."):
@@ -90,7 +90,7 @@
 
 
 def config_error(operator: dict[str, Any]) -> str:
-    """What the program says of it; empty where it takes it."""
+    """Return the error message for a configuration; empty if it is valid."""
     try:
         check(platform_config(), operator)
     except ConfigError as error:
@@ -99,7 +99,7 @@
 
 
 def minimal_section(folder: Path) -> dict[str, Any]:
-    """What a section must have, and tables whose keys are all left out."""
+    """Return a section with only the required keys, whose optional tables are empty as far as possible."""
     section = fleet_section(folder)
     required = {key: section[key] for key in ("name", "voters", "key_file", "store", "nodes")}
     documents = {kind: {"kind": kind} for kind in ("settings", "tenants", "servers")}
--- a/tests/golden/shapes.py
+++ b/tests/golden/shapes.py
@@ -1,6 +1,6 @@
-"""The shape of a JSON value: which keys there are, nested, and of which type each value is.
+"""The shape of a JSON value: its nested keys and the type of each value.
 
-Where a value is one word of a closed list, as a state or a role, the word itself is part of the shape.
+If a value is from a closed list, such as a state or a role, the value itself is part of the shape.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
     "now",
     "before",
     "outcome",
-)  # of closed lists
+)  # keys whose values are from a closed list
 TYPE_NAMES = {str: "text", int: "integer", float: "number", bool: "truth", type(None): "null"}
 
 
 def shape_of(value: Any, path: str = "") -> set[str]:
-    """One line for each place, as `voter.voters[]: text`. Keys that are numbers stand as `#`."""
+    """Return a line per path, such as `voter.voters[]: text`. Numeric keys are replaced by `#`."""
     match value:
         case dict():
             found = {f"{path}: object"}
@@ -35,7 +35,7 @@
             return found.union(*(shape_of(inner, f"{path}[]") for inner in value))
         case str() if (
             path.endswith("acts[][]") and value.isidentifier()
-        ):  # a row without keys: its words are held
+        ):  # a row without keys, whose words are part of the shape
             return {f"{path}: text {value!r}"}
         case str() if path.rpartition(".")[2] in CLOSED_LIST_KEYS:
             return {f"{path}: text {value!r}"}
@@ -48,7 +48,7 @@
 
 
 def empty_paths(lines: list[str]) -> list[str]:
-    """Lists and objects of which nothing that they hold is known."""
+    """Return the paths of lists and objects that are always empty, so that the shape of their content is unknown."""
     paths = [line.partition(": ") for line in lines]
     return [
         path for path, _, kind in paths
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -1,4 +1,4 @@
-"""All that operators are shown as JSON by a node with every part, without sockets and on a clock moved by hand."""
+"""All JSON that a node with every component shows to operators, without sockets and on a manual clock."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class AdminHarness:
-    """A node that votes and follows, in the midst of what goes on in its fleet."""
+    """A node that is both voter and client, in a fleet with ongoing changes, with its services for operators."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -59,13 +59,13 @@
         )
 
     def serve(self, method: str, path: str, content: Any = None) -> tuple[int, Any]:
-        """As the administration would write it and a client would read it."""
+        """Serve a request to the administration API; return the status and the body as a client decodes it."""
         body = b"" if content is None else json.dumps(content).encode()
         status, response = self.admin.serve(HttpRequest(method, path, b"Bearer " + TOKEN.encode(), body))
         return status, response if isinstance(response, bytes) else json.loads(json.dumps(response))
 
     def run_scenario(self) -> None:
-        """The course of a few seconds, which leaves something in every table."""
+        """Run a fixed scenario of a few seconds that leaves rows in every table."""
         cluster = self.cluster
         rules = cluster.fleet.config_driver
         assert rules is not None
@@ -93,7 +93,7 @@
         cluster.pass_time(1_000)
 
     def _add_member_records(self) -> None:
-        """The detector hears of others, and the node's situation changes."""
+        """Let the failure detector receive records of other members, and change the node's partition state."""
         cluster = self.cluster
         part = cluster.fleet.membership
         assert part is not None
@@ -124,13 +124,13 @@
         self.cluster.pass_time(500)
 
     def pin_servers(self) -> None:
-        """An operator puts a version in force here alone."""
+        """Pin a version of `servers` on this node alone, as an operator does."""
         cluster = self.cluster
         assert self.serve("POST", "/v1/fleet/rules/fix", {"doc": "servers", "content": SERVERS})[0] == 202
         cluster.pass_time(500)
 
     def receive_datagrams(self) -> None:
-        """What comes from strangers is counted."""
+        """Receive datagrams that are corrupt, of another fleet, and of this fleet, so that each is counted."""
         members, framing = self.cluster.fleet.membership, wire.datagram_framing(KEY.encode())
         assert members is not None
         members.handle_datagram(b"junk")
@@ -144,7 +144,10 @@
 
 
 def pages(folder: Path) -> dict[str, Any]:
-    """Each page of the administration and of the door, and each answer to an order."""
+    """Return each page of the administration and the health endpoint, and the response to each order.
+
+    The pages of the administration are read at several times of the scenario.
+    """
 
     async def run() -> dict[str, Any]:
         with deterministic_tokens():
@@ -198,7 +201,7 @@
 
 
 def counter_pages() -> dict[str, Any]:
-    """The pages that count requests, after some that came to each end that is cheap to have."""
+    """Return the pages that count requests, after requests with various outcomes."""
     realms = [{"name": "riad", "portion": 0.5, "allowancePerS": 2.0}]
     driver = CoreDriver(cores=1, realms=realms, overShareWorth=0.1)
     admin = AdminApi(driver.core, driver.clock.timeline, TOKEN, lambda: None)
@@ -220,10 +223,9 @@
     }
 
 
-# The command line, whose calls go to the node without a socket.
-
-
 class FakeHttpResponse:
+    """Replaces `http.client.HTTPResponse`."""
+
     def __init__(self, status: int, body: bytes) -> None:
         self.status, self._body = status, body
 
@@ -232,7 +234,7 @@
 
 
 class FakeHttpConnection:
-    """In the place of the standard library's: each call is served at once, and time passes."""
+    """Replaces `http.client.HTTPConnection`: `harness` serves each request at once, and 100 ms pass for each."""
 
     harness: AdminHarness
 
@@ -251,7 +253,7 @@
 
 
 def commands(folder: Path) -> dict[str, Any]:
-    """What each command of `fleet` and `rules` prints as JSON."""
+    """Return the JSON that each `fleet` and `rules` command prints."""
 
     async def run() -> dict[str, Any]:
         with deterministic_tokens(), patch("http.client.HTTPConnection", FakeHttpConnection):
@@ -283,7 +285,7 @@
 
 
 def other_commands(folder: Path) -> dict[str, Any]:
-    """What commands print as JSON that ask no running node."""
+    """Return the JSON that commands print which do not contact a running node."""
     (folder / "key").write_text(KEY)
     operator = folder / "n1.toml"
     operator.write_text(
@@ -314,7 +316,7 @@
 
 
 def metrics(folder: Path) -> str:
-    """The page of all figures, of a node that has seen some of everything."""
+    """Return the metrics page of a node after the scenario and after invalid datagrams."""
 
     async def run() -> str:
         with deterministic_tokens():
@@ -327,7 +329,7 @@
 
 
 def every_counter(folder: Path) -> str:
-    """The same, after every counter that the figures of a node know has counted."""
+    """Return the metrics page after every counter in `counters.json` was incremented."""
     keys = read_golden("counters.json")
 
     async def run() -> str:
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -1,4 +1,4 @@
-"""The state of each machine on the log as a snapshot holds it, in a voter's store and on its way to other nodes."""
+"""The state of each replicated state machine in a snapshot, as voters store it and send it to each other."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def new_machines() -> Mapping[str, StateMachine]:
-    """All machines of a fleet, by their names in a snapshot, still empty."""
+    """Return all state machines of a fleet in their initial state, by their names in a snapshot."""
     table = LeaseTable()
     return {"leases": table, **state_machines(table)}
 
@@ -114,7 +114,7 @@
 
 
 def filled_machines() -> Mapping[str, StateMachine]:
-    """All machines, each with every field of its state set."""
+    """Return all state machines with every field of their state set."""
     machines = new_machines()
     for machine in machines.values():
         match machine:
@@ -134,7 +134,7 @@
 
 
 def write_samples() -> dict[str, str]:
-    """A whole snapshot, and the group beside it, as the store and the wire have them."""
+    """Return a snapshot of all machines and the voter configuration, as they are stored and sent."""
     machines = StateMachines(filled_machines())
     machines._cache_result("n2/b2", 5, {"granted": "n2/b2", "token": 24})
     return {"snapshot": machines.snapshot(), "group": GROUP.encode()}
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -1,4 +1,4 @@
-"""A voter's store with all that it can hold, and its file as SQL schema and rows."""
+"""A voter's store with every kind of content, and its file as SQL schema and rows."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 FILE = "voter.sqlite"
 NODE, IDENTITY, GROUP = "n1", "n1#0a0b0c", "1.feedbeef"
-DISK_SPECIFIC_FACTS = ("file", "sum")  # facts that differ from one file to the next
+DISK_SPECIFIC_FACTS = ("file", "sum")  # facts that are different for each file
 
 
 def write_store(folder: Path) -> None:
-    """A log with entries of each kind behind a snapshot, a vote in a later term, and a group."""
+    """Write a store with a snapshot, later log entries of each type, a vote in a later term, and a group."""
     data = read_golden("snapshots.json")[0]["data"]
     bodies = [row["body"] for row in read_golden("log_commands.json")[:8]]
     group = Configuration((IDENTITY, "n2#1a"), ("n3#2a",))
@@ -39,7 +39,7 @@
 
 
 def read_store(folder: Path) -> dict[str, Any]:
-    """What the program gives back of it."""
+    """Open the store and return the state that the program reads from it."""
     store = ReplicaStore(folder)
     try:
         opened: OpenedStore = store.open(NODE, "n1#anew")
@@ -63,7 +63,7 @@
 
 
 def dump(path: Path) -> dict[str, Any]:
-    """Schema and rows; blobs in hexadecimal figures."""
+    """Return the schema and rows of a file, with blobs in hexadecimal and `*` for facts that differ per file."""
     db = apsw.Connection(str(path))
     try:
         schema = db.execute(
--- a/tests/golden/test_datagrams.py
+++ b/tests/golden/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams keep their bytes, whatever classes and fields are called."""
+"""Datagrams between nodes keep their bytes when classes and fields are renamed."""
 
 from __future__ import annotations
 
--- a/tests/golden/test_log_commands.py
+++ b/tests/golden/test_log_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the log: stored bodies give the stored results, and the program's own proposers write them so."""
+"""Commands in the log: stored bodies give the stored results, and the program's proposers write the same bodies."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.golden.files import read_golden
 from tests.golden.machines import apply_command, machines, run_limit
 
-# Every word of every machine. A new one needs its entry here, and a golden one.
+# Every command of every state machine. A new command needs an entry here and in the golden files.
 COMMANDS = {
     "leases": {"grant", "expire", "return"},
     "tasks": {"look", "fenced", "begin", "end"},
@@ -20,7 +20,7 @@
     "members": {"admit", "remove", "readmit", "believe"},
     "shares": {"tenants", "grow", "shrink", "gave"},
 }
-# What is proposed by the leader's own objects, without anybody's asking.
+# Commands that the leader proposes itself, without a command request.
 LEADER_COMMANDS = {
     ("leases", "grant"), ("leases", "expire"), ("leases", "return"), ("rules", "commit"), ("rules", "withdraw"),
     ("members", "admit"), ("members", "remove"), ("shares", "tenants"), ("shares", "grow"), ("shares", "shrink"),
--- a/tests/golden/test_messages.py
+++ b/tests/golden/test_messages.py
@@ -1,7 +1,7 @@
-"""Messages of all three conversations keep their bytes, whatever classes and fields are called.
+"""Messages of all three conversations keep their bytes when classes and fields are renamed.
 
-Between nodes, in datagrams, and between two processes of a node. What is of one conversation alone stands in
-`test_node_messages.py`, `test_datagrams.py` and `test_restart_messages.py`.
+The conversations are messages between nodes, datagrams between nodes, and messages between two processes of a node.
+Tests of only one of them are in `test_node_messages.py`, `test_datagrams.py` and `test_restart_messages.py`.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -1,4 +1,4 @@
-"""The names of all metrics, with their labels and types, and the words of the counters from which names are made."""
+"""All metrics keep their names, labels and types, and counters keep the keys that metric names are made of."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     assert metric_names(every_counter(tmp_path)) == NAMES["every counter"]
 
 
-# Fields of a typed counter that were words in the program's text when the golden file was written.
+# Fields of a typed counter whose keys were string constants in the source when the golden file was written.
 TYPED_COUNTERS = ("attempts", "retries", "no_capacity")
 
 
@@ -44,7 +44,7 @@
         "leases lost",
         "leases regained",
         "leases lapsed",
-    }  # of `leases ` and what changed
+    }  # composed of `leases ` and the kind of change
     for key in {key for keys in COUNTERS.values() for key in keys} - composed:
         assert key in constants, key
     assert {"leases ", "gained", "lost", "regained", "lapsed"} <= constants
--- a/tests/golden/test_node_messages.py
+++ b/tests/golden/test_node_messages.py
@@ -1,4 +1,4 @@
-"""Messages between nodes keep their bytes, whatever classes and fields are called."""
+"""Messages between nodes keep their bytes when classes and fields are renamed."""
 
 from __future__ import annotations
 
@@ -57,5 +57,5 @@
 def test_a_document_status_without_an_optional_key_reads_as_its_default(key: str) -> None:
     stored = CONVERSATION.load()["Beaten/full"]
     document = orjson.loads(stored.body)
-    del CONVERSATION.message_in(document)[1]["news"][1][key]  # the one that has the defaults
+    del CONVERSATION.message_in(document)[1]["news"][1][key]  # the entry that holds the default values
     assert checks.read_json(CONVERSATION, document) == CONVERSATION.samples["Beaten/full"].expected
--- a/tests/golden/test_operator_keys.py
+++ b/tests/golden/test_operator_keys.py
@@ -1,4 +1,4 @@
-"""`[fleet]` of the operator's file: every key is read as before, and one that is not known is named as before."""
+"""`[fleet]` of the operator's file: every key keeps its meaning, and errors name the key as stored."""
 
 from __future__ import annotations
 
--- a/tests/golden/test_restart_messages.py
+++ b/tests/golden/test_restart_messages.py
@@ -1,4 +1,4 @@
-"""Messages between two processes of a node keep their bytes, whatever classes and fields are called."""
+"""Messages between two processes of a node keep their bytes when classes and fields are renamed."""
 
 from __future__ import annotations
 
--- a/tests/golden/test_snapshot_keys.py
+++ b/tests/golden/test_snapshot_keys.py
@@ -1,6 +1,6 @@
-"""Snapshots of the machines on the log, membership among them, keep their bytes whatever classes and fields are called.
+"""Snapshots of all replicated state machines keep their bytes when classes and fields are renamed.
 
-The names of fields of documents and members are keys of a snapshot, which voters store and send to each other.
+Field names of documents and members are keys of a snapshot, which voters store and send to each other.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_snapshots.py
+++ b/tests/golden/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of all machines: written as the stored ones, and read back whole."""
+"""Snapshots of all state machines are written like the stored ones, and the stored ones are restored completely."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
     log.restore(snapshot["data"])
     assert log.snapshot() == snapshot["data"]
     for number, row in enumerate(ROWS[snapshot["after"] :], snapshot["after"]):
-        # As JSON objects: a snapshot sorts its keys, and with them those of the rows that a `get` tells.
+        # Compared as JSON objects: a snapshot sorts its keys, and so changes the key order of rows in a `get` result.
         assert json.loads(apply_command(log, row["body"])) == json.loads(row["result"]), (number, row["body"])
     assert log.snapshot() == SNAPSHOTS[-1]["data"]
 
 
 def test_the_last_snapshot_holds_every_key() -> None:
-    """So that no key of a snapshot is without a stored example."""
+    """Guards against a key of a snapshot that no stored snapshot covers."""
     last_snapshot = SNAPSHOTS[-1]["data"]
     for key in (
         '"asked":', '"leases":', '"token":', '"tasks":', '"open"', '"rules":', '"documents":', '"uploads":[["',
--- a/tests/golden/test_status_keys.py
+++ b/tests/golden/test_status_keys.py
@@ -1,4 +1,4 @@
-"""The JSON that operators are shown: its keys, nested, and the types of its values, as they were."""
+"""The JSON that operators see keeps its nested keys and the types of its values."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def test_only_the_listed_lists_and_objects_were_empty_when_the_pages_were_stored() -> None:
-    """Else the shape of what it holds would be held by nothing."""
+    """The elements of an empty list or object would have no stored shape, so no test would cover them."""
     empty = {
         f"{title} {path}" for title, lines in GOLDEN["pages"].items() for path in empty_paths(lines)
     }  # fmt: skip
--- a/tests/golden/test_store_file.py
+++ b/tests/golden/test_store_file.py
@@ -1,4 +1,4 @@
-"""A voter's file on disk: the committed one opens and gives back all, and is written again as it was."""
+"""A voter's store on disk: the committed file opens with its whole state, and the same state is written again alike."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """The committed file, in the place of one that the program made on this disk."""
+    """Return a folder with the committed file, adapted to pass as a file that the program made on this disk."""
     store = ReplicaStore(tmp_path)
     store.open(NODE, IDENTITY)
     store.close()
     path = tmp_path / FILE
     file_mark = read_facts(path)["file"]
-    path.write_bytes((FOLDER / FILE).read_bytes())  # written over: to the disk it is the same file
+    path.write_bytes((FOLDER / FILE).read_bytes())  # overwritten in place, so that it keeps its inode
     facts = read_facts(path) | {"file": file_mark}
     del facts["sum"]
     checksum = hashlib.blake2b(orjson.dumps(sorted(facts.items())), digest_size=12).hexdigest()
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -1,6 +1,6 @@
-"""One voter that leads alone, one node's real part of the fleet, and beats of others: a log on a clock moved by hand.
+"""A fleet of a single voter, one real node, and heartbeats of other nodes, on a manual clock and without sockets.
 
-All commands come into the log through the program's own proposers, or as an ask of any node; nothing is on sockets.
+Commands enter the log through the program's own proposers, or as the command request of a node.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """One committed command, as it stands in the log, and its result, both as JSON."""
+    """One committed command as it is in the log, and its result, both as JSON."""
 
     body: str
     result: str
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class HeartbeatSender:
-    """A node's process as its beats have it."""
+    """A process of another node, reduced to the fields of its heartbeats. A silent one sends none."""
 
     node: str
     wanted_leases: tuple[str, ...] = ()
@@ -75,7 +75,7 @@
 
 
 class RecordingTransport(ClusterTransport):
-    """Lines that keep what is sent."""
+    """A transport that only records the bodies of sent messages."""
 
     sent: list[bytes]
 
@@ -84,7 +84,7 @@
 
 
 def single_voter(config: ClusterConfig, clock: ManualClock) -> Replica:
-    """The only one of its group, so that what it proposes is committed at once."""
+    """Return the only voter of its group, whose proposals are therefore committed at once."""
     members = None if config.membership is None else config.membership.roster
     timing = RaftTiming(config.heartbeat_interval, config.election_timeout)
     settings = ReplicaSettings(timing, config.leases, ("n1",), members, quotas=True)
@@ -94,7 +94,10 @@
 
 @dataclass(slots=True)
 class ClusterHarness:
-    """Made within a running event loop; `node` is one that does not vote."""
+    """The voter, the real node, which does not vote, and the simulated processes.
+
+    Create it within a running event loop. `rows` are all committed commands.
+    """
 
     clock: ManualClock
     node: Node
@@ -104,9 +107,10 @@
     rows: list[Row] = field(default_factory=list)
     processes: dict[str, HeartbeatSender] = field(default_factory=dict)
     command_count: int = 0
-    last_recorded_index: int = 0  # index of the last entry that stands in `rows`
+    last_recorded_index: int = 0  # index of the last log entry in `rows`
 
     def pass_time(self, ms: int) -> None:
+        """Advance the clock in steps of 50 ms, each with a heartbeat of every process that is not silent."""
         for _ in range(ms // STEP_MS):
             self.clock.advance(STEP_MS)
             for process in self.processes.values():
@@ -115,7 +119,7 @@
             self.process_pending()
 
     def process_pending(self) -> None:
-        """All that can be done at this moment."""
+        """Run due timers and deliver messages between the voter and the node, without advancing the clock."""
         now = self.clock.now()
         rules = self.fleet.config_driver
         assert rules is not None
@@ -124,7 +128,7 @@
                 self.voter.tick(now)
             while (ready := self.voter.take_ready()) is not None:
                 self.voter.acknowledge_durable(now, ready)
-                for _, own in ready.messages:  # its own vote comes back once it is durable
+                for _, own in ready.messages:  # its own vote counts once it is durable
                     self.voter.step(now, VOTER, own)
             for to, message in self.voter.take_immediate_messages(now):
                 self._deliver(to, message)
@@ -159,7 +163,7 @@
                 self.rows.append(Row(body, orjson.dumps(result).decode()))
 
     def submit(self, by: str, command: dict[str, Any], number: int | None = None) -> dict[str, Any]:
-        """A command that a process of another node asks for; its result."""
+        """Commit a command on behalf of a process of another node, and return its result."""
         self.command_count += 1
         body = orjson.dumps(command).decode()
         self.voter.step(self.clock.now(), by, CommandRequest(by, number or self.command_count, body))
@@ -168,13 +172,13 @@
         return result
 
     def append_raw(self, body: str) -> None:
-        """Any text as an entry, also one that no proposer writes."""
+        """Commit any text as a log entry, even one that no proposer writes."""
         self.voter.raft.propose(body)
         self.voter.tick(self.clock.now())
         self.process_pending()
 
     def execute_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any]:
-        """What an operator asks for at the node's administration, and what the group made of it."""
+        """Execute an operator's order at the node's administration API, and return its result from the voter."""
         accepted = self.fleet.execute_order(path, arguments)
         assert accepted is not None and "asked" in accepted
         number = str(accepted["asked"])
@@ -185,7 +189,7 @@
                 result: dict[str, Any] = results[number]
                 return result
             self.pass_time(STEP_MS)
-        raise AssertionError(f"{path} has no result")
+        raise AssertionError(f"order {path}: expected a result within 500 ms, got none")
 
 
 def make_cluster(folder: Any) -> ClusterHarness:
--- a/tests/support/alternate_settings.py
+++ b/tests/support/alternate_settings.py
@@ -1,6 +1,6 @@
-"""Settings that share no name, count, effect or limit with those of the other tests.
+"""Settings that differ in every name, count, effect and limit from those in `tests.support.node`.
 
-A test that passes under both shows that nothing in the node is fitted to one deployment.
+Tests that pass with both show that the node depends on no particular deployment.
 """
 
 from __future__ import annotations
@@ -76,19 +76,22 @@
 
 
 def alternate_settings(**family_info: Any) -> dict[str, Any]:
-    """Return these settings with other figures of the node itself, by their stored keys."""
+    """Return a copy of these settings. Keyword arguments replace keys of `familyInfo`."""
     settings = copy.deepcopy(ALTERNATE_SETTINGS)
     settings["familyInfo"].update(family_info)
     return settings
 
 
 def alternate_config(**other: Any) -> dict[str, Any]:
-    """Return the configuration of a node with these settings."""
+    """Return the configuration of a node with these settings. Keyword arguments replace its keys."""
     return raw_config(**{"settings": ALTERNATE_SETTINGS, "stop_ms": 1700, **other})
 
 
 class RespDriver(CoreDriver):
-    """The platform's frontend and the core under these settings, on a clock that is advanced by hand."""
+    """A core with the alternate settings and a real RESP frontend, on a manual clock.
+
+    `limit` is the maximum number of open connections; keyword arguments replace keys of `familyInfo`.
+    """
 
     def __init__(self, limit: int = 40, **family_info: Any) -> None:
         super().__init__()
@@ -104,7 +107,10 @@
         return FakeTransport(RespConnection(self.frontend))
 
     def frame(self, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
-        """Return the frame of a request, as if sent now. `fields` has the fields of the wire by their words."""
+        """Return the frame of a request that is sent now.
+
+        Its id is its tag unless `id` is given. `fields` are further request fields by their names on the wire.
+        """
         table = {"id": f"{id or tag:016x}", "at": instant_us(self.clock.now()) // 1000, "kb": 1, **fields}
         text = ",".join(f"{name}={value}" for name, value in table.items())
         return write_frame(b"EXEC", b"%d" % tag, request_class.encode(), text.encode(), body)
@@ -118,24 +124,24 @@
         id: int = 0,
         **fields: Any,
     ) -> None:
-        """Let a request arrive on a connection. Its id is its tag unless another is given."""
+        """Deliver a request on a connection. Its id is its tag unless `id` is given."""
         self.feed(wire, self.frame(tag, request_class, body, id, **fields))
 
     def feed(self, wire: FakeTransport, data: bytes) -> None:
-        """Let bytes arrive on a connection, and run the turns of the loop that follow."""
+        """Deliver bytes on a connection and run all callbacks that are scheduled as a result."""
         wire.feed(data)
         self.clock.settle()
 
     def end_run(self, id: int, result: bytes = b"result", outcome: Outcome = Outcome.OK) -> None:
-        """Report the end of a run."""
+        """Report the end of a run to the core."""
         self.core.run_ended(f"{id:016x}", outcome, SECOND, result)
         self.clock.settle()
 
     def start_count(self, id: int) -> int:
-        """Count how often a request was started."""
+        """Return how often the backend was told to start the request."""
         return self.backend.commands.count(("start", f"{id:016x}"))
 
 
 def response_frame(tag: int, word: bytes, body: bytes = b"", fields: bytes = b"") -> bytes:
-    """Return the frame of a response with this status word."""
+    """Return the frame of a response. `word` is its status word, `fields` its encoded fields."""
     return write_frame(b"%d" % tag, word, fields, body)
--- a/tests/support/fake_servers.py
+++ b/tests/support/fake_servers.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the kernel, the database and an uwsgi server, on loopback sockets."""
+"""Fakes of the kernel, the database and a uwsgi server, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,13 @@
 
 
 class FakeServer:
-    """A server on a port of the system's choice. `writers` are its open connections."""
+    """A server on a free loopback port.
+
+    Attributes:
+        runs: how often each request was run, by request id.
+        writers: the write ends of all connections that were accepted.
+        address: "host:port" once the server has started.
+    """
 
     def __init__(self) -> None:
         self.runs: Counter[str] = Counter()
@@ -40,9 +46,11 @@
 
 
 class FakeKernel(FakeServer):
-    """Runs to the end what it is told to; asks for a call first where the body says so.
+    """A kernel that ends each run at once, after one downstream call if the body starts with "call".
 
-    At the runs whose numbers `cut_at` names it cuts the link in place of the notice, and keeps that.
+    Args:
+        cut_at: run counts, from 1. When a notice is due at such a count, the connection is aborted instead of sending
+            it. As all notices, it is sent again on the next connection.
     """
 
     def __init__(self, cut_at: tuple[int, ...] = ()) -> None:
@@ -80,7 +88,7 @@
 
 
 class FakeDatabase(FakeServer):
-    """Answers each call at once with rows that name it."""
+    """A database that replies to each call at once, and counts the calls by id in `runs`."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
@@ -92,7 +100,10 @@
 
 
 class FakeUwsgiServer(FakeServer):
-    """Answers a packet with a response made for it; PATH_INFO names what goes wrong, if anything."""
+    """A uwsgi server that responds to each packet; PATH_INFO selects a fault, and any other path a normal response.
+
+    `reached` is set once a packet has arrived.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -22,7 +22,10 @@
 
 
 def request_class(name: str, effect: Effect = Effect.IDEMPOTENT, **other: Any) -> ClassSettings:
-    """A class with a latency objective of 2 s, a deadline of 4 s and a window of 8 s, but for what is given."""
+    """Return settings of a request class; keyword arguments replace the defaults.
+
+    By default: latency objective 2 s, deadline 4 s, idempotency window 8 s.
+    """
     defaults = ClassSettings(
         name=name,
         effect=effect,
@@ -45,6 +48,7 @@
 
 
 def settings(**other: Any) -> Settings:
+    """Return controller settings for 2 cores and 3 servers; keyword arguments replace the defaults."""
     defaults = Settings(
         classes=CLASSES,
         tenants=(),
@@ -82,20 +86,20 @@
 
 
 class ControllerDriver:
-    """A controller and a clock that is moved by hand.
+    """A controller on a clock that only advances in `step`.
 
-    Each step gives events to the controller, and returns the actions on requests as pairs of action name and id.
+    Each step passes events to the controller and returns its actions on requests as pairs of action name and id.
     """
 
     def __init__(self, **other: Any) -> None:
         self.settings = settings(**other)
         self.controller = Controller(self.settings, 1)
         self.now = START
-        self.actions: list[tuple[str, str]] = []  # of all steps
+        self.actions: list[tuple[str, str]] = []  # (action name, request id) of all steps
         self.step()
 
     def step(self, *events: Event, after_ms: float = 0) -> list[tuple[str, str]]:
-        """Let time pass, then give the events to the controller."""
+        """Advance the clock, then pass the events to the controller."""
         self.now += int(after_ms * MS)
         self.last = self.controller.decide(self.now, list(events))
         actions = [(type(action).__name__, action.id) for action in self.last if hasattr(action, "id")]
@@ -121,5 +125,5 @@
         return self.step(RunEnded(id, outcome, 0), *more, after_ms=after_ms)
 
     def actions_of(self, action_type: type[Action]) -> list[Any]:
-        """List the actions of this type in the last step."""
+        """Return the actions of this type in the last step."""
         return [action for action in self.last if isinstance(action, action_type)]
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -1,4 +1,4 @@
-"""A clock that is moved by hand and ends of connections that need no socket, for tests of the node."""
+"""A manual clock, fake transports and recording peers of the core, for tests of the node without sockets."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class RecordingBackend:
-    """A backend that writes down what it is told to do."""
+    """A backend and call client that only records its commands, as pairs of command and request id."""
 
     def __init__(self) -> None:
         self.commands: list[tuple[str, str]] = []
@@ -87,7 +87,7 @@
     def request_gauges(self) -> None:
         pass
 
-    # As a store.
+    # CallClient
 
     def call(self, request: Request, until: datetime) -> None:
         self.commands.append((f"call {request.call_body.decode()}", request.id))
@@ -97,7 +97,10 @@
 
 
 class CoreDriver:
-    """A front that keeps the answers; `submit` hands in requests."""
+    """Drives a core as its only frontend, with a recording backend and a manual clock.
+
+    `responses` holds the responses by request number. Keyword arguments replace keys of the settings.
+    """
 
     def __init__(self, cores: int = 2, clock: ManualClock | None = None, **other: Any) -> None:
         self.clock = clock or ManualClock()
@@ -139,7 +142,7 @@
 
 
 class ManualClock:
-    """A waker whose time passes only in `advance`."""
+    """A waker whose time only passes in `advance`."""
 
     def __init__(self) -> None:
         self.time = START
@@ -157,10 +160,12 @@
         self._callbacks.append(callback)
 
     def settle(self) -> None:
+        """Run the callbacks passed to `soon`, and those they schedule, without advancing the time."""
         while self._callbacks:
             self._callbacks.pop(0)()
 
     def advance(self, ms: float) -> None:
+        """Advance the time by `ms`, running each timer at its due time."""
         end = self.time + ms * MILLISECOND
         self.settle()
         while self._wakeup is not None and self._wakeup[0] <= end:
@@ -173,7 +178,7 @@
 
 
 class ManualDialer:
-    """Connections that are opened, or refused, by hand."""
+    """A dial function whose connection attempts wait until a test accepts or refuses them."""
 
     def __init__(self) -> None:
         self.waiting: list[tuple[ProtocolFactory, Address, DialCallback]] = []
@@ -185,16 +190,16 @@
 
     def accept(self) -> FakeTransport:
         make, _, done = self.waiting.pop(0)
-        wire = FakeTransport(cast(RingStream, make()))
+        transport = FakeTransport(cast(RingStream, make()))
         done(None)
-        return wire
+        return transport
 
     def refuse(self) -> None:
         self.waiting.pop(0)[2](ConnectionRefusedError())
 
 
 class FakeTransport:
-    """The transport of a stream under test: keeps what was written, and feeds what the peer writes."""
+    """The transport of a stream under test. It records written bytes, and `feed` delivers bytes from the peer."""
 
     def __init__(self, stream: RingStream) -> None:
         self.stream = stream
@@ -214,11 +219,12 @@
                 chunk = chunk[copied:]
 
     def take(self) -> bytes:
+        """Return the bytes written since the last call."""
         data = bytes(self.written)
         self.written.clear()
         return data
 
-    # What asyncio's transports give.
+    # Methods of asyncio transports
 
     def write(self, data: bytes) -> None:
         self.written += data
@@ -244,7 +250,7 @@
 
 
 class RecordingSink:
-    """A sink that writes down what it is told."""
+    """An event sink that records its events as tuples, with the name of the event first."""
 
     def __init__(self) -> None:
         self.events: list[tuple[Any, ...]] = []
--- a/tests/support/node_on_sockets.py
+++ b/tests/support/node_on_sockets.py
@@ -1,7 +1,7 @@
-"""A whole node on loopback sockets, whose peers do nothing but what the test has them do.
+"""A whole node on loopback sockets, with peers that act only on request of the test.
 
-A test forces the order of two events by barriers: a command that a peer has read, a response, a state of the node.
-Time is advanced by hand, and nothing here sleeps.
+A test enforces the order of two events by waiting for a command that a peer has read, a response, or a state of the
+node. The clock only advances on request, and nothing sleeps.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait for what only the state of the node shows. The test's own timeout bounds it."""
+    """Yield to the event loop until the condition is true. Only the timeout of the whole test limits the wait."""
     while not condition():
         await asyncio.sleep(0)
 
 
 class ScriptedKernel(FakeServer):
-    """A kernel that reads commands and sends a notice when the test says so.
+    """A kernel that records commands and sends notices only when the test calls for them.
 
-    Notices are kept, and sent again on the next link, as the kernel does.
+    Like the real kernel, it keeps notices and sends those that the node has not read again on the next connection.
     """
 
     def __init__(self) -> None:
@@ -74,11 +74,11 @@
                 self.commands.append((words[0], words[1]))
 
     def command_count(self, word: str, id: int) -> int:
-        """Count how often a command came for a request."""
+        """Return how often a command was read for a request."""
         return self.commands.count((word, f"{id:016x}"))
 
     async def command_read(self, word: str, id: int, times: int = 1) -> None:
-        """Wait until a command has come for a request so many times."""
+        """Wait until a command has been read for a request `times` times."""
         await until(lambda: self.command_count(word, id) >= times)
 
     def _notify(self, text: str, body: bytes) -> None:
@@ -102,7 +102,7 @@
 
 
 class ScriptedDatabase(FakeServer):
-    """A database that reads calls and replies when the test says so."""
+    """A database that records calls and replies only when the test calls `reply`."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -116,21 +116,21 @@
                     self.calls.append((int(id, 16), writer))
 
     def call_count(self, id: int) -> int:
-        """Count the calls of a request."""
+        """Return the number of calls that were read for a request."""
         return [request_id for request_id, _ in self.calls].count(id)
 
     async def call_read(self, id: int, times: int = 1) -> asyncio.StreamWriter:
-        """Wait until a request has called so many times; return the connection of the last of these calls."""
+        """Wait until `times` calls of a request have been read; return the connection of the last of them."""
         await until(lambda: self.call_count(id) >= times)
         return [writer for request_id, writer in self.calls if request_id == id][times - 1]
 
     async def reply(self, id: int, times: int = 1) -> None:
-        """Reply to a request's call once it has been read."""
+        """Wait for the call number `times` of a request (from 1) and reply to it."""
         (await self.call_read(id, times)).write(f"{id:016x} ROWS 4\r\nrows\r\n".encode())
 
 
 class NameServiceRecorder(asyncio.DatagramProtocol):
-    """A name service that records the reports."""
+    """A name service that records the datagrams that it receives."""
 
     def __init__(self) -> None:
         self.datagrams: list[bytes] = []
@@ -140,7 +140,7 @@
 
 
 class RespClient:
-    """The connection of a client. It reads only while a test waits for a frame."""
+    """A client connection. It reads only while a test waits for a frame."""
 
     def __init__(
         self, now: Callable[[], datetime], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -150,20 +150,23 @@
         self.frames: list[list[bytes]] = []
 
     def frame(self, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any) -> bytes:
-        """Return the frame of a request, as if sent now. `fields` has the fields of the wire by their words."""
+        """Return the frame of a request that is sent now.
+
+        Its id is its tag unless `id` is given. `fields` are further request fields by their names on the wire.
+        """
         at = instant_us(self._now()) // 1000
         table = {"id": f"{id or tag:016x}", "at": at, "kb": 1, **fields}
         text = ",".join(f"{name}={value}" for name, value in table.items())
         return write_frame(b"EXEC", b"%d" % tag, request_class.encode(), text.encode(), body)
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self.writer.write(data)
 
     def send_request(
         self, tag: int, request_class: str, body: bytes = b"body", id: int = 0, **fields: Any
     ) -> None:
-        """Send a request. Its id is its tag unless another is given."""
+        """Send a request. Its id is its tag unless `id` is given."""
         self.send(self.frame(tag, request_class, body, id, **fields))
 
     async def _read_more(self) -> bool:
@@ -187,29 +190,29 @@
         return (await self.response(tag))[0].decode()
 
     def reset(self) -> None:
-        """Reset the connection, as the system of a peer that is gone does."""
+        """Reset the connection with a TCP RST, as happens when the client's process is killed."""
         connection = self.writer.get_extra_info("socket")
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
 
     async def closing_frame(self) -> None:
-        """Wait for the node to ask for the close of the connection."""
+        """Wait until the node asks the client to close the connection."""
         while [b"0", b"closing"] not in self.frames:
             assert await self._read_more(), "closed without a closing frame"
 
     async def read_to_end(self) -> list[list[bytes]]:
-        """Read until the connection ends, and return all frames since its start."""
+        """Read until the connection closes, and return all frames received on it."""
         while await self._read_more():
             pass
         return self.frames
 
     def response_count(self, tag: int) -> int:
-        """Count the frames with this tag that have been read."""
+        """Return the number of frames with this tag that have been read."""
         return [frame[0] for frame in self.frames].count(b"%d" % tag)
 
 
 class NodeHarness:
-    """One node with its scripted peers and its configuration file, on a clock that a test advances."""
+    """A node with scripted peers and a configuration file, on a clock that the test advances."""
 
     def __init__(self, folder: Path, raw: dict[str, Any]) -> None:
         self.path = folder / "config.json"
@@ -250,23 +253,26 @@
             signal.signal(number, signal.SIG_DFL if number == signal.SIGTERM else signal.default_int_handler)
 
     def write_config(self, **other: Any) -> None:
-        """Write the configuration file, which SIGHUP makes the node read."""
+        """Check and write the configuration file, which the node reads at start and on SIGHUP.
+
+        Keyword arguments replace its keys.
+        """
         self._raw |= other
         check(self._raw)
         self.path.write_text(json.dumps(self._raw))
 
     @property
     def core(self) -> Any:
-        """The core of the node, untyped, so that tests may look inside."""
+        """The core of the node, typed as `Any` so that tests can inspect its internals."""
         return self.node.core
 
     def advance_unread(self, by: timedelta) -> None:
-        """Advance the clock and run the timers that are due before anything is read, as a late loop does."""
+        """Advance the clock and run due timers before any socket is read, as happens when the event loop lags."""
         self.waker.shift += by
         self.timeline.run_due()
 
     async def advance(self, ms: float, size: float = 20) -> None:
-        """Advance the clock in steps, and read what has arrived between them, as a loop does that is not late."""
+        """Advance the clock in steps of `size` ms, reading sockets between them like an event loop without lag."""
         while ms > 0:
             self.advance_unread(min(size, ms) * MILLISECOND)
             ms -= size
@@ -275,7 +281,7 @@
 
     @property
     def only_connection(self) -> RespConnection:
-        """The one connection that the node has."""
+        """The node's connection, which must be the only one."""
         [connection] = self.node.resp.connections
         assert isinstance(connection, RespConnection)
         return connection
@@ -286,9 +292,9 @@
         return RespClient(self.waker.now, reader, writer)
 
     def connect_unread(self, receive_buffer: int | None = None) -> socket.socket:
-        """Open a connection while the node's loop stands still: it waits in the backlog.
+        """Open a connection without running the node's event loop, so that it waits in the listen backlog.
 
-        `receive_buffer` bounds the bytes that it receives unread.
+        `receive_buffer` is the SO_RCVBUF size in bytes, which limits what the client receives without reading.
         """
         connection = socket.socket()
         if receive_buffer is not None:
@@ -298,29 +304,29 @@
         return connection
 
     async def adopt(self, connection: socket.socket) -> RespClient:
-        """Make a client of a connection that `connect_unread` opened."""
+        """Return a client for a connection that `connect_unread` opened."""
         connection.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=connection)
         return RespClient(self.waker.now, reader, writer)
 
     async def send_sigterm(self) -> None:
-        """Send SIGTERM, and wait until the node drains."""
+        """Send SIGTERM and wait until the node is shutting down."""
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: self.core.is_shutting_down)
 
     async def reload(self, **other: Any) -> None:
-        """Change the configuration file, send SIGHUP, and wait until the node has read it."""
+        """Change the configuration file, send SIGHUP, and wait until the new configuration is in force."""
         self.write_config(**other)
         before = self.node.config
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: self.node.config is not before)
 
     async def requests_read(self, count: int = 1) -> None:
-        """Wait until the node has accepted so many requests in all."""
+        """Wait until the node has read `count` requests in total."""
         await until(lambda: self.core.counts["read"] >= count)
 
     async def run_to_exit(self) -> None:
-        """Advance the clock until the node ends by itself; every request has its response then."""
+        """Advance the clock until the node exits, and check that no request is left without a response."""
         while not self.node.ended.is_set():
             await self.advance(20)
         assert self.core.unanswered == 0
@@ -330,7 +336,7 @@
 
 
 def run_with_node(folder: Path, test: Test, **other: Any) -> None:
-    """Run a test with a node of its own, configured by the alternate settings and `other`."""
+    """Run a test with a new node that has the alternate settings. Keyword arguments replace configuration keys."""
 
     async def run() -> None:
         async with asyncio.timeout(TEST_TIMEOUT_S), NodeHarness(folder, alternate_config(**other)) as harness:
--- a/tests/support/pools.py
+++ b/tests/support/pools.py
@@ -1,4 +1,4 @@
-"""Tables of servers, and attempts that end at once, for tests of load balancing."""
+"""Server tables, and attempts that end at once, for tests of load balancing."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 def server_named(table: ServerTable, name: str) -> Server:
-    """Look up a server that is there."""
+    """Return the server of this name, which must exist."""
     server = table.find(name)
     assert server is not None
     return server
 
 
 def fail_attempts(table: ServerTable, name: str, now: datetime, count: int = 5) -> None:
-    """Let so many attempts at one server fail, one after another."""
+    """Fail `count` successive attempts at one server, each after 10 ms."""
     server = server_named(table, name)
     for _ in range(count):
         table.attempt_started(server.handle)
@@ -38,13 +38,13 @@
 def complete_attempt(
     table: ServerTable, server: Server, now: datetime, latency: timedelta = 10 * MILLISECOND
 ) -> None:
-    """Start an attempt at a server, and let it succeed."""
+    """Start an attempt at a server and complete it successfully."""
     table.attempt_started(server.handle)
     table.attempt_succeeded(server.handle, now, latency)
 
 
 def choose_and_complete(table: ServerTable, now: datetime, count: int) -> Counter[str]:
-    """Complete so many attempts one after another at the servers that are chosen, and count them by server."""
+    """Complete `count` successive attempts, each at the server that the table chooses, and count them by server."""
     chosen: Counter[str] = Counter()
     for _ in range(count):
         server = table.choose(now)
--- a/tests/support/restart_pair.py
+++ b/tests/support/restart_pair.py
@@ -1,4 +1,4 @@
-"""Two processes of a node in memory, with whole cores: messages are delivered by hand, and time is moved by hand."""
+"""Two in-memory processes of a node with real cores; tests deliver their messages and advance the clock."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class MessagePipe:
-    """One direction between two processes: what was sent, and is not delivered yet."""
+    """One direction of the connection between two processes, with the bytes sent and not yet delivered."""
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -43,13 +43,13 @@
         self.closed = True
 
     def take(self, max_bytes: int) -> None:
-        """Move so many bytes to where the receiver reads."""
+        """Move at most `max_bytes` to the receiver's ring buffer."""
         delivered, self.data = self.data[:max_bytes], self.data[max_bytes:]
         self.ring.put(bytes(delivered))
 
 
 class SimulatedProcess:
-    """A core with its hot restart; it implements `NodeCallbacks`."""
+    """A core with its hot restart logic. It implements `NodeCallbacks`."""
 
     def __init__(self, clock: ManualClock, generation: int) -> None:
         self.driver = CoreDriver(cores=1, clock=clock, classes=CLASSES)
@@ -83,7 +83,7 @@
 
 
 class ProcessPair:
-    """A predecessor that serves, and a successor that starts."""
+    """A predecessor that serves and a successor that starts, connected by two message pipes."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -100,7 +100,7 @@
             self.successor.hot_restart.backend_ready(self.clock.now())
 
     def deliver_to_predecessor(self, max_bytes: int = ALL_BYTES) -> None:
-        """Deliver so many bytes of what the successor sent; a killed process reads nothing."""
+        """Deliver at most `max_bytes` sent by the successor; a killed predecessor handles no message."""
         now, receiver = self.clock.now(), self.predecessor.hot_restart
         self.to_predecessor.take(max_bytes)
         while not self.is_cut and (message := messages.read(self.to_predecessor.ring)) is not None:
@@ -113,7 +113,7 @@
         self.clock.settle()
 
     def deliver_to_successor(self, max_bytes: int = ALL_BYTES) -> None:
-        """Deliver so many bytes of what the predecessor sent; a killed process reads nothing."""
+        """Deliver at most `max_bytes` sent by the predecessor; a killed successor handles no message."""
         now, receiver = self.clock.now(), self.successor.hot_restart
         self.to_successor.take(max_bytes)
         while not self.is_cut and (message := messages.read(self.to_successor.ring)) is not None:
@@ -122,7 +122,7 @@
         self.clock.settle()
 
     def exchange(self) -> None:
-        """Let both tick, and deliver all that is sent then."""
+        """Tick both processes and deliver the messages that they send."""
         for process in self.living:
             process.hot_restart.tick(self.clock.now())
         for _ in range(4):
@@ -140,11 +140,12 @@
         return [process for process in (self.predecessor, self.successor) if not process.is_killed]
 
     def kill(self, process: SimulatedProcess) -> None:
-        """What it has sent is still read; then the other one sees the end."""
+        """Kill a process. The other one still reads what it had sent, and then sees the connection close."""
         process.is_killed = True
         self.cut_connection()
 
     def cut_connection(self) -> None:
+        """Deliver the bytes in flight, then close the connection on both sides."""
         self.deliver_to_predecessor()
         self.deliver_to_successor()
         self.is_cut = True
@@ -164,7 +165,7 @@
         return self.last_number
 
     def run_counts(self) -> Counter[tuple[str, str]]:
-        """Count the runs of each key, at both processes together."""
+        """Count the runs of each (request class, idempotency key) in both processes together."""
         counts = Counter[tuple[str, str]]()
         for process in (self.predecessor, self.successor):
             for command, request_id in process.driver.backend.commands:
@@ -174,7 +175,7 @@
 
 
 def serving_pair() -> ProcessPair:
-    """Two processes that both accept connections."""
+    """Return a pair in which both processes accept connections."""
     pair = ProcessPair()
     pair.connect()
     pair.run_for(100)
--- a/tests/support/restart_processes.py
+++ b/tests/support/restart_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of one node on one passed socket, and what the platform has beside them: clients, name service."""
+"""Real processes of one node on one passed socket, with the platform around them: clients, database, name service."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class NodeProcess:
-    """One process of the node, with a kernel and a health endpoint of its own."""
+    """One operating-system process of the node, with its own kernel and health endpoint."""
 
     def __init__(self, platform: Platform, kernel: FakeServer) -> None:
         self.platform = platform
@@ -37,7 +37,7 @@
     async def start(self) -> None:
         await self.kernel.start()
         number = len(self.platform.processes)
-        # An address of its own: until the process binds the port, no other process gets it there.
+        # A separate loopback address per process, so that no other process can take the port before this one binds it.
         self.host = f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.{1 + number}"
         with socket.socket() as probe:
             probe.bind((self.host, 0))
@@ -70,13 +70,15 @@
         return int(head.split()[1]), body
 
     async def state(self) -> str:
-        """The serving state that its health endpoint gives."""
+        """Return the serving state that the health endpoint reports."""
         return str(json.loads((await self._call("GET", "/admin/health"))[1])["state"])
 
     async def wait_for_state(self, state: str) -> None:
         while await self.state() != state:
             await asyncio.sleep(0)
-        await self.state()  # one pass of its loop later all that follows from that state is done
+        await (
+            self.state()
+        )  # a second request, so that one event-loop pass has completed the effects of the state
 
     async def wait_until_ready(self) -> None:
         while True:
@@ -93,7 +95,7 @@
 
 
 class Platform(asyncio.DatagramProtocol):
-    """Passes the socket, sends requests, and is the name service, which keeps the reports that it gets."""
+    """Passes the socket to processes, sends requests as clients, and records reports as the name service."""
 
     def __init__(self, folder: Path, raw: dict[str, Any] | None = None) -> None:
         self.folder, self.raw_config = folder, raw or raw_config()
@@ -103,25 +105,29 @@
         self.database = FakeDatabase()
         self.processes: list[NodeProcess] = []
         self.responses: list[tuple[int, str | None, str]] = []  # number, idempotency key, status
-        self.closing: dict[asyncio.StreamWriter, bool] = {}  # connections on which nothing new may be sent
+        self.closing: dict[asyncio.StreamWriter, bool] = {}  # connections that the node asked to close
         self.reports: list[tuple[datetime, bytes]] = []
         self.name_service = ""
         self.last_number = 0
         self._stop = False
 
     async def start_process(self, kernel: FakeServer | None = None) -> NodeProcess:
+        """Start a process and wait until it is ready."""
         process = await self.launch_process(kernel or FakeKernel())
         await process.wait_until_ready()
         return process
 
     async def launch_process(self, kernel: FakeServer) -> NodeProcess:
-        """Start a process, and do not wait until it serves."""
+        """Start a process without waiting until it is ready."""
         process = NodeProcess(self, kernel)
         await process.start()
         return process
 
     async def send(self, sender: int) -> None:
-        """One connection after another, a few requests on each; every second has a key that others send too."""
+        """Send requests until the load stops: up to 5 on each of successive connections.
+
+        Every second request has an idempotency key, which other senders use too.
+        """
         while not self._stop:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -147,7 +153,7 @@
             writer.close()
 
     async def request_on_new_connection(self) -> None:
-        """Send one request on a connection of its own: a process that is not stopped accepts it, and responds."""
+        """Send one request on a new connection, and check that a process accepts and responds to it."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.last_number += 1
         fields = f"id={self.last_number:016x},at={instant_us(now()) // 1000},kb=1"
@@ -158,7 +164,7 @@
     async def send_and_receive(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, frame: bytes
     ) -> str:
-        """The status of the response, or `closed` or `reset` where there is none."""
+        """Return the status of the response, or "closed" or "reset" if the connection ends without one."""
         try:
             writer.write(frame)
             while True:
@@ -176,6 +182,7 @@
             return "reset"
 
     async def under_load(self, scenario: Callable[[], Awaitable[Any]]) -> Any:
+        """Run a scenario while all senders send, with at least 50 responses before it and 50 after it."""
         senders = [asyncio.create_task(self.send(number)) for number in range(SENDER_COUNT)]
         await self.wait_for_responses(50)
         try:
@@ -192,7 +199,7 @@
             await asyncio.sleep(0.005)
 
     def check_single_runs(self) -> Counter[str]:
-        """Check that no request and no key ran twice in all processes; return the count of each status."""
+        """Check that no request and no idempotency key ran twice in all processes; return the count of each status."""
         runs = Counter[str]()
         for process in self.processes:
             runs.update(process.kernel.runs)
--- a/tests/support/simulator_wire.py
+++ b/tests/support/simulator_wire.py
@@ -1,4 +1,4 @@
-"""A configuration as the simulator writes it."""
+"""A configuration in the format that the simulator sends."""
 
 from __future__ import annotations
 
--- a/tests/support/streams.py
+++ b/tests/support/streams.py
@@ -1,4 +1,4 @@
-"""Streams divided at random and streams of garbage, for tests of parsers. Seeds are fixed."""
+"""Hypothesis strategies for byte streams split at random and for garbage, with fixed seeds, for tests of parsers."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 
 def pieces(data: bytes, cuts: list[int]) -> list[bytes]:
+    """Split data into parts whose sizes in bytes are those of `cuts`, repeated in a cycle."""
     parts: list[bytes] = []
     offset = 0
     while offset < len(data):
@@ -25,6 +26,7 @@
 
 
 def read_all(read_next: Callable[[Ring], Any], parts: list[bytes], size: int = 4096) -> list[Any]:
+    """Put each part into a ring buffer of `size` bytes and return all items that `read_next` reads from it."""
     ring, items = Ring(size), []
     for part in parts:
         assert ring.put(part) == len(part)
