--- a/tests/golden/commands.py
+++ b/tests/golden/commands.py
@@ -75,12 +75,12 @@
         {"do": "other", "node": "n2"},
     ):
         cluster.submit(holder, {"m": "members", **command})
-    cluster.execute_order("fleet/members/remove", {"node": "n7", "why": "its disk is replaced"})
+    cluster.run_order("fleet/members/remove", {"node": "n7", "why": "its disk is replaced"})
     cluster.submit(holder, {"m": "members", "do": "admit", "node": "n7"})
-    cluster.execute_order("fleet/members/readmit", {"node": "n7"})
+    cluster.run_order("fleet/members/readmit", {"node": "n7"})
     cluster.submit(holder, {"m": "members", "do": "admit", "node": "n7"})
-    cluster.execute_order("fleet/members/remove", {"node": "n7"})
-    cluster.execute_order("fleet/members/believe", {"nodes": ["n5", "n4"]})
+    cluster.run_order("fleet/members/remove", {"node": "n7"})
+    cluster.run_order("fleet/members/believe", {"nodes": ["n5", "n4"]})
 
 
 def leases(cluster: ClusterHarness) -> None:
@@ -126,15 +126,15 @@
         self.cluster, self.task = cluster, task
         plan = TaskPlan(task, Schedule(1 * SECOND), "schedule-save", safe, 200 * MILLISECOND)
         self.runner = TaskRunner(plan)
-        self.holder = ""
+        self.client = ""
 
     def acquire(self) -> None:
         """Start the runner in the process that holds the lease now."""
         lease = self.cluster.voter.leases.leases[f"task/{self.task}"]
-        self.holder = lease.holder
+        self.client = lease.holder
         self.runner.lease_gained(lease.token)
 
-    def next_action(self) -> RunnerAction:
+    def wait_for_action(self) -> RunnerAction:
         for _ in range(100):
             now = self.cluster.clock.now()
             if (action := self.runner.next_action(now, now, 2 * SECOND)) is not None:
@@ -146,7 +146,7 @@
         """Run the runner until its requests have had these outcomes; None: the lease is lost before the response."""
         remaining = list(outcomes)
         while remaining:
-            action = self.next_action()
+            action = self.wait_for_action()
             if action.is_request:
                 outcome = remaining.pop(0)
                 if outcome is None:
@@ -154,16 +154,16 @@
                     return
                 self.runner.handle_result(self.cluster.clock.now(), action, outcome)
                 continue
-            result = self.cluster.submit(self.holder, dict(action.command(self.task).to_json()))
+            result = self.cluster.submit(self.client, dict(action.command(self.task).to_json()))
             self.runner.handle_result(self.cluster.clock.now(), action, result)
 
     def run_next_command(self) -> None:
         """Submit the next command of the runner."""
-        action = self.next_action()
+        action = self.wait_for_action()
         self.runner.handle_result(
             self.cluster.clock.now(),
             action,
-            self.cluster.submit(self.holder, dict(action.command(self.task).to_json())),
+            self.cluster.submit(self.client, dict(action.command(self.task).to_json())),
         )
 
     def reassign_lease(self) -> None:
@@ -223,13 +223,11 @@
     size = -(-len(content) // pieces)
     for offset in range(0, len(content), size):
         piece = {"upload": upload, "offset": offset, "data": content[offset : offset + size]}
-        assert "taken" in cluster.execute_order("fleet/rules/part", piece)
+        assert "taken" in cluster.run_order("fleet/rules/part", piece)
     return {"upload": upload, "digest": content_digest(content)}
 
 
-def put_document(
-    cluster: ClusterHarness, doc: str, value: object, expect: int, **fields: Any
-) -> dict[str, Any]:
+def put(cluster: ClusterHarness, doc: str, value: object, expect: int, **fields: Any) -> dict[str, Any]:
     arguments = {
         "doc": doc,
         **upload_content(cluster, canonical_json(value)),
@@ -237,7 +235,7 @@
         "author": "ana",
         "note": "why",
     }
-    return cluster.execute_order("fleet/rules/put", {**arguments, **fields})
+    return cluster.run_order("fleet/rules/put", {**arguments, **fields})
 
 
 def acknowledge(
@@ -276,10 +274,10 @@
         rules.put(name, canonical_json(content), 0, "n6", "from the files of this node")
         cluster.pass_time(500)
         acknowledge_on_all_nodes(cluster, name)
-    cluster.execute_order("fleet/rules/get", {"doc": "settings"})
+    cluster.run_order("fleet/rules/get", {"doc": "settings"})
     fewer = {"main": ["127.0.0.1:1", "127.0.0.1:2"], "more": ["127.0.0.1:4"]}
-    put_document(cluster, "servers", fewer, 1)
-    put_document(cluster, "servers", fewer, 1)  # rejected: another change is pending
+    put(cluster, "servers", fewer, 1)
+    put(cluster, "servers", fewer, 1)  # rejected: another change is pending
     acknowledge(cluster, "servers", "n2/b1", digest="0" * 32)
     acknowledge(cluster, "servers", "n2/b1", version=9)
     acknowledge(cluster, "servers", "n9/b1")
@@ -289,27 +287,25 @@
     )  # not committed: waits for acknowledgements
     cluster.submit("n2/b1", {"m": "rules", "do": "commit", "doc": "servers", "version": 9})
     acknowledge(cluster, "servers", "n3/b1", why="too little memory")
-    put_document(cluster, "servers", fewer, 1, hold_out=True)
+    put(cluster, "servers", fewer, 1, hold_out=True)
     acknowledge(cluster, "servers", "n3/b1", why="too little memory")
     acknowledge_on_all_nodes(cluster, "servers")
-    put_document(cluster, "servers", {"main": [], "more": []}, 3)
-    put_document(cluster, "servers", {"main": ["127.0.0.1:9"], "more": ["127.0.0.1:4"]}, 3)
-    put_document(cluster, "servers", {"main": ["127.0.0.1:9"], "more": ["127.0.0.1:4"]}, 3, force=True)
-    cluster.execute_order("fleet/rules/withdraw", {"doc": "servers", "version": 4, "why": "too early"})
-    cluster.execute_order("fleet/rules/withdraw", {"doc": "servers", "version": 4})
-    cluster.execute_order("fleet/rules/go", {"doc": "servers", "version": 4})
-    put_document(cluster, "settings", SETTINGS, 7)
+    put(cluster, "servers", {"main": [], "more": []}, 3)
+    put(cluster, "servers", {"main": ["127.0.0.1:9"], "more": ["127.0.0.1:4"]}, 3)
+    put(cluster, "servers", {"main": ["127.0.0.1:9"], "more": ["127.0.0.1:4"]}, 3, force=True)
+    cluster.run_order("fleet/rules/withdraw", {"doc": "servers", "version": 4, "why": "too early"})
+    cluster.run_order("fleet/rules/withdraw", {"doc": "servers", "version": 4})
+    cluster.run_order("fleet/rules/go", {"doc": "servers", "version": 4})
+    put(cluster, "settings", SETTINGS, 7)
     arguments = {"doc": "settings", **upload_content(cluster, "{}"), "expect": 1}
-    cluster.execute_order("fleet/rules/put", {**arguments, "digest": "0" * 32})
-    cluster.execute_order("fleet/rules/part", {"upload": "new", "offset": 5, "data": "x"})
+    cluster.run_order("fleet/rules/put", {**arguments, "digest": "0" * 32})
+    cluster.run_order("fleet/rules/part", {"upload": "new", "offset": 5, "data": "x"})
 
 
 def put_with_rollout(
     cluster: ClusterHarness, doc: str, value: object, expect: int, **stage: Any
 ) -> dict[str, Any]:
-    return put_document(
-        cluster, doc, value, expect, stage={"for_ms": 1_000, "worse": 0.1, "least": 5, **stage}
-    )
+    return put(cluster, doc, value, expect, stage={"for_ms": 1_000, "worse": 0.1, "least": 5, **stage})
 
 
 def stages(cluster: ClusterHarness) -> None:
@@ -340,10 +336,8 @@
         cluster, "servers", {**others, "more": ["127.0.0.1:7", "127.0.0.1:4"]}, version, nodes=["n4"]
     )
     acknowledge_on_all_nodes(cluster, "servers")
-    cluster.execute_order(
-        "fleet/rules/go", {"doc": "servers", "version": pending_version(cluster, "servers")}
-    )
-    cluster.execute_order("fleet/rules/get", {"doc": "servers"})
+    cluster.run_order("fleet/rules/go", {"doc": "servers", "version": pending_version(cluster, "servers")})
+    cluster.run_order("fleet/rules/get", {"doc": "servers"})
 
 
 def pending_nodes(cluster: ClusterHarness, doc: str) -> list[str]:
@@ -485,7 +479,7 @@
     cluster.submit("n2/b1", {"m": "members", "do": "believe", "nodes": ["n5", "n9"]})
     cluster.submit("n2/b1", {"m": "rules", "do": "part", "upload": "half", "offset": 0, "data": '{"half":'})
     changed = {**ALLOWANCES, "over_share_worth": 0.4}
-    put_document(cluster, "tenants", changed, 1, hold_out=True)
+    put(cluster, "tenants", changed, 1, hold_out=True)
     acknowledge(cluster, "tenants", "n2/b1")
     acknowledge(cluster, "tenants", "n3/b1", why="not now")
     store = cluster.voter.config_store
@@ -493,7 +487,7 @@
     more = {"main": ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:8"], "more": ["127.0.0.1:4"]}
     put_with_rollout(cluster, "servers", more, store.documents["servers"].active_number, nodes=["n2", "n3"])
     acknowledge_on_all_nodes(cluster, "servers")
-    cluster.execute_order("fleet/members/remove", {"node": "n7", "why": "still out"})
+    cluster.run_order("fleet/members/remove", {"node": "n7", "why": "still out"})
     arguments = {"m": "shares", "do": "shrink", "tenant": "sade", "holder": "n2/b1", "to": 10_000}
     cluster.submit("n1/b1", arguments)
 
--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -53,7 +53,7 @@
             for name, sample in conversation.samples.items()
         }
         save(conversation.path, rows)
-    save(snapshots.PATH, snapshots.write_samples())
+    save(snapshots.PATH, snapshots.written())
 
 
 if __name__ == "__main__":
--- a/tests/golden/sections.py
+++ b/tests/golden/sections.py
@@ -56,25 +56,25 @@
             "agree_within_ms": to_ms(rules.agree_within),
             "shares": rules.quotas_shared,
             "documents": {
-                document.name: {
-                    "kind": document.kind.value,
-                    "strict": document.strict,
-                    "cut_off": document.disconnect_policy.value,
+                item.name: {
+                    "kind": item.kind.value,
+                    "strict": item.strict,
+                    "cut_off": item.disconnect_policy.value,
                 }
-                for document in rules.documents
+                for item in rules.documents
             },
         },
         "tasks": {
-            task.plan.name: {
-                "every_ms": to_ms(task.plan.schedule.interval),
-                "at_ms": to_ms(task.plan.schedule.offset),
-                "missed": task.plan.schedule.missed.value,
-                "class": task.plan.request_class,
-                "safe": task.plan.idempotent,
-                "longest_ms": to_ms(task.plan.timeout),
-                "vars": dict(task.variables),
+            item.plan.name: {
+                "every_ms": to_ms(item.plan.schedule.interval),
+                "at_ms": to_ms(item.plan.schedule.offset),
+                "missed": item.plan.schedule.missed.value,
+                "class": item.plan.request_class,
+                "safe": item.plan.idempotent,
+                "longest_ms": to_ms(item.plan.timeout),
+                "vars": dict(item.variables),
             }
-            for task in fleet.tasks
+            for item in fleet.tasks
         },
     }
 
--- a/tests/golden/shown.py
+++ b/tests/golden/shown.py
@@ -28,7 +28,7 @@
     acknowledge_on_all_nodes,
     leave_changes_pending,
     members,
-    put_document,
+    put,
     put_with_rollout,
 )
 from tests.golden.everything import KEY, TOKEN, deterministic_tokens
@@ -85,8 +85,8 @@
             rules.put(name, canonical_json(content), 0, "n6", "first")
             cluster.pass_time(500)
             acknowledge_on_all_nodes(cluster, name)
-        put_document(cluster, "settings", SETTINGS, 1)
-        cluster.execute_order("fleet/rules/withdraw", {"doc": "settings", "version": 2})
+        put(cluster, "settings", SETTINGS, 1)
+        cluster.run_order("fleet/rules/withdraw", {"doc": "settings", "version": 2})
         runner = LeasedTaskRunner(cluster, "sweep", safe=True)
         runner.acquire()
         runner.run_next_command()
@@ -149,16 +149,16 @@
     The pages of the administration are read at several times of the scenario.
     """
 
-    async def run() -> dict[str, Any]:
+    async def collect() -> dict[str, Any]:
         with deterministic_tokens():
             harness = AdminHarness(folder)
             results: dict[str, list[Any]] = {}
 
             def get_pages() -> None:
                 for path in GETS:
-                    status, page = harness.serve("GET", f"/v1/{path}")
+                    status, content = harness.serve("GET", f"/v1/{path}")
                     assert status == 200
-                    results.setdefault(f"GET /v1/{path}", []).append(page)
+                    results.setdefault(f"GET /v1/{path}", []).append(content)
 
             get_pages()
             harness.run_scenario()
@@ -167,8 +167,8 @@
             get_pages()
             harness.pin_servers()
             get_pages()
-            for path, arguments in order_requests():
-                status, response = harness.serve("POST", f"/v1/fleet/{path}", arguments)
+            for path, content in order_requests():
+                status, response = harness.serve("POST", f"/v1/fleet/{path}", content)
                 assert status == 202, path
                 results[f"POST /v1/fleet/{path}"] = [response]
                 harness.cluster.pass_time(200)
@@ -176,14 +176,14 @@
             quota = {"allowance_per_s": 7.0}
             results["PUT /v1/tenants/riad"] = [harness.serve("PUT", "/v1/tenants/riad", quota)[1]]
             for method, path in (("GET", "health"), ("POST", "quiesce"), ("POST", "resume")):
-                page = harness.health_endpoint.serve(HttpRequest(method, f"/admin/{path}", b"", b""))[1]
-                results[f"{method} /admin/{path}"] = [json.loads(json.dumps(page))]
-            for path, page in counter_pages().items():
-                results[path].append(page)
+                content = harness.health_endpoint.serve(HttpRequest(method, f"/admin/{path}", b"", b""))[1]
+                results[f"{method} /admin/{path}"] = [json.loads(json.dumps(content))]
+            for path, content in counter_pages().items():
+                results[path].append(content)
             results["POST /v1/drain"] = [harness.serve("POST", "/v1/drain")[1]]
             return results
 
-    return asyncio.run(run())
+    return asyncio.run(collect())
 
 
 def order_requests() -> Iterator[tuple[str, dict[str, Any]]]:
@@ -255,7 +255,7 @@
 def commands(folder: Path) -> dict[str, Any]:
     """Return the JSON that each `fleet` and `rules` command prints."""
 
-    async def run() -> dict[str, Any]:
+    async def collect() -> dict[str, Any]:
         with deterministic_tokens(), patch("http.client.HTTPConnection", FakeHttpConnection):
             FakeHttpConnection.harness = harness = AdminHarness(folder)
             harness.run_scenario()
@@ -269,7 +269,7 @@
                 results[" ".join(arguments)] = run_json_command([*arguments, *client_options])
             return {name.replace(str(folder), "FOLDER"): output for name, output in results.items()}
 
-    return asyncio.run(run())
+    return asyncio.run(collect())
 
 
 def run_json_command(arguments: list[str]) -> Any:
@@ -318,21 +318,21 @@
 def metrics(folder: Path) -> str:
     """Return the metrics page of a node after the scenario and after invalid datagrams."""
 
-    async def run() -> str:
+    async def collect() -> str:
         with deterministic_tokens():
             harness = AdminHarness(folder)
             harness.run_scenario()
             harness.receive_datagrams()
             return harness.metrics()
 
-    return asyncio.run(run())
+    return asyncio.run(collect())
 
 
 def every_counter(folder: Path) -> str:
     """Return the metrics page after every counter in `counters.json` was incremented."""
     keys = read_golden("counters.json")
 
-    async def run() -> str:
+    async def collect() -> str:
         with deterministic_tokens():
             harness = AdminHarness(folder)
             harness.run_scenario()
@@ -342,7 +342,7 @@
             harness.cluster.node.core.counts.update(dict.fromkeys(keys["core"], 1))
             return harness.metrics()
 
-    return asyncio.run(run())
+    return asyncio.run(collect())
 
 
 def command_lines(folder: Path) -> Iterator[list[str]]:
--- a/tests/golden/snapshots.py
+++ b/tests/golden/snapshots.py
@@ -133,7 +133,7 @@
     return machines
 
 
-def write_samples() -> dict[str, str]:
+def written() -> dict[str, str]:
     """Return a snapshot of all machines and the voter configuration, as they are stored and sent."""
     machines = StateMachines(filled_machines())
     machines._cache_result("n2/b2", 5, {"granted": "n2/b2", "token": 24})
--- a/tests/golden/test_metric_names.py
+++ b/tests/golden/test_metric_names.py
@@ -45,7 +45,7 @@
         "leases regained",
         "leases lapsed",
     }  # composed of `leases ` and the kind of change
-    for key in {key for keys in COUNTERS.values() for key in keys} - composed:
+    for key in {word for keys in COUNTERS.values() for word in keys} - composed:
         assert key in constants, key
     assert {"leases ", "gained", "lost", "regained", "lapsed"} <= constants
 
--- a/tests/golden/test_node_messages.py
+++ b/tests/golden/test_node_messages.py
@@ -38,16 +38,16 @@
 ]
 
 
-@pytest.mark.parametrize(("name", "path", "is_ignored"), NESTED)
+@pytest.mark.parametrize(("name", "path", "passed_over"), NESTED)
 def test_an_unknown_key_of_a_nested_object_is_ignored_or_refused(
-    name: str, path: Path, is_ignored: bool
+    name: str, path: Path, passed_over: bool
 ) -> None:
     document = orjson.loads(CONVERSATION.load()[name].body)
     place = CONVERSATION.message_in(document)[1]
     for step in path:
         place = place[step]
     place["of_a_newer_program"] = 1
-    if is_ignored:
+    if passed_over:
         assert checks.read_json(CONVERSATION, document) == CONVERSATION.samples[name].expected
     else:
         checks.check_refused(CONVERSATION, document)
--- a/tests/golden/test_snapshot_keys.py
+++ b/tests/golden/test_snapshot_keys.py
@@ -18,7 +18,7 @@
 
 
 def test_writing_gives_the_stored_snapshot_and_group() -> None:
-    assert snapshots.write_samples() == snapshots.load()
+    assert snapshots.written() == snapshots.load()
 
 
 def test_every_machine_is_in_the_stored_snapshot() -> None:
--- a/tests/golden/test_snapshots.py
+++ b/tests/golden/test_snapshots.py
@@ -15,7 +15,7 @@
 
 
 def test_the_stored_commands_give_the_stored_snapshots() -> None:
-    log, stored = machines(), {snapshot["after"]: snapshot["data"] for snapshot in SNAPSHOTS}
+    log, stored = machines(), {entry["after"]: entry["data"] for entry in SNAPSHOTS}
     for number, row in enumerate(ROWS, 1):
         log.apply(row["body"])
         if number in stored:
@@ -23,7 +23,7 @@
     assert not stored
 
 
-@pytest.mark.parametrize("snapshot", SNAPSHOTS, ids=lambda snapshot: str(snapshot["after"]))
+@pytest.mark.parametrize("snapshot", SNAPSHOTS, ids=lambda entry: str(entry["after"]))
 def test_a_restored_snapshot_is_written_unchanged_and_later_commands_give_the_stored_results(
     snapshot: dict[str, Any],
 ) -> None:
--- a/tests/golden/world.py
+++ b/tests/golden/world.py
@@ -133,10 +133,10 @@
             for to, message in self.voter.take_immediate_messages(now):
                 self._deliver(to, message)
             rules.tick(now)
-            for _, message in self.fleet.context.client.tick(now)[0]:
-                self.voter.step(now, self.fleet.context.client.holder.name, message)
-            sent_bodies, self.transport.sent = self.transport.sent, []
-            for body in sent_bodies:
+            for _, request in self.fleet.context.client.tick(now)[0]:
+                self.voter.step(now, self.fleet.context.client.holder.name, request)
+            sent, self.transport.sent = self.transport.sent, []
+            for body in sent:
                 envelope = wire.read_envelope(body)
                 assert isinstance(envelope.message, FetchChunk)
                 self.voter.step(now, envelope.sender, envelope.message)
@@ -177,7 +177,7 @@
         self.voter.tick(self.clock.now())
         self.process_pending()
 
-    def execute_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any]:
+    def run_order(self, path: str, arguments: dict[str, Any]) -> dict[str, Any]:
         """Execute an operator's order at the node's administration API, and return its result from the voter."""
         accepted = self.fleet.execute_order(path, arguments)
         assert accepted is not None and "asked" in accepted
@@ -200,9 +200,9 @@
     fleet = node.components["fleet"]
     assert isinstance(fleet, ClusterNode)
     fleet.context.steady = clock.timeline
-    transport = RecordingTransport(
+    recording_transport = RecordingTransport(
         config.cluster.nodes, wire.stream_framing(KEY.encode()), clock.timeline, lambda body: None
     )
-    transport.sent = []
-    fleet.router.transport = transport
-    return ClusterHarness(clock, node, fleet, single_voter(config.cluster, clock), transport)
+    recording_transport.sent = []
+    fleet.router.transport = recording_transport
+    return ClusterHarness(clock, node, fleet, single_voter(config.cluster, clock), recording_transport)
--- a/tests/upstreams/test_upstream.py
+++ b/tests/upstreams/test_upstream.py
@@ -201,9 +201,9 @@
     assert site.server(2).health.state is ServerHealthState.EJECTED and len(accepted_wires) == 4
     for wire in accepted_wires:
         site.reply(wire)
-    statuses = [status for number in range(1, 12) for status in site.driver.statuses(number)]
+    received = [status for number in range(1, 12) for status in site.driver.statuses(number)]
     # No request fails because of the dead server.
-    assert Counter(statuses)[ResponseStatus.DONE] == 4 and Counter(statuses)[ResponseStatus.REJECTED] >= 3
+    assert Counter(received)[ResponseStatus.DONE] == 4 and Counter(received)[ResponseStatus.REJECTED] >= 3
     site.driver.clock.advance(2_000)
     site.send(12)
     assert site.port == 2  # the probe
