--- a/tests/golden/named.py
+++ b/tests/golden/named.py
@@ -1,4 +1,4 @@
-"""Names of metrics in a page of them, and the words by which the program's text counts."""
+"""Names of the metrics on a metrics page, and names in the program's source that counters are made of."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 PACKAGE = Path(__file__).parent.parent.parent / "marlstep"
 
 
-def names_of(page: str) -> list[str]:
-    """Of each sample its name, the names of its labels, and the type of its family."""
-    kinds, found = {}, set()
+def metric_names(page: str) -> list[str]:
+    """Return the name, label names and type of each metric on a page in the Prometheus text format."""
+    types, found = {}, set()
     for line in page.splitlines():
         if line.startswith("# TYPE "):
-            _, _, name, kind = line.split(" ")
-            kinds[name] = kind
+            _, _, name, metric_type = line.split(" ")
+            types[name] = metric_type
         elif not line.startswith("#") and (match := SAMPLE.fullmatch(line)) is not None:
             name, labels = match.group(1), LABEL.findall(match.group(2) or "")
-            found.add(f"{name}{{{','.join(labels)}}} {kinds[name]}")
+            found.add(f"{name}{{{','.join(labels)}}} {types[name]}")
     return sorted(found)
 
 
-def counted_words() -> set[str]:
-    """The keys of all counters that the program's text adds to by a word of its own."""
+def counter_keys() -> set[str]:
+    """Return the constant string keys of all counters that the source increments, as in `counts["read"] += 1`."""
     found = set()
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
@@ -41,7 +41,7 @@
 
 
 def counted_attributes() -> set[str]:
-    """The names of all attributes that the program's text adds to."""
+    """Return the names of all attributes that the source increments, as in `self.retries += 1`."""
     return {
         node.target.attr
         for path in PACKAGE.rglob("*.py")
@@ -52,8 +52,8 @@
     }
 
 
-def all_words() -> set[str]:
-    """All texts that stand in the program."""
+def string_constants() -> set[str]:
+    """Return all string constants in the source."""
     found = set()
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
--- a/tests/golden/stored.py
+++ b/tests/golden/stored.py
@@ -1,4 +1,4 @@
-"""A voter's store with all that it can hold, and its file as SQL schema and rows."""
+"""A voter's store with every kind of content, and its file as SQL schema and rows."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 FILE = "voter.sqlite"
 NODE, IDENTITY, GROUP = "n1", "n1#0a0b0c", "1.feedbeef"
-OF_THIS_DISK = ("file", "sum")  # facts that differ from one file to the next
+DISK_SPECIFIC_FACTS = ("file", "sum")  # facts that are different for each file
 
 
 def write_store(folder: Path) -> None:
-    """A log with entries of each kind behind a snapshot, a vote in a later term, and a group."""
+    """Write a store with a snapshot, later log entries of each type, a vote in a later term, and a group."""
     data = read_golden("snapshots.json")[0]["data"]
     bodies = [row["body"] for row in read_golden("log_commands.json")[:8]]
     group = Configuration((IDENTITY, "n2#1a"), ("n3#2a",))
@@ -39,17 +39,17 @@
 
 
 def read_store(folder: Path) -> dict[str, Any]:
-    """What the program gives back of it."""
+    """Open the store and return the state that the program reads from it."""
     store = ReplicaStore(folder)
     try:
-        told: OpenedStore = store.open(NODE, "n1#anew")
+        opened: OpenedStore = store.open(NODE, "n1#anew")
     finally:
         store.close()
-    saved, snapshot = told.state, told.state.snapshot
+    saved, snapshot = opened.state, opened.state.snapshot
     return {
-        "identity": told.identity,
-        "group": told.group,
-        "fresh": told.fresh,
+        "identity": opened.identity,
+        "group": opened.group,
+        "fresh": opened.fresh,
         "term": saved.term,
         "vote": saved.voted_for,
         "snapshot": {
@@ -58,12 +58,12 @@
             "group": snapshot.configuration.encode(),
             "data": snapshot.data,
         },
-        "entries": [[one.index, one.term, one.entry_type.value, one.body] for one in saved.entries],
+        "entries": [[entry.index, entry.term, entry.entry_type.value, entry.body] for entry in saved.entries],
     }
 
 
 def dump(path: Path) -> dict[str, Any]:
-    """Schema and rows; blobs in hexadecimal figures."""
+    """Return the schema and rows of a file, with blobs in hexadecimal and `*` for facts that differ per file."""
     db = apsw.Connection(str(path))
     try:
         schema = db.execute(
@@ -76,8 +76,8 @@
     finally:
         db.close()
     rows = {
-        name: [[one.hex() if isinstance(one, bytes) else one for one in row] for row in found]
-        for name, found in tables.items()
+        name: [[cell.hex() if isinstance(cell, bytes) else cell for cell in row] for row in table]
+        for name, table in tables.items()
     }
     rows["facts"] = [["file", "*"] if name == "file" else [name, value] for name, value in rows["facts"]]
     rows["facts"] = [["sum", "*"] if name == "sum" else [name, value] for name, value in rows["facts"]]
--- a/tests/golden/test_snapshot_keys.py
+++ b/tests/golden/test_snapshot_keys.py
@@ -1,6 +1,6 @@
-"""Snapshots of the machines on the log, membership among them, keep their bytes whatever classes and fields are called.
+"""Snapshots of all replicated state machines keep their bytes when classes and fields are renamed.
 
-The names of fields of documents and members are keys of a snapshot, which voters store and send to each other.
+Field names of documents and members are keys of a snapshot, which voters store and send to each other.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_machine_reads_its_part_of_the_stored_snapshot(name: str) -> None:
+def test_a_machine_restores_its_part_of_the_stored_snapshot(name: str) -> None:
     stored = json.loads(snapshots.load()["snapshot"])["machines"][name]
-    read, expected = snapshots.new_machines()[name], snapshots.filled_machines()[name]
-    read.restore(stored)
-    assert json.loads(orjson.dumps(read.snapshot())) == stored
+    restored, expected = snapshots.new_machines()[name], snapshots.filled_machines()[name]
+    restored.restore(stored)
+    assert json.loads(orjson.dumps(restored.snapshot())) == stored
     for attribute in STATE[name]:
-        assert getattr(read, attribute) == getattr(expected, attribute)
+        assert getattr(restored, attribute) == getattr(expected, attribute)
 
 
 STATE = {
@@ -44,12 +44,12 @@
 }
 
 
-def test_the_whole_stored_snapshot_is_read() -> None:
+def test_all_machines_restore_the_stored_snapshot() -> None:
     machines = StateMachines(snapshots.new_machines())
     machines.restore(snapshots.load()["snapshot"])
     assert machines.snapshot() == snapshots.load()["snapshot"]
     assert machines.cached_result("n2/b2", 5) == {"granted": "n2/b2", "token": 24}
 
 
-def test_the_stored_group_is_read() -> None:
+def test_the_stored_group_is_decoded() -> None:
     assert Configuration.decode(snapshots.load()["group"]) == snapshots.GROUP
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -22,8 +22,11 @@
 
 
 def request_class(name: str, effect: Effect = Effect.IDEMPOTENT, **other: Any) -> ClassSettings:
-    """A class with a latency objective of 2 s, a deadline of 4 s and a window of 8 s, but for what is given."""
-    plain = ClassSettings(
+    """Return settings of a request class; keyword arguments replace the defaults.
+
+    By default: latency objective 2 s, deadline 4 s, idempotency window 8 s.
+    """
+    defaults = ClassSettings(
         name=name,
         effect=effect,
         latency_objective_us=2_000 * MS,
@@ -34,7 +37,7 @@
         makes_calls=False,
         skipped_call_factor=0.0,
     )
-    return dataclasses.replace(plain, **other)
+    return dataclasses.replace(defaults, **other)
 
 
 LOW = request_class("low")
@@ -45,7 +48,8 @@
 
 
 def settings(**other: Any) -> Settings:
-    plain = Settings(
+    """Return controller settings for 2 cores and 3 servers; keyword arguments replace the defaults."""
+    defaults = Settings(
         classes=CLASSES,
         tenants=(),
         over_quota_factor=1.0,
@@ -78,29 +82,29 @@
         max_retry_after_us=1_000 * MS,
         marks_retries=False,
     )
-    return dataclasses.replace(plain, **other)
+    return dataclasses.replace(defaults, **other)
 
 
 class ControllerDriver:
-    """A controller and a clock that is moved by hand.
+    """A controller on a clock that only advances in `step`.
 
-    Each step gives events to the controller, and returns the actions on requests as pairs of action name and id.
+    Each step passes events to the controller and returns its actions on requests as pairs of action name and id.
     """
 
     def __init__(self, **other: Any) -> None:
         self.settings = settings(**other)
         self.controller = Controller(self.settings, 1)
         self.now = START
-        self.done: list[tuple[str, str]] = []  # of all steps
+        self.actions: list[tuple[str, str]] = []  # (action name, request id) of all steps
         self.step()
 
     def step(self, *events: Event, after_ms: float = 0) -> list[tuple[str, str]]:
-        """Let time pass, then give the events to the controller."""
+        """Advance the clock, then pass the events to the controller."""
         self.now += int(after_ms * MS)
         self.last = self.controller.decide(self.now, list(events))
-        done = [(type(action).__name__, action.id) for action in self.last if hasattr(action, "id")]
-        self.done += done
-        return done
+        actions = [(type(action).__name__, action.id) for action in self.last if hasattr(action, "id")]
+        self.actions += actions
+        return actions
 
     def arrive(
         self, id: str, class_name: str = "low", after_ms: float = 0, **other: Any
@@ -108,9 +112,9 @@
         return self.step(self.request(id, class_name, after_ms=after_ms, **other), after_ms=after_ms)
 
     def request(self, id: str, class_name: str = "low", after_ms: float = 0, **other: Any) -> Arrival:
-        plain = Arrival(id=id, request_class=class_name, memory_kb=10.0, caller=1, unread_us=0)
-        plain.caller_deadline_at = self.now + int(after_ms * MS) + 4_000 * MS
-        return dataclasses.replace(plain, **other)
+        defaults = Arrival(id=id, request_class=class_name, memory_kb=10.0, caller=1, unread_us=0)
+        defaults.caller_deadline_at = self.now + int(after_ms * MS) + 4_000 * MS
+        return dataclasses.replace(defaults, **other)
 
     def tick(self, after_ms: float = 0, cpu: float = 1.0) -> list[tuple[str, str]]:
         return self.step(TimerDue(self.controller.timer.due_at, {"cpu": cpu}), after_ms=after_ms)
@@ -121,5 +125,5 @@
         return self.step(RunEnded(id, outcome, 0), *more, after_ms=after_ms)
 
     def actions_of(self, action_type: type[Action]) -> list[Any]:
-        """List the actions of this type in the last step."""
+        """Return the actions of this type in the last step."""
         return [action for action in self.last if isinstance(action, action_type)]
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -1,4 +1,4 @@
-"""A clock that is moved by hand and ends of connections that need no socket, for tests of the node."""
+"""A manual clock, fake transports and recording peers of the core, for tests of the node without sockets."""
 
 from __future__ import annotations
 
@@ -60,60 +60,67 @@
     }
 
 
-class Recorder:
-    """A backend that writes down what it is told to do."""
+class RecordingBackend:
+    """A backend and call client that only records its commands, as pairs of command and request id."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, str]] = []
+        self.commands: list[tuple[str, str]] = []
 
     def start(self, request: Request) -> None:
-        self.told.append(("start", request.id))
+        self.commands.append(("start", request.id))
 
     def preempt(self, request: Request) -> None:
-        self.told.append(("preempt", request.id))
+        self.commands.append(("preempt", request.id))
 
     def resume(self, request: Request) -> None:
-        self.told.append(("resume", request.id))
+        self.commands.append(("resume", request.id))
 
     def supply(self, request: Request, reply: bytes) -> None:
-        self.told.append((f"supply {reply.decode()}", request.id))
+        self.commands.append((f"supply {reply.decode()}", request.id))
 
     def skip(self, request: Request) -> None:
-        self.told.append(("skip", request.id))
+        self.commands.append(("skip", request.id))
 
     def abandon(self, request: Request) -> None:
-        self.told.append(("abandon", request.id))
+        self.commands.append(("abandon", request.id))
 
     def request_gauges(self) -> None:
         pass
 
-    # As a store.
+    # CallClient
 
     def call(self, request: Request, until: datetime) -> None:
-        self.told.append((f"call {request.call_body.decode()}", request.id))
+        self.commands.append((f"call {request.call_body.decode()}", request.id))
 
     def abandon_call(self, request: Request) -> None:
-        self.told.append(("give up", request.id))
+        self.commands.append(("give up", request.id))
 
 
-class Desk:
-    """A front that keeps the answers; `submit` hands in requests."""
+class CoreDriver:
+    """Drives a core as its only frontend, with a recording backend and a manual clock.
 
-    def __init__(self, cores: int = 2, clock: HandClock | None = None, **other: Any) -> None:
-        self.clock = clock or HandClock()
-        self.backend = Recorder()
-        info = {**SETTINGS["familyInfo"], "cpus": cores}
-        settings = read_settings({**SETTINGS, "familyInfo": info, **other})
+    `responses` holds the responses by request number. Keyword arguments replace keys of the settings.
+    """
+
+    def __init__(self, cores: int = 2, clock: ManualClock | None = None, **other: Any) -> None:
+        self.clock = clock or ManualClock()
+        self.backend = RecordingBackend()
+        family_info = {**SETTINGS["familyInfo"], "cpus": cores}
+        settings = read_settings({**SETTINGS, "familyInfo": family_info, **other})
         self.core = Core(settings, 1, self.clock.timeline, Ports(self.backend, self.backend))
         self.core.add_frontend(self)
         self.core.start()
-        self.answers: dict[int, list[Response]] = {}
-        self.stopped = False
-
-    def submit(self, number: int, kind: str = "temp-history", late_ms: float = 0, **other: Any) -> int:
-        arrived = self.clock.now() - late_ms * MILLISECOND
-        offer = InboundRequest(f"r{number}", kind, b"body", arrived, **{"memory_kb": 10.0, **other})
-        handle = self.core.submit(self, (0, number), self.backend, offer)
+        self.responses: dict[int, list[Response]] = {}
+        self.stopped_accepting = False
+
+    def submit(
+        self, number: int, request_class: str = "temp-history", late_ms: float = 0, **other: Any
+    ) -> int:
+        arrived_at = self.clock.now() - late_ms * MILLISECOND
+        inbound = InboundRequest(
+            f"r{number}", request_class, b"body", arrived_at, **{"memory_kb": 10.0, **other}
+        )
+        handle = self.core.submit(self, (0, number), self.backend, inbound)
         self.clock.settle()
         return handle
 
@@ -121,76 +128,78 @@
         self.core.run_ended(f"r{number}", outcome, MILLISECOND, result)
         self.clock.settle()
 
-    def verdicts(self, number: int) -> list[ResponseStatus]:
-        return [answer.status for answer in self.answers.get(number, [])]
+    def statuses(self, number: int) -> list[ResponseStatus]:
+        return [response.status for response in self.responses.get(number, [])]
 
-    def deliver(self, ticket: ResponseHandle, answer: Response) -> None:
-        self.answers.setdefault(ticket[1], []).append(answer)
+    def deliver(self, response_handle: ResponseHandle, response: Response) -> None:
+        self.responses.setdefault(response_handle[1], []).append(response)
 
     def limit_idle_time(self, after: timedelta) -> None:
         pass
 
     def stop_accepting(self) -> None:
-        self.stopped = True
+        self.stopped_accepting = True
 
 
-class HandClock:
-    """A waker whose time passes only in `advance`."""
+class ManualClock:
+    """A waker whose time only passes in `advance`."""
 
     def __init__(self) -> None:
         self.time = START
-        self._alarm: tuple[datetime, Callable[[], None]] | None = None
-        self._soon: list[Callable[[], None]] = []
+        self._wakeup: tuple[datetime, Callable[[], None]] | None = None
+        self._callbacks: list[Callable[[], None]] = []
         self.timeline = TimerQueue(self)
 
     def now(self) -> datetime:
         return self.time
 
     def wake_at(self, when: datetime, callback: Callable[[], None]) -> None:
-        self._alarm = (when, callback)
+        self._wakeup = (when, callback)
 
     def soon(self, callback: Callable[[], None]) -> None:
-        self._soon.append(callback)
+        self._callbacks.append(callback)
 
     def settle(self) -> None:
-        while self._soon:
-            self._soon.pop(0)()
+        """Run the callbacks passed to `soon`, and those they schedule, without advancing the time."""
+        while self._callbacks:
+            self._callbacks.pop(0)()
 
     def advance(self, ms: float) -> None:
+        """Advance the time by `ms`, running each timer at its due time."""
         end = self.time + ms * MILLISECOND
         self.settle()
-        while self._alarm is not None and self._alarm[0] <= end:
-            when, callback = self._alarm
-            self._alarm = None
+        while self._wakeup is not None and self._wakeup[0] <= end:
+            when, callback = self._wakeup
+            self._wakeup = None
             self.time = max(self.time, when)
             callback()
             self.settle()
         self.time = end
 
 
-class HandDial:
-    """Connections that are opened, or refused, by hand."""
+class ManualDialer:
+    """A dial function whose connection attempts wait until a test accepts or refuses them."""
 
     def __init__(self) -> None:
         self.waiting: list[tuple[ProtocolFactory, Address, DialCallback]] = []
 
     def __call__(self, make: ProtocolFactory, address: Address, done: DialCallback) -> Callable[[], object]:
-        one = (make, address, done)
-        self.waiting.append(one)
-        return lambda: self.waiting.remove(one)
+        attempt = (make, address, done)
+        self.waiting.append(attempt)
+        return lambda: self.waiting.remove(attempt)
 
-    def accept(self) -> Wire:
+    def accept(self) -> FakeTransport:
         make, _, done = self.waiting.pop(0)
-        wire = Wire(cast(RingStream, make()))
+        transport = FakeTransport(cast(RingStream, make()))
         done(None)
-        return wire
+        return transport
 
     def refuse(self) -> None:
         self.waiting.pop(0)[2](ConnectionRefusedError())
 
 
-class Wire:
-    """The transport of a stream under test: keeps what was written, and feeds what the peer writes."""
+class FakeTransport:
+    """The transport of a stream under test. It records written bytes, and `feed` delivers bytes from the peer."""
 
     def __init__(self, stream: RingStream) -> None:
         self.stream = stream
@@ -200,21 +209,22 @@
         stream.connection_made(cast(asyncio.BaseTransport, self))
 
     def feed(self, data: bytes, step: int = 1 << 16) -> None:
-        for at in range(0, len(data), step):
-            part = data[at : at + step]
-            while part and not self.closed and not self.paused:
-                room = self.stream.get_buffer(-1)
-                taken = min(len(room), len(part))
-                room[:taken] = part[:taken]
-                self.stream.buffer_updated(taken)
-                part = part[taken:]
+        for offset in range(0, len(data), step):
+            chunk = data[offset : offset + step]
+            while chunk and not self.closed and not self.paused:
+                buffer = self.stream.get_buffer(-1)
+                copied = min(len(buffer), len(chunk))
+                buffer[:copied] = chunk[:copied]
+                self.stream.buffer_updated(copied)
+                chunk = chunk[copied:]
 
     def take(self) -> bytes:
+        """Return the bytes written since the last call."""
         data = bytes(self.written)
         self.written.clear()
         return data
 
-    # What asyncio's transports give.
+    # Methods of asyncio transports
 
     def write(self, data: bytes) -> None:
         self.written += data
@@ -239,26 +249,26 @@
     abort = close
 
 
-class Notes:
-    """A sink that writes down what it is told."""
+class RecordingSink:
+    """An event sink that records its events as tuples, with the name of the event first."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[Any, ...]] = []
+        self.events: list[tuple[Any, ...]] = []
 
     def backend_ready(self) -> None:
         pass
 
     def run_ended(self, id: str, outcome: Any, elapsed: timedelta, result: bytes = b"") -> None:
-        self.told.append(("ended", id, outcome, elapsed, result))
+        self.events.append(("ended", id, outcome, elapsed, result))
 
     def call_needed(self, id: str, body: bytes) -> None:
-        self.told.append(("needs", id, body))
+        self.events.append(("needs", id, body))
 
     def call_ended(self, id: str, outcome: Any, reply: bytes = b"") -> None:
-        self.told.append(("called", id, outcome, reply))
+        self.events.append(("called", id, outcome, reply))
 
     def pool_capacity(self, pool: str, most: int) -> None:
-        self.told.append(("room", pool, most))
+        self.events.append(("room", pool, most))
 
     def gauges(self, values: Any) -> None:
-        self.told.append(("gauges", dict(values)))
+        self.events.append(("gauges", dict(values)))
--- a/tests/support/restart_pair.py
+++ b/tests/support/restart_pair.py
@@ -1,4 +1,4 @@
-"""Two processes of a node in memory, with whole cores: messages are delivered by hand, and time is moved by hand."""
+"""Two in-memory processes of a node with real cores; tests deliver their messages and advance the clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from marlstep.hot_restart.timeouts import LostProcessTimeouts
 from marlstep.net.ring import Ring
 from marlstep.units import SECOND
-from tests.support.node import SETTINGS, Desk, HandClock
+from tests.support.node import SETTINGS, CoreDriver, ManualClock
 
 TERMINATION_TIMEOUT, RETRY_WINDOW = 7 * SECOND, 11 * SECOND
 TIMEOUTS = LostProcessTimeouts(termination=TERMINATION_TIMEOUT, retry_window=RETRY_WINDOW)
@@ -25,7 +25,7 @@
 
 
 class MessagePipe:
-    """One direction between two processes: what was sent, and is not delivered yet."""
+    """One direction of the connection between two processes, with the bytes sent and not yet delivered."""
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -43,20 +43,20 @@
         self.closed = True
 
     def take(self, max_bytes: int) -> None:
-        """Move so many bytes to where the receiver reads."""
+        """Move at most `max_bytes` to the receiver's ring buffer."""
         delivered, self.data = self.data[:max_bytes], self.data[max_bytes:]
         self.ring.put(bytes(delivered))
 
 
 class SimulatedProcess:
-    """A core with its hot restart; it implements `NodeCallbacks`."""
+    """A core with its hot restart logic. It implements `NodeCallbacks`."""
 
-    def __init__(self, clock: HandClock, generation: int) -> None:
-        self.desk = Desk(cores=1, clock=clock, classes=CLASSES)
+    def __init__(self, clock: ManualClock, generation: int) -> None:
+        self.driver = CoreDriver(cores=1, clock=clock, classes=CLASSES)
         self.accepts_connections = self.saw_successor_lost = self.saw_successor_draining = False
         self.connections_in_use = 0.0  # share of the node's connections
         self.applied_limits: list[float] = []
-        adapter = HostAdapter(self.desk.core, clock.timeline, self)
+        adapter = HostAdapter(self.driver.core, clock.timeline, self)
         self.hot_restart = HotRestart(adapter, generation, generation, TIMEOUTS)
         adapter.watch(self.hot_restart)
         self.is_killed = False
@@ -73,7 +73,7 @@
 
     def limit_capacity(self, share: float) -> None:
         self.applied_limits.append(share)
-        self.desk.core.set_capacity_share(share, 1000)
+        self.driver.core.set_capacity_share(share, 1000)
 
     def connection_share(self) -> float:
         return self.connections_in_use
@@ -83,10 +83,10 @@
 
 
 class ProcessPair:
-    """A predecessor that serves, and a successor that starts."""
+    """A predecessor that serves and a successor that starts, connected by two message pipes."""
 
     def __init__(self) -> None:
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.predecessor = SimulatedProcess(self.clock, 1)
         self.predecessor.hot_restart.backend_ready(self.clock.now())
         self.successor = SimulatedProcess(self.clock, 2)
@@ -100,7 +100,7 @@
             self.successor.hot_restart.backend_ready(self.clock.now())
 
     def deliver_to_predecessor(self, max_bytes: int = ALL_BYTES) -> None:
-        """Deliver so many bytes of what the successor sent; a killed process reads nothing."""
+        """Deliver at most `max_bytes` sent by the successor; a killed predecessor handles no message."""
         now, receiver = self.clock.now(), self.predecessor.hot_restart
         self.to_predecessor.take(max_bytes)
         while not self.is_cut and (message := messages.read(self.to_predecessor.ring)) is not None:
@@ -113,7 +113,7 @@
         self.clock.settle()
 
     def deliver_to_successor(self, max_bytes: int = ALL_BYTES) -> None:
-        """Deliver so many bytes of what the predecessor sent; a killed process reads nothing."""
+        """Deliver at most `max_bytes` sent by the predecessor; a killed successor handles no message."""
         now, receiver = self.clock.now(), self.successor.hot_restart
         self.to_successor.take(max_bytes)
         while not self.is_cut and (message := messages.read(self.to_successor.ring)) is not None:
@@ -122,7 +122,7 @@
         self.clock.settle()
 
     def exchange(self) -> None:
-        """Let both tick, and deliver all that is sent then."""
+        """Tick both processes and deliver the messages that they send."""
         for process in self.living:
             process.hot_restart.tick(self.clock.now())
         for _ in range(4):
@@ -140,11 +140,12 @@
         return [process for process in (self.predecessor, self.successor) if not process.is_killed]
 
     def kill(self, process: SimulatedProcess) -> None:
-        """What it has sent is still read; then the other one sees the end."""
+        """Kill a process. The other one still reads what it had sent, and then sees the connection close."""
         process.is_killed = True
         self.cut_connection()
 
     def cut_connection(self) -> None:
+        """Deliver the bytes in flight, then close the connection on both sides."""
         self.deliver_to_predecessor()
         self.deliver_to_successor()
         self.is_cut = True
@@ -160,21 +161,21 @@
         self.last_number += 1
         if idempotency_key:
             process.keyed_requests[f"r{self.last_number}"] = (request_class, idempotency_key)
-        process.desk.submit(self.last_number, request_class, idempotency_key=idempotency_key)
+        process.driver.submit(self.last_number, request_class, idempotency_key=idempotency_key)
         return self.last_number
 
     def run_counts(self) -> Counter[tuple[str, str]]:
-        """Count the runs of each key, at both processes together."""
+        """Count the runs of each (request class, idempotency key) in both processes together."""
         counts = Counter[tuple[str, str]]()
         for process in (self.predecessor, self.successor):
-            for command, request_id in process.desk.backend.told:
+            for command, request_id in process.driver.backend.commands:
                 if command == "start" and request_id in process.keyed_requests:
                     counts[process.keyed_requests[request_id]] += 1
         return counts
 
 
 def serving_pair() -> ProcessPair:
-    """Two processes that both accept connections."""
+    """Return a pair in which both processes accept connections."""
     pair = ProcessPair()
     pair.connect()
     pair.run_for(100)
