--- a/marlstep/fault_injection/document_drill.py
+++ b/marlstep/fault_injection/document_drill.py
@@ -30,7 +30,7 @@
 # The number of lists: at a change per second, a list is used again only after many lease durations.
 SERVERS = 64
 WINDOW_VERSIONS = 8  # versions that are judged together; each of them has a different list
-# The lists of this many changes without a response are not used again, since each may still come into force.
+# The lists of the latest changes without a response, this many at most, stay reserved: each may still come into force.
 MAX_UNANSWERED_CHANGES = 40
 SEND_INTERVAL_S = 0.04  # the interval of requests to each node
 CLIENTS = 8  # operators' clients
@@ -38,7 +38,7 @@
 CALL_TIMEOUT_S = 5.0  # the timeout of a client's call; a later response is lost
 RESPONSE_TIMEOUT_S = 12.0  # the timeout of a request of the load, longer than any response deadline
 MAX_OPEN_REQUESTS = 48  # requests open at a node; beyond 64 connections it closes further ones unread
-EXIT_DETECTION_S = 0.5  # the longest time until the end of a process is noticed here
+EXIT_DETECTION_S = 0.5  # the longest time until the drill notices the end of a process
 DOCUMENT = "servers"
 
 
@@ -224,7 +224,7 @@
         self._random = random.Random(seed + 3)
         # The lists of the latest accepted versions; the nodes start with list 0.
         self._accepted_lists = deque([0], maxlen=WINDOW_VERSIONS)
-        # The lists of changes without a response, which may still come into force.
+        # The lists of the latest changes without a response, which may still come into force.
         self._unanswered_lists = deque[int](maxlen=MAX_UNANSWERED_CHANGES)
         self._pending_lists: Counter[int] = Counter()
 
--- a/marlstep/fault_injection/mutations.py
+++ b/marlstep/fault_injection/mutations.py
@@ -38,7 +38,7 @@
 
 
 class CountsTermFromResponse(LeaseHolder):
-    """Counts the term of a lease from the response instead of from the heartbeat that requested it."""
+    """Counts the lease duration from the receipt of the response instead of from the sending of its heartbeat."""
 
     def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
         """Handle a response as if its heartbeat had been sent now."""
@@ -51,11 +51,11 @@
     """Keeps every lease that it was ever granted, however long the group does not respond."""
 
     def time_left(self, name: str, now: datetime) -> timedelta:
-        """Return a full term for every lease that was granted."""
+        """Return a full lease duration for every lease that was granted."""
         return self.settings.term if name in self.held else ZERO
 
     def tick(self, now: datetime) -> list[LeaseEvent]:
-        """Let no lease expire."""
+        """Return no events, so that no lease expires."""
         return []
 
 
@@ -107,7 +107,7 @@
 
 
 class ShortensLeasesAfterElection(LeaseManager):
-    """Lets all leases expire 200 ms after an election instead of waiting for a full term."""
+    """Lets all leases expire 200 ms after an election instead of after a full lease duration."""
 
     def become_leader(self, now: datetime) -> None:
         """Take over leadership with leases that expire in 200 ms."""
@@ -225,7 +225,7 @@
 
 
 class NeverDetectsDegradation(RolloutMonitor):
-    """Completes every staged rollout after its time, however degraded its canaries are."""
+    """Never regards the canaries of a staged rollout as degraded, however many of their requests fail."""
 
     def is_degraded(
         self, canaries: RequestCounts, controls: RequestCounts, max_degradation: float, min_requests: int
--- a/marlstep/fault_injection/network_links.py
+++ b/marlstep/fault_injection/network_links.py
@@ -11,7 +11,7 @@
 from marlstep.cluster.wire import STREAM_MAGIC
 from marlstep.net.framing import KEYED_BYTES
 
-# Bytes before the body of a frame: magic, length and authentication.
+# The size of a frame's header: magic, length and keyed checksum.
 HEADER_BYTES = len(STREAM_MAGIC) + 4 + KEYED_BYTES
 CHUNK = 64 * 1024
 MAX_PORT_TRIES = 20  # ports from the system that are tried until one is free for both TCP and UDP
@@ -44,7 +44,7 @@
         slow_until: Until when messages are delayed at random, on the same clock.
         trickle_until: Until when frames are sent byte by byte, on the same clock.
         repeat_until: Until when messages are duplicated, on the same clock.
-        reset_next: The next frame is sent by half, and its connection then reset.
+        reset_next: Whether only half of the next frame is sent and its connection is then reset.
         loss: The share of datagrams that are lost.
     """
 
--- a/marlstep/fault_injection/process_cluster.py
+++ b/marlstep/fault_injection/process_cluster.py
@@ -42,14 +42,14 @@
 
     Attributes:
         config: The platform's JSON configuration, in which each node replaces the addresses.
-        term_ms: The term of leases, in milliseconds.
-        patience_ms: `fleet.patience_ms` of the nodes, in milliseconds.
+        term_ms: The lease duration, in milliseconds.
+        patience_ms: The shortest election timeout, in milliseconds; each is up to twice as long.
         beat_ms: The interval of heartbeats, in milliseconds.
         tasks: The scheduled tasks by name, as in `[fleet.tasks]`.
-        most_leases: `fleet.most_leases` of the nodes.
+        most_leases: The most task leases that a process of a node may hold; 0 for no limit.
         pool: Servers of an additional pool for the class temp-history, probed by one node; empty for no such pool.
         rules: The replicated documents by name, as in `[fleet.rules.documents]`.
-        rules_ms: The term of the leases on documents, in milliseconds.
+        rules_ms: The lease duration of the leases on documents, in milliseconds.
         members: The nodes run failure detectors and maintain the list of members.
         tenants: The `allowance_per_s` of each tenant for the whole service, which nodes divide by quota shares.
         broken: The name of the mutation that all nodes run with; empty for none.
@@ -439,27 +439,27 @@
         return self.nodes.keys()
 
     def draw_restart_delay_us(self) -> int:
-        """Return a random time for which a node stays down when all are restarted."""
+        """Return a random time for which a node stays down when all nodes are restarted."""
         return int(self.chance.uniform(*RESTART_DELAY_S) * SECOND_US)
 
     def kill(self, node: str, duration_us: int) -> None:
-        """Kill the node's process, and start it again with its store after that time."""
+        """Kill the node's process, and start it again with its store after the duration."""
         self._schedule_restart(self.nodes[node], duration_us / SECOND_US, "keep")
 
     def wipe_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and remove its store, unless the group could lose its majority as a result."""
+        """Kill a voter and delete its store, unless the group could lose its majority."""
         self._spawn(self._lose_store(self.nodes[node], duration_us / SECOND_US, "wipe"))
 
     def restore_old_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and restore an old copy of its store, unless the group could lose its majority as a result."""
+        """Kill a voter and replace its store by an old copy, unless the group could lose its majority."""
         self._spawn(self._lose_store(self.nodes[node], duration_us / SECOND_US, "old store"))
 
     def pause(self, node: str, duration_us: int) -> None:
-        """Stop the node's process without ending it, and continue it after that time."""
+        """Suspend the node's process, and continue it after the duration."""
         self._spawn(self._pause_process(self.nodes[node], duration_us / SECOND_US))
 
     def drain(self, node: str, duration_us: int) -> None:
-        """Shut the node down gracefully, and start it again after that time."""
+        """Shut the node down gracefully, and start it again after the duration."""
         self._spawn(self._drain_and_restart(self.nodes[node], duration_us / SECOND_US))
 
     def slow_disk(self, node: str, duration_us: int) -> None:
@@ -483,20 +483,20 @@
         self._spawn(self._restart_after_step(self.nodes[node]))
 
     def pause_at_step(self, node: str, step: str, duration_us: int) -> None:
-        """Stop the node's process when it next reaches the step, and continue it after that time."""
+        """Suspend the node's process when it next reaches the step, and continue it after the duration."""
         self.nodes[node].order(hook=step, stop=True)
         self._spawn(self._continue_after_step(self.nodes[node], duration_us / SECOND_US))
 
     def upgrade(self, node: str) -> None:
-        """Start a new process beside the node's running one, and end that when the new one is ready."""
+        """Start a new process beside the node's running one, and end the old one when the new one is ready."""
         self._spawn(self._upgrade_process(self.nodes[node]))
 
     def reload_configuration(self, node: str) -> None:
-        """Signal the node to read its files again."""
+        """Signal the node to reload its files."""
         self.nodes[node].signal(signal.SIGHUP)
 
     def jump_clock(self, node: str, duration_us: int) -> None:
-        """Set the node's clock forward by that time."""
+        """Set the node's clock forward by the duration."""
         self.nodes[node].order(jump_ms=duration_us // 1_000)
 
     def drop_messages(self, origin: str, target: str, duration_us: int) -> None:
@@ -520,7 +520,7 @@
             link.repeat_until = self._loop_time_after(duration_us)
 
     def reset_connection(self, origin: str, target: str) -> None:
-        """Break the connection from one node to the other in the middle of its next message."""
+        """Reset the connection from one node to the other in the middle of the next message."""
         if (link := self.links.get((origin, target))) is not None:
             link.reset_next = True
 
--- a/marlstep/fault_injection/simulated_cluster.py
+++ b/marlstep/fault_injection/simulated_cluster.py
@@ -51,7 +51,7 @@
 MIN_TRANSIT_US = 200  # the shortest delay of a message between nodes; the longest is `Mutation.delay_us`
 MAX_SLOW_LINK_US = 700_000  # the longest additional delay of a message on a slow link
 DUPLICATED_SHARE = 0.5  # the share of messages that a duplicating link duplicates
-HEALED_LOSS = 0.005  # the share of messages that are lost after the last fault
+HEALED_LOSS = 0.005  # the share of messages that are lost once all faults are over
 DRIFT_TOLERANCE = 1.001  # the factor by which a clock's error may exceed the allowed drift after rounding
 MAX_QUIET_END_MS = 2_500  # the longest time without an effect of any task before the end of a plan
 
@@ -60,7 +60,7 @@
     """All nodes, the network between them, the task server, and the invariants.
 
     Attributes:
-        settings: The settings of the leases.
+        settings: The settings of leases.
         loss: The share of messages that are lost until the faults are over.
         faults: How many faults were injected.
         tasks: The tasks that the nodes run, by name.
@@ -200,20 +200,20 @@
         return self.nodes.keys()
 
     def kill(self, node: str, duration_us: int) -> None:
-        """Kill the node's process, and start it again with its store after that time."""
+        """Kill the node's process, and start it again with its store after the duration."""
         killed = self.nodes[node]
         if killed.up:
             killed.kill()
         self.after(duration_us, killed.restart)
 
     def wipe_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and remove its store, unless the group could lose its majority as a result."""
+        """Kill a voter and delete its store, unless the group could lose its majority."""
         if self._may_lose_store(self.nodes[node]):
             self.nodes[node].disk = None
             self.kill(node, duration_us)
 
     def restore_old_store(self, node: str, duration_us: int) -> None:
-        """Kill a voter and restore an old copy of its store, unless the group could lose its majority as a result."""
+        """Kill a voter and replace its store by an old copy, unless the group could lose its majority."""
         voter = self.nodes[node]
         if voter.store_copies and self._may_lose_store(voter):
             voter.disk = voter.store_copies[0].copy()
@@ -252,7 +252,7 @@
         self.after(STORE_COPY_INTERVAL_US, self._copy_stores)
 
     def pause(self, node: str, duration_us: int) -> None:
-        """Stop the node's process without ending it, and continue it after that time."""
+        """Suspend the node's process, and continue it after the duration."""
         paused = self.nodes[node]
         if paused.up:
             paused.stopped_until = self.true_us + duration_us
--- a/marlstep/fault_injection/simulated_detectors.py
+++ b/marlstep/fault_injection/simulated_detectors.py
@@ -37,7 +37,9 @@
     "drain",
     "restart all",
 )
-DATAGRAM_OVERHEAD_BYTES = 110  # the frame, authentication, sender and message kind of a datagram
+DATAGRAM_OVERHEAD_BYTES = (
+    110  # of a datagram without its records: frame, keyed checksum, sender and message kind
+)
 REPLAYED_SHARE = 0.002  # the share of datagrams that are delivered again, seconds later
 ZONE_COUNT = 3
 DRAIN_DURATION_US = 50_000  # from the start of a drain to the end of the process
@@ -51,8 +53,9 @@
     Attributes:
         detected_us: The time from a process's death to each node's detection of it, in microseconds.
         views_agree_us: The time from the end of the last fault until all views agreed, in microseconds.
-        false_suspicions: Suspicions by a probing node of a process that was up, with no fault at either node.
-        false_failures: Declared failures of such a process.
+        false_suspicions: How often a node's own probes made it suspect a process that was up, although no fault had
+            affected either node in the last 2 s.
+        false_failures: How often a node declared such a process failed, or learned that it had been declared failed.
         datagrams: How many datagrams were sent.
         bytes: The size of all datagrams.
         exchange_bytes: The size of all messages over streams.
@@ -72,10 +75,10 @@
 
     Attributes:
         generation: How many processes of this node were started.
-        up: Its process runs, or is stopped.
-        leaving: It announced that it leaves.
+        up: Whether its process exists, running or stopped.
+        leaving: Whether it is shutting down gracefully.
         stopped_until: When a stopped process continues, in microseconds of simulated time.
-        disturbed_until: When the last fault that affects it ends, in the same time.
+        disturbed_until: When the last fault that affects it ends, in microseconds of simulated time.
         slow: The longest delay of its event loop, in microseconds; 0 for none.
     """
 
@@ -121,7 +124,7 @@
         self.drive()
 
     def at(self, after_us: int, action: Callable[[], None]) -> None:
-        """Run an action after that time in this process; a stopped process runs it when it continues."""
+        """Run an action after `after_us` in this process; a stopped process runs it when it continues."""
         generation = self.generation
 
         def run_in_generation() -> None:
@@ -233,7 +236,8 @@
         self.after(1_000_000, self._check_agreement)
         end_us = self.plan.length_ms * 1_000
         self.run_events()
-        # A record replayed from a forgotten process is accepted until its node refutes it, so views may differ.
+        # A record replayed from a forgotten process is accepted until its node refutes it, so views may differ at the
+        # end if they agreed within the last `MAX_REFUTATION_US`.
         if (difference := self.view_difference()) and (
             self._agreed_at is None or self._agreed_at < end_us - MAX_REFUTATION_US
         ):
@@ -290,17 +294,17 @@
         return self.nodes.keys()
 
     def nodes_split_along(self, node: str) -> set[str]:
-        """Return the nodes that a split of the network always leaves on the side of that node."""
+        """Return the nodes that always stay on the same side as the node when the network is split."""
         zone = self.nodes[node].zone
         return {other.name for other in self.nodes.values() if other.zone == zone}
 
     def draw_restart_delay_us(self) -> int:
-        """Return a random time for which a node stays down when all are restarted."""
+        """Return a random time for which a node stays down when all nodes are restarted."""
         self.last_fault_us = max(self.last_fault_us, self.true_us + RESTART_DELAY_US[1])
         return super().draw_restart_delay_us()
 
     def kill(self, node: str, duration_us: int) -> None:
-        """Kill the node's process, and start it again after that time."""
+        """Kill the node's process, and start it again after the duration."""
         killed = self.nodes[node]
         if killed.up:
             killed.up = False
@@ -309,13 +313,13 @@
         self.after(duration_us, lambda: None if killed.up else killed.start())
 
     def pause(self, node: str, duration_us: int) -> None:
-        """Stop the node's process without ending it, and continue it after that time."""
+        """Suspend the node's process, and continue it after the duration."""
         paused = self.nodes[node]
         paused.stopped_until = max(paused.stopped_until, self.true_us + duration_us)
         self.after(duration_us, paused.resume)
 
     def drain(self, node: str, duration_us: int) -> None:
-        """Shut the node down gracefully, and start it again after that time."""
+        """Shut the node down gracefully, and start it again after the duration."""
         draining = self.nodes[node]
         if draining.up:
             draining.leaving = True
--- a/marlstep/fault_injection/simulated_documents.py
+++ b/marlstep/fault_injection/simulated_documents.py
@@ -308,7 +308,10 @@
     # Observations and invariants.
 
     def _update_rollouts(self) -> None:
-        """Update the staged rollouts from the voter that has applied most of the log."""
+        """Update the staged rollouts from the voter that has applied most of the log.
+
+        A rollout counts as over as soon as any voter has applied its end.
+        """
         voters = [entry.voter for entry in self.nodes.values() if entry.up and entry.voter is not None]
         most_advanced = max(voters, key=lambda voter: voter.raft.last_applied, default=None)
         if (
@@ -354,7 +357,7 @@
 
         Raises:
             InvariantViolationError: Two nodes act on different versions of a strict document, or differ on another
-                document for longer than the term of its leases.
+                document for longer than the duration of its leases.
         """
         self._update_rollouts()
         self._check_quota_shares()
--- a/marlstep/fault_injection/simulated_machine.py
+++ b/marlstep/fault_injection/simulated_machine.py
@@ -1,4 +1,4 @@
-"""The clock and the disk of a simulated node: the clock runs fast or slow, and the disk survives crashes."""
+"""The clock and the disk of a simulated node: the clock runs fast or slow, and the disk keeps what was synced."""
 
 from __future__ import annotations
 
--- a/marlstep/fault_injection/simulation.py
+++ b/marlstep/fault_injection/simulation.py
@@ -90,7 +90,7 @@
         """Record a fault that is about to be injected."""
 
     def draw_restart_delay_us(self) -> int:
-        """Return a random time for which a node stays down when all are restarted."""
+        """Return a random time for which a node stays down when all nodes are restarted."""
         return self.chance.randrange(*RESTART_DELAY_US)
 
     def link(self, origin: str, target: str) -> SimulatedLink:
--- a/tests/fault_injection/test_drill_command.py
+++ b/tests/fault_injection/test_drill_command.py
@@ -37,4 +37,4 @@
         assert call([*arguments, *invalid_arguments]) == 2
     assert (
         call(["drill", "leases", "--broken", "vote-not-synced"]) == 2
-    )  # this mutation needs the virtual network
+    )  # this mutation runs on the simulated network only
--- a/tests/races/test_idempotency_across_events.py
+++ b/tests/races/test_idempotency_across_events.py
@@ -145,7 +145,7 @@
         await harness.requests_read(2)
         if event == "the end of the grace":
             await harness.advance(GRACE_MS + 50)
-            send_booking(caller, 3, 3)  # after the grace, but not rejected, because the work has run
+            send_booking(caller, 3, 3)  # after the grace period, but not rejected, because the work has run
             await harness.requests_read(3)
         harness.kernel.end_run(1, body=b"booked")
         tags = (1, 2, 3) if event == "the end of the grace" else (1, 2)
--- a/tests/races/test_shutdown_and_reload.py
+++ b/tests/races/test_shutdown_and_reload.py
@@ -37,7 +37,7 @@
     return alternate_settings(cpus=1, **info)
 
 
-# Graceful shutdown: events at SIGTERM and around the end of the grace.
+# Graceful shutdown: events at SIGTERM and around the end of the grace period.
 
 
 @pytest.mark.parametrize("cut_at", [1, 3, 30, -1])
@@ -57,7 +57,7 @@
         await caller.closing_frame()
         await harness.advance(700)
         caller.send(frame[cut_at:])
-        await harness.kernel.command_read("SCHED", 1)  # its first byte arrived within the grace
+        await harness.kernel.command_read("SCHED", 1)  # its first byte arrived within the grace period
         harness.kernel.end_run(1)
         assert await caller.response(1) == [b"done", b"done"]
         await harness.run_to_exit()
@@ -255,7 +255,7 @@
 
 
 def test_the_drain_grace_counts_from_the_signal_although_the_loop_handles_it_late(tmp_path: Path) -> None:
-    # Guards against work that runs although it arrived after the grace, because the loop was busy at the signal.
+    # Guards against work that runs although it arrived after the grace period, because the loop was busy at the signal.
     async def run(harness: NodeHarness) -> None:
         caller = await harness.connect()
         await until(lambda: len(harness.node.resp.connections) == 1)
@@ -733,7 +733,7 @@
 
 
 def test_a_successor_lost_during_the_hot_restart_leaves_the_drain_grace_in_force(tmp_path: Path) -> None:
-    # Guards against a hand-over that stops accepting although a drain with a later grace has replaced it.
+    # Guards against a hand-over that stops accepting although a drain with a later grace period has replaced it.
     async def run(harness: NodeHarness) -> None:
         harness.core.begin_hand_over(harness.node.timeline.now() + 3_700 * MILLISECOND)
         harness.node.drain_controller.successor_lost()
