--- a/marlstep/fault_injection/document_drill.py
+++ b/marlstep/fault_injection/document_drill.py
@@ -439,7 +439,8 @@
 ) -> tuple[int, list[tuple[Arrival, Arrival]]]:
     """Judge the requests as `judge` does, in overlapping windows of versions that all have different lists.
 
-    A window covers the requests sent between the times at which its changes were called for.
+    A window covers the requests sent from the call for its first change until the call for the first change after it.
+    The first window has no start and the last one no end.
 
     Args:
         arrivals: The requests to judge.
--- a/marlstep/fault_injection/membership_drill.py
+++ b/marlstep/fault_injection/membership_drill.py
@@ -163,7 +163,7 @@
 
 
 async def wait_for_agreement(cluster: ProcessCluster, since_us: int) -> tuple[int | None, str]:
-    """Wait until every live node sees exactly the live nodes, for at most `AGREEMENT_TIMEOUT_S`.
+    """Wait until all nodes are live and each sees exactly all of them, for at most `AGREEMENT_TIMEOUT_S`.
 
     Args:
         cluster: The cluster to query.
--- a/marlstep/fault_injection/simulated_cluster.py
+++ b/marlstep/fault_injection/simulated_cluster.py
@@ -186,7 +186,10 @@
         self.faults += 1
 
     def resolve_role(self, name: str) -> str:
-        """Return the holder of the first task for `@holder`, and the leader of the highest term for `@leader`."""
+        """Return the node that last acted for the first task for `@holder`, and the latest leader for `@leader`.
+
+        If there is none, a role is resolved to the first node or the first voter.
+        """
         if name == "@holder":
             accepted = [effect for effect in self.effects if effect.task == TASKS[0] and effect.accepted]
             return accepted[-1].node if accepted else self.plan.nodes[0]
--- a/marlstep/fault_injection/simulated_documents.py
+++ b/marlstep/fault_injection/simulated_documents.py
@@ -446,7 +446,7 @@
     """A client that reads and changes documents, one call at a time, each at a random running node.
 
     Attributes:
-        calls: The calls with a known effect or outcome, by document.
+        calls: The ended calls by document, without those that had no effect and returned no version.
     """
 
     def __init__(self, cluster: SimulatedDocumentCluster, number: int) -> None:
