--- a/marlstep/fault_injection/mutations.py
+++ b/marlstep/fault_injection/mutations.py
@@ -37,7 +37,7 @@
 from marlstep.units import MILLISECOND, ZERO
 
 
-class CountsTermFromResponse(LeaseHolder):
+class CountsLeaseFromResponse(LeaseHolder):
     """Counts the lease duration from the receipt of the response instead of from the sending of its heartbeat."""
 
     def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
@@ -351,7 +351,7 @@
             fault_types=("crash at", "isolate", "kill", "restart all", "slow disk"), mean_interval_ms=500
         ),
     ),
-    Mutation("counted-from-answer", (CountsTermFromResponse,)),
+    Mutation("counted-from-answer", (CountsLeaseFromResponse,)),
     Mutation(
         "old-term-commit",
         (CommitsEntriesOfEarlierTerms,),
@@ -392,7 +392,7 @@
     Mutation("acts-before-all-said-so", (IgnoresMissingAcknowledgements,)),
     Mutation(
         "rules-counted-from-answer",
-        (CountsTermFromResponse,),
+        (CountsLeaseFromResponse,),
         shape=PlanSettings(fault_types=("isolate", "slow", "cut", "kill")),
     ),
     Mutation(
