--- a/marlstep/fault_injection/simulated_cluster.py
+++ b/marlstep/fault_injection/simulated_cluster.py
@@ -186,7 +186,7 @@
         self.faults += 1
 
     def resolve_role(self, name: str) -> str:
-        """Return the node that last acted for the first task for `@holder`, and the latest leader for `@leader`.
+        """Return the node of the first task's last effect for `@holder`, the leader of the highest term for `@leader`.
 
         If there is none, a role is resolved to the first node or the first voter.
         """
