--- a/marlstep/fault_injection/mutations.py
+++ b/marlstep/fault_injection/mutations.py
@@ -37,8 +37,8 @@
 from marlstep.units import MILLISECOND, ZERO
 
 
-class CountsTermFromResponse(LeaseHolder):
-    """Counts the term of a lease from the response instead of from the heartbeat that requested it."""
+class CountsLeaseFromResponse(LeaseHolder):
+    """Counts the lease duration from the receipt of the response instead of from the sending of its heartbeat."""
 
     def handle_response(self, now: datetime, response: HeartbeatResponse) -> list[LeaseEvent]:
         """Handle a response as if its heartbeat had been sent now."""
@@ -51,11 +51,11 @@
     """Keeps every lease that it was ever granted, however long the group does not respond."""
 
     def time_left(self, name: str, now: datetime) -> timedelta:
-        """Return a full term for every lease that was granted."""
+        """Return a full lease duration for every lease that was granted."""
         return self.settings.term if name in self.held else ZERO
 
     def tick(self, now: datetime) -> list[LeaseEvent]:
-        """Let no lease expire."""
+        """Return no events, so that no lease expires."""
         return []
 
 
@@ -107,7 +107,7 @@
 
 
 class ShortensLeasesAfterElection(LeaseManager):
-    """Lets all leases expire 200 ms after an election instead of waiting for a full term."""
+    """Lets all leases expire 200 ms after an election instead of after a full lease duration."""
 
     def become_leader(self, now: datetime) -> None:
         """Take over leadership with leases that expire in 200 ms."""
@@ -225,7 +225,7 @@
 
 
 class NeverDetectsDegradation(RolloutMonitor):
-    """Completes every staged rollout after its time, however degraded its canaries are."""
+    """Never regards the canaries of a staged rollout as degraded, however many of their requests fail."""
 
     def is_degraded(
         self, canaries: RequestCounts, controls: RequestCounts, max_degradation: float, min_requests: int
@@ -351,7 +351,7 @@
             fault_types=("crash at", "isolate", "kill", "restart all", "slow disk"), mean_interval_ms=500
         ),
     ),
-    Mutation("counted-from-answer", (CountsTermFromResponse,)),
+    Mutation("counted-from-answer", (CountsLeaseFromResponse,)),
     Mutation(
         "old-term-commit",
         (CommitsEntriesOfEarlierTerms,),
@@ -392,7 +392,7 @@
     Mutation("acts-before-all-said-so", (IgnoresMissingAcknowledgements,)),
     Mutation(
         "rules-counted-from-answer",
-        (CountsTermFromResponse,),
+        (CountsLeaseFromResponse,),
         shape=PlanSettings(fault_types=("isolate", "slow", "cut", "kill")),
     ),
     Mutation(
