--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -231,7 +231,7 @@
 
     Args:
         voters: How many of the nodes are voters.
-        count: How many runs the task has time for; its runs submit the commands.
+        count: How many runs of the task to leave time for; each run submits commands.
     """
     settings = Settings(
         load_config(),
--- a/marlstep/components/hot_restart.py
+++ b/marlstep/components/hot_restart.py
@@ -66,11 +66,11 @@
         adapter.watch(channel.hot_restart)
 
     def _lost_process_timeouts(self) -> LostProcessTimeouts:
-        """Return how long the work of a lost process must be considered, with the settings in force.
+        """Return how long this process must allow for the work of a lost one, with the settings in force.
 
-        The process exits at the latest as if it had received SIGTERM when it was lost, and its runs end at most the
-        longest deadline later. A retry arrives within the idempotency window of its class, which starts at the deadline
-        of the first request at the latest.
+        The lost process exits no later than if it had received SIGTERM at the time of the loss, and its runs end at
+        most the longest deadline after its exit. A retry arrives within the idempotency window of its class, which
+        starts at the deadline of the first request at the latest.
         """
         classes = self._host.config.settings.classes
         longest_deadline = max(span(request_class.deadline_us) for request_class in classes)
--- a/marlstep/consensus/log.py
+++ b/marlstep/consensus/log.py
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class PersistentState:
-    """The durable state that a replica's store returns at startup (figure 2 of the paper)."""
+    """The durable state that a replica's store returns at startup (figure 2 of the Raft paper)."""
 
     term: int = 0
     voted_for: str = ""
--- a/marlstep/consensus/messages.py
+++ b/marlstep/consensus/messages.py
@@ -1,7 +1,7 @@
 """The messages of the Raft protocol between members of a group.
 
 Each message carries the term of its sender. `wire_tag` and the keys given to `wire` are the encoded form; field names
-follow figures 2 (RequestVote, AppendEntries) and 13 (InstallSnapshot) of the paper.
+follow figures 2 (RequestVote, AppendEntries) and 13 (InstallSnapshot) of the Raft paper.
 """
 
 from __future__ import annotations
--- a/marlstep/consensus/progress.py
+++ b/marlstep/consensus/progress.py
@@ -1,4 +1,4 @@
-"""The leader's view of one member's log, like etcd's tracker: `nextIndex` and `matchIndex` of the paper's figure 2."""
+"""The leader's view of one member's log, like etcd's tracker: `nextIndex` and `matchIndex` of the Raft paper."""
 
 from __future__ import annotations
 
--- a/marlstep/consensus/replica_messages.py
+++ b/marlstep/consensus/replica_messages.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandRequest:
-    """A command of a client, which resends it until it receives a response (section 8 of the paper)."""
+    """A command of a client, which resends it until it receives a response (section 8 of the Raft paper)."""
 
     wire_tag: ClassVar[str] = "Ask"
 
--- a/marlstep/consensus/replication.py
+++ b/marlstep/consensus/replication.py
@@ -1,7 +1,7 @@
 """The leader's side of replication: which entries, heartbeats and snapshot chunks to send to which member.
 
-It follows section 5.3 of the paper and adds pipelining (section 10.2.1 of the dissertation): entries are sent before
-earlier ones are acknowledged, up to a limit for each member.
+It follows section 5.3 of the Raft paper and adds pipelining (section 10.2.1 of Ongaro's dissertation): entries are sent
+before earlier ones are acknowledged, up to a limit for each member.
 """
 
 from __future__ import annotations
@@ -89,7 +89,7 @@
 
     @property
     def confirmed_round(self) -> int:
-        """The highest round that a majority has responded to, which proves that this member led after sending it."""
+        """The highest round that a majority has responded to: this member still led after it had sent that round."""
         return self._quorum_value(self.heartbeat_round, lambda peer: peer.acknowledged_round)
 
     def _quorum_value(self, own_value: int, value_of: Callable[[PeerProgress], int]) -> int:
@@ -139,7 +139,7 @@
                 self.replicate_to(member, heartbeat=True)
 
     def replicate_to(self, member: str, *, heartbeat: bool) -> None:
-        """Send the next entries or snapshot chunk; `heartbeat` sends a message even if the member lacks nothing."""
+        """Send the next entries, snapshot chunk or probe; `heartbeat` sends a probe even if another is in flight."""
         peer = self.progress_of(member)
         if peer.next_index < self._leader.log.first_index:
             self._send_snapshot_chunk(member, peer)
--- a/marlstep/consensus/snapshot_transfer.py
+++ b/marlstep/consensus/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""The transfer of a snapshot to a member that lags behind the leader's log, in chunks (section 7 of the paper)."""
+"""The transfer of a snapshot to a member that lags behind the leader's log, in chunks (section 7 of the Raft paper)."""
 
 from __future__ import annotations
 
--- a/marlstep/consensus/state_machine.py
+++ b/marlstep/consensus/state_machine.py
@@ -2,7 +2,7 @@
 
 A command is a JSON object whose key `m` names the state machine. A command that may be resent also carries `by`, the
 client, and `no`, the number that the client gave it: it is applied once, and a repetition returns the cached result
-(client sessions, section 8 of the paper).
+(client sessions, section 8 of the Raft paper).
 """
 
 from __future__ import annotations
--- a/marlstep/emulators/machine.py
+++ b/marlstep/emulators/machine.py
@@ -1,7 +1,7 @@
 """An emulated machine: runs that start, pause, resume and make downstream calls on shared cores. No I/O.
 
 The downstream calls of a run divide its work into equal parts. Between two parts the run is off the cores until its
-call has been answered or skipped. Times are in microseconds on the clock of the code that uses the machine.
+call has been answered or skipped. Times are in microseconds on the caller's clock.
 """
 
 from __future__ import annotations
--- a/marlstep/emulators/processor_sharing.py
+++ b/marlstep/emulators/processor_sharing.py
@@ -1,8 +1,8 @@
 """Processor-sharing model: the speed of runs that share the cores of a machine. No I/O.
 
 With n runs on c cores, each run advances at min(1, c / n) of the machine's speed. Above a knee, each additional run
-slows down all runs, as contention does on the machines of the platform. Times are in microseconds on the clock of the
-code that uses the model.
+slows down all runs, as contention does on the machines of the platform. Times are in microseconds on the caller's
+clock.
 """
 
 from __future__ import annotations
--- a/marlstep/frontends/base.py
+++ b/marlstep/frontends/base.py
@@ -54,7 +54,7 @@
         self._close_timer: Timer | None = None
 
     def opened(self) -> None:
-        """Occupy a slot in the table, or abort the connection if none is free."""
+        """Occupy a slot in the connection table, or abort the connection if none is free."""
         if self.listener.accept(self):
             self.start_progress_timer()
         else:
--- a/marlstep/frontends/resp.py
+++ b/marlstep/frontends/resp.py
@@ -56,7 +56,7 @@
         self._invalid_requests = 0
 
     def opened(self) -> None:
-        """Occupy a slot in the table; drain at once if the frontend is draining."""
+        """Occupy a slot in the connection table; drain at once if the frontend is draining."""
         super().opened()
         if self.frontend.draining:
             self.drain()
@@ -136,7 +136,7 @@
             self._reject_request(command.tag, str(error))
 
     def _forget(self, command: ForgetCommand) -> None:
-        """Cancel a request whose client stopped waiting. It may be closed already if FORGET crossed the response."""
+        """Cancel a request whose client stopped waiting. It may have ended already, if FORGET crossed its response."""
         was_open = self.cancel_request(command.tag)
         if not was_open and not self._tags.is_used(command.tag):
             self._count_invalid_request("FORGET of a tag that was never used")
@@ -189,7 +189,7 @@
             self._reject_stream(MalformedFrameError(FrameFault.TIMEOUT, None))
 
     def close_idle(self) -> None:
-        """Announce the closing unless a request is open, and leave the idle list, so that it is announced only once."""
+        """Leave the idle list, so that the closing is announced once, and announce it unless a request is open."""
         self.frontend.connections.mark_busy(self)
         if not self._request_handles:
             self.drain()
--- a/marlstep/hot_restart/messages.py
+++ b/marlstep/hot_restart/messages.py
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SnapshotComplete:
-    """All keys that the predecessor knew at the connection have been sent; only changes follow."""
+    """All keys that the predecessor knew when the connection opened have been sent; only changes follow."""
 
     wire_tag: ClassVar[str] = "Whole"
 
--- a/marlstep/hot_restart/successor.py
+++ b/marlstep/hot_restart/successor.py
@@ -2,9 +2,10 @@
 
 Every process of a node starts in this state machine. Without a predecessor it serves as soon as its backend is ready.
 With one it stands by until it has the predecessor's keys and a share of the capacity. It then accepts connections in
-parallel with the predecessor, and reports that it can serve once the predecessor has acknowledged that. `TRANSITIONS`
-defines the complete state machine; docs/operations.md shows it for operators. The module does no I/O and reads no
-clock: callers pass in messages and the current time.
+parallel with the predecessor, and sends SuccessorReady to it. It reports that it can serve once the predecessor has
+acknowledged this message or has ended, or after `ACKNOWLEDGE_TIMEOUT`. `TRANSITIONS` defines the complete state
+machine; docs/operations.md shows it for operators. The module does no I/O and reads no clock: callers pass in messages
+and the current time.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 
 log = logging.getLogger(__name__)
 
-# From the connection on, for the predecessor to send its keys and a capacity grant.
+# Limit on the time from the connection until the predecessor has sent its keys and a capacity grant.
 INITIAL_SYNC_TIMEOUT = 1 * SECOND
 ACKNOWLEDGE_TIMEOUT = 3 * SECOND  # for the predecessor to acknowledge SuccessorReady
 
@@ -124,7 +125,7 @@
     Args:
         backend_ready: whether the backend's connection is up, so that this process can start runs.
         predecessor_connected: whether an older process of this node is connected and has not ended.
-        snapshot_complete: whether all keys that the predecessor knew at the connection have been received.
+        snapshot_complete: whether all keys that the predecessor knew when the connection opened have been received.
         capacity_share: this process's limit, 0 to 1 of the node's capacity.
         initial_sync_timed_out: whether `INITIAL_SYNC_TIMEOUT` has passed since the predecessor connected.
     """
--- a/marlstep/leases/manager.py
+++ b/marlstep/leases/manager.py
@@ -1,7 +1,7 @@
 """The leader's side of leases: when each lease expires, and which process is granted it next.
 
-This state is not in the log. A new leader counts a full term of every held lease from the time at which it starts these
-duties. A leader responds to a heartbeat only after a majority has confirmed its leadership since the heartbeat arrived.
+This state is not in the log. A new leader counts a full term for every held lease, from the time at which it starts to
+lead. A leader responds to a heartbeat only after a majority has confirmed its leadership since the heartbeat arrived.
 So every later leader starts to count a lease's term only after the holder has sent that heartbeat.
 """
 
--- a/marlstep/net/ring.py
+++ b/marlstep/net/ring.py
@@ -104,7 +104,7 @@
         """Remove and return the next line, without its CR LF; None if it is incomplete.
 
         Raises:
-            LineTooLongError: there is no line end after up to `limit` bytes.
+            LineTooLongError: the line is longer than `limit` bytes.
         """
         if self._start + self.used <= self.size:  # contiguous: searched in place
             searched = min(self.used, limit + 2)
--- a/marlstep/platform/kernel.py
+++ b/marlstep/platform/kernel.py
@@ -36,7 +36,8 @@
 LINE_LIMIT = 8 * 1024  # bytes
 MIN_BACKOFF = 20 * MILLISECOND  # between connection attempts; the first attempt is immediate
 MAX_BACKOFF = 1000 * MILLISECOND
-SYNC_TAG = "sync"  # of the gauges requested after OPEN_CONNECTION; the repeated notices arrive before them
+# Tag of the first gauges request on a connection. Its response follows the repeated notices, and so marks their end.
+SYNC_TAG = "sync"
 MAX_LOGGED_MESSAGE_CHARACTERS = 200  # of a kernel message
 MAX_LOGGED_NOTICE_CHARACTERS = 64  # of an unknown notice
 
@@ -164,7 +165,7 @@
         self._cancel_dialing = None
         if error is not None:
             log.warning("kernel connect failed: address=%s:%d reason=%s", *self._address, error)
-        # The connection is None as well if it was opened and has already closed.
+        # `_connection` is also None if the connection was opened and has closed again since.
         if self._connection is None or self._connection.address != self._address:
             self._connect_later()
 
--- a/marlstep/replicated_config/store.py
+++ b/marlstep/replicated_config/store.py
@@ -3,12 +3,12 @@
     prepare (compare-and-set) ──▶ prepared ──acknowledged by every live process──▶ committed: active
                                      └──rejected by a process, or withdrawn──▶ withdrawn
 
-A version with a canary rollout becomes active, once all processes have acknowledged it, only on the nodes of the
-rollout. Later it is promoted to all nodes or withdrawn.
+Once every live process has acknowledged a version with a canary rollout, it becomes active, but only on the nodes of
+the rollout. Later it is promoted to all nodes or withdrawn.
 
 The lease table on the same log determines which processes are live. A process that starts while a version is prepared
 has to acknowledge it as well. A process whose configuration lease has expired does not, as it no longer uses any
-version.
+version. If the version may exclude processes, it does not wait for those that have rejected it.
 """
 
 from __future__ import annotations
@@ -86,7 +86,7 @@
     """The state machine that holds all documents; only commands of the log change it."""
 
     def __init__(self, table: LeaseTable) -> None:
-        """Initialize an empty store; `table` holds the leases, by which a process is live or not."""
+        """Initialize an empty store; `table` holds the leases, which determine the live processes."""
         self._table = table
         self.documents: dict[str, Document] = {}
         self._uploads: OrderedDict[str, str] = OrderedDict()
@@ -186,8 +186,8 @@
         """
         self._statuses = self._allowances = None
         try:
-            # Checked before the rest is parsed: replicas of all versions must return this result also for a command
-            # that is malformed otherwise.
+            # Checked before the rest is parsed: replicas of all program versions must return this result, even if the
+            # command is malformed otherwise.
             if command["do"] not in COMMANDS_WITHOUT_DOCUMENT and command["doc"] not in self.documents:
                 raise UnknownDocumentError
             return self._dispatch(parse_config_command(command)).to_json()
@@ -361,7 +361,7 @@
     """Return the prepared version.
 
     Raises:
-        NotPreparedError: No version is prepared, or another one than `version`.
+        NotPreparedError: `version` is not the prepared version.
     """
     prepared = document.prepared
     if prepared is None or prepared.version.number != version:
--- a/marlstep/scheduled_tasks/runner.py
+++ b/marlstep/scheduled_tasks/runner.py
@@ -4,8 +4,8 @@
       └──────▶ idle ──due──▶ begin ──▶ execute ──▶ end ──▶ idle ◀──────────────────┘ (or leave it as "may have run")
 
 A fence request gives the server the new token, so that the server refuses later requests with an older one. Requests
-that the server started before the fence have ended once the task's timeout has passed after it. A run is executed only
-if at least its whole timeout and a margin remain of the lease.
+that the server started before the fence have ended by the time that the task's timeout has passed since the fence. A
+run is executed only if the remaining time of the lease covers the run's whole timeout and a margin.
 """
 
 from __future__ import annotations
--- a/marlstep/simulator/configuration.py
+++ b/marlstep/simulator/configuration.py
@@ -59,7 +59,7 @@
 
 
 def _count_this_server(value: object) -> object:
-    """Raise a server count to at least 1: an empty endpoint list omits this server itself."""
+    """Return a server count of at least 1: if the endpoint list is empty, this server itself is missing from it."""
     return max(1, value) if isinstance(value, int | float) else value
 
 
@@ -70,8 +70,8 @@
     Attributes:
         field: name of the field in `Settings`, `ClassSettings` or `TenantSettings`.
         key: key in the table.
-        default: value of the setting if the key is absent or null; None if the key is required. Null is not
-            replaced by the default where `translations` is set.
+        default: value of the setting if the key is absent or null; None if the key is required. Where
+            `translations` is set, null is an error instead.
         translations: value of the setting by its name on the wire; None if the value is not an enumeration.
         convert: applied to the value in `conf`. Not applied to a default, and not used with `translations`.
     """
--- a/marlstep/traces/reordering.py
+++ b/marlstep/traces/reordering.py
@@ -122,7 +122,7 @@
             # Rows with equal times are released together, so that duplicates are always compared.
             end = bisect_left(waiting, (waiting[end][0],)) or len(waiting)
         ready, self._waiting = waiting[:end], waiting[end:]
-        # Sorting again only after about as many new rows as are waiting keeps the number of sorts of each row low.
+        # The next sort waits until the number of rows has about doubled, so that each row is sorted only a few times.
         still_waiting = len(self._waiting)
         room = self._max_waiting_rows - still_waiting
         self._sort_at = still_waiting + max(MIN_SORTED_ROWS, min(still_waiting, room))
