--- a/marlstep/admission/run_queue.py
+++ b/marlstep/admission/run_queue.py
@@ -54,7 +54,8 @@
             if entry.priority <= 0 and not has_idle_core(len(running), self.state.settings.cores):
                 continue
             if has_place and len(running) + 1 > limit:
-                # The place is made before the pool and memory are checked: if a check fails, the next request gets it.
+                # The place is made before the pool and memory are checked: if a check fails, the next request
+                # gets it.
                 has_place = self._make_place(entry)
             if has_place and not self.state.entries.is_pool_full(entry.pool):
                 self._start_if_allowed(entry)
